--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -44,7 +44,7 @@
 		return source, nil
 	}
 	both := merge.New(own, source)
-	both.SetInitial(0, c.Known.Endpoints)
+	both.SetInitial(0, c.InitialList.Endpoints)
 	return both, nil
 }
 
--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	c.Settings.Classes[1].Pool = "rooms"
-	c.Membership = func(own router.EndpointSource) (router.EndpointSource, error) {
+	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) {
 		return membership(o, c, own, slog.New(slog.DiscardHandler))
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -21,12 +21,12 @@
 
 // Mutants are all of them. They show that the verdict can fail.
 func Mutants() []Mutant {
-	without := func(w safeguards.Without) func() Options {
-		return func() Options { return Options{Without: func() safeguards.Without { return w }} }
+	without := func(w safeguards.Overrides) func() Options {
+		return func() Options { return Options{Without: func() safeguards.Overrides { return w }} }
 	}
-	engine := func(s safeguards.Set) func() Options { return without(safeguards.Without{Set: s}) }
-	hears := func(event func(policy.Event) policy.Event) func(safeguards.Module) safeguards.Module {
-		return func(m safeguards.Module) safeguards.Module { return &tamper{Module: m, event: event} }
+	engine := func(s safeguards.Guards) func() Options { return without(safeguards.Overrides{Disabled: s}) }
+	hears := func(event func(policy.Event) policy.Event) func(safeguards.Policy) safeguards.Policy {
+		return func(m safeguards.Policy) safeguards.Policy { return &tamper{Policy: m, event: event} }
 	}
 	changed := func(change func(*policy.Class)) func(policy.Settings) policy.Settings {
 		return func(s policy.Settings) policy.Settings {
@@ -38,25 +38,25 @@
 		}
 	}
 	classes := func(change func(*policy.Class)) func() Options {
-		return without(safeguards.Without{Settings: changed(change)})
+		return without(safeguards.Overrides{Settings: changed(change)})
 	}
 	careless := func(event func(policy.Event) policy.Event) func() Options {
 		return func() Options {
-			return Options{Careless: true, Without: func() safeguards.Without { return safeguards.Without{Wrap: hears(event)} }}
+			return Options{Careless: true, Without: func() safeguards.Overrides { return safeguards.Overrides{WrapModule: hears(event)} }}
 		}
 	}
 	return []Mutant{
-		{"answers twice", "sick", checker.Answered, without(safeguards.Without{Set: safeguards.OneAnswer, Wrap: hears(unended)})},
-		{"answers late", "sick", checker.Answered, engine(safeguards.AnswerTime)},
-		{"leaves requests without an answer", "sick", checker.Answered, without(safeguards.Without{
-			Set: safeguards.Backstop,
-			Wrap: func(m safeguards.Module) safeguards.Module {
-				return &tamper{Module: m, action: func(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }}
+		{"answers twice", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapModule: hears(unended)})},
+		{"answers late", "sick", checker.Answered, engine(safeguards.AnswerDeadline)},
+		{"leaves requests without an answer", "sick", checker.Answered, without(safeguards.Overrides{
+			Disabled: safeguards.BackstopAnswer,
+			WrapModule: func(m safeguards.Policy) safeguards.Policy {
+				return &tamper{Policy: m, action: func(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }}
 			},
 		})},
-		{"sends after the answer", "sick", checker.Answered, without(safeguards.Without{Set: safeguards.AfterEnd, Wrap: hears(unended)})},
-		{"takes an id twice", "bad-clients", checker.Once, engine(safeguards.FreshID)},
-		{"refuses what may have run", "sick", checker.Once, engine(safeguards.RefuseRan)},
+		{"sends after the answer", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapModule: hears(unended)})},
+		{"takes an id twice", "bad-clients", checker.Once, engine(safeguards.UniqueID)},
+		{"refuses what may have run", "sick", checker.Once, engine(safeguards.NoRejectionAfterRun)},
 		{"repeats an unsafe request", "sick", checker.Once, classes(func(c *policy.Class) {
 			if c.Idempotency == policy.NonIdempotent {
 				c.Idempotency = policy.Idempotent
@@ -64,12 +64,12 @@
 		})},
 		{"takes a reset for proof", "sick", checker.Once, func() Options { return Options{Lying: true} }},
 		{"forgets the group of a key", "keys", checker.Once, classes(func(c *policy.Class) { c.DedupScope = policy.DedupAll })},
-		{"forgets the window of a key", "keys", checker.Once, without(safeguards.Without{Set: safeguards.KeyWindow, Settings: changed(func(c *policy.Class) { c.DedupWindow *= 100 })})},
-		{"writes a repeat when its key is forgotten", "keys", checker.Once, engine(safeguards.KeyWindow)},
+		{"forgets the window of a key", "keys", checker.Once, without(safeguards.Overrides{Disabled: safeguards.DedupWindow, Settings: changed(func(c *policy.Class) { c.DedupWindow *= 100 })})},
+		{"writes a repeat when its key is forgotten", "keys", checker.Once, engine(safeguards.DedupWindow)},
 		{"does not hear of drains", "rolling", checker.Drained, careless(undrained)},
 		{"does not hear of servers that are gone", "wrong-list", checker.Drained, careless(unremoved)},
-		{"takes cold servers for warm", "fresh", checker.Cold, without(safeguards.Without{Wrap: hears(warm)})},
-		{"has no budget for cold servers", "fresh", checker.Cold, without(safeguards.Without{Settings: func(s policy.Settings) policy.Settings {
+		{"takes cold servers for warm", "fresh", checker.Cold, without(safeguards.Overrides{WrapModule: hears(warm)})},
+		{"has no budget for cold servers", "fresh", checker.Cold, without(safeguards.Overrides{Settings: func(s policy.Settings) policy.Settings {
 			s.Rules.SlowStartShare, s.Rules.OverloadFactor = 1, 1e6
 			return s
 		}})},
@@ -78,7 +78,7 @@
 
 // tamper is a module that hears or says something else than the true one would.
 type tamper struct {
-	safeguards.Module
+	safeguards.Policy
 	event  func(policy.Event) policy.Event
 	action func(policy.Action) bool // reports whether it is to be done
 }
@@ -87,7 +87,7 @@
 	if t.event != nil {
 		ev = t.event(ev)
 	}
-	all := t.Module.Handle(now, ev)
+	all := t.Policy.Handle(now, ev)
 	if t.action != nil {
 		all = slices.DeleteFunc(slices.Clone(all), func(a policy.Action) bool { return !t.action(a) })
 	}
--- a/emulator/sim/world.go
+++ b/emulator/sim/world.go
@@ -25,7 +25,7 @@
 // Options are what a rehearsal may be told beside its plan.
 type Options struct {
 	// Without is what the engines lack, by node; nil for nothing. Each engine has a module of its own.
-	Without func() safeguards.Without
+	Without func() safeguards.Overrides
 	// Careless transports send to drained servers, and Lying ones take every reset for proof that nothing ran.
 	Careless, Lying bool
 	Levels          *levels.Config // of every node; nil: full service always
--- a/internal/cli/alone.go
+++ b/internal/cli/alone.go
@@ -49,7 +49,7 @@
 	}
 	if err == nil {
 		saved := a.own.State
-		c.State = node.StateConfig{File: saved.File, Every: saved.Every, HalfLife: saved.Half, MaxAge: saved.Most}
+		c.State = node.StateConfig{File: saved.File, SaveInterval: saved.Every, HalfLife: saved.Half, MaxAge: saved.Most}
 		c.Levels, err = ladderOf(a.own, &c)
 	}
 	return c, err
@@ -71,8 +71,8 @@
 	}
 	c := node.Config{
 		Name: f.Node.Name, Listen: f.Listen[0].Address, Discovery: "127.0.0.1:9", Seed: uint64(os.Getpid()), Cores: f.Limits.Cores,
-		MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets, MaxOpen: f.Limits.Open, ConnectTimeout: f.Limits.Connect,
-		Settings: f.Settings(), Known: registry.List{Full: true, Endpoints: members},
+		MemoryMB: int64(f.Limits.MemoryMB), MaxDescriptors: f.Limits.Sockets, MaxInFlight: f.Limits.Open, ConnectTimeout: f.Limits.Connect,
+		Settings: f.Settings(), InitialList: registry.List{Full: true, Endpoints: members},
 	}
 	if c.Name == "" {
 		c.Name, _ = os.Hostname() // without one it has none
@@ -83,8 +83,8 @@
 	if c.MemoryMB == 0 {
 		c.MemoryMB = 192
 	}
-	if c.Sockets == 0 {
-		c.Sockets = 1024
+	if c.MaxDescriptors == 0 {
+		c.MaxDescriptors = 1024
 	}
 	if c.ConnectTimeout == 0 {
 		c.ConnectTimeout = node.DefaultConnectTimeout
@@ -98,9 +98,9 @@
 	if a.file == nil {
 		return
 	}
-	c.Front = func(next http.Handler, ready string) http.Handler { return a.front.Handler(next, ready) }
+	c.WrapHandler = func(next http.Handler, ready string) http.Handler { return a.front.Handler(next, ready) }
 	a.list = file.New(a.file.ServersFile(), a.file.List, log)
-	c.Membership = func(router.EndpointSource) (router.EndpointSource, error) { return a.list, nil }
+	c.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return a.list, nil }
 }
 
 // reload reads the configuration again. adopt puts its routes, identities and servers in force, once nothing else
--- a/internal/cli/certs_running.go
+++ b/internal/cli/certs_running.go
@@ -48,11 +48,11 @@
 }
 
 func printTLS(out io.Writer, st *node.TLSStatus, now time.Time) error {
-	if st.Refused != "" {
-		fmt.Fprintf(out, "refused, and the former ones go on: %s\n", st.Refused)
+	if st.RejectedFile != "" {
+		fmt.Fprintf(out, "refused, and the former ones go on: %s\n", st.RejectedFile)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, e := range st.Keys {
+	for _, e := range st.Certificates {
 		fmt.Fprintf(table, "%s\t%s\tserial %s\t%s\t%s\n", e.Ends.UTC().Format(time.RFC3339), left(e.Ends.Sub(now)), e.Serial, strings.Join(e.Names, ","), e.Source)
 	}
 	fmt.Fprintf(table, "\nside\tfull\tresumed\tmean\tresumed mean\tof it work\tfailures\n")
@@ -76,7 +76,7 @@
 	if s := st.Msgpack; s != nil && s.Full.Count+s.Resumed.Count > 0 {
 		row("msgpack", s.Full, s.Resumed, s.Failures)
 	}
-	if s := st.Door; s != nil {
+	if s := st.AdminAPI; s != nil {
 		row("door", s.Full, s.Resumed, s.Failures)
 	}
 	if s := st.Servers; s != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -212,7 +212,7 @@
 		if (conf.Levels != nil) != strings.Contains(c.own, "[[level]]") {
 			t.Errorf("%s: levels %v", c.own, conf.Levels)
 		}
-		if err != nil || conf.Settings.Classes[0].Pool != c.pool || (conf.DrainFor != nil) != strings.Contains(c.own, "deadline") || level.Level() == was {
+		if err != nil || conf.Settings.Classes[0].Pool != c.pool || (conf.DrainTimeout != nil) != strings.Contains(c.own, "deadline") || level.Level() == was {
 			t.Errorf("%s: %+v, %v, level %v", c.own, conf, err, level.Level())
 		}
 		for _, key := range strings.Fields(c.next) {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -56,7 +56,7 @@
 	if c.Msgpack, err = msgpack(o.Msgpack); err != nil {
 		return err
 	}
-	if c.Door, err = doorOf(o.Door); err != nil {
+	if c.AdminAPI, err = doorOf(o.Door); err != nil {
 		return err
 	}
 	if c.TLS, err = alone.own.Secure(time.Now()); err != nil {
@@ -67,8 +67,8 @@
 	}
 	c.DrainMark = o.Drain.Remember
 	debug.SetMemoryLimit(int64(heapPart * float64(c.MemoryMB) * (1 << 20)))
-	c.Common = os.Getenv("TMPDIR")
-	c.Memory = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20))) }
+	c.SharedDir = os.Getenv("TMPDIR")
+	c.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20))) }
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
 	ctx, stop := interrupted()
 	defer stop()
@@ -76,12 +76,12 @@
 	if err != nil {
 		return err
 	}
-	if c.Console != "" {
-		if c.ConsoleListener, err = operations.Open(c.Console); err != nil {
+	if c.OperationsAddr != "" {
+		if c.OperationsListener, err = operations.Open(c.OperationsAddr); err != nil {
 			return err
 		}
 	}
-	log.Info("listening", "name", c.Name, "address", listener.Addr(), "servers", len(c.Known.Endpoints))
+	log.Info("listening", "name", c.Name, "address", listener.Addr(), "servers", len(c.InitialList.Endpoints))
 	reloads, done := make(chan node.Config, 1), make(chan struct{})
 	defer close(done)
 	r := reloader{own: own, running: o, level: level, log: log, alone: alone}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", acceptFD, err)
 	}
-	c.Shared = true
+	c.SharedListener = true
 	return ln, nil
 }
 
@@ -127,17 +127,17 @@
 // apply puts what the operator's own file says into the node's configuration.
 func apply(o nodeconfig.File, c *node.Config) {
 	if o.Drain.Leave.Set {
-		c.Leave = &o.Drain.Leave.Duration
+		c.AnnounceFor = &o.Drain.Leave.Duration
 	}
 	if o.Drain.Deadline.Set {
-		c.DrainFor = &o.Drain.Deadline.Duration
+		c.DrainTimeout = &o.Drain.Deadline.Duration
 	}
 }
 
 // msgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
 // and goes.
 func msgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
-	c := node.Msgpack{Connections: m.Connections, Calls: m.Calls, Servers: m.Servers}
+	c := node.Msgpack{MaxConns: m.Connections, MaxCallsPerConn: m.Calls, ServerKinds: m.Servers}
 	if m.Listen == "" {
 		return c, nil
 	}
@@ -173,7 +173,7 @@
 	if err := bindPools(o, c); err != nil {
 		return err
 	}
-	c.Membership = func(own router.EndpointSource) (router.EndpointSource, error) { return e.XDS(o, *c, own, log) }
+	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) { return e.XDS(o, *c, own, log) }
 	return nil
 }
 
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -76,7 +76,7 @@
 			if err := bindPools(o, &conf); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%s: good; listens on %s, asks %s, knows %d servers\n", platform, conf.Listen, conf.Discovery, len(conf.Known.Endpoints))
+			fmt.Fprintf(out, "%s: good; listens on %s, asks %s, knows %d servers\n", platform, conf.Listen, conf.Discovery, len(conf.InitialList.Endpoints))
 			table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(table, "class\taim\tdeadline\tmay be sent again")
 			for _, class := range conf.Settings.Classes {
--- a/internal/conformance/server_test.go
+++ b/internal/conformance/server_test.go
@@ -169,7 +169,7 @@
 		}
 	})
 	c := testConfig(t, knownList(addr))
-	c.Sockets = leastSockets
+	c.MaxDescriptors = leastSockets
 	node, _ := b.start(t, c)
 	slow := make(chan int, 1)
 	go func() {
--- a/internal/conformance/support_test.go
+++ b/internal/conformance/support_test.go
@@ -79,9 +79,9 @@
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: 15 * time.Second, MaxHeaderBytes: maxHeader,
 		DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn),
 	}
-	r, err := router.New(router.Config{Settings: c.Settings, MaxInFlight: c.MaxOpen, Seed: c.Seed, Endpoints: c.Known.Endpoints},
+	r, err := router.New(router.Config{Settings: c.Settings, MaxInFlight: c.MaxInFlight, Seed: c.Seed, Endpoints: c.InitialList.Endpoints},
 		router.WithTransport(http1.New(http1.Config{MaxConns: 100, ConnectTimeout: c.ConnectTimeout})),
-		router.WithEndpointSource(registry.New(registry.Config{Addr: c.Discovery, Revision: c.Known.Revision, Subscribe: c.Settings.Subscribe})),
+		router.WithEndpointSource(registry.New(registry.Config{Addr: c.Discovery, Revision: c.InitialList.Revision, Subscribe: c.Settings.Subscribe})),
 		router.WithListener(server))
 	if err != nil {
 		return err
--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -51,12 +51,12 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.Cert)
 	showing := &tls.Config{Certificates: []tls.Certificate{pair.TLS()}}
-	c.TLS = &node.TLS{Clients: &node.Listener{Keys: own}, Stores: []*certificates.Store{own, trust}, Every: time.Second}
+	c.TLS = &node.TLS{Clients: &node.TLSListener{Certificates: own}, Stores: []*certificates.Store{own, trust}, CheckInterval: time.Second}
 	rule := secure.Rule{Trust: trust}
 	var tunnels sync.WaitGroup
 	defer tunnels.Wait()
-	for i := range c.Known.Endpoints {
-		m := &c.Known.Endpoints[i]
+	for i := range c.InitialList.Endpoints {
+		m := &c.InitialList.Endpoints[i]
 		behind, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 		rule.Servers = append(rule.Servers, m.ID)
 	}
 	if len(rule.Servers) > 0 {
-		c.TLS.Rules = []secure.Rule{rule}
+		c.TLS.ServerRules = []secure.Rule{rule}
 	}
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -171,8 +171,8 @@
 	ended := make(chan error, 1)
 	go func() {
 		ended <- node.Run(ctx, node.Config{
-			Name: "demo", Discovery: discovery, Seed: w.c.Seed, Sockets: 1024,
-			Known: registry.List{Revision: 1, Full: true, Endpoints: members}, Settings: Settings(),
+			Name: "demo", Discovery: discovery, Seed: w.c.Seed, MaxDescriptors: 1024,
+			InitialList: registry.List{Revision: 1, Full: true, Endpoints: members}, Settings: Settings(),
 			ConnectTimeout: 250 * time.Millisecond,
 		}, listener, nil, slog.New(slog.DiscardHandler))
 	}()
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -30,9 +30,9 @@
 	http, rpc, operations := failing(), failing(), failing()
 	admin := &testkit.FailingListener{}
 	config := Config{
-		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: 512, Settings: drainSettings(),
-		Msgpack: Msgpack{Listener: rpc}, ConsoleListener: operations,
-		Door: adminapi.Config{Listen: "127.0.0.1:0", Token: "t", Wrap: func(inner net.Listener) net.Listener {
+		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, Settings: drainSettings(),
+		Msgpack: Msgpack{Listener: rpc}, OperationsListener: operations,
+		AdminAPI: adminapi.Config{Listen: "127.0.0.1:0", Token: "t", Wrap: func(inner net.Listener) net.Listener {
 			admin.Listener = inner
 			return admin
 		}},
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -22,7 +22,7 @@
 	disabled    *disabled.Source
 	intake      *intake
 	announceFor time.Duration      // of a drain
-	tls         *secured           // nil: the node speaks no TLS
+	nodeTLS         *nodeTLS           // nil: the node speaks no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
 	onStandby   func(standby bool) // tells other processes of this node; nil: there are none
 
@@ -67,11 +67,11 @@
 }
 
 func (a *adminAPI) handleTLS(w http.ResponseWriter, _ *http.Request) {
-	if a.tls == nil {
+	if a.nodeTLS == nil {
 		adminapi.Fail(w, http.StatusConflict, "this node speaks no TLS: its own file has no table [tls]")
 		return
 	}
-	adminapi.Reply(w, http.StatusOK, a.tls.status())
+	adminapi.Reply(w, http.StatusOK, a.nodeTLS.status())
 }
 
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -66,13 +66,13 @@
 ) (*holdingServer, string) {
 	t.Helper()
 	server := &holdingServer{received: make(map[string]receivedRequest), release: make(chan struct{})}
-	config := Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: sockets, Settings: drainSettings()}
+	config := Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: sockets, Settings: drainSettings()}
 	for i := range config.Settings.Classes { // attempts end with the client's time, and not with that of full worth
 		config.Settings.Classes[i].Deadline *= scale
 		config.Settings.Classes[i].LatencyObjective = config.Settings.Classes[i].Deadline
 	}
-	config.Known.Revision, config.Known.Full = 1, true
-	config.Known.Endpoints = []router.Endpoint{
+	config.InitialList.Revision, config.InitialList.Full = 1, true
+	config.InitialList.Endpoints = []router.Endpoint{
 		{ID: "s", Addr: testkit.HTTPServer(t, server.ServeHTTP), Zone: "a", Kind: "k", Weight: 1},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -171,9 +171,9 @@
 func delaysNoAnswer(t *testing.T, scale time.Duration) {
 	t.Helper()
 	const late = 500 * time.Millisecond // beyond which a request counts as lost
-	server, addr := runHoldingFor(t, leastSockets, scale, func(l net.Listener) net.Listener { return l })
+	server, addr := runHoldingFor(t, minDescriptors, scale, func(l net.Listener) net.Listener { return l })
 	defer close(server.release)
-	for i := range leastSockets { // more than the node lets in
+	for i := range minDescriptors { // more than the node lets in
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -232,9 +232,9 @@
 func halfSentKeepsNobodyOut(t *testing.T, part string) {
 	t.Helper()
 	const late = 500 * time.Millisecond
-	server, addr := runHolding(t, leastSockets, func(l net.Listener) net.Listener { return l })
+	server, addr := runHolding(t, minDescriptors, func(l net.Listener) net.Listener { return l })
 	close(server.release)
-	for range 2 * leastSockets {
+	for range 2 * minDescriptors {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -292,11 +292,11 @@
 // TestTurnedAwayGetsAnAnswer crowds a node with clients that pause in the midst of a head. Each whose connection makes room
 // meanwhile finds a rejection that says when to try again: the rest of its request may cross the close.
 func TestTurnedAwayGetsAnAnswer(t *testing.T) {
-	_, addr := runHolding(t, leastSockets, func(l net.Listener) net.Listener { return l })
+	_, addr := runHolding(t, minDescriptors, func(l net.Listener) net.Listener { return l })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	answers := make(map[string]int)
-	for range 2 * leastSockets {
+	for range 2 * minDescriptors {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -319,7 +319,7 @@
 		})
 	}
 	all.Wait()
-	if turnedAway := answers["HTTP/1.1 503 Service Unavailable"]; turnedAway == 0 || turnedAway+answers["none yet"] != 2*leastSockets {
+	if turnedAway := answers["HTTP/1.1 503 Service Unavailable"]; turnedAway == 0 || turnedAway+answers["none yet"] != 2*minDescriptors {
 		t.Errorf("answers %v, want some rejections and no connection closed without one", answers)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -27,39 +27,39 @@
 	Name      string
 	Listen    string // the only address to listen on
 	Discovery string
-	Console   string // the second address to listen on; empty: none
+	OperationsAddr   string // the second address to listen on; empty: none
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int64
-	Sockets   int
-	Known     registry.List // the servers as this node last had them, perhaps stale
+	MaxDescriptors   int
+	InitialList     registry.List // the servers as this node last had them, perhaps stale
 	Settings  policy.Settings
 
 	// Figures of the settings that bind the node and not the module.
-	MaxOpen        int           // unanswered requests; 0: no limit
+	MaxInFlight        int           // unanswered requests; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
 	// What the operator's own file may say of the end; nil where it does not.
-	Leave    *time.Duration // serving on as before; nil: 0.6 of DrainFor or else of the longest deadline, then 0.42 s at least
-	DrainFor *time.Duration // in all; nil: the longest deadline of a class, 3 s at most, and 0.3 s more
+	AnnounceFor    *time.Duration // serving on as before; nil: 0.6 of DrainFor or else of the longest deadline, then 0.42 s at least
+	DrainTimeout *time.Duration // in all; nil: the longest deadline of a class, 3 s at most, and 0.3 s more
 
-	// ConsoleListener is where the console's calls come in; nil: there is none. The node closes it.
-	ConsoleListener net.Listener
-	// Shared says that the clients' listening socket is held by others, too: what this process does not accept, the
+	// OperationsListener is where the console's calls come in; nil: there is none. The node closes it.
+	OperationsListener net.Listener
+	// SharedListener says that the clients' listening socket is held by others, too: what this process does not accept, the
 	// next one will.
-	Shared bool
+	SharedListener bool
 
 	// Shared processes of one node know of each other through this directory; empty: they do not.
-	Common string
-	// Memory has the process use a part of the node's memory; nil: it can't.
-	Memory func(part float64)
+	SharedDir string
+	// SetMemoryShare has the process use a part of the node's memory; nil: it can't.
+	SetMemoryShare func(part float64)
 
 	// Msgpack says who is spoken to by MessagePack-RPC beside HTTP; the zero value is nobody.
 	Msgpack Msgpack
 
-	// Door is the operators' way in; the zero value is none. DrainMark is a file that stands while a drain on
+	// AdminAPI is the operators' way in; the zero value is none. DrainMark is a file that stands while a drain on
 	// request does, so that a restart goes on with it; empty: a restart serves.
-	Door      adminapi.Config
+	AdminAPI      adminapi.Config
 	DrainMark string
 
 	// State is where the node keeps what it learns; the zero value keeps nothing.
@@ -71,27 +71,27 @@
 	// TLS is who is spoken to by TLS; nil: nobody.
 	TLS *TLS
 
-	// Front puts requests from outside into the protocol's form; nil: they come in it. ready is a path that goes on
+	// WrapHandler puts requests from outside into the protocol's form; nil: they come in it. ready is a path that goes on
 	// as it is.
-	Front func(next http.Handler, ready string) http.Handler
+	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// Membership makes the source of the servers out of the protocol's discovery; nil: that alone.
-	Membership func(own router.EndpointSource) (router.EndpointSource, error)
+	// NewEndpointSource makes the source of the servers out of the protocol's discovery; nil: that alone.
+	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
 // Msgpack is a listener for callers by MessagePack-RPC, and the app servers that speak it.
 type Msgpack struct {
 	Listener    net.Listener // nil: none; the node closes it
-	Connections int          // 0: defaultMsgpackConns
-	Calls       int          // open on a connection; 0: the front's default
-	Servers     []string     // kinds
+	MaxConns int          // 0: defaultMsgpackConns
+	MaxCallsPerConn       int          // open on a connection; 0: the front's default
+	ServerKinds     []string     // kinds
 }
 
 // defaultMsgpackConns is how many callers are let in where nobody says.
 const defaultMsgpackConns = 64
 
-// leastSockets is what a node can work with at all: a few for itself, and some for each side.
-const leastSockets = 64
+// minDescriptors is what a node can work with at all: a few for itself, and some for each side.
+const minDescriptors = 64
 
 // DefaultConnectTimeout stands in where the settings name none.
 const DefaultConnectTimeout = 250 * time.Millisecond
@@ -104,7 +104,7 @@
 		return Config{}, err
 	}
 	for name, field := range map[string]*string{
-		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_CONSOLE": &c.Console,
+		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_CONSOLE": &c.OperationsAddr,
 	} {
 		if v := getenv(name); v != "" {
 			*field = v
@@ -116,12 +116,12 @@
 	if err := jsonconfig.CheckAddress(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	if c.Console != "" {
-		if err := jsonconfig.CheckAddress(c.Console); err != nil {
+	if c.OperationsAddr != "" {
+		if err := jsonconfig.CheckAddress(c.OperationsAddr); err != nil {
 			return Config{}, fmt.Errorf("configuration: console: %w", err)
 		}
-		if c.Console == c.Listen {
-			return Config{}, fmt.Errorf("configuration: console: %s is the address of the clients, too", c.Console)
+		if c.OperationsAddr == c.Listen {
+			return Config{}, fmt.Errorf("configuration: console: %s is the address of the clients, too", c.OperationsAddr)
 		}
 	}
 	return c, nil
@@ -141,9 +141,9 @@
 	return c, nil
 }
 
-// router is the part of the configuration that the engine takes.
-func (c Config) router() router.Config {
-	return router.Config{Settings: c.Settings, MaxInFlight: c.MaxOpen, Seed: c.Seed, Endpoints: c.Known.Endpoints}
+// routerConfig is the part of the configuration that the engine takes.
+func (c Config) routerConfig() router.Config {
+	return router.Config{Settings: c.Settings, MaxInFlight: c.MaxInFlight, Seed: c.Seed, Endpoints: c.InitialList.Endpoints}
 }
 
 func readConfig(getenv func(string) string) (Config, error) {
@@ -189,19 +189,19 @@
 		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, l.Sockets)
+	case l.Sockets < minDescriptors:
+		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", minDescriptors, l.Sockets)
 	}
 	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, Seed: seed,
-		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, OperationsAddr: f.Console, Seed: seed,
+		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), MaxDescriptors: f.Limits.Sockets,
 	}
 	for name, field := range map[string]json.RawMessage{"known": f.Known, "settings": f.Settings} {
 		if len(field) == 0 {
 			return Config{}, fmt.Errorf("%s: missing", name)
 		}
 	}
-	if c.Known, err = registry.ParseList(f.Known); err != nil {
+	if c.InitialList, err = registry.ParseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
@@ -210,12 +210,12 @@
 	if _, err := policy.New(c.Settings, 0, 0); err != nil { // the module checks what it is given
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	err = nodeLimits(f.Settings, &c)
+	err = parseNodeLimits(f.Settings, &c)
 	return c, err
 }
 
-// nodeLimits reads those settings that the module leaves to its host.
-func nodeLimits(settings []byte, c *Config) error {
+// parseNodeLimits reads those settings that the module leaves to its host.
+func parseNodeLimits(settings []byte, c *Config) error {
 	var s struct {
 		Limits struct {
 			MaxOpen        float64 `json:"maxOpen"`
@@ -231,11 +231,11 @@
 	case l.ConnectTimeout < 0 || l.ConnectTimeout > math.MaxInt32:
 		return fmt.Errorf("settings.limits.connectTimeout: want 0 or more, got %v", l.ConnectTimeout)
 	}
-	c.MaxOpen, c.ConnectTimeout = int(s.Limits.MaxOpen), millis(s.Limits.ConnectTimeout)
+	c.MaxInFlight, c.ConnectTimeout = int(s.Limits.MaxOpen), milliseconds(s.Limits.ConnectTimeout)
 	if c.ConnectTimeout == 0 {
 		c.ConnectTimeout = DefaultConnectTimeout
 	}
 	return nil
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -35,8 +35,8 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.MemoryMB != 192 || c.Sockets != 1024 || c.MaxOpen != 100 || c.ConnectTimeout != 2*time.Second ||
-		len(c.Known.Endpoints) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
+		c.MemoryMB != 192 || c.MaxDescriptors != 1024 || c.MaxInFlight != 100 || c.ConnectTimeout != 2*time.Second ||
+		len(c.InitialList.Endpoints) != 1 || c.InitialList.Revision != 7 || c.Settings.Zone != "a" {
 		t.Errorf("got %+v", c)
 	}
 }
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -141,8 +141,8 @@
 	ended = make(chan error, 1)
 	go func() {
 		ended <- Run(ctx, Config{
-			Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: 512, MemoryMB: w.memoryMB, Known: w.known, Settings: w.set, ConnectTimeout: w.connectFor(),
-			Leave: &leave, DrainFor: &whole, State: w.state, Door: adminapi.Config{Socket: w.sock}, ConsoleListener: desk,
+			Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, MemoryMB: w.memoryMB, InitialList: w.known, Settings: w.set, ConnectTimeout: w.connectFor(),
+			AnnounceFor: &leave, DrainTimeout: &whole, State: w.state, AdminAPI: adminapi.Config{Socket: w.sock}, OperationsListener: desk,
 		}, ln, nil, slog.New(slog.DiscardHandler))
 	}()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * drainMs) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,23 +32,23 @@
 )
 
 const (
-	ownSockets    = 24  // descriptors for the log, discovery, the runtime and the like
-	clientsPart   = 0.4 // of the others for clients: the third that their requests take, and some room
-	maxHeader     = 16 << 10
+	reservedDescriptors    = 24  // descriptors for the log, discovery, the runtime and the like
+	clientConnShare   = 0.4 // of the others for clients: the third that their requests take, and some room
+	maxHeaderBytes     = 16 << 10
 	headerTimeout = 2500 * time.Millisecond // for a request's head
 	bodyTimeout   = 5 * time.Second         // for a body to come, beyond what a slow line takes for it
-	bodiesPart    = 0.25                    // of the memory, for bodies that are held
-	longestBody   = 32 << 20                // bytes of a request's body
-	clientIdle    = 15 * time.Second        // without a request; under pressure it is less
+	bodyMemoryShare    = 0.25                    // of the memory, for bodies that are held
+	maxBodyBytes   = 32 << 20                // bytes of a request's body
+	clientIdleTimeout    = 15 * time.Second        // without a request; under pressure it is less
 	writeTimeout  = 5 * time.Second         // for an answer to a client that doesn't read
-	leavePart     = 0.6                     // of the longest deadline, in which the node serves on as before
-	longestDrain  = 3 * time.Second         // no client waits longer once a node is told to stop
-	// stillComing is for how long clients are still sent to a node that was told to stop, however short deadlines are:
+	announceFraction     = 0.6                     // of the longest deadline, in which the node serves on as before
+	maxDrainDeadline  = 3 * time.Second         // no client waits longer once a node is told to stop
+	// minAnnounce is for how long clients are still sent to a node that was told to stop, however short deadlines are:
 	// a listener that closes earlier turns them back, and resets those that the system has let in.
-	stillComing = 420 * time.Millisecond
-	// stopMargin is how much longer than the longest deadline a node may take: SIGKILL comes 0.7 s after it.
-	stopMargin  = 300 * time.Millisecond
-	lastAnswers = 150 * time.Millisecond // for what is failed then to reach its clients
+	minAnnounce = 420 * time.Millisecond
+	// drainMargin is how much longer than the longest deadline a node may take: SIGKILL comes 0.7 s after it.
+	drainMargin  = 300 * time.Millisecond
+	finalAnswerTimeout = 150 * time.Millisecond // for what is failed then to reach its clients
 	readyPath   = "/health/ready"
 )
 
@@ -56,25 +56,25 @@
 // what it has taken, and returns. Configurations that come from reloads take effect at once, as far as
 // ReloadConfig says.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Config, log *slog.Logger) error {
-	sockets, callers := c.Sockets-ownSockets, 0
-	if c.ConsoleListener != nil {
-		defer c.ConsoleListener.Close()
+	sockets, callers := c.MaxDescriptors-reservedDescriptors, 0
+	if c.OperationsListener != nil {
+		defer c.OperationsListener.Close()
 		sockets -= operations.Slots
 	}
 	if c.Msgpack.Listener != nil {
-		if callers = c.Msgpack.Connections; callers == 0 {
+		if callers = c.Msgpack.MaxConns; callers == 0 {
 			callers = defaultMsgpackConns
 		}
 		callers = min(callers, sockets/4) // the rest must do for HTTP and for the servers
 		sockets -= callers
 	}
-	most := int(clientsPart * float64(sockets))
+	most := int(clientConnShare * float64(sockets))
 	source := registry.New(registry.Config{
-		Addr: c.Discovery, Revision: c.Known.Revision,
+		Addr: c.Discovery, Revision: c.InitialList.Revision,
 		Subscribe: c.Settings.Subscribe, DrainGrace: c.Settings.Rules.DrainGrace, Log: log,
 	})
 	server := &http.Server{
-		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdle,
+		MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout,
 		DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if c, ok := c.(interface{ change(http.ConnState) }); ok {
@@ -83,37 +83,37 @@
 		},
 	}
 	var held *disabled.Source
-	safe, err := secureNode(c, func(id string, refused bool) { held.SetUntrusted(id, refused) }, log)
+	safe, err := newNodeTLS(c, func(id string, refused bool) { held.SetUntrusted(id, refused) }, log)
 	if err != nil {
 		return err
 	}
 	defer safe.close()
 	front := newIntake(server, nodesockets.NewPersistentListener(listener, log), most)
-	front.shared = c.Shared
-	front.clients.layer = safe.fromClients()
+	front.shared = c.SharedListener
+	front.clients.layer = safe.clientListenerLayer()
 	server.ConnContext = withClient
 	membership := router.EndpointSource(source)
-	if c.Membership != nil {
-		if membership, err = c.Membership(source); err != nil {
+	if c.NewEndpointSource != nil {
+		if membership, err = c.NewEndpointSource(source); err != nil {
 			return err
 		}
 	}
 	var way *adminapi.Door
-	if c.Door.On() {
-		if safe != nil && safe.door != nil {
-			c.Door.Wrap = safe.door.Listener
+	if c.AdminAPI.On() {
+		if safe != nil && safe.adminLayer != nil {
+			c.AdminAPI.Wrap = safe.adminLayer.Listener
 		}
-		if way, err = adminapi.Open(c.Door, log); err != nil {
+		if way, err = adminapi.Open(c.AdminAPI, log); err != nil {
 			return err
 		}
 		defer way.Close()
 	}
-	if way != nil || safe.towards() != nil {
+	if way != nil || safe.transportLayer() != nil {
 		held = disabled.New(membership)
-		held.SetInitial(c.Known.Endpoints)
+		held.SetInitial(c.InitialList.Endpoints)
 		membership = held
 	}
-	out := transport(c, sockets-most, safe.towards())
+	out := newTransport(c, sockets-most, safe.transportLayer())
 	options := []router.Option{
 		router.WithLogger(log), router.WithEndpointSource(membership), router.WithListener(front),
 		router.WithTransport(out),
@@ -123,13 +123,13 @@
 		rpc = newRPCIntake(c.Msgpack.Listener, safe.wrapMsgpack)
 		options = append(options, router.WithListener(rpc))
 	}
-	if c.Leave != nil {
-		options = append(options, router.WithDrainDelay(*c.Leave))
+	if c.AnnounceFor != nil {
+		options = append(options, router.WithDrainDelay(*c.AnnounceFor))
 	}
 	if c.Levels != nil {
 		options = append(options, router.WithLevels(*c.Levels))
 	}
-	engine, err := router.New(c.router(), options...)
+	engine, err := router.New(c.routerConfig(), options...)
 	if err != nil {
 		return err
 	}
@@ -139,36 +139,36 @@
 	if safe != nil {
 		safe.engine.Store(engine)
 	}
-	bodies := c.bodies()
+	bodies := c.bodyLimits()
 	var succeeded atomic.Bool // another process takes in clients at the same socket: to them the node goes on
 	up := func() bool { return engine.Phase() == router.Serving || succeeded.Load() }
 	server.Handler = middleware.New(engine, middleware.WithMatcher(middleware.Any), middleware.WithReady(readyPath), middleware.WithReadiness(up),
 		middleware.WithBodyTimeout(bodyTimeout), middleware.WithWriteTimeout(writeTimeout), middleware.WithBodies(bodies),
 		middleware.WithDeparture(hasLeft), middleware.WithArrivalAge(arrivalAge), middleware.WithOverflow(overflows))
-	if c.Front != nil {
-		server.Handler = c.Front(server.Handler, readyPath)
+	if c.WrapHandler != nil {
+		server.Handler = c.WrapHandler(server.Handler, readyPath)
 	}
 
 	if rpc != nil {
 		rpc.Front = msgpackfront.New(engine, msgpackfront.Config{
-			MaxConns: callers, MaxCalls: c.Msgpack.Calls, Idle: clientIdle,
+			MaxConns: callers, MaxCalls: c.Msgpack.MaxCallsPerConn, Idle: clientIdleTimeout,
 			MessageTimeout: headerTimeout, WriteTimeout: writeTimeout, Log: log,
 		})
 	}
 
-	ctl := &adminAPI{name: c.Name, engine: engine, disabled: held, tls: safe, intake: front, announceFor: c.leave(), drainMark: c.DrainMark}
+	ctl := &adminAPI{name: c.Name, engine: engine, disabled: held, nodeTLS: safe, intake: front, announceFor: c.announceDuration(), drainMark: c.DrainMark}
 	var next *processGroup
 	brief := false
-	if c.Shared && c.Common != "" {
-		if next = joinProcessGroup(c.Common, log); next != nil {
+	if c.SharedListener && c.SharedDir != "" {
+		if next = joinProcessGroup(c.SharedDir, log); next != nil {
 			defer next.process.Unregister()
 			next.engine, next.listener, next.budget, next.budgetBytes = engine, front, bodies.Budget, bodies.Budget.Most()
-			next.limits, next.setMemoryShare, next.setStandby = hotrestart.Limits{ClientConns: most, ServerConns: sockets - most}, c.Memory, ctl.setStandby
+			next.limits, next.setMemoryShare, next.setStandby = hotrestart.Limits{ClientConns: most, ServerConns: sockets - most}, c.SetMemoryShare, ctl.setStandby
 			next.conns, _ = out.(connLimiter)
 			ctl.onStandby = next.publishOrder
 		}
 		if brief = c.State.File == ""; brief {
-			c.State = StateConfig{File: filepath.Join(c.Common, successorStateFile), Every: successorStateInterval}
+			c.State = StateConfig{File: filepath.Join(c.SharedDir, successorStateFile), SaveInterval: successorStateInterval}
 		}
 	}
 	state := &stateKeeper{config: c.State, name: c.Name, engine: engine, successorOnly: brief, log: log}
@@ -181,9 +181,9 @@
 		ctl.restoreDrain()
 		way.Start()
 	}
-	if c.ConsoleListener != nil {
+	if c.OperationsListener != nil {
 		desk := &operationsNode{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}
-		defer operations.Serve(c.ConsoleListener, desk, log).Close()
+		defer operations.Serve(c.OperationsListener, desk, log).Close()
 	}
 	running, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
@@ -192,7 +192,7 @@
 	var newest atomic.Pointer[Config]
 	newest.Store(&c)
 	parts.Go(func() { safe.run(running) })
-	parts.Go(func() { follow(running, reloads, &newest, engine, source, log) })
+	parts.Go(func() { watchReloads(running, reloads, &newest, engine, source, log) })
 	if c.State.File != "" {
 		parts.Go(func() { state.run(running) })
 	}
@@ -215,8 +215,8 @@
 	}
 	log.Info("stopping")
 	last := newest.Load()
-	announce, leave := last.leave(), time.Duration(0)
-	if c.Shared {
+	announce, leave := last.announceDuration(), time.Duration(0)
+	if c.SharedListener {
 		// Who connects from now on is let in by the next process. Connections that are here end with their answers.
 		succeeded.Store(engine.Phase() == router.Serving)
 		state.paused.Store(true)
@@ -226,23 +226,23 @@
 		front.CloseListener()
 		announce, leave = 0, announce
 	}
-	return end(last.drainFor(), announce, leave, engine, front)
+	return end(last.drainTimeout(), announce, leave, engine, front)
 }
 
-// bodies is what bodies of requests may have: a part of the memory for all together, and a part of that for one.
-func (c Config) bodies() body.Limits {
-	all := int64(bodiesPart * float64(c.MemoryMB<<20))
-	return body.Limits{Body: longestBody, Hold: all / 4, Budget: body.NewBudget(all)}
+// bodyLimits is what bodies of requests may have: a part of the memory for all together, and a part of that for one.
+func (c Config) bodyLimits() body.Limits {
+	all := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
+	return body.Limits{Body: maxBodyBytes, Hold: all / 4, Budget: body.NewBudget(all)}
 }
 
-// transport speaks to each server in the protocol of its kind, over so many connections in all.
-func transport(c Config, conns int, layer *secure.Layer) router.Transport {
-	if len(c.Msgpack.Servers) == 0 {
+// newTransport speaks to each server in the protocol of its kind, over so many connections in all.
+func newTransport(c Config, conns int, layer *secure.Layer) router.Transport {
+	if len(c.Msgpack.ServerKinds) == 0 {
 		return http1.New(http1.Config{MaxConns: conns, ConnectTimeout: c.ConnectTimeout, Secure: layer})
 	}
 	few := max(1, conns/4) // they carry many calls each
 	return mixed.New(func(m router.Endpoint) int {
-		if slices.Contains(c.Msgpack.Servers, m.Kind) {
+		if slices.Contains(c.Msgpack.ServerKinds, m.Kind) {
 			return 1
 		}
 		return 0
@@ -250,12 +250,12 @@
 		msgpacktransport.New(msgpacktransport.Config{MaxConns: few, ConnectTimeout: c.ConnectTimeout, Secure: layer}))
 }
 
-// follow puts new configurations in force, and keeps the one that is in newest.
-func follow(ctx context.Context, reloads <-chan Config, newest *atomic.Pointer[Config], engine *router.Router, source *registry.Source, log *slog.Logger) {
+// watchReloads puts new configurations in force, and keeps the one that is in newest.
+func watchReloads(ctx context.Context, reloads <-chan Config, newest *atomic.Pointer[Config], engine *router.Router, source *registry.Source, log *slog.Logger) {
 	for {
 		select {
 		case next := <-reloads:
-			if err := putInForce(newest.Load(), &next, engine, log); err != nil {
+			if err := applyConfig(newest.Load(), &next, engine, log); err != nil {
 				log.Error("reload: keeping the old configuration", "err", err)
 				continue
 			}
@@ -267,8 +267,8 @@
 	}
 }
 
-// putInForce takes levels and settings over, both or neither: a configuration of which a part holds is nobody's.
-func putInForce(c, next *Config, engine *router.Router, log *slog.Logger) error {
+// applyConfig takes levels and settings over, both or neither: a configuration of which a part holds is nobody's.
+func applyConfig(c, next *Config, engine *router.Router, log *slog.Logger) error {
 	if next.Settings.Subscribe != c.Settings.Subscribe {
 		return errors.New("settings.registryMode: takes effect at the next start only")
 	}
@@ -278,8 +278,8 @@
 			return fmt.Errorf("levels: %w", err)
 		}
 	}
-	if next.MaxOpen != c.MaxOpen || !reflect.DeepEqual(next.Settings, c.Settings) {
-		if err := engine.Reload(next.router()); err != nil {
+	if next.MaxInFlight != c.MaxInFlight || !reflect.DeepEqual(next.Settings, c.Settings) {
+		if err := engine.Reload(next.routerConfig()); err != nil {
 			if levels {
 				err = errors.Join(err, engine.SetLevels(c.Levels))
 			}
@@ -293,32 +293,32 @@
 	return nil
 }
 
-// leave is for how long a node serves on as before while readiness says no.
-func (c Config) leave() time.Duration {
-	if c.Leave != nil {
-		return *c.Leave
+// announceDuration is for how long a node serves on as before while readiness says no.
+func (c Config) announceDuration() time.Duration {
+	if c.AnnounceFor != nil {
+		return *c.AnnounceFor
 	}
-	if c.DrainFor != nil {
-		return time.Duration(leavePart * float64(*c.DrainFor))
+	if c.DrainTimeout != nil {
+		return time.Duration(announceFraction * float64(*c.DrainTimeout))
 	}
-	return max(stillComing, time.Duration(leavePart*float64(c.longest())))
+	return max(minAnnounce, time.Duration(announceFraction*float64(c.longestDeadline())))
 }
 
-// longest is how long a client waits, as far as a node that was told to stop goes by it.
-func (c Config) longest() time.Duration {
+// longestDeadline is how long a client waits, as far as a node that was told to stop goes by it.
+func (c Config) longestDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, longestDrain)
+	return min(longest, maxDrainDeadline)
 }
 
-// drainFor bounds the drain at the end.
-func (c Config) drainFor() time.Duration {
-	if c.DrainFor != nil {
-		return *c.DrainFor
+// drainTimeout bounds the drain at the end.
+func (c Config) drainTimeout() time.Duration {
+	if c.DrainTimeout != nil {
+		return *c.DrainTimeout
 	}
-	return max(c.longest()+stopMargin, stillComing+min(c.longest(), lastAnswers))
+	return max(c.longestDeadline()+drainMargin, minAnnounce+min(c.longestDeadline(), finalAnswerTimeout))
 }
 
 // end ends the service. Clients go on coming for a while, and go on using the connections that they
@@ -330,7 +330,7 @@
 	if err := engine.DrainAfter(ctx, announce, leave); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	last, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	last, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 	defer cancel()
 	if err := front.Shutdown(last); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return err
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -229,9 +229,9 @@
 	leave, whole := time.Millisecond, time.Second
 	go func() {
 		ended <- Run(ctx, Config{
-			Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: 1024, MemoryMB: 192, Cores: 1, Known: known, Settings: set, ConnectTimeout: time.Second,
-			Leave: &leave, DrainFor: &whole, Door: adminapi.Config{Socket: w.sock},
-			TLS: &TLS{Rules: []secure.Rule{{Trust: trust}}, Clients: &Listener{Keys: own}, Stores: []*certificates.Store{trust, own}, Every: 20 * time.Millisecond},
+			Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 1024, MemoryMB: 192, Cores: 1, InitialList: known, Settings: set, ConnectTimeout: time.Second,
+			AnnounceFor: &leave, DrainTimeout: &whole, AdminAPI: adminapi.Config{Socket: w.sock},
+			TLS: &TLS{ServerRules: []secure.Rule{{Trust: trust}}, Clients: &TLSListener{Certificates: own}, Stores: []*certificates.Store{trust, own}, CheckInterval: 20 * time.Millisecond},
 		},
 			ln, nil, slog.New(slog.DiscardHandler))
 	}()
@@ -430,8 +430,8 @@
 	st := w.status()
 	t.Logf("%d changes; handshakes with servers: %d full, %d resumed, failures %v; with clients: %d full, %d resumed, failures %v",
 		turns, st.Servers.Full.Count, st.Servers.Resumed.Count, st.Servers.Failures, st.Clients.Full.Count, st.Clients.Resumed.Count, st.Clients.Failures)
-	if st.Refused != "" || st.Servers.Failures["unknown authority"] == 0 {
-		t.Errorf("files refused: %q, failures %v: want none, and some servers refused on the way", st.Refused, st.Servers.Failures)
+	if st.RejectedFile != "" || st.Servers.Failures["unknown authority"] == 0 {
+		t.Errorf("files refused: %q, failures %v: want none, and some servers refused on the way", st.RejectedFile, st.Servers.Failures)
 	}
 	w.judge()
 }
--- a/internal/node/rpcdrain_test.go
+++ b/internal/node/rpcdrain_test.go
@@ -29,8 +29,8 @@
 	}
 	rpc := listen()
 	config := Config{
-		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: 512, Settings: drainSettings(),
-		Door: adminapi.Config{Socket: api.sock}, Msgpack: Msgpack{Listener: rpc},
+		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, Settings: drainSettings(),
+		AdminAPI: adminapi.Config{Socket: api.sock}, Msgpack: Msgpack{Listener: rpc},
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -21,7 +21,7 @@
 // StateConfig says where a node keeps what it has learned. The zero value keeps nothing.
 type StateConfig struct {
 	File     string
-	Every    time.Duration // between snapshots; 0: 2 s
+	SaveInterval    time.Duration // between snapshots; 0: 2 s
 	HalfLife time.Duration // as learnedstate.Config has it
 	MaxAge   time.Duration // as learnedstate.Config has it
 }
@@ -86,7 +86,7 @@
 
 // run saves what the engine learns until ctx ends, and once more then.
 func (k *stateKeeper) run(ctx context.Context) {
-	interval := k.config.Every
+	interval := k.config.SaveInterval
 	if interval == 0 {
 		interval = defaultStateInterval
 	}
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -38,7 +38,7 @@
 // file that is torn, foreign or gone does no harm.
 func TestStateOutlivesARestart(t *testing.T) {
 	w := newSite(t, 3)
-	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), Every: 50 * time.Millisecond, HalfLife: time.Hour}
+	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), SaveInterval: 50 * time.Millisecond, HalfLife: time.Hour}
 	stop, ended := w.start()
 	fresh := w.learned().State.Servers[0].Threshold
 	ctx, end := context.WithCancel(t.Context())
@@ -87,7 +87,7 @@
 // TestStateAgesByRealTime steps the wall clock while a node is down: what it has learned is as old as it is.
 func TestStateAgesByRealTime(t *testing.T) {
 	w := newSite(t, 3)
-	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), Every: time.Hour, HalfLife: time.Hour}
+	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), SaveInterval: time.Hour, HalfLife: time.Hour}
 	halt := func(stop context.CancelFunc, ended chan error) {
 		t.Helper()
 		stop()
--- a/internal/racetest/end_test.go
+++ b/internal/racetest/end_test.go
@@ -23,7 +23,7 @@
 // setDeadlines gives each class the deadline. Its node ends as the daemon does where nobody has set times.
 func setDeadlines(d time.Duration) func(c *node.Config) {
 	return func(c *node.Config) {
-		c.Leave = nil
+		c.AnnounceFor = nil
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].LatencyObjective = d, d*3/4
 		}
@@ -90,7 +90,7 @@
 						}
 						return h.say("done")
 					})
-					g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0))
+					g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0))
 					g.start()
 					g.one = "one"
 					c := g.client()
@@ -141,7 +141,7 @@
 		t.Run(fmt.Sprint(longest), func(t *testing.T) {
 			t.Parallel()
 			g := newRig(t, setDeadlines(longest))
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", nil)))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", nil)))
 			g.start()
 			var all sync.WaitGroup
 			var mu sync.Mutex
@@ -229,7 +229,7 @@
 // The node has no room for another connection when it is told to end, and does not get any: who stands in the system's
 // queue, with a request sent, is answered and not reset as the listener closes.
 func TestTermWithClientsInTheQueue(t *testing.T) {
-	g := newRig(t, func(c *node.Config) { c.Sockets, c.Leave = 64, nil })
+	g := newRig(t, func(c *node.Config) { c.MaxDescriptors, c.AnnounceFor = 64, nil })
 	s0 := g.server("s0", func(h hand) bool {
 		if strings.HasPrefix(h.id, "busy") {
 			_, _ = io.Copy(io.Discard, h)
@@ -237,7 +237,7 @@
 		}
 		return h.say("done")
 	})
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0), known("s1", s0))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0), known("s1", s0))
 	g.start()
 	var busy, queued []*peer
 	for i := range 16 {
@@ -270,7 +270,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			conf := node.Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, Sockets: 256, MemoryMB: 64, Settings: settings(), Known: registry.List{Revision: 1, Full: true}}
+			conf := node.Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 256, MemoryMB: 64, Settings: settings(), InitialList: registry.List{Revision: 1, Full: true}}
 			setDeadlines(100 * time.Millisecond)(&conf)
 			ctx, stop := context.WithCancel(context.Background())
 			reloads := make(chan node.Config, 1)
@@ -292,8 +292,8 @@
 // The room for clients is full and each has a request: the next is let in when one ends, and none that has a request,
 // or has one on its way that nobody has read, is closed for another.
 func TestRoomIsMadeAsRequestsCome(t *testing.T) {
-	g := newRig(t, func(c *node.Config) { c.Sockets = 64 })
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", nil)))
+	g := newRig(t, func(c *node.Config) { c.MaxDescriptors = 64 })
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", nil)))
 	g.start()
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -347,8 +347,8 @@
 // Clients that send much at once and go, that stay silent, send half a head, nonsense or never read: who behaves is
 // served beside them, and nothing of theirs stays.
 func TestBadClients(t *testing.T) {
-	g := newRig(t, func(c *node.Config) { c.Sockets = 128 })
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", nil)))
+	g := newRig(t, func(c *node.Config) { c.MaxDescriptors = 128 })
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", nil)))
 	g.start()
 	bad := []func(c *peer, i int){
 		func(c *peer, i int) {
@@ -396,8 +396,8 @@
 			t.Run(fmt.Sprint(how, "/", at), func(t *testing.T) {
 				t.Parallel()
 				got, goOn := make(chan string, 2), make(chan bool)
-				g := newRig(t, func(c *node.Config) { c.Sockets = 64 })
-				g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", func(h hand) bool {
+				g := newRig(t, func(c *node.Config) { c.MaxDescriptors = 64 })
+				g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", func(h hand) bool {
 					if h.id == at {
 						got <- h.id
 						<-goOn
--- a/internal/racetest/leave_test.go
+++ b/internal/racetest/leave_test.go
@@ -91,7 +91,7 @@
 			t.Parallel()
 			g := newRig(t, func(c *node.Config) { c.Settings.Capabilities.Cancel = cancel })
 			addr, open := g.silent("s0")
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", addr))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", addr))
 			g.start()
 			c := g.client().write(text("gone", "pay", ""))
 			g.sees("the attempt", func(s node.Status) bool { return s.Requests.AttemptsInFlight == 1 })
@@ -111,7 +111,7 @@
 	for way, leave := range ways {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, func(c *node.Config) { c.Sockets = 64 }).start()
+			g := newRig(t, func(c *node.Config) { c.MaxDescriptors = 64 }).start()
 			var busy []*peer
 			for i := range 16 { // all that are let in with so many descriptors
 				busy = append(busy, g.client().write(text(fmt.Sprint("busy", i), "read", "")))
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.conf.Msgpack = node.Msgpack{Listener: ln, Calls: 2}
+	g.conf.Msgpack = node.Msgpack{Listener: ln, MaxCallsPerConn: 2}
 	g.start()
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -205,7 +205,7 @@
 		}
 		return h.say("done")
 	})
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", addr))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", addr))
 	g.start()
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
@@ -226,7 +226,7 @@
 // 1,000 clients leave while their requests wait, 800 one by one and 200 at once, while others are served or wait; then
 // servers come. None is sent on.
 func TestDepartures(t *testing.T) {
-	g := newRig(t, func(c *node.Config) { c.Sockets = 1024 }).start()
+	g := newRig(t, func(c *node.Config) { c.MaxDescriptors = 1024 }).start()
 	stayed := make(chan int, 50)
 	for i := range cap(stayed) {
 		go func() { stayed <- g.ask(fmt.Sprint("stayed", i), "read") }()
@@ -279,7 +279,7 @@
 // client's leaving, and the request is read to its end.
 func TestHeadThatLeavesRoomForAByte(t *testing.T) {
 	g := newRig(t, nil)
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", nil)))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", nil)))
 	g.start()
 	const buffer = 4 << 10
 	for i, before := range []int{0, 1, 3} { // requests on the connection ahead of it
--- a/internal/racetest/list_test.go
+++ b/internal/racetest/list_test.go
@@ -96,8 +96,8 @@
 					c.Settings.Rules.MaxPollInterval = 500 * time.Millisecond
 				})
 				g.old, g.young = g.server("s0", nil), g.server("s1", nil)
-				g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.old))
-				g.conf.Known.Revision, g.disc.rev = 5, 5
+				g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.old))
+				g.conf.InitialList.Revision, g.disc.rev = 5, 5
 				var at call
 				var silent time.Time
 				done := make(chan struct{})
@@ -146,7 +146,7 @@
 				c.Settings.Rules.MaxPollInterval = 500 * time.Millisecond
 			})
 			g.old, g.young = g.server("s0", nil), g.server("s1", nil)
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.old))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.old))
 			g.disc.takes(func(_ call, c net.Conn) bool { c.Close(); return true })
 			g.start()
 			g.served("known")
@@ -179,7 +179,7 @@
 					c.Settings.Rules.MaxPollInterval = 500 * time.Millisecond
 				})
 				g.old, g.young = g.server("s0", nil), g.server("s1", nil)
-				g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.old))
+				g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.old))
 				out, answer := make(chan struct{}, 8), make(chan struct{})
 				g.disc.takes(func(_ call, c net.Conn) bool {
 					out <- struct{}{}
@@ -221,7 +221,7 @@
 func TestListEmptiesWhileRequestsWait(t *testing.T) {
 	g := newRig(t, nil)
 	g.old = g.server("s0", nil)
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.old))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.old))
 	g.start()
 	g.served("before")
 	g.disc.say()
--- a/internal/racetest/rig_test.go
+++ b/internal/racetest/rig_test.go
@@ -79,8 +79,8 @@
 	g.disc = newDiscovery(t)
 	atOnce := time.Millisecond // tests that are about the end take it out: the daemon's own time holds there
 	g.conf = node.Config{
-		Name: "n", Discovery: g.disc.addr, Seed: 1, Sockets: 256, MemoryMB: 64, Settings: settings(), ConnectTimeout: 10 * time.Second, Leave: &atOnce,
-		Known: registry.List{Revision: 1, Full: true}, Door: adminapi.Config{Socket: filepath.Join(t.TempDir(), "door")},
+		Name: "n", Discovery: g.disc.addr, Seed: 1, MaxDescriptors: 256, MemoryMB: 64, Settings: settings(), ConnectTimeout: 10 * time.Second, AnnounceFor: &atOnce,
+		InitialList: registry.List{Revision: 1, Full: true}, AdminAPI: adminapi.Config{Socket: filepath.Join(t.TempDir(), "door")},
 	}
 	if change != nil {
 		change(&g.conf)
@@ -98,7 +98,7 @@
 	g.addr = ln.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
-	g.disc.knows(g.conf.Known)
+	g.disc.knows(g.conf.InitialList)
 	go func() { g.ended <- node.Run(ctx, g.conf, ln, g.reloads, slog.New(slog.DiscardHandler)) }()
 	g.t.Cleanup(g.end)
 	testkit.Await(g.t, "readiness", func() bool {
@@ -283,7 +283,7 @@
 
 // status is what the node's door says: by it the test sees where the node stands, and judges nothing.
 func (g *rig) status() (s node.Status) {
-	c, base := adminapi.Dial(g.conf.Door.Socket, "", nil)
+	c, base := adminapi.Dial(g.conf.AdminAPI.Socket, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/status")
 	if err != nil {
--- a/internal/racetest/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -39,7 +39,7 @@
 				t.Parallel()
 				g := newRig(t, func(c *node.Config) { c.Settings.Rules.DrainGrace = grace })
 				addr, open := g.silent("s0")
-				g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", addr))
+				g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", addr))
 				g.start()
 				one := g.client().write(text("one", class, ""))
 				g.sees("the attempt", func(s node.Status) bool { return s.Requests.AttemptsInFlight == 1 })
@@ -78,7 +78,7 @@
 				return err == nil
 			})
 			second := g.server("s1", nil)
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", first))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", first))
 			g.start()
 			one := g.client().write(text("one", class, ""))
 			testkit.Receive(t, "the first attempt", at)
@@ -149,7 +149,7 @@
 			t.Run(fmt.Sprint(name, "/", class), func(t *testing.T) {
 				t.Parallel()
 				g := newRig(t, nil)
-				g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("bad", g.server("bad", b.does)), known("well", g.server("well", nil)))
+				g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("bad", g.server("bad", b.does)), known("well", g.server("well", nil)))
 				g.start()
 				g.client().write(text("one", class, "")).want(want)
 				sent := []string{"bad", "well"}
@@ -172,7 +172,7 @@
 			t.Parallel()
 			g := newRig(t, nil)
 			s0 := g.server("s0", func(h hand) bool { return h.n == 0 && h.say("done") })
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0))
 			g.start()
 			g.served("first")
 			g.disc.say(entry("s0", s0, "up"), entry("s1", g.server("s1", nil), "up"))
@@ -220,7 +220,7 @@
 		last, answered = h, time.Now()
 		return ok
 	})
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0))
 	g.start()
 	c := g.client()
 	for i := 0; crossed < 20 && i < 2000; i++ {
@@ -252,7 +252,7 @@
 		time.Sleep(time.Duration(76+len(h.id)%8) * time.Millisecond) // about when the node gives up
 		return h.say("done " + h.id)
 	})
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0))
 	g.start()
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -313,7 +313,7 @@
 					}))
 					well := known("well", g.server("well", nil))
 					place(&well)
-					g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, bad, well)
+					g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, bad, well)
 					g.start()
 					status, _, err := g.client().write(text("one", "undo", "")).answer()
 					if err != nil {
--- a/internal/racetest/settings_test.go
+++ b/internal/racetest/settings_test.go
@@ -58,11 +58,11 @@
 				t.Parallel()
 				for k := range 3 {
 					g := newRig(t, func(c *node.Config) { change(&c.Settings); c.Settings.Classes = slices.Clone(c.Settings.Classes) })
-					g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", do)), known("s1", g.server("s1", nil)))
-					g.conf.Known.Endpoints[1].Cell = 2
+					g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", do)), known("s1", g.server("s1", nil)))
+					g.conf.InitialList.Endpoints[1].Cell = 2
 					if first != "well" { // s0 alone at first, so that it is the one
-						g.conf.Known.Endpoints = g.conf.Known.Endpoints[:1]
-						g.disc.say(entry("s0", g.conf.Known.Endpoints[0].Addr, "up"))
+						g.conf.InitialList.Endpoints = g.conf.InitialList.Endpoints[:1]
+						g.disc.say(entry("s0", g.conf.InitialList.Endpoints[0].Addr, "up"))
 					}
 					class := g.conf.Settings.Classes[k]
 					g.start()
@@ -123,7 +123,7 @@
 			g := newRig(t, func(conf *node.Config) { c.before(&conf.Settings) })
 			s0 := g.server("s0", func(h hand) bool { got <- h.id; <-goOn; return false })
 			s1 := g.server("s1", nil)
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0), known("s1", s1))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0), known("s1", s1))
 			g.start()
 			method := "POST"
 			if g.conf.Settings.Classes[1].Idempotency == policy.Idempotent {
@@ -155,7 +155,7 @@
 // sent on as something that may be repeated.
 func TestReloadWithinABody(t *testing.T) {
 	g := newRig(t, nil)
-	g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", g.server("s0", nil)))
+	g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", g.server("s0", nil)))
 	g.start()
 	whole := text("one", "pay", "12345678")
 	c := g.client().write(whole[:len(whole)-4])
@@ -190,7 +190,7 @@
 			t.Parallel()
 			g := newRig(t, nil)
 			s0, s1 := g.server("s0", nil), g.server("s1", nil)
-			g.conf.Known.Endpoints = append(g.conf.Known.Endpoints, known("s0", s0))
+			g.conf.InitialList.Endpoints = append(g.conf.InitialList.Endpoints, known("s0", s0))
 			g.start()
 			other := newDiscovery(t)
 			other.say(entry("s1", s1, "up"))
--- a/internal/safeguards/guards.go
+++ b/internal/safeguards/guards.go
@@ -4,34 +4,34 @@
 
 import "cobaltward/policy"
 
-// Set is some of the guards.
-type Set uint16
+// Guards is some of the guards.
+type Guards uint16
 
 // The guards that can be taken away.
 const (
-	OneAnswer  Set = 1 << iota // an answered request is not answered again
-	AfterEnd                   // nothing goes out for a request that has its answer
-	FreshID                    // an id that is in use, or was lately, is refused
-	Backstop                   // what the module leaves unanswered is answered before the client's time is up
-	AnswerTime                 // an answer comes in time for the way back
-	KeyWindow                  // a repeat of a key is not written once servers may have forgotten it
-	RefuseRan                  // what may have run is not refused
-	Departure                  // nothing goes out for a request whose caller has left
+	SingleAnswer  Guards = 1 << iota // an answered request is not answered again
+	NoAttemptAfterAnswer                   // nothing goes out for a request that has its answer
+	UniqueID                    // an id that is in use, or was lately, is refused
+	BackstopAnswer                   // what the module leaves unanswered is answered before the client's time is up
+	AnswerDeadline                 // an answer comes in time for the way back
+	DedupWindow                  // a repeat of a key is not written once servers may have forgotten it
+	NoRejectionAfterRun                  // what may have run is not refused
+	ClientGone                  // nothing goes out for a request whose caller has left
 )
 
-// Module is what decides.
-type Module interface {
+// Policy is what decides.
+type Policy interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 	Reconfigure(now policy.Time, set policy.Settings) ([]policy.Action, error)
 }
 
-// Without is an engine with some of its guards gone, and with a module that is told other settings, or that
+// Overrides is an engine with some of its guards gone, and with a module that is told other settings, or that
 // hears and says other things. The zero value is whole.
-type Without struct {
-	Set      Set
+type Overrides struct {
+	Disabled      Guards
 	Settings func(policy.Settings) policy.Settings
-	Wrap     func(Module) Module
+	WrapModule     func(Policy) Policy
 }
 
-// Has tells whether guard g is in force.
-func (w *Without) Has(g Set) bool { return w.Set&g == 0 }
+// Enforces tells whether guard g is in force.
+func (w *Overrides) Enforces(g Guards) bool { return w.Disabled&g == 0 }
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -68,11 +68,11 @@
 		return nil, nil
 	}
 	c := &node.TLS{
-		Every: or(t.Every, time.Second), Warn: t.Warn, Share: t.Share, Timeout: t.Timeout,
-		Limits: handshakes.Limits{AtOnce: t.AtOnce, PerServer: t.Each, PerCold: t.Cold},
+		CheckInterval: or(t.Every, time.Second), ExpiryWarnings: t.Warn, CPUShare: t.Share, ServerHandshakeTimeout: t.Timeout,
+		HandshakeLimits: handshakes.Limits{AtOnce: t.AtOnce, PerServer: t.Each, PerCold: t.Cold},
 	}
-	if len(c.Warn) == 0 {
-		c.Warn = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
+	if len(c.ExpiryWarnings) == 0 {
+		c.ExpiryWarnings = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
 	}
 	open := stores{now: now, at: func(name string) string {
 		if name == "" || filepath.IsAbs(name) {
@@ -93,13 +93,13 @@
 		if err := r.Check(); err != nil {
 			return nil, f.lines.Errorf(at, "%s", err)
 		}
-		c.Rules = append(c.Rules, r)
+		c.ServerRules = append(c.ServerRules, r)
 	}
 	for _, l := range []struct {
 		at   string
 		from *TLSListener
-		to   **node.Listener
-	}{{"tls.clients", t.Clients, &c.Clients}, {"tls.door", t.Door, &c.Door}} {
+		to   **node.TLSListener
+	}{{"tls.clients", t.Clients, &c.Clients}, {"tls.door", t.Door, &c.AdminAPI}} {
 		if l.from == nil {
 			continue
 		}
@@ -108,7 +108,7 @@
 			return nil, f.lines.Errorf(l.at, "%s", err)
 		}
 	}
-	if len(c.Rules) == 0 && c.Clients == nil && c.Door == nil {
+	if len(c.ServerRules) == 0 && c.Clients == nil && c.AdminAPI == nil {
 		return nil, f.lines.Errorf("tls", "neither servers, nor clients, nor the door: the table does nothing")
 	}
 	c.Stores, c.Secrets = open.all, open.secrets
@@ -152,7 +152,7 @@
 	return s, nil
 }
 
-func (o *stores) listener(l *TLSListener) (*node.Listener, error) {
+func (o *stores) listener(l *TLSListener) (*node.TLSListener, error) {
 	k, err := o.store(certificates.Sources{Dir: l.Dir, Cert: l.Cert, Key: l.Key}, l.CertSDS)
 	if err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 	case l.Require && trust == nil:
 		return nil, errors.New("require: by which authorities do clients prove who they are? Name trust")
 	}
-	c := &node.Listener{Keys: k, Trust: trust, Require: l.Require, TLS12: l.TLS12, Timeout: l.Timeout}
+	c := &node.TLSListener{Certificates: k, ClientCAs: trust, RequireClientCert: l.Require, AllowTLS12: l.TLS12, HandshakeTimeout: l.Timeout}
 	if l.Tickets != "" {
 		if c.Tickets, err = certificates.OpenTickets(o.at(l.Tickets)); err != nil {
 			return nil, err
--- a/router/action.go
+++ b/router/action.go
@@ -67,7 +67,7 @@
 // failByBalancer answers a request that the balancer has given up.
 func (l *loop) failByBalancer(r *request) {
 	outcome := Failed
-	if !l.enforced(safeguards.RefuseRan) {
+	if !l.enforced(safeguards.NoRejectionAfterRun) {
 		outcome = Rejected
 	}
 	l.answer(r, Answer{Outcome: outcome})
--- a/router/admission.go
+++ b/router/admission.go
@@ -35,7 +35,7 @@
 func (l *loop) admit(call *call) {
 	now := l.clock.now()
 	l.recordLag(now - call.submittedAt)
-	if l.enforced(safeguards.Departure) && call.clientGone() { // while it was queued: nothing of it is admitted
+	if l.enforced(safeguards.ClientGone) && call.clientGone() { // while it was queued: nothing of it is admitted
 		l.stats.ClientsGone++
 		return
 	}
@@ -67,7 +67,7 @@
 // would wait for the first request of an ID and never answer a second; and what came under an ID before may
 // have run, also when it is over.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
-	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.FreshID)
+	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
 }
 
 // newRequest makes the request of a call under the settings in force.
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -61,11 +61,11 @@
 		l.log.Error("balancer sent a request that is not open", "id", action.ID)
 		return
 	}
-	if !r.finished && l.enforced(safeguards.Departure) && r.clientGone() {
+	if !r.finished && l.enforced(safeguards.ClientGone) && r.clientGone() {
 		l.recordClientGone(r)
 	}
 	attempt := &attempt{request: r, number: len(r.attempts), server: action.Server, sentAt: now}
-	if l.enforced(safeguards.KeyWindow) {
+	if l.enforced(safeguards.DedupWindow) {
 		attempt.sendBy = r.sendDeadline()
 	}
 	r.attempts = append(r.attempts, attempt)
@@ -85,7 +85,7 @@
 func (l *loop) mayAttempt(a *attempt, now policy.Time) bool {
 	r := a.request
 	switch {
-	case r.finished && l.enforced(safeguards.AfterEnd),
+	case r.finished && l.enforced(safeguards.NoAttemptAfterAnswer),
 		now >= r.deadline,
 		a.sendBy > 0 && now >= a.sendBy,
 		a.number >= max(1, r.capabilities.MaxAttempts):
@@ -132,7 +132,7 @@
 	attempt.inFlight, attempt.notExecuted = false, result.Code.NotExecuted()
 	r.pendingOutcomes--
 	l.attemptsInFlight--
-	if result.Code == policy.OK && (!r.finished || !l.enforced(safeguards.OneAnswer)) {
+	if result.Code == policy.OK && (!r.finished || !l.enforced(safeguards.SingleAnswer)) {
 		answer := result.Answer
 		answer.Outcome = Served
 		l.answer(r, answer)
--- a/router/deadline.go
+++ b/router/deadline.go
@@ -29,7 +29,7 @@
 // at end, and the time of the backstop.
 func (l *loop) answerTimes(end policy.Time, timeout time.Duration) (deadline, backstop policy.Time) {
 	margin := min(answerMargin, timeout/answerMarginDivisor)
-	if !l.enforced(safeguards.AnswerTime) {
+	if !l.enforced(safeguards.AnswerDeadline) {
 		margin = -noMarginOvertime
 	}
 	return end - margin, end - margin/2
@@ -87,7 +87,7 @@
 	case balancerTimer:
 		l.notify(policy.Timer{Token: t.token})
 	case backstopTimer:
-		if l.enforced(safeguards.Backstop) { // the balancer has not answered
+		if l.enforced(safeguards.BackstopAnswer) { // the balancer has not answered
 			l.fail(t.request, Expired)
 		}
 	case attemptTimer:
--- a/router/loop.go
+++ b/router/loop.go
@@ -25,9 +25,9 @@
 type loop struct {
 	clock          clock
 	log            *slog.Logger
-	balancer       safeguards.Module // a policy.Balancer
+	balancer       safeguards.Policy // a policy.Balancer
 	launcher       attemptLauncher
-	disabledGuards safeguards.Without
+	disabledGuards safeguards.Overrides
 	config         Config
 	transport      Transport
 	endpointSource EndpointSource
@@ -90,14 +90,14 @@
 			return nil, err
 		}
 	}
-	if wrap := opts.disabledGuards.Wrap; wrap != nil {
+	if wrap := opts.disabledGuards.WrapModule; wrap != nil {
 		eventLoop.balancer = wrap(balancer)
 	}
 	return eventLoop, nil
 }
 
 // enforced reports whether a safeguard is in force. All are, outside of tests and rehearsals.
-func (l *loop) enforced(guard safeguards.Set) bool { return l.disabledGuards.Has(guard) }
+func (l *loop) enforced(guard safeguards.Guards) bool { return l.disabledGuards.Enforces(guard) }
 
 // send queues an event; false where the loop has ended.
 func (l *loop) send(ev event) bool {
--- a/router/options.go
+++ b/router/options.go
@@ -18,7 +18,7 @@
 	listeners      []Listener
 	drainDelay     time.Duration
 	drainDelaySet  bool
-	disabledGuards safeguards.Without
+	disabledGuards safeguards.Overrides
 	levels         *levels.Config
 }
 
--- a/router/reply.go
+++ b/router/reply.go
@@ -18,7 +18,7 @@
 		}
 		l.finishRequest(r)
 		l.deliver(r.call, answer)
-	} else if !l.enforced(safeguards.OneAnswer) {
+	} else if !l.enforced(safeguards.SingleAnswer) {
 		l.deliver(r.call, answer)
 	}
 }
@@ -73,7 +73,7 @@
 	r.finished = true
 	for _, a := range r.attempts {
 		// What waits for a connection needs no cancellation, which the settings may not allow.
-		if a.inFlight && l.enforced(safeguards.Departure) {
+		if a.inFlight && l.enforced(safeguards.ClientGone) {
 			a.ctx.abandon()
 		}
 	}
--- a/tools/bench/main.go
+++ b/tools/bench/main.go
@@ -424,7 +424,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := router.New(router.Config{Settings: c.Settings, Endpoints: c.Known.Endpoints, Seed: c.Seed},
+	r, err := router.New(router.Config{Settings: c.Settings, Endpoints: c.InitialList.Endpoints, Seed: c.Seed},
 		router.WithTransport(http1.New(http1.Config{ConnectTimeout: c.ConnectTimeout})),
 		router.WithLogger(slog.New(slog.DiscardHandler)))
 	if err != nil {
