--- a/certificates/watch.go
+++ b/certificates/watch.go
@@ -7,145 +7,101 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"time"
 )
 
-// again is after which time files that were refused are tried once more: what is not valid yet will be.
-const again = 10 * time.Second
+// retryInterval is the time after which rejected files are read again although they have not changed: a certificate may
+// have become valid meanwhile.
+const retryInterval = 10 * time.Second
 
-// PollResult is what came of looking at files.
+// PollResult is the result of one FileWatcher.Poll.
 type PollResult struct {
 	Source       string
-	Changed      bool  // what they hold is in force now
-	TrustChanged bool  // and what is trusted has changed with it
-	Err          error // they were refused, and the former ones go on; told once for one state of the files
+	Changed      bool  // the new content is in use
+	TrustChanged bool  // Changed, and the trusted authorities are others
+	Err          error // the new content was rejected; reported once for each state of the files
 }
 
-// FileWatcher are files that are read again when they have changed.
+// FileWatcher reloads files that have changed. It is not safe for concurrent use.
 type FileWatcher struct {
-	name   string
+	source string
 	files  func() []string
-	reload func(now time.Time) (trust bool, err error)
+	reload func(now time.Time) (trustChanged bool, err error)
 
-	loaded, seen, tried string // states of the files
-	last                time.Time
+	loadedState   string // digests as fingerprint returns them: of the content in use
+	lastState     string // at the last Poll
+	rejectedState string // of the content rejected last; empty: none since the last success
+	rejectedAt    time.Time
 }
 
-// Watch has the sources of the store watched.
-func (s *Store) Watch() *FileWatcher {
-	w := &FileWatcher{name: s.from.String(), files: s.from.files, reload: s.Reload}
-	w.loaded = w.state()
-	w.seen = w.loaded
-	return w
+func newFileWatcher(source string, files func() []string, reload func(time.Time) (bool, error)) *FileWatcher {
+	watcher := &FileWatcher{source: source, files: files, reload: reload}
+	watcher.loadedState = watcher.fingerprint()
+	watcher.lastState = watcher.loadedState
+	return watcher
 }
 
-// Watch has the file watched.
-func (t *Tickets) Watch() *FileWatcher {
-	w := &FileWatcher{name: t.file, files: func() []string { return []string{t.file} }, reload: func(time.Time) (bool, error) { return false, t.Reload() }}
-	w.loaded = w.state()
-	w.seen = w.loaded
-	return w
+// Watch returns a watcher that reloads the store when its sources change.
+func (s *Store) Watch() *FileWatcher {
+	return newFileWatcher(s.sources.String(), s.sources.files, s.Reload)
 }
 
-// Poll reads the files again if they have changed, and changed no more since the look before this one: who replaces a
-// certificate and its key does so one after the other.
+// Poll reloads the files if they have changed, and are the same as at the previous Poll: a certificate and its key are
+// replaced one after the other.
 func (w *FileWatcher) Poll(now time.Time) PollResult {
-	l := PollResult{Source: w.name}
-	state := w.state()
-	still := state == w.seen
-	w.seen = state
-	retry := state == w.tried && now.Sub(w.last) >= again
-	if !still || state == w.loaded || state == w.tried && !retry {
-		return l
+	result := PollResult{Source: w.source}
+	state := w.fingerprint()
+	settled := state == w.lastState
+	w.lastState = state
+	rejectedBefore := state == w.rejectedState
+	tooSoon := rejectedBefore && now.Sub(w.rejectedAt) < retryInterval
+	if !settled || state == w.loadedState || tooSoon {
+		return result
 	}
-	told := state == w.tried
-	w.tried, w.last = state, now
-	trust, err := w.reload(now)
+	w.rejectedState, w.rejectedAt = state, now
+	trustChanged, err := w.reload(now)
 	switch {
 	case err == nil:
-		w.loaded, w.tried = state, ""
-		l.Changed, l.TrustChanged = true, trust
-	case !told:
-		l.Err = err
+		w.loadedState, w.rejectedState = state, ""
+		result.Changed, result.TrustChanged = true, trustChanged
+	case !rejectedBefore:
+		result.Err = err
 	}
-	return l
+	return result
 }
 
-// state is a digest of what the file system says of the files.
-func (w *FileWatcher) state() string {
-	h := sha256.New()
-	for _, f := range w.files() {
-		info, err := os.Stat(f)
+// fingerprint returns a digest of the files' metadata.
+func (w *FileWatcher) fingerprint() string {
+	digest := sha256.New()
+	for _, path := range w.files() {
+		info, err := os.Stat(path)
 		if err != nil {
-			fmt.Fprintln(h, f, "none")
+			digest.Write(fmt.Appendln(nil, path, "none"))
 			continue
 		}
-		fmt.Fprintln(h, f, info.Size(), info.ModTime().UnixNano(), info.Mode(), inode(info))
+		digest.Write(fmt.Appendln(nil, path, info.Size(), info.ModTime().UnixNano(), info.Mode(), inode(info)))
 	}
-	return hex.EncodeToString(h.Sum(nil))
+	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// files are all that the sources stand for now.
-func (s Sources) files() (all []string) {
-	for _, f := range []string{s.Cert, s.Key, s.Trust} {
-		if f != "" {
-			all = append(all, f)
+// files lists the paths that Load would read now.
+func (s Sources) files() (paths []string) {
+	for _, path := range []string{s.Cert, s.Key, s.Trust} {
+		if path != "" {
+			paths = append(paths, path)
 		}
 	}
 	if s.Dir != "" {
-		entries, _ := os.ReadDir(s.Dir) // what can't be read now is told when it is loaded
-		for _, e := range entries[:min(len(entries), 4*maxNames)] {
-			all = append(all, filepath.Join(s.Dir, e.Name(), certFile), filepath.Join(s.Dir, e.Name(), keyFile))
+		entries, _ := os.ReadDir(s.Dir) // Load reports the error
+		for _, entry := range entries[:min(len(entries), 4*maxDirPairs)] {
+			subdir := filepath.Join(s.Dir, entry.Name())
+			paths = append(paths, filepath.Join(subdir, certFile), filepath.Join(subdir, keyFile))
 		}
 	}
-	return all
+	return paths
 }
 
-// String names the sources.
+// String returns a name for the sources, for logs.
 func (s Sources) String() string {
 	return cmp.Or(s.Dir, s.Cert, s.Trust)
 }
-
-// ExpiryWarning is that a certificate will end.
-type ExpiryWarning struct {
-	Summary
-	Remaining time.Duration
-}
-
-// ExpiryWarnings tells of certificates that come to their end, once for each of the times before it.
-type ExpiryWarnings struct {
-	before []time.Duration // the longest in front
-	told   map[string]int  // by certificate: how many of the times have passed
-}
-
-// NewExpiryWarnings returns one for these times before the end.
-func NewExpiryWarnings(before []time.Duration) *ExpiryWarnings {
-	before = slices.Clone(before)
-	slices.SortFunc(before, func(a, b time.Duration) int { return cmp.Compare(b, a) })
-	return &ExpiryWarnings{before: before, told: make(map[string]int)}
-}
-
-// Due is the warnings that are due, among all certificates in force.
-func (w *ExpiryWarnings) Due(now time.Time, entries []Summary) (due []ExpiryWarning) {
-	here := make(map[string]int, len(entries))
-	for _, e := range entries {
-		key := e.Source + " " + e.Serial + " " + e.ExpiresAt.String()
-		left := e.ExpiresAt.Sub(now)
-		passed := 0
-		for _, b := range w.before {
-			if left <= b {
-				passed++
-			}
-		}
-		if left <= 0 {
-			passed = len(w.before) + 1
-		}
-		if passed > w.told[key] && here[key] == 0 {
-			due = append(due, ExpiryWarning{e, left})
-		}
-		here[key] = max(passed, w.told[key])
-	}
-	w.told = here // of certificates that are gone nothing is kept
-	return due
-}
--- a/discovery/xds/secret_test.go
+++ b/discovery/xds/secret_test.go
@@ -75,12 +75,12 @@
 	testkit.Await(t, "another trust", func() bool { return trust.Set().TrustDigest != first })
 	held := own.Set()
 	for want, bad := range map[string]*xdspb.Secret{
-		"has expired":              ownCertificate(pki.PEM(expired.Cert), expired.KeyPEM()),
-		"it is not the key of":     ownCertificate(pki.PEM(good.Cert), expired.KeyPEM()),
-		"want tls_certificate or":  {Name: "own"},
-		"want inline_bytes or":     certificateInFile("/etc/passwd"),
-		"no certificate in it":     ownCertificate(nil, good.KeyPEM()),
-		"ends in the midst of a b": ownCertificate(pki.PEM(good.Cert)[:100], good.KeyPEM()),
+		"has expired":                ownCertificate(pki.PEM(expired.Cert), expired.KeyPEM()),
+		"does not match certificate": ownCertificate(pki.PEM(good.Cert), expired.KeyPEM()),
+		"want tls_certificate or":    {Name: "own"},
+		"want inline_bytes or":       certificateInFile("/etc/passwd"),
+		"contains no certificate":    ownCertificate(nil, good.KeyPEM()),
+		"incomplete PEM block":       ownCertificate(pki.PEM(good.Cert)[:100], good.KeyPEM()),
 	} {
 		controlPlane.Set(bad)
 		testkit.Await(t, want, func() bool {
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -26,7 +26,7 @@
 		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor the door",
 		servers:                                             "9: tls.servers[0]: trust: missing",
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
-		servers + "trust = \"bad.pem\"\n":                   "bad.pem: it ends in the midst of a block",
+		servers + "trust = \"bad.pem\"\n":                   "bad.pem: incomplete PEM block",
 		servers + "cert = \"cert.pem\"\n":                   "10: tls.servers[0].cert: a certificate and its key go together",
 		servers + "plain = true\npins = [\"a\"]\n":          "9: tls.servers[0]: plain: servers that are spoken to without TLS prove nothing",
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
