--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -23,7 +23,7 @@
 	// ErrUnknownServer says that the endpoint list has no such server.
 	ErrUnknownServer = errors.New("no such server in the list")
 	// ErrTooManyDisabled says that MaxDisabled servers are disabled already.
-	ErrTooManyDisabled = fmt.Errorf("%d servers are drained by hand, and no more can be", MaxDisabled)
+	ErrTooManyDisabled = fmt.Errorf("cannot disable more than %d servers", MaxDisabled)
 	// ErrNotDisabled says that the server to be enabled is not disabled.
 	ErrNotDisabled = errors.New("the server is not drained by hand")
 )
@@ -62,7 +62,7 @@
 }
 
 // Run publishes the wrapped source's updates and changes made here until ctx ends. All of them are published by this
-// goroutine, in order; the one that runs the wrapped source has ended when Run returns.
+// goroutine, in order; the goroutine that runs the wrapped source has ended when Run returns.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	updates := make(chan router.EndpointUpdate)
 	var wrapped sync.WaitGroup
--- a/discovery/disabled/disabled_test.go
+++ b/discovery/disabled/disabled_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// model is what a source has to do: the list, and what is disabled.
+// model is the expected behaviour of a source: the list, and the disabled servers.
 type model struct {
 	list     map[string]policy.Availability
 	disabled map[string]bool
--- a/discovery/file/file_test.go
+++ b/discovery/file/file_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// run runs a source until the test's end, and returns what it publishes: the ids of the list put together, or
+// run runs a source until the test's end, and returns its updates: the ids of the list put together, or
 // "unavailable".
 func run(t *testing.T, source *Source) <-chan string {
 	t.Helper()
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,7 @@
 // Package merge makes one endpoint source of several. A server is identified by its address: where two sources list
 // it, it is one server under the id that the first of them gives it. A server that any source drains, or has listed
 // and removed, gets no new work, since the source that is ahead of the others is right about that. What a source says
-// of a later process at the same address replaces what was said of the earlier one.
+// of a later process at the same address replaces the data of the earlier one.
 package merge
 
 import (
@@ -105,7 +105,7 @@
 	}
 }
 
-// applyEndpoint takes over what a source says of one endpoint.
+// applyEndpoint applies a source's data on one endpoint.
 func (s *Source) applyEndpoint(source int, endpoint router.Endpoint, touched map[string]bool) {
 	removed := endpoint.Availability == policy.Removed
 	former, had := s.addresses[source][endpoint.ID]
@@ -135,7 +135,7 @@
 	touched[addr] = true
 }
 
-// changes is what has to be published of the servers at the touched addresses. Removals come first, since another
+// changes returns the updates to publish for the servers at the touched addresses. Removals come first, since another
 // server may have taken over an id.
 func (s *Source) changes(touched map[string]bool) []router.Endpoint {
 	var removals, others []router.Endpoint
--- a/discovery/merge/merge_test.go
+++ b/discovery/merge/merge_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// routerView keeps what was published as the router would.
+// routerView applies updates as the router would.
 type routerView struct {
 	t       *testing.T
 	source  *Source
@@ -91,7 +91,7 @@
 	}
 }
 
-// A new process at an address is not drained by what was said of the old one, nor as old as it.
+// A new process at an address inherits neither the draining of the old one nor its age.
 func TestSource_NewProcessResetsState(t *testing.T) {
 	view := newView(t)
 	view.apply(0, replace, at("s1", "a:1", up))
--- a/discovery/registry/list.go
+++ b/discovery/registry/list.go
@@ -10,7 +10,7 @@
 	"cobaltward/router"
 )
 
-// List is the registry's whole list of endpoints, or what has changed in it since an earlier revision.
+// List is the registry's complete list of endpoints, or its changes since an earlier revision.
 type List struct {
 	Revision  int64
 	Full      bool // Endpoints is the whole list
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// SetPolling says whether the router wants to be told of changes. A newer call replaces one that was not seen yet.
+// SetPolling tells whether the router wants to be notified of changes. A newer call replaces one not handled yet.
 // Only the router calls it; it does not block.
 func (s *Source) SetPolling(on bool) {
 	select {
@@ -96,8 +96,8 @@
 	s.pollRequests <- on
 }
 
-// SetAddress has the source go on at another registry at once. A call in flight is cancelled: the former registry may
-// never answer it.
+// SetAddress makes the source continue at another registry at once. A call in flight is cancelled: the former registry
+// may never answer it.
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 	return roundCtx, s.cancelCall, moved
 }
 
-// poll makes one call, and pauses after one that failed. It returns whether to go on watching, and the backoff.
+// poll makes one call, and pauses after one that failed. It returns whether to continue watching, and the backoff.
 func (s *Source) poll(ctx context.Context, backoff time.Duration) (watching bool, nextPause time.Duration) {
 	list, err := s.watch(ctx)
 	switch {
@@ -156,7 +156,7 @@
 	s.outage.begun = true
 	switch {
 	case errors.Is(err, errWatchSilent): // the registry has not failed, and no time is to be lost
-		s.log.Warn("discovery: a watch fell silent, and is opened anew")
+		s.log.Warn("discovery: registry watch idle, reopening")
 		return true, 0
 	case s.subscribe: // the router decides when to try again
 		s.log.Warn("discovery: a watch failed", "err", err)
@@ -165,7 +165,7 @@
 	}
 	// A pushed list: the last one stays in force, and the router need not know.
 	if backoff == 0 {
-		s.log.Warn("discovery: out of reach, keeping the last list", "err", err)
+		s.log.Warn("discovery: registry unreachable, keeping the last endpoint list", "err", err)
 	}
 	backoff = nextBackoff(backoff, s.maxBackoff)
 	sleep(ctx, backoff)
@@ -208,7 +208,7 @@
 }
 
 // apply publishes a list. An empty change is published only where the router waits for an answer. A change whose
-// revision is below the one that is held means that the registry's revisions have started over: what the change
+// revision is below the present one means that the registry's revisions have started over: whatever the change
 // builds on is not known here, so the whole list is asked for.
 func (s *Source) apply(list List) {
 	if !list.Full && list.Revision < s.revision {
--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	for i, w := range want {
 		if got := testkit.Receive(t, "a call", queries); got != w {
-			t.Errorf("call %d asked for what is newer than %s, want %s", i, got, w)
+			t.Errorf("call %d asked for changes after %s, want %s", i, got, w)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	indexes(t, queries, "7", "8", "8")
 }
 
-// A new address ends the backoff after a failure: what it has to say counts as known 4 s later, and the module, which
+// A new address ends the backoff after a failure: its list counts as known 4 s later, and the policy, which
 // rests for the old one's sake, knows of no move.
 func TestSetAddress_WhileNotPolling(t *testing.T) {
 	d, published, queries := watched(t, true, "down")
@@ -145,11 +145,11 @@
 		<-r.Context().Done()
 	}))
 	if index := testkit.Receive(t, "a call at the new address", next); index != "" {
-		t.Errorf("asked for what is newer than %s", index)
+		t.Errorf("asked for changes after %s", index)
 	}
 }
 
-// Nodes that start together and call one service must not go on calling together: each watch waits for a
+// Nodes that start together and call one service must not keep calling together: each watch waits for a
 // time of its own. An agent on the node's own machine may be asked by the clock.
 func TestSharedRegistry_WatchTimeoutsAreSpread(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
@@ -183,7 +183,7 @@
 }
 
 // The agent of a pushed list may hold a drain as soon as it is back; a node that pauses past the
-// rule's grace would go on sending to that server.
+// rule's grace would keep sending to that server.
 func TestBackoff_WithinDrainGrace(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
@@ -215,7 +215,7 @@
 	indexes(t, queries, "7", "8", "", "3")
 }
 
-// A watch that falls silent is opened again before what it misses counts as known to the node: 2 s after its wait is
+// An idle watch is reopened before the changes that it misses count as known to the node: 2 s after its wait is
 // over, and 6 s after it fell silent where it asked for the whole list, as after a new address. The router hears of no
 // failure, and need not ask. The connection stays open on the other side.
 func TestSource_SilentWatchIsReopened(t *testing.T) {
@@ -255,7 +255,7 @@
 			first := testkit.Receive(t, "a call", calls)
 			second := testkit.Receive(t, "the next call", calls)
 			if late := second.at.Sub(first.at.Add(first.wait)); late < 0 || late > most {
-				t.Errorf("opened anew %v after its wait of %v", late, first.wait)
+				t.Errorf("reopened %v after its wait of %v", late, first.wait)
 			}
 			cancel()
 			testkit.Receive(t, "the end", ended)
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -42,7 +42,7 @@
 	query url.Values
 }
 
-// nextCall asks for the whole list, or for what is newer than the revision that is held.
+// nextCall asks for the complete list, or for the changes after the present revision.
 func (s *Source) nextCall() call {
 	next := call{wait: watchTimeout, grace: silenceTimeout, query: url.Values{}}
 	if s.subscribe {
--- a/discovery/xds/ads/ads.go
+++ b/discovery/xds/ads/ads.go
@@ -82,6 +82,6 @@
 	UpdatedAt     time.Time
 	NACKReason    string            // why the last response was answered with a NACK; empty: with an ACK
 	Rejected      map[string]string // reasons, by name, of resources whose newest version was rejected
-	ResourceNames []string          // subscribed to; nil for clusters, of which all are
+	ResourceNames []string          // subscribed to; nil for clusters: all of them
 	Versions      map[string]string // of accepted resources, by name
 }
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -30,7 +30,7 @@
 	return Resource{Name: name, Value: a}
 }
 
-// serves lists what is in force: the addresses of each cluster.
+// serves lists the resources in force: the addresses of each cluster.
 func serves(m *Machine) map[string]string {
 	got := make(map[string]string)
 	for name, a := range m.Applied() {
@@ -140,7 +140,7 @@
 	}
 }
 
-// A bad resource is refused and keeps what it was; the good ones beside it are in force.
+// A bad resource is rejected and keeps its former version; the good ones beside it are in force.
 func TestMachine_NACKsInvalidResources(t *testing.T) {
 	for _, variant := range []Variant{SotW, Delta} {
 		machine := New(variant)
@@ -249,7 +249,7 @@
 	}
 }
 
-// What has a TTL goes when it is not renewed; a heartbeat renews it.
+// A resource with a TTL expires unless it is renewed; a heartbeat renews it.
 func TestMachine_TTL(t *testing.T) {
 	machine := New(Delta)
 	machine.Connected()
@@ -298,7 +298,7 @@
 	}
 }
 
-// What nobody asked for is neither taken nor answered.
+// A resource without subscription is neither applied nor acknowledged.
 func TestMachine_IgnoresUnrequestedResponses(t *testing.T) {
 	machine := New(SotW)
 	if got := machine.HandleResponse(t0, Response{Type: Clusters, Nonce: "a"}); got != nil {
@@ -349,7 +349,7 @@
 	p.everSent[service][strings.Join(addrs, " ")] = true
 }
 
-// connect begins a stream: what was on its way is lost.
+// connect begins a stream: messages on their way are lost.
 func (p *plane) connect() {
 	p.inFlight, p.names = nil, make(map[string]bool)
 	p.known = [NumTypes]map[string]int{make(map[string]int), make(map[string]int)}
@@ -537,7 +537,7 @@
 	}
 }
 
-// deliver passes the next response on, and checks what is in force then.
+// deliver passes the next response on, and checks the resources in force then.
 func (r *modelRun) deliver() {
 	response := r.plane.inFlight[0]
 	r.plane.inFlight = r.plane.inFlight[1:]
@@ -584,7 +584,7 @@
 	return addrs
 }
 
-// checkAtRest checks that what is in force is what the control plane has.
+// checkAtRest checks that the resources in force are those of the control plane.
 func (r *modelRun) checkAtRest() {
 	got := make(map[string]string)
 	for name, cluster := range r.machine.Applied() {
--- a/discovery/xds/ads/applied.go
+++ b/discovery/xds/ads/applied.go
@@ -19,8 +19,8 @@
 }
 
 // recomputeApplied derives the clusters in force: make before break. A cluster whose endpoints have not come serves
-// with those that it had. While the newest list is incomplete, clusters that it lacks go on serving if nobody would
-// serve without them.
+// with those that it had. While the newest list is incomplete, clusters that it lacks keep serving if no other cluster
+// would serve without them.
 func (m *Machine) recomputeApplied() {
 	next := make(map[string]AppliedCluster, len(m.applied))
 	warming, hasEndpoints := false, false
--- a/discovery/xds/ads/machine.go
+++ b/discovery/xds/ads/machine.go
@@ -144,7 +144,7 @@
 	return slices.Compact(names)
 }
 
-// ExpireResources removes what has outlived its TTL, and reports whether there was any. next is when to call it again,
+// ExpireResources removes resources past their TTL, and reports whether there was any. next is when to call it again,
 // zero for never.
 func (m *Machine) ExpireResources(now time.Time) (changed bool, next time.Time) {
 	for t := range m.subscriptions {
--- a/discovery/xds/ads/subscription.go
+++ b/discovery/xds/ads/subscription.go
@@ -113,7 +113,7 @@
 	return rest
 }
 
-// expire forgets what has outlived its TTL. next is the earliest end of a TTL that is left, zero for none.
+// expire removes resources past their TTL. next is the earliest end of a TTL that is left, zero for none.
 func (s *subscription) expire(now time.Time) (expired []string, next time.Time) {
 	for name, accepted := range s.accepted {
 		switch {
--- a/discovery/xds/cache.go
+++ b/discovery/xds/cache.go
@@ -96,7 +96,7 @@
 	return raw, nil
 }
 
-// mergeUnder is what is in force, completed by the cached assignments of clusters that have none yet.
+// mergeUnder returns the resources in force, completed by the cached assignments of clusters that have none yet.
 func (c cachedList) mergeUnder(applied map[string]ads.AppliedCluster) map[string]ads.AppliedCluster {
 	merged := make(map[string]ads.AppliedCluster, len(applied)+len(c.Clusters))
 	for name, assignment := range c.Clusters {
--- a/discovery/xds/decode.go
+++ b/discovery/xds/decode.go
@@ -98,7 +98,7 @@
 	return decoded, nil
 }
 
-// checkDuplicates rejects resources of which two have the same name: it is unknown which of them holds.
+// checkDuplicates rejects resources with the same name: it is unknown which of them is valid.
 func checkDuplicates(resources []ads.Resource) error {
 	seen := make(map[string]bool, len(resources))
 	for _, r := range resources {
--- a/discovery/xds/file_source.go
+++ b/discovery/xds/file_source.go
@@ -19,7 +19,7 @@
 var errNoFiles = errors.New("xds: no file is named")
 
 // FileSource is the endpoint source for DiscoveryResponse files, for sites without a control plane. It polls the
-// files, and puts what they hold in force only if all of them are valid.
+// files, and applies them only if all of them are valid.
 type FileSource struct {
 	paths []string
 	log   *slog.Logger
@@ -88,7 +88,7 @@
 	return stamps
 }
 
-// reload reads the files and returns what has to be published; nil for nothing.
+// reload reads the files and returns the update to publish; nil for none.
 func (s *FileSource) reload() *router.EndpointUpdate {
 	resources, err := readFiles(s.paths)
 	s.mu.Lock()
--- a/discovery/xds/file_test.go
+++ b/discovery/xds/file_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Files are put in force whole or not at all, and one that is bad is one line that names what is.
+// Files are applied all or not at all, and a bad one is reported in one line that names the fault.
 func TestFileSource_InvalidFileKeepsList(t *testing.T) {
 	dir := t.TempDir()
 	clusters, endpoints := filepath.Join(dir, "cds.json"), filepath.Join(dir, "eds.json")
@@ -136,7 +136,7 @@
 	published.await(t, "10.0.0.4:1")
 }
 
-// What was kept serves after a restart without a control plane, and goes once the first list is whole.
+// Cached assignments serve after a restart without a control plane, until the first list is complete.
 func TestSource_StartsWithCachedList(t *testing.T) {
 	dir, controlPlane := t.TempDir(), startControlPlane(t)
 	controlPlane.Set(cluster("rooms"), assignment("rooms", "10.0.0.1:1", "10.0.0.2:1"))
--- a/discovery/xds/priority/priority.go
+++ b/discovery/xds/priority/priority.go
@@ -63,7 +63,7 @@
 	return levels
 }
 
-// isHealthy reports whether an endpoint counts as healthy; one that nobody has checked does.
+// isHealthy reports whether an endpoint counts as healthy; one never checked does.
 func isHealthy(health resource.Health) bool {
 	return health == resource.Healthy || health == resource.Unknown
 }
--- a/discovery/xds/resource/assignment.go
+++ b/discovery/xds/resource/assignment.go
@@ -185,7 +185,7 @@
 	return 1 - kept, nil
 }
 
-// denominatorOf is the number that a denominator of the wire stands for; 0 for one that is not known.
+// denominatorOf returns the value of a denominator on the wire; 0 for an unknown one.
 func denominatorOf(t xdspb.FractionalPercent_DenominatorType) float64 {
 	switch t {
 	case xdspb.FractionalPercent_HUNDRED:
--- a/discovery/xds/resource/resource_test.go
+++ b/discovery/xds/resource/resource_test.go
@@ -260,7 +260,7 @@
 	}
 }
 
-// No bytes panic the readers, and what is read in place is read as the generated reader would.
+// No bytes panic the readers, and fields read in place are read as the generated reader would.
 func FuzzResources(f *testing.F) {
 	for _, m := range []proto.Message{
 		good(), &xdspb.Cluster{Name: "c", LoadAssignment: good()}, good().Endpoints[0].LbEndpoints[0],
--- a/discovery/xds/scale_test.go
+++ b/discovery/xds/scale_test.go
@@ -38,8 +38,8 @@
 	return &anypb.Any{TypeUrl: resource.AssignmentURL, Value: raw}
 }
 
-// BenchmarkUpdate is from the bytes of a response to the change that the router is told, for one cluster
-// of n endpoints of which one changes, and for n endpoints in clusters of 100 of which one cluster comes
+// BenchmarkUpdate measures from the bytes of a response to the router's update, for one cluster
+// of n endpoints with one change, and for n endpoints in clusters of 100 where one cluster comes
 // again.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
@@ -82,7 +82,7 @@
 	}
 }
 
-// initialResponses are the clusters, and n endpoints of which each cluster has so many.
+// initialResponses are the clusters, and n endpoints with so many in each cluster.
 func initialResponses(b *testing.B, n, each int) (ads.Response, *xdspb.DeltaDiscoveryResponse) {
 	b.Helper()
 	clusters := ads.Response{Type: ads.Clusters}
--- a/discovery/xds/script_test.go
+++ b/discovery/xds/script_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// What a script gets wrong is told with its line, before anything is served; an expectation that is not
+// A mistake in a script is reported with its line, before anything is served; an expectation that is not
 // met fails.
 func TestParseScript_Errors(t *testing.T) {
 	for text, want := range map[string]string{
--- a/discovery/xds/secret_test.go
+++ b/discovery/xds/secret_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Secrets come from the control plane in both variants; one that would not hold is rejected, and what was in force
+// Secrets come from the control plane in both variants; an invalid one is rejected, and the secret in force
 // stays, also when the control plane removes it or is gone.
 func TestSource_Secrets(t *testing.T) { forEachVariant(t, testSecrets) }
 
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -18,7 +18,7 @@
 // pauseInterval is after how many servers a large change may pause, as the decoder of assignments does.
 const pauseInterval = 32
 
-// snapshot is the list of servers as it was last published, so that each update holds only what has changed. A server
+// snapshot is the list of servers as last published, so that each update holds only the changes. A server
 // is identified by its address: it stays the same whichever clusters and localities list it. It is not safe for
 // concurrent use.
 type snapshot struct {
@@ -83,7 +83,7 @@
 	return s.changes(touched)
 }
 
-// changes is what has to be published of the servers at the touched addresses, in order of address.
+// changes returns the updates to publish for the servers at the touched addresses, in order of address.
 func (s *snapshot) changes(touched map[string]bool) []router.Endpoint {
 	var changed []router.Endpoint
 	for i, addr := range slices.Sorted(maps.Keys(touched)) {
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -16,7 +16,7 @@
 	"cobaltward/router"
 )
 
-// Source is the endpoint source for control planes, of which it uses one at a time. The last complete list stays in
+// Source is the endpoint source for control planes. It uses one at a time. The last complete list stays in
 // force whatever becomes of them.
 type Source struct {
 	config Config
@@ -98,7 +98,7 @@
 			failures = 0
 		}
 		failures++
-		s.log.Warn("xds: the control plane is out of reach, keeping the last list",
+		s.log.Warn("xds: control plane unreachable, keeping the last endpoint list",
 			"address", s.config.Servers[index].Addr, "err", err, "failures", failures)
 		index = (index + 1) % len(s.config.Servers)
 		if index != 0 && failures < len(s.config.Servers) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// expireResources removes what has outlived its TTL. next is when to call it again, zero for never.
+// expireResources removes resources past their TTL. next is when to call it again, zero for never.
 func (s *Source) expireResources() (update *router.EndpointUpdate, next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +213,7 @@
 	return s.pendingUpdate(), next
 }
 
-// pendingUpdate brings the snapshot to what is in force, and returns what has to be published; nil for nothing. The
+// pendingUpdate brings the snapshot up to date, and returns the update to publish; nil for none. The
 // lock is held.
 func (s *Source) pendingUpdate() *router.EndpointUpdate {
 	hadEndpoints := len(s.snapshot.published) > 0
--- a/discovery/xds/standin/faults.go
+++ b/discovery/xds/standin/faults.go
@@ -21,7 +21,7 @@
 }
 
 // SetMuted makes it stop or resume sending responses of these types, or of clusters and endpoints where none is named.
-// What was not sent follows later.
+// Responses held back follow later.
 func (p *ControlPlane) SetMuted(on bool, typeURLs ...string) {
 	if len(typeURLs) == 0 {
 		typeURLs = []string{resource.ClusterURL, resource.AssignmentURL}
--- a/discovery/xds/standin/steps.go
+++ b/discovery/xds/standin/steps.go
@@ -282,7 +282,7 @@
 	}
 	return func(ctx context.Context, run *scriptRun) error {
 		if len(run.staged) > 0 {
-			return errors.New("push what is staged first")
+			return errors.New("staged resources are not pushed yet: push first")
 		}
 		return flood(ctx, run.controlPlane, turns, rate, length)
 	}, nil
--- a/discovery/xds/standin/stream.go
+++ b/discovery/xds/standin/stream.go
@@ -82,7 +82,7 @@
 		slices.Reverse(order)
 	}
 	for _, url := range order {
-		if current.muted[url] { // follows once it is no longer muted
+		if current.muted[url] { // sent once the type is unmuted
 			continue
 		}
 		if err := s.sendType(url); err != nil {
@@ -104,7 +104,7 @@
 	return s.SendMsg(response)
 }
 
-// handleRequest takes over what a request subscribes to. An answer to a response before the last is ignored.
+// handleRequest applies the subscriptions of a request. An answer to a response before the last is ignored.
 func (s *clientStream) handleRequest(request RecordedRequest) {
 	subscribed := s.subscriptions[request.Type]
 	if subscribed == nil {
--- a/discovery/xds/standin/subscription.go
+++ b/discovery/xds/standin/subscription.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// subscription is what a stream has subscribed to of one type, and what it has been sent.
+// subscription is a stream's subscription to one type, with the versions sent to it.
 type subscription struct {
 	requested bool
 	names     map[string]bool // nil: all
@@ -19,7 +19,7 @@
 	responses int             // of the state of the world, so far
 }
 
-// update takes over what a request subscribes to.
+// update applies the subscriptions of a request.
 func (s *subscription) update(request RecordedRequest, delta bool) {
 	s.requested = true
 	if request.Type == resource.AssignmentURL && (s.names == nil || !delta) {
@@ -65,7 +65,7 @@
 }
 
 // sotwResponse is the state-of-the-world response that a subscription lacks; nil for none. It has all clusters, and of
-// the other types what has changed. The lock is held.
+// the other types the changes. The lock is held.
 func (p *ControlPlane) sotwResponse(url string, sub *subscription) *xdspb.DiscoveryResponse {
 	response := &xdspb.DiscoveryResponse{VersionInfo: strconv.Itoa(p.version), TypeUrl: url}
 	stale := url == resource.ClusterURL && sub.responses == 0
--- a/discovery/xds/stream.go
+++ b/discovery/xds/stream.go
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// expire removes what has outlived its TTL, and sets the timer for what comes next.
+// expire removes resources past their TTL, and sets the timer for the next.
 func (r *streamRun) expire() {
 	update, next := r.source.expireResources()
 	if update != nil {
--- a/discovery/xds/xds_test.go
+++ b/discovery/xds/xds_test.go
@@ -195,7 +195,7 @@
 	}
 	controlPlane.Set(rooms)
 	published.await(t, "10.0.0.1:1 10.0.1.1:1")
-	// Another cluster drains the one that is left here: any source's drain holds.
+	// Another cluster drains the remaining one: a drain by any source holds.
 	drained := assignment("other", "10.0.0.1:1")
 	drained.Endpoints[0].LbEndpoints[0].HealthStatus = xdspb.HealthStatus_DRAINING
 	controlPlane.Set(cluster("other"), drained)
@@ -203,7 +203,7 @@
 }
 
 // One bad endpoint among many: the resource is refused whole, with its endpoint and field, the old one
-// serves, and the stream goes on.
+// serves, and the stream continues.
 func TestSource_InvalidEndpointRejectsAssignment(t *testing.T) {
 	forEachVariant(t, func(t *testing.T, delta bool) {
 		controlPlane := startControlPlane(t)
@@ -236,7 +236,7 @@
 	})
 }
 
-// Whatever the control plane does, the last list serves; when it is back, what has changed is told.
+// Whatever the control plane does, the last list serves; once it is back, the changes are published.
 func TestSource_KeepsLastListWithoutControlPlane(t *testing.T) {
 	forEachVariant(t, func(t *testing.T, delta bool) {
 		controlPlane, err := standin.Start("")
@@ -307,7 +307,7 @@
 	published.await(t, "10.0.0.2:1")
 	time.Sleep(500 * time.Millisecond) // many times the wait before the preferred one is thought of again
 	if n := second.Streams.Load(); n != 1 {
-		t.Errorf("%d streams to the one that works, want the first to stay", n)
+		t.Errorf("%d streams to the working control plane, want the first to stay", n)
 	}
 }
 
@@ -358,7 +358,7 @@
 	}
 	published.mu.Lock()
 	if published.changes != changes {
-		t.Error("another order was told as a change")
+		t.Error("another order was published as a change")
 	}
 	published.mu.Unlock()
 	moved := assignment("more", "10.0.0.1:1")
@@ -522,7 +522,7 @@
 	return r
 }
 
-// startLoad sends requests from eight clients, none of which may fail, until stop is called.
+// startLoad sends requests from eight clients until stop is called; none may fail.
 func startLoad(t *testing.T, r *router.Router) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -13,7 +13,7 @@
 	Reason      string
 	RequestedBy string
 	Final       bool // the drain can't be cancelled: the process is to end
-	Force       bool // the order may shorten the deadline of a drain that goes on
+	Force       bool // the order may shorten the deadline of a drain in progress
 }
 
 // Counts is the work that a router still has.
@@ -31,13 +31,13 @@
 	Reason         string    `json:"reason,omitempty"`
 	RequestedBy    string    `json:"who,omitempty"`
 	Final          bool      `json:"final,omitempty"`
-	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // of Forced: requests answered for want of time
+	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // of Forced: requests answered at the deadline
 }
 
 // Machine is the state of one router. It is not safe for concurrent use. Times must not go back.
 type Machine struct {
 	status     Status
-	order      Order     // of the drain that goes on
+	order      Order     // of the drain in progress
 	phaseEnd   time.Time // when the state ends by itself; zero: at the deadline
 	events     []Event
 	lastNumber uint64 // of the events
@@ -49,7 +49,7 @@
 // Status returns where the machine stands.
 func (m *Machine) Status() Status { return m.status }
 
-// Start starts a drain, or changes the one that goes on: a final order takes over any other, and its deadline holds
+// Start starts a drain, or changes the one in progress: a final order supersedes any other, and its deadline holds
 // where it is the earlier one; another order may shorten the deadline with Force. Its errors are ErrInvalidTimeout,
 // ErrDrained and *InProgressError.
 func (m *Machine) Start(now time.Time, order Order, counts Counts) error {
@@ -101,7 +101,7 @@
 	})
 }
 
-// enter goes on to a state of the drain.
+// enter enters a state of the drain.
 func (m *Machine) enter(now time.Time, state State, change Change, counts Counts) {
 	former := m.status.State
 	m.status.State, m.status.Since = state, now
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// ExpireNow moves the deadline of the drain that goes on to now.
+// ExpireNow moves the deadline of the drain in progress to now.
 func (m *Machine) ExpireNow(now time.Time) {
 	if m.inProgress() && now.Before(m.status.Deadline) {
 		m.status.Deadline = now
@@ -166,7 +166,7 @@
 	}
 }
 
-// Next returns when Step has something to do if nothing else happens; ok is false where no drain goes on.
+// Next returns when Step has something to do if nothing else happens; ok is false where no drain is in progress.
 func (m *Machine) Next() (at time.Time, ok bool) {
 	if !m.inProgress() {
 		return time.Time{}, false
--- a/drain/errors.go
+++ b/drain/errors.go
@@ -11,15 +11,15 @@
 var (
 	// ErrDrained says that the router is drained already.
 	ErrDrained = errors.New("the router is drained already")
-	// ErrNotDraining says that there is no drain to cancel.
-	ErrNotDraining = errors.New("no drain goes on")
+	// ErrNotDraining reports that there is no drain to cancel.
+	ErrNotDraining = errors.New("no drain in progress")
 	// ErrFinal says that the drain can't be cancelled, since the process is to end.
 	ErrFinal = errors.New("the process is ending: that can't be taken back")
 	// ErrInvalidTimeout says that an order's timeout is not positive.
 	ErrInvalidTimeout = errors.New("want a deadline above 0s")
 )
 
-// InProgressError says that another drain goes on, and that the order does not change it.
+// InProgressError reports that another drain is in progress, and that the order does not change it.
 type InProgressError struct{ Status Status }
 
 func (e *InProgressError) Error() string {
--- a/drain/event.go
+++ b/drain/event.go
@@ -8,7 +8,7 @@
 // The changes. Their values are part of the admin API.
 const (
 	ChangeStarted   Change = "started"
-	ChangeTakenOver Change = "took over" // by a final drain, while another went on or was over
+	ChangeTakenOver Change = "took over" // by a final drain, while another was in progress or over
 	ChangeShortened Change = "shortened" // the deadline is earlier
 	ChangePhase     Change = "phase"     // the next state, since its time had come
 	ChangeCancelled Change = "cancelled"
--- a/drain/state.go
+++ b/drain/state.go
@@ -8,7 +8,7 @@
 // The states. A drain goes through them in order. Cancel leads back to Serving from any of them, unless the drain is
 // final.
 const (
-	Serving   State = iota // no drain goes on
+	Serving   State = iota // no drain in progress
 	Announced              // the router reports that it is not ready, and serves on: clients notice that late
 	Leaving                // answers close their connections; new connections are still accepted
 	Closing                // no new connections are accepted; open requests are answered
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -67,7 +67,7 @@
 	proposeTimeout = 2 * time.Second
 )
 
-// New returns an agent that goes on with what an earlier process has stored.
+// New returns an agent that continues from the stored state of an earlier process.
 func New(config Config, node Node, client *Client) (*Agent, error) {
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	agent := &Agent{config: config, node: node, client: client}
 	stored, err := readState(agent.stateFile())
 	if err != nil {
-		// Without it a former holder's effect could not be told from a newer one's.
+		// Without it a former holder's effect could not be distinguished from a newer one's.
 		return nil, fmt.Errorf("%s: %w: restore it before this agent receives anything", agent.stateFile(), err)
 	}
 	agent.receiver = lease.Restore(stored, config.Self.Name, config.Self.Incarnation, config.Unsafe)
@@ -110,7 +110,7 @@
 // Watcher returns the watcher by which the agent follows the state.
 func (a *Agent) Watcher() *StateWatcher { return a.watcher }
 
-// Run follows the state, registers the node and disables servers until ctx ends, and waits for what it has begun.
+// Run follows the state, registers the node and disables servers until ctx ends, and waits for effects in progress.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
 	a.mu.Lock()
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -20,9 +20,9 @@
 
 // Errors of calls.
 var (
-	// ErrNoResponse reports that no answer came. What was asked for may have been done or not.
+	// ErrNoResponse reports that no answer came. The request may have been carried out or not.
 	ErrNoResponse = errors.New("no answer")
-	// ErrRejected reports that what was asked for is rejected, and was not done.
+	// ErrRejected reports that the request is rejected, and was not carried out.
 	ErrRejected = errors.New("refused")
 )
 
@@ -31,8 +31,8 @@
 	maxIdleConns       = 4        // to one host
 	maxConns           = 32       // to one host
 	idleConnTimeout    = 30 * time.Second
-	firstErrorStatus   = 300 // of HTTP: what was asked for was not done
-	firstUnknownStatus = 500 // of HTTP: what was asked for may have been done
+	firstErrorStatus   = 300 // of HTTP: the request was not carried out
+	firstUnknownStatus = 500 // of HTTP: the request may have been carried out
 )
 
 // Client calls the replicas of the consensus group, and agents. Its methods may be called from several goroutines at
--- a/fleet/agent/command.go
+++ b/fleet/agent/command.go
@@ -30,7 +30,7 @@
 
 // runCommand runs a command to its end, and returns its exit status and the end of its output. If ctx ends first,
 // the command gets SIGTERM, and SIGKILL after killDelay. It gets SIGKILL when this process dies, so that no orphan
-// goes on while the next process verifies what was done.
+// continues while the next process verifies the outcome.
 func runCommand(ctx context.Context, words, env []string) (status int, output string, err error) {
 	// Pdeathsig is sent when the thread dies that has started the command, so that thread is kept until it has ended.
 	runtime.LockOSThread()
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -24,7 +24,7 @@
 	zones, err := a.zonesOf(ctx, orders)
 	disabledNow, statusErr := a.node.DisabledServers(ctx)
 	if err != nil || statusErr != nil {
-		a.setActiveOrders(nil) // what is in force is unknown
+		a.setActiveOrders(nil) // the orders in force are unknown
 		return
 	}
 	disabled := setOf(disabledNow)
--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -114,7 +114,7 @@
 }
 
 // performCommand runs an operator's command, which knows no fencing tokens. Where it may have run already, the Verify
-// command tells: doneStatus is its exit status where it has. What it cannot tell is unknown, and stays so.
+// command reports it: doneStatus is its exit status where it has. Otherwise the outcome stays unknown.
 func (a *Agent) performCommand(
 	ctx context.Context, request lease.EffectRequest, words []string, verifyFirst bool, doneStatus int,
 ) (outcome fleet.StepOutcome, detail string) {
--- a/fleet/agent/nodeclient.go
+++ b/fleet/agent/nodeclient.go
@@ -25,7 +25,7 @@
 	Resume(ctx context.Context, who string) error
 	// DisableServer disables one server at the node.
 	DisableServer(ctx context.Context, server string) error
-	// EnableServer ends what DisableServer began. It is no error if the server is enabled already.
+	// EnableServer reverts DisableServer. It is no error if the server is enabled already.
 	EnableServer(ctx context.Context, server string) error
 	// DisabledServers returns the servers that are disabled at the node, by whomever.
 	DisabledServers(ctx context.Context) ([]string, error)
@@ -44,7 +44,7 @@
 	pollInterval = 50 * time.Millisecond
 	// socketHost is the host of requests over a Unix socket, where none is needed.
 	socketHost = "door"
-	// requester is who the node is told has asked for a drain.
+	// requester is the name under which the agent requests drains of the node.
 	requester = "fleet"
 )
 
@@ -103,7 +103,7 @@
 			if status.Drain.State == drain.Serving {
 				return nil
 			}
-			// What came of it is seen by the next status.
+			// The next status shows the outcome.
 			_ = c.call(ctx, http.MethodDelete, "/drain", node.DrainRequest{RequestedBy: who}, new(node.Status))
 		}
 		pause(ctx)
--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// A server that is enabled already is no error; one that stays disabled is.
+// A server that is enabled already is no error; a server that stays disabled is one.
 func TestNodeClient_EnableServerThatIsRejected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -37,8 +37,8 @@
 	Log           *slog.Logger
 	// FailPoint is called at points where tests may end or stop the process; nil: it is not.
 	FailPoint func(point string)
-	// ObserveProposal is told of each proposal about the lease before it is sent; what it returns is told of the
-	// outcome. nil: nothing is observed.
+	// ObserveProposal is called with each proposal about the lease before it is sent; the function that it returns gets
+	// the outcome. nil: nothing is observed.
 	ObserveProposal func(entry fleet.Entry) func(result fleet.Result, known bool)
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// reconcile looks at the job once, and does what comes next.
+// reconcile reads the job once and takes the next steps.
 func (r *ControllerRunner) reconcile(ctx context.Context) {
 	state, _ := r.watcher.State()
 	if _, ok := r.fencingToken(); !ok || state.OpenJob(r.config.Kind) == nil {
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -27,7 +27,7 @@
 // at once.
 type StateWatcher struct {
 	client        *Client
-	report        func() consensus.AgentReport // what is said of this process with each request
+	report        func() consensus.AgentReport // the report on this process in each request
 	log           *slog.Logger
 	watchTimeout  time.Duration
 	reportChanged chan struct{} // holds one if the report has changed
@@ -81,7 +81,7 @@
 	}
 }
 
-// ReportChanged has the next request sent at once: the one that waits for news carries a report that is out of date.
+// ReportChanged has the next request sent at once: the waiting one carries an outdated report.
 func (w *StateWatcher) ReportChanged() {
 	select {
 	case w.reportChanged <- struct{}{}:
@@ -148,7 +148,7 @@
 func (w *StateWatcher) advance(from *fleet.State, response consensus.WatchResponse) bool {
 	next, err := successor(from, response)
 	if err != nil {
-		w.log.Error("fleet: state not applied; going on with the last one known", "error", err)
+		w.log.Error("fleet: state not applied; continuing with the last one known", "error", err)
 		return false
 	}
 	w.mu.Lock()
--- a/fleet/agent/watcher_test.go
+++ b/fleet/agent/watcher_test.go
@@ -21,7 +21,7 @@
 	address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		state := fleet.NewState(2).WithMembers(7, nil)
 		if requests.Add(1) > 1 {
-			state = fleet.NewState(1).WithMembers(9, nil) // of a cluster that was forced anew without it
+			state = fleet.NewState(1).WithMembers(9, nil) // of a new cluster forced without it
 		}
 		adminapi.Reply(w, http.StatusOK, consensus.WatchResponse{State: state, HasLeader: true})
 	})
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Only the holder of the lease reports on steps, and no more nodes are drained than the job allows, whatever a holder
-// believes.
+// Only the holder of the lease reports on steps, and at most as many nodes are drained as the job allows, whatever a
+// holder believes.
 func TestApply_JobStepsAndLimits(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollingUpdate, Nodes: []string{"a", "b"}, MaxUnavailable: 1}
 	state, result := mustApply(t, NewState(1),
--- a/fleet/applyjob.go
+++ b/fleet/applyjob.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// mayBegin reports whether a step leaves no more nodes unavailable than the job allows. The state checks it, and not
-// the holder alone: a holder whose last proposal was never answered may not know that its entry is in the log.
+// mayBegin reports whether a step leaves at most as many nodes unavailable as the job allows. The state checks it, and
+// not the holder alone: a holder whose last proposal was never answered may not know that its entry is in the log.
 func (j *Job) mayBegin(key StepKey) bool {
 	if key.Action != ActionDrain && key.Action != ActionRollbackDrain {
 		return true
--- a/fleet/artifact.go
+++ b/fleet/artifact.go
@@ -9,7 +9,7 @@
 	Current Version `json:"now"` // in force at every node that Next does not reach yet
 	// Next is the version that a rollout is putting into force; nil if there is none.
 	Next *Version `json:"next,omitempty"`
-	// Retiring is the version of which no more leases are granted, and the last lease may still be valid; nil if there
+	// Retiring is the version with no further leases granted, whose last lease may still be valid; nil if there
 	// is none.
 	Retiring       *Version `json:"gone,omitempty"`
 	NextNodes      []string `json:"on,omitempty"`  // that may act on Next
@@ -25,7 +25,7 @@
 // InTransition reports whether nodes may be acting on more than one version. A nil artifact is not in transition.
 func (a *Artifact) InTransition() bool { return a != nil && (a.Next != nil || a.Retiring != nil) }
 
-// AllowedVersions returns the digests that a node may get a lease of, the one that it should act on first.
+// AllowedVersions returns the digests that a node may get a lease of, with the preferred one first.
 func (a *Artifact) AllowedVersions(node string) []string {
 	if a.Next != nil && (a.NextEverywhere || slices.Contains(a.NextNodes, node)) {
 		return []string{a.Next.Digest, a.Current.Digest}
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -14,7 +14,7 @@
 
 // AppliedEntry is one entry of the log that was applied to the state.
 type AppliedEntry struct {
-	ProposalID uint64 // 0: nobody waits for it
+	ProposalID uint64 // 0: no caller waits for it
 	Entry      fleet.Entry
 	Raw        []byte // the entry as the log has it, without the ID of the proposal; nil: an entry of raft's own
 	Result     fleet.Result
@@ -46,8 +46,8 @@
 	return batch
 }
 
-// Advance reports that a write batch is stored, and returns what it has brought into the state. now is the time of
-// the replica's monotonic clock: a replica that was stopped has seen what it applies now no earlier than now. After
+// Advance reports that a write batch is stored, and returns the state that it has changed. now is the time of
+// the replica's monotonic clock: a replica that was stopped sees entries when it applies them, not earlier. After
 // an error the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
--- a/fleet/consensus/boltstorage.go
+++ b/fleet/consensus/boltstorage.go
@@ -59,8 +59,8 @@
 	return &boltStorage{db}, nil
 }
 
-// RecoverStorage opens the storage of a replica whose process goes on after its storage has failed. All that can be
-// read is written and synced anew before it is used: after a failed sync, what is read may be in the system's memory
+// RecoverStorage opens the storage of a replica whose process continues after its storage has failed. All that can be
+// read is written and synced again before it is used: after a failed sync, data read may be in the system's memory
 // alone, and a later sync says nothing of it.
 func RecoverStorage(dir string) (Storage, error) {
 	path := filepath.Join(dir, storageFile)
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -94,7 +94,7 @@
 	return core, nil
 }
 
-// load takes over what the storage holds.
+// load adopts the state in the storage.
 func (c *Core) load(persisted PersistentState) error {
 	if persisted.Snapshot != nil {
 		if err := c.restore(persisted.Snapshot); err != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// State returns what is agreed on, as far as this replica has applied it.
+// State returns the agreed state, as far as this replica has applied it.
 func (c *Core) State() *fleet.State { return c.state }
 
 // ID returns the ID of the replica.
@@ -166,7 +166,7 @@
 	c.promoteLearner()
 }
 
-// proposeAll proposes entries for which nobody waits. What is lost is proposed again at a later tick.
+// proposeAll proposes entries without a waiting caller. Lost ones are proposed again at a later tick.
 func (c *Core) proposeAll(entries []fleet.Entry) {
 	for _, entry := range entries {
 		_ = c.Propose(0, entry)
@@ -196,7 +196,8 @@
 }
 
 // Propose proposes an entry. id is the ID of the proposal, which AppliedEntry names again; no other proposal has it,
-// and 0 means that nobody waits for the outcome. It returns ErrNoLeader, or an error of raft, if nothing was proposed.
+// and 0 means that no caller waits for the outcome. It returns ErrNoLeader, or an error of raft, if nothing was
+// proposed.
 func (c *Core) Propose(id uint64, entry fleet.Entry) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -56,7 +56,7 @@
 		adminapi.Fail(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// Replicas of a cluster that an operator has forced anew without them would still vote, and overwrite its log.
+	// Replicas left out of a new cluster that an operator has forced would still vote, and overwrite its log.
 	mine, theirs := r.View().State.Epoch, req.Header.Get(epochHeader)
 	if mine != 0 && theirs != "0" && theirs != strconv.FormatUint(mine, 10) {
 		adminapi.Fail(w, http.StatusGone, fmt.Sprintf("this cluster is of epoch %d, and the message of %s", mine, theirs))
@@ -132,7 +132,7 @@
 	respond(w, result, err)
 }
 
-// memberID returns the ID that a request is about: the one that it names, or that of the member to be removed.
+// memberID returns the ID in a request, or that of the member to be removed.
 func (r *Replica) memberID(request MembershipRequest) (id uint64, status int, err error) {
 	if request.ID != "" {
 		id, err := strconv.ParseUint(request.ID, 16, 64)
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	return 0, http.StatusConflict, fmt.Errorf("there is no member %q", request.Name)
+	return 0, http.StatusConflict, fmt.Errorf("no member %q", request.Name)
 }
 
 // respond answers a call with the outcome of its proposal.
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -30,7 +30,7 @@
 
 // Bounds of a replica.
 const (
-	maxInbox            = 1024 // messages that wait for the core; their senders repeat what is dropped
+	maxInbox            = 1024 // messages queued for the core; senders repeat dropped ones
 	maxBatch            = 64   // proposals, or messages of one call, that are handled together
 	maxPendingProposals = 1024
 	maxWatchers         = 2048   // watch requests that wait for a change
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -33,8 +33,8 @@
 	ready raft.Ready
 }
 
-// StorageError reports that storage has failed, and that the replica on it has ended: what is stored is unknown until
-// it is read again. A replica that is started on what RecoverStorage returns goes on.
+// StorageError reports that storage has failed, and that the replica on it has ended: the stored state is unknown until
+// it is read again. A replica started on the result of RecoverStorage continues.
 type StorageError struct {
 	Operation string
 	Err       error
@@ -45,13 +45,13 @@
 	return fmt.Sprintf("consensus: %s: what is stored is unknown: %v", e.Operation, e.Err)
 }
 
-// Unwrap returns what has failed.
+// Unwrap returns the cause.
 func (e *StorageError) Unwrap() error { return e.Err }
 
-// Storage is where a replica keeps what it has promised. Save and Compact return once all of it is synced; after an
-// error nobody can tell what is stored, and the replica has to stop.
+// Storage holds the promises of a replica. Save and Compact return once all of it is synced; after an
+// error the stored state is unknown, and the replica has to stop.
 type Storage interface {
-	// Load returns what is stored.
+	// Load returns the stored state.
 	Load() (PersistentState, error)
 	// Save stores a write batch.
 	Save(batch *WriteBatch) error
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -125,7 +125,7 @@
 	t.Fatal("the replica does not become the leader")
 }
 
-// A replica started on storage of an earlier program comes to the state that program had, and goes on from there.
+// A replica started on storage of an earlier program reaches the state of that program, and continues from there.
 func TestStoredStorage_RestoresState(t *testing.T) {
 	storage := openStored(t)
 	persisted, err := storage.Load()
--- a/fleet/consensus/transport.go
+++ b/fleet/consensus/transport.go
@@ -36,7 +36,7 @@
 )
 
 // transport sends messages to other replicas: one call at a time to each, from a queue of bounded length. What does
-// not fit is dropped, for raft sends again what is lost. Its owner is the run goroutine of the replica.
+// not fit is dropped, since raft repeats lost messages. Its owner is the run goroutine of the replica.
 type transport struct {
 	replica *Replica
 	client  *http.Client
@@ -116,7 +116,7 @@
 }
 
 // sendQueued sends what a queue has until it is closed, several messages in one call where they wait, and reports to
-// the core what was not delivered.
+// the core undelivered messages.
 func (t *transport) sendQueued(id uint64, queue <-chan *raftpb.Message) {
 	for first := range queue {
 		batch := []*raftpb.Message{first}
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -46,7 +46,7 @@
 	return r.view
 }
 
-// publish shows watchers what was applied, and answers the proposals that wait for it.
+// publish shows watchers the applied state, and answers the proposals that wait for it.
 func (r *Replica) publish(result ApplyResult) {
 	if len(result.Applied) == 0 && !result.Restored {
 		return
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -27,7 +27,7 @@
 	KindCloseJob        Kind = "close"   // ends a job
 	KindPublishVersion  Kind = "offer"   // publishes the first version of an artifact
 	KindPromoteVersion  Kind = "stage"   // lets the next stage of nodes use a job's version
-	KindRetireVersion   Kind = "retire"  // grants no more leases of a version
+	KindRetireVersion   Kind = "retire"  // ends the granting of leases of a version
 	KindClearVersion    Kind = "clear"   // records that the last lease of a retired version has expired
 	KindDisableServers  Kind = "hold"    // disables servers at all nodes
 	KindEnableServers   Kind = "lift"    // ends a disable order
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -99,7 +99,7 @@
 	ActionRollbackResume StepAction = "back-in"
 )
 
-// stepKeySeparator stands between node and action of a step's text. Names of nodes do not contain it.
+// stepKeySeparator separates node and action in a step's text. Names of nodes do not contain it.
 const stepKeySeparator = "/"
 
 // StepKey identifies a step of a job: an action and the node that it acts on.
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -10,9 +10,10 @@
 	// Duration is how long the holder may act after the last renewal that it asked for.
 	Duration time.Duration `json:"lease"`
 	Renewals uint64        `json:"renewals"`
-	// StepDownRequestedBy says who has asked the holder to release the lease, and why; empty if nobody has.
+	// StepDownRequestedBy names the requester of the lease's release and the reason; empty if there is none.
 	StepDownRequestedBy string `json:"asked,omitempty"`
-	// RevokedBy says who has forbidden further renewals, and why; empty if nobody has. The lease then runs out.
+	// RevokedBy names the operator who has forbidden renewals and the reason; empty if there is none. The lease then
+	// expires.
 	RevokedBy string   `json:"pushed,omitempty"`
 	GrantedAt Position `json:"since"`
 }
--- a/fleet/lease/receiver_test.go
+++ b/fleet/lease/receiver_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// What was running when the process ended is verified by the next one, once.
+// Effects running when the process ended are verified by the next one, once.
 func TestFencedReceiver_VerifiesInterruptedEffects(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -140,7 +140,7 @@
 		JobID:          job.ID,
 		Step:           action.Step,
 		IdempotencyKey: key,
-		Retry:          action.Retry || c.requested[key], // nobody may know whether the first request arrived
+		Retry:          action.Retry || c.requested[key], // the outcome of the first request may be unknown
 		DrainTimeout:   job.Spec.DrainTimeout,
 		Reason:         job.ID + ": " + job.Reason,
 	}
--- a/fleet/rollingupdate/drain.go
+++ b/fleet/rollingupdate/drain.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// drainNext drains the nodes that may go now, out of those that have not begun. No more nodes are unavailable at a
+// drainNext drains nodes that may be drained now, out of those not begun. At most as many nodes are unavailable at a
 // time than the job allows, and the serving ones keep the capacity that it asks for. Where it says so, one zone is
 // finished before the next. The holder's own node is the last, and is drained by another holder.
 func (p *planner) drainNext(fresh []string) []Action {
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -122,8 +122,8 @@
 	return action, false
 }
 
-// finishForward ends what is under way before the rollback begins: a step that was begun is waited for, and its node
-// is resumed.
+// finishForward completes the steps in progress before the rollback begins: a step that was begun is waited for, and
+// its node is resumed.
 func (p *planner) finishForward() []Action {
 	var actions []Action
 	for _, node := range p.job.Spec.Nodes {
@@ -212,7 +212,7 @@
 		return []Action{{Operation: CloseJob, CloseReason: p.doneReason(), Detail: p.closeDetail("")}}
 	}
 	actions := slices.Concat(current.actions, p.drainNext(current.fresh))
-	if len(actions) == 0 && len(p.unavailable) > 0 { // too few nodes, or too little capacity, are left to go on
+	if len(actions) == 0 && len(p.unavailable) > 0 { // too few nodes, or too little capacity, are left to continue
 		names := strings.Join(slices.Sorted(maps.Keys(p.unavailable)), " ")
 		return []Action{{Operation: CloseJob, CloseReason: fleet.ClosedStopped, Detail: names + " did not come back"}}
 	}
--- a/fleet/rollingupdate/plan_test.go
+++ b/fleet/rollingupdate/plan_test.go
@@ -11,7 +11,7 @@
 	"cobaltward/fleet"
 )
 
-// describe returns actions in short: what is done, to which step.
+// describe returns actions in short form: verb and step.
 func describe(actions []Action) string {
 	var lines []string
 	for _, action := range actions {
--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -7,9 +7,9 @@
 	"cobaltward/fleet/lease"
 )
 
-// RetirementTracker tells when the last lease of a retired version has expired. Each member of the consensus group
-// has one, as it has a lease.ExpiryTracker: a new leader need not wait again for what it has seen retired itself. It
-// is not safe for concurrent use.
+// RetirementTracker tells when the last lease of a retired version has expired. Each member of the consensus group has
+// one, as it has a lease.ExpiryTracker: a new leader need not wait again for versions that it has seen retired itself.
+// It is not safe for concurrent use.
 type RetirementTracker struct {
 	LeaseDuration time.Duration // of version leases
 	Unsafe        UnsafeOptions
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -46,8 +46,8 @@
 	SupportedFormat int `json:"level,omitempty"`
 }
 
-// State is what the fleet agrees on. It is immutable: Apply and the With methods return a new one. Maps and what they
-// point at are shared between states, and must not be written.
+// State is the agreed state of the fleet. It is immutable: Apply and the With methods return a new one. Maps and what
+// they point at are shared between states, and must not be written.
 type State struct {
 	Position      Position                 `json:"at"`    // of the last entry applied
 	Epoch         uint64                   `json:"epoch"` // how often a cluster was begun; see NextEpoch
--- a/internal/hotrestart/message_test.go
+++ b/internal/hotrestart/message_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestDecode_RejectsMalformed reads an order, and rejects what is torn, empty, no object, too long or of another
+// TestDecode_RejectsMalformed reads an order, and rejects one that is torn, empty, no object, too long or of another
 // version.
 func TestDecode_RejectsMalformed(t *testing.T) {
 	whole, err := json.Marshal(Order{Version: Version, At: time.Unix(1, 0), Standby: true})
--- a/internal/hotrestart/split_test.go
+++ b/internal/hotrestart/split_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// checkTogether checks that two shares make up the whole of the traffic, and no more than the whole of the memory.
+// checkTogether checks that two shares make up the whole of the traffic, and at most the whole of the memory.
 func checkTogether(t *rapid.T, first, second Share) {
 	const rounding = 1e-9
 	sum := first.Traffic + second.Traffic
--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -32,7 +32,7 @@
 
 // Config says how a snapshot loses weight.
 type Config struct {
-	HalfLife        time.Duration // after which half of what was learned is believed; 0: DefaultHalfLife
+	HalfLife        time.Duration // after which learned values count half; 0: DefaultHalfLife
 	MaxAge          time.Duration // beyond which nothing is; 0: DefaultMaxAge
 	MaxEjectedShare float64       // of the servers that may start ejected; 0: DefaultMaxEjectedShare
 	// OtherNode marks a snapshot of another node: its buckets are left out, and its weight is halved.
@@ -61,7 +61,7 @@
 // Report says what became of a snapshot.
 type Report struct {
 	Age       time.Duration
-	Weight    float64 // of what was learned, 0 to 1
+	Weight    float64 // of the learned state, 0 to 1
 	Restored  int     // servers whose state was taken over
 	NotListed int     // servers that are no longer listed
 	Restarted int     // servers where another process runs by now
@@ -77,7 +77,7 @@
 
 // Decay returns what a node may take over of a snapshot at a moment. Values that no node can have are replaced, and a
 // snapshot from the future is rejected. Thresholds move back towards the node's own initial ones as the snapshot ages.
-// A server that was ejected starts ejected for what is left of its time, and is health-checked before it is used.
+// A server that was ejected starts ejected for the rest of its time, and is health-checked before it is used.
 func Decay(
 	snapshot Snapshot, now time.Time, initial InitialThreshold, config Config,
 ) (policy.LearnedState, Report) {
--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -16,7 +16,7 @@
 func listed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
 // TestDecay_ByAge checks that thresholds move to the initial one by half each half-life, ejections run out and servers
-// stay ejected until they are checked, buckets fill, and what is too old or from the future is rejected.
+// stay ejected until they are checked, buckets fill, and a state too old or from the future is rejected.
 func TestDecay_ByAge(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, time.Minute: 5, 2 * time.Minute: 3.5} {
 		t.Run(age.String(), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestDecay_OtherProcess checks that what was learned of one process of a server does not count for the next one.
+// TestDecay_OtherProcess checks that the learned state of one process of a server does not count for the next one.
 func TestDecay_OtherProcess(t *testing.T) {
 	snapshot := newSnapshot(2)
 	snapshot.State.Servers[1].Uptime = time.Minute
--- a/internal/learnedstate/snapshot.go
+++ b/internal/learnedstate/snapshot.go
@@ -27,7 +27,7 @@
 // Errors of Decode.
 var (
 	// ErrNotSnapshot says that the bytes are no snapshot of this version.
-	ErrNotSnapshot = errors.New("it is no snapshot of a node's knowledge")
+	ErrNotSnapshot = errors.New("not a snapshot of learned state")
 	// ErrChecksum says that the snapshot is incomplete or was altered.
 	ErrChecksum = errors.New("it is torn: its checksum does not fit")
 )
--- a/internal/learnedstate/snapshot_test.go
+++ b/internal/learnedstate/snapshot_test.go
@@ -29,7 +29,7 @@
 	return snapshot
 }
 
-// TestEncode_RoundTripAndCorruption checks that what was encoded is decoded, and that each byte which is changed and
+// TestEncode_RoundTripAndCorruption checks that an encoded snapshot is decoded, and that each byte which is changed and
 // each end which is missing is found.
 func TestEncode_RoundTripAndCorruption(t *testing.T) {
 	snapshot := newSnapshot(3)
--- a/levels/check.go
+++ b/levels/check.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ConfigError says what is wrong with a configuration.
+// ConfigError describes the fault of a configuration.
 type ConfigError struct {
 	Level   int // index in Config.Levels; -1 where no level is at fault
 	Problem string
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// checkMeasures checks a level's measures, and adds what they shed.
+// checkMeasures checks a level's measures, and adds up the load that they shed.
 func (c *Config) checkMeasures(level *Level, shed map[string]float64) error {
 	for i := range level.Measures {
 		measure := &level.Measures[i]
@@ -159,7 +159,7 @@
 	return m.Shed == 0 && !m.NoHedging && m.MaxAttempts == 0 && !m.WithinQuota && m.MaxQueueTime == 0 && !m.ZoneLocal
 }
 
-// checkShedLast checks that no more is shed of a class that is to be shed last than of one that is not.
+// checkShedLast checks that a class to be shed last is shed at most as much as one that is not.
 func (c *Config) checkShedLast(shed map[string]float64) error {
 	for _, last := range c.Classes {
 		for _, other := range c.Classes {
--- a/levels/check_test.go
+++ b/levels/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestNew_InvalidConfig checks what is said of each kind of mistake in a configuration.
+// TestNew_InvalidConfig checks the error for each kind of mistake in a configuration.
 func TestNew_InvalidConfig(t *testing.T) {
 	enter, exit := slowAbove(0.2, 0), slowAbove(0.1, 0)
 	measures := []Measure{{Class: "hladanie", Shed: 0.5}}
--- a/levels/config.go
+++ b/levels/config.go
@@ -1,5 +1,5 @@
 // Package levels decides at which level of reduced service (degradation level) a node works while its servers can't
-// carry all of the offered load: what is shed of each class, and what may be spent on the rest. It is a state machine
+// carry all of the offered load: the part shed of each class, and the limits on the rest. It is a state machine
 // without I/O or a clock: counts and times in, a level with its reason out. A level is applied before the rate limits
 // of package policy, which stay as they are.
 package levels
@@ -14,7 +14,7 @@
 
 // The signals. Each is of the last second, smoothed exponentially.
 const (
-	// Demand is the work offered, what was shed included, over the work that servers have lately been seen to complete
+	// Demand is the work offered, shed work included, over the work that servers have lately been seen to complete
 	// in time. What a level sheds does not lower it, so that no level ends by its own effect.
 	Demand Signal = iota
 	// SlowAnswers is the fraction of answers that missed their latency objective, or never came.
@@ -60,7 +60,7 @@
 	MaxQueueTime time.Duration // that a request waits for a server; 0: as the policy decides
 	ZoneLocal    bool          // no request crosses zones while the node's own zone has a server
 	// FollowDemand makes Shed the most that is shed: each second, as much of the class is shed as servers can't carry
-	// after the measures before this one. Demand counts what is shed, so this does not oscillate.
+	// after the measures before this one. Demand counts shed work, so this does not oscillate.
 	FollowDemand bool
 }
 
@@ -72,7 +72,7 @@
 	Measures []Measure   // added to those of the levels before it
 }
 
-// Class is what has to be known of a class to check a configuration.
+// Class has the attributes of a class that the check of a configuration needs.
 type Class struct {
 	Name     string
 	ShedLast bool // no level may shed more of it than of a class without this mark
@@ -103,7 +103,7 @@
 	Shed    float64 // requests shed by a level
 	Work    float64 // mean of a request, in any unit that is the same for all classes
 	OnTime  float64 // answers within their latency objective
-	Late    float64 // answers after it, and requests that failed or were rejected for want of a server
+	Late    float64 // answers after it, and requests that failed or were rejected because there was no server
 	Queued  float64 // requests that wait for a server, at the end of the second
 	Open    float64 // requests without their answer, at the end of the second
 }
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -27,7 +27,7 @@
 	manual      bool          // an operator has set the level
 	manualUntil time.Duration // 0: until ReleaseManual
 
-	// While the exit of the level is probed, half of what it sheds beyond the levels before it is let through.
+	// While the exit of the level is probed, half of the load that it sheds beyond the levels before it passes.
 	exitProbing    bool
 	exitProbeStart time.Duration
 
@@ -37,7 +37,7 @@
 	shed      [][]float64              // by level and measure: the fraction that it sheds now
 }
 
-// levelHistory is what is remembered of a level.
+// levelHistory is the remembered state of a level.
 type levelHistory struct {
 	stayFactor float64 // how many times MinInterval it stays at least
 	leftAt     time.Duration
--- a/levels/effect.go
+++ b/levels/effect.go
@@ -28,7 +28,7 @@
 			}
 			shed := c.shed[i][j]
 			probed := c.exitProbing && i == c.level-1
-			if probed && 1-shed < passed { // half of what it sheds beyond the levels before it
+			if probed && 1-shed < passed { // half of the load that it sheds beyond the levels before it
 				shed -= (shed - (1 - passed)) / 2
 			}
 			passed = min(passed, 1-shed)
@@ -52,7 +52,7 @@
 	e.MaxAttempts = lowerLimit(e.MaxAttempts, measure.MaxAttempts)
 }
 
-// lowerLimit returns the lower of two limits, of which 0 or less is none.
+// lowerLimit returns the lower of two limits; 0 or less means none.
 func lowerLimit[T int | time.Duration](current, limit T) T {
 	if limit > 0 && (current == 0 || limit < current) {
 		return limit
--- a/levels/exit_test.go
+++ b/levels/exit_test.go
@@ -14,7 +14,7 @@
 	hasLeft   bool
 }
 
-// TestExit_IsProbed checks that the exit of a level is probed with half of what it sheds: where that brings the signal
+// TestExit_IsProbed checks that the exit of a level is probed with half of its shed load: where that brings the signal
 // back over its threshold, the level stays without a change. A level that is forbidden meanwhile is not entered.
 func TestExit_IsProbed(t *testing.T) {
 	config := Config{
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -6,8 +6,8 @@
 )
 
 // Reconfigure puts another configuration in force. The level stays where the new configuration has one of its name;
-// else the nearest level before it that the new one has is entered, so that no more is shed than before. Signals, the
-// time since the last change and what operators have set go on; conditions have to hold for their whole time again.
+// else the nearest level before it that the new one has is entered, so that shedding does not grow. Signals, the
+// time since the last change and operators' settings are kept; conditions have to hold for their whole time again.
 // changed reports that the level in force is another one. On an error, which is a *ConfigError, nothing has changed.
 func (c *Controller) Reconfigure(now time.Duration, config Config) (changed bool, err error) {
 	next, err := New(config)
@@ -35,7 +35,7 @@
 	return !stays, nil
 }
 
-// inherit takes over what another configuration does not change.
+// inherit adopts the state that another configuration does not change.
 func (c *Controller) inherit(former *Controller) {
 	c.changedAt, c.hasChanged = former.changedAt, former.hasChanged
 	c.capacity, c.signals = former.capacity, former.signals
--- a/levels/signals.go
+++ b/levels/signals.go
@@ -41,8 +41,8 @@
 }
 
 // updateCapacity estimates the work that servers can complete in time. It is the most that was completed lately, less
-// as that grows old. Where many answers are slow it falls to what is completed now; where few are, nothing shows that
-// servers could not carry what is offered.
+// as that ages. Where many answers are slow it falls to the work completed now; where few are, nothing shows that
+// servers could not carry the offered load.
 func (c *Controller) updateCapacity(offeredWork, completedWork float64) {
 	saturated := c.signals[signalKey{SlowAnswers, ""}] > saturatedSlowRatio
 	c.capacity *= 1 - capacityDecay
--- a/levels/simulation_test.go
+++ b/levels/simulation_test.go
@@ -40,8 +40,8 @@
 	return controller
 }
 
-// servers complete so much work a second in time: what is more is late, whichever class it is of, and leaves a backlog
-// that makes what follows late as well.
+// servers complete so much work a second in time: work beyond it is late, whichever class it is of, and leaves a
+// backlog that makes what follows late as well.
 type servers struct{ capacity, backlog float64 }
 
 // second plays one second of load, in requests of each class, under a controller; nil: without one.
--- a/levels/step.go
+++ b/levels/step.go
@@ -21,7 +21,7 @@
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
-		clear(c.heldSince) // nobody looks whether conditions hold without a break
+		clear(c.heldSince) // conditions are not evaluated without a break
 		return
 	}
 	c.manual = false
@@ -105,7 +105,7 @@
 	return reason, holds
 }
 
-// allHold reports whether each of the conditions of an exit has held for its time. The last one stands for all of them
+// allHold reports whether each of the conditions of an exit has held for its time. The last one represents all of them
 // in the reason.
 func (c *Controller) allHold(now time.Duration, conditions []Condition) (reason string, hold bool) {
 	hold = len(conditions) > 0
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -34,7 +34,7 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter is the wait, in whole seconds, that a rejected client is told.
+// retryAfter is the wait, in whole seconds, in the answer to a rejected client.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
--- a/policy/api.go
+++ b/policy/api.go
@@ -48,7 +48,7 @@
 type Class struct {
 	// Name is unique among the classes.
 	Name string
-	// LatencyObjective is the latency within which an answer has its full value; 0 stands for Deadline.
+	// LatencyObjective is the latency within which an answer has its full value; 0 means Deadline.
 	LatencyObjective time.Duration
 	// ObjectiveWorkFactor adds this multiple of Request.CostHint to the objective; 0 adds nothing.
 	ObjectiveWorkFactor float64
@@ -75,7 +75,7 @@
 	Pool string
 }
 
-// Tenant is one customer, with what was agreed with it.
+// Tenant is one customer and the quota agreed with it.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second over all nodes; 0 or more
@@ -85,7 +85,7 @@
 // Limit is one layer of rate limits: a token bucket that holds Burst and gains PerWindow each Window.
 type Limit struct {
 	PerWindow float64       // requests; 0 or less admits the burst only
-	Window    time.Duration // 0 or less stands for no refill
+	Window    time.Duration // 0 or less means no refill
 	Burst     int64         // requests
 }
 
@@ -153,7 +153,7 @@
 const (
 	Running  Availability = iota
 	Draining              // it takes no new attempts
-	Removed               // it is no longer listed
+	Removed               // absent from the list
 )
 
 // Endpoint is one entry of the endpoint list.
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// queueTimeWithoutServer returns after how long a request is rejected where there is no server.
+// queueTimeWithoutServer returns the time after which a request is rejected when there is no server.
 func queueTimeWithoutServer(t *testing.T, maximum time.Duration) time.Duration {
 	t.Helper()
 	b := startBalancer(t, testSettings(1), nil)
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// busyBalancer is a node with n servers, of which the first busy are at their thresholds. Its one class is
+// busyBalancer is a node with n servers; the first busy of them are at their thresholds. Its one class is
 // restricted to zones where these are named.
 func busyBalancer(b testing.TB, n, busy int, zones ...string) *Balancer {
 	b.Helper()
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -8,7 +8,7 @@
 )
 
 // Connections idle for as long as those that went unanswered are closed before a send; a server is not
-// blamed for what was lost on them. Short gaps, and a site whose sends all fail alike, change nothing.
+// blamed for attempts lost on them. Short gaps, and a site whose sends all fail alike, change nothing.
 func TestConnections_StaleOnesAreClosedBeforeSend(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	target, now := b.order[0], Time(0)
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -14,7 +14,7 @@
 	replacementStart = 3000           // ms of a run after which the second process takes over
 )
 
-// hotRestart is one node made of two processes, the second of which replaces the first: requests go to the second
+// hotRestart is one node of two processes. The second replaces the first: requests go to the second
 // in a part that grows from 0 to 1, both see each other's reports each 100 ms, and the first hands its buckets
 // over. With alone, the first process is left to itself.
 type hotRestart struct {
--- a/policy/index.go
+++ b/policy/index.go
@@ -11,7 +11,7 @@
 	blockSize             = 64   // servers that are summed up together
 	maxUnindexedServers   = 128  // up to which a scan costs less than the index
 	maxIncrementalChanges = 16   // entries of a change up to which the order is not rebuilt
-	roundingSlack         = 1e-9 // for what was computed in another order
+	roundingSlack         = 1e-9 // for sums computed in another order
 )
 
 // block sums up a run of servers that are not ejected: first those of the subset, then shared ones.
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -66,7 +66,7 @@
 	return endpoints
 }
 
-// handle hands an event to both nodes and compares what they want done.
+// handle hands an event to both nodes and compares their actions.
 func (c *indexComparison) handle(event Event) {
 	got, want := handle(c.indexed, c.now, event), handle(c.linear, c.now, event)
 	if !reflect.DeepEqual(got, want) {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -9,7 +9,7 @@
 // What a balancer has learned, in a form that can be stored and restored; no decision is in this file. How old
 // or foreign state is discounted is decided elsewhere, before Restore.
 
-// LearnedState is what a balancer has learned. It holds nothing of what is in flight, and nothing of the endpoint
+// LearnedState is the state that a balancer has learned. It holds no requests in flight, and nothing of the endpoint
 // list. The keys are those of stored data.
 type LearnedState struct {
 	RateScale            float64       `json:"pace"`    // scale of all bucket rates
@@ -18,7 +18,7 @@
 	Buckets              []BucketState `json:"buckets"` // by tenant and class
 }
 
-// ServerState is what is known of one process of a server.
+// ServerState is the learned state of one process of a server.
 type ServerState struct {
 	Server           string        `json:"server"`
 	Uptime           time.Duration `json:"up"`        // since its start; 0: long ago
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -22,7 +22,7 @@
 			target.threshold = b.initialThreshold(target)
 			b.updateIndex(target, -1)
 		}
-	case breaker.ejected && ended.probe: // overloaded too: a hung server rejects what it has no capacity for
+	case breaker.ejected && ended.probe: // overloaded too: a hung server rejects beyond its capacity
 		if code.isFault() && b.faultWeight < 1 { // it may be well, so its ejections don't grow longer
 			breaker.ejections = 0
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -23,7 +23,7 @@
 	return b, nil
 }
 
-// configure takes the settings over. A class whose settings are the same keeps what was learned of it.
+// configure adopts the settings. A class with unchanged settings keeps its learned state.
 func (b *Balancer) configure(settings Settings) {
 	former, sameCapabilities := b.classes, b.settings.Capabilities == settings.Capabilities
 	b.settings, b.retryBudget, b.activeClasses = settings, defaultRetryBudget, nil
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	b.now, b.actions = max(now, b.now), b.actions[:0]
-	for key, bucket := range b.buckets { // what was earned until now was earned at the old rates
+	for key, bucket := range b.buckets { // tokens until now accrue at the old rates
 		if limit, current, ok := b.resolveLimit(key.tenant, key.class); ok && current == key {
 			bucket.refill(b.now, limit.perSecond()*b.rateScale, limit.Burst)
 		}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -394,7 +394,7 @@
 	}
 }
 
-// What is kept for a request goes once it is over.
+// The state kept for a request is released once the request has ended.
 func TestBalancer_ForgetsFinishedRequests(t *testing.T) {
 	w := newWorld(t, 4)
 	for range 3000 {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// A server that drains after a reload gets no retry of what was accepted before it, of a restricted class either.
+// A server that drains after a reload gets no retry of a request accepted before it, of a restricted class either.
 func TestReconfigure_DrainingAppliesToRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Zones = []string{"a"}
@@ -151,7 +151,7 @@
 	}
 }
 
-// Buckets go on: what was used stays used, a lower burst cuts what is there, and a layer that is gone
+// Buckets survive: used tokens stay used, a lower burst cuts the present ones, and a removed layer
 // leaves nothing behind.
 func TestReconfigure_KeepsBuckets(t *testing.T) {
 	settings := reconfigurableSettings()
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -65,7 +65,7 @@
 }
 
 // projectedLoad is the load of s with one attempt more. A threshold under one is the part of the time that an
-// attempt may be in flight: the next is due once the last one's latency is no more than that part.
+// attempt may be in flight: the next is due once the last one's latency is at most that part.
 func (b *Balancer) projectedLoad(s *server) float64 {
 	threshold := b.effectiveThreshold(s)
 	if s.inFlight == 0 && threshold < 1 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -83,7 +83,7 @@
 }
 
 // A node that sends little to each of many servers must not need many answers to see that one has slowed
-// down: all nodes would go on filling it until each has had them.
+// down: all nodes would keep filling it until each has seen them.
 func TestSelection_SendsLessAfterFirstSlowAnswer(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	const from = 10 * time.Second // all have capacity by then
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -22,7 +22,7 @@
 // Unwrap makes the error match ErrInvalidSettings.
 func (e *SettingError) Unwrap() error { return ErrInvalidSettings }
 
-// validate returns a SettingError, wrapped in what it belongs to, for the first setting that makes no sense.
+// validate returns a SettingError, wrapped in its context, for the first invalid setting.
 func validate(settings Settings) error {
 	if len(settings.Classes) == 0 {
 		return &SettingError{"classes", "there are none"}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -23,7 +23,7 @@
 }
 
 // hasSlowStartCapacity guards against pushing a server over that warms up. This node's mean rate per server,
-// summed over the nodes, is what a warm one serves; it may get its present part of that, and no more.
+// summed over the nodes, is that of a warm one; it may get at most its present part of that.
 func (b *Balancer) hasSlowStartCapacity(s *server) bool {
 	fraction := b.slowStartFraction(s)
 	if fraction >= 1 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -71,7 +71,7 @@
 	blocks       []block      // of order, where it is long
 }
 
-// class is a request class with what was learned of it.
+// class is a request class and its learned state.
 type class struct {
 	Class
 	capabilities Capabilities  // of the settings that it came with
--- a/router/admission.go
+++ b/router/admission.go
@@ -28,7 +28,7 @@
 	backstop        timer               // answers the request where the balancer doesn't
 	finished        bool                // it is answered, or its client has left
 	attempts        []*attempt
-	pendingOutcomes int // attempts whose outcome the balancer has not been told yet
+	pendingOutcomes int // attempts whose outcome the balancer does not know yet
 }
 
 // admit admits a call and submits it to the balancer, or answers it at once.
@@ -64,7 +64,7 @@
 }
 
 // isDuplicate reports whether a request ID is in use, or was recently; else it is from now on. The balancer
-// would wait for the first request of an ID and never answer a second; and what came under an ID before may
+// would wait for the first request of an ID and never answer a second; and an earlier request of an ID may
 // have run, also when it is over.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
 	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
--- a/router/answer.go
+++ b/router/answer.go
@@ -9,7 +9,7 @@
 // Outcome is what became of a request.
 type Outcome uint8
 
-// The outcomes. Served, Rejected and Overloaded prove what they say; Conflict concerns the request ID; after
+// The outcomes. Served, Rejected and Overloaded are certain; Conflict concerns the request ID; after
 // the others the request may have run.
 const (
 	Served     Outcome = iota // a server's complete answer
--- a/router/attempt_context.go
+++ b/router/attempt_context.go
@@ -48,8 +48,8 @@
 	c.deadline = deadline
 }
 
-// abandon forbids to write what is not written yet: the request has its answer, or its client is gone. What is
-// written already goes on.
+// abandon forbids further writes: the request has its answer, or its client has disconnected. A byte
+// written already is not taken back.
 func (c *attemptContext) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/attempt_context_test.go
+++ b/router/attempt_context_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// A derived context's timer and its cancel may both stop what it registered, the second of them when another
+// A derived context's timer and its cancel may both stop its registration, the second of them when another
 // function is registered: that one stays.
 func TestAttemptContext_SecondStopKeepsOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/router/balancer_state.go
+++ b/router/balancer_state.go
@@ -2,7 +2,7 @@
 
 import "cobaltward/policy"
 
-// statefulBalancer is implemented by balancers that export and restore what they have learned.
+// statefulBalancer is implemented by balancers that export and restore their learned state.
 type statefulBalancer interface {
 	Export() policy.LearnedState
 	InitialThreshold(server string) (threshold float64, up policy.Time, ok bool)
@@ -13,7 +13,7 @@
 // availabilityCounter is implemented by balancers that count the endpoints they avoid.
 type availabilityCounter interface{ UnavailableEndpoints() int }
 
-// endpointViewer is implemented by balancers that show what they have learned of each endpoint.
+// endpointViewer is implemented by balancers that show their learned state of each endpoint.
 type endpointViewer interface{ Views() []policy.View }
 
 var (
--- a/router/call.go
+++ b/router/call.go
@@ -19,10 +19,10 @@
 	reply       chan Answer     // buffered for the one answer: the loop never waits for the caller
 	onAnswer    func(Answer)    // replaces reply; it must not call the loop
 	ctx         context.Context // the caller's; nil in a Stepped engine
-	abandoned   atomic.Bool     // nobody waits for reply any more
+	abandoned   atomic.Bool     // the caller no longer waits for reply
 	bodyPending bool            // the last byte has not come: the timeout counts from then
 
-	// bodyReceivedAt is the policy.Time of an upload's last byte; 0 until then. Whoever reads the body sets it.
+	// bodyReceivedAt is the policy.Time of an upload's last byte; 0 until then. The reader of the body sets it.
 	bodyReceivedAt atomic.Int64
 }
 
@@ -41,7 +41,7 @@
 	return c.abandoned.Load() || c.ctx != nil && c.ctx.Err() != nil
 }
 
-// discardAnswer takes an answer that nobody waits for any more, if there is one: its stream holds a
+// discardAnswer takes an answer whose caller no longer waits, if there is one: its stream holds a
 // connection.
 func (c *call) discardAnswer() {
 	select {
@@ -54,6 +54,6 @@
 // closeStream closes the stream of an answer that is not delivered, if it has one.
 func closeStream(answer Answer) {
 	if answer.Stream != nil {
-		_ = answer.Stream.Close() // nobody is left to hear of an error
+		_ = answer.Stream.Close() // no caller is left to report an error to
 	}
 }
--- a/router/clock.go
+++ b/router/clock.go
@@ -25,7 +25,7 @@
 	return timeOrigin + time.Since(c.start)
 }
 
-// wallStep is by how much the wall clock was stepped since the start: what it has gone on beyond the monotonic clock.
+// wallStep is the step of the wall clock since the start: its advance beyond that of the monotonic clock.
 func (c clock) wallStep() time.Duration {
 	elapsed := c.now() - timeOrigin
 	switch {
--- a/router/config.go
+++ b/router/config.go
@@ -15,7 +15,7 @@
 type Config struct {
 	// Settings are the classes, tenants, limits, capabilities and rules of the balancer.
 	Settings policy.Settings
-	// MaxInFlight bounds the requests without an answer; Do answers Overloaded beyond it. 0 stands for
+	// MaxInFlight bounds the requests without an answer; Do answers Overloaded beyond it. 0 means
 	// DefaultMaxInFlight.
 	MaxInFlight int
 	// Seed seeds the random choices of the balancer. Only New reads it.
--- a/router/counters.go
+++ b/router/counters.go
@@ -64,7 +64,7 @@
 	return sum
 }
 
-// setEndpoints sets the counts of endpoints. It writes only what has changed: it is called after each event.
+// setEndpoints sets the counts of endpoints. It writes changed ones only, since it is called after each event.
 func (c *counters) setEndpoints(listed, unavailable int) {
 	if n := int64(unavailable); n != c.unavailableEndpoints.Load() {
 		c.unavailableEndpoints.Store(n)
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// immediateRejection is how soon the balancer's rate limit rejects: what is rejected later has waited for
+	// immediateRejection bounds the time in which the balancer's rate limit rejects: later rejections waited for
 	// a server.
 	immediateRejection = 10 * time.Millisecond
 	// shedRetrySpread spreads the Retry-After of shed requests: 1 to 1+shedRetrySpread times routerRetryAfter.
@@ -26,12 +26,12 @@
 	controller   *levels.Controller
 	shedByClass  map[string]uint64
 	shedByTenant map[string]uint64 // by tenant that the settings list; the others under no name
-	shedWeight   float64           // sum of the priority weights of what was shed
+	shedWeight   float64           // sum of the priority weights of shed requests
 	classes      map[string]*classWindow
 	quotas       map[string]*quotaBucket // by tenant, for measures that keep tenants to their quotas
 }
 
-// classWindow is what is counted of a class within the current second.
+// classWindow counts the requests of a class within the current second.
 type classWindow struct {
 	levels.Window
 	latencyObjective time.Duration
@@ -69,7 +69,7 @@
 	return d, nil
 }
 
-// reconfigure applies other settings. The counts of classes and tenants that remain go on.
+// reconfigure applies other settings. Classes and tenants that remain keep their counts.
 func (d *degradation) reconfigure(settings policy.Settings) {
 	classes := make(map[string]*classWindow, len(settings.Classes))
 	for i := range settings.Classes {
--- a/router/degradation_test.go
+++ b/router/degradation_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// readLevels are levels of these names, each of which sheds a part of the class "read".
+// readLevels returns levels of these names; each sheds a part of the class "read".
 func readLevels(names ...string) *levels.Config {
 	config := &levels.Config{Classes: []levels.Class{{Name: "read"}}}
 	for i, name := range names {
--- a/router/errors.go
+++ b/router/errors.go
@@ -13,7 +13,7 @@
 	ErrBodyConsumed = errors.New("the body has been passed on and is not held")
 )
 
-// errStateUnsupported is returned where the balancer can't export or restore what it has learned.
+// errStateUnsupported is returned where the balancer can't export or restore its learned state.
 var errStateUnsupported = errors.New("router: balancer does not support exporting and restoring state")
 
 // InvalidError reports an invalid request. The request was not accepted, and reached no server.
--- a/router/id_history.go
+++ b/router/id_history.go
@@ -15,8 +15,8 @@
 )
 
 // idHistory remembers the IDs of recent requests, for between idRetention and twice that. It has two
-// generations, of which the older is dropped as a whole, so that it neither grows nor has to be searched.
-// Hashes stand for the IDs, to keep it small.
+// generations and drops the older one as a whole, so that it neither grows nor has to be searched.
+// It stores hashes of the IDs, to stay small.
 type idHistory struct {
 	seed              maphash.Seed
 	rotatedAt         policy.Time // when the current generation began
--- a/router/level_status.go
+++ b/router/level_status.go
@@ -9,7 +9,7 @@
 	"cobaltward/policy"
 )
 
-// LevelStatus is the level of service in force, and what it depends on.
+// LevelStatus is the level of service in force, with the measurements that it depends on.
 type LevelStatus struct {
 	Level  int            `json:"level"` // 0: full service
 	Name   string         `json:"name"`
@@ -20,11 +20,11 @@
 	Events []levels.Event `json:"events"`
 
 	ExitConditions []string `json:"lifts,omitempty"` // what would end the level
-	ExitProbing    bool     `json:"trying"`          // its end is being tried with half of what it sheds
+	ExitProbing    bool     `json:"trying"`          // its end is being tried: half of the usual part is shed
 	MaxLevel       int      `json:"most"`            // levels beyond it are not entered by their conditions; -1: all are
 	DryRun         bool     `json:"dry_run"`         // it changes nothing for requests
 
-	// What the levels have shed since the start: in a dry run, what they would have.
+	// Requests shed by the levels since the start; in a dry run, those that would have been shed.
 	ShedByClass  map[string]uint64 `json:"shed,omitempty"`
 	ShedByTenant map[string]uint64 `json:"shed_by,omitempty"` // tenants that the settings don't list are under ""
 	ShedWeight   float64           `json:"shed_worth"`        // sum of their priority weights
@@ -48,7 +48,7 @@
 }
 
 // SetLevels replaces the levels of service while the router runs; nil: full service always. A level of the same
-// name stays in force. It returns an error that says what is invalid, and changes nothing then, or ErrClosed.
+// name stays in force. It returns an error that names the invalid value, and changes nothing then, or ErrClosed.
 func (r *Router) SetLevels(c *levels.Config) error {
 	return r.runInLoop(func(l *loop) error { return l.reconfigureLevels(c) })
 }
--- a/router/loop.go
+++ b/router/loop.go
@@ -150,7 +150,7 @@
 	return true
 }
 
-// begin is what comes before all events.
+// begin does the work that precedes all events.
 func (l *loop) begin() {
 	l.updateEndpoints(EndpointUpdate{Kind: policy.ListRestored, Endpoints: l.config.Endpoints})
 	if l.degradation != nil {
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -35,13 +35,13 @@
 // The host keeps the router from running for 300 ms: what has expired by then gets its one answer and is not sent,
 // an endpoint update goes ahead of the requests that piled up before it, and the lag is reported.
 func TestLoop_StalledHost(t *testing.T) {
-	for range 10 { // a choice among what is ready falls right by chance, but not each time
+	for range 10 { // a random choice among ready channels is right by chance, but not each time
 		synctest.Test(t, testStalledHost)
 	}
 }
 
 // stallOn returns a respondFunc that sends each request once, and stalls the loop at the request "stall". It
-// appends to order what it receives.
+// appends received values to order.
 func stallOn(order *[]string, stall time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
--- a/router/options.go
+++ b/router/options.go
@@ -46,7 +46,7 @@
 // WithLogger sets the logger. By default nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithListener adds a listener that a drain shuts down. May be given more than once. What has no client
+// WithListener adds a listener that a drain shuts down. May be given more than once. One that has no client
 // connections of its own, and only calls Do, needs none.
 func WithListener(l Listener) Option {
 	return func(o *options) { o.listeners = append(o.listeners, l) }
@@ -54,7 +54,7 @@
 
 // WithDrainDelay sets for how long Drain keeps serving as before while Phase is Draining, so that
 // readiness checks can notice. Negative values count as 0. The default is 0.6 of the longest class
-// deadline, of which at most 3 s count.
+// deadline, but of at most 3 s.
 func WithDrainDelay(d time.Duration) Option {
 	return func(o *options) { o.drainDelay, o.drainDelaySet = max(0, d), true }
 }
--- a/router/phase.go
+++ b/router/phase.go
@@ -1,6 +1,6 @@
 package router
 
-// Phase is where a router stands between its start and its end.
+// Phase is a stage in the life of a router, from its start to its end.
 type Phase uint32
 
 // The phases, in order.
--- a/router/reply.go
+++ b/router/reply.go
@@ -44,7 +44,7 @@
 	l.forget(r)
 }
 
-// fail answers a request in the balancer's place, and tells the balancer that nobody waits any more.
+// fail answers a request in the balancer's place, and tells the balancer that its caller no longer waits.
 func (l *loop) fail(r *request, outcome Outcome) {
 	l.answer(r, Answer{Outcome: outcome})
 	l.notify(policy.ClientGone{ID: r.req.ID})
@@ -62,7 +62,7 @@
 	l.forget(r)
 }
 
-// recordClientGone records that nobody waits for a request any more.
+// recordClientGone records that the client of a request no longer waits.
 func (l *loop) recordClientGone(r *request) {
 	l.finishRequest(r)
 	l.stats.ClientsGone++
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -152,7 +152,7 @@
 	wantNothingLeft(t, r.Stats())
 }
 
-// What may have run has failed, and what has not is rejected, each once.
+// Requests that may have run fail and all others are rejected, each once.
 func TestClose_AnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
@@ -209,7 +209,7 @@
 	}
 }
 
-// TestReject_RetryAfterIsHeeded has a tenant over a small quota: no client is told to stay away for longer than the
+// TestReject_RetryAfterIsHeeded has a tenant over a small quota: no client gets a longer Retry-After than the
 // settings say that clients heed.
 func TestReject_RetryAfterIsHeeded(t *testing.T) {
 	config := testConfig()
--- a/router/request.go
+++ b/router/request.go
@@ -24,7 +24,7 @@
 
 	// ClassSnapshot is the class by which the caller has interpreted the request; nil: the one in force
 	// when Do is called. Where the class in force has another idempotency by the time of admission, the
-	// request is rejected: what was sent as one kind of request must not be retried as another.
+	// request is rejected: a request sent as one kind must not be retried as another.
 	ClassSnapshot *policy.Class
 
 	Timeout    time.Duration // how long the client waits, from ReceivedAt on; 0: the deadline of its class
@@ -50,10 +50,10 @@
 type Upload interface {
 	// Length is the length of the body in bytes; -1 where it is unknown.
 	Length() int64
-	// Open returns a reader from the first byte on, or ErrBodyConsumed where that is no longer held. The
+	// Open returns a reader from the first byte on, or ErrBodyConsumed once the first byte was discarded. The
 	// reader waits for the client where it has to, and fails where the client breaks off.
 	Open() (io.Reader, error)
-	// Consumed reports whether the first byte is no longer held.
+	// Consumed reports whether the first byte was discarded.
 	Consumed() bool
 	// OnComplete has f called once, when the last byte has come. Where it has come already, OnComplete
 	// returns true and f is not called.
--- a/router/router.go
+++ b/router/router.go
@@ -88,7 +88,7 @@
 	return time.Duration(drainDelayShare * float64(base))
 }
 
-// publishClasses makes a configuration the one that callers see.
+// publishClasses makes a configuration visible to callers.
 func (r *Router) publishClasses(c Config) {
 	table := &classTable{
 		classes:         make(map[string]policy.Class, len(c.Settings.Classes)),
@@ -129,14 +129,14 @@
 // don't allow to say.
 func (r *Router) OverloadRetryAfter() time.Duration { return r.classes.Load().overloaded.RetryAfter }
 
-// Conns is the number of connections to servers; 0 where the transport is no ConnectionCounter.
+// Conns is the number of connections to servers; 0 unless the transport is a ConnectionCounter.
 func (r *Router) Conns() int { return serverConnections(r.loop.transport) }
 
 // Started is closed once the last known endpoint list is in force: from then on requests can be served.
 func (r *Router) Started() <-chan struct{} { return r.loop.ready }
 
 // Reload applies another configuration without a restart. Requests accepted before end under the classes
-// and limits that they were accepted under; request IDs stay used; retry budgets and slow start go on.
+// and limits that they were accepted under; used request IDs, retry budgets and slow start are kept.
 // Config.Seed is not read. It returns an error that names the invalid field, and changes nothing then, or
 // ErrClosed.
 func (r *Router) Reload(config Config) error {
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -23,8 +23,8 @@
 // is a span of real time. A start that a list names for the first time lies before that list, and by startCredit at the
 // most for all that is believed of the wall clock, unless it is long ago by any clock. Behind an outage of discovery,
 // which the monotonic clock measures, the list may be as much later, and the wall clock is believed for that long, too:
-// only of starts after the router's own, only while no step of it was seen, and less what it is ahead by the lists that
-// came in time. What was found once does not change. The tracker belongs to the event loop.
+// only of starts after the router's own, only while no step of it was seen, and less its lead as shown by the lists
+// that came in time. A start once found does not change. The tracker belongs to the event loop.
 type startTracker struct {
 	bounds  map[string]startBound // by server
 	outage  time.Duration         // ahead of the present update; 0 where the wall clock is not believed
@@ -39,7 +39,7 @@
 }
 
 // startLag is the smallest age, by the wall clock, at which a list without an outage before it named a new start. A
-// start can't lie ahead of its list, so that the wall clock is ahead of the one that noted the start by no more.
+// start can't be later than its list, which bounds the lead of the wall clock over the clock that noted the start.
 type startLag struct {
 	least time.Duration
 	known bool
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestStartTracker_BoundNeverMoves names one start again and again while the clocks go on, through lists that leave the
-// server out, and another start of the same server.
+// TestStartTracker_BoundNeverMoves names one start again and again while the clocks advance, through lists that leave
+// the server out, and another start of the same server.
 func TestStartTracker_BoundNeverMoves(t *testing.T) {
 	var tracker startTracker
 	first, second := time.UnixMilli(1_000), time.UnixMilli(9_000)
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestStartTracker_StepIsNotForgotten steps the wall clock forth and back: what it was in between is not known.
+// TestStartTracker_StepIsNotForgotten steps the wall clock forth and back: its value in between is not known.
 func TestStartTracker_StepIsNotForgotten(t *testing.T) {
 	var tracker startTracker
 	startedAgo(&tracker, "first", time.Second, 0, time.Hour)
--- a/router/stepped.go
+++ b/router/stepped.go
@@ -34,7 +34,7 @@
 	return s, nil
 }
 
-// advanceTo lets time pass: what was due by then happens first, each at its own time.
+// advanceTo lets time pass: events due by then happen first, each at its own time.
 func (s *Stepped) advanceTo(now time.Duration) {
 	if !s.started { // the last known endpoint list comes before everything else
 		s.started = true
--- a/router/stepped_host.go
+++ b/router/stepped_host.go
@@ -12,7 +12,7 @@
 type AttemptHost interface {
 	// Launch starts an attempt. Its end must be reported once by Stepped.FinishAttempt, also after Cancel.
 	Launch(attempt Attempt)
-	// Cancel says that nobody waits for an attempt any more, or that its time is up.
+	// Cancel reports that the result of an attempt is no longer awaited, or that its time is up.
 	Cancel(attempt Attempt)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
--- a/router/support_test.go
+++ b/router/support_test.go
@@ -342,7 +342,7 @@
 	}
 }
 
-// sendOnce is a respondFunc that sends each request once, and fails what is not served.
+// sendOnce is a respondFunc that sends each request once, and fails those not served.
 func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	switch ev := ev.(type) {
 	case policy.Request:
--- a/router/transport.go
+++ b/router/transport.go
@@ -44,7 +44,7 @@
 
 // AbandonableContext is implemented by the contexts that Transport.Attempt receives.
 type AbandonableContext interface {
-	// Abandoned reports whether the request has its answer, or its client is gone: what is not written yet
+	// Abandoned reports whether the request has its answer, or its client has disconnected: bytes not written yet
 	// must not be written.
 	Abandoned() bool
 }
--- a/router/upload_test.go
+++ b/router/upload_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// quickUpload is a body whose last byte comes right after the router has asked to be told of it, before the request is
-// submitted.
+// quickUpload is a body whose last byte comes right after the router has asked to be notified of it, before the request
+// is submitted.
 type quickUpload struct{}
 
 var _ Upload = quickUpload{}
