--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.XDS.Alone {
+	if o.XDS.WithoutPlatform {
 		return source, nil
 	}
 	both := merge.New(own, source)
--- a/cmd/wayhold-xds/xds.go
+++ b/cmd/wayhold-xds/xds.go
@@ -96,7 +96,7 @@
 		return nodeconfig.File{}, err
 	}
 	o, err := nodeconfig.Load(path)
-	if err == nil && !o.XDS.On() {
+	if err == nil && !o.XDS.Enabled() {
 		err = errors.New("xds: the operator's own file, by --config, names no control plane and no file")
 	}
 	return o, err
--- a/emulator/multiprocess/court.go
+++ b/emulator/multiprocess/court.go
@@ -48,7 +48,7 @@
 type standin struct {
 	c      *court
 	name   string
-	door   *adminapi.Door
+	door   *adminapi.Server
 	state  drain.State
 	until  time.Time // of a drain: when nothing is open any more
 	held   map[string]bool
@@ -86,18 +86,18 @@
 		c.nodes[name] = &standin{c: c, name: name, held: make(map[string]bool)}
 		return nil
 	}
-	d, err := adminapi.Open(adminapi.Config{Socket: socket}, c.rig.quiet)
+	d, err := adminapi.Listen(adminapi.Config{Socket: socket}, c.rig.quiet)
 	if err != nil {
 		return err
 	}
 	n := &standin{c: c, name: name, door: d, held: make(map[string]bool)}
-	d.Handle(http.MethodGet, "/status", func(w http.ResponseWriter, _ *http.Request) { adminapi.Reply(w, http.StatusOK, n.status()) })
+	d.Handle(http.MethodGet, "/status", func(w http.ResponseWriter, _ *http.Request) { adminapi.WriteJSON(w, http.StatusOK, n.status()) })
 	d.Handle(http.MethodPost, "/drain", n.drain)
 	d.Handle(http.MethodDelete, "/drain", n.undrain)
 	d.Handle(http.MethodPost, "/servers/{id}/drain", func(w http.ResponseWriter, r *http.Request) { n.hold(w, r, true) })
 	d.Handle(http.MethodDelete, "/servers/{id}/drain", func(w http.ResponseWriter, r *http.Request) { n.hold(w, r, false) })
 	d.Handle(http.MethodGet, "/servers", func(w http.ResponseWriter, _ *http.Request) {
-		adminapi.Reply(w, http.StatusOK, map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}})
+		adminapi.WriteJSON(w, http.StatusOK, map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}})
 	})
 	d.Start()
 	c.mu.Lock()
@@ -123,7 +123,7 @@
 
 func (n *standin) drain(w http.ResponseWriter, r *http.Request) {
 	var o node.DrainRequest
-	if !adminapi.Read(w, r, &o) {
+	if !adminapi.ReadJSON(w, r, &o) {
 		return
 	}
 	n.c.mu.Lock()
@@ -133,12 +133,12 @@
 		n.c.effect(n, "out", o.Reason, "")
 	}
 	n.c.mu.Unlock()
-	adminapi.Reply(w, http.StatusAccepted, n.status())
+	adminapi.WriteJSON(w, http.StatusAccepted, n.status())
 }
 
 func (n *standin) undrain(w http.ResponseWriter, r *http.Request) {
 	var o node.DrainRequest
-	if !adminapi.Read(w, r, &o) {
+	if !adminapi.ReadJSON(w, r, &o) {
 		return
 	}
 	n.c.mu.Lock()
@@ -147,7 +147,7 @@
 		n.c.effect(n, "in", o.RequestedBy, "")
 	}
 	n.c.mu.Unlock()
-	adminapi.Reply(w, http.StatusOK, n.status())
+	adminapi.WriteJSON(w, http.StatusOK, n.status())
 }
 
 func (n *standin) hold(w http.ResponseWriter, r *http.Request, on bool) {
@@ -157,7 +157,7 @@
 		n.held[id] = true
 	}
 	n.c.mu.Unlock()
-	adminapi.Reply(w, http.StatusOK, map[string][]string{})
+	adminapi.WriteJSON(w, http.StatusOK, map[string][]string{})
 }
 
 // effect notes one, and holds it against the rules. The caller has the mutex.
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -99,7 +99,7 @@
 
 // drained tells whether a node's own door says that nothing is open.
 func (t *traffic) drained(name string) bool {
-	c, base := adminapi.Dial(filepath.Join(t.g.dir, name+".sock"), "", nil)
+	c, base := adminapi.NewClient(filepath.Join(t.g.dir, name+".sock"), "", nil)
 	defer c.CloseIdleConnections()
 	c.Timeout = 2 * time.Second
 	resp, err := c.Get(base + "/status")
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -95,7 +95,7 @@
 		zones := apportion(k.Count, s.Net.Zones, k.Zones)
 		for range k.Count {
 			i := len(p.Servers)
-			speed := k.Speed.At(rng.Float64())
+			speed := k.Speed.Interpolate(rng.Float64())
 			cores := float64(k.Cores)
 			zone := zones[0]
 			zones = zones[1:]
@@ -105,10 +105,10 @@
 			inZone[zone]++
 			c := model.Config{
 				Cores: k.Cores, Speed: speed,
-				Slots: max(1, int(math.Round(k.Slots.At(rng.Float64())*cores))), Queue: int(math.Round(k.Queue.At(rng.Float64()) * cores)),
+				Slots: max(1, int(math.Round(k.Slots.Interpolate(rng.Float64())*cores))), Queue: int(math.Round(k.Queue.Interpolate(rng.Float64()) * cores)),
 				Thrash: k.Thrash, ThrashAt: k.ThrashAt,
 				Cold: model.Cold{
-					From: k.ColdFrom.At(rng.Float64()), For: k.ColdFor, ByWork: k.ColdBy == "work",
+					From: k.ColdFrom.Interpolate(rng.Float64()), For: k.ColdFor, ByWork: k.ColdBy == "work",
 					Multiple: s.Rules.FallMultiple, Window: s.Rules.FallFor,
 				},
 				Pause:  model.Pause{Every: k.PauseEvery, Length: k.Pause, Grow: k.PauseGrow},
--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -131,7 +131,7 @@
 
 // level asks for the level of service; ok is false while the node does not answer.
 func (n *node) level() (l result.Level, ok bool) {
-	c, base := adminapi.Dial(n.sock(), "", nil)
+	c, base := adminapi.NewClient(n.sock(), "", nil)
 	defer c.CloseIdleConnections()
 	c.Timeout = time.Second
 	resp, err := c.Get(base + "/level")
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -286,7 +286,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-				adminapi.Reply(w, test.status, map[string]int{})
+				adminapi.WriteJSON(w, test.status, map[string]int{})
 			})
 			client := NewClient(nil, map[string]string{"elsewhere:1": address}, "", nil)
 			defer client.HTTP.CloseIdleConnections()
@@ -303,7 +303,7 @@
 	for _, want := range fleet.RejectionErrors() {
 		t.Run(want.Error(), func(t *testing.T) {
 			address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-				adminapi.Reply(w, http.StatusOK, consensus.ProposeResponse{Position: 3, Error: want.Error()})
+				adminapi.WriteJSON(w, http.StatusOK, consensus.ProposeResponse{Position: 3, Error: want.Error()})
 			})
 			client := NewClient([]string{address}, nil, "", nil)
 			defer client.HTTP.CloseIdleConnections()
@@ -317,7 +317,7 @@
 
 func TestClient_ProposeMovesOnAfterFailure(t *testing.T) {
 	address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-		adminapi.Reply(w, http.StatusOK, consensus.ProposeResponse{Position: 3})
+		adminapi.WriteJSON(w, http.StatusOK, consensus.ProposeResponse{Position: 3})
 	})
 	client := NewClient([]string{"127.0.0.1:1", address}, nil, "", nil)
 	defer client.HTTP.CloseIdleConnections()
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -116,9 +116,9 @@
 	if response.StatusCode >= firstUnknownStatus {
 		return fmt.Errorf("%w: %s says %s: %s", ErrNoResponse, address, response.Status, bytes.TrimSpace(raw))
 	}
-	var body adminapi.Error
+	var body adminapi.ErrorBody
 	_ = json.Unmarshal(raw, &body) // the status tells as much
-	return fmt.Errorf("%w by %s: %s", ErrRejected, address, cmp.Or(body.Error, response.Status))
+	return fmt.Errorf("%w by %s: %s", ErrRejected, address, cmp.Or(body.Message, response.Status))
 }
 
 // Propose proposes an entry to the replica that answered last. An error reports that the outcome is unknown, or that
--- a/fleet/agent/handler.go
+++ b/fleet/agent/handler.go
@@ -27,17 +27,17 @@
 
 func (a *Agent) handleEffect(w http.ResponseWriter, r *http.Request) {
 	var request lease.EffectRequest
-	if !adminapi.Read(w, r, &request) {
+	if !adminapi.ReadJSON(w, r, &request) {
 		return
 	}
 	response, err := a.HandleEffect(request)
 	switch {
 	case errors.Is(err, ErrStaleToken):
-		adminapi.Reply(w, http.StatusConflict, adminapi.Error{Error: err.Error(), More: response})
+		adminapi.WriteJSON(w, http.StatusConflict, adminapi.ErrorBody{Message: err.Error(), Details: response})
 	case err != nil:
-		adminapi.Reply(w, http.StatusServiceUnavailable, adminapi.Error{Error: err.Error(), More: response})
+		adminapi.WriteJSON(w, http.StatusServiceUnavailable, adminapi.ErrorBody{Message: err.Error(), Details: response})
 	default:
-		adminapi.Reply(w, http.StatusOK, response)
+		adminapi.WriteJSON(w, http.StatusOK, response)
 	}
 }
 
@@ -54,5 +54,5 @@
 	a.mu.Lock()
 	status.Rejected = a.rejected
 	a.mu.Unlock()
-	adminapi.Reply(w, http.StatusOK, status)
+	adminapi.WriteJSON(w, http.StatusOK, status)
 }
--- a/fleet/agent/nodeclient.go
+++ b/fleet/agent/nodeclient.go
@@ -50,7 +50,7 @@
 
 // NewNodeClient returns a client of the admin API at the path of a Unix socket, or at IP:port with a bearer token.
 func NewNodeClient(address, authToken string) *NodeClient {
-	httpClient, _ := adminapi.Dial(address, authToken, nil)
+	httpClient, _ := adminapi.NewClient(address, authToken, nil)
 	base := address
 	if strings.HasPrefix(address, "/") {
 		base = socketHost
--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -36,7 +36,7 @@
 		a.states = a.states[1:]
 	}
 	drain := map[string]any{"state": state, "open_at_deadline": 3}
-	adminapi.Reply(w, http.StatusOK, map[string]any{"drain": drain, "servers_drained_by_hand": a.disabled})
+	adminapi.WriteJSON(w, http.StatusOK, map[string]any{"drain": drain, "servers_drained_by_hand": a.disabled})
 }
 
 func (a *adminAPI) change(w http.ResponseWriter, r *http.Request) {
@@ -44,15 +44,15 @@
 	defer a.mu.Unlock()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		adminapi.Fail(w, http.StatusBadRequest, err.Error())
+		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	a.calls = append(a.calls, fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body))
 	if a.reject {
-		adminapi.Fail(w, http.StatusConflict, "not now")
+		adminapi.WriteError(w, http.StatusConflict, "not now")
 		return
 	}
-	adminapi.Reply(w, http.StatusOK, map[string]any{})
+	adminapi.WriteJSON(w, http.StatusOK, map[string]any{})
 }
 
 // serve returns a client of the API.
@@ -61,13 +61,13 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", a.status)
 	mux.HandleFunc("GET /v1/servers", func(w http.ResponseWriter, _ *http.Request) {
-		adminapi.Reply(w, http.StatusOK, map[string][]string{"z1": {"s1", "s2"}})
+		adminapi.WriteJSON(w, http.StatusOK, map[string][]string{"z1": {"s1", "s2"}})
 	})
 	for _, path := range []string{"/v1/drain", "/v1/servers/{server}/drain"} {
 		mux.HandleFunc("POST "+path, a.change)
 		mux.HandleFunc("DELETE "+path, a.change)
 	}
-	client := NewNodeClient(testkit.HTTPServer(t, adminapi.Guarded(mux, nodeToken).ServeHTTP), nodeToken)
+	client := NewNodeClient(testkit.HTTPServer(t, adminapi.RequireToken(mux, nodeToken).ServeHTTP), nodeToken)
 	t.Cleanup(client.client.HTTP.CloseIdleConnections)
 	return client
 }
--- a/fleet/agent/watcher_test.go
+++ b/fleet/agent/watcher_test.go
@@ -23,7 +23,7 @@
 		if requests.Add(1) > 1 {
 			state = fleet.NewState(1).WithMembers(9, nil) // of a cluster that was forced anew without it
 		}
-		adminapi.Reply(w, http.StatusOK, consensus.WatchResponse{State: state, HasLeader: true})
+		adminapi.WriteJSON(w, http.StatusOK, consensus.WatchResponse{State: state, HasLeader: true})
 	})
 	client := NewClient([]string{address}, nil, "", nil)
 	t.Cleanup(client.HTTP.CloseIdleConnections)
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -44,7 +44,7 @@
 	mux.HandleFunc("POST /v1/state", r.handleWatch)
 	mux.HandleFunc("POST /v1/member", r.handleMembership)
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		adminapi.Reply(w, http.StatusOK, r.Status())
+		adminapi.WriteJSON(w, http.StatusOK, r.Status())
 	})
 	return mux
 }
@@ -53,20 +53,21 @@
 func (r *Replica) handleMessages(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxMessageBody))
 	if err != nil {
-		adminapi.Fail(w, http.StatusBadRequest, err.Error())
+		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	// Replicas of a cluster that an operator has forced anew without them would still vote, and overwrite its log.
 	mine, theirs := r.View().State.Epoch, req.Header.Get(epochHeader)
 	if mine != 0 && theirs != "0" && theirs != strconv.FormatUint(mine, 10) {
-		adminapi.Fail(w, http.StatusGone, fmt.Sprintf("this cluster is of epoch %d, and the message of %s", mine, theirs))
+		message := fmt.Sprintf("this cluster is of epoch %d, and the message of %s", mine, theirs)
+		adminapi.WriteError(w, http.StatusGone, message)
 		return
 	}
 	if id, err := strconv.ParseUint(req.Header.Get(fromHeader), 16, 64); err == nil {
 		r.transport.learnAddress(id, req.Header.Get(addressHeader))
 	}
 	if status, err := r.enqueue(body); err != nil {
-		adminapi.Fail(w, status, err.Error())
+		adminapi.WriteError(w, status, err.Error())
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -96,7 +97,7 @@
 // readRequest decodes the body of an agent or operator. If it cannot, it answers, and returns false.
 func readRequest(w http.ResponseWriter, r *http.Request, to any) bool {
 	r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
-	return adminapi.Read(w, r, to)
+	return adminapi.ReadJSON(w, r, to)
 }
 
 func (r *Replica) handlePropose(w http.ResponseWriter, req *http.Request) {
@@ -106,7 +107,7 @@
 	}
 	switch entry.Kind {
 	case fleet.KindUpgradeFormat, fleet.KindAnnounceFormat, fleet.KindExpireLease: // proposed by replicas alone
-		adminapi.Fail(w, http.StatusForbidden, fmt.Sprintf("%q is for members alone", entry.Kind))
+		adminapi.WriteError(w, http.StatusForbidden, fmt.Sprintf("%q is for members alone", entry.Kind))
 		return
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), proposeTimeout)
@@ -122,7 +123,7 @@
 	}
 	id, status, err := r.memberID(request)
 	if err != nil {
-		adminapi.Fail(w, status, err.Error())
+		adminapi.WriteError(w, status, err.Error())
 		return
 	}
 	member := fleet.Member{ID: id, Name: request.Name, Address: request.Address, Learner: !request.Remove}
@@ -161,12 +162,12 @@
 		if result.Err != nil {
 			response.Error = result.Err.Error()
 		}
-		adminapi.Reply(w, http.StatusOK, response)
+		adminapi.WriteJSON(w, http.StatusOK, response)
 	case errors.As(err, &notPossible):
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, ErrNoLeader):
-		adminapi.Fail(w, http.StatusServiceUnavailable, err.Error())
+		adminapi.WriteError(w, http.StatusServiceUnavailable, err.Error())
 	default:
-		adminapi.Fail(w, http.StatusGatewayTimeout, err.Error())
+		adminapi.WriteError(w, http.StatusGatewayTimeout, err.Error())
 	}
 }
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -48,7 +48,7 @@
 		defer func() { <-r.watchers }()
 	default: // the agent comes again, or asks another replica
 		w.Header().Set("Retry-After", "1")
-		adminapi.Fail(w, http.StatusServiceUnavailable, "too many agents are waiting")
+		adminapi.WriteError(w, http.StatusServiceUnavailable, "too many agents are waiting")
 		return
 	}
 	timeout := time.NewTimer(min(request.Wait, maxWatchWait))
@@ -56,7 +56,7 @@
 	for timedOut := false; ; {
 		view, updated := r.recordReport(request.AgentReport)
 		if timedOut || request.Epoch != view.State.Epoch || view.NotifyPosition > request.Position {
-			adminapi.Reply(w, http.StatusOK, view.responseTo(request))
+			adminapi.WriteJSON(w, http.StatusOK, view.responseTo(request))
 			return
 		}
 		select {
@@ -66,7 +66,7 @@
 		case <-req.Context().Done():
 			return
 		case <-r.ctx.Done():
-			adminapi.Fail(w, http.StatusServiceUnavailable, "the replica is shutting down")
+			adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica is shutting down")
 			return
 		}
 	}
--- a/internal/adminapi/door.go
+++ b/internal/adminapi/server.go
@@ -40,15 +40,15 @@
 	Socket string // path of a Unix socket
 	Listen string // IP:port on loopback, with Token
 	Token  string // that requests over Listen bear
-	// Wrap puts TLS on the listener at Listen; nil: it takes plain HTTP.
-	Wrap func(net.Listener) net.Listener
+	// WrapListener puts TLS on the listener at Listen; nil: it takes plain HTTP.
+	WrapListener func(net.Listener) net.Listener
 }
 
-// On tells whether there is a door.
-func (c Config) On() bool { return c.Socket != "" || c.Listen != "" }
+// Enabled tells whether there is a door.
+func (c Config) Enabled() bool { return c.Socket != "" || c.Listen != "" }
 
-// Door is one. Its methods may be called at once from many goroutines.
-type Door struct {
+// Server is one. Its methods may be called at once from many goroutines.
+type Server struct {
 	mux       *http.ServeMux
 	methods   map[string][]string // by path; complete before the first request
 	servers   []*http.Server
@@ -59,14 +59,14 @@
 	watchers  chan struct{} // holds one for each
 }
 
-// Open opens a door. Errors name what is in the way.
-func Open(c Config, log *slog.Logger) (*Door, error) {
-	d := &Door{mux: http.NewServeMux(), methods: make(map[string][]string), quit: make(chan struct{}), watchers: make(chan struct{}, mostWatchers)}
+// Listen opens a door. Errors name what is in the way.
+func Listen(c Config, log *slog.Logger) (*Server, error) {
+	d := &Server{mux: http.NewServeMux(), methods: make(map[string][]string), quit: make(chan struct{}), watchers: make(chan struct{}, mostWatchers)}
 	d.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		Fail(w, http.StatusNotFound, fmt.Sprintf("no %s here; paths begin with /%s/", r.URL.Path, Version))
+		WriteError(w, http.StatusNotFound, fmt.Sprintf("no %s here; paths begin with /%s/", r.URL.Path, Version))
 	})
 	var listeners []net.Listener
-	fail := func(err error) (*Door, error) {
+	fail := func(err error) (*Server, error) {
 		for _, l := range listeners {
 			l.Close()
 		}
@@ -91,15 +91,15 @@
 		if err != nil {
 			return fail(fmt.Errorf("door.listen: %w", err))
 		}
-		if c.Wrap != nil {
-			l = c.Wrap(l)
+		if c.WrapListener != nil {
+			l = c.WrapListener(l)
 		}
 		listeners = append(listeners, l)
 	}
 	for _, l := range listeners {
 		h := http.Handler(d.mux)
 		if l.Addr().Network() == "tcp" {
-			h = Guarded(h, c.Token)
+			h = RequireToken(h, c.Token)
 		}
 		s := &http.Server{
 			Handler: bounded(h), ReadHeaderTimeout: timeout, ReadTimeout: timeout, IdleTimeout: idleFor,
@@ -113,7 +113,7 @@
 }
 
 // answer serves a listener until Close.
-func (d *Door) answer(s *http.Server, l net.Listener, log *slog.Logger) {
+func (d *Server) answer(s *http.Server, l net.Listener, log *slog.Logger) {
 	accepting := sockets.NewPersistentListener(l, log)
 	err := s.Serve(&limited{Listener: accepting, room: make(chan struct{}, maxConns), quit: d.quit})
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -122,7 +122,7 @@
 }
 
 // Start begins to answer, once everything is mounted.
-func (d *Door) Start() {
+func (d *Server) Start() {
 	for _, s := range d.serve {
 		d.parts.Go(s)
 	}
@@ -207,11 +207,11 @@
 	return c.Conn.Close()
 }
 
-// Guarded lets through who bears the token.
-func Guarded(next http.Handler, token string) http.Handler {
+// RequireToken lets through who bears the token.
+func RequireToken(next http.Handler, token string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), []byte("Bearer "+token)) != 1 {
-			Fail(w, http.StatusUnauthorized, "want the node's token: Authorization: Bearer TOKEN")
+			WriteError(w, http.StatusUnauthorized, "want the node's token: Authorization: Bearer TOKEN")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -226,19 +226,19 @@
 }
 
 // Handle mounts a path of the version for one method. Other methods are refused by name.
-func (d *Door) Handle(method, path string, h http.HandlerFunc) {
+func (d *Server) Handle(method, path string, h http.HandlerFunc) {
 	path = "/" + Version + path
 	d.mux.HandleFunc(method+" "+path, h)
 	methods := append(d.methods[path], method)
 	if d.methods[path] = methods; len(methods) == 1 {
 		d.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			Fail(w, http.StatusMethodNotAllowed, fmt.Sprintf("no %s of %s; there is %s", r.Method, path, strings.Join(d.methods[path], ", ")))
+			WriteError(w, http.StatusMethodNotAllowed, fmt.Sprintf("no %s of %s; there is %s", r.Method, path, strings.Join(d.methods[path], ", ")))
 		})
 	}
 }
 
 // Close ends the door, with all that watch.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	close(d.quit)
 	for _, s := range d.servers {
 		_ = s.Close() // there is nothing that could be done about an error
@@ -249,24 +249,26 @@
 	d.parts.Wait()
 }
 
-// Reply answers with JSON.
-func Reply(w http.ResponseWriter, status int, v any) {
+// WriteJSON answers with JSON.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v) // whoever asked may have left
 }
 
-// Error is what a door answers where it can't do what it is asked.
-type Error struct {
-	Error string `json:"error"`
-	More  any    `json:"more,omitempty"`
+// ErrorBody is what a door answers where it can't do what it is asked.
+type ErrorBody struct {
+	Message string `json:"error"`
+	Details any    `json:"more,omitempty"`
 }
 
-// Fail answers with an error.
-func Fail(w http.ResponseWriter, status int, what string) { Reply(w, status, Error{Error: what}) }
+// WriteError answers with an error.
+func WriteError(w http.ResponseWriter, status int, what string) {
+	WriteJSON(w, status, ErrorBody{Message: what})
+}
 
-// Read reads a strict JSON body, and answers itself where it is none. An empty body is an empty object.
-func Read(w http.ResponseWriter, r *http.Request, to any) bool {
+// ReadJSON reads a strict JSON body, and answers itself where it is none. An empty body is an empty object.
+func ReadJSON(w http.ResponseWriter, r *http.Request, to any) bool {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	err := dec.Decode(to)
@@ -277,20 +279,20 @@
 		err = errors.New("more than one value")
 	}
 	if err != nil {
-		Fail(w, http.StatusBadRequest, "the body: "+err.Error())
+		WriteError(w, http.StatusBadRequest, "the body: "+err.Error())
 		return false
 	}
 	return true
 }
 
-// Watch sends events until the watcher leaves or next says that there is no more. next waits for nothing: it
+// StreamEvents sends events until the watcher leaves or next says that there is no more. next waits for nothing: it
 // returns what is new, and is asked again each time that tick says. A watcher that does not read is cut off.
-func (d *Door) Watch(w http.ResponseWriter, r *http.Request, every time.Duration, next func() (events []Event, more bool)) {
+func (d *Server) StreamEvents(w http.ResponseWriter, r *http.Request, every time.Duration, next func() (events []Event, more bool)) {
 	select {
 	case d.watchers <- struct{}{}:
 		defer func() { <-d.watchers }()
 	default:
-		Fail(w, http.StatusServiceUnavailable, fmt.Sprintf("%d watch already", mostWatchers))
+		WriteError(w, http.StatusServiceUnavailable, fmt.Sprintf("%d watch already", mostWatchers))
 		return
 	}
 	conn := http.NewResponseController(w)
@@ -330,9 +332,9 @@
 	Data any
 }
 
-// Dial makes a client of a door: at a socket's path, or at IP:port with a token, by TLS where conf says how. base is
+// NewClient makes a client of a door: at a socket's path, or at IP:port with a token, by TLS where conf says how. base is
 // where paths begin.
-func Dial(at, token string, conf *tls.Config) (c *http.Client, base string) {
+func NewClient(at, token string, conf *tls.Config) (c *http.Client, base string) {
 	t := &http.Transport{DisableCompression: true, TLSClientConfig: conf}
 	base = "http://" + at
 	if conf != nil {
--- a/internal/adminapi/door_test.go
+++ b/internal/adminapi/server_test.go
@@ -22,20 +22,20 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func open(t *testing.T, c Config) *Door {
+func open(t *testing.T, c Config) *Server {
 	t.Helper()
-	d, err := Open(c, quiet)
+	d, err := Listen(c, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Handle(http.MethodPost, "/thing", func(w http.ResponseWriter, r *http.Request) {
 		var body struct{ Name string }
-		if Read(w, r, &body) {
-			Reply(w, http.StatusOK, body)
+		if ReadJSON(w, r, &body) {
+			WriteJSON(w, http.StatusOK, body)
 		}
 	})
 	d.Handle(http.MethodGet, "/thing", func(w http.ResponseWriter, r *http.Request) {
-		d.Watch(w, r, time.Millisecond, func() ([]Event, bool) { return []Event{{"x", strings.Repeat("y", 64<<10)}}, true })
+		d.StreamEvents(w, r, time.Millisecond, func() ([]Event, bool) { return []Event{{"x", strings.Repeat("y", 64<<10)}}, true })
 	})
 	d.Start()
 	t.Cleanup(d.Close)
@@ -46,7 +46,7 @@
 func TestErrors(t *testing.T) {
 	at := filepath.Join(t.TempDir(), "d.sock")
 	open(t, Config{Socket: at, Listen: "127.0.0.1:0", Token: "correct horse battery"})
-	c, base := Dial(at, "", nil)
+	c, base := NewClient(at, "", nil)
 	defer c.CloseIdleConnections()
 	if info, err := os.Stat(at); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v: want mode 0600", info.Mode(), err)
@@ -84,7 +84,7 @@
 	d := open(t, Config{Listen: "127.0.0.1:0", Token: "correct horse battery"})
 	at := d.listeners[0].Addr().String()
 	for token, want := range map[string]int{"correct horse battery": 200, "correct horse": 401, "": 401} {
-		c, base := Dial(at, token, nil)
+		c, base := NewClient(at, token, nil)
 		resp, err := c.Post(base+"/thing", "", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 		"not loopback": {Config{Listen: "0.0.0.0:0", Token: "x"}, "on loopback"},
 		"no token":     {Config{Listen: "127.0.0.1:0"}, "want a token"},
 	} {
-		d, err := Open(c.Config, quiet)
+		d, err := Listen(c.Config, quiet)
 		if err == nil {
 			d.Close()
 			t.Errorf("%s: opened", name)
@@ -156,7 +156,7 @@
 			t.Fatalf("%q, %v", line, err)
 		}
 	}
-	c, base := Dial(at, "", nil)
+	c, base := NewClient(at, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/thing")
 	if err != nil {
--- a/internal/cli/alone.go
+++ b/internal/cli/alone.go
@@ -23,7 +23,7 @@
 type alone struct {
 	own   *standalone.File // the operator's own file, whatever it has
 	file  *standalone.File // nil: the platform's configuration holds
-	front *standalone.Front
+	front *standalone.Frontend
 	list  *file.Source
 }
 
@@ -33,10 +33,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !f.On() {
+	if !f.Standalone() {
 		return &alone{own: f}, nil
 	}
-	front, err := standalone.NewFront(f)
+	front, err := standalone.NewFrontend(f)
 	return &alone{own: f, file: f, front: front}, err
 }
 
@@ -49,7 +49,7 @@
 	}
 	if err == nil {
 		saved := a.own.State
-		c.State = node.StateConfig{File: saved.File, SaveInterval: saved.Every, HalfLife: saved.Half, MaxAge: saved.Most}
+		c.State = node.StateConfig{File: saved.File, SaveInterval: saved.SaveInterval, HalfLife: saved.HalfLife, MaxAge: saved.MaxAge}
 		c.Levels, err = ladderOf(a.own, &c)
 	}
 	return c, err
@@ -57,7 +57,7 @@
 
 // ladderOf is the ladder of levels that a file has for a node.
 func ladderOf(f *standalone.File, c *node.Config) (*levels.Config, error) {
-	ladder, err := f.Ladder(c.Settings.Classes)
+	ladder, err := f.LevelsConfig(c.Settings.Classes)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", f.Path(), err)
 	}
@@ -65,13 +65,13 @@
 }
 
 func configOf(f *standalone.File) (node.Config, error) {
-	members, err := f.List()
+	members, err := f.Endpoints()
 	if err != nil {
 		return node.Config{}, err
 	}
 	c := node.Config{
 		Name: f.Node.Name, Listen: f.Listen[0].Address, Discovery: "127.0.0.1:9", Seed: uint64(os.Getpid()), Cores: f.Limits.Cores,
-		MemoryMB: int64(f.Limits.MemoryMB), MaxDescriptors: f.Limits.Sockets, MaxInFlight: f.Limits.Open, ConnectTimeout: f.Limits.Connect,
+		MemoryMB: int64(f.Limits.MemoryMB), MaxDescriptors: f.Limits.Sockets, MaxInFlight: f.Limits.MaxOpen, ConnectTimeout: f.Limits.ConnectTimeout,
 		Settings: f.Settings(), InitialList: registry.List{Full: true, Endpoints: members},
 	}
 	if c.Name == "" {
@@ -99,7 +99,7 @@
 		return
 	}
 	c.WrapHandler = func(next http.Handler, ready string) http.Handler { return a.front.Handler(next, ready) }
-	a.list = file.New(a.file.ServersFile(), a.file.List, log)
+	a.list = file.New(a.file.ServersPath(), a.file.Endpoints, log)
 	c.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return a.list, nil }
 }
 
@@ -116,17 +116,17 @@
 		}
 		return c, func() error { return nil }, err
 	}
-	if !f.On() {
+	if !f.Standalone() {
 		return node.Config{}, nil, errNoListener
 	}
 	if c, err = configOf(f); err == nil {
 		c.Levels, err = ladderOf(f, &c)
 	}
 	return c, func() error {
-		if err := a.front.Adopt(f); err != nil {
+		if err := a.front.Reload(f); err != nil {
 			return err
 		}
-		a.list.Reload(f.List)
+		a.list.Reload(f.Endpoints)
 		return nil
 	}, err
 }
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := f.Secure(now)
+	t, err := f.NodeTLS(now)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", own, err)
 	}
--- a/internal/cli/ctl.go
+++ b/internal/cli/ctl.go
@@ -224,8 +224,8 @@
 		if err != nil {
 			return nil, "", err
 		}
-		if at, file = o.Door.Socket, ""; at == "" {
-			at, file = o.Door.Listen, o.Door.TokenFile
+		if at, file = o.AdminAPI.Socket, ""; at == "" {
+			at, file = o.AdminAPI.Listen, o.AdminAPI.TokenFile
 		}
 	}
 	if at == "" {
@@ -234,7 +234,7 @@
 	secret := ""
 	if file != "" {
 		var err error
-		if secret, err = nodeconfig.Token(file); err != nil {
+		if secret, err = nodeconfig.ReadToken(file); err != nil {
 			return nil, "", err
 		}
 	}
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	c, base := adminapi.Dial(at, secret, conf)
+	c, base := adminapi.NewClient(at, secret, conf)
 	return c, base, nil
 }
 
@@ -286,11 +286,11 @@
 		return nil, statusError{fmt.Errorf("ctl: the answer broke off: %w", err), unreachable}
 	}
 	if resp.StatusCode >= 300 {
-		var e adminapi.Error
-		if json.Unmarshal(raw, &e) != nil || e.Error == "" {
-			e.Error = resp.Status
+		var e adminapi.ErrorBody
+		if json.Unmarshal(raw, &e) != nil || e.Message == "" {
+			e.Message = resp.Status
 		}
-		err := fmt.Errorf("ctl: %s", e.Error)
+		err := fmt.Errorf("ctl: %s", e.Message)
 		if resp.StatusCode == http.StatusConflict {
 			return nil, statusError{err, conflict}
 		}
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			if !conf.On() {
+			if !conf.Standalone() {
 				return errors.New("expect: name a configuration with a listener by --config")
 			}
 			var all []expectation
--- a/internal/cli/init.go
+++ b/internal/cli/init.go
@@ -53,7 +53,7 @@
 	for _, c := range f.Settings().Classes {
 		fmt.Fprintf(t, "%s\t%v\t%v\t%s\n", c.Name, c.LatencyObjective, c.Deadline, repeats(c))
 	}
-	members, err := f.List()
+	members, err := f.Endpoints()
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 
 // describeLevels prints the ladder of levels as a table.
 func describeLevels(out io.Writer, f *standalone.File, classes []policy.Class) error {
-	c, err := f.Ladder(classes)
+	c, err := f.LevelsConfig(classes)
 	if err != nil {
 		return fmt.Errorf("%s:%w", f.Path(), err)
 	}
@@ -118,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			if !f.On() {
+			if !f.Standalone() {
 				return errors.New("route explain: name a configuration with a listener by --config")
 			}
 			u, err := url.Parse(args[1])
@@ -149,11 +149,11 @@
 }
 
 func explainRequest(out io.Writer, f *standalone.File, method string, u *url.URL, h http.Header, from netip.Addr) error {
-	table, err := f.Table()
+	table, err := f.RouteTable()
 	if err != nil {
 		return err
 	}
-	finder, err := f.Finder()
+	finder, err := f.IdentityFinder()
 	if err != nil {
 		return err
 	}
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -155,10 +155,10 @@
 	switch {
 	case len(f.Levels) == 0:
 		return nil, "", fmt.Errorf("rehearse: --levels: %s has no [[level]]", o.levels)
-	case !f.Same(&only):
+	case !f.Equal(&only):
 		return nil, "", fmt.Errorf("rehearse: --levels: %s has more than [service] and [[level]]: the script says the rest", o.levels)
 	}
-	ladder, err := f.Ladder(p.Settings.Classes)
+	ladder, err := f.LevelsConfig(p.Settings.Classes)
 	if err != nil {
 		return nil, "", fmt.Errorf("%s:%w", o.levels, err)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -56,16 +56,16 @@
 	if c.Msgpack, err = msgpack(o.Msgpack); err != nil {
 		return err
 	}
-	if c.AdminAPI, err = doorOf(o.Door); err != nil {
+	if c.AdminAPI, err = doorOf(o.AdminAPI); err != nil {
 		return err
 	}
-	if c.TLS, err = alone.own.Secure(time.Now()); err != nil {
+	if c.TLS, err = alone.own.NodeTLS(time.Now()); err != nil {
 		return fmt.Errorf("%s:%w", own, err)
 	}
 	if c.TLS != nil && len(c.TLS.Secrets) > 0 && o.XDS.Bootstrap == "" {
 		return fmt.Errorf("%s: tls: a secret is named, but no control plane to hand it: xds.bootstrap", own)
 	}
-	c.DrainMark = o.Drain.Remember
+	c.DrainMark = o.Drain.StateFile
 	debug.SetMemoryLimit(int64(heapPart * float64(c.MemoryMB) * (1 << 20)))
 	c.SharedDir = os.Getenv("TMPDIR")
 	c.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20))) }
@@ -77,7 +77,7 @@
 		return err
 	}
 	if c.OperationsAddr != "" {
-		if c.OperationsListener, err = operations.Open(c.OperationsAddr); err != nil {
+		if c.OperationsListener, err = operations.Listen(c.OperationsAddr); err != nil {
 			return err
 		}
 	}
@@ -111,13 +111,13 @@
 }
 
 // doorOf is the door that the table [door] asks for.
-func doorOf(d nodeconfig.Door) (adminapi.Config, error) {
+func doorOf(d nodeconfig.AdminAPI) (adminapi.Config, error) {
 	c := adminapi.Config{Socket: d.Socket, Listen: d.Listen}
 	if d.TokenFile == "" {
 		return c, nil
 	}
 	var err error
-	c.Token, err = nodeconfig.Token(d.TokenFile)
+	c.Token, err = nodeconfig.ReadToken(d.TokenFile)
 	if err != nil {
 		return c, fmt.Errorf("door.token_file: %w", err)
 	}
@@ -126,8 +126,8 @@
 
 // apply puts what the operator's own file says into the node's configuration.
 func apply(o nodeconfig.File, c *node.Config) {
-	if o.Drain.Leave.Set {
-		c.AnnounceFor = &o.Drain.Leave.Duration
+	if o.Drain.AnnounceFor.Set {
+		c.AnnounceFor = &o.Drain.AnnounceFor.Duration
 	}
 	if o.Drain.Deadline.Set {
 		c.DrainTimeout = &o.Drain.Deadline.Duration
@@ -164,7 +164,7 @@
 
 // useXDS puts in place what the table [xds] asks for.
 func useXDS(o nodeconfig.File, c *node.Config, e Extra, log *slog.Logger) error {
-	if !o.XDS.On() {
+	if !o.XDS.Enabled() {
 		return nil
 	}
 	if e.XDS == nil {
@@ -238,7 +238,7 @@
 		return node.Config{}, err
 	}
 	apply(o, &c)
-	if r.running.XDS.On() { // else there is no source whose clusters classes could be bound to
+	if r.running.XDS.Enabled() { // else there is no source whose clusters classes could be bound to
 		if err := bindPools(o, &c); err != nil {
 			return node.Config{}, err
 		}
@@ -247,7 +247,7 @@
 		return node.Config{}, err
 	}
 	r.level.Set(o.Log.Level.Level)
-	for _, key := range nodeconfig.AtNextStart(r.running, o) {
+	for _, key := range nodeconfig.RestartKeys(r.running, o) {
 		r.log.Warn("reload: takes effect at the next start", "key", key)
 	}
 	return c, nil
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -45,18 +45,18 @@
 				if o, err = nodeconfig.Load(path); err != nil {
 					return err
 				}
-				if o.XDS.On() && e.XDS == nil {
+				if o.XDS.Enabled() && e.XDS == nil {
 					return errNoXDS
 				}
 				alone, err := standalone.Load(path)
 				if err != nil {
 					return err
 				}
-				if _, err := alone.Secure(time.Now()); err != nil {
+				if _, err := alone.NodeTLS(time.Now()); err != nil {
 					return fmt.Errorf("%s:%w", path, err)
 				}
 				fmt.Fprintf(out, "%s: good\n", path)
-				if alone.On() {
+				if alone.Standalone() {
 					return describe(out, alone)
 				}
 				own = alone
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -91,11 +91,11 @@
 
 // Run holds a configuration against the file's expectations.
 func (f *File) Run(conf *standalone.File) ([]Result, error) {
-	table, err := conf.Table()
+	table, err := conf.RouteTable()
 	if err != nil {
 		return nil, err
 	}
-	finder, err := conf.Finder()
+	finder, err := conf.IdentityFinder()
 	if err != nil {
 		return nil, err
 	}
@@ -230,7 +230,7 @@
 const answerAfter = 10 * time.Millisecond
 
 func newWorld(conf *standalone.File, c *Case) (*world, error) {
-	members, err := conf.List()
+	members, err := conf.Endpoints()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleetcli/agent.go
+++ b/internal/fleetcli/agent.go
@@ -18,7 +18,7 @@
 
 // runAgent runs the agent beside a node until SIGTERM. It holds leases where its file says that it may.
 func runAgent(loaded *settings, hooks TestHooks) error {
-	if len(loaded.Council) == 0 {
+	if len(loaded.Replicas) == 0 {
 		return errors.New("fleet.council: missing: an agent follows the state of its replicas")
 	}
 	ctx, stop := signalContext()
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	client := agent.NewClient(loaded.Council, loaded.Via, loaded.token, loaded.clientTLS())
+	client := agent.NewClient(loaded.Replicas, loaded.AddressOverrides, loaded.token, loaded.clientTLS())
 	defer client.HTTP.CloseIdleConnections()
 	self, err := agent.New(loaded.agentConfig(incarnation, hooks), node, client)
 	if err != nil {
@@ -48,7 +48,7 @@
 	defer tasks.Wait()
 	tasks.Go(func() { self.Run(ctx) })
 	var runners sync.WaitGroup
-	for _, kind := range loaded.Owns {
+	for _, kind := range loaded.LeaseKinds {
 		config := loaded.controllerConfig(fleet.JobKind(kind), incarnation, hooks)
 		runner := agent.NewControllerRunner(config, client, self.Watcher())
 		runners.Go(func() { runner.Run(ctx) })
@@ -76,7 +76,7 @@
 	if s.nodeAdmin.Listen == "" {
 		return nil, errors.New("door: missing: an agent drives its node by its admin API")
 	}
-	token, err := nodeconfig.Token(s.nodeAdmin.TokenFile)
+	token, err := nodeconfig.ReadToken(s.nodeAdmin.TokenFile)
 	if err != nil {
 		return nil, fmt.Errorf("door.token_file: %w", err)
 	}
@@ -90,11 +90,11 @@
 			Zone:           s.Zone,
 			Address:        s.Address,
 			Capacity:       s.Capacity,
-			LeaseCandidate: len(s.Owns) > 0,
+			LeaseCandidate: len(s.LeaseKinds) > 0,
 			Incarnation:    incarnation,
 		},
 		Dir:       s.Dir,
-		Commands:  agent.Commands{Patch: s.Patch, Verify: s.Look, Revert: s.Revert},
+		Commands:  agent.Commands{Patch: s.PatchCommand, Verify: s.CheckCommand, Revert: s.RevertCommand},
 		Timeout:   s.Timeout,
 		Clock:     hooks.clock(),
 		Unsafe:    hooks.Unsafe,
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -114,7 +114,7 @@
 func (h *replicaHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := h.current.Load()
 	if handler == nil {
-		adminapi.Fail(w, http.StatusServiceUnavailable, "the replica's storage has failed, and it starts anew")
+		adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica's storage has failed, and it starts anew")
 		return
 	}
 	(*handler).ServeHTTP(w, r)
@@ -124,7 +124,7 @@
 	return consensus.Config{
 		Name:             s.Name,
 		Address:          s.Address,
-		AddressOverrides: s.Via,
+		AddressOverrides: s.AddressOverrides,
 		AuthToken:        s.token,
 		TLS:              s.clientTLS(),
 		Tick:             s.Tick,
--- a/internal/fleetcli/rollingupdate_test.go
+++ b/internal/fleetcli/rollingupdate_test.go
@@ -19,7 +19,7 @@
 	var requests atomic.Int64
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/propose", func(w http.ResponseWriter, _ *http.Request) {
-		adminapi.Reply(w, http.StatusOK, consensus.ProposeResponse{Position: 5})
+		adminapi.WriteJSON(w, http.StatusOK, consensus.ProposeResponse{Position: 5})
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		job := &fleet.Job{ID: "r", Command: fleet.CommandRun, Spec: fleet.JobSpec{Kind: fleet.JobRollingUpdate}}
@@ -29,7 +29,7 @@
 		state := fleet.NewState(1).WithMembers(5, nil)
 		state.Nodes = map[string]fleet.Node{"n1": {Name: "n1"}, "n2": {Name: "n2"}}
 		state.Jobs = map[string]*fleet.Job{"r": job}
-		adminapi.Reply(w, http.StatusOK, consensus.Status{Name: "c1", State: state})
+		adminapi.WriteJSON(w, http.StatusOK, consensus.Status{Name: "c1", State: state})
 	})
 	return testkit.HTTPServer(t, mux.ServeHTTP)
 }
--- a/internal/fleetcli/root.go
+++ b/internal/fleetcli/root.go
@@ -131,10 +131,10 @@
 		if err != nil {
 			return err
 		}
-		if len(loaded.Council) == 0 {
+		if len(loaded.Replicas) == 0 {
 			return errors.New("fleet.council: missing: there is no replica to ask")
 		}
-		client := agent.NewClient(loaded.Council, loaded.Via, loaded.token, loaded.clientTLS())
+		client := agent.NewClient(loaded.Replicas, loaded.AddressOverrides, loaded.token, loaded.clientTLS())
 		defer client.HTTP.CloseIdleConnections()
 		return run(client, args)
 	}}
--- a/internal/fleetcli/serve.go
+++ b/internal/fleetcli/serve.go
@@ -65,7 +65,7 @@
 		tasks.Go(func() { loaded.mutualTLS.watch(ctx) })
 	}
 	server := &http.Server{
-		Handler:           adminapi.Guarded(handler, loaded.token),
+		Handler:           adminapi.RequireToken(handler, loaded.token),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -18,7 +18,7 @@
 	*standalone.Fleet
 	token     string     // bearer token of all calls of the fleet
 	mutualTLS *mutualTLS // nil: calls are not encrypted
-	nodeAdmin nodeconfig.Door
+	nodeAdmin nodeconfig.AdminAPI
 	log       *slog.Logger
 }
 
@@ -38,8 +38,8 @@
 	if err != nil {
 		return nil, err
 	}
-	loaded := &settings{Fleet: file.Fleet, nodeAdmin: options.Door, log: newLogger(options.Log, logs)}
-	if loaded.token, err = nodeconfig.Token(file.Fleet.TokenFile); err != nil {
+	loaded := &settings{Fleet: file.Fleet, nodeAdmin: options.AdminAPI, log: newLogger(options.Log, logs)}
+	if loaded.token, err = nodeconfig.ReadToken(file.Fleet.TokenFile); err != nil {
 		return nil, fmt.Errorf("%s: fleet.token_file: %w", path, err)
 	}
 	if loaded.Cert == "" {
--- a/internal/fleetcli/tls_test.go
+++ b/internal/fleetcli/tls_test.go
@@ -62,7 +62,7 @@
 		log:       slog.New(addressHandler{slog.DiscardHandler, addresses}),
 		mutualTLS: server,
 	}
-	handler := func(w http.ResponseWriter, _ *http.Request) { adminapi.Reply(w, http.StatusOK, map[string]int{}) }
+	handler := func(w http.ResponseWriter, _ *http.Request) { adminapi.WriteJSON(w, http.StatusOK, map[string]int{}) }
 	stop, err := serveHTTP(t.Context(), loaded, http.HandlerFunc(handler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleetcli/wait_test.go
+++ b/internal/fleetcli/wait_test.go
@@ -52,7 +52,7 @@
 			report.Position = 6
 		}
 		status := consensus.Status{Name: "c1", State: state, Reports: []consensus.AgentReport{report}}
-		adminapi.Reply(w, http.StatusOK, status)
+		adminapi.WriteJSON(w, http.StatusOK, status)
 	})
 }
 
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -32,7 +32,7 @@
 	config := Config{
 		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, Settings: drainSettings(),
 		Msgpack: Msgpack{Listener: rpc}, OperationsListener: operations,
-		AdminAPI: adminapi.Config{Listen: "127.0.0.1:0", Token: "t", Wrap: func(inner net.Listener) net.Listener {
+		AdminAPI: adminapi.Config{Listen: "127.0.0.1:0", Token: "t", WrapListener: func(inner net.Listener) net.Listener {
 			admin.Listener = inner
 			return admin
 		}},
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -22,7 +22,7 @@
 	disabled    *disabled.Source
 	intake      *intake
 	announceFor time.Duration      // of a drain
-	nodeTLS         *nodeTLS           // nil: the node speaks no TLS
+	nodeTLS     *nodeTLS           // nil: the node speaks no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
 	onStandby   func(standby bool) // tells other processes of this node; nil: there are none
 
@@ -32,7 +32,7 @@
 }
 
 // register adds the node's paths to the admin API.
-func (a *adminAPI) register(api *adminapi.Door) {
+func (a *adminAPI) register(api *adminapi.Server) {
 	api.Handle(http.MethodGet, "/status", a.handleStatus)
 	api.Handle(http.MethodGet, "/events", func(w http.ResponseWriter, r *http.Request) { a.watchEvents(api, w, r) })
 	api.Handle(http.MethodPost, "/drain", a.handleDrain)
@@ -48,13 +48,13 @@
 }
 
 func (a *adminAPI) handleStatus(w http.ResponseWriter, _ *http.Request) {
-	adminapi.Reply(w, http.StatusOK, a.currentStatus())
+	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
 // watchEvents sends the events of drains, and the status again and again, until the client leaves.
-func (a *adminAPI) watchEvents(api *adminapi.Door, w http.ResponseWriter, r *http.Request) {
+func (a *adminAPI) watchEvents(api *adminapi.Server, w http.ResponseWriter, r *http.Request) {
 	var last uint64 // number of the last event that was sent
-	api.Watch(w, r, eventInterval, func() (events []adminapi.Event, more bool) {
+	api.StreamEvents(w, r, eventInterval, func() (events []adminapi.Event, more bool) {
 		for _, event := range a.engine.DrainEvents(last) {
 			if event.Number > last+1 && last > 0 {
 				events = append(events, adminapi.Event{Name: "lost", Data: event.Number - last - 1})
@@ -68,10 +68,10 @@
 
 func (a *adminAPI) handleTLS(w http.ResponseWriter, _ *http.Request) {
 	if a.nodeTLS == nil {
-		adminapi.Fail(w, http.StatusConflict, "this node speaks no TLS: its own file has no table [tls]")
+		adminapi.WriteError(w, http.StatusConflict, "this node speaks no TLS: its own file has no table [tls]")
 		return
 	}
-	adminapi.Reply(w, http.StatusOK, a.nodeTLS.status())
+	adminapi.WriteJSON(w, http.StatusOK, a.nodeTLS.status())
 }
 
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
@@ -85,22 +85,22 @@
 func (a *adminAPI) handleLevel(w http.ResponseWriter, _ *http.Request) {
 	status, err := a.engine.Level()
 	if err != nil {
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 		return
 	}
-	adminapi.Reply(w, http.StatusOK, status)
+	adminapi.WriteJSON(w, http.StatusOK, status)
 }
 
 func (a *adminAPI) handleSetLevel(w http.ResponseWriter, r *http.Request) {
 	var request LevelRequest
-	if !adminapi.Read(w, r, &request) {
+	if !adminapi.ReadJSON(w, r, &request) {
 		return
 	}
 	var duration time.Duration
 	if request.Duration != "" {
 		var err error
 		if duration, err = parseOrderDuration(request.Duration); err != nil {
-			adminapi.Fail(w, http.StatusBadRequest, fmt.Sprintf(`for: %v, as in "10m"`, err))
+			adminapi.WriteError(w, http.StatusBadRequest, fmt.Sprintf(`for: %v, as in "10m"`, err))
 			return
 		}
 	}
@@ -110,7 +110,7 @@
 // handleSetMaxLevel forbids the levels beyond one.
 func (a *adminAPI) handleSetMaxLevel(w http.ResponseWriter, r *http.Request) {
 	var request LevelRequest
-	if !adminapi.Read(w, r, &request) {
+	if !adminapi.ReadJSON(w, r, &request) {
 		return
 	}
 	a.replyLevel(w, r, a.engine.SetMaxLevel(request.Level, request.RequestedBy, request.Reason))
@@ -123,14 +123,14 @@
 // replyLevel answers a change of the level: with the level in force, or with why there was no change.
 func (a *adminAPI) replyLevel(w http.ResponseWriter, r *http.Request, err error) {
 	if err != nil {
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 		return
 	}
 	a.handleLevel(w, r)
 }
 
 func (a *adminAPI) handleServers(w http.ResponseWriter, _ *http.Request) {
-	adminapi.Reply(w, http.StatusOK, a.disabled.ServersByZone())
+	adminapi.WriteJSON(w, http.StatusOK, a.disabled.ServersByZone())
 }
 
 func (a *adminAPI) handleDisable(w http.ResponseWriter, r *http.Request) {
@@ -145,10 +145,10 @@
 func (a *adminAPI) replyDisabled(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, disabled.ErrUnknownServer):
-		adminapi.Fail(w, http.StatusNotFound, err.Error())
+		adminapi.WriteError(w, http.StatusNotFound, err.Error())
 	case err != nil:
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 	default:
-		adminapi.Reply(w, http.StatusOK, map[string][]string{"servers_drained_by_hand": a.disabled.Disabled()})
+		adminapi.WriteJSON(w, http.StatusOK, map[string][]string{"servers_drained_by_hand": a.disabled.Disabled()})
 	}
 }
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -33,21 +33,21 @@
 
 func (a *adminAPI) handleDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
-	if !adminapi.Read(w, r, &request) {
+	if !adminapi.ReadJSON(w, r, &request) {
 		return
 	}
 	order, err := a.drainOrder(request)
 	if err != nil {
-		adminapi.Fail(w, http.StatusBadRequest, err.Error())
+		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	err = a.startDrain(order)
 	var inProgress *drain.InProgressError
 	switch {
 	case errors.As(err, &inProgress):
-		adminapi.Reply(w, http.StatusConflict, adminapi.Error{Error: err.Error(), More: inProgress.Status})
+		adminapi.WriteJSON(w, http.StatusConflict, adminapi.ErrorBody{Message: err.Error(), Details: inProgress.Status})
 	case err != nil:
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 	default:
 		a.replyDrainStarted(w, request)
 	}
@@ -84,25 +84,25 @@
 // replyDrainStarted remembers a drain for a restart of the process, and answers its request.
 func (a *adminAPI) replyDrainStarted(w http.ResponseWriter, request DrainRequest) {
 	if err := a.writeDrainMark(request); err != nil {
-		adminapi.Reply(w, http.StatusAccepted, adminapi.Error{
-			Error: "it drains, but a restart will not know: " + err.Error(),
-			More:  a.currentStatus(),
+		adminapi.WriteJSON(w, http.StatusAccepted, adminapi.ErrorBody{
+			Message: "it drains, but a restart will not know: " + err.Error(),
+			Details: a.currentStatus(),
 		})
 		return
 	}
-	adminapi.Reply(w, http.StatusAccepted, a.currentStatus())
+	adminapi.WriteJSON(w, http.StatusAccepted, a.currentStatus())
 }
 
 func (a *adminAPI) handleCancelDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
-	if !adminapi.Read(w, r, &request) {
+	if !adminapi.ReadJSON(w, r, &request) {
 		return
 	}
 	if err := a.cancelDrain(request.RequestedBy); err != nil {
-		adminapi.Fail(w, http.StatusConflict, err.Error())
+		adminapi.WriteError(w, http.StatusConflict, err.Error())
 		return
 	}
-	adminapi.Reply(w, http.StatusOK, a.currentStatus())
+	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
 // startDrain starts a drain, whichever way it was ordered, and has other processes of the node follow.
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -160,7 +160,7 @@
 // order asks the door, and returns the status of its answer and what it says.
 func (w *site) order(method, path string, body any) (int, Status) {
 	w.t.Helper()
-	c, base := adminapi.Dial(w.sock, "", nil)
+	c, base := adminapi.NewClient(w.sock, "", nil)
 	defer c.CloseIdleConnections()
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,24 +32,24 @@
 )
 
 const (
-	reservedDescriptors    = 24  // descriptors for the log, discovery, the runtime and the like
-	clientConnShare   = 0.4 // of the others for clients: the third that their requests take, and some room
-	maxHeaderBytes     = 16 << 10
-	headerTimeout = 2500 * time.Millisecond // for a request's head
-	bodyTimeout   = 5 * time.Second         // for a body to come, beyond what a slow line takes for it
-	bodyMemoryShare    = 0.25                    // of the memory, for bodies that are held
-	maxBodyBytes   = 32 << 20                // bytes of a request's body
-	clientIdleTimeout    = 15 * time.Second        // without a request; under pressure it is less
-	writeTimeout  = 5 * time.Second         // for an answer to a client that doesn't read
-	announceFraction     = 0.6                     // of the longest deadline, in which the node serves on as before
-	maxDrainDeadline  = 3 * time.Second         // no client waits longer once a node is told to stop
+	reservedDescriptors = 24  // descriptors for the log, discovery, the runtime and the like
+	clientConnShare     = 0.4 // of the others for clients: the third that their requests take, and some room
+	maxHeaderBytes      = 16 << 10
+	headerTimeout       = 2500 * time.Millisecond // for a request's head
+	bodyTimeout         = 5 * time.Second         // for a body to come, beyond what a slow line takes for it
+	bodyMemoryShare     = 0.25                    // of the memory, for bodies that are held
+	maxBodyBytes        = 32 << 20                // bytes of a request's body
+	clientIdleTimeout   = 15 * time.Second        // without a request; under pressure it is less
+	writeTimeout        = 5 * time.Second         // for an answer to a client that doesn't read
+	announceFraction    = 0.6                     // of the longest deadline, in which the node serves on as before
+	maxDrainDeadline    = 3 * time.Second         // no client waits longer once a node is told to stop
 	// minAnnounce is for how long clients are still sent to a node that was told to stop, however short deadlines are:
 	// a listener that closes earlier turns them back, and resets those that the system has let in.
 	minAnnounce = 420 * time.Millisecond
 	// drainMargin is how much longer than the longest deadline a node may take: SIGKILL comes 0.7 s after it.
-	drainMargin  = 300 * time.Millisecond
+	drainMargin        = 300 * time.Millisecond
 	finalAnswerTimeout = 150 * time.Millisecond // for what is failed then to reach its clients
-	readyPath   = "/health/ready"
+	readyPath          = "/health/ready"
 )
 
 // Run serves clients on the listener until ctx ends. Then it goes on accepting for a moment, answers
@@ -59,7 +59,7 @@
 	sockets, callers := c.MaxDescriptors-reservedDescriptors, 0
 	if c.OperationsListener != nil {
 		defer c.OperationsListener.Close()
-		sockets -= operations.Slots
+		sockets -= operations.MaxDescriptors
 	}
 	if c.Msgpack.Listener != nil {
 		if callers = c.Msgpack.MaxConns; callers == 0 {
@@ -98,12 +98,12 @@
 			return err
 		}
 	}
-	var way *adminapi.Door
-	if c.AdminAPI.On() {
+	var way *adminapi.Server
+	if c.AdminAPI.Enabled() {
 		if safe != nil && safe.adminLayer != nil {
-			c.AdminAPI.Wrap = safe.adminLayer.Listener
+			c.AdminAPI.WrapListener = safe.adminLayer.Listener
 		}
-		if way, err = adminapi.Open(c.AdminAPI, log); err != nil {
+		if way, err = adminapi.Listen(c.AdminAPI, log); err != nil {
 			return err
 		}
 		defer way.Close()
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -56,8 +56,8 @@
 	return err
 }
 
-// Figures appends the metrics to a page, one line each.
-func (o *operationsNode) Figures(page []byte) []byte {
+// AppendMetrics appends the metrics to a page, one line each.
+func (o *operationsNode) AppendMetrics(page []byte) []byte {
 	metrics := o.engine.Metrics()
 	for _, class := range metrics.Classes {
 		page = appendMetric(page, "success", class.Class, class.Served)
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -84,7 +84,7 @@
 	}
 	defer engine.Close()
 	<-engine.Started()
-	ln, err := operations.Open("127.0.0.1:0")
+	ln, err := operations.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -289,7 +289,7 @@
 	for range 5 {
 		plain := p99()
 		ctx, end := context.WithCancel(t.Context())
-		c, base := adminapi.Dial(w.sock, "", nil)
+		c, base := adminapi.NewClient(w.sock, "", nil)
 		for range 50 {
 			req, _ := http.NewRequestWithContext(ctx, http.MethodGet, base+"/events", nil)
 			resp, err := c.Do(req)
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -333,7 +333,7 @@
 // status asks the door.
 func (w *rotated) status() (st TLSStatus) {
 	w.t.Helper()
-	c, base := adminapi.Dial(w.sock, "", nil)
+	c, base := adminapi.NewClient(w.sock, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/tls")
 	if err != nil {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -20,10 +20,10 @@
 
 // StateConfig says where a node keeps what it has learned. The zero value keeps nothing.
 type StateConfig struct {
-	File     string
-	SaveInterval    time.Duration // between snapshots; 0: 2 s
-	HalfLife time.Duration // as learnedstate.Config has it
-	MaxAge   time.Duration // as learnedstate.Config has it
+	File         string
+	SaveInterval time.Duration // between snapshots; 0: 2 s
+	HalfLife     time.Duration // as learnedstate.Config has it
+	MaxAge       time.Duration // as learnedstate.Config has it
 }
 
 const defaultStateInterval = 2 * time.Second
@@ -132,11 +132,11 @@
 }
 
 // register adds what the node has learned to the admin API.
-func (k *stateKeeper) register(api *adminapi.Door) {
+func (k *stateKeeper) register(api *adminapi.Server) {
 	api.Handle(http.MethodGet, "/knowledge", func(w http.ResponseWriter, _ *http.Request) {
 		raw, err := k.snapshot()
 		if err != nil {
-			adminapi.Fail(w, http.StatusConflict, err.Error())
+			adminapi.WriteError(w, http.StatusConflict, err.Error())
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -17,7 +17,7 @@
 // learned is what the node says that it knows.
 func (w *site) learned() (s learnedstate.Snapshot) {
 	w.t.Helper()
-	c, base := adminapi.Dial(w.sock, "", nil)
+	c, base := adminapi.NewClient(w.sock, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/knowledge")
 	if err != nil {
--- a/internal/nodeconfig/operator.go
+++ b/internal/nodeconfig/file.go
@@ -19,16 +19,16 @@
 
 // File is the whole file. Subsystems add their tables here.
 type File struct {
-	Log     Log
-	Drain   Drain
-	XDS     XDS
-	Msgpack Msgpack
-	Door    Door
-	TLS     any // for package site; here only to tell whether it has changed
+	Log      Log
+	Drain    Drain
+	XDS      XDS
+	Msgpack  Msgpack
+	AdminAPI AdminAPI
+	TLS      any // for package site; here only to tell whether it has changed
 }
 
-// Door is the operators' way in.
-type Door struct {
+// AdminAPI is the operators' way in.
+type AdminAPI struct {
 	Socket    string // path of a Unix socket
 	Listen    string // IP:port on loopback
 	TokenFile string // whose first line requests over Listen bear
@@ -42,8 +42,8 @@
 	Servers     []string // kinds of app servers that speak it
 }
 
-// On tells whether anybody is.
-func (m Msgpack) On() bool { return m.Listen != "" || len(m.Servers) > 0 }
+// Enabled tells whether anybody is.
+func (m Msgpack) Enabled() bool { return m.Listen != "" || len(m.Servers) > 0 }
 
 // Log says how the daemon logs.
 type Log struct {
@@ -53,25 +53,25 @@
 
 // Drain says how the daemon ends after SIGTERM.
 type Drain struct {
-	Leave    Duration // serving on as before while readiness says no; not set: as node.Config has it
-	Deadline Duration // for the whole drain; not set: as node.Config has it
-	Remember string   // file that stands while a drain on request does, so that a restart goes on with it
+	AnnounceFor Duration // serving on as before while readiness says no; not set: as node.Config has it
+	Deadline    Duration // for the whole drain; not set: as node.Config has it
+	StateFile   string   // file that stands while a drain on request does, so that a restart goes on with it
 }
 
 // XDS says where the servers come from beside the platform's discovery: a control plane or files, not
 // both.
 type XDS struct {
-	Bootstrap string            // the standard bootstrap JSON, a file
-	CAFile    string            // PEM, for control planes with channel_creds tls; else the system's
-	Delta     bool              // the incremental variant
-	Dir       string            // where the last list is kept
-	Files     []string          // DiscoveryResponse files, in place of a control plane
-	Alone     bool              // without the platform's discovery
-	Pools     map[string]string // the cluster that a class is bound to
+	Bootstrap       string            // the standard bootstrap JSON, a file
+	CAFile          string            // PEM, for control planes with channel_creds tls; else the system's
+	Delta           bool              // the incremental variant
+	Dir             string            // where the last list is kept
+	Files           []string          // DiscoveryResponse files, in place of a control plane
+	WithoutPlatform bool              // without the platform's discovery
+	Pools           map[string]string // the cluster that a class is bound to
 }
 
-// On tells whether xDS is asked for.
-func (x XDS) On() bool { return x.Bootstrap != "" || len(x.Files) > 0 }
+// Enabled tells whether xDS is asked for.
+func (x XDS) Enabled() bool { return x.Bootstrap != "" || len(x.Files) > 0 }
 
 // Duration is a time with its unit, as in "1.5s". Set tells it from one that is left out.
 type Duration struct {
@@ -135,25 +135,25 @@
 	return f, nil
 }
 
-// AtNextStart names the keys in which a file that is read again differs from the one of the start, and
+// RestartKeys names the keys in which a file that is read again differs from the one of the start, and
 // which have their effect at a start alone.
-func AtNextStart(running, now File) (keys []string) {
+func RestartKeys(running, now File) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		a, b any
 	}{
 		{"log.format", running.Log.Format, now.Log.Format},
-		{"drain.leave", running.Drain.Leave, now.Drain.Leave},
+		{"drain.leave", running.Drain.AnnounceFor, now.Drain.AnnounceFor},
 		{"xds.bootstrap", running.XDS.Bootstrap, now.XDS.Bootstrap},
 		{"xds.ca_file", running.XDS.CAFile, now.XDS.CAFile},
 		{"xds.delta", running.XDS.Delta, now.XDS.Delta},
 		{"xds.dir", running.XDS.Dir, now.XDS.Dir},
 		{"msgpack", running.Msgpack, now.Msgpack},
-		{"door", running.Door, now.Door},
+		{"door", running.AdminAPI, now.AdminAPI},
 		{"tls", running.TLS, now.TLS},
-		{"drain.remember", running.Drain.Remember, now.Drain.Remember},
+		{"drain.remember", running.Drain.StateFile, now.Drain.StateFile},
 		{"xds.files", running.XDS.Files, now.XDS.Files},
-		{"xds.alone", running.XDS.Alone, now.XDS.Alone},
+		{"xds.alone", running.XDS.WithoutPlatform, now.XDS.WithoutPlatform},
 	} {
 		if !reflect.DeepEqual(k.a, k.b) {
 			keys = append(keys, k.key)
@@ -240,16 +240,16 @@
 	}{
 		{"log", "level", r.Log.Level, &f.Log.Level},
 		{"log", "format", r.Log.Format, &f.Log.Format},
-		{"drain", "leave", r.Drain.Leave, &f.Drain.Leave},
+		{"drain", "leave", r.Drain.Leave, &f.Drain.AnnounceFor},
 		{"drain", "deadline", r.Drain.Deadline, &f.Drain.Deadline},
 		{"xds", "bootstrap", r.XDS.Bootstrap, (*path)(&f.XDS.Bootstrap)},
 		{"xds", "ca_file", r.XDS.CAFile, (*path)(&f.XDS.CAFile)},
 		{"xds", "dir", r.XDS.Dir, (*path)(&f.XDS.Dir)},
 		{"msgpack", "listen", r.Msgpack.Listen, (*listener)(&f.Msgpack.Listen)},
-		{"drain", "remember", r.Drain.Remember, (*path)(&f.Drain.Remember)},
-		{"door", "socket", r.Door.Socket, (*rooted)(&f.Door.Socket)},
-		{"door", "listen", r.Door.Listen, (*loopback)(&f.Door.Listen)},
-		{"door", "token_file", r.Door.TokenFile, (*path)(&f.Door.TokenFile)},
+		{"drain", "remember", r.Drain.Remember, (*path)(&f.Drain.StateFile)},
+		{"door", "socket", r.Door.Socket, (*rooted)(&f.AdminAPI.Socket)},
+		{"door", "listen", r.Door.Listen, (*loopback)(&f.AdminAPI.Listen)},
+		{"door", "token_file", r.Door.TokenFile, (*path)(&f.AdminAPI.TokenFile)},
 	} {
 		if field.from == nil {
 			continue
@@ -268,17 +268,17 @@
 	if err := errors.Join(f.XDS.rest(text, r), f.Msgpack.rest(text, r)); err != nil {
 		return File{}, errors.New(firstLine(err.Error()))
 	}
-	switch d := f.Door; {
+	switch d := f.AdminAPI; {
 	case d.Listen != "" && d.TokenFile == "":
 		return File{}, fmt.Errorf("%d: door.listen: want token_file beside it", lineOf(text, "door", "listen"))
 	case d.Listen == "" && d.TokenFile != "":
 		return File{}, fmt.Errorf("%d: door.token_file: without listen it does nothing", lineOf(text, "door", "token_file"))
-	case f.Drain.Remember != "" && d == (Door{}):
+	case f.Drain.StateFile != "" && d == (AdminAPI{}):
 		return File{}, fmt.Errorf("%d: drain.remember: without [door] there are no drains on request", lineOf(text, "drain", "remember"))
 	}
-	if f.Drain.Leave.Set && f.Drain.Deadline.Set && f.Drain.Leave.Duration > f.Drain.Deadline.Duration {
+	if f.Drain.AnnounceFor.Set && f.Drain.Deadline.Set && f.Drain.AnnounceFor.Duration > f.Drain.Deadline.Duration {
 		return File{}, fmt.Errorf("%d: drain.leave: want at most drain.deadline, %v, got %v",
-			lineOf(text, "drain", "leave"), f.Drain.Deadline.Duration, f.Drain.Leave.Duration)
+			lineOf(text, "drain", "leave"), f.Drain.Deadline.Duration, f.Drain.AnnounceFor.Duration)
 	}
 	return f, nil
 }
@@ -329,7 +329,7 @@
 		key  string
 		from any
 		to   *bool
-	}{{"delta", r.XDS.Delta, &x.Delta}, {"alone", r.XDS.Alone, &x.Alone}} {
+	}{{"delta", r.XDS.Delta, &x.Delta}, {"alone", r.XDS.Alone, &x.WithoutPlatform}} {
 		if v, ok := flag.from.(bool); ok {
 			*flag.to = v
 		} else if flag.from != nil {
@@ -353,7 +353,7 @@
 	switch {
 	case x.Bootstrap != "" && len(x.Files) > 0:
 		return fail("files", "want either files or bootstrap, got both")
-	case !x.On() && (x.CAFile != "" || x.Delta || x.Dir != "" || x.Alone || len(x.Pools) > 0):
+	case !x.Enabled() && (x.CAFile != "" || x.Delta || x.Dir != "" || x.WithoutPlatform || len(x.Pools) > 0):
 		return fmt.Errorf("%d: xds: neither bootstrap nor files is named, so the rest of the table does nothing", lineOf(text, "xds", ""))
 	case len(x.Files) > 0 && (x.CAFile != "" || x.Delta || x.Dir != ""):
 		return fail("files", "ca_file, delta and dir are for a control plane")
--- a/internal/nodeconfig/operator_test.go
+++ b/internal/nodeconfig/file_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Log.Level.Level != slog.LevelWarn || f.Log.Format != "json" || f.Drain.Leave.Duration != 500*time.Millisecond ||
+	if f.Log.Level.Level != slog.LevelWarn || f.Log.Format != "json" || f.Drain.AnnounceFor.Duration != 500*time.Millisecond ||
 		f.Drain.Deadline.Duration != 2*time.Second {
 		t.Errorf("got %+v", f)
 	}
@@ -31,7 +31,7 @@
 	if f, err := Load(""); err != nil || !reflect.DeepEqual(f, File{}) {
 		t.Errorf("no file: %+v, %v", f, err)
 	}
-	if f, _ := Parse([]byte("[drain]\nleave = \"0s\"")); !f.Drain.Leave.Set {
+	if f, _ := Parse([]byte("[drain]\nleave = \"0s\"")); !f.Drain.AnnounceFor.Set {
 		t.Error("a leave of 0 can't be told from none")
 	}
 }
@@ -91,8 +91,8 @@
 
 func TestReadsXDS(t *testing.T) {
 	f, err := Parse([]byte("[xds]\nbootstrap = \"b.json\"\nca_file = \"ca.pem\"\ndelta = true\ndir = \"/var/lib/wayhold\"\nalone = true\n[xds.pools]\nhladanie = \"rooms\"\n"))
-	want := XDS{Bootstrap: "b.json", CAFile: "ca.pem", Delta: true, Dir: "/var/lib/wayhold", Alone: true, Pools: map[string]string{"hladanie": "rooms"}}
-	if err != nil || !reflect.DeepEqual(f.XDS, want) || !f.XDS.On() {
+	want := XDS{Bootstrap: "b.json", CAFile: "ca.pem", Delta: true, Dir: "/var/lib/wayhold", WithoutPlatform: true, Pools: map[string]string{"hladanie": "rooms"}}
+	if err != nil || !reflect.DeepEqual(f.XDS, want) || !f.XDS.Enabled() {
 		t.Errorf("%+v, %v", f.XDS, err)
 	}
 }
--- a/internal/nodeconfig/token.go
+++ b/internal/nodeconfig/token.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Token is the first line of a file that nobody else may read.
-func Token(path string) (string, error) {
+// ReadToken is the first line of a file that nobody else may read.
+func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return "", err
--- a/internal/operations/console.go
+++ b/internal/operations/server.go
@@ -26,26 +26,26 @@
 	slots = 12
 )
 
-// Slots is how many descriptors a console takes at most: its callers, its listener and one that is being let in.
-const Slots = slots + 2
+// MaxDescriptors is how many descriptors a console takes at most: its callers, its listener and one that is being let in.
+const MaxDescriptors = slots + 2
 
 // Node is what the console shows and drives. None of its methods may wait for requests.
 type Node interface {
-	Serving() bool              // this process can serve
-	Figures(page []byte) []byte // appends the figures, a line each
-	Standby() error             // empty the node
-	Active() error              // back to work
+	Serving() bool                    // this process can serve
+	AppendMetrics(page []byte) []byte // appends the figures, a line each
+	Standby() error                   // empty the node
+	Active() error                    // back to work
 }
 
-// Console answers calls. Make one with Open.
-type Console struct {
+// Server answers calls. Make one with Open.
+type Server struct {
 	ln     *listener
 	server *http.Server
 	ended  chan struct{}
 }
 
-// Open listens. Calls wait until Serve.
-func Open(addr string) (net.Listener, error) {
+// Listen listens. Calls wait until Serve.
+func Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -54,8 +54,8 @@
 }
 
 // Serve answers calls on the listener until Close.
-func Serve(ln net.Listener, n Node, log *slog.Logger) *Console {
-	c := &Console{ln: newListener(sockets.NewPersistentListener(ln, log), slots), ended: make(chan struct{})}
+func Serve(ln net.Listener, n Node, log *slog.Logger) *Server {
+	c := &Server{ln: newListener(sockets.NewPersistentListener(ln, log), slots), ended: make(chan struct{})}
 	c.server = &http.Server{
 		Handler: handler(n), ReadTimeout: headFor, ReadHeaderTimeout: headFor, WriteTimeout: headFor + writeFor,
 		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
@@ -75,7 +75,7 @@
 const lastFor = 100 * time.Millisecond
 
 // Close ends the console.
-func (c *Console) Close() error {
+func (c *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), lastFor)
 	defer cancel()
 	err := c.server.Shutdown(ctx)
@@ -100,7 +100,7 @@
 			reply(w, http.StatusOK, "serving")
 		}},
 		"/status/metrics": {http.MethodGet, func(w http.ResponseWriter) {
-			page := n.Figures(make([]byte, 0, 1024))
+			page := n.AppendMetrics(make([]byte, 0, 1024))
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 			w.Header().Set("Content-Length", strconv.Itoa(len(page)))
 			_, _ = w.Write(page) // the caller may have left
--- a/internal/operations/console_test.go
+++ b/internal/operations/server_test.go
@@ -22,9 +22,9 @@
 
 type node struct{ serving, standby atomic.Bool }
 
-func (n *node) Serving() bool              { return n.serving.Load() }
-func (n *node) Figures(page []byte) []byte { return append(page, "inflight=14\n"...) }
-func (n *node) Active() error              { n.standby.Store(false); return nil }
+func (n *node) Serving() bool                    { return n.serving.Load() }
+func (n *node) AppendMetrics(page []byte) []byte { return append(page, "inflight=14\n"...) }
+func (n *node) Active() error                    { n.standby.Store(false); return nil }
 
 func (n *node) Standby() error {
 	if n.standby.Swap(true) {
@@ -34,7 +34,7 @@
 }
 
 func open(t *testing.T, n Node) string {
-	ln, err := Open("127.0.0.1:0")
+	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/racetest/rig_test.go
+++ b/internal/racetest/rig_test.go
@@ -283,7 +283,7 @@
 
 // status is what the node's door says: by it the test sees where the node stands, and judges nothing.
 func (g *rig) status() (s node.Status) {
-	c, base := adminapi.Dial(g.conf.AdminAPI.Socket, "", nil)
+	c, base := adminapi.NewClient(g.conf.AdminAPI.Socket, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/status")
 	if err != nil {
--- a/internal/standalone/site.go
+++ b/internal/standalone/file.go
@@ -23,21 +23,21 @@
 
 // File is the part of the operator's own file that this package reads. What other subsystems read is left to them.
 type File struct {
-	Node    Node     `toml:"node"`
-	Listen  []Listen `toml:"listen"`
-	Limits  Limits   `toml:"limits"`
-	Classes []Class  `toml:"class"`
-	Tenants []Tenant `toml:"tenant"`
-	Buckets Buckets  `toml:"buckets"`
-	Servers []Server `toml:"server"`
-	From    Servers  `toml:"servers"`
-	Routes  []Route  `toml:"route"`
-	Who     Who      `toml:"identity"`
-	Service Service  `toml:"service"` // also where the platform tells the rest
-	Levels  []Level  `toml:"level"`
-	State   State    `toml:"state"`
-	TLS     *TLS     `toml:"tls"`
-	Fleet   *Fleet   `toml:"fleet"`
+	Node         Node         `toml:"node"`
+	Listen       []Listen     `toml:"listen"`
+	Limits       Limits       `toml:"limits"`
+	Classes      []Class      `toml:"class"`
+	Tenants      []Tenant     `toml:"tenant"`
+	Buckets      Buckets      `toml:"buckets"`
+	Servers      []Server     `toml:"server"`
+	ServerSource ServerSource `toml:"servers"`
+	Routes       []Route      `toml:"route"`
+	Identity     Identity     `toml:"identity"`
+	Service      Service      `toml:"service"` // also where the platform tells the rest
+	Levels       []Level      `toml:"level"`
+	State        State        `toml:"state"`
+	TLS          *TLS         `toml:"tls"`
+	Fleet        *Fleet       `toml:"fleet"`
 
 	Log     any `toml:"log"`
 	Drain   any `toml:"drain"`
@@ -53,8 +53,8 @@
 type Node struct {
 	Name  string `toml:"name"`
 	Zone  string `toml:"zone"`
-	Place int    `toml:"place" min:"0"`          // among the nodes, from 0
-	Of    int    `toml:"of" min:"1" max:"10000"` // how many nodes there are; 0: 1
+	Index int    `toml:"place" min:"0"`          // among the nodes, from 0
+	Count int    `toml:"of" min:"1" max:"10000"` // how many nodes there are; 0: 1
 }
 
 // Listen is one listener for HTTP/1.1.
@@ -65,31 +65,31 @@
 
 // Limits are those of the process.
 type Limits struct {
-	Sockets    int           `toml:"sockets" min:"64" max:"1000000"` // descriptors; 0: 1024
-	MemoryMB   int           `toml:"memory_mb" min:"16"`             // 0: 192
-	Cores      float64       `toml:"cores" min:"0.1" max:"1024"`     // 0: 1
-	Open       int           `toml:"open" min:"1"`                   // unanswered requests
-	Connect    time.Duration `toml:"connect" min:"1ms" max:"1m"`     // for a new connection to a server; 0: 250ms
-	Attempts   int           `toml:"attempts" min:"1" max:"100"`     // of one request; 0: 4
-	RetryAfter time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // the longest that clients are told; 0: 10s
-	Copies     bool          `toml:"second_copies"`
-	ConnIdle   time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers close connections after this; 0: 60s
-	DrainGrace time.Duration `toml:"drain_grace" min:"0s" max:"1m"`
+	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // descriptors; 0: 1024
+	MemoryMB        int           `toml:"memory_mb" min:"16"`             // 0: 192
+	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // 0: 1
+	MaxOpen         int           `toml:"open" min:"1"`                   // unanswered requests
+	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // for a new connection to a server; 0: 250ms
+	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // of one request; 0: 4
+	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // the longest that clients are told; 0: 10s
+	Hedging         bool          `toml:"second_copies"`
+	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers close connections after this; 0: 60s
+	DrainGrace      time.Duration `toml:"drain_grace" min:"0s" max:"1m"`
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name      string        `toml:"name" need:"1"`
-	Aim       time.Duration `toml:"aim" min:"1ms" max:"1h"`
-	Deadline  time.Duration `toml:"deadline" need:"1" min:"10ms" max:"1h"`
-	Repeat    string        `toml:"repeat" need:"1" one:"free|guarded|never"`
-	Group     string        `toml:"group" one:"all|zone|cell"`
-	Window    time.Duration `toml:"window" min:"0s" max:"24h"`
-	Worth     float64       `toml:"worth" min:"0"`
-	LateWorth float64       `toml:"late_worth" min:"0" max:"1"`
-	Zones     []string      `toml:"zones"`
-	Kinds     []string      `toml:"kinds"`
-	Pool      string        `toml:"pool"`
+	Name               string        `toml:"name" need:"1"`
+	LatencyObjective   time.Duration `toml:"aim" min:"1ms" max:"1h"`
+	Deadline           time.Duration `toml:"deadline" need:"1" min:"10ms" max:"1h"`
+	Idempotency        string        `toml:"repeat" need:"1" one:"free|guarded|never"`
+	DedupScope         string        `toml:"group" one:"all|zone|cell"`
+	DedupWindow        time.Duration `toml:"window" min:"0s" max:"24h"`
+	PriorityWeight     float64       `toml:"worth" min:"0"`
+	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"`
+	Zones              []string      `toml:"zones"`
+	Kinds              []string      `toml:"kinds"`
+	Pool               string        `toml:"pool"`
 }
 
 // Tenant is one customer.
@@ -115,18 +115,18 @@
 
 // Server is one app server.
 type Server struct {
-	ID      string   `toml:"id"` // none: its address
-	Address string   `toml:"address" need:"1"`
-	Zone    string   `toml:"zone"`
-	Kind    string   `toml:"kind"`
-	Cell    int64    `toml:"cell"`
-	Weight  float64  `toml:"weight" min:"0.001"`
-	Pools   []string `toml:"pools"`
-	Drain   bool     `toml:"drain"`
-}
-
-// Servers is where more servers come from.
-type Servers struct {
+	ID       string   `toml:"id"` // none: its address
+	Address  string   `toml:"address" need:"1"`
+	Zone     string   `toml:"zone"`
+	Kind     string   `toml:"kind"`
+	Cell     int64    `toml:"cell"`
+	Weight   float64  `toml:"weight" min:"0.001"`
+	Pools    []string `toml:"pools"`
+	Draining bool     `toml:"drain"`
+}
+
+// ServerSource is where more servers come from.
+type ServerSource struct {
 	File string `toml:"file"` // TOML with [[server]]; read again where it has changed
 }
 
@@ -141,15 +141,15 @@
 	Regexp   string            `toml:"regexp"`
 	Headers  map[string]string `toml:"headers"` // "*": it need only be there; "!": it must not be
 	Query    map[string]string `toml:"query"`
-	Share    float64           `toml:"share" min:"0" max:"1"`
-	By       string            `toml:"by" one:"tenant|key|id"`
-	Salt     string            `toml:"salt"`
+	Fraction float64           `toml:"share" min:"0" max:"1"`
+	HashBy   string            `toml:"by" one:"tenant|key|id"`
+	HashSalt string            `toml:"salt"`
 	Class    string            `toml:"class" need:"1"`
-	Budget   time.Duration     `toml:"budget" min:"0s" max:"1h"`
+	Timeout  time.Duration     `toml:"budget" min:"0s" max:"1h"`
 }
 
-// Who is how tenants are known.
-type Who struct {
+// Identity is how tenants are known.
+type Identity struct {
 	Trusted   []string `toml:"trusted"`
 	Forwarded string   `toml:"forwarded" one:"X-Forwarded-For|Forwarded"`
 	Layers    []Layer  `toml:"layer"`
@@ -167,17 +167,17 @@
 
 // Service is what levels of reduced service have in common.
 type Service struct {
-	Guarded []string      `toml:"guarded"`                 // classes that are shed last
-	Least   time.Duration `toml:"least" min:"1s" max:"1h"` // between two changes of the level; 0: 30s
-	DryRun  bool          `toml:"dry_run"`                 // levels are decided on and counted, and change nothing
+	ShedLast    []string      `toml:"guarded"`                 // classes that are shed last
+	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // between two changes of the level; 0: 30s
+	DryRun      bool          `toml:"dry_run"`                 // levels are decided on and counted, and change nothing
 }
 
 // State is where a node keeps what it has learned, for its next start.
 type State struct {
-	File  string        `toml:"file"`
-	Every time.Duration `toml:"every" min:"100ms" max:"1h"` // 0: 2s
-	Half  time.Duration `toml:"half" min:"1s" max:"24h"`    // after which half of it is believed; 0: 1m
-	Most  time.Duration `toml:"most" min:"1s" max:"24h"`    // beyond which none is; 0: 10m
+	File         string        `toml:"file"`
+	SaveInterval time.Duration `toml:"every" min:"100ms" max:"1h"` // 0: 2s
+	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // after which half of it is believed; 0: 1m
+	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // beyond which none is; 0: 10m
 }
 
 // Level is one level of reduced service.
@@ -190,36 +190,36 @@
 
 // Condition is one on a signal.
 type Condition struct {
-	Signal string        `toml:"signal" need:"1" one:"demand|slow|held"`
-	Class  string        `toml:"class"`
-	Bound  float64       `toml:"bound" need:"1" min:"0"`
-	For    time.Duration `toml:"for" min:"0s" max:"1h"`
+	Signal    string        `toml:"signal" need:"1" one:"demand|slow|held"`
+	Class     string        `toml:"class"`
+	Threshold float64       `toml:"bound" need:"1" min:"0"`
+	For       time.Duration `toml:"for" min:"0s" max:"1h"`
 }
 
 // Measure is what a level does to a class.
 type Measure struct {
-	Class    string   `toml:"class" need:"1"`
-	Tenants  []string `toml:"tenants"`
-	Shed     float64  `toml:"shed" min:"0" max:"1"`
-	NoCopies bool     `toml:"no_copies"`
-	Attempts int      `toml:"attempts" min:"1"`
-	InShare  bool     `toml:"in_share"`
+	Class       string   `toml:"class" need:"1"`
+	Tenants     []string `toml:"tenants"`
+	Shed        float64  `toml:"shed" min:"0" max:"1"`
+	NoHedging   bool     `toml:"no_copies"`
+	MaxAttempts int      `toml:"attempts" min:"1"`
+	WithinQuota bool     `toml:"in_share"`
 
-	Hold    time.Duration `toml:"hold" min:"1ms" max:"1h"` // the longest wait for a server
-	OwnZone bool          `toml:"own_zone"`
-	Follow  bool          `toml:"follow"` // shed is the most: so much is shed as demand lacks
+	MaxQueueTime time.Duration `toml:"hold" min:"1ms" max:"1h"` // the longest wait for a server
+	ZoneLocal    bool          `toml:"own_zone"`
+	FollowDemand bool          `toml:"follow"` // shed is the most: so much is shed as demand lacks
 }
 
-// Ladder is the ladder of levels over a site's classes; nil where the file has none. Errors name the line.
-func (f *File) Ladder(classes []policy.Class) (*levels.Config, error) {
+// LevelsConfig is the ladder of levels over a site's classes; nil where the file has none. Errors name the line.
+func (f *File) LevelsConfig(classes []policy.Class) (*levels.Config, error) {
 	if len(f.Levels) == 0 {
 		return nil, nil
 	}
-	c := &levels.Config{MinInterval: f.Service.Least, DryRun: f.Service.DryRun}
+	c := &levels.Config{MinInterval: f.Service.MinInterval, DryRun: f.Service.DryRun}
 	for _, k := range classes {
-		c.Classes = append(c.Classes, levels.Class{Name: k.Name, ShedLast: slices.Contains(f.Service.Guarded, k.Name)})
+		c.Classes = append(c.Classes, levels.Class{Name: k.Name, ShedLast: slices.Contains(f.Service.ShedLast, k.Name)})
 	}
-	for i, g := range f.Service.Guarded {
+	for i, g := range f.Service.ShedLast {
 		if !slices.ContainsFunc(classes, func(k policy.Class) bool { return k.Name == g }) {
 			return nil, f.lines.Errorf("service.guarded", "there is no class %q (guarded[%d])", g, i)
 		}
@@ -227,7 +227,7 @@
 	conditions := func(all []Condition) (out []levels.Condition) {
 		for _, k := range all {
 			out = append(out, levels.Condition{
-				Class: k.Class, Threshold: k.Bound, For: k.For,
+				Class: k.Class, Threshold: k.Threshold, For: k.For,
 				Signal: map[string]levels.Signal{"demand": levels.Demand, "slow": levels.SlowAnswers, "held": levels.Queued}[k.Signal],
 			})
 		}
@@ -237,8 +237,8 @@
 		level := levels.Level{Name: l.Name, Enter: conditions(l.Enter), Exit: conditions(l.Exit)}
 		for _, m := range l.Measures {
 			level.Measures = append(level.Measures, levels.Measure{
-				Class: m.Class, Tenants: m.Tenants, Shed: m.Shed, NoHedging: m.NoCopies, MaxAttempts: m.Attempts,
-				WithinQuota: m.InShare, MaxQueueTime: m.Hold, ZoneLocal: m.OwnZone, FollowDemand: m.Follow,
+				Class: m.Class, Tenants: m.Tenants, Shed: m.Shed, NoHedging: m.NoHedging, MaxAttempts: m.MaxAttempts,
+				WithinQuota: m.WithinQuota, MaxQueueTime: m.MaxQueueTime, ZoneLocal: m.ZoneLocal, FollowDemand: m.FollowDemand,
 			})
 		}
 		c.Levels = append(c.Levels, level)
@@ -256,15 +256,15 @@
 // Path is where the file was read from.
 func (f *File) Path() string { return f.path }
 
-// Same tells whether two files say the same.
-func (f *File) Same(o *File) bool {
+// Equal tells whether two files say the same.
+func (f *File) Equal(o *File) bool {
 	a, b := *f, *o
 	a.lines, a.path, b.lines, b.path = nil, "", nil, ""
 	return reflect.DeepEqual(a, b)
 }
 
-// On tells whether the file has a node stand alone.
-func (f *File) On() bool { return len(f.Listen) > 0 }
+// Standalone tells whether the file has a node stand alone.
+func (f *File) Standalone() bool { return len(f.Listen) > 0 }
 
 // Load reads the file at path. Errors are one line that names file, line and key.
 func Load(path string) (*File, error) {
@@ -289,10 +289,10 @@
 	if err := f.Fleet.check(f); err != nil {
 		return err
 	}
-	if !f.On() {
+	if !f.Standalone() {
 		for key, set := range map[string]bool{
 			"class": len(f.Classes) > 0, "tenant": len(f.Tenants) > 0, "server": len(f.Servers) > 0, "route": len(f.Routes) > 0,
-			"identity": len(f.Who.Layers) > 0, "servers": f.From != (Servers{}), "node": f.Node != (Node{}), "limits": f.Limits != (Limits{}),
+			"identity": len(f.Identity.Layers) > 0, "servers": f.ServerSource != (ServerSource{}), "node": f.Node != (Node{}), "limits": f.Limits != (Limits{}),
 		} {
 			if set {
 				return f.lines.Errorf(key, "is for a node that stands alone: name a listener by [[listen]], or leave this to the platform")
@@ -310,17 +310,17 @@
 			return f.lines.Errorf(at+".name", "%q is there twice", c.Name)
 		}
 		names = append(names, c.Name)
-		if c.Repeat == "guarded" && c.Window == 0 {
+		if c.Idempotency == "guarded" && c.DedupWindow == 0 {
 			return f.lines.Errorf(at, "window: missing: for how long do servers drop the repeats of a key?")
 		}
-		if c.Aim > c.Deadline {
-			return f.lines.Errorf(at+".aim", "want at most the deadline, %v, got %v", c.Deadline, c.Aim)
+		if c.LatencyObjective > c.Deadline {
+			return f.lines.Errorf(at+".aim", "want at most the deadline, %v, got %v", c.Deadline, c.LatencyObjective)
 		}
 	}
 	if len(names) == 0 {
 		return f.lines.Errorf("class", "there are none: a node that stands alone wants one [[class]] or more")
 	}
-	if len(f.Servers) == 0 && f.From.File == "" && f.XDS == nil {
+	if len(f.Servers) == 0 && f.ServerSource.File == "" && f.XDS == nil {
 		return f.lines.Errorf("server", "there are none: name them by [[server]], by servers.file or by [xds]")
 	}
 	for i, r := range f.Routes {
@@ -333,29 +333,29 @@
 			return f.lines.Errorf("buckets.classes."+class, "there is no such class; there are %s", strings.Join(names, ", "))
 		}
 	}
-	if _, err := f.Table(); err != nil {
+	if _, err := f.RouteTable(); err != nil {
 		return err
 	}
-	for i, l := range f.Who.Layers {
+	for i, l := range f.Identity.Layers {
 		if l.By == "certificate" && (f.TLS == nil || f.TLS.Clients == nil || f.TLS.Clients.Trust+f.TLS.Clients.TrustSDS == "") {
 			return f.lines.Errorf(fmt.Sprintf("identity.layer[%d]", i), "nobody checks certificates of clients: tls.clients.trust names no authorities")
 		}
 	}
-	if _, err := f.Finder(); err != nil {
+	if _, err := f.IdentityFinder(); err != nil {
 		return f.lines.Errorf("identity", "%s", err)
 	}
-	if _, err := f.List(); err != nil {
+	if _, err := f.Endpoints(); err != nil {
 		return err
 	}
 	if _, err := policy.New(f.Settings(), 0, 0); err != nil {
 		return f.lines.Errorf("class", "%s", err)
 	}
-	_, err := f.Ladder(f.Settings().Classes)
+	_, err := f.LevelsConfig(f.Settings().Classes)
 	return err
 }
 
-// Table is the compiled table of routes. Without routes every request is of the first class.
-func (f *File) Table() (*routes.Table, error) {
+// RouteTable is the compiled table of routes. Without routes every request is of the first class.
+func (f *File) RouteTable() (*routes.Table, error) {
 	all := make([]routes.Route, 0, len(f.Routes))
 	for i, r := range f.Routes {
 		at := fmt.Sprintf("route[%d]", i)
@@ -371,8 +371,8 @@
 		}
 		all = append(all, routes.Route{
 			Line: f.lines.At(at), Listener: r.Listener, Host: r.Host, Methods: methods, Path: r.Path, Prefix: r.Prefix, Segments: r.Segments,
-			Regexp: r.Regexp, Headers: conditions(r.Headers), Query: conditions(r.Query), Share: r.Share, Salt: r.Salt,
-			By: map[string]routes.By{"key": routes.ByKey, "id": routes.ByID}[r.By], Class: r.Class, Budget: r.Budget,
+			Regexp: r.Regexp, Headers: conditions(r.Headers), Query: conditions(r.Query), Share: r.Fraction, Salt: r.HashSalt,
+			By: map[string]routes.By{"key": routes.ByKey, "id": routes.ByID}[r.HashBy], Class: r.Class, Budget: r.Timeout,
 		})
 	}
 	if len(all) == 0 {
@@ -388,7 +388,7 @@
 		if e.Other >= 0 {
 			what += fmt.Sprintf(" line %d", e.Before)
 		}
-		return nil, &stricttoml.Error{Line: e.Line, Key: fmt.Sprintf("route[%d]", e.Route), What: what}
+		return nil, &stricttoml.Error{Line: e.Line, Key: fmt.Sprintf("route[%d]", e.Route), Message: what}
 	}
 	return t, nil
 }
@@ -411,7 +411,7 @@
 func (f *File) repeat(class string) string {
 	for _, c := range f.Classes {
 		if c.Name == class {
-			return c.Repeat
+			return c.Idempotency
 		}
 	}
 	return ""
@@ -426,13 +426,13 @@
 	return policy.Class{}
 }
 
-// Finder is the compiled order of identities.
-func (f *File) Finder() (*identity.Finder, error) {
-	c := identity.Config{Trusted: f.Who.Trusted, Forwarded: f.Who.Forwarded}
+// IdentityFinder is the compiled order of identities.
+func (f *File) IdentityFinder() (*identity.Finder, error) {
+	c := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
 	for _, t := range f.Tenants {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
-	for _, l := range f.Who.Layers {
+	for _, l := range f.Identity.Layers {
 		c.Layers = append(c.Layers, identity.Layer{
 			Name: l.Name, Secrets: l.Secrets, Nets: l.Nets, Names: l.Names,
 			Kind: map[string]identity.Kind{"header": identity.Header, "cookie": identity.Cookie, "bearer": identity.Bearer, "api_key": identity.APIKey, "address": identity.Address, "certificate": identity.Certificate}[l.By],
@@ -441,12 +441,12 @@
 	return identity.New(c)
 }
 
-// Anonymous is how many names there are for clients that nobody listed.
-func (f *File) Anonymous() int {
-	if f.Who.Anonymous == 0 {
+// AnonymousNames is how many names there are for clients that nobody listed.
+func (f *File) AnonymousNames() int {
+	if f.Identity.Anonymous == 0 {
 		return 10_000
 	}
-	return f.Who.Anonymous
+	return f.Identity.Anonymous
 }
 
 func or[T comparable](v, otherwise T) T {
@@ -460,19 +460,19 @@
 // Settings are those that the module goes by.
 func (f *File) Settings() policy.Settings {
 	s := policy.Settings{
-		Node: f.Node.Place, Nodes: or(f.Node.Of, 1), Zone: f.Node.Zone,
+		Node: f.Node.Index, Nodes: or(f.Node.Count, 1), Zone: f.Node.Zone,
 		Capabilities: policy.Capabilities{
-			Cancel: true, Hedge: f.Limits.Copies, RetryAfter: true, MaxAttempts: or(f.Limits.Attempts, 4),
-			MaxRetryAfter: or(f.Limits.RetryAfter, 10*time.Second), ConnIdleTimeout: or(f.Limits.ConnIdle, time.Minute),
+			Cancel: true, Hedge: f.Limits.Hedging, RetryAfter: true, MaxAttempts: or(f.Limits.MaxAttempts, 4),
+			MaxRetryAfter: or(f.Limits.MaxRetryAfter, 10*time.Second), ConnIdleTimeout: or(f.Limits.ConnIdleTimeout, time.Minute),
 		},
 		Rules: policy.Rules{AnswerGrace: 50 * time.Millisecond, DrainGrace: or(f.Limits.DrainGrace, 500*time.Millisecond), SlowStartShare: 1, OverloadFactor: 3, OverloadDuration: time.Second},
 	}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, policy.Class{
-			Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, DedupWindow: c.Window, PriorityWeight: or(c.Worth, 1), LateWeightFraction: c.LateWorth,
+			Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, DedupWindow: c.DedupWindow, PriorityWeight: or(c.PriorityWeight, 1), LateWeightFraction: c.LateWeightFraction,
 			Zones: c.Zones, Kinds: c.Kinds, Pool: c.Pool,
-			Idempotency: map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotencyKeyed, "never": policy.NonIdempotent}[c.Repeat],
-			DedupScope:  map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}[c.Group],
+			Idempotency: map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotencyKeyed, "never": policy.NonIdempotent}[c.Idempotency],
+			DedupScope:  map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}[c.DedupScope],
 		})
 	}
 	for _, t := range f.Tenants {
@@ -495,13 +495,13 @@
 	return s
 }
 
-// List is the servers of the file, and of the one that it names.
-func (f *File) List() ([]router.Endpoint, error) {
+// Endpoints is the servers of the file, and of the one that it names.
+func (f *File) Endpoints() ([]router.Endpoint, error) {
 	members, err := list(f.lines, f.Servers)
-	if err != nil || f.From.File == "" {
+	if err != nil || f.ServerSource.File == "" {
 		return members, err
 	}
-	more, err := ReadServers(f.ServersFile())
+	more, err := ReadServers(f.ServersPath())
 	if err != nil {
 		return nil, f.lines.Errorf("servers.file", "%s", err)
 	}
@@ -513,12 +513,12 @@
 	return append(members, more...), nil
 }
 
-// ServersFile is the file of servers; empty where there is none. A relative name counts from the operator's file.
-func (f *File) ServersFile() string {
-	if f.From.File == "" || filepath.IsAbs(f.From.File) {
-		return f.From.File
+// ServersPath is the file of servers; empty where there is none. A relative name counts from the operator's file.
+func (f *File) ServersPath() string {
+	if f.ServerSource.File == "" || filepath.IsAbs(f.ServerSource.File) {
+		return f.ServerSource.File
 	}
-	return filepath.Join(filepath.Dir(f.path), f.From.File)
+	return filepath.Join(filepath.Dir(f.path), f.ServerSource.File)
 }
 
 // ReadServers reads a file of [[server]] tables.
@@ -548,7 +548,7 @@
 			return nil, lines.Errorf(fmt.Sprintf("server[%d]", i), "server %q is there twice", id)
 		}
 		m := router.Endpoint{ID: id, Addr: s.Address, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: or(s.Weight, 1), Pools: s.Pools}
-		if s.Drain {
+		if s.Draining {
 			m.Availability = policy.Draining
 		}
 		all = append(all, m)
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -11,26 +11,26 @@
 // Fleet is this process among those that agree: a member of the council, or a follower beside a node. It is read by
 // wayhold-fleet alone; here it is only checked.
 type Fleet struct {
-	Name      string            `toml:"name" need:"1"`
-	Zone      string            `toml:"zone"`
-	Listen    string            `toml:"listen" need:"1"`     // IP:port for calls of the fleet, never a node's front
-	Address   string            `toml:"address"`             // under which others reach it; none: listen
-	TokenFile string            `toml:"token_file" need:"1"` // whose first line all processes of the fleet bear
-	Cert      string            `toml:"cert"`                // by TLS: this process's, with its chain; none: links are plain
-	Key       string            `toml:"key"`
-	Trust     string            `toml:"trust"`        // authorities of the fleet's processes
-	TLSName   string            `toml:"tls_name"`     // that all their certificates are for; none: wayhold-fleet
-	Dir       string            `toml:"dir" need:"1"` // what must outlive the process
-	Council   []string          `toml:"council"`      // its members' addresses: 1, 3 or 5
-	Via       map[string]string `toml:"via"`          // addresses under which this process reaches others
-	Lease     time.Duration     `toml:"lease" min:"500ms" max:"1h"`
-	Tick      time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // of the council: ten without a leader begin a vote
-	Capacity  float64           `toml:"capacity" min:"0"`           // of the node beside; 0: 1
-	Owns      []string          `toml:"owns" one:"round"`           // kinds of work that this process may own
-	Patch     []string          `toml:"patch"`                      // command that a round hands the node to
-	Look      []string          `toml:"look"`                       // command that tells whether the patch is in: 0 yes, 1 no
-	Revert    []string          `toml:"revert"`                     // command that takes a patch back
-	Timeout   time.Duration     `toml:"timeout" min:"1s" max:"24h"` // of such a command, and of a drain
+	Name             string            `toml:"name" need:"1"`
+	Zone             string            `toml:"zone"`
+	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls of the fleet, never a node's front
+	Address          string            `toml:"address"`             // under which others reach it; none: listen
+	TokenFile        string            `toml:"token_file" need:"1"` // whose first line all processes of the fleet bear
+	Cert             string            `toml:"cert"`                // by TLS: this process's, with its chain; none: links are plain
+	Key              string            `toml:"key"`
+	Trust            string            `toml:"trust"`        // authorities of the fleet's processes
+	TLSName          string            `toml:"tls_name"`     // that all their certificates are for; none: wayhold-fleet
+	Dir              string            `toml:"dir" need:"1"` // what must outlive the process
+	Replicas         []string          `toml:"council"`      // its members' addresses: 1, 3 or 5
+	AddressOverrides map[string]string `toml:"via"`          // addresses under which this process reaches others
+	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"`
+	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // of the council: ten without a leader begin a vote
+	Capacity         float64           `toml:"capacity" min:"0"`           // of the node beside; 0: 1
+	LeaseKinds       []string          `toml:"owns" one:"round"`           // kinds of work that this process may own
+	PatchCommand     []string          `toml:"patch"`                      // command that a round hands the node to
+	CheckCommand     []string          `toml:"look"`                       // command that tells whether the patch is in: 0 yes, 1 no
+	RevertCommand    []string          `toml:"revert"`                     // command that takes a patch back
+	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // of such a command, and of a drain
 }
 
 // The defaults of a table [fleet].
@@ -70,20 +70,20 @@
 	if err := addr("address", t.Address); err != nil {
 		return err
 	}
-	switch n := len(t.Council); {
+	switch n := len(t.Replicas); {
 	case n == 0:
 	case n != 1 && n != 3 && n != 5:
 		return fail("council", "want 1, 3 or 5 members, got %d: of an even number no more may fail than of one less", n)
 	}
-	for i, v := range t.Council {
+	for i, v := range t.Replicas {
 		if err := addr("council", v); err != nil {
 			return err
 		}
-		if slices.Contains(t.Council[:i], v) {
+		if slices.Contains(t.Replicas[:i], v) {
 			return fail("council", "%s is listed twice", v)
 		}
 	}
-	for from, to := range t.Via {
+	for from, to := range t.AddressOverrides {
 		if err := addr("via", from); err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 	if t.TLSName == "" {
 		t.TLSName = "wayhold-fleet"
 	}
-	if t.Look == nil && t.Patch != nil {
+	if t.CheckCommand == nil && t.PatchCommand != nil {
 		return fail("patch", "look is missing beside it: after a crash nobody could tell whether the command has run")
 	}
 	for key, d := range map[*time.Duration]time.Duration{&t.Lease: fleetLease, &t.Tick: fleetTick, &t.Timeout: fleetTimeout} {
--- a/internal/standalone/front.go
+++ b/internal/standalone/frontend.go
@@ -29,9 +29,9 @@
 // anonymousFor is how long the name of an anonymous client is kept for after its last request, at the least.
 const anonymousFor = 10 * time.Minute
 
-// Front turns requests from outside into the protocol's: class by the routes, tenant by the identities, and what
+// Frontend turns requests from outside into the protocol's: class by the routes, tenant by the identities, and what
 // a client need not say. Its methods may be called at once from many goroutines.
-type Front struct {
+type Frontend struct {
 	now       atomic.Pointer[tables]
 	anonymous *identity.Anonymous
 	began     time.Time
@@ -44,20 +44,20 @@
 	deadlines map[string]time.Duration
 }
 
-// NewFront returns a front by a file that was checked.
-func NewFront(f *File) (*Front, error) {
-	x := &Front{anonymous: identity.NewAnonymous(f.Anonymous(), anonymousFor), began: time.Now()}
-	return x, x.Adopt(f)
+// NewFrontend returns a front by a file that was checked.
+func NewFrontend(f *File) (*Frontend, error) {
+	x := &Frontend{anonymous: identity.NewAnonymous(f.AnonymousNames(), anonymousFor), began: time.Now()}
+	return x, x.Reload(f)
 }
 
-// Adopt puts another file in force for requests that come from now on.
-func (x *Front) Adopt(f *File) error {
+// Reload puts another file in force for requests that come from now on.
+func (x *Frontend) Reload(f *File) error {
 	t := &tables{deadlines: make(map[string]time.Duration)}
 	var err error
-	if t.routes, err = f.Table(); err != nil {
+	if t.routes, err = f.RouteTable(); err != nil {
 		return err
 	}
-	if t.who, err = f.Finder(); err != nil {
+	if t.who, err = f.IdentityFinder(); err != nil {
 		return err
 	}
 	for _, c := range f.Classes {
@@ -68,7 +68,7 @@
 }
 
 // Handler hands requests on to next, in the protocol's form. ready is a path that goes on as it is.
-func (x *Front) Handler(next http.Handler, ready string) http.Handler {
+func (x *Frontend) Handler(next http.Handler, ready string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == ready && r.Method == http.MethodGet {
 			next.ServeHTTP(w, r)
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -14,16 +14,16 @@
 
 // TLS is who is spoken to by TLS, and by which keys.
 type TLS struct {
-	Every   time.Duration   `toml:"every" min:"20ms" max:"1h"` // between looks at the files; 0: 1s
-	Warn    []time.Duration `toml:"warn" min:"1s"`             // before a certificate ends; none: 30 days, 7 days, 1 day
-	Share   float64         `toml:"share" min:"0.01" max:"1"`  // of a core, for the arithmetic of handshakes while requests are in flight
-	Timeout time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
-	AtOnce  int             `toml:"at_once" min:"1" max:"10000"` // handshakes towards all servers
-	Each    int             `toml:"per_server" min:"1" max:"1000"`
-	Cold    int             `toml:"per_cold" min:"1" max:"1000"` // towards one whose process is new
-	Servers []TLSServers    `toml:"servers"`
-	Clients *TLSListener    `toml:"clients"`
-	Door    *TLSListener    `toml:"door"`
+	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // between looks at the files; 0: 1s
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // before a certificate ends; none: 30 days, 7 days, 1 day
+	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // of a core, for the arithmetic of handshakes while requests are in flight
+	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
+	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // handshakes towards all servers
+	MaxPerServer        int             `toml:"per_server" min:"1" max:"1000"`
+	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // towards one whose process is new
+	Servers             []TLSServers    `toml:"servers"`
+	Clients             *TLSListener    `toml:"clients"`
+	AdminAPI            *TLSListener    `toml:"door"`
 }
 
 // TLSServers is how some app servers are spoken to; the first that fits a server holds for it.
@@ -49,27 +49,27 @@
 
 // TLSListener is how clients come in.
 type TLSListener struct {
-	Dir      string        `toml:"dir"`
-	Cert     string        `toml:"cert"`
-	Key      string        `toml:"key"`
-	Trust    string        `toml:"trust"`
-	TrustSDS string        `toml:"trust_sds"`
-	CertSDS  string        `toml:"cert_sds"`
-	Require  bool          `toml:"require"` // a certificate of the client's
-	Tickets  string        `toml:"tickets"` // file of keys, for nodes that share it
-	TLS12    bool          `toml:"tls12"`
-	Timeout  time.Duration `toml:"timeout" min:"100ms" max:"1m"`
+	Dir               string        `toml:"dir"`
+	Cert              string        `toml:"cert"`
+	Key               string        `toml:"key"`
+	Trust             string        `toml:"trust"`
+	TrustSDS          string        `toml:"trust_sds"`
+	CertSDS           string        `toml:"cert_sds"`
+	RequireClientCert bool          `toml:"require"` // a certificate of the client's
+	Tickets           string        `toml:"tickets"` // file of keys, for nodes that share it
+	TLS12             bool          `toml:"tls12"`
+	HandshakeTimeout  time.Duration `toml:"timeout" min:"100ms" max:"1m"`
 }
 
-// Secure is what the table [tls] asks for, with its files read; nil where there is none. Errors name the line.
-func (f *File) Secure(now time.Time) (*node.TLS, error) {
+// NodeTLS is what the table [tls] asks for, with its files read; nil where there is none. Errors name the line.
+func (f *File) NodeTLS(now time.Time) (*node.TLS, error) {
 	t := f.TLS
 	if t == nil {
 		return nil, nil
 	}
 	c := &node.TLS{
-		CheckInterval: or(t.Every, time.Second), ExpiryWarnings: t.Warn, CPUShare: t.Share, ServerHandshakeTimeout: t.Timeout,
-		HandshakeLimits: handshakes.Limits{AtOnce: t.AtOnce, PerServer: t.Each, PerCold: t.Cold},
+		CheckInterval: or(t.PollInterval, time.Second), ExpiryWarnings: t.WarnBefore, CPUShare: t.CPUShare, ServerHandshakeTimeout: t.HandshakeTimeout,
+		HandshakeLimits: handshakes.Limits{AtOnce: t.MaxConcurrent, PerServer: t.MaxPerServer, PerCold: t.MaxPerWarmingServer},
 	}
 	if len(c.ExpiryWarnings) == 0 {
 		c.ExpiryWarnings = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
@@ -99,7 +99,7 @@
 		at   string
 		from *TLSListener
 		to   **node.TLSListener
-	}{{"tls.clients", t.Clients, &c.Clients}, {"tls.door", t.Door, &c.AdminAPI}} {
+	}{{"tls.clients", t.Clients, &c.Clients}, {"tls.door", t.AdminAPI, &c.AdminAPI}} {
 		if l.from == nil {
 			continue
 		}
@@ -163,10 +163,10 @@
 		return nil, err
 	case k == nil:
 		return nil, errors.New("no certificate: name cert and key, dir, or cert_sds")
-	case l.Require && trust == nil:
+	case l.RequireClientCert && trust == nil:
 		return nil, errors.New("require: by which authorities do clients prove who they are? Name trust")
 	}
-	c := &node.TLSListener{Certificates: k, ClientCAs: trust, RequireClientCert: l.Require, AllowTLS12: l.TLS12, HandshakeTimeout: l.Timeout}
+	c := &node.TLSListener{Certificates: k, ClientCAs: trust, RequireClientCert: l.RequireClientCert, AllowTLS12: l.TLS12, HandshakeTimeout: l.HandshakeTimeout}
 	if l.Tickets != "" {
 		if c.Tickets, err = certificates.OpenTickets(o.at(l.Tickets)); err != nil {
 			return nil, err
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -43,7 +43,7 @@
 		}
 		f, err := Load(file)
 		if err == nil {
-			_, err = f.Secure(time.Now())
+			_, err = f.NodeTLS(time.Now())
 		}
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: got %v, want %s", text, err, want)
--- a/internal/stricttoml/strict.go
+++ b/internal/stricttoml/decode.go
@@ -22,17 +22,17 @@
 
 // Error is what is wrong with a text.
 type Error struct {
-	Line int
-	Key  string // dotted; empty where no key is to blame
-	What string
+	Line    int
+	Key     string // dotted; empty where no key is to blame
+	Message string
 }
 
 // Error begins with the line, for the file's name to stand before it.
 func (e *Error) Error() string {
 	if e.Key == "" {
-		return fmt.Sprintf("%d: %s", e.Line, e.What)
+		return fmt.Sprintf("%d: %s", e.Line, e.Message)
 	}
-	return fmt.Sprintf("%d: %s: %s", e.Line, e.Key, e.What)
+	return fmt.Sprintf("%d: %s: %s", e.Line, e.Key, e.Message)
 }
 
 // Lines knows the line of each key, as in "fault[2].at", and of each table.
@@ -61,8 +61,8 @@
 // Range is a number, or the bounds of a draw: 3 or [2, 4].
 type Range struct{ Lo, Hi float64 }
 
-// At is the value at part u, 0 to 1, of the way from the lower bound to the upper.
-func (r Range) At(u float64) float64 { return r.Lo + (r.Hi-r.Lo)*u }
+// Interpolate is the value at part u, 0 to 1, of the way from the lower bound to the upper.
+func (r Range) Interpolate(u float64) float64 { return r.Lo + (r.Hi-r.Lo)*u }
 
 // Decode reads text into the struct that to points at, whose values are the defaults. It returns the lines
 // of the keys, for checks of the caller's own.
@@ -74,7 +74,7 @@
 			line, _ = bad.Position()
 		}
 		what, _, _ = strings.Cut(what, "\n")
-		return nil, &Error{Line: line, What: what}
+		return nil, &Error{Line: line, Message: what}
 	}
 	lines := index(text)
 	return lines, decoder{lines}.table("", tree, reflect.ValueOf(to).Elem())
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -99,7 +99,7 @@
 				share = x
 			}
 		}
-		with, err := measure(dir, v, length, seeds, 0, func(p *plan.Plan) (*levels.Config, error) { return f.Ladder(p.Settings.Classes) })
+		with, err := measure(dir, v, length, seeds, 0, func(p *plan.Plan) (*levels.Config, error) { return f.LevelsConfig(p.Settings.Classes) })
 		if err != nil {
 			return err
 		}
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -374,7 +374,7 @@
 }
 
 func status(sock string) (st node.TLSStatus, err error) {
-	c, base := adminapi.Dial(sock, "", nil)
+	c, base := adminapi.NewClient(sock, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/tls")
 	if err != nil {
