--- /dev/null
+++ b/internal/adminapi/client.go
@@ -0,0 +1,45 @@
+package adminapi
+
+import (
+	"context"
+	"crypto/tls"
+	"net"
+	"net/http"
+	"strings"
+)
+
+// socketHost is the Host header of requests over a Unix socket.
+const socketHost = "door"
+
+// NewClient returns a client for the server at an address, and the URL with which paths begin. The address is the
+// path of a Unix socket, or IP:port with a token; over IP, tlsConfig is nil for plain HTTP.
+func NewClient(address, token string, tlsConfig *tls.Config) (client *http.Client, baseURL string) {
+	transport := &http.Transport{DisableCompression: true, TLSClientConfig: tlsConfig}
+	baseURL = "http://" + address
+	if tlsConfig != nil {
+		baseURL = "https://" + address
+	}
+	if strings.HasPrefix(address, "/") {
+		baseURL = "http://" + socketHost
+		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			var dialer net.Dialer
+			return dialer.DialContext(ctx, "unix", address)
+		}
+	}
+	return &http.Client{Transport: tokenTransport{transport, token}}, baseURL + "/" + Version
+}
+
+// tokenTransport adds a bearer token to each request.
+type tokenTransport struct {
+	*http.Transport
+	token string
+}
+
+// RoundTrip sends a copy of the request, with the token if there is one.
+func (t tokenTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if t.token != "" {
+		r = r.Clone(r.Context())
+		r.Header.Set("Authorization", "Bearer "+t.token)
+	}
+	return t.Transport.RoundTrip(r)
+}
--- /dev/null
+++ b/internal/adminapi/events.go
@@ -0,0 +1,63 @@
+package adminapi
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// Event is one event of a stream.
+type Event struct {
+	Name string
+	Data any // encoded as JSON
+}
+
+// StreamEvents answers a request with server-sent events. It calls next at once and then every interval; next returns
+// the events since its last call without blocking, and whether more may follow. The stream ends when next returns no
+// more, the client disconnects or does not read for ioTimeout, or the server is closed.
+func (s *Server) StreamEvents(
+	w http.ResponseWriter, r *http.Request, interval time.Duration, next func() (events []Event, more bool),
+) {
+	select {
+	case s.streams <- struct{}{}:
+		defer func() { <-s.streams }()
+	default:
+		message := fmt.Sprintf("%d event streams are open already", maxEventStreams)
+		WriteError(w, http.StatusServiceUnavailable, message)
+		return
+	}
+	conn := http.NewResponseController(w)
+	_ = conn.SetReadDeadline(time.Time{}) // clients of a stream send nothing; an error shows at the next write
+	w.Header().Set("Content-Type", "text/event-stream")
+	w.Header().Set("Cache-Control", "no-store")
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		events, more := next()
+		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // an error shows at the write
+		if writeEvents(w, events) != nil || conn.Flush() != nil || !more {
+			return
+		}
+		select {
+		case <-ticker.C:
+		case <-r.Context().Done():
+			return
+		case <-s.done:
+			return
+		}
+	}
+}
+
+func writeEvents(w http.ResponseWriter, events []Event) error {
+	for _, event := range events {
+		raw, err := json.Marshal(event.Data)
+		if err != nil {
+			return err
+		}
+		if _, err := fmt.Fprintf(w, "event: %s\ndata: %s\n\n", event.Name, raw); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/adminapi/limit.go
@@ -0,0 +1,37 @@
+package adminapi
+
+import (
+	"net"
+	"sync"
+)
+
+// limitedListener accepts at most cap(slots) connections at once. Further ones wait in the accept queue.
+type limitedListener struct {
+	net.Listener
+	slots chan struct{} // one element for each open connection
+	done  chan struct{} // closed when the server is
+}
+
+func (l *limitedListener) Accept() (net.Conn, error) {
+	select {
+	case l.slots <- struct{}{}:
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		<-l.slots
+		return nil, err
+	}
+	return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
+}
+
+type limitedConn struct {
+	net.Conn
+	release func()
+}
+
+func (c *limitedConn) Close() error {
+	defer c.release()
+	return c.Conn.Close()
+}
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -20,159 +19,181 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-var quiet = slog.New(slog.DiscardHandler)
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func open(t *testing.T, c Config) *Server {
+// startServer starts a server with a path that echoes a POST and streams large events to a GET.
+func startServer(t *testing.T, config Config) *Server {
 	t.Helper()
-	d, err := Listen(c, quiet)
+	server, err := Listen(config, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Handle(http.MethodPost, "/thing", func(w http.ResponseWriter, r *http.Request) {
+	server.Handle(http.MethodPost, "/thing", func(w http.ResponseWriter, r *http.Request) {
 		var body struct{ Name string }
 		if ReadJSON(w, r, &body) {
 			WriteJSON(w, http.StatusOK, body)
 		}
 	})
-	d.Handle(http.MethodGet, "/thing", func(w http.ResponseWriter, r *http.Request) {
-		d.StreamEvents(w, r, time.Millisecond, func() ([]Event, bool) { return []Event{{"x", strings.Repeat("y", 64<<10)}}, true })
+	server.Handle(http.MethodGet, "/thing", func(w http.ResponseWriter, r *http.Request) {
+		server.StreamEvents(w, r, time.Millisecond, func() ([]Event, bool) {
+			return []Event{{"x", strings.Repeat("y", 64<<10)}}, true
+		})
 	})
-	d.Start()
-	t.Cleanup(d.Close)
-	return d
+	server.Start()
+	t.Cleanup(server.Close)
+	return server
 }
 
-// What a door can't do is told in JSON, with a status that says whose fault it is.
-func TestErrors(t *testing.T) {
-	at := filepath.Join(t.TempDir(), "d.sock")
-	open(t, Config{Socket: at, Listen: "127.0.0.1:0", Token: "correct horse battery"})
-	c, base := NewClient(at, "", nil)
-	defer c.CloseIdleConnections()
-	if info, err := os.Stat(at); err != nil || info.Mode().Perm() != 0o600 {
+// readAll returns the body of an answer, and closes it.
+func readAll(t *testing.T, response *http.Response) string {
+	t.Helper()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Error(err)
+	}
+	if err := response.Body.Close(); err != nil {
+		t.Error(err)
+	}
+	return string(raw)
+}
+
+// TestServer_AnswersErrorsAsJSON checks status and body of valid and invalid requests over a Unix socket.
+func TestServer_AnswersErrorsAsJSON(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "d.sock")
+	startServer(t, Config{Socket: socket, Listen: "127.0.0.1:0", Token: "correct horse battery"})
+	client, baseURL := NewClient(socket, "", nil)
+	defer client.CloseIdleConnections()
+	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v: want mode 0600", info.Mode(), err)
 	}
-	for name, q := range map[string]struct {
+	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
-		says               string
+		want               string // in the body
 	}{
 		"good":     {"POST", "/thing", `{"Name":"x"}`, 200, `"Name":"x"`},
 		"no body":  {"POST", "/thing", "", 200, `"Name":""`},
-		"method":   {"PUT", "/thing", "", 405, "there is POST, GET"},
+		"method":   {"PUT", "/thing", "", 405, "allowed: POST, GET"},
 		"path":     {"GET", "/other", "", 404, "paths begin with /v1/"},
-		"not JSON": {"POST", "/thing", "{", 400, "the body"},
+		"not JSON": {"POST", "/thing", "{", 400, "request body"},
 		"field":    {"POST", "/thing", `{"zzz":1}`, 400, "zzz"},
 		"two":      {"POST", "/thing", `{}{}`, 400, "more than one"},
-		"large":    {"POST", "/thing", `{"Name":"` + strings.Repeat("x", maxBody) + `"}`, 400, "too large"},
+		"large":    {"POST", "/thing", `{"Name":"` + strings.Repeat("x", maxRequestBody) + `"}`, 400, "too large"},
 	} {
-		req, _ := http.NewRequest(q.method, base+q.path, strings.NewReader(q.body))
-		resp, err := c.Do(req)
+		request, err := http.NewRequest(test.method, baseURL+test.path, strings.NewReader(test.body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		response, err := client.Do(request)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		raw, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if resp.StatusCode != q.status || !strings.Contains(string(raw), q.says) || resp.Header.Get("Content-Type") != "application/json" {
-			t.Errorf("%s: %d %s", name, resp.StatusCode, raw)
+		body := readAll(t, response)
+		if response.StatusCode != test.status || !strings.Contains(body, test.want) ||
+			response.Header.Get("Content-Type") != "application/json" {
+			t.Errorf("%s: %d %s", name, response.StatusCode, body)
 		}
 	}
 }
 
-// Over TCP a door wants its token, whole.
-func TestToken(t *testing.T) {
-	d := open(t, Config{Listen: "127.0.0.1:0", Token: "correct horse battery"})
-	at := d.listeners[0].Addr().String()
+// TestServer_RequiresTokenOverTCP checks that only the complete token is accepted on loopback.
+func TestServer_RequiresTokenOverTCP(t *testing.T) {
+	server := startServer(t, Config{Listen: "127.0.0.1:0", Token: "correct horse battery"})
+	address := server.listeners[0].Addr().String()
 	for token, want := range map[string]int{"correct horse battery": 200, "correct horse": 401, "": 401} {
-		c, base := NewClient(at, token, nil)
-		resp, err := c.Post(base+"/thing", "", nil)
+		client, baseURL := NewClient(address, token, nil)
+		response, err := client.Post(baseURL+"/thing", "", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
-		c.CloseIdleConnections()
-		if resp.StatusCode != want {
-			t.Errorf("%q: %d, want %d", token, resp.StatusCode, want)
+		_ = response.Body.Close()
+		client.CloseIdleConnections()
+		if response.StatusCode != want {
+			t.Errorf("%q: %d, want %d", token, response.StatusCode, want)
 		}
 	}
 }
 
-// What is in the way of a door is named, and what others use is left alone.
-func TestInTheWay(t *testing.T) {
+// TestListen_NamesWhatPreventsIt checks the errors for addresses that cannot be used, that files and sockets of others
+// are kept, and that a socket without a listener is replaced.
+func TestListen_NamesWhatPreventsIt(t *testing.T) {
 	dir := t.TempDir()
 	file, stale, used := filepath.Join(dir, "file"), filepath.Join(dir, "stale"), filepath.Join(dir, "used")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("unix", stale)
+	listener, err := net.Listen("unix", stale)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	l.Close()
-	open(t, Config{Socket: used})
-	for name, c := range map[string]struct {
+	listener.(*net.UnixListener).SetUnlinkOnClose(false)
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	startServer(t, Config{Socket: used})
+	for name, test := range map[string]struct {
 		Config
-		says string
+		want string
 	}{
-		"a file":       {Config{Socket: file}, "is no socket"},
+		"a file":       {Config{Socket: file}, "is not a socket"},
 		"another":      {Config{Socket: used}, "another process listens there"},
 		"no directory": {Config{Socket: filepath.Join(dir, "none", "s")}, "no such file"},
 		"not loopback": {Config{Listen: "0.0.0.0:0", Token: "x"}, "on loopback"},
 		"no token":     {Config{Listen: "127.0.0.1:0"}, "want a token"},
 	} {
-		d, err := Listen(c.Config, quiet)
+		server, err := Listen(test.Config, discardLog())
 		if err == nil {
-			d.Close()
+			server.Close()
 			t.Errorf("%s: opened", name)
-		} else if !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+		} else if !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	open(t, Config{Socket: stale}) // nobody listened there any more
+	startServer(t, Config{Socket: stale})
 	if raw, err := os.ReadFile(file); err != nil || string(raw) != "x" {
-		t.Error("the file that was in the way is gone")
+		t.Error("the file at the path of the socket is gone")
 	}
 }
 
-// A watcher that reads nothing holds nobody up, too many are told so, and a close ends all.
-func TestWatchers(t *testing.T) {
-	at := filepath.Join(t.TempDir(), "d.sock")
-	d := open(t, Config{Socket: at})
-	var conns []net.Conn
-	defer func() {
-		for _, c := range conns {
-			c.Close()
-		}
-	}()
-	for range mostWatchers {
-		c, err := net.Dial("unix", at)
+// TestStreamEvents_SlowReaders checks that clients that do not read block no other request, that the number of streams
+// is limited, and that no goroutine outlives the server (TestMain).
+func TestStreamEvents_SlowReaders(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "d.sock")
+	server := startServer(t, Config{Socket: socket})
+	for range maxEventStreams {
+		conn, err := net.Dial("unix", socket)
 		if err != nil {
 			t.Fatal(err)
 		}
-		conns = append(conns, c)
-		fmt.Fprintf(c, "GET /v1/thing HTTP/1.1\r\nHost: d\r\n\r\n")
-		if line, err := bufio.NewReaderSize(c, 16).ReadString('\n'); err != nil || !strings.Contains(line, "200") {
+		defer func() { _ = conn.Close() }()
+		if _, err := io.WriteString(conn, "GET /v1/thing HTTP/1.1\r\nHost: d\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
+		line, err := bufio.NewReaderSize(conn, 16).ReadString('\n')
+		if err != nil || !strings.Contains(line, "200") {
 			t.Fatalf("%q, %v", line, err)
 		}
 	}
-	c, base := NewClient(at, "", nil)
-	defer c.CloseIdleConnections()
-	resp, err := c.Get(base + "/thing")
+	client, baseURL := NewClient(socket, "", nil)
+	defer client.CloseIdleConnections()
+	response, err := client.Get(baseURL + "/thing")
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, _ := io.ReadAll(resp.Body)
-	resp.Body.Close()
-	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(raw), "watch already") {
-		t.Errorf("%d %s", resp.StatusCode, raw)
+	body := readAll(t, response)
+	if response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "are open already") {
+		t.Errorf("%d %s", response.StatusCode, body)
+	}
+	response, err = client.Post(baseURL+"/thing", "", nil)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if resp, err = c.Post(base+"/thing", "", nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("held up by watchers: %v", err)
-	} else {
-		resp.Body.Close()
+	_ = response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Errorf("blocked by event streams: status %d", response.StatusCode)
 	}
-	if len(d.watchers) != mostWatchers {
-		t.Errorf("%d watch", len(d.watchers))
+	if len(server.streams) != maxEventStreams {
+		t.Errorf("%d streams are open", len(server.streams))
 	}
 }
