--- /dev/null
+++ b/internal/adminapi/server.go
@@ -0,0 +1,184 @@
+// Package adminapi serves the admin API of a process: a versioned JSON interface over HTTP, on a Unix socket or on a
+// loopback address with a bearer token. Other packages register the paths. The package also has a client for it.
+package adminapi
+
+import (
+	"crypto/subtle"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"sync"
+	"time"
+
+	"cobaltward/internal/sockets"
+)
+
+// Version is the version of the interface, and the first part of every path.
+const Version = "v1"
+
+const (
+	maxConns        = 96       // open at once, for each listener
+	maxRequestBody  = 64 << 10 // bytes
+	ioTimeout       = 5 * time.Second
+	idleTimeout     = time.Minute
+	maxEventStreams = 64 // open at once, for each server
+)
+
+// Config says where a server listens.
+type Config struct {
+	Socket string // path of a Unix socket
+	Listen string // IP:port on loopback; requires Token
+	Token  string // bearer token of the requests over Listen
+	// WrapListener adds TLS to the listener at Listen; nil: it serves plain HTTP.
+	WrapListener func(net.Listener) net.Listener
+}
+
+// Enabled reports whether there is an address to listen at.
+func (c Config) Enabled() bool { return c.Socket != "" || c.Listen != "" }
+
+// Server serves the admin API. Handle must not be called after Start; all other methods may be called from several
+// goroutines at once.
+type Server struct {
+	mux       *http.ServeMux
+	methods   map[string][]string // allowed methods, by path
+	listeners []net.Listener
+	servers   []*http.Server // the one at an index serves the listener at it
+	tasks     sync.WaitGroup
+	done      chan struct{} // closed by Close
+	streams   chan struct{} // one element for each open event stream
+	log       *slog.Logger
+}
+
+// Listen opens the listeners that the configuration names. Its errors name the key of the configuration.
+func Listen(config Config, log *slog.Logger) (*Server, error) {
+	server := &Server{
+		mux:     http.NewServeMux(),
+		methods: make(map[string][]string),
+		done:    make(chan struct{}),
+		streams: make(chan struct{}, maxEventStreams),
+		log:     log,
+	}
+	server.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
+		message := fmt.Sprintf("no path %s; paths begin with /%s/", r.URL.Path, Version)
+		WriteError(w, http.StatusNotFound, message)
+	})
+	if config.Socket != "" {
+		listener, err := listenUnix(config.Socket)
+		if err != nil {
+			return nil, fmt.Errorf("door.socket: %w", err)
+		}
+		server.addListener(listener, server.mux)
+	}
+	if config.Listen != "" {
+		listener, err := listenLoopback(config)
+		if err != nil {
+			server.Close()
+			return nil, fmt.Errorf("door.listen: %w", err)
+		}
+		server.addListener(listener, RequireToken(server.mux, config.Token))
+	}
+	return server, nil
+}
+
+// listenLoopback listens at config.Listen.
+func listenLoopback(config Config) (net.Listener, error) {
+	address, err := netip.ParseAddrPort(config.Listen)
+	if err != nil || !address.Addr().IsLoopback() {
+		return nil, fmt.Errorf("want IP:port on loopback, got %q", config.Listen)
+	}
+	if config.Token == "" {
+		return nil, errors.New("want a token beside it")
+	}
+	listener, err := net.Listen("tcp", config.Listen)
+	if err != nil {
+		return nil, err
+	}
+	if config.WrapListener != nil {
+		listener = config.WrapListener(listener)
+	}
+	return listener, nil
+}
+
+// addListener adds an HTTP server for a listener.
+func (s *Server) addListener(listener net.Listener, handler http.Handler) {
+	s.listeners = append(s.listeners, listener)
+	s.servers = append(s.servers, &http.Server{
+		Handler:           limitBody(handler),
+		ReadHeaderTimeout: ioTimeout,
+		ReadTimeout:       ioTimeout,
+		IdleTimeout:       idleTimeout,
+		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
+	})
+}
+
+// Start begins to serve. All paths must have been registered.
+func (s *Server) Start() {
+	for i, listener := range s.listeners {
+		s.tasks.Go(func() { s.serve(s.servers[i], listener) })
+	}
+}
+
+// serve serves a listener until Close.
+func (s *Server) serve(server *http.Server, listener net.Listener) {
+	err := server.Serve(&limitedListener{
+		Listener: sockets.NewPersistentListener(listener, s.log),
+		slots:    make(chan struct{}, maxConns),
+		done:     s.done,
+	})
+	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		s.log.Error("admin API server stopped", "address", listener.Addr(), "err", err)
+	}
+}
+
+// Handle registers a handler for one method of a path, which is given without the version. Other methods get the
+// status 405 and the list of those that are allowed.
+func (s *Server) Handle(method, path string, handler http.HandlerFunc) {
+	path = "/" + Version + path
+	s.mux.HandleFunc(method+" "+path, handler)
+	s.methods[path] = append(s.methods[path], method)
+	if len(s.methods[path]) > 1 {
+		return
+	}
+	s.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
+		allowed := strings.Join(s.methods[path], ", ")
+		message := fmt.Sprintf("method %s not allowed for %s; allowed: %s", r.Method, path, allowed)
+		WriteError(w, http.StatusMethodNotAllowed, message)
+	})
+}
+
+// Close closes the listeners and all connections, and waits for the goroutines that serve. It must be called once,
+// also for a server that was never started.
+func (s *Server) Close() {
+	close(s.done)
+	for _, server := range s.servers {
+		_ = server.Close() // its listeners are closed below
+	}
+	for _, listener := range s.listeners {
+		_ = listener.Close() // closed already if the server was started
+	}
+	s.tasks.Wait()
+}
+
+// RequireToken wraps a handler so that only requests with the bearer token reach it.
+func RequireToken(next http.Handler, token string) http.Handler {
+	want := []byte("Bearer " + token)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), want) != 1 {
+			WriteError(w, http.StatusUnauthorized, "want the node's token: Authorization: Bearer TOKEN")
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
+
+// limitBody wraps a handler so that it reads at most maxRequestBody of a request's body.
+func limitBody(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
+		next.ServeHTTP(w, r)
+	})
+}
