--- a/internal/cli/certs_running.go
+++ b/internal/cli/certs_running.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cobaltward/certificates"
-	"cobaltward/internal/handshaking"
+	"cobaltward/handshakes"
 	"cobaltward/internal/node"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
@@ -56,7 +56,7 @@
 		fmt.Fprintf(table, "%s\t%s\tserial %s\t%s\t%s\n", e.Ends.UTC().Format(time.RFC3339), left(e.Ends.Sub(now)), e.Serial, strings.Join(e.Names, ","), e.Source)
 	}
 	fmt.Fprintf(table, "\nside\tfull\tresumed\tmean\tresumed mean\tof it work\tfailures\n")
-	row := func(side string, full, resumed handshaking.Kind, failures map[string]uint64) {
+	row := func(side string, full, resumed handshakes.Histogram, failures map[string]uint64) {
 		mean := func(d time.Duration, n uint64) time.Duration {
 			if n == 0 {
 				return 0
@@ -64,8 +64,8 @@
 			return (d / time.Duration(n)).Round(10 * time.Microsecond)
 		}
 		n := full.Count + resumed.Count
-		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%s\n", side, full.Count, resumed.Count, mean(full.Time, full.Count), mean(resumed.Time, resumed.Count),
-			mean(full.Worked+resumed.Worked, n), reasons(failures))
+		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%s\n", side, full.Count, resumed.Count, mean(full.TotalTime, full.Count), mean(resumed.TotalTime, resumed.Count),
+			mean(full.ComputeTime+resumed.ComputeTime, n), reasons(failures))
 	}
 	if s := st.Servers; s != nil {
 		row("servers", s.Full, s.Resumed, s.Failures)
--- a/internal/frontend/secure/secure.go
+++ b/internal/frontend/secure/secure.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"cobaltward/certificates"
-	"cobaltward/internal/handshaking"
+	"cobaltward/handshakes"
 )
 
 // DefaultTimeout bounds a handshake, its waiting for the core among it.
@@ -32,7 +32,7 @@
 	TLS12   bool // 1.2 is taken, too
 	ALPN    []string
 	Timeout time.Duration // 0: DefaultTimeout
-	Core    *handshaking.Core
+	Core    *handshakes.CPUScheduler
 	Log     *slog.Logger // nil: none
 }
 
@@ -42,8 +42,8 @@
 	conf *tls.Config
 
 	mu       sync.Mutex
-	full     handshaking.Kind
-	resumed  handshaking.Kind
+	full     handshakes.Histogram
+	resumed  handshakes.Histogram
 	failures map[string]uint64
 	going    atomic.Int64
 }
@@ -135,11 +135,11 @@
 	layer *Layer
 	tcp   *net.TCPConn
 	ended func()                           // hears of the end of its handshake
-	heard atomic.Pointer[handshaking.Wire] // of the handshake, once it has begun
+	heard atomic.Pointer[handshakes.Conn] // of the handshake, once it has begun
 
 	shaking sync.Mutex
 	tls     *tls.Conn // nil before the handshake
-	wire    *handshaking.Wire
+	wire    *handshakes.Conn
 	err     error
 	names   []string
 	done    atomic.Bool // it is over, well or not
@@ -157,13 +157,13 @@
 // client.
 func (c *Conn) Working() bool {
 	w := c.heard.Load()
-	return !c.done.Load() && w != nil && w.Working()
+	return !c.done.Load() && w != nil && w.IsComputing()
 }
 
 // Silent tells whether nothing has come of its handshake.
 func (c *Conn) Silent() bool {
 	w := c.heard.Load()
-	return !c.done.Load() && (w == nil || !w.Heard())
+	return !c.done.Load() && (w == nil || !w.HasReceived())
 }
 
 // Names are those of the certificate that the client showed, URIs first; none where it showed none, or before its
@@ -203,12 +203,12 @@
 	began := time.Now()
 	by := began.Add(l.c.Timeout)
 	_ = c.tcp.SetDeadline(by) // fails only once it is closed
-	c.wire = handshaking.NewWire(c.tcp, l.c.Core, false, by, nil)
-	c.wire.Leaves = true
+	c.wire = handshakes.NewConn(c.tcp, l.c.Core, false, by, nil)
+	c.wire.AbortIfPeerCloses = true
 	c.heard.Store(c.wire)
 	conn := tls.Server(c.wire, l.conf)
 	err := conn.HandshakeContext(context.Background())
-	worked, took := c.wire.Shaken(), time.Since(began)
+	worked, took := c.wire.EndHandshake(), time.Since(began)
 	if err != nil {
 		why := l.why(c, err)
 		l.mu.Lock()
@@ -219,9 +219,9 @@
 	s := conn.ConnectionState()
 	l.mu.Lock()
 	if s.DidResume {
-		l.resumed.Add(took, worked)
+		l.resumed.Observe(took, worked)
 	} else {
-		l.full.Add(took, worked)
+		l.full.Observe(took, worked)
 	}
 	l.mu.Unlock()
 	c.names = names(s.PeerCertificates)
@@ -243,7 +243,7 @@
 	var ne net.Error
 	switch {
 	case errors.As(err, &header) && header.Conn != nil && http(header.RecordHeader):
-		c.wire.Hurry()
+		c.wire.DropBlockingWrites()
 		const body = "this port takes TLS alone\n"
 		_, _ = c.wire.Write([]byte("HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: 26\r\n\r\n" + body))
 		return "plain HTTP"
@@ -252,13 +252,13 @@
 	case errors.Is(err, errStranger):
 		l.c.Log.Info("tls: a client's certificate does not hold", "client", c.tcp.RemoteAddr(), "err", err)
 		return "client's certificate"
-	case errors.Is(err, handshaking.ErrTooLong):
+	case errors.Is(err, handshakes.ErrHandshakeTooLarge):
 		return "sent too much"
 	case errors.As(err, &ne) && ne.Timeout():
 		return "not in time"
 	case errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, io.ErrUnexpectedEOF):
 		return "left"
-	case handshaking.Alert(err) != "":
+	case handshakes.RemoteAlert(err) != "":
 		return "the client refused"
 	}
 	return "no agreement"
@@ -305,7 +305,7 @@
 // Close closes the connection; its farewell is written where there is room for it.
 func (c *Conn) Close() error {
 	if c.done.Load() && c.err == nil {
-		c.wire.Hurry()
+		c.wire.DropBlockingWrites()
 		return c.tls.Close()
 	}
 	return c.tcp.Close()
@@ -314,7 +314,7 @@
 // CloseWrite ends what the client is sent. It waits for nobody.
 func (c *Conn) CloseWrite() error {
 	if c.done.Load() && c.err == nil {
-		c.wire.Hurry()
+		c.wire.DropBlockingWrites()
 		if err := c.tls.CloseWrite(); err != nil {
 			return err
 		}
@@ -353,8 +353,8 @@
 
 // Stats is how the layer stands.
 type Stats struct {
-	Full     handshaking.Kind  `json:"full"`
-	Resumed  handshaking.Kind  `json:"resumed"`
+	Full     handshakes.Histogram  `json:"full"`
+	Resumed  handshakes.Histogram  `json:"resumed"`
 	Failures map[string]uint64 `json:"failures,omitempty"` // by reason
 	Going    int64             `json:"going"`              // handshakes
 }
--- a/internal/frontend/secure/secure_test.go
+++ b/internal/frontend/secure/secure_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cobaltward/certificates"
-	"cobaltward/internal/handshaking"
+	"cobaltward/handshakes"
 	"cobaltward/internal/pki"
 	"cobaltward/internal/testkit"
 
@@ -274,7 +274,7 @@
 func TestStormInTurn(t *testing.T) {
 	f := newFiles(t)
 	f.certify("certs/a", "a.example")
-	core := handshaking.NewCore(0.5, 1, func() bool { return true })
+	core := handshakes.NewCPUScheduler(0.5, 1, func() bool { return true })
 	l, addr := serve(t, Config{Keys: f.open(), Core: core, Timeout: testkit.Long})
 	pool := x509.NewCertPool()
 	pool.AddCert(f.ca.Cert)
@@ -299,7 +299,7 @@
 	}
 	all.Wait()
 	testkit.Await(t, "the end of all", func() bool { st := l.Stats(); return st.Full.Count == 40 && st.Failures["left"] == 20 && st.Going == 0 })
-	if pieces, worked := core.Took(); pieces < 80 || worked <= 0 {
+	if pieces, worked := core.Totals(); pieces < 80 || worked <= 0 {
 		t.Errorf("%d pieces in %v", pieces, worked)
 	}
 }
--- a/internal/node/clientroom.go
+++ b/internal/node/clientroom.go
@@ -113,7 +113,7 @@
 				waiting++
 			}
 		}
-		admit, crowded := handshakes.Admit(active, waiting, l.most)
+		admit, crowded := handshakes.AdmitClient(active, waiting, l.most)
 		if admit || crowded && l.hush() { // where others are worked on, a close makes no room
 			return
 		}
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -11,7 +11,6 @@
 
 	"cobaltward/certificates"
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
 
@@ -58,7 +57,7 @@
 type secured struct {
 	c       TLS
 	log     *slog.Logger
-	core    *handshaking.Core
+	core    *handshakes.CPUScheduler
 	engine  atomic.Pointer[router.Router]
 	servers *secure.Layer
 	clients *frontsecure.Layer
@@ -73,7 +72,7 @@
 		return nil, nil
 	}
 	s := &secured{c: *c.TLS, log: log}
-	s.core = handshaking.NewCore(s.c.Share, int(math.Ceil(c.Cores)), func() bool {
+	s.core = handshakes.NewCPUScheduler(s.c.Share, int(math.Ceil(c.Cores)), func() bool {
 		e := s.engine.Load()
 		return e != nil && e.InFlight() > 0
 	})
@@ -226,7 +225,7 @@
 	if why := s.refused.Load(); why != nil {
 		st.Refused = *why
 	}
-	st.Pieces, st.Worked = s.core.Took()
+	st.Pieces, st.Worked = s.core.Totals()
 	if s.servers != nil {
 		v := s.servers.Stats()
 		st.Servers = &v
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -69,7 +69,7 @@
 	}
 	c := &node.TLS{
 		Every: or(t.Every, time.Second), Warn: t.Warn, Share: t.Share, Timeout: t.Timeout,
-		Limits: handshakes.Limits{AtOnce: t.AtOnce, PerServer: t.Each, PerCold: t.Cold},
+		Limits: handshakes.Limits{MaxConcurrent: t.AtOnce, MaxPerServer: t.Each, MaxPerWarmingServer: t.Cold},
 	}
 	if len(c.Warn) == 0 {
 		c.Warn = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -33,7 +33,7 @@
 
 	"cobaltward/certificates"
 	"cobaltward/internal/adminapi"
-	"cobaltward/internal/handshaking"
+	"cobaltward/handshakes"
 	"cobaltward/internal/node"
 	"cobaltward/internal/pki"
 	"cobaltward/router"
@@ -111,7 +111,7 @@
 
 // echo serves connections by TLS, each line as it is.
 func echo(own *certificates.Store) (l *frontsecure.Layer, ln net.Listener, err error) {
-	if l, err = frontsecure.New(frontsecure.Config{Keys: own, Core: handshaking.NewCore(1, runtime.NumCPU(), func() bool { return false })}); err != nil {
+	if l, err = frontsecure.New(frontsecure.Config{Keys: own, Core: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })}); err != nil {
 		return nil, nil, err
 	}
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,7 +168,7 @@
 			if err != nil {
 				return err
 			}
-			l, err := secure.New(secure.Config{Rules: []secure.Rule{{Trust: trust}}, Core: handshaking.NewCore(1, runtime.NumCPU(), func() bool { return false })})
+			l, err := secure.New(secure.Config{Rules: []secure.Rule{{Trust: trust}}, Core: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })})
 			if err != nil {
 				return err
 			}
@@ -191,8 +191,8 @@
 				name, mine, theirs = "resumed", l.Stats().Resumed, server.Stats().Resumed
 			}
 			per := func(d time.Duration, n uint64) time.Duration { return (d / time.Duration(n)).Round(time.Microsecond) }
-			mean := per(mine.Time, mine.Count)
-			fmt.Printf("  %-9s %-8s %6.0f  %8v  %8v  %8v   (%d of %d)\n", kind, name, float64(time.Second)/float64(mean), mean, per(mine.Worked, mine.Count), per(theirs.Worked, theirs.Count), mine.Count, b.n+1)
+			mean := per(mine.TotalTime, mine.Count)
+			fmt.Printf("  %-9s %-8s %6.0f  %8v  %8v  %8v   (%d of %d)\n", kind, name, float64(time.Second)/float64(mean), mean, per(mine.ComputeTime, mine.Count), per(theirs.ComputeTime, theirs.Count), mine.Count, b.n+1)
 			l.Close()
 			ln.Close()
 		}
--- a/transport/http1/warm.go
+++ b/transport/http1/warm.go
@@ -55,15 +55,15 @@
 func (u *Transport) cold(from time.Time) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	pools := make([]handshakes.Pooled, 0, len(u.pools.All()))
+	pools := make([]handshakes.PoolState, 0, len(u.pools.All()))
 	for id, p := range u.pools.All() {
 		if !u.secure.For(&p.Listed) {
 			continue
 		}
-		pools = append(pools, handshakes.Pooled{
-			Server: id, Idle: len(p.Pool.idle), Last: p.Pool.asked.Sub(from), Asked: !p.Pool.asked.IsZero(),
-			Closed: p.Listed.Availability != policy.Running || u.secure.Refused(&p.Listed) != nil, Opening: p.Pool.opening,
+		pools = append(pools, handshakes.PoolState{
+			Server: id, Idle: len(p.Pool.idle), LastUsed: p.Pool.asked.Sub(from), Used: !p.Pool.asked.IsZero(),
+			Unavailable: p.Listed.Availability != policy.Running || u.secure.Refused(&p.Listed) != nil, Connecting: p.Pool.opening,
 		})
 	}
-	return handshakes.Warm(time.Since(from), pools, u.open, u.most)
+	return handshakes.PreconnectTargets(time.Since(from), pools, u.open, u.most)
 }
--- a/transport/secure/conn.go
+++ b/transport/secure/conn.go
@@ -8,14 +8,13 @@
 	"time"
 
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/router"
 )
 
 // Conn is a connection to a server that has proved who it is. One goroutine at a time reads it, and one writes.
 type Conn struct {
 	tls    *tls.Conn
-	wire   *handshaking.Wire
+	wire   *handshakes.Conn
 	layer  *Layer
 	member router.Endpoint
 	rule   *Rule
@@ -50,7 +49,7 @@
 
 // Close closes the connection. Its farewell is written where there is room for it: it waits for nobody.
 func (c *Conn) Close() error {
-	c.wire.Hurry()
+	c.wire.DropBlockingWrites()
 	return c.tls.Close()
 }
 
@@ -58,7 +57,7 @@
 // as new tickets, is taken in. Nobody else may be reading.
 func (c *Conn) Quiet() bool {
 	var b [1]byte
-	return c.wire.Glance(func() error {
+	return c.wire.ReadAvailable(func() error {
 		_, err := c.tls.Read(b[:])
 		return err
 	})
@@ -95,7 +94,7 @@
 	if c.peer.own != own {
 		c.peer.own, c.peer.anew = own, now
 	}
-	return handshakes.Renew(c.member.ID, now.Sub(c.peer.anew))
+	return handshakes.ShouldReplace(c.member.ID, now.Sub(c.peer.anew))
 }
 
 // tickets is the session that is kept for a server. One is enough: each connection brings a new one.
--- a/transport/secure/rules.go
+++ b/transport/secure/rules.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cobaltward/certificates"
-	"cobaltward/internal/handshaking"
+	"cobaltward/handshakes"
 	"cobaltward/router"
 )
 
@@ -220,8 +220,8 @@
 		return untrusted
 	case errors.As(err, &header):
 		return &UntrustedError{whyNoTLS, header.Msg}
-	case handshaking.Alert(err) != "" && handshaking.Alert(err) != alertInternal:
-		return &UntrustedError{whyAlert, handshaking.Alert(err)}
+	case handshakes.RemoteAlert(err) != "" && handshakes.RemoteAlert(err) != alertInternal:
+		return &UntrustedError{whyAlert, handshakes.RemoteAlert(err)}
 	}
 	return err
 }
--- a/transport/secure/secure.go
+++ b/transport/secure/secure.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/router"
 )
 
@@ -35,7 +34,7 @@
 	ColdFor time.Duration // after its start a server's process is new for so long
 	Timeout time.Duration // of a handshake; 0: DefaultTimeout
 	Connect time.Duration // of a connection that is made to look at a server again; 0: Timeout
-	Core    *handshaking.Core
+	Core    *handshakes.CPUScheduler
 	// Tell hears when a server gets nothing any more, or again. It must not wait, nor call the layer; nil: nobody does.
 	Tell func(server string, refused bool)
 	Log  *slog.Logger // nil: none
@@ -52,9 +51,9 @@
 
 	mu      sync.Mutex
 	peers   map[string]*peer // the processes that were spoken to, or are refused
-	gate    *handshakes.Gate
-	turns   map[*handshakes.Turn]chan struct{} // of those that wait
-	refused *handshakes.Refused
+	gate    *handshakes.Limiter
+	turns   map[*handshakes.Reservation]chan struct{} // of those that wait
+	refused *handshakes.UntrustedBackoff
 	memo    map[proof]span
 	stats   counts
 	closed  bool
@@ -100,8 +99,8 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	l := &Layer{
-		c: c, from: time.Now(), stop: make(chan struct{}), peers: make(map[string]*peer), gate: handshakes.NewGate(c.Limits),
-		turns: make(map[*handshakes.Turn]chan struct{}), refused: handshakes.NewRefused(), memo: make(map[proof]span), stats: newCounts(),
+		c: c, from: time.Now(), stop: make(chan struct{}), peers: make(map[string]*peer), gate: handshakes.NewLimiter(c.Limits),
+		turns: make(map[*handshakes.Reservation]chan struct{}), refused: handshakes.NewUntrustedBackoff(), memo: make(map[proof]span), stats: newCounts(),
 	}
 	l.done.Go(l.run)
 	return l, nil
@@ -141,7 +140,7 @@
 func (l *Layer) Refused(m *router.Endpoint) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if why, ok := l.refused.Is(m.ID); ok {
+	if why, ok := l.refused.Reason(m.ID); ok {
 		return &UntrustedError{why, "it is refused until it proves who it is"}
 	}
 	return nil
@@ -196,7 +195,7 @@
 func (l *Layer) Forget(id string) {
 	l.mu.Lock()
 	delete(l.peers, id)
-	_, was := l.refused.Is(id)
+	_, was := l.refused.Reason(id)
 	l.refused.Forget(id)
 	l.mu.Unlock()
 	if was {
@@ -209,7 +208,7 @@
 	l.telling.Lock()
 	defer l.telling.Unlock()
 	l.mu.Lock()
-	_, refused := l.refused.Is(id)
+	_, refused := l.refused.Reason(id)
 	l.mu.Unlock()
 	l.c.Tell(id, refused)
 }
@@ -219,14 +218,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.memo)
-	l.refused.Again(l.now())
+	l.refused.RecheckAll(l.now())
 }
 
 // Shake makes the TLS connection of a server over a new one, which it closes on an error. It waits for its turn until
 // wait ends, and is broken off by the end of ctx. urgent says that a request waits for it. An *Untrusted error says that the server could not prove who it is.
 func (l *Layer) Shake(wait, ctx context.Context, m *router.Endpoint, urgent bool, dial func() (*net.TCPConn, error)) (*Conn, error) {
 	rule := l.rule(m)
-	turn := &handshakes.Turn{Server: m.ID, Cold: l.isCold(m), Spare: !urgent}
+	turn := &handshakes.Reservation{Server: m.ID, WarmingUp: l.isCold(m), Speculative: !urgent}
 	if err := l.admit(wait, turn); err != nil {
 		return nil, err
 	}
@@ -242,7 +241,7 @@
 		return nil, l.failed(m, p, err)
 	}
 	l.mu.Lock()
-	back := l.peers[m.ID] == p && l.refused.Proved(m.ID) // a former process proves nothing for this one
+	back := l.peers[m.ID] == p && l.refused.RecordSuccess(m.ID) // a former process proves nothing for this one
 	p.shown, p.ends = c.state.PeerCertificates[0].SerialNumber.Text(16), c.valid.until
 	l.mu.Unlock()
 	if back {
@@ -253,13 +252,13 @@
 }
 
 // admit waits for the turn of a handshake.
-func (l *Layer) admit(ctx context.Context, t *handshakes.Turn) error {
+func (l *Layer) admit(ctx context.Context, t *handshakes.Reservation) error {
 	l.mu.Lock()
-	switch l.gate.Ask(t) {
-	case handshakes.Begin:
+	switch l.gate.Acquire(t) {
+	case handshakes.Proceed:
 		l.mu.Unlock()
 		return nil
-	case handshakes.Refuse:
+	case handshakes.Reject:
 		l.stats.busy++
 		l.mu.Unlock()
 		return ErrBusy
@@ -278,11 +277,11 @@
 }
 
 // leave gives a turn back, and lets those in whose turn it is now.
-func (l *Layer) leave(t *handshakes.Turn) {
+func (l *Layer) leave(t *handshakes.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.turns, t)
-	for _, next := range l.gate.Left(t) {
+	for _, next := range l.gate.Release(t) {
 		close(l.turns[next])
 		delete(l.turns, next)
 	}
@@ -296,7 +295,7 @@
 		by = end
 	}
 	_ = tcp.SetDeadline(by)
-	wire := handshaking.NewWire(tcp, l.c.Core, urgent, by, ctx.Done())
+	wire := handshakes.NewConn(tcp, l.c.Core, urgent, by, ctx.Done())
 	c := &Conn{wire: wire, layer: l, member: *m, rule: rule, peer: p}
 	c.trust, c.own = rule.stamp()
 	conf := &tls.Config{
@@ -319,12 +318,12 @@
 		}
 		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return own, nil }
 	}
-	if err := wire.Work(); err != nil {
+	if err := wire.BeginCompute(); err != nil {
 		return nil, err
 	}
 	c.tls = tls.Client(wire, conf)
 	err := c.tls.HandshakeContext(ctx)
-	worked := wire.Shaken()
+	worked := wire.EndHandshake()
 	if err != nil {
 		return nil, err
 	}
@@ -368,7 +367,7 @@
 // failed notes why a handshake failed. A server that could not prove who it is gets nothing from now on.
 func (l *Layer) failed(m *router.Endpoint, p *peer, err error) error {
 	err = failure(err)
-	if errors.Is(err, handshaking.ErrTooLong) {
+	if errors.Is(err, handshakes.ErrHandshakeTooLarge) {
 		err = &UntrustedError{whyTooLong, err.Error()}
 	}
 	var untrusted *UntrustedError
@@ -377,7 +376,7 @@
 	if errors.As(err, &untrusted) {
 		l.stats.failed(untrusted.Why)
 		if l.peers[m.ID] == p { // else it is gone, or another process
-			first = l.refused.Fail(l.now(), m.ID, untrusted.Why)
+			first = l.refused.RecordFailure(l.now(), m.ID, untrusted.Why)
 		}
 	} else {
 		l.stats.failed(broken(err))
@@ -415,7 +414,7 @@
 			return
 		}
 		l.mu.Lock()
-		for _, id := range l.refused.Due(l.now()) {
+		for _, id := range l.refused.StartDue(l.now()) {
 			if p := l.peers[id]; p != nil {
 				m := p.member
 				l.done.Go(func() { l.look(m) })
@@ -452,6 +451,6 @@
 		c.Close()
 	}
 	l.mu.Lock()
-	l.refused.Unknown(l.now(), m.ID) // does nothing where the look has ended
+	l.refused.RecordInconclusive(l.now(), m.ID) // does nothing where the look has ended
 	l.mu.Unlock()
 }
--- a/transport/secure/secure_test.go
+++ b/transport/secure/secure_test.go
@@ -20,7 +20,6 @@
 
 	"cobaltward/certificates"
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/internal/pki"
 	"cobaltward/internal/testkit"
 	"cobaltward/router"
@@ -363,7 +362,7 @@
 		addr := peerServer(t, func() *tls.Config { return conf }, echo)
 		l := newLayer(t, Config{
 			Rules: []Rule{{Trust: trust}}, ColdFor: time.Minute, Timeout: testkit.Long,
-			Limits: handshakes.Limits{AtOnce: 16, PerServer: 3, PerCold: 1, Waiting: 20}, Core: handshaking.NewCore(0.5, 1, func() bool { return true }),
+			Limits: handshakes.Limits{MaxConcurrent: 16, MaxPerServer: 3, MaxPerWarmingServer: 1, MaxQueued: 20}, Core: handshakes.NewCPUScheduler(0.5, 1, func() bool { return true }),
 		})
 		m := router.Endpoint{ID: "s1", Addr: addr}
 		if cold {
@@ -392,7 +391,7 @@
 		if want := map[bool]int{false: 3, true: 1}[cold]; most > want || well < 20 || busy+well != 40 {
 			t.Errorf("cold %v: %d at once, want %d at most; %d made, %d turned away", cold, most, want, well, busy)
 		}
-		if out, waiting := l.gate.Going(); out != 0 || waiting != 0 || len(l.turns) != 0 {
+		if out, waiting := l.gate.Usage(); out != 0 || waiting != 0 || len(l.turns) != 0 {
 			t.Errorf("%d go on and %d wait in the end", out, waiting)
 		}
 	}
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -7,12 +7,11 @@
 	"time"
 
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 )
 
 // counts are under the layer's mutex.
 type counts struct {
-	full, resumed handshaking.Kind
+	full, resumed handshakes.Histogram
 	busy, waited  uint64
 	failures      map[string]uint64
 }
@@ -23,9 +22,9 @@
 
 func (c *counts) shaken(resumed bool, took, worked time.Duration) {
 	if resumed {
-		c.resumed.Add(took, worked)
+		c.resumed.Observe(took, worked)
 	} else {
-		c.full.Add(took, worked)
+		c.full.Observe(took, worked)
 	}
 }
 
@@ -41,8 +40,8 @@
 
 // Stats is how the layer stands.
 type Stats struct {
-	Full     handshaking.Kind  `json:"full"`
-	Resumed  handshaking.Kind  `json:"resumed"`
+	Full     handshakes.Histogram  `json:"full"`
+	Resumed  handshakes.Histogram  `json:"resumed"`
 	Failures map[string]uint64 `json:"failures,omitempty"` // by reason
 	Going    int               `json:"going"`              // handshakes
 	Waiting  int               `json:"waiting"`
@@ -66,8 +65,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Stats{Full: l.stats.full.Clone(), Resumed: l.stats.resumed.Clone(), Failures: maps.Clone(l.stats.failures), Busy: l.stats.busy, Waited: l.stats.waited}
-	s.Going, s.Waiting = l.gate.Going()
-	why := make(map[string]handshakes.Refusal)
+	s.Going, s.Waiting = l.gate.Usage()
+	why := make(map[string]handshakes.UntrustedServer)
 	for _, r := range l.refused.List() {
 		why[r.Server] = r
 	}
@@ -75,7 +74,7 @@
 	for id, p := range l.peers {
 		x := Peer{Server: id, Serial: p.shown, Ends: p.ends}
 		if r, ok := why[id]; ok {
-			x.Why, x.Looks, x.ForMs = r.Why, r.Looks, (l.now() - r.Since).Milliseconds()
+			x.Why, x.Looks, x.ForMs = r.Reason, r.Rechecks, (l.now() - r.Since).Milliseconds()
 		}
 		p.kept.mu.Lock()
 		if p.kept.session != nil {
