--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// DefaultCPUShare is the part of a core that the arithmetic of handshakes takes at most while requests are in flight.
+// DefaultCPUShare is the fraction of the CPU that handshake computations may take while requests are in flight.
 const DefaultCPUShare = 0.25
 
-// maxPause bounds the rest behind one piece of arithmetic: a clock that jumped, or a host that kept the process from
-// running, must not stop handshakes.
+// maxPause bounds the pause behind one task, so that a clock step or a descheduled process does not stop handshakes.
 const maxPause = 50 * time.Millisecond
 
-// Task is one piece of arithmetic, from a read to the next.
+// Task is one computation of a handshake: the work between two reads from the peer.
 type Task struct {
-	Urgent bool // a request in flight waits for it: it goes ahead, and behind it there is no rest
+	Urgent bool // a request in flight waits for it: it runs before others, without a pause behind it
 
 	running bool
 }
 
-// CPUBudget shares a core between the arithmetic of handshakes and all else: as many pieces at a time as there are cores,
-// and behind each that no request waits for a rest as long as the share wants while requests are in flight. It isn't
-// safe for concurrent use.
+// CPUBudget shares the CPU between handshake computations and all other work. At most one task a core runs at a time.
+// While requests are in flight, each task that is not urgent is followed by a pause that keeps such tasks within their
+// share. It is not safe for concurrent use.
 type CPUBudget struct {
-	share   float64
-	cores   int
+	share      float64
+	cores      int
 	running    int
-	pauseUntil    time.Duration // until then nothing begins that no request waits for, while requests are in flight
-	queues [2][]*Task   // the urgent ones, and the others; each in the order of their coming
+	pauseUntil time.Duration // no task that is not urgent starts before it while requests are in flight
+	urgent     []*Task       // queued, in order of arrival
+	normal     []*Task       // queued, in order of arrival
 	finished   uint64
-	busyTime    time.Duration
+	busyTime   time.Duration // of all finished tasks
 }
 
-// NewCPUBudget returns one for a share of so many cores; 0 is the default share.
+// NewCPUBudget returns a budget of a share (0 to 1) of so many cores. A share outside of that range means
+// DefaultCPUShare.
 func NewCPUBudget(share float64, cores int) *CPUBudget {
 	if !(share > 0 && share <= 1) {
 		share = DefaultCPUShare
@@ -40,76 +41,66 @@
 	return &CPUBudget{share: share, cores: max(1, cores)}
 }
 
-func (p *CPUBudget) queueOf(x *Task) *[]*Task {
-	if x.Urgent {
-		return &p.queues[0]
-	}
-	return &p.queues[1]
+// Enqueue queues a task. Next returns it when it may run.
+func (b *CPUBudget) Enqueue(task *Task) {
+	queue := b.queueOf(task)
+	*queue = append(*queue, task)
 }
 
-// Enqueue has a piece wait for its turn, which Next tells.
-func (p *CPUBudget) Enqueue(x *Task) {
-	line := p.queueOf(x)
-	*line = append(*line, x)
+func (b *CPUBudget) queueOf(task *Task) *[]*Task {
+	if task.Urgent {
+		return &b.urgent
+	}
+	return &b.normal
 }
 
-// Next is the pieces whose turn it is; inFlight says that requests would wait for them. Where wait is not 0, it is to
-// be asked again after it.
-func (p *CPUBudget) Next(now time.Duration, inFlight bool) (begin []*Task, wait time.Duration) {
-	for i := range p.queues {
-		for line := &p.queues[i]; len(*line) > 0 && p.running < p.cores; {
-			if i > 0 && inFlight && now < p.pauseUntil {
-				return begin, p.pauseUntil - now
-			}
-			x := (*line)[0]
-			(*line)[0], *line = nil, (*line)[1:]
-			x.running = true
-			p.running++
-			begin = append(begin, x)
+// Next returns the tasks that start now; inFlight reports whether there are requests to share the CPU with. If wait is
+// positive, Next is to be called again after that time.
+func (b *CPUBudget) Next(now time.Duration, inFlight bool) (started []*Task, wait time.Duration) {
+	for len(b.urgent) > 0 && b.running < b.cores {
+		started = append(started, b.start(&b.urgent))
+	}
+	for len(b.normal) > 0 && b.running < b.cores {
+		if inFlight && now < b.pauseUntil {
+			return started, b.pauseUntil - now
 		}
+		started = append(started, b.start(&b.normal))
 	}
-	return begin, 0
+	return started, 0
+}
+
+// start takes the first task out of a queue.
+func (b *CPUBudget) start(queue *[]*Task) *Task {
+	task := (*queue)[0]
+	(*queue)[0], *queue = nil, (*queue)[1:]
+	task.running = true
+	b.running++
+	return task
 }
 
-// Finish gives the core back, after a piece that took so long.
-func (p *CPUBudget) Finish(now time.Duration, x *Task, took time.Duration) {
-	if !x.running {
+// Finish ends a running task that took so long. It has no effect on a task that is not running.
+func (b *CPUBudget) Finish(now time.Duration, task *Task, elapsed time.Duration) {
+	if !task.running {
 		return
 	}
-	x.running = false
-	p.running--
-	took = max(0, took)
-	p.finished++
-	p.busyTime += took
-	if !x.Urgent {
-		p.pauseUntil = now + min(maxPause, time.Duration(float64(took)*(1/p.share-1)/float64(p.cores)))
+	task.running = false
+	b.running--
+	elapsed = max(0, elapsed)
+	b.finished++
+	b.busyTime += elapsed
+	if !task.Urgent {
+		pause := time.Duration(float64(elapsed) * (1/b.share - 1) / float64(b.cores))
+		b.pauseUntil = now + min(maxPause, pause)
 	}
 }
 
-// Cancel takes out a piece that nobody waits for any more. begun tells that its turn had come: End is due.
-func (p *CPUBudget) Cancel(x *Task) (begun bool) {
-	line := p.queueOf(x)
-	*line = slices.DeleteFunc(*line, func(y *Task) bool { return x == y })
-	return x.running
-}
-
-const (
-	// maxActiveClients is how many handshakes of clients are worked on at once: so many keep a core at work, and more would only come
-	// to it together, ahead of requests.
-	maxActiveClients = 4
-	maxWaitingFraction   = 0.25 // of the clients' connections, for handshakes that wait for their client
-	// SilentAfter is when a client that is waited for counts as one that may be far away, or say nothing.
-	SilentAfter = 20 * time.Millisecond
-)
-
-// AdmitClient tells whether another client may be let in, beside so many handshakes that the core has to work on and so many
-// that wait for their client, of most connections: clients far away, or who stall, hold nobody up until they are many.
-// Those who are not wait outside: to close one that goes on in favour of the next would have each begun and none ended.
-// crowded says that those who wait for their client are in the way: to close one of them makes room.
-func AdmitClient(active, waiting, most int) (admit, crowded bool) {
-	crowded = waiting >= max(maxActiveClients, int(maxWaitingFraction*float64(most)))
-	return active < maxActiveClients && !crowded, crowded
+// Cancel removes a queued task that is no longer wanted. It reports whether the task is already running, in which case
+// the caller has to call Finish.
+func (b *CPUBudget) Cancel(task *Task) (running bool) {
+	queue := b.queueOf(task)
+	*queue = slices.DeleteFunc(*queue, func(queued *Task) bool { return queued == task })
+	return task.running
 }
 
-// Totals is how many pieces there were, and the time of them all.
-func (p *CPUBudget) Totals() (pieces uint64, all time.Duration) { return p.finished, p.busyTime }
+// Totals returns the number of finished tasks, and the time that they took together.
+func (b *CPUBudget) Totals() (finished uint64, busyTime time.Duration) { return b.finished, b.busyTime }
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -1,5 +1,3 @@
-// Package handshaking is what handshakes of both sides have in common: the connection under TLS, and the core that
-// their arithmetic shares with requests. What they may take is decided in package 
 package handshakes
 
 import (
@@ -7,98 +5,115 @@
 	"os"
 	"sync"
 	"time"
-
 )
 
-// CPUScheduler is the processor as handshakes have it. Its methods may be called at once from many goroutines; nil is one
-// that is free for all. Who waits is bounded by the connections that there are.
+// CPUScheduler runs the computations of handshakes within a CPUBudget. Its methods may be called concurrently. A nil
+// CPUScheduler imposes no limit. Its queue is bounded by the number of connections.
 type CPUScheduler struct {
 	hasRequests func() bool
-	startedAt time.Time
+	startedAt   time.Time
 
-	mu    sync.Mutex
-	budget  *CPUBudget
-	granted map[*Task]chan struct{} // of those that wait
-	pauseTimer *time.Timer                         // for the end of a rest
+	mu         sync.Mutex
+	budget     *CPUBudget
+	granted    map[*Task]chan struct{} // of queued tasks; closed when the task may run
+	pauseTimer *time.Timer             // fires at the end of a pause of the budget
 }
 
-// NewCPUScheduler returns one of so many cores, of which handshakes take a share while busy says that requests are in flight.
-func NewCPUScheduler(share float64, cores int, busy func() bool) *CPUScheduler {
-	return &CPUScheduler{hasRequests: busy, startedAt: time.Now(), budget: NewCPUBudget(share, cores), granted: make(map[*Task]chan struct{})}
+// NewCPUScheduler returns a scheduler for so many cores. Handshakes take at most a share of them, from 0 to 1, while
+// hasRequests reports requests in flight.
+func NewCPUScheduler(share float64, cores int, hasRequests func() bool) *CPUScheduler {
+	return &CPUScheduler{
+		hasRequests: hasRequests,
+		startedAt:   time.Now(),
+		budget:      NewCPUBudget(share, cores),
+		granted:     make(map[*Task]chan struct{}),
+	}
 }
 
-// acquire waits for the core until a time, or until done says that nobody wants the piece any more.
-func (c *CPUScheduler) acquire(x *Task, by time.Time, done <-chan struct{}) error {
-	if c == nil {
+// acquire waits until the task may run. It fails with os.ErrDeadlineExceeded at the deadline, and with net.ErrClosed
+// when cancelled is closed.
+func (s *CPUScheduler) acquire(task *Task, deadline time.Time, cancelled <-chan struct{}) error {
+	if s == nil {
 		return nil
 	}
-	turn := make(chan struct{})
-	c.mu.Lock()
-	c.granted[x] = turn
-	c.budget.Enqueue(x)
-	c.startReady()
-	c.mu.Unlock()
+	granted := s.enqueue(task)
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	default:
 	}
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
-	err := net.ErrClosed
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
-	case <-late.C:
-		err = os.ErrDeadlineExceeded
-	case <-done:
+	case <-timeout.C:
+		s.cancel(task)
+		return os.ErrDeadlineExceeded
+	case <-cancelled:
+		s.cancel(task)
+		return net.ErrClosed
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.granted, x)
-	if c.budget.Cancel(x) { // its turn came just now
-		c.budget.Finish(time.Since(c.startedAt), x, 0)
-		c.startReady()
+}
+
+// enqueue queues a task, and returns the channel that is closed when the task may run.
+func (s *CPUScheduler) enqueue(task *Task) (granted chan struct{}) {
+	granted = make(chan struct{})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.granted[task] = granted
+	s.budget.Enqueue(task)
+	s.startReady()
+	return granted
+}
+
+func (s *CPUScheduler) cancel(task *Task) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.granted, task)
+	if running := s.budget.Cancel(task); running {
+		s.budget.Finish(time.Since(s.startedAt), task, 0)
+		s.startReady()
 	}
-	return err
 }
 
-// release gives the core back.
-func (c *CPUScheduler) release(x *Task, began time.Time) {
-	if c == nil {
+// release ends a running task.
+func (s *CPUScheduler) release(task *Task, taskStart time.Time) {
+	if s == nil {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.budget.Finish(time.Since(c.startedAt), x, time.Since(began))
-	c.startReady()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.budget.Finish(time.Since(s.startedAt), task, time.Since(taskStart))
+	s.startReady()
 }
 
-// startReady lets those in whose turn it is. It needs the mutex.
-func (c *CPUScheduler) startReady() {
-	begin, wait := c.budget.Next(time.Since(c.startedAt), c.hasRequests())
-	for _, x := range begin {
-		if turn := c.granted[x]; turn != nil {
-			close(turn)
-			delete(c.granted, x)
+// startReady starts the tasks that may run now. The caller holds the mutex.
+func (s *CPUScheduler) startReady() {
+	started, wait := s.budget.Next(time.Since(s.startedAt), s.hasRequests())
+	for _, task := range started {
+		if granted := s.granted[task]; granted != nil {
+			close(granted)
+			delete(s.granted, task)
 		}
 	}
-	switch {
-	case wait <= 0:
-	case c.pauseTimer == nil:
-		c.pauseTimer = time.AfterFunc(wait, func() {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.startReady()
-		})
-	default:
-		c.pauseTimer.Reset(wait)
+	if wait <= 0 {
+		return
+	}
+	if s.pauseTimer != nil {
+		s.pauseTimer.Reset(wait)
+		return
 	}
+	s.pauseTimer = time.AfterFunc(wait, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.startReady()
+	})
 }
 
-// Totals is how many pieces of arithmetic there were, and their time.
-func (c *CPUScheduler) Totals() (uint64, time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.budget.Totals()
+// Totals returns the number of finished computations, and the time that they took together.
+func (s *CPUScheduler) Totals() (finished uint64, busyTime time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.budget.Totals()
 }
--- a/handshakes/histogram.go
+++ b/handshakes/histogram.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// HistogramBounds of the histogram of handshakes, each the most that its count holds; the last count is of what took longer.
+// HistogramBounds are the upper bounds of the buckets of a Histogram, inclusive. One more bucket has no upper bound.
 var HistogramBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 }
 
-// Histogram is the figures of full handshakes, or of those that took a session up again.
+// Histogram is the distribution of the durations of full handshakes, or of resumed ones. It is not safe for concurrent
+// use.
 type Histogram struct {
-	Count  uint64        `json:"count"`
-	TotalTime   time.Duration `json:"time_ns"` // of all together, the waiting for the server and for the core among it
-	ComputeTime time.Duration `json:"work_ns"` // that the arithmetic here took
-	Buckets []uint64      `json:"within"`  // by Bounds
+	Count       uint64        `json:"count"`
+	TotalTime   time.Duration `json:"time_ns"` // including waits for the peer and for the CPU
+	ComputeTime time.Duration `json:"work_ns"` // of the computations of this side
+	Buckets     []uint64      `json:"within"`  // by HistogramBounds
 }
 
-// Observe notes one handshake.
-func (k *Histogram) Observe(took, worked time.Duration) {
-	if k.Buckets == nil {
-		k.Buckets = make([]uint64, len(HistogramBounds)+1)
+// Observe adds one handshake.
+func (h *Histogram) Observe(duration, computeTime time.Duration) {
+	if h.Buckets == nil {
+		h.Buckets = make([]uint64, len(HistogramBounds)+1)
 	}
-	k.Count++
-	k.TotalTime += took
-	k.ComputeTime += worked
-	i, _ := slices.BinarySearch(HistogramBounds, took)
-	k.Buckets[i]++
+	h.Count++
+	h.TotalTime += duration
+	h.ComputeTime += computeTime
+	i, _ := slices.BinarySearch(HistogramBounds, duration)
+	h.Buckets[i]++
 }
 
-// Clone is a copy that nobody changes.
-func (k Histogram) Clone() Histogram {
-	k.Buckets = slices.Clone(k.Buckets)
-	return k
+// Clone returns a copy that shares no memory with h.
+func (h Histogram) Clone() Histogram {
+	h.Buckets = slices.Clone(h.Buckets)
+	return h
 }
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -1,131 +1,140 @@
-// Package handshakes decides what handshakes may cost: how many go on at once, towards each server and in all; how
-// much of a core their arithmetic may take from requests in flight; when a server that could not prove who it is is
-// asked again; and which connections are made before they are needed. It does no I/O and reads no clock.
+// Package handshakes limits what TLS handshakes may cost a node, on both of its sides.
+//
+// The decisions are state machines without I/O, clocks or goroutines, and are not safe for concurrent use: how many
+// handshakes with servers run at once (Limiter), which part of the CPU their computations may take from requests in
+// flight (CPUBudget), when an untrusted server is checked again (UntrustedBackoff), and which connections are opened
+// ahead of requests (PreconnectTargets). CPUScheduler and Conn apply a CPUBudget to connections; they use clocks and
+// may be shared by goroutines as their documentation says.
 package handshakes
 
-// Limits bound the handshakes that go on at once. What is 0 takes its default.
+// Limits bounds the handshakes with servers that run at once. A field of 0 takes its default.
 type Limits struct {
-	MaxConcurrent    int // in all
-	MaxPerServer int // towards one server
-	MaxPerWarmingServer   int // towards one whose process is new: its budget is for requests
-	MaxQueued   int // for their turn, in all; who comes beyond that is turned away
+	MaxConcurrent       int // with all servers
+	MaxPerServer        int // with one server
+	MaxPerWarmingServer int // with a server that is warming up, whose capacity is left to requests
+	MaxQueued           int // waiting for a slot; further ones are rejected
 }
 
 // Defaults of Limits.
 const (
-	DefaultMaxConcurrent    = 16
-	DefaultMaxPerServer = 4
-	DefaultMaxPerWarmingServer   = 1
-	DefaultMaxQueued   = 256
+	DefaultMaxConcurrent       = 16
+	DefaultMaxPerServer        = 4
+	DefaultMaxPerWarmingServer = 1
+	DefaultMaxQueued           = 256
 )
 
 func (l Limits) withDefaults() Limits {
-	for _, d := range []struct {
-		field *int
-		value int
-	}{{&l.MaxConcurrent, DefaultMaxConcurrent}, {&l.MaxPerServer, DefaultMaxPerServer}, {&l.MaxPerWarmingServer, DefaultMaxPerWarmingServer}, {&l.MaxQueued, DefaultMaxQueued}} {
-		if *d.field <= 0 {
-			*d.field = d.value
+	setDefault := func(limit *int, value int) {
+		if *limit <= 0 {
+			*limit = value
 		}
 	}
+	setDefault(&l.MaxConcurrent, DefaultMaxConcurrent)
+	setDefault(&l.MaxPerServer, DefaultMaxPerServer)
+	setDefault(&l.MaxPerWarmingServer, DefaultMaxPerWarmingServer)
+	setDefault(&l.MaxQueued, DefaultMaxQueued)
 	return l
 }
 
-// Decision is what becomes of who asks for a handshake.
+// Decision is the answer to Limiter.Acquire.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Proceed  Decision = iota // now
-	Queue                  // until Left names the turn
-	Reject                // too many wait already
+	Proceed Decision = iota // the handshake may start now
+	Queue                   // the handshake waits until Release returns its reservation
+	Reject                  // the handshake may not start: the queue is full, or it is speculative
 )
 
-// Reservation is one handshake that goes on or waits.
+// Reservation is a handshake that runs or is queued.
 type Reservation struct {
-	Server string
-	WarmingUp   bool // the server's process is new
-	Speculative  bool // nobody waits for it: it never waits itself, nor stands in the way of who does
+	Server      string
+	WarmingUp   bool // the server is warming up
+	Speculative bool // no request waits for the handshake: it is never queued, and never overtakes a queued one
 
 	started, released bool
 }
 
-// Limiter lets handshakes through. It isn't safe for concurrent use.
+// Limiter admits handshakes with servers within Limits. It is not safe for concurrent use.
 type Limiter struct {
-	limits  Limits
-	perServer     map[string]int // by server
-	total     int
-	queue []*Reservation // in the order of their coming
+	limits    Limits
+	perServer map[string]int // running handshakes by server
+	total     int            // running handshakes
+	queue     []*Reservation // in order of arrival
 }
 
-// NewLimiter returns a gate with nothing going on.
-func NewLimiter(l Limits) *Limiter { return &Limiter{limits: l.withDefaults(), perServer: make(map[string]int)} }
+// NewLimiter returns a limiter without reservations.
+func NewLimiter(limits Limits) *Limiter {
+	return &Limiter{limits: limits.withDefaults(), perServer: make(map[string]int)}
+}
 
-// Acquire is for a handshake. The turn has to be given back by Left, whatever the verdict but Refuse.
-func (g *Limiter) Acquire(t *Reservation) Decision {
-	if g.hasCapacity(t) && !(t.Speculative && len(g.queue) > 0) && !g.hasQueuedFor(t) {
-		g.start(t)
+// Acquire asks for a slot. Every reservation has to be passed to Release, except where the decision is Reject.
+func (l *Limiter) Acquire(r *Reservation) Decision {
+	blocked := r.Speculative && len(l.queue) > 0 || l.hasQueuedFor(r.Server)
+	if !blocked && l.hasCapacity(r) {
+		l.start(r)
 		return Proceed
 	}
-	if t.Speculative || len(g.queue) >= g.limits.MaxQueued { // what nobody waits for can be asked for again
+	if r.Speculative || len(l.queue) >= l.limits.MaxQueued {
 		return Reject
 	}
-	g.queue = append(g.queue, t)
+	l.queue = append(l.queue, r)
 	return Queue
 }
 
-// hasQueuedFor tells whether somebody who came before t waits for the same server.
-func (g *Limiter) hasQueuedFor(t *Reservation) bool {
-	for _, w := range g.queue {
-		if w.Server == t.Server {
+func (l *Limiter) hasQueuedFor(server string) bool {
+	for _, queued := range l.queue {
+		if queued.Server == server {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Limiter) hasCapacity(t *Reservation) bool {
-	most := g.limits.MaxPerServer
-	if t.WarmingUp {
-		most = min(most, g.limits.MaxPerWarmingServer)
+func (l *Limiter) hasCapacity(r *Reservation) bool {
+	limit := l.limits.MaxPerServer
+	if r.WarmingUp {
+		limit = min(limit, l.limits.MaxPerWarmingServer)
 	}
-	return g.total < g.limits.MaxConcurrent && g.perServer[t.Server] < most
+	return l.total < l.limits.MaxConcurrent && l.perServer[r.Server] < limit
 }
 
-func (g *Limiter) start(t *Reservation) {
-	t.started = true
-	g.total++
-	g.perServer[t.Server]++
+func (l *Limiter) start(r *Reservation) {
+	r.started = true
+	l.total++
+	l.perServer[r.Server]++
 }
 
-// Release ends a turn: its handshake is over, or nobody waits for it any more. It returns those whose turn it is now, in
-// the order of their coming: a server at its bound holds up nobody else.
-func (g *Limiter) Release(t *Reservation) (now []*Reservation) {
-	if t.released {
+// Release ends a reservation: its handshake has ended, or is no longer wanted. It returns the queued reservations whose
+// handshakes may start now, in order of arrival; a server at its limit does not block those of other servers.
+// Releasing a reservation a second time has no effect.
+func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
+	if r.released {
 		return nil
 	}
-	t.released = true
-	if t.started {
-		g.total--
-		if g.perServer[t.Server]--; g.perServer[t.Server] == 0 {
-			delete(g.perServer, t.Server)
+	r.released = true
+	if r.started {
+		l.total--
+		l.perServer[r.Server]--
+		if l.perServer[r.Server] == 0 {
+			delete(l.perServer, r.Server)
 		}
 	}
-	kept := g.queue[:0]
-	for _, w := range g.queue {
+	remaining := l.queue[:0]
+	for _, queued := range l.queue {
 		switch {
-		case w.released:
-		case g.hasCapacity(w):
-			g.start(w)
-			now = append(now, w)
+		case queued.released:
+		case l.hasCapacity(queued):
+			l.start(queued)
+			admitted = append(admitted, queued)
 		default:
-			kept = append(kept, w)
+			remaining = append(remaining, queued)
 		}
 	}
-	clear(g.queue[len(kept):])
-	g.queue = kept
-	return now
+	clear(l.queue[len(remaining):])
+	l.queue = remaining
+	return admitted
 }
 
-// Usage is how many handshakes go on, and how many wait.
-func (g *Limiter) Usage() (out, waiting int) { return g.total, len(g.queue) }
+// Usage returns the number of handshakes that run and of those that are queued.
+func (l *Limiter) Usage() (running, queued int) { return l.total, len(l.queue) }
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -7,46 +7,51 @@
 )
 
 const (
-	recentUse = 10 * time.Second // a server that had a request within it will have the next
-	// replacementWindow is the time over which connections that showed a former certificate of ours are given up, so that not
-	// all of them are made anew at once. Nothing is wrong with them: the servers took them.
+	recentUse = 10 * time.Second // a server with a request within it is expected to get another
+	// replacementWindow is the time over which connections that presented a replaced certificate of this node are
+	// replaced, so that they are not all opened anew at once. Replacing them is not urgent: the servers have accepted them.
 	replacementWindow = 30 * time.Second
-	maxPreconnects  = 4   // connections begun in one go
-	maxOpenFraction  = 0.5 // of the connections that may be open: beyond it, none is made ahead
+	maxPreconnects    = 4   // connections started by one call of PreconnectTargets
+	maxOpenFraction   = 0.5 // of the maximum of open connections; none is opened ahead of requests beyond it
 )
 
-// PoolState is what a transport holds for one server.
+// PoolState is the state of a transport's connection pool for one server.
 type PoolState struct {
-	Server  string
-	Idle    int           // connections that could take a request now
-	LastUsed    time.Duration // when it last had a request
-	Used   bool          // it ever had one
-	Unavailable  bool          // it drains, or is refused
-	Connecting int           // connections that are being made
+	Server      string
+	Idle        int           // connections that could take a request now
+	LastUsed    time.Duration // time of the last request
+	Used        bool          // there was a request
+	Unavailable bool          // the server is draining or untrusted
+	Connecting  int           // connections that are being opened ahead of requests
 }
 
-// PreconnectTargets names the servers to which a connection is to be made ahead: those that lately had requests and have none idle,
-// the last used in front. open and most are the transport's connections in all.
-func PreconnectTargets(now time.Duration, pools []PoolState, open, most int) (servers []string) {
-	room := min(maxPreconnects, int(maxOpenFraction*float64(most))-open)
-	if room <= 0 {
+// PreconnectTargets returns the servers to which a connection is to be opened ahead of requests: those used recently
+// that have no idle connection, the last used first. open and maxConns are the transport's open connections and their
+// maximum.
+func PreconnectTargets(now time.Duration, pools []PoolState, open, maxConns int) (servers []string) {
+	slots := min(maxPreconnects, int(maxOpenFraction*float64(maxConns))-open)
+	if slots <= 0 {
 		return nil
 	}
-	var want []PoolState
-	for _, p := range pools {
-		if p.Used && !p.Unavailable && p.Idle == 0 && p.Connecting == 0 && now-p.LastUsed < recentUse {
-			want = append(want, p)
+	var candidates []PoolState
+	for _, pool := range pools {
+		isReady := pool.Idle > 0 || pool.Connecting > 0
+		isExpected := pool.Used && !pool.Unavailable && now-pool.LastUsed < recentUse
+		if isExpected && !isReady {
+			candidates = append(candidates, pool)
 		}
 	}
-	slices.SortFunc(want, func(a, b PoolState) int { return cmp.Or(cmp.Compare(b.LastUsed, a.LastUsed), cmp.Compare(a.Server, b.Server)) })
-	for _, p := range want[:min(room, len(want))] {
-		servers = append(servers, p.Server)
+	slices.SortFunc(candidates, func(a, b PoolState) int {
+		return cmp.Or(cmp.Compare(b.LastUsed, a.LastUsed), cmp.Compare(a.Server, b.Server))
+	})
+	for _, pool := range candidates[:min(slots, len(candidates))] {
+		servers = append(servers, pool.Server)
 	}
 	return servers
 }
 
-// ShouldReplace tells whether a connection to a server is to be given up that showed a certificate of ours which was replaced
-// so long ago: each server has a moment of its own.
-func ShouldReplace(server string, since time.Duration) bool {
-	return since >= time.Duration(hashFraction(server)*float64(replacementWindow))
+// ShouldReplace reports whether a connection to a server is to be replaced, given the time since the certificate that
+// this node presented on it was replaced. Each server has its own moment within the replacement window.
+func ShouldReplace(server string, sinceChange time.Duration) bool {
+	return sinceChange >= time.Duration(hashFraction(server)*float64(replacementWindow))
 }
--- a/handshakes/untrusted.go
+++ b/handshakes/untrusted.go
@@ -8,141 +8,155 @@
 )
 
 const (
-	initialBackoff = 500 * time.Millisecond // after a refusal, doubled each time
-	maxBackoff  = 4 * time.Second        // up to this: a server that is mended is back within seconds
-	jitterFraction  = 0.25                   // of that time by which servers are spread, so that they are not all looked at together
-	recheckAllWithin   = time.Second            // in which all are looked at again once what is trusted has changed
-	// MaxConcurrentRechecks is how many servers are looked at at once.
+	initialBackoff = 500 * time.Millisecond // before the first recheck of a server; doubled by each failed one
+	maxBackoff     = 4 * time.Second
+	jitterFraction = 0.25 // by which backoffs of different servers differ at most, so that they spread
+	// recheckAllWithin is the time within which all servers are rechecked after a change of the trust store.
+	recheckAllWithin = time.Second
+	maxBackoffShift  = 16 // keeps the doubling from overflowing
+	// MaxConcurrentRechecks bounds the rechecks that run at once.
 	MaxConcurrentRechecks = 4
-	// MaxUntrustedServers bounds the servers that are kept. One more fails each time by its handshake.
+	// MaxUntrustedServers bounds the servers in an UntrustedBackoff. Beyond it, each attempt at a server fails by its
+	// own handshake.
 	MaxUntrustedServers = 10_000
 )
 
-// UntrustedServer is why a server gets nothing.
+// UntrustedServer is a server that failed verification. It gets no requests.
 type UntrustedServer struct {
-	Server string        `json:"server"`
-	Reason    string        `json:"why"`
-	Since  time.Duration `json:"-"`
-	Rechecks  int           `json:"looks"` // handshakes since, all in vain
+	Server   string        `json:"server"`
+	Reason   string        `json:"why"`
+	Since    time.Duration `json:"-"`
+	Rechecks int           `json:"looks"` // failed handshakes since
 
-	nextRecheck    time.Duration
-	rechecking bool
+	nextRecheck time.Duration
+	rechecking  bool
 }
 
-// UntrustedBackoff keeps the servers that could not prove who they are. Requests do not go near them; each is looked at again
-// on a schedule of its own, by a handshake without a request. It isn't safe for concurrent use.
+// UntrustedBackoff holds the servers that failed verification. They get no requests; each is rechecked with an
+// exponential backoff by a handshake without a request. It is not safe for concurrent use.
 type UntrustedBackoff struct {
-	servers     map[string]*UntrustedServer
-	rechecking int
+	servers    map[string]*UntrustedServer
+	rechecking int // servers whose recheck is running
 }
 
-// NewUntrustedBackoff returns one without servers.
-func NewUntrustedBackoff() *UntrustedBackoff { return &UntrustedBackoff{servers: make(map[string]*UntrustedServer)} }
+// NewUntrustedBackoff returns a backoff without servers.
+func NewUntrustedBackoff() *UntrustedBackoff {
+	return &UntrustedBackoff{servers: make(map[string]*UntrustedServer)}
+}
 
-// Reason tells whether a server is refused, and why.
-func (r *UntrustedBackoff) Reason(server string) (why string, refused bool) {
-	if x := r.servers[server]; x != nil {
-		return x.Reason, true
+// Reason returns why a server is untrusted, and whether it is.
+func (b *UntrustedBackoff) Reason(server string) (reason string, untrusted bool) {
+	if entry := b.servers[server]; entry != nil {
+		return entry.Reason, true
 	}
 	return "", false
 }
 
-// RecordFailure notes that a server could not prove who it is; first tells that it got requests until now.
-func (r *UntrustedBackoff) RecordFailure(now time.Duration, server, why string) (first bool) {
-	x := r.servers[server]
-	if x == nil {
-		if len(r.servers) >= MaxUntrustedServers {
+// RecordFailure records that a server failed verification. It reports whether the server was trusted until now.
+func (b *UntrustedBackoff) RecordFailure(now time.Duration, server, reason string) (first bool) {
+	entry := b.servers[server]
+	if entry == nil {
+		if len(b.servers) >= MaxUntrustedServers {
 			return false
 		}
-		x = &UntrustedServer{Server: server, Since: now}
-		r.servers[server] = x
+		entry = &UntrustedServer{Server: server, Since: now}
+		b.servers[server] = entry
 		first = true
-	} else if x.rechecking {
-		x.Rechecks++
+	} else if entry.rechecking {
+		entry.Rechecks++
 	}
-	r.endRecheck(x)
-	x.Reason = why
-	if first || now >= x.nextRecheck { // who failed meanwhile was on its way already: that puts nothing off
-		x.nextRecheck = now + withJitter(server, min(maxBackoff, initialBackoff<<min(x.Rechecks, 16)))
+	b.endRecheck(entry)
+	entry.Reason = reason
+	// Handshakes that were already running when the server became untrusted do not postpone its recheck.
+	if first || now >= entry.nextRecheck {
+		backoff := min(maxBackoff, initialBackoff<<min(entry.Rechecks, maxBackoffShift))
+		entry.nextRecheck = now + withJitter(server, backoff)
 	}
 	return first
 }
 
-// endRecheck ends a look, if one goes on.
-func (r *UntrustedBackoff) endRecheck(x *UntrustedServer) {
-	if x.rechecking {
-		x.rechecking = false
-		r.rechecking--
+// endRecheck ends the recheck of a server if one is running.
+func (b *UntrustedBackoff) endRecheck(entry *UntrustedServer) {
+	if entry.rechecking {
+		entry.rechecking = false
+		b.rechecking--
 	}
 }
 
-// RecordSuccess notes that a server has proved who it is; back tells that it was refused until now.
-func (r *UntrustedBackoff) RecordSuccess(server string) (back bool) {
-	x := r.servers[server]
-	if x == nil {
+// RecordSuccess records that a server passed verification. It reports whether the server was untrusted until now.
+func (b *UntrustedBackoff) RecordSuccess(server string) (recovered bool) {
+	entry := b.servers[server]
+	if entry == nil {
 		return false
 	}
-	r.endRecheck(x)
-	delete(r.servers, server)
+	b.endRecheck(entry)
+	delete(b.servers, server)
 	return true
 }
 
-// RecordInconclusive ends a look that came to nothing: there was no answer, or no room to ask.
-func (r *UntrustedBackoff) RecordInconclusive(now time.Duration, server string) {
-	if x := r.servers[server]; x != nil && x.rechecking {
-		r.endRecheck(x)
-		x.nextRecheck = now + withJitter(server, initialBackoff)
+// RecordInconclusive ends a recheck without a result: the server did not answer, or the handshake was not admitted.
+func (b *UntrustedBackoff) RecordInconclusive(now time.Duration, server string) {
+	if entry := b.servers[server]; entry != nil && entry.rechecking {
+		b.endRecheck(entry)
+		entry.nextRecheck = now + withJitter(server, initialBackoff)
 	}
 }
 
-// Forget drops a server that is gone, or another process.
-func (r *UntrustedBackoff) Forget(server string) { r.RecordSuccess(server) }
+// Forget removes a server that was removed or restarted.
+func (b *UntrustedBackoff) Forget(server string) { b.RecordSuccess(server) }
 
-// RecheckAll has all be looked at anew, spread over a while: what is trusted has changed.
-func (r *UntrustedBackoff) RecheckAll(now time.Duration) {
-	for _, x := range r.servers {
-		x.Rechecks = 0
-		x.nextRecheck = min(x.nextRecheck, now+withJitter(x.Server, recheckAllWithin)-recheckAllWithin/2)
+// RecheckAll resets the backoff of all servers and spreads their rechecks over a short time, after a change of the
+// trust store.
+func (b *UntrustedBackoff) RecheckAll(now time.Duration) {
+	for _, entry := range b.servers {
+		entry.Rechecks = 0
+		recheckAt := now + withJitter(entry.Server, recheckAllWithin) - recheckAllWithin/2
+		entry.nextRecheck = min(entry.nextRecheck, recheckAt)
 	}
 }
 
-// StartDue begins the looks that are due, the longest overdue in front, as many as there is room for.
-func (r *UntrustedBackoff) StartDue(now time.Duration) (servers []string) {
-	if r.rechecking >= MaxConcurrentRechecks {
+// StartDue starts the rechecks that are due, the longest overdue first, as far as MaxConcurrentRechecks allows, and
+// returns their servers. Each has to be ended by RecordFailure, RecordSuccess, RecordInconclusive or Forget.
+func (b *UntrustedBackoff) StartDue(now time.Duration) (servers []string) {
+	if b.rechecking >= MaxConcurrentRechecks {
 		return nil
 	}
 	var due []*UntrustedServer
-	for _, x := range r.servers {
-		if !x.rechecking && now >= x.nextRecheck {
-			due = append(due, x)
+	for _, entry := range b.servers {
+		if !entry.rechecking && now >= entry.nextRecheck {
+			due = append(due, entry)
 		}
 	}
-	slices.SortFunc(due, func(a, b *UntrustedServer) int { return cmp.Or(cmp.Compare(a.nextRecheck, b.nextRecheck), cmp.Compare(a.Server, b.Server)) })
-	for _, x := range due[:min(len(due), MaxConcurrentRechecks-r.rechecking)] {
-		x.rechecking = true
-		r.rechecking++
-		servers = append(servers, x.Server)
+	slices.SortFunc(due, func(a, b *UntrustedServer) int {
+		return cmp.Or(cmp.Compare(a.nextRecheck, b.nextRecheck), cmp.Compare(a.Server, b.Server))
+	})
+	slots := MaxConcurrentRechecks - b.rechecking
+	for _, entry := range due[:min(len(due), slots)] {
+		entry.rechecking = true
+		b.rechecking++
+		servers = append(servers, entry.Server)
 	}
 	return servers
 }
 
-// List is all refusals by server.
-func (r *UntrustedBackoff) List() []UntrustedServer {
-	list := make([]UntrustedServer, 0, len(r.servers))
-	for _, x := range r.servers {
-		list = append(list, *x)
+// List returns all untrusted servers, sorted by name.
+func (b *UntrustedBackoff) List() []UntrustedServer {
+	list := make([]UntrustedServer, 0, len(b.servers))
+	for _, entry := range b.servers {
+		list = append(list, *entry)
 	}
 	slices.SortFunc(list, func(a, b UntrustedServer) int { return cmp.Compare(a.Server, b.Server) })
 	return list
 }
 
-// hashFraction is a server's place in a spread: 0 to 1, the same at every time and another for each.
+// hashFraction maps a server to a fixed value from 0 up to 1, different for different servers.
 func hashFraction(server string) float64 {
-	h := fnv.New32a()
-	h.Write([]byte(server))
-	return float64(h.Sum32()) / (1 << 32)
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(server))
+	return float64(hash.Sum32()) / (1 << 32)
 }
 
+// withJitter changes a duration by up to jitterFraction, by the hash of the server.
 func withJitter(server string, d time.Duration) time.Duration {
 	return d + time.Duration(jitterFraction*(2*hashFraction(server)-1)*float64(d))
 }
--- a/internal/frontend/secure/secure.go
+++ b/internal/frontend/secure/secure.go
@@ -134,7 +134,7 @@
 type Conn struct {
 	layer *Layer
 	tcp   *net.TCPConn
-	ended func()                           // hears of the end of its handshake
+	ended func()                          // hears of the end of its handshake
 	heard atomic.Pointer[handshakes.Conn] // of the handshake, once it has begun
 
 	shaking sync.Mutex
@@ -353,10 +353,10 @@
 
 // Stats is how the layer stands.
 type Stats struct {
-	Full     handshakes.Histogram  `json:"full"`
-	Resumed  handshakes.Histogram  `json:"resumed"`
-	Failures map[string]uint64 `json:"failures,omitempty"` // by reason
-	Going    int64             `json:"going"`              // handshakes
+	Full     handshakes.Histogram `json:"full"`
+	Resumed  handshakes.Histogram `json:"resumed"`
+	Failures map[string]uint64    `json:"failures,omitempty"` // by reason
+	Going    int64                `json:"going"`              // handshakes
 }
 
 // Stats tells how the layer stands.
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -32,8 +32,8 @@
 	"time"
 
 	"cobaltward/certificates"
-	"cobaltward/internal/adminapi"
 	"cobaltward/handshakes"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/node"
 	"cobaltward/internal/pki"
 	"cobaltward/router"
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -40,16 +40,16 @@
 
 // Stats is how the layer stands.
 type Stats struct {
-	Full     handshakes.Histogram  `json:"full"`
-	Resumed  handshakes.Histogram  `json:"resumed"`
-	Failures map[string]uint64 `json:"failures,omitempty"` // by reason
-	Going    int               `json:"going"`              // handshakes
-	Waiting  int               `json:"waiting"`
-	Waited   uint64            `json:"waited"`      // handshakes that had to
-	Busy     uint64            `json:"turned_away"` // since too many waited
-	Sessions int               `json:"sessions"`    // kept
-	Refused  int               `json:"refused"`     // servers that get nothing
-	Peers    []Peer            `json:"peers,omitempty"`
+	Full     handshakes.Histogram `json:"full"`
+	Resumed  handshakes.Histogram `json:"resumed"`
+	Failures map[string]uint64    `json:"failures,omitempty"` // by reason
+	Going    int                  `json:"going"`              // handshakes
+	Waiting  int                  `json:"waiting"`
+	Waited   uint64               `json:"waited"`      // handshakes that had to
+	Busy     uint64               `json:"turned_away"` // since too many waited
+	Sessions int                  `json:"sessions"`    // kept
+	Refused  int                  `json:"refused"`     // servers that get nothing
+	Peers    []Peer               `json:"peers,omitempty"`
 }
 
 // Reuse is the part of the handshakes that took a session up again.
