--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -9,7 +9,7 @@
 const (
 	recentUse = 10 * time.Second // a server with a request within it is expected to get another
 	// replacementWindow is the time over which connections that presented a replaced certificate of this node are
-	// replaced, so that they are not all opened anew at once. Replacing them is not urgent: the servers have accepted them.
+	// replaced, so that they are not all opened anew at once. Replacing them is not urgent, since servers accept them.
 	replacementWindow = 30 * time.Second
 	maxPreconnects    = 4   // connections started by one call of PreconnectTargets
 	maxOpenFraction   = 0.5 // of the maximum of open connections; none is opened ahead of requests beyond it
