--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -11,7 +11,6 @@
 
 	"cobaltward/certificates"
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
 
@@ -58,7 +57,7 @@
 type nodeTLS struct {
 	config       TLS
 	log          *slog.Logger
-	cpuBudget    *handshaking.Core
+	cpuBudget    *handshakes.CPUScheduler
 	engine       atomic.Pointer[router.Router]
 	serverLayer  *secure.Layer
 	clientLayer  *frontsecure.Terminator
@@ -73,7 +72,7 @@
 		return nil, nil
 	}
 	s := &nodeTLS{config: *c.TLS, log: log}
-	s.cpuBudget = handshaking.NewCore(s.config.CPUShare, int(math.Ceil(c.Cores)), func() bool {
+	s.cpuBudget = handshakes.NewCPUScheduler(s.config.CPUShare, int(math.Ceil(c.Cores)), func() bool {
 		e := s.engine.Load()
 		return e != nil && e.InFlight() > 0
 	})
@@ -226,7 +225,7 @@
 	if why := s.rejectedFile.Load(); why != nil {
 		st.RejectedFile = *why
 	}
-	st.HandshakeSteps, st.HandshakeTime = s.cpuBudget.Took()
+	st.HandshakeSteps, st.HandshakeTime = s.cpuBudget.Totals()
 	if s.serverLayer != nil {
 		v := s.serverLayer.Stats()
 		st.Servers = &v
