--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -8,53 +8,73 @@
 	"cobaltward/router"
 )
 
-// request reads a call, or says what is wrong with it.
-func (c *conn) request(m msgpackrpc.Message, came time.Time) (router.Request, msgpackrpc.Reply) {
-	bad := func(text string) (router.Request, msgpackrpc.Reply) {
+const (
+	maxBodySize = 64 << 10 // bytes
+	maxTimeout  = time.Hour
+)
+
+// parseRequest converts a call to a request of the router, or returns a reply that says what is wrong with it.
+func (c *conn) parseRequest(message msgpackrpc.Message, receivedAt time.Time) (router.Request, msgpackrpc.Reply) {
+	malformed := func(text string) (router.Request, msgpackrpc.Reply) {
 		return router.Request{}, msgpackrpc.Reply{Code: msgpackrpc.Malformed, Text: text}
 	}
-	if m.Method != msgpackrpc.MethodCall {
-		return bad("no such method")
+	if message.Method != msgpackrpc.MethodCall {
+		return malformed("no such method")
 	}
-	q, err := msgpackrpc.ParseCall(m.Params)
+	call, err := msgpackrpc.ParseCall(message.Params)
 	if err != nil {
-		return bad(err.Error())
+		return malformed(err.Error())
 	}
-	class, ok := c.f.engine.Class(q.Class)
+	class, ok := c.server.engine.Class(call.Class)
 	switch {
 	case !ok:
-		return bad("class: unknown")
-	case q.Timeout <= 0 || q.Timeout > maxWait:
-		return bad("wait_ms: want 1 to 3600000")
-	case len(q.Body) > maxBody:
-		return bad("body: over 64 KiB")
-	case q.Method != "" && q.Method != router.Method(class):
-		return bad("method: this class takes " + router.Method(class))
-	case len(q.Body) > 0 && router.Method(class) == "GET":
-		return bad("body: a class that is safe to repeat has none")
+		return malformed("class: unknown")
+	case call.Timeout <= 0 || call.Timeout > maxTimeout:
+		return malformed("wait_ms: want 1 to 3600000")
+	case len(call.Body) > maxBodySize:
+		return malformed("body: over 64 KiB")
+	case call.Method != "" && call.Method != router.Method(class):
+		return malformed("method: this class takes " + router.Method(class))
+	case len(call.Body) > 0 && router.Method(class) == "GET":
+		return malformed("body: a class that is safe to repeat has none")
 	}
 	return router.Request{
-		ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, IdempotencyKey: q.IdempotencyKey, Timeout: q.Timeout, ReceivedAt: came, ClassSnapshot: &class,
-		CostHint: q.CostHint, IsRetry: q.IsRetry, Method: q.Method, Target: q.Target, Authority: q.Authority, ContentType: q.ContentType, Body: q.Body,
+		ID: call.ID, Class: call.Class, ClassSnapshot: &class, Tenant: call.Tenant,
+		Key: call.Key, IdempotencyKey: call.IdempotencyKey, IsRetry: call.IsRetry, CostHint: call.CostHint,
+		ReceivedAt: receivedAt, Timeout: call.Timeout,
+		Method: call.Method, Target: call.Target, Authority: call.Authority,
+		ContentType: call.ContentType, Body: call.Body,
 	}, msgpackrpc.Reply{}
 }
 
-// ReplyFromAnswer is how an engine's answer is told.
-func ReplyFromAnswer(a router.Answer, err error) msgpackrpc.Reply {
+// ReplyFromAnswer converts what Engine.Do returned to a reply.
+func ReplyFromAnswer(answer router.Answer, err error) msgpackrpc.Reply {
 	var invalid *router.InvalidError
 	switch {
 	case errors.As(err, &invalid):
 		return msgpackrpc.Reply{Code: msgpackrpc.Malformed, Text: invalid.Field + ": " + invalid.Problem}
-	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // it was not taken
+	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // not forwarded
 		return msgpackrpc.Reply{Code: msgpackrpc.Overloaded}
 	case err != nil:
 		return msgpackrpc.Reply{Code: msgpackrpc.Expired}
-	case a.Outcome == router.Served:
-		return msgpackrpc.Reply{Body: a.Body, ContentType: a.ContentType}
+	case answer.Outcome == router.Served:
+		return msgpackrpc.Reply{Body: answer.Body, ContentType: answer.ContentType}
+	}
+	return msgpackrpc.Reply{Code: codeOf(answer.Outcome), RetryAfter: answer.RetryAfter}
+}
+
+func codeOf(outcome router.Outcome) msgpackrpc.Code {
+	switch outcome {
+	case router.Rejected:
+		return msgpackrpc.Rejected
+	case router.Overloaded:
+		return msgpackrpc.Overloaded
+	case router.Failed:
+		return msgpackrpc.Failed
+	case router.Expired:
+		return msgpackrpc.Expired
+	case router.Conflict:
+		return msgpackrpc.Conflict
 	}
-	code := map[router.Outcome]msgpackrpc.Code{
-		router.Rejected: msgpackrpc.Rejected, router.Overloaded: msgpackrpc.Overloaded,
-		router.Failed: msgpackrpc.Failed, router.Expired: msgpackrpc.Expired, router.Conflict: msgpackrpc.Conflict,
-	}[a.Outcome]
-	return msgpackrpc.Reply{Code: code, RetryAfter: a.RetryAfter}
+	return ""
 }
--- /dev/null
+++ b/internal/frontend/msgpack/connwrite.go
@@ -0,0 +1,95 @@
+package msgpack
+
+import (
+	"time"
+
+	"cobaltward/msgpackrpc"
+	"cobaltward/msgpackrpc/stream"
+)
+
+// write writes notifications and answers, in batches, until the connection ends.
+func (c *conn) write() {
+	defer close(c.writerDone)
+	var buf []byte
+	var batch []answer
+	for range c.wake {
+		buf, batch = c.takeQueued(buf, batch)
+		answers := 0 // in buf
+		for i := range batch {
+			buf = msgpackrpc.AppendReply(buf, batch[i].msgid, &batch[i].reply)
+			batch[i] = answer{} // releases the body
+			answers++
+			if len(buf) >= stream.MaxBatch {
+				if !c.flush(buf, answers) {
+					return
+				}
+				buf, answers = buf[:0], 0
+			}
+		}
+		if !c.flush(buf, answers) {
+			return
+		}
+		if c.isFinished() {
+			c.closeWriteSide()
+			return
+		}
+		buf = stream.Recycle(buf)
+	}
+}
+
+// takeQueued returns the notifications, encoded, and the answers that are to be written. It reuses the given buffers.
+func (c *conn) takeQueued(buf []byte, batch []answer) ([]byte, []answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	buf = append(buf[:0], c.notifications...)
+	c.notifications = nil
+	batch, c.queue = c.queue, batch[:0]
+	return buf, batch
+}
+
+// flush writes a batch, and frees the call slots of its answers. It returns false if the write fails.
+func (c *conn) flush(buf []byte, answers int) bool {
+	if len(buf) == 0 {
+		return true
+	}
+	_, err := stream.WriteBatch(c.nc, buf, c.server.config.WriteTimeout)
+	for range answers {
+		<-c.callSlots
+	}
+	c.mu.Lock()
+	c.unwritten -= answers
+	idle := c.idle()
+	if idle && c.messageStartedAt.IsZero() && !c.writeClosed { // the reader may be waiting without a deadline
+		_ = c.nc.SetReadDeadline(time.Now().Add(c.server.config.IdleTimeout))
+	}
+	c.mu.Unlock()
+	if idle {
+		c.server.connIdle()
+	}
+	if err != nil {
+		c.closeSocket() // which ends the reader
+	}
+	return err == nil
+}
+
+// isFinished reports whether nothing is left to write and the connection is to be closed.
+func (c *conn) isFinished() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.idle() || len(c.notifications) > 0 {
+		return false
+	}
+	return c.closing || c.draining && time.Since(c.drainNotifiedAt) >= drainGrace
+}
+
+// closeWriteSide ends the sending, and gives the client some time to close its side.
+func (c *conn) closeWriteSide() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writeClosed = true
+	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+		_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
+		return
+	}
+	c.closeSocket()
+}
--- /dev/null
+++ b/internal/frontend/msgpack/server.go
@@ -0,0 +1,239 @@
+// Package msgpack accepts requests over the protocol of docs/msgpack-rpc.md. Its Server is a router.Listener.
+package msgpack
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cobaltward/internal/sockets"
+	"cobaltward/policy"
+	"cobaltward/router"
+)
+
+// Engine is what a server needs of a *router.Router. If it also has QueuePatience or RejectOverloaded, as that has,
+// they are used.
+type Engine interface {
+	Do(ctx context.Context, req router.Request) (router.Answer, error)
+	Class(name string) (policy.Class, bool)
+}
+
+// Config limits what clients may use. Zero fields have the defaults.
+type Config struct {
+	MaxConns       int           // connections; default 256
+	MaxCalls       int           // open calls on a connection, beyond which it is not read; default 64
+	IdleTimeout    time.Duration // of a connection without an open call; default 15s
+	MessageTimeout time.Duration // from the first byte of a message to its last; default 2.5s
+	WriteTimeout   time.Duration // of a write to a client that does not read; default 5s
+	Log            *slog.Logger  // nil: nothing is logged
+}
+
+const (
+	defaultMaxConns       = 256
+	defaultMaxCalls       = 64
+	defaultIdleTimeout    = 15 * time.Second
+	defaultMessageTimeout = 2500 * time.Millisecond
+	defaultWriteTimeout   = 5 * time.Second
+)
+
+func (c Config) withDefaults() Config {
+	c.MaxConns = orDefault(c.MaxConns, defaultMaxConns)
+	c.MaxCalls = orDefault(c.MaxCalls, defaultMaxCalls)
+	c.IdleTimeout = orDefault(c.IdleTimeout, defaultIdleTimeout)
+	c.MessageTimeout = orDefault(c.MessageTimeout, defaultMessageTimeout)
+	c.WriteTimeout = orDefault(c.WriteTimeout, defaultWriteTimeout)
+	return c
+}
+
+func orDefault[T int | time.Duration](value, fallback T) T {
+	if value <= 0 {
+		return fallback
+	}
+	return value
+}
+
+// ErrClosed is what Serve returns after Shutdown, StopAccepting or Close.
+var ErrClosed = errors.New("msgpack server: closed")
+
+// Server accepts calls. It is safe for concurrent use.
+type Server struct {
+	engine Engine
+	config Config
+
+	mu             sync.Mutex
+	slotFreed      sync.Cond              // a connection has ended or become idle, or accepting has stopped
+	waitingForSlot atomic.Int32           // connections
+	listeners      map[*net.Listener]bool // by pointer, because a listener's type need not be comparable
+	conns          map[*conn]bool
+	draining       bool
+	closed         bool
+	serving        sync.WaitGroup
+	stats          Stats
+}
+
+// Stats is what a server counts.
+type Stats struct {
+	Conns, Open    int    // connections and open calls at present
+	Calls          uint64 // received
+	ProtocolErrors uint64 // connections closed because the client violated the protocol
+	Evicted        uint64 // idle connections closed in favour of others
+}
+
+// New returns a server that passes calls to an engine.
+func New(engine Engine, config Config) *Server {
+	server := &Server{
+		engine:    engine,
+		config:    config.withDefaults(),
+		listeners: make(map[*net.Listener]bool),
+		conns:     make(map[*conn]bool),
+	}
+	server.slotFreed.L = &server.mu
+	return server
+}
+
+// Serve accepts connections until Shutdown, StopAccepting or Close, and then returns ErrClosed. It closes the listener.
+func (s *Server) Serve(ln net.Listener) error {
+	ln = sockets.NewPersistentListener(ln, s.config.Log)
+	defer func() { _ = ln.Close() }()
+	if !s.addListener(&ln) {
+		return ErrClosed
+	}
+	defer s.removeListener(&ln)
+	var queueEmptyAt time.Time // connections accepted later cannot have arrived earlier
+	for {
+		began := time.Now()
+		nc, err := ln.Accept()
+		if err != nil {
+			if s.isStopped() {
+				return ErrClosed
+			}
+			return err
+		}
+		if now := time.Now(); queueEmptyAt.IsZero() || sockets.HadToWait(began, now) {
+			queueEmptyAt = now
+		}
+		if !s.admit(nc, queueEmptyAt) {
+			_ = nc.Close()
+			return ErrClosed
+		}
+	}
+}
+
+// addListener reports whether the listener may accept.
+func (s *Server) addListener(ln *net.Listener) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.draining || s.closed {
+		return false
+	}
+	s.listeners[ln] = true
+	return true
+}
+
+func (s *Server) removeListener(ln *net.Listener) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.listeners, ln)
+}
+
+func (s *Server) isStopped() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.draining || s.closed
+}
+
+// Stats returns what the server has counted.
+func (s *Server) Stats() Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := s.stats
+	stats.Conns = len(s.conns)
+	for conn := range s.conns {
+		stats.Open += conn.openCalls()
+	}
+	return stats
+}
+
+// count increments a counter of s.stats.
+func (s *Server) count(counter *uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	*counter++
+}
+
+// Connections returns the number of connections, and of those that have an open call.
+func (s *Server) Connections() (open, busy int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn := range s.conns {
+		open++
+		if conn.openCalls() > 0 {
+			busy++
+		}
+	}
+	return open, busy
+}
+
+// Shutdown stops accepting, as StopAccepting does, and returns when all connections have ended. When ctx ends first, it
+// closes the others, and returns ctx's error.
+func (s *Server) Shutdown(ctx context.Context) error {
+	s.StopAccepting()
+	ended := make(chan struct{})
+	go func() {
+		s.serving.Wait()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+		return nil
+	case <-ctx.Done():
+		s.Close()
+		<-ended
+		return ctx.Err()
+	}
+}
+
+// StopAccepting closes the listeners and notifies clients of the drain, without waiting. Calls that are open are
+// answered, calls that arrive later are rejected, and each connection ends with its last answer.
+func (s *Server) StopAccepting() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
+	s.closeListeners()
+	for conn := range s.conns {
+		conn.drain()
+	}
+	s.slotFreed.Broadcast()
+}
+
+// ResumeAccepting allows Serve to be called again, with another listener. Connections that were notified of the drain
+// still end with their last answer.
+func (s *Server) ResumeAccepting() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = false
+	return nil
+}
+
+// Close closes all listeners and connections, which cancels open calls, and waits for their end.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.closeListeners()
+	for conn := range s.conns {
+		conn.closeSocket()
+	}
+	s.slotFreed.Broadcast()
+	s.mu.Unlock()
+	s.serving.Wait()
+}
+
+func (s *Server) closeListeners() {
+	for ln := range s.listeners {
+		_ = (*ln).Close()
+	}
+}
--- /dev/null
+++ b/internal/frontend/msgpack/slots.go
@@ -0,0 +1,122 @@
+package msgpack
+
+import (
+	"net"
+	"time"
+
+	"cobaltward/msgpackrpc"
+	"cobaltward/router"
+)
+
+const (
+	// overflowConns is how many connections are accepted beyond MaxConns for their calls to be rejected.
+	overflowConns = 4
+	// firstCallGrace is how long an overflow connection is not evicted before its first call has arrived.
+	firstCallGrace = 100 * time.Millisecond
+	// slotRecheckInterval is the shortest time between two checks whether an overflow connection may be accepted.
+	slotRecheckInterval = 5 * time.Millisecond
+	// defaultQueuePatience is how long connections wait for a slot if the engine has no QueuePatience.
+	defaultQueuePatience = 300 * time.Millisecond
+)
+
+// admit starts serving a connection that did not arrive before earliest. If there are too many, it waits until one of
+// them ends or can be evicted. It returns false if the server stops meanwhile.
+func (s *Server) admit(nc net.Conn, earliest time.Time) bool {
+	conn := newConn(s, nc, earliest)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.waitingForSlot.Add(1) // before evict looks for idle connections, so that none becomes idle unnoticed
+	s.awaitSlot(conn, earliest)
+	s.waitingForSlot.Add(-1)
+	if s.draining || s.closed {
+		return false
+	}
+	s.conns[conn] = true
+	s.serving.Go(conn.serve)
+	return true
+}
+
+// awaitSlot waits until there is a slot for a connection. After the engine's queue patience, up to overflowConns
+// connections are accepted without a slot, and their calls rejected: clients in the listen backlog get an answer in
+// time.
+func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
+	for len(s.conns) >= s.config.MaxConns && !s.draining && !s.closed {
+		if s.evict() {
+			continue
+		}
+		patience := s.queuePatience() - time.Since(earliest)
+		if patience <= 0 && len(s.conns) < s.config.MaxConns+overflowConns {
+			conn.overflow = true
+			return
+		}
+		recheck := time.AfterFunc(max(patience, slotRecheckInterval), s.wakeWaiting)
+		s.slotFreed.Wait()
+		recheck.Stop()
+	}
+}
+
+func (s *Server) queuePatience() time.Duration {
+	if engine, ok := s.engine.(interface{ QueuePatience() time.Duration }); ok {
+		return engine.QueuePatience()
+	}
+	return defaultQueuePatience
+}
+
+// rejectsOverflow reports whether a connection is an overflow connection, and still has no slot.
+func (s *Server) rejectsOverflow(conn *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	conn.overflow = conn.overflow && len(s.conns) > s.config.MaxConns
+	return conn.overflow
+}
+
+// overloadedReply is the answer to a call on an overflow connection.
+func (s *Server) overloadedReply(class string) msgpackrpc.Reply {
+	answer := router.Answer{Outcome: router.Overloaded}
+	if engine, ok := s.engine.(interface {
+		RejectOverloaded(class string) router.Answer
+	}); ok {
+		answer = engine.RejectOverloaded(class)
+	}
+	return ReplyFromAnswer(answer, nil)
+}
+
+// wakeWaiting has awaitSlot check its conditions again.
+func (s *Server) wakeWaiting() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.slotFreed.Broadcast()
+}
+
+// connIdle is called when a connection has become idle, and may be evicted.
+func (s *Server) connIdle() {
+	if s.waitingForSlot.Load() > 0 {
+		s.wakeWaiting()
+	}
+}
+
+// evict closes the connection that has been idle for longest. It returns false if none is idle.
+func (s *Server) evict() bool {
+	var oldest *conn
+	var oldestIdleSince time.Time
+	for conn := range s.conns {
+		if at, ok := conn.evictableSince(); ok && (oldest == nil || at.Before(oldestIdleSince)) {
+			oldest, oldestIdleSince = conn, at
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	s.stats.Evicted++
+	delete(s.conns, oldest)
+	oldest.closeSocket()
+	return true
+}
+
+// release frees the slot of a connection that has ended.
+func (s *Server) release(conn *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
+	s.slotFreed.Broadcast()
+}
