--- a/internal/operations/listener.go
+++ b/internal/operations/listener.go
@@ -1,83 +1,93 @@
 package operations
 
 import (
-	linked "container/list"
+	"container/list"
 	"net"
 	"net/http"
 	"sync"
 )
 
-// listener lets callers in, so many at once. It guards the console against callers who connect and finish no call:
-// they hold a slot for headFor at most, and less where somebody else comes.
-type listener struct {
+// evictingListener limits the connections that are open at once. If all are in use, a new connection replaces the one
+// that has waited longest without sending a complete call, so that clients that never complete a call keep nobody
+// from calling. If all calls are complete, Accept waits until one is answered.
+type evictingListener struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mu      sync.Mutex
-	room    sync.Cond
-	open    map[net.Conn]*linked.Element // its place in waiting; nil where its call is whole
-	waiting linked.List                  // of the net.Conn without a whole call, the longest so in front
-	closed  bool
+	mu         sync.Mutex
+	slotFreed  sync.Cond
+	open       map[net.Conn]*list.Element // element of incomplete; nil once the call is complete
+	incomplete list.List                  // of net.Conn whose call is incomplete, oldest first
+	closed     bool
 }
 
-func newListener(ln net.Listener, most int) *listener {
-	l := &listener{Listener: ln, most: most, open: make(map[net.Conn]*linked.Element)}
-	l.room.L = &l.mu
+func newEvictingListener(inner net.Listener, maxConns int) *evictingListener {
+	l := &evictingListener{Listener: inner, maxConns: maxConns, open: make(map[net.Conn]*list.Element)}
+	l.slotFreed.L = &l.mu
 	return l
 }
 
-func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (l *evictingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.open) >= l.most && !l.closed {
-		if oldest := l.waiting.Front(); oldest != nil {
-			out := oldest.Value.(net.Conn)
-			l.forget(out)
-			out.Close()
-			continue
+	for len(l.open) >= l.maxConns && !l.closed {
+		if !l.evictOldest() {
+			l.slotFreed.Wait()
 		}
-		l.room.Wait() // each is being answered
 	}
-	l.open[c] = l.waiting.PushBack(c)
-	return c, nil
+	l.open[conn] = l.incomplete.PushBack(conn)
+	return conn, nil
 }
 
-func (l *listener) Close() error {
+// evictOldest closes the oldest connection without a complete call, and reports whether there was one. The caller
+// holds the mutex.
+func (l *evictingListener) evictOldest() bool {
+	oldest := l.incomplete.Front()
+	if oldest == nil {
+		return false
+	}
+	conn := oldest.Value.(net.Conn)
+	l.release(conn)
+	_ = conn.Close()
+	return true
+}
+
+func (l *evictingListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.room.Broadcast()
+	l.slotFreed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
-// change follows a caller's connection.
-func (l *listener) change(c net.Conn, state http.ConnState) {
+// handleStateChange is the ConnState hook of the HTTP server.
+func (l *evictingListener) handleStateChange(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		if e := l.open[c]; e != nil {
-			l.waiting.Remove(e)
-			l.open[c] = nil
+		if element := l.open[conn]; element != nil {
+			l.incomplete.Remove(element)
+			l.open[conn] = nil
 		}
 	case http.StateClosed, http.StateHijacked:
-		l.forget(c)
+		l.release(conn)
 	}
 }
 
-// forget gives a slot back.
-func (l *listener) forget(c net.Conn) {
-	e, ok := l.open[c]
+// release frees the slot of a connection. The caller holds the mutex.
+func (l *evictingListener) release(conn net.Conn) {
+	element, ok := l.open[conn]
 	if !ok {
 		return
 	}
-	if e != nil {
-		l.waiting.Remove(e)
+	if element != nil {
+		l.incomplete.Remove(element)
 	}
-	delete(l.open, c)
-	l.room.Signal()
+	delete(l.open, conn)
+	l.slotFreed.Signal()
 }
--- a/internal/operations/server.go
+++ b/internal/operations/server.go
@@ -1,6 +1,6 @@
-// Package operations is the second address of a node, for who runs it: whether the process can serve, its figures,
-// and taking it out and back. It decides nothing, and nothing on its way waits for requests: what it shows was
-// published already, and orders go to whoever decides on drains.
+// Package operations serves the operations endpoint: a second address of a node on which operators ask whether the
+// process can serve, read its metrics, and take the node out of service and back. It decides nothing, and no handler
+// waits for requests in flight: metrics are published in advance, and the node carries out drains.
 package operations
 
 import (
@@ -10,131 +10,82 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
 
 	"cobaltward/internal/sockets"
 )
 
 const (
-	// headFor bounds how long a caller may take for its call: none waits longer than a second for the answer.
-	headFor  = time.Second
-	writeFor = time.Second
-	maxHead  = 4 << 10
-	// slots bounds the callers at once. Where all are taken, the one that has been without a whole call for
-	// longest makes room, so that those who finish none keep nobody out.
-	slots = 12
+	readTimeout     = time.Second // bounds how long a stalled client keeps its connection
+	writeTimeout    = time.Second
+	shutdownTimeout = 100 * time.Millisecond // for calls that are being answered at Close
+	maxHeaderBytes  = 4 << 10
+	maxConns        = 12 // open at once
 )
 
-// MaxDescriptors is how many descriptors a console takes at most: its callers, its listener and one that is being let in.
-const MaxDescriptors = slots + 2
+// MaxDescriptors is the number of descriptors that a server uses at most: its connections, its listener and a
+// connection that is being accepted.
+const MaxDescriptors = maxConns + 2
 
-// Node is what the console shows and drives. None of its methods may wait for requests.
+// Node is what the endpoint shows and changes. Its methods must not block, and may be called from several goroutines
+// at once.
 type Node interface {
-	Serving() bool                    // this process can serve
-	AppendMetrics(page []byte) []byte // appends the figures, a line each
-	Standby() error                   // empty the node
-	Active() error                    // back to work
+	Serving() bool                    // reports whether this process can serve
+	AppendMetrics(page []byte) []byte // appends the metrics, one line each
+	Standby() error                   // starts to drain the node
+	Active() error                    // cancels the drain
 }
 
-// Server answers calls. Make one with Open.
+// Server serves the operations endpoint. Serve returns one.
 type Server struct {
-	ln     *listener
-	server *http.Server
-	ended  chan struct{}
+	listener *evictingListener
+	http     *http.Server
+	stopped  chan struct{} // closed when the goroutine that serves has ended
 }
 
-// Listen listens. Calls wait until Serve.
-func Listen(addr string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", addr)
+// Listen listens at an address. Connections wait in the accept queue until Serve is called.
+func Listen(address string) (net.Listener, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return ln, nil
+	return listener, nil
 }
 
-// Serve answers calls on the listener until Close.
-func Serve(ln net.Listener, n Node, log *slog.Logger) *Server {
-	c := &Server{ln: newListener(sockets.NewPersistentListener(ln, log), slots), ended: make(chan struct{})}
-	c.server = &http.Server{
-		Handler: handler(n), ReadTimeout: headFor, ReadHeaderTimeout: headFor, WriteTimeout: headFor + writeFor,
-		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnState: c.ln.change,
+// Serve starts to serve a listener. The caller has to close the server, which closes the listener.
+func Serve(listener net.Listener, node Node, log *slog.Logger) *Server {
+	evicting := newEvictingListener(sockets.NewPersistentListener(listener, log), maxConns)
+	server := &Server{
+		listener: evicting,
+		http: &http.Server{
+			Handler:           newHandler(node),
+			ReadTimeout:       readTimeout,
+			ReadHeaderTimeout: readTimeout,
+			WriteTimeout:      readTimeout + writeTimeout, // counted from the header on
+			MaxHeaderBytes:    maxHeaderBytes,
+			ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+			ConnState:         evicting.handleStateChange,
+		},
+		stopped: make(chan struct{}),
 	}
-	c.server.SetKeepAlivesEnabled(false) // one call to a connection
+	server.http.SetKeepAlivesEnabled(false) // a connection takes one call
 	go func() {
-		defer close(c.ended)
-		if err := c.server.Serve(c.ln); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("console: no calls are answered any more", "err", err)
+		defer close(server.stopped)
+		if err := server.http.Serve(evicting); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("operations server stopped", "err", err)
 		}
 	}()
-	return c
+	return server
 }
 
-// lastFor is how long calls may take that are on their way when the console ends.
-const lastFor = 100 * time.Millisecond
-
-// Close ends the console.
-func (c *Server) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), lastFor)
+// Close stops the server. Calls that are being answered have shutdownTimeout to end.
+func (s *Server) Close() error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := c.server.Shutdown(ctx)
+	err := s.http.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = c.server.Close()
+		err = s.http.Close()
 	}
-	<-c.ended
+	<-s.stopped
 	return err
 }
-
-// handler takes exactly the calls that there are.
-func handler(n Node) http.Handler {
-	calls := map[string]struct {
-		method string
-		answer func(w http.ResponseWriter)
-	}{
-		"/status": {http.MethodGet, func(w http.ResponseWriter) {
-			if !n.Serving() {
-				reply(w, http.StatusServiceUnavailable, "this process can't serve")
-				return
-			}
-			reply(w, http.StatusOK, "serving")
-		}},
-		"/status/metrics": {http.MethodGet, func(w http.ResponseWriter) {
-			page := n.AppendMetrics(make([]byte, 0, 1024))
-			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			w.Header().Set("Content-Length", strconv.Itoa(len(page)))
-			_, _ = w.Write(page) // the caller may have left
-		}},
-		"/standby": {http.MethodPut, order(n.Standby, "emptying the node")},
-		"/active":  {http.MethodPut, order(n.Active, "back to work")},
-	}
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		call, ok := calls[r.URL.Path]
-		switch {
-		case !ok:
-			reply(w, http.StatusNotFound, "no such call: there are GET /status, GET /status/metrics, PUT /standby and PUT /active")
-		case r.Method != call.method:
-			w.Header().Set("Allow", call.method)
-			reply(w, http.StatusMethodNotAllowed, r.URL.Path+" takes "+call.method)
-		default:
-			call.answer(w)
-		}
-	})
-}
-
-func order(do func() error, done string) func(http.ResponseWriter) {
-	return func(w http.ResponseWriter) {
-		if err := do(); err != nil {
-			reply(w, http.StatusConflict, err.Error())
-			return
-		}
-		reply(w, http.StatusOK, done)
-	}
-}
-
-func reply(w http.ResponseWriter, status int, line string) {
-	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1))
-	w.WriteHeader(status)
-	_, _ = w.Write([]byte(line + "\n")) // the caller may have left
-}
--- a/internal/operations/server_test.go
+++ b/internal/operations/server_test.go
@@ -20,54 +20,74 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-type node struct{ serving, standby atomic.Bool }
+type fakeNode struct{ serving, standby atomic.Bool }
 
-func (n *node) Serving() bool                    { return n.serving.Load() }
-func (n *node) AppendMetrics(page []byte) []byte { return append(page, "inflight=14\n"...) }
-func (n *node) Active() error                    { n.standby.Store(false); return nil }
+func (n *fakeNode) Serving() bool                    { return n.serving.Load() }
+func (n *fakeNode) AppendMetrics(page []byte) []byte { return append(page, "inflight=14\n"...) }
+func (n *fakeNode) Active() error                    { n.standby.Store(false); return nil }
 
-func (n *node) Standby() error {
+func (n *fakeNode) Standby() error {
 	if n.standby.Swap(true) {
 		return errors.New("the process is ending")
 	}
 	return nil
 }
 
-func open(t *testing.T, n Node) string {
-	ln, err := Listen("127.0.0.1:0")
+// startServer serves a node until the test ends, and returns the address.
+func startServer(t *testing.T, node Node) string {
+	t.Helper()
+	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := Serve(ln, n, slog.New(slog.DiscardHandler))
+	server := Serve(listener, node, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
-		if err := c.Close(); err != nil {
+		if err := server.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
-// raw sends bytes and returns all that comes back until the console closes.
-func raw(t *testing.T, addr, call string) string {
+// dial connects to an address until the test ends.
+func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_, _ = io.WriteString(c, call)
-	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	all, err := io.ReadAll(c)
-	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-		t.Fatalf("%q: the connection stays", call)
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// exchange sends bytes, and returns all that is received until the server closes the connection.
+func exchange(t *testing.T, address, call string) string {
+	t.Helper()
+	conn := dial(t, address)
+	defer func() { _ = conn.Close() }()
+	_, _ = io.WriteString(conn, call) // the server may have closed the connection already
+	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	received, err := io.ReadAll(conn)
+	if isTimeout(err) {
+		t.Fatalf("%q: the connection stays open", call)
 	}
-	return string(all)
+	return string(received)
 }
 
-func TestCalls(t *testing.T) {
-	n := new(node)
-	addr := open(t, n)
-	for _, x := range []struct{ call, want, also string }{
+const statusCall = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"
+
+// TestServer_Calls checks the answers to valid, unknown and malformed calls, one after another.
+func TestServer_Calls(t *testing.T) {
+	node := new(fakeNode)
+	address := startServer(t, node)
+	for _, test := range []struct{ call, status, contains string }{
 		{"GET /status", "503 ", ""},
 		{"PUT /standby", "200 ", ""},
 		{"PUT /standby", "409 ", "is ending"},
@@ -80,109 +100,107 @@
 		{"PUT /status", "405 ", "Allow: GET"},
 		{"HEAD /status/metrics", "405 ", "Allow: GET"},
 	} {
-		got := raw(t, addr, x.call+" HTTP/1.1\r\nHost: x\r\n\r\n")
-		if !strings.HasPrefix(got, "HTTP/1.1 "+x.want) || !strings.Contains(got, x.also) || !strings.Contains(got, "Connection: close") {
-			t.Errorf("%s: %q", x.call, got)
+		answer := exchange(t, address, test.call+" HTTP/1.1\r\nHost: x\r\n\r\n")
+		if !strings.HasPrefix(answer, "HTTP/1.1 "+test.status) || !strings.Contains(answer, test.contains) ||
+			!strings.Contains(answer, "Connection: close") {
+			t.Errorf("%s: %q", test.call, answer)
 		}
 	}
-	n.serving.Store(true)
-	if got := raw(t, addr, "GET /status HTTP/1.1\r\nHost: x\r\n\r\nGET /status HTTP/1.1\r\nHost: x\r\n\r\n"); strings.Count(got, "HTTP/1.1 200") != 1 {
-		t.Errorf("two calls on one connection: %q", got)
+	node.serving.Store(true)
+	if answer := exchange(t, address, statusCall+statusCall); strings.Count(answer, "HTTP/1.1 200") != 1 {
+		t.Errorf("two calls on one connection: %q", answer)
 	}
-	for what, call := range map[string]string{"broken": "GET /status\r\n\r\n", "too long": "GET /status HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 16<<10) + "\r\n\r\n"} {
-		if got := raw(t, addr, call); !strings.HasPrefix(got, "HTTP/1.1 4") {
-			t.Errorf("%s: %q", what, got)
+	for name, call := range map[string]string{
+		"broken":   "GET /status\r\n\r\n",
+		"too long": "GET /status HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 16<<10) + "\r\n\r\n",
+	} {
+		if answer := exchange(t, address, call); !strings.HasPrefix(answer, "HTTP/1.1 4") {
+			t.Errorf("%s: %q", name, answer)
 		}
 	}
 }
 
-// Callers who connect and finish no call, more of them than there are slots, and anew all the time: a whole call is
-// answered all the same, and none of them is kept for longer than a head may take.
-func TestStalledCallers(t *testing.T) {
-	n := new(node)
-	n.serving.Store(true)
-	addr := open(t, n)
+// TestServer_StalledClients opens three times as many connections as there may be, none with a complete call. It
+// checks that complete calls are still answered, and that the server closes all stalled connections in the end.
+func TestServer_StalledClients(t *testing.T) {
+	node := new(fakeNode)
+	node.serving.Store(true)
+	address := startServer(t, node)
 	var stalled []net.Conn
-	for i := range 3 * slots {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+	for i := range 3 * maxConns {
+		conn := dial(t, address)
 		if i%2 == 0 {
-			_, _ = io.WriteString(c, "GET /sta")
+			_, _ = io.WriteString(conn, "GET /sta") // the server may have closed the connection already
 		}
-		stalled = append(stalled, c)
-		if i%slots == slots-1 {
-			if got := raw(t, addr, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 200") {
-				t.Fatalf("behind %d: %q", i+1, got)
+		stalled = append(stalled, conn)
+		if i%maxConns == maxConns-1 {
+			if answer := exchange(t, address, statusCall); !strings.HasPrefix(answer, "HTTP/1.1 200") {
+				t.Fatalf("after %d stalled connections: %q", i+1, answer)
 			}
 		}
 	}
-	for i, c := range stalled {
-		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.ReadAll(c); err != nil {
-			if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-				t.Fatalf("stalled caller %d is kept", i)
-			}
+	for i, conn := range stalled {
+		if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.ReadAll(conn); isTimeout(err) {
+			t.Fatalf("stalled connection %d stays open", i)
 		}
 	}
 }
 
-// Slots are bounded, and one who has a whole call in is not thrown out for another.
-func TestSlots(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// TestEvictingListener_KeepsCompleteCalls checks that a new connection replaces the oldest without a complete call,
+// and waits if all calls are complete.
+func TestEvictingListener_KeepsCompleteCalls(t *testing.T) {
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(ln, 2)
-	defer l.Close()
-	come := func() net.Conn {
-		out, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { out.Close() })
-		in, err := l.Accept()
+	listener := newEvictingListener(inner, 2)
+	defer func() { _ = listener.Close() }()
+	connect := func() net.Conn {
+		t.Helper()
+		dial(t, inner.Addr().String())
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { in.Close() })
-		return in
+		t.Cleanup(func() { _ = conn.Close() })
+		return conn
 	}
-	first, second := come(), come()
-	l.change(first, http.StateActive)
-	third := come()
-	if _, kept := l.open[first]; !kept || len(l.open) != 2 {
-		t.Errorf("%d hold a slot; the one being answered among them: %v", len(l.open), kept)
+	first, second := connect(), connect()
+	listener.handleStateChange(first, http.StateActive)
+	third := connect()
+	if _, isOpen := listener.open[first]; !isOpen || len(listener.open) != 2 {
+		t.Errorf("%d connections are open; the one with a complete call among them: %v", len(listener.open), isOpen)
 	}
 	if _, err := second.Write([]byte("x")); err == nil {
-		t.Error("the one without a call was not ended")
+		t.Error("the connection without a call was not closed")
 	}
-	l.change(third, http.StateActive)
-	let := make(chan net.Conn)
-	go func() {
-		out, err := net.Dial("tcp", ln.Addr().String())
+	listener.handleStateChange(third, http.StateActive)
+	accepted := make(chan net.Conn)
+	go func() { // ends when the fourth connection is accepted
+		client, err := net.Dial("tcp", inner.Addr().String())
 		if err == nil {
-			defer out.Close()
+			defer func() { _ = client.Close() }()
 		}
-		c, _ := l.Accept()
-		let <- c
+		conn, _ := listener.Accept()
+		accepted <- conn
 	}()
-	testkit.Await(t, "the fourth to wait", func() bool {
+	testkit.Await(t, "the fourth connection to wait", func() bool {
 		select {
-		case <-let:
-			t.Fatal("a fourth was let in while all are answered")
+		case <-accepted:
+			t.Fatal("a fourth connection was accepted while all calls are being answered")
 		default:
 		}
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return len(l.open) == 2
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		return len(listener.open) == 2
 	})
-	l.change(first, http.StateClosed)
-	c := <-let
-	if c == nil {
-		t.Fatal("nobody was let in")
+	listener.handleStateChange(first, http.StateClosed)
+	conn := <-accepted
+	if conn == nil {
+		t.Fatal("no connection was accepted")
 	}
-	c.Close()
+	_ = conn.Close()
 }
