--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -70,6 +70,6 @@
 	if err != nil {
 		return xds.Config{}, fmt.Errorf("%s: %w", x.Bootstrap, err)
 	}
-	c.Delta, c.CacheDir = x.Delta, x.Dir
+	c.Delta, c.CacheDir = x.Delta, x.CacheDir
 	return c, nil
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -129,15 +129,15 @@
 	if o.Drain.AnnounceFor.Set {
 		c.AnnounceFor = &o.Drain.AnnounceFor.Duration
 	}
-	if o.Drain.Deadline.Set {
-		c.DrainTimeout = &o.Drain.Deadline.Duration
+	if o.Drain.Timeout.Set {
+		c.DrainTimeout = &o.Drain.Timeout.Duration
 	}
 }
 
 // msgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
 // and goes.
 func msgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
-	c := node.Msgpack{MaxConns: m.Connections, MaxCallsPerConn: m.Calls, ServerKinds: m.Servers}
+	c := node.Msgpack{MaxConns: m.MaxConns, MaxCallsPerConn: m.MaxCallsPerConn, ServerKinds: m.ServerKinds}
 	if m.Listen == "" {
 		return c, nil
 	}
@@ -179,7 +179,7 @@
 
 // bindPools binds classes to clusters as the table [xds.pools] says.
 func bindPools(o nodeconfig.File, c *node.Config) error {
-	for class, cluster := range o.XDS.Pools {
+	for class, cluster := range o.XDS.ClusterByClass {
 		i := slices.IndexFunc(c.Settings.Classes, func(k policy.Class) bool { return k.Name == class })
 		if i < 0 {
 			return fmt.Errorf("xds.pools.%s: the settings have no such class", class)
--- a/internal/nodeconfig/file_test.go
+++ b/internal/nodeconfig/file_test.go
@@ -10,34 +10,36 @@
 	"time"
 )
 
-func TestReadsAFile(t *testing.T) {
-	f, err := Parse([]byte("[log]\nlevel = \"warn\"\nformat = \"json\"\n[drain]\nleave = \"500ms\"\ndeadline = \"2s\"\n"))
+// TestParse_LogAndDrain checks the values of the tables [log] and [drain].
+func TestParse_LogAndDrain(t *testing.T) {
+	const text = "[log]\nlevel = \"warn\"\nformat = \"json\"\n[drain]\nleave = \"500ms\"\ndeadline = \"2s\"\n"
+	file, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Log.Level.Level != slog.LevelWarn || f.Log.Format != "json" || f.Drain.AnnounceFor.Duration != 500*time.Millisecond ||
-		f.Drain.Deadline.Duration != 2*time.Second {
-		t.Errorf("got %+v", f)
+	if file.Log.Level.Level != slog.LevelWarn || file.Log.Format != "json" ||
+		file.Drain.AnnounceFor.Duration != 500*time.Millisecond || file.Drain.Timeout.Duration != 2*time.Second {
+		t.Errorf("got %+v", file)
 	}
 }
 
-// An empty file, and none, change nothing: what is not set can be told from what is.
-func TestEmptyFileSetsNothing(t *testing.T) {
+// TestParse_EmptyFile checks that an empty file, or none, sets nothing, and that a duration of 0 differs from none.
+func TestParse_EmptyFile(t *testing.T) {
 	for _, text := range []string{"", "# only words\n", "[log]\n[drain]\n"} {
-		if f, err := Parse([]byte(text)); err != nil || !reflect.DeepEqual(f, File{}) {
-			t.Errorf("%q: %+v, %v", text, f, err)
+		if file, err := Parse([]byte(text)); err != nil || !reflect.DeepEqual(file, File{}) {
+			t.Errorf("%q: %+v, %v", text, file, err)
 		}
 	}
-	if f, err := Load(""); err != nil || !reflect.DeepEqual(f, File{}) {
-		t.Errorf("no file: %+v, %v", f, err)
+	if file, err := Load(""); err != nil || !reflect.DeepEqual(file, File{}) {
+		t.Errorf("no file: %+v, %v", file, err)
 	}
-	if f, _ := Parse([]byte("[drain]\nleave = \"0s\"")); !f.Drain.AnnounceFor.Set {
-		t.Error("a leave of 0 can't be told from none")
+	if file, err := Parse([]byte("[drain]\nleave = \"0s\"")); err != nil || !file.Drain.AnnounceFor.Set {
+		t.Errorf("a leave of 0: %+v, %v; want it set", file.Drain.AnnounceFor, err)
 	}
 }
 
-// Whatever is wrong is one line that names file, line and key.
-func TestErrorsNameLineAndKey(t *testing.T) {
+// TestParse_ErrorsNameLineAndKey checks that errors are one line, which names the file, the line and the key.
+func TestParse_ErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                           "2: log.level: ",
 		"[log]\n\nlevl = \"info\"":                          "3: log.levl: unknown key",
@@ -77,22 +79,33 @@
 		t.Errorf("got %v, want it to begin with the file and the line", err)
 	}
 	if _, err := Load(path + "x"); err == nil {
-		t.Error("a file that is named and not there is no error")
+		t.Error("no error for a file that does not exist")
 	}
 }
 
-// The file that comes with the program is empty but for words.
-func TestShippedFileSetsNothing(t *testing.T) {
-	f, err := Load(filepath.Join("..", "..", "deploy", "wayhold.toml"))
-	if err != nil || !reflect.DeepEqual(f, File{}) {
-		t.Errorf("%+v, %v", f, err)
+// TestLoad_ShippedFileSetsNothing checks that the file of the repository has comments only.
+func TestLoad_ShippedFileSetsNothing(t *testing.T) {
+	file, err := Load(filepath.Join("..", "..", "deploy", "wayhold.toml"))
+	if err != nil || !reflect.DeepEqual(file, File{}) {
+		t.Errorf("%+v, %v", file, err)
 	}
 }
 
-func TestReadsXDS(t *testing.T) {
-	f, err := Parse([]byte("[xds]\nbootstrap = \"b.json\"\nca_file = \"ca.pem\"\ndelta = true\ndir = \"/var/lib/wayhold\"\nalone = true\n[xds.pools]\nhladanie = \"rooms\"\n"))
-	want := XDS{Bootstrap: "b.json", CAFile: "ca.pem", Delta: true, Dir: "/var/lib/wayhold", WithoutPlatform: true, Pools: map[string]string{"hladanie": "rooms"}}
-	if err != nil || !reflect.DeepEqual(f.XDS, want) || !f.XDS.Enabled() {
-		t.Errorf("%+v, %v", f.XDS, err)
+func TestParse_XDS(t *testing.T) {
+	file, err := Parse([]byte(`[xds]
+bootstrap = "b.json"
+ca_file = "ca.pem"
+delta = true
+dir = "/var/lib/wayhold"
+alone = true
+[xds.pools]
+hladanie = "rooms"
+`))
+	want := XDS{
+		Bootstrap: "b.json", CAFile: "ca.pem", Delta: true, CacheDir: "/var/lib/wayhold", WithoutPlatform: true,
+		ClusterByClass: map[string]string{"hladanie": "rooms"},
+	}
+	if err != nil || !reflect.DeepEqual(file.XDS, want) || !file.XDS.Enabled() {
+		t.Errorf("%+v, %v", file.XDS, err)
 	}
 }
--- a/internal/nodeconfig/token.go
+++ b/internal/nodeconfig/token.go
@@ -6,13 +6,19 @@
 	"strings"
 )
 
-// ReadToken is the first line of a file that nobody else may read.
+const (
+	minTokenLength = 16    // characters
+	otherUsersMode = 0o077 // permissions of all but the file's owner
+)
+
+// ReadToken returns the first line of a file, which is a bearer token. It is an error if the file's mode gives other
+// users any access, or if the token is shorter than 16 characters.
 func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return "", err
 	}
-	if info.Mode().Perm()&0o077 != 0 {
+	if info.Mode().Perm()&otherUsersMode != 0 {
 		return "", fmt.Errorf("%s: others may read it: want mode 0600, got %04o", path, info.Mode().Perm())
 	}
 	raw, err := os.ReadFile(path)
@@ -20,8 +26,8 @@
 		return "", err
 	}
 	line, _, _ := strings.Cut(string(raw), "\n")
-	if line = strings.TrimSpace(line); len(line) < 16 {
-		return "", fmt.Errorf("%s: want a token of 16 characters or more in its first line", path)
+	if line = strings.TrimSpace(line); len(line) < minTokenLength {
+		return "", fmt.Errorf("%s: want a token of %d characters or more in its first line", path, minTokenLength)
 	}
 	return line, nil
 }
