--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -22,7 +22,7 @@
 	disabled    *disabled.Source
 	intake      *intake
 	announceFor time.Duration      // of a drain
-	nodeTLS         *nodeTLS           // nil: the node speaks no TLS
+	nodeTLS     *nodeTLS           // nil: the node speaks no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
 	onStandby   func(standby bool) // tells other processes of this node; nil: there are none
 
--- /dev/null
+++ b/internal/node/build.go
@@ -0,0 +1,278 @@
+package node
+
+import (
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"cobaltward/body"
+	"cobaltward/discovery/disabled"
+	"cobaltward/discovery/registry"
+	"cobaltward/internal/adminapi"
+	"cobaltward/internal/hotrestart"
+	"cobaltward/middleware"
+	"cobaltward/router"
+	"cobaltward/transport/http1"
+	"cobaltward/transport/mixed"
+	"cobaltward/transport/secure"
+
+	msgpackfront "cobaltward/internal/frontend/msgpack"
+	nodesockets "cobaltward/internal/sockets"
+	msgpacktransport "cobaltward/transport/msgpack"
+)
+
+const (
+	maxHeaderBytes    = 16 << 10
+	headerTimeout     = 2500 * time.Millisecond // for a request's head
+	bodyTimeout       = 5 * time.Second         // for a request's body, beyond what a slow line needs for it
+	clientIdleTimeout = 15 * time.Second        // shorter when connections are scarce
+	writeTimeout      = 5 * time.Second         // for an answer to a client that does not read
+	readyPath         = "/health/ready"
+)
+
+const (
+	bodyMemoryShare = 0.25     // of the node's memory, for buffered bodies
+	maxBodyBytes    = 32 << 20 // of one request
+	bodiesPerBudget = 4        // buffered bodies of the largest size that fit into the budget
+)
+
+// build makes the parts of the node. It starts no goroutine of the node's own: the engine, the transport and TLS towards
+// servers start theirs. What it has opened is closed by release, also after an error.
+func (n *node) build(listener net.Listener) error {
+	n.limits = n.config.connLimits()
+	n.registry = registry.New(registry.Config{
+		Addr:       n.config.Discovery,
+		Revision:   n.config.InitialList.Revision,
+		Subscribe:  n.config.Settings.Subscribe,
+		DrainGrace: n.config.Settings.Rules.DrainGrace,
+		Log:        n.log,
+	})
+	if err := n.buildTLS(); err != nil {
+		return err
+	}
+	n.buildHTTPServer(listener)
+	endpoints, err := n.buildEndpointSource()
+	if err != nil {
+		return err
+	}
+	n.transport = newTransport(n.config, n.limits.servers, n.tls.transportLayer())
+	if n.config.Msgpack.Listener != nil {
+		n.rpcServer = newRPCIntake(n.config.Msgpack.Listener, n.tls.wrapMsgpack)
+	}
+	if err := n.buildEngine(endpoints); err != nil {
+		return err
+	}
+	n.bodies = n.config.bodyLimits()
+	n.httpServer.server.Handler = n.newHandler()
+	if n.rpcServer != nil {
+		n.rpcServer.Front = n.newRPCFront()
+	}
+	n.admin = &adminAPI{
+		name:        n.config.Name,
+		engine:      n.engine,
+		disabled:    n.disabledServers,
+		nodeTLS:     n.tls,
+		intake:      n.httpServer,
+		announceFor: n.config.announceDuration(),
+		drainMark:   n.config.DrainMark,
+	}
+	successorOnly := n.buildProcessGroup()
+	n.state = &stateKeeper{
+		config:        n.config.State,
+		name:          n.config.Name,
+		engine:        n.engine,
+		successorOnly: successorOnly,
+		log:           n.log,
+	}
+	return nil
+}
+
+func (n *node) buildTLS() error {
+	setUntrusted := func(id string, untrusted bool) { n.disabledServers.SetUntrusted(id, untrusted) }
+	tls, err := newNodeTLS(n.config, setUntrusted, n.log)
+	if err != nil {
+		return err
+	}
+	n.tls = tls
+	return nil
+}
+
+// buildHTTPServer makes the server for clients by HTTP, still without its handler.
+func (n *node) buildHTTPServer(listener net.Listener) {
+	server := &http.Server{
+		MaxHeaderBytes:               maxHeaderBytes,
+		ReadHeaderTimeout:            headerTimeout,
+		IdleTimeout:                  clientIdleTimeout,
+		DisableGeneralOptionsHandler: true,
+		ErrorLog:                     slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
+		ConnContext:                  withClient,
+		ConnState: func(conn net.Conn, state http.ConnState) {
+			if observer, ok := conn.(interface{ change(http.ConnState) }); ok {
+				observer.change(state)
+			}
+		},
+	}
+	n.httpServer = newIntake(server, nodesockets.NewPersistentListener(listener, n.log), n.limits.clients)
+	n.httpServer.shared = n.config.SharedListener
+	n.httpServer.clients.layer = n.tls.clientListenerLayer()
+}
+
+// buildEndpointSource returns the engine's source of endpoints, and opens the admin API where there is one: servers
+// can be disabled by it, or be untrusted, where the source is wrapped accordingly.
+func (n *node) buildEndpointSource() (router.EndpointSource, error) {
+	var source router.EndpointSource = n.registry
+	if n.config.NewEndpointSource != nil {
+		custom, err := n.config.NewEndpointSource(n.registry)
+		if err != nil {
+			return nil, err
+		}
+		source = custom
+	}
+	if err := n.openAdminServer(); err != nil {
+		return nil, err
+	}
+	if n.adminServer != nil || n.tls.transportLayer() != nil {
+		n.disabledServers = disabled.New(source)
+		n.disabledServers.SetInitial(n.config.InitialList.Endpoints)
+		source = n.disabledServers
+	}
+	return source, nil
+}
+
+// openAdminServer opens the admin API's listeners. Calls wait there until the server starts.
+func (n *node) openAdminServer() error {
+	if !n.config.AdminAPI.On() {
+		return nil
+	}
+	if n.tls != nil && n.tls.adminLayer != nil {
+		n.config.AdminAPI.Wrap = n.tls.adminLayer.Listener
+	}
+	server, err := adminapi.Open(n.config.AdminAPI, n.log)
+	if err != nil {
+		return err
+	}
+	n.adminServer = server
+	return nil
+}
+
+// buildEngine makes the engine, which starts to follow the endpoint source, and connects it with the parts that
+// need it.
+func (n *node) buildEngine(endpoints router.EndpointSource) error {
+	options := []router.Option{
+		router.WithLogger(n.log),
+		router.WithEndpointSource(endpoints),
+		router.WithListener(n.httpServer),
+		router.WithTransport(n.transport),
+	}
+	if n.rpcServer != nil {
+		options = append(options, router.WithListener(n.rpcServer))
+	}
+	if n.config.AnnounceFor != nil {
+		options = append(options, router.WithDrainDelay(*n.config.AnnounceFor))
+	}
+	if n.config.Levels != nil {
+		options = append(options, router.WithLevels(*n.config.Levels))
+	}
+	engine, err := router.New(n.config.routerConfig(), options...)
+	if err != nil {
+		return err
+	}
+	n.engine = engine
+	n.httpServer.clients.patience = engine.QueuePatience
+	n.httpServer.clients.retryAfter = engine.OverloadRetryAfter
+	if n.tls != nil {
+		n.tls.engine.Store(engine)
+	}
+	return nil
+}
+
+// newHandler returns the handler of the clients' requests by HTTP.
+func (n *node) newHandler() http.Handler {
+	var handler http.Handler = middleware.New(n.engine,
+		middleware.WithMatcher(middleware.Any),
+		middleware.WithReady(readyPath),
+		middleware.WithReadiness(n.isReady),
+		middleware.WithBodyTimeout(bodyTimeout),
+		middleware.WithWriteTimeout(writeTimeout),
+		middleware.WithBodies(n.bodies),
+		middleware.WithDeparture(hasLeft),
+		middleware.WithArrivalAge(arrivalAge),
+		middleware.WithOverflow(overflows),
+	)
+	if n.config.WrapHandler != nil {
+		handler = n.config.WrapHandler(handler, readyPath)
+	}
+	return handler
+}
+
+// isReady reports whether readiness checks succeed.
+func (n *node) isReady() bool { return n.engine.Phase() == router.Serving || n.handedOver.Load() }
+
+func (n *node) newRPCFront() *msgpackfront.Front {
+	return msgpackfront.New(n.engine, msgpackfront.Config{
+		MaxConns:       n.limits.msgpackClients,
+		MaxCalls:       n.config.Msgpack.MaxCallsPerConn,
+		Idle:           clientIdleTimeout,
+		MessageTimeout: headerTimeout,
+		WriteTimeout:   writeTimeout,
+		Log:            n.log,
+	})
+}
+
+// buildProcessGroup has this process share the node with its predecessor and successor, if they can know of each
+// other. It reports whether the learned state is saved for a successor only.
+func (n *node) buildProcessGroup() (successorOnly bool) {
+	if !n.config.SharedListener || n.config.SharedDir == "" {
+		return false
+	}
+	if group := joinProcessGroup(n.config.SharedDir, n.log); group != nil {
+		group.engine, group.listener = n.engine, n.httpServer
+		group.budget, group.budgetBytes = n.bodies.Budget, n.bodies.Budget.Most()
+		group.limits = hotrestart.Limits{ClientConns: n.limits.clients, ServerConns: n.limits.servers}
+		group.setMemoryShare, group.setStandby = n.config.SetMemoryShare, n.admin.setStandby
+		group.conns, _ = n.transport.(connLimiter)
+		n.admin.onStandby = group.publishOrder
+		n.processGroup = group
+	}
+	if n.config.State.File != "" {
+		return false
+	}
+	n.config.State = StateConfig{
+		File:         filepath.Join(n.config.SharedDir, successorStateFile),
+		SaveInterval: successorStateInterval,
+	}
+	return true
+}
+
+// bodyLimits returns the limits of buffered request bodies: a part of the memory for all together, and a part of
+// that for one.
+func (c Config) bodyLimits() body.Limits {
+	budget := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
+	return body.Limits{Body: maxBodyBytes, Hold: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
+}
+
+// newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
+// its kind.
+func newTransport(c Config, maxConns int, layer *secure.Layer) router.Transport {
+	newHTTP := func(maxConns int) router.Transport {
+		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: c.ConnectTimeout, Secure: layer})
+	}
+	if len(c.Msgpack.ServerKinds) == 0 {
+		return newHTTP(maxConns)
+	}
+	msgpackConns := max(1, maxConns/msgpackConnDivisor)
+	protocolOf := func(endpoint router.Endpoint) int {
+		if slices.Contains(c.Msgpack.ServerKinds, endpoint.Kind) {
+			return 1
+		}
+		return 0
+	}
+	return mixed.New(protocolOf, newHTTP(maxConns-msgpackConns), msgpacktransport.New(msgpacktransport.Config{
+		MaxConns:       msgpackConns,
+		ConnectTimeout: c.ConnectTimeout,
+		Secure:         layer,
+	}))
+}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,5 +1,6 @@
-// Package node is the daemon: a router with the protocol's front, transport and membership, on the
-// one address that the platform gives it. It decides nothing.
+// Package node is the daemon: it connects the engine with the servers for clients, the transports to servers, the
+// source of endpoints and the servers for operators, and runs them from start to graceful shutdown. It decides nothing
+// about requests.
 package node
 
 import (
@@ -22,82 +23,80 @@
 	"cobaltward/router"
 )
 
-// Config is all that a node is told at its start.
+// Config configures a node.
 type Config struct {
-	Name      string
-	Listen    string // the only address to listen on
-	Discovery string
-	OperationsAddr   string // the second address to listen on; empty: none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int64
-	MaxDescriptors   int
-	InitialList     registry.List // the servers as this node last had them, perhaps stale
-	Settings  policy.Settings
-
-	// Figures of the settings that bind the node and not the module.
-	MaxInFlight        int           // unanswered requests; 0: no limit
+	Name           string
+	Listen         string // address of the listener for clients
+	Discovery      string // address of the registry
+	OperationsAddr string // address of the operations endpoint; empty: there is none
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int64
+	MaxDescriptors int           // file descriptors that the node may use
+	InitialList    registry.List // the endpoints as this node last knew them, perhaps stale
+	Settings       policy.Settings
+
+	// Figures of the settings that bind the node and not the policy.
+	MaxInFlight    int           // requests without an answer; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	// What the operator's own file may say of the end; nil where it does not.
-	AnnounceFor    *time.Duration // serving on as before; nil: 0.6 of DrainFor or else of the longest deadline, then 0.42 s at least
-	DrainTimeout *time.Duration // in all; nil: the longest deadline of a class, 3 s at most, and 0.3 s more
+	// AnnounceFor is for how long a node that shuts down serves on as before; nil: 0.6 of DrainTimeout, or else 0.6 of
+	// the longest deadline and at least 0.42 s.
+	AnnounceFor *time.Duration
+	// DrainTimeout bounds the whole shutdown; nil: the longest deadline of a class, at most 3 s, and 0.3 s more.
+	DrainTimeout *time.Duration
 
-	// OperationsListener is where the console's calls come in; nil: there is none. The node closes it.
+	// OperationsListener is the listener of the operations endpoint; nil: there is none. The node closes it.
 	OperationsListener net.Listener
-	// SharedListener says that the clients' listening socket is held by others, too: what this process does not accept, the
-	// next one will.
+	// SharedListener says that other processes hold the listening socket for clients, too: they accept the connections
+	// that this process does not.
 	SharedListener bool
 
-	// Shared processes of one node know of each other through this directory; empty: they do not.
+	// SharedDir is the directory by which processes of one node with a shared listener know of each other; empty: they
+	// do not.
 	SharedDir string
-	// SetMemoryShare has the process use a part of the node's memory; nil: it can't.
+	// SetMemoryShare limits the process to a part of the node's memory; nil: that is not possible.
 	SetMemoryShare func(part float64)
 
-	// Msgpack says who is spoken to by MessagePack-RPC beside HTTP; the zero value is nobody.
+	// Msgpack enables MessagePack-RPC beside HTTP; the zero value is HTTP alone.
 	Msgpack Msgpack
 
-	// AdminAPI is the operators' way in; the zero value is none. DrainMark is a file that stands while a drain on
-	// request does, so that a restart goes on with it; empty: a restart serves.
-	AdminAPI      adminapi.Config
+	// AdminAPI says where the admin API listens; the zero value is nowhere.
+	AdminAPI adminapi.Config
+	// DrainMark is the path of a file that exists while a drain on request does, so that a restarted process drains
+	// again; empty: a restarted process serves.
 	DrainMark string
 
-	// State is where the node keeps what it learns; the zero value keeps nothing.
+	// State says where the node saves its learned state; the zero value is nowhere.
 	State StateConfig
 
-	// Levels is the ladder of reduced service; nil: full service always.
+	// Levels are the levels of reduced service; nil: service is never reduced.
 	Levels *levels.Config
 
-	// TLS is who is spoken to by TLS; nil: nobody.
+	// TLS enables TLS; nil: none.
 	TLS *TLS
 
-	// WrapHandler puts requests from outside into the protocol's form; nil: they come in it. ready is a path that goes on
-	// as it is.
+	// WrapHandler returns a handler that brings requests from outside into the protocol's form for next; nil: they come
+	// in that form. Requests for the path ready must reach next unchanged.
 	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// NewEndpointSource makes the source of the servers out of the protocol's discovery; nil: that alone.
+	// NewEndpointSource makes the source of endpoints from the registry; nil: the registry itself is the source.
 	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
-// Msgpack is a listener for callers by MessagePack-RPC, and the app servers that speak it.
+// Msgpack configures MessagePack-RPC, towards clients and towards servers.
 type Msgpack struct {
-	Listener    net.Listener // nil: none; the node closes it
-	MaxConns int          // 0: defaultMsgpackConns
-	MaxCallsPerConn       int          // open on a connection; 0: the front's default
-	ServerKinds     []string     // kinds
+	Listener        net.Listener // for clients; nil: none. The node closes it.
+	MaxConns        int          // of clients; 0: defaultMsgpackConns
+	MaxCallsPerConn int          // in flight; 0: the frontend's default
+	ServerKinds     []string     // kinds of the servers that speak it
 }
 
-// defaultMsgpackConns is how many callers are let in where nobody says.
-const defaultMsgpackConns = 64
-
-// minDescriptors is what a node can work with at all: a few for itself, and some for each side.
-const minDescriptors = 64
-
-// DefaultConnectTimeout stands in where the settings name none.
+// DefaultConnectTimeout is the timeout of connections to servers where the settings name none.
 const DefaultConnectTimeout = 250 * time.Millisecond
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
-// the file says. Errors name the field.
+// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, override the file. Errors name
+// the field.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -127,9 +126,8 @@
 	return c, nil
 }
 
-// ReloadConfig reads the file again. Discovery's address in it, and the settings, take effect while a
-// node runs; the rest from the next start. ROUTER_DISCOVERY tells what held at the start, so the file
-// goes before it.
+// ReloadConfig reads the file again. The registry's address in it and the settings take effect while a node runs, the
+// rest at the next start. ROUTER_DISCOVERY holds the address at the start of the process, so here the file overrides it.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -141,7 +139,7 @@
 	return c, nil
 }
 
-// routerConfig is the part of the configuration that the engine takes.
+// routerConfig returns the configuration of the engine.
 func (c Config) routerConfig() router.Config {
 	return router.Config{Settings: c.Settings, MaxInFlight: c.MaxInFlight, Seed: c.Seed, Endpoints: c.InitialList.Endpoints}
 }
--- /dev/null
+++ b/internal/node/start.go
@@ -0,0 +1,57 @@
+package node
+
+import (
+	"context"
+
+	"cobaltward/internal/operations"
+)
+
+// start starts the node: the servers for operators, the background tasks, and at last the servers for clients.
+// stopTasks ends the goroutines, release the servers for operators.
+func (n *node) start(reloads <-chan Config) {
+	if n.config.State.File != "" {
+		n.state.restore()
+	}
+	n.startAdminServer()
+	n.startOperations()
+
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancelTasks = cancel
+	n.current.Store(&n.config)
+	n.tasks.Go(func() { n.tls.run(ctx) })
+	n.tasks.Go(func() { n.watchReloads(ctx, reloads) })
+	if n.config.State.File != "" {
+		n.tasks.Go(func() { n.state.run(ctx) })
+	}
+
+	// Clients must find an engine that can serve. With a shared socket the predecessor accepts them until then.
+	<-n.engine.Started()
+	if n.processGroup != nil {
+		n.processGroup.coordinate() // before the first client: its share of the node, and whether it is in standby
+		n.tasks.Go(func() { n.processGroup.run(ctx) })
+	}
+	n.tasks.Go(func() { n.serveErrors <- n.httpServer.Serve() })
+	if n.rpcServer != nil {
+		n.tasks.Go(func() { n.serveErrors <- n.rpcServer.Serve() })
+	}
+}
+
+// startAdminServer answers calls of the admin API, once a drain from before a restart goes on.
+func (n *node) startAdminServer() {
+	if n.adminServer == nil {
+		return
+	}
+	n.state.register(n.adminServer)
+	n.admin.register(n.adminServer)
+	n.admin.restoreDrain()
+	n.adminServer.Start()
+}
+
+// startOperations answers calls of the operations endpoint.
+func (n *node) startOperations() {
+	if n.config.OperationsListener == nil {
+		return
+	}
+	endpoint := &operationsNode{engine: n.engine, startDrain: n.admin.startDrain, cancelDrain: n.admin.cancelDrain}
+	n.operations = operations.Serve(n.config.OperationsListener, endpoint, n.log)
+}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -20,10 +20,10 @@
 
 // StateConfig says where a node keeps what it has learned. The zero value keeps nothing.
 type StateConfig struct {
-	File     string
-	SaveInterval    time.Duration // between snapshots; 0: 2 s
-	HalfLife time.Duration // as learnedstate.Config has it
-	MaxAge   time.Duration // as learnedstate.Config has it
+	File         string
+	SaveInterval time.Duration // between snapshots; 0: 2 s
+	HalfLife     time.Duration // as learnedstate.Config has it
+	MaxAge       time.Duration // as learnedstate.Config has it
 }
 
 const defaultStateInterval = 2 * time.Second
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -20,50 +20,50 @@
 
 // TLS is who is spoken to by TLS, and by which keys. What its files hold is swapped while all runs.
 type TLS struct {
-	ServerRules   []secure.Rule // towards servers
-	HandshakeLimits  handshakes.Limits
+	ServerRules            []secure.Rule // towards servers
+	HandshakeLimits        handshakes.Limits
 	ServerHandshakeTimeout time.Duration // of a handshake towards a server; 0: the transport's default
-	CPUShare   float64       // of a core, for the arithmetic of handshakes while requests are in flight; 0: the default
-	Clients *TLSListener     // nil: they come in plain
-	AdminAPI    *TLSListener
-	Stores  []*certificates.Store          // all of the above, each once
-	Secrets map[string]*certificates.Store // of them, those that a control plane hands, by the name of the secret
-	CheckInterval   time.Duration                  // between looks at the files
-	ExpiryWarnings    []time.Duration
+	CPUShare               float64       // of a core, for the arithmetic of handshakes while requests are in flight; 0: the default
+	Clients                *TLSListener  // nil: they come in plain
+	AdminAPI               *TLSListener
+	Stores                 []*certificates.Store          // all of the above, each once
+	Secrets                map[string]*certificates.Store // of them, those that a control plane hands, by the name of the secret
+	CheckInterval          time.Duration                  // between looks at the files
+	ExpiryWarnings         []time.Duration
 }
 
 // TLSListener is how clients come in.
 type TLSListener struct {
-	Certificates    *certificates.Store
-	ClientCAs   *certificates.Store   // whose clients may show a certificate; nil: none are asked for
-	Tickets *certificates.Tickets // nil: each process has its own
+	Certificates      *certificates.Store
+	ClientCAs         *certificates.Store   // whose clients may show a certificate; nil: none are asked for
+	Tickets           *certificates.Tickets // nil: each process has its own
 	RequireClientCert bool
-	AllowTLS12   bool
-	HandshakeTimeout time.Duration
+	AllowTLS12        bool
+	HandshakeTimeout  time.Duration
 }
 
 // TLSStatus is what the door tells of TLS.
 type TLSStatus struct {
-	Certificates    []certificates.Entry `json:"keys"` // in force, the first to end in front
-	RejectedFile string               `json:"refused_files,omitempty"`
-	HandshakeSteps  uint64               `json:"pieces"`  // of arithmetic, of both sides
+	Certificates   []certificates.Entry `json:"keys"` // in force, the first to end in front
+	RejectedFile   string               `json:"refused_files,omitempty"`
+	HandshakeSteps uint64               `json:"pieces"`  // of arithmetic, of both sides
 	HandshakeTime  time.Duration        `json:"work_ns"` // that they took
-	Servers *secure.Stats        `json:"servers,omitempty"`
-	Clients *frontsecure.Stats   `json:"clients,omitempty"`
-	Msgpack *frontsecure.Stats   `json:"msgpack,omitempty"`
-	AdminAPI    *frontsecure.Stats   `json:"door,omitempty"`
+	Servers        *secure.Stats        `json:"servers,omitempty"`
+	Clients        *frontsecure.Stats   `json:"clients,omitempty"`
+	Msgpack        *frontsecure.Stats   `json:"msgpack,omitempty"`
+	AdminAPI       *frontsecure.Stats   `json:"door,omitempty"`
 }
 
 // nodeTLS is a node's TLS at work; nil is a node without.
 type nodeTLS struct {
 	config       TLS
-	log     *slog.Logger
+	log          *slog.Logger
 	cpuBudget    *handshaking.Core
-	engine  atomic.Pointer[router.Router]
-	serverLayer *secure.Layer
-	clientLayer *frontsecure.Layer
+	engine       atomic.Pointer[router.Router]
+	serverLayer  *secure.Layer
+	clientLayer  *frontsecure.Layer
 	msgpackLayer *frontsecure.Layer
-	adminLayer    *frontsecure.Layer
+	adminLayer   *frontsecure.Layer
 	rejectedFile atomic.Pointer[string] // the files that were refused last, while they are
 }
 
