--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -144,13 +144,13 @@
 
 // openAdminServer opens the admin API's listeners. Calls wait there until the server starts.
 func (n *node) openAdminServer() error {
-	if !n.config.AdminAPI.On() {
+	if !n.config.AdminAPI.Enabled() {
 		return nil
 	}
 	if n.tls != nil && n.tls.adminLayer != nil {
-		n.config.AdminAPI.Wrap = n.tls.adminLayer.Listener
+		n.config.AdminAPI.WrapListener = n.tls.adminLayer.Listener
 	}
-	server, err := adminapi.Open(n.config.AdminAPI, n.log)
+	server, err := adminapi.Listen(n.config.AdminAPI, n.log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/connlimits.go
+++ b/internal/node/connlimits.go
@@ -23,7 +23,7 @@
 func (c Config) connLimits() connLimits {
 	available := c.MaxDescriptors - reservedDescriptors
 	if c.OperationsListener != nil {
-		available -= operations.Slots
+		available -= operations.MaxDescriptors
 	}
 	var limits connLimits
 	if c.Msgpack.Listener != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,11 +53,11 @@
 	transport       router.Transport
 	engine          *router.Router
 	httpServer      *intake
-	rpcServer       *rpcIntake     // nil: no MessagePack-RPC
-	adminServer     *adminapi.Door // nil: no admin API
+	rpcServer       *rpcIntake       // nil: no MessagePack-RPC
+	adminServer     *adminapi.Server // nil: no admin API
 	admin           *adminAPI
-	operations      *operations.Console // nil: no operations endpoint
-	processGroup    *processGroup       // nil: the node is one process
+	operations      *operations.Server // nil: no operations endpoint
+	processGroup    *processGroup      // nil: the node is one process
 	state           *stateKeeper
 
 	// handedOver says that another process accepts clients at the same socket: for them the node goes on serving.
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -132,11 +132,11 @@
 }
 
 // register adds what the node has learned to the admin API.
-func (k *stateKeeper) register(api *adminapi.Door) {
+func (k *stateKeeper) register(api *adminapi.Server) {
 	api.Handle(http.MethodGet, "/knowledge", func(w http.ResponseWriter, _ *http.Request) {
 		raw, err := k.snapshot()
 		if err != nil {
-			adminapi.Fail(w, http.StatusConflict, err.Error())
+			adminapi.WriteError(w, http.StatusConflict, err.Error())
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
