--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,19 +12,19 @@
 	"cobaltward/router"
 )
 
-// eventInterval is how often the status is sent to who watches events.
+// eventInterval is the interval at which watchers of events are sent the status.
 const eventInterval = 250 * time.Millisecond
 
-// adminAPI is what the admin API of a node shows and changes. Its methods are safe for concurrent use.
+// adminAPI handles the calls of a node's admin API. Its methods are safe for concurrent use.
 type adminAPI struct {
 	name        string
 	engine      *router.Router
 	disabled    *disabled.Source
 	intake      *intake
 	announceFor time.Duration      // of a drain
-	nodeTLS     *nodeTLS           // nil: the node speaks no TLS
+	nodeTLS     *nodeTLS           // nil: no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
-	onStandby   func(standby bool) // tells other processes of this node; nil: there are none
+	onStandby   func(standby bool) // passes orders on to other processes of this node; nil: there are none
 
 	mu         sync.Mutex
 	lastStatus Status
@@ -68,7 +68,7 @@
 
 func (a *adminAPI) handleTLS(w http.ResponseWriter, _ *http.Request) {
 	if a.nodeTLS == nil {
-		adminapi.WriteError(w, http.StatusConflict, "this node speaks no TLS: its own file has no table [tls]")
+		adminapi.WriteError(w, http.StatusConflict, "TLS is not configured: the node's own file has no table [tls]")
 		return
 	}
 	adminapi.WriteJSON(w, http.StatusOK, a.nodeTLS.status())
@@ -100,14 +100,14 @@
 	if request.Duration != "" {
 		var err error
 		if duration, err = parseOrderDuration(request.Duration); err != nil {
-			adminapi.WriteError(w, http.StatusBadRequest, fmt.Sprintf(`for: %v, as in "10m"`, err))
+			adminapi.WriteError(w, http.StatusBadRequest, fmt.Sprintf(`for: %v; example: "10m"`, err))
 			return
 		}
 	}
 	a.replyLevel(w, r, a.engine.SetLevel(request.Level, duration, request.RequestedBy, request.Reason))
 }
 
-// handleSetMaxLevel forbids the levels beyond one.
+// handleSetMaxLevel forbids the levels above the one requested.
 func (a *adminAPI) handleSetMaxLevel(w http.ResponseWriter, r *http.Request) {
 	var request LevelRequest
 	if !adminapi.ReadJSON(w, r, &request) {
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	defaultDrainTimeout = 30 * time.Second // where the operator names none
+	defaultDrainTimeout = 30 * time.Second // where the order has none
 	drainLeaveFor       = time.Second
 	maxOrderDuration    = 24 * time.Hour
-	// phaseDivisor bounds the phases of a short drain by a part of its timeout: clients must have left before its end.
+	// phaseDivisor bounds the first phases of a short drain by a part of its timeout, so that clients have left before its
+	// end.
 	phaseDivisor = 4
 )
 
-// otherProcess is who has ordered what another process of this node was told.
+// otherProcess is the originator of orders that came to another process of this node.
 const otherProcess = "another process of this node"
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
@@ -53,13 +54,13 @@
 	}
 }
 
-// drainOrder returns the order that a request is for.
+// drainOrder returns the order that a request asks for.
 func (a *adminAPI) drainOrder(request DrainRequest) (drain.Order, error) {
 	timeout := defaultDrainTimeout
 	if request.Timeout != "" {
 		var err error
 		if timeout, err = parseOrderDuration(request.Timeout); err != nil {
-			return drain.Order{}, fmt.Errorf(`deadline: %w, as in "30s"`, err)
+			return drain.Order{}, fmt.Errorf(`deadline: %w; example: "30s"`, err)
 		}
 	}
 	return drain.Order{
@@ -72,20 +73,20 @@
 	}, nil
 }
 
-// parseOrderDuration reads a duration of an operator's order.
+// parseOrderDuration parses a duration in an operator's order.
 func parseOrderDuration(text string) (time.Duration, error) {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration <= 0 || duration > maxOrderDuration {
-		return 0, errors.New("want a time of more than 0s and at most 24h")
+		return 0, fmt.Errorf("want a duration of more than 0s and at most 24h, got %q", text)
 	}
 	return duration, nil
 }
 
-// replyDrainStarted remembers a drain for a restart of the process, and answers its request.
+// replyDrainStarted writes the drain mark and answers the request that has started a drain.
 func (a *adminAPI) replyDrainStarted(w http.ResponseWriter, request DrainRequest) {
 	if err := a.writeDrainMark(request); err != nil {
 		adminapi.WriteJSON(w, http.StatusAccepted, adminapi.ErrorBody{
-			Message: "it drains, but a restart will not know: " + err.Error(),
+			Message: "draining, but a restarted process will not drain: " + err.Error(),
 			Details: a.currentStatus(),
 		})
 		return
@@ -105,7 +106,8 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// startDrain starts a drain, whichever way it was ordered, and has other processes of the node follow.
+// startDrain starts a drain, ordered by the admin API or the operations endpoint, and has the other processes of the
+// node follow.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
 	if err == nil && a.onStandby != nil {
@@ -114,7 +116,8 @@
 	return err
 }
 
-// cancelDrain cancels a drain, whichever way it was ordered, and has other processes of the node follow.
+// cancelDrain cancels a drain, ordered by the admin API or the operations endpoint, and has the other processes of the
+// node follow.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
@@ -126,7 +129,7 @@
 	return err
 }
 
-// setStandby follows an order that another process of this node was given.
+// setStandby carries out an order on standby that came to another process of this node.
 func (a *adminAPI) setStandby(standby bool) error {
 	if !standby {
 		err := a.engine.CancelDrain(otherProcess)
@@ -148,13 +151,13 @@
 	return err
 }
 
-// drainsAlready reports whether a drain was not started since one goes on, or is over.
+// drainsAlready reports whether a drain was not started because another is in progress or complete.
 func drainsAlready(err error) bool {
 	var inProgress *drain.InProgressError
 	return errors.As(err, &inProgress) || errors.Is(err, drain.ErrDrained)
 }
 
-// writeDrainMark has a restart of the process drain again.
+// writeDrainMark writes the file by which a restarted process drains again.
 func (a *adminAPI) writeDrainMark(request DrainRequest) error {
 	if a.drainMark == "" {
 		return nil
@@ -166,14 +169,14 @@
 	return os.WriteFile(a.drainMark, raw, 0o600)
 }
 
-// removeDrainMark has a restart of the process serve.
+// removeDrainMark removes the file, so that a restarted process serves.
 func (a *adminAPI) removeDrainMark() {
 	if a.drainMark != "" {
 		_ = os.Remove(a.drainMark) // it may not be there
 	}
 }
 
-// restoreDrain starts the drain again that was in force when the former process ended.
+// restoreDrain starts a drain if one was in progress when the former process ended.
 func (a *adminAPI) restoreDrain() {
 	if a.drainMark == "" {
 		return
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,7 +7,7 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is how long a status is shown again: many clients that poll cost as much as one.
+// statusMaxAge is for how long a status is cached, so that many polling clients cost as much as one.
 const statusMaxAge = 100 * time.Millisecond
 
 // statusVersion is the version of Status.
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -256,23 +256,23 @@
 
 // newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
 // its kind.
-func newTransport(c Config, maxConns int, layer *secure.Layer) router.Transport {
+func newTransport(config Config, maxConns int, layer *secure.Layer) router.Transport {
 	newHTTP := func(maxConns int) router.Transport {
-		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: c.ConnectTimeout, Secure: layer})
+		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, Secure: layer})
 	}
-	if len(c.Msgpack.ServerKinds) == 0 {
+	if len(config.Msgpack.ServerKinds) == 0 {
 		return newHTTP(maxConns)
 	}
 	msgpackConns := max(1, maxConns/msgpackConnDivisor)
 	protocolOf := func(endpoint router.Endpoint) int {
-		if slices.Contains(c.Msgpack.ServerKinds, endpoint.Kind) {
+		if slices.Contains(config.Msgpack.ServerKinds, endpoint.Kind) {
 			return 1
 		}
 		return 0
 	}
 	return mixed.New(protocolOf, newHTTP(maxConns-msgpackConns), msgpacktransport.New(msgpacktransport.Config{
 		MaxConns:       msgpackConns,
-		ConnectTimeout: c.ConnectTimeout,
+		ConnectTimeout: config.ConnectTimeout,
 		Secure:         layer,
 	}))
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -17,7 +17,7 @@
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
-func configFile(t *testing.T, text string) func(string) string {
+func writeConfigFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text = strings.NewReplacer("KNOWN", testKnown, "SETTINGS", testSettings).Replace(text)
@@ -30,7 +30,7 @@
 }
 
 func TestLoadsConfig(t *testing.T) {
-	c, err := LoadConfig(configFile(t, goodConfig))
+	c, err := LoadConfig(writeConfigFile(t, goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		{`SETTINGS`, strings.Replace(testSettings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := LoadConfig(writeConfigFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
 		}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -16,48 +16,49 @@
 )
 
 const (
-	coordinateInterval     = 100 * time.Millisecond // between looks at the other processes of this node
-	successorStateInterval = 250 * time.Millisecond // between snapshots of what is learned, for the successor
+	coordinateInterval     = 100 * time.Millisecond // between exchanges with the other processes of this node
+	successorStateInterval = 250 * time.Millisecond // between snapshots of the learned state for the successor
 	successorStateFile     = "wayhold-knowledge"
 )
 
-// connLimiter is a transport whose number of connections can be limited anew.
+// connLimiter is a transport whose limit of connections can be changed.
 type connLimiter interface{ SetMaxConns(n int) }
 
 var _ connLimiter = (*http1.Transport)(nil)
 
-// processGroup shares a node between this process and those before and after it, while the platform replaces one by
-// another under load. Its run and coordinate are called by one goroutine, publishOrder by any.
+// processGroup shares a node between this process, its predecessor and its successor during a hot restart. run and
+// coordinate are called by one goroutine at a time, publishOrder by any.
 type processGroup struct {
 	process        *rundir.Process
 	engine         *router.Router
 	listener       *intake
 	conns          connLimiter // nil: the transport's limit is fixed
 	budget         *body.Budget
-	budgetBytes    int64 // of a process that is alone
+	budgetBytes    int64 // the budget of a process that is alone
 	limits         hotrestart.Limits
 	setMemoryShare func(share float64) // nil: the memory of the process is not limited
 	setStandby     func(standby bool) error
 	log            *slog.Logger
 
-	draining atomic.Bool // this process accepts no connections any more
+	draining atomic.Bool // this process shuts down and accepts no connections
 
 	splitter  hotrestart.Splitter
 	share     hotrestart.Share
-	lastError string // so that a lasting one is logged once
+	lastError string // logged last, so that a lasting error is logged once
 
-	// orderMu lets one order be written at a time, so that the last one stands. Nothing else waits for it.
+	// orderMu is held while an order is written, so that the last one given is the one in the file. It is held over I/O,
+	// for which coordinate does not wait.
 	orderMu sync.Mutex
 
 	mu       sync.Mutex
-	followed hotrestart.Order // the order that this process follows
+	followed hotrestart.Order // the last order that this process followed or gave
 }
 
-// joinProcessGroup registers this process in the node's shared directory; nil where that fails, which is logged.
+// joinProcessGroup registers this process in the node's shared directory. It logs a failure and returns nil then.
 func joinProcessGroup(dir string, log *slog.Logger) *processGroup {
 	process, err := rundir.Register(dir)
 	if err != nil {
-		log.Warn("hot restart: this process and its predecessor will not know of each other", "err", err)
+		log.Warn("hot restart: not registered, other processes of this node are unknown", "err", err)
 		return nil
 	}
 	return &processGroup{process: process, log: log}
@@ -77,20 +78,20 @@
 	}
 }
 
-// coordinate exchanges reports with the other processes, applies this process's share, and follows the order that
-// stands.
+// coordinate exchanges reports with the other processes, applies this process's share, and follows the present order
+// on standby.
 func (g *processGroup) coordinate() {
 	others, err := g.process.Others()
 	g.logOnce(err)
 	own := g.report()
 	g.logOnce(g.process.WriteReport(own))
 	g.applyShare(g.splitter.Split(own, others, g.limits))
-	if !g.draining.Load() { // else it drains whatever the order says
+	if !g.draining.Load() { // a process that shuts down drains whatever the order says
 		g.followOrder()
 	}
 }
 
-// report is what this process tells the others.
+// report returns the report of this process to the others.
 func (g *processGroup) report() hotrestart.Report {
 	metrics := g.engine.Metrics()
 	accepted := uint64(max(0, metrics.InFlight))
@@ -126,7 +127,7 @@
 	g.share = share
 }
 
-// followOrder follows the order on standby that stands, if it is newer than the one that was followed last.
+// followOrder follows the present order on standby, if it is newer than the last one followed.
 func (g *processGroup) followOrder() {
 	order, err := g.process.Order()
 	g.logOnce(err)
@@ -141,30 +142,30 @@
 	}
 }
 
-// publishOrder has the other processes follow an order that this one was given.
+// publishOrder writes an order that this process was given, for the other processes to follow.
 func (g *processGroup) publishOrder(standby bool) {
 	g.orderMu.Lock()
 	defer g.orderMu.Unlock()
-	standing, err := g.process.Order() // an error is one of the file that is replaced now
+	previous, err := g.process.Order() // the file is replaced below, whatever is wrong with it
 	if err != nil {
-		g.log.Warn("hot restart: the order that stood can't be read", "err", err)
+		g.log.Warn("hot restart: previous order is unreadable", "err", err)
 	}
 	g.mu.Lock()
-	sequence := max(standing.Sequence, g.followed.Sequence) + 1
+	sequence := max(previous.Sequence, g.followed.Sequence) + 1
 	order := hotrestart.Order{At: time.Now(), Sequence: sequence, Standby: standby}
 	g.followed = order
 	g.mu.Unlock()
 	if err := g.process.WriteOrder(order); err != nil {
-		g.log.Error("hot restart: other processes of this node will not know of the order", "standby", standby, "err", err)
+		g.log.Error("hot restart: order not written, other processes of this node do not follow it", "standby", standby, "err", err)
 	}
 }
 
-// logOnce logs an error, unless it is the one that was logged last: an error that lasts is logged once, two that take
-// turns each time.
+// logOnce logs an error unless it equals the last one logged, so that a lasting error is logged once. Two errors that
+// alternate are logged each time.
 func (g *processGroup) logOnce(err error) {
 	if err == nil || errors.Is(err, router.ErrClosed) || err.Error() == g.lastError {
 		return
 	}
 	g.lastError = err.Error()
-	g.log.Warn("hot restart: going on as if alone in this", "err", err)
+	g.log.Warn("hot restart: coordination failed, acting as a single process", "err", err)
 }
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -9,14 +9,14 @@
 	"cobaltward/router"
 )
 
-// The phases of a drain by the operations endpoint: clients that poll for readiness learn of it at once and stop new
-// connections 0.3 s later; all connections have to be gone 4 s after the call.
+// Phases of a drain by the operations endpoint. Clients that poll for readiness stop opening connections 0.3 s after the
+// call; all connections must be closed 4 s after it.
 const (
 	standbyAnnounceFor = 300 * time.Millisecond
 	standbyLeaveFor    = time.Second
 )
 
-// operationsNode is what the operations endpoint shows and changes. Its methods do not block.
+// operationsNode is the node as the operations endpoint shows and changes it. Its methods do not wait for requests.
 type operationsNode struct {
 	engine      *router.Router
 	startDrain  func(drain.Order) error
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -18,7 +18,7 @@
 	"cobaltward/router"
 )
 
-// StateConfig says where a node keeps what it has learned. The zero value keeps nothing.
+// StateConfig says where a node saves its learned state. The zero value saves nothing.
 type StateConfig struct {
 	File         string
 	SaveInterval time.Duration // between snapshots; 0: 2 s
@@ -28,18 +28,18 @@
 
 const defaultStateInterval = 2 * time.Second
 
-// stateKeeper saves what a node learns to a file, and restores it when the node starts.
+// stateKeeper saves the learned state of a node to a file, and restores it when the node starts.
 type stateKeeper struct {
 	config        StateConfig
 	name          string // of the node
 	engine        *router.Router
-	successorOnly bool // the file is for the process that replaces this one, and for no later start
+	successorOnly bool // the file is for a successor in a hot restart, not for later starts
 	log           *slog.Logger
-	saveFailed    bool        // the last save did: it is logged once
-	paused        atomic.Bool // another process of the node saves from now on
+	saveFailed    bool        // the last save failed; a lasting failure is logged once
+	paused        atomic.Bool // another process of the node saves now
 }
 
-// restore restores what was saved. A file that is missing or wrong leaves the engine as it is.
+// restore restores the saved state. A missing or corrupt file leaves the engine as it is.
 func (k *stateKeeper) restore() {
 	raw, err := os.ReadFile(k.config.File)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// run saves what the engine learns until ctx ends, and once more then.
+// run saves the learned state at intervals until ctx ends, and once more then.
 func (k *stateKeeper) run(ctx context.Context) {
 	interval := k.config.SaveInterval
 	if interval == 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// snapshot returns what the engine has learned, in its stored form.
+// snapshot returns the learned state in its stored form.
 func (k *stateKeeper) snapshot() ([]byte, error) {
 	state, err := k.engine.ExportState()
 	if err != nil {
@@ -113,7 +113,7 @@
 	return learnedstate.Encode(learnedstate.Snapshot{Node: k.name, At: time.Now(), Boot: &boot, State: state})
 }
 
-// save replaces the file, unless another process does by now.
+// save replaces the file, unless another process does so now.
 func (k *stateKeeper) save() {
 	if k.paused.Load() {
 		return
@@ -131,7 +131,7 @@
 	k.saveFailed = err != nil
 }
 
-// register adds what the node has learned to the admin API.
+// register adds the learned state to the admin API.
 func (k *stateKeeper) register(api *adminapi.Server) {
 	api.Handle(http.MethodGet, "/knowledge", func(w http.ResponseWriter, _ *http.Request) {
 		raw, err := k.snapshot()
--- /dev/null
+++ b/internal/node/tlsreload.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"cobaltward/certificates"
+)
+
+// certificateWatch follows the certificates that a node uses: files, and the secrets that a control plane sends. It is
+// used by one goroutine.
+type certificateWatch struct {
+	tls      *nodeTLS
+	files    []*certificates.Watched
+	secrets  map[*certificates.Store]*certificates.Set // as seen last
+	rejected map[string]string                         // reasons, by the file's source
+	warnings *certificates.Warnings
+}
+
+// run applies changed certificates, and warns of those that end, until ctx ends.
+func (s *nodeTLS) run(ctx context.Context) {
+	if s == nil {
+		return
+	}
+	watch := s.newCertificateWatch()
+	ticker := time.NewTicker(s.config.CheckInterval)
+	defer ticker.Stop()
+	for {
+		watch.logExpiries()
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+		if watch.check() {
+			s.applyCertificates()
+		}
+	}
+}
+
+func (s *nodeTLS) newCertificateWatch() *certificateWatch {
+	watch := &certificateWatch{
+		tls:      s,
+		secrets:  make(map[*certificates.Store]*certificates.Set),
+		rejected: make(map[string]string),
+		warnings: certificates.NewWarnings(s.config.ExpiryWarnings),
+	}
+	for _, store := range s.config.Secrets {
+		watch.secrets[store] = store.Set()
+	}
+	for _, store := range s.config.Stores {
+		if _, isSecret := watch.secrets[store]; !isSecret {
+			watch.files = append(watch.files, store.Watch())
+		}
+	}
+	for _, listener := range []*TLSListener{s.config.Clients, s.config.AdminAPI} {
+		if listener != nil && listener.Tickets != nil {
+			watch.files = append(watch.files, listener.Tickets.Watch())
+		}
+	}
+	return watch
+}
+
+// logExpiries logs the certificates that have ended, or are about to.
+func (c *certificateWatch) logExpiries() {
+	log := c.tls.log
+	for _, warning := range c.warnings.Due(time.Now(), c.tls.certificates()) {
+		if warning.Left <= 0 {
+			log.Error("tls: certificate has expired",
+				"source", warning.Source, "serial", warning.Serial, "ended", warning.Ends)
+			continue
+		}
+		log.Warn("tls: certificate will expire", "source", warning.Source, "serial", warning.Serial,
+			"ends", warning.Ends, "left", warning.Left.Round(time.Minute))
+	}
+}
+
+// check reads what has changed, and reports whether new certificates, authorities or ticket keys are to be applied.
+func (c *certificateWatch) check() (changed bool) {
+	for store, before := range c.secrets {
+		if now := store.Set(); now != before {
+			c.secrets[store], changed = now, true
+		}
+	}
+	for _, file := range c.files {
+		if c.checkFile(file) {
+			changed = true
+		}
+	}
+	var rejected *string
+	for _, reason := range c.rejected { // any one of them: the log has all
+		rejected = &reason
+	}
+	c.tls.rejectedFile.Store(rejected)
+	return changed
+}
+
+// checkFile reads a file again if it has changed. A file that is rejected leaves what was read before in force.
+func (c *certificateWatch) checkFile(file *certificates.Watched) (changed bool) {
+	look := file.Look(time.Now())
+	if look.Err != nil {
+		c.rejected[look.Source] = look.Err.Error()
+		c.tls.log.Error("tls: keeping the former keys", "err", look.Err)
+		return false
+	}
+	if look.Changed {
+		delete(c.rejected, look.Source)
+		c.tls.log.Info("tls: new keys in force", "source", look.Source, "trust_changed", look.Trust)
+	}
+	return look.Changed
+}
+
+// applyCertificates has all layers use the certificates that are in the stores now.
+func (s *nodeTLS) applyCertificates() {
+	if s.serverLayer != nil {
+		s.serverLayer.Reloaded()
+	}
+	for _, layer := range s.listenerLayers() {
+		layer.Retake()
+	}
+}
--- /dev/null
+++ b/internal/node/tlsstatus.go
@@ -0,0 +1,62 @@
+package node
+
+import (
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/transport/secure"
+
+	frontsecure "cobaltward/internal/frontend/secure"
+)
+
+// TLSStatus is the status of a node's TLS, as the admin API sends it.
+type TLSStatus struct {
+	Certificates   []certificates.Entry `json:"keys"` // in force; those of a store in the order in which they end
+	RejectedFile   string               `json:"refused_files,omitempty"`
+	HandshakeSteps uint64               `json:"pieces"`  // computed, of all handshakes
+	HandshakeTime  time.Duration        `json:"work_ns"` // that the steps took, in nanoseconds
+	Servers        *secure.Stats        `json:"servers,omitempty"`
+	Clients        *frontsecure.Stats   `json:"clients,omitempty"`
+	Msgpack        *frontsecure.Stats   `json:"msgpack,omitempty"`
+	AdminAPI       *frontsecure.Stats   `json:"door,omitempty"`
+}
+
+// status returns the present status; nil for a node without TLS.
+func (s *nodeTLS) status() *TLSStatus {
+	if s == nil {
+		return nil
+	}
+	status := &TLSStatus{
+		Certificates: s.certificates(),
+		Clients:      layerStats(s.clientLayer),
+		Msgpack:      layerStats(s.msgpackLayer),
+		AdminAPI:     layerStats(s.adminLayer),
+	}
+	if reason := s.rejectedFile.Load(); reason != nil {
+		status.RejectedFile = *reason
+	}
+	status.HandshakeSteps, status.HandshakeTime = s.cpuBudget.Took()
+	if s.serverLayer != nil {
+		stats := s.serverLayer.Stats()
+		status.Servers = &stats
+	}
+	return status
+}
+
+// layerStats returns the statistics of a listener's layer; nil where there is no layer.
+func layerStats(layer *frontsecure.Layer) *frontsecure.Stats {
+	if layer == nil {
+		return nil
+	}
+	stats := layer.Stats()
+	return &stats
+}
+
+// certificates returns the certificates of all stores.
+func (s *nodeTLS) certificates() []certificates.Entry {
+	var all []certificates.Entry
+	for _, store := range s.config.Stores {
+		all = append(all, store.Set().Entries()...)
+	}
+	return all
+}
