--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -10,7 +10,6 @@
 
 	"cobaltward/certificates"
 	"cobaltward/handshakes"
-	"cobaltward/internal/handshaking"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
 
@@ -50,7 +49,7 @@
 type nodeTLS struct {
 	config       TLS
 	log          *slog.Logger
-	cpuBudget    *handshaking.Core
+	cpuBudget    *handshakes.CPUScheduler
 	engine       atomic.Pointer[router.Router] // nil until the engine is made
 	serverLayer  *secure.Layer                 // nil: no TLS towards servers
 	clientLayer  *frontsecure.Layer            // nil: clients use plain HTTP
@@ -68,7 +67,7 @@
 		return nil, nil
 	}
 	s := &nodeTLS{config: *config.TLS, log: log}
-	s.cpuBudget = handshaking.NewCore(s.config.CPUShare, int(math.Ceil(config.Cores)), s.hasRequests)
+	s.cpuBudget = handshakes.NewCPUScheduler(s.config.CPUShare, int(math.Ceil(config.Cores)), s.hasRequests)
 	var errs [3]error
 	s.clientLayer, errs[0] = s.newListenerLayer(s.config.Clients, "http/1.1")
 	s.msgpackLayer, errs[1] = s.newListenerLayer(s.config.Clients)
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -35,7 +35,7 @@
 	if reason := s.rejectedFile.Load(); reason != nil {
 		status.RejectedFile = *reason
 	}
-	status.HandshakeSteps, status.HandshakeTime = s.cpuBudget.Took()
+	status.HandshakeSteps, status.HandshakeTime = s.cpuBudget.Totals()
 	if s.serverLayer != nil {
 		stats := s.serverLayer.Stats()
 		status.Servers = &stats
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -69,7 +69,7 @@
 	}
 	c := &node.TLS{
 		CheckInterval: or(t.PollInterval, time.Second), ExpiryWarnings: t.WarnBefore, CPUShare: t.CPUShare, ServerHandshakeTimeout: t.HandshakeTimeout,
-		HandshakeLimits: handshakes.Limits{AtOnce: t.MaxConcurrent, PerServer: t.MaxPerServer, PerCold: t.MaxPerWarmingServer},
+		HandshakeLimits: handshakes.Limits{MaxConcurrent: t.MaxConcurrent, MaxPerServer: t.MaxPerServer, MaxPerWarmingServer: t.MaxPerWarmingServer},
 	}
 	if len(c.ExpiryWarnings) == 0 {
 		c.ExpiryWarnings = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
