--- /dev/null
+++ b/handshakes/limiter.go
@@ -0,0 +1,140 @@
+// Package handshakes limits what TLS handshakes may cost a node, on both of its sides.
+//
+// The decisions are state machines without I/O, clocks or goroutines, and are not safe for concurrent use: how many
+// handshakes with servers run at once (Limiter), which part of the CPU their computations may take from requests in
+// flight (CPUBudget), when an untrusted server is checked again (UntrustedBackoff), and which connections are opened
+// ahead of requests (PreconnectTargets). CPUScheduler and Conn apply a CPUBudget to connections; they use clocks and
+// may be shared by goroutines as their documentation says.
+package handshakes
+
+// Limits bounds the handshakes with servers that run at once. A field of 0 takes its default.
+type Limits struct {
+	MaxConcurrent       int // with all servers
+	MaxPerServer        int // with one server
+	MaxPerWarmingServer int // with a server that is warming up, whose capacity is left to requests
+	MaxQueued           int // waiting for a slot; further ones are rejected
+}
+
+// Defaults of Limits.
+const (
+	DefaultMaxConcurrent       = 16
+	DefaultMaxPerServer        = 4
+	DefaultMaxPerWarmingServer = 1
+	DefaultMaxQueued           = 256
+)
+
+func (l Limits) withDefaults() Limits {
+	setDefault := func(limit *int, value int) {
+		if *limit <= 0 {
+			*limit = value
+		}
+	}
+	setDefault(&l.MaxConcurrent, DefaultMaxConcurrent)
+	setDefault(&l.MaxPerServer, DefaultMaxPerServer)
+	setDefault(&l.MaxPerWarmingServer, DefaultMaxPerWarmingServer)
+	setDefault(&l.MaxQueued, DefaultMaxQueued)
+	return l
+}
+
+// Decision is the answer to Limiter.Acquire.
+type Decision uint8
+
+// The decisions.
+const (
+	Proceed Decision = iota // the handshake may start now
+	Queue                   // the handshake waits until Release returns its reservation
+	Reject                  // the handshake may not start: the queue is full, or it is speculative
+)
+
+// Reservation is a handshake that runs or is queued.
+type Reservation struct {
+	Server      string
+	WarmingUp   bool // the server is warming up
+	Speculative bool // no request waits for the handshake: it is never queued, and never overtakes a queued one
+
+	started, released bool
+}
+
+// Limiter admits handshakes with servers within Limits. It is not safe for concurrent use.
+type Limiter struct {
+	limits    Limits
+	perServer map[string]int // running handshakes by server
+	total     int            // running handshakes
+	queue     []*Reservation // in order of arrival
+}
+
+// NewLimiter returns a limiter without reservations.
+func NewLimiter(limits Limits) *Limiter {
+	return &Limiter{limits: limits.withDefaults(), perServer: make(map[string]int)}
+}
+
+// Acquire asks for a slot. Every reservation has to be passed to Release, except where the decision is Reject.
+func (l *Limiter) Acquire(r *Reservation) Decision {
+	blocked := r.Speculative && len(l.queue) > 0 || l.hasQueuedFor(r.Server)
+	if !blocked && l.hasCapacity(r) {
+		l.start(r)
+		return Proceed
+	}
+	if r.Speculative || len(l.queue) >= l.limits.MaxQueued {
+		return Reject
+	}
+	l.queue = append(l.queue, r)
+	return Queue
+}
+
+func (l *Limiter) hasQueuedFor(server string) bool {
+	for _, queued := range l.queue {
+		if queued.Server == server {
+			return true
+		}
+	}
+	return false
+}
+
+func (l *Limiter) hasCapacity(r *Reservation) bool {
+	limit := l.limits.MaxPerServer
+	if r.WarmingUp {
+		limit = min(limit, l.limits.MaxPerWarmingServer)
+	}
+	return l.total < l.limits.MaxConcurrent && l.perServer[r.Server] < limit
+}
+
+func (l *Limiter) start(r *Reservation) {
+	r.started = true
+	l.total++
+	l.perServer[r.Server]++
+}
+
+// Release ends a reservation: its handshake has ended, or is no longer wanted. It returns the queued reservations whose
+// handshakes may start now, in order of arrival; a server at its limit does not block those of other servers.
+// Releasing a reservation a second time has no effect.
+func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
+	if r.released {
+		return nil
+	}
+	r.released = true
+	if r.started {
+		l.total--
+		l.perServer[r.Server]--
+		if l.perServer[r.Server] == 0 {
+			delete(l.perServer, r.Server)
+		}
+	}
+	remaining := l.queue[:0]
+	for _, queued := range l.queue {
+		switch {
+		case queued.released:
+		case l.hasCapacity(queued):
+			l.start(queued)
+			admitted = append(admitted, queued)
+		default:
+			remaining = append(remaining, queued)
+		}
+	}
+	clear(l.queue[len(remaining):])
+	l.queue = remaining
+	return admitted
+}
+
+// Usage returns the number of handshakes that run and of those that are queued.
+func (l *Limiter) Usage() (running, queued int) { return l.total, len(l.queue) }
