--- a/internal/cli/certs_running.go
+++ b/internal/cli/certs_running.go
@@ -81,16 +81,16 @@
 	}
 	if s := st.Servers; s != nil {
 		fmt.Fprintf(table, "\nserver\tserial\tends\t\n")
-		for _, p := range s.Peers {
+		for _, p := range s.Servers {
 			why := ""
-			if p.Why != "" {
-				why = fmt.Sprintf("gets nothing for %v: %s; looked at again %d times", (time.Duration(p.ForMs) * time.Millisecond).Round(time.Second), p.Why, p.Looks)
+			if p.UntrustedReason != "" {
+				why = fmt.Sprintf("gets nothing for %v: %s; looked at again %d times", (time.Duration(p.UntrustedMs) * time.Millisecond).Round(time.Second), p.UntrustedReason, p.Rechecks)
 			}
 			ends := "-"
-			if !p.Ends.IsZero() {
-				ends = left(p.Ends.Sub(now))
+			if !p.CertificateExpiry.IsZero() {
+				ends = left(p.CertificateExpiry.Sub(now))
 			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", p.Server, p.Serial, ends, why)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", p.Server, p.CertificateSerial, ends, why)
 		}
 	}
 	return table.Flush()
@@ -140,7 +140,7 @@
 				}
 			}
 			if own.Cert != "" || own.Key != "" {
-				if rule.Own, err = certificates.Open(own, now); err != nil {
+				if rule.ClientCertificate, err = certificates.Open(own, now); err != nil {
 					return err
 				}
 			}
@@ -150,7 +150,7 @@
 				return err
 			}
 			defer layer.Close()
-			layer.Know(m)
+			layer.UpdateServer(m)
 			for range 2 {
 				if err := probe(c.OutOrStdout(), layer, &m); err != nil {
 					return err
@@ -161,11 +161,11 @@
 	}
 	f := c.Flags()
 	f.StringVar(&trust, "trust", "", "a bundle of authorities")
-	f.StringVar(&rule.Name, "name", "", "that the certificate has to be for; else ADDR's host")
+	f.StringVar(&rule.ServerName, "name", "", "that the certificate has to be for; else ADDR's host")
 	f.StringSliceVar(&rule.URIs, "uri", nil, "in place of the name: a URI of the certificate, with a * at its end at most")
-	f.StringSliceVar(&rule.Pins, "pin", nil, "SHA-256 of the server's public key, in hexadecimal")
+	f.StringSliceVar(&rule.PublicKeyPins, "pin", nil, "SHA-256 of the server's public key, in hexadecimal")
 	f.StringSliceVar(&rule.ALPN, "alpn", nil, "protocols to offer")
-	f.BoolVar(&rule.TLS12, "tls12", false, "take TLS 1.2, too")
+	f.BoolVar(&rule.AllowTLS12, "tls12", false, "take TLS 1.2, too")
 	f.StringVar(&own.Cert, "cert", "", "a certificate to show")
 	f.StringVar(&own.Key, "key", "", "its key")
 	f.StringVar(&m.ID, "id", "", "of the server, where the name has {id}")
@@ -179,11 +179,11 @@
 // errServerRefused is the exit status where a node would refuse the server.
 const errServerRefused exitStatusError = 9
 
-func probe(out io.Writer, layer *secure.Layer, m *router.Endpoint) error {
+func probe(out io.Writer, layer *secure.ClientTLS, m *router.Endpoint) error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeFor)
 	defer cancel()
 	began := time.Now()
-	conn, err := layer.Shake(ctx, ctx, m, true, func() (*net.TCPConn, error) {
+	conn, err := layer.Handshake(ctx, ctx, m, true, func() (*net.TCPConn, error) {
 		var d net.Dialer
 		nc, err := d.DialContext(ctx, "tcp", m.Addr)
 		if err != nil {
@@ -201,13 +201,13 @@
 	defer conn.Close()
 	took := time.Since(began).Round(10 * time.Microsecond)
 	// Tickets come behind the handshake; they are there once something was read, or soon.
-	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end) && conn.Quiet(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end) && conn.IsIdle(); time.Sleep(5 * time.Millisecond) {
 	}
 	kind := "full handshake"
 	if conn.Resumed() {
 		kind = "session taken up again"
 	}
-	version, protocol, chain := conn.Agreed()
+	version, protocol, chain := conn.Negotiated()
 	if protocol == "" {
 		protocol = "none"
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -236,9 +236,9 @@
 }
 
 // newTransport speaks to each server in the protocol of its kind, over so many connections in all.
-func newTransport(c Config, conns int, layer *secure.Layer) router.Transport {
+func newTransport(c Config, conns int, layer *secure.ClientTLS) router.Transport {
 	if len(c.Msgpack.ServerKinds) == 0 {
-		return http1.New(http1.Config{MaxConns: conns, ConnectTimeout: c.ConnectTimeout, Secure: layer})
+		return http1.New(http1.Config{MaxConns: conns, ConnectTimeout: c.ConnectTimeout, TLS: layer})
 	}
 	few := max(1, conns/4) // they carry many calls each
 	return mixed.New(func(m router.Endpoint) int {
@@ -246,8 +246,8 @@
 			return 1
 		}
 		return 0
-	}, http1.New(http1.Config{MaxConns: conns - few, ConnectTimeout: c.ConnectTimeout, Secure: layer}),
-		msgpacktransport.New(msgpacktransport.Config{MaxConns: few, ConnectTimeout: c.ConnectTimeout, Secure: layer}))
+	}, http1.New(http1.Config{MaxConns: conns - few, ConnectTimeout: c.ConnectTimeout, TLS: layer}),
+		msgpacktransport.New(msgpacktransport.Config{MaxConns: few, ConnectTimeout: c.ConnectTimeout, TLS: layer}))
 }
 
 // watchReloads puts new configurations in force, and keeps the one that is in newest.
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -455,8 +455,8 @@
 	}
 	late := w.servers[3]
 	testkit.Await(t, "the refusal of who is late", func() bool {
-		for _, p := range w.status().Servers.Peers {
-			if p.Server == late.id && p.Why == "expired" {
+		for _, p := range w.status().Servers.Servers {
+			if p.Server == late.id && p.UntrustedReason == "expired" {
 				return true
 			}
 		}
@@ -481,9 +481,9 @@
 		bad.show(x)
 		want, _, _ := strings.Cut(why, " (")
 		refused := func() string {
-			for _, p := range w.status().Servers.Peers {
+			for _, p := range w.status().Servers.Servers {
 				if p.Server == bad.id {
-					return p.Why
+					return p.UntrustedReason
 				}
 			}
 			return ""
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -59,7 +59,7 @@
 	log          *slog.Logger
 	cpuBudget    *handshakes.CPUScheduler
 	engine       atomic.Pointer[router.Router]
-	serverLayer  *secure.Layer
+	serverLayer  *secure.ClientTLS
 	clientLayer  *frontsecure.Layer
 	msgpackLayer *frontsecure.Layer
 	adminLayer   *frontsecure.Layer
@@ -92,8 +92,8 @@
 	if len(s.config.ServerRules) > 0 {
 		var err error
 		s.serverLayer, err = secure.New(secure.Config{
-			Rules: s.config.ServerRules, Limits: s.config.HandshakeLimits, ColdFor: c.Settings.Rules.SlowStartWindow, Timeout: s.config.ServerHandshakeTimeout, Connect: c.ConnectTimeout,
-			Core: s.cpuBudget, Tell: refuse, Log: log,
+			Rules: s.config.ServerRules, Limits: s.config.HandshakeLimits, SlowStart: c.Settings.Rules.SlowStartWindow, HandshakeTimeout: s.config.ServerHandshakeTimeout, ConnectTimeout: c.ConnectTimeout,
+			CPU: s.cpuBudget, OnTrustChange: refuse, Log: log,
 		})
 		return s, err
 	}
@@ -101,7 +101,7 @@
 }
 
 // transportLayer is the layer of the transports; nil: they speak to all servers without TLS.
-func (s *nodeTLS) transportLayer() *secure.Layer {
+func (s *nodeTLS) transportLayer() *secure.ClientTLS {
 	if s == nil {
 		return nil
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	if s.serverLayer != nil {
-		s.serverLayer.Reloaded()
+		s.serverLayer.InvalidateTrust()
 	}
 	for _, l := range []*frontsecure.Layer{s.clientLayer, s.msgpackLayer, s.adminLayer} {
 		if l != nil {
--- a/internal/protocolmatrix/pairs_test.go
+++ b/internal/protocolmatrix/pairs_test.go
@@ -319,12 +319,12 @@
 		Capabilities: policy.Capabilities{Cancel: true, MaxAttempts: 3, RetryAfter: true},
 		Rules:        policy.Rules{DrainGrace: 500 * time.Millisecond, RetryBudget: &policy.RetryBudget{MinRetries: 1e6, Window: time.Second}},
 	}
-	var layer *secure.Layer
+	var layer *secure.ClientTLS
 	if p.tls {
 		layer = p.secure(t, apps)
 	}
 	r, err := router.New(router.Config{Settings: set, Endpoints: members},
-		router.WithTransport(mixed.New(p.of, http1.New(http1.Config{Secure: layer}), msgpacktransport.New(msgpacktransport.Config{Secure: layer}))))
+		router.WithTransport(mixed.New(p.of, http1.New(http1.Config{TLS: layer}), msgpacktransport.New(msgpacktransport.Config{TLS: layer}))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,7 +373,7 @@
 }
 
 // secure has the apps speak TLS, and returns how the node does.
-func (p pair) secure(t testing.TB, apps []*app) *secure.Layer {
+func (p pair) secure(t testing.TB, apps []*app) *secure.ClientTLS {
 	t.Helper()
 	ca := pki.Year("the apps'")
 	file := filepath.Join(t.TempDir(), "ca.pem")
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -82,15 +82,15 @@
 	}, known: make(map[certificates.Sources]*certificates.Store), secrets: make(map[string]*certificates.Store)}
 	for i, s := range t.Servers {
 		at := fmt.Sprintf("tls.servers[%d]", i)
-		r := secure.Rule{Servers: s.IDs, Zones: s.Zones, Pools: s.Pools, Kinds: s.Kinds, Plain: s.Plain, Name: s.Name, URIs: s.URIs, Pins: s.Pins, TLS12: s.TLS12, ALPN: s.ALPN}
+		r := secure.Rule{Servers: s.IDs, Zones: s.Zones, Pools: s.Pools, Kinds: s.Kinds, Plaintext: s.Plain, ServerName: s.Name, URIs: s.URIs, PublicKeyPins: s.Pins, AllowTLS12: s.TLS12, ALPN: s.ALPN}
 		var err error
 		if r.Trust, err = open.store(certificates.Sources{Trust: s.Trust}, s.TrustSDS); err != nil {
 			return nil, f.lines.Errorf(at+".trust", "%s", err)
 		}
-		if r.Own, err = open.store(certificates.Sources{Cert: s.Cert, Key: s.Key}, s.CertSDS); err != nil {
+		if r.ClientCertificate, err = open.store(certificates.Sources{Cert: s.Cert, Key: s.Key}, s.CertSDS); err != nil {
 			return nil, f.lines.Errorf(at+".cert", "%s", err)
 		}
-		if err := r.Check(); err != nil {
+		if err := r.Validate(); err != nil {
 			return nil, f.lines.Errorf(at, "%s", err)
 		}
 		c.ServerRules = append(c.ServerRules, r)
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -135,11 +135,11 @@
 }
 
 // dial makes one connection, with an exchange, so that its ticket comes.
-func dial(l *secure.Layer, m router.Endpoint) (*secure.Conn, error) {
+func dial(l *secure.ClientTLS, m router.Endpoint) (*secure.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	l.Know(m)
-	c, err := l.Shake(ctx, ctx, &m, true, func() (*net.TCPConn, error) {
+	l.UpdateServer(m)
+	c, err := l.Handshake(ctx, ctx, &m, true, func() (*net.TCPConn, error) {
 		nc, err := net.Dial("tcp", m.Addr)
 		if err != nil {
 			return nil, err
@@ -168,14 +168,14 @@
 			if err != nil {
 				return err
 			}
-			l, err := secure.New(secure.Config{Rules: []secure.Rule{{Trust: trust}}, Core: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })})
+			l, err := secure.New(secure.Config{Rules: []secure.Rule{{Trust: trust}}, CPU: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })})
 			if err != nil {
 				return err
 			}
 			m := router.Endpoint{ID: "s", Addr: ln.Addr().String()}
 			for i := range b.n + 1 {
 				if !resumed {
-					l.Forget(m.ID) // with its session
+					l.RemoveServer(m.ID) // with its session
 				}
 				c, err := dial(l, m)
 				if err != nil {
@@ -440,7 +440,7 @@
 	}
 	s := st.Servers
 	fmt.Printf("reuse: %d requests (%d not 200), servers end a connection at each tenth: %d full handshakes, %d resumed: %.1f%% of the full ones saved\n",
-		requests.Load(), bad.Load(), s.Full.Count, s.Resumed.Count, 100*s.Reuse())
+		requests.Load(), bad.Load(), s.Full.Count, s.Resumed.Count, 100*s.ResumptionRate())
 	return nil
 }
 
--- a/transport/http1/http1.go
+++ b/transport/http1/http1.go
@@ -53,9 +53,9 @@
 
 // Config is what a Transport is told at its start.
 type Config struct {
-	MaxConns       int           // connections to all servers together, idle ones too; 0: DefaultMaxConns
-	ConnectTimeout time.Duration // for a new connection; 0: DefaultConnectTimeout
-	Secure         *secure.Layer // says who is spoken to by TLS; nil: nobody. The transport does not close it
+	MaxConns       int               // connections to all servers together, idle ones too; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // for a new connection; 0: DefaultConnectTimeout
+	TLS            *secure.ClientTLS // says who is spoken to by TLS; nil: nobody. The transport does not close it
 }
 
 // Transport makes attempts over connections that it holds itself. It reads with net/http's own
@@ -64,7 +64,7 @@
 // one's. Its methods may be called at once from many goroutines.
 type Transport struct {
 	dialer  net.Dialer
-	secure  *secure.Layer
+	secure  *secure.ClientTLS
 	readers sync.Pool // of *bufio.Reader
 	writers sync.Pool // of *bytes.Buffer
 	stop    chan struct{}
@@ -99,16 +99,16 @@
 		c.ConnectTimeout = DefaultConnectTimeout
 	}
 	t := &Transport{
-		dialer: net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}, secure: c.Secure,
+		dialer: net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}, secure: c.TLS,
 		most: c.MaxConns, idleFor: defaultConnIdle / 2, stop: make(chan struct{}),
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 		writers: sync.Pool{New: func() any { return new(bytes.Buffer) }},
 	}
 	t.life, t.end = context.WithCancel(context.Background())
 	t.pools = servers.New(func(p *pool) {
-		t.trim(p, len(p.Pool.idle))
+		t.trim(p, len(p.State.idle))
 		if t.secure != nil {
-			t.secure.Forget(p.ID)
+			t.secure.RemoveServer(p.ID)
 		}
 	})
 	t.swept.Go(func() {
@@ -188,13 +188,13 @@
 // quiet tells whether the connection is open and nothing is there to be read. Nobody else may be reading.
 func (c *conn) quiet() bool {
 	if c.secure != nil {
-		return c.secure.Quiet()
+		return c.secure.IsIdle()
 	}
 	return sockets.Quiet(c.tcp)
 }
 
 // trusted tells whether the server has proved who it is, as things stand now.
-func (c *conn) trusted(now time.Time) bool { return c.secure == nil || c.secure.Usable(now) }
+func (c *conn) trusted(now time.Time) bool { return c.secure == nil || c.secure.IsTrusted(now) }
 
 // Update follows the list.
 func (u *Transport) Update(c router.EndpointUpdate) {
@@ -206,17 +206,17 @@
 	}
 	for i := range c.Endpoints {
 		if p := u.pools.Get(c.Endpoints[i].ID); p != nil {
-			u.secure.Know(p.Listed)
+			u.secure.UpdateServer(p.Endpoint)
 		}
 	}
 }
 
 // trim closes the n connections of p that were idle longest.
 func (u *Transport) trim(p *pool, n int) {
-	for _, c := range p.Pool.idle[:n] {
+	for _, c := range p.State.idle[:n] {
 		c.Close()
 	}
-	p.Pool.idle = append([]*conn(nil), p.Pool.idle[n:]...)
+	p.State.idle = append([]*conn(nil), p.State.idle[n:]...)
 	u.open -= n
 }
 
@@ -225,7 +225,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if p := u.pools.Get(id); p != nil {
-		u.trim(p, len(p.Pool.idle))
+		u.trim(p, len(p.State.idle))
 	}
 }
 
@@ -252,7 +252,7 @@
 	defer u.mu.Unlock()
 	for _, p := range u.pools.All() {
 		var kept []*conn
-		for _, c := range p.Pool.idle {
+		for _, c := range p.State.idle {
 			if now.Sub(c.used) < u.idleFor && c.trusted(now) && c.quiet() {
 				kept = append(kept, c)
 				continue
@@ -260,7 +260,7 @@
 			c.Close()
 			u.open--
 		}
-		p.Pool.idle = kept
+		p.State.idle = kept
 	}
 }
 
@@ -290,7 +290,7 @@
 			return nil, ctx.Err()
 		}
 		u.unreserve()
-		if sockets.IsShortage(err) || errors.Is(err, secure.ErrBusy) {
+		if sockets.IsShortage(err) || errors.Is(err, secure.ErrTooManyHandshakes) {
 			return nil, errNoSockets
 		}
 		return nil, err
@@ -313,10 +313,10 @@
 	}
 	c := &conn{pool: p}
 	var err error
-	if m := u.member(p); u.secure == nil || !u.secure.For(&m) {
+	if m := u.member(p); u.secure == nil || !u.secure.UsesTLS(&m) {
 		c.tcp, err = dial()
-	} else if err = u.secure.Refused(&m); err == nil {
-		c.secure, err = u.secure.Shake(wait, ctx, &m, urgent, dial)
+	} else if err = u.secure.CheckTrusted(&m); err == nil {
+		c.secure, err = u.secure.Handshake(wait, ctx, &m, urgent, dial)
 	}
 	switch {
 	case ready != nil:
@@ -381,7 +381,7 @@
 func (u *Transport) member(p *pool) router.Endpoint {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return p.Listed
+	return p.Endpoint
 }
 
 // reserve returns the idle connection last used of those that have rested, or counts one that the
@@ -395,7 +395,7 @@
 	}
 	now := time.Now()
 	if asked {
-		p.Pool.asked = now
+		p.State.asked = now
 	}
 	if c := u.take(p, now); c != nil {
 		return p, c, nil
@@ -409,15 +409,15 @@
 
 // take takes the idle connection last used of those that have rested; nil where there is none.
 func (u *Transport) take(p *pool, now time.Time) *conn {
-	for i := len(p.Pool.idle) - 1; i >= 0; i-- {
-		c := p.Pool.idle[i]
+	for i := len(p.State.idle) - 1; i >= 0; i-- {
+		c := p.State.idle[i]
 		idle := now.Sub(c.used)
 		if idle < restFor && (c.secure == nil || idle < restSecure) {
 			continue
 		}
-		last := len(p.Pool.idle) - 1
-		copy(p.Pool.idle[i:], p.Pool.idle[i+1:])
-		p.Pool.idle[last], p.Pool.idle = nil, p.Pool.idle[:last]
+		last := len(p.State.idle) - 1
+		copy(p.State.idle[i:], p.State.idle[i+1:])
+		p.State.idle[last], p.State.idle = nil, p.State.idle[:last]
 		if idle < u.idleFor && c.trusted(now) && c.quiet() {
 			return c
 		}
@@ -437,7 +437,7 @@
 func (u *Transport) evict() bool {
 	var oldest *pool
 	for _, p := range u.pools.All() {
-		if len(p.Pool.idle) > 0 && (oldest == nil || p.Pool.idle[0].used.Before(oldest.Pool.idle[0].used)) {
+		if len(p.State.idle) > 0 && (oldest == nil || p.State.idle[0].used.Before(oldest.State.idle[0].used)) {
 			oldest = p
 		}
 	}
@@ -454,7 +454,7 @@
 	defer u.mu.Unlock()
 	if reusable && u.pools.Get(id) == c.pool {
 		c.used = time.Now()
-		c.pool.Pool.idle = append(c.pool.Pool.idle, c)
+		c.pool.State.idle = append(c.pool.State.idle, c)
 		return
 	}
 	c.Close()
@@ -505,7 +505,7 @@
 	// The host may have kept this goroutine from running since the engine decided: what is late by now
 	// must not go out.
 	if err := u.late(ctx, c.pool); err != nil {
-		return router.Result{Code: broken(ctx, err, false)}, errors.Is(err, errDrained) || errors.Is(err, outcome.ErrVoid)
+		return router.Result{Code: broken(ctx, err, false)}, errors.Is(err, errDrained) || errors.Is(err, outcome.ErrAbandoned)
 	}
 	if !c.trusted(time.Now()) {
 		return router.Result{Code: policy.Untrusted}, false
@@ -529,7 +529,7 @@
 	}
 	result := router.Result{Code: policy.ServerError}
 	if h.load != "" {
-		result.LoadReport = outcome.LoadReport(h.load, u.reported())
+		result.LoadReport = outcome.ParseLoadReport(h.load, u.reported())
 	}
 	switch h.status {
 	case http.StatusOK:
@@ -545,12 +545,12 @@
 
 // late tells why nothing may be written to p any more.
 func (u *Transport) late(ctx context.Context, p *pool) error {
-	if err := outcome.Over(ctx); err != nil {
+	if err := outcome.CheckSendable(ctx); err != nil {
 		return err
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if p.Closed(u.grace) {
+	if p.WritesForbidden(u.grace) {
 		return errDrained
 	}
 	return nil
@@ -627,7 +627,7 @@
 
 // broken names the outcome of an attempt that brought no answer.
 func broken(ctx context.Context, err error, mayRun bool) policy.Code {
-	code := outcome.Lost(ctx, mayRun)
+	code := outcome.FailureCode(ctx, mayRun)
 	if code == policy.Reset && errors.Is(err, errSpoilt) {
 		return policy.ServerError
 	}
--- a/transport/http1/http1_test.go
+++ b/transport/http1/http1_test.go
@@ -70,7 +70,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if p := u.pools.Get(id); p != nil {
-		idle = len(p.Pool.idle)
+		idle = len(p.State.idle)
 	}
 	return u.open, idle
 }
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	p := u.pools.Get("s0")
-	p.Pool.idle, u.open = []*conn{{tcp: tcp.(*net.TCPConn), pool: p, used: time.Now().Add(-time.Second)}}, 1
+	p.State.idle, u.open = []*conn{{tcp: tcp.(*net.TCPConn), pool: p, used: time.Now().Add(-time.Second)}}, 1
 	if r := ended(t, u, testRequest(http.MethodPost, "r1", "body")); r.Code != policy.ConnectFailed {
 		t.Errorf("code %v, want could not connect", r.Code)
 	}
@@ -303,8 +303,8 @@
 	testkit.Await(t, "the close to be noticed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		idle := u.pools.Get("s0").Pool.idle
-		return len(idle) == 0 || !sockets.Quiet(u.pools.Get("s0").Pool.idle[0].tcp)
+		idle := u.pools.Get("s0").State.idle
+		return len(idle) == 0 || !sockets.Quiet(u.pools.Get("s0").State.idle[0].tcp)
 	})
 	if r := ended(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
 		t.Errorf("code %v", r.Code)
@@ -361,14 +361,14 @@
 
 func TestReadsLoadReports(t *testing.T) {
 	names := []string{"util", "queue"}
-	if got := outcome.LoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
+	if got := outcome.ParseLoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
 		t.Errorf("got %v", got)
 	}
 	for _, text := range []string{
 		"", "util=x,,=", "util=0.5", "util=NaN,queue=1", "util=Inf,queue=1",
 		"util=0.5,queue=-1", "util=0.5,queue=1e300", "util=0.5,util=0.6,queue=1", "util=0.5,queue=1,x=?",
 	} {
-		if got := outcome.LoadReport(text, names); got != nil {
+		if got := outcome.ParseLoadReport(text, names); got != nil {
 			t.Errorf("%q: got %v, want none", text, got)
 		}
 	}
@@ -397,7 +397,7 @@
 		testkit.Await(t, "what nobody asked for", func() bool {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			return !sockets.Quiet(u.pools.Get("s0").Pool.idle[0].tcp)
+			return !sockets.Quiet(u.pools.Get("s0").State.idle[0].tcp)
 		})
 		time.Sleep(2 * restFor)
 		if r := ended(t, u, testRequest(http.MethodGet, "r2", "")); string(r.Answer.Body) != "2" {
@@ -476,7 +476,7 @@
 		t.Errorf("within the grace: code %v", r.Code)
 	}
 	u.mu.Lock()
-	u.pools.Get("s0").Drained = time.Now().Add(-u.grace)
+	u.pools.Get("s0").DrainStartedAt = time.Now().Add(-u.grace)
 	u.mu.Unlock()
 	u.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: drains}) // the same news again gives no new grace
 	if r := ended(t, u, testRequest(http.MethodPost, "r3", "")); r.Code != policy.ConnectFailed {
--- a/transport/http1/warm.go
+++ b/transport/http1/warm.go
@@ -31,7 +31,7 @@
 				continue
 			}
 			u.mu.Lock()
-			p.Pool.opening++
+			p.State.opening++
 			u.mu.Unlock()
 			u.ahead.Go(func() { u.spare(p, id) })
 		}
@@ -42,7 +42,7 @@
 func (u *Transport) spare(p *pool, id string) {
 	c, err := u.connect(u.life, u.life, p, false)
 	u.mu.Lock()
-	p.Pool.opening--
+	p.State.opening--
 	u.mu.Unlock()
 	if err != nil {
 		u.unreserve()
@@ -57,12 +57,12 @@
 	defer u.mu.Unlock()
 	pools := make([]handshakes.PoolState, 0, len(u.pools.All()))
 	for id, p := range u.pools.All() {
-		if !u.secure.For(&p.Listed) {
+		if !u.secure.UsesTLS(&p.Endpoint) {
 			continue
 		}
 		pools = append(pools, handshakes.PoolState{
-			Server: id, Idle: len(p.Pool.idle), LastUsed: p.Pool.asked.Sub(from), Used: !p.Pool.asked.IsZero(),
-			Unavailable: p.Listed.Availability != policy.Running || u.secure.Refused(&p.Listed) != nil, Connecting: p.Pool.opening,
+			Server: id, Idle: len(p.State.idle), LastUsed: p.State.asked.Sub(from), Used: !p.State.asked.IsZero(),
+			Unavailable: p.Endpoint.Availability != policy.Running || u.secure.CheckTrusted(&p.Endpoint) != nil, Connecting: p.State.opening,
 		})
 	}
 	return handshakes.PreconnectTargets(time.Since(from), pools, u.open, u.most)
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -11,11 +11,11 @@
 
 // Transport hands each server to one of several transports.
 type Transport struct {
-	of         func(router.Endpoint) int
-	transports []router.Transport
+	selectTransport func(router.Endpoint) int
+	transports      []router.Transport
 
-	mu sync.RWMutex
-	at map[string]int // by server
+	mu       sync.RWMutex
+	byServer map[string]int // by server
 }
 
 var (
@@ -26,13 +26,13 @@
 
 // New returns a transport that has server m spoken to by transports[of(m)]. It closes them all.
 func New(of func(m router.Endpoint) int, transports ...router.Transport) *Transport {
-	return &Transport{of: of, transports: transports, at: make(map[string]int)}
+	return &Transport{selectTransport: of, transports: transports, byServer: make(map[string]int)}
 }
 
 // Attempt has the server's own transport make the attempt.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	t.mu.RLock()
-	i, ok := t.at[server]
+	i, ok := t.byServer[server]
 	t.mu.RUnlock()
 	if !ok {
 		return router.Result{Code: policy.ConnectFailed} // not in the list
@@ -52,19 +52,19 @@
 	parts := make([][]router.Endpoint, len(t.transports))
 	t.mu.Lock()
 	if c.Kind != policy.ListUpdate {
-		clear(t.at)
+		clear(t.byServer)
 	}
 	for _, m := range c.Endpoints {
-		i := t.of(m)
-		if was, ok := t.at[m.ID]; ok && was != i {
+		i := t.selectTransport(m)
+		if was, ok := t.byServer[m.ID]; ok && was != i {
 			gone := m
 			gone.Availability = policy.Removed
 			parts[was] = append(parts[was], gone)
 		}
 		if m.Availability == policy.Removed {
-			delete(t.at, m.ID)
+			delete(t.byServer, m.ID)
 		} else {
-			t.at[m.ID] = i
+			t.byServer[m.ID] = i
 		}
 		parts[i] = append(parts[i], m)
 	}
@@ -79,7 +79,7 @@
 // CloseIdle passes it on to the server's own.
 func (t *Transport) CloseIdle(server string) {
 	t.mu.RLock()
-	i, ok := t.at[server]
+	i, ok := t.byServer[server]
 	t.mu.RUnlock()
 	if ok {
 		t.transports[i].CloseIdle(server)
--- a/transport/msgpack/msgpack.go
+++ b/transport/msgpack/msgpack.go
@@ -46,11 +46,11 @@
 
 // Config is what a Transport is told at its start.
 type Config struct {
-	Streams        int           // calls at once on a connection; 0: DefaultStreams
-	ConnsPerServer int           // 0: DefaultConnsPerServer
-	MaxConns       int           // to all servers together; 0: DefaultMaxConns
-	ConnectTimeout time.Duration // for a new connection; 0: DefaultConnectTimeout
-	Secure         *secure.Layer // says who is spoken to by TLS; nil: nobody. The transport does not close it
+	Streams        int               // calls at once on a connection; 0: DefaultStreams
+	ConnsPerServer int               // 0: DefaultConnsPerServer
+	MaxConns       int               // to all servers together; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // for a new connection; 0: DefaultConnectTimeout
+	TLS            *secure.ClientTLS // says who is spoken to by TLS; nil: nobody. The transport does not close it
 }
 
 // Transport makes attempts over connections that it holds itself. Its methods may be called at once from
@@ -92,7 +92,7 @@
 }
 
 // trusted tells whether the server has proved who it is, as things stand now.
-func (l *link) trusted() bool { return l.secure == nil || l.secure.Usable(time.Now()) }
+func (l *link) trusted() bool { return l.secure == nil || l.secure.IsTrusted(time.Now()) }
 
 // dial is a connection being made, which all wait for who need one.
 type dial struct {
@@ -137,26 +137,26 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.servers.Update(c)
-	if t.c.Secure == nil {
+	if t.c.TLS == nil {
 		return
 	}
 	for i := range c.Endpoints {
 		if s := t.servers.Get(c.Endpoints[i].ID); s != nil {
-			t.c.Secure.Know(s.Listed)
+			t.c.TLS.UpdateServer(s.Endpoint)
 		}
 	}
 }
 
 // drop ends what is held for a server that is gone: calls that it has may still be answered.
 func (t *Transport) drop(s *server) {
-	if t.c.Secure != nil {
-		t.c.Secure.Forget(s.ID)
+	if t.c.TLS != nil {
+		t.c.TLS.RemoveServer(s.ID)
 	}
-	if s.Pool == nil {
+	if s.State == nil {
 		return
 	}
-	s.Pool.gone = true
-	for _, l := range s.Pool.conns {
+	s.State.gone = true
+	for _, l := range s.State.conns {
 		l.Retire()
 	}
 }
@@ -165,8 +165,8 @@
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.servers.Get(id); s != nil && s.Pool != nil {
-		for _, l := range s.Pool.conns {
+	if s := t.servers.Get(id); s != nil && s.State != nil {
+		for _, l := range s.State.conns {
 			if l.load == 0 {
 				l.Retire()
 			}
@@ -186,10 +186,10 @@
 		}
 		t.mu.Lock()
 		for _, s := range t.servers.All() {
-			if s.Pool == nil {
+			if s.State == nil {
 				continue
 			}
-			for _, l := range s.Pool.conns {
+			for _, l := range s.State.conns {
 				if since, ok := l.Quiet(); ok && l.load == 0 && (time.Since(since) >= t.idleFor || !l.trusted()) {
 					l.Retire()
 				}
@@ -221,11 +221,11 @@
 			t.mu.Unlock()
 			return nil, nil, errUnknown
 		}
-		if s.Pool == nil {
-			s.Pool = &pool{}
+		if s.State == nil {
+			s.State = &pool{}
 		}
-		p := s.Pool
-		if !p.drained.IsZero() && time.Since(p.drained) < drainKept || s.Closed(t.grace) {
+		p := s.State
+		if !p.drained.IsZero() && time.Since(p.drained) < drainKept || s.WritesForbidden(t.grace) {
 			t.mu.Unlock()
 			return nil, nil, errDrained
 		}
@@ -253,7 +253,7 @@
 			d = &dial{done: make(chan struct{})}
 			p.dial = d
 			t.open++
-			m := s.Listed
+			m := s.Endpoint
 			t.parts.Go(func() { t.connect(s, m, d) })
 		}
 		t.mu.Unlock()
@@ -271,9 +271,9 @@
 // connect makes a connection, whoever waits for it: it is of use to the next.
 func (t *Transport) connect(s *server, m router.Endpoint, d *dial) {
 	within := t.c.ConnectTimeout
-	tls := t.c.Secure != nil && t.c.Secure.For(&m)
+	tls := t.c.TLS != nil && t.c.TLS.UsesTLS(&m)
 	if tls {
-		within += secure.DefaultTimeout
+		within += secure.DefaultHandshakeTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -289,8 +289,8 @@
 	var err error
 	if !tls {
 		nc, err = t.dialer.DialContext(ctx, "tcp", m.Addr)
-	} else if err = t.c.Secure.Refused(&m); err == nil {
-		l.secure, err = t.c.Secure.Shake(ctx, ctx, &m, true, func() (*net.TCPConn, error) {
+	} else if err = t.c.TLS.CheckTrusted(&m); err == nil {
+		l.secure, err = t.c.TLS.Handshake(ctx, ctx, &m, true, func() (*net.TCPConn, error) {
 			tcp, err := t.dialer.DialContext(ctx, "tcp", m.Addr)
 			if err != nil {
 				return nil, err
@@ -302,7 +302,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer close(d.done)
-	p := s.Pool
+	p := s.State
 	p.dial = nil
 	if sockets.IsShortage(err) {
 		err = errFull // no server is to blame
@@ -350,7 +350,7 @@
 
 // may says why nothing may be written to s any more.
 func (t *Transport) may(ctx context.Context, s *server, l *link) error {
-	if err := outcome.Over(ctx); err != nil {
+	if err := outcome.CheckSendable(ctx); err != nil {
 		return err
 	}
 	if !l.trusted() {
@@ -358,7 +358,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s.Closed(t.grace) || !s.Pool.drained.IsZero() && time.Since(s.Pool.drained) < drainKept {
+	if s.WritesForbidden(t.grace) || !s.State.drained.IsZero() && time.Since(s.State.drained) < drainKept {
 		return errDrained
 	}
 	return nil
@@ -383,10 +383,10 @@
 			return router.Result{Code: policy.Overloaded} // as one that turns away since it drains
 		case errors.As(err, new(*secure.UntrustedError)) && ctx.Err() == nil:
 			return router.Result{Code: policy.Untrusted}
-		case errors.Is(err, errFull) || errors.Is(err, secure.ErrBusy):
+		case errors.Is(err, errFull) || errors.Is(err, secure.ErrTooManyHandshakes):
 			return router.Result{Code: policy.Superseded} // the server is not to blame
 		case err != nil:
-			return router.Result{Code: outcome.Lost(ctx, false)}
+			return router.Result{Code: outcome.FailureCode(ctx, false)}
 		}
 		if end, ok := ctx.Deadline(); ok {
 			q.Wait = max(time.Millisecond, time.Until(end))
@@ -412,7 +412,7 @@
 		case errors.As(err, &spoilt):
 			return router.Result{Code: policy.ServerError}
 		}
-		return router.Result{Code: outcome.Lost(ctx, notSent == nil)}
+		return router.Result{Code: outcome.FailureCode(ctx, notSent == nil)}
 	}
 }
 
@@ -442,7 +442,7 @@
 		t.mu.Lock()
 		names := t.report
 		t.mu.Unlock()
-		return router.Result{Code: policy.OK, Answer: router.Answer{Body: r.Body, ContentType: r.ContentType}, LoadReport: outcome.LoadReport(r.Load, names)}
+		return router.Result{Code: policy.OK, Answer: router.Answer{Body: r.Body, ContentType: r.ContentType}, LoadReport: outcome.ParseLoadReport(r.Load, names)}
 	case msgpackrpc.NotRun, msgpackrpc.Refused, msgpackrpc.Overloaded:
 		return router.Result{Code: policy.Overloaded}
 	}
--- a/transport/secure/secure_test.go
+++ b/transport/secure/secure_test.go
@@ -65,7 +65,7 @@
 	return s, file
 }
 
-func newLayer(t testing.TB, c Config) *Layer {
+func newLayer(t testing.TB, c Config) *ClientTLS {
 	t.Helper()
 	l, err := New(c)
 	if err != nil {
@@ -86,12 +86,12 @@
 }
 
 // shake makes one connection, and with it an exchange, so that tickets have come.
-func shake(t testing.TB, l *Layer, m router.Endpoint) (*Conn, error) {
+func shake(t testing.TB, l *ClientTLS, m router.Endpoint) (*Conn, error) {
 	t.Helper()
-	l.Know(m)
+	l.UpdateServer(m)
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Long)
 	defer cancel()
-	c, err := l.Shake(ctx, ctx, &m, true, dialer(m.Addr))
+	c, err := l.Handshake(ctx, ctx, &m, true, dialer(m.Addr))
 	if err != nil {
 		return nil, err
 	}
@@ -121,20 +121,20 @@
 		want string // in the error; empty: it is spoken to
 	}{
 		"address":            {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, ""},
-		"name by id, zone":   {Rule{Trust: trust, Name: "{id}.{zone}.example"}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, ""},
-		"another name":       {Rule{Trust: trust, Name: "s2.a.example"}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, whyName},
+		"name by id, zone":   {Rule{Trust: trust, ServerName: "{id}.{zone}.example"}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, ""},
+		"another name":       {Rule{Trust: trust, ServerName: "s2.a.example"}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, reasonWrongName},
 		"uri":                {Rule{Trust: trust, URIs: []string{"spiffe://x/y", "spiffe://site/app/rooms"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, ""},
 		"uri with a rest":    {Rule{Trust: trust, URIs: []string{"spiffe://site/app/*"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, ""},
-		"another uri":        {Rule{Trust: trust, URIs: []string{"spiffe://site/app/roomsX", "spiffe://site/app/rooms/*"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, whyURI},
-		"pin alone":          {Rule{Pins: []string{pin(plain), pin(self)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, ""},
-		"another key":        {Rule{Pins: []string{pin(plain)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, whyPin},
-		"pin, not authority": {Rule{Trust: trust, Pins: []string{pin(self)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, whyAuthority},
+		"another uri":        {Rule{Trust: trust, URIs: []string{"spiffe://site/app/roomsX", "spiffe://site/app/rooms/*"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}}, reasonWrongURI},
+		"pin alone":          {Rule{PublicKeyPins: []string{pin(plain), pin(self)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, ""},
+		"another key":        {Rule{PublicKeyPins: []string{pin(plain)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, reasonWrongKey},
+		"pin, not authority": {Rule{Trust: trust, PublicKeyPins: []string{pin(self)}}, &tls.Config{Certificates: []tls.Certificate{self.TLS()}}, reasonUnknownAuthority},
 		"chain":              {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{under.TLS(middle.Cert)}}, ""},
-		"gap in the chain":   {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{under.TLS()}}, whyAuthority},
-		"TLS 1.2":            {Rule{Trust: trust, TLS12: true}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, MaxVersion: tls.VersionTLS12}, ""},
-		"TLS 1.2, not taken": {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, MaxVersion: tls.VersionTLS12}, whyAlert},
+		"gap in the chain":   {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{under.TLS()}}, reasonUnknownAuthority},
+		"TLS 1.2":            {Rule{Trust: trust, AllowTLS12: true}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, MaxVersion: tls.VersionTLS12}, ""},
+		"TLS 1.2, not taken": {Rule{Trust: trust}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, MaxVersion: tls.VersionTLS12}, reasonAlert},
 		"ALPN":               {Rule{Trust: trust, ALPN: []string{"http/1.1"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, NextProtos: []string{"http/1.1"}}, ""},
-		"another ALPN":       {Rule{Trust: trust, ALPN: []string{"http/1.1"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, NextProtos: []string{"other/1"}}, whyAlert},
+		"another ALPN":       {Rule{Trust: trust, ALPN: []string{"http/1.1"}}, &tls.Config{Certificates: []tls.Certificate{plain.TLS()}, NextProtos: []string{"other/1"}}, reasonAlert},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -148,9 +148,9 @@
 			switch {
 			case c.want == "" && err != nil:
 				t.Errorf("%v", err)
-			case c.want != "" && (!errors.As(err, &why) || why.Why != c.want):
+			case c.want != "" && (!errors.As(err, &why) || why.Reason != c.want):
 				t.Errorf("got %v, want %s", err, c.want)
-			case c.want != "" && l.Refused(&router.Endpoint{ID: "s1"}) == nil:
+			case c.want != "" && l.CheckTrusted(&router.Endpoint{ID: "s1"}) == nil:
 				t.Error("it is not refused from then on")
 			}
 		})
@@ -162,17 +162,17 @@
 	trust, _ := openTrust(t, pki.Year("ours"))
 	for want, r := range map[string]Rule{
 		"trust: missing":           {},
-		"plain: servers":           {Plain: true, Trust: trust},
-		"not by both":              {Trust: trust, Name: "a", URIs: []string{"spiffe://a/b"}},
+		"plain: servers":           {Plaintext: true, Trust: trust},
+		"not by both":              {Trust: trust, ServerName: "a", URIs: []string{"spiffe://a/b"}},
 		`uris: want a URI`:         {Trust: trust, URIs: []string{"spiffe://*"}},
 		`got "spiffe://a/*/b"`:     {Trust: trust, URIs: []string{"spiffe://a/*/b"}},
-		`pins: want SHA-256 in 64`: {Pins: []string{"abc"}},
+		`pins: want SHA-256 in 64`: {PublicKeyPins: []string{"abc"}},
 	} {
 		if _, err := New(Config{Rules: []Rule{r}}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
-	l := newLayer(t, Config{Rules: []Rule{{Kinds: []string{"old"}, Plain: true}, {Zones: []string{"a"}, Pools: []string{"p", "q"}, Trust: trust}, {Servers: []string{"s9"}, Trust: trust}}})
+	l := newLayer(t, Config{Rules: []Rule{{Kinds: []string{"old"}, Plaintext: true}, {Zones: []string{"a"}, Pools: []string{"p", "q"}, Trust: trust}, {Servers: []string{"s9"}, Trust: trust}}})
 	for m, want := range map[*router.Endpoint]bool{
 		{ID: "s1", Zone: "a", Pools: []string{"x", "q"}}: true,
 		{ID: "s1", Zone: "a", Pools: []string{"x"}}:      false,
@@ -180,7 +180,7 @@
 		{ID: "s9"}: true,
 		{ID: "s9", Kind: "old", Zone: "a", Pools: []string{"p", "q"}}: false,
 	} {
-		if l.For(m) != want {
+		if l.UsesTLS(m) != want {
 			t.Errorf("%+v: TLS %v", m, !want)
 		}
 	}
@@ -201,19 +201,19 @@
 		"speaks plain HTTP": {func(c net.Conn) {
 			_, _ = c.Read(make([]byte, 64<<10))
 			fmt.Fprint(c, "HTTP/1.1 400 Bad Request\r\n\r\n")
-		}, whyNoTLS},
+		}, reasonNoTLS},
 		"breaks off within": {func(c net.Conn) {
 			_ = tls.Server(&cutConn{Conn: c, left: 200}, &tls.Config{Certificates: []tls.Certificate{shown.TLS()}}).Handshake()
 		}, "closed"},
 		"sends 100 KB": {func(c net.Conn) {
 			big := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, Padding: 100 << 10})
 			_ = tls.Server(c, &tls.Config{Certificates: []tls.Certificate{big.TLS()}}).Handshake()
-		}, whyTooLong},
+		}, reasonTooMuchData},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr := testkit.RawServer(t, func(nc net.Conn, _ *bufio.Reader) { c.serve(nc) })
-			l := newLayer(t, Config{Rules: []Rule{{Trust: trust}}, Timeout: 300 * time.Millisecond})
+			l := newLayer(t, Config{Rules: []Rule{{Trust: trust}}, HandshakeTimeout: 300 * time.Millisecond})
 			if _, err := shake(t, l, router.Endpoint{ID: "s1", Addr: addr}); err == nil {
 				t.Fatal("it was spoken to")
 			}
@@ -261,7 +261,7 @@
 	tickets := func(n byte) { conf.SetSessionTicketKeys([][32]byte{{n}}) }
 	tickets(1)
 	addr := peerServer(t, func() *tls.Config { return conf }, echo)
-	l := newLayer(t, Config{Rules: []Rule{{Trust: trust, Own: mine}}})
+	l := newLayer(t, Config{Rules: []Rule{{Trust: trust, ClientCertificate: mine}}})
 	m := router.Endpoint{ID: "s1", Addr: addr}
 	var last *Conn
 	for i, step := range []struct {
@@ -278,7 +278,7 @@
 			if changed, err := trust.Reload(time.Now()); err != nil || !changed {
 				t.Fatal(changed, err)
 			}
-			l.Reloaded()
+			l.InvalidateTrust()
 		}, false},
 		{"under it", func() {}, true},
 		{"another certificate of ours", func() {
@@ -287,7 +287,7 @@
 				t.Fatal(err)
 			}
 		}, false},
-		{"another process", func() { m.Started = time.Now(); l.Forget("s1") }, false},
+		{"another process", func() { m.Started = time.Now(); l.RemoveServer("s1") }, false},
 	} {
 		step.do()
 		c, err := shake(t, l, m)
@@ -302,7 +302,7 @@
 	if st := l.Stats(); st.Sessions != 1 || st.Resumed.Count != 3 || st.Full.Count != 5 || len(st.Failures) != 0 {
 		t.Errorf("%+v", st)
 	}
-	if !last.Usable(time.Now()) || last.Usable(time.Now().AddDate(1, 0, 0)) || last.Usable(time.Now().AddDate(-1, 0, 0)) {
+	if !last.IsTrusted(time.Now()) || last.IsTrusted(time.Now().AddDate(1, 0, 0)) || last.IsTrusted(time.Now().AddDate(-1, 0, 0)) {
 		t.Error("a connection goes by another clock than the wall's")
 	}
 }
@@ -321,21 +321,21 @@
 	l := newLayer(t, Config{Rules: []Rule{{Trust: trust}}})
 	m := router.Endpoint{ID: "s1", Addr: addr}
 	for what, do := range map[string]func(*tls.Conn){"an answer": func(c *tls.Conn) { _, _ = c.Write([]byte("x")) }, "a farewell": func(c *tls.Conn) { c.Close() }} {
-		l.Know(m)
-		c, err := l.Shake(t.Context(), t.Context(), &m, true, dialer(addr))
+		l.UpdateServer(m)
+		c, err := l.Handshake(t.Context(), t.Context(), &m, true, dialer(addr))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		testkit.Await(t, "the ticket", func() bool {
-			if !c.Quiet() {
+			if !c.IsIdle() {
 				t.Fatal("a new connection with a ticket on its way is not quiet")
 			}
 			return l.Stats().Sessions == 1
 		})
 		next <- do
-		testkit.Await(t, what, func() bool { return !c.Quiet() })
-		l.Forget(m.ID)
+		testkit.Await(t, what, func() bool { return !c.IsIdle() })
+		l.RemoveServer(m.ID)
 	}
 }
 
@@ -361,23 +361,23 @@
 		}}
 		addr := peerServer(t, func() *tls.Config { return conf }, echo)
 		l := newLayer(t, Config{
-			Rules: []Rule{{Trust: trust}}, ColdFor: time.Minute, Timeout: testkit.Long,
-			Limits: handshakes.Limits{MaxConcurrent: 16, MaxPerServer: 3, MaxPerWarmingServer: 1, MaxQueued: 20}, Core: handshakes.NewCPUScheduler(0.5, 1, func() bool { return true }),
+			Rules: []Rule{{Trust: trust}}, SlowStart: time.Minute, HandshakeTimeout: testkit.Long,
+			Limits: handshakes.Limits{MaxConcurrent: 16, MaxPerServer: 3, MaxPerWarmingServer: 1, MaxQueued: 20}, CPU: handshakes.NewCPUScheduler(0.5, 1, func() bool { return true }),
 		})
 		m := router.Endpoint{ID: "s1", Addr: addr}
 		if cold {
 			m.Started = time.Now()
 		}
-		l.Know(m)
+		l.UpdateServer(m)
 		var all sync.WaitGroup
 		var busy, well int
 		for range 40 {
 			all.Go(func() {
-				c, err := l.Shake(t.Context(), t.Context(), &m, true, dialer(addr))
+				c, err := l.Handshake(t.Context(), t.Context(), &m, true, dialer(addr))
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case errors.Is(err, ErrBusy):
+				case errors.Is(err, ErrTooManyHandshakes):
 					busy++
 				case err == nil:
 					well++
@@ -391,7 +391,7 @@
 		if want := map[bool]int{false: 3, true: 1}[cold]; most > want || well < 20 || busy+well != 40 {
 			t.Errorf("cold %v: %d at once, want %d at most; %d made, %d turned away", cold, most, want, well, busy)
 		}
-		if out, waiting := l.gate.Usage(); out != 0 || waiting != 0 || len(l.turns) != 0 {
+		if out, waiting := l.limiter.Usage(); out != 0 || waiting != 0 || len(l.admitted) != 0 {
 			t.Errorf("%d go on and %d wait in the end", out, waiting)
 		}
 	}
@@ -445,7 +445,7 @@
 				if _, err := trust.Reload(time.Now()); err != nil {
 					rt.Fatal(err)
 				}
-				l.Reloaded()
+				l.InvalidateTrust()
 			case 1: // what the server shows changes
 				mu.Lock()
 				now = rapid.IntRange(0, len(all)-1).Draw(rt, "shows")
@@ -461,7 +461,7 @@
 				}
 			}
 			for _, o := range conns {
-				if o.c.Usable(time.Now()) != trusted[o.by] {
+				if o.c.IsTrusted(time.Now()) != trusted[o.by] {
 					rt.Fatalf("a connection by %d may be used: %v; trusted are %v", o.by, !trusted[o.by], trusted)
 				}
 			}
@@ -479,7 +479,7 @@
 	conf := bad
 	addr := peerServer(t, func() *tls.Config { mu.Lock(); defer mu.Unlock(); return conf }, echo)
 	news := make(chan bool, 10)
-	l := newLayer(t, Config{Rules: []Rule{{Trust: trust}}, Tell: func(_ string, refused bool) { news <- refused }})
+	l := newLayer(t, Config{Rules: []Rule{{Trust: trust}}, OnTrustChange: func(_ string, refused bool) { news <- refused }})
 	m := router.Endpoint{ID: "s1", Addr: addr}
 	if _, err := shake(t, l, m); err == nil {
 		t.Fatal("it was spoken to")
@@ -489,16 +489,16 @@
 	}
 	testkit.Await(t, "a look in vain", func() bool {
 		s := l.Stats()
-		return s.Refused == 1 && s.Peers[0].Looks == 1 && s.Peers[0].Why == whyName
+		return s.Untrusted == 1 && s.Servers[0].Rechecks == 1 && s.Servers[0].UntrustedReason == reasonWrongName
 	})
 	mu.Lock()
 	conf = good
 	mu.Unlock()
-	if testkit.Receive(t, "the return", news) || l.Refused(&m) != nil {
+	if testkit.Receive(t, "the return", news) || l.CheckTrusted(&m) != nil {
 		t.Error("it is still refused")
 	}
-	l.Forget(m.ID)
-	if len(news) != 0 || len(l.peers) != 0 {
-		t.Errorf("%d more news, %d peers kept", len(news), len(l.peers))
+	l.RemoveServer(m.ID)
+	if len(news) != 0 || len(l.servers) != 0 {
+		t.Errorf("%d more news, %d peers kept", len(news), len(l.servers))
 	}
 }
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -9,18 +9,18 @@
 	"cobaltward/handshakes"
 )
 
-// counts are under the layer's mutex.
-type counts struct {
-	full, resumed handshakes.Histogram
-	busy, waited  uint64
-	failures      map[string]uint64
+// counters are under the layer's mutex.
+type counters struct {
+	full, resumed    handshakes.Histogram
+	rejected, queued uint64
+	failures         map[string]uint64
 }
 
-func newCounts() counts { return counts{failures: make(map[string]uint64)} }
+func newCounters() counters { return counters{failures: make(map[string]uint64)} }
 
-func (c *counts) failed(why string) { c.failures[why]++ } // of few reasons
+func (c *counters) countFailure(why string) { c.failures[why]++ } // of few reasons
 
-func (c *counts) shaken(resumed bool, took, worked time.Duration) {
+func (c *counters) countHandshake(resumed bool, took, worked time.Duration) {
 	if resumed {
 		c.resumed.Observe(took, worked)
 	} else {
@@ -28,32 +28,32 @@
 	}
 }
 
-// Peer is what a server showed last.
-type Peer struct {
-	Server string    `json:"server"`
-	Serial string    `json:"serial,omitempty"`
-	Ends   time.Time `json:"ends,omitzero"`
-	Why    string    `json:"refused,omitempty"` // why it gets nothing
-	Looks  int       `json:"looks,omitempty"`
-	ForMs  int64     `json:"refused_for_ms,omitempty"`
+// ServerStatus is what a server showed last.
+type ServerStatus struct {
+	Server            string    `json:"server"`
+	CertificateSerial string    `json:"serial,omitempty"`
+	CertificateExpiry time.Time `json:"ends,omitzero"`
+	UntrustedReason   string    `json:"refused,omitempty"` // why it gets nothing
+	Rechecks          int       `json:"looks,omitempty"`
+	UntrustedMs       int64     `json:"refused_for_ms,omitempty"`
 }
 
 // Stats is how the layer stands.
 type Stats struct {
-	Full     handshakes.Histogram `json:"full"`
-	Resumed  handshakes.Histogram `json:"resumed"`
-	Failures map[string]uint64    `json:"failures,omitempty"` // by reason
-	Going    int                  `json:"going"`              // handshakes
-	Waiting  int                  `json:"waiting"`
-	Waited   uint64               `json:"waited"`      // handshakes that had to
-	Busy     uint64               `json:"turned_away"` // since too many waited
-	Sessions int                  `json:"sessions"`    // kept
-	Refused  int                  `json:"refused"`     // servers that get nothing
-	Peers    []Peer               `json:"peers,omitempty"`
+	Full        handshakes.Histogram `json:"full"`
+	Resumed     handshakes.Histogram `json:"resumed"`
+	Failures    map[string]uint64    `json:"failures,omitempty"` // by reason
+	Running     int                  `json:"going"`              // handshakes
+	Queued      int                  `json:"waiting"`
+	TotalQueued uint64               `json:"waited"`      // handshakes that had to
+	Rejected    uint64               `json:"turned_away"` // since too many waited
+	Sessions    int                  `json:"sessions"`    // kept
+	Untrusted   int                  `json:"refused"`     // servers that get nothing
+	Servers     []ServerStatus       `json:"peers,omitempty"`
 }
 
-// Reuse is the part of the handshakes that took a session up again.
-func (s Stats) Reuse() float64 {
+// ResumptionRate is the part of the handshakes that took a session up again.
+func (s Stats) ResumptionRate() float64 {
 	if s.Full.Count+s.Resumed.Count == 0 {
 		return 0
 	}
@@ -61,28 +61,28 @@
 }
 
 // Stats tells how the layer stands, with every server that was spoken to.
-func (l *Layer) Stats() Stats {
+func (l *ClientTLS) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Stats{Full: l.stats.full.Clone(), Resumed: l.stats.resumed.Clone(), Failures: maps.Clone(l.stats.failures), Busy: l.stats.busy, Waited: l.stats.waited}
-	s.Going, s.Waiting = l.gate.Usage()
+	s := Stats{Full: l.counters.full.Clone(), Resumed: l.counters.resumed.Clone(), Failures: maps.Clone(l.counters.failures), Rejected: l.counters.rejected, TotalQueued: l.counters.queued}
+	s.Running, s.Queued = l.limiter.Usage()
 	why := make(map[string]handshakes.UntrustedServer)
-	for _, r := range l.refused.List() {
+	for _, r := range l.untrusted.List() {
 		why[r.Server] = r
 	}
-	s.Refused = len(why)
-	for id, p := range l.peers {
-		x := Peer{Server: id, Serial: p.shown, Ends: p.ends}
+	s.Untrusted = len(why)
+	for id, p := range l.servers {
+		x := ServerStatus{Server: id, CertificateSerial: p.certificateSerial, CertificateExpiry: p.certificateExpiry}
 		if r, ok := why[id]; ok {
-			x.Why, x.Looks, x.ForMs = r.Reason, r.Rechecks, (l.now() - r.Since).Milliseconds()
+			x.UntrustedReason, x.Rechecks, x.UntrustedMs = r.Reason, r.Rechecks, (l.now() - r.Since).Milliseconds()
 		}
-		p.kept.mu.Lock()
-		if p.kept.session != nil {
+		p.tickets.mu.Lock()
+		if p.tickets.session != nil {
 			s.Sessions++
 		}
-		p.kept.mu.Unlock()
-		s.Peers = append(s.Peers, x)
+		p.tickets.mu.Unlock()
+		s.Servers = append(s.Servers, x)
 	}
-	slices.SortFunc(s.Peers, func(a, b Peer) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
 	return s
 }
