--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -256,9 +256,9 @@
 
 // newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
 // its kind.
-func newTransport(config Config, maxConns int, layer *secure.Layer) router.Transport {
+func newTransport(config Config, maxConns int, layer *secure.ClientTLS) router.Transport {
 	newHTTP := func(maxConns int) router.Transport {
-		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, Secure: layer})
+		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, TLS: layer})
 	}
 	if len(config.Msgpack.ServerKinds) == 0 {
 		return newHTTP(maxConns)
@@ -273,6 +273,6 @@
 	return mixed.New(protocolOf, newHTTP(maxConns-msgpackConns), msgpacktransport.New(msgpacktransport.Config{
 		MaxConns:       msgpackConns,
 		ConnectTimeout: config.ConnectTimeout,
-		Secure:         layer,
+		TLS:            layer,
 	}))
 }
