--- a/internal/jsonconfig/jsonconfig.go
+++ b/internal/jsonconfig/jsonconfig.go
@@ -1,4 +1,4 @@
-// Package jsonconfig reads JSON from outside so that errors name the field as its author wrote it.
+// Package jsonconfig decodes JSON configurations, with errors that name the field by its JSON path.
 package jsonconfig
 
 import (
@@ -9,23 +9,24 @@
 	"strconv"
 )
 
-// Unmarshal is json.Unmarshal whose type errors name the field by its JSON path.
+// Unmarshal is json.Unmarshal, with type errors that name the field by its JSON path.
 func Unmarshal(raw []byte, to any) error {
 	err := json.Unmarshal(raw, to)
-	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
-		return fmt.Errorf("%s: want %s, got %s", bad.Field, bad.Type, bad.Value)
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) && mismatch.Field != "" {
+		return fmt.Errorf("%s: want %s, got %s", mismatch.Field, mismatch.Type, mismatch.Value)
 	}
 	return err
 }
 
-// CheckAddress says whether addr is host:port.
-func CheckAddress(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return fmt.Errorf("want host:port, got %q", addr)
+// CheckAddress returns an error unless address is host:port with a numeric port.
+func CheckAddress(address string) error {
+	host, port, err := net.SplitHostPort(address)
+	if err == nil {
+		_, err = strconv.ParseUint(port, 10, 16)
 	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil || host == "" {
-		return fmt.Errorf("want host:port, got %q", addr)
+	if err != nil || host == "" {
+		return fmt.Errorf("want host:port, got %q", address)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/stricttoml/lines.go
@@ -0,0 +1,129 @@
+package stricttoml
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// Error is an error in a text.
+type Error struct {
+	Line    int    // from 1
+	Key     string // dotted; empty if the error concerns no key
+	Message string
+}
+
+// Error returns the message behind the line and the key, so that the file's name can stand before it.
+func (e *Error) Error() string {
+	if e.Key == "" {
+		return fmt.Sprintf("%d: %s", e.Line, e.Message)
+	}
+	return fmt.Sprintf("%d: %s: %s", e.Line, e.Key, e.Message)
+}
+
+// Lines has the line of each key and of each table, by dotted key, as in "fault[2].at".
+type Lines map[string]int
+
+// At returns the line of a key, or that of the innermost table around it that is known, or 1.
+func (l Lines) At(key string) int {
+	for key != "" {
+		if line, ok := l[key]; ok {
+			return line
+		}
+		i := strings.LastIndexAny(key, ".[")
+		if i < 0 {
+			break
+		}
+		key = key[:i]
+	}
+	return 1
+}
+
+// Errorf returns an *Error at a key.
+func (l Lines) Errorf(key, format string, args ...any) error {
+	return &Error{Line: l.At(key), Key: key, Message: fmt.Sprintf(format, args...)}
+}
+
+// compare orders keys by line.
+func (l Lines) compare(a, b string) int { return l.At(a) - l.At(b) }
+
+// indexLines returns the lines of a text, which must be valid TOML.
+func indexLines(text []byte) Lines {
+	x := &indexer{text: text, lines: make(Lines), counts: make(map[string]int), current: make(map[string]string)}
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		x.addExpression(parser.Expression())
+	}
+	return x.lines
+}
+
+// indexer collects the lines of a text.
+type indexer struct {
+	text    []byte
+	lines   Lines
+	counts  map[string]int    // elements of each array of tables so far
+	current map[string]string // the last element of each array of tables, by the array's key
+	table   string            // to which the keys that follow belong
+}
+
+func (x *indexer) addExpression(expression *unstable.Node) {
+	switch expression.Kind {
+	case unstable.Table:
+		key, node := x.resolve(expression.Key(), "")
+		x.table = key
+		x.lines[key] = x.lineOf(node)
+	case unstable.ArrayTable:
+		array, node := x.resolve(expression.Key(), "")
+		key := fmt.Sprintf("%s[%d]", array, x.counts[array])
+		x.counts[array]++
+		x.current[array] = key
+		x.table = key
+		x.lines[key] = x.lineOf(node)
+	case unstable.KeyValue:
+		key, node := x.resolve(expression.Key(), x.table)
+		x.addValue(key, expression.Value(), x.lineOf(node))
+	}
+}
+
+// addValue adds a key and, if its value is an inline table, the keys in it.
+func (x *indexer) addValue(key string, value *unstable.Node, line int) {
+	x.lines[key] = line
+	if value.Kind != unstable.InlineTable {
+		return
+	}
+	for children := value.Children(); children.Next(); {
+		child := children.Node()
+		childKey, _ := x.resolve(child.Key(), key)
+		x.addValue(childKey, child.Value(), line)
+	}
+}
+
+// resolve returns the dotted key that parts make within a table, and the first part's node. A part that names an
+// array of tables stands for its last element, unless it is the last part.
+func (x *indexer) resolve(parts unstable.Iterator, table string) (key string, first *unstable.Node) {
+	key = table
+	for parts.Next() {
+		if first == nil {
+			first = parts.Node()
+		}
+		key = join(key, string(parts.Node().Data))
+		if element, ok := x.current[key]; ok && !parts.IsLast() {
+			key = element
+		}
+	}
+	return key, first
+}
+
+func (x *indexer) lineOf(node *unstable.Node) int {
+	return 1 + bytes.Count(x.text[:node.Raw.Offset], []byte("\n"))
+}
+
+func join(table, key string) string {
+	if table == "" {
+		return key
+	}
+	return table + "." + key
+}
