--- /dev/null
+++ b/transport/http1/dial.go
@@ -0,0 +1,129 @@
+package http1
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"cobaltward/internal/sockets"
+	"cobaltward/router"
+	"cobaltward/transport/secure"
+)
+
+// acquire takes an idle connection to a server, or opens one.
+func (t *Transport) acquire(ctx context.Context, id string) (*conn, error) {
+	s, c, err := t.reserve(id, true)
+	if c != nil || err != nil {
+		return c, err
+	}
+	c, err = t.openForRequest(ctx, s)
+	switch {
+	case err == nil:
+		return c, nil
+	case errors.Is(err, errClientGone):
+		return nil, ctx.Err()
+	}
+	t.unreserve()
+	if sockets.IsShortage(err) || errors.Is(err, secure.ErrTooManyHandshakes) {
+		return nil, errNoConnection
+	}
+	return nil, err
+}
+
+// openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, since the next request can
+// use its connection: errClientGone is returned then, and the reservation is no longer the caller's.
+func (t *Transport) openForRequest(ctx context.Context, s *server) (*conn, error) {
+	if t.tls == nil {
+		return t.open(ctx, ctx, s, true)
+	}
+	type result struct {
+		conn *conn
+		err  error
+	}
+	opened := make(chan result, 1)
+	t.preconnects.Go(func() {
+		c, err := t.open(ctx, t.ctx, s, true)
+		opened <- result{c, err}
+	})
+	select {
+	case r := <-opened:
+		return r.conn, r.err
+	case <-ctx.Done():
+	}
+	t.preconnects.Go(func() {
+		if r := <-opened; r.err != nil {
+			t.unreserve()
+		} else {
+			t.release(r.conn, s.ID, true)
+		}
+	})
+	return nil, errClientGone
+}
+
+// open opens a connection; forRequest says that a request waits for it. A handshake that is still queued ends with
+// queueCtx, and a running one with ctx.
+func (t *Transport) open(queueCtx, ctx context.Context, s *server, forRequest bool) (*conn, error) {
+	var idle *conn
+	dial := func() (*net.TCPConn, error) {
+		if idle = t.takeInstead(s, forRequest); idle != nil {
+			return nil, errIdleConnAvailable
+		}
+		return t.dialTCP(ctx, s.Addr)
+	}
+	c := &conn{server: s}
+	var err error
+	endpoint := t.endpointOf(s)
+	if t.tls == nil || !t.tls.UsesTLS(&endpoint) {
+		c.tcp, err = dial()
+	} else if err = t.tls.CheckTrusted(&endpoint); err == nil {
+		c.tls, err = t.tls.Handshake(queueCtx, ctx, &endpoint, forRequest, dial)
+	}
+	switch {
+	case idle != nil:
+		return idle, nil
+	case err != nil:
+		return nil, err
+	case c.tls != nil:
+		c.tcp = c.tls.TCP()
+	}
+	return c, nil
+}
+
+func (t *Transport) dialTCP(ctx context.Context, addr string) (*net.TCPConn, error) {
+	netConn, err := t.dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	tcp, ok := netConn.(*net.TCPConn)
+	if !ok {
+		return nil, errors.Join(fmt.Errorf("dial %s: got a %T, want a TCP connection", addr, netConn), netConn.Close())
+	}
+	return tcp, nil
+}
+
+// takeInstead takes a connection that became idle while a request was queued for its handshake. It replaces the
+// connection that was counted for the request.
+func (t *Transport) takeInstead(s *server, forRequest bool) *conn {
+	if t.tls == nil || !forRequest {
+		return nil
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.servers.Get(s.ID) != s {
+		return nil
+	}
+	c := t.takeIdle(s, time.Now())
+	if c != nil {
+		t.openConns--
+	}
+	return c
+}
+
+// endpointOf returns the current entry of the endpoint list for a server.
+func (t *Transport) endpointOf(s *server) router.Endpoint {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return s.Endpoint
+}
--- a/transport/http1/head.go
+++ b/transport/http1/head.go
@@ -5,195 +5,186 @@
 	"bytes"
 	"io"
 	"net/http"
+
+	"cobaltward/internal/ascii"
 )
 
-// head is what counts of an answer's head.
-type head struct {
+// responseHead is the part of a response's head that the transport uses.
+type responseHead struct {
 	status      int
-	length      int // of the body
-	closes      bool
+	length      int  // of the body; -1: unknown
+	closeAfter  bool // the connection serves no further request
 	contentType string
-	load        string // X-Load
+	loadReport  string // X-Load
 	notRun      bool   // X-Not-Run: 1
 }
 
-// simple reads an answer's head if it is of the plainest form: all of it in what the first read brought,
-// HTTP/1.1, a final status that has a body, one Content-Length of digits, and no header that could
-// change where the body ends. It reports false, and has consumed nothing, wherever net/http's own
-// reader must judge: the two agree on what they both read (FuzzHead).
-func simple(in *bufio.Reader) (h head, ok bool) {
+const (
+	protocolPrefix   = "HTTP/1.1 "
+	statusEnd        = len(protocolPrefix) + 3 // of the status in a status line
+	maxLengthDigits  = 7                       // of a Content-Length that readPlainHead accepts
+	headEnd          = "\r\n\r\n"
+	lineEnd          = "\r\n"
+	headerWhitespace = " \t"
+)
+
+// readPlainHead reads a head of the plainest form: it is complete in what the first read returned, of HTTP/1.1, with a
+// final status that has a body, one Content-Length of digits, and no header that could change where the body ends. It
+// reports false, and consumes nothing, wherever net/http has to decide. Both agree on what they both accept (FuzzHead).
+func readPlainHead(in *bufio.Reader) (head responseHead, ok bool) {
 	if _, err := in.Peek(1); err != nil {
-		return h, false
+		return responseHead{}, false
 	}
 	raw, _ := in.Peek(in.Buffered())
-	end := bytes.Index(raw, []byte("\r\n\r\n"))
+	end := bytes.Index(raw, []byte(headEnd))
 	if end < 0 {
-		return h, false
+		return responseHead{}, false
 	}
-	text := raw[:end+2]
-	line, text, _ := bytes.Cut(text, []byte("\r\n"))
-	if len(line) < len("HTTP/1.1 200 ") || string(line[:9]) != "HTTP/1.1 " || line[12] != ' ' || !plainText(line) {
-		return h, false
+	line, rest, _ := bytes.Cut(raw[:end+len(lineEnd)], []byte(lineEnd))
+	status, ok := parsePlainStatusLine(line)
+	if !ok {
+		return responseHead{}, false
 	}
-	for _, d := range line[9:12] {
-		if d < '0' || d > '9' {
-			return h, false
+	parsed := plainHead{responseHead: responseHead{status: status, length: -1}}
+	for len(rest) > 0 {
+		line, rest, _ = bytes.Cut(rest, []byte(lineEnd))
+		if !parsed.addLine(line) {
+			return responseHead{}, false
 		}
-		h.status = 10*h.status + int(d-'0')
 	}
-	if h.status < 200 || h.status == http.StatusNoContent || h.status == http.StatusNotModified {
-		return h, false
+	if parsed.length < 0 {
+		return responseHead{}, false
 	}
-	h.length = -1
-	var seen [5]bool
-	for len(text) > 0 {
-		line, text, _ = bytes.Cut(text, []byte("\r\n"))
-		colon := bytes.IndexByte(line, ':')
-		if colon <= 0 || !plainText(line) {
-			return h, false
-		}
-		name, value := line[:colon], bytes.Trim(line[colon+1:], " \t")
-		if !plainName(name) {
-			return h, false
-		}
-		which := -1
-		switch len(name) {
-		case 4:
-			if equalFold(name, "date") {
-				continue
-			}
-		case 6:
-			if equalFold(name, "x-load") {
-				which, h.load = 0, string(value)
-			}
-		case 7:
-			if equalFold(name, "trailer") || equalFold(name, "upgrade") {
-				return h, false
-			}
-		case 9:
-			if equalFold(name, "x-not-run") {
-				which, h.notRun = 1, string(value) == "1"
-			}
-		case 10:
-			if equalFold(name, "connection") {
-				which = 2
-				if h.closes = equalFold(value, "close"); !h.closes && !equalFold(value, "keep-alive") {
-					return h, false
-				}
-			}
-		case 12:
-			if equalFold(name, "content-type") {
-				which, h.contentType = 3, string(value)
-			}
-		case 14:
-			if equalFold(name, "content-length") {
-				if which, h.length, ok = 4, 0, len(value) > 0 && len(value) <= 7; !ok {
-					return h, false
-				}
-				for _, d := range value {
-					if d < '0' || d > '9' {
-						return h, false
-					}
-					h.length = 10*h.length + int(d-'0')
-				}
-			}
-		case 17:
-			if equalFold(name, "transfer-encoding") {
-				return h, false
-			}
-		}
-		if which >= 0 {
-			if seen[which] {
-				return h, false
-			}
-			seen[which] = true
-		}
+	_, err := in.Discard(end + len(headEnd))
+	return parsed.responseHead, err == nil
+}
+
+// parsePlainStatusLine returns a final status that has a body.
+func parsePlainStatusLine(line []byte) (status int, ok bool) {
+	if len(line) <= statusEnd || string(line[:len(protocolPrefix)]) != protocolPrefix {
+		return 0, false
 	}
-	if h.length < 0 {
-		return h, false
+	if line[statusEnd] != ' ' || !isPlainText(line) {
+		return 0, false
 	}
-	_, err := in.Discard(end + len("\r\n\r\n"))
-	return h, err == nil
+	number, ok := ascii.ParseDecimal(line[len(protocolPrefix):statusEnd], 3)
+	status = int(number)
+	if !ok || status < 200 || status == http.StatusNoContent || status == http.StatusNotModified {
+		return 0, false
+	}
+	return status, true
 }
 
-// plainText tells whether a line holds printable ASCII and tabs only.
-func plainText(line []byte) bool {
-	for _, c := range line {
-		if c < ' ' && c != '\t' || c > '~' {
-			return false
-		}
+// plainHead collects the headers of a head of the plainest form.
+type plainHead struct {
+	responseHead
+	seen headerSet
+}
+
+// headerSet is a set of the headers that may occur once.
+type headerSet uint8
+
+const (
+	headerLoad headerSet = 1 << iota
+	headerNotRun
+	headerConnection
+	headerContentType
+	headerContentLength
+)
+
+// addLine adds a header line. It reports false where the head is not of the plainest form.
+func (h *plainHead) addLine(line []byte) bool {
+	colon := bytes.IndexByte(line, ':')
+	if colon <= 0 || !isPlainText(line) || !isPlainName(line[:colon]) {
+		return false
+	}
+	name, value := line[:colon], bytes.Trim(line[colon+1:], headerWhitespace)
+	switch {
+	case ascii.EqualFold(name, "content-length"):
+		length, ok := ascii.ParseDecimal(value, maxLengthDigits)
+		h.length = int(length)
+		return ok && h.isFirst(headerContentLength)
+	case ascii.EqualFold(name, "content-type"):
+		h.contentType = string(value)
+		return h.isFirst(headerContentType)
+	case ascii.EqualFold(name, "x-load"):
+		h.loadReport = string(value)
+		return h.isFirst(headerLoad)
+	case ascii.EqualFold(name, "x-not-run"):
+		h.notRun = string(value) == "1"
+		return h.isFirst(headerNotRun)
+	case ascii.EqualFold(name, "connection"):
+		h.closeAfter = ascii.EqualFold(value, "close")
+		return (h.closeAfter || ascii.EqualFold(value, "keep-alive")) && h.isFirst(headerConnection)
+	}
+	return !ascii.EqualFold(name, "transfer-encoding") &&
+		!ascii.EqualFold(name, "trailer") &&
+		!ascii.EqualFold(name, "upgrade")
+}
+
+// isFirst adds a header to those seen. It reports whether it was not among them.
+func (h *plainHead) isFirst(header headerSet) bool {
+	if h.seen&header != 0 {
+		return false
 	}
+	h.seen |= header
 	return true
 }
 
-// plainName tells whether a header's name holds letters, digits and dashes only.
-func plainName(name []byte) bool {
-	for _, c := range name {
-		if (c|0x20 < 'a' || c|0x20 > 'z') && (c < '0' || c > '9') && c != '-' {
+// isPlainText reports whether a line has only printable ASCII and tabs.
+func isPlainText(line []byte) bool {
+	for _, char := range line {
+		if char < ' ' && char != '\t' || char > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-// equalFold compares with a word in lower case.
-func equalFold(b []byte, lower string) bool {
-	if len(b) != len(lower) {
-		return false
-	}
-	for i, c := range b {
-		if c >= 'A' && c <= 'Z' {
-			c |= 0x20
-		}
-		if c != lower[i] {
+// isPlainName reports whether the name of a header has only letters, digits and dashes.
+func isPlainName(name []byte) bool {
+	for _, char := range name {
+		if (char|0x20 < 'a' || char|0x20 > 'z') && (char < '0' || char > '9') && char != '-' {
 			return false
 		}
 	}
 	return true
 }
 
-// slow reads a head by net/http, with the 1xx answers ahead of it.
-func slow(in *bufio.Reader, limit *io.LimitedReader, method string) (h head, resp *http.Response, err error) {
-	for i := 0; ; i++ {
-		resp, err = http.ReadResponse(in, &http.Request{Method: method})
+// readHead reads a head by net/http, including the 1xx responses ahead of it.
+func readHead(in *bufio.Reader, limit *io.LimitedReader, method string) (responseHead, *http.Response, error) {
+	for interim := 0; ; interim++ {
+		resp, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
-			return h, nil, spoilt(err, limit.N == 0)
+			return responseHead{}, nil, readError(err, limit.N == 0)
 		}
 		if resp.StatusCode >= 200 {
-			break
+			return headOf(resp), resp, nil
 		}
-		if i == maxInterim || resp.StatusCode < 100 || resp.StatusCode == http.StatusSwitchingProtocols {
-			return h, nil, errSpoilt
+		isSwitch := resp.StatusCode == http.StatusSwitchingProtocols
+		if interim == maxInterimResponses || resp.StatusCode < 100 || isSwitch {
+			return responseHead{}, nil, errMalformedResponse
 		}
-		limit.N = maxHeader
+		limit.N = maxHeadBytes
 	}
-	return head{
-		status: resp.StatusCode, length: int(resp.ContentLength), closes: resp.Close, contentType: resp.Header.Get("Content-Type"),
-		load: resp.Header.Get("X-Load"), notRun: resp.Header.Get("X-Not-Run") == "1",
-	}, resp, nil
 }
 
-// rest reads a short body by net/http.
-func rest(limit *io.LimitedReader, resp *http.Response) ([]byte, error) {
-	if resp.ContentLength > maxBody {
-		return nil, errSpoilt
-	}
-	limit.N = 2 * maxBody // a chunked body brings the lengths of its parts
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-	if err != nil {
-		return nil, spoilt(err, limit.N == 0)
-	}
-	if len(body) > maxBody {
-		return nil, errSpoilt
+func headOf(resp *http.Response) responseHead {
+	return responseHead{
+		status:      resp.StatusCode,
+		length:      int(resp.ContentLength),
+		closeAfter:  resp.Close,
+		contentType: resp.Header.Get("Content-Type"),
+		loadReport:  resp.Header.Get("X-Load"),
+		notRun:      resp.Header.Get("X-Not-Run") == "1",
 	}
-	return body, nil
 }
 
-// lastChunk is how a chunked body without trailers ends.
-var lastChunk = []byte("\r\n0\r\n\r\n")
+// finalChunk ends a chunked body without trailers.
+var finalChunk = []byte("\r\n0\r\n\r\n")
 
-// there tells whether a chunked body seems to be all in what was read already.
-func there(in *bufio.Reader) bool {
-	held, _ := in.Peek(in.Buffered())
-	return bytes.HasSuffix(held, lastChunk)
+// hasFinalChunk reports whether all of a chunked body seems to be in what was read already.
+func hasFinalChunk(in *bufio.Reader) bool {
+	buffered, _ := in.Peek(in.Buffered())
+	return bytes.HasSuffix(buffered, finalChunk)
 }
--- a/transport/http1/head_test.go
+++ b/transport/http1/head_test.go
@@ -45,7 +45,7 @@
 // agree says where the quick reader takes a head otherwise than net/http does.
 func agree(t *testing.T, raw []byte) {
 	in := bufio.NewReader(bytes.NewReader(raw))
-	h, ok := simple(in)
+	h, ok := readPlainHead(in)
 	if !ok {
 		if rest, _ := in.Peek(len(raw)); len(raw) <= 4096 && !bytes.Equal(rest, raw) {
 			t.Errorf("%q: left alone, but some of it was consumed", raw)
@@ -57,9 +57,9 @@
 	if err != nil {
 		t.Fatalf("%q: taken as %+v, though net/http says %v", raw, h, err)
 	}
-	if resp.StatusCode != h.status || resp.ContentLength != int64(h.length) || resp.Close != h.closes ||
+	if resp.StatusCode != h.status || resp.ContentLength != int64(h.length) || resp.Close != h.closeAfter ||
 		len(resp.TransferEncoding) != 0 || resp.Header.Get("Content-Type") != h.contentType ||
-		resp.Header.Get("X-Load") != h.load || (resp.Header.Get("X-Not-Run") == "1") != h.notRun {
+		resp.Header.Get("X-Load") != h.loadReport || (resp.Header.Get("X-Not-Run") == "1") != h.notRun {
 		t.Errorf("%q: taken as %+v, net/http has %d, length %d, close %v, header %v", raw, h, resp.StatusCode,
 			resp.ContentLength, resp.Close, resp.Header)
 	}
@@ -80,7 +80,7 @@
 // What is odd is left to net/http, and what is plain is not.
 func TestQuickReaderTakesThePlainFormOnly(t *testing.T) {
 	for i, raw := range heads {
-		_, ok := simple(bufio.NewReader(strings.NewReader(raw)))
+		_, ok := readPlainHead(bufio.NewReader(strings.NewReader(raw)))
 		if want := i < 5; ok != want {
 			t.Errorf("%q: taken %v, want %v", raw, ok, want)
 		}
--- a/transport/http1/http1_test.go
+++ b/transport/http1/http1_test.go
@@ -69,15 +69,15 @@
 func (u *Transport) counts(id string) (open, idle int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if p := u.pools.Get(id); p != nil {
+	if p := u.servers.Get(id); p != nil {
 		idle = len(p.State.idle)
 	}
-	return u.open, idle
+	return u.openConns, idle
 }
 
 // Only "full" with X-Not-Run, and what never got its last byte written, has not run for certain.
 func TestOutcomeOfEachAnswer(t *testing.T) {
-	big := strings.Repeat("x", maxBody+1)
+	big := strings.Repeat("x", maxBodyBytes+1)
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for _, c := range []struct {
 		answer string
@@ -95,14 +95,14 @@
 		{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big), policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset},     // ends early
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + good, policy.OK}, // a second copy behind
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim) + good, policy.OK},
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim+1) + good, policy.ServerError},
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses) + good, policy.OK},
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses+1) + good, policy.ServerError},
 		{"HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n" + good, policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok, and more", policy.ServerError}, // the length is too small
 		{"HTTP/1.1 200 OK\r\n\r\nok", policy.OK},                                         // until the close
 		{"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.ServerError},
-		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeader), policy.ServerError},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", policy.OK},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", policy.ServerError},
 		{"\x00\x01\xff noise\r\n\r\n", policy.ServerError},
@@ -167,7 +167,7 @@
 		if r := ended(t, u, testRequest(method, "r1", "")); r.Code != policy.OK {
 			t.Fatalf("%s: first code %v", method, r.Code)
 		}
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 		if r := ended(t, u, testRequest(method, "r2", "")); r.Code != policy.Reset {
 			t.Errorf("%s: code %v, want a reset", method, r.Code)
 		}
@@ -193,8 +193,8 @@
 	if err := tcp.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	p := u.pools.Get("s0")
-	p.State.idle, u.open = []*conn{{tcp: tcp.(*net.TCPConn), pool: p, used: time.Now().Add(-time.Second)}}, 1
+	p := u.servers.Get("s0")
+	p.State.idle, u.openConns = []*conn{{tcp: tcp.(*net.TCPConn), server: p, lastUsed: time.Now().Add(-time.Second)}}, 1
 	if r := ended(t, u, testRequest(http.MethodPost, "r1", "body")); r.Code != policy.ConnectFailed {
 		t.Errorf("code %v, want could not connect", r.Code)
 	}
@@ -273,21 +273,21 @@
 	u := testTransport(t, addr)
 	for i := range 3 {
 		ended(t, u, testRequest(http.MethodGet, fmt.Sprint("r", i), ""))
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for three requests in turn", n)
 	}
-	u.sweep(time.Now().Add(u.idleFor - time.Second))
+	u.closeExpired(time.Now().Add(u.idleTimeout - time.Second))
 	if _, idle := u.counts("s0"); idle != 1 {
 		t.Errorf("%d idle connections before their time is up, want 1", idle)
 	}
-	u.sweep(time.Now().Add(u.idleFor + time.Second))
+	u.closeExpired(time.Now().Add(u.idleTimeout + time.Second))
 	if open, idle := u.counts("s0"); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle after the sweep", open, idle)
 	}
-	if u.idleFor > 30*time.Second {
-		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleFor)
+	if u.idleTimeout > 30*time.Second {
+		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleTimeout)
 	}
 }
 
@@ -303,8 +303,8 @@
 	testkit.Await(t, "the close to be noticed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		idle := u.pools.Get("s0").State.idle
-		return len(idle) == 0 || !sockets.Quiet(u.pools.Get("s0").State.idle[0].tcp)
+		idle := u.servers.Get("s0").State.idle
+		return len(idle) == 0 || !sockets.Quiet(u.servers.Get("s0").State.idle[0].tcp)
 	})
 	if r := ended(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
 		t.Errorf("code %v", r.Code)
@@ -316,7 +316,7 @@
 	slow := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testTransport(t, fast, slow)
-	u.most = 1
+	u.maxConns = 1
 	if r := ended(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
 		t.Fatalf("code %v", r.Code)
 	}
@@ -397,9 +397,9 @@
 		testkit.Await(t, "what nobody asked for", func() bool {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			return !sockets.Quiet(u.pools.Get("s0").State.idle[0].tcp)
+			return !sockets.Quiet(u.servers.Get("s0").State.idle[0].tcp)
 		})
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 		if r := ended(t, u, testRequest(http.MethodGet, "r2", "")); string(r.Answer.Body) != "2" {
 			t.Errorf("%q behind: answer %q, code %v", behind, r.Answer.Body, r.Code)
 		}
@@ -465,7 +465,7 @@
 	if r := ended(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
 		t.Fatalf("code %v", r.Code)
 	}
-	time.Sleep(2 * restFor) // so that a connection is there, and no dial notices the time
+	time.Sleep(2 * reuseDelay) // so that a connection is there, and no dial notices the time
 	if r := u.Attempt(lateContext{t.Context()}, "s0", testRequest(http.MethodPost, "late", "")); r.Code != policy.ConnectFailed {
 		t.Errorf("after its time: code %v, want one that proves it never ran", r.Code)
 	}
@@ -476,7 +476,7 @@
 		t.Errorf("within the grace: code %v", r.Code)
 	}
 	u.mu.Lock()
-	u.pools.Get("s0").DrainStartedAt = time.Now().Add(-u.grace)
+	u.servers.Get("s0").DrainStartedAt = time.Now().Add(-u.drainGrace)
 	u.mu.Unlock()
 	u.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: drains}) // the same news again gives no new grace
 	if r := ended(t, u, testRequest(http.MethodPost, "r3", "")); r.Code != policy.ConnectFailed {
--- /dev/null
+++ b/transport/http1/pool.go
@@ -0,0 +1,126 @@
+package http1
+
+import (
+	"time"
+
+	"cobaltward/transport/servers"
+)
+
+// server is one process of one server with its connection pool.
+type server = servers.Server[serverPool]
+
+// serverPool is the connection pool of one server.
+type serverPool struct {
+	idle        []*conn   // the last used at the end
+	lastRequest time.Time // when a request last wanted a connection
+	connecting  int       // connections that are being opened ahead of requests
+}
+
+// closeOldest closes the n connections of a server that were idle longest. The caller holds the mutex.
+func (t *Transport) closeOldest(s *server, n int) {
+	for _, c := range s.State.idle[:n] {
+		_ = c.Close()
+	}
+	s.State.idle = append([]*conn(nil), s.State.idle[n:]...)
+	t.openConns -= n
+}
+
+// closeExpired closes connections that were idle for too long, were closed by their server, or are no longer trusted.
+func (t *Transport) closeExpired(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.servers.All() {
+		var remaining []*conn
+		for _, c := range s.State.idle {
+			if now.Sub(c.lastUsed) < t.idleTimeout && c.isTrusted(now) && c.isIdle() {
+				remaining = append(remaining, c)
+				continue
+			}
+			_ = c.Close()
+			t.openConns--
+		}
+		s.State.idle = remaining
+	}
+}
+
+// reserve returns an idle connection to a server, or counts one that the caller opens. forRequest says that a request
+// wants it.
+func (t *Transport) reserve(id string, forRequest bool) (*server, *conn, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.servers.Get(id)
+	if s == nil {
+		return nil, nil, errUnknownServer
+	}
+	now := time.Now()
+	if forRequest {
+		s.State.lastRequest = now
+	}
+	if c := t.takeIdle(s, now); c != nil {
+		return s, c, nil
+	}
+	if t.openConns >= t.maxConns && !t.closeOldestOfAll() {
+		return nil, nil, errNoConnection
+	}
+	t.openConns++
+	return s, nil, nil
+}
+
+// unreserve gives back the count of a connection that was not opened.
+func (t *Transport) unreserve() {
+	t.mu.Lock()
+	t.openConns--
+	t.mu.Unlock()
+}
+
+// takeIdle takes the last used of the idle connections that can be reused; nil where there is none. The caller holds
+// the mutex.
+func (t *Transport) takeIdle(s *server, now time.Time) *conn {
+	for i := len(s.State.idle) - 1; i >= 0; i-- {
+		c := s.State.idle[i]
+		if !c.canReuse(now) {
+			continue
+		}
+		last := len(s.State.idle) - 1
+		copy(s.State.idle[i:], s.State.idle[i+1:])
+		s.State.idle[last], s.State.idle = nil, s.State.idle[:last]
+		if now.Sub(c.lastUsed) < t.idleTimeout && c.isTrusted(now) && c.isIdle() {
+			return c
+		}
+		_ = c.Close()
+		t.openConns--
+	}
+	return nil
+}
+
+// closeOldestOfAll closes the connection that was idle longest. It reports whether there was one. The caller holds the
+// mutex.
+func (t *Transport) closeOldestOfAll() bool {
+	var oldest *server
+	for _, s := range t.servers.All() {
+		if len(s.State.idle) == 0 {
+			continue
+		}
+		if oldest == nil || s.State.idle[0].lastUsed.Before(oldest.State.idle[0].lastUsed) {
+			oldest = s
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	t.closeOldest(oldest, 1)
+	return true
+}
+
+// release returns a connection to the pool if it can serve another request, and closes it otherwise.
+func (t *Transport) release(c *conn, id string, reusable bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if reusable && t.servers.Get(id) == c.server {
+		c.lastUsed = time.Now()
+		c.server.State.idle = append(c.server.State.idle, c)
+		return
+	}
+	_ = c.Close()
+	t.openConns--
+}
--- /dev/null
+++ b/transport/http1/response.go
@@ -0,0 +1,114 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+
+	"cobaltward/router"
+)
+
+const (
+	maxBodyBytes        = 64 << 10 // of a response that is not streamed
+	maxHeadBytes        = 16 << 10 // of a response
+	maxInterimResponses = 8        // 1xx responses ahead of the final one
+)
+
+// statusLinePrefix is what every response begins with.
+const statusLinePrefix = "HTTP/1."
+
+// response is a response as far as its attempt needs it: it has a body or a stream.
+type response struct {
+	head   responseHead
+	body   []byte
+	stream router.Stream // of a long body; owns the connection and the reader
+}
+
+// responseReader reads one response.
+type responseReader struct {
+	transport *Transport
+	in        *bufio.Reader
+	limit     *io.LimitedReader // below in
+	conn      *conn
+	serverID  string
+}
+
+// readResponse reads one response, within bounds on its head and on the body bytes that are held. A body that is longer,
+// or of unknown length and slow, becomes a stream where r accepts one. A response whose body does not fit its framing is
+// malformed, and so is one followed by bytes that do not begin another response, since they may belong to its body.
+func (t *Transport) readResponse(in *bufio.Reader, c *conn, server string, r *router.Request) (response, error) {
+	limit := &io.LimitedReader{R: c, N: maxHeadBytes}
+	in.Reset(limit)
+	rd := responseReader{transport: t, in: in, limit: limit, conn: c, serverID: server}
+	resp, err := rd.read(r)
+	if err != nil || resp.stream != nil {
+		return resp, err
+	}
+	if n := in.Buffered(); n > 0 {
+		resp.head.closeAfter = true
+		next, _ := in.Peek(min(n, len(statusLinePrefix)))
+		if string(next) != statusLinePrefix[:len(next)] {
+			return response{}, errMalformedResponse
+		}
+	}
+	return resp, nil
+}
+
+func (rd *responseReader) read(r *router.Request) (response, error) {
+	if r.Method != http.MethodHead { // the Content-Length of a response to HEAD is not that of its body
+		if head, ok := readPlainHead(rd.in); ok {
+			return rd.readFixedLength(head, r.AcceptsStream)
+		}
+	}
+	head, httpResp, err := readHead(rd.in, rd.limit, r.Method)
+	if err != nil {
+		return response{}, err
+	}
+	isShort := httpResp.ContentLength >= 0 && httpResp.ContentLength <= maxBodyBytes
+	if isShort || !r.AcceptsStream || head.status != http.StatusOK || hasFinalChunk(rd.in) {
+		body, err := readShortBody(rd.limit, httpResp)
+		return response{head: head, body: body}, err
+	}
+	body, stream, err := rd.readUnknownLength(httpResp)
+	return response{head: head, body: body, stream: stream}, err
+}
+
+// readFixedLength reads a body whose length the head gives.
+func (rd *responseReader) readFixedLength(head responseHead, acceptsStream bool) (response, error) {
+	if head.length > maxBodyBytes {
+		if !acceptsStream || head.status != http.StatusOK {
+			return response{}, errMalformedResponse
+		}
+		stream, err := rd.newFixedLengthStream(head)
+		if err != nil {
+			return response{}, err
+		}
+		return response{head: head, stream: stream}, nil
+	}
+	rd.limit.N = maxBodyBytes
+	body := make([]byte, head.length)
+	if _, err := io.ReadFull(rd.in, body); err != nil {
+		if errors.Is(err, io.EOF) { // the connection ended ahead of the body
+			err = io.ErrUnexpectedEOF
+		}
+		return response{}, readError(err, rd.limit.N == 0)
+	}
+	return response{head: head, body: body}, nil
+}
+
+// readShortBody reads a body of at most maxBodyBytes by net/http.
+func readShortBody(limit *io.LimitedReader, resp *http.Response) ([]byte, error) {
+	if resp.ContentLength > maxBodyBytes {
+		return nil, errMalformedResponse
+	}
+	limit.N = 2 * maxBodyBytes // the chunked coding adds the sizes of chunks
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
+	if err != nil {
+		return nil, readError(err, limit.N == 0)
+	}
+	if len(body) > maxBodyBytes {
+		return nil, errMalformedResponse
+	}
+	return body, nil
+}
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -15,77 +15,87 @@
 	"cobaltward/router"
 )
 
-// earlyFor is how long the answer of a server may take that has stopped reading a body.
-const earlyFor = 200 * time.Millisecond
-
-const uploadChunk = 32 << 10
+const (
+	// earlyResponseTimeout bounds the wait for the response of a server that no longer reads a request body.
+	earlyResponseTimeout = 200 * time.Millisecond
+	uploadChunkSize      = 32 << 10 // bytes
+)
 
-var chunks = sync.Pool{New: func() any { return new([uploadChunk]byte) }}
+var uploadChunks = sync.Pool{New: func() any { return new([uploadChunkSize]byte) }}
 
-// upload writes a request with a long body, as it comes. Where that ends before the last byte, ok is false and the
-// result says how: nothing can have run.
-func (u *Transport) upload(ctx context.Context, c *conn, head *bytes.Buffer, r *router.Request) (_ router.Result, ok bool) {
-	src, err := r.Upload.Open()
+// upload writes a request head and a body that is still being received. Unless sent is set, the last byte was not
+// written: the server cannot have run the request, and failure says how the attempt ended.
+func (t *Transport) upload(
+	ctx context.Context, c *conn, head *bytes.Buffer, r *router.Request,
+) (failure router.Result, sent bool) {
+	body, err := r.Upload.Open()
 	if err != nil {
-		return router.Result{Code: policy.Superseded}, false // no server is to blame
+		return router.Result{Code: policy.Superseded}, false // the server is not at fault
 	}
-	defer c.SetWriteDeadline(time.Time{})
-	chunked := r.Upload.Length() < 0
-	_ = c.SetWriteDeadline(time.Now().Add(stallFor))
+	defer func() { _ = c.SetWriteDeadline(time.Time{}) }()
+	_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if _, err := c.Write(head.Bytes()); err != nil {
-		return u.early(ctx, c, err), false
+		return earlyResponse(ctx, c, err), false
 	}
-	buf := chunks.Get().(*[uploadChunk]byte)
-	defer chunks.Put(buf)
-	for left := r.Upload.Length(); ; {
-		n, err := src.Read(buf[:])
-		if left -= int64(n); left == 0 && n == 0 {
-			return router.Result{}, true // its last byte is written already, and the answer may be there
+	return uploadBody(ctx, c, body, r.Upload.Length())
+}
+
+// uploadBody writes a body of a length, or in the chunked coding where that is negative.
+func uploadBody(ctx context.Context, c *conn, body io.Reader, length int64) (failure router.Result, sent bool) {
+	chunked := length < 0
+	chunk := uploadChunks.Get().(*[uploadChunkSize]byte)
+	defer uploadChunks.Put(chunk)
+	for remaining := length; ; {
+		n, err := body.Read(chunk[:])
+		remaining -= int64(n)
+		if remaining == 0 && n == 0 {
+			return router.Result{}, true // the last byte is written already, and the response may be there
 		}
-		if !c.quiet() { // the server has seen enough
-			return u.early(ctx, c, errRequest), false
+		if !c.isIdle() {
+			return earlyResponse(ctx, c, errEarlyResponse), false
 		}
-		end := errors.Is(err, io.EOF) || !chunked && left == 0
-		if err != nil && !end {
-			return router.Result{Code: policy.Superseded}, false // the client has broken off, or the body is lost
+		isLast := errors.Is(err, io.EOF) || !chunked && remaining == 0
+		if err != nil && !isLast {
+			return router.Result{Code: policy.Superseded}, false // the client disconnected, or the body is lost
 		}
-		_ = c.SetWriteDeadline(time.Now().Add(stallFor))
-		if err := writePiece(c, buf[:n], chunked, end); err != nil {
-			return u.early(ctx, c, err), false
+		_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
+		if err := writeBodyChunk(c, chunk[:n], chunked, isLast); err != nil {
+			return earlyResponse(ctx, c, err), false
 		}
-		if end {
+		if isLast {
 			return router.Result{}, true
 		}
 	}
 }
 
-// writePiece writes a part of a body.
-func writePiece(c io.Writer, p []byte, chunked, last bool) error {
+// writeBodyChunk writes a part of a body.
+func writeBodyChunk(w io.Writer, data []byte, chunked, isLast bool) error {
 	if !chunked {
-		_, err := c.Write(p)
+		_, err := w.Write(data)
 		return err
 	}
 	var frame bytes.Buffer
-	if len(p) > 0 {
-		fmt.Fprintf(&frame, "%x\r\n", len(p))
-		frame.Write(p)
+	if len(data) > 0 {
+		fmt.Fprintf(&frame, "%x\r\n", len(data))
+		frame.Write(data)
 		frame.WriteString("\r\n")
 	}
-	if last {
+	if isLast {
 		frame.WriteString("0\r\n\r\n")
 	}
-	_, err := c.Write(frame.Bytes())
+	_, err := w.Write(frame.Bytes())
 	return err
 }
 
-// early is the outcome of an attempt whose last byte was not written: the server may have said why.
-func (u *Transport) early(ctx context.Context, c *conn, err error) router.Result {
-	_ = c.SetReadDeadline(time.Now().Add(earlyFor))
-	in := bufio.NewReader(io.LimitReader(c, maxHeader))
-	resp, readErr := http.ReadResponse(in, nil)
+// earlyResponse returns the outcome of an attempt of which the last byte was not written. The server may have responded
+// that it did not run the request.
+func earlyResponse(ctx context.Context, c *conn, err error) router.Result {
+	_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
+	in := bufio.NewReader(io.LimitReader(c, maxHeadBytes))
+	resp, readErr := http.ReadResponse(in, nil) //nolint:bodyclose // its Close would read to the end of the body
 	if readErr == nil && resp.Header.Get("X-Not-Run") == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) {
 		return router.Result{Code: policy.Overloaded}
 	}
-	return router.Result{Code: broken(ctx, err, false)}
+	return router.Result{Code: failureCode(ctx, err, false)}
 }
