--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(2*time.Second, func() { taken.Close() })
-	listener, err := listenAgain(taken.Addr())
+	listener, err := relisten(taken.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -20,7 +20,7 @@
 	name        string
 	engine      *router.Router
 	disabled    *disabled.Source
-	intake      *intake
+	intake      *httpServer
 	announceFor time.Duration      // of a drain
 	tls         *secured           // nil: the node speaks no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -264,20 +264,20 @@
 // first request a moment later: none of the young ones is closed for the next, while there are others.
 func TestYoungConnectionDoesNotMakeRoom(t *testing.T) {
 	l, _, rested := oneClient(t)
-	l.setMost(2)
-	l.patience = func() time.Duration { return testkit.Long }
+	l.setMaxConns(2)
+	l.queueTimeout = func() time.Duration { return testkit.Long }
 	young, inYoung := letIn(t, l)
 	l.mu.Lock()
-	rested.note() // its request is there, and is answered below
+	rested.noteRequestBytesLocked() // its request is there, and is answered below
 	l.mu.Unlock()
 	next, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
-	time.AfterFunc(youngFor/4, func() { // well before the young one is old
-		rested.change(http.StateActive)
-		rested.change(http.StateIdle)
+	time.AfterFunc(firstRequestGrace/4, func() { // well before the young one is old
+		rested.onStateChange(http.StateActive)
+		rested.onStateChange(http.StateIdle)
 	})
 	if _, err := l.Accept(); err != nil {
 		t.Fatal(err)
@@ -338,7 +338,7 @@
 		l.mu.Lock()
 		_, _ = io.WriteString(client, "GET / HT")
 		time.Sleep(200 * time.Microsecond) // for the reader to wait for the mutex; without that the play proves less
-		l.turnAway(conn, true)
+		l.rejectEvictedLocked(conn, true)
 		l.mu.Unlock()
 		_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
 		answer := make([]byte, len("HTTP/1.1 503"))
@@ -357,21 +357,21 @@
 func TestTurnedAwayIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
 		l, _, conn := oneClient(t)
-		ctx := withClient(t.Context(), conn)
+		ctx := withClientConn(t.Context(), conn)
 		l.mu.Lock()
-		conn.note()
-		conn.partAt = time.Now().Add(-2 * stalledFor)
+		conn.noteRequestBytesLocked()
+		conn.lastPartialAt = time.Now().Add(-2 * stalledRequestAge)
 		l.mu.Unlock()
-		if handedOnFirst && overflows(ctx) {
+		if handedOnFirst && isOverflow(ctx) {
 			t.Error("a request that there is room for is rejected")
 		}
 		l.mu.Lock()
-		turnedAway := l.evictStalled()
+		turnedAway := l.evictStalledLocked()
 		l.mu.Unlock()
 		if turnedAway == handedOnFirst {
 			t.Errorf("handed on first: %v, and turned away: %v", handedOnFirst, turnedAway)
 		}
-		if turnedAway && !overflows(ctx) {
+		if turnedAway && !isOverflow(ctx) {
 			t.Error("a request is handed on whose client was told that it was rejected")
 		}
 	}
@@ -381,15 +381,15 @@
 func TestTurnedAwayAheadOfItsAnswer(t *testing.T) {
 	l, client, conn := oneClient(t)
 	l.mu.Lock()
-	conn.note()
-	conn.overflow, l.most = true, 0
+	conn.noteRequestBytesLocked()
+	conn.overflow, l.maxConns = true, 0
 	l.mu.Unlock()
-	if !overflows(withClient(t.Context(), conn)) {
+	if !isOverflow(withClientConn(t.Context(), conn)) {
 		t.Fatal("a request that there is no room for is handed on")
 	}
 	l.mu.Lock()
-	conn.partAt = time.Now().Add(-2 * stalledFor)
-	turnedAway := l.evictStalled()
+	conn.lastPartialAt = time.Now().Add(-2 * stalledRequestAge)
+	turnedAway := l.evictStalledLocked()
 	l.mu.Unlock()
 	if !turnedAway {
 		t.Fatal("it makes no room")
@@ -404,9 +404,9 @@
 // bound, and its request is not rejected for that.
 func TestLastCallComesInToBeServed(t *testing.T) {
 	l, _, busy := oneClient(t)
-	l.setMost(1)
+	l.setMaxConns(1)
 	l.mu.Lock()
-	busy.note()
+	busy.noteRequestBytesLocked()
 	l.mu.Unlock()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -416,14 +416,14 @@
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		l.lastCall()
+		l.drainAcceptQueue()
 	}()
 	testkit.Await(t, "the last call", l.isClosed)
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if overflows(withClient(t.Context(), conn)) {
+	if isOverflow(withClientConn(t.Context(), conn)) {
 		t.Error("its requests are rejected for want of room")
 	}
 	if _, err := l.Accept(); err == nil {
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -20,91 +20,91 @@
 // clientConn is one connection of a client.
 type clientConn struct {
 	*net.TCPConn
-	way     way // TLS on it, or itself
-	owner   *clients
-	guard   framing.Guard             // of who reads
-	secure  *secure.Conn              // nil: without TLS
-	refused int                       // bytes of the line that refuses a head
-	over    uint64                    // requests that are over; whoever serves the connection goes by it
-	came    time.Time                 // when it was let in
-	resting atomic.Bool               // nothing of a request has come: as quiet, for who reads
-	by      atomic.Pointer[time.Time] // when a client has to have closed its side; nil: it need not
+	stream     clientStream // TLS on it, or itself
+	listener   *clientListener
+	framing   framing.Guard             // of who reads
+	tls  *secure.Conn              // nil: without TLS
+	malformedSent int                       // bytes of the line that refuses a head
+	requestsDone    uint64                    // requests that are over; whoever serves the connection goes by it
+	acceptedAt    time.Time                 // when it was let in
+	idle atomic.Bool               // nothing of a request has come: as quiet, for who reads
+	closeDeadline      atomic.Pointer[time.Time] // when a client has to have closed its side; nil: it need not
 
 	// Under the owner's mutex.
-	quiet   *linked.Element // its place there; nil while a request is in it
-	had     bool            // a request, or a part of one
-	gone    bool
-	parting bool // our side is closed: what still comes crossed that
+	idleElement   *linked.Element // its place there; nil while a request is in it
+	requestSeen     bool            // a request, or a part of one
+	closed    bool
+	halfClosed bool // our side is closed: what still comes crossed that
 	// overflow says that there was no room for it: its requests are rejected at once while that is so.
 	overflow bool
-	partAt   time.Time // when bytes of a request came last that was not handed on
+	lastPartialAt   time.Time // when bytes of a request came last that was not handed on
 	arrival  sockets.Arrival
 }
 
-// way is how a client's connection is read and ended.
-type way interface {
+// clientStream is how a client's connection is read and ended.
+type clientStream interface {
 	io.Reader
 	CloseWrite() error
 	SetReadDeadline(t time.Time) error
 }
 
-// clientKey finds a request's connection in its context.
-type clientKey struct{}
+// clientConnKey finds a request's connection in its context.
+type clientConnKey struct{}
 
-// withClient has requests know their connection, and who their client has shown to be.
-func withClient(ctx context.Context, c net.Conn) context.Context {
+// withClientConn has requests know their connection, and who their client has shown to be.
+func withClientConn(ctx context.Context, c net.Conn) context.Context {
 	switch c := c.(type) {
-	case *secureClient:
-		return context.WithValue(secure.WithConn(ctx, c.secure), clientKey{}, c.conn)
+	case *tlsClientConn:
+		return context.WithValue(secure.WithConn(ctx, c.tls), clientConnKey{}, c.conn)
 	case *clientConn:
-		return context.WithValue(ctx, clientKey{}, c)
+		return context.WithValue(ctx, clientConnKey{}, c)
 	}
 	return ctx
 }
 
-// hasLeft tells whether the client of a request has left, also where bytes of it are still to be read.
-func hasLeft(ctx context.Context) bool {
-	c, ok := ctx.Value(clientKey{}).(*clientConn)
+// clientDisconnected tells whether the client of a request has left, also where bytes of it are still to be read.
+func clientDisconnected(ctx context.Context) bool {
+	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	return ok && sockets.Left(c.TCPConn)
 }
 
-// isYoung reports whether the first request of a connection may be on its way.
-func (c *clientConn) isYoung() bool { return !c.had && time.Since(c.came) < youngFor }
+// awaitsFirstRequest reports whether the first request of a connection may be on its way.
+func (c *clientConn) awaitsFirstRequest() bool { return !c.requestSeen && time.Since(c.acceptedAt) < firstRequestGrace }
 
-// leave closes our side.
-func (c *clientConn) leave() {
-	_ = c.way.CloseWrite() // fails only where the client was faster
-	by := time.Now().Add(partFor)
-	c.by.Store(&by)
-	_ = c.way.SetReadDeadline(by)
+// closeWriteSide closes our side.
+func (c *clientConn) closeWriteSide() {
+	_ = c.stream.CloseWrite() // fails only where the client was faster
+	by := time.Now().Add(closeHandshakeTimeout)
+	c.closeDeadline.Store(&by)
+	_ = c.stream.SetReadDeadline(by)
 }
 
 // SetReadDeadline keeps to the time that a client has to close its side: net/http would wait for its next request as
 // long as for anybody's.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	if by := c.by.Load(); by != nil && (t.IsZero() || t.After(*by)) {
+	if by := c.closeDeadline.Load(); by != nil && (t.IsZero() || t.After(*by)) {
 		t = *by
 	}
-	return c.way.SetReadDeadline(t)
+	return c.stream.SetReadDeadline(t)
 }
 
 // Read also notes that a request begins: net/http says so only once it has the whole head. What is out of order in
 // the framing of requests never gets to net/http, which would take some of it.
 func (c *clientConn) Read(p []byte) (int, error) {
-	if c.guard.Problem() != "" {
-		return c.refuse(p)
+	if c.framing.Problem() != "" {
+		return c.readMalformed(p)
 	}
-	n, err, crossed := c.take(p)
+	n, err, crossed := c.readStream(p)
 	if crossed {
 		return 0, io.EOF // no answer could reach the client
 	}
-	open := c.guard.Heads() > c.over // before what has just come
+	open := c.framing.Heads() > c.requestsDone // before what has just come
 	if len(p) == 1 && n == 1 && open {
-		c.nextBegins()
+		c.noteNextRequest()
 	}
-	if ok := c.guard.Pass(p[:n]); ok < n {
+	if ok := c.framing.Pass(p[:n]); ok < n {
 		if ok == 0 {
-			return c.refuse(p)
+			return c.readMalformed(p)
 		}
 		return ok, nil
 	}
@@ -119,20 +119,20 @@
 	return n, err
 }
 
-// take reads, and notes that a request begins; crossed says that the connection is being ended on our side. Where nothing
+// readStream reads, and notes that a request begins; crossed says that the connection is being ended on our side. Where nothing
 // of a request has come yet the two are one step for whoever makes room or parts from connections: bytes that were read
 // and not noted would leave the socket quiet, and a request that the node has would be closed on.
-func (c *clientConn) take(p []byte) (n int, err error, crossed bool) {
-	if c.secure != nil || !c.resting.Load() {
+func (c *clientConn) readStream(p []byte) (n int, err error, crossed bool) {
+	if c.tls != nil || !c.idle.Load() {
 		began := time.Now()
-		n, err = c.way.Read(p)
-		return n, err, n > 0 && !c.begin(began, n < len(p))
+		n, err = c.stream.Read(p)
+		return n, err, n > 0 && !c.noteRequestBytes(began, n < len(p))
 	}
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
 		return 0, err, false
 	}
-	l := c.owner
+	l := c.listener
 	waited := false
 	end := raw.Read(func(fd uintptr) bool {
 		l.mu.Lock()
@@ -150,7 +150,7 @@
 				c.arrival.Reset(now)
 			}
 			c.arrival.Read(now, now, n < len(p))
-			crossed = n > 0 && !c.note()
+			crossed = n > 0 && !c.noteRequestBytesLocked()
 			return true
 		}
 	})
@@ -167,105 +167,105 @@
 
 var errFraming = errors.New("the framing of the request is out of order")
 
-// refuse has net/http answer a head that is out of order with 400, and end the connection: it is given a line that
+// readMalformed has net/http answer a head that is out of order with 400, and end the connection: it is given a line that
 // no reader takes for a header. In a body an error does the same.
-func (c *clientConn) refuse(p []byte) (int, error) {
+func (c *clientConn) readMalformed(p []byte) (int, error) {
 	const line = "\r\n:\r\n\r\n"
-	if !c.guard.InHead() {
+	if !c.framing.InHead() {
 		return 0, errFraming
 	}
-	n := copy(p, line[min(c.refused, len(line)):])
-	if c.refused += n; n == 0 {
+	n := copy(p, line[min(c.malformedSent, len(line)):])
+	if c.malformedSent += n; n == 0 {
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// nextBegins notes that the first byte of a next request has come while one is open.
-func (c *clientConn) nextBegins() {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
+// noteNextRequest notes that the first byte of a next request has come while one is open.
+func (c *clientConn) noteNextRequest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.arrival.NextBegins(time.Now())
 }
 
-// begin notes that bytes of a request have come, by a read that began at a time and took all that had come or not;
+// noteRequestBytes notes that bytes of a request have come, by a read that began at a time and took all that had come or not;
 // false where the connection is being ended on our side. It guards what has been read and not yet noted as a request: a
 // drain, or whoever makes room, finds the socket quiet then.
-func (c *clientConn) begin(readBegan time.Time, readAll bool) bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
+func (c *clientConn) noteRequestBytes(readBegan time.Time, readAll bool) bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.arrival.Read(readBegan, time.Now(), readAll)
-	return c.note()
+	return c.noteRequestBytesLocked()
 }
 
-// note is begin under the owner's mutex.
-func (c *clientConn) note() bool {
-	l := c.owner
-	if c.parting || c.gone {
-		l.crossed++
+// noteRequestBytesLocked is begin under the owner's mutex.
+func (c *clientConn) noteRequestBytesLocked() bool {
+	l := c.listener
+	if c.halfClosed || c.closed {
+		l.requestsDuringClose++
 		return false
 	}
-	c.had = true
-	if c.quiet != nil {
-		l.quiet.Remove(c.quiet)
-		c.quiet = nil
-		c.resting.Store(false)
-		l.partial[c] = true
-		l.room.Signal()
+	c.requestSeen = true
+	if c.idleElement != nil {
+		l.idle.Remove(c.idleElement)
+		c.idleElement = nil
+		c.idle.Store(false)
+		l.partialRequests[c] = true
+		l.slotFreed.Signal()
 	}
-	if l.partial[c] {
-		c.partAt = time.Now()
+	if l.partialRequests[c] {
+		c.lastPartialAt = time.Now()
 	}
 	return true
 }
 
-// change follows the connection's state.
-func (c *clientConn) change(state http.ConnState) {
-	if c.follow(state) {
-		c.leave()
+// onStateChange follows the connection's state.
+func (c *clientConn) onStateChange(state http.ConnState) {
+	if c.trackState(state) {
+		c.closeWriteSide()
 	}
 }
 
-// follow reports whether the connection is to be parted from: its last answer was written as the intake ended.
-func (c *clientConn) follow(state http.ConnState) (part bool) {
-	l := c.owner
+// trackState reports whether the connection is to be parted from: its last answer was written as the intake ended.
+func (c *clientConn) trackState(state http.ConnState) (part bool) {
+	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.room.Signal()
+	defer l.slotFreed.Signal()
 	switch {
-	case c.gone || state == http.StateNew:
+	case c.closed || state == http.StateNew:
 	case state == http.StateClosed || state == http.StateHijacked:
-		c.forget()
-	case state == http.StateIdle && c.quiet == nil:
-		if c.over++; c.guard.Heads() > c.over {
+		c.forgetLocked()
+	case state == http.StateIdle && c.idleElement == nil:
+		if c.requestsDone++; c.framing.Heads() > c.requestsDone {
 			c.arrival.Advance()
 			break // the next request has been read already, behind the last: the socket knows nothing of it
 		}
-		c.quiet = l.quiet.PushBack(c)
-		delete(l.partial, c)
-		c.resting.Store(true)
+		c.idleElement = l.idle.PushBack(c)
+		delete(l.partialRequests, c)
+		c.idle.Store(true)
 		c.arrival.Reset(time.Now())
-		if part = l.ending && !c.parting && sockets.Quiet(c.TCPConn); part {
-			c.parting = true
-			l.parted++
+		if part = l.shuttingDown && !c.halfClosed && sockets.Quiet(c.TCPConn); part {
+			c.halfClosed = true
+			l.closedIdle++
 		}
 	case state == http.StateActive:
-		if c.quiet != nil {
-			l.quiet.Remove(c.quiet)
-			c.quiet = nil
-			c.resting.Store(false)
+		if c.idleElement != nil {
+			l.idle.Remove(c.idleElement)
+			c.idleElement = nil
+			c.idle.Store(false)
 		}
 	}
 	return part
 }
 
-// forget takes the connection out of the count.
-func (c *clientConn) forget() {
-	if c.quiet != nil {
-		c.owner.quiet.Remove(c.quiet)
-		c.quiet = nil
+// forgetLocked takes the connection out of the count.
+func (c *clientConn) forgetLocked() {
+	if c.idleElement != nil {
+		c.listener.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
-	delete(c.owner.partial, c)
-	c.gone = true
-	c.owner.open--
+	delete(c.listener.partialRequests, c)
+	c.closed = true
+	c.listener.open--
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -31,7 +31,7 @@
 type processGroup struct {
 	process        *rundir.Process
 	engine         *router.Router
-	listener       *intake
+	listener       *httpServer
 	conns          connLimiter // nil: the transport's limit is fixed
 	budget         *body.Budget
 	budgetBytes    int64 // of a process that is alone
@@ -115,7 +115,7 @@
 	if share.Traffic != g.share.Traffic {
 		g.logOnce(g.engine.SetTrafficShare(share.Traffic))
 	}
-	g.listener.clients.setMost(share.ClientConns)
+	g.listener.listener.setMaxConns(share.ClientConns)
 	if g.conns != nil {
 		g.conns.SetMaxConns(share.ServerConns)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,8 +77,8 @@
 		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdle,
 		DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if c, ok := c.(interface{ change(http.ConnState) }); ok {
-				c.change(state)
+			if c, ok := c.(interface{ onStateChange(http.ConnState) }); ok {
+				c.onStateChange(state)
 			}
 		},
 	}
@@ -88,10 +88,10 @@
 		return err
 	}
 	defer safe.close()
-	front := newIntake(server, nodesockets.NewPersistentListener(listener, log), most)
-	front.shared = c.Shared
-	front.clients.layer = safe.fromClients()
-	server.ConnContext = withClient
+	front := newHTTPServer(server, nodesockets.NewPersistentListener(listener, log), most)
+	front.sharedSocket = c.Shared
+	front.listener.tlsLayer = safe.fromClients()
+	server.ConnContext = withClientConn
 	membership := router.EndpointSource(source)
 	if c.Membership != nil {
 		if membership, err = c.Membership(source); err != nil {
@@ -118,9 +118,9 @@
 		router.WithLogger(log), router.WithEndpointSource(membership), router.WithListener(front),
 		router.WithTransport(out),
 	}
-	var rpc *rpcIntake
+	var rpc *rpcServer
 	if c.Msgpack.Listener != nil {
-		rpc = newRPCIntake(c.Msgpack.Listener, safe.wrapMsgpack)
+		rpc = newRPCServer(c.Msgpack.Listener, safe.wrapMsgpack)
 		options = append(options, router.WithListener(rpc))
 	}
 	if c.Leave != nil {
@@ -134,8 +134,8 @@
 		return err
 	}
 	defer engine.Close()
-	front.clients.patience = engine.QueuePatience
-	front.clients.retryAfter = engine.OverloadRetryAfter
+	front.listener.queueTimeout = engine.QueuePatience
+	front.listener.retryAfter = engine.OverloadRetryAfter
 	if safe != nil {
 		safe.engine.Store(engine)
 	}
@@ -144,7 +144,7 @@
 	up := func() bool { return engine.Phase() == router.Serving || succeeded.Load() }
 	server.Handler = middleware.New(engine, middleware.WithMatcher(middleware.Any), middleware.WithReady(readyPath), middleware.WithReadiness(up),
 		middleware.WithBodyTimeout(bodyTimeout), middleware.WithWriteTimeout(writeTimeout), middleware.WithBodies(bodies),
-		middleware.WithDeparture(hasLeft), middleware.WithArrivalAge(arrivalAge), middleware.WithOverflow(overflows))
+		middleware.WithDeparture(clientDisconnected), middleware.WithArrivalAge(arrivalAge), middleware.WithOverflow(isOverflow))
 	if c.Front != nil {
 		server.Handler = c.Front(server.Handler, readyPath)
 	}
@@ -324,7 +324,7 @@
 // end ends the service. Clients go on coming for a while, and go on using the connections that they
 // have: there may be no other node for them yet. So the node serves as before at first, and says only
 // that it isn't ready; then it ends each connection with its answer, early enough for what it took last.
-func end(within, announce, leave time.Duration, engine *router.Router, front *intake) error {
+func end(within, announce, leave time.Duration, engine *router.Router, front *httpServer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	if err := engine.DrainAfter(ctx, announce, leave); err != nil && !errors.Is(err, context.DeadlineExceeded) {
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -111,19 +111,19 @@
 }
 
 // oneClient is a listener for clients with one connection, and its two ends.
-func oneClient(t *testing.T) (*clients, net.Conn, *clientConn) {
+func oneClient(t *testing.T) (*clientListener, net.Conn, *clientConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(ln, 4)
+	l := newClientListener(ln, 4)
 	t.Cleanup(func() { l.Close() })
 	client, c := letIn(t, l)
 	return l, client, c.(*clientConn)
 }
 
 // letIn has a client connect, and returns the two ends.
-func letIn(t *testing.T, l *clients) (client, c net.Conn) {
+func letIn(t *testing.T, l *clientListener) (client, c net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -149,7 +149,7 @@
 		_, err := c.Read(make([]byte, 64))
 		read <- err
 	}()
-	if n := len(l.partLocked()); n != 0 {
+	if n := len(l.markIdleLocked()); n != 0 {
 		t.Errorf("%d connections parted from, with a request there", n)
 	}
 	l.mu.Unlock()
@@ -159,8 +159,8 @@
 
 	l, client, c = oneClient(t)
 	l.mu.Lock()
-	c.came = c.came.Add(-youngFor)
-	if n := len(l.partLocked()); n != 1 {
+	c.acceptedAt = c.acceptedAt.Add(-firstRequestGrace)
+	if n := len(l.markIdleLocked()); n != 1 {
 		t.Errorf("%d connections parted from", n)
 	}
 	l.mu.Unlock()
@@ -168,8 +168,8 @@
 	if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) {
 		t.Errorf("the request is read all the same: %v", err)
 	}
-	if l.crossed != 1 {
-		t.Errorf("%d crossed", l.crossed)
+	if l.requestsDuringClose != 1 {
+		t.Errorf("%d crossed", l.requestsDuringClose)
 	}
 }
 
@@ -177,9 +177,9 @@
 // for that, whatever net/http then grants a connection that waits for its next request.
 func TestClientThatStays(t *testing.T) {
 	l, client, c := oneClient(t)
-	c.change(http.StateActive)
-	l.part() // the request is still being answered
-	c.change(http.StateIdle)
+	c.onStateChange(http.StateActive)
+	l.closeIdle() // the request is still being answered
+	c.onStateChange(http.StateIdle)
 	_ = c.SetReadDeadline(time.Now().Add(time.Hour))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatalf("our side is open: %v", err)
@@ -333,23 +333,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(ln, 100)
+	l := newClientListener(ln, 100)
 	defer l.Close()
-	if l.layer, err = secure.New(secure.Config{Keys: store}); err != nil {
+	if l.tlsLayer, err = secure.New(secure.Config{Keys: store}); err != nil {
 		t.Fatal(err)
 	}
 	accept := func() *clientConn {
 		_, c := letIn(t, l)
-		return c.(*secureClient).conn
+		return c.(*tlsClientConn).conn
 	}
 	slow := accept()
-	slow.came = slow.came.Add(-time.Minute)
+	slow.acceptedAt = slow.acceptedAt.Add(-time.Minute)
 	for range 8 { // each is worked on, as far as anybody knows, for its first moments
 		accept()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if slow.gone {
+	if slow.closed {
 		t.Error("the slow client was closed on")
 	}
 	if l.open != 9 {
@@ -361,8 +361,8 @@
 // alone for a moment, and its request is read. Who sends nothing is parted from then.
 func TestDrainLeavesAYoungConnectionAlone(t *testing.T) {
 	l, client, c := oneClient(t)
-	l.part()
-	if c.parting {
+	l.closeIdle()
+	if c.halfClosed {
 		t.Error("parted from at once")
 	}
 	fmt.Fprint(client, "GET / HTTP/1.1\r\n")
@@ -371,22 +371,22 @@
 	}
 
 	l, client, _ = oneClient(t)
-	l.part()
+	l.closeIdle()
 	_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("who sends nothing is not parted from: %v", err)
 	}
-	if open, busy := l.count(); open != 1 || busy != 0 {
+	if open, busy := l.connCounts(); open != 1 || busy != 0 {
 		t.Errorf("%d connections, %d busy", open, busy)
 	}
 
 	l, client, c = oneClient(t)
-	l.part()
-	l.stay()
-	l.partAgain()
+	l.closeIdle()
+	l.keepIdle()
+	l.recheckIdle()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.parting {
+	if c.halfClosed {
 		t.Error("parted from, though the drain was taken back")
 	}
 }
@@ -395,17 +395,17 @@
 func TestRequestReadAheadIsNotPartedFrom(t *testing.T) {
 	l, client, c := oneClient(t)
 	fmt.Fprint(client, "GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n")
-	for c.guard.Heads() < 2 {
+	for c.framing.Heads() < 2 {
 		if _, err := c.Read(make([]byte, 64)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.part()
+	l.closeIdle()
 	for i, busy := range []int{1, 0} {
-		c.change(http.StateActive)
-		c.change(http.StateIdle)
-		if _, b := l.count(); b != busy || c.parting != (busy == 0) {
-			t.Errorf("after request %d: %d busy, parted from: %v", i, b, c.parting)
+		c.onStateChange(http.StateActive)
+		c.onStateChange(http.StateIdle)
+		if _, b := l.connCounts(); b != busy || c.halfClosed != (busy == 0) {
+			t.Errorf("after request %d: %d busy, parted from: %v", i, b, c.halfClosed)
 		}
 	}
 }
