--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -7,8 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// arrivalAge is how long ago the last byte of a request came that was read just now, at the most. The kernel knows it
-// best where it can be asked, but for requests that were sent before the answer to the one ahead of them.
+// arrivalAge returns an upper bound of the time since the last byte of a request came that was read just now. The
+// kernel's own figure is used except for pipelined requests, of which it knows nothing.
 func arrivalAge(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -362,7 +362,7 @@
 		conn.noteRequestBytesLocked()
 		conn.lastPartialAt = time.Now().Add(-2 * stalledRequestAge)
 		l.mu.Unlock()
-		if handedOnFirst && isOverflow(ctx) {
+		if handedOnFirst && mustReject(ctx) {
 			t.Error("a request that there is room for is rejected")
 		}
 		l.mu.Lock()
@@ -371,7 +371,7 @@
 		if turnedAway == handedOnFirst {
 			t.Errorf("handed on first: %v, and turned away: %v", handedOnFirst, turnedAway)
 		}
-		if turnedAway && !isOverflow(ctx) {
+		if turnedAway && !mustReject(ctx) {
 			t.Error("a request is handed on whose client was told that it was rejected")
 		}
 	}
@@ -384,7 +384,7 @@
 	conn.noteRequestBytesLocked()
 	conn.overflow, l.maxConns = true, 0
 	l.mu.Unlock()
-	if !isOverflow(withClientConn(t.Context(), conn)) {
+	if !mustReject(withClientConn(t.Context(), conn)) {
 		t.Fatal("a request that there is no room for is handed on")
 	}
 	l.mu.Lock()
@@ -423,7 +423,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if isOverflow(withClientConn(t.Context(), conn)) {
+	if mustReject(withClientConn(t.Context(), conn)) {
 		t.Error("its requests are rejected for want of room")
 	}
 	if _, err := l.Accept(); err == nil {
--- /dev/null
+++ b/internal/node/clienteviction.go
@@ -0,0 +1,105 @@
+package node
+
+import (
+	"io"
+	"time"
+
+	"cobaltward/internal/sockets"
+	"cobaltward/middleware"
+)
+
+const (
+	// silentHandshakeAge is the age from which a connection may be evicted that has sent nothing of its handshake.
+	silentHandshakeAge = 250 * time.Millisecond
+	// stalledHandshakeAge is the age from which a connection may be evicted whose handshake waits for its client.
+	stalledHandshakeAge = time.Second
+	// stalledRequestAge is the pause within a request after which its connection may be evicted.
+	stalledRequestAge = time.Second
+	// overflowStallTimeout takes the place of stalledRequestAge for overflow connections.
+	overflowStallTimeout = 2 * time.Millisecond
+	// firstRequestGrace protects a new connection from eviction and from a drain: its first request is on its way, and
+	// its client has no reason to expect a close.
+	firstRequestGrace = 100 * time.Millisecond
+	// rejectionWriteTimeout bounds the write of a rejection ahead of an eviction. The socket buffer has room for it.
+	rejectionWriteTimeout = 100 * time.Millisecond
+)
+
+// evictIdleLocked closes the connection that has been idle for longest, if there is one; the mutex is released
+// meanwhile. A handshake under way is not idle. A connection within firstRequestGrace is closed only if includeNew:
+// its client does not expect a close, and may not get an answer on its next connection either.
+func (l *clientListener) evictIdleLocked(includeNew bool) bool {
+	for e := l.idle.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		handshaking := c.tls != nil && c.tls.Shaking() && !c.tls.Silent()
+		if handshaking || !includeNew && c.awaitsFirstRequest() || !sockets.Quiet(c.TCPConn) {
+			continue // a request that meets a close fails
+		}
+		l.rejectEvictedLocked(c, !c.requestSeen)
+		return true
+	}
+	return false
+}
+
+// evictStalledLocked closes the connection whose client has paused within a request for longest, and for longer than
+// it may; an overflow connection may for overflowStallTimeout only. It reports whether there was one; the mutex is
+// released meanwhile.
+func (l *clientListener) evictStalledLocked() bool {
+	now := time.Now()
+	var longest *clientConn
+	for c := range l.partialRequests {
+		limit := stalledRequestAge
+		if c.overflow {
+			limit = overflowStallTimeout
+		}
+		if now.Sub(c.lastPartialAt) > limit && (longest == nil || c.lastPartialAt.Before(longest.lastPartialAt)) {
+			longest = c
+		}
+	}
+	if longest == nil {
+		return false
+	}
+	l.rejectEvictedLocked(longest, true)
+	return true
+}
+
+// evictHandshakeLocked closes the oldest connection whose handshake has waited for its client for too long, and reports
+// whether there was one.
+func (l *clientListener) evictHandshakeLocked() bool {
+	for e := l.idle.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		if !c.tls.Shaking() || c.tls.Working() {
+			continue
+		}
+		age := time.Since(c.acceptedAt)
+		if age > stalledHandshakeAge || c.tls.Silent() && age > silentHandshakeAge {
+			c.forgetLocked()
+			_ = c.Close()
+			return true
+		}
+	}
+	return false
+}
+
+// rejectEvictedLocked closes a connection; the mutex is released meanwhile. With a rejection, a plain connection gets
+// one ahead of the close, since the rest of a request may be on its way; behind an answer that ends the connection
+// anyway it is never read. The rejection is written before the connection counts as closed: its reader closes it on
+// seeing that.
+func (l *clientListener) rejectEvictedLocked(c *clientConn, withRejection bool) {
+	if withRejection && c.tls == nil {
+		_ = c.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout))
+		_, _ = io.WriteString(c.TCPConn, l.rejectionResponse())
+	}
+	c.forgetLocked()
+	l.mu.Unlock() // Close waits for a Read in progress, which takes the mutex
+	_ = c.Close()
+	l.mu.Lock()
+}
+
+// rejectionResponse returns the response for the client of an evicted connection.
+func (l *clientListener) rejectionResponse() string {
+	head := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n"
+	if wait := l.retryAfter(); wait > 0 {
+		head += "Retry-After: " + middleware.FormatRetryAfter(wait) + "\r\n"
+	}
+	return head + "\r\n"
+}
--- /dev/null
+++ b/internal/node/clientshutdown.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"time"
+
+	"cobaltward/internal/sockets"
+)
+
+// acceptQueueDrainTimeout bounds the wait for connections that the kernel has accepted before the listener closes.
+const acceptQueueDrainTimeout = 20 * time.Millisecond
+
+// drainAcceptQueue accepts the connections in the accept queue and closes the listener, which would reset them with the
+// requests that they have sent. They are accepted beyond maxConns.
+func (l *clientListener) drainAcceptQueue() {
+	listener, ok := l.Listener.(interface{ SetDeadline(t time.Time) error })
+	if !ok || !l.markClosed() {
+		return
+	}
+	if listener.SetDeadline(time.Now().Add(acceptQueueDrainTimeout)) == nil {
+		select {
+		case <-l.queueDrained:
+		case <-time.After(2 * acceptQueueDrainTimeout): // no Accept may be running
+		}
+	}
+	_ = l.Listener.Close()
+}
+
+// closeIdle closes the node's side of the idle connections, and from now on of those that become idle. A connection
+// with bytes to read has a request and is not idle; requests that arrive behind the close are counted. The client's
+// own close ends the connection.
+func (l *clientListener) closeIdle() {
+	l.mu.Lock()
+	l.shuttingDown = true
+	l.closeIdleAndUnlock()
+}
+
+// recheckIdle closes the connections that were within firstRequestGrace, unless keepIdle was called meanwhile.
+func (l *clientListener) recheckIdle() {
+	l.mu.Lock()
+	l.recheckScheduled = false
+	if !l.shuttingDown {
+		l.mu.Unlock()
+		return
+	}
+	l.closeIdleAndUnlock()
+}
+
+// closeIdleAndUnlock expects the mutex held, and releases it before it closes anything.
+func (l *clientListener) closeIdleAndUnlock() {
+	idle := l.halfCloseIdleLocked()
+	l.mu.Unlock()
+	for _, c := range idle {
+		c.closeWriteSide()
+	}
+}
+
+// keepIdle cancels closeIdle: connections that become idle stay open.
+func (l *clientListener) keepIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.shuttingDown = false
+}
+
+// halfCloseIdleLocked marks the idle connections as half closed and returns them. Those within firstRequestGrace are
+// left to recheckIdle.
+func (l *clientListener) halfCloseIdleLocked() (idle []*clientConn) {
+	for e := l.idle.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		switch {
+		case c.halfClosed || !sockets.Quiet(c.TCPConn):
+		case c.awaitsFirstRequest():
+			if !l.recheckScheduled {
+				l.recheckScheduled = true
+				time.AfterFunc(firstRequestGrace, l.recheckIdle)
+			}
+		default:
+			idle = append(idle, c)
+			c.halfClosed = true
+		}
+	}
+	l.closedIdle += uint64(len(idle))
+	return idle
+}
--- /dev/null
+++ b/internal/node/clientstate.go
@@ -0,0 +1,110 @@
+package node
+
+import (
+	"net/http"
+	"time"
+
+	"cobaltward/internal/sockets"
+)
+
+// noteNextRequest notes that the first byte of the next request came while one is open.
+func (c *clientConn) noteNextRequest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.arrival.NextBegins(time.Now())
+}
+
+// noteRequestBytes notes that a read returned bytes of a request. readBegan is when the read began, readAll whether
+// it took all that had come. It returns false if the node is closing the connection.
+func (c *clientConn) noteRequestBytes(readBegan time.Time, readAll bool) bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.arrival.Read(readBegan, time.Now(), readAll)
+	return c.noteRequestBytesLocked()
+}
+
+// noteRequestBytesLocked is noteRequestBytes for a read whose arrival is noted.
+func (c *clientConn) noteRequestBytesLocked() bool {
+	l := c.listener
+	if c.halfClosed || c.closed {
+		l.requestsDuringClose++
+		return false
+	}
+	c.requestSeen = true
+	if c.idleElement != nil {
+		c.markBusyLocked()
+		l.partialRequests[c] = true
+		l.slotFreed.Signal()
+	}
+	if l.partialRequests[c] {
+		c.lastPartialAt = time.Now()
+	}
+	return true
+}
+
+// onStateChange follows net/http's state of the connection.
+func (c *clientConn) onStateChange(state http.ConnState) {
+	if c.trackState(state) {
+		c.closeWriteSide()
+	}
+}
+
+// trackState reports whether the node's side is to be closed now: the connection became idle during a drain.
+func (c *clientConn) trackState(state http.ConnState) (mustClose bool) {
+	l := c.listener
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	defer l.slotFreed.Signal()
+	switch {
+	case c.closed || state == http.StateNew:
+	case state == http.StateClosed || state == http.StateHijacked:
+		c.forgetLocked()
+	case state == http.StateIdle && c.idleElement == nil:
+		return c.endRequestLocked()
+	case state == http.StateActive && c.idleElement != nil:
+		c.markBusyLocked()
+	}
+	return false
+}
+
+// endRequestLocked notes that a request was answered, and reports whether the node's side is to be closed for a drain.
+func (c *clientConn) endRequestLocked() (mustClose bool) {
+	c.requestsDone++
+	if c.framing.Heads() > c.requestsDone { // the next request is in net/http's buffer, which the socket does not show
+		c.arrival.Advance()
+		return false
+	}
+	c.markIdleLocked()
+	c.arrival.Reset(time.Now())
+	l := c.listener
+	delete(l.partialRequests, c)
+	if !l.shuttingDown || c.halfClosed || !sockets.Quiet(c.TCPConn) {
+		return false
+	}
+	c.halfClosed = true
+	l.closedIdle++
+	return true
+}
+
+func (c *clientConn) markIdleLocked() {
+	c.idleElement = c.listener.idle.PushBack(c)
+	c.idle.Store(true)
+}
+
+func (c *clientConn) markBusyLocked() {
+	c.listener.idle.Remove(c.idleElement)
+	c.idleElement = nil
+	c.idle.Store(false)
+}
+
+// forgetLocked takes the connection out of the listener's count. It does not change idle: a read of an idle
+// connection goes on as one step with the check of closed.
+func (c *clientConn) forgetLocked() {
+	if c.idleElement != nil {
+		c.listener.idle.Remove(c.idleElement)
+		c.idleElement = nil
+	}
+	delete(c.listener.partialRequests, c)
+	c.closed = true
+	c.listener.open--
+}
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -2,206 +2,96 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"net/http"
 	"sync"
 	"time"
 
 	"cobaltward/router"
-
-	msgpackfront "cobaltward/internal/frontend/msgpack"
 )
 
-// httpServer is the daemon's HTTP front. Its listener stays open while a drain on request goes on, so that who asks
-// for readiness is told, and who comes all the same is refused and not turned back unheard.
+// idleCloseInterval is how often Shutdown looks for connections that have become idle.
+const idleCloseInterval = 20 * time.Millisecond
+
+// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain on request, so
+// that readiness checks are answered, and new requests rejected, rather than refused a connection.
 type httpServer struct {
-	server  *http.Server
-	listener *clientListener
-	sharedSocket  bool // others hold the socket as well, and take in whom this process does not
+	server       *http.Server
+	listener     *clientListener
+	sharedSocket bool // another process has the listening socket as well, and accepts what this one does not
 
-	closeOnce  sync.Once
-	done chan struct{} // closed when the intake ends for good
+	closeOnce sync.Once
+	done      chan struct{} // closed when Serve may return
 }
 
-var (
-	_ router.DrainableListener = (*httpServer)(nil)
-	_ router.DrainableListener = (*rpcServer)(nil)
-)
+var _ router.DrainableListener = (*httpServer)(nil)
 
 func newHTTPServer(server *http.Server, listener net.Listener, maxConns int) *httpServer {
 	return &httpServer{server: server, listener: newClientListener(listener, maxConns), done: make(chan struct{})}
 }
 
-// Serve takes clients in until Shutdown or Close.
-func (in *httpServer) Serve() error {
-	err := in.server.Serve(in.listener)
-	if in.listener.isClosed() { // those that were let in are still served
-		<-in.done
+// Serve serves clients until Shutdown or Close.
+func (s *httpServer) Serve() error {
+	err := s.server.Serve(s.listener)
+	if s.listener.isClosed() { // accepted connections are still served
+		<-s.done
 		return http.ErrServerClosed
 	}
 	return err
 }
 
-// StopAccepting ends the connections without a request. The others end with their answers.
-func (in *httpServer) StopAccepting() { in.listener.closeIdle() }
+// StopAccepting closes the connections without a request, and the others once they are answered. New ones are accepted.
+func (s *httpServer) StopAccepting() { s.listener.closeIdle() }
 
-// ResumeAccepting keeps connections again. Clients could come in all the time.
-func (in *httpServer) ResumeAccepting() error {
-	in.listener.keepIdle()
+// ResumeAccepting keeps connections open again.
+func (s *httpServer) ResumeAccepting() error {
+	s.listener.keepIdle()
 	return nil
 }
 
-// CloseListener lets nobody in any more; those that were let in are served on. A listening socket that others
-// hold as well stays open in their hands: it is closed here, and never shut down.
-func (in *httpServer) CloseListener() {
-	if !in.sharedSocket {
-		in.listener.drainAcceptQueue()
+// CloseListener stops accepting; accepted connections are served on. A shared listening socket stays open in the other
+// process: it is closed here, and not drained or shut down.
+func (s *httpServer) CloseListener() {
+	if !s.sharedSocket {
+		s.listener.drainAcceptQueue()
 	}
-	_ = in.listener.Close() // nobody is left to tell
+	_ = s.listener.Close()
 }
 
-// Connections is the connections, and those of them with a request.
-func (in *httpServer) Connections() (open, busy int) { return in.listener.connCounts() }
+// Connections returns the number of connections, and of those with a request.
+func (s *httpServer) Connections() (open, busy int) { return s.listener.connCounts() }
 
-// idleCloseCounts is the connections that were closed without a request, and the requests that crossed that.
-func (in *httpServer) idleCloseCounts() (parted, crossed uint64) {
-	in.listener.mu.Lock()
-	defer in.listener.mu.Unlock()
-	return in.listener.closedIdle, in.listener.requestsDuringClose
+// idleCloseCounts returns the connections that a drain has closed, and the requests that met such a close.
+func (s *httpServer) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
+	return s.listener.idleCloseCounts()
 }
 
-// Shutdown ends the intake for good: it lets nobody in, and parts from connections as they come to be without a
-// request, until none is left or ctx ends.
-func (in *httpServer) Shutdown(ctx context.Context) error {
-	in.CloseListener()
-	look := time.NewTicker(idleCloseInterval)
-	defer look.Stop()
+// Shutdown ends the service: it stops accepting, and closes connections as they become idle, until none is left or ctx
+// ends.
+func (s *httpServer) Shutdown(ctx context.Context) error {
+	s.CloseListener()
+	ticker := time.NewTicker(idleCloseInterval)
+	defer ticker.Stop()
 	for open := 1; open > 0; {
-		in.listener.closeIdle()
+		s.listener.closeIdle()
 		select {
-		case <-look.C:
-		case <-in.done:
+		case <-ticker.C:
+		case <-s.done:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		open, _ = in.listener.connCounts()
+		open, _ = s.listener.connCounts()
 	}
-	in.finish()
-	return in.server.Shutdown(ctx)
+	s.finish()
+	return s.server.Shutdown(ctx)
 }
 
-// idleCloseInterval is how often connections that have come to be without a request are looked for.
-const idleCloseInterval = 20 * time.Millisecond
-
-// Close ends the intake and all connections at once.
-func (in *httpServer) Close() error {
-	in.finish()
-	return in.server.Close()
+// Close ends the service and closes all connections.
+func (s *httpServer) Close() error {
+	s.finish()
+	return s.server.Close()
 }
 
 // finish lets Serve return.
-func (in *httpServer) finish() { in.closeOnce.Do(func() { close(in.done) }) }
-
-// relistenTimeout bounds how long the address may be in use when clients are to be let in again.
-const relistenTimeout = 4 * time.Second
-
-// relisten opens a listener where one was.
-func relisten(at net.Addr) (net.Listener, error) {
-	for end := time.Now().Add(relistenTimeout); ; time.Sleep(10 * time.Millisecond) {
-		ln, err := net.Listen(at.Network(), at.String())
-		if err == nil {
-			return ln, nil
-		}
-		if time.Now().After(end) {
-			return nil, fmt.Errorf("clients can't be let in again: %w", err)
-		}
-	}
-}
-
-// rpcServer is the same for MessagePack-RPC. Its Front is made after its engine.
-type rpcServer struct {
-	*msgpackfront.Front
-	wrapTLS func(net.Listener) net.Listener // puts TLS on a listener, or nothing
-
-	mu      sync.Mutex
-	listener      net.Listener // nil while nothing is let in
-	address net.Addr
-	closed   bool
-	resumed chan struct{}
-}
-
-func newRPCServer(ln net.Listener, wrap func(net.Listener) net.Listener) *rpcServer {
-	return &rpcServer{listener: wrap(ln), wrapTLS: wrap, address: ln.Addr(), resumed: make(chan struct{})}
-}
-
-// Serve takes clients in until Shutdown or Close.
-func (in *rpcServer) Serve() error {
-	for {
-		in.mu.Lock()
-		ln, resumed, ended := in.listener, in.resumed, in.closed
-		in.mu.Unlock()
-		switch {
-		case ended:
-			return msgpackfront.ErrClosed
-		case ln == nil:
-			<-resumed
-			continue
-		}
-		err := in.Front.Serve(ln)
-		in.mu.Lock()
-		replaced := in.listener != ln
-		in.mu.Unlock()
-		if !replaced {
-			return err
-		}
-	}
-}
-
-func (in *rpcServer) StopAccepting() {
-	in.mu.Lock()
-	in.listener = nil
-	in.mu.Unlock()
-	in.Front.StopAccepting()
-}
-
-func (in *rpcServer) ResumeAccepting() error {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if in.listener != nil || in.closed {
-		return nil
-	}
-	ln, err := relisten(in.address)
-	if err != nil {
-		return err
-	}
-	in.listener = in.wrapTLS(ln)
-	_ = in.Front.ResumeAccepting() // it has nothing to fail at
-	close(in.resumed)
-	in.resumed = make(chan struct{})
-	return nil
-}
-
-// Shutdown ends the intake for good.
-func (in *rpcServer) Shutdown(ctx context.Context) error {
-	in.finish()
-	return in.Front.Shutdown(ctx)
-}
-
-// Close ends all connections at once.
-func (in *rpcServer) Close() {
-	in.finish()
-	in.Front.Close()
-}
-
-func (in *rpcServer) finish() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if !in.closed {
-		in.closed = true
-		if in.listener == nil {
-			close(in.resumed)
-		}
-	}
-}
+func (s *httpServer) finish() { s.closeOnce.Do(func() { close(s.done) }) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,7 +144,7 @@
 	up := func() bool { return engine.Phase() == router.Serving || succeeded.Load() }
 	server.Handler = middleware.New(engine, middleware.WithMatcher(middleware.Any), middleware.WithReady(readyPath), middleware.WithReadiness(up),
 		middleware.WithBodyTimeout(bodyTimeout), middleware.WithWriteTimeout(writeTimeout), middleware.WithBodies(bodies),
-		middleware.WithDeparture(clientDisconnected), middleware.WithArrivalAge(arrivalAge), middleware.WithOverflow(isOverflow))
+		middleware.WithDeparture(clientDisconnected), middleware.WithArrivalAge(arrivalAge), middleware.WithOverflow(mustReject))
 	if c.Front != nil {
 		server.Handler = c.Front(server.Handler, readyPath)
 	}
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -149,7 +149,7 @@
 		_, err := c.Read(make([]byte, 64))
 		read <- err
 	}()
-	if n := len(l.markIdleLocked()); n != 0 {
+	if n := len(l.halfCloseIdleLocked()); n != 0 {
 		t.Errorf("%d connections parted from, with a request there", n)
 	}
 	l.mu.Unlock()
@@ -160,7 +160,7 @@
 	l, client, c = oneClient(t)
 	l.mu.Lock()
 	c.acceptedAt = c.acceptedAt.Add(-firstRequestGrace)
-	if n := len(l.markIdleLocked()); n != 1 {
+	if n := len(l.halfCloseIdleLocked()); n != 1 {
 		t.Errorf("%d connections parted from", n)
 	}
 	l.mu.Unlock()
--- /dev/null
+++ b/internal/node/rpcserver.go
@@ -0,0 +1,128 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"cobaltward/router"
+
+	msgpackfront "cobaltward/internal/frontend/msgpack"
+)
+
+const (
+	// relistenTimeout bounds the wait for an address that is in use when its listener is opened again.
+	relistenTimeout = 4 * time.Second
+	// relistenInterval is the pause between two attempts to listen.
+	relistenInterval = 10 * time.Millisecond
+)
+
+// rpcServer is the node's MessagePack-RPC listener with its connections. Its Front is set after its engine is made, and
+// before Serve.
+type rpcServer struct {
+	*msgpackfront.Front
+	wrapTLS func(net.Listener) net.Listener // returns the listener itself without TLS
+
+	mu       sync.Mutex
+	listener net.Listener // nil while the server does not accept
+	address  net.Addr
+	closed   bool
+	resumed  chan struct{} // closed, and replaced, when the listener is opened again
+}
+
+var _ router.DrainableListener = (*rpcServer)(nil)
+
+func newRPCServer(listener net.Listener, wrapTLS func(net.Listener) net.Listener) *rpcServer {
+	return &rpcServer{
+		listener: wrapTLS(listener), wrapTLS: wrapTLS, address: listener.Addr(), resumed: make(chan struct{}),
+	}
+}
+
+// Serve serves clients until Shutdown or Close.
+func (s *rpcServer) Serve() error {
+	for {
+		s.mu.Lock()
+		listener, resumed, closed := s.listener, s.resumed, s.closed
+		s.mu.Unlock()
+		switch {
+		case closed:
+			return msgpackfront.ErrClosed
+		case listener == nil:
+			<-resumed
+			continue
+		}
+		err := s.Front.Serve(listener)
+		s.mu.Lock()
+		replaced := s.listener != listener
+		s.mu.Unlock()
+		if !replaced {
+			return err
+		}
+	}
+}
+
+// StopAccepting closes the listener and the idle connections.
+func (s *rpcServer) StopAccepting() {
+	s.mu.Lock()
+	s.listener = nil
+	s.mu.Unlock()
+	s.Front.StopAccepting()
+}
+
+// ResumeAccepting opens the listener again, at the same address.
+func (s *rpcServer) ResumeAccepting() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener != nil || s.closed {
+		return nil
+	}
+	listener, err := relisten(s.address)
+	if err != nil {
+		return err
+	}
+	s.listener = s.wrapTLS(listener)
+	_ = s.Front.ResumeAccepting() // returns nil
+	close(s.resumed)
+	s.resumed = make(chan struct{})
+	return nil
+}
+
+// Shutdown stops accepting, and waits for open calls until ctx ends.
+func (s *rpcServer) Shutdown(ctx context.Context) error {
+	s.markClosed()
+	return s.Front.Shutdown(ctx)
+}
+
+// Close closes all connections.
+func (s *rpcServer) Close() {
+	s.markClosed()
+	s.Front.Close()
+}
+
+// markClosed lets Serve return.
+func (s *rpcServer) markClosed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return
+	}
+	s.closed = true
+	if s.listener == nil {
+		close(s.resumed)
+	}
+}
+
+// relisten opens a listener at an address that was listened on before, and may still be in use.
+func relisten(address net.Addr) (net.Listener, error) {
+	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
+		listener, err := net.Listen(address.Network(), address.String())
+		if err == nil {
+			return listener, nil
+		}
+		if time.Now().After(deadline) {
+			return nil, fmt.Errorf("listening on %s again: %w", address, err)
+		}
+	}
+}
--- a/internal/node/tlsclient.go
+++ b/internal/node/tlsclient.go
@@ -9,31 +9,40 @@
 	"cobaltward/internal/frontend/secure"
 )
 
-// tlsClientConn is a connection of a client by TLS. It has no methods of TCP's than those that it names: others would
-// go past TLS.
+// tlsClientConn is a TLS connection of a client. It does not embed its TCP connection, whose other methods would
+// bypass TLS.
 type tlsClientConn struct {
-	conn   *clientConn
-	tls *secure.Conn
+	conn *clientConn
+	tls  *secure.Conn
 }
 
+// Read reads decrypted bytes and follows the connection's requests.
 func (c *tlsClientConn) Read(p []byte) (int, error) { return c.conn.Read(p) }
 
+// Write encrypts and writes p.
 func (c *tlsClientConn) Write(p []byte) (int, error) { return c.tls.Write(p) }
 
+// Close closes the connection.
 func (c *tlsClientConn) Close() error { return c.tls.Close() }
 
+// CloseWrite closes the node's side.
 func (c *tlsClientConn) CloseWrite() error { return c.tls.CloseWrite() }
 
+// LocalAddr returns the node's address.
 func (c *tlsClientConn) LocalAddr() net.Addr { return c.tls.LocalAddr() }
 
+// RemoteAddr returns the client's address.
 func (c *tlsClientConn) RemoteAddr() net.Addr { return c.tls.RemoteAddr() }
 
+// SetDeadline sets both deadlines.
 func (c *tlsClientConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
+// SetReadDeadline sets the read deadline, as clientConn bounds it.
 func (c *tlsClientConn) SetReadDeadline(t time.Time) error { return c.conn.SetReadDeadline(t) }
 
+// SetWriteDeadline sets the write deadline.
 func (c *tlsClientConn) SetWriteDeadline(t time.Time) error { return c.tls.SetWriteDeadline(t) }
 
 func (c *tlsClientConn) onStateChange(state http.ConnState) { c.conn.onStateChange(state) }
