--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.XDS.Alone {
+	if o.XDS.WithoutPlatform {
 		return source, nil
 	}
 	both := merge.New(own, source)
-	both.SetInitial(0, c.Known.Endpoints)
+	both.SetInitial(0, c.InitialList.Endpoints)
 	return both, nil
 }
 
@@ -70,6 +70,6 @@
 	if err != nil {
 		return xds.Config{}, fmt.Errorf("%s: %w", x.Bootstrap, err)
 	}
-	c.Delta, c.CacheDir = x.Delta, x.Dir
+	c.Delta, c.CacheDir = x.Delta, x.CacheDir
 	return c, nil
 }
--- /dev/null
+++ b/handshakes/conn.go
@@ -0,0 +1,159 @@
+package handshakes
+
+import (
+	"errors"
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// MaxHandshakeBytes bounds what a peer may send during its handshake. It keeps excessive certificate chains from taking
+// memory and CPU time.
+const MaxHandshakeBytes = 64 << 10
+
+// ErrHandshakeTooLarge is the error of a read beyond MaxHandshakeBytes.
+var ErrHandshakeTooLarge = errors.New("peer sent more than 64 KiB during the handshake")
+
+// Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run under
+// a CPUScheduler. After EndHandshake it only passes reads and writes on. As with crypto/tls, one goroutine may read
+// while another writes; HasReceived, IsComputing and DropBlockingWrites may be called at any time by any goroutine.
+type Conn struct {
+	net.Conn // its other methods
+	TCP      *net.TCPConn
+	// AbortIfPeerCloses fails the handshake as soon as the peer has closed, without working on what it sent before.
+	AbortIfPeerCloses bool
+
+	cpu            *CPUScheduler
+	task           Task
+	deadline       time.Time       // of the handshake
+	cancelled      <-chan struct{} // closed when the handshake is no longer wanted
+	inHandshake    bool
+	holdsCPU       bool
+	taskStart      time.Time // valid while holdsCPU
+	handshakeBytes int       // received
+	computeTime    time.Duration
+
+	readsNonBlocking  bool
+	writesNonBlocking atomic.Bool
+	received          atomic.Bool
+	computing         atomic.Bool               // a computation is queued or running
+	lastComputed      atomic.Pointer[time.Time] // the end of the last computation; nil: none yet
+}
+
+// NewConn returns the connection of a handshake that starts now. urgent says that a request waits for it. The handshake
+// ends at the deadline, or when cancelled is closed.
+func NewConn(tcp *net.TCPConn, cpu *CPUScheduler, urgent bool, deadline time.Time, cancelled <-chan struct{}) *Conn {
+	return &Conn{
+		Conn:        tcp,
+		TCP:         tcp,
+		cpu:         cpu,
+		task:        Task{Urgent: urgent},
+		deadline:    deadline,
+		cancelled:   cancelled,
+		inHandshake: true,
+	}
+}
+
+// EndHandshake ends the scheduling of computations. It returns the time that they took.
+func (c *Conn) EndHandshake() (computeTime time.Duration) {
+	c.releaseCPU()
+	c.inHandshake, c.cancelled = false, nil
+	return c.computeTime
+}
+
+// HasReceived reports whether the peer has sent anything during the handshake.
+func (c *Conn) HasReceived() bool { return c.received.Load() }
+
+// IsComputing reports whether a computation of the handshake is queued or running, or ended less than SilentAfter ago,
+// which is the time that a nearby peer has to answer.
+func (c *Conn) IsComputing() bool {
+	if c.computing.Load() {
+		return true
+	}
+	lastComputed := c.lastComputed.Load()
+	return lastComputed != nil && time.Since(*lastComputed) < SilentAfter
+}
+
+// BeginCompute waits for the CPU ahead of the first read: a client generates its key share then.
+func (c *Conn) BeginCompute() error {
+	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
+		return err
+	}
+	c.holdsCPU, c.taskStart = true, time.Now()
+	return nil
+}
+
+func (c *Conn) releaseCPU() {
+	c.computing.Store(false)
+	if !c.holdsCPU {
+		return
+	}
+	c.holdsCPU = false
+	now := time.Now()
+	c.lastComputed.Store(&now)
+	c.computeTime += time.Since(c.taskStart)
+	c.cpu.release(&c.task, c.taskStart)
+}
+
+// Read reads from the connection. During the handshake it returns only when the CPU is available for what was read.
+func (c *Conn) Read(p []byte) (int, error) {
+	switch {
+	case c.readsNonBlocking:
+		return c.readNonBlocking(p)
+	case c.inHandshake:
+		return c.readHandshake(p)
+	}
+	return c.TCP.Read(p)
+}
+
+func (c *Conn) readHandshake(p []byte) (int, error) {
+	c.releaseCPU()
+	n, err := c.TCP.Read(p)
+	c.received.Store(true)
+	c.handshakeBytes += n
+	if c.handshakeBytes > MaxHandshakeBytes {
+		return 0, ErrHandshakeTooLarge
+	}
+	if err != nil {
+		return n, err
+	}
+	c.computing.Store(true)
+	if err := c.BeginCompute(); err != nil {
+		return 0, err
+	}
+	if c.AbortIfPeerCloses && c.peerClosed() {
+		return 0, net.ErrClosed
+	}
+	return n, nil
+}
+
+// Write writes to the connection.
+func (c *Conn) Write(p []byte) (int, error) {
+	if c.writesNonBlocking.Load() {
+		return c.writeNonBlocking(p)
+	}
+	return c.TCP.Write(p)
+}
+
+// DropBlockingWrites makes all further writes drop what they could not write at once. It keeps the alert that closes a
+// TLS connection from blocking.
+func (c *Conn) DropBlockingWrites() { c.writesNonBlocking.Store(true) }
+
+// ReadAvailable calls read, whose reads from the connection do not block. It reports whether read failed because there
+// was nothing to be read.
+func (c *Conn) ReadAvailable(read func() error) (wouldBlock bool) {
+	c.readsNonBlocking = true
+	err := read()
+	c.readsNonBlocking = false
+	return errors.Is(err, errWouldBlock)
+}
+
+// RemoteAlert returns the TLS alert by which the peer ended the handshake; empty if it sent none.
+func RemoteAlert(err error) string {
+	// crypto/tls does not export the type of alerts.
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "remote error" {
+		return opErr.Err.Error()
+	}
+	return ""
+}
--- /dev/null
+++ b/handshakes/untrusted.go
@@ -0,0 +1,162 @@
+package handshakes
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+	"time"
+)
+
+const (
+	initialBackoff = 500 * time.Millisecond // before the first recheck of a server; doubled by each failed one
+	maxBackoff     = 4 * time.Second
+	jitterFraction = 0.25 // by which backoffs of different servers differ at most, so that they spread
+	// recheckAllWithin is the time within which all servers are rechecked after a change of the trust store.
+	recheckAllWithin = time.Second
+	maxBackoffShift  = 16 // keeps the doubling from overflowing
+	// MaxConcurrentRechecks bounds the rechecks that run at once.
+	MaxConcurrentRechecks = 4
+	// MaxUntrustedServers bounds the servers in an UntrustedBackoff. Beyond it, each attempt at a server fails by its
+	// own handshake.
+	MaxUntrustedServers = 10_000
+)
+
+// UntrustedServer is a server that failed verification. It gets no requests.
+type UntrustedServer struct {
+	Server   string        `json:"server"`
+	Reason   string        `json:"why"`
+	Since    time.Duration `json:"-"`
+	Rechecks int           `json:"looks"` // failed handshakes since
+
+	nextRecheck time.Duration
+	rechecking  bool
+}
+
+// UntrustedBackoff holds the servers that failed verification. They get no requests; each is rechecked with an
+// exponential backoff by a handshake without a request. It is not safe for concurrent use.
+type UntrustedBackoff struct {
+	servers    map[string]*UntrustedServer
+	rechecking int // servers whose recheck is running
+}
+
+// NewUntrustedBackoff returns a backoff without servers.
+func NewUntrustedBackoff() *UntrustedBackoff {
+	return &UntrustedBackoff{servers: make(map[string]*UntrustedServer)}
+}
+
+// Reason returns why a server is untrusted, and whether it is.
+func (b *UntrustedBackoff) Reason(server string) (reason string, untrusted bool) {
+	if entry := b.servers[server]; entry != nil {
+		return entry.Reason, true
+	}
+	return "", false
+}
+
+// RecordFailure records that a server failed verification. It reports whether the server was trusted until now.
+func (b *UntrustedBackoff) RecordFailure(now time.Duration, server, reason string) (first bool) {
+	entry := b.servers[server]
+	if entry == nil {
+		if len(b.servers) >= MaxUntrustedServers {
+			return false
+		}
+		entry = &UntrustedServer{Server: server, Since: now}
+		b.servers[server] = entry
+		first = true
+	} else if entry.rechecking {
+		entry.Rechecks++
+	}
+	b.endRecheck(entry)
+	entry.Reason = reason
+	// Handshakes that were already running when the server became untrusted do not postpone its recheck.
+	if first || now >= entry.nextRecheck {
+		backoff := min(maxBackoff, initialBackoff<<min(entry.Rechecks, maxBackoffShift))
+		entry.nextRecheck = now + withJitter(server, backoff)
+	}
+	return first
+}
+
+// endRecheck ends the recheck of a server if one is running.
+func (b *UntrustedBackoff) endRecheck(entry *UntrustedServer) {
+	if entry.rechecking {
+		entry.rechecking = false
+		b.rechecking--
+	}
+}
+
+// RecordSuccess records that a server passed verification. It reports whether the server was untrusted until now.
+func (b *UntrustedBackoff) RecordSuccess(server string) (recovered bool) {
+	entry := b.servers[server]
+	if entry == nil {
+		return false
+	}
+	b.endRecheck(entry)
+	delete(b.servers, server)
+	return true
+}
+
+// RecordInconclusive ends a recheck without a result: the server did not answer, or the handshake was not admitted.
+func (b *UntrustedBackoff) RecordInconclusive(now time.Duration, server string) {
+	if entry := b.servers[server]; entry != nil && entry.rechecking {
+		b.endRecheck(entry)
+		entry.nextRecheck = now + withJitter(server, initialBackoff)
+	}
+}
+
+// Forget removes a server that was removed or restarted.
+func (b *UntrustedBackoff) Forget(server string) { b.RecordSuccess(server) }
+
+// RecheckAll resets the backoff of all servers and spreads their rechecks over a short time, after a change of the
+// trust store.
+func (b *UntrustedBackoff) RecheckAll(now time.Duration) {
+	for _, entry := range b.servers {
+		entry.Rechecks = 0
+		recheckAt := now + withJitter(entry.Server, recheckAllWithin) - recheckAllWithin/2
+		entry.nextRecheck = min(entry.nextRecheck, recheckAt)
+	}
+}
+
+// StartDue starts the rechecks that are due, the longest overdue first, as far as MaxConcurrentRechecks allows, and
+// returns their servers. Each has to be ended by RecordFailure, RecordSuccess, RecordInconclusive or Forget.
+func (b *UntrustedBackoff) StartDue(now time.Duration) (servers []string) {
+	if b.rechecking >= MaxConcurrentRechecks {
+		return nil
+	}
+	var due []*UntrustedServer
+	for _, entry := range b.servers {
+		if !entry.rechecking && now >= entry.nextRecheck {
+			due = append(due, entry)
+		}
+	}
+	slices.SortFunc(due, func(a, b *UntrustedServer) int {
+		return cmp.Or(cmp.Compare(a.nextRecheck, b.nextRecheck), cmp.Compare(a.Server, b.Server))
+	})
+	slots := MaxConcurrentRechecks - b.rechecking
+	for _, entry := range due[:min(len(due), slots)] {
+		entry.rechecking = true
+		b.rechecking++
+		servers = append(servers, entry.Server)
+	}
+	return servers
+}
+
+// List returns all untrusted servers, sorted by name.
+func (b *UntrustedBackoff) List() []UntrustedServer {
+	list := make([]UntrustedServer, 0, len(b.servers))
+	for _, entry := range b.servers {
+		list = append(list, *entry)
+	}
+	slices.SortFunc(list, func(a, b UntrustedServer) int { return cmp.Compare(a.Server, b.Server) })
+	return list
+}
+
+// hashFraction maps a server to a fixed value from 0 up to 1, different for different servers.
+func hashFraction(server string) float64 {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(server))
+	return float64(hash.Sum32()) / (1 << 32)
+}
+
+// withJitter changes a duration by up to jitterFraction, by the hash of the server.
+func withJitter(server string, d time.Duration) time.Duration {
+	return d + time.Duration(jitterFraction*(2*hashFraction(server)-1)*float64(d))
+}
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -45,18 +45,18 @@
 				if o, err = nodeconfig.Load(path); err != nil {
 					return err
 				}
-				if o.XDS.On() && e.XDS == nil {
+				if o.XDS.Enabled() && e.XDS == nil {
 					return errNoXDS
 				}
 				alone, err := standalone.Load(path)
 				if err != nil {
 					return err
 				}
-				if _, err := alone.Secure(time.Now()); err != nil {
+				if _, err := alone.NodeTLS(time.Now()); err != nil {
 					return fmt.Errorf("%s:%w", path, err)
 				}
 				fmt.Fprintf(out, "%s: good\n", path)
-				if alone.On() {
+				if alone.Standalone() {
 					return describe(out, alone)
 				}
 				own = alone
@@ -76,7 +76,7 @@
 			if err := bindPools(o, &conf); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%s: good; listens on %s, asks %s, knows %d servers\n", platform, conf.Listen, conf.Discovery, len(conf.Known.Endpoints))
+			fmt.Fprintf(out, "%s: good; listens on %s, asks %s, knows %d servers\n", platform, conf.Listen, conf.Discovery, len(conf.InitialList.Endpoints))
 			table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(table, "class\taim\tdeadline\tmay be sent again")
 			for _, class := range conf.Settings.Classes {
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -65,7 +65,7 @@
 			waiting++
 		}
 	}
-	return handshakes.Admit(active, waiting, l.maxConns)
+	return handshakes.AdmitClient(active, waiting, l.maxConns)
 }
 
 // handshakeDone notes the end of a handshake.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,241 +1,98 @@
-// Package node is the daemon: a router with the protocol's front, transport and membership, on the
-// one address that the platform gives it. It decides nothing.
+// Package node is the daemon: it connects the engine with the servers for clients, the transports to servers, the
+// source of endpoints and the servers for operators, and runs them from start to graceful shutdown. It decides nothing
+// about requests.
 package node
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"math"
 	"net"
 	"net/http"
-	"os"
-	"strconv"
 	"time"
 
 	"cobaltward/discovery/registry"
 	"cobaltward/internal/adminapi"
-	"cobaltward/internal/jsonconfig"
-	"cobaltward/internal/simprotocol"
 	"cobaltward/levels"
 	"cobaltward/policy"
 	"cobaltward/router"
 )
 
-// Config is all that a node is told at its start.
+// Config configures a node.
 type Config struct {
-	Name      string
-	Listen    string // the only address to listen on
-	Discovery string
-	Console   string // the second address to listen on; empty: none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int64
-	Sockets   int
-	Known     registry.List // the servers as this node last had them, perhaps stale
-	Settings  policy.Settings
-
-	// Figures of the settings that bind the node and not the module.
-	MaxOpen        int           // unanswered requests; 0: no limit
+	Name           string
+	Listen         string // address of the listener for clients
+	Discovery      string // address of the registry
+	OperationsAddr string // address of the operations endpoint; empty: there is none
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int64
+	MaxDescriptors int           // file descriptors that the node may use
+	InitialList    registry.List // the endpoints as this node last knew them, perhaps stale
+	Settings       policy.Settings
+
+	// Figures of the settings that bind the node and not the policy.
+	MaxInFlight    int           // requests without an answer; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	// What the operator's own file may say of the end; nil where it does not.
-	Leave    *time.Duration // serving on as before; nil: 0.6 of DrainFor or else of the longest deadline, then 0.42 s at least
-	DrainFor *time.Duration // in all; nil: the longest deadline of a class, 3 s at most, and 0.3 s more
-
-	// ConsoleListener is where the console's calls come in; nil: there is none. The node closes it.
-	ConsoleListener net.Listener
-	// Shared says that the clients' listening socket is held by others, too: what this process does not accept, the
-	// next one will.
-	Shared bool
-
-	// Shared processes of one node know of each other through this directory; empty: they do not.
-	Common string
-	// Memory has the process use a part of the node's memory; nil: it can't.
-	Memory func(part float64)
-
-	// Msgpack says who is spoken to by MessagePack-RPC beside HTTP; the zero value is nobody.
+	// AnnounceFor is for how long a node that shuts down serves on as before; nil: 0.6 of DrainTimeout, or else 0.6 of
+	// the longest deadline and at least 0.42 s.
+	AnnounceFor *time.Duration
+	// DrainTimeout bounds the whole shutdown; nil: the longest deadline of a class, at most 3 s, and 0.3 s more.
+	DrainTimeout *time.Duration
+
+	// OperationsListener is the listener of the operations endpoint; nil: there is none. The node closes it.
+	OperationsListener net.Listener
+	// SharedListener says that other processes hold the listening socket for clients, too: they accept the connections
+	// that this process does not.
+	SharedListener bool
+
+	// SharedDir is the directory by which processes of one node with a shared listener know of each other; empty: they
+	// do not.
+	SharedDir string
+	// SetMemoryShare limits the process to a part of the node's memory; nil: that is not possible.
+	SetMemoryShare func(part float64)
+
+	// Msgpack enables MessagePack-RPC beside HTTP; the zero value is HTTP alone.
 	Msgpack Msgpack
 
-	// Door is the operators' way in; the zero value is none. DrainMark is a file that stands while a drain on
-	// request does, so that a restart goes on with it; empty: a restart serves.
-	Door      adminapi.Config
+	// AdminAPI says where the admin API listens; the zero value is nowhere.
+	AdminAPI adminapi.Config
+	// DrainMark is the path of a file that exists while a drain on request does, so that a restarted process drains
+	// again; empty: a restarted process serves.
 	DrainMark string
 
-	// State is where the node keeps what it learns; the zero value keeps nothing.
+	// State says where the node saves its learned state; the zero value is nowhere.
 	State StateConfig
 
-	// Levels is the ladder of reduced service; nil: full service always.
+	// Levels are the levels of reduced service; nil: service is never reduced.
 	Levels *levels.Config
 
-	// TLS is who is spoken to by TLS; nil: nobody.
+	// TLS enables TLS; nil: none.
 	TLS *TLS
 
-	// Front puts requests from outside into the protocol's form; nil: they come in it. ready is a path that goes on
-	// as it is.
-	Front func(next http.Handler, ready string) http.Handler
+	// WrapHandler returns a handler that brings requests from outside into the protocol's form for next; nil: they come
+	// in that form. Requests for the path ready must reach next unchanged.
+	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// Membership makes the source of the servers out of the protocol's discovery; nil: that alone.
-	Membership func(own router.EndpointSource) (router.EndpointSource, error)
+	// NewEndpointSource makes the source of endpoints from the registry; nil: the registry itself is the source.
+	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
-// Msgpack is a listener for callers by MessagePack-RPC, and the app servers that speak it.
+// Msgpack configures MessagePack-RPC, towards clients and towards servers.
 type Msgpack struct {
-	Listener    net.Listener // nil: none; the node closes it
-	Connections int          // 0: defaultMsgpackConns
-	Calls       int          // open on a connection; 0: the front's default
-	Servers     []string     // kinds
+	Listener        net.Listener // for clients; nil: none. The node closes it.
+	MaxConns        int          // of clients; 0: defaultMsgpackConns
+	MaxCallsPerConn int          // in flight; 0: the frontend's default
+	ServerKinds     []string     // kinds of the servers that speak it
 }
 
-// defaultMsgpackConns is how many callers are let in where nobody says.
-const defaultMsgpackConns = 64
-
-// leastSockets is what a node can work with at all: a few for itself, and some for each side.
-const leastSockets = 64
-
-// DefaultConnectTimeout stands in where the settings name none.
+// DefaultConnectTimeout is the timeout of connections to servers where the settings name none.
 const DefaultConnectTimeout = 250 * time.Millisecond
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
-// the file says. Errors name the field.
-func LoadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv)
-	if err != nil {
-		return Config{}, err
-	}
-	for name, field := range map[string]*string{
-		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_CONSOLE": &c.Console,
-	} {
-		if v := getenv(name); v != "" {
-			*field = v
-		}
-	}
-	if err := jsonconfig.CheckAddress(c.Listen); err != nil {
-		return Config{}, fmt.Errorf("configuration: listen: %w", err)
-	}
-	if err := jsonconfig.CheckAddress(c.Discovery); err != nil {
-		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
-	}
-	if c.Console != "" {
-		if err := jsonconfig.CheckAddress(c.Console); err != nil {
-			return Config{}, fmt.Errorf("configuration: console: %w", err)
-		}
-		if c.Console == c.Listen {
-			return Config{}, fmt.Errorf("configuration: console: %s is the address of the clients, too", c.Console)
-		}
-	}
-	return c, nil
-}
-
-// ReloadConfig reads the file again. Discovery's address in it, and the settings, take effect while a
-// node runs; the rest from the next start. ROUTER_DISCOVERY tells what held at the start, so the file
-// goes before it.
-func ReloadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv)
-	if err != nil {
-		return Config{}, err
-	}
-	if err := jsonconfig.CheckAddress(c.Discovery); err != nil {
-		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
-	}
-	return c, nil
-}
-
-// router is the part of the configuration that the engine takes.
-func (c Config) router() router.Config {
-	return router.Config{Settings: c.Settings, MaxInFlight: c.MaxOpen, Seed: c.Seed, Endpoints: c.Known.Endpoints}
-}
-
-func readConfig(getenv func(string) string) (Config, error) {
-	path := getenv("ROUTER_CONFIG")
-	if path == "" {
-		return Config{}, errors.New("ROUTER_CONFIG: not set")
-	}
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
-	}
-	c, err := parseConfig(raw)
-	if err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
-	}
-	return c, nil
-}
-
-func parseConfig(raw []byte) (Config, error) {
-	var f struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Console   string `json:"console"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := jsonconfig.Unmarshal(raw, &f); err != nil {
-		return Config{}, err
-	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil {
-		return Config{}, fmt.Errorf("seed: want up to 16 hexadecimal digits, got %q", f.Seed)
-	}
-	switch l := f.Limits; {
-	case !(l.Cores > 0) || l.Cores > 1024:
-		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
-	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
-		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, l.Sockets)
-	}
-	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, Seed: seed,
-		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
-	}
-	for name, field := range map[string]json.RawMessage{"known": f.Known, "settings": f.Settings} {
-		if len(field) == 0 {
-			return Config{}, fmt.Errorf("%s: missing", name)
-		}
-	}
-	if c.Known, err = registry.ParseList(f.Known); err != nil {
-		return Config{}, fmt.Errorf("known: %w", err)
+// routerConfig returns the configuration of the engine.
+func (c Config) routerConfig() router.Config {
+	return router.Config{
+		Settings:    c.Settings,
+		MaxInFlight: c.MaxInFlight,
+		Seed:        c.Seed,
+		Endpoints:   c.InitialList.Endpoints,
 	}
-	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
-		return Config{}, fmt.Errorf("settings.%w", err)
-	}
-	if _, err := policy.New(c.Settings, 0, 0); err != nil { // the module checks what it is given
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	err = nodeLimits(f.Settings, &c)
-	return c, err
 }
-
-// nodeLimits reads those settings that the module leaves to its host.
-func nodeLimits(settings []byte, c *Config) error {
-	var s struct {
-		Limits struct {
-			MaxOpen        float64 `json:"maxOpen"`
-			ConnectTimeout float64 `json:"connectTimeout"`
-		} `json:"limits"`
-	}
-	if err := jsonconfig.Unmarshal(settings, &s); err != nil {
-		return fmt.Errorf("settings.%w", err)
-	}
-	switch l := s.Limits; {
-	case l.MaxOpen < 0 || l.MaxOpen > math.MaxInt32:
-		return fmt.Errorf("settings.limits.maxOpen: want 0 or more, got %v", l.MaxOpen)
-	case l.ConnectTimeout < 0 || l.ConnectTimeout > math.MaxInt32:
-		return fmt.Errorf("settings.limits.connectTimeout: want 0 or more, got %v", l.ConnectTimeout)
-	}
-	c.MaxOpen, c.ConnectTimeout = int(s.Limits.MaxOpen), millis(s.Limits.ConnectTimeout)
-	if c.ConnectTimeout == 0 {
-		c.ConnectTimeout = DefaultConnectTimeout
-	}
-	return nil
-}
-
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/router/admission.go
+++ b/router/admission.go
@@ -28,14 +28,14 @@
 	backstop        timer               // answers the request where the balancer doesn't
 	finished        bool                // it is answered, or its client has left
 	attempts        []*attempt
-	pendingOutcomes int // attempts whose outcome the balancer has not been told yet
+	pendingOutcomes int // attempts whose outcome the balancer does not know yet
 }
 
 // admit admits a call and submits it to the balancer, or answers it at once.
 func (l *loop) admit(call *call) {
 	now := l.clock.now()
 	l.recordLag(now - call.submittedAt)
-	if l.enforced(safeguards.Departure) && call.clientGone() { // while it was queued: nothing of it is admitted
+	if l.enforced(safeguards.ClientGone) && call.clientGone() { // while it was queued: nothing of it is admitted
 		l.stats.ClientsGone++
 		return
 	}
@@ -64,10 +64,10 @@
 }
 
 // isDuplicate reports whether a request ID is in use, or was recently; else it is from now on. The balancer
-// would wait for the first request of an ID and never answer a second; and what came under an ID before may
+// would wait for the first request of an ID and never answer a second; and an earlier request of an ID may
 // have run, also when it is over.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
-	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.FreshID)
+	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
 }
 
 // newRequest makes the request of a call under the settings in force.
--- a/router/reply.go
+++ b/router/reply.go
@@ -18,7 +18,7 @@
 		}
 		l.finishRequest(r)
 		l.deliver(r.call, answer)
-	} else if !l.enforced(safeguards.OneAnswer) {
+	} else if !l.enforced(safeguards.SingleAnswer) {
 		l.deliver(r.call, answer)
 	}
 }
@@ -44,7 +44,7 @@
 	l.forget(r)
 }
 
-// fail answers a request in the balancer's place, and tells the balancer that nobody waits any more.
+// fail answers a request in the balancer's place, and tells the balancer that its caller no longer waits.
 func (l *loop) fail(r *request, outcome Outcome) {
 	l.answer(r, Answer{Outcome: outcome})
 	l.notify(policy.ClientGone{ID: r.req.ID})
@@ -62,7 +62,7 @@
 	l.forget(r)
 }
 
-// recordClientGone records that nobody waits for a request any more.
+// recordClientGone records that the client of a request no longer waits.
 func (l *loop) recordClientGone(r *request) {
 	l.finishRequest(r)
 	l.stats.ClientsGone++
@@ -73,7 +73,7 @@
 	r.finished = true
 	for _, a := range r.attempts {
 		// What waits for a connection needs no cancellation, which the settings may not allow.
-		if a.inFlight && l.enforced(safeguards.Departure) {
+		if a.inFlight && l.enforced(safeguards.ClientGone) {
 			a.ctx.abandon()
 		}
 	}
