--- /dev/null
+++ b/internal/node/clientlistener.go
@@ -0,0 +1,148 @@
+package node
+
+import (
+	linked "container/list"
+	"errors"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"cobaltward/internal/frontend/secure"
+	"cobaltward/internal/sockets"
+)
+
+// overflowConns is the number of connections above maxConns whose requests are rejected at once. Their descriptors come
+// out of the node's own.
+const overflowConns = 6
+
+// clientListener accepts the connections of clients and bounds their number. Above the bound it closes the connection
+// that has been without a request for longest, so that clients that connect and send nothing, or keep idle
+// connections, do not keep others out. Its methods are safe for concurrent use; the settings above mu are set before
+// the first Accept.
+type clientListener struct {
+	net.Listener
+	// queueTimeout returns how long connections may wait in the accept queue.
+	queueTimeout func() time.Duration
+	// retryAfter returns the Retry-After of rejected clients; 0: they get none.
+	retryAfter func() time.Duration
+	tlsLayer   *secure.Layer // nil: connections are plain TCP
+
+	mu        sync.Mutex
+	maxConns  int         // connections that are served
+	slotFreed sync.Cond   // broadcast on whatever may let an accepted connection in
+	open      int         // connections, those in excess of maxConns included
+	idle      linked.List // of *clientConn: the connections without a request, longest idle first
+	// partialRequests holds the connections that have sent a part of a request that is not handed on yet.
+	partialRequests map[*clientConn]bool
+	closed          bool
+	// queueEmptyAt is when the accept queue was last known to be empty: connections accepted later cannot have arrived
+	// earlier.
+	queueEmptyAt     time.Time
+	queueDrained     chan struct{} // closed when drainAcceptQueue has emptied the accept queue
+	shuttingDown     bool          // connections are closed as they become idle
+	recheckScheduled bool          // recheckIdle will run
+
+	requestsDuringClose uint64 // requests that met the close of their connection; their clients send them again
+	closedIdle          uint64 // idle connections that were closed by a drain
+}
+
+// newClientListener returns a listener that accepts from inner and serves at most maxConns connections. Until
+// queueTimeout and retryAfter are set, connections wait in no queue and rejections have no Retry-After.
+func newClientListener(inner net.Listener, maxConns int) *clientListener {
+	listener := &clientListener{
+		Listener: inner, queueDrained: make(chan struct{}), queueEmptyAt: time.Now(),
+		partialRequests: make(map[*clientConn]bool),
+	}
+	listener.queueTimeout = func() time.Duration { return 0 }
+	listener.retryAfter = func() time.Duration { return 0 }
+	listener.setMaxConns(maxConns)
+	listener.slotFreed.L = &listener.mu
+	return listener
+}
+
+// Accept returns the next connection once there is a slot for it.
+func (l *clientListener) Accept() (net.Conn, error) {
+	began := time.Now()
+	tcp, err := l.Listener.Accept()
+	if err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) && l.isClosed() { // the deadline of drainAcceptQueue
+			close(l.queueDrained) // net/http does not call Accept again
+			return nil, net.ErrClosed
+		}
+		return nil, err
+	}
+	conn := l.newConn(tcp.(*net.TCPConn))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if sockets.HadToWait(began, conn.acceptedAt) {
+		l.queueEmptyAt = conn.acceptedAt
+	}
+	conn.arrival.Reset(l.queueEmptyAt)
+	l.open++
+	if l.tlsLayer != nil {
+		l.awaitHandshakeSlotLocked()
+	}
+	l.awaitSlotLocked(conn)
+	conn.markIdleLocked()
+	if conn.tls != nil {
+		return &tlsClientConn{conn, conn.tls}, nil
+	}
+	return conn, nil
+}
+
+// newConn returns a connection that was accepted now.
+func (l *clientListener) newConn(tcp *net.TCPConn) *clientConn {
+	c := &clientConn{TCPConn: tcp, listener: l, acceptedAt: time.Now(), stream: tcp}
+	if l.tlsLayer != nil {
+		c.tls = l.tlsLayer.Wrap(tcp, l.handshakeDone)
+		c.stream = c.tls
+	}
+	return c
+}
+
+// Close closes the listener; further calls do nothing. Accepted connections stay open.
+func (l *clientListener) Close() error {
+	if !l.markClosed() { // net/http closes its listener once more
+		return nil
+	}
+	return l.Listener.Close()
+}
+
+// markClosed releases connections that wait for a slot, and reports whether the listener was open.
+func (l *clientListener) markClosed() (wasOpen bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wasOpen = !l.closed
+	l.closed = true
+	l.slotFreed.Broadcast()
+	return wasOpen
+}
+
+func (l *clientListener) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
+}
+
+// setMaxConns changes the number of connections that are served, of at least 1.
+func (l *clientListener) setMaxConns(n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxConns = max(1, n)
+	l.slotFreed.Broadcast()
+}
+
+// connCounts returns the number of connections, and of those with a request.
+func (l *clientListener) connCounts() (open, busy int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open, l.open - l.idle.Len()
+}
+
+// idleCloseCounts returns the connections that a drain has closed, and the requests that met such a close.
+func (l *clientListener) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closedIdle, l.requestsDuringClose
+}
