--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -263,10 +263,10 @@
 // TestYoungConnectionDoesNotMakeRoom has clients connect to a node that is full of connections at rest, each with its
 // first request a moment later: none of the young ones is closed for the next, while there are others.
 func TestYoungConnectionDoesNotMakeRoom(t *testing.T) {
-	l, _, rested := oneClient(t)
+	l, _, rested := acceptOneClient(t)
 	l.setMost(2)
 	l.patience = func() time.Duration { return testkit.Long }
-	young, inYoung := letIn(t, l)
+	young, inYoung := connectClient(t, l)
 	l.mu.Lock()
 	rested.note() // its request is there, and is answered below
 	l.mu.Unlock()
@@ -327,7 +327,7 @@
 // TestTurnedAwayAsItsRequestComes has bytes of a request be read just as their connection makes room, and whoever reads
 // close it for that: the rejection goes ahead of either close.
 func TestTurnedAwayAsItsRequestComes(t *testing.T) {
-	l, client, conn := oneClient(t)
+	l, client, conn := acceptOneClient(t)
 	for range 300 {
 		closed := make(chan struct{})
 		go func() {
@@ -347,7 +347,7 @@
 		}
 		<-closed
 		_ = client.Close()
-		next, in := letIn(t, l)
+		next, in := connectClient(t, l)
 		client, conn = next, in.(*clientConn)
 	}
 }
@@ -356,7 +356,7 @@
 // that was told of a rejection may try again, so that its request must not run.
 func TestTurnedAwayIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
-		l, _, conn := oneClient(t)
+		l, _, conn := acceptOneClient(t)
 		ctx := withClient(t.Context(), conn)
 		l.mu.Lock()
 		conn.note()
@@ -379,7 +379,7 @@
 
 // TestTurnedAwayAheadOfItsAnswer has a connection make room whose request is to be rejected, before that answer is written.
 func TestTurnedAwayAheadOfItsAnswer(t *testing.T) {
-	l, client, conn := oneClient(t)
+	l, client, conn := acceptOneClient(t)
 	l.mu.Lock()
 	conn.note()
 	conn.overflow, l.most = true, 0
@@ -403,7 +403,7 @@
 // TestLastCallComesInToBeServed has a client in the system's queue as a full listener closes: it is let in beyond the
 // bound, and its request is not rejected for that.
 func TestLastCallComesInToBeServed(t *testing.T) {
-	l, _, busy := oneClient(t)
+	l, _, busy := acceptOneClient(t)
 	l.setMost(1)
 	l.mu.Lock()
 	busy.note()
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -73,15 +73,15 @@
 }
 
 // backends is a node with the settings of the drain tests, patient, ahead of handlers.
-func (w *site) backends(handlers ...http.HandlerFunc) {
+func (w *testNode) backends(handlers ...http.HandlerFunc) {
 	for i, h := range handlers {
-		w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: fmt.Sprint("s", i), Addr: testkit.HTTPServer(w.t, h), Zone: "a", Kind: "k", Weight: 1})
+		w.initialList.Endpoints = append(w.initialList.Endpoints, router.Endpoint{ID: fmt.Sprint("s", i), Addr: testkit.HTTPServer(w.t, h), Zone: "a", Kind: "k", Weight: 1})
 	}
-	w.patient()
+	w.allowSlowAnswers()
 }
 
 // post is a booking with a long body; length -1 sends it in chunks.
-func (w *site) post(ctx context.Context, client *http.Client, class, id string, body io.Reader, length int64) (*http.Response, error) {
+func (w *testNode) post(ctx context.Context, client *http.Client, class, id string, body io.Reader, length int64) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/api", body)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 		size = int64(mb) << 20
 	}
 	const calls, bound = 100, 128 << 20 // peers and their buffers live in the same heap
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	w.memoryMB = 32
 	var ran atomic.Int64
 	serve := func(rw http.ResponseWriter, r *http.Request) {
@@ -158,8 +158,8 @@
 	if ran.Load() != calls {
 		t.Errorf("%d ran", ran.Load())
 	}
-	testkit.Await(t, "the figures", func() bool { return w.figures()["success.rezervacia"] == calls })
-	if f := w.figures(); f["inflight"] != 0 || f["failure.rezervacia"] != 0 || f["backend_calls"] != calls {
+	testkit.Await(t, "the figures", func() bool { return w.metrics()["success.rezervacia"] == calls })
+	if f := w.metrics(); f["inflight"] != 0 || f["failure.rezervacia"] != 0 || f["backend_calls"] != calls {
 		t.Errorf("figures %v", f)
 	}
 	client.CloseIdleConnections()
@@ -171,7 +171,7 @@
 }
 
 // rawServer answers each request by what script does with its connection, once its body has come.
-func (w *site) rawServer(script func(c net.Conn, r *http.Request)) {
+func (w *testNode) rawServer(script func(c net.Conn, r *http.Request)) {
 	addr := testkit.RawServer(w.t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
@@ -181,8 +181,8 @@
 			script(c, r)
 		}
 	})
-	w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: fmt.Sprint("s", len(w.known.Endpoints)), Addr: addr, Zone: "a", Kind: "k", Weight: 1})
-	w.patient()
+	w.initialList.Endpoints = append(w.initialList.Endpoints, router.Endpoint{ID: fmt.Sprint("s", len(w.initialList.Endpoints)), Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+	w.allowSlowAnswers()
 }
 
 // Answers that break off behind their first bytes are cut, so that the client can tell; they are never ended as if
@@ -196,7 +196,7 @@
 		"last chunk": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSite(t, 0)
+			w := newTestNode(t, 0)
 			goOn := make(chan struct{})
 			var ran atomic.Int64
 			w.rawServer(func(c net.Conn, r *http.Request) {
@@ -220,8 +220,8 @@
 				t.Errorf("ended as if whole, after %d bytes", n+1000)
 			}
 			resp.Body.Close()
-			testkit.Await(t, "the failure to count", func() bool { return w.figures()["failure.hladanie"] == 1 })
-			if f := w.figures(); ran.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
+			testkit.Await(t, "the failure to count", func() bool { return w.metrics()["failure.hladanie"] == 1 })
+			if f := w.metrics(); ran.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
 				t.Errorf("%d ran, figures %v", ran.Load(), f)
 			}
 			client.CloseIdleConnections()
@@ -232,7 +232,7 @@
 	}
 }
 
-func (w *site) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
+func (w *testNode) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api", nil)
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 // A client that leaves in the midst of a long answer, and one that reads nothing of it: the server's connection is
 // given back, and nothing is left open.
 func TestClientLeavesLongAnswer(t *testing.T) {
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	var cut atomic.Int64
 	w.backends(func(rw http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(rw, &pattern{size: 64 << 20}); err != nil {
@@ -267,7 +267,7 @@
 		leave()
 		resp.Body.Close()
 	}
-	testkit.Await(t, "the servers to be let go", func() bool { return cut.Load() == 3 && w.figures()["inflight"] == 0 })
+	testkit.Await(t, "the servers to be let go", func() bool { return cut.Load() == 3 && w.metrics()["inflight"] == 0 })
 	client.CloseIdleConnections()
 	http.DefaultClient.CloseIdleConnections()
 	stop()
@@ -285,7 +285,7 @@
 	}{"held": {64, http.StatusOK}, "passed on": {0, http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
 			const size = 600 << 10
-			w := newSite(t, 0)
+			w := newTestNode(t, 0)
 			w.memoryMB = x.memoryMB
 			var tries, ran atomic.Int64
 			serve := func(rw http.ResponseWriter, r *http.Request) {
@@ -320,7 +320,7 @@
 // A client that sends for longer than its whole deadline, and a body that passes through meanwhile: its time counts
 // from the last byte. One that breaks off has run nowhere.
 func TestSlowUpload(t *testing.T) {
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	w.memoryMB = 0 // a piece is held, and the rest passes through
 	var ran atomic.Int64
 	w.backends(func(rw http.ResponseWriter, r *http.Request) {
@@ -350,7 +350,7 @@
 		t.Errorf("%q, %d ran", got, ran.Load())
 	}
 	send("p2", false)
-	testkit.Await(t, "the one that broke off to end", func() bool { return w.figures()["inflight"] == 0 })
+	testkit.Await(t, "the one that broke off to end", func() bool { return w.metrics()["inflight"] == 0 })
 	if ran.Load() != 1 {
 		t.Errorf("%d ran", ran.Load())
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestLoadsConfig(t *testing.T) {
+func TestLoadConfig(t *testing.T) {
 	c, err := LoadConfig(writeConfigFile(t, goodConfig))
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBadConfigNamesTheField(t *testing.T) {
+func TestLoadConfig_ErrorNamesField(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestOrderOutlivesAWallClockStep gives two processes of one node orders on standby while the wall clock is stepped
+// TestStandbyOrder_SurvivesWallClockStep gives two processes of one node orders on standby while the wall clock is stepped
 // back between them: the one that was given last stands.
-func TestOrderOutlivesAWallClockStep(t *testing.T) {
+func TestStandbyOrder_SurvivesWallClockStep(t *testing.T) {
 	dir := t.TempDir()
 	join := func(followed *[]bool) *processGroup {
 		group := joinProcessGroup(dir, slog.New(slog.DiscardHandler))
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -21,9 +21,9 @@
 	"pgregory.net/rapid"
 )
 
-// put makes one call to the console.
-func (w *site) put(path string) int {
-	r, _ := http.NewRequest(http.MethodPut, "http://"+w.console+path, nil)
+// callOperations makes one call to the console.
+func (w *testNode) callOperations(path string) int {
+	r, _ := http.NewRequest(http.MethodPut, "http://"+w.operationsAddr+path, nil)
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		w.t.Fatal(err)
@@ -32,9 +32,9 @@
 	return resp.StatusCode
 }
 
-// figures reads the console's page.
-func (w *site) figures() map[string]int {
-	resp, err := http.Get("http://" + w.console + "/status/metrics")
+// metrics reads the console's page.
+func (w *testNode) metrics() map[string]int {
+	resp, err := http.Get("http://" + w.operationsAddr + "/status/metrics")
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -56,12 +56,12 @@
 	}
 }
 
-func (w *site) drainState() string {
-	_, s := w.order(http.MethodGet, "/status", nil)
+func (w *testNode) drainState() string {
+	_, s := w.callAdmin(http.MethodGet, "/status", nil)
 	return s.Drain.State.String()
 }
 
-func (w *site) ready() bool {
+func (w *testNode) isReady() bool {
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		return false
@@ -76,9 +76,9 @@
 
 // The engine's loop stands still, with more waiting for it than its queue holds, and callers stall at the console: every
 // call is answered all the same.
-func TestConsoleBesideStuckLoop(t *testing.T) {
-	w := newSite(t, 2)
-	engine, err := router.New(router.Config{Settings: w.set, Endpoints: w.known.Endpoints}, router.WithTransport(http1.New(http1.Config{})))
+func TestOperations_BlockedEventLoop(t *testing.T) {
+	w := newTestNode(t, 2)
+	engine, err := router.New(router.Config{Settings: w.settings, Endpoints: w.initialList.Endpoints}, router.WithTransport(http1.New(http1.Config{})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.console = ln.Addr().String()
+	w.operationsAddr = ln.Addr().String()
 	ctl := &adminAPI{engine: engine}
 	defer operations.Serve(ln, &operationsNode{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}, slog.New(slog.DiscardHandler)).Close()
 	release, held := make(chan struct{}), make(chan struct{})
@@ -108,7 +108,7 @@
 	}
 	testkit.Await(t, "the queue to be full", func() bool { return engine.Metrics().InFlight == 2000 })
 	for range 20 {
-		c, err := net.Dial("tcp", w.console)
+		c, err := net.Dial("tcp", w.operationsAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,13 +116,13 @@
 		fmt.Fprint(c, "GET /sta")
 	}
 	for range 3 {
-		if f := w.figures(); f["inflight"] != 2000 || f["hosts_listed"] != 2 {
+		if f := w.metrics(); f["inflight"] != 2000 || f["hosts_listed"] != 2 {
 			t.Errorf("figures %v", f)
 		}
-		if w.put("/standby") != http.StatusOK || engine.Phase() == router.Serving {
+		if w.callOperations("/standby") != http.StatusOK || engine.Phase() == router.Serving {
 			t.Error("standby waits for the loop")
 		}
-		if w.put("/active") != http.StatusOK || engine.Phase() != router.Serving {
+		if w.callOperations("/active") != http.StatusOK || engine.Phase() != router.Serving {
 			t.Error("active waits for the loop")
 		}
 	}
@@ -132,7 +132,7 @@
 
 // Whatever order the console and the door are told things in, and however far a drain has come: both speak of one drain,
 // the console's calls may be repeated, the node is ready exactly while none goes on, and a final drain stays.
-func TestBothWaysIn(t *testing.T) {
+func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		engine, err := router.New(router.Config{Settings: drainSettings()}, router.WithTransport(http1.New(http1.Config{})))
 		if err != nil {
@@ -196,10 +196,10 @@
 // A request that came before the drain and is answered after connections were parted from: its connection ends with
 // it. The node stays, says no, and serves again at once when it is told, however often.
 func TestStandby(t *testing.T) {
-	g := new(gate)
-	w := newSite(t, 0)
-	w.known.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.patient()
+	g := new(gatedServer)
+	w := newTestNode(t, 0)
+	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
+	w.allowSlowAnswers()
 	stop, ended := w.start()
 	for round := range 2 {
 		var closed bool
@@ -212,7 +212,7 @@
 				conn = c
 				return c, err
 			}}}
-			status, _, _ := w.send(client, w.set.Classes[0], fmt.Sprint("open", round), false)
+			status, _, _ := w.send(client, w.settings.Classes[0], fmt.Sprint("open", round), false)
 			_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 			for _, err := conn.Read(make([]byte, 1)); err == nil; {
 			}
@@ -220,47 +220,47 @@
 			client.CloseIdleConnections()
 			kept <- status
 		}()
-		testkit.Await(t, "the request at the server", func() bool { return g.held() == 1 })
-		if w.put("/standby") != http.StatusOK || w.put("/standby") != http.StatusOK {
+		testkit.Await(t, "the request at the server", func() bool { return g.waitingCount() == 1 })
+		if w.callOperations("/standby") != http.StatusOK || w.callOperations("/standby") != http.StatusOK {
 			t.Fatal("standby is refused")
 		}
-		if w.ready() {
+		if w.isReady() {
 			t.Error("ready in standby")
 		}
 		testkit.Await(t, "connections parted from", func() bool { return w.drainState() == "closing" })
-		if f := w.figures(); f["inflight"] != 1 || f["hosts_listed"] != 1 {
+		if f := w.metrics(); f["inflight"] != 1 || f["hosts_listed"] != 1 {
 			t.Errorf("figures %v", f)
 		}
-		g.release()
+		g.releaseOldest()
 		if status := <-kept; status != http.StatusOK || !closed {
 			t.Errorf("round %d: the request that was open: %d, connection closed %v", round, status, closed)
 		}
 		testkit.Await(t, "the node empty", func() bool { return w.drainState() == "drained" })
-		if w.put("/active") != http.StatusOK || w.put("/active") != http.StatusOK || !w.ready() {
+		if w.callOperations("/active") != http.StatusOK || w.callOperations("/active") != http.StatusOK || !w.isReady() {
 			t.Error("not back to work")
 		}
 		again := make(chan int, 1)
 		go func() {
-			status, _, _ := w.send(http.DefaultClient, w.set.Classes[0], fmt.Sprint("again", round), false)
+			status, _, _ := w.send(http.DefaultClient, w.settings.Classes[0], fmt.Sprint("again", round), false)
 			again <- status
 		}()
-		testkit.Await(t, "a new request at the server", func() bool { return g.held() == 1 })
-		g.release()
+		testkit.Await(t, "a new request at the server", func() bool { return g.waitingCount() == 1 })
+		g.releaseOldest()
 		if status := <-again; status != http.StatusOK {
 			t.Errorf("after standby: %d", status)
 		}
 	}
-	f := w.figures()
-	if name := w.set.Classes[0].Name; f["success."+name] != 4 || f["backend_calls"] != 4 || f["inflight"] != 0 || f["busy."+name] != 0 {
+	f := w.metrics()
+	if name := w.settings.Classes[0].Name; f["success."+name] != 4 || f["backend_calls"] != 4 || f["inflight"] != 0 || f["busy."+name] != 0 {
 		t.Errorf("figures %v", f)
 	}
-	for _, c := range w.set.Classes {
+	for _, c := range w.settings.Classes {
 		if _, ok := f["failure."+c.Name]; !ok {
 			t.Errorf("class %s is not counted", c.Name)
 		}
 	}
 	// An end in the midst of a standby that is through has nothing left to wait for.
-	if w.put("/standby") != http.StatusOK {
+	if w.callOperations("/standby") != http.StatusOK {
 		t.Error("standby is refused")
 	}
 	testkit.Await(t, "the node empty again", func() bool { return w.drainState() == "drained" })
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -25,16 +25,16 @@
 	"cobaltward/router"
 )
 
-// gate is an app server whose answers wait for the test.
-type gate struct {
-	mu   sync.Mutex
-	open []chan struct{}
+// gatedServer is an app server whose answers wait for the test.
+type gatedServer struct {
+	mu      sync.Mutex
+	waiting []chan struct{}
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *gatedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := make(chan struct{})
 	g.mu.Lock()
-	g.open = append(g.open, c)
+	g.waiting = append(g.waiting, c)
 	g.mu.Unlock()
 	select {
 	case <-c:
@@ -43,40 +43,40 @@
 	}
 }
 
-func (g *gate) held() int {
+func (g *gatedServer) waitingCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.open)
+	return len(g.waiting)
 }
 
-func (g *gate) release() {
+func (g *gatedServer) releaseOldest() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.open[0])
-	g.open = g.open[1:]
+	close(g.waiting[0])
+	g.waiting = g.waiting[1:]
 }
 
-// patient has clients wait for long, and no second copies.
-func (w *site) patient() {
-	for i := range w.set.Classes {
-		w.set.Classes[i].Deadline, w.set.Classes[i].LatencyObjective = 30*time.Second, 20*time.Second
+// allowSlowAnswers has clients wait for long, and no second copies.
+func (w *testNode) allowSlowAnswers() {
+	for i := range w.settings.Classes {
+		w.settings.Classes[i].Deadline, w.settings.Classes[i].LatencyObjective = 30*time.Second, 20*time.Second
 	}
-	w.set.Capabilities.Hedge = false
+	w.settings.Capabilities.Hedge = false
 }
 
 // While requests wait at a server and are let go one by one, a drain's progress counts exactly those that the
 // server still has, to the last; and the drain is through with it.
-func TestProgressIsExact(t *testing.T) {
-	g := new(gate)
-	w := newSite(t, 0)
-	w.known.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.patient()
+func TestDrainStatus_CountsOpenRequestsExactly(t *testing.T) {
+	g := new(gatedServer)
+	w := newTestNode(t, 0)
+	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
+	w.allowSlowAnswers()
 	stop, ended := w.start()
 	const n = 12
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
-	class := w.set.Classes[1]
+	class := w.settings.Classes[1]
 	for i := range n {
 		all.Go(func() {
 			if status, _, err := w.send(client, class, fmt.Sprint("r", i), false); err != nil || status != http.StatusOK {
@@ -84,23 +84,23 @@
 			}
 		})
 	}
-	testkit.Await(t, "all requests at the server", func() bool { return g.held() == n })
-	if code, _ := w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "1m"}); code != http.StatusAccepted {
+	testkit.Await(t, "all requests at the server", func() bool { return g.waitingCount() == n })
+	if code, _ := w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "1m"}); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	for left := n; left > 0; left-- {
 		var s Status
 		testkit.Await(t, fmt.Sprintf("%d in flight", left), func() bool {
-			_, s = w.order(http.MethodGet, "/status", nil)
+			_, s = w.callAdmin(http.MethodGet, "/status", nil)
 			return s.Requests.Open <= left
 		})
 		if s.Requests.Open != left || s.Requests.ByClass["rezervacia"] != left || s.Requests.AttemptsInFlight != left || s.Connections.Busy != left || s.Drain.State.Done() {
 			t.Errorf("%d are at the server; the door says %+v, %+v, %v", left, s.Requests, s.Connections, s.Drain.State)
 		}
-		g.release()
+		g.releaseOldest()
 	}
 	testkit.Await(t, "the end of the drain", func() bool {
-		_, s := w.order(http.MethodGet, "/status", nil)
+		_, s := w.callAdmin(http.MethodGet, "/status", nil)
 		return s.Drain.State == drain.Drained
 	})
 	all.Wait()
@@ -110,20 +110,20 @@
 	}
 }
 
-// oneClient is a listener for clients with one connection, and its two ends.
-func oneClient(t *testing.T) (*clients, net.Conn, *clientConn) {
+// acceptOneClient is a listener for clients with one connection, and its two ends.
+func acceptOneClient(t *testing.T) (*clients, net.Conn, *clientConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := newClients(ln, 4)
 	t.Cleanup(func() { l.Close() })
-	client, c := letIn(t, l)
+	client, c := connectClient(t, l)
 	return l, client, c.(*clientConn)
 }
 
-// letIn has a client connect, and returns the two ends.
-func letIn(t *testing.T, l *clients) (client, c net.Conn) {
+// connectClient has a client connect, and returns the two ends.
+func connectClient(t *testing.T, l *clients) (client, c net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -139,8 +139,8 @@
 
 // A request comes as a drain parts from quiet connections: reading and noting are one step, so while the drain looks the
 // bytes are to be seen, and the connection stays; what comes behind the part crossed it, and is not taken.
-func TestRequestThatCrossesThePart(t *testing.T) {
-	l, client, c := oneClient(t)
+func TestCloseIdle_RequestArrivesMeanwhile(t *testing.T) {
+	l, client, c := acceptOneClient(t)
 	fmt.Fprint(client, "GET / HTTP/1.1\r\n")
 	testkit.Await(t, "the bytes", func() bool { return !sockets.Quiet(c.TCPConn) })
 	l.mu.Lock()
@@ -157,7 +157,7 @@
 		t.Errorf("the request is not read: %v", err)
 	}
 
-	l, client, c = oneClient(t)
+	l, client, c = acceptOneClient(t)
 	l.mu.Lock()
 	c.came = c.came.Add(-youngFor)
 	if n := len(l.partLocked()); n != 1 {
@@ -175,8 +175,8 @@
 
 // A connection that turns idle as the intake ends, and whose client does not close its side: it is given up in the time
 // for that, whatever net/http then grants a connection that waits for its next request.
-func TestClientThatStays(t *testing.T) {
-	l, client, c := oneClient(t)
+func TestCloseIdle_ClientKeepsItsSideOpen(t *testing.T) {
+	l, client, c := acceptOneClient(t)
 	c.change(http.StateActive)
 	l.part() // the request is still being answered
 	c.change(http.StateIdle)
@@ -196,31 +196,31 @@
 
 // A drain that is taken back while clients come again: they are let in at once, by the same address, over old
 // connections that are open still and over new ones.
-func TestCancelledHalfWay(t *testing.T) {
-	g := new(gate)
-	w := newSite(t, 0)
-	w.known.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.patient()
+func TestDrainCancel_WhileClosing(t *testing.T) {
+	g := new(gatedServer)
+	w := newTestNode(t, 0)
+	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
+	w.allowSlowAnswers()
 	stop, ended := w.start()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	class := w.set.Classes[0]
+	class := w.settings.Classes[0]
 	for round := range 3 {
 		kept := make(chan int, 1)
 		go func() {
 			status, _, _ := w.send(client, class, fmt.Sprint("long", round), false)
 			kept <- status
 		}()
-		testkit.Await(t, "the request at the server", func() bool { return g.held() == 1 })
-		w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, leaving for 1 s
+		testkit.Await(t, "the request at the server", func() bool { return g.waitingCount() == 1 })
+		w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, leaving for 1 s
 		testkit.Await(t, "the intake ended", func() bool {
-			_, s := w.order(http.MethodGet, "/status", nil)
+			_, s := w.callAdmin(http.MethodGet, "/status", nil)
 			return s.Drain.State == drain.Closing
 		})
-		if code, s := w.order(http.MethodDelete, "/drain", DrainRequest{RequestedBy: "x"}); code != http.StatusOK || s.Drain.State != drain.Serving {
+		if code, s := w.callAdmin(http.MethodDelete, "/drain", DrainRequest{RequestedBy: "x"}); code != http.StatusOK || s.Drain.State != drain.Serving {
 			t.Fatalf("round %d: %d %+v", round, code, s.Drain)
 		}
-		g.release()
+		g.releaseOldest()
 		if status := <-kept; status != http.StatusOK {
 			t.Errorf("round %d: the request that was open: %d", round, status)
 		}
@@ -229,8 +229,8 @@
 			status, _, _ := w.send(client, class, fmt.Sprint("new", round), false)
 			again <- status
 		}()
-		testkit.Await(t, "a new request at the server", func() bool { return g.held() == 1 })
-		g.release()
+		testkit.Await(t, "a new request at the server", func() bool { return g.waitingCount() == 1 })
+		g.releaseOldest()
 		if status := <-again; status != http.StatusOK {
 			t.Errorf("round %d: a new request: %d", round, status)
 		}
@@ -247,16 +247,16 @@
 		t.Skip("figures are made on request")
 	}
 	for _, n := range []int{10, 100, 200} {
-		w := newSite(t, 4)
+		w := newTestNode(t, 4)
 		stop, ended := w.start()
 		ctx, end := context.WithCancel(t.Context())
-		all := w.clients(ctx, n)
+		all := w.startClients(ctx, n)
 		time.Sleep(time.Second)
-		_, s := w.order(http.MethodGet, "/status", nil)
+		_, s := w.callAdmin(http.MethodGet, "/status", nil)
 		began := time.Now()
-		w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "10s"})
+		w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "10s"})
 		for s.Drain.State != drain.Drained {
-			_, s = w.order(http.MethodGet, "/status", nil)
+			_, s = w.callAdmin(http.MethodGet, "/status", nil)
 			time.Sleep(5 * time.Millisecond)
 		}
 		events := fmt.Sprint(time.Since(began).Round(time.Millisecond))
@@ -266,7 +266,7 @@
 		stop()
 		<-ended
 	}
-	w := newSite(t, 4)
+	w := newTestNode(t, 4)
 	stop, ended := w.start()
 	defer func() { stop(); <-ended }()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
@@ -289,7 +289,7 @@
 	for range 5 {
 		plain := p99()
 		ctx, end := context.WithCancel(t.Context())
-		c, base := adminapi.NewClient(w.sock, "", nil)
+		c, base := adminapi.NewClient(w.adminSocket, "", nil)
 		for range 50 {
 			req, _ := http.NewRequestWithContext(ctx, http.MethodGet, base+"/events", nil)
 			resp, err := c.Do(req)
@@ -316,7 +316,7 @@
 
 // Handshakes that the core works on hold up who comes next, and to close one that waits for its client would make no room:
 // nobody is closed on for them.
-func TestSilentHandshakeIsNotClosedForThoseWorkedOn(t *testing.T) {
+func TestEviction_SparesSilentHandshakeWhileOthersProceed(t *testing.T) {
 	dir := t.TempDir()
 	from := certificates.Sources{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
 	p := pki.Year("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
@@ -339,7 +339,7 @@
 		t.Fatal(err)
 	}
 	accept := func() *clientConn {
-		_, c := letIn(t, l)
+		_, c := connectClient(t, l)
 		return c.(*secureClient).conn
 	}
 	slow := accept()
@@ -359,8 +359,8 @@
 
 // A drain parts from quiet connections as a client has just connected and is about to send its first request: it is left
 // alone for a moment, and its request is read. Who sends nothing is parted from then.
-func TestDrainLeavesAYoungConnectionAlone(t *testing.T) {
-	l, client, c := oneClient(t)
+func TestDrain_SparesNewConnection(t *testing.T) {
+	l, client, c := acceptOneClient(t)
 	l.part()
 	if c.parting {
 		t.Error("parted from at once")
@@ -370,7 +370,7 @@
 		t.Errorf("its request is not read: %d bytes, %v", n, err)
 	}
 
-	l, client, _ = oneClient(t)
+	l, client, _ = acceptOneClient(t)
 	l.part()
 	_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -380,7 +380,7 @@
 		t.Errorf("%d connections, %d busy", open, busy)
 	}
 
-	l, client, c = oneClient(t)
+	l, client, c = acceptOneClient(t)
 	l.part()
 	l.stay()
 	l.partAgain()
@@ -392,8 +392,8 @@
 }
 
 // A request that was read behind the one before it is no quiet connection: nobody parts from it, or makes room by it.
-func TestRequestReadAheadIsNotPartedFrom(t *testing.T) {
-	l, client, c := oneClient(t)
+func TestDrain_SparesPipelinedRequest(t *testing.T) {
+	l, client, c := acceptOneClient(t)
 	fmt.Fprint(client, "GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n")
 	for c.guard.Heads() < 2 {
 		if _, err := c.Read(make([]byte, 64)); err != nil {
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -30,77 +30,77 @@
 	"cobaltward/transport/secure"
 )
 
-// shown is what a server shows: it holds where one of these authorities is trusted.
-type shown struct {
-	under []*pki.Authority
-	conf  *tls.Config
-	until time.Time // it holds; zero: for long
+// servedCert is what a server shows: it holds where one of these authorities is trusted.
+type servedCert struct {
+	authorities []*pki.Authority
+	config      *tls.Config
+	validUntil  time.Time // it holds; zero: for long
 }
 
-// rotated is a node and servers whose certificates change under load, with all that was seen of it.
-type rotated struct {
-	t         testing.TB
-	dir       string
-	servers   []*rotatedServer
-	old, next *pki.Authority
-	front     *pki.Authority // of the node's own listener
-	addr      string
-	sock      string
+// rotationHarness is a node and servers whose certificates change under load, with all that was seen of it.
+type rotationHarness struct {
+	t            testing.TB
+	dir          string
+	servers      []*rotationServer
+	oldCA, newCA *pki.Authority
+	listenerCA   *pki.Authority // of the node's own listener
+	addr         string
+	adminSocket  string
 
-	mu     sync.Mutex
-	trust  []trusted // in the order of their coming
-	ran    map[string]int
-	wrong  []string // requests that came over a connection that was trusted no more
-	served int
-	free   map[string]bool // requests that may run more than once
-	others map[string]int  // answers that are none
+	mu           sync.Mutex
+	trustChanges []trustChange // in the order of their coming
+	executions   map[string]int
+	violations   []string // requests that came over a connection that was trusted no more
+	served       int
+	idempotent   map[string]bool // requests that may run more than once
+	notServed    map[string]int  // answers that are none
 }
 
-type trusted struct {
-	at  time.Time
-	all []*pki.Authority
+type trustChange struct {
+	at          time.Time
+	authorities []*pki.Authority
 }
 
-type rotatedServer struct {
-	w    *rotated
-	id   string
-	addr string
-	now  atomic.Pointer[shown]
-	by   sync.Map     // net.Conn to *shown
-	last atomic.Int64 // when a request came, Unix nanoseconds
-	came atomic.Int64 // requests
+type rotationServer struct {
+	harness       *rotationHarness
+	id            string
+	addr          string
+	current       atomic.Pointer[servedCert]
+	certByConn    sync.Map     // net.Conn to *shown
+	lastRequestAt atomic.Int64 // when a request came, Unix nanoseconds
+	requests      atomic.Int64 // requests
 }
 
-// obeyed is how long the node may take to go by new files: they are looked at twice, and what was on its way arrives.
-const obeyed = 400 * time.Millisecond
+// trustChangeDelay is how long the node may take to go by new files: they are looked at twice, and what was on its way arrives.
+const trustChangeDelay = 400 * time.Millisecond
 
-// onItsWay is how long a request may be under way that left in time.
-const onItsWay = 200 * time.Millisecond
+// maxTransitTime is how long a request may be under way that left in time.
+const maxTransitTime = 200 * time.Millisecond
 
-func newRotated(t testing.TB, n int) *rotated {
-	w := &rotated{t: t, dir: t.TempDir(), old: pki.Year("old"), next: pki.Year("new"), front: pki.Year("front"), ran: make(map[string]int), free: make(map[string]bool), others: make(map[string]int)}
-	w.sock = filepath.Join(w.dir, "door.sock")
+func newRotationHarness(t testing.TB, n int) *rotationHarness {
+	w := &rotationHarness{t: t, dir: t.TempDir(), oldCA: pki.Year("old"), newCA: pki.Year("new"), listenerCA: pki.Year("front"), executions: make(map[string]int), idempotent: make(map[string]bool), notServed: make(map[string]int)}
+	w.adminSocket = filepath.Join(w.dir, "door.sock")
 	for i := range n {
-		s := &rotatedServer{w: w, id: fmt.Sprintf("s%02d", i)}
-		s.show(w.leaf(w.old))
+		s := &rotationServer{harness: w, id: fmt.Sprintf("s%02d", i)}
+		s.present(w.newLeaf(w.oldCA))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.addr = ln.Addr().String()
 		conf := &tls.Config{GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			now := s.now.Load()
-			s.by.Store(h.Conn, now)
-			return now.conf, nil
+			now := s.current.Load()
+			s.certByConn.Store(h.Conn, now)
+			return now.config, nil
 		}}
 		server := &http.Server{
 			Handler: s, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-				return context.WithValue(ctx, rotatedKey{}, c.(*tls.Conn).NetConn())
+				return context.WithValue(ctx, rotationConnKey{}, c.(*tls.Conn).NetConn())
 			},
 			ConnState: func(c net.Conn, state http.ConnState) {
 				if state == http.StateClosed {
-					s.by.Delete(c.(*tls.Conn).NetConn())
+					s.certByConn.Delete(c.(*tls.Conn).NetConn())
 				}
 			},
 		}
@@ -108,62 +108,62 @@
 		t.Cleanup(func() { server.Close() })
 		w.servers = append(w.servers, s)
 	}
-	w.trusts(w.old)
-	w.certify()
+	w.setTrust(w.oldCA)
+	w.renewListenerCert()
 	return w
 }
 
-type rotatedKey struct{}
+type rotationConnKey struct{}
 
-func (s *rotatedServer) show(x shown) { s.now.Store(&x) }
+func (s *rotationServer) present(x servedCert) { s.current.Store(&x) }
 
-// leaf is a new certificate of an authority, with keys of tickets that are new, too.
-func (w *rotated) leaf(by *pki.Authority, chain ...*x509.Certificate) shown {
-	return w.show([]*pki.Authority{by}, by.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS(chain...))
+// newLeaf is a new certificate of an authority, with keys of tickets that are new, too.
+func (w *rotationHarness) newLeaf(by *pki.Authority, chain ...*x509.Certificate) servedCert {
+	return w.newServedCert([]*pki.Authority{by}, by.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS(chain...))
 }
 
-func (w *rotated) show(under []*pki.Authority, c tls.Certificate) shown {
+func (w *rotationHarness) newServedCert(under []*pki.Authority, c tls.Certificate) servedCert {
 	conf := &tls.Config{Certificates: []tls.Certificate{c}}
 	var key [32]byte // else those of the listener hold, and a session would be taken up again whatever the server shows now
 	_, _ = rand.Read(key[:])
 	conf.SetSessionTicketKeys([][32]byte{key})
-	return shown{under: under, conf: conf}
+	return servedCert{authorities: under, config: conf}
 }
 
 // ServeHTTP runs a request, and notes over what it came.
-func (s *rotatedServer) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (s *rotationServer) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	now := time.Now()
-	s.last.Store(now.UnixNano())
-	if s.came.Add(1)%10 == 0 { // connections come and go
+	s.lastRequestAt.Store(now.UnixNano())
+	if s.requests.Add(1)%10 == 0 { // connections come and go
 		rw.Header().Set("Connection", "close")
 	}
-	x, _ := s.by.Load(r.Context().Value(rotatedKey{}))
+	x, _ := s.certByConn.Load(r.Context().Value(rotationConnKey{}))
 	id := r.Header.Get("X-Request-Id")
-	w := s.w
+	w := s.harness
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if key := r.Header.Get("Idempotency-Key"); key == "" || w.ran[id] == 0 { // servers drop the repeats of a key
-		w.ran[id]++
+	if key := r.Header.Get("Idempotency-Key"); key == "" || w.executions[id] == 0 { // servers drop the repeats of a key
+		w.executions[id]++
 	}
-	if end := x.(*shown).until; !end.IsZero() && now.Sub(end) > onItsWay {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s at %s, %v after the end of its certificate", id, s.id, now.Sub(end)))
+	if end := x.(*servedCert).validUntil; !end.IsZero() && now.Sub(end) > maxTransitTime {
+		w.violations = append(w.violations, fmt.Sprintf("%s at %s, %v after the end of its certificate", id, s.id, now.Sub(end)))
 		return
 	}
-	for i := len(w.trust) - 1; i >= 0; i-- {
-		for _, a := range w.trust[i].all {
-			if slices.Contains(x.(*shown).under, a) {
+	for i := len(w.trustChanges) - 1; i >= 0; i-- {
+		for _, a := range w.trustChanges[i].authorities {
+			if slices.Contains(x.(*servedCert).authorities, a) {
 				return
 			}
 		}
-		if now.Sub(w.trust[i].at) > obeyed { // those before it are over
+		if now.Sub(w.trustChanges[i].at) > trustChangeDelay { // those before it are over
 			break
 		}
 	}
-	w.wrong = append(w.wrong, fmt.Sprintf("%s at %s, %v after change %d of trust", id, s.id, now.Sub(w.trust[len(w.trust)-1].at).Round(time.Millisecond), len(w.trust)))
+	w.violations = append(w.violations, fmt.Sprintf("%s at %s, %v after change %d of trust", id, s.id, now.Sub(w.trustChanges[len(w.trustChanges)-1].at).Round(time.Millisecond), len(w.trustChanges)))
 }
 
-// put replaces files, each whole; those of one rotation one after the other.
-func (w *rotated) put(files map[string][]byte) {
+// replaceFiles replaces files, each whole; those of one rotation one after the other.
+func (w *rotationHarness) replaceFiles(files map[string][]byte) {
 	w.t.Helper()
 	for name, text := range files {
 		tmp := filepath.Join(w.dir, ".new")
@@ -176,28 +176,28 @@
 	}
 }
 
-// trusts has the node trust these authorities from now on.
-func (w *rotated) trusts(all ...*pki.Authority) {
+// setTrust has the node trust these authorities from now on.
+func (w *rotationHarness) setTrust(all ...*pki.Authority) {
 	var certs []*x509.Certificate
 	for _, a := range all {
 		certs = append(certs, a.Cert)
 	}
-	w.put(map[string][]byte{"ca.pem": pki.PEM(certs...)})
+	w.replaceFiles(map[string][]byte{"ca.pem": pki.PEM(certs...)})
 	w.mu.Lock()
-	w.trust = append(w.trust, trusted{time.Now(), all})
+	w.trustChanges = append(w.trustChanges, trustChange{time.Now(), all})
 	w.mu.Unlock()
 }
 
-// certify gives the node's own listener a new certificate.
-func (w *rotated) certify() {
-	p := w.front.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
-	w.put(map[string][]byte{"cert.pem": pki.PEM(p.Cert), "key.pem": p.KeyPEM()})
+// renewListenerCert gives the node's own listener a new certificate.
+func (w *rotationHarness) renewListenerCert() {
+	p := w.listenerCA.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	w.replaceFiles(map[string][]byte{"cert.pem": pki.PEM(p.Cert), "key.pem": p.KeyPEM()})
 }
 
-func (w *rotated) file(name string) string { return filepath.Join(w.dir, name) }
+func (w *rotationHarness) path(name string) string { return filepath.Join(w.dir, name) }
 
 // start runs a node that looks at its files all the time.
-func (w *rotated) start() {
+func (w *rotationHarness) start() {
 	w.t.Helper()
 	open := func(from certificates.Sources) *certificates.Store {
 		s, err := certificates.Open(from, time.Now())
@@ -206,7 +206,7 @@
 		}
 		return s
 	}
-	trust, own := open(certificates.Sources{Trust: w.file("ca.pem")}), open(certificates.Sources{Cert: w.file("cert.pem"), Key: w.file("key.pem")})
+	trust, own := open(certificates.Sources{Trust: w.path("ca.pem")}), open(certificates.Sources{Cert: w.path("cert.pem"), Key: w.path("key.pem")})
 	known := registry.List{Revision: 1, Full: true}
 	for _, s := range w.servers {
 		known.Endpoints = append(known.Endpoints, router.Endpoint{ID: s.id, Addr: s.addr, Zone: "a", Kind: "k", Weight: 1})
@@ -230,7 +230,7 @@
 	go func() {
 		ended <- Run(ctx, Config{
 			Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 1024, MemoryMB: 192, Cores: 1, InitialList: known, Settings: set, ConnectTimeout: time.Second,
-			AnnounceFor: &leave, DrainTimeout: &whole, AdminAPI: adminapi.Config{Socket: w.sock},
+			AnnounceFor: &leave, DrainTimeout: &whole, AdminAPI: adminapi.Config{Socket: w.adminSocket},
 			TLS: &TLS{ServerRules: []secure.Rule{{Trust: trust}}, Clients: &TLSListener{Certificates: own}, Stores: []*certificates.Store{trust, own}, CheckInterval: 20 * time.Millisecond},
 		},
 			ln, nil, slog.New(slog.DiscardHandler))
@@ -253,14 +253,14 @@
 	})
 }
 
-func (w *rotated) client() *http.Client {
+func (w *rotationHarness) client() *http.Client {
 	pool := x509.NewCertPool()
-	pool.AddCert(w.front.Cert)
+	pool.AddCert(w.listenerCA.Cert)
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, TLSClientConfig: &tls.Config{RootCAs: pool, ClientSessionCache: tls.NewLRUClientSessionCache(8)}}}
 }
 
 // load sends requests until ctx ends; one connection in ten is not kept.
-func (w *rotated) load(ctx context.Context, n int) *sync.WaitGroup {
+func (w *rotationHarness) load(ctx context.Context, n int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := w.client()
 	for i := range n {
@@ -275,7 +275,7 @@
 	return &all
 }
 
-func (w *rotated) request(client *http.Client, id string, ends bool, class policy.Class) {
+func (w *rotationHarness) request(client *http.Client, id string, ends bool, class policy.Class) {
 	req, err := http.NewRequest(router.Method(class), "https://"+w.addr+"/api", nil)
 	if err != nil {
 		w.t.Error(err)
@@ -302,38 +302,38 @@
 	defer w.mu.Unlock()
 	if answer == "" {
 		w.served++
-		w.free[id] = class.Idempotency == policy.Idempotent // of which a copy may be sent
-		if n := w.ran[id]; n == 0 || n > 1 && !w.free[id] {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s was served and ran %d times", id, w.ran[id]))
+		w.idempotent[id] = class.Idempotency == policy.Idempotent // of which a copy may be sent
+		if n := w.executions[id]; n == 0 || n > 1 && !w.idempotent[id] {
+			w.violations = append(w.violations, fmt.Sprintf("%s was served and ran %d times", id, w.executions[id]))
 		}
 	} else {
-		w.others[class.Name+": "+answer]++
+		w.notServed[class.Name+": "+answer]++
 	}
 }
 
-// judge tells what was seen.
-func (w *rotated) judge() {
+// checkResults tells what was seen.
+func (w *rotationHarness) checkResults() {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, n := range w.ran {
-		if n > 1 && !w.free[id] {
+	for id, n := range w.executions {
+		if n > 1 && !w.idempotent[id] {
 			w.t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if len(w.wrong) > 0 {
-		w.t.Errorf("%d requests over what was trusted no more, or not as answered: %v", len(w.wrong), w.wrong[:min(len(w.wrong), 8)])
+	if len(w.violations) > 0 {
+		w.t.Errorf("%d requests over what was trusted no more, or not as answered: %v", len(w.violations), w.violations[:min(len(w.violations), 8)])
 	}
-	if len(w.others) > 0 {
-		w.t.Errorf("not served: %v", w.others)
+	if len(w.notServed) > 0 {
+		w.t.Errorf("not served: %v", w.notServed)
 	}
 	w.t.Logf("%d requests served, each once", w.served)
 }
 
-// status asks the door.
-func (w *rotated) status() (st TLSStatus) {
+// tlsStatus asks the door.
+func (w *rotationHarness) tlsStatus() (st TLSStatus) {
 	w.t.Helper()
-	c, base := adminapi.NewClient(w.sock, "", nil)
+	c, base := adminapi.NewClient(w.adminSocket, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/tls")
 	if err != nil {
@@ -346,17 +346,17 @@
 	return st
 }
 
-// wrongs are certificates with which no server can prove who it is.
-func (w *rotated) wrongs() map[string]shown {
-	by, name := w.old, []string{"127.0.0.1"}
+// invalidCerts are certificates with which no server can prove who it is.
+func (w *rotationHarness) invalidCerts() map[string]servedCert {
+	by, name := w.oldCA, []string{"127.0.0.1"}
 	middle := by.Under("middle")
-	return map[string]shown{
-		"another name":            w.show(nil, by.Issue(pki.Leaf{Names: []string{"other.example"}}).TLS()),
-		"expired":                 w.show(nil, by.Issue(pki.Leaf{Names: name, To: time.Now().Add(-time.Second)}).TLS()),
-		"not yet valid":           w.show(nil, by.Issue(pki.Leaf{Names: name, From: time.Now().Add(time.Hour)}).TLS()),
-		"unknown authority":       w.show(nil, pki.Year("a stranger").Issue(pki.Leaf{Names: name}).TLS()),
-		"unknown authority (gap)": w.show(nil, middle.Issue(pki.Leaf{Names: name}).TLS()), // its chain lacks the middle
-		"sends too much":          w.show(nil, by.Issue(pki.Leaf{Names: name, Padding: 100 << 10}).TLS()),
+	return map[string]servedCert{
+		"another name":            w.newServedCert(nil, by.Issue(pki.Leaf{Names: []string{"other.example"}}).TLS()),
+		"expired":                 w.newServedCert(nil, by.Issue(pki.Leaf{Names: name, To: time.Now().Add(-time.Second)}).TLS()),
+		"not yet valid":           w.newServedCert(nil, by.Issue(pki.Leaf{Names: name, From: time.Now().Add(time.Hour)}).TLS()),
+		"unknown authority":       w.newServedCert(nil, pki.Year("a stranger").Issue(pki.Leaf{Names: name}).TLS()),
+		"unknown authority (gap)": w.newServedCert(nil, middle.Issue(pki.Leaf{Names: name}).TLS()), // its chain lacks the middle
+		"sends too much":          w.newServedCert(nil, by.Issue(pki.Leaf{Names: name, Padding: 100 << 10}).TLS()),
 	}
 }
 
@@ -372,54 +372,54 @@
 		}
 		step, whole, servers = time.Second, d, 72
 	}
-	w := newRotated(t, servers)
+	w := newRotationHarness(t, servers)
 	w.start()
 	ctx, stop := context.WithCancel(context.Background())
 	all := w.load(ctx, 12)
 	half := len(w.servers) / 2
-	to := func(servers []*rotatedServer, by *pki.Authority, chain ...*x509.Certificate) {
+	to := func(servers []*rotationServer, by *pki.Authority, chain ...*x509.Certificate) {
 		for _, s := range servers {
-			s.show(w.leaf(by, chain...))
+			s.present(w.newLeaf(by, chain...))
 		}
 	}
 	turns := 0
 	turn := func(do func()) {
 		do()
-		w.certify()
+		w.renewListenerCert()
 		turns++
 		time.Sleep(step)
 	}
-	swap := func() { w.old, w.next = w.next, w.old }
+	swap := func() { w.oldCA, w.newCA = w.newCA, w.oldCA }
 	for began := time.Now(); ; {
-		turn(func() { to(w.servers, w.old) }) // leaves alone
+		turn(func() { to(w.servers, w.oldCA) }) // leaves alone
 		// Both trusted, the servers one half after the other.
-		turn(func() { w.trusts(w.old, w.next) })
-		turn(func() { to(w.servers[:half], w.next) })
-		turn(func() { to(w.servers[half:], w.next) })
-		turn(func() { w.trusts(w.next) })
+		turn(func() { w.setTrust(w.oldCA, w.newCA) })
+		turn(func() { to(w.servers[:half], w.newCA) })
+		turn(func() { to(w.servers[half:], w.newCA) })
+		turn(func() { w.setTrust(w.newCA) })
 		swap()
 		// The new one first at the servers: half of them are refused until it is trusted.
-		turn(func() { to(w.servers[:half], w.next) })
-		testkit.Await(t, "a server that is refused", func() bool { return w.status().Servers.Failures["unknown authority"] > 0 })
-		turn(func() { w.trusts(w.old, w.next) })
-		turn(func() { to(w.servers[half:], w.next) })
-		turn(func() { w.trusts(w.next) })
+		turn(func() { to(w.servers[:half], w.newCA) })
+		testkit.Await(t, "a server that is refused", func() bool { return w.tlsStatus().Servers.Failures["unknown authority"] > 0 })
+		turn(func() { w.setTrust(w.oldCA, w.newCA) })
+		turn(func() { to(w.servers[half:], w.newCA) })
+		turn(func() { w.setTrust(w.newCA) })
 		swap()
 		// The old one withdrawn first: half of the servers still show it.
-		turn(func() { w.trusts(w.old, w.next); to(w.servers[:half], w.next) })
-		turn(func() { w.trusts(w.next) })
-		turn(func() { to(w.servers[half:], w.next) })
+		turn(func() { w.setTrust(w.oldCA, w.newCA); to(w.servers[:half], w.newCA) })
+		turn(func() { w.setTrust(w.newCA) })
+		turn(func() { to(w.servers[half:], w.newCA) })
 		swap()
 		// The old one signs for the new: both ways of trust hold.
-		cross := w.old.Cross(w.next)
+		cross := w.oldCA.Cross(w.newCA)
 		turn(func() {
 			for _, s := range w.servers {
-				x := w.leaf(w.next, cross)
-				x.under = append(x.under, w.old)
-				s.show(x)
+				x := w.newLeaf(w.newCA, cross)
+				x.authorities = append(x.authorities, w.oldCA)
+				s.present(x)
 			}
 		})
-		turn(func() { w.trusts(w.next) })
+		turn(func() { w.setTrust(w.newCA) })
 		swap()
 		if time.Since(began) >= whole {
 			break
@@ -427,61 +427,61 @@
 	}
 	stop()
 	all.Wait()
-	st := w.status()
+	st := w.tlsStatus()
 	t.Logf("%d changes; handshakes with servers: %d full, %d resumed, failures %v; with clients: %d full, %d resumed, failures %v",
 		turns, st.Servers.Full.Count, st.Servers.Resumed.Count, st.Servers.Failures, st.Clients.Full.Count, st.Clients.Resumed.Count, st.Clients.Failures)
 	if st.RejectedFile != "" || st.Servers.Failures["unknown authority"] == 0 {
 		t.Errorf("files refused: %q, failures %v: want none, and some servers refused on the way", st.RejectedFile, st.Servers.Failures)
 	}
-	w.judge()
+	w.checkResults()
 }
 
 // Certificates end while connections are open. Who replaced them in time notices nothing; the others get nothing more from
 // that second on, over connections that are open either.
-func TestCertificatesEnd(t *testing.T) {
-	w := newRotated(t, 6)
+func TestRotation_CertificatesExpire(t *testing.T) {
+	w := newRotationHarness(t, 6)
 	end := time.Now().Add(2500 * time.Millisecond).Truncate(time.Second).Add(time.Second)
 	for _, s := range w.servers {
-		x := w.show([]*pki.Authority{w.old}, w.old.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, To: end}).TLS())
-		x.until = end.Add(time.Second) // X.509 counts whole seconds
-		s.show(x)
+		x := w.newServedCert([]*pki.Authority{w.oldCA}, w.oldCA.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, To: end}).TLS())
+		x.validUntil = end.Add(time.Second) // X.509 counts whole seconds
+		s.present(x)
 	}
 	w.start()
 	ctx, stop := context.WithCancel(context.Background())
 	all := w.load(ctx, 8)
 	time.Sleep(time.Until(end.Add(-time.Second)))
 	for _, s := range w.servers[:3] { // in time
-		s.show(w.leaf(w.old))
+		s.present(w.newLeaf(w.oldCA))
 	}
 	late := w.servers[3]
 	testkit.Await(t, "the refusal of who is late", func() bool {
-		for _, p := range w.status().Servers.Peers {
+		for _, p := range w.tlsStatus().Servers.Peers {
 			if p.Server == late.id && p.Why == "expired" {
 				return true
 			}
 		}
-		return time.Since(end) > 3*time.Second && late.came.Load() == 0 // it was never needed
+		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // it was never needed
 	})
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	all.Wait()
-	w.judge()
+	w.checkResults()
 }
 
 // A certificate that is wrong on one server only has that server refused, and no other; it is back within seconds of
 // the day that it is mended, and nobody is looked at in a storm.
-func TestWrongOnOneServer(t *testing.T) {
-	w := newRotated(t, 4)
+func TestRotation_InvalidCertificateOnOneServer(t *testing.T) {
+	w := newRotationHarness(t, 4)
 	w.start()
 	ctx, stop := context.WithCancel(context.Background())
 	all := w.load(ctx, 8)
 	bad := w.servers[0] // the first that is packed
 	var back time.Duration
-	for why, x := range w.wrongs() {
-		bad.show(x)
+	for why, x := range w.invalidCerts() {
+		bad.present(x)
 		want, _, _ := strings.Cut(why, " (")
 		refused := func() string {
-			for _, p := range w.status().Servers.Peers {
+			for _, p := range w.tlsStatus().Servers.Peers {
 				if p.Server == bad.id {
 					return p.Why
 				}
@@ -491,14 +491,14 @@
 		// Connections that were made before go on: what they showed holds. New ones are made as they end.
 		testkit.Await(t, why, func() bool { return refused() == want })
 		time.Sleep(200 * time.Millisecond) // handshakes that were on their way
-		before := w.status().Servers.Failures[want]
+		before := w.tlsStatus().Servers.Failures[want]
 		time.Sleep(300 * time.Millisecond)
-		if after := w.status().Servers.Failures[want]; after > before+2 {
+		if after := w.tlsStatus().Servers.Failures[want]; after > before+2 {
 			t.Errorf("%s: %d handshakes within 300 ms", why, after-before)
 		}
-		bad.show(w.leaf(w.old))
+		bad.present(w.newLeaf(w.oldCA))
 		mended := time.Now()
-		testkit.Await(t, "the server's return", func() bool { return bad.last.Load() > mended.UnixNano() })
+		testkit.Await(t, "the server's return", func() bool { return bad.lastRequestAt.Load() > mended.UnixNano() })
 		back = max(back, time.Since(mended))
 	}
 	stop()
@@ -507,12 +507,12 @@
 	if back > 8*time.Second {
 		t.Error("that is no matter of seconds")
 	}
-	w.judge()
+	w.checkResults()
 }
 
 // Clients that begin a handshake and say no more hold up nobody: they are no work.
-func TestStalledHandshakesHoldNobodyUp(t *testing.T) {
-	w := newRotated(t, 1)
+func TestHandshakes_StalledOnesDelayNoRequest(t *testing.T) {
+	w := newRotationHarness(t, 1)
 	w.start()
 	var stalled []net.Conn
 	for range 12 {
@@ -526,10 +526,10 @@
 		}
 		stalled = append(stalled, c)
 	}
-	testkit.Await(t, "the handshakes", func() bool { return w.status().Clients.Going >= int64(len(stalled)) })
+	testkit.Await(t, "the handshakes", func() bool { return w.tlsStatus().Clients.Going >= int64(len(stalled)) })
 	w.request(w.client(), "c0", true, drainSettings().Classes[0])
-	if st := w.status(); st.Clients.Going < int64(len(stalled)) {
+	if st := w.tlsStatus(); st.Clients.Going < int64(len(stalled)) {
 		t.Errorf("%d of %d stalled handshakes go on: it was served only once they had ended", st.Clients.Going, len(stalled))
 	}
-	w.judge()
+	w.checkResults()
 }
--- a/internal/node/rpcdrain_test.go
+++ b/internal/node/rpcdrain_test.go
@@ -19,7 +19,7 @@
 // is counted, its idle connection is closed, and nobody can connect until the drain is cancelled.
 func TestDrainOnRequest_MessagePackClients(t *testing.T) {
 	const patience = 20 * time.Second
-	api := &site{t: t, sock: filepath.Join(t.TempDir(), "door.sock")}
+	api := &testNode{t: t, adminSocket: filepath.Join(t.TempDir(), "door.sock")}
 	listen := func() net.Listener {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -30,7 +30,7 @@
 	rpc := listen()
 	config := Config{
 		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, Settings: drainSettings(),
-		AdminAPI: adminapi.Config{Socket: api.sock}, Msgpack: Msgpack{Listener: rpc},
+		AdminAPI: adminapi.Config{Socket: api.adminSocket}, Msgpack: Msgpack{Listener: rpc},
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -48,12 +48,12 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	status := func() Status {
-		_, status := api.order(http.MethodGet, "/status", nil)
+		_, status := api.callAdmin(http.MethodGet, "/status", nil)
 		return status
 	}
 	testkit.Await(t, "the client to be counted", func() bool { return status().Connections.Clients == 1 })
 
-	if code, _ := api.order(http.MethodPost, "/drain", DrainRequest{Timeout: "4s"}); code != http.StatusAccepted {
+	if code, _ := api.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "4s"}); code != http.StatusAccepted {
 		t.Fatalf("the drain is answered with %d", code)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
@@ -67,7 +67,7 @@
 		}
 		return err != nil
 	})
-	if code, _ := api.order(http.MethodDelete, "/drain", DrainRequest{}); code != http.StatusOK {
+	if code, _ := api.callAdmin(http.MethodDelete, "/drain", DrainRequest{}); code != http.StatusOK {
 		t.Fatalf("cancelling is answered with %d", code)
 	}
 	testkit.Await(t, "the listener to be open again", func() bool {
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -14,10 +14,10 @@
 	"cobaltward/internal/testkit"
 )
 
-// learned is what the node says that it knows.
-func (w *site) learned() (s learnedstate.Snapshot) {
+// learnedState is what the node says that it knows.
+func (w *testNode) learnedState() (s learnedstate.Snapshot) {
 	w.t.Helper()
-	c, base := adminapi.NewClient(w.sock, "", nil)
+	c, base := adminapi.NewClient(w.adminSocket, "", nil)
 	defer c.CloseIdleConnections()
 	resp, err := c.Get(base + "/knowledge")
 	if err != nil {
@@ -36,21 +36,21 @@
 
 // What a node has learned outlives it: the next begins near the thresholds and with the buckets of the one before. A
 // file that is torn, foreign or gone does no harm.
-func TestStateOutlivesARestart(t *testing.T) {
-	w := newSite(t, 3)
+func TestLearnedState_SurvivesRestart(t *testing.T) {
+	w := newTestNode(t, 3)
 	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), SaveInterval: 50 * time.Millisecond, HalfLife: time.Hour}
 	stop, ended := w.start()
-	fresh := w.learned().State.Servers[0].Threshold
+	fresh := w.learnedState().State.Servers[0].Threshold
 	ctx, end := context.WithCancel(t.Context())
-	all := w.clients(ctx, 24)
+	all := w.startClients(ctx, 24)
 	var before learnedstate.Snapshot
 	testkit.Await(t, "a threshold that was learned", func() bool {
-		before = w.learned()
+		before = w.learnedState()
 		return math.Abs(before.State.Servers[0].Threshold-fresh) > 0.2
 	})
 	end()
 	all.Wait()
-	before = w.learned()
+	before = w.learnedState()
 	halt := func() {
 		t.Helper()
 		stop()
@@ -60,7 +60,7 @@
 	}
 	halt()
 	stop, ended = w.start()
-	after := w.learned()
+	after := w.learnedState()
 	if a, b := after.State.Servers[0].Threshold, before.State.Servers[0].Threshold; math.Abs(a-b) > math.Abs(b-fresh)/2 || b == fresh {
 		t.Errorf("threshold %.2f after the restart, %.2f before, %.2f at first", a, b, fresh)
 	}
@@ -77,16 +77,16 @@
 			t.Fatal(err)
 		}
 		stop, ended = w.start()
-		if got := w.learned().State.Servers[0].Threshold; got != fresh {
+		if got := w.learnedState().State.Servers[0].Threshold; got != fresh {
 			t.Errorf("%s: threshold %.2f, want %.2f", name, got, fresh)
 		}
 		halt()
 	}
 }
 
-// TestStateAgesByRealTime steps the wall clock while a node is down: what it has learned is as old as it is.
-func TestStateAgesByRealTime(t *testing.T) {
-	w := newSite(t, 3)
+// TestLearnedState_AgesByRealTime steps the wall clock while a node is down: what it has learned is as old as it is.
+func TestLearnedState_AgesByRealTime(t *testing.T) {
+	w := newTestNode(t, 3)
 	w.state = StateConfig{File: filepath.Join(t.TempDir(), "state"), SaveInterval: time.Hour, HalfLife: time.Hour}
 	halt := func(stop context.CancelFunc, ended chan error) {
 		t.Helper()
@@ -96,7 +96,7 @@
 		}
 	}
 	stop, ended := w.start()
-	fresh := w.learned().State.Servers[0].Threshold
+	fresh := w.learnedState().State.Servers[0].Threshold
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		halt(stop, ended)
 		raw, err := os.ReadFile(w.state.File)
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		stop, ended = w.start()
-		if got := w.learned().State.Servers[0].Threshold; math.Abs(got-want) > 0.1 {
+		if got := w.learnedState().State.Servers[0].Threshold; math.Abs(got-want) > 0.1 {
 			t.Errorf("stepped by %v: threshold %.2f after the restart, want %.2f", step, got, want)
 		}
 	}
