--- /dev/null
+++ b/internal/node/httpserver.go
@@ -0,0 +1,97 @@
+package node
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"cobaltward/router"
+)
+
+// idleCloseInterval is how often Shutdown looks for connections that have become idle.
+const idleCloseInterval = 20 * time.Millisecond
+
+// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain on request, so
+// that readiness checks are answered, and new requests rejected, rather than refused a connection.
+type httpServer struct {
+	server       *http.Server
+	listener     *clientListener
+	sharedSocket bool // another process has the listening socket as well, and accepts what this one does not
+
+	closeOnce sync.Once
+	done      chan struct{} // closed when Serve may return
+}
+
+var _ router.DrainableListener = (*httpServer)(nil)
+
+func newHTTPServer(server *http.Server, listener net.Listener, maxConns int) *httpServer {
+	return &httpServer{server: server, listener: newClientListener(listener, maxConns), done: make(chan struct{})}
+}
+
+// Serve serves clients until Shutdown or Close.
+func (s *httpServer) Serve() error {
+	err := s.server.Serve(s.listener)
+	if s.listener.isClosed() { // accepted connections are still served
+		<-s.done
+		return http.ErrServerClosed
+	}
+	return err
+}
+
+// StopAccepting closes the connections without a request, and the others once they are answered. New ones are accepted.
+func (s *httpServer) StopAccepting() { s.listener.closeIdle() }
+
+// ResumeAccepting keeps connections open again.
+func (s *httpServer) ResumeAccepting() error {
+	s.listener.keepIdle()
+	return nil
+}
+
+// CloseListener stops accepting; accepted connections are served on. A shared listening socket stays open in the other
+// process: it is closed here, and not drained or shut down.
+func (s *httpServer) CloseListener() {
+	if !s.sharedSocket {
+		s.listener.drainAcceptQueue()
+	}
+	_ = s.listener.Close()
+}
+
+// Connections returns the number of connections, and of those with a request.
+func (s *httpServer) Connections() (open, busy int) { return s.listener.connCounts() }
+
+// idleCloseCounts returns the connections that a drain has closed, and the requests that met such a close.
+func (s *httpServer) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
+	return s.listener.idleCloseCounts()
+}
+
+// Shutdown ends the service: it stops accepting, and closes connections as they become idle, until none is left or ctx
+// ends.
+func (s *httpServer) Shutdown(ctx context.Context) error {
+	s.CloseListener()
+	ticker := time.NewTicker(idleCloseInterval)
+	defer ticker.Stop()
+	for open := 1; open > 0; {
+		s.listener.closeIdle()
+		select {
+		case <-ticker.C:
+		case <-s.done:
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		open, _ = s.listener.connCounts()
+	}
+	s.finish()
+	return s.server.Shutdown(ctx)
+}
+
+// Close ends the service and closes all connections.
+func (s *httpServer) Close() error {
+	s.finish()
+	return s.server.Close()
+}
+
+// finish lets Serve return.
+func (s *httpServer) finish() { s.closeOnce.Do(func() { close(s.done) }) }
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -51,7 +51,7 @@
 	log          *slog.Logger
 	cpuBudget    *handshakes.CPUScheduler
 	engine       atomic.Pointer[router.Router] // nil until the engine is made
-	serverLayer  *secure.Layer                 // nil: no TLS towards servers
+	serverLayer  *secure.ClientTLS             // nil: no TLS towards servers
 	clientLayer  *frontsecure.Terminator       // nil: clients use plain HTTP
 	msgpackLayer *frontsecure.Terminator       // nil: MessagePack-RPC without TLS
 	adminLayer   *frontsecure.Terminator       // nil: the admin API uses plain HTTP
@@ -80,14 +80,14 @@
 	}
 	var err error
 	s.serverLayer, err = secure.New(secure.Config{
-		Rules:   s.config.ServerRules,
-		Limits:  s.config.HandshakeLimits,
-		ColdFor: config.Settings.Rules.SlowStartWindow,
-		Timeout: s.config.ServerHandshakeTimeout,
-		Connect: config.ConnectTimeout,
-		Core:    s.cpuBudget,
-		Tell:    setUntrusted,
-		Log:     log,
+		Rules:            s.config.ServerRules,
+		Limits:           s.config.HandshakeLimits,
+		SlowStart:        config.Settings.Rules.SlowStartWindow,
+		HandshakeTimeout: s.config.ServerHandshakeTimeout,
+		ConnectTimeout:   config.ConnectTimeout,
+		CPU:              s.cpuBudget,
+		OnTrustChange:    setUntrusted,
+		Log:              log,
 	})
 	return s, err
 }
@@ -117,7 +117,7 @@
 }
 
 // transportLayer returns the layer of the transports; nil: they use no TLS.
-func (s *nodeTLS) transportLayer() *secure.Layer {
+func (s *nodeTLS) transportLayer() *secure.ClientTLS {
 	if s == nil {
 		return nil
 	}
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -12,13 +12,13 @@
 // TLSStatus is the status of a node's TLS, as the admin API sends it.
 type TLSStatus struct {
 	Certificates   []certificates.Summary `json:"keys"` // in force; those of a store in the order in which they end
-	RejectedFile   string               `json:"refused_files,omitempty"`
-	HandshakeSteps uint64               `json:"pieces"`  // computed, of all handshakes
-	HandshakeTime  time.Duration        `json:"work_ns"` // that the steps took, in nanoseconds
-	Servers        *secure.Stats        `json:"servers,omitempty"`
-	Clients        *frontsecure.Stats   `json:"clients,omitempty"`
-	Msgpack        *frontsecure.Stats   `json:"msgpack,omitempty"`
-	AdminAPI       *frontsecure.Stats   `json:"door,omitempty"`
+	RejectedFile   string                 `json:"refused_files,omitempty"`
+	HandshakeSteps uint64                 `json:"pieces"`  // computed, of all handshakes
+	HandshakeTime  time.Duration          `json:"work_ns"` // that the steps took, in nanoseconds
+	Servers        *secure.Stats          `json:"servers,omitempty"`
+	Clients        *frontsecure.Stats     `json:"clients,omitempty"`
+	Msgpack        *frontsecure.Stats     `json:"msgpack,omitempty"`
+	AdminAPI       *frontsecure.Stats     `json:"door,omitempty"`
 }
 
 // status returns the present status; nil for a node without TLS.
