--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -26,7 +26,7 @@
 	server     *Server
 	nc         net.Conn
 	callSlots  chan struct{} // holds one element for each open call and each unwritten answer
-	wake       stream.WakeSignal
+	writeSignal       stream.Signal
 	writerDone chan struct{}
 	calls      sync.WaitGroup
 
@@ -59,7 +59,7 @@
 		server:     server,
 		nc:         nc,
 		callSlots:  make(chan struct{}, server.config.MaxCalls),
-		wake:       stream.NewWakeSignal(),
+		writeSignal:       stream.NewSignal(),
 		writerDone: make(chan struct{}),
 		open:       make(map[uint32]context.CancelFunc),
 		idleSince:  time.Now(),
@@ -119,7 +119,7 @@
 	c.notifications = append(c.notifications, notification...)
 	c.closing = true
 	c.mu.Unlock()
-	c.wake.Notify()
+	c.writeSignal.Notify()
 }
 
 // drain notifies the client that no new calls are accepted.
@@ -128,8 +128,8 @@
 	if !c.draining {
 		c.notifications = msgpackrpc.AppendDrain(c.notifications)
 		c.draining, c.drainNotifiedAt = true, time.Now()
-		time.AfterFunc(drainGrace, c.wake.Notify)
+		time.AfterFunc(drainGrace, c.writeSignal.Notify)
 	}
 	c.mu.Unlock()
-	c.wake.Notify()
+	c.writeSignal.Notify()
 }
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -135,7 +135,7 @@
 	c.queue = append(c.queue, answer{id, reply})
 	c.mu.Unlock()
 	cancel()
-	c.wake.Notify()
+	c.writeSignal.Notify()
 }
 
 // finishCancelled ends an open call that the client no longer waits for.
@@ -144,7 +144,7 @@
 	cancel := c.remove(id)
 	c.mu.Unlock()
 	cancel()
-	c.wake.Notify() // the writer may be waiting for the last call to end
+	c.writeSignal.Notify() // the writer may be waiting for the last call to end
 	<-c.callSlots
 	c.server.connIdle()
 }
--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -12,7 +12,7 @@
 	defer close(c.writerDone)
 	var buf []byte
 	var batch []answer
-	for range c.wake {
+	for range c.writeSignal {
 		buf, batch = c.takeQueued(buf, batch)
 		answers := 0 // in buf
 		for i := range batch {
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -49,7 +49,7 @@
 			conn.overflow = true
 			return
 		}
-		recheck := time.AfterFunc(max(patience, slotRecheckInterval), s.wakeWaiting)
+		recheck := time.AfterFunc(max(patience, slotRecheckInterval), s.recheckSlots)
 		s.slotFreed.Wait()
 		recheck.Stop()
 	}
@@ -81,8 +81,8 @@
 	return ReplyFromAnswer(answer, nil)
 }
 
-// wakeWaiting has awaitSlot check its conditions again.
-func (s *Server) wakeWaiting() {
+// recheckSlots has awaitSlot check its conditions again.
+func (s *Server) recheckSlots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slotFreed.Broadcast()
@@ -91,7 +91,7 @@
 // connIdle is called when a connection has become idle, and may be evicted.
 func (s *Server) connIdle() {
 	if s.waitingForSlot.Load() > 0 {
-		s.wakeWaiting()
+		s.recheckSlots()
 	}
 }
 
--- /dev/null
+++ b/internal/frontend/secure/conn.go
@@ -0,0 +1,146 @@
+package secure
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cobaltward/handshakes"
+)
+
+// Conn is a TLS connection of a client. One goroutine may read while another writes; all other methods are safe for
+// concurrent use.
+type Conn struct {
+	terminator      *Terminator
+	tcp             *net.TCPConn
+	onHandshakeDone func()                          // may be nil
+	transport       atomic.Pointer[handshakes.Conn] // between tls and tcp; nil before the handshake
+
+	handshakeMu sync.Mutex  // held during the handshake
+	done        atomic.Bool // the handshake has succeeded or failed; the next three are constant from then on
+	tls         *tls.Conn
+	err         error // of a failed handshake
+	peerNames   []string
+
+	deadlineMu   sync.Mutex
+	readDeadline time.Time // as set by SetReadDeadline, shifted by the duration of the handshake
+}
+
+var _ net.Conn = (*Conn)(nil)
+
+// Handshaking reports whether the handshake has neither succeeded nor failed, or has not begun.
+func (c *Conn) Handshaking() bool { return !c.done.Load() }
+
+// HandshakeOnCPU reports whether the handshake is waiting for the CPU, using it, or has just used it. If not, it waits
+// for the client.
+func (c *Conn) HandshakeOnCPU() bool {
+	transport := c.transport.Load()
+	return c.Handshaking() && transport != nil && transport.IsComputing()
+}
+
+// NothingReceived reports whether the handshake is not done, and the client has sent nothing yet.
+func (c *Conn) NothingReceived() bool {
+	transport := c.transport.Load()
+	return c.Handshaking() && (transport == nil || !transport.HasReceived())
+}
+
+// PeerNames returns the names of the client's certificate: URIs, DNS names, then the common name. It returns nil if the
+// client has presented none, or the handshake is not done.
+func (c *Conn) PeerNames() []string {
+	if c.Handshaking() {
+		return nil
+	}
+	return c.peerNames
+}
+
+// isEstablished reports whether the handshake has succeeded.
+func (c *Conn) isEstablished() bool { return c.done.Load() && c.err == nil }
+
+// Read implements net.Conn. The first Read or Write makes the handshake; a failed handshake reads as io.EOF.
+func (c *Conn) Read(p []byte) (int, error) {
+	if err := c.ensureHandshake(); err != nil {
+		return 0, err
+	}
+	return c.tls.Read(p)
+}
+
+// Write implements net.Conn. After a failed handshake it returns net.ErrClosed.
+func (c *Conn) Write(p []byte) (int, error) {
+	if err := c.ensureHandshake(); err != nil {
+		return 0, net.ErrClosed
+	}
+	return c.tls.Write(p)
+}
+
+// Close closes the connection without blocking. The close_notify alert is dropped if the send buffer is full.
+func (c *Conn) Close() error {
+	if c.isEstablished() {
+		c.transport.Load().DropBlockingWrites()
+		return c.tls.Close()
+	}
+	return c.tcp.Close()
+}
+
+// CloseWrite closes the write side without blocking. The close_notify alert is dropped if the send buffer is full.
+func (c *Conn) CloseWrite() error {
+	if c.isEstablished() {
+		c.transport.Load().DropBlockingWrites()
+		if err := c.tls.CloseWrite(); err != nil {
+			return err
+		}
+	}
+	return c.tcp.CloseWrite()
+}
+
+// TCP returns the connection under TLS, which must not be read from or written to.
+func (c *Conn) TCP() *net.TCPConn { return c.tcp }
+
+// LocalAddr implements net.Conn.
+func (c *Conn) LocalAddr() net.Addr { return c.tcp.LocalAddr() }
+
+// RemoteAddr implements net.Conn.
+func (c *Conn) RemoteAddr() net.Addr { return c.tcp.RemoteAddr() }
+
+// SetDeadline implements net.Conn, as SetReadDeadline and SetWriteDeadline do.
+func (c *Conn) SetDeadline(t time.Time) error {
+	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
+}
+
+// SetReadDeadline implements net.Conn. During the handshake the handshake's own deadline applies, and t later, shifted
+// by the duration of the handshake.
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	c.readDeadline = t
+	if c.Handshaking() {
+		return nil
+	}
+	return c.tcp.SetReadDeadline(t)
+}
+
+// SetWriteDeadline implements net.Conn. It has no effect before the end of the handshake, which has its own deadline.
+func (c *Conn) SetWriteDeadline(t time.Time) error {
+	if c.Handshaking() {
+		return nil
+	}
+	return c.tcp.SetWriteDeadline(t)
+}
+
+type connKey struct{}
+
+// WithConn attaches the connection to the context of its requests, for http.Server.ConnContext.
+func WithConn(ctx context.Context, c *Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, c)
+}
+
+// PeerNames returns what Conn.PeerNames does for the connection of a request; nil if its context has none.
+func PeerNames(ctx context.Context) []string {
+	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
+		return c.PeerNames()
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/secure/handshake.go
@@ -0,0 +1,134 @@
+package secure
+
+import (
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"cobaltward/handshakes"
+)
+
+// ensureHandshake makes the handshake if that has not been done, and returns its error.
+func (c *Conn) ensureHandshake() error {
+	if c.done.Load() {
+		return c.err
+	}
+	c.handshakeMu.Lock()
+	defer c.handshakeMu.Unlock()
+	if c.done.Load() {
+		return c.err
+	}
+	c.terminator.inProgress.Add(1)
+	err := c.handshake()
+	c.terminator.inProgress.Add(-1)
+	if c.onHandshakeDone != nil {
+		defer c.onHandshakeDone()
+	}
+	if err != nil {
+		c.err = err
+		c.done.Store(true)
+	}
+	return err
+}
+
+// handshake makes the handshake. A failure is counted, and returned as io.EOF: no request can be read or answered.
+func (c *Conn) handshake() error {
+	term := c.terminator
+	began := time.Now()
+	deadline := began.Add(term.config.Timeout)
+	_ = c.tcp.SetDeadline(deadline) // fails only after a close
+	transport := handshakes.NewConn(c.tcp, term.config.CPU, false, deadline, nil)
+	transport.AbortIfPeerCloses = true
+	c.transport.Store(transport)
+	conn := tls.Server(transport, term.tlsConfig)
+	err := conn.HandshakeContext(context.Background())
+	computeTime, elapsed := transport.EndHandshake(), time.Since(began)
+	if err != nil {
+		term.countFailure(c.failureReason(err))
+		return io.EOF
+	}
+	state := conn.ConnectionState()
+	term.countSuccess(state.DidResume, elapsed, computeTime)
+	c.peerNames = certificateNames(state.PeerCertificates)
+	c.tls = conn
+	c.endHandshake(elapsed)
+	return nil
+}
+
+// endHandshake replaces the handshake's deadline by those of the caller, and sets done.
+func (c *Conn) endHandshake(elapsed time.Duration) {
+	_ = c.tcp.SetWriteDeadline(time.Time{})
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if !c.readDeadline.IsZero() { // the time for a request's head begins when the connection is established
+		c.readDeadline = c.readDeadline.Add(elapsed)
+	}
+	_ = c.tcp.SetReadDeadline(c.readDeadline)
+	c.done.Store(true)
+}
+
+// failureReason returns the key under which Stats.Failures counts a failed handshake. A client that sends plain HTTP is
+// answered.
+func (c *Conn) failureReason(err error) string {
+	var header tls.RecordHeaderError
+	var netErr net.Error
+	switch {
+	case errors.As(err, &header) && header.Conn != nil && isHTTP(header.RecordHeader):
+		c.rejectPlainHTTP()
+		return "plain HTTP"
+	case errors.As(err, &header):
+		return "no TLS"
+	case errors.Is(err, errUntrustedClient):
+		c.terminator.config.Log.Info("tls: client certificate rejected", "client", c.tcp.RemoteAddr(), "err", err)
+		return "client's certificate"
+	case errors.Is(err, handshakes.ErrHandshakeTooLarge):
+		return "sent too much"
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return "not in time"
+	case errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, io.ErrUnexpectedEOF):
+		return "left"
+	case handshakes.RemoteAlert(err) != "":
+		return "the client refused"
+	}
+	return "no agreement"
+}
+
+// rejectPlainHTTP answers a request that was sent without TLS, unless that would block.
+func (c *Conn) rejectPlainHTTP() {
+	const body = "this port takes TLS alone\n"
+	response := fmt.Sprintf("HTTP/1.1 400 Bad Request\r\n"+
+		"Connection: close\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	transport := c.transport.Load()
+	transport.DropBlockingWrites()
+	_, _ = transport.Write([]byte(response))
+}
+
+// isHTTP reports whether the first bytes of a connection begin an HTTP request.
+func isHTTP(head [5]byte) bool {
+	switch string(head[:]) {
+	case "GET /", "HEAD ", "POST ", "PUT /", "OPTIO", "DELET", "PATCH":
+		return true
+	}
+	return false
+}
+
+// certificateNames returns the URIs, DNS names and common name of the first certificate of a chain.
+func certificateNames(chain []*x509.Certificate) (names []string) {
+	if len(chain) == 0 {
+		return nil
+	}
+	leaf := chain[0]
+	for _, uri := range leaf.URIs {
+		names = append(names, uri.String())
+	}
+	names = append(names, leaf.DNSNames...)
+	if leaf.Subject.CommonName != "" {
+		names = append(names, leaf.Subject.CommonName)
+	}
+	return names
+}
--- /dev/null
+++ b/internal/frontend/secure/terminator.go
@@ -0,0 +1,170 @@
+// Package secure terminates TLS towards clients. It selects the certificate by server name, resumes sessions, and
+// verifies client certificates, whose names identify the client. The first Read or Write of a connection makes its
+// handshake; package handshakes limits the CPU time that handshakes use.
+package secure
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"log/slog"
+	"maps"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/handshakes"
+)
+
+// DefaultTimeout limits a handshake, including its wait for the CPU.
+const DefaultTimeout = 2500 * time.Millisecond
+
+// Config configures a Terminator.
+type Config struct {
+	Certificates *certificates.Store   // of the listener; required
+	Trust        *certificates.Store   // CAs of client certificates; nil: clients are not asked for one
+	Require      bool                  // reject clients without a certificate; needs Trust
+	Tickets      *certificates.Tickets // nil: keys of the process
+	TLS12        bool                  // accept TLS 1.2 as well as 1.3
+	ALPN         []string
+	Timeout      time.Duration            // of a handshake; 0: DefaultTimeout
+	CPU          *handshakes.CPUScheduler // runs the computations of handshakes
+	Log          *slog.Logger             // nil: nothing is logged
+}
+
+// Terminator terminates TLS on connections of clients. It is safe for concurrent use.
+type Terminator struct {
+	config    Config
+	tlsConfig *tls.Config
+
+	mu         sync.Mutex
+	full       handshakes.Histogram
+	resumed    handshakes.Histogram
+	failures   map[string]uint64 // by reason
+	inProgress atomic.Int64      // handshakes
+}
+
+// New returns a terminator, or an error if the configuration is incomplete.
+func New(config Config) (*Terminator, error) {
+	if config.Certificates == nil {
+		return nil, errors.New("no certificate to present")
+	}
+	if config.Require && config.Trust == nil {
+		return nil, errors.New("require: by which authorities do clients prove who they are?")
+	}
+	if config.Timeout <= 0 {
+		config.Timeout = DefaultTimeout
+	}
+	if config.Log == nil {
+		config.Log = slog.New(slog.DiscardHandler)
+	}
+	term := &Terminator{config: config, failures: make(map[string]uint64)}
+	term.tlsConfig = &tls.Config{
+		MinVersion:       tls.VersionTLS13,
+		NextProtos:       config.ALPN,
+		GetCertificate:   config.Certificates.GetCertificate,
+		VerifyConnection: term.verifyClient,
+	}
+	if config.TLS12 {
+		term.tlsConfig.MinVersion = tls.VersionTLS12
+	}
+	switch { // verifyClient verifies, in resumed sessions too, by the authorities that are trusted at that time
+	case config.Require:
+		term.tlsConfig.ClientAuth = tls.RequireAnyClientCert
+	case config.Trust != nil:
+		term.tlsConfig.ClientAuth = tls.RequestClientCert
+	}
+	term.ReloadTicketKeys()
+	return term, nil
+}
+
+// ReloadTicketKeys uses the current keys of Config.Tickets for session tickets from now on.
+func (t *Terminator) ReloadTicketKeys() {
+	if t.config.Tickets != nil {
+		t.tlsConfig.SetSessionTicketKeys(t.config.Tickets.Keys())
+	}
+}
+
+// errUntrustedClient says that a client certificate could not be verified.
+var errUntrustedClient = errors.New("client certificate is not trusted")
+
+func (t *Terminator) verifyClient(state tls.ConnectionState) error {
+	if len(state.PeerCertificates) == 0 {
+		return nil // crypto/tls has rejected this if a certificate is required
+	}
+	pool := t.config.Trust.Set().Pool // Trust is not nil, because a certificate was requested
+	if pool == nil {                  // no authority is known yet; a nil pool would mean the system's authorities
+		return errUntrustedClient
+	}
+	options := x509.VerifyOptions{
+		Roots:         pool,
+		Intermediates: x509.NewCertPool(),
+		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+	}
+	for _, cert := range state.PeerCertificates[1:] {
+		options.Intermediates.AddCert(cert)
+	}
+	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
+		return errors.Join(errUntrustedClient, err)
+	}
+	return nil
+}
+
+// Wrap returns a connection that uses TLS over tcp. Nothing is read before its first Read or Write. onHandshakeDone, if
+// it is not nil, is called once, when the handshake has succeeded or failed.
+func (t *Terminator) Wrap(tcp *net.TCPConn, onHandshakeDone func()) *Conn {
+	return &Conn{terminator: t, tcp: tcp, onHandshakeDone: onHandshakeDone}
+}
+
+// Listener returns a listener that wraps the TCP connections it accepts. Others, of Unix sockets, it returns as they
+// are.
+func (t *Terminator) Listener(ln net.Listener) net.Listener { return &listener{ln, t} }
+
+type listener struct {
+	net.Listener
+	terminator *Terminator
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		return l.terminator.Wrap(tcp, nil), nil
+	}
+	return conn, nil
+}
+
+// Stats counts handshakes.
+type Stats struct {
+	Full       handshakes.Histogram `json:"full"`
+	Resumed    handshakes.Histogram `json:"resumed"`
+	Failures   map[string]uint64    `json:"failures,omitempty"` // by reason
+	InProgress int64                `json:"going"`
+}
+
+// Stats returns the counts so far.
+func (t *Terminator) Stats() Stats {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return Stats{t.full.Clone(), t.resumed.Clone(), maps.Clone(t.failures), t.inProgress.Load()}
+}
+
+func (t *Terminator) countSuccess(resumed bool, elapsed, computeTime time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if resumed {
+		t.resumed.Observe(elapsed, computeTime)
+		return
+	}
+	t.full.Observe(elapsed, computeTime)
+}
+
+func (t *Terminator) countFailure(reason string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.failures[reason]++
+}
--- /dev/null
+++ b/internal/frontend/secure/terminator_test.go
@@ -0,0 +1,374 @@
+package secure
+
+import (
+	"bufio"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/handshakes"
+	"cobaltward/internal/pki"
+	"cobaltward/internal/testkit"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// fixture is a directory with the files of a listener.
+type fixture struct {
+	t   testing.TB
+	dir string
+	ca  *pki.Authority
+}
+
+func newFixture(t testing.TB) *fixture { return &fixture{t, t.TempDir(), pki.Year("ours")} }
+
+func (f *fixture) path(name string) string { return filepath.Join(f.dir, name) }
+
+func (f *fixture) write(name string, text []byte) {
+	f.t.Helper()
+	if err := os.MkdirAll(filepath.Dir(f.path(name)), 0o700); err != nil {
+		f.t.Fatal(err)
+	}
+	if err := os.WriteFile(f.path(name), text, 0o600); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+func (f *fixture) issue(dir string, names ...string) {
+	p := f.ca.Issue(pki.Leaf{Names: names})
+	f.write(dir+"/cert.pem", pki.PEM(p.Cert))
+	f.write(dir+"/key.pem", p.KeyPEM())
+}
+
+// certificates reads the certificates issued so far.
+func (f *fixture) certificates() *certificates.Store {
+	return f.store(certificates.Sources{Dir: f.path("certs")})
+}
+
+func (f *fixture) store(from certificates.Sources) *certificates.Store {
+	f.t.Helper()
+	s, err := certificates.Open(from, time.Now())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return s
+}
+
+func (f *fixture) writeTrust(clients ...*pki.Authority) {
+	var all []*x509.Certificate
+	for _, a := range clients {
+		all = append(all, a.Cert)
+	}
+	f.write("clients.pem", pki.PEM(all...))
+}
+
+// startServer answers each line with the names of the client's certificate, until the test ends.
+func startServer(t testing.TB, c Config) (*Terminator, string) {
+	t.Helper()
+	l, err := New(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, testkit.RawServer(t, func(nc net.Conn, _ *bufio.Reader) {
+		c := l.Wrap(nc.(*net.TCPConn), nil)
+		defer func() { _ = c.Close() }()
+		for in := bufio.NewReader(c); ; {
+			if _, err := in.ReadString('\n'); err != nil {
+				return
+			}
+			if _, err := io.WriteString(c, strings.Join(c.PeerNames(), " ")+"\n"); err != nil {
+				return
+			}
+		}
+	})
+}
+
+// request opens a connection, sends a line and returns the answer.
+func request(addr string, conf *tls.Config) (answer string, state tls.ConnectionState, err error) {
+	c, err := tls.DialWithDialer(&net.Dialer{Timeout: testkit.Long}, "tcp", addr, conf)
+	if err != nil {
+		return "", state, err
+	}
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(testkit.Long))
+	if _, err := io.WriteString(c, "who am I\n"); err != nil {
+		return "", state, err
+	}
+	answer, err = bufio.NewReader(c).ReadString('\n')
+	return strings.TrimSpace(answer), c.ConnectionState(), err
+}
+
+// The certificate is selected by server name. An unknown name, protocol or version fails the handshake.
+func TestCertificateSelection(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	fixture.issue("certs/b", "*.b.example")
+	terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), ALPN: []string{"http/1.1"}})
+	pool := x509.NewCertPool()
+	pool.AddCert(fixture.ca.Cert)
+	for name, want := range map[string]string{"a.example": "a.example", "x.b.example": "*.b.example"} {
+		_, state, err := request(addr, &tls.Config{RootCAs: pool, ServerName: name})
+		if err != nil || !slices.Contains(state.PeerCertificates[0].DNSNames, want) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	for _, conf := range []*tls.Config{
+		{RootCAs: pool, ServerName: "c.example"},
+		{RootCAs: pool, ServerName: "a.example", NextProtos: []string{"h9"}},
+		{RootCAs: pool, ServerName: "a.example", MaxVersion: tls.VersionTLS12},
+	} {
+		if _, _, err := request(addr, conf); err == nil {
+			t.Errorf("%+v: accepted", conf)
+		}
+	}
+	testkit.Await(t, "the count of all three", func() bool { return terminator.Stats().Failures["no agreement"] == 3 })
+}
+
+// A client that sends plain HTTP gets a 400. Other bytes, and silence, end the connection.
+func TestHandshake_ClientWithoutTLS(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), Timeout: 200 * time.Millisecond})
+	for _, test := range []struct{ send, want, why string }{
+		{"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 400 Bad Request", "plain HTTP"},
+		{"\x00\x01\x02\x03\x04\x05\x06\x07", "", "no TLS"},
+		{"", "", "not in time"},
+		{"\x16\x03\x01\xff\xff", "", "no TLS"},
+	} {
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = nc.SetDeadline(time.Now().Add(testkit.Long))
+		_, _ = io.WriteString(nc, test.send)
+		got, _ := io.ReadAll(nc) // it ends
+		_ = nc.Close()
+		if !strings.HasPrefix(string(got), test.want) {
+			t.Errorf("%q: got %q", test.send, got)
+		}
+		testkit.Await(t, test.why, func() bool { return terminator.Stats().Failures[test.why] > 0 })
+	}
+	testkit.Await(t, "the end of all handshakes", func() bool { return terminator.Stats().InProgress == 0 })
+}
+
+// A session can be resumed at another node that shares the file of ticket keys, also after a rotation, until its key
+// has been removed.
+func TestSessionTickets_SharedByNodes(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	file := fixture.path("tickets")
+	var nodes []string
+	var terminators []*Terminator
+	var files []*certificates.Tickets
+	if err := certificates.RotateTickets(file); err != nil {
+		t.Fatal(err)
+	}
+	for range 2 {
+		k, err := certificates.OpenTickets(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l, addr := startServer(t, Config{Certificates: fixture.certificates(), Tickets: k})
+		nodes, terminators, files = append(nodes, addr), append(terminators, l), append(files, k)
+	}
+	pool := x509.NewCertPool()
+	pool.AddCert(fixture.ca.Cert)
+	conf := &tls.Config{RootCAs: pool, ServerName: "a.example", ClientSessionCache: tls.NewLRUClientSessionCache(4)}
+	read := func(node int) {
+		if err := files[node].Reload(); err != nil {
+			t.Fatal(err)
+		}
+		terminators[node].ReloadTicketKeys()
+	}
+	rotate := func() {
+		if err := certificates.RotateTickets(file); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, step := range []struct {
+		do      func()
+		node    int
+		resumed bool
+	}{
+		{func() {}, 0, false},
+		{func() {}, 1, true},
+		{func() { rotate(); read(1) }, 1, true}, // encrypted by the previous key
+		{func() {}, 0, true},                    // encrypted by the next key, which this node has had from the start
+		{func() { read(0) }, 1, true},
+		{func() { terminators[0].tlsConfig.SetSessionTicketKeys([][32]byte{{1}}) }, 0, false},
+	} {
+		step.do()
+		_, state, err := request(nodes[step.node], conf)
+		if err != nil || state.DidResume != step.resumed {
+			t.Errorf("%d: resumed %v, %v", i, state.DidResume, err)
+		}
+	}
+	fixture.write("tickets", []byte("abc\n"))
+	if err := files[0].Reload(); err == nil || !strings.Contains(err.Error(), "tickets:1: want 64 hexadecimal digits") {
+		t.Errorf("got %v", err)
+	}
+}
+
+// A client certificate is accepted as long as its authority is trusted, in resumed sessions too.
+func TestClientCertificates_FollowTrust(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	const uri = "spiffe://site/tenant/desk"
+	partners, others := pki.Year("partners"), pki.Year("others")
+	for _, require := range []bool{false, true} {
+		fixture.writeTrust(partners)
+		store := fixture.store(certificates.Sources{Trust: fixture.path("clients.pem")})
+		terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), Trust: store, Require: require})
+		pool := x509.NewCertPool()
+		pool.AddCert(fixture.ca.Cert)
+		conf := func(pairs ...pki.Pair) *tls.Config {
+			c := &tls.Config{RootCAs: pool, ServerName: "a.example", ClientSessionCache: tls.NewLRUClientSessionCache(4)}
+			for _, p := range pairs {
+				c.Certificates = append(c.Certificates, p.TLS())
+			}
+			return c
+		}
+		known := conf(partners.Issue(pki.Leaf{Names: []string{uri}, Subject: "desk"}))
+		for range 2 {
+			if names, _, err := request(addr, known); err != nil || names != uri+" desk" {
+				t.Errorf("require %v: %q, %v", require, names, err)
+			}
+		}
+		if names, _, err := request(addr, conf()); require != (err != nil) || names != "" {
+			t.Errorf("require %v, no certificate: %q, %v", require, names, err)
+		}
+		for what, p := range map[string]pki.Pair{
+			"of an unknown CA": others.Issue(pki.Leaf{Names: []string{uri}}),
+			"an expired one":   partners.Issue(pki.Leaf{Names: []string{uri}, To: time.Now().Add(-time.Minute)}),
+		} {
+			if names, _, err := request(addr, conf(p)); err == nil {
+				t.Errorf("require %v, %s: accepted as %q", require, what, names)
+			}
+		}
+		testkit.Await(t, "the count of both rejected certificates", func() bool {
+			return terminator.Stats().Failures["client's certificate"] == 2
+		})
+		if n := terminator.Stats().Resumed.Count; n != 1 {
+			t.Errorf("require %v: %d resumed", require, n)
+		}
+		fixture.writeTrust(others)
+		if _, err := store.Reload(time.Now()); err != nil {
+			t.Fatal(err)
+		}
+		if names, state, err := request(addr, known); err == nil {
+			t.Errorf("require %v: an authority is no longer trusted, but accepted as %q, resumed %v",
+				require, names, state.DidResume)
+		}
+	}
+}
+
+// Many handshakes at the same time share the CPU: each succeeds, and those of clients that have disconnected are
+// counted as failed.
+func TestHandshakes_ShareTheCPU(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	cpu := handshakes.NewCPUScheduler(0.5, 1, func() bool { return true })
+	terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), CPU: cpu, Timeout: testkit.Long})
+	pool := x509.NewCertPool()
+	pool.AddCert(fixture.ca.Cert)
+	var all sync.WaitGroup
+	for i := range 60 {
+		all.Go(func() {
+			if i%3 == 0 { // disconnects after its ClientHello
+				nc, err := net.Dial("tcp", addr)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				defer func() { _ = nc.Close() }()
+				_ = nc.SetDeadline(time.Now().Add(testkit.Long))
+				_ = tls.Client(&closedAfterWrite{Conn: nc}, &tls.Config{RootCAs: pool, ServerName: "a.example"}).Handshake()
+				return
+			}
+			if _, _, err := request(addr, &tls.Config{RootCAs: pool, ServerName: "a.example"}); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	all.Wait()
+	testkit.Await(t, "the end of all handshakes", func() bool {
+		st := terminator.Stats()
+		return st.Full.Count == 40 && st.Failures["left"] == 20 && st.InProgress == 0
+	})
+	if pieces, worked := cpu.Totals(); pieces < 80 || worked <= 0 {
+		t.Errorf("%d pieces in %v", pieces, worked)
+	}
+}
+
+// closedAfterWrite sends, and then reads as closed.
+type closedAfterWrite struct{ net.Conn }
+
+func (o *closedAfterWrite) Read([]byte) (int, error) { return 0, io.EOF }
+
+func TestNew_InvalidConfig(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	if _, err := New(Config{}); err == nil || errors.Is(err, io.EOF) {
+		t.Error("a listener without a certificate")
+	}
+	_, err := New(Config{Certificates: fixture.certificates(), Require: true})
+	if err == nil || !strings.Contains(err.Error(), "by which authorities") {
+		t.Errorf("got %v", err)
+	}
+}
+
+// Accept returns connections without waiting for their handshakes.
+func TestListener_AcceptsBeforeHandshake(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.issue("certs/a", "a.example")
+	terminator, err := New(Config{Certificates: fixture.certificates()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln := terminator.Listener(raw)
+	defer func() { _ = ln.Close() }()
+	silent, err := net.Dial("tcp", raw.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = silent.Close() }()
+	first, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = first.Close() }()
+	served := make(chan error, 1)
+	go func() {
+		c, err := ln.Accept()
+		if err == nil {
+			defer func() { _ = c.Close() }()
+			_, err = io.CopyN(c, c, int64(len("who am I\n")))
+		}
+		served <- err
+	}()
+	pool := x509.NewCertPool()
+	pool.AddCert(fixture.ca.Cert)
+	got, _, err := request(raw.Addr().String(), &tls.Config{RootCAs: pool, ServerName: "a.example"})
+	if err != nil || got != "who am I" {
+		t.Errorf("%q, %v", got, err)
+	}
+	if err := testkit.Receive(t, "the end", served); err != nil || !first.(*Conn).NothingReceived() {
+		t.Errorf("%v; nothing received from the silent client: %v", err, first.(*Conn).NothingReceived())
+	}
+}
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -105,7 +105,7 @@
 		TLS12:        listener.AllowTLS12,
 		ALPN:         alpn,
 		Timeout:      listener.HandshakeTimeout,
-		Core:         s.cpuBudget,
+		CPU:          s.cpuBudget,
 		Log:          s.log,
 	})
 }
--- a/msgpackrpc/stream/stream.go
+++ b/msgpackrpc/stream/stream.go
@@ -12,14 +12,14 @@
 // MaxBatch is the size, in bytes, from which no further message is added to a batch.
 const MaxBatch = 64 << 10
 
-// WakeSignal wakes one goroutine. Signals that are sent before it is received are merged into one.
-type WakeSignal chan struct{}
+// Signal wakes one goroutine. Signals that are sent before it is received are merged into one.
+type Signal chan struct{}
 
-// NewWakeSignal returns a signal that has not been sent.
-func NewWakeSignal() WakeSignal { return make(WakeSignal, 1) }
+// NewSignal returns a signal that has not been sent.
+func NewSignal() Signal { return make(Signal, 1) }
 
 // Notify sends the signal without blocking.
-func (s WakeSignal) Notify() {
+func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
 	default:
--- a/msgpackrpc/stream/stream_test.go
+++ b/msgpackrpc/stream/stream_test.go
@@ -9,8 +9,8 @@
 	"cobaltward/msgpackrpc"
 )
 
-func TestWakeSignal_MergesNotifications(t *testing.T) {
-	signal := NewWakeSignal()
+func TestSignal_MergesNotifications(t *testing.T) {
+	signal := NewSignal()
 	signal.Notify()
 	signal.Notify()
 	<-signal
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -111,7 +111,7 @@
 
 // echo serves connections by TLS, each line as it is.
 func echo(own *certificates.Store) (l *frontsecure.Terminator, ln net.Listener, err error) {
-	if l, err = frontsecure.New(frontsecure.Config{Certificates: own, Core: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })}); err != nil {
+	if l, err = frontsecure.New(frontsecure.Config{Certificates: own, CPU: handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })}); err != nil {
 		return nil, nil, err
 	}
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
