--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -23,12 +23,12 @@
 // conn is one client's connection. One goroutine reads, one writes, and each open call has one that waits for its
 // answer.
 type conn struct {
-	server     *Server
-	nc         net.Conn
-	callSlots  chan struct{} // holds one element for each open call and each unwritten answer
-	writeSignal       stream.Signal
-	writerDone chan struct{}
-	calls      sync.WaitGroup
+	server      *Server
+	nc          net.Conn
+	callSlots   chan struct{} // holds one element for each open call and each unwritten answer
+	writeSignal stream.Signal
+	writerDone  chan struct{}
+	calls       sync.WaitGroup
 
 	arrival sockets.Arrival // used by the reader only
 
@@ -56,13 +56,13 @@
 
 func newConn(server *Server, nc net.Conn, earliest time.Time) *conn {
 	c := &conn{
-		server:     server,
-		nc:         nc,
-		callSlots:  make(chan struct{}, server.config.MaxCalls),
-		writeSignal:       stream.NewSignal(),
-		writerDone: make(chan struct{}),
-		open:       make(map[uint32]context.CancelFunc),
-		idleSince:  time.Now(),
+		server:      server,
+		nc:          nc,
+		callSlots:   make(chan struct{}, server.config.MaxCalls),
+		writeSignal: stream.NewSignal(),
+		writerDone:  make(chan struct{}),
+		open:        make(map[uint32]context.CancelFunc),
+		idleSince:   time.Now(),
 	}
 	c.arrival.Reset(earliest)
 	return c
