--- /dev/null
+++ b/internal/node/rotationharness_test.go
@@ -0,0 +1,348 @@
+package node
+
+import (
+	"context"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/discovery/registry"
+	"cobaltward/internal/adminapi"
+	"cobaltward/internal/pki"
+	"cobaltward/internal/testkit"
+	"cobaltward/policy"
+	"cobaltward/router"
+	"cobaltward/transport/secure"
+)
+
+// servedCert is a certificate that a server presents. It is valid where one of the authorities is trusted.
+type servedCert struct {
+	authorities []*pki.Authority
+	config      *tls.Config
+	validUntil  time.Time // zero: beyond the test
+}
+
+// rotationHarness is a node, and servers whose certificates change under load. It records what it sees.
+type rotationHarness struct {
+	t            testing.TB
+	dir          string
+	servers      []*rotationServer
+	oldCA, newCA *pki.Authority
+	listenerCA   *pki.Authority // of the node's own listener
+	addr         string
+	adminSocket  string
+
+	mu           sync.Mutex
+	trustChanges []trustChange   // in order of time
+	executions   map[string]int  // by request ID
+	violations   []string        // requests over connections that were no longer trusted, or answered wrongly
+	served       int             // requests
+	idempotent   map[string]bool // request IDs that may be executed more than once
+	notServed    map[string]int  // answers other than 200, and errors
+}
+
+// trustChange is a change of the authorities that the node trusts.
+type trustChange struct {
+	at          time.Time
+	authorities []*pki.Authority
+}
+
+const (
+	// trustChangeDelay is the time that the node may take to apply new files: it checks them twice, and requests in
+	// transit arrive.
+	trustChangeDelay = 400 * time.Millisecond
+	// maxTransitTime is the time that a request sent before a certificate's end may be in transit.
+	maxTransitTime = 200 * time.Millisecond
+	// rotationCheckInterval is the interval at which the node checks its files.
+	rotationCheckInterval = 20 * time.Millisecond
+)
+
+func newRotationHarness(t testing.TB, servers int) *rotationHarness {
+	harness := &rotationHarness{
+		t:          t,
+		dir:        t.TempDir(),
+		oldCA:      pki.Year("old"),
+		newCA:      pki.Year("new"),
+		listenerCA: pki.Year("front"),
+		executions: make(map[string]int),
+		idempotent: make(map[string]bool),
+		notServed:  make(map[string]int),
+	}
+	harness.adminSocket = harness.path("door.sock")
+	for i := range servers {
+		harness.servers = append(harness.servers, harness.startServer(fmt.Sprintf("s%02d", i)))
+	}
+	harness.setTrust(harness.oldCA)
+	harness.renewListenerCert()
+	return harness
+}
+
+// newLeaf returns a new certificate of an authority, with new session ticket keys.
+func (h *rotationHarness) newLeaf(issuer *pki.Authority, chain ...*x509.Certificate) servedCert {
+	leaf := issuer.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	return h.newServedCert([]*pki.Authority{issuer}, leaf.TLS(chain...))
+}
+
+func (h *rotationHarness) newServedCert(authorities []*pki.Authority, cert tls.Certificate) servedCert {
+	h.t.Helper()
+	// With the listener's ticket keys a session would be resumed whatever certificate the server presents now.
+	var ticketKey [32]byte
+	if _, err := rand.Read(ticketKey[:]); err != nil {
+		h.t.Fatal(err)
+	}
+	config := &tls.Config{Certificates: []tls.Certificate{cert}}
+	config.SetSessionTicketKeys([][32]byte{ticketKey})
+	return servedCert{authorities: authorities, config: config}
+}
+
+// replaceFiles replaces each file as a whole, one after the other.
+func (h *rotationHarness) replaceFiles(files map[string][]byte) {
+	h.t.Helper()
+	for name, text := range files {
+		temporary := h.path(".new")
+		if err := os.WriteFile(temporary, text, 0o600); err != nil {
+			h.t.Fatal(err)
+		}
+		if err := os.Rename(temporary, h.path(name)); err != nil {
+			h.t.Fatal(err)
+		}
+	}
+}
+
+// setTrust has the node trust these authorities from now on.
+func (h *rotationHarness) setTrust(authorities ...*pki.Authority) {
+	h.t.Helper()
+	var certs []*x509.Certificate
+	for _, authority := range authorities {
+		certs = append(certs, authority.Cert)
+	}
+	h.replaceFiles(map[string][]byte{"ca.pem": pki.PEM(certs...)})
+	h.mu.Lock()
+	h.trustChanges = append(h.trustChanges, trustChange{time.Now(), authorities})
+	h.mu.Unlock()
+}
+
+// renewListenerCert gives the node's own listener a new certificate.
+func (h *rotationHarness) renewListenerCert() {
+	h.t.Helper()
+	pair := h.listenerCA.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	h.replaceFiles(map[string][]byte{"cert.pem": pki.PEM(pair.Cert), "key.pem": pair.KeyPEM()})
+}
+
+func (h *rotationHarness) path(name string) string { return filepath.Join(h.dir, name) }
+
+// start runs a node that checks its files at short intervals, until the end of the test.
+func (h *rotationHarness) start() {
+	h.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.addr = listener.Addr().String()
+	config := h.config()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- Run(ctx, config, listener, nil, slog.New(slog.DiscardHandler)) }()
+	h.t.Cleanup(func() {
+		cancel()
+		if err := testkit.Receive(h.t, "the node's end", ended); err != nil {
+			h.t.Error(err)
+		}
+	})
+	client := h.client()
+	defer client.CloseIdleConnections()
+	testkit.Await(h.t, "the node", func() bool {
+		resp, err := client.Get("https://" + h.addr + readyPath)
+		if err != nil {
+			return false
+		}
+		_ = resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
+	})
+}
+
+func (h *rotationHarness) config() Config {
+	h.t.Helper()
+	open := func(from certificates.Sources) *certificates.Store {
+		store, err := certificates.Open(from, time.Now())
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		return store
+	}
+	trust := open(certificates.Sources{Trust: h.path("ca.pem")})
+	own := open(certificates.Sources{Cert: h.path("cert.pem"), Key: h.path("key.pem")})
+	list := registry.List{Revision: 1, Full: true}
+	for _, server := range h.servers {
+		list.Endpoints = append(list.Endpoints, router.Endpoint{
+			ID: server.id, Addr: server.addr, Zone: "a", Kind: "k", Weight: 1,
+		})
+	}
+	announceFor, drainTimeout := time.Millisecond, time.Second
+	return Config{
+		Name:           "n",
+		Discovery:      "127.0.0.1:9",
+		Seed:           1,
+		MaxDescriptors: 1024,
+		MemoryMB:       192,
+		Cores:          1,
+		InitialList:    list,
+		Settings:       rotationSettings(),
+		ConnectTimeout: time.Second,
+		AnnounceFor:    &announceFor,
+		DrainTimeout:   &drainTimeout,
+		AdminAPI:       adminapi.Config{Socket: h.adminSocket},
+		TLS: &TLS{
+			ServerRules:   []secure.Rule{{Trust: trust}},
+			Clients:       &TLSListener{Certificates: own},
+			Stores:        []*certificates.Store{trust, own},
+			CheckInterval: rotationCheckInterval,
+		},
+	}
+}
+
+// rotationSettings has deadlines for a slow machine: past its latency objective a request is rejected rather than
+// attempted, so a handshake that fails late would count as a request that was not served. Requests that find a server
+// untrusted are retried elsewhere as often as there are such servers.
+func rotationSettings() policy.Settings {
+	settings := drainSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].Deadline, settings.Classes[i].LatencyObjective = 8*time.Second, 4*time.Second
+	}
+	settings.Capabilities.MaxAttempts = 100
+	settings.Rules.RetryBudget = &policy.RetryBudget{MinRetries: 1e6, Window: time.Second}
+	return settings
+}
+
+func (h *rotationHarness) client() *http.Client {
+	pool := x509.NewCertPool()
+	pool.AddCert(h.listenerCA.Cert)
+	return &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 64,
+		TLSClientConfig:     &tls.Config{RootCAs: pool, ClientSessionCache: tls.NewLRUClientSessionCache(8)},
+	}}
+}
+
+// load has clients send requests until ctx ends. One connection in ten is closed after its request.
+func (h *rotationHarness) load(ctx context.Context, clients int) *sync.WaitGroup {
+	var all sync.WaitGroup
+	client := h.client()
+	for i := range clients {
+		all.Go(func() {
+			for k := 0; ctx.Err() == nil; k++ {
+				h.request(client, fmt.Sprintf("c%d-%d", i, k), k%10 == 0, drainSettings().Classes[k%3])
+				time.Sleep(5 * time.Millisecond)
+			}
+		})
+	}
+	h.t.Cleanup(client.CloseIdleConnections)
+	return &all
+}
+
+// request sends a request and records the answer.
+func (h *rotationHarness) request(client *http.Client, id string, closeConn bool, class policy.Class) {
+	answer, err := h.send(client, id, closeConn, class)
+	if err != nil {
+		answer = err.Error()
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if answer != "" {
+		h.notServed[class.Name+": "+answer]++
+		return
+	}
+	h.served++
+	h.idempotent[id] = class.Idempotency == policy.Idempotent
+	if n := h.executions[id]; n == 0 || n > 1 && !h.idempotent[id] {
+		h.violations = append(h.violations, fmt.Sprintf("%s was served and executed %d times", id, n))
+	}
+}
+
+// send sends a request, and returns the answer where it is not 200.
+func (h *rotationHarness) send(
+	client *http.Client, id string, closeConn bool, class policy.Class,
+) (answer string, err error) {
+	req, err := http.NewRequest(router.Method(class), "https://"+h.addr+"/api", nil)
+	if err != nil {
+		h.t.Error(err)
+		return "", err
+	}
+	req.Close = closeConn
+	req.Header.Set("X-Request-Id", id)
+	req.Header.Set("X-Class", class.Name)
+	req.Header.Set("X-Tenant", "t")
+	req.Header.Set("X-Deadline-Ms", "7000")
+	if class.Idempotency == policy.IdempotencyKeyed {
+		req.Header.Set("Idempotency-Key", id)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	body, _ := io.ReadAll(resp.Body) // only for the message
+	if resp.StatusCode == http.StatusOK {
+		return "", nil
+	}
+	return fmt.Sprint(resp.StatusCode, " ", string(body)), nil
+}
+
+// checkResults reports the requests that were executed twice, over untrusted connections, or not served.
+func (h *rotationHarness) checkResults() {
+	h.t.Helper()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, n := range h.executions {
+		if n > 1 && !h.idempotent[id] {
+			h.t.Errorf("%s was executed %d times", id, n)
+		}
+	}
+	if len(h.violations) > 0 {
+		h.t.Errorf("%d requests over connections that were no longer trusted, or answered wrongly: %v",
+			len(h.violations), h.violations[:min(len(h.violations), 8)])
+	}
+	if len(h.notServed) > 0 {
+		h.t.Errorf("not served: %v", h.notServed)
+	}
+	h.t.Logf("%d requests served, each once", h.served)
+}
+
+// tlsStatus asks the admin API.
+func (h *rotationHarness) tlsStatus() TLSStatus {
+	h.t.Helper()
+	client, base := adminapi.NewClient(h.adminSocket, "", nil)
+	defer client.CloseIdleConnections()
+	resp, err := client.Get(base + "/tls")
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	var status TLSStatus
+	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
+		h.t.Fatal(err)
+	}
+	return status
+}
+
+// peerFault returns why the node does not trust a server; empty where it does.
+func (h *rotationHarness) peerFault(server string) string {
+	h.t.Helper()
+	for _, peer := range h.tlsStatus().Servers.Peers {
+		if peer.Server == server {
+			return peer.Why
+		}
+	}
+	return ""
+}
