--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -60,7 +60,7 @@
 	}
 	n.transport = newTransport(n.config, n.limits.servers, n.tls.transportLayer())
 	if n.config.Msgpack.Listener != nil {
-		n.rpcServer = newRPCIntake(n.config.Msgpack.Listener, n.tls.wrapMsgpack)
+		n.rpcServer = newRPCServer(n.config.Msgpack.Listener, n.tls.wrapMsgpack)
 	}
 	if err := n.buildEngine(endpoints); err != nil {
 		return err
@@ -108,16 +108,16 @@
 		IdleTimeout:                  clientIdleTimeout,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
-		ConnContext:                  withClient,
+		ConnContext:                  withClientConn,
 		ConnState: func(conn net.Conn, state http.ConnState) {
-			if observer, ok := conn.(interface{ change(http.ConnState) }); ok {
-				observer.change(state)
+			if observer, ok := conn.(interface{ onStateChange(http.ConnState) }); ok {
+				observer.onStateChange(state)
 			}
 		},
 	}
-	n.httpServer = newIntake(server, nodesockets.NewPersistentListener(listener, n.log), n.limits.clients)
-	n.httpServer.shared = n.config.SharedListener
-	n.httpServer.clients.layer = n.tls.clientListenerLayer()
+	n.httpServer = newHTTPServer(server, nodesockets.NewPersistentListener(listener, n.log), n.limits.clients)
+	n.httpServer.sharedSocket = n.config.SharedListener
+	n.httpServer.listener.tlsLayer = n.tls.clientListenerLayer()
 }
 
 // buildEndpointSource returns the engine's source of endpoints, and opens the admin API where there is one: servers
@@ -181,8 +181,8 @@
 		return err
 	}
 	n.engine = engine
-	n.httpServer.clients.patience = engine.QueuePatience
-	n.httpServer.clients.retryAfter = engine.OverloadRetryAfter
+	n.httpServer.listener.queueTimeout = engine.QueuePatience
+	n.httpServer.listener.retryAfter = engine.OverloadRetryAfter
 	if n.tls != nil {
 		n.tls.engine.Store(engine)
 	}
@@ -198,9 +198,9 @@
 		middleware.WithBodyTimeout(bodyTimeout),
 		middleware.WithWriteTimeout(writeTimeout),
 		middleware.WithBodies(n.bodies),
-		middleware.WithDeparture(hasLeft),
+		middleware.WithDeparture(clientDisconnected),
 		middleware.WithArrivalAge(arrivalAge),
-		middleware.WithOverflow(overflows),
+		middleware.WithOverflow(mustReject),
 	)
 	if n.config.WrapHandler != nil {
 		handler = n.config.WrapHandler(handler, readyPath)
@@ -256,9 +256,9 @@
 
 // newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
 // its kind.
-func newTransport(config Config, maxConns int, layer *secure.Layer) router.Transport {
+func newTransport(config Config, maxConns int, layer *secure.ClientTLS) router.Transport {
 	newHTTP := func(maxConns int) router.Transport {
-		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, Secure: layer})
+		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, TLS: layer})
 	}
 	if len(config.Msgpack.ServerKinds) == 0 {
 		return newHTTP(maxConns)
@@ -273,6 +273,6 @@
 	return mixed.New(protocolOf, newHTTP(maxConns-msgpackConns), msgpacktransport.New(msgpacktransport.Config{
 		MaxConns:       msgpackConns,
 		ConnectTimeout: config.ConnectTimeout,
-		Secure:         layer,
+		TLS:            layer,
 	}))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,8 +52,8 @@
 	disabledServers *disabled.Source // nil: servers can neither be disabled nor untrusted
 	transport       router.Transport
 	engine          *router.Router
-	httpServer      *intake
-	rpcServer       *rpcIntake       // nil: no MessagePack-RPC
+	httpServer      *httpServer
+	rpcServer       *rpcServer       // nil: no MessagePack-RPC
 	adminServer     *adminapi.Server // nil: no admin API
 	admin           *adminAPI
 	operations      *operations.Server // nil: no operations endpoint
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -167,7 +167,7 @@
 	}
 	late := harness.servers[3]
 	testkit.Await(t, "the late server to be untrusted", func() bool {
-		if harness.peerFault(late.id) == "expired" {
+		if harness.untrustedReason(late.id) == "expired" {
 			return true
 		}
 		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // it was never needed
@@ -210,7 +210,7 @@
 		server.present(cert)
 		reason, _, _ := strings.Cut(name, " (")
 		// Connections made before stay trusted, by the certificate of their handshake, until they end.
-		testkit.Await(t, name, func() bool { return harness.peerFault(server.id) == reason })
+		testkit.Await(t, name, func() bool { return harness.untrustedReason(server.id) == reason })
 		time.Sleep(200 * time.Millisecond) // for handshakes in progress
 		before := harness.tlsStatus().Servers.Failures[reason]
 		time.Sleep(300 * time.Millisecond)
--- a/internal/node/rotationharness_test.go
+++ b/internal/node/rotationharness_test.go
@@ -336,12 +336,12 @@
 	return status
 }
 
-// peerFault returns why the node does not trust a server; empty where it does.
-func (h *rotationHarness) peerFault(server string) string {
+// untrustedReason returns why the node does not trust a server; empty where it does.
+func (h *rotationHarness) untrustedReason(id string) string {
 	h.t.Helper()
-	for _, peer := range h.tlsStatus().Servers.Peers {
-		if peer.Server == server {
-			return peer.Why
+	for _, server := range h.tlsStatus().Servers.Servers {
+		if server.Server == id {
+			return server.UntrustedReason
 		}
 	}
 	return ""
