--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -18,8 +18,10 @@
 const failuresInSeries = 5
 
 // TestListenersSurviveAcceptErrors has each listener of the node fail to accept with every error that Linux documents,
-// several times in a row. The client whose connection was in the queue gets its answer, and so does the next.
+// several times in a row. The client whose connection was in the accept queue gets its answer, and so does the next.
 func TestListenersSurviveAcceptErrors(t *testing.T) {
+	const readyRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+	const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\nConnection: close\r\n\r\n"
 	failing := func() *testkit.FailingListener {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -47,28 +49,28 @@
 		}
 	})
 	testkit.Await(t, "the node to be ready", func() bool {
-		return strings.HasPrefix(exchange(http, "GET "+readyPath+" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"), "HTTP/1.1 200")
+		return strings.HasPrefix(exchange(http, readyRequest), "HTTP/1.1 200")
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		listener *testkit.FailingListener
 		request  string
 		want     string
 	}{
-		{"HTTP", http, "GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 200"},
-		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // no message begins so: the answer is a notice of the error
-		{"admin API", admin, "GET /v1/status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\nConnection: close\r\n\r\n", "HTTP/1.1 200"},
+		{"HTTP", http, readyRequest, "HTTP/1.1 200"},
+		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // no message begins so: the answer is a notification of the error
+		{"admin API", admin, statusRequest, "HTTP/1.1 200"},
 		{"operations endpoint", operations, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			for _, errno := range testkit.AcceptErrors {
-				c.listener.FailNext(errno, failuresInSeries)
+				test.listener.FailNext(errno, failuresInSeries)
 				for range 2 {
-					if got := exchange(c.listener, c.request); !strings.HasPrefix(got, c.want) {
+					if got := exchange(test.listener, test.request); !strings.HasPrefix(got, test.want) {
 						t.Fatalf("%v: answered with %q", errno, got)
 					}
 				}
-				if n := c.listener.Pending(); n != 0 {
+				if n := test.listener.Pending(); n != 0 {
 					t.Fatalf("%v: %d of the failures did not occur", errno, n)
 				}
 			}
@@ -76,36 +78,36 @@
 	}
 }
 
-// exchange sends a request over a new connection and returns what is answered, or the error.
+// exchange sends a request over a new connection and returns the start of the answer, or the error's text.
 func exchange(to net.Listener, request string) string {
-	const patience = 5 * time.Second
-	conn, err := net.DialTimeout("tcp", to.Addr().String(), patience)
+	const timeout = 5 * time.Second
+	conn, err := net.DialTimeout("tcp", to.Addr().String(), timeout)
 	if err != nil {
 		return err.Error()
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(conn, request); err != nil {
 		return err.Error()
 	}
 	answer := make([]byte, 64)
 	n, err := conn.Read(answer)
 	if n == 0 {
-		return fmt.Sprint("nothing: ", err)
+		return fmt.Sprint("no answer: ", err)
 	}
 	return string(answer[:n])
 }
 
-// TestListenAgain_AddressComesFree has the address of a listener be in use for 2 s as it is opened again.
-func TestListenAgain_AddressComesFree(t *testing.T) {
+// TestRelisten_AddressComesFree has the address of a listener be in use for 2 s as it is opened again.
+func TestRelisten_AddressComesFree(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(2*time.Second, func() { taken.Close() })
+	time.AfterFunc(2*time.Second, func() { _ = taken.Close() })
 	listener, err := relisten(taken.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener.Close()
+	_ = listener.Close()
 }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -21,173 +21,221 @@
 	"cobaltward/router"
 )
 
-// pattern is a body that can be checked at any place, and is held nowhere.
-type pattern struct{ at, size int64 }
+// patternReader reads a body of size bytes of which each is known by its offset, so that no copy is needed to check it.
+type patternReader struct{ offset, size int64 }
 
-func (p *pattern) Read(b []byte) (int, error) {
-	if p.at == p.size {
+func (p *patternReader) Read(buf []byte) (int, error) {
+	if p.offset == p.size {
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(b)), p.size-p.at))
+	n := int(min(int64(len(buf)), p.size-p.offset))
 	for i := range n {
-		b[i] = patternAt(p.at + int64(i))
+		buf[i] = patternAt(p.offset + int64(i))
 	}
-	p.at += int64(n)
+	p.offset += int64(n)
 	return n, nil
 }
 
 func patternAt(i int64) byte { return byte(i ^ i>>9 ^ i>>17) }
 
-// checkPattern reads r to its end and compares.
+// checkPattern reads to the end and requires the bytes of a patternReader.
 func checkPattern(r io.Reader, size int64) error {
 	buf := make([]byte, 16<<10)
-	var at int64
+	var offset int64
 	for {
 		n, err := r.Read(buf)
 		for i, c := range buf[:n] {
-			if c != patternAt(at+int64(i)) {
-				return fmt.Errorf("byte %d differs", at+int64(i))
+			if c != patternAt(offset+int64(i)) {
+				return fmt.Errorf("byte %d differs", offset+int64(i))
 			}
 		}
-		at += int64(n)
-		if errors.Is(err, io.EOF) && at == size {
+		offset += int64(n)
+		if errors.Is(err, io.EOF) && offset == size {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("after %d of %d: %w", at, size, err)
+			return fmt.Errorf("after %d of %d bytes: %w", offset, size, err)
 		}
 	}
 }
 
-// slowly reads so much at a time, with a rest now and then.
-type slowly struct {
+// slowReader reads at most 4 KiB at a time, and pauses for 1 ms every 64 reads.
+type slowReader struct {
 	io.Reader
-	n int
+	reads int
 }
 
-func (s *slowly) Read(p []byte) (int, error) {
-	if s.n++; s.n%64 == 0 {
+func (s *slowReader) Read(p []byte) (int, error) {
+	s.reads++
+	if s.reads%64 == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	return s.Reader.Read(p[:min(len(p), 4<<10)])
 }
 
-// backends is a node with the settings of the drain tests, patient, ahead of handlers.
-func (w *site) backends(handlers ...http.HandlerFunc) {
-	for i, h := range handlers {
-		w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: fmt.Sprint("s", i), Addr: testkit.HTTPServer(w.t, h), Zone: "a", Kind: "k", Weight: 1})
+// serveBy puts the handlers behind the node, each as a server, and gives requests a long time.
+func (w *site) serveBy(handlers ...http.HandlerFunc) {
+	for _, handler := range handlers {
+		w.addEndpoint(testkit.HTTPServer(w.t, handler))
 	}
 	w.patient()
 }
 
-// post is a booking with a long body; length -1 sends it in chunks.
-func (w *site) post(ctx context.Context, client *http.Client, class, id string, body io.Reader, length int64) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/api", body)
+func (w *site) addEndpoint(addr string) {
+	id := fmt.Sprint("s", len(w.known.Endpoints))
+	w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+}
+
+// startWithClient starts the node and returns a client. The test's end stops the node and requires it to end well.
+func (w *site) startWithClient() *http.Client {
+	w.t.Helper()
+	stop, ended := w.start()
+	client := &http.Client{Transport: &http.Transport{}}
+	w.t.Cleanup(func() {
+		client.CloseIdleConnections()
+		http.DefaultClient.CloseIdleConnections() // of figures
+		stop()
+		if err := <-ended; err != nil {
+			w.t.Error(err)
+		}
+	})
+	return client
+}
+
+// post sends a request with an idempotency key and a body; a body of length -1 is sent in chunks.
+func (w *site) post(
+	ctx context.Context, client *http.Client, class, id string, body io.Reader, length int64,
+) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/api", body)
 	if err != nil {
 		return nil, err
 	}
-	r.ContentLength = length
-	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Tenant": "t", "X-Deadline-Ms": "30000", "Idempotency-Key": "k" + id} {
-		r.Header.Set(name, v)
+	request.ContentLength = length
+	setRequestHeaders(request, id, class)
+	request.Header.Set("Idempotency-Key", "k"+id)
+	return client.Do(request)
+}
+
+// get sends a request of the class hladanie.
+func (w *site) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api", nil)
+	if err != nil {
+		return nil, err
 	}
-	return client.Do(r)
+	setRequestHeaders(request, id, "hladanie")
+	return client.Do(request)
+}
+
+func setRequestHeaders(request *http.Request, id, class string) {
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Class", class)
+	request.Header.Set("X-Tenant", "t")
+	request.Header.Set("X-Deadline-Ms", "30000")
 }
 
-// A hundred long bodies each way at once, slow on every side, many times what memory holds: all arrive as they were
-// sent, and the heap stays bounded. LONG_MB=32 go test -run HundredLong ./internal/node for the size in service.
-func TestHundredLongBodies(t *testing.T) {
+// TestLongBodies_HundredAtOnce sends a hundred long bodies each way at once, read and written slowly on every side, and
+// many times what the node's memory holds. All arrive as they were sent, and the heap stays bounded. For the size in
+// service: LONG_MB=32 go test -run TestLongBodies ./internal/node
+func TestLongBodies_HundredAtOnce(t *testing.T) {
 	size := int64(256 << 10)
 	if mb, err := strconv.Atoi(os.Getenv("LONG_MB")); err == nil {
 		size = int64(mb) << 20
 	}
-	const calls, bound = 100, 128 << 20 // peers and their buffers live in the same heap
+	const calls = 100
+	const maxHeap = 128 << 20 // clients, servers and their buffers live in the same heap
 	w := newSite(t, 0)
 	w.memoryMB = 32
-	var ran atomic.Int64
+	var executions atomic.Int64
 	serve := func(rw http.ResponseWriter, r *http.Request) {
-		if err := checkPattern(&slowly{Reader: r.Body}, size); err != nil {
+		if err := checkPattern(&slowReader{Reader: r.Body}, size); err != nil {
 			t.Errorf("at the server: %v", err)
 		}
-		ran.Add(1)
+		executions.Add(1)
 		if r.Header.Get("X-Request-Id") < "p5" { // the others come in chunks
 			rw.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 		}
-		_, _ = io.Copy(rw, &pattern{size: size})
+		_, _ = io.Copy(rw, &patternReader{size: size})
 	}
-	w.backends(serve, serve, serve, serve)
-	stop, ended := w.start()
-	var most atomic.Uint64
-	watch, unwatch := context.WithCancel(context.Background())
-	var watching sync.WaitGroup
-	watching.Go(func() {
-		for watch.Err() == nil {
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			most.Store(max(most.Load(), m.HeapInuse))
-			time.Sleep(20 * time.Millisecond)
-		}
-	})
-	client := &http.Client{Transport: &http.Transport{}}
-	var all sync.WaitGroup
+	w.serveBy(serve, serve, serve, serve)
+	client := w.startWithClient()
+	stopWatching := watchHeap()
+	var callers sync.WaitGroup
 	for i := range calls {
-		all.Go(func() {
-			length := size
-			if i%2 == 1 {
-				length = -1
-			}
-			resp, err := w.post(t.Context(), client, "rezervacia", fmt.Sprintf("p%02d", i), &slowly{Reader: &pattern{size: size}}, length)
-			if err != nil {
-				t.Errorf("%d: %v", i, err)
-				return
-			}
-			defer resp.Body.Close()
-			if resp.StatusCode != http.StatusOK {
-				t.Errorf("%d: %d", i, resp.StatusCode)
-			} else if err := checkPattern(&slowly{Reader: resp.Body}, size); err != nil {
-				t.Errorf("%d, the answer: %v", i, err)
-			}
-		})
+		callers.Go(func() { w.exchangeLongBody(client, i, size) })
 	}
-	all.Wait()
-	unwatch()
-	watching.Wait()
-	t.Logf("%d bodies of %d bytes each way, heap %d KiB at most, clients and servers among it", calls, size, most.Load()>>10)
-	if most.Load() > bound {
-		t.Errorf("heap of %d MiB", most.Load()>>20)
+	callers.Wait()
+	heap := stopWatching()
+	t.Logf("%d bodies of %d bytes each way, heap up to %d KiB, with clients and servers", calls, size, heap>>10)
+	if heap > maxHeap {
+		t.Errorf("heap of %d MiB", heap>>20)
 	}
-	if ran.Load() != calls {
-		t.Errorf("%d ran", ran.Load())
+	if n := executions.Load(); n != calls {
+		t.Errorf("%d requests executed, want %d", n, calls)
 	}
-	testkit.Await(t, "the figures", func() bool { return w.figures()["success.rezervacia"] == calls })
+	testkit.Await(t, "the metrics", func() bool { return w.figures()["success.rezervacia"] == calls })
 	if f := w.figures(); f["inflight"] != 0 || f["failure.rezervacia"] != 0 || f["backend_calls"] != calls {
-		t.Errorf("figures %v", f)
+		t.Errorf("metrics %v", f)
+	}
+}
+
+// exchangeLongBody sends a body of the size and checks the answer's; bodies with an odd number are sent in chunks.
+func (w *site) exchangeLongBody(client *http.Client, number int, size int64) {
+	length := size
+	if number%2 == 1 {
+		length = -1
+	}
+	body := &slowReader{Reader: &patternReader{size: size}}
+	resp, err := w.post(w.t.Context(), client, "rezervacia", fmt.Sprintf("p%02d", number), body, length)
+	if err != nil {
+		w.t.Errorf("%d: %v", number, err)
+		return
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		w.t.Errorf("%d: status %d", number, resp.StatusCode)
+	} else if err := checkPattern(&slowReader{Reader: resp.Body}, size); err != nil {
+		w.t.Errorf("%d, the answer: %v", number, err)
 	}
-	client.CloseIdleConnections()
-	http.DefaultClient.CloseIdleConnections()
-	stop()
-	if err := <-ended; err != nil {
-		t.Error(err)
+}
+
+// watchHeap samples the heap until the returned function is called, which returns the largest sample in bytes.
+func watchHeap() (stop func() uint64) {
+	var largest uint64
+	ctx, cancel := context.WithCancel(context.Background())
+	var watcher sync.WaitGroup
+	watcher.Go(func() {
+		for ctx.Err() == nil {
+			var stats runtime.MemStats
+			runtime.ReadMemStats(&stats)
+			largest = max(largest, stats.HeapInuse)
+			time.Sleep(20 * time.Millisecond)
+		}
+	})
+	return func() uint64 {
+		cancel()
+		watcher.Wait()
+		return largest
 	}
 }
 
-// rawServer answers each request by what script does with its connection, once its body has come.
-func (w *site) rawServer(script func(c net.Conn, r *http.Request)) {
-	addr := testkit.RawServer(w.t, func(c net.Conn, in *bufio.Reader) {
+// serveRaw puts a server behind the node that answers each request, once its body has come, by what script does with
+// its connection.
+func (w *site) serveRaw(script func(conn net.Conn, r *http.Request)) {
+	w.addEndpoint(testkit.RawServer(w.t, func(conn net.Conn, in *bufio.Reader) {
 		for {
-			r, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			script(c, r)
+			script(conn, request)
 		}
-	})
-	w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: fmt.Sprint("s", len(w.known.Endpoints)), Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+	}))
 	w.patient()
 }
 
-// Answers that break off behind their first bytes are cut, so that the client can tell; they are never ended as if
-// they were whole, and nobody is asked again. First bytes don't wait for the last.
-func TestAnswersThatBreakOff(t *testing.T) {
+// TestTruncatedAnswer_IsCut has answers break off after their first bytes. The first bytes do not wait for the last,
+// the client can tell that the answer is incomplete, and the request is not retried.
+func TestTruncatedAnswer_IsCut(t *testing.T) {
 	const size = 300 << 10
 	body := string(make([]byte, size/2))
 	for name, head := range map[string]string{
@@ -197,66 +245,49 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSite(t, 0)
-			goOn := make(chan struct{})
-			var ran atomic.Int64
-			w.rawServer(func(c net.Conn, r *http.Request) {
-				ran.Add(1)
-				_, _ = io.WriteString(c, head)
-				<-goOn
-				c.Close()
+			mayClose := make(chan struct{})
+			var executions atomic.Int64
+			w.serveRaw(func(conn net.Conn, _ *http.Request) {
+				executions.Add(1)
+				_, _ = io.WriteString(conn, head)
+				<-mayClose
+				_ = conn.Close()
 			})
-			stop, ended := w.start()
-			client := &http.Client{Transport: &http.Transport{}}
+			client := w.startWithClient()
 			resp, err := w.get(t.Context(), client, "g1")
 			if err != nil {
 				t.Fatal(err)
 			}
+			defer func() { _ = resp.Body.Close() }()
 			if _, err := io.ReadFull(resp.Body, make([]byte, 1000)); err != nil {
 				t.Fatalf("the first bytes: %v", err)
 			}
-			close(goOn)
+			close(mayClose)
 			n, err := io.Copy(io.Discard, resp.Body)
 			if err == nil {
-				t.Errorf("ended as if whole, after %d bytes", n+1000)
+				t.Errorf("ended as if complete, after %d bytes", n+1000)
 			}
-			resp.Body.Close()
 			testkit.Await(t, "the failure to count", func() bool { return w.figures()["failure.hladanie"] == 1 })
-			if f := w.figures(); ran.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
-				t.Errorf("%d ran, figures %v", ran.Load(), f)
+			if f := w.figures(); executions.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
+				t.Errorf("%d requests executed, metrics %v", executions.Load(), f)
 			}
-			client.CloseIdleConnections()
-			http.DefaultClient.CloseIdleConnections()
-			stop()
-			<-ended
 		})
 	}
 }
 
-func (w *site) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api", nil)
-	if err != nil {
-		return nil, err
-	}
-	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "hladanie", "X-Tenant": "t", "X-Deadline-Ms": "30000"} {
-		r.Header.Set(name, v)
-	}
-	return client.Do(r)
-}
-
-// A client that leaves in the midst of a long answer, and one that reads nothing of it: the server's connection is
-// given back, and nothing is left open.
-func TestClientLeavesLongAnswer(t *testing.T) {
+// TestLongAnswer_ClientDisconnects has clients disconnect within a long answer: the node lets go of the server, and
+// nothing is left in flight.
+func TestLongAnswer_ClientDisconnects(t *testing.T) {
 	w := newSite(t, 0)
-	var cut atomic.Int64
-	w.backends(func(rw http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(rw, &pattern{size: 64 << 20}); err != nil {
-			cut.Add(1)
+	var aborted atomic.Int64
+	w.serveBy(func(rw http.ResponseWriter, _ *http.Request) {
+		if _, err := io.Copy(rw, &patternReader{size: 64 << 20}); err != nil {
+			aborted.Add(1)
 		}
 	})
-	stop, ended := w.start()
-	client := &http.Client{Transport: &http.Transport{}}
+	client := w.startWithClient()
 	for i := range 3 {
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		resp, err := w.get(ctx, client, fmt.Sprint("g", i))
 		if err != nil {
 			t.Fatal(err)
@@ -264,108 +295,94 @@
 		if _, err := io.CopyN(io.Discard, resp.Body, 100<<10); err != nil {
 			t.Fatal(err)
 		}
-		leave()
-		resp.Body.Close()
-	}
-	testkit.Await(t, "the servers to be let go", func() bool { return cut.Load() == 3 && w.figures()["inflight"] == 0 })
-	client.CloseIdleConnections()
-	http.DefaultClient.CloseIdleConnections()
-	stop()
-	if err := <-ended; err != nil {
-		t.Error(err)
+		disconnect()
+		_ = resp.Body.Close()
 	}
+	testkit.Await(t, "the servers' answers to be aborted", func() bool {
+		return aborted.Load() == 3 && w.figures()["inflight"] == 0
+	})
 }
 
-// What may be sent again: a body that is held goes whole to the next server where the first turns it away; one that
-// has passed through does not, and its client is refused.
-func TestWhatMayBeRepeated(t *testing.T) {
-	for name, x := range map[string]struct {
-		memoryMB int64
-		want     int
-	}{"held": {64, http.StatusOK}, "passed on": {0, http.StatusServiceUnavailable}} {
+// TestRetry_BufferedBodyOnly has the first server reject a request before it runs. A body that the node has buffered is
+// sent to the next server; one that was passed on as it came is not, and the request is rejected.
+func TestRetry_BufferedBodyOnly(t *testing.T) {
+	for name, test := range map[string]struct {
+		memoryMB   int64
+		wantStatus int
+	}{"buffered": {64, http.StatusOK}, "passed on": {0, http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
 			const size = 600 << 10
 			w := newSite(t, 0)
-			w.memoryMB = x.memoryMB
-			var tries, ran atomic.Int64
+			w.memoryMB = test.memoryMB
+			var attempts, executions atomic.Int64
 			serve := func(rw http.ResponseWriter, r *http.Request) {
 				if err := checkPattern(r.Body, size); err != nil {
 					t.Errorf("at the server: %v", err)
 				}
-				if tries.Add(1) == 1 {
+				if attempts.Add(1) == 1 {
 					rw.Header().Set("X-Not-Run", "1")
 					rw.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
-				ran.Add(1)
+				executions.Add(1)
 			}
-			w.backends(serve, serve)
-			stop, ended := w.start()
-			client := &http.Client{Transport: &http.Transport{}}
-			resp, err := w.post(t.Context(), client, "rezervacia", "p1", &pattern{size: size}, size)
+			w.serveBy(serve, serve)
+			client := w.startWithClient()
+			resp, err := w.post(t.Context(), client, "rezervacia", "p1", &patternReader{size: size}, size)
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
-			if resp.StatusCode != x.want || (ran.Load() == 1) != (x.want == http.StatusOK) {
-				t.Errorf("%d after %d tries, %d ran", resp.StatusCode, tries.Load(), ran.Load())
+			_ = resp.Body.Close()
+			executed := executions.Load() == 1
+			if resp.StatusCode != test.wantStatus || executed != (test.wantStatus == http.StatusOK) {
+				t.Errorf("%d after %d attempts, %d executed", resp.StatusCode, attempts.Load(), executions.Load())
 			}
-			client.CloseIdleConnections()
-			stop()
-			<-ended
 		})
 	}
 }
 
-// A client that sends for longer than its whole deadline, and a body that passes through meanwhile: its time counts
-// from the last byte. One that breaks off has run nowhere.
-func TestSlowUpload(t *testing.T) {
+// TestSlowUpload_TimeCountsFromLastByte has a client send its body for longer than its deadline, while the node
+// passes it on: the deadline counts from the last byte. A body that breaks off is executed nowhere.
+func TestSlowUpload_TimeCountsFromLastByte(t *testing.T) {
+	const pieces, pieceSize = 10, 20 << 10
 	w := newSite(t, 0)
-	w.memoryMB = 0 // a piece is held, and the rest passes through
-	var ran atomic.Int64
-	w.backends(func(rw http.ResponseWriter, r *http.Request) {
-		if n, err := io.Copy(io.Discard, r.Body); err == nil && n == 200<<10 {
-			ran.Add(1)
+	w.memoryMB = 0 // a chunk is buffered, and the rest is passed on
+	var executions atomic.Int64
+	w.serveBy(func(_ http.ResponseWriter, r *http.Request) {
+		if n, err := io.Copy(io.Discard, r.Body); err == nil && n == pieces*pieceSize {
+			executions.Add(1)
 		}
 	})
-	stop, ended := w.start()
-	send := func(id string, whole bool) (status string) {
-		c, err := net.Dial("tcp", w.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: rezervacia\r\nX-Deadline-Ms: 500\r\nContent-Length: %d\r\n\r\n", id, 200<<10)
-		for i := range 10 {
-			if i == 9 && !whole {
-				return ""
-			}
-			_, _ = io.WriteString(c, strings.Repeat("x", 20<<10))
+	w.startWithClient()
+	send := func(id string, sentPieces int) net.Conn {
+		conn := dialClient(t, w.addr)
+		const head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: rezervacia\r\n" +
+			"X-Deadline-Ms: 500\r\nContent-Length: %d\r\n\r\n"
+		_, _ = fmt.Fprintf(conn, head, id, pieces*pieceSize)
+		for range sentPieces {
+			_, _ = io.WriteString(conn, strings.Repeat("x", pieceSize))
 			time.Sleep(100 * time.Millisecond)
 		}
-		line, _, _ := bufio.NewReader(c).ReadLine()
-		return string(line)
+		return conn
 	}
-	if got := send("p1", true); got != "HTTP/1.1 200 OK" || ran.Load() != 1 {
-		t.Errorf("%q, %d ran", got, ran.Load())
+	complete := send("p1", pieces)
+	line, _, err := bufio.NewReader(complete).ReadLine()
+	if string(line) != "HTTP/1.1 200 OK" || executions.Load() != 1 {
+		t.Errorf("%q, %v, %d executed", line, err, executions.Load())
 	}
-	send("p2", false)
+	_ = complete.Close()
+	_ = send("p2", pieces-1).Close()
 	testkit.Await(t, "the one that broke off to end", func() bool { return w.figures()["inflight"] == 0 })
-	if ran.Load() != 1 {
-		t.Errorf("%d ran", ran.Load())
-	}
-	http.DefaultClient.CloseIdleConnections()
-	stop()
-	if err := <-ended; err != nil {
-		t.Error(err)
+	if n := executions.Load(); n != 1 {
+		t.Errorf("%d executed, want 1", n)
 	}
 }
 
-// TestStoppedBodyGetsItsErrorInTime has clients stop in the midst of a body and stay: each gets its error, or the close,
-// within the 3 s that it is owed, wherever it stops. Who has sent a part of a body over 64 KiB may rest for as long as a
-// slow client takes for that part: middleware's tests have the time.
-func TestStoppedBodyGetsItsErrorInTime(t *testing.T) {
-	const owed = 3 * time.Second
+// TestStalledBody_GetsErrorInTime has clients stop within a body and stay: each gets its error, or the close, within
+// 3 s, wherever it stops. A client that has sent a part of a body over 64 KiB may pause for as long as a slow client
+// takes for that part: TestPacedBody_Stall in middleware checks that time.
+func TestStalledBody_GetsErrorInTime(t *testing.T) {
+	const maxDelay = 3 * time.Second
 	for _, length := range []int{9, 20 << 10, 64 << 10, 1 << 20} {
 		for _, sent := range []int{0, 1, length / 2, length - 1} {
 			if length > 64<<10 && sent > 1 {
@@ -373,17 +390,13 @@
 			}
 			t.Run(fmt.Sprintf("%d of %d bytes", sent, length), func(t *testing.T) {
 				t.Parallel()
-				server, addr := runHolding(t, 512, func(l net.Listener) net.Listener { return l })
+				server, addr := runWithHoldingServer(t, 512, func(l net.Listener) net.Listener { return l })
 				close(server.release)
-				conn, err := net.Dial("tcp", addr)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer conn.Close()
-				head := strings.Replace(booking("r", time.Minute), "Length: 0", fmt.Sprint("Length: ", length), 1)
+				conn := dialClient(t, addr)
+				head := strings.Replace(nonIdempotentRequest("r", time.Minute), "Length: 0", fmt.Sprint("Length: ", length), 1)
 				_, _ = io.WriteString(conn, head+strings.Repeat("b", sent))
 				stopped := time.Now()
-				_ = conn.SetReadDeadline(stopped.Add(owed))
+				_ = conn.SetReadDeadline(stopped.Add(maxDelay))
 				if _, err := conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("neither an answer nor a close %v after it stopped", time.Since(stopped))
 				}
--- /dev/null
+++ b/internal/node/clientlistener_test.go
@@ -0,0 +1,89 @@
+package node
+
+import (
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/internal/frontend/secure"
+	"cobaltward/internal/pki"
+)
+
+// newClientPair returns a listener for up to 4 clients and the two ends of one connection.
+func newClientPair(t *testing.T) (*clientListener, net.Conn, *clientConn) {
+	t.Helper()
+	listener := newTestListener(t, 4)
+	client, conn := connectClient(t, listener)
+	return listener, client, conn.(*clientConn)
+}
+
+func newTestListener(t *testing.T, maxConns int) *clientListener {
+	t.Helper()
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener := newClientListener(inner, maxConns)
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// connectClient has a client connect, and returns the two ends.
+func connectClient(t *testing.T, listener *clientListener) (client, conn net.Conn) {
+	t.Helper()
+	client = dialClient(t, listener.Addr().String())
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return client, conn
+}
+
+// TestAccept_SparesSlowHandshakeWhileCoreIsBusy has clients connect by TLS while the core works on handshakes.
+// Closing a handshake that waits for its client would not let them in sooner, so none is closed.
+func TestAccept_SparesSlowHandshakeWhileCoreIsBusy(t *testing.T) {
+	listener := newTestListener(t, 100)
+	var err error
+	if listener.tlsLayer, err = secure.New(secure.Config{Keys: openTestCertificate(t)}); err != nil {
+		t.Fatal(err)
+	}
+	accept := func() *clientConn {
+		_, conn := connectClient(t, listener)
+		return conn.(*tlsClientConn).conn
+	}
+	slow := accept()
+	slow.acceptedAt = slow.acceptedAt.Add(-time.Minute)
+	for range 8 { // in its first moments each counts as one that the core works on
+		accept()
+	}
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	if slow.closed {
+		t.Error("the slow client was evicted")
+	}
+	if listener.open != 9 {
+		t.Errorf("%d connections, want 9", listener.open)
+	}
+}
+
+// openTestCertificate returns a store with a new server certificate for 127.0.0.1.
+func openTestCertificate(t *testing.T) *certificates.Store {
+	t.Helper()
+	dir := t.TempDir()
+	sources := certificates.Sources{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
+	leaf := pki.Year("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	for name, text := range map[string][]byte{sources.Cert: pki.PEM(leaf.Cert), sources.Key: leaf.KeyPEM()} {
+		if err := os.WriteFile(name, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	store, err := certificates.Open(sources, time.Now())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
--- /dev/null
+++ b/internal/node/clientshutdown_test.go
@@ -0,0 +1,166 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"cobaltward/internal/sockets"
+	"cobaltward/internal/testkit"
+)
+
+// TestCloseIdle_RequestArrivesMeanwhile has a request arrive as a drain closes idle connections. Reading and noting
+// are one step, so while the drain looks the bytes are still in the socket, and the connection stays open.
+func TestCloseIdle_RequestArrivesMeanwhile(t *testing.T) {
+	listener, client, conn := newClientPair(t)
+	sendRequestLine(t, client)
+	testkit.Await(t, "the bytes", func() bool { return !sockets.Quiet(conn.TCPConn) })
+	listener.mu.Lock()
+	read := make(chan error, 1)
+	go func() {
+		_, err := conn.Read(make([]byte, 64))
+		read <- err
+	}()
+	if n := len(listener.halfCloseIdleLocked()); n != 0 {
+		t.Errorf("%d connections closed, with a request there", n)
+	}
+	listener.mu.Unlock()
+	if err := testkit.Receive(t, "the read", read); err != nil {
+		t.Errorf("the request is not read: %v", err)
+	}
+}
+
+// TestCloseIdle_RequestArrivesAfterwards has a request arrive behind the close: it is counted, and not served.
+func TestCloseIdle_RequestArrivesAfterwards(t *testing.T) {
+	listener, client, conn := newClientPair(t)
+	listener.mu.Lock()
+	conn.acceptedAt = conn.acceptedAt.Add(-firstRequestGrace)
+	if n := len(listener.halfCloseIdleLocked()); n != 1 {
+		t.Errorf("%d connections closed, want 1", n)
+	}
+	listener.mu.Unlock()
+	sendRequestLine(t, client)
+	if _, err := conn.Read(make([]byte, 64)); !errors.Is(err, io.EOF) {
+		t.Errorf("the request is read all the same: %v", err)
+	}
+	if listener.requestsDuringClose != 1 {
+		t.Errorf("%d requests met the close, want 1", listener.requestsDuringClose)
+	}
+}
+
+// TestCloseIdle_ClientKeepsItsSideOpen has a connection become idle during a drain whose client does not close its
+// side: it ends after closeHandshakeTimeout, whatever read deadline net/http sets for the next request.
+func TestCloseIdle_ClientKeepsItsSideOpen(t *testing.T) {
+	listener, client, conn := newClientPair(t)
+	conn.onStateChange(http.StateActive)
+	listener.closeIdle() // the request is still being answered
+	conn.onStateChange(http.StateIdle)
+	_ = conn.SetReadDeadline(time.Now().Add(time.Hour))
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Fatalf("the node's side is open: %v", err)
+	}
+	ended := make(chan error, 1)
+	go func() {
+		_, err := conn.Read(make([]byte, 1))
+		ended <- err
+	}()
+	netErr := net.Error(nil)
+	if !errors.As(testkit.Receive(t, "the end of the wait", ended), &netErr) || !netErr.Timeout() {
+		t.Error("the wait ended otherwise")
+	}
+}
+
+// TestCloseIdle_SparesNewConnection has a drain close idle connections just after a client has connected.
+func TestCloseIdle_SparesNewConnection(t *testing.T) {
+	t.Run("which sends its first request", func(t *testing.T) {
+		listener, client, conn := newClientPair(t)
+		listener.closeIdle()
+		if conn.halfClosed {
+			t.Error("closed without firstRequestGrace")
+		}
+		sendRequestLine(t, client)
+		if n, err := conn.Read(make([]byte, 64)); n == 0 || err != nil {
+			t.Errorf("its request is not read: %d bytes, %v", n, err)
+		}
+	})
+	t.Run("which sends nothing", func(t *testing.T) {
+		listener, client, _ := newClientPair(t)
+		listener.closeIdle()
+		_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
+		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+			t.Errorf("not closed after firstRequestGrace: %v", err)
+		}
+		if open, busy := listener.connCounts(); open != 1 || busy != 0 {
+			t.Errorf("%d connections, %d busy", open, busy)
+		}
+	})
+	t.Run("until the drain is cancelled", func(t *testing.T) {
+		listener, _, conn := newClientPair(t)
+		listener.closeIdle()
+		listener.keepIdle()
+		listener.recheckIdle()
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		if conn.halfClosed {
+			t.Error("closed, though the drain was cancelled")
+		}
+	})
+}
+
+// TestCloseIdle_PipelinedRequest has two requests be read at once: after the first answer the connection is not idle.
+func TestCloseIdle_PipelinedRequest(t *testing.T) {
+	listener, client, conn := newClientPair(t)
+	const request = "GET / HTTP/1.1\r\n\r\n"
+	if _, err := io.WriteString(client, request+request); err != nil {
+		t.Fatal(err)
+	}
+	for conn.framing.Heads() < 2 {
+		if _, err := conn.Read(make([]byte, 64)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	listener.closeIdle()
+	for i, wantBusy := range []int{1, 0} {
+		conn.onStateChange(http.StateActive)
+		conn.onStateChange(http.StateIdle)
+		if _, busy := listener.connCounts(); busy != wantBusy || conn.halfClosed != (wantBusy == 0) {
+			t.Errorf("after request %d: %d busy, half closed: %v", i, busy, conn.halfClosed)
+		}
+	}
+}
+
+// TestDrainAcceptQueue_AcceptsBeyondBound has a client wait in the accept queue as a full listener closes: it is
+// accepted beyond the bound, and its request is not rejected for that.
+func TestDrainAcceptQueue_AcceptsBeyondBound(t *testing.T) {
+	listener, _, busy := newClientPair(t)
+	listener.setMaxConns(1)
+	noteRequest(busy)
+	dialClient(t, listener.Addr().String())
+	drained := make(chan struct{})
+	go func() {
+		defer close(drained)
+		listener.drainAcceptQueue()
+	}()
+	testkit.Await(t, "the listener to close", listener.isClosed)
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if mustReject(withClientConn(t.Context(), conn)) {
+		t.Error("its requests are rejected as if there were no slot")
+	}
+	if _, err := listener.Accept(); err == nil {
+		t.Error("another connection is accepted")
+	}
+	<-drained
+}
+
+func sendRequestLine(t *testing.T, client net.Conn) {
+	t.Helper()
+	if _, err := io.WriteString(client, "GET / HTTP/1.1\r\n"); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/node/clientslots_test.go
@@ -0,0 +1,93 @@
+package node
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"cobaltward/internal/testkit"
+)
+
+// maxAnswerDelay is the time after a client's deadline from which on its answer counts as lost.
+const maxAnswerDelay = 500 * time.Millisecond
+
+// TestBusyConnections_DelayNoAnswer fills the node's connections with requests that wait for a hung server. A client
+// with a short deadline that connects then still gets a final answer within maxAnswerDelay.
+func TestBusyConnections_DelayNoAnswer(t *testing.T) { testBusyConnections(t, 1) }
+
+// TestBusyConnections_LongDeadlinesDelayNoAnswer is the same where all classes have long deadlines.
+func TestBusyConnections_LongDeadlinesDelayNoAnswer(t *testing.T) { testBusyConnections(t, 8) }
+
+// testBusyConnections multiplies the deadlines of all classes by scale.
+func testBusyConnections(t *testing.T, scale time.Duration) {
+	t.Helper()
+	server, addr := runWithHoldingServerScaled(t, minDescriptors, scale, func(l net.Listener) net.Listener { return l })
+	defer close(server.release)
+	for i := range minDescriptors { // more than the node accepts
+		conn := dialClient(t, addr)
+		_, _ = io.WriteString(conn, nonIdempotentRequest(fmt.Sprint("busy", i), scale*1200*time.Millisecond))
+	}
+	testkit.Await(t, "the first busy request at the server", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return len(server.received) > 0
+	})
+	time.Sleep(50 * time.Millisecond) // nothing shows from outside that the other connections are accepted
+	for i := range 3 {
+		expectAnswer(t, addr, fmt.Sprint("short", i), 100*time.Millisecond)
+	}
+}
+
+// TestPartialHeads_DelayNoAnswer fills the node's connections with clients that stop within a head. A client that
+// connects then gets its final answer in time.
+func TestPartialHeads_DelayNoAnswer(t *testing.T) {
+	testPartialRequests(t, "GET /api HT")
+}
+
+// TestPartialBodies_DelayNoAnswer has them stop within a short or a long body, or within one behind a rejected head.
+func TestPartialBodies_DelayNoAnswer(t *testing.T) {
+	for name, head := range map[string]string{
+		"short": nonIdempotentRequest("half", time.Minute), "long": nonIdempotentRequest("half", time.Minute),
+		"rejected": "POST /x HTTP/1.1\r\nHost: x\r\nX-Class: none\r\nContent-Length: 0\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			length := "Length: 9"
+			if name == "long" {
+				length = "Length: 60000"
+			}
+			testPartialRequests(t, strings.Replace(head, "Length: 0", length, 1)+"half")
+		})
+	}
+}
+
+// testPartialRequests has clients send a part of a request and no more.
+func testPartialRequests(t *testing.T, part string) {
+	t.Helper()
+	server, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
+	close(server.release)
+	for range 2 * minDescriptors {
+		_, _ = io.WriteString(dialClient(t, addr), part) // the node may have closed the connection already
+	}
+	for i := range 5 {
+		expectAnswer(t, addr, fmt.Sprint("well", i), 300*time.Millisecond)
+	}
+}
+
+// expectAnswer sends a request on a new connection and requires some answer within its deadline and maxAnswerDelay.
+func expectAnswer(t *testing.T, addr, id string, deadline time.Duration) {
+	t.Helper()
+	conn := dialClient(t, addr)
+	sent := time.Now()
+	_, _ = io.WriteString(conn, nonIdempotentRequest(id, deadline))
+	_ = conn.SetReadDeadline(sent.Add(deadline + maxAnswerDelay))
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatalf("no answer %v after the request was sent: %v", time.Since(sent), err)
+	}
+	_ = response.Body.Close()
+}
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -2,25 +2,17 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"testing"
 	"time"
 
-	"cobaltward/certificates"
 	"cobaltward/drain"
 	"cobaltward/internal/adminapi"
-	"cobaltward/internal/frontend/secure"
-	"cobaltward/internal/pki"
-	"cobaltward/internal/sockets"
 	"cobaltward/internal/testkit"
 	"cobaltward/router"
 )
@@ -110,90 +102,6 @@
 	}
 }
 
-// oneClient is a listener for clients with one connection, and its two ends.
-func oneClient(t *testing.T) (*clientListener, net.Conn, *clientConn) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := newClientListener(ln, 4)
-	t.Cleanup(func() { l.Close() })
-	client, c := letIn(t, l)
-	return l, client, c.(*clientConn)
-}
-
-// letIn has a client connect, and returns the two ends.
-func letIn(t *testing.T, l *clientListener) (client, c net.Conn) {
-	t.Helper()
-	client, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close() })
-	if c, err = l.Accept(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	return client, c
-}
-
-// A request comes as a drain parts from quiet connections: reading and noting are one step, so while the drain looks the
-// bytes are to be seen, and the connection stays; what comes behind the part crossed it, and is not taken.
-func TestRequestThatCrossesThePart(t *testing.T) {
-	l, client, c := oneClient(t)
-	fmt.Fprint(client, "GET / HTTP/1.1\r\n")
-	testkit.Await(t, "the bytes", func() bool { return !sockets.Quiet(c.TCPConn) })
-	l.mu.Lock()
-	read := make(chan error, 1)
-	go func() {
-		_, err := c.Read(make([]byte, 64))
-		read <- err
-	}()
-	if n := len(l.halfCloseIdleLocked()); n != 0 {
-		t.Errorf("%d connections parted from, with a request there", n)
-	}
-	l.mu.Unlock()
-	if err := testkit.Receive(t, "the read", read); err != nil {
-		t.Errorf("the request is not read: %v", err)
-	}
-
-	l, client, c = oneClient(t)
-	l.mu.Lock()
-	c.acceptedAt = c.acceptedAt.Add(-firstRequestGrace)
-	if n := len(l.halfCloseIdleLocked()); n != 1 {
-		t.Errorf("%d connections parted from", n)
-	}
-	l.mu.Unlock()
-	fmt.Fprint(client, "GET / HTTP/1.1\r\n")
-	if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) {
-		t.Errorf("the request is read all the same: %v", err)
-	}
-	if l.requestsDuringClose != 1 {
-		t.Errorf("%d crossed", l.requestsDuringClose)
-	}
-}
-
-// A connection that turns idle as the intake ends, and whose client does not close its side: it is given up in the time
-// for that, whatever net/http then grants a connection that waits for its next request.
-func TestClientThatStays(t *testing.T) {
-	l, client, c := oneClient(t)
-	c.onStateChange(http.StateActive)
-	l.closeIdle() // the request is still being answered
-	c.onStateChange(http.StateIdle)
-	_ = c.SetReadDeadline(time.Now().Add(time.Hour))
-	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("our side is open: %v", err)
-	}
-	ended := make(chan error, 1)
-	go func() {
-		_, err := c.Read(make([]byte, 1))
-		ended <- err
-	}()
-	if ne := net.Error(nil); !errors.As(testkit.Receive(t, "the end of the wait", ended), &ne) || !ne.Timeout() {
-		t.Error("the wait ended otherwise")
-	}
-}
-
 // A drain that is taken back while clients come again: they are let in at once, by the same address, over old
 // connections that are open still and over new ones.
 func TestCancelledHalfWay(t *testing.T) {
@@ -313,99 +221,3 @@
 	slices.Sort(ratios)
 	t.Logf("p99 with 50 watchers over p99 with none: %.2f", ratios)
 }
-
-// Handshakes that the core works on hold up who comes next, and to close one that waits for its client would make no room:
-// nobody is closed on for them.
-func TestSilentHandshakeIsNotClosedForThoseWorkedOn(t *testing.T) {
-	dir := t.TempDir()
-	from := certificates.Sources{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
-	p := pki.Year("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
-	for name, text := range map[string][]byte{from.Cert: pki.PEM(p.Cert), from.Key: p.KeyPEM()} {
-		if err := os.WriteFile(name, text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	store, err := certificates.Open(from, time.Now())
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := newClientListener(ln, 100)
-	defer l.Close()
-	if l.tlsLayer, err = secure.New(secure.Config{Keys: store}); err != nil {
-		t.Fatal(err)
-	}
-	accept := func() *clientConn {
-		_, c := letIn(t, l)
-		return c.(*tlsClientConn).conn
-	}
-	slow := accept()
-	slow.acceptedAt = slow.acceptedAt.Add(-time.Minute)
-	for range 8 { // each is worked on, as far as anybody knows, for its first moments
-		accept()
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if slow.closed {
-		t.Error("the slow client was closed on")
-	}
-	if l.open != 9 {
-		t.Errorf("%d connections, want 9", l.open)
-	}
-}
-
-// A drain parts from quiet connections as a client has just connected and is about to send its first request: it is left
-// alone for a moment, and its request is read. Who sends nothing is parted from then.
-func TestDrainLeavesAYoungConnectionAlone(t *testing.T) {
-	l, client, c := oneClient(t)
-	l.closeIdle()
-	if c.halfClosed {
-		t.Error("parted from at once")
-	}
-	fmt.Fprint(client, "GET / HTTP/1.1\r\n")
-	if n, err := c.Read(make([]byte, 64)); n == 0 || err != nil {
-		t.Errorf("its request is not read: %d bytes, %v", n, err)
-	}
-
-	l, client, _ = oneClient(t)
-	l.closeIdle()
-	_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
-	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("who sends nothing is not parted from: %v", err)
-	}
-	if open, busy := l.connCounts(); open != 1 || busy != 0 {
-		t.Errorf("%d connections, %d busy", open, busy)
-	}
-
-	l, client, c = oneClient(t)
-	l.closeIdle()
-	l.keepIdle()
-	l.recheckIdle()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if c.halfClosed {
-		t.Error("parted from, though the drain was taken back")
-	}
-}
-
-// A request that was read behind the one before it is no quiet connection: nobody parts from it, or makes room by it.
-func TestRequestReadAheadIsNotPartedFrom(t *testing.T) {
-	l, client, c := oneClient(t)
-	fmt.Fprint(client, "GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n")
-	for c.framing.Heads() < 2 {
-		if _, err := c.Read(make([]byte, 64)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	l.closeIdle()
-	for i, busy := range []int{1, 0} {
-		c.onStateChange(http.StateActive)
-		c.onStateChange(http.StateIdle)
-		if _, b := l.connCounts(); b != busy || c.halfClosed != (busy == 0) {
-			t.Errorf("after request %d: %d busy, parted from: %v", i, b, c.halfClosed)
-		}
-	}
-}
