--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -74,26 +74,26 @@
 }
 
 // serveBy puts the handlers behind the node, each as a server, and gives requests a long time.
-func (w *site) serveBy(handlers ...http.HandlerFunc) {
+func (w *testNode) serveBy(handlers ...http.HandlerFunc) {
 	for _, handler := range handlers {
 		w.addEndpoint(testkit.HTTPServer(w.t, handler))
 	}
-	w.patient()
+	w.allowSlowAnswers()
 }
 
-func (w *site) addEndpoint(addr string) {
-	id := fmt.Sprint("s", len(w.known.Endpoints))
-	w.known.Endpoints = append(w.known.Endpoints, router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+func (w *testNode) addEndpoint(addr string) {
+	id := fmt.Sprint("s", len(w.initialList.Endpoints))
+	w.initialList.Endpoints = append(w.initialList.Endpoints, router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1})
 }
 
 // startWithClient starts the node and returns a client. The test's end stops the node and requires it to end well.
-func (w *site) startWithClient() *http.Client {
+func (w *testNode) startWithClient() *http.Client {
 	w.t.Helper()
 	stop, ended := w.start()
 	client := &http.Client{Transport: &http.Transport{}}
 	w.t.Cleanup(func() {
 		client.CloseIdleConnections()
-		http.DefaultClient.CloseIdleConnections() // of figures
+		http.DefaultClient.CloseIdleConnections() // of metrics
 		stop()
 		if err := <-ended; err != nil {
 			w.t.Error(err)
@@ -103,7 +103,7 @@
 }
 
 // post sends a request with an idempotency key and a body; a body of length -1 is sent in chunks.
-func (w *site) post(
+func (w *testNode) post(
 	ctx context.Context, client *http.Client, class, id string, body io.Reader, length int64,
 ) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/api", body)
@@ -117,7 +117,7 @@
 }
 
 // get sends a request of the class hladanie.
-func (w *site) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
+func (w *testNode) get(ctx context.Context, client *http.Client, id string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api", nil)
 	if err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	}
 	const calls = 100
 	const maxHeap = 128 << 20 // clients, servers and their buffers live in the same heap
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	w.memoryMB = 32
 	var executions atomic.Int64
 	serve := func(rw http.ResponseWriter, r *http.Request) {
@@ -172,14 +172,14 @@
 	if n := executions.Load(); n != calls {
 		t.Errorf("%d requests executed, want %d", n, calls)
 	}
-	testkit.Await(t, "the metrics", func() bool { return w.figures()["success.rezervacia"] == calls })
-	if f := w.figures(); f["inflight"] != 0 || f["failure.rezervacia"] != 0 || f["backend_calls"] != calls {
+	testkit.Await(t, "the metrics", func() bool { return w.metrics()["success.rezervacia"] == calls })
+	if f := w.metrics(); f["inflight"] != 0 || f["failure.rezervacia"] != 0 || f["backend_calls"] != calls {
 		t.Errorf("metrics %v", f)
 	}
 }
 
 // exchangeLongBody sends a body of the size and checks the answer's; bodies with an odd number are sent in chunks.
-func (w *site) exchangeLongBody(client *http.Client, number int, size int64) {
+func (w *testNode) exchangeLongBody(client *http.Client, number int, size int64) {
 	length := size
 	if number%2 == 1 {
 		length = -1
@@ -220,7 +220,7 @@
 
 // serveRaw puts a server behind the node that answers each request, once its body has come, by what script does with
 // its connection.
-func (w *site) serveRaw(script func(conn net.Conn, r *http.Request)) {
+func (w *testNode) serveRaw(script func(conn net.Conn, r *http.Request)) {
 	w.addEndpoint(testkit.RawServer(w.t, func(conn net.Conn, in *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(in)
@@ -230,7 +230,7 @@
 			script(conn, request)
 		}
 	}))
-	w.patient()
+	w.allowSlowAnswers()
 }
 
 // TestTruncatedAnswer_IsCut has answers break off after their first bytes. The first bytes do not wait for the last,
@@ -244,7 +244,7 @@
 		"last chunk": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSite(t, 0)
+			w := newTestNode(t, 0)
 			mayClose := make(chan struct{})
 			var executions atomic.Int64
 			w.serveRaw(func(conn net.Conn, _ *http.Request) {
@@ -267,8 +267,8 @@
 			if err == nil {
 				t.Errorf("ended as if complete, after %d bytes", n+1000)
 			}
-			testkit.Await(t, "the failure to count", func() bool { return w.figures()["failure.hladanie"] == 1 })
-			if f := w.figures(); executions.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
+			testkit.Await(t, "the failure to count", func() bool { return w.metrics()["failure.hladanie"] == 1 })
+			if f := w.metrics(); executions.Load() != 1 || f["success.hladanie"] != 0 || f["inflight"] != 0 {
 				t.Errorf("%d requests executed, metrics %v", executions.Load(), f)
 			}
 		})
@@ -278,7 +278,7 @@
 // TestLongAnswer_ClientDisconnects has clients disconnect within a long answer: the node lets go of the server, and
 // nothing is left in flight.
 func TestLongAnswer_ClientDisconnects(t *testing.T) {
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	var aborted atomic.Int64
 	w.serveBy(func(rw http.ResponseWriter, _ *http.Request) {
 		if _, err := io.Copy(rw, &patternReader{size: 64 << 20}); err != nil {
@@ -299,7 +299,7 @@
 		_ = resp.Body.Close()
 	}
 	testkit.Await(t, "the servers' answers to be aborted", func() bool {
-		return aborted.Load() == 3 && w.figures()["inflight"] == 0
+		return aborted.Load() == 3 && w.metrics()["inflight"] == 0
 	})
 }
 
@@ -312,7 +312,7 @@
 	}{"buffered": {64, http.StatusOK}, "passed on": {0, http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
 			const size = 600 << 10
-			w := newSite(t, 0)
+			w := newTestNode(t, 0)
 			w.memoryMB = test.memoryMB
 			var attempts, executions atomic.Int64
 			serve := func(rw http.ResponseWriter, r *http.Request) {
@@ -345,7 +345,7 @@
 // passes it on: the deadline counts from the last byte. A body that breaks off is executed nowhere.
 func TestSlowUpload_TimeCountsFromLastByte(t *testing.T) {
 	const pieces, pieceSize = 10, 20 << 10
-	w := newSite(t, 0)
+	w := newTestNode(t, 0)
 	w.memoryMB = 0 // a chunk is buffered, and the rest is passed on
 	var executions atomic.Int64
 	w.serveBy(func(_ http.ResponseWriter, r *http.Request) {
@@ -372,7 +372,7 @@
 	}
 	_ = complete.Close()
 	_ = send("p2", pieces-1).Close()
-	testkit.Await(t, "the one that broke off to end", func() bool { return w.figures()["inflight"] == 0 })
+	testkit.Await(t, "the one that broke off to end", func() bool { return w.metrics()["inflight"] == 0 })
 	if n := executions.Load(); n != 1 {
 		t.Errorf("%d executed, want 1", n)
 	}
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -17,16 +17,16 @@
 	"cobaltward/router"
 )
 
-// gate is an app server whose answers wait for the test.
-type gate struct {
-	mu   sync.Mutex
-	open []chan struct{}
+// gatedServer is an app server whose answers wait for the test.
+type gatedServer struct {
+	mu      sync.Mutex
+	waiting []chan struct{}
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *gatedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := make(chan struct{})
 	g.mu.Lock()
-	g.open = append(g.open, c)
+	g.waiting = append(g.waiting, c)
 	g.mu.Unlock()
 	select {
 	case <-c:
@@ -35,40 +35,40 @@
 	}
 }
 
-func (g *gate) held() int {
+func (g *gatedServer) waitingCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.open)
+	return len(g.waiting)
 }
 
-func (g *gate) release() {
+func (g *gatedServer) releaseOldest() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.open[0])
-	g.open = g.open[1:]
+	close(g.waiting[0])
+	g.waiting = g.waiting[1:]
 }
 
-// patient has clients wait for long, and no second copies.
-func (w *site) patient() {
-	for i := range w.set.Classes {
-		w.set.Classes[i].Deadline, w.set.Classes[i].LatencyObjective = 30*time.Second, 20*time.Second
+// allowSlowAnswers has clients wait for long, and no second copies.
+func (w *testNode) allowSlowAnswers() {
+	for i := range w.settings.Classes {
+		w.settings.Classes[i].Deadline, w.settings.Classes[i].LatencyObjective = 30*time.Second, 20*time.Second
 	}
-	w.set.Capabilities.Hedge = false
+	w.settings.Capabilities.Hedge = false
 }
 
 // While requests wait at a server and are let go one by one, a drain's progress counts exactly those that the
 // server still has, to the last; and the drain is through with it.
-func TestProgressIsExact(t *testing.T) {
-	g := new(gate)
-	w := newSite(t, 0)
-	w.known.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.patient()
+func TestDrainStatus_CountsOpenRequestsExactly(t *testing.T) {
+	g := new(gatedServer)
+	w := newTestNode(t, 0)
+	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
+	w.allowSlowAnswers()
 	stop, ended := w.start()
 	const n = 12
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
-	class := w.set.Classes[1]
+	class := w.settings.Classes[1]
 	for i := range n {
 		all.Go(func() {
 			if status, _, err := w.send(client, class, fmt.Sprint("r", i), false); err != nil || status != http.StatusOK {
@@ -76,23 +76,23 @@
 			}
 		})
 	}
-	testkit.Await(t, "all requests at the server", func() bool { return g.held() == n })
-	if code, _ := w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "1m"}); code != http.StatusAccepted {
+	testkit.Await(t, "all requests at the server", func() bool { return g.waitingCount() == n })
+	if code, _ := w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "1m"}); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	for left := n; left > 0; left-- {
 		var s Status
 		testkit.Await(t, fmt.Sprintf("%d in flight", left), func() bool {
-			_, s = w.order(http.MethodGet, "/status", nil)
+			_, s = w.callAdmin(http.MethodGet, "/status", nil)
 			return s.Requests.Open <= left
 		})
 		if s.Requests.Open != left || s.Requests.ByClass["rezervacia"] != left || s.Requests.AttemptsInFlight != left || s.Connections.Busy != left || s.Drain.State.Done() {
 			t.Errorf("%d are at the server; the door says %+v, %+v, %v", left, s.Requests, s.Connections, s.Drain.State)
 		}
-		g.release()
+		g.releaseOldest()
 	}
 	testkit.Await(t, "the end of the drain", func() bool {
-		_, s := w.order(http.MethodGet, "/status", nil)
+		_, s := w.callAdmin(http.MethodGet, "/status", nil)
 		return s.Drain.State == drain.Drained
 	})
 	all.Wait()
@@ -104,31 +104,31 @@
 
 // A drain that is taken back while clients come again: they are let in at once, by the same address, over old
 // connections that are open still and over new ones.
-func TestCancelledHalfWay(t *testing.T) {
-	g := new(gate)
-	w := newSite(t, 0)
-	w.known.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.patient()
+func TestDrainCancel_WhileClosing(t *testing.T) {
+	g := new(gatedServer)
+	w := newTestNode(t, 0)
+	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
+	w.allowSlowAnswers()
 	stop, ended := w.start()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	class := w.set.Classes[0]
+	class := w.settings.Classes[0]
 	for round := range 3 {
 		kept := make(chan int, 1)
 		go func() {
 			status, _, _ := w.send(client, class, fmt.Sprint("long", round), false)
 			kept <- status
 		}()
-		testkit.Await(t, "the request at the server", func() bool { return g.held() == 1 })
-		w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, leaving for 1 s
+		testkit.Await(t, "the request at the server", func() bool { return g.waitingCount() == 1 })
+		w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, leaving for 1 s
 		testkit.Await(t, "the intake ended", func() bool {
-			_, s := w.order(http.MethodGet, "/status", nil)
+			_, s := w.callAdmin(http.MethodGet, "/status", nil)
 			return s.Drain.State == drain.Closing
 		})
-		if code, s := w.order(http.MethodDelete, "/drain", DrainRequest{RequestedBy: "x"}); code != http.StatusOK || s.Drain.State != drain.Serving {
+		if code, s := w.callAdmin(http.MethodDelete, "/drain", DrainRequest{RequestedBy: "x"}); code != http.StatusOK || s.Drain.State != drain.Serving {
 			t.Fatalf("round %d: %d %+v", round, code, s.Drain)
 		}
-		g.release()
+		g.releaseOldest()
 		if status := <-kept; status != http.StatusOK {
 			t.Errorf("round %d: the request that was open: %d", round, status)
 		}
@@ -137,8 +137,8 @@
 			status, _, _ := w.send(client, class, fmt.Sprint("new", round), false)
 			again <- status
 		}()
-		testkit.Await(t, "a new request at the server", func() bool { return g.held() == 1 })
-		g.release()
+		testkit.Await(t, "a new request at the server", func() bool { return g.waitingCount() == 1 })
+		g.releaseOldest()
 		if status := <-again; status != http.StatusOK {
 			t.Errorf("round %d: a new request: %d", round, status)
 		}
@@ -155,16 +155,16 @@
 		t.Skip("figures are made on request")
 	}
 	for _, n := range []int{10, 100, 200} {
-		w := newSite(t, 4)
+		w := newTestNode(t, 4)
 		stop, ended := w.start()
 		ctx, end := context.WithCancel(t.Context())
-		all := w.clients(ctx, n)
+		all := w.startClients(ctx, n)
 		time.Sleep(time.Second)
-		_, s := w.order(http.MethodGet, "/status", nil)
+		_, s := w.callAdmin(http.MethodGet, "/status", nil)
 		began := time.Now()
-		w.order(http.MethodPost, "/drain", DrainRequest{Timeout: "10s"})
+		w.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "10s"})
 		for s.Drain.State != drain.Drained {
-			_, s = w.order(http.MethodGet, "/status", nil)
+			_, s = w.callAdmin(http.MethodGet, "/status", nil)
 			time.Sleep(5 * time.Millisecond)
 		}
 		events := fmt.Sprint(time.Since(began).Round(time.Millisecond))
@@ -174,7 +174,7 @@
 		stop()
 		<-ended
 	}
-	w := newSite(t, 4)
+	w := newTestNode(t, 4)
 	stop, ended := w.start()
 	defer func() { stop(); <-ended }()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
@@ -197,7 +197,7 @@
 	for range 5 {
 		plain := p99()
 		ctx, end := context.WithCancel(t.Context())
-		c, base := adminapi.NewClient(w.sock, "", nil)
+		c, base := adminapi.NewClient(w.adminSocket, "", nil)
 		for range 50 {
 			req, _ := http.NewRequestWithContext(ctx, http.MethodGet, base+"/events", nil)
 			resp, err := c.Do(req)
