--- a/internal/standalone/example.go
+++ b/internal/standalone/example.go
@@ -1,8 +1,8 @@
 package standalone
 
-import _ "embed" // for the example
+import _ "embed" // for Example
 
-// Example is a commented configuration that works as it stands, with two servers on loopback.
+// Example is a commented configuration of a node with two servers on loopback. It works unchanged.
 //
 //go:embed example.toml
 var Example string
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -16,8 +16,7 @@
 	"cobaltward/router"
 )
 
-// headers of the protocol that a request bears once it is routed. What a client sends under these names is not
-// believed.
+// Headers of the protocol. Frontend sets them; class and tenant of a client's request are overwritten.
 const (
 	headerClass    = "X-Class"
 	headerTenant   = "X-Tenant"
@@ -26,103 +25,139 @@
 	headerKey      = "X-Key"
 )
 
-// anonymousFor is how long the name of an anonymous client is kept for after its last request, at the least.
-const anonymousFor = 10 * time.Minute
+// anonymousNameTTL is how long an anonymous client keeps its name after its last request, at least.
+const anonymousNameTTL = 10 * time.Minute
 
-// Frontend turns requests from outside into the protocol's: class by the routes, tenant by the identities, and what
-// a client need not say. Its methods may be called at once from many goroutines.
+// Frontend turns requests of clients into requests of the protocol: the class comes from the routes, the tenant from
+// the identities, and deadline and request ID are added. Its methods may be called from several goroutines at once.
 type Frontend struct {
-	now       atomic.Pointer[tables]
+	tables    atomic.Pointer[tables]
 	anonymous *identity.Anonymous
-	began     time.Time
+	startedAt time.Time
 }
 
-// tables are what a request is looked up in: one request goes by one of them from its beginning to its end.
+// tables are what one request is looked up in; Reload replaces them together.
 type tables struct {
-	routes    *routes.Table
-	who       *identity.Finder
-	deadlines map[string]time.Duration
+	routes     *routes.Table
+	identities *identity.Finder
+	deadlines  map[string]time.Duration // by class
 }
 
-// NewFrontend returns a front by a file that was checked.
-func NewFrontend(f *File) (*Frontend, error) {
-	x := &Frontend{anonymous: identity.NewAnonymous(f.AnonymousNames(), anonymousFor), began: time.Now()}
-	return x, x.Reload(f)
+// NewFrontend returns a frontend by a file that Load has returned.
+func NewFrontend(file *File) (*Frontend, error) {
+	frontend := &Frontend{
+		anonymous: identity.NewAnonymous(file.AnonymousNames(), anonymousNameTTL),
+		startedAt: time.Now(),
+	}
+	return frontend, frontend.Reload(file)
 }
 
-// Reload puts another file in force for requests that come from now on.
-func (x *Frontend) Reload(f *File) error {
-	t := &tables{deadlines: make(map[string]time.Duration)}
+// Reload puts another file in force for further requests. After an error the last file stays in force.
+func (f *Frontend) Reload(file *File) error {
+	loaded := &tables{deadlines: make(map[string]time.Duration)}
 	var err error
-	if t.routes, err = f.RouteTable(); err != nil {
+	if loaded.routes, err = file.RouteTable(); err != nil {
 		return err
 	}
-	if t.who, err = f.IdentityFinder(); err != nil {
+	if loaded.identities, err = file.IdentityFinder(); err != nil {
 		return err
 	}
-	for _, c := range f.Classes {
-		t.deadlines[c.Name] = c.Deadline
+	for _, class := range file.Classes {
+		loaded.deadlines[class.Name] = class.Deadline
 	}
-	x.now.Store(t)
+	f.tables.Store(loaded)
 	return nil
 }
 
-// Handler hands requests on to next, in the protocol's form. ready is a path that goes on as it is.
-func (x *Frontend) Handler(next http.Handler, ready string) http.Handler {
+// Handler returns a handler that passes requests to next in the form of the protocol. A GET of readyPath is passed
+// unchanged.
+func (f *Frontend) Handler(next http.Handler, readyPath string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == ready && r.Method == http.MethodGet {
+		if r.URL.Path == readyPath && r.Method == http.MethodGet {
 			next.ServeHTTP(w, r)
 			return
 		}
-		t := x.now.Load()
 		path, query, _ := strings.Cut(r.RequestURI, "?")
-		if err := routes.CheckPath(path); err != nil { // absolute-form targets and the like, too
-			refuse(w, http.StatusBadRequest, err.Error())
+		if err := routes.CheckPath(path); err != nil { // this includes targets in absolute form
+			reject(w, http.StatusBadRequest, err.Error())
 			return
 		}
-		host := strings.ToLower(r.Host)
-		if h, _, err := net.SplitHostPort(host); err == nil {
-			host = h
-		}
-		peer, _ := netip.ParseAddrPort(r.RemoteAddr) // of a Unix socket there is none
-		found := t.who.Find(&identity.Request{Peer: peer.Addr(), Header: r.Header, Names: secure.Names(r.Context())})
-		tenant := found.Tenant
-		if tenant == "" {
-			tenant = x.anonymous.Name(found.Net, time.Since(x.began))
-		}
-		id := ""
-		if v := r.Header[headerID]; len(v) == 1 && router.ValidID(v[0]) {
-			id = v[0]
-		} else {
-			id = rand.Text()
-		}
-		key := ""
-		if v := r.Header[headerKey]; len(v) == 1 {
-			key = v[0]
-		}
-		n := t.routes.Match(&routes.Request{Host: host, Method: r.Method, Path: path, Query: query, Header: r.Header, Tenant: tenant, Key: key, ID: id})
-		if n < 0 {
-			refuse(w, http.StatusNotFound, "no route takes this request")
+		current := f.tables.Load()
+		tenant, id := f.tenant(current, r), requestID(r)
+		index := current.routes.Match(&routes.Request{
+			Host:   hostname(r),
+			Method: r.Method,
+			Path:   path,
+			Query:  query,
+			Header: r.Header,
+			Tenant: tenant,
+			Key:    singleHeader(r, headerKey),
+			ID:     id,
+		})
+		if index < 0 {
+			reject(w, http.StatusNotFound, "no route takes this request")
 			return
 		}
-		route := t.routes.Route(n)
-		wait := t.deadlines[route.Class]
-		if route.Budget > 0 {
-			wait = min(wait, route.Budget)
-		}
-		if v := r.Header[headerDeadline]; len(v) == 1 { // a client may wait for less
-			if ms, err := strconv.ParseUint(v[0], 10, 32); err == nil && ms > 0 {
-				wait = min(wait, time.Duration(ms)*time.Millisecond)
-			}
-		}
-		r.Header[headerClass], r.Header[headerTenant] = []string{route.Class}, []string{tenant}
-		r.Header[headerID], r.Header[headerDeadline] = []string{id}, []string{strconv.FormatInt(max(1, wait.Milliseconds()), 10)}
+		route := current.routes.Route(index)
+		timeout := requestTimeout(r, route, current.deadlines[route.Class])
+		r.Header[headerClass] = []string{route.Class}
+		r.Header[headerTenant] = []string{tenant}
+		r.Header[headerID] = []string{id}
+		r.Header[headerDeadline] = []string{strconv.FormatInt(max(1, timeout.Milliseconds()), 10)}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// refuse answers what is not to be routed, and ends its connection: a body may follow that nobody reads.
-func refuse(w http.ResponseWriter, status int, what string) {
+// tenant returns the tenant of a request, or an anonymous name.
+func (f *Frontend) tenant(current *tables, r *http.Request) string {
+	peer, _ := netip.ParseAddrPort(r.RemoteAddr) // the zero value for a Unix socket
+	names := secure.Names(r.Context())
+	found := current.identities.Find(&identity.Request{Peer: peer.Addr(), Header: r.Header, Names: names})
+	if found.Tenant != "" {
+		return found.Tenant
+	}
+	return f.anonymous.Name(found.Net, time.Since(f.startedAt))
+}
+
+// requestID returns the ID of a request if it is valid, else a new one.
+func requestID(r *http.Request) string {
+	if id := singleHeader(r, headerID); router.ValidID(id) {
+		return id
+	}
+	return rand.Text()
+}
+
+// requestTimeout returns the deadline of the request's class, shortened by the route and by the client.
+func requestTimeout(r *http.Request, route *routes.Route, timeout time.Duration) time.Duration {
+	if route.Budget > 0 {
+		timeout = min(timeout, route.Budget)
+	}
+	ms, err := strconv.ParseUint(singleHeader(r, headerDeadline), 10, 32)
+	if err == nil && ms > 0 {
+		timeout = min(timeout, time.Duration(ms)*time.Millisecond)
+	}
+	return timeout
+}
+
+// hostname returns the host of a request in lower case, without a port.
+func hostname(r *http.Request) string {
+	host := strings.ToLower(r.Host)
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		return name
+	}
+	return host
+}
+
+// singleHeader returns the value of a header that occurs once, else an empty text.
+func singleHeader(r *http.Request, name string) string {
+	if values := r.Header[name]; len(values) == 1 {
+		return values[0]
+	}
+	return ""
+}
+
+// reject answers a request that is not routed, and closes its connection, since its body is not read.
+func reject(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Connection", "close")
-	http.Error(w, what, status)
+	http.Error(w, message, status)
 }
--- /dev/null
+++ b/internal/standalone/identity.go
@@ -0,0 +1,59 @@
+package standalone
+
+import (
+	"cmp"
+
+	"cobaltward/internal/identity"
+)
+
+const defaultAnonymousNames = 10_000
+
+// Identity says how the tenants of requests are identified.
+type Identity struct {
+	Trusted   []string `toml:"trusted"` // networks of proxies whose header Forwarded is believed
+	Forwarded string   `toml:"forwarded" one:"X-Forwarded-For|Forwarded"`
+	Layers    []Layer  `toml:"layer"`
+	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // names for clients that no layer knows; 0: 10000
+}
+
+// Layer is one way to identify a tenant.
+type Layer struct {
+	By      string            `toml:"by" need:"1" one:"header|cookie|bearer|api_key|address|certificate"`
+	Name    string            `toml:"name"`
+	Secrets map[string]string `toml:"secrets"` // tenant by SHA-256 of the secret, in hexadecimal
+	Nets    map[string]string `toml:"nets"`    // tenant by network
+	Names   map[string]string `toml:"names"`   // tenant by name in the client's certificate
+}
+
+const byCertificate = "certificate"
+
+// layerKinds has the values of the key by.
+var layerKinds = map[string]identity.Kind{
+	"header":      identity.Header,
+	"cookie":      identity.Cookie,
+	"bearer":      identity.Bearer,
+	"api_key":     identity.APIKey,
+	"address":     identity.Address,
+	byCertificate: identity.Certificate,
+}
+
+// IdentityFinder returns the compiled layers.
+func (f *File) IdentityFinder() (*identity.Finder, error) {
+	config := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
+	for _, tenant := range f.Tenants {
+		config.Tenants = append(config.Tenants, tenant.Name)
+	}
+	for _, layer := range f.Identity.Layers {
+		config.Layers = append(config.Layers, identity.Layer{
+			Name:    layer.Name,
+			Secrets: layer.Secrets,
+			Nets:    layer.Nets,
+			Names:   layer.Names,
+			Kind:    layerKinds[layer.By],
+		})
+	}
+	return identity.New(config)
+}
+
+// AnonymousNames returns the number of names for clients that no layer knows.
+func (f *File) AnonymousNames() int { return cmp.Or(f.Identity.Anonymous, defaultAnonymousNames) }
--- /dev/null
+++ b/internal/standalone/route.go
@@ -0,0 +1,130 @@
+package standalone
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"cobaltward/internal/routes"
+	"cobaltward/internal/stricttoml"
+	"cobaltward/router"
+)
+
+// Route is a route: it assigns a class to the requests that it matches.
+type Route struct {
+	Listener string            `toml:"listener"`
+	Host     string            `toml:"host"`
+	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: that of the class
+	Path     string            `toml:"path"`
+	Prefix   string            `toml:"prefix"`
+	Segments string            `toml:"segments"`
+	Regexp   string            `toml:"regexp"`
+	Headers  map[string]string `toml:"headers"` // "*": present with any value; "!": not present
+	Query    map[string]string `toml:"query"`   // as Headers
+	Fraction float64           `toml:"share" min:"0" max:"1"`
+	HashBy   string            `toml:"by" one:"tenant|key|id"` // empty: tenant
+	HashSalt string            `toml:"salt"`
+	Class    string            `toml:"class" need:"1"`
+	Timeout  time.Duration     `toml:"budget" min:"0s" max:"1h"` // 0: the deadline of the class
+}
+
+// Values of routes' headers and query parameters with a meaning of their own.
+const (
+	fieldPresent = "*"
+	fieldMissing = "!"
+)
+
+// RouteTable returns the compiled table of routes. Without routes all requests have the first class.
+func (f *File) RouteTable() (*routes.Table, error) {
+	all := make([]routes.Route, 0, len(f.Routes))
+	for i := range f.Routes {
+		compiled, err := f.compileRoute(i)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, compiled)
+	}
+	if len(all) == 0 {
+		all = []routes.Route{{Class: f.Classes[0].Name}}
+	}
+	table, err := routes.New(all)
+	if err == nil {
+		return table, nil
+	}
+	var invalid *routes.Error
+	if !errors.As(err, &invalid) {
+		return nil, err
+	}
+	message := invalid.What
+	if invalid.Other >= 0 {
+		message += fmt.Sprintf(" line %d", invalid.Before)
+	}
+	key := fmt.Sprintf("route[%d]", invalid.Route)
+	return nil, &stricttoml.Error{Line: invalid.Line, Key: key, Message: message}
+}
+
+// compileRoute returns a route as package routes has it.
+func (f *File) compileRoute(index int) (routes.Route, error) {
+	route, key := f.Routes[index], fmt.Sprintf("route[%d]", index)
+	allowed, methods := f.classMethod(route.Class), route.Methods
+	if len(methods) == 0 {
+		methods = []string{allowed}
+	}
+	for _, method := range methods {
+		if method != allowed {
+			return routes.Route{}, f.lines.Errorf(key+".methods", "class %s allows %s only, since its repeat is %q; got %s",
+				route.Class, allowed, f.class(route.Class).Idempotency, method)
+		}
+	}
+	return routes.Route{
+		Line:     f.lines.At(key),
+		Listener: route.Listener,
+		Host:     route.Host,
+		Methods:  methods,
+		Path:     route.Path,
+		Prefix:   route.Prefix,
+		Segments: route.Segments,
+		Regexp:   route.Regexp,
+		Headers:  toFields(route.Headers),
+		Query:    toFields(route.Query),
+		Share:    route.Fraction,
+		Salt:     route.HashSalt,
+		By:       map[string]routes.By{"key": routes.ByKey, "id": routes.ByID}[route.HashBy],
+		Class:    route.Class,
+		Budget:   route.Timeout,
+	}, nil
+}
+
+// toFields returns conditions on headers or query parameters, sorted by name.
+func toFields(values map[string]string) (fields []routes.Field) {
+	for name, value := range values {
+		field := routes.Field{Name: name, Is: value}
+		switch value {
+		case fieldPresent:
+			field = routes.Field{Name: name, Any: true}
+		case fieldMissing:
+			field = routes.Field{Name: name, Missing: true}
+		}
+		fields = append(fields, field)
+	}
+	slices.SortFunc(fields, func(a, b routes.Field) int { return strings.Compare(a.Name, b.Name) })
+	return fields
+}
+
+// class returns the class with a name, or the zero value.
+func (f *File) class(name string) Class {
+	for _, class := range f.Classes {
+		if class.Name == name {
+			return class
+		}
+	}
+	return Class{}
+}
+
+// classMethod returns the HTTP method of a class.
+func (f *File) classMethod(name string) string {
+	class := f.class(name)
+	return router.Method(class.settings())
+}
--- /dev/null
+++ b/internal/standalone/server.go
@@ -0,0 +1,97 @@
+package standalone
+
+import (
+	"cmp"
+	"fmt"
+	"os"
+	"slices"
+
+	"cobaltward/internal/stricttoml"
+	"cobaltward/policy"
+	"cobaltward/router"
+)
+
+// Server is an app server.
+type Server struct {
+	ID       string   `toml:"id"` // empty: its address
+	Address  string   `toml:"address" need:"1"`
+	Zone     string   `toml:"zone"`
+	Kind     string   `toml:"kind"`
+	Cell     int64    `toml:"cell"`
+	Weight   float64  `toml:"weight" min:"0.001"` // 0: 1
+	Pools    []string `toml:"pools"`
+	Draining bool     `toml:"drain"`
+}
+
+// ServerSource names a further source of servers.
+type ServerSource struct {
+	File string `toml:"file"` // TOML with [[server]]; read again when it changes
+}
+
+// Endpoints returns the servers of the file, and of the file of servers that it names. Their IDs are unique.
+func (f *File) Endpoints() ([]router.Endpoint, error) {
+	endpoints, err := toEndpoints(f.lines, f.Servers)
+	if err != nil || f.ServerSource.File == "" {
+		return endpoints, err
+	}
+	further, err := ReadServers(f.ServersPath())
+	if err != nil {
+		return nil, f.lines.Errorf("servers.file", "%s", err)
+	}
+	for _, endpoint := range further {
+		if hasID(endpoints, endpoint.ID) {
+			return nil, f.lines.Errorf("servers.file", "server %q is defined in this file as well", endpoint.ID)
+		}
+	}
+	return append(endpoints, further...), nil
+}
+
+// ServersPath returns the path of the file of servers; empty if there is none.
+func (f *File) ServersPath() string { return f.resolvePath(f.ServerSource.File) }
+
+// ReadServers reads a file of [[server]] tables. Errors are one line, which names the file, the line and the key.
+func ReadServers(path string) ([]router.Endpoint, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var document struct {
+		Servers []Server `toml:"server"`
+	}
+	lines, err := stricttoml.Decode(text, &document)
+	if err != nil {
+		return nil, fmt.Errorf("%s:%w", path, err)
+	}
+	endpoints, err := toEndpoints(lines, document.Servers)
+	if err != nil {
+		return nil, fmt.Errorf("%s:%w", path, err)
+	}
+	return endpoints, nil
+}
+
+func toEndpoints(lines stricttoml.Lines, servers []Server) ([]router.Endpoint, error) {
+	var endpoints []router.Endpoint
+	for i, server := range servers {
+		endpoint := router.Endpoint{
+			ID:     cmp.Or(server.ID, server.Address),
+			Addr:   server.Address,
+			Zone:   server.Zone,
+			Kind:   server.Kind,
+			Cell:   server.Cell,
+			Weight: cmp.Or(server.Weight, 1),
+			Pools:  server.Pools,
+		}
+		if server.Draining {
+			endpoint.Availability = policy.Draining
+		}
+		if hasID(endpoints, endpoint.ID) {
+			return nil, lines.Errorf(fmt.Sprintf("server[%d]", i), "duplicate server %q", endpoint.ID)
+		}
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints, nil
+}
+
+func hasID(endpoints []router.Endpoint, id string) bool {
+	return slices.ContainsFunc(endpoints, func(endpoint router.Endpoint) bool { return endpoint.ID == id })
+}
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -1,9 +1,9 @@
 package standalone
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
-	"path/filepath"
 	"time"
 
 	"cobaltward/certificates"
@@ -12,27 +12,28 @@
 	"cobaltward/transport/secure"
 )
 
-// TLS is who is spoken to by TLS, and by which keys.
+// TLS is the table [tls]: which connections use TLS, and with which certificates. Zero values of limits mean the
+// defaults of package handshakes.
 type TLS struct {
-	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // between looks at the files; 0: 1s
-	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // before a certificate ends; none: 30 days, 7 days, 1 day
-	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // of a core, for the arithmetic of handshakes while requests are in flight
+	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // between checks of the files; 0: 1 s
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // expiry; empty: 30 days, 7 days, 1 day
+	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // of a core for handshakes, under load
 	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
-	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // handshakes towards all servers
+	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // handshakes with all servers
 	MaxPerServer        int             `toml:"per_server" min:"1" max:"1000"`
-	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // towards one whose process is new
+	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // with a server that has just started
 	Servers             []TLSServers    `toml:"servers"`
 	Clients             *TLSListener    `toml:"clients"`
 	AdminAPI            *TLSListener    `toml:"door"`
 }
 
-// TLSServers is how some app servers are spoken to; the first that fits a server holds for it.
+// TLSServers says how to connect to the servers that it matches. The first match applies.
 type TLSServers struct {
 	IDs   []string `toml:"ids"`
 	Zones []string `toml:"zones"`
 	Pools []string `toml:"pools"`
 	Kinds []string `toml:"kinds"`
-	Plain bool     `toml:"plain"`
+	Plain bool     `toml:"plain"` // without TLS
 	Name  string   `toml:"name"`
 	URIs  []string `toml:"uris"`
 	Pins  []string `toml:"pins"`
@@ -44,10 +45,10 @@
 	CertSDS  string `toml:"cert_sds"`
 
 	ALPN  []string `toml:"alpn"`
-	TLS12 bool     `toml:"tls12"`
+	TLS12 bool     `toml:"tls12"` // allowed
 }
 
-// TLSListener is how clients come in.
+// TLSListener says how a listener uses TLS.
 type TLSListener struct {
 	Dir               string        `toml:"dir"`
 	Cert              string        `toml:"cert"`
@@ -55,122 +56,180 @@
 	Trust             string        `toml:"trust"`
 	TrustSDS          string        `toml:"trust_sds"`
 	CertSDS           string        `toml:"cert_sds"`
-	RequireClientCert bool          `toml:"require"` // a certificate of the client's
-	Tickets           string        `toml:"tickets"` // file of keys, for nodes that share it
-	TLS12             bool          `toml:"tls12"`
+	RequireClientCert bool          `toml:"require"`
+	Tickets           string        `toml:"tickets"` // file of session ticket keys, for nodes that share it
+	TLS12             bool          `toml:"tls12"`   // allowed
 	HandshakeTimeout  time.Duration `toml:"timeout" min:"100ms" max:"1m"`
 }
 
-// NodeTLS is what the table [tls] asks for, with its files read; nil where there is none. Errors name the line.
+const defaultTLSPollInterval = time.Second
+
+// defaultExpiryWarnings returns how long before a certificate's expiry the node warns.
+func defaultExpiryWarnings() []time.Duration {
+	const day = 24 * time.Hour
+	return []time.Duration{30 * day, 7 * day, day}
+}
+
+// NodeTLS reads the files that the table [tls] names, and returns the node's configuration of TLS. Without the table it
+// is nil. Errors name the line.
 func (f *File) NodeTLS(now time.Time) (*node.TLS, error) {
-	t := f.TLS
-	if t == nil {
+	table := f.TLS
+	if table == nil {
 		return nil, nil
 	}
-	c := &node.TLS{
-		CheckInterval: or(t.PollInterval, time.Second), ExpiryWarnings: t.WarnBefore, CPUShare: t.CPUShare, ServerHandshakeTimeout: t.HandshakeTimeout,
-		HandshakeLimits: handshakes.Limits{MaxConcurrent: t.MaxConcurrent, MaxPerServer: t.MaxPerServer, MaxPerWarmingServer: t.MaxPerWarmingServer},
+	config := &node.TLS{
+		CheckInterval:          cmp.Or(table.PollInterval, defaultTLSPollInterval),
+		ExpiryWarnings:         table.WarnBefore,
+		CPUShare:               table.CPUShare,
+		ServerHandshakeTimeout: table.HandshakeTimeout,
+		HandshakeLimits: handshakes.Limits{
+			MaxConcurrent:       table.MaxConcurrent,
+			MaxPerServer:        table.MaxPerServer,
+			MaxPerWarmingServer: table.MaxPerWarmingServer,
+		},
 	}
-	if len(c.ExpiryWarnings) == 0 {
-		c.ExpiryWarnings = []time.Duration{30 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
+	if len(config.ExpiryWarnings) == 0 {
+		config.ExpiryWarnings = defaultExpiryWarnings()
 	}
-	open := stores{now: now, at: func(name string) string {
-		if name == "" || filepath.IsAbs(name) {
-			return name
-		}
-		return filepath.Join(filepath.Dir(f.path), name)
-	}, known: make(map[certificates.Sources]*certificates.Store), secrets: make(map[string]*certificates.Store)}
-	for i, s := range t.Servers {
-		at := fmt.Sprintf("tls.servers[%d]", i)
-		r := secure.Rule{Servers: s.IDs, Zones: s.Zones, Pools: s.Pools, Kinds: s.Kinds, Plain: s.Plain, Name: s.Name, URIs: s.URIs, Pins: s.Pins, TLS12: s.TLS12, ALPN: s.ALPN}
-		var err error
-		if r.Trust, err = open.store(certificates.Sources{Trust: s.Trust}, s.TrustSDS); err != nil {
-			return nil, f.lines.Errorf(at+".trust", "%s", err)
-		}
-		if r.Own, err = open.store(certificates.Sources{Cert: s.Cert, Key: s.Key}, s.CertSDS); err != nil {
-			return nil, f.lines.Errorf(at+".cert", "%s", err)
-		}
-		if err := r.Check(); err != nil {
-			return nil, f.lines.Errorf(at, "%s", err)
+	stores := newStoreSet(f, now)
+	for i, servers := range table.Servers {
+		rule, err := f.serverRule(stores, fmt.Sprintf("tls.servers[%d]", i), servers)
+		if err != nil {
+			return nil, err
 		}
-		c.ServerRules = append(c.ServerRules, r)
+		config.ServerRules = append(config.ServerRules, rule)
 	}
-	for _, l := range []struct {
-		at   string
+	for _, listener := range []struct {
+		key  string
 		from *TLSListener
 		to   **node.TLSListener
-	}{{"tls.clients", t.Clients, &c.Clients}, {"tls.door", t.AdminAPI, &c.AdminAPI}} {
-		if l.from == nil {
+	}{{"tls.clients", table.Clients, &config.Clients}, {"tls.door", table.AdminAPI, &config.AdminAPI}} {
+		if listener.from == nil {
 			continue
 		}
 		var err error
-		if *l.to, err = open.listener(l.from); err != nil {
-			return nil, f.lines.Errorf(l.at, "%s", err)
+		if *listener.to, err = stores.openListener(listener.from); err != nil {
+			return nil, f.lines.Errorf(listener.key, "%s", err)
 		}
 	}
-	if len(c.ServerRules) == 0 && c.Clients == nil && c.AdminAPI == nil {
+	if len(config.ServerRules) == 0 && config.Clients == nil && config.AdminAPI == nil {
 		return nil, f.lines.Errorf("tls", "neither servers, nor clients, nor the door: the table does nothing")
 	}
-	c.Stores, c.Secrets = open.all, open.secrets
-	return c, nil
+	config.Stores, config.Secrets = stores.all, stores.bySecret
+	return config, nil
+}
+
+// serverRule returns the rule for connections to servers.
+func (f *File) serverRule(stores *storeSet, key string, servers TLSServers) (secure.Rule, error) {
+	rule := secure.Rule{
+		Servers: servers.IDs,
+		Zones:   servers.Zones,
+		Pools:   servers.Pools,
+		Kinds:   servers.Kinds,
+		Plain:   servers.Plain,
+		Name:    servers.Name,
+		URIs:    servers.URIs,
+		Pins:    servers.Pins,
+		TLS12:   servers.TLS12,
+		ALPN:    servers.ALPN,
+	}
+	var err error
+	if rule.Trust, err = stores.open(certificates.Sources{Trust: servers.Trust}, servers.TrustSDS); err != nil {
+		return rule, f.lines.Errorf(key+".trust", "%s", err)
+	}
+	own := certificates.Sources{Cert: servers.Cert, Key: servers.Key}
+	if rule.Own, err = stores.open(own, servers.CertSDS); err != nil {
+		return rule, f.lines.Errorf(key+".cert", "%s", err)
+	}
+	if err := rule.Check(); err != nil {
+		return rule, f.lines.Errorf(key, "%s", err)
+	}
+	return rule, nil
 }
 
-// stores opens each source once.
-type stores struct {
-	now     time.Time
-	at      func(string) string
-	known   map[certificates.Sources]*certificates.Store
-	all     []*certificates.Store
-	secrets map[string]*certificates.Store
+// storeSet opens each source of certificates once.
+type storeSet struct {
+	file      *File // relative paths begin at its directory
+	now       time.Time
+	all       []*certificates.Store
+	bySources map[certificates.Sources]*certificates.Store
+	bySecret  map[string]*certificates.Store
 }
 
-// store is the one of files, or of a secret; nil where neither is named.
-func (o *stores) store(from certificates.Sources, secret string) (*certificates.Store, error) {
+func newStoreSet(file *File, now time.Time) *storeSet {
+	return &storeSet{
+		file:      file,
+		now:       now,
+		bySources: make(map[certificates.Sources]*certificates.Store),
+		bySecret:  make(map[string]*certificates.Store),
+	}
+}
+
+// open returns the store of files, or of a secret of the control plane; nil if neither is named.
+func (s *storeSet) open(sources certificates.Sources, secret string) (*certificates.Store, error) {
 	if secret != "" {
-		if from != (certificates.Sources{}) {
+		if sources != (certificates.Sources{}) {
 			return nil, fmt.Errorf("want either files or the secret %q, got both", secret)
 		}
-		if o.secrets[secret] == nil {
-			o.secrets[secret] = certificates.Handed()
-			o.all = append(o.all, o.secrets[secret])
-		}
-		return o.secrets[secret], nil
+		return s.openSecret(secret), nil
 	}
-	from = certificates.Sources{Dir: o.at(from.Dir), Cert: o.at(from.Cert), Key: o.at(from.Key), Trust: o.at(from.Trust)}
-	if from == (certificates.Sources{}) {
+	sources = certificates.Sources{
+		Dir:   s.file.resolvePath(sources.Dir),
+		Cert:  s.file.resolvePath(sources.Cert),
+		Key:   s.file.resolvePath(sources.Key),
+		Trust: s.file.resolvePath(sources.Trust),
+	}
+	if sources == (certificates.Sources{}) {
 		return nil, nil
 	}
-	if s := o.known[from]; s != nil {
-		return s, nil
+	if store := s.bySources[sources]; store != nil {
+		return store, nil
 	}
-	s, err := certificates.Open(from, o.now)
+	store, err := certificates.Open(sources, s.now)
 	if err != nil {
 		return nil, err
 	}
-	o.known[from] = s
-	o.all = append(o.all, s)
-	return s, nil
+	s.bySources[sources] = store
+	s.all = append(s.all, store)
+	return store, nil
 }
 
-func (o *stores) listener(l *TLSListener) (*node.TLSListener, error) {
-	k, err := o.store(certificates.Sources{Dir: l.Dir, Cert: l.Cert, Key: l.Key}, l.CertSDS)
+// openSecret returns the store of a secret, which is empty until the control plane sends it.
+func (s *storeSet) openSecret(secret string) *certificates.Store {
+	if s.bySecret[secret] == nil {
+		s.bySecret[secret] = certificates.Handed()
+		s.all = append(s.all, s.bySecret[secret])
+	}
+	return s.bySecret[secret]
+}
+
+// openListener returns the configuration of a listener.
+func (s *storeSet) openListener(from *TLSListener) (*node.TLSListener, error) {
+	own, err := s.open(certificates.Sources{Dir: from.Dir, Cert: from.Cert, Key: from.Key}, from.CertSDS)
 	if err != nil {
 		return nil, err
 	}
-	trust, err := o.store(certificates.Sources{Trust: l.Trust}, l.TrustSDS)
+	clientCAs, err := s.open(certificates.Sources{Trust: from.Trust}, from.TrustSDS)
 	switch {
 	case err != nil:
 		return nil, err
-	case k == nil:
+	case own == nil:
 		return nil, errors.New("no certificate: name cert and key, dir, or cert_sds")
-	case l.RequireClientCert && trust == nil:
-		return nil, errors.New("require: by which authorities do clients prove who they are? Name trust")
+	case from.RequireClientCert && clientCAs == nil:
+		return nil, errors.New("require: want trust, the authorities of client certificates")
 	}
-	c := &node.TLSListener{Certificates: k, ClientCAs: trust, RequireClientCert: l.RequireClientCert, AllowTLS12: l.TLS12, HandshakeTimeout: l.HandshakeTimeout}
-	if l.Tickets != "" {
-		if c.Tickets, err = certificates.OpenTickets(o.at(l.Tickets)); err != nil {
-			return nil, err
-		}
+	listener := &node.TLSListener{
+		Certificates:      own,
+		ClientCAs:         clientCAs,
+		RequireClientCert: from.RequireClientCert,
+		AllowTLS12:        from.TLS12,
+		HandshakeTimeout:  from.HandshakeTimeout,
+	}
+	if from.Tickets == "" {
+		return listener, nil
+	}
+	if listener.Tickets, err = certificates.OpenTickets(s.file.resolvePath(from.Tickets)); err != nil {
+		return nil, err
 	}
-	return c, nil
+	return listener, nil
 }
