--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -113,7 +113,7 @@
 // applyCertificates has all layers use the certificates that are in the stores now.
 func (s *nodeTLS) applyCertificates() {
 	if s.serverLayer != nil {
-		s.serverLayer.Reloaded()
+		s.serverLayer.InvalidateTrust()
 	}
 	for _, layer := range s.listenerLayers() {
 		layer.Retake()
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -122,26 +122,26 @@
 // serverRule returns the rule for connections to servers.
 func (f *File) serverRule(stores *storeSet, key string, servers TLSServers) (secure.Rule, error) {
 	rule := secure.Rule{
-		Servers: servers.IDs,
-		Zones:   servers.Zones,
-		Pools:   servers.Pools,
-		Kinds:   servers.Kinds,
-		Plain:   servers.Plain,
-		Name:    servers.Name,
-		URIs:    servers.URIs,
-		Pins:    servers.Pins,
-		TLS12:   servers.TLS12,
-		ALPN:    servers.ALPN,
+		Servers:       servers.IDs,
+		Zones:         servers.Zones,
+		Pools:         servers.Pools,
+		Kinds:         servers.Kinds,
+		Plaintext:     servers.Plain,
+		ServerName:    servers.Name,
+		URIs:          servers.URIs,
+		PublicKeyPins: servers.Pins,
+		AllowTLS12:    servers.TLS12,
+		ALPN:          servers.ALPN,
 	}
 	var err error
 	if rule.Trust, err = stores.open(certificates.Sources{Trust: servers.Trust}, servers.TrustSDS); err != nil {
 		return rule, f.lines.Errorf(key+".trust", "%s", err)
 	}
 	own := certificates.Sources{Cert: servers.Cert, Key: servers.Key}
-	if rule.Own, err = stores.open(own, servers.CertSDS); err != nil {
+	if rule.ClientCertificate, err = stores.open(own, servers.CertSDS); err != nil {
 		return rule, f.lines.Errorf(key+".cert", "%s", err)
 	}
-	if err := rule.Check(); err != nil {
+	if err := rule.Validate(); err != nil {
 		return rule, f.lines.Errorf(key, "%s", err)
 	}
 	return rule, nil
