--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -34,9 +34,9 @@
 
 // openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, since the next request can
 // use its connection: errClientGone is returned then, and the reservation is no longer the caller's.
-func (t *Transport) openForRequest(ctx context.Context, s *server) (*conn, error) {
+func (t *Transport) openForRequest(ctx context.Context, srv *server) (*conn, error) {
 	if t.tls == nil {
-		return t.open(ctx, ctx, s, true)
+		return t.open(ctx, ctx, srv, true)
 	}
 	type result struct {
 		conn *conn
@@ -44,7 +44,7 @@
 	}
 	opened := make(chan result, 1)
 	t.preconnects.Go(func() {
-		c, err := t.open(ctx, t.ctx, s, true)
+		c, err := t.open(ctx, t.ctx, srv, true)
 		opened <- result{c, err}
 	})
 	select {
@@ -56,7 +56,7 @@
 		if r := <-opened; r.err != nil {
 			t.unreserve()
 		} else {
-			t.release(r.conn, s.ID, true)
+			t.release(r.conn, srv.ID, true)
 		}
 	})
 	return nil, errClientGone
@@ -64,31 +64,31 @@
 
 // open opens a connection; forRequest says that a request waits for it. A handshake that is still queued ends with
 // queueCtx, and a running one with ctx.
-func (t *Transport) open(queueCtx, ctx context.Context, s *server, forRequest bool) (*conn, error) {
+func (t *Transport) open(queueCtx, ctx context.Context, srv *server, forRequest bool) (*conn, error) {
 	var idle *conn
 	dial := func() (*net.TCPConn, error) {
-		if idle = t.takeInstead(s, forRequest); idle != nil {
+		if idle = t.takeInstead(srv, forRequest); idle != nil {
 			return nil, errIdleConnAvailable
 		}
-		return t.dialTCP(ctx, s.Addr)
+		return t.dialTCP(ctx, srv.Addr)
 	}
-	c := &conn{server: s}
+	opened := &conn{server: srv}
 	var err error
-	endpoint := t.endpointOf(s)
+	endpoint := t.endpointOf(srv)
 	if t.tls == nil || !t.tls.UsesTLS(&endpoint) {
-		c.tcp, err = dial()
+		opened.tcp, err = dial()
 	} else if err = t.tls.CheckTrusted(&endpoint); err == nil {
-		c.tls, err = t.tls.Handshake(queueCtx, ctx, &endpoint, forRequest, dial)
+		opened.tls, err = t.tls.Handshake(queueCtx, ctx, &endpoint, forRequest, dial)
 	}
 	switch {
 	case idle != nil:
 		return idle, nil
 	case err != nil:
 		return nil, err
-	case c.tls != nil:
-		c.tcp = c.tls.TCP()
+	case opened.tls != nil:
+		opened.tcp = opened.tls.TCP()
 	}
-	return c, nil
+	return opened, nil
 }
 
 func (t *Transport) dialTCP(ctx context.Context, addr string) (*net.TCPConn, error) {
--- a/transport/http1/head_test.go
+++ b/transport/http1/head_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// heads are seeds: forms that the quick reader takes, and forms that it must leave alone.
+// heads are heads of the plainest form, then heads that readPlainHead has to reject.
 var heads = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	"HTTP/1.1 200 OK\r\ncontent-length:2\r\nConnection: close\r\n\r\nok",
@@ -42,10 +42,11 @@
 	"",
 }
 
-// agree says where the quick reader takes a head otherwise than net/http does.
-func agree(t *testing.T, raw []byte) {
+// checkAgreement compares readPlainHead with net/http.
+func checkAgreement(t *testing.T, raw []byte) {
+	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(raw))
-	h, ok := readPlainHead(in)
+	head, ok := readPlainHead(in)
 	if !ok {
 		if rest, _ := in.Peek(len(raw)); len(raw) <= 4096 && !bytes.Equal(rest, raw) {
 			t.Errorf("%q: left alone, but some of it was consumed", raw)
@@ -55,18 +56,19 @@
 	other := bufio.NewReader(bytes.NewReader(raw))
 	resp, err := http.ReadResponse(other, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		t.Fatalf("%q: taken as %+v, though net/http says %v", raw, h, err)
+		t.Fatalf("%q: taken as %+v, though net/http says %v", raw, head, err)
 	}
-	if resp.StatusCode != h.status || resp.ContentLength != int64(h.length) || resp.Close != h.closeAfter ||
-		len(resp.TransferEncoding) != 0 || resp.Header.Get("Content-Type") != h.contentType ||
-		resp.Header.Get("X-Load") != h.loadReport || (resp.Header.Get("X-Not-Run") == "1") != h.notRun {
-		t.Errorf("%q: taken as %+v, net/http has %d, length %d, close %v, header %v", raw, h, resp.StatusCode,
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != head.status || resp.ContentLength != int64(head.length) || resp.Close != head.closeAfter ||
+		len(resp.TransferEncoding) != 0 || resp.Header.Get("Content-Type") != head.contentType ||
+		resp.Header.Get("X-Load") != head.loadReport || (resp.Header.Get("X-Not-Run") == "1") != head.notRun {
+		t.Errorf("%q: taken as %+v, net/http has %d, length %d, close %v, header %v", raw, head, resp.StatusCode,
 			resp.ContentLength, resp.Close, resp.Header)
 	}
-	mine, _ := in.Peek(in.Buffered())
-	theirs, _ := other.Peek(other.Buffered())
-	if !bytes.Equal(mine, theirs) {
-		t.Errorf("%q: the body begins at %q, with net/http at %q", raw, mine, theirs)
+	gotBody, _ := in.Peek(in.Buffered())
+	wantBody, _ := other.Peek(other.Buffered())
+	if !bytes.Equal(gotBody, wantBody) {
+		t.Errorf("%q: the body begins at %q, with net/http at %q", raw, gotBody, wantBody)
 	}
 }
 
@@ -74,11 +76,11 @@
 	for _, h := range heads {
 		f.Add([]byte(h))
 	}
-	f.Fuzz(func(t *testing.T, raw []byte) { agree(t, raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { checkAgreement(t, raw) })
 }
 
-// What is odd is left to net/http, and what is plain is not.
-func TestQuickReaderTakesThePlainFormOnly(t *testing.T) {
+// TestReadPlainHead_AcceptsPlainFormOnly checks that only the first five seeds are of the plainest form.
+func TestReadPlainHead_AcceptsPlainFormOnly(t *testing.T) {
 	for i, raw := range heads {
 		_, ok := readPlainHead(bufio.NewReader(strings.NewReader(raw)))
 		if want := i < 5; ok != want {
--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -48,22 +48,22 @@
 func (t *Transport) reserve(id string, forRequest bool) (*server, *conn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.servers.Get(id)
-	if s == nil {
+	srv := t.servers.Get(id)
+	if srv == nil {
 		return nil, nil, errUnknownServer
 	}
 	now := time.Now()
 	if forRequest {
-		s.State.lastRequest = now
+		srv.State.lastRequest = now
 	}
-	if c := t.takeIdle(s, now); c != nil {
-		return s, c, nil
+	if c := t.takeIdle(srv, now); c != nil {
+		return srv, c, nil
 	}
 	if t.openConns >= t.maxConns && !t.closeOldestOfAll() {
 		return nil, nil, errNoConnection
 	}
 	t.openConns++
-	return s, nil, nil
+	return srv, nil, nil
 }
 
 // unreserve gives back the count of a connection that was not opened.
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -29,8 +29,8 @@
 	return a
 }
 
-// run reads until the body ends or, after close, until the next read returns. The creator has to make sure that the body
-// ends, or its connection.
+// run reads until the body ends or, after close, until the next read returns. The creator has to make sure that the
+// body ends, or its connection.
 func (a *readAhead) run() {
 	chunk := make([]byte, readAheadChunk)
 	for {
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -34,9 +34,9 @@
 	serverID  string
 }
 
-// readResponse reads one response, within bounds on its head and on the body bytes that are held. A body that is longer,
-// or of unknown length and slow, becomes a stream where r accepts one. A response whose body does not fit its framing is
-// malformed, and so is one followed by bytes that do not begin another response, since they may belong to its body.
+// readResponse reads one response, within bounds on its head and on the body bytes that are held. A body that is
+// longer, or of unknown length and slow, becomes a stream where r accepts one. A response whose body does not fit its
+// framing is malformed, and so is one followed by bytes that do not begin another response: they may be of its body.
 func (t *Transport) readResponse(in *bufio.Reader, c *conn, server string, r *router.Request) (response, error) {
 	limit := &io.LimitedReader{R: c, N: maxHeadBytes}
 	in.Reset(limit)
@@ -61,7 +61,7 @@
 			return rd.readFixedLength(head, r.AcceptsStream)
 		}
 	}
-	head, httpResp, err := readHead(rd.in, rd.limit, r.Method)
+	head, httpResp, err := readHead(rd.in, rd.limit, r.Method) //nolint:bodyclose // the connection is closed or reused
 	if err != nil {
 		return response{}, err
 	}
--- a/transport/http1/roundtrip.go
+++ b/transport/http1/roundtrip.go
@@ -18,7 +18,7 @@
 // Attempt sends r to the server once, and waits for the complete response until ctx ends. The end of ctx closes the
 // connection, by which the server learns that the request was cancelled.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
-	c, err := t.acquire(ctx, server)
+	connection, err := t.acquire(ctx, server)
 	switch {
 	case errors.Is(err, errNoConnection) && ctx.Err() == nil:
 		return router.Result{Code: policy.Superseded} // nothing was sent, and the server is not at fault
@@ -27,8 +27,8 @@
 	case err != nil:
 		return router.Result{Code: failureCode(ctx, err, false)}
 	}
-	stop := afterFunc(ctx, func() { _ = c.Close() })
-	result, reusable := t.roundTrip(ctx, c, server, r)
+	stop := afterFunc(ctx, func() { _ = connection.Close() })
+	result, reusable := t.roundTrip(ctx, connection, server, r)
 	if stream := result.Answer.Stream; stream != nil {
 		if stop() {
 			return result
@@ -36,7 +36,7 @@
 		_ = stream.Close() // the attempt was cancelled as its response began
 		return router.Result{Code: failureCode(ctx, net.ErrClosed, true)}
 	}
-	t.release(c, server, stop() && reusable)
+	t.release(connection, server, stop() && reusable)
 	return result
 }
 
@@ -50,14 +50,14 @@
 
 // roundTrip writes r and reads its response. reusable reports whether the connection can serve another request.
 func (t *Transport) roundTrip(
-	ctx context.Context, c *conn, server string, r *router.Request,
+	ctx context.Context, connection *conn, server string, r *router.Request,
 ) (result router.Result, reusable bool) {
-	if failure, sent, reusable := t.send(ctx, c, r); !sent {
+	if failure, sent, reusable := t.send(ctx, connection, r); !sent {
 		return failure, reusable
 	}
 	t.written.Add(1)
 	in := t.readers.Get().(*bufio.Reader)
-	resp, err := t.readResponse(in, c, server, r)
+	resp, err := t.readResponse(in, connection, server, r)
 	if resp.stream == nil {
 		in.Reset(nil)
 		t.readers.Put(in)
@@ -70,26 +70,28 @@
 
 // send writes r. Unless sent is set, its last byte was not written: the server cannot have run it, failure says how the
 // attempt ended, and reusable whether the connection can serve another request.
-func (t *Transport) send(ctx context.Context, c *conn, r *router.Request) (failure router.Result, sent, reusable bool) {
+func (t *Transport) send(
+	ctx context.Context, connection *conn, r *router.Request,
+) (failure router.Result, sent, reusable bool) {
 	out := t.writers.Get().(*bytes.Buffer)
 	defer t.writers.Put(out)
 	out.Reset()
-	if !writeRequest(ctx, out, c.server.Addr, r) {
+	if !writeRequest(ctx, out, connection.server.Addr, r) {
 		return router.Result{Code: policy.Superseded}, false, true // no server would accept it
 	}
 	// This goroutine may not have run for some time since the attempt was decided on.
-	if err := t.checkSendable(ctx, c.server); err != nil {
+	if err := t.checkSendable(ctx, connection.server); err != nil {
 		reusable = errors.Is(err, errServerDraining) || errors.Is(err, outcome.ErrAbandoned)
 		return router.Result{Code: failureCode(ctx, err, false)}, false, reusable
 	}
-	if !c.isTrusted(time.Now()) {
+	if !connection.isTrusted(time.Now()) {
 		return router.Result{Code: policy.Untrusted}, false, false
 	}
 	if r.Upload != nil {
-		failure, sent = t.upload(ctx, c, out, r)
+		failure, sent = t.upload(ctx, connection, out, r)
 		return failure, sent, false
 	}
-	if _, err := c.Write(out.Bytes()); err != nil {
+	if _, err := connection.Write(out.Bytes()); err != nil {
 		return router.Result{Code: failureCode(ctx, err, false)}, false, false
 	}
 	return router.Result{}, true, false
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -26,22 +26,24 @@
 // upload writes a request head and a body that is still being received. Unless sent is set, the last byte was not
 // written: the server cannot have run the request, and failure says how the attempt ended.
 func (t *Transport) upload(
-	ctx context.Context, c *conn, head *bytes.Buffer, r *router.Request,
+	ctx context.Context, connection *conn, head *bytes.Buffer, r *router.Request,
 ) (failure router.Result, sent bool) {
 	body, err := r.Upload.Open()
 	if err != nil {
 		return router.Result{Code: policy.Superseded}, false // the server is not at fault
 	}
-	defer func() { _ = c.SetWriteDeadline(time.Time{}) }()
-	_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
-	if _, err := c.Write(head.Bytes()); err != nil {
-		return earlyResponse(ctx, c, err), false
+	defer func() { _ = connection.SetWriteDeadline(time.Time{}) }()
+	_ = connection.SetWriteDeadline(time.Now().Add(stallTimeout))
+	if _, err := connection.Write(head.Bytes()); err != nil {
+		return earlyResponse(ctx, connection, err), false
 	}
-	return uploadBody(ctx, c, body, r.Upload.Length())
+	return uploadBody(ctx, connection, body, r.Upload.Length())
 }
 
 // uploadBody writes a body of a length, or in the chunked coding where that is negative.
-func uploadBody(ctx context.Context, c *conn, body io.Reader, length int64) (failure router.Result, sent bool) {
+func uploadBody(
+	ctx context.Context, connection *conn, body io.Reader, length int64,
+) (failure router.Result, sent bool) {
 	chunked := length < 0
 	chunk := uploadChunks.Get().(*[uploadChunkSize]byte)
 	defer uploadChunks.Put(chunk)
@@ -51,16 +53,16 @@
 		if remaining == 0 && n == 0 {
 			return router.Result{}, true // the last byte is written already, and the response may be there
 		}
-		if !c.isIdle() {
-			return earlyResponse(ctx, c, errEarlyResponse), false
+		if !connection.isIdle() {
+			return earlyResponse(ctx, connection, errEarlyResponse), false
 		}
 		isLast := errors.Is(err, io.EOF) || !chunked && remaining == 0
 		if err != nil && !isLast {
 			return router.Result{Code: policy.Superseded}, false // the client disconnected, or the body is lost
 		}
-		_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
-		if err := writeBodyChunk(c, chunk[:n], chunked, isLast); err != nil {
-			return earlyResponse(ctx, c, err), false
+		_ = connection.SetWriteDeadline(time.Now().Add(stallTimeout))
+		if err := writeBodyChunk(connection, chunk[:n], chunked, isLast); err != nil {
+			return earlyResponse(ctx, connection, err), false
 		}
 		if isLast {
 			return router.Result{}, true
