--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,7 +7,7 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is how long a status is shown again: many clients that poll cost as much as one.
+// statusMaxAge is for how long a status is cached, so that many polling clients cost as much as one.
 const statusMaxAge = 100 * time.Millisecond
 
 // statusVersion is the version of Status.
@@ -101,7 +101,7 @@
 func (a *adminAPI) connectionCounts(stats router.Stats) ConnectionCounts {
 	counts := ConnectionCounts{Servers: stats.ServerConns}
 	counts.Clients, counts.Busy = a.engine.ClientConnections()
-	counts.ClosedForDrain, counts.RetriedByClients = a.intake.partings()
+	counts.ClosedForDrain, counts.RetriedByClients = a.intake.idleCloseCounts()
 	return counts
 }
 
