--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -28,7 +28,7 @@
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
 		servers + "trust = \"bad.pem\"\n":                   "bad.pem: it ends in the midst of a block",
 		servers + "cert = \"cert.pem\"\n":                   "10: tls.servers[0].cert: a certificate and its key go together",
-		servers + "plain = true\npins = [\"a\"]\n":          "9: tls.servers[0]: plain: servers that are spoken to without TLS prove nothing",
+		servers + "plain = true\npins = [\"a\"]\n":          "9: tls.servers[0]: plain: servers without TLS cannot be verified",
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
 		servers + "trust = \"ca.pem\"\ncolour = 1\n":        "11: tls.servers[0].colour: unknown key",
 		clients + "require = true\n":                        "tls.clients: require: by which authorities",
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"time"
 
@@ -70,7 +69,7 @@
 		if idle = t.takeInstead(srv, forRequest); idle != nil {
 			return nil, errIdleConnAvailable
 		}
-		return t.dialTCP(ctx, srv.Addr)
+		return secure.DialTCP(ctx, &t.dialer, srv.Addr)
 	}
 	opened := &conn{server: srv}
 	var err error
@@ -91,18 +90,6 @@
 	return opened, nil
 }
 
-func (t *Transport) dialTCP(ctx context.Context, addr string) (*net.TCPConn, error) {
-	netConn, err := t.dialer.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	tcp, ok := netConn.(*net.TCPConn)
-	if !ok {
-		return nil, errors.Join(fmt.Errorf("dial %s: got a %T, want a TCP connection", addr, netConn), netConn.Close())
-	}
-	return tcp, nil
-}
-
 // takeInstead takes a connection that became idle while a request was queued for its handshake. It replaces the
 // connection that was counted for the request.
 func (t *Transport) takeInstead(s *server, forRequest bool) *conn {
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -97,7 +97,7 @@
 }
 
 // stopHolding lowers the bound, since nothing is held back from now on. It reports whether anything has been read.
-func (a *readAhead) stopHolding() (hasBegun bool) {
+func (a *readAhead) stopHolding() (hasData bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.bound = readAheadChunk
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -138,7 +138,7 @@
 		_ = rd.conn.SetReadDeadline(time.Time{})
 		return body, nil, err
 	}
-	if hasBegun := ahead.stopHolding(); !hasBegun {
+	if hasData := ahead.stopHolding(); !hasData {
 		if err := ahead.awaitFirstByte(); err != nil {
 			<-ended
 			return nil, nil, err
--- /dev/null
+++ b/transport/secure/client.go
@@ -0,0 +1,221 @@
+// Package secure is TLS on connections to servers. It decides which servers use TLS and how each is verified, limits
+// handshakes, resumes sessions, and rechecks servers that failed verification. Transports pass it the connections that
+// they open.
+package secure
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"cobaltward/handshakes"
+	"cobaltward/router"
+)
+
+// DefaultHandshakeTimeout is the default of Config.HandshakeTimeout.
+const DefaultHandshakeTimeout = time.Second
+
+// ErrTooManyHandshakes is the error of a handshake for which there is no place in the queue. Nothing was sent, and the
+// server is not at fault.
+var ErrTooManyHandshakes = errors.New("handshake queue is full")
+
+// Config configures a ClientTLS.
+type Config struct {
+	Rules            []Rule // the first rule that matches a server applies; servers without a rule use no TLS
+	Limits           handshakes.Limits
+	SlowStart        time.Duration // the time that a server process is warming up
+	HandshakeTimeout time.Duration // 0: DefaultHandshakeTimeout
+	ConnectTimeout   time.Duration // of a connection that is opened to recheck a server; 0: HandshakeTimeout
+	CPU              *handshakes.CPUScheduler
+	// OnTrustChange is called when a server becomes untrusted or trusted. It must not block, nor call the ClientTLS.
+	OnTrustChange func(server string, untrusted bool)
+	Log           *slog.Logger // nil: none
+}
+
+// ClientTLS is the client side of TLS towards servers. Its methods may be called concurrently.
+type ClientTLS struct {
+	config    Config
+	startedAt time.Time
+	stop      chan struct{}
+	tasks     sync.WaitGroup
+
+	notifyMu sync.Mutex // serializes calls of OnTrustChange, so that the last one is right
+
+	mu        sync.Mutex
+	servers   map[string]*server // as UpdateServer named them
+	limiter   *handshakes.Limiter
+	admitted  map[*handshakes.Reservation]chan struct{} // of queued handshakes; closed when the handshake may start
+	untrusted *handshakes.UntrustedBackoff
+	verified  map[verificationKey]validity
+	counters  counters
+	closed    bool
+}
+
+// server is one process of one server.
+type server struct {
+	endpoint                router.Endpoint
+	rule                    *Rule
+	tickets                 sessionTickets
+	certificateSerial       string // of the certificate that the server presented last, in hexadecimal
+	certificateExpiry       time.Time
+	listedAt                time.Time // when the endpoint list first named the process
+	ownCertificate          string    // digest of the certificate of this node that was last seen
+	ownCertificateChangedAt time.Time
+}
+
+// New returns a ClientTLS. The caller has to close it. Errors name a rule by its index.
+func New(config Config) (*ClientTLS, error) {
+	for i := range config.Rules {
+		if err := config.Rules[i].Validate(); err != nil {
+			return nil, fmt.Errorf("rule %d: %w", i, err)
+		}
+	}
+	if config.HandshakeTimeout <= 0 {
+		config.HandshakeTimeout = DefaultHandshakeTimeout
+	}
+	if config.ConnectTimeout <= 0 {
+		config.ConnectTimeout = config.HandshakeTimeout
+	}
+	if config.OnTrustChange == nil {
+		config.OnTrustChange = func(string, bool) {}
+	}
+	if config.Log == nil {
+		config.Log = slog.New(slog.DiscardHandler)
+	}
+	client := &ClientTLS{
+		config:    config,
+		startedAt: time.Now(),
+		stop:      make(chan struct{}),
+		servers:   make(map[string]*server),
+		limiter:   handshakes.NewLimiter(config.Limits),
+		admitted:  make(map[*handshakes.Reservation]chan struct{}),
+		untrusted: handshakes.NewUntrustedBackoff(),
+		verified:  make(map[verificationKey]validity),
+		counters:  newCounters(),
+	}
+	client.tasks.Go(client.recheckUntrusted)
+	return client, nil
+}
+
+// Close ends rechecks. Open connections remain open.
+func (l *ClientTLS) Close() {
+	l.mu.Lock()
+	first := !l.closed
+	l.closed = true
+	l.mu.Unlock()
+	if first {
+		close(l.stop)
+	}
+	l.tasks.Wait()
+}
+
+// now returns the time since the start, by the monotonic clock.
+func (l *ClientTLS) now() time.Duration { return time.Since(l.startedAt) }
+
+// ruleFor returns the rule of a server that uses TLS; nil for others.
+func (l *ClientTLS) ruleFor(endpoint *router.Endpoint) *Rule {
+	for i := range l.config.Rules {
+		rule := &l.config.Rules[i]
+		if !rule.matches(endpoint) {
+			continue
+		}
+		if rule.Plaintext {
+			return nil
+		}
+		return rule
+	}
+	return nil
+}
+
+// UsesTLS reports whether a server uses TLS.
+func (l *ClientTLS) UsesTLS(endpoint *router.Endpoint) bool { return l.ruleFor(endpoint) != nil }
+
+// CheckTrusted returns an *UntrustedError if the server failed verification and was not verified since.
+func (l *ClientTLS) CheckTrusted(endpoint *router.Endpoint) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if reason, untrusted := l.untrusted.Reason(endpoint.ID); untrusted {
+		return &UntrustedError{reason, "not verified since"}
+	}
+	return nil
+}
+
+// UpdateServer applies an entry of the endpoint list. State is kept for each server until RemoveServer.
+func (l *ClientTLS) UpdateServer(endpoint router.Endpoint) {
+	rule := l.ruleFor(&endpoint)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if known := l.servers[endpoint.ID]; known != nil && known.rule == rule {
+		if !known.endpoint.Started.Equal(endpoint.Started) {
+			known.listedAt = time.Now()
+		}
+		known.endpoint = endpoint
+		return
+	}
+	if rule != nil {
+		l.servers[endpoint.ID] = newServer(&endpoint, rule)
+	}
+}
+
+func newServer(endpoint *router.Endpoint, rule *Rule) *server {
+	_, ownCertificate := rule.digests()
+	return &server{endpoint: *endpoint, rule: rule, listedAt: time.Now(), ownCertificate: ownCertificate}
+}
+
+// RemoveServer drops the state of a server that was removed from the endpoint list, or replaced by another process.
+func (l *ClientTLS) RemoveServer(id string) {
+	l.mu.Lock()
+	delete(l.servers, id)
+	_, wasUntrusted := l.untrusted.Reason(id)
+	l.untrusted.Forget(id)
+	l.mu.Unlock()
+	if wasUntrusted {
+		l.notifyTrust(id)
+	}
+}
+
+// isWarmingUp reports whether the process of an endpoint may still be warming up, counted from when the list first
+// named it: its start by the wall clock is of no use where the clock was stepped.
+func (l *ClientTLS) isWarmingUp(endpoint *router.Endpoint) bool {
+	if l.config.SlowStart <= 0 || endpoint.Started.IsZero() {
+		return false
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	known := l.servers[endpoint.ID]
+	isListed := known != nil && known.endpoint.Started.Equal(endpoint.Started)
+	return !isListed || time.Since(known.listedAt) < l.config.SlowStart
+}
+
+// serverFor returns the process of an endpoint, or a temporary one where the list names another process by now.
+func (l *ClientTLS) serverFor(endpoint *router.Endpoint, rule *Rule) *server {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	known := l.servers[endpoint.ID]
+	if known != nil && known.rule == rule && known.endpoint.Addr == endpoint.Addr &&
+		known.endpoint.Started.Equal(endpoint.Started) {
+		return known
+	}
+	return newServer(endpoint, rule)
+}
+
+// notifyTrust reports the current state of a server to OnTrustChange.
+func (l *ClientTLS) notifyTrust(id string) {
+	l.notifyMu.Lock()
+	defer l.notifyMu.Unlock()
+	l.mu.Lock()
+	_, untrusted := l.untrusted.Reason(id)
+	l.mu.Unlock()
+	l.config.OnTrustChange(id, untrusted)
+}
+
+// InvalidateTrust drops cached verifications and rechecks all untrusted servers soon. It has to be called when
+// certificates or authorities of a rule were reloaded.
+func (l *ClientTLS) InvalidateTrust() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	clear(l.verified)
+	l.untrusted.RecheckAll(l.now())
+}
--- /dev/null
+++ b/transport/secure/handshake.go
@@ -0,0 +1,190 @@
+package secure
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"cobaltward/handshakes"
+	"cobaltward/router"
+)
+
+// Handshake opens a TLS connection to a server over a TCP connection that dial opens. While the handshake is queued it
+// ends with queueCtx, and afterwards with ctx. urgent says that a request waits for it. An *UntrustedError means that
+// the server failed verification.
+func (l *ClientTLS) Handshake(
+	queueCtx, ctx context.Context, endpoint *router.Endpoint, urgent bool, dial func() (*net.TCPConn, error),
+) (*Conn, error) {
+	slot := &handshakes.Reservation{
+		Server:      endpoint.ID,
+		WarmingUp:   l.isWarmingUp(endpoint),
+		Speculative: !urgent,
+	}
+	if err := l.acquireSlot(queueCtx, slot); err != nil {
+		return nil, err
+	}
+	defer l.releaseSlot(slot)
+	tcp, err := dial()
+	if err != nil {
+		return nil, err
+	}
+	rule := l.ruleFor(endpoint)
+	srv := l.serverFor(endpoint, rule)
+	conn := &Conn{client: l, endpoint: *endpoint, rule: rule, server: srv}
+	if err := conn.handshake(ctx, tcp, urgent); err != nil {
+		_ = tcp.Close()
+		return nil, l.recordFailure(endpoint, srv, err)
+	}
+	l.recordSuccess(conn)
+	return conn, nil
+}
+
+// acquireSlot waits until a handshake may start.
+func (l *ClientTLS) acquireSlot(ctx context.Context, slot *handshakes.Reservation) error {
+	l.mu.Lock()
+	switch l.limiter.Acquire(slot) {
+	case handshakes.Proceed:
+		l.mu.Unlock()
+		return nil
+	case handshakes.Reject:
+		l.counters.rejected++
+		l.mu.Unlock()
+		return ErrTooManyHandshakes
+	}
+	admitted := make(chan struct{})
+	l.admitted[slot] = admitted
+	l.counters.queued++
+	l.mu.Unlock()
+	select {
+	case <-admitted:
+		return nil
+	case <-ctx.Done():
+		l.releaseSlot(slot)
+		return ctx.Err()
+	}
+}
+
+// releaseSlot ends a reservation, and admits queued handshakes in its place.
+func (l *ClientTLS) releaseSlot(slot *handshakes.Reservation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.admitted, slot)
+	for _, next := range l.limiter.Release(slot) {
+		close(l.admitted[next])
+		delete(l.admitted, next)
+	}
+}
+
+// handshake runs the handshake over a TCP connection.
+func (c *Conn) handshake(ctx context.Context, tcp *net.TCPConn, urgent bool) error {
+	startedAt := time.Now()
+	deadline := startedAt.Add(c.client.config.HandshakeTimeout)
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
+		deadline = ctxDeadline
+	}
+	_ = tcp.SetDeadline(deadline)
+	c.raw = handshakes.NewConn(tcp, c.client.config.CPU, urgent, deadline, ctx.Done())
+	c.trustDigest, c.ownCertificate = c.rule.digests()
+	if err := c.raw.BeginCompute(); err != nil {
+		return err
+	}
+	c.tls = tls.Client(c.raw, c.tlsConfig())
+	err := c.tls.HandshakeContext(ctx)
+	computeTime := c.raw.EndHandshake()
+	if err != nil {
+		return err
+	}
+	_ = tcp.SetDeadline(time.Time{})
+	c.state = c.tls.ConnectionState()
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	c.client.counters.countHandshake(c.state.DidResume, time.Since(startedAt), computeTime)
+	return nil
+}
+
+func (c *Conn) tlsConfig() *tls.Config {
+	config := &tls.Config{
+		ServerName: c.rule.serverName(&c.endpoint),
+		NextProtos: c.rule.ALPN,
+		MinVersion: tls.VersionTLS13,
+		// crypto/tls verifies names and authorities alone, and does not verify resumed sessions: VerifyConnection does.
+		InsecureSkipVerify: true,
+		VerifyConnection: func(state tls.ConnectionState) (err error) {
+			c.validity, err = c.client.verify(c.rule, &c.endpoint, state.PeerCertificates)
+			return err
+		},
+		ClientSessionCache: &sessionCache{
+			tickets:        &c.server.tickets,
+			trustDigest:    c.trustDigest,
+			ownCertificate: c.ownCertificate,
+		},
+	}
+	if c.rule.AllowTLS12 {
+		config.MinVersion = tls.VersionTLS12
+	}
+	if c.rule.ClientCertificate != nil {
+		certificate := new(tls.Certificate) // none, if the store has none yet
+		if pair := c.rule.ClientCertificate.Set().For(""); pair != nil {
+			certificate = &pair.Cert
+		}
+		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return certificate, nil
+		}
+	}
+	return config
+}
+
+// recordSuccess records that the server of a connection passed verification.
+func (l *ClientTLS) recordSuccess(conn *Conn) {
+	id, srv := conn.endpoint.ID, conn.server
+	l.mu.Lock()
+	// A process that is no longer listed proves nothing about its successor.
+	recovered := l.servers[id] == srv && l.untrusted.RecordSuccess(id)
+	srv.certificateSerial = conn.state.PeerCertificates[0].SerialNumber.Text(16)
+	srv.certificateExpiry = conn.validity.notAfter
+	l.mu.Unlock()
+	if recovered {
+		l.config.Log.Info("tls: server is trusted again", "server", id)
+		l.notifyTrust(id)
+	}
+}
+
+// recordFailure counts a failed handshake, and makes its server untrusted if that failed verification. It returns the
+// error with its type.
+func (l *ClientTLS) recordFailure(endpoint *router.Endpoint, srv *server, err error) error {
+	err = classifyError(err)
+	var untrusted *UntrustedError
+	first := false
+	l.mu.Lock()
+	if errors.As(err, &untrusted) {
+		l.counters.countFailure(untrusted.Reason)
+		if l.servers[endpoint.ID] == srv { // else it was removed, or replaced by another process
+			first = l.untrusted.RecordFailure(l.now(), endpoint.ID, untrusted.Reason)
+		}
+	} else {
+		l.counters.countFailure(connectionFailure(err))
+	}
+	l.mu.Unlock()
+	if first {
+		l.config.Log.Warn("tls: server failed verification, sending it no requests",
+			"server", endpoint.ID, "why", untrusted)
+		l.notifyTrust(endpoint.ID)
+	}
+	return err
+}
+
+// DialTCP opens a TCP connection, as Handshake needs it.
+func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return nil, errors.Join(fmt.Errorf("dial %s: got a %T, want a TCP connection", addr, conn), conn.Close())
+	}
+	return tcp, nil
+}
--- /dev/null
+++ b/transport/secure/rule.go
@@ -0,0 +1,110 @@
+package secure
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+
+	"cobaltward/certificates"
+	"cobaltward/router"
+)
+
+// Rule says whether some servers use TLS, and how they are verified.
+type Rule struct {
+	// The servers to which the rule applies, by ID, zone, pool and kind. An empty list matches all.
+	Servers, Zones, Pools, Kinds []string
+
+	Plaintext bool // the servers use no TLS
+	// ServerName is the name in the server's certificate, where {id} and {zone} stand for the server's. Empty means the
+	// host of its address.
+	ServerName string
+	// URIs replaces ServerName: the server's certificate has one of them. A * at the end stands for any suffix.
+	URIs          []string
+	PublicKeyPins []string // SHA-256 of public keys in hexadecimal; the server has one of them
+	AllowTLS12    bool
+	ALPN          []string
+
+	Trust             *certificates.Store // authorities; nil if the pins suffice
+	ClientCertificate *certificates.Store // the certificate of this node; nil: none
+}
+
+// Validate returns the first error of a rule.
+func (r *Rule) Validate() error {
+	if r.Plaintext {
+		if r.Trust != nil || r.ClientCertificate != nil || len(r.PublicKeyPins) > 0 || len(r.URIs) > 0 ||
+			r.ServerName != "" {
+			return errors.New("plain: servers without TLS cannot be verified")
+		}
+		return nil
+	}
+	if r.Trust == nil && len(r.PublicKeyPins) == 0 {
+		return errors.New("trust: missing: want authorities or pins by which servers are verified")
+	}
+	if r.ServerName != "" && len(r.URIs) > 0 {
+		return errors.New("uris: servers are verified by name or by URI, not by both")
+	}
+	for _, uri := range r.URIs {
+		if !isURIPattern(uri) {
+			return fmt.Errorf("uris: want a URI as in spiffe://domain/path, with a * at its end at most, got %q", uri)
+		}
+	}
+	for _, pin := range r.PublicKeyPins {
+		if raw, err := hex.DecodeString(pin); err != nil || len(raw) != sha256.Size {
+			return fmt.Errorf("pins: want SHA-256 in 64 hexadecimal digits, got %q", pin)
+		}
+	}
+	return nil
+}
+
+// isURIPattern reports whether a URI has a scheme and more behind it than wildcards, and no * but at its end.
+func isURIPattern(uri string) bool {
+	scheme, path, ok := strings.Cut(uri, "://")
+	hasInnerWildcard := strings.Contains(strings.TrimSuffix(uri, "*"), "*")
+	return ok && scheme != "" && strings.Trim(path, "*/") != "" && !hasInnerWildcard
+}
+
+// matchesURI reports whether a URI matches a pattern of Rule.URIs.
+func matchesURI(pattern, uri string) bool {
+	if prefix, ok := strings.CutSuffix(pattern, "*"); ok {
+		return strings.HasPrefix(uri, prefix) && len(uri) > len(prefix)
+	}
+	return pattern == uri
+}
+
+// matches reports whether the rule applies to a server.
+func (r *Rule) matches(endpoint *router.Endpoint) bool {
+	contains := func(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
+	inPools := func(pool string) bool { return slices.Contains(r.Pools, pool) }
+	return contains(r.Servers, endpoint.ID) &&
+		contains(r.Zones, endpoint.Zone) &&
+		contains(r.Kinds, endpoint.Kind) &&
+		(len(r.Pools) == 0 || slices.ContainsFunc(endpoint.Pools, inPools))
+}
+
+// serverName returns the name in a server's certificate.
+func (r *Rule) serverName(endpoint *router.Endpoint) string {
+	if r.ServerName != "" {
+		return strings.NewReplacer("{id}", endpoint.ID, "{zone}", endpoint.Zone).Replace(r.ServerName)
+	}
+	host, _, err := net.SplitHostPort(endpoint.Addr)
+	if err != nil {
+		return endpoint.Addr
+	}
+	return host
+}
+
+// digests returns the digests of the authorities and of the certificate of this node. Sessions are resumed only under
+// the same digests.
+func (r *Rule) digests() (trust, ownCertificate string) {
+	if r.Trust != nil {
+		trust = r.Trust.Set().Digest
+	}
+	if r.ClientCertificate != nil {
+		ownCertificate = r.ClientCertificate.Set().Own
+	}
+	return trust, ownCertificate
+}
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -9,80 +9,91 @@
 	"cobaltward/handshakes"
 )
 
-// counters are under the layer's mutex.
+// counters are guarded by the mutex of their ClientTLS.
 type counters struct {
 	full, resumed    handshakes.Histogram
 	rejected, queued uint64
-	failures         map[string]uint64
+	failures         map[string]uint64 // by reason
 }
 
 func newCounters() counters { return counters{failures: make(map[string]uint64)} }
 
-func (c *counters) countFailure(why string) { c.failures[why]++ } // of few reasons
+func (c *counters) countFailure(reason string) { c.failures[reason]++ }
 
-func (c *counters) countHandshake(resumed bool, took, worked time.Duration) {
+func (c *counters) countHandshake(resumed bool, duration, computeTime time.Duration) {
 	if resumed {
-		c.resumed.Observe(took, worked)
+		c.resumed.Observe(duration, computeTime)
 	} else {
-		c.full.Observe(took, worked)
+		c.full.Observe(duration, computeTime)
 	}
 }
 
-// ServerStatus is what a server showed last.
+// ServerStatus is the state of one server.
 type ServerStatus struct {
 	Server            string    `json:"server"`
-	CertificateSerial string    `json:"serial,omitempty"`
+	CertificateSerial string    `json:"serial,omitempty"` // of the last handshake, in hexadecimal
 	CertificateExpiry time.Time `json:"ends,omitzero"`
-	UntrustedReason   string    `json:"refused,omitempty"` // why it gets nothing
-	Rechecks          int       `json:"looks,omitempty"`
+	UntrustedReason   string    `json:"refused,omitempty"` // empty: trusted
+	Rechecks          int       `json:"looks,omitempty"`   // that failed since
 	UntrustedMs       int64     `json:"refused_for_ms,omitempty"`
 }
 
-// Stats is how the layer stands.
+// Stats is a snapshot of a ClientTLS.
 type Stats struct {
 	Full        handshakes.Histogram `json:"full"`
 	Resumed     handshakes.Histogram `json:"resumed"`
-	Failures    map[string]uint64    `json:"failures,omitempty"` // by reason
+	Failures    map[string]uint64    `json:"failures,omitempty"` // handshakes by reason
 	Running     int                  `json:"going"`              // handshakes
-	Queued      int                  `json:"waiting"`
-	TotalQueued uint64               `json:"waited"`      // handshakes that had to
-	Rejected    uint64               `json:"turned_away"` // since too many waited
-	Sessions    int                  `json:"sessions"`    // kept
-	Untrusted   int                  `json:"refused"`     // servers that get nothing
-	Servers     []ServerStatus       `json:"peers,omitempty"`
+	Queued      int                  `json:"waiting"`            // handshakes
+	TotalQueued uint64               `json:"waited"`             // handshakes that were queued so far
+	Rejected    uint64               `json:"turned_away"`        // handshakes
+	Sessions    int                  `json:"sessions"`           // that can be resumed
+	Untrusted   int                  `json:"refused"`            // servers
+	Servers     []ServerStatus       `json:"peers,omitempty"`    // by name
 }
 
-// ResumptionRate is the part of the handshakes that took a session up again.
+// ResumptionRate returns the fraction of handshakes that resumed a session.
 func (s Stats) ResumptionRate() float64 {
-	if s.Full.Count+s.Resumed.Count == 0 {
+	total := s.Full.Count + s.Resumed.Count
+	if total == 0 {
 		return 0
 	}
-	return float64(s.Resumed.Count) / float64(s.Full.Count+s.Resumed.Count)
+	return float64(s.Resumed.Count) / float64(total)
 }
 
-// Stats tells how the layer stands, with every server that was spoken to.
+// Stats returns a snapshot with all servers.
 func (l *ClientTLS) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Stats{Full: l.counters.full.Clone(), Resumed: l.counters.resumed.Clone(), Failures: maps.Clone(l.counters.failures), Rejected: l.counters.rejected, TotalQueued: l.counters.queued}
-	s.Running, s.Queued = l.limiter.Usage()
-	why := make(map[string]handshakes.UntrustedServer)
-	for _, r := range l.untrusted.List() {
-		why[r.Server] = r
+	untrusted := make(map[string]handshakes.UntrustedServer)
+	for _, entry := range l.untrusted.List() {
+		untrusted[entry.Server] = entry
 	}
-	s.Untrusted = len(why)
-	for id, p := range l.servers {
-		x := ServerStatus{Server: id, CertificateSerial: p.certificateSerial, CertificateExpiry: p.certificateExpiry}
-		if r, ok := why[id]; ok {
-			x.UntrustedReason, x.Rechecks, x.UntrustedMs = r.Reason, r.Rechecks, (l.now() - r.Since).Milliseconds()
+	stats := Stats{
+		Full:        l.counters.full.Clone(),
+		Resumed:     l.counters.resumed.Clone(),
+		Failures:    maps.Clone(l.counters.failures),
+		TotalQueued: l.counters.queued,
+		Rejected:    l.counters.rejected,
+		Untrusted:   len(untrusted),
+	}
+	stats.Running, stats.Queued = l.limiter.Usage()
+	for id, srv := range l.servers {
+		status := ServerStatus{
+			Server:            id,
+			CertificateSerial: srv.certificateSerial,
+			CertificateExpiry: srv.certificateExpiry,
+		}
+		if entry, ok := untrusted[id]; ok {
+			status.UntrustedReason = entry.Reason
+			status.Rechecks = entry.Rechecks
+			status.UntrustedMs = (l.now() - entry.Since).Milliseconds()
 		}
-		p.tickets.mu.Lock()
-		if p.tickets.session != nil {
-			s.Sessions++
+		if srv.tickets.hasSession() {
+			stats.Sessions++
 		}
-		p.tickets.mu.Unlock()
-		s.Servers = append(s.Servers, x)
+		stats.Servers = append(stats.Servers, status)
 	}
-	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
-	return s
+	slices.SortFunc(stats.Servers, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
+	return stats
 }
