--- a/msgpackrpc/client/client.go
+++ b/msgpackrpc/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls a node over the protocol of docs/msgpack-rpc.md. It never repeats a call by itself:
-// whether that is harmless is the caller's to know, by what the error or the code proves.
+// Package client calls a node over the protocol of docs/msgpack-rpc.md. It never retries a call that was sent: whether
+// that is safe is for the caller to decide, from what the error or the code proves.
 package client
 
 import (
@@ -14,65 +14,66 @@
 )
 
 const (
-	backoffFirst = 50 * time.Millisecond // before the second try in a row to connect
-	backoffMost  = 5 * time.Second
-	// DefaultTimeout is how long a call waits where neither it nor its context says.
+	minBackoff = 50 * time.Millisecond // after the first failure to connect; doubles with each further one
+	maxBackoff = 5 * time.Second
+	// dialTimeout limits an attempt to connect.
+	dialTimeout = 5 * time.Second
+	// DefaultTimeout is the timeout of a call if neither Call.Timeout nor its context has one.
 	DefaultTimeout = 30 * time.Second
 )
 
-// ErrClosed is what calls return once Close was called: they were not sent.
+// ErrClosed is the cause of a *mux.NotSentError after Close.
 var ErrClosed = errors.New("client: closed")
 
-// Client calls one node, over one connection that is made when it is needed and made again when it is
-// lost. Its methods may be called at once from many goroutines.
+// Client calls one node, over one connection. It connects when a call needs it, and again when the connection is lost.
+// It is safe for concurrent use.
 type Client struct {
 	network, addr string
 
-	mu      sync.Mutex
-	conn    *mux.Conn
-	former  []*mux.Conn   // that take no calls any more, and may have some
-	dialing chan struct{} // closed when the connection that is being made is there, or is not
-	failed  int           // tries to connect, in a row
-	next    time.Time     // of the next one
-	err     error         // of the last one
-	closed  bool
+	mu       sync.Mutex
+	conn     *mux.Conn
+	retired  []*mux.Conn   // accept no calls, and may have open ones
+	dialing  chan struct{} // closed at the end of the attempt to connect; nil: there is none
+	failures int           // to connect, consecutive
+	retryAt  time.Time     // no attempt to connect before
+	dialErr  error         // of the last failure
+	closed   bool
 }
 
-// New returns a client of the node at an address, which is not called yet: host:port for the network
-// "tcp", a path for "unix".
+// New returns a client of the node at an address: host:port for the network "tcp", a path for "unix". It does not
+// connect.
 func New(network, addr string) *Client { return &Client{network: network, addr: addr} }
 
-// Call makes one call and waits for its answer, until ctx ends or q.Wait has passed. A Reply with a Code
-// says how it ended unserved. Errors are *mux.NotSentError, which proves that nothing ran, and
-// *mux.LostError and *mux.SpoiltError, after which it may have run.
-func (c *Client) Call(ctx context.Context, q msgpackrpc.Call) (msgpackrpc.Reply, error) {
-	if q.Timeout <= 0 {
-		q.Timeout = DefaultTimeout
+// Call sends one call and waits for its reply, until ctx ends or call.Timeout has passed. A Reply with a Code says
+// why the call was not served. Errors are *mux.NotSentError, after which the call cannot have run, and
+// *mux.NoReplyError and *mux.MalformedReplyError, after which it may have.
+func (c *Client) Call(ctx context.Context, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
+	if call.Timeout <= 0 {
+		call.Timeout = DefaultTimeout
 	}
-	if end, ok := ctx.Deadline(); ok {
-		q.Timeout = min(q.Timeout, time.Until(end))
+	if deadline, ok := ctx.Deadline(); ok {
+		call.Timeout = min(call.Timeout, time.Until(deadline))
 	}
-	if q.Timeout < time.Millisecond {
+	if call.Timeout < time.Millisecond {
 		return msgpackrpc.Reply{}, &mux.NotSentError{Err: context.DeadlineExceeded}
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
 	for {
 		conn, err := c.connect(ctx)
 		if err != nil {
 			return msgpackrpc.Reply{}, &mux.NotSentError{Err: err}
 		}
-		reply, err := conn.Call(ctx, &q, nil)
+		reply, err := conn.Call(ctx, &call, nil)
 		var notSent *mux.NotSentError
 		if errors.As(err, &notSent) && errors.Is(err, mux.ErrRetired) && ctx.Err() == nil {
-			continue // the node drains, or what stood in its place
+			continue // the node has begun to drain; another one may accept at the address
 		}
 		return reply, err
 	}
 }
 
-// connect returns a connection that takes calls. Tries to connect are spread in time where they fail, and
-// calls between two of them fail at once.
+// connect returns a connection that accepts calls. During the backoff after a failure it returns that failure's error.
 func (c *Client) connect(ctx context.Context) (*mux.Conn, error) {
 	for {
 		c.mu.Lock()
@@ -83,15 +84,15 @@
 		case c.conn != nil && c.conn.Usable():
 			defer c.mu.Unlock()
 			return c.conn, nil
-		case c.dialing == nil && time.Now().Before(c.next):
+		case c.dialing == nil && time.Now().Before(c.retryAt):
 			defer c.mu.Unlock()
-			return nil, c.err
+			return nil, c.dialErr
 		}
 		dialing := c.dialing
 		if dialing == nil {
 			dialing = make(chan struct{})
 			c.dialing = dialing
-			c.retire()
+			c.retireConn()
 			go c.dial(dialing)
 		}
 		c.mu.Unlock()
@@ -103,43 +104,44 @@
 	}
 }
 
-// retire puts a connection that takes no calls aside, and forgets those that have ended.
-func (c *Client) retire() {
-	var former []*mux.Conn
-	for _, f := range append(c.former, c.conn) {
-		if f == nil {
+// retireConn moves the current connection to the retired ones, and removes those that have ended. c.mu is held.
+func (c *Client) retireConn() {
+	var retired []*mux.Conn
+	for _, conn := range append(c.retired, c.conn) {
+		if conn == nil {
 			continue
 		}
 		select {
-		case <-f.Done():
-			f.Close()
+		case <-conn.Done():
+			conn.Close()
 		default:
-			former = append(former, f)
+			retired = append(retired, conn)
 		}
 	}
-	c.former, c.conn = former, nil
+	c.retired, c.conn = retired, nil
 }
 
+// dial attempts to connect once, and then closes dialing. Close waits for it.
 func (c *Client) dial(dialing chan struct{}) {
-	nc, err := net.DialTimeout(c.network, c.addr, backoffMost)
+	nc, err := net.DialTimeout(c.network, c.addr, dialTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer close(dialing)
 	c.dialing = nil
 	switch {
 	case err != nil:
-		c.err = err
-		c.next = time.Now().Add(min(backoffMost, backoffFirst<<min(c.failed, 16)))
-		c.failed++
+		c.dialErr = err
+		c.retryAt = time.Now().Add(min(maxBackoff, minBackoff<<min(c.failures, 16)))
+		c.failures++
 	case c.closed:
-		nc.Close()
+		_ = nc.Close()
 	default:
-		c.failed, c.next = 0, time.Time{}
+		c.failures, c.retryAt = 0, time.Time{}
 		c.conn = mux.New(nc, nil)
 	}
 }
 
-// Close ends the client at once: calls that were sent may have run.
+// Close closes all connections. Open calls return *mux.NotSentError or *mux.NoReplyError.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -150,10 +152,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range append(c.former, c.conn) {
-		if f != nil {
-			f.Close()
+	for _, conn := range append(c.retired, c.conn) {
+		if conn != nil {
+			conn.Close()
 		}
 	}
-	c.former, c.conn = nil, nil
+	c.retired, c.conn = nil, nil
 }
--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -18,21 +18,25 @@
 	"pgregory.net/rapid"
 )
 
-// The examples of the protocol page, byte for byte, both ways.
-func TestThePagesExamples(t *testing.T) {
+// The examples in docs/msgpack-rpc.md are what is encoded, byte for byte, and are decoded.
+func TestExamplesOfDocumentation(t *testing.T) {
 	page, err := os.ReadFile("../docs/msgpack-rpc.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dumps := make(map[string][]byte)
 	for _, m := range regexp.MustCompile("(?s)<!-- (\\w+) -->\n\n((?:    [^\n]*\n)+)").FindAllSubmatch(page, -1) {
-		raw, err := hex.DecodeString(strings.Join(strings.Fields(regexp.MustCompile(`\|[^\n]*`).ReplaceAllString(string(m[2]), "")), ""))
+		digits := regexp.MustCompile(`\|[^\n]*`).ReplaceAllString(string(m[2]), "")
+		raw, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 		if err != nil {
 			t.Fatalf("%s: %v", m[1], err)
 		}
 		dumps[string(m[1])] = raw
 	}
-	call := Call{ID: "a1", Class: "rezervacia", Tenant: "stol-nitra", Timeout: 1500 * time.Millisecond, Target: "/api", Body: []byte("{}")}
+	call := Call{
+		ID: "a1", Class: "rezervacia", Tenant: "stol-nitra", Timeout: 1500 * time.Millisecond,
+		Target: "/api", Body: []byte("{}"),
+	}
 	served := Reply{Body: []byte("ok"), ContentType: "text/plain"}
 	refused := Reply{Code: Rejected, RetryAfter: 2 * time.Second}
 	for name, want := range map[string][]byte{
@@ -69,31 +73,32 @@
 	}
 }
 
-// What is written is read as it was, whatever the pieces that it comes in, and the other library reads the
-// same.
-func TestReadsWhatItWrites(t *testing.T) {
+// An encoded call is decoded to the same call, in whatever pieces it arrives. Another library decodes the same.
+func TestCall_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
 		var stream []byte
 		var calls []Call
 		for i := range rapid.IntRange(1, 5).Draw(t, "calls") {
-			c := Call{
-				ID: text.Draw(t, "id"), Class: text.Draw(t, "class"), Key: text.Draw(t, "key"), IsRetry: rapid.Bool().Draw(t, "retry"),
-				Timeout: time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "wait")) * time.Millisecond, Body: rapid.SliceOfN(rapid.Byte(), 1, 70_000).Draw(t, "body"),
+			call := Call{
+				ID: text.Draw(t, "id"), Class: text.Draw(t, "class"), Key: text.Draw(t, "key"),
+				IsRetry: rapid.Bool().Draw(t, "retry"),
+				Timeout: time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "wait")) * time.Millisecond,
+				Body:    rapid.SliceOfN(rapid.Byte(), 1, 70_000).Draw(t, "body"),
 			}
-			raw := AppendCall(nil, uint32(i), &c)
+			raw := AppendCall(nil, uint32(i), &call)
 			var other []any
 			if err := msgpack.Unmarshal(raw, &other); err != nil {
 				t.Fatal(err)
 			}
 			m := other[3].([]any)[0].(map[string]any)
-			if got, _ := m["id"].(string); got != c.ID {
-				t.Fatalf("the other library reads %q, want %q", got, c.ID)
+			if got, _ := m["id"].(string); got != call.ID {
+				t.Fatalf("the other library reads %q, want %q", got, call.ID)
 			}
-			if got, _ := m["body"].([]byte); !bytes.Equal(got, c.Body) {
+			if got, _ := m["body"].([]byte); !bytes.Equal(got, call.Body) {
 				t.Fatal("the other library reads another body")
 			}
-			stream, calls = append(stream, raw...), append(calls, c)
+			stream, calls = append(stream, raw...), append(calls, call)
 		}
 		var from io.Reader = bytes.NewReader(stream)
 		if rapid.Bool().Draw(t, "bytewise") && len(stream) < 2000 {
@@ -114,15 +119,16 @@
 			}
 		}
 		if _, err := r.Next(); !errors.Is(err, io.EOF) {
-			t.Fatalf("behind the last: %v", err)
+			t.Fatalf("after the last: %v", err)
 		}
 	})
 }
 
-// Hostile bytes are refused with a reason, before anything is made room for.
-func TestHostileBytes(t *testing.T) {
+// Input beyond the limits is rejected before memory is allocated for it.
+func TestReader_RejectsHostileInput(t *testing.T) {
+	longText := append([]byte{0xda, 4, 0}, make([]byte, 1024)...)
 	deep := bytes.Repeat([]byte{0x91}, 10_000)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		raw  []byte
 		want string
 	}{
@@ -131,7 +137,7 @@
 		"10,000 levels":           {deep, "levels"},
 		"a text of 4 GB":          {[]byte{0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff}, "bytes"},
 		"bytes that never end":    {append([]byte{0x94, 0, 1, 0xc6, 0, 1, 0x7f, 0xff}, make([]byte, 200_000)...), "bytes"},
-		"many texts":              {append([]byte{0xdc, 0, 200}, bytes.Repeat(append([]byte{0xda, 4, 0}, make([]byte, 1024)...), 200)...), "bytes"},
+		"many texts":              {append([]byte{0xdc, 0, 200}, bytes.Repeat(longText, 200)...), "bytes"},
 		"a byte without a use":    {[]byte{0xc1}, "0xc1"},
 		"an extension of 4 GB":    {[]byte{0xc9, 0xff, 0xff, 0xff, 0xff, 1}, "bytes"},
 		"the end within a text":   {[]byte{0x94, 0, 1, 0xa4, 'c'}, "unexpected EOF"},
@@ -139,10 +145,10 @@
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := NewReader(bytes.NewReader(c.raw)).Next()
+		_, err := NewReader(bytes.NewReader(test.raw)).Next()
 		runtime.ReadMemStats(&after)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want %q", name, err, c.want)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got %v, want %q", name, err, test.want)
 		}
 		if used := after.TotalAlloc - before.TotalAlloc; used > 4*MaxMessageSize {
 			t.Errorf("%s: %d bytes were allocated", name, used)
@@ -150,30 +156,30 @@
 	}
 }
 
-// What is no message of the protocol is told by its part.
-func TestMessagesThatAreWrong(t *testing.T) {
-	enc := func(v any) []byte {
-		raw, err := msgpack.Marshal(v)
+// The error for an invalid message names the part that is invalid.
+func TestParse_InvalidMessages(t *testing.T) {
+	enc := func(value any) []byte {
+		raw, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return raw
 	}
-	for want, v := range map[string]any{
-		"no array":                       7,
-		"no known type":                  []any{3, 1, "call", []any{}},
-		"has 3 parts, want 4":            []any{0, 1, "call"},
+	for want, value := range map[string]any{
+		"message: want an array":         7,
+		"message: unknown type":          []any{3, 1, "call", []any{}},
+		"got 3 elements, want 4":         []any{0, 1, "call"},
 		"msgid":                          []any{0, "x", "call", []any{}},
 		"method: want a text":            []any{0, 1, 5, []any{}},
 		"params: want an array":          []any{0, 1, "call", map[string]any{}},
-		"has 4 parts, want 3":            []any{2, 1, "cancel", []any{}},
+		"got 4 elements, want 3":         []any{2, 1, "cancel", []any{}},
 		"an array of one map":            []any{0, 1, "call", []any{}},
 		"params: want a map":             []any{0, 1, "call", []any{5}},
 		"params.id: want a text":         []any{0, 1, "call", []any{map[string]any{"id": 5}}},
 		"params.wait_ms: want a whole":   []any{0, 1, "call", []any{map[string]any{"wait_ms": -5}}},
 		"params.retry: want true":        []any{0, 1, "call", []any{map[string]any{"retry": "yes"}}},
 		"params.body: want bytes":        []any{0, 1, "call", []any{map[string]any{"body": 5}}},
-		"a name is no text":              []any{0, 1, "call", []any{map[int]any{5: 5}}},
+		"params: want a text as name":    []any{0, 1, "call", []any{map[int]any{5: 5}}},
 		"either an error or a result":    []any{1, 1, nil, nil},
 		"needs either an error or a":     []any{1, 1, map[string]any{"code": "x"}, map[string]any{}},
 		"error.code: missing":            []any{1, 1, map[string]any{}, nil},
@@ -181,14 +187,14 @@
 		"error: want a map":              []any{1, 1, "bad", nil},
 		"result.content_type: want a te": []any{1, 1, nil, map[string]any{"content_type": 7}},
 	} {
-		m, err := Parse(enc(v))
+		m, err := Parse(enc(value))
 		if err == nil && m.Kind == Request {
 			_, err = ParseCall(m.Params)
 		} else if err == nil {
 			_, err = ParseReply(m)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: got %v, want %q", v, err, want)
+			t.Errorf("%v: got %v, want %q", value, err, want)
 		}
 	}
 	twice := append([]byte{0x94, 0, 1, 0xa4}, "call\x91\x82\xa2id\xa1a\xa2id\xa1b"...)
@@ -205,7 +211,7 @@
 	}
 }
 
-// No bytes panic the readers, and a message ends where the other library says it does.
+// No input makes the decoders panic, and a message ends where it does for another library.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendCall(nil, 1, &Call{ID: "a", Body: []byte("b")}))
 	f.Add(AppendReply(nil, 1, &Reply{Code: Rejected}))
@@ -221,13 +227,13 @@
 			if want, err := other.DecodeRaw(); err == nil && !bytes.Equal(got, want) {
 				t.Fatalf("a message of %x, the other library's is %x", got, want)
 			}
-			m, err := Parse(got)
+			message, err := Parse(got)
 			if err != nil {
 				continue
 			}
-			if m.Kind == Request {
-				if c, err := ParseCall(m.Params); err == nil {
-					again, err := Parse(AppendCall(nil, m.ID, &c))
+			if message.Kind == Request {
+				if c, err := ParseCall(message.Params); err == nil {
+					again, err := Parse(AppendCall(nil, message.ID, &c))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -236,15 +242,18 @@
 					}
 				}
 			}
-			_, _ = ParseReply(m)
-			_, _ = CancelledID(m)
+			_, _ = ParseReply(message)
+			_, _ = CancelledID(message)
 		}
 	})
 }
 
-// The two libraries, and the reader in front of them, side by side.
+// The scanner, the library in use, and another library.
 func BenchmarkDecode(b *testing.B) {
-	raw := AppendCall(nil, 7, &Call{ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second, Target: "/api/x", Body: make([]byte, 200)})
+	raw := AppendCall(nil, 7, &Call{
+		ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second,
+		Target: "/api/x", Body: make([]byte, 200),
+	})
 	b.Run("scan", func(b *testing.B) {
 		b.ReportAllocs()
 		var s scanner
@@ -275,7 +284,7 @@
 		Body   []byte `msgpack:"body"`
 	}
 	type request struct {
-		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // how the library is told
+		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the library, by reflection
 		Kind     uint8
 		ID       uint32
 		Method   string
--- /dev/null
+++ b/msgpackrpc/mux/errors.go
@@ -0,0 +1,33 @@
+package mux
+
+import "errors"
+
+// ErrRetired is the reason for which a connection accepts no new calls, although it may still answer open ones.
+var ErrRetired = errors.New("the connection accepts no new calls")
+
+// NotSentError says that a call was not completely written, so it cannot have run.
+type NotSentError struct{ Err error }
+
+// Error implements error.
+func (e *NotSentError) Error() string { return "not sent: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *NotSentError) Unwrap() error { return e.Err }
+
+// NoReplyError says that a call was written, and no reply received, so it may have run.
+type NoReplyError struct{ Err error }
+
+// Error implements error.
+func (e *NoReplyError) Error() string { return "sent, without an answer: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *NoReplyError) Unwrap() error { return e.Err }
+
+// MalformedReplyError says that the reply to a call is invalid, so the call may have run.
+type MalformedReplyError struct{ Err error }
+
+// Error implements error.
+func (e *MalformedReplyError) Error() string { return "the answer can't be read: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *MalformedReplyError) Unwrap() error { return e.Err }
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -20,20 +21,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is the server's end of a connection, at the level of messages.
+// peer is the server's end of a connection. It sends and receives single messages.
 type peer struct {
 	net.Conn
 	in *msgpackrpc.Reader
 }
 
-// pair is a connection and its other end, which writes nothing by itself.
+// pair returns a connection and its server's end, which writes nothing by itself. wrap may replace the client's end.
 func pair(t testing.TB, wrap func(net.Conn) net.Conn, onDrain func()) (*Conn, peer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -46,12 +47,15 @@
 		nc = wrap(nc)
 	}
 	c := New(nc, onDrain)
-	t.Cleanup(func() { c.Close(); other.Close() })
+	t.Cleanup(func() {
+		c.Close()
+		_ = other.Close()
+	})
 	_ = other.SetDeadline(time.Now().Add(testkit.Long))
 	return c, peer{other, msgpackrpc.NewReader(other)}
 }
 
-// next is the msgid of the next message, and its method.
+// next returns the msgid and the method of the next message; for a cancel, the msgid of the cancelled call.
 func (p peer) next(t testing.TB) (uint32, string) {
 	t.Helper()
 	raw, err := p.in.Next()
@@ -79,25 +83,25 @@
 	return msgpackrpc.AppendReply(nil, id, &msgpackrpc.Reply{Body: []byte(text)})
 }
 
-// outcome is how a call ended, in a word.
+// end describes the outcome of a call.
 func end(r msgpackrpc.Reply, err error) string {
 	var notSent *NotSentError
-	var lost *NoReplyError
-	var spoilt *MalformedReplyError
+	var noReply *NoReplyError
+	var malformed *MalformedReplyError
 	switch {
 	case err == nil:
 		return "ok " + string(r.Body)
 	case errors.As(err, &notSent):
 		return "not sent"
-	case errors.As(err, &lost):
-		return "lost"
-	case errors.As(err, &spoilt):
-		return "spoilt"
+	case errors.As(err, &noReply):
+		return "no reply"
+	case errors.As(err, &malformed):
+		return "malformed"
 	}
 	return err.Error()
 }
 
-// calls starts calls one after the other, each once the one before is at the peer.
+// calls starts n calls, each after the peer has received the one before. It returns a channel for each outcome.
 func calls(t testing.TB, c *Conn, p peer, n int) []chan string {
 	t.Helper()
 	ends := make([]chan string, n)
@@ -105,124 +109,132 @@
 		ends[i] = make(chan string, 1)
 		go func() { ends[i] <- end(c.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
 		if id, method := p.next(t); id != uint32(i+1) || method != msgpackrpc.MethodCall {
-			t.Fatalf("call %d came as %s %d", i, method, id)
+			t.Fatalf("call %d was received as %s %d", i, method, id)
 		}
 	}
 	return ends
 }
 
-// What a server does to the connection, and what each of three calls that it has then comes to.
-func TestTheServersFaults(t *testing.T) {
-	for name, c := range map[string]struct {
-		does  func(t testing.TB, p peer)
-		wants string
+// A server answers three calls, or fails to: the outcome of each call says what may have run.
+func TestCall_OutcomeOfServerFaults(t *testing.T) {
+	for name, test := range map[string]struct {
+		serve func(t testing.TB, server peer)
+		want  string
 	}{
-		"answers in another order": {func(t testing.TB, p peer) {
-			p.write(t, append(append(answer(3, "c"), answer(1, "a")...), answer(2, "b")...))
+		"answers in another order": {func(t testing.TB, server peer) {
+			server.write(t, append(append(answer(3, "c"), answer(1, "a")...), answer(2, "b")...))
 		}, "ok a, ok b, ok c"},
-		"breaks before any answer": {func(t testing.TB, p peer) { p.Close() }, "lost, lost, lost"},
-		"breaks in an answer": {func(t testing.TB, p peer) {
+		"closes before any answer": {func(_ testing.TB, server peer) { _ = server.Close() }, "no reply, no reply, no reply"},
+		"closes within an answer": {func(t testing.TB, server peer) {
 			b := answer(2, "b")
-			p.write(t, append(answer(1, "a"), b[:len(b)-1]...))
-			p.Close()
-		}, "ok a, lost, lost"},
-		"answers what nobody asked": {func(t testing.TB, p peer) { p.write(t, append(answer(1, "a"), answer(77, "x")...)) }, "ok a, lost, lost"},
-		"answers twice":             {func(t testing.TB, p peer) { p.write(t, append(answer(1, "a"), answer(1, "a")...)) }, "ok a, lost, lost"},
-		"both an error and a result": {func(t testing.TB, p peer) {
-			p.write(t, append([]byte{0x94, 1, 2, 0x80, 0x80}, append(answer(1, "a"), answer(3, "c")...)...))
-		}, "ok a, spoilt, ok c"},
-		"neither": {func(t testing.TB, p peer) {
-			p.write(t, append([]byte{0x94, 1, 2, 0xc0, 0xc0}, append(answer(1, "a"), answer(3, "c")...)...))
-		}, "ok a, spoilt, ok c"},
-		"a request": {func(t testing.TB, p peer) {
-			p.write(t, append(answer(1, "a"), msgpackrpc.AppendCall(nil, 9, &msgpackrpc.Call{})...))
-		}, "ok a, lost, lost"},
-		"no MessagePack-RPC": {func(t testing.TB, p peer) { p.write(t, []byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, "lost, lost, lost"},
-		"an unknown notice": {func(t testing.TB, p peer) {
-			p.write(t, append([]byte("\x93\x02\xa5later\x90"), append(append(answer(1, "a"), answer(2, "b")...), answer(3, "c")...)...))
+			server.write(t, append(answer(1, "a"), b[:len(b)-1]...))
+			_ = server.Close()
+		}, "ok a, no reply, no reply"},
+		"answers an unknown call": {func(t testing.TB, server peer) {
+			server.write(t, append(answer(1, "a"), answer(77, "x")...))
+		}, "ok a, no reply, no reply"},
+		"answers twice": {func(t testing.TB, server peer) {
+			server.write(t, append(answer(1, "a"), answer(1, "a")...))
+		}, "ok a, no reply, no reply"},
+		"both an error and a result": {func(t testing.TB, server peer) {
+			server.write(t, append([]byte{0x94, 1, 2, 0x80, 0x80}, append(answer(1, "a"), answer(3, "c")...)...))
+		}, "ok a, malformed, ok c"},
+		"neither": {func(t testing.TB, server peer) {
+			server.write(t, append([]byte{0x94, 1, 2, 0xc0, 0xc0}, append(answer(1, "a"), answer(3, "c")...)...))
+		}, "ok a, malformed, ok c"},
+		"a request": {func(t testing.TB, server peer) {
+			server.write(t, append(answer(1, "a"), msgpackrpc.AppendCall(nil, 9, &msgpackrpc.Call{})...))
+		}, "ok a, no reply, no reply"},
+		"no MessagePack-RPC": {func(t testing.TB, server peer) {
+			server.write(t, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
+		}, "no reply, no reply, no reply"},
+		"an unknown notification": {func(t testing.TB, server peer) {
+			server.write(t, slices.Concat([]byte("\x93\x02\xa5later\x90"), answer(1, "a"), answer(2, "b"), answer(3, "c")))
 		}, "ok a, ok b, ok c"},
-		"a drain, then answers": {func(t testing.TB, p peer) {
-			p.write(t, append(msgpackrpc.AppendDrain(nil), append(append(answer(1, "a"), answer(2, "b")...), answer(3, "c")...)...))
+		"a drain, then answers": {func(t testing.TB, server peer) {
+			server.write(t, slices.Concat(msgpackrpc.AppendDrain(nil), answer(1, "a"), answer(2, "b"), answer(3, "c")))
 		}, "ok a, ok b, ok c"},
-		"a drain, then the end": {func(t testing.TB, p peer) {
-			p.write(t, append(msgpackrpc.AppendDrain(nil), answer(1, "a")...))
-			p.Close()
-		}, "ok a, lost, lost"},
-		"lengths that are a lie": {func(t testing.TB, p peer) { p.write(t, append(answer(1, "a"), 0xdd, 0xff, 0xff, 0xff, 0xff)) }, "ok a, lost, lost"},
+		"a drain, then closes": {func(t testing.TB, server peer) {
+			server.write(t, append(msgpackrpc.AppendDrain(nil), answer(1, "a")...))
+			_ = server.Close()
+		}, "ok a, no reply, no reply"},
+		"a length beyond the limit": {func(t testing.TB, server peer) {
+			server.write(t, append(answer(1, "a"), 0xdd, 0xff, 0xff, 0xff, 0xff))
+		}, "ok a, no reply, no reply"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, p := pair(t, nil, nil)
-			ends := calls(t, conn, p, 3)
-			c.does(t, p)
+			conn, server := pair(t, nil, nil)
+			ends := calls(t, conn, server, 3)
+			test.serve(t, server)
 			var got []string
 			for _, e := range ends {
 				got = append(got, testkit.Receive(t, "a call's end", e))
 			}
-			if strings.Join(got, ", ") != c.wants {
-				t.Errorf("%q, want %s", got, c.wants)
+			if strings.Join(got, ", ") != test.want {
+				t.Errorf("%q, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// stuck lets a connection write so many bytes, and then breaks it.
-type stuck struct {
+// limitedConn fails, and closes, after a number of written bytes.
+type limitedConn struct {
 	net.Conn
 	left atomic.Int64
 	gate chan struct{} // closed: writes may begin
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *limitedConn) Write(p []byte) (int, error) {
 	<-s.gate
 	if left := int(s.left.Load()); len(p) > left {
 		n, _ := s.Conn.Write(p[:left])
-		s.Conn.Close()
+		_ = s.Close()
 		return n, io.ErrClosedPipe
 	}
 	s.left.Add(int64(-len(p)))
 	return s.Conn.Write(p)
 }
 
-// A connection that breaks while several calls are written together: those whose last byte was written may
-// have run, and the others can't have, at every byte where it may break.
-func TestBreaksWhileItWrites(t *testing.T) {
+// A connection fails after each possible number of bytes of a batch: the calls whose last byte was written may have
+// run, the others cannot have.
+func TestCall_OutcomeOfPartialWrite(t *testing.T) {
 	frame := len(msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "0"}))
 	const n = 3
 	for cut := range n*frame + 1 {
 		gate := make(chan struct{})
-		c, _ := pair(t, func(nc net.Conn) net.Conn {
-			s := &stuck{Conn: nc, gate: gate}
+		conn, _ := pair(t, func(nc net.Conn) net.Conn {
+			s := &limitedConn{Conn: nc, gate: gate}
 			s.left.Store(int64(cut))
 			return s
 		}, nil)
 		var ends [n]chan string
 		for i := range ends {
 			ends[i] = make(chan string, 1)
-			go func() { ends[i] <- end(c.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
+			go func() { ends[i] <- end(conn.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
 			testkit.Await(t, "the call", func() bool {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				return int(c.next) == i+1
+				conn.mu.Lock()
+				defer conn.mu.Unlock()
+				return int(conn.lastID) == i+1
 			})
 		}
 		close(gate)
-		if cut == n*frame { // all of them left: now the connection ends
+		if cut == n*frame { // all were written, and then the connection is closed
 			testkit.Await(t, "the writes", func() bool {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				for _, k := range c.calls {
+				conn.mu.Lock()
+				defer conn.mu.Unlock()
+				for _, k := range conn.calls {
 					if k.state != sent {
 						return false
 					}
 				}
 				return true
 			})
-			c.nc.Close()
+			_ = conn.nc.Close()
 		}
 		for i := range ends {
 			want := "not sent"
 			if cut >= (i+1)*frame {
-				want = "lost"
+				want = "no reply"
 			}
 			if got := testkit.Receive(t, "a call's end", ends[i]); got != want {
 				t.Errorf("cut at byte %d of %d: call %d is %s, want %s", cut, n*frame, i, got, want)
@@ -231,63 +243,64 @@
 	}
 }
 
-// A call that is given up: the server is told, its late answer is nobody's, its id is not used again, and
-// the others are untouched. What may stop a call in the last moment proves that it never left.
-func TestGivenUp(t *testing.T) {
-	c, p := pair(t, nil, nil)
+// The server is notified of an abandoned call. Its late reply is ignored, its id is not reused, and other calls are not
+// affected. A call that maySend prevents was not sent.
+func TestCall_Abandoned(t *testing.T) {
+	conn, server := pair(t, nil, nil)
 	ctx, cancel := context.WithCancel(t.Context())
-	given := make(chan string, 1)
-	go func() { given <- end(c.Call(ctx, &msgpackrpc.Call{}, nil)) }()
-	p.next(t)
+	abandoned := make(chan string, 1)
+	go func() { abandoned <- end(conn.Call(ctx, &msgpackrpc.Call{}, nil)) }()
+	server.next(t)
 	cancel()
-	if got := testkit.Receive(t, "the end", given); got != "lost" {
-		t.Errorf("given up: %s", got)
+	if got := testkit.Receive(t, "the end", abandoned); got != "no reply" {
+		t.Errorf("abandoned: %s", got)
 	}
-	if id, method := p.next(t); id != 1 || method != msgpackrpc.MethodCancel {
-		t.Errorf("the server was told %s %d", method, id)
+	if id, method := server.next(t); id != 1 || method != msgpackrpc.MethodCancel {
+		t.Errorf("the server was notified of %s %d", method, id)
 	}
-	c.mu.Lock()
-	c.next = 0 // 2^32 calls later
-	c.mu.Unlock()
+	conn.mu.Lock()
+	conn.lastID = 0 // 2^32 calls later
+	conn.mu.Unlock()
 	other := make(chan string, 1)
-	go func() { other <- end(c.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
-	id, _ := p.next(t)
+	go func() { other <- end(conn.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
+	id, _ := server.next(t)
 	if id != 2 {
-		t.Errorf("the next call has the id %d of one whose answer may still come", id)
+		t.Errorf("the next call has the id %d of an abandoned one", id)
 	}
-	p.write(t, append(answer(1, "late"), answer(id, "mine")...))
+	server.write(t, append(answer(1, "late"), answer(id, "mine")...))
 	if got := testkit.Receive(t, "the other's end", other); got != "ok mine" {
 		t.Errorf("the other: %s", got)
 	}
-	if got := end(c.Call(t.Context(), &msgpackrpc.Call{}, func() error { return errors.New("it drains") })); got != "not sent" {
-		t.Errorf("stopped: %s", got)
+	prevent := func() error { return errors.New("draining") }
+	if got := end(conn.Call(t.Context(), &msgpackrpc.Call{}, prevent)); got != "not sent" {
+		t.Errorf("prevented by maySend: %s", got)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := end(c.Call(ended, &msgpackrpc.Call{}, ended.Err)); got != "not sent" {
-		t.Errorf("one whose time was over: %s", got)
+	if got := end(conn.Call(ended, &msgpackrpc.Call{}, ended.Err)); got != "not sent" {
+		t.Errorf("with a context that had ended: %s", got)
 	}
 }
 
-// From a drain's notice on nothing new goes out, and the connection ends with its last call.
-func TestDrain(t *testing.T) {
+// After a drain notification no new calls are sent, and the connection closes after its last reply.
+func TestDrain_AnswersOpenCalls(t *testing.T) {
 	drained := make(chan struct{})
-	c, p := pair(t, nil, sync.OnceFunc(func() { close(drained) }))
-	ends := calls(t, c, p, 2)
-	p.write(t, msgpackrpc.AppendDrain(nil))
-	testkit.Receive(t, "the notice", drained)
-	if _, err := c.Call(t.Context(), &msgpackrpc.Call{}, nil); !errors.Is(err, ErrRetired) || c.Usable() {
-		t.Errorf("a call after the notice: %v", err)
+	conn, server := pair(t, nil, sync.OnceFunc(func() { close(drained) }))
+	ends := calls(t, conn, server, 2)
+	server.write(t, msgpackrpc.AppendDrain(nil))
+	testkit.Receive(t, "the drain notification", drained)
+	if _, err := conn.Call(t.Context(), &msgpackrpc.Call{}, nil); !errors.Is(err, ErrRetired) || conn.Usable() {
+		t.Errorf("a call after the notification: %v", err)
 	}
-	p.write(t, answer(2, "b"))
-	p.write(t, answer(1, "a"))
+	server.write(t, answer(2, "b"))
+	server.write(t, answer(1, "a"))
 	for i, want := range []string{"ok a", "ok b"} {
 		if got := testkit.Receive(t, "a call's end", ends[i]); got != want {
 			t.Errorf("call %d: %s", i, got)
 		}
 	}
-	testkit.Receive(t, "the connection's end", c.Done())
-	if _, err := p.in.Next(); !errors.Is(err, io.EOF) {
+	testkit.Receive(t, "the connection's end", conn.Done())
+	if _, err := server.in.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("the server sees %v", err)
 	}
 }
--- /dev/null
+++ b/msgpackrpc/mux/write.go
@@ -0,0 +1,129 @@
+package mux
+
+import (
+	"slices"
+
+	"cobaltward/msgpackrpc/stream"
+)
+
+// batch is a number of calls that are written together.
+type batch struct {
+	buf   []byte
+	calls []*pendingCall
+	ends  []int // of each call, in buf
+}
+
+// write writes queued calls and notifications, in batches, until the connection is closed.
+func (c *Conn) write() {
+	var next batch
+	for {
+		select {
+		case <-c.writeSignal:
+		case <-c.done:
+			return
+		}
+		for {
+			c.assemble(&next)
+			if len(next.buf) == 0 {
+				if c.hasQueued() { // no call of the batch may be sent
+					continue
+				}
+				break
+			}
+			n, err := stream.WriteBatch(c.nc, next.buf, writeTimeout)
+			c.finishWrite(&next, n, err)
+			if err != nil {
+				return
+			}
+		}
+		next.buf = stream.Recycle(next.buf)
+	}
+}
+
+func (c *Conn) hasQueued() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.queue) > 0
+}
+
+// assemble replaces the contents of a batch by what is queued. Calls that may not be sent any more are finished.
+func (c *Conn) assemble(next *batch) {
+	taken := c.dequeue(next.calls[:0])
+	forbidden := checkMaySend(taken)
+	next.buf, next.calls, next.ends = next.buf[:0], taken[:0], next.ends[:0]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
+		return
+	}
+	next.buf = append(next.buf, c.notifications...)
+	c.notifications = c.notifications[:0]
+	for _, call := range taken {
+		switch err := forbidden[call]; {
+		case c.calls[call.id] != call: // abandoned meanwhile
+		case err != nil:
+			c.finish(call, outcome{err: &NotSentError{err}})
+		default:
+			call.state = writing
+			next.buf = append(next.buf, call.frame...)
+			next.calls = append(next.calls, call)
+			next.ends = append(next.ends, len(next.buf))
+		}
+	}
+}
+
+// dequeue appends queued calls to taken, until their frames reach the size of a batch.
+func (c *Conn) dequeue(taken []*pendingCall) []*pendingCall {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	count, size := 0, 0
+	for count < len(c.queue) && size < stream.MaxBatch {
+		size += len(c.queue[count].frame)
+		count++
+	}
+	taken = append(taken, c.queue[:count]...)
+	c.queue = slices.Delete(c.queue, 0, count)
+	return taken
+}
+
+// checkMaySend returns the errors of the calls that may not be sent. Conn.mu must not be held, because maySend is
+// code of the caller.
+func checkMaySend(calls []*pendingCall) (forbidden map[*pendingCall]error) {
+	for _, call := range calls {
+		if call.maySend == nil {
+			continue
+		}
+		err := call.maySend()
+		if err == nil {
+			continue
+		}
+		if forbidden == nil {
+			forbidden = make(map[*pendingCall]error)
+		}
+		forbidden[call] = err
+	}
+	return forbidden
+}
+
+// finishWrite records that n bytes of a batch were written: a call whose last byte is among them may have run, and no
+// other one.
+func (c *Conn) finishWrite(written *batch, n int, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, call := range written.calls {
+		call.frame = nil
+		switch {
+		case n < written.ends[i]:
+			c.finish(call, outcome{err: &NotSentError{err}})
+		case c.err != nil: // the connection was closed meanwhile
+			c.finish(call, outcome{err: &NoReplyError{c.err}})
+		case err != nil:
+			c.finish(call, outcome{err: &NoReplyError{err}})
+		default:
+			call.state = sent
+		}
+	}
+	if err != nil {
+		c.fail(err)
+	}
+}
