--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -39,8 +39,8 @@
 	bodiesPerBudget = 4        // buffered bodies of the largest size that fit into the budget
 )
 
-// build makes the parts of the node. It starts no goroutine of the node's own: the engine, the transport and TLS towards
-// servers start theirs. What it has opened is closed by release, also after an error.
+// build makes the parts of the node. It starts no goroutine of the node's own: the engine, the transport and TLS
+// towards servers start theirs. release closes what it has opened, also after an error.
 func (n *node) build(listener net.Listener) error {
 	n.limits = n.config.connLimits()
 	n.registry = registry.New(registry.Config{
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// buildHTTPServer makes the server for clients by HTTP, still without its handler.
+// buildHTTPServer makes the server for HTTP clients; its handler is set later.
 func (n *node) buildHTTPServer(listener net.Listener) {
 	server := &http.Server{
 		MaxHeaderBytes:               maxHeaderBytes,
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// newHandler returns the handler of the clients' requests by HTTP.
+// newHandler returns the handler of HTTP requests.
 func (n *node) newHandler() http.Handler {
 	var handler http.Handler = middleware.New(n.engine,
 		middleware.WithMatcher(middleware.Any),
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -17,6 +17,7 @@
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
+// writeConfigFile writes a configuration, with KNOWN and SETTINGS replaced, and returns an environment that names it.
 func writeConfigFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -30,22 +31,38 @@
 }
 
 func TestLoadConfig(t *testing.T) {
-	c, err := LoadConfig(writeConfigFile(t, goodConfig))
+	config, err := LoadConfig(writeConfigFile(t, goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.MemoryMB != 192 || c.MaxDescriptors != 1024 || c.MaxInFlight != 100 || c.ConnectTimeout != 2*time.Second ||
-		len(c.InitialList.Endpoints) != 1 || c.InitialList.Revision != 7 || c.Settings.Zone != "a" {
-		t.Errorf("got %+v", c)
+	for _, field := range []struct {
+		name      string
+		got, want any
+	}{
+		{"Name", config.Name, "n3"},
+		{"Listen", config.Listen, "127.0.0.1:1"},
+		{"Discovery", config.Discovery, "127.0.0.1:8500"},
+		{"Seed", config.Seed, uint64(0x8c1f30d27a5be964)},
+		{"MemoryMB", config.MemoryMB, int64(192)},
+		{"MaxDescriptors", config.MaxDescriptors, 1024},
+		{"MaxInFlight", config.MaxInFlight, 100},
+		{"ConnectTimeout", config.ConnectTimeout, 2 * time.Second},
+		{"InitialList.Endpoints", len(config.InitialList.Endpoints), 1},
+		{"InitialList.Revision", config.InitialList.Revision, int64(7)},
+		{"Settings.Zone", config.Settings.Zone, "a"},
+	} {
+		if field.got != field.want {
+			t.Errorf("%s: got %v, want %v", field.name, field.got, field.want)
+		}
 	}
 }
 
 func TestLoadConfig_ErrorNamesField(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
+	_, err := LoadConfig(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
 		{`"seed"`, `"other"`, "seed"},
 		{`"cores":1.0`, `"cores":0`, "limits.cores"},
@@ -63,9 +80,9 @@
 		{`SETTINGS`, strings.Replace(testSettings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(writeConfigFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
+		_, err := LoadConfig(writeConfigFile(t, strings.Replace(goodConfig, test.old, test.new, 1)))
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s for %s: got %v, want one line that names %q", test.new, test.old, err, test.want)
 		}
 	}
 }
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -42,7 +42,8 @@
 }
 
 // ReloadConfig reads the file again. The registry's address in it and the settings take effect while a node runs, the
-// rest at the next start. ROUTER_DISCOVERY holds the address at the start of the process, so here the file overrides it.
+// rest at the next start. ROUTER_DISCOVERY holds the address at the start of the process, so here the file overrides
+// it.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
--- a/internal/node/connlimits.go
+++ b/internal/node/connlimits.go
@@ -5,7 +5,7 @@
 const (
 	minDescriptors      = 64  // of a node: some for itself, and some for each side
 	reservedDescriptors = 24  // for the log, discovery, the runtime and the like
-	clientConnShare     = 0.4 // of the rest, for clients by HTTP: a third for their requests, and some reserve
+	clientConnShare     = 0.4 // of the rest, for HTTP clients: a third for their requests, plus a reserve
 	// msgpackConnDivisor bounds the MessagePack-RPC connections of either side by a part of the connections, since
 	// each carries many calls.
 	msgpackConnDivisor = 4
@@ -15,7 +15,7 @@
 
 // connLimits divides the node's file descriptors among its connections.
 type connLimits struct {
-	clients        int // by HTTP
+	clients        int // over HTTP
 	msgpackClients int
 	servers        int
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -156,7 +156,8 @@
 	g.followed = order
 	g.mu.Unlock()
 	if err := g.process.WriteOrder(order); err != nil {
-		g.log.Error("hot restart: order not written, other processes of this node do not follow it", "standby", standby, "err", err)
+		g.log.Error("hot restart: order not written, other processes of this node do not follow it",
+			"standby", standby, "err", err)
 	}
 }
 
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestStandbyOrder_SurvivesWallClockStep gives two processes of one node orders on standby while the wall clock is stepped
-// back between them: the one that was given last stands.
+// TestStandbyOrder_SurvivesWallClockStep gives two processes of one node orders on standby while the wall clock is
+// stepped back between them: the last one holds.
 func TestStandbyOrder_SurvivesWallClockStep(t *testing.T) {
 	dir := t.TempDir()
 	join := func(followed *[]bool) *processGroup {
 		group := joinProcessGroup(dir, slog.New(slog.DiscardHandler))
 		if group == nil {
-			t.Fatal("not registered")
+			t.Fatal("the process is not registered")
 		}
 		t.Cleanup(group.process.Unregister)
 		group.setStandby = func(standby bool) error {
@@ -24,26 +24,26 @@
 		}
 		return group
 	}
-	var first, second []bool
-	one, other := join(&first), join(&second)
+	var firstFollowed, secondFollowed []bool
+	first, second := join(&firstFollowed), join(&secondFollowed)
 
-	one.publishOrder(true)
+	first.publishOrder(true)
 	stepOrder(t, dir, time.Hour) // the clock was an hour ahead then, and is stepped back now
-	one.followed.At = one.followed.At.Add(time.Hour)
-	other.followOrder()
-	other.publishOrder(false)
-	one.followOrder()
-	other.followOrder()
+	first.followed.At = first.followed.At.Add(time.Hour)
+	second.followOrder()
+	second.publishOrder(false)
+	first.followOrder()
+	second.followOrder()
 
-	if len(second) != 1 || !second[0] {
-		t.Errorf("the other process followed %v, want the order of standby", second)
+	if len(secondFollowed) != 1 || !secondFollowed[0] {
+		t.Errorf("the second process followed %v, want the order into standby", secondFollowed)
 	}
-	if len(first) != 1 || first[0] {
-		t.Errorf("the process that gave the first order followed %v, want the one back to work", first)
+	if len(firstFollowed) != 1 || firstFollowed[0] {
+		t.Errorf("the first process followed %v, want the order out of standby", firstFollowed)
 	}
 }
 
-// stepOrder moves the time of the order that stands.
+// stepOrder moves the time of the present order.
 func stepOrder(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	group := joinProcessGroup(dir, slog.New(slog.DiscardHandler))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 	processGroup    *processGroup      // nil: the node is one process
 	state           *stateKeeper
 
-	// handedOver says that another process accepts clients at the same socket: for them the node goes on serving.
+	// handedOver says that another process accepts clients at the same socket, so the node stays ready.
 	handedOver atomic.Bool
 
 	tasks       sync.WaitGroup // the goroutines that start has started
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -9,8 +9,8 @@
 	"cobaltward/router"
 )
 
-// Phases of a drain by the operations endpoint. Clients that poll for readiness stop opening connections 0.3 s after the
-// call; all connections must be closed 4 s after it.
+// Phases of a drain by the operations endpoint. Clients that poll for readiness stop opening connections 0.3 s after
+// the call; all connections must be closed 4 s after it.
 const (
 	standbyAnnounceFor = 300 * time.Millisecond
 	standbyLeaveFor    = time.Second
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"sync"
 	"testing"
 	"time"
@@ -21,252 +22,294 @@
 	"pgregory.net/rapid"
 )
 
-// callOperations makes one call to the console.
-func (w *testNode) callOperations(path string) int {
-	r, _ := http.NewRequest(http.MethodPut, "http://"+w.operationsAddr+path, nil)
-	resp, err := http.DefaultClient.Do(r)
-	if err != nil {
-		w.t.Fatal(err)
-	}
-	resp.Body.Close()
-	return resp.StatusCode
-}
-
-// metrics reads the console's page.
-func (w *testNode) metrics() map[string]int {
-	resp, err := http.Get("http://" + w.operationsAddr + "/status/metrics")
-	if err != nil {
-		w.t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	all := make(map[string]int)
-	for {
-		var name string
-		var n int
-		if _, err := fmt.Fscanf(resp.Body, "%s\n", &name); err != nil {
-			return all
-		}
-		for i := range name {
-			if name[i] == '=' {
-				fmt.Sscan(name[i+1:], &n)
-				all[name[:i]] = n
-				break
-			}
-		}
-	}
-}
-
-func (w *testNode) drainState() string {
-	_, s := w.callAdmin(http.MethodGet, "/status", nil)
-	return s.Drain.State.String()
-}
-
-func (w *testNode) isReady() bool {
-	c, err := net.Dial("tcp", w.addr)
-	if err != nil {
-		return false
-	}
-	defer c.Close()
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", readyPath)
-	var version string
-	var status int
-	fmt.Fscan(c, &version, &status)
-	return status == http.StatusOK
+// blockEventLoop has the engine's event loop block until release is called.
+func blockEventLoop(engine *router.Router, goroutines *sync.WaitGroup) (release func()) {
+	released, blocked := make(chan struct{}), make(chan struct{})
+	goroutines.Go(func() {
+		_ = engine.RestoreState(func(func(string) (float64, policy.Time, bool)) (state policy.LearnedState) {
+			close(blocked)
+			<-released
+			return state
+		})
+	})
+	<-blocked
+	return func() { close(released) }
 }
 
-// The engine's loop stands still, with more waiting for it than its queue holds, and callers stall at the console: every
-// call is answered all the same.
+// TestOperations_BlockedEventLoop calls the operations endpoint while the engine's event loop is blocked, with more
+// events waiting than its queue holds, and while other callers stall: every call is answered.
 func TestOperations_BlockedEventLoop(t *testing.T) {
-	w := newTestNode(t, 2)
-	engine, err := router.New(router.Config{Settings: w.settings, Endpoints: w.initialList.Endpoints}, router.WithTransport(http1.New(http1.Config{})))
+	node := newTestNode(t, 2)
+	engine, err := router.New(
+		router.Config{Settings: node.settings, Endpoints: node.initialList.Endpoints},
+		router.WithTransport(http1.New(http1.Config{})),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer engine.Close()
+	defer func() { _ = engine.Close() }()
 	<-engine.Started()
-	ln, err := operations.Listen("127.0.0.1:0")
+	listener, err := operations.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.operationsAddr = ln.Addr().String()
-	ctl := &adminAPI{engine: engine}
-	defer operations.Serve(ln, &operationsNode{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}, slog.New(slog.DiscardHandler)).Close()
-	release, held := make(chan struct{}), make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() {
-		_ = engine.RestoreState(func(func(string) (float64, policy.Time, bool)) (k policy.LearnedState) {
-			close(held)
-			<-release
-			return k
-		})
-	})
-	<-held
-	for i := range 2000 {
-		all.Go(func() {
+	node.operationsAddr = listener.Addr().String()
+	admin := &adminAPI{engine: engine}
+	endpoint := &operationsNode{engine: engine, startDrain: admin.startDrain, cancelDrain: admin.cancelDrain}
+	server := operations.Serve(listener, endpoint, slog.New(slog.DiscardHandler))
+	defer func() { _ = server.Close() }()
+
+	var goroutines sync.WaitGroup
+	release := blockEventLoop(engine, &goroutines)
+	const requests = 2000
+	for i := range requests {
+		goroutines.Go(func() {
 			_, _ = engine.Do(t.Context(), router.Request{ID: fmt.Sprint("r", i), Class: "hladanie", Tenant: "t"})
 		})
 	}
-	testkit.Await(t, "the queue to be full", func() bool { return engine.Metrics().InFlight == 2000 })
+	testkit.Await(t, "the queue to be full", func() bool { return engine.Metrics().InFlight == requests })
 	for range 20 {
-		c, err := net.Dial("tcp", w.operationsAddr)
+		conn, err := net.Dial("tcp", node.operationsAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprint(c, "GET /sta")
+		defer func() { _ = conn.Close() }()
+		if _, err := fmt.Fprint(conn, "GET /sta"); err != nil {
+			t.Fatal(err)
+		}
 	}
 	for range 3 {
-		if f := w.metrics(); f["inflight"] != 2000 || f["hosts_listed"] != 2 {
-			t.Errorf("figures %v", f)
+		if metrics := node.metrics(); metrics["inflight"] != requests || metrics["hosts_listed"] != 2 {
+			t.Errorf("metrics %v", metrics)
 		}
-		if w.callOperations("/standby") != http.StatusOK || engine.Phase() == router.Serving {
-			t.Error("standby waits for the loop")
+		if node.callOperations("/standby") != http.StatusOK || engine.Phase() == router.Serving {
+			t.Error("standby waits for the event loop")
 		}
-		if w.callOperations("/active") != http.StatusOK || engine.Phase() != router.Serving {
-			t.Error("active waits for the loop")
+		if node.callOperations("/active") != http.StatusOK || engine.Phase() != router.Serving {
+			t.Error("active waits for the event loop")
 		}
 	}
-	close(release)
-	all.Wait()
+	release()
+	goroutines.Wait()
 }
 
-// Whatever order the console and the door are told things in, and however far a drain has come: both speak of one drain,
-// the console's calls may be repeated, the node is ready exactly while none goes on, and a final drain stays.
-func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		engine, err := router.New(router.Config{Settings: drainSettings()}, router.WithTransport(http1.New(http1.Config{})))
-		if err != nil {
-			rt.Fatal(err)
+// drainOrders gives an engine orders by the admin API and the operations endpoint, and has the state that is expected.
+type drainOrders struct {
+	rt         *rapid.T
+	engine     *router.Router
+	admin      *adminAPI
+	operations *operationsNode
+	draining   bool
+	final      bool
+}
+
+func newDrainOrders(rt *rapid.T) *drainOrders {
+	engine, err := router.New(router.Config{Settings: drainSettings()}, router.WithTransport(http1.New(http1.Config{})))
+	if err != nil {
+		rt.Fatal(err)
+	}
+	<-engine.Started()
+	for engine.Phase() != router.Serving {
+		time.Sleep(time.Millisecond)
+	}
+	admin := &adminAPI{engine: engine}
+	return &drainOrders{
+		rt:     rt,
+		engine: engine,
+		admin:  admin,
+		operations: &operationsNode{
+			engine: engine, startDrain: admin.startDrain, cancelDrain: admin.cancelDrain,
+		},
+	}
+}
+
+// step gives an order that is drawn, and checks whether it is rejected as it must be.
+func (o *drainOrders) step() {
+	before := o.engine.DrainStatus()
+	switch rapid.IntRange(0, 5).Draw(o.rt, "what") {
+	case 0:
+		if err := o.operations.Standby(); (err != nil) != o.final {
+			o.rt.Fatalf("standby in %+v: %v", before, err)
+		}
+		o.draining = true
+	case 1:
+		if err := o.operations.Active(); (err != nil) != o.final {
+			o.rt.Fatalf("active in %+v: %v", before, err)
 		}
-		defer engine.Close()
-		<-engine.Started()
-		for engine.Phase() != router.Serving {
-			time.Sleep(time.Millisecond)
+		o.draining = o.final
+	case 2: // without the first phases
+		err := o.admin.startDrain(drain.Order{Timeout: time.Minute, RequestedBy: "door"})
+		if (err != nil) != o.draining {
+			o.rt.Fatalf("a drain by the admin API in %+v: %v", before, err)
 		}
-		ctl := &adminAPI{engine: engine}
-		d := &operationsNode{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}
-		draining, final := false, false
+		o.draining = true
+	case 3:
+		if err := o.admin.cancelDrain("door"); (err == nil) != (o.draining && !o.final) {
+			o.rt.Fatalf("cancelling by the admin API in %+v: %v", before, err)
+		}
+		o.draining = o.final
+	case 4:
+		o.awaitClosed(before.State)
+	case 5:
+		if rapid.IntRange(0, 9).Draw(o.rt, "end") == 0 {
+			o.startFinalDrain(before)
+		}
+	}
+}
+
+// awaitClosed waits while a drain that was closing connections does so, for a second at most.
+func (o *drainOrders) awaitClosed(state drain.State) {
+	if state != drain.Closing {
+		return
+	}
+	end := time.Now().Add(time.Second)
+	for o.engine.DrainStatus().State == drain.Closing && time.Now().Before(end) {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+func (o *drainOrders) startFinalDrain(before drain.Status) {
+	err := o.admin.startDrain(drain.Order{Timeout: time.Minute, Final: true, RequestedBy: "program"})
+	// A drain in progress may become complete at any moment: then there is nothing left to drain.
+	complete := o.draining && errors.Is(err, drain.ErrDrained)
+	if (err == nil) == o.final && !complete {
+		o.rt.Fatalf("a final drain in %+v: %v", before, err)
+	}
+	o.draining, o.final = true, true
+}
+
+// check compares the engine with the state that is expected.
+func (o *drainOrders) check() {
+	if ready := o.engine.Phase() == router.Serving; ready == o.draining {
+		o.rt.Fatalf("ready %v while draining %v: %+v", ready, o.draining, o.engine.DrainStatus())
+	}
+	if status := o.engine.DrainStatus(); (status.State == drain.Serving) == o.draining || status.Final != o.final {
+		o.rt.Fatalf("draining %v, final %v: %+v", o.draining, o.final, status)
+	}
+}
+
+// TestDrainOrders_AdminAPIAndOperations gives orders by both endpoints in any order, however far a drain has come: both
+// act on one drain, calls of the operations endpoint may be repeated, the node is ready exactly while there is no
+// drain, and a final drain stays.
+func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		orders := newDrainOrders(rt)
+		defer func() { _ = orders.engine.Close() }()
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
-			was := engine.DrainStatus()
-			switch rapid.IntRange(0, 5).Draw(rt, "what") {
-			case 0:
-				if err := d.Standby(); (err != nil) != final {
-					rt.Fatalf("standby in %+v: %v", was, err)
-				}
-				draining = true
-			case 1:
-				if err := d.Active(); (err != nil) != final {
-					rt.Fatalf("active in %+v: %v", was, err)
-				}
-				draining = final
-			case 2: // the door's drain, through at once
-				if err := ctl.startDrain(drain.Order{Timeout: time.Minute, RequestedBy: "door"}); (err != nil) != draining {
-					rt.Fatalf("the door's drain in %+v: %v", was, err)
-				}
-				draining = true
-			case 3:
-				if err := ctl.cancelDrain("door"); (err == nil) != (draining && !final) {
-					rt.Fatalf("the door's way back in %+v: %v", was, err)
-				}
-				draining = final
-			case 4:
-				for end := time.Now().Add(time.Second); was.State == drain.Closing && engine.DrainStatus().State == drain.Closing && time.Now().Before(end); {
-					time.Sleep(time.Millisecond)
-				}
-			case 5:
-				if rapid.IntRange(0, 9).Draw(rt, "end") == 0 {
-					err := ctl.startDrain(drain.Order{Timeout: time.Minute, Final: true, RequestedBy: "program"})
-					// A drain that goes on may come to be through at any moment: then there is nothing left to begin.
-					if over := draining && errors.Is(err, drain.ErrDrained); (err == nil) == final && !over {
-						rt.Fatalf("the end in %+v: %v", was, err)
-					}
-					draining, final = true, true
-				}
-			}
-			if ready := engine.Phase() == router.Serving; ready == draining {
-				rt.Fatalf("ready %v while draining %v: %+v", ready, draining, engine.DrainStatus())
-			}
-			if s := engine.DrainStatus(); (s.State == drain.Serving) == draining || s.Final != final {
-				rt.Fatalf("draining %v, final %v: %+v", draining, final, s)
-			}
+			orders.step()
+			orders.check()
 		}
 	})
 }
 
-// A request that came before the drain and is answered after connections were parted from: its connection ends with
-// it. The node stays, says no, and serves again at once when it is told, however often.
+// connRecorder is a client that keeps the connection it has made last.
+type connRecorder struct {
+	*http.Client
+	conn net.Conn
+}
+
+func newConnRecorder() *connRecorder {
+	recorder := new(connRecorder)
+	var dialer net.Dialer
+	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := dialer.DialContext(ctx, network, addr)
+		recorder.conn = conn
+		return conn, err
+	}
+	recorder.Client = &http.Client{Transport: &http.Transport{DialContext: dial}}
+	return recorder
+}
+
+// sendAndAwaitClose sends a request, and waits until its connection is closed. It returns the status code, and whether
+// the connection was closed within 10 s.
+func (n *testNode) sendAndAwaitClose(id string) (status int, closed bool) {
+	client := newConnRecorder()
+	defer client.CloseIdleConnections()
+	status, _, _ = n.send(client.Client, n.settings.Classes[0], id) // 0 after an error
+	err := client.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	for err == nil {
+		_, err = client.conn.Read(make([]byte, 1))
+	}
+	return status, !errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// TestStandby puts a node into standby and back while a request is open: the request is answered, and its connection
+// closed. The node stays, is not ready, and serves again at once after /active, however often.
 func TestStandby(t *testing.T) {
-	g := new(gatedServer)
-	w := newTestNode(t, 0)
-	w.initialList.Endpoints = []router.Endpoint{{ID: "s0", Addr: testkit.HTTPServer(t, g.ServeHTTP), Zone: "a", Kind: "k", Weight: 1}}
-	w.allowSlowAnswers()
-	stop, ended := w.start()
+	node, server := newGatedNode(t)
+	stop, ended := node.start()
 	for round := range 2 {
-		var closed bool
-		kept := make(chan int, 1)
-		go func() {
-			dialer := net.Dialer{}
-			var conn net.Conn
-			client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				c, err := dialer.DialContext(ctx, network, addr)
-				conn = c
-				return c, err
-			}}}
-			status, _, _ := w.send(client, w.settings.Classes[0], fmt.Sprint("open", round), false)
-			_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-			for _, err := conn.Read(make([]byte, 1)); err == nil; {
-			}
-			closed = true
-			client.CloseIdleConnections()
-			kept <- status
-		}()
-		testkit.Await(t, "the request at the server", func() bool { return g.waitingCount() == 1 })
-		if w.callOperations("/standby") != http.StatusOK || w.callOperations("/standby") != http.StatusOK {
-			t.Fatal("standby is refused")
-		}
-		if w.isReady() {
-			t.Error("ready in standby")
-		}
-		testkit.Await(t, "connections parted from", func() bool { return w.drainState() == "closing" })
-		if f := w.metrics(); f["inflight"] != 1 || f["hosts_listed"] != 1 {
-			t.Errorf("figures %v", f)
-		}
-		g.releaseOldest()
-		if status := <-kept; status != http.StatusOK || !closed {
-			t.Errorf("round %d: the request that was open: %d, connection closed %v", round, status, closed)
-		}
-		testkit.Await(t, "the node empty", func() bool { return w.drainState() == "drained" })
-		if w.callOperations("/active") != http.StatusOK || w.callOperations("/active") != http.StatusOK || !w.isReady() {
-			t.Error("not back to work")
-		}
-		again := make(chan int, 1)
-		go func() {
-			status, _, _ := w.send(http.DefaultClient, w.settings.Classes[0], fmt.Sprint("again", round), false)
-			again <- status
-		}()
-		testkit.Await(t, "a new request at the server", func() bool { return g.waitingCount() == 1 })
-		g.releaseOldest()
-		if status := <-again; status != http.StatusOK {
-			t.Errorf("after standby: %d", status)
-		}
+		standbyRound(t, node, server, round)
 	}
-	f := w.metrics()
-	if name := w.settings.Classes[0].Name; f["success."+name] != 4 || f["backend_calls"] != 4 || f["inflight"] != 0 || f["busy."+name] != 0 {
-		t.Errorf("figures %v", f)
+	metrics := node.metrics()
+	name := node.settings.Classes[0].Name
+	if metrics["success."+name] != 4 || metrics["backend_calls"] != 4 || metrics["inflight"] != 0 ||
+		metrics["busy."+name] != 0 {
+		t.Errorf("metrics %v", metrics)
 	}
-	for _, c := range w.settings.Classes {
-		if _, ok := f["failure."+c.Name]; !ok {
-			t.Errorf("class %s is not counted", c.Name)
+	for _, class := range node.settings.Classes {
+		if _, ok := metrics["failure."+class.Name]; !ok {
+			t.Errorf("class %s has no metric", class.Name)
 		}
 	}
-	// An end in the midst of a standby that is through has nothing left to wait for.
-	if w.callOperations("/standby") != http.StatusOK {
-		t.Error("standby is refused")
+	// A shutdown after a standby that is complete has nothing to wait for.
+	if node.callOperations("/standby") != http.StatusOK {
+		t.Error("standby is rejected")
 	}
-	testkit.Await(t, "the node empty again", func() bool { return w.drainState() == "drained" })
+	testkit.Await(t, "the node to be drained again", func() bool { return node.drainState() == "drained" })
 	http.DefaultClient.CloseIdleConnections()
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
+
+// standbyRound puts the node into standby and back.
+func standbyRound(t *testing.T, node *testNode, server *gatedServer, round int) {
+	t.Helper()
+	type result struct {
+		status int
+		closed bool
+	}
+	first := make(chan result, 1)
+	go func() {
+		status, closed := node.sendAndAwaitClose(fmt.Sprint("open", round))
+		first <- result{status, closed}
+	}()
+	testkit.Await(t, "the request at the server", func() bool { return server.waitingCount() == 1 })
+	for range 2 { // the call may be repeated
+		if node.callOperations("/standby") != http.StatusOK {
+			t.Fatal("standby is rejected")
+		}
+	}
+	if node.isReady() {
+		t.Error("ready in standby")
+	}
+	testkit.Await(t, "connections to be closed", func() bool { return node.drainState() == "closing" })
+	if metrics := node.metrics(); metrics["inflight"] != 1 || metrics["hosts_listed"] != 1 {
+		t.Errorf("metrics %v", metrics)
+	}
+	server.releaseOldest()
+	if got := <-first; got.status != http.StatusOK || !got.closed {
+		t.Errorf("round %d: the open request: %d, connection closed: %v", round, got.status, got.closed)
+	}
+	testkit.Await(t, "the node to be drained", func() bool { return node.drainState() == "drained" })
+	for range 2 {
+		if node.callOperations("/active") != http.StatusOK {
+			t.Error("active is rejected")
+		}
+	}
+	if !node.isReady() {
+		t.Error("not ready after active")
+	}
+	second := make(chan int, 1)
+	go func() {
+		status, _, _ := node.send(http.DefaultClient, node.settings.Classes[0], fmt.Sprint("again", round))
+		second <- status
+	}()
+	testkit.Await(t, "a new request at the server", func() bool { return server.waitingCount() == 1 })
+	server.releaseOldest()
+	if status := <-second; status != http.StatusOK {
+		t.Errorf("after standby: %d", status)
+	}
+}
--- a/internal/node/rpcdrain_test.go
+++ b/internal/node/rpcdrain_test.go
@@ -15,11 +15,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainOnRequest_MessagePackClients drains a node on request while a MessagePack-RPC client is connected: the client
-// is counted, its idle connection is closed, and nobody can connect until the drain is cancelled.
+// TestDrainOnRequest_MessagePackClients drains a node on request while a MessagePack-RPC client is connected: the
+// client is counted, its idle connection is closed, and no client can connect until the drain is cancelled.
 func TestDrainOnRequest_MessagePackClients(t *testing.T) {
-	const patience = 20 * time.Second
-	api := &testNode{t: t, adminSocket: filepath.Join(t.TempDir(), "door.sock")}
+	const timeout = 20 * time.Second
+	node := &testNode{t: t, adminSocket: filepath.Join(t.TempDir(), "door.sock")}
 	listen := func() net.Listener {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -27,36 +27,34 @@
 		}
 		return listener
 	}
-	rpc := listen()
+	rpc, clients := listen(), listen()
 	config := Config{
 		Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, Settings: drainSettings(),
-		AdminAPI: adminapi.Config{Socket: api.adminSocket}, Msgpack: Msgpack{Listener: rpc},
+		AdminAPI: adminapi.Config{Socket: node.adminSocket}, Msgpack: Msgpack{Listener: rpc},
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, config, listen(), nil, slog.New(slog.DiscardHandler)) }()
+	go func() { ended <- Run(ctx, config, clients, nil, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
 		stop()
 		if err := testkit.Receive(t, "the node's end", ended); err != nil {
 			t.Error(err)
 		}
 	})
-	dial := func() (net.Conn, error) { return net.DialTimeout("tcp", rpc.Addr().String(), patience) }
+	dial := func() (net.Conn, error) { return net.DialTimeout("tcp", rpc.Addr().String(), timeout) }
 	conn, err := dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	status := func() Status {
-		_, status := api.callAdmin(http.MethodGet, "/status", nil)
-		return status
-	}
-	testkit.Await(t, "the client to be counted", func() bool { return status().Connections.Clients == 1 })
+	testkit.Await(t, "the client to be counted", func() bool { return node.status().Connections.Clients == 1 })
 
-	if code, _ := api.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "4s"}); code != http.StatusAccepted {
+	if code, _ := node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "4s"}); code != http.StatusAccepted {
 		t.Fatalf("the drain is answered with %d", code)
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatalf("the idle connection is not closed: %v", err)
 	}
@@ -67,7 +65,7 @@
 		}
 		return err != nil
 	})
-	if code, _ := api.callAdmin(http.MethodDelete, "/drain", DrainRequest{}); code != http.StatusOK {
+	if code, _ := node.callAdmin(http.MethodDelete, "/drain", DrainRequest{}); code != http.StatusOK {
 		t.Fatalf("cancelling is answered with %d", code)
 	}
 	testkit.Await(t, "the listener to be open again", func() bool {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -20,7 +20,7 @@
 	finalAnswerTimeout = 150 * time.Millisecond // for the answers to requests that the end of a drain fails
 )
 
-// shutdown drains the node and closes the server for clients by HTTP. With a shared listening socket the node is
+// shutdown drains the node and closes the server for HTTP clients. With a shared listening socket the node is
 // handed over to another process first.
 func (n *node) shutdown() error {
 	n.log.Info("stopping")
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// startAdminServer answers calls of the admin API, once a drain from before a restart goes on.
+// startAdminServer resumes a drain from before a restart, and then answers calls of the admin API.
 func (n *node) startAdminServer() {
 	if n.adminServer == nil {
 		return
--- /dev/null
+++ b/internal/node/testclients_test.go
@@ -0,0 +1,135 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptrace"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"cobaltward/policy"
+)
+
+// clientCounts counts the requests of the clients of a testNode.
+type clientCounts struct {
+	inFlight atomic.Int64
+
+	// By their outcome.
+	served     atomic.Int64 // 200
+	rejected   atomic.Int64 // 429 or 503
+	conflicts  atomic.Int64 // 409
+	failed     atomic.Int64 // other status codes
+	unanswered atomic.Int64
+
+	retriedAfterClose atomic.Int64
+}
+
+// startClients has clients send requests until ctx ends. They keep connections, and open more while all are in use.
+func (n *testNode) startClients(ctx context.Context, clients int) *sync.WaitGroup {
+	var all sync.WaitGroup
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
+	for i := range clients {
+		all.Go(func() {
+			rng := rand.New(rand.NewPCG(7, uint64(i)))
+			for k := 0; ctx.Err() == nil; k++ {
+				class := drainSettings().Classes[rng.IntN(3)]
+				n.request(client, class, fmt.Sprintf("c%d-%d", i, k))
+				time.Sleep(time.Duration(rng.IntN(40)) * ms)
+			}
+		})
+	}
+	go func() { // ends with the clients
+		<-ctx.Done()
+		all.Wait()
+		client.CloseIdleConnections()
+	}()
+	return &all
+}
+
+// request sends a request, once more if its connection was closed meanwhile, and records the outcome.
+func (n *testNode) request(client *http.Client, class policy.Class, id string) {
+	n.locked(func(now time.Duration) { n.checker.Taken(now, "n", id, class.Name, now+class.Deadline) })
+	status, reused, err := n.send(client, class, id)
+	if err != nil && reused && !errors.Is(err, context.DeadlineExceeded) {
+		// A close of the connection crossed the request, so a client retries it. If the node had accepted it, the node
+		// answers with a conflict now, and the first answer was lost.
+		n.retriedAfterClose.Add(1)
+		if status, _, err = n.send(client, class, id); status == http.StatusConflict {
+			n.locked(func(now time.Duration) {
+				n.t.Errorf("%v: %s was accepted, and its connection closed without its answer", now, id)
+			})
+		}
+	}
+	if err != nil {
+		n.recordUnanswered(id, reused, err)
+		return
+	}
+	n.locked(func(now time.Duration) { n.checker.Answer(now, "n", id, 0, isRejection(status)) })
+	switch {
+	case status == http.StatusOK:
+		n.served.Add(1)
+	case isRejection(status):
+		n.rejected.Add(1)
+	case status == http.StatusConflict:
+		n.conflicts.Add(1)
+	default:
+		n.failed.Add(1)
+	}
+}
+
+func isRejection(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+}
+
+// recordUnanswered records a request without an answer, which the node must not have accepted.
+func (n *testNode) recordUnanswered(id string, reused bool, err error) {
+	n.unanswered.Add(1)
+	n.locked(func(now time.Duration) {
+		if n.executed[id] && (reused || !errors.Is(err, syscall.ECONNREFUSED)) {
+			n.t.Errorf("%v: %s was executed, and has no answer: %v", now, id, err)
+		}
+		n.checker.Left("n", id, 0)
+	})
+}
+
+// send sends a request. reused reports whether its connection had served another one before.
+func (n *testNode) send(
+	client *http.Client, class policy.Class, id string,
+) (status int, reused bool, err error) {
+	method := http.MethodPost
+	if class.Idempotency == policy.Idempotent {
+		method = http.MethodGet
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), class.Deadline+500*ms)
+	defer cancel()
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(conn httptrace.GotConnInfo) { reused = conn.Reused },
+	})
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.addr+"/api", http.NoBody)
+	if err != nil {
+		return 0, false, err
+	}
+	req.Header.Set("X-Request-Id", id)
+	req.Header.Set("X-Class", class.Name)
+	req.Header.Set("X-Tenant", "t")
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(class.Deadline.Milliseconds(), 10))
+	if class.Idempotency == policy.IdempotencyKeyed {
+		req.Header.Set("Idempotency-Key", "k-"+id)
+	}
+	n.inFlight.Add(1)
+	defer n.inFlight.Add(-1)
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, reused, err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close()
+	return resp.StatusCode, reused, err
+}
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -66,30 +66,30 @@
 	if config.TLS == nil {
 		return nil, nil
 	}
-	s := &nodeTLS{config: *config.TLS, log: log}
-	s.cpuBudget = handshakes.NewCPUScheduler(s.config.CPUShare, int(math.Ceil(config.Cores)), s.hasRequests)
+	tls := &nodeTLS{config: *config.TLS, log: log}
+	tls.cpuBudget = handshakes.NewCPUScheduler(tls.config.CPUShare, int(math.Ceil(config.Cores)), tls.hasRequests)
 	var errs [3]error
-	s.clientLayer, errs[0] = s.newListenerLayer(s.config.Clients, "http/1.1")
-	s.msgpackLayer, errs[1] = s.newListenerLayer(s.config.Clients)
-	s.adminLayer, errs[2] = s.newListenerLayer(s.config.AdminAPI, "http/1.1")
+	tls.clientLayer, errs[0] = tls.newListenerLayer(tls.config.Clients, "http/1.1")
+	tls.msgpackLayer, errs[1] = tls.newListenerLayer(tls.config.Clients)
+	tls.adminLayer, errs[2] = tls.newListenerLayer(tls.config.AdminAPI, "http/1.1")
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
-	if len(s.config.ServerRules) == 0 {
-		return s, nil
+	if len(tls.config.ServerRules) == 0 {
+		return tls, nil
 	}
 	var err error
-	s.serverLayer, err = secure.New(secure.Config{
-		Rules:            s.config.ServerRules,
-		Limits:           s.config.HandshakeLimits,
+	tls.serverLayer, err = secure.New(secure.Config{
+		Rules:            tls.config.ServerRules,
+		Limits:           tls.config.HandshakeLimits,
 		SlowStart:        config.Settings.Rules.SlowStartWindow,
-		HandshakeTimeout: s.config.ServerHandshakeTimeout,
+		HandshakeTimeout: tls.config.ServerHandshakeTimeout,
 		ConnectTimeout:   config.ConnectTimeout,
-		CPU:              s.cpuBudget,
+		CPU:              tls.cpuBudget,
 		OnTrustChange:    setUntrusted,
 		Log:              log,
 	})
-	return s, err
+	return tls, err
 }
 
 // newListenerLayer returns the layer of a listener that offers the protocols alpn; nil where the listener has no TLS.
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -95,7 +95,7 @@
 	return changed
 }
 
-// checkFile reads a file again if it has changed. A file that is rejected leaves what was read before in force.
+// checkFile reads a file again if it has changed. After an error the former content stays in force.
 func (c *certificateWatch) checkFile(file *certificates.Watched) (changed bool) {
 	look := file.Look(time.Now())
 	if look.Err != nil {
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -25,7 +25,8 @@
 				Reason: "patch", RequestedBy: "ops", Final: true, OpenAtDeadline: 3,
 			},
 			Requests: RequestCounts{
-				Open: 5, ByClass: map[string]int{"read": 5}, OldestMs: 7, OldestRemainingMs: 8, Queued: 9, Retrying: 10, AttemptsInFlight: 11,
+				Open: 5, ByClass: map[string]int{"read": 5}, OldestMs: 7, OldestRemainingMs: 8,
+				Queued: 9, Retrying: 10, AttemptsInFlight: 11,
 			},
 			Connections:      ConnectionCounts{Clients: 12, Busy: 13, Servers: 14, ClosedForDrain: 15, RetriedByClients: 16},
 			Servers:          map[string]int{"running": 17},
