--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -67,7 +67,7 @@
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		switch {
-		case c.halfClosed || !sockets.Quiet(c.TCPConn):
+		case c.halfClosed || !sockets.IsIdle(c.TCPConn):
 		case c.awaitsFirstRequest():
 			if !l.recheckScheduled {
 				l.recheckScheduled = true
