--- a/body/budget.go
+++ b/body/budget.go
@@ -7,42 +7,42 @@
 	"sync/atomic"
 )
 
-// Piece is the unit in which bodies are held.
-const Piece = 32 << 10
+// ChunkSize is the unit in which bodies are held.
+const ChunkSize = 32 << 10
 
 // Budget is the bytes that may be held at once, by all bodies together. It is taken and given back in pieces.
 type Budget struct {
-	most atomic.Int64
+	limit atomic.Int64
 	used atomic.Int64
-	free sync.Pool // of *[Piece]byte
+	pool sync.Pool // of *[Piece]byte
 }
 
 // NewBudget returns a budget of so many bytes, of one piece at least.
 func NewBudget(most int64) *Budget {
 	b := new(Budget)
-	b.SetMost(most)
-	b.free.New = func() any { return new([Piece]byte) }
+	b.SetLimit(most)
+	b.pool.New = func() any { return new([ChunkSize]byte) }
 	return b
 }
 
-// SetMost changes the bytes that may be held. What is held beyond them stays until it is given back.
-func (b *Budget) SetMost(most int64) { b.most.Store(max(Piece, most)) }
+// SetLimit changes the bytes that may be held. What is held beyond them stays until it is given back.
+func (b *Budget) SetLimit(most int64) { b.limit.Store(max(ChunkSize, most)) }
 
-// Most is the bytes that may be held.
-func (b *Budget) Most() int64 { return b.most.Load() }
+// Limit is the bytes that may be held.
+func (b *Budget) Limit() int64 { return b.limit.Load() }
 
-// take returns a piece to hold, or nil where there is no room.
-func (b *Budget) take() *[Piece]byte {
-	if b.used.Add(Piece) > b.most.Load() {
-		b.used.Add(-Piece)
+// acquireChunk returns a piece to hold, or nil where there is no room.
+func (b *Budget) acquireChunk() *[ChunkSize]byte {
+	if b.used.Add(ChunkSize) > b.limit.Load() {
+		b.used.Add(-ChunkSize)
 		return nil
 	}
-	return b.free.Get().(*[Piece]byte)
+	return b.pool.Get().(*[ChunkSize]byte)
 }
 
-func (b *Budget) give(p *[Piece]byte) {
-	b.free.Put(p)
-	b.used.Add(-Piece)
+func (b *Budget) releaseChunk(p *[ChunkSize]byte) {
+	b.pool.Put(p)
+	b.used.Add(-ChunkSize)
 }
 
 // Used is the bytes that are held now.
--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -17,11 +17,11 @@
 // budget is given back whole; and the last byte is told of exactly once.
 func TestUploads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := make([]byte, rapid.IntRange(0, 5*Piece).Draw(t, "size"))
+		all := make([]byte, rapid.IntRange(0, 5*ChunkSize).Draw(t, "size"))
 		for i := range all {
 			all[i] = byte(i * 7 >> 3)
 		}
-		budget := NewBudget(int64(rapid.IntRange(1, 6).Draw(t, "pieces")) * Piece)
+		budget := NewBudget(int64(rapid.IntRange(1, 6).Draw(t, "pieces")) * ChunkSize)
 		var src io.Reader = bytes.NewReader(all)
 		switch rapid.IntRange(0, 2).Draw(t, "source") {
 		case 1:
@@ -33,8 +33,8 @@
 		if rapid.Bool().Draw(t, "untold") {
 			length = -1
 		}
-		u := New(src, length, Limits{Body: 1 << 30, Hold: int64(rapid.IntRange(1, 6).Draw(t, "hold")) * Piece, Budget: budget})
-		if err := u.Fill(); err != nil {
+		u := New(src, length, Limits{MaxLength: 1 << 30, MaxBuffered: int64(rapid.IntRange(1, 6).Draw(t, "hold")) * ChunkSize, Budget: budget})
+		if err := u.FillBuffer(); err != nil {
 			t.Fatal(err)
 		}
 		told := 0
@@ -55,10 +55,10 @@
 				t.Fatalf("length %d", u.Length())
 			}
 		}
-		if whole == (told == 1) || told > 1 || !u.Whole() || u.Came().IsZero() {
+		if whole == (told == 1) || told > 1 || !u.Complete() || u.CompletedAt().IsZero() {
 			t.Fatalf("whole at first: %v, told %d times", whole, told)
 		}
-		if short, ok := u.Short(1 << 20); ok == u.Consumed() || ok && !bytes.Equal(short, all) {
+		if short, ok := u.Bytes(1 << 20); ok == u.Consumed() || ok && !bytes.Equal(short, all) {
 			t.Fatalf("short: %v, spent: %v", ok, u.Consumed())
 		}
 		u.Close(func() { t.Fatal("nobody reads") })
@@ -71,11 +71,11 @@
 // A client that breaks off, within a piece or between two, or sends more than it may: that is no end.
 func TestBrokenUploads(t *testing.T) {
 	broken := errors.New("broken")
-	for _, n := range []int{0, 100, Piece, 2*Piece + 1} {
-		for _, hold := range []int64{0, 8 * Piece} {
-			budget := NewBudget(8 * Piece)
-			u := New(io.MultiReader(bytes.NewReader(make([]byte, n)), iotest.ErrReader(broken)), -1, Limits{Body: 1 << 20, Hold: hold, Budget: budget})
-			err := u.Fill()
+	for _, n := range []int{0, 100, ChunkSize, 2*ChunkSize + 1} {
+		for _, hold := range []int64{0, 8 * ChunkSize} {
+			budget := NewBudget(8 * ChunkSize)
+			u := New(io.MultiReader(bytes.NewReader(make([]byte, n)), iotest.ErrReader(broken)), -1, Limits{MaxLength: 1 << 20, MaxBuffered: hold, Budget: budget})
+			err := u.FillBuffer()
 			if err == nil {
 				r, openErr := u.Open()
 				if openErr != nil {
@@ -83,8 +83,8 @@
 				}
 				_, err = io.Copy(io.Discard, r)
 			}
-			if !errors.Is(err, broken) || u.Whole() {
-				t.Errorf("after %d bytes, %d held: %v, whole %v", n, hold, err, u.Whole())
+			if !errors.Is(err, broken) || u.Complete() {
+				t.Errorf("after %d bytes, %d held: %v, whole %v", n, hold, err, u.Complete())
 			}
 			u.Close(func() {})
 			if budget.Used() != 0 {
@@ -92,8 +92,8 @@
 			}
 		}
 	}
-	u := New(bytes.NewReader(make([]byte, 3*Piece)), -1, Limits{Body: Piece, Hold: Piece, Budget: NewBudget(Piece)})
-	_ = u.Fill()
+	u := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)})
+	_ = u.FillBuffer()
 	r, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 // Close while a reader waits for the client: the client's connection is hastened, and the reader ends.
 func TestCloseWhileWaiting(t *testing.T) {
 	in, out := io.Pipe()
-	u := New(in, -1, Limits{Body: 1 << 20, Hold: 0, Budget: NewBudget(Piece)})
+	u := New(in, -1, Limits{MaxLength: 1 << 20, MaxBuffered: 0, Budget: NewBudget(ChunkSize)})
 	r, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -71,7 +71,7 @@
 	}
 	defer r.Close()
 
-	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReady("/health/ready"))
+	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
 	server.Handler = front.Handler(pages(&http.Client{Transport: front.RoundTripper()}))
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
--- a/internal/conformance/support_test.go
+++ b/internal/conformance/support_test.go
@@ -55,10 +55,10 @@
 	}},
 	{name: "daemon with TLS", long: true, serve: secured},
 	{name: "middleware", except: hostOwnsTheListener, serve: func(ctx context.Context, c node.Config, ln net.Listener) error {
-		return host(ctx, c, ln, func(f *middleware.Front, app http.Handler) http.Handler { return f.Handler(app) })
+		return host(ctx, c, ln, func(f *middleware.Frontend, app http.Handler) http.Handler { return f.Handler(app) })
 	}},
 	{name: "gin", except: hostOwnsTheListener, serve: func(ctx context.Context, c node.Config, ln net.Listener) error {
-		return host(ctx, c, ln, func(f *middleware.Front, app http.Handler) http.Handler {
+		return host(ctx, c, ln, func(f *middleware.Frontend, app http.Handler) http.Handler {
 			gin.SetMode(gin.ReleaseMode)
 			e := gin.New()
 			e.Use(ginmw.New(f))
@@ -74,7 +74,7 @@
 
 // host is an application with the middleware in it: its own net/http server, its own pages, and the
 // router taken down with it in order.
-func host(ctx context.Context, c node.Config, ln net.Listener, wrap func(*middleware.Front, http.Handler) http.Handler) error {
+func host(ctx context.Context, c node.Config, ln net.Listener, wrap func(*middleware.Frontend, http.Handler) http.Handler) error {
 	server := &http.Server{
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: 15 * time.Second, MaxHeaderBytes: maxHeader,
 		DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn),
@@ -91,7 +91,7 @@
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = io.WriteString(w, "the application's own page")
 	})
-	server.Handler = wrap(middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReady(readyPath)), app)
+	server.Handler = wrap(middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath(readyPath)), app)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
 	<-ctx.Done()
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -193,12 +193,12 @@
 func (n *node) newHandler() http.Handler {
 	var handler http.Handler = middleware.New(n.engine,
 		middleware.WithMatcher(middleware.Any),
-		middleware.WithReady(readyPath),
+		middleware.WithReadyPath(readyPath),
 		middleware.WithReadiness(n.isReady),
 		middleware.WithBodyTimeout(bodyTimeout),
 		middleware.WithWriteTimeout(writeTimeout),
-		middleware.WithBodies(n.bodies),
-		middleware.WithDeparture(clientDisconnected),
+		middleware.WithBodyLimits(n.bodies),
+		middleware.WithDisconnectCheck(clientDisconnected),
 		middleware.WithArrivalAge(arrivalAge),
 		middleware.WithOverflow(mustReject),
 	)
@@ -230,7 +230,7 @@
 	}
 	if group := joinProcessGroup(n.config.SharedDir, n.log); group != nil {
 		group.engine, group.listener = n.engine, n.httpServer
-		group.budget, group.budgetBytes = n.bodies.Budget, n.bodies.Budget.Most()
+		group.budget, group.budgetBytes = n.bodies.Budget, n.bodies.Budget.Limit()
 		group.limits = hotrestart.Limits{ClientConns: n.limits.clients, ServerConns: n.limits.servers}
 		group.setMemoryShare, group.setStandby = n.config.SetMemoryShare, n.admin.setStandby
 		group.conns, _ = n.transport.(connLimiter)
@@ -251,7 +251,7 @@
 // that for one.
 func (c Config) bodyLimits() body.Limits {
 	budget := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
-	return body.Limits{Body: maxBodyBytes, Hold: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
+	return body.Limits{MaxLength: maxBodyBytes, MaxBuffered: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
 }
 
 // newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -120,7 +120,7 @@
 	if g.conns != nil {
 		g.conns.SetMaxConns(share.ServerConns)
 	}
-	g.budget.SetMost(int64(share.Memory * float64(g.budgetBytes)))
+	g.budget.SetLimit(int64(share.Memory * float64(g.budgetBytes)))
 	if g.setMemoryShare != nil && share.Memory != g.share.Memory {
 		g.setMemoryShare(share.Memory)
 	}
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -28,7 +28,7 @@
 }
 
 // Booking requests go through the engine, and the application keeps its own pages.
-func ExampleFront_Handler() {
+func ExampleFrontend_Handler() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "two rooms are free") }))
 	defer server.Close()
 	r, err := newExample(server)
@@ -37,7 +37,7 @@
 		return
 	}
 	defer r.Close()
-	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReady("/health/ready"))
+	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
 	pages := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "welcome") })
 	app := httptest.NewServer(front.Handler(pages))
 	defer app.Close()
@@ -64,7 +64,7 @@
 }
 
 // The application's own calls go the same way: an id and a deadline come by themselves.
-func ExampleFront_RoundTripper() {
+func ExampleFrontend_RoundTripper() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%s for %s", r.URL.Path, strings.ToUpper(r.Host))
 	}))
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxWaitMs = 3_600_000 // that a client may say it waits
-	maxBody   = 64 << 10  // bytes that a request may hold
+	maxDeadlineMs = 3_600_000 // that a client may say it waits
+	maxShortBody   = 64 << 10  // bytes that a request may hold
 )
 
 // Extractor reads one field out of a request. Its error is told to the client, with status 400.
@@ -66,17 +66,17 @@
 	return e
 }
 
-// problem is what is wrong with a request, and the status that says so.
-type problem struct {
+// requestError is what is wrong with a request, and the status that says so.
+type requestError struct {
 	status int
 	text   string
 	allow  string // the method that the class takes, where the request has another
 }
 
-func bad(text string) *problem { return &problem{status: http.StatusBadRequest, text: text} }
+func badRequest(text string) *requestError { return &requestError{status: http.StatusBadRequest, text: text} }
 
-// head reads all but the body.
-func (f *Front) head(r *http.Request) (req router.Request, p *problem) {
+// parseHead reads all but the body.
+func (f *Frontend) parseHead(r *http.Request) (req router.Request, p *requestError) {
 	var deadline string
 	for _, field := range []struct {
 		from Extractor
@@ -91,30 +91,30 @@
 	} {
 		v, err := field.from(r)
 		if err != nil {
-			return req, bad(err.Error())
+			return req, badRequest(err.Error())
 		}
 		*field.to = v
 	}
 	if !router.ValidID(req.ID) {
-		return req, bad("X-Request-Id: missing or malformed")
+		return req, badRequest("X-Request-Id: missing or malformed")
 	}
 	if len(req.Tenant) > router.MaxNameLength { // the module remembers it
-		return req, bad("X-Tenant: too long")
+		return req, badRequest("X-Tenant: too long")
 	}
 	class, ok := f.engine.Class(req.Class)
 	if !ok {
-		return req, bad("X-Class: unknown")
+		return req, badRequest("X-Class: unknown")
 	}
 	waits, err := strconv.ParseUint(deadline, 10, 64)
-	if err != nil || waits == 0 || waits > maxWaitMs {
-		return req, bad("X-Deadline-Ms: want whole milliseconds above 0")
+	if err != nil || waits == 0 || waits > maxDeadlineMs {
+		return req, badRequest("X-Deadline-Ms: want whole milliseconds above 0")
 	}
 	req.Timeout = time.Duration(waits) * time.Millisecond
 	if method := router.Method(class); r.Method != method && !(r.Method == http.MethodHead && method == http.MethodGet) {
-		return req, &problem{http.StatusMethodNotAllowed, "this class takes " + method, method}
+		return req, &requestError{http.StatusMethodNotAllowed, "this class takes " + method, method}
 	}
 	if class.Idempotency == policy.IdempotencyKeyed && req.IdempotencyKey == "" {
-		return req, bad("Idempotency-Key: missing")
+		return req, badRequest("Idempotency-Key: missing")
 	}
 	if v := r.Header["X-Cost-Hint"]; len(v) > 0 {
 		hint, _ := strconv.ParseUint(v[0], 10, 32) // a guess; none is as good as a bad one
--- a/middleware/ginmw/ginmw.go
+++ b/middleware/ginmw/ginmw.go
@@ -11,9 +11,9 @@
 // New returns a handler for gin's Use: it answers booking requests and ends their chain, and leaves
 // the rest to the handlers behind it. Requests reach it only where gin's router runs the middleware:
 // give it to an Engine with Use, which covers requests without a route of their own as well.
-func New(f *middleware.Front) gin.HandlerFunc {
+func New(f *middleware.Frontend) gin.HandlerFunc {
 	return func(c *gin.Context) {
-		if !f.Takes(c.Request) {
+		if !f.Handles(c.Request) {
 			c.Next()
 			return
 		}
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -311,7 +311,7 @@
 func TestClosedRouterRefuses(t *testing.T) {
 	var reached atomic.Int32
 	r := newRouter(t, echo(t, &reached))
-	f := middleware.New(r, middleware.WithReady("/ready"))
+	f := middleware.New(r, middleware.WithReadyPath("/ready"))
 	r.Close()
 	for path, want := range map[string]int{"/api": 503, "/ready": 503} {
 		rec := httptest.NewRecorder()
@@ -610,7 +610,7 @@
 	var reached atomic.Int32
 	r := newRouter(t, echo(t, &reached))
 	left := atomic.Bool{}
-	url := serve(t, middleware.New(r, middleware.WithMatcher(middleware.Any), middleware.WithDeparture(func(context.Context) bool { return left.Load() })))
+	url := serve(t, middleware.New(r, middleware.WithMatcher(middleware.Any), middleware.WithDisconnectCheck(func(context.Context) bool { return left.Load() })))
 	for i, want := range []int{http.StatusOK, http.StatusGatewayTimeout} {
 		left.Store(i == 1)
 		if status, _ := get(t, fresh(), request(t, url, "GET", "read", fmt.Sprint("r", i), "")); status != want {
--- a/middleware/paced_body_test.go
+++ b/middleware/pacedbody_test.go
@@ -8,14 +8,14 @@
 // TestPacedBody_Stall: what has come gives the client of a long body more time for the next byte, within a bound.
 func TestPacedBody_Stall(t *testing.T) {
 	for received, want := range map[int64]time.Duration{
-		0: bodyStall, uploadRate: bodyStall + time.Second, maxBody: bodyStall + 2*time.Second, 1 << 20: longBodyStall,
+		0: bodyStallTimeout, minUploadRate: bodyStallTimeout + time.Second, maxShortBody: bodyStallTimeout + 2*time.Second, 1 << 20: longBodyStallTimeout,
 	} {
 		body := pacedBody{received: received}
-		if got := body.stall(); got != bodyStall {
-			t.Errorf("short: %v after %d bytes, want %v", got, received, bodyStall)
+		if got := body.stallTimeout(); got != bodyStallTimeout {
+			t.Errorf("short: %v after %d bytes, want %v", got, received, bodyStallTimeout)
 		}
 		body.long = true
-		if got := body.stall(); got != want {
+		if got := body.stallTimeout(); got != want {
 			t.Errorf("long: %v after %d bytes, want %v", got, received, want)
 		}
 	}
--- a/middleware/roundtrip.go
+++ b/middleware/roundtrip.go
@@ -22,9 +22,9 @@
 // returned where there is no answer: the request is malformed (*router.InvalidError), the router is
 // drained or closed, or the request's context has ended. Nothing is ever sent again by the
 // RoundTripper itself.
-func (f *Front) RoundTripper() http.RoundTripper { return roundTripper{f} }
+func (f *Frontend) RoundTripper() http.RoundTripper { return roundTripper{f} }
 
-type roundTripper struct{ f *Front }
+type roundTripper struct{ frontend *Frontend }
 
 // RoundTrip routes one request.
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
@@ -33,13 +33,13 @@
 			out.Body.Close() // net/http asks it of every RoundTripper
 		}
 	}()
-	r, err := t.complete(out)
+	r, err := t.withDefaults(out)
 	if err != nil {
 		return nil, err
 	}
-	req, p := t.f.head(r)
-	if p == nil && out.ContentLength > maxBody {
-		p = &problem{text: "the body is over 64 KiB"}
+	req, p := t.frontend.parseHead(r)
+	if p == nil && out.ContentLength > maxShortBody {
+		p = &requestError{text: "the body is over 64 KiB"}
 	}
 	if p != nil {
 		return nil, errors.New("middleware: " + p.text)
@@ -48,26 +48,26 @@
 		req.Timeout = 0
 	}
 	if out.Body != nil && out.Body != http.NoBody {
-		if req.Body, err = io.ReadAll(io.LimitReader(out.Body, maxBody+1)); err != nil {
+		if req.Body, err = io.ReadAll(io.LimitReader(out.Body, maxShortBody+1)); err != nil {
 			return nil, fmt.Errorf("middleware: reading the body: %w", err)
 		}
 		switch {
-		case len(req.Body) > maxBody:
+		case len(req.Body) > maxShortBody:
 			return nil, errors.New("middleware: the body is over 64 KiB")
 		case len(req.Body) > 0 && req.Method == http.MethodGet:
 			return nil, errors.New("middleware: a GET has no body")
 		}
 	}
 	req.ReceivedAt = time.Now()
-	a, err := t.f.engine.Do(out.Context(), req)
+	a, err := t.frontend.engine.Do(out.Context(), req)
 	if err != nil {
 		return nil, err
 	}
-	return response(out, a), nil
+	return newResponse(out, a), nil
 }
 
-// complete returns a copy of the request with what it may leave out.
-func (t roundTripper) complete(out *http.Request) (*http.Request, error) {
+// withDefaults returns a copy of the request with what it may leave out.
+func (t roundTripper) withDefaults(out *http.Request) (*http.Request, error) {
 	r := *out
 	r.Header = out.Header.Clone()
 	if r.Header == nil {
@@ -79,23 +79,23 @@
 	if r.Host == "" {
 		r.Host = out.URL.Host
 	}
-	id, err := t.f.extract.ID(&r)
+	id, err := t.frontend.extract.ID(&r)
 	if err != nil {
 		return nil, errors.New("middleware: " + err.Error())
 	}
 	if id == "" {
-		r.Header.Set("X-Request-Id", t.f.newID())
+		r.Header.Set("X-Request-Id", t.frontend.newID())
 	}
 	if r.Header.Get("X-Deadline-Ms") == "" {
-		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxWaitMs)) // cut to the class's
+		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxDeadlineMs)) // cut to the class's
 	}
 	return &r, nil
 }
 
-func response(out *http.Request, a router.Answer) *http.Response {
+func newResponse(out *http.Request, a router.Answer) *http.Response {
 	status := Status(a)
 	h := make(http.Header, 3)
-	describe(h, a)
+	setAnswerHeaders(h, a)
 	return &http.Response{
 		Status: strconv.Itoa(status) + " " + http.StatusText(status), StatusCode: status,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: out,
