--- a/body/upload.go
+++ b/body/upload.go
@@ -11,83 +11,75 @@
 )
 
 var (
-	// ErrTooLong says that a body holds more than it may.
-	ErrTooLong = errors.New("the body is too long")
-	// ErrClosed is what readers get once the upload is over.
-	ErrClosed = errors.New("the upload is over")
+	// ErrTooLong is returned for a body of more than Limits.MaxLength bytes.
+	ErrTooLong = errors.New("body: longer than its limit")
+	// ErrClosed is returned by the readers of an Upload that was closed.
+	ErrClosed = errors.New("body: upload is closed")
 )
 
-// Upload is one request's body. Fill holds what the budget has room for; what is left passes through to the one
-// reader that gets there, and from then on the body can't be sent again. It is a router.Upload.
-type Upload struct {
-	source    io.Reader
-	length int64
-	maxLength   int64 // bytes that the body may have
-	maxBuffered   int64 // bytes of it that may be held
-	budget *Budget
+// Limits bounds bodies.
+type Limits struct {
+	MaxLength   int64   // bytes of one body
+	MaxBuffered int64   // bytes of one body that are buffered
+	Budget      *Budget // shared by all bodies
+}
 
-	reading sync.Mutex // held while src is read: only one may
-	readErr  error      // how src ended, other than whole
-	received     int64
+// Timestamped is optionally implemented by the source of an Upload, which asks it as soon as the source returned
+// io.EOF.
+type Timestamped interface {
+	// LastByteAt returns when the last byte arrived, which may have waited unread since.
+	LastByteAt() time.Time
+}
 
-	mu      sync.Mutex
-	chunks  []*[ChunkSize]byte
-	buffered    int64 // bytes in pieces, from the first of the body on
-	complete   bool
-	completedAt    time.Time
-	onComplete func(time.Time)
-	closed  bool
+// Upload is the body of one request. FillBuffer buffers what the limits allow. The rest is passed on to the one
+// reader that gets there; from then on the body can't be read from its start again. Its methods are safe for
+// concurrent use.
+type Upload struct {
+	source      io.Reader
+	length      int64 // -1: unknown
+	maxLength   int64
+	maxBuffered int64
+	budget      *Budget
 
-	consumed atomic.Bool
-}
+	reading  sync.Mutex // held while source is read
+	readErr  error      // under reading: what source returned last, other than io.EOF
+	received int64      // under reading: bytes read from source
 
-var _ router.Upload = (*Upload)(nil)
+	mu          sync.Mutex
+	chunks      []*[ChunkSize]byte
+	buffered    int64 // bytes in chunks, from the first of the body on
+	complete    bool  // source returned io.EOF
+	completedAt time.Time
+	onComplete  func(time.Time)
+	closed      bool
 
-// New returns the upload of a body of the given length, -1 where nobody has told it. src ends by io.EOF.
-func New(src io.Reader, length int64, l Limits) *Upload {
-	return &Upload{source: src, length: length, maxLength: l.MaxLength, maxBuffered: l.MaxBuffered, budget: l.Budget}
+	consumed atomic.Bool // bytes were passed on that are not buffered
 }
 
-// Limits is what bodies may have.
-type Limits struct {
-	MaxLength   int64 // bytes of one
-	MaxBuffered   int64 // bytes of one that are held: the longer are never held whole
-	Budget *Budget
-}
+var _ router.Upload = (*Upload)(nil)
 
-// Length is that of the whole body; -1 where nobody has told it.
-func (u *Upload) Length() int64 {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.complete && !u.consumed.Load() {
-		return u.buffered
+// New returns the upload of a body of length bytes, -1 where the length is unknown. source ends with io.EOF, and keeps
+// returning it.
+func New(source io.Reader, length int64, limits Limits) *Upload {
+	return &Upload{
+		source: source, length: length,
+		maxLength: limits.MaxLength, maxBuffered: limits.MaxBuffered, budget: limits.Budget,
 	}
-	return u.length
 }
 
-// FillBuffer reads the body until it is whole, or until the budget has no room for more of it. An error says that the
-// client has broken off, or that the body is too long.
+// FillBuffer reads the body to its end, or until no more of it may be buffered. It returns ErrTooLong, or the error
+// of a source that broke off.
 func (u *Upload) FillBuffer() error {
 	u.reading.Lock()
 	defer u.reading.Unlock()
-	for {
-		if u.received >= u.maxBuffered {
+	for u.received < u.maxBuffered {
+		chunk := u.budget.acquireChunk()
+		if chunk == nil {
 			return nil
 		}
-		piece := u.budget.acquireChunk()
-		if piece == nil {
-			return nil
-		}
-		n, err := io.ReadFull(u.source, piece[:])
+		n, err := io.ReadFull(u.source, chunk[:])
 		u.received += int64(n)
-		u.mu.Lock()
-		if n > 0 && !u.closed {
-			u.chunks = append(u.chunks, piece)
-			u.buffered += int64(n)
-		} else {
-			u.budget.releaseChunk(piece)
-		}
-		u.mu.Unlock()
+		u.storeChunk(chunk, n)
 		switch {
 		case u.received > u.maxLength:
 			return ErrTooLong
@@ -100,70 +92,49 @@
 		u.readErr = err
 		return err
 	}
+	return nil
 }
 
-// atEOF tells apart a body that ends within a piece from one that broke off there: only the first says so again.
+// storeChunk keeps a chunk of n bytes, or releases it where it is empty or the upload was closed.
+func (u *Upload) storeChunk(chunk *[ChunkSize]byte, n int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if n == 0 || u.closed {
+		u.budget.releaseChunk(chunk)
+		return
+	}
+	u.chunks = append(u.chunks, chunk)
+	u.buffered += int64(n)
+}
+
+// atEOF tells a body that ended within a chunk from one that broke off there, for which io.ReadFull returns the same
+// error: only the first returns io.EOF again.
 func (u *Upload) atEOF() bool {
 	n, err := u.source.Read(make([]byte, 1))
 	return n == 0 && errors.Is(err, io.EOF)
 }
 
-// finish notes that the last byte has come.
+// finish notes the end of the body.
 func (u *Upload) finish() {
 	u.mu.Lock()
 	u.complete, u.completedAt = true, u.lastByteAt()
-	told, at := u.onComplete, u.completedAt
+	notify, at := u.onComplete, u.completedAt
 	u.onComplete = nil
 	u.mu.Unlock()
-	if told != nil {
-		told(at)
-	}
-}
-
-// OnComplete has f called once, when the last byte has come; it returns true, and doesn't call f, where it has.
-func (u *Upload) OnComplete(f func(at time.Time)) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.complete {
-		return true
+	if notify != nil {
+		notify(at)
 	}
-	u.onComplete = f
-	return false
-}
-
-// Timestamped is optionally implemented by the source of an Upload. It is asked as soon as the source has said EOF.
-type Timestamped interface {
-	// LastByteAt is when the last byte came, which may have waited unread.
-	LastByteAt() time.Time
 }
 
 func (u *Upload) lastByteAt() time.Time {
-	if dated, ok := u.source.(Timestamped); ok {
-		return dated.LastByteAt()
+	if source, ok := u.source.(Timestamped); ok {
+		return source.LastByteAt()
 	}
 	return time.Now()
 }
 
-// CompletedAt is when the last byte came; zero where it has not.
-func (u *Upload) CompletedAt() time.Time {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.completedAt
-}
-
-// Consumed tells whether bytes have been passed on that are not held.
-func (u *Upload) Consumed() bool { return u.consumed.Load() }
-
-// Open returns the body from its first byte on.
-func (u *Upload) Open() (io.Reader, error) {
-	if u.consumed.Load() {
-		return nil, router.ErrBodyConsumed
-	}
-	return &reader{upload: u}, nil
-}
-
-// Close gives back what is held, and has readers fail from now on. hasten is called where one of them waits for
-// the client, and is to have that read end soon; Close returns when nobody reads src any more.
+// Close releases the buffer, and has readers fail from now on. If one of them is reading the source, interrupt is
+// called, which has to make that read end soon. Close returns when the source is not read any more.
 func (u *Upload) Close(interrupt func()) {
 	u.mu.Lock()
 	u.closed, u.onComplete = true, nil
@@ -176,102 +147,71 @@
 	u.reading.Unlock()
 }
 
-// Complete tells whether the last byte has come.
-func (u *Upload) Complete() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.complete
+func (u *Upload) releaseChunks() {
+	for _, chunk := range u.chunks {
+		u.budget.releaseChunk(chunk)
+	}
+	u.chunks, u.buffered = nil, 0
 }
 
-// Bytes returns a body that is whole and holds so many bytes at most as one piece of memory.
-func (u *Upload) Bytes(most int64) ([]byte, bool) {
+// Length returns the length of the whole body in bytes; -1 where it is unknown.
+func (u *Upload) Length() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.complete || u.consumed.Load() || u.buffered > most {
-		return nil, false
-	}
-	all := make([]byte, 0, u.buffered)
-	for left := u.buffered; left > 0; left -= ChunkSize {
-		all = append(all, u.chunks[len(all)/ChunkSize][:min(ChunkSize, left)]...)
+	if u.complete && !u.consumed.Load() {
+		return u.buffered
 	}
-	return all, true
+	return u.length
 }
 
-// releaseChunks gives the pieces back.
-func (u *Upload) releaseChunks() {
-	for _, p := range u.chunks {
-		u.budget.releaseChunk(p)
+// OnComplete has f called once with the time at which the last byte arrived. If that is past, it returns true and
+// does not call f.
+func (u *Upload) OnComplete(f func(at time.Time)) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.complete {
+		return true
 	}
-	u.chunks, u.buffered = nil, 0
-}
-
-// reader reads a body once. It isn't safe for concurrent use.
-type reader struct {
-	upload  *Upload
-	offset int64
+	u.onComplete = f
+	return false
 }
 
-func (r *reader) Read(p []byte) (int, error) {
-	if len(p) == 0 {
-		return 0, nil
-	}
-	if n, done, err := r.readBuffered(p); done {
-		return n, err
-	}
-	return r.readSource(p)
+// CompletedAt returns when the last byte arrived; zero where it has not.
+func (u *Upload) CompletedAt() time.Time {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.completedAt
 }
 
-// readBuffered copies what is held.
-func (r *reader) readBuffered(p []byte) (n int, done bool, err error) {
-	u := r.upload
+// Complete reports whether the last byte has arrived.
+func (u *Upload) Complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	switch {
-	case u.closed:
-		return 0, true, ErrClosed
-	case r.offset < u.buffered:
-		piece := u.chunks[r.offset/ChunkSize]
-		n = copy(p, piece[r.offset%ChunkSize:min(ChunkSize, u.buffered-r.offset/ChunkSize*ChunkSize)])
-		r.offset += int64(n)
-		return n, true, nil
-	case u.complete && (r.offset == u.buffered || u.consumed.Load()):
-		return 0, true, io.EOF
-	}
-	return 0, false, nil
+	return u.complete
 }
 
-// readSource reads on from the client.
-func (r *reader) readSource(p []byte) (int, error) {
-	u := r.upload
-	u.reading.Lock()
-	defer u.reading.Unlock()
+// Consumed reports whether bytes have been passed on that are not buffered.
+func (u *Upload) Consumed() bool { return u.consumed.Load() }
+
+// Bytes returns a copy of the body, if it is buffered as a whole and of at most limit bytes.
+func (u *Upload) Bytes(limit int64) (all []byte, ok bool) {
 	u.mu.Lock()
-	closed, whole := u.closed, u.complete
-	u.mu.Unlock()
-	switch {
-	case closed:
-		return 0, ErrClosed
-	case r.offset != u.received: // another reader was here
-		return 0, router.ErrBodyConsumed
-	case whole:
-		return 0, io.EOF
-	case u.readErr != nil:
-		return 0, u.readErr
+	defer u.mu.Unlock()
+	if !u.complete || u.consumed.Load() || u.buffered > limit {
+		return nil, false
 	}
-	n, err := u.source.Read(p)
-	if n > 0 {
-		u.consumed.Store(true)
+	all = make([]byte, 0, u.buffered)
+	for left := u.buffered; left > 0; left -= ChunkSize {
+		all = append(all, u.chunks[len(all)/ChunkSize][:min(ChunkSize, left)]...)
 	}
-	u.received += int64(n)
-	r.offset += int64(n)
-	switch {
-	case u.received > u.maxLength:
-		u.readErr = ErrTooLong
-		return 0, ErrTooLong
-	case errors.Is(err, io.EOF):
-		u.finish()
-	case err != nil:
-		u.readErr = err
+	return all, true
+}
+
+// Open returns a reader from the first byte on, or router.ErrBodyConsumed. Bytes that are not buffered go to the reader
+// that asks for them first; another one gets router.ErrBodyConsumed there.
+func (u *Upload) Open() (io.Reader, error) {
+	if u.consumed.Load() {
+		return nil, router.ErrBodyConsumed
 	}
-	return n, err
+	return &reader{upload: u}, nil
 }
--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -13,101 +13,122 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever room there is: a reader gets the body as it is; a second reader does, too, or is told that it can't; the
-// budget is given back whole; and the last byte is told of exactly once.
-func TestUploads(t *testing.T) {
+// drawUpload returns the upload of a body, both of any form.
+func drawUpload(t *rapid.T) (upload *Upload, content []byte) {
+	content = make([]byte, rapid.IntRange(0, 5*ChunkSize).Draw(t, "size"))
+	for i := range content {
+		content[i] = byte(i * 7 >> 3)
+	}
+	budget := NewBudget(int64(rapid.IntRange(1, 6).Draw(t, "chunks")) * ChunkSize)
+	var source io.Reader = bytes.NewReader(content)
+	switch rapid.IntRange(0, 2).Draw(t, "source") {
+	case 1:
+		source = iotest.HalfReader(source)
+	case 2:
+		source = iotest.DataErrReader(source)
+	}
+	length := int64(len(content))
+	if rapid.Bool().Draw(t, "unknown length") {
+		length = -1
+	}
+	maxBuffered := int64(rapid.IntRange(1, 6).Draw(t, "buffered")) * ChunkSize
+	return New(source, length, Limits{MaxLength: 1 << 30, MaxBuffered: maxBuffered, Budget: budget}), content
+}
+
+// TestUpload_AnyBudget reads bodies twice under any budget. A reader gets the body as it is; a second one does, too, or
+// gets router.ErrBodyConsumed. The end is notified exactly once, and the budget is released.
+func TestUpload_AnyBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := make([]byte, rapid.IntRange(0, 5*ChunkSize).Draw(t, "size"))
-		for i := range all {
-			all[i] = byte(i * 7 >> 3)
+		upload, content := drawUpload(t)
+		if err := upload.FillBuffer(); err != nil {
+			t.Fatal(err)
 		}
-		budget := NewBudget(int64(rapid.IntRange(1, 6).Draw(t, "pieces")) * ChunkSize)
-		var src io.Reader = bytes.NewReader(all)
-		switch rapid.IntRange(0, 2).Draw(t, "source") {
-		case 1:
-			src = iotest.HalfReader(src)
-		case 2:
-			src = iotest.DataErrReader(src)
+		notified := 0
+		completeAtFirst := upload.OnComplete(func(time.Time) { notified++ })
+		readTwice(t, upload, content)
+		if completeAtFirst == (notified == 1) || notified > 1 || !upload.Complete() || upload.CompletedAt().IsZero() {
+			t.Fatalf("complete at first: %v, notified %d times", completeAtFirst, notified)
 		}
-		length := int64(len(all))
-		if rapid.Bool().Draw(t, "untold") {
-			length = -1
+		all, ok := upload.Bytes(1 << 20)
+		if ok == upload.Consumed() || ok && !bytes.Equal(all, content) {
+			t.Fatalf("all bytes: %v, consumed: %v", ok, upload.Consumed())
 		}
-		u := New(src, length, Limits{MaxLength: 1 << 30, MaxBuffered: int64(rapid.IntRange(1, 6).Draw(t, "hold")) * ChunkSize, Budget: budget})
-		if err := u.FillBuffer(); err != nil {
-			t.Fatal(err)
+		upload.Close(func() { t.Fatal("interrupted, though nothing reads") })
+		if used := upload.budget.Used(); used != 0 {
+			t.Fatalf("%d bytes are not released", used)
 		}
-		told := 0
-		whole := u.OnComplete(func(time.Time) { told++ })
-		for i := range 2 {
-			r, err := u.Open()
-			if errors.Is(err, router.ErrBodyConsumed) && i == 1 && u.Consumed() {
-				break
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := io.ReadAll(r)
-			if err != nil || !bytes.Equal(got, all) {
-				t.Fatalf("reader %d: %d bytes of %d, %v", i, len(got), len(all), err)
-			}
-			if u.Length() >= 0 && u.Length() != int64(len(all)) {
-				t.Fatalf("length %d", u.Length())
-			}
+	})
+}
+
+// readTwice requires two readers to get the content; the second one may be rejected where the body was consumed.
+func readTwice(t *rapid.T, upload *Upload, content []byte) {
+	for i := range 2 {
+		r, err := upload.Open()
+		if errors.Is(err, router.ErrBodyConsumed) && i == 1 && upload.Consumed() {
+			return
 		}
-		if whole == (told == 1) || told > 1 || !u.Complete() || u.CompletedAt().IsZero() {
-			t.Fatalf("whole at first: %v, told %d times", whole, told)
+		if err != nil {
+			t.Fatal(err)
 		}
-		if short, ok := u.Bytes(1 << 20); ok == u.Consumed() || ok && !bytes.Equal(short, all) {
-			t.Fatalf("short: %v, spent: %v", ok, u.Consumed())
+		got, err := io.ReadAll(r)
+		if err != nil || !bytes.Equal(got, content) {
+			t.Fatalf("reader %d: %d bytes of %d, %v", i, len(got), len(content), err)
 		}
-		u.Close(func() { t.Fatal("nobody reads") })
-		if budget.Used() != 0 {
-			t.Fatalf("%d bytes are not given back", budget.Used())
+		if upload.Length() >= 0 && upload.Length() != int64(len(content)) {
+			t.Fatalf("length %d", upload.Length())
 		}
-	})
+	}
 }
 
-// A client that breaks off, within a piece or between two, or sends more than it may: that is no end.
-func TestBrokenUploads(t *testing.T) {
-	broken := errors.New("broken")
+// TestUpload_SourceBreaksOff has the source fail within a chunk or between two: that is not the end of the body.
+func TestUpload_SourceBreaksOff(t *testing.T) {
+	errBroken := errors.New("broken")
 	for _, n := range []int{0, 100, ChunkSize, 2*ChunkSize + 1} {
-		for _, hold := range []int64{0, 8 * ChunkSize} {
+		for _, maxBuffered := range []int64{0, 8 * ChunkSize} {
 			budget := NewBudget(8 * ChunkSize)
-			u := New(io.MultiReader(bytes.NewReader(make([]byte, n)), iotest.ErrReader(broken)), -1, Limits{MaxLength: 1 << 20, MaxBuffered: hold, Budget: budget})
-			err := u.FillBuffer()
+			source := io.MultiReader(bytes.NewReader(make([]byte, n)), iotest.ErrReader(errBroken))
+			upload := New(source, -1, Limits{MaxLength: 1 << 20, MaxBuffered: maxBuffered, Budget: budget})
+			err := upload.FillBuffer()
 			if err == nil {
-				r, openErr := u.Open()
-				if openErr != nil {
-					t.Fatal(openErr)
-				}
-				_, err = io.Copy(io.Discard, r)
+				err = discard(t, upload)
 			}
-			if !errors.Is(err, broken) || u.Complete() {
-				t.Errorf("after %d bytes, %d held: %v, whole %v", n, hold, err, u.Complete())
+			if !errors.Is(err, errBroken) || upload.Complete() {
+				t.Errorf("after %d bytes, %d buffered: %v, complete %v", n, maxBuffered, err, upload.Complete())
 			}
-			u.Close(func() {})
-			if budget.Used() != 0 {
-				t.Errorf("%d bytes are not given back", budget.Used())
+			upload.Close(func() {})
+			if used := budget.Used(); used != 0 {
+				t.Errorf("%d bytes are not released", used)
 			}
 		}
 	}
-	u := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)})
-	_ = u.FillBuffer()
-	r, err := u.Open()
+}
+
+// TestUpload_TooLong has the part of a body that is not buffered exceed MaxLength.
+func TestUpload_TooLong(t *testing.T) {
+	limits := Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)}
+	upload := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, limits)
+	_ = upload.FillBuffer()
+	if err := discard(t, upload); !errors.Is(err, ErrTooLong) {
+		t.Errorf("got %v, want ErrTooLong", err)
+	}
+}
+
+// discard reads the body to its end.
+func discard(t *testing.T, upload *Upload) error {
+	t.Helper()
+	r, err := upload.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.Copy(io.Discard, r); !errors.Is(err, ErrTooLong) {
-		t.Errorf("too long: %v", err)
-	}
+	_, err = io.Copy(io.Discard, r)
+	return err
 }
 
-// Close while a reader waits for the client: the client's connection is hastened, and the reader ends.
-func TestCloseWhileWaiting(t *testing.T) {
+// TestClose_WhileReading closes an upload while a reader waits for the client: its read is interrupted, and it ends.
+func TestClose_WhileReading(t *testing.T) {
 	in, out := io.Pipe()
-	u := New(in, -1, Limits{MaxLength: 1 << 20, MaxBuffered: 0, Budget: NewBudget(ChunkSize)})
-	r, err := u.Open()
+	upload := New(in, -1, Limits{MaxLength: 1 << 20, MaxBuffered: 0, Budget: NewBudget(ChunkSize)})
+	r, err := upload.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,13 +137,13 @@
 		_, err := r.Read(make([]byte, 1))
 		ended <- err
 	}()
-	for u.reading.TryLock() {
-		u.reading.Unlock()
+	for upload.reading.TryLock() {
+		upload.reading.Unlock()
 		time.Sleep(time.Millisecond)
 	}
-	u.Close(func() { out.CloseWithError(io.ErrClosedPipe) })
+	upload.Close(func() { _ = out.CloseWithError(io.ErrClosedPipe) })
 	if err := <-ended; err == nil {
-		t.Error("the reader goes on")
+		t.Error("the reader is not interrupted")
 	}
 	if _, err := r.Read(make([]byte, 1)); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the close: %v", err)
