--- a/middleware/doc.go
+++ b/middleware/doc.go
@@ -1,14 +1,14 @@
-// Package middleware is the way from net/http into a router: middleware that takes an application's
-// booking requests and leaves it the rest, and a RoundTripper for its own calls.
+// Package middleware connects net/http with a router: a handler that answers an application's booking requests and
+// leaves all others to it, and a RoundTripper for the application's own calls.
 //
-// What a request is, is read by extractors, with the protocol's headers as the default; what comes
-// back is the protocol's, so that clients can't tell the middleware from the daemon:
+// The fields of a request are read by extractors, which default to the protocol's headers. Answers are the
+// protocol's, the same as the daemon's:
 //
 //	200         a server's answer
-//	429, 503    refused: trying again is harmless; Retry-After says when, where anybody can tell
-//	502, 504    failed: it may have run
-//	409         the id is in use, or was lately
-//	other 4xx   the request is malformed and went to no server; its connection ends
+//	429, 503    rejected: a retry is harmless; Retry-After says when, if that is known
+//	502, 504    failed: the request may have run
+//	409         the request ID is in use, or was recently
+//	other 4xx   the request is malformed and reached no server; its connection is closed
 //
 // The middleware recovers no panics, sets no limits on the host's listener, and logs nothing.
 package middleware
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -11,44 +11,43 @@
 )
 
 const (
-	maxDeadlineMs = 3_600_000 // that a client may say it waits
-	maxShortBody   = 64 << 10  // bytes that a request may hold
+	maxDeadlineMs = 3_600_000
+	maxShortBody  = 64 << 10 // bytes of a body without WithBodyLimits
 )
 
-// Extractor reads one field out of a request. Its error is told to the client, with status 400.
+// Extractor reads one field of a request. Its error goes to the client, with status 400.
 type Extractor func(*http.Request) (string, error)
 
-// Header extracts a header. A header that is given twice is an error: this side and a server might
-// each go by another.
+// Header extracts a header. A header that is given twice is an error: this side and a server might use different ones.
 func Header(name string) Extractor {
 	name = http.CanonicalHeaderKey(name)
-	twice := errors.New(name + ": given twice")
+	errTwice := errors.New(name + ": given twice")
 	return func(r *http.Request) (string, error) {
-		switch v := r.Header[name]; len(v) {
+		switch values := r.Header[name]; len(values) {
 		case 0:
 			return "", nil
 		case 1:
-			return v[0], nil
+			return values[0], nil
 		}
-		return "", twice
+		return "", errTwice
 	}
 }
 
 // Fixed extracts the same value from every request.
 func Fixed(value string) Extractor { return func(*http.Request) (string, error) { return value, nil } }
 
-// Extractors says where the fields of a request are found. Those left nil read the protocol's headers.
+// Extractors names where the fields of a request are found. A nil one reads the protocol's header.
 type Extractors struct {
 	ID             Extractor // X-Request-Id
 	Class          Extractor // X-Class
 	Tenant         Extractor // X-Tenant
 	Key            Extractor // X-Key
 	IdempotencyKey Extractor // Idempotency-Key
-	Deadline       Extractor // X-Deadline-Ms: whole milliseconds that the client waits, above 0
+	Deadline       Extractor // X-Deadline-Ms: for how many milliseconds the client waits, above 0
 }
 
-func (e Extractors) orDefault() Extractors {
-	for _, d := range []struct {
+func (e Extractors) withDefaults() Extractors {
+	for _, entry := range []struct {
 		field  *Extractor
 		header string
 	}{
@@ -59,24 +58,37 @@
 		{&e.IdempotencyKey, "Idempotency-Key"},
 		{&e.Deadline, "X-Deadline-Ms"},
 	} {
-		if *d.field == nil {
-			*d.field = Header(d.header)
+		if *entry.field == nil {
+			*entry.field = Header(entry.header)
 		}
 	}
 	return e
 }
 
-// requestError is what is wrong with a request, and the status that says so.
+// requestError is what is wrong with a request, and the status for it.
 type requestError struct {
 	status int
 	text   string
-	allow  string // the method that the class takes, where the request has another
+	allow  string // the method of the request's class, where the request has another one
 }
 
-func badRequest(text string) *requestError { return &requestError{status: http.StatusBadRequest, text: text} }
+// Texts of requestErrors.
+const (
+	bodyOfGet      = "a GET has no body"
+	bodyUnreadable = "the body can't be read"
+)
+
+func badRequest(text string) *requestError {
+	return &requestError{status: http.StatusBadRequest, text: text}
+}
+
+func bodyTooLong(limit int64) *requestError {
+	text := "the body is over " + strconv.FormatInt(limit>>10, 10) + " KiB"
+	return &requestError{status: http.StatusRequestEntityTooLarge, text: text}
+}
 
-// parseHead reads all but the body.
-func (f *Frontend) parseHead(r *http.Request) (req router.Request, p *requestError) {
+// parseHead reads everything but the body.
+func (f *Frontend) parseHead(r *http.Request) (req router.Request, problem *requestError) {
 	var deadline string
 	for _, field := range []struct {
 		from Extractor
@@ -89,37 +101,34 @@
 		{f.extract.IdempotencyKey, &req.IdempotencyKey},
 		{f.extract.Key, &req.Key},
 	} {
-		v, err := field.from(r)
+		value, err := field.from(r)
 		if err != nil {
 			return req, badRequest(err.Error())
 		}
-		*field.to = v
+		*field.to = value
 	}
 	if !router.ValidID(req.ID) {
 		return req, badRequest("X-Request-Id: missing or malformed")
 	}
-	if len(req.Tenant) > router.MaxNameLength { // the module remembers it
+	if len(req.Tenant) > router.MaxNameLength { // the policy stores it
 		return req, badRequest("X-Tenant: too long")
 	}
 	class, ok := f.engine.Class(req.Class)
 	if !ok {
 		return req, badRequest("X-Class: unknown")
 	}
-	waits, err := strconv.ParseUint(deadline, 10, 64)
-	if err != nil || waits == 0 || waits > maxDeadlineMs {
+	deadlineMs, err := strconv.ParseUint(deadline, 10, 64)
+	if err != nil || deadlineMs == 0 || deadlineMs > maxDeadlineMs {
 		return req, badRequest("X-Deadline-Ms: want whole milliseconds above 0")
 	}
-	req.Timeout = time.Duration(waits) * time.Millisecond
-	if method := router.Method(class); r.Method != method && !(r.Method == http.MethodHead && method == http.MethodGet) {
+	if method := router.Method(class); !allowsMethod(method, r.Method) {
 		return req, &requestError{http.StatusMethodNotAllowed, "this class takes " + method, method}
 	}
 	if class.Idempotency == policy.IdempotencyKeyed && req.IdempotencyKey == "" {
 		return req, badRequest("Idempotency-Key: missing")
 	}
-	if v := r.Header["X-Cost-Hint"]; len(v) > 0 {
-		hint, _ := strconv.ParseUint(v[0], 10, 32) // a guess; none is as good as a bad one
-		req.CostHint = time.Duration(hint) * time.Microsecond
-	}
+	req.Timeout = time.Duration(deadlineMs) * time.Millisecond
+	req.CostHint = costHint(r)
 	req.ClassSnapshot = &class
 	req.IsRetry = r.Header.Get("X-Retry") == "1"
 	req.Method, req.Authority = r.Method, r.Host
@@ -127,3 +136,18 @@
 	req.ContentType = r.Header.Get("Content-Type")
 	return req, nil
 }
+
+// allowsMethod reports whether a class with the method takes requests with the other one: HEAD is taken like GET.
+func allowsMethod(classMethod, method string) bool {
+	return method == classMethod || method == http.MethodHead && classMethod == http.MethodGet
+}
+
+// costHint returns the client's estimate of the request's cost; 0: none, or one that can't be read.
+func costHint(r *http.Request) time.Duration {
+	values := r.Header["X-Cost-Hint"]
+	if len(values) == 0 {
+		return 0
+	}
+	hint, _ := strconv.ParseUint(values[0], 10, 32)
+	return time.Duration(hint) * time.Microsecond
+}
--- a/middleware/ginmw/ginmw.go
+++ b/middleware/ginmw/ginmw.go
@@ -1,5 +1,5 @@
-// Package ginmw puts the middleware of package middleware into a gin application. It is a package of
-// its own, so that who does not use gin does not link it.
+// Package ginmw adapts package middleware to gin. It is a package of its own so that other applications do not link
+// gin.
 package ginmw
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/gin-gonic/gin"
 )
 
-// New returns a handler for gin's Use: it answers booking requests and ends their chain, and leaves
-// the rest to the handlers behind it. Requests reach it only where gin's router runs the middleware:
-// give it to an Engine with Use, which covers requests without a route of their own as well.
-func New(f *middleware.Frontend) gin.HandlerFunc {
+// New returns a handler for gin's Use: it answers booking requests and aborts their chain, and leaves all others to the
+// handlers behind it. It runs only where gin runs its middleware: give it to an Engine with Use, which also covers
+// requests without a route.
+func New(frontend *middleware.Frontend) gin.HandlerFunc {
 	return func(c *gin.Context) {
-		if !f.Handles(c.Request) {
+		if !frontend.Handles(c.Request) {
 			c.Next()
 			return
 		}
-		f.ServeHTTP(c.Writer, c.Request)
+		frontend.ServeHTTP(c.Writer, c.Request)
 		c.Abort()
 	}
 }
--- a/middleware/roundtrip.go
+++ b/middleware/roundtrip.go
@@ -14,14 +14,13 @@
 	"cobaltward/router"
 )
 
-// RoundTripper sends the application's own requests through the engine: the scheme is ignored, and the
-// URL's host is what servers see as theirs. A request without X-Request-Id gets a fresh one; without
-// X-Deadline-Ms it waits until its context's deadline, or as long as its class allows.
+// RoundTripper sends the application's own requests through the engine. The scheme of the URL is ignored; servers get
+// its host as theirs. A request without X-Request-Id gets a new one; one without X-Deadline-Ms waits until its
+// context's deadline, or for as long as its class allows.
 //
-// The answer is the one that a client of the middleware would get, as a response. An error is
-// returned where there is no answer: the request is malformed (*router.InvalidError), the router is
-// drained or closed, or the request's context has ended. Nothing is ever sent again by the
-// RoundTripper itself.
+// The response is the one that a client of the middleware would get. An error is returned if the request is malformed
+// (*router.InvalidError, among others), the router is drained or closed, or the request's context has ended. The
+// RoundTripper itself never retries.
 func (f *Frontend) RoundTripper() http.RoundTripper { return roundTripper{f} }
 
 type roundTripper struct{ frontend *Frontend }
@@ -30,43 +29,35 @@
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
 	defer func() {
 		if out.Body != nil {
-			out.Body.Close() // net/http asks it of every RoundTripper
+			_ = out.Body.Close() // the contract of http.RoundTripper
 		}
 	}()
 	r, err := t.withDefaults(out)
 	if err != nil {
 		return nil, err
 	}
-	req, p := t.frontend.parseHead(r)
-	if p == nil && out.ContentLength > maxShortBody {
-		p = &requestError{text: "the body is over 64 KiB"}
+	req, problem := t.frontend.parseHead(r)
+	if problem == nil && out.ContentLength > maxShortBody {
+		problem = bodyTooLong(maxShortBody)
 	}
-	if p != nil {
-		return nil, errors.New("middleware: " + p.text)
+	if problem != nil {
+		return nil, errors.New("middleware: " + problem.text)
 	}
 	if out.Header.Get("X-Deadline-Ms") == "" {
 		req.Timeout = 0
 	}
-	if out.Body != nil && out.Body != http.NoBody {
-		if req.Body, err = io.ReadAll(io.LimitReader(out.Body, maxShortBody+1)); err != nil {
-			return nil, fmt.Errorf("middleware: reading the body: %w", err)
-		}
-		switch {
-		case len(req.Body) > maxShortBody:
-			return nil, errors.New("middleware: the body is over 64 KiB")
-		case len(req.Body) > 0 && req.Method == http.MethodGet:
-			return nil, errors.New("middleware: a GET has no body")
-		}
+	if req.Body, err = readOutgoingBody(out, req.Method); err != nil {
+		return nil, err
 	}
 	req.ReceivedAt = time.Now()
-	a, err := t.frontend.engine.Do(out.Context(), req)
+	answer, err := t.frontend.engine.Do(out.Context(), req)
 	if err != nil {
 		return nil, err
 	}
-	return newResponse(out, a), nil
+	return newResponse(out, answer), nil
 }
 
-// withDefaults returns a copy of the request with what it may leave out.
+// withDefaults returns a copy of the request with the fields that an application may leave out.
 func (t roundTripper) withDefaults(out *http.Request) (*http.Request, error) {
 	r := *out
 	r.Header = out.Header.Clone()
@@ -81,30 +72,47 @@
 	}
 	id, err := t.frontend.extract.ID(&r)
 	if err != nil {
-		return nil, errors.New("middleware: " + err.Error())
+		return nil, fmt.Errorf("middleware: %w", err)
 	}
 	if id == "" {
 		r.Header.Set("X-Request-Id", t.frontend.newID())
 	}
 	if r.Header.Get("X-Deadline-Ms") == "" {
-		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxDeadlineMs)) // cut to the class's
+		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxDeadlineMs)) // RoundTrip leaves the timeout to the class
 	}
 	return &r, nil
 }
 
-func newResponse(out *http.Request, a router.Answer) *http.Response {
-	status := Status(a)
-	h := make(http.Header, 3)
-	setAnswerHeaders(h, a)
+// readOutgoingBody returns the body, nil where the request has none.
+func readOutgoingBody(out *http.Request, method string) ([]byte, error) {
+	if out.Body == nil || out.Body == http.NoBody {
+		return nil, nil
+	}
+	content, err := io.ReadAll(io.LimitReader(out.Body, maxShortBody+1))
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("middleware: reading the body: %w", err)
+	case len(content) > maxShortBody:
+		return nil, errors.New("middleware: " + bodyTooLong(maxShortBody).text)
+	case len(content) > 0 && method == http.MethodGet:
+		return nil, errors.New("middleware: " + bodyOfGet)
+	}
+	return content, nil
+}
+
+func newResponse(out *http.Request, answer router.Answer) *http.Response {
+	status := Status(answer)
+	header := make(http.Header, 3)
+	setAnswerHeaders(header, answer)
 	return &http.Response{
 		Status: strconv.Itoa(status) + " " + http.StatusText(status), StatusCode: status,
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: out,
-		Body: io.NopCloser(bytes.NewReader(a.Body)), ContentLength: int64(len(a.Body)),
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Request: out,
+		Body: io.NopCloser(bytes.NewReader(answer.Body)), ContentLength: int64(len(answer.Body)),
 	}
 }
 
 func newID() string {
-	var b [16]byte
-	_, _ = rand.Read(b[:]) // never fails: the runtime ends the program where it would
-	return hex.EncodeToString(b[:])
+	var random [16]byte
+	_, _ = rand.Read(random[:]) // never fails: crypto/rand ends the program instead
+	return hex.EncodeToString(random[:])
 }
--- /dev/null
+++ b/middleware/serve.go
@@ -0,0 +1,162 @@
+package middleware
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"cobaltward/router"
+)
+
+// maxRejectedRest is the bytes of a body that are read after its request was rejected.
+const maxRejectedRest = 256 << 10
+
+// ServeHTTP answers r, whatever the matcher says.
+func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if !f.hasSafeFraming(r) {
+		f.rejectMalformed(w, r, "", badRequest("want version 1.1, and Content-Length for a body"))
+		return
+	}
+	if f.isReadinessCheck(r) {
+		f.answerReadiness(w, r)
+		return
+	}
+	req, upload, problem := f.readRequest(w, r)
+	if problem != nil {
+		f.rejectMalformed(w, r, req.Class, problem)
+		return
+	}
+	ctx := r.Context()
+	if upload != nil {
+		defer upload.close()
+		ctx = upload.ctx
+	}
+	switch {
+	case f.disconnected(ctx):
+		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // must not be taken for served, should anything read it
+	case f.isOverflow(ctx):
+		w.Header().Set("Connection", "close")
+		f.writeAnswer(w, f.overloadAnswer(req.Class))
+	default:
+		f.forward(ctx, w, r, req)
+	}
+}
+
+// hasSafeFraming reports whether this side and a server find the end of the request's body at the same place. net/http
+// takes the length from a transfer coding and ignores Content-Length, and ignores the coding in HTTP/1.0. With
+// WithBodyLimits the host has checked the coding.
+func (f *Frontend) hasSafeFraming(r *http.Request) bool {
+	return r.ProtoAtLeast(1, 1) && (len(r.TransferEncoding) == 0 || f.bodyLimits != nil)
+}
+
+// readRequest reads the request's head, and its body to the end unless it is a long one, which the returned upload
+// reads.
+func (f *Frontend) readRequest(w http.ResponseWriter, r *http.Request) (router.Request, *upload, *requestError) {
+	req, problem := f.parseHead(r)
+	if problem != nil {
+		return req, nil, problem
+	}
+	req.AcceptsStream = f.bodyLimits != nil
+	if f.bodyLimits != nil && (r.ContentLength > maxInlineBody || r.ContentLength < 0) {
+		upload, problem := f.startUpload(w, r, &req)
+		return req, upload, problem
+	}
+	return req, nil, f.readBody(w, r, &req)
+}
+
+// forward hands the request to the engine and writes the answer.
+func (f *Frontend) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, req router.Request) {
+	answer, err := f.engine.Do(ctx, req)
+	switch invalid := (*router.InvalidError)(nil); {
+	case err == nil:
+		f.writeAnswer(w, answer)
+	case errors.As(err, &invalid):
+		f.rejectMalformed(w, r, req.Class, badRequest(invalid.Field+": "+invalid.Problem))
+	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // the request was not accepted
+		f.writeAnswer(w, router.Answer{Outcome: router.Overloaded})
+	default: // the context has ended, mostly for a disconnected client: nothing must take this for served
+		f.writeAnswer(w, router.Answer{Outcome: router.Expired})
+	}
+}
+
+// overloadAnswer returns the answer to a request on an overflow connection.
+func (f *Frontend) overloadAnswer(class string) router.Answer {
+	if engine, ok := f.engine.(OverloadRejecter); ok {
+		return engine.RejectOverloaded(class)
+	}
+	return router.Answer{Outcome: router.Overloaded}
+}
+
+// readBody reads a short body to its end.
+func (f *Frontend) readBody(w http.ResponseWriter, r *http.Request, req *router.Request) *requestError {
+	if r.ContentLength > maxShortBody {
+		return bodyTooLong(maxShortBody)
+	}
+	if r.ContentLength != 0 {
+		var source io.Reader = r.Body
+		if f.bodyTimeout > 0 {
+			conn := http.NewResponseController(w)
+			source = &pacedBody{Reader: r.Body, conn: conn, deadline: time.Now().Add(f.bodyTimeout)}
+		}
+		content, err := io.ReadAll(io.LimitReader(source, maxShortBody+1))
+		switch {
+		case err != nil:
+			return badRequest(bodyUnreadable)
+		case len(content) > maxShortBody:
+			return bodyTooLong(maxShortBody)
+		case r.ContentLength > 0 && int64(len(content)) != r.ContentLength:
+			return badRequest("the body is incomplete: a handler ahead of this one may have read it")
+		case r.Method == http.MethodGet && len(content) > 0:
+			return badRequest(bodyOfGet)
+		}
+		req.Body = content
+	}
+	// From now on net/http reads in the background to notice a disconnect, and lifts the read deadline itself.
+	req.ReceivedAt = f.arrivedAt(r.Context())
+	return nil
+}
+
+// arrivedAt returns when the last byte of a request arrived that was read just now.
+func (f *Frontend) arrivedAt(ctx context.Context) time.Time {
+	return time.Now().Add(-f.arrivalAge(ctx))
+}
+
+// rejectMalformed answers a malformed request, and closes its connection: the end of its body is in doubt, so that what
+// follows can't be trusted.
+func (f *Frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, class string, problem *requestError) {
+	if _, known := f.engine.Class(class); known {
+		if counter, ok := f.engine.(FailureCounter); ok {
+			counter.CountFailed(class)
+		}
+	}
+	w.Header().Set("Connection", "close")
+	if problem.allow != "" {
+		w.Header().Set("Allow", problem.allow)
+	}
+	http.Error(w, problem.text, problem.status)
+	if r.ContentLength == 0 {
+		return
+	}
+	// A close with bytes unread would reset the connection before the client has read the answer, and net/http reads no
+	// further where the client has asked for the close. Errors of the read mean that the connection is gone.
+	conn := http.NewResponseController(w)
+	_ = conn.Flush()
+	_ = conn.SetReadDeadline(time.Now().Add(DefaultBodyTimeout))
+	_, _ = io.CopyN(io.Discard, r.Body, maxRejectedRest)
+}
+
+// answerReadiness answers a readiness check.
+func (f *Frontend) answerReadiness(w http.ResponseWriter, r *http.Request) {
+	if r.ContentLength != 0 { // net/http would wait for the body without a bound
+		f.rejectMalformed(w, r, "", badRequest("no body is wanted here"))
+		return
+	}
+	f.addCloseHeader(w)
+	status := http.StatusOK // written explicitly: a framework may have set 404
+	if !f.isServing() {
+		status = http.StatusServiceUnavailable
+	}
+	w.WriteHeader(status)
+}
