--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -29,8 +29,8 @@
 	return a
 }
 
-// run reads until the body ends or, after close, until the next read returns. The creator has to make sure that the body
-// ends, or its connection.
+// run reads until the body ends or, after close, until the next read returns. The creator has to make sure that the
+// body ends, or its connection.
 func (a *readAhead) run() {
 	chunk := make([]byte, readAheadChunk)
 	for {
@@ -97,7 +97,7 @@
 }
 
 // stopHolding lowers the bound, since nothing is held back from now on. It reports whether anything has been read.
-func (a *readAhead) stopHolding() (hasBegun bool) {
+func (a *readAhead) stopHolding() (hasData bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.bound = readAheadChunk
