--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -16,12 +16,13 @@
 
 // newExample returns a router to one server.
 func newExample(server *httptest.Server) (*router.Router, error) {
+	class := policy.Class{
+		Name: "hladanie", LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second,
+		Idempotency: policy.Idempotent,
+	}
 	return router.New(router.Config{
 		Settings: policy.Settings{
-			Nodes: 1, Classes: []policy.Class{
-				{Name: "hladanie", LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.Idempotent},
-			},
-			Capabilities: policy.Capabilities{MaxAttempts: 3},
+			Nodes: 1, Classes: []policy.Class{class}, Capabilities: policy.Capabilities{MaxAttempts: 3},
 		},
 		Endpoints: []router.Endpoint{{ID: "one", Addr: server.Listener.Addr().String(), Weight: 1}},
 	}, router.WithTransport(http1.New(http1.Config{})))
@@ -29,17 +30,20 @@
 
 // Booking requests go through the engine, and the application keeps its own pages.
 func ExampleFrontend_Handler() {
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "two rooms are free") }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = fmt.Fprint(w, "two rooms are free")
+	}))
 	defer server.Close()
-	r, err := newExample(server)
+	engine, err := newExample(server)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer r.Close()
-	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
-	pages := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "welcome") })
-	app := httptest.NewServer(front.Handler(pages))
+	defer func() { _ = engine.Close() }()
+	frontend := middleware.New(engine,
+		middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
+	pages := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "welcome") })
+	app := httptest.NewServer(frontend.Handler(pages))
 	defer app.Close()
 
 	get := func(path string) {
@@ -52,7 +56,7 @@
 			fmt.Println(err)
 			return
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		body, _ := io.ReadAll(resp.Body)
 		fmt.Println(path, resp.StatusCode, string(body))
 	}
@@ -63,19 +67,19 @@
 	// /api/rooms?town=nitra 200 two rooms are free
 }
 
-// The application's own calls go the same way: an id and a deadline come by themselves.
+// The application's own calls go the same way; they get a request ID and a deadline.
 func ExampleFrontend_RoundTripper() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintf(w, "%s for %s", r.URL.Path, strings.ToUpper(r.Host))
+		_, _ = fmt.Fprintf(w, "%s for %s", r.URL.Path, strings.ToUpper(r.Host))
 	}))
 	defer server.Close()
-	r, err := newExample(server)
+	engine, err := newExample(server)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer r.Close()
-	client := &http.Client{Transport: middleware.New(r).RoundTripper()}
+	defer func() { _ = engine.Close() }()
+	client := &http.Client{Transport: middleware.New(engine).RoundTripper()}
 	req, _ := http.NewRequest(http.MethodGet, "http://rooms.svc/api/rooms", nil)
 	req.Header.Set("X-Class", "hladanie")
 	resp, err := client.Do(req)
@@ -83,7 +87,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, _ := io.ReadAll(resp.Body)
 	fmt.Println(resp.StatusCode, string(body))
 	// Output:
--- /dev/null
+++ b/middleware/host_test.go
@@ -0,0 +1,155 @@
+package middleware_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"runtime"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cobaltward/internal/testkit"
+	"cobaltward/middleware"
+	"cobaltward/policy"
+	"cobaltward/router"
+)
+
+// TestServeHTTP_HostOverloaded has goroutines of the host keep all threads busy, with garbage to collect: each
+// request has one answer that agrees with how often it ran, and the event loop's lag is measured.
+func TestServeHTTP_HostOverloaded(t *testing.T) {
+	var mu sync.Mutex
+	executions := make(map[string]int)
+	addr := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body)
+		mu.Lock()
+		executions[r.Header.Get("X-Request-Id")]++
+		mu.Unlock()
+	})
+	engine := newRouter(t, addr, addr, addr)
+	url := serve(t, middleware.New(engine))
+	end := time.Now().Add(1200 * time.Millisecond)
+	var busy, clients sync.WaitGroup
+	for range 2 * runtime.GOMAXPROCS(0) {
+		busy.Go(func() { burnUntil(end) })
+	}
+	var codes [600]atomic.Int32
+	for i := range 8 {
+		clients.Go(func() {
+			for n := 0; time.Now().Before(end); n++ {
+				id := fmt.Sprint("r", i, "-", n)
+				status, _ := send(t, request(t, url, "POST", "pay", id, "sum", "X-Deadline-Ms", "150"))
+				codes[status].Add(1)
+				mu.Lock()
+				ran := executions[id]
+				mu.Unlock()
+				if ran > 1 || status == 200 && ran != 1 || (status == 429 || status == 503) && ran != 0 {
+					t.Errorf("%s: %d, and it ran %d times", id, status, ran)
+				}
+			}
+		})
+	}
+	clients.Wait()
+	busy.Wait()
+	if s := engine.Stats(); s.Lag.Max <= 0 || s.Retained != 0 || len(s.OpenByClass) != 0 {
+		t.Errorf("%+v", s)
+	}
+	if codes[200].Load() == 0 {
+		t.Error("not one was served")
+	}
+}
+
+// garbage keeps the last buffer of burnUntil, so that none stays on a stack.
+var garbage atomic.Pointer[[]byte]
+
+// burnUntil uses a thread and makes garbage.
+func burnUntil(end time.Time) {
+	for n := 0; time.Now().Before(end); n++ {
+		buf := make([]byte, 32<<10)
+		for i := range buf {
+			buf[i] = byte(n * i)
+		}
+		garbage.Store(&buf)
+	}
+}
+
+// TestReload_LeaksNothing reloads over real sockets, with servers that come and go: no descriptor and no goroutine is
+// left, and the newest list is in force. RELOADS in the environment sets the number of reloads.
+func TestReload_LeaksNothing(t *testing.T) {
+	reloads := 30
+	if n, err := strconv.Atoi(os.Getenv("RELOADS")); err == nil && n > 0 {
+		reloads = n
+	}
+	var served atomic.Int32
+	var addrs []string
+	for range 4 {
+		addrs = append(addrs, newEchoServer(t, &served))
+	}
+	config := func(i int) router.Config {
+		config := router.Config{Settings: settings(), Endpoints: endpoints(addrs[:2+i%3])}
+		config.Settings.Classes[i%3].Deadline += time.Duration(i) * time.Millisecond
+		return config
+	}
+	before := countDescriptors(t)
+	engine, err := router.New(config(0), router.WithTransport(newTransport()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopClients := sendUntilStopped(t, middleware.New(engine))
+	for i := 1; i <= reloads; i++ {
+		if err := engine.Reload(config(i)); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	stopClients()
+	stats := engine.Stats()
+	running := stats.EndpointsByAvailability[policy.Running]
+	if stats.Reloads != uint64(reloads) || running != 2+reloads%3 || stats.Retained != 0 {
+		t.Errorf("%+v", stats)
+	}
+	if err := engine.Close(); err != nil {
+		t.Error(err)
+	}
+	testkit.Await(t, "the descriptors", func() bool { return countDescriptors(t) <= before })
+}
+
+func countDescriptors(t *testing.T) int {
+	t.Helper()
+	all, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Skip("descriptors can't be counted here")
+	}
+	return len(all)
+}
+
+// sendUntilStopped has four clients send requests, which have to be answered with 200 or 503.
+func sendUntilStopped(t *testing.T, handler http.Handler) (stop func()) {
+	t.Helper()
+	var clients sync.WaitGroup
+	stopped := make(chan struct{})
+	for c := range 4 {
+		clients.Go(func() {
+			for i := 0; ; i++ {
+				select {
+				case <-stopped:
+					return
+				default:
+				}
+				rec := httptest.NewRecorder()
+				handler.ServeHTTP(rec, request(t, "http://app/api", "POST", "pay", fmt.Sprint(c, "-", i), "sum"))
+				if rec.Code != 200 && rec.Code != 503 {
+					t.Errorf("%d", rec.Code)
+				}
+			}
+		})
+	}
+	return func() {
+		close(stopped)
+		clients.Wait()
+	}
+}
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -14,8 +14,8 @@
 const (
 	maxInlineBody = 16 << 10 // bytes of a body that is kept as one slice, outside of the budget
 	// minUploadRate is the rate of slow clients, in bytes a second: it extends the time in which a body has to arrive.
-	minUploadRate = 32 << 10
-	maxUploadRest = 64 << 20 // bytes of a body that are read after the answer
+	minUploadRate      = 32 << 10
+	maxDiscardedUpload = 64 << 20 // bytes of a body that are read after the answer
 )
 
 var errBodyUnreadable = errors.New(bodyUnreadable)
@@ -109,5 +109,5 @@
 	}
 	_ = u.conn.Flush()
 	_ = u.conn.SetReadDeadline(u.body.deadline)
-	_, _ = io.CopyN(io.Discard, u.request.Body, maxUploadRest) // an error means that the client has disconnected
+	_, _ = io.CopyN(io.Discard, u.request.Body, maxDiscardedUpload) // an error means that the client has disconnected
 }
--- a/middleware/pacedbody_test.go
+++ b/middleware/pacedbody_test.go
@@ -5,10 +5,13 @@
 	"time"
 )
 
-// TestPacedBody_Stall: what has come gives the client of a long body more time for the next byte, within a bound.
-func TestPacedBody_Stall(t *testing.T) {
+// TestPacedBody_StallTimeout: what has arrived of a long body extends the timeout of the next read, within a bound.
+func TestPacedBody_StallTimeout(t *testing.T) {
 	for received, want := range map[int64]time.Duration{
-		0: bodyStallTimeout, minUploadRate: bodyStallTimeout + time.Second, maxShortBody: bodyStallTimeout + 2*time.Second, 1 << 20: longBodyStallTimeout,
+		0:             bodyStallTimeout,
+		minUploadRate: bodyStallTimeout + time.Second,
+		maxShortBody:  bodyStallTimeout + 2*time.Second,
+		1 << 20:       longBodyStallTimeout,
 	} {
 		body := pacedBody{received: received}
 		if got := body.stallTimeout(); got != bodyStallTimeout {
--- /dev/null
+++ b/middleware/roundtrip_test.go
@@ -0,0 +1,89 @@
+package middleware_test
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"cobaltward/internal/testkit"
+	"cobaltward/middleware"
+	"cobaltward/router"
+)
+
+// TestRoundTripper: the application's own client routes through the engine, and gets what a client of the middleware
+// gets.
+func TestRoundTripper(t *testing.T) {
+	var served atomic.Int32
+	engine := newRouter(t, newEchoServer(t, &served))
+	client := &http.Client{Transport: middleware.New(engine).RoundTripper()}
+	call := func(method, class, body string, headers ...string) (int, string, error) {
+		resp, err := client.Do(request(t, "http://origin.svc/api", method, class, "", body, headers...))
+		if err != nil {
+			return 0, "", err
+		}
+		defer func() { _ = resp.Body.Close() }()
+		got, err := io.ReadAll(resp.Body)
+		return resp.StatusCode, string(got), err
+	}
+	status, body, err := call("POST", "pay", "sum", "X-Request-Id", "mine")
+	if status != 200 || body != "served mine" || err != nil {
+		t.Errorf("%d %q %v", status, body, err)
+	}
+	if status, _, err := call("POST", "pay", "sum", "X-Request-Id", "mine"); status != 409 || err != nil {
+		t.Errorf("the same id again: %d %v", status, err)
+	}
+	status, body, err = call("GET", "read", "", "X-Deadline-Ms", "")
+	if status != 200 || len(body) < len("served ")+32 || err != nil {
+		t.Errorf("without an id or a deadline: %d %q %v", status, body, err)
+	}
+	for want, test := range map[string]struct{ method, class, body string }{
+		"X-Class: unknown":         {"GET", "other", ""},
+		"this class takes POST":    {"GET", "pay", ""},
+		"a GET has no body":        {"GET", "read", "x"},
+		"Idempotency-Key: missing": {"POST", "undo", "x"},
+		"over 64 KiB":              {"POST", "pay", strings.Repeat("x", 64<<10+1)},
+	} {
+		if _, _, err := call(test.method, test.class, test.body); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("want %q, got %v", want, err)
+		}
+	}
+	if served.Load() != 2 {
+		t.Errorf("%d reached the server", served.Load())
+	}
+	if err := engine.Close(); err != nil {
+		t.Error(err)
+	}
+	if _, _, err := call("GET", "read", ""); !errors.Is(err, router.ErrClosed) {
+		t.Errorf("after Close: %v", err)
+	}
+}
+
+// TestRoundTripper_ContextEnds: a context that ends ends the call, and its attempt is cancelled.
+func TestRoundTripper_ContextEnds(t *testing.T) {
+	addr, received := newHungServer(t)
+	engine := newRouter(t, addr)
+	client := &http.Client{Transport: middleware.New(engine).RoundTripper()}
+	ctx, cancel := context.WithCancel(t.Context())
+	var call sync.WaitGroup
+	call.Go(func() {
+		resp, err := client.Do(request(t, "http://origin.svc/api", "POST", "pay", "r1", "sum").WithContext(ctx))
+		if err == nil {
+			_ = resp.Body.Close()
+		}
+		if !errors.Is(err, context.Canceled) {
+			t.Errorf("got %v", err)
+		}
+	})
+	testkit.Receive(t, "the request", received)
+	cancel()
+	call.Wait()
+	testkit.Await(t, "the end of the attempt", func() bool {
+		stats := engine.Stats()
+		return stats.AttemptsInFlight == 0 && stats.Retained == 0
+	})
+}
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -10,12 +10,12 @@
 	"cobaltward/router"
 )
 
-// maxRejectedRest is the bytes of a body that are read after its request was rejected.
-const maxRejectedRest = 256 << 10
+// maxDiscardedBody is the bytes of a body that are read after its request was rejected.
+const maxDiscardedBody = 256 << 10
 
 // ServeHTTP answers r, whatever the matcher says.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !f.hasSafeFraming(r) {
+	if !f.hasUnambiguousFraming(r) {
 		f.rejectMalformed(w, r, "", badRequest("want version 1.1, and Content-Length for a body"))
 		return
 	}
@@ -44,10 +44,10 @@
 	}
 }
 
-// hasSafeFraming reports whether this side and a server find the end of the request's body at the same place. net/http
+// hasUnambiguousFraming reports whether this side and a server find the end of the request's body at the same place. net/http
 // takes the length from a transfer coding and ignores Content-Length, and ignores the coding in HTTP/1.0. With
 // WithBodyLimits the host has checked the coding.
-func (f *Frontend) hasSafeFraming(r *http.Request) bool {
+func (f *Frontend) hasUnambiguousFraming(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && (len(r.TransferEncoding) == 0 || f.bodyLimits != nil)
 }
 
@@ -144,7 +144,7 @@
 	conn := http.NewResponseController(w)
 	_ = conn.Flush()
 	_ = conn.SetReadDeadline(time.Now().Add(DefaultBodyTimeout))
-	_, _ = io.CopyN(io.Discard, r.Body, maxRejectedRest)
+	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBody)
 }
 
 // answerReadiness answers a readiness check.
