--- a/internal/identity/anonymous.go
+++ b/internal/identity/anonymous.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// SharedTenant is the tenant of the anonymous clients that there is no place for.
+// SharedTenant is the tenant of the anonymous clients for which AnonymousTenants has no name left.
 const SharedTenant = "anonymous"
 
-// AnonymousTenants gives anonymous clients names of their own, so that one does not spend what is another's, in bounded
-// memory: so many at once, each until it has been silent for a while. Those for whom there is no place share one
-// name. Its methods may be called at once from many goroutines; they take the moment from who calls.
+// AnonymousTenants assigns tenant names to anonymous clients, so that one client does not use up the quota of
+// another. It keeps a bounded number of names; clients beyond that share one. It is safe for concurrent use. Times
+// are durations since a fixed start, given by the caller.
 type AnonymousTenants struct {
 	seed   maphash.Seed
 	shards [shards]shard
@@ -21,62 +21,82 @@
 
 const shards = 16
 
-// shard holds some of the names in two generations: the older one is dropped whole, so that nothing is ever
-// searched. A name is kept for one to two spans after it was last asked for.
+// shard has two generations of names. The older one is dropped as a whole, so that no entry has to be searched for by
+// age.
 type shard struct {
-	mu         sync.Mutex
-	most       int // of both generations together
-	span       time.Duration
-	began      time.Duration
-	now, older map[netip.Prefix]uint32
-	next       uint32
-	mark       string
+	mu        sync.Mutex
+	maxNames  int // in both generations
+	lifetime  time.Duration
+	startedAt time.Duration // of the current generation
+	current   map[netip.Prefix]uint32
+	older     map[netip.Prefix]uint32
+	lastID    uint32
+	prefix    string // of the shard's names
 }
 
-// NewAnonymousTenants holds at most about most names, each for one to two spans after its last request.
-func NewAnonymousTenants(most int, span time.Duration) *AnonymousTenants {
-	a := &AnonymousTenants{seed: maphash.MakeSeed()}
-	for i := range a.shards {
-		s := &a.shards[i]
-		s.most, s.span, s.mark = max(1, most/shards), span, strconv.FormatInt(int64(i), 36)
-		s.now, s.older = make(map[netip.Prefix]uint32), make(map[netip.Prefix]uint32)
+// NewAnonymousTenants returns one that keeps about maxNames names, each for one to two lifetimes after its last use.
+func NewAnonymousTenants(maxNames int, lifetime time.Duration) *AnonymousTenants {
+	tenants := &AnonymousTenants{seed: maphash.MakeSeed()}
+	for i := range tenants.shards {
+		s := &tenants.shards[i]
+		s.maxNames = max(1, maxNames/shards)
+		s.lifetime = lifetime
+		s.prefix = SharedTenant + "-" + strconv.FormatInt(int64(i), 36)
+		s.current, s.older = make(map[netip.Prefix]uint32), make(map[netip.Prefix]uint32)
 	}
-	return a
+	return tenants
 }
 
-// Tenant is the tenant that an anonymous client's net stands for at a moment.
-func (a *AnonymousTenants) Tenant(net netip.Prefix, now time.Duration) string {
-	s := &a.shards[maphash.Comparable(a.seed, net)%shards]
+// Tenant returns the tenant of an anonymous client's network.
+func (a *AnonymousTenants) Tenant(network netip.Prefix, now time.Duration) string {
+	s := &a.shards[maphash.Comparable(a.seed, network)%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now-s.began >= s.span {
-		s.older, s.now = s.now, make(map[netip.Prefix]uint32)
-		if now-s.began >= 2*s.span {
-			s.older = make(map[netip.Prefix]uint32)
-		}
-		s.began = now
+	s.expire(now)
+	id, ok := s.id(network)
+	if !ok {
+		return SharedTenant
+	}
+	return s.prefix + strconv.FormatUint(uint64(id), 36)
+}
+
+// expire starts a new generation if the current one has reached its lifetime. s.mu is held.
+func (s *shard) expire(now time.Duration) {
+	age := now - s.startedAt
+	if age < s.lifetime {
+		return
+	}
+	s.older, s.current = s.current, make(map[netip.Prefix]uint32)
+	if age >= 2*s.lifetime {
+		s.older = make(map[netip.Prefix]uint32)
+	}
+	s.startedAt = now
+}
+
+// id returns the id of a network in the current generation, and assigns one if there is space. s.mu is held.
+func (s *shard) id(network netip.Prefix) (id uint32, ok bool) {
+	if id, ok := s.current[network]; ok {
+		return id, true
 	}
-	n, there := s.now[net]
-	if !there {
-		if n, there = s.older[net]; there {
-			delete(s.older, net)
-		} else if len(s.now)+len(s.older) >= s.most {
-			return SharedTenant
-		} else {
-			s.next++
-			n = s.next
+	if id, ok = s.older[network]; ok {
+		delete(s.older, network)
+	} else {
+		if len(s.current)+len(s.older) >= s.maxNames {
+			return 0, false
 		}
-		s.now[net] = n
+		s.lastID++
+		id = s.lastID
 	}
-	return SharedTenant + "-" + s.mark + strconv.FormatUint(uint64(n), 36)
+	s.current[network] = id
+	return id, true
 }
 
-// Len is the number of names held.
+// Len returns the number of names that are kept.
 func (a *AnonymousTenants) Len() (n int) {
 	for i := range a.shards {
 		s := &a.shards[i]
 		s.mu.Lock()
-		n += len(s.now) + len(s.older)
+		n += len(s.current) + len(s.older)
 		s.mu.Unlock()
 	}
 	return n
