--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -23,8 +23,8 @@
 
 func main() { os.Exit(cli.Main(extra())) }
 
-func extra() cli.Extra {
-	return cli.Extra{XDS: membership, Page: page.Write, Control: control.New, Commands: []*cobra.Command{xdsCommand()}}
+func extra() cli.Extensions {
+	return cli.Extensions{NewXDSSource: membership, WriteHTML: page.Write, NewControlPlane: control.New, Commands: []*cobra.Command{xdsCommand()}}
 }
 
 // membership is the source that the operator's own file asks for, with the platform's discovery first
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -7,4 +7,4 @@
 	"cobaltward/internal/cli"
 )
 
-func main() { os.Exit(cli.Main(cli.Extra{})) }
+func main() { os.Exit(cli.Main(cli.Extensions{})) }
--- a/emulator/multiprocess/child.go
+++ b/emulator/multiprocess/child.go
@@ -44,7 +44,7 @@
 	}
 	if role == "node" {
 		os.Args = []string{"wayhold", "serve"}
-		return cli.Main(cli.Extra{}), true
+		return cli.Main(cli.Extensions{}), true
 	}
 	if role == "tool" {
 		os.Args = append([]string{"wayhold-fleet"}, strings.Split(os.Getenv(wordsEnv), "\n")...)
--- a/emulator/realtime/live_test.go
+++ b/emulator/realtime/live_test.go
@@ -19,7 +19,7 @@
 // The test's own binary is a node where its environment says so: no build, no path.
 func TestMain(m *testing.M) {
 	if os.Getenv(asNode) != "" {
-		os.Exit(cli.Main(cli.Extra{}))
+		os.Exit(cli.Main(cli.Extensions{}))
 	}
 	os.Setenv(asNode, "1")
 	goleak.VerifyTestMain(m)
--- a/internal/cli/alone.go
+++ b/internal/cli/alone.go
@@ -18,45 +18,45 @@
 
 var errNoListener = errors.New("listen: there is none any more: a node that stands alone keeps to that until its next start")
 
-// alone is a node without a platform: its configuration is the operator's own file. The zero value is a node with
+// configuration is a node without a platform: its configuration is the operator's own file. The zero value is a node with
 // one.
-type alone struct {
-	own   *standalone.File // the operator's own file, whatever it has
-	file  *standalone.File // nil: the platform's configuration holds
-	front *standalone.Frontend
-	list  *file.Source
+type configuration struct {
+	ownFile    *standalone.File // the operator's own file, whatever it has
+	standalone *standalone.File // nil: the platform's configuration holds
+	frontend   *standalone.Frontend
+	serverList *file.Source
 }
 
-// standAlone reads the operator's own file, and tells by it whether the node stands alone.
-func standAlone(own string) (*alone, error) {
+// loadConfiguration reads the operator's own file, and tells by it whether the node stands alone.
+func loadConfiguration(own string) (*configuration, error) {
 	f, err := standalone.Load(own)
 	if err != nil {
 		return nil, err
 	}
 	if !f.Standalone() {
-		return &alone{own: f}, nil
+		return &configuration{ownFile: f}, nil
 	}
 	front, err := standalone.NewFrontend(f)
-	return &alone{own: f, file: f, front: front}, err
+	return &configuration{ownFile: f, standalone: f, frontend: front}, err
 }
 
-// config is the node's configuration.
-func (a *alone) config() (c node.Config, err error) {
-	if a.file == nil {
+// nodeConfig is the node's configuration.
+func (a *configuration) nodeConfig() (c node.Config, err error) {
+	if a.standalone == nil {
 		c, err = node.LoadConfig(os.Getenv)
 	} else {
-		c, err = configOf(a.file)
+		c, err = standaloneConfig(a.standalone)
 	}
 	if err == nil {
-		saved := a.own.State
+		saved := a.ownFile.State
 		c.State = node.StateConfig{File: saved.File, SaveInterval: saved.SaveInterval, HalfLife: saved.HalfLife, MaxAge: saved.MaxAge}
-		c.Levels, err = ladderOf(a.own, &c)
+		c.Levels, err = levelsConfig(a.ownFile, &c)
 	}
 	return c, err
 }
 
-// ladderOf is the ladder of levels that a file has for a node.
-func ladderOf(f *standalone.File, c *node.Config) (*levels.Config, error) {
+// levelsConfig is the ladder of levels that a file has for a node.
+func levelsConfig(f *standalone.File, c *node.Config) (*levels.Config, error) {
 	ladder, err := f.LevelsConfig(c.Settings.Classes)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", f.Path(), err)
@@ -64,7 +64,7 @@
 	return ladder, nil
 }
 
-func configOf(f *standalone.File) (node.Config, error) {
+func standaloneConfig(f *standalone.File) (node.Config, error) {
 	members, err := f.Endpoints()
 	if err != nil {
 		return node.Config{}, err
@@ -93,40 +93,40 @@
 	return c, err
 }
 
-// serve puts the front and the list of servers in place.
-func (a *alone) serve(c *node.Config, log *slog.Logger) {
-	if a.file == nil {
+// install puts the front and the list of servers in place.
+func (a *configuration) install(c *node.Config, log *slog.Logger) {
+	if a.standalone == nil {
 		return
 	}
-	c.WrapHandler = func(next http.Handler, ready string) http.Handler { return a.front.Handler(next, ready) }
-	a.list = file.New(a.file.ServersPath(), a.file.Endpoints, log)
-	c.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return a.list, nil }
+	c.WrapHandler = func(next http.Handler, ready string) http.Handler { return a.frontend.Handler(next, ready) }
+	a.serverList = file.New(a.standalone.ServersPath(), a.standalone.Endpoints, log)
+	c.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return a.serverList, nil }
 }
 
 // reload reads the configuration again. adopt puts its routes, identities and servers in force, once nothing else
 // of it is refused. A node does not come to stand alone, or cease to, while it runs.
-func (a *alone) reload(own string) (c node.Config, adopt func() error, err error) {
+func (a *configuration) reload(own string) (c node.Config, adopt func() error, err error) {
 	f, err := standalone.Load(own)
 	if err != nil {
 		return node.Config{}, nil, err
 	}
-	if a == nil || a.file == nil {
+	if a == nil || a.standalone == nil {
 		if c, err = node.ReloadConfig(os.Getenv); err == nil {
-			c.Levels, err = ladderOf(f, &c)
+			c.Levels, err = levelsConfig(f, &c)
 		}
 		return c, func() error { return nil }, err
 	}
 	if !f.Standalone() {
 		return node.Config{}, nil, errNoListener
 	}
-	if c, err = configOf(f); err == nil {
-		c.Levels, err = ladderOf(f, &c)
+	if c, err = standaloneConfig(f); err == nil {
+		c.Levels, err = levelsConfig(f, &c)
 	}
 	return c, func() error {
-		if err := a.front.Reload(f); err != nil {
+		if err := a.frontend.Reload(f); err != nil {
 			return err
 		}
-		a.list.Reload(f.Endpoints)
+		a.serverList.Reload(f.Endpoints)
 		return nil
 	}, err
 }
--- a/internal/cli/alone_test.go
+++ b/internal/cli/alone_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(program) != "" {
-		os.Exit(Main(Extra{}))
+		os.Exit(Main(Extensions{}))
 	}
 	os.Exit(m.Run())
 }
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -20,12 +20,12 @@
 
 // The statuses of a call that was not served.
 const (
-	harmless exitStatusError = 2 // it has not run: trying again is harmless
-	unsure   exitStatusError = 3 // it may have run
+	exitNotRun     exitStatusError = 2 // it has not run: trying again is harmless
+	exitMayHaveRun exitStatusError = 3 // it may have run
 )
 
 func (s exitStatusError) Error() string {
-	if s == harmless {
+	if s == exitNotRun {
 		return "not served; it has not run"
 	}
 	return "not served; it may have run"
@@ -63,20 +63,20 @@
 			var notSent *mux.NotSentError
 			switch {
 			case errors.As(err, &notSent):
-				return fmt.Errorf("%w: %w", harmless, err)
+				return fmt.Errorf("%w: %w", exitNotRun, err)
 			case err != nil:
-				return fmt.Errorf("%w: %w", unsure, err)
+				return fmt.Errorf("%w: %w", exitMayHaveRun, err)
 			}
 			switch reply.Code {
 			case "":
 				_, err := c.OutOrStdout().Write(append(reply.Body, '\n'))
 				return err
 			case msgpackrpc.Refused, msgpackrpc.Overloaded, msgpackrpc.NotRun:
-				return fmt.Errorf("%w: %s %s (come back in %v)", harmless, reply.Code, reply.Text, reply.RetryAfter)
+				return fmt.Errorf("%w: %s %s (come back in %v)", exitNotRun, reply.Code, reply.Text, reply.RetryAfter)
 			case msgpackrpc.Malformed:
 				return fmt.Errorf("call: %s: %s", reply.Code, reply.Text)
 			}
-			return fmt.Errorf("%w: %s %s", unsure, reply.Code, reply.Text)
+			return fmt.Errorf("%w: %s %s", exitMayHaveRun, reply.Code, reply.Text)
 		},
 	}
 	f := c.Flags()
--- a/internal/cli/certs_running.go
+++ b/internal/cli/certs_running.go
@@ -23,7 +23,7 @@
 
 // certsShowCommand tells what a running node goes by.
 func certsShowCommand(own *string) *cobra.Command {
-	t := ctl{own: own}
+	t := adminClient{configPath: own}
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "show",
@@ -42,7 +42,7 @@
 			return printTLS(c.OutOrStdout(), &st, time.Now())
 		},
 	}
-	t.flags(c)
+	t.addFlags(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "as the door tells it")
 	return c
 }
@@ -176,8 +176,8 @@
 // probeFor bounds a connection and its handshake.
 const probeFor = 5 * time.Second
 
-// errServerRefused is the exit status where a node would refuse the server.
-const errServerRefused exitStatusError = 9
+// exitServerRejected is the exit status where a node would refuse the server.
+const exitServerRejected exitStatusError = 9
 
 func probe(out io.Writer, layer *secure.ClientTLS, m *router.Endpoint) error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeFor)
@@ -194,7 +194,7 @@
 	var untrusted *secure.UntrustedError
 	switch {
 	case errors.As(err, &untrusted):
-		return statusError{fmt.Errorf("a node would refuse it: %w", err), errServerRefused}
+		return statusError{fmt.Errorf("a node would refuse it: %w", err), exitServerRejected}
 	case err != nil:
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,20 +21,20 @@
 	"github.com/spf13/cobra"
 )
 
-// Membership makes the source of the servers that the operator's own file asks for. own is the
+// NewEndpointSource makes the source of the servers that the operator's own file asks for. own is the
 // protocol's discovery, which it may take in. nil stands for own alone.
-type Membership func(o nodeconfig.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error)
+type NewEndpointSource func(o nodeconfig.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error)
 
-// Extra is what a program has beyond wayhold. The zero value is nothing.
-type Extra struct {
-	XDS      Membership
-	Page     func(w io.Writer, r *result.Result) error // of a rehearsal, with plots
-	Control  realtime.NewAgent                         // of a rehearsal, a control plane
-	Commands []*cobra.Command
+// Extensions is what a program has beyond wayhold. The zero value is nothing.
+type Extensions struct {
+	NewXDSSource    NewEndpointSource
+	WriteHTML       func(w io.Writer, r *result.Result) error // of a rehearsal, with plots
+	NewControlPlane realtime.NewAgent                         // of a rehearsal, a control plane
+	Commands        []*cobra.Command
 }
 
 // Main runs a program, and returns its exit status.
-func Main(e Extra) int {
+func Main(e Extensions) int {
 	err := command(e).Execute()
 	if err == nil {
 		return 0
@@ -47,7 +47,7 @@
 }
 
 // command is the whole command line. Without a subcommand it serves, as the platform's line has it.
-func command(e Extra) *cobra.Command {
+func command(e Extensions) *cobra.Command {
 	var own string
 	root := &cobra.Command{
 		Use:   "wayhold",
@@ -87,7 +87,7 @@
 	return root
 }
 
-// interrupted is a context that SIGTERM and SIGINT end.
-func interrupted() (context.Context, context.CancelFunc) {
+// signalContext is a context that SIGTERM and SIGINT end.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -81,7 +81,7 @@
 	ended := make(chan error, 1)
 	log := &logs{}
 	go func() {
-		c := command(Extra{})
+		c := command(Extensions{})
 		c.SetArgs(nil) // as the platform starts it
 		c.SetErr(log)
 		ended <- c.Execute()
@@ -120,7 +120,7 @@
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
-	c := command(Extra{})
+	c := command(Extensions{})
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&out)
@@ -187,7 +187,7 @@
 	var logs strings.Builder
 	level := new(slog.LevelVar)
 	running := nodeconfig.File{XDS: nodeconfig.XDS{Files: []string{"a.yaml"}}}
-	r := reloader{own: filepath.Join(dir, "own.toml"), running: running, level: level, log: logger(nodeconfig.Log{}, level, &logs)}
+	r := reloader{path: filepath.Join(dir, "own.toml"), running: running, level: level, log: newLogger(nodeconfig.Log{}, level, &logs)}
 	const ladder = "\n[[level]]\nname = \"less\"\nenter = [{signal = \"demand\", bound = 1.1}]\nexit = [{signal = \"demand\", bound = 0.9}]\nmeasure = [{class = \"pay\", shed = 0.5}]\n"
 	for _, c := range []struct{ own, err, next, pool string }{
 		{"[log]\nlevel = \"warn\"\n[xds]\nfiles = [\"a.yaml\"]" + ladder, "", "", ""},
@@ -197,7 +197,7 @@
 		{"[log]\nlevel = \"debug\"\n[xds]\nfiles = [\"a.yaml\"]\n[xds.pools]\nsearch = \"rooms\"", "xds.pools.search: the settings have no such class", "", ""},
 		{"[log]\nlevel = 3", "own.toml:2: log.level", "", ""},
 	} {
-		if err := os.WriteFile(r.own, []byte(c.own), 0o600); err != nil {
+		if err := os.WriteFile(r.path, []byte(c.own), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		logs.Reset()
--- a/internal/cli/ctl.go
+++ b/internal/cli/ctl.go
@@ -32,10 +32,10 @@
 
 // The statuses of ctl that scripts go by, beside 0 and 1.
 const (
-	unreachable       exitStatusError = 4 // no node answers at the door
-	overdue           exitStatusError = 5 // the deadline has passed, and requests were answered for want of time
-	errDrainCancelled exitStatusError = 6 // the drain was cancelled
-	conflict          exitStatusError = 7 // the node says no, as things stand
+	exitUnreachable    exitStatusError = 4 // no node answers at the door
+	exitDeadlinePassed exitStatusError = 5 // the deadline has passed, and requests were answered for want of time
+	exitDrainCancelled exitStatusError = 6 // the drain was cancelled
+	exitConflict       exitStatusError = 7 // the node says no, as things stand
 )
 
 const ctlTimeout = 10 * time.Second // for an answer; watching has no end
@@ -54,24 +54,24 @@
 	return false
 }
 
-// ctl is what all of its commands share.
-type ctl struct {
-	own      *string // the operator's own file
-	at, file string
-	ca, name string // for a door by TLS
+// adminClient is what all of its commands share.
+type adminClient struct {
+	configPath         *string // the operator's own file
+	address, tokenFile string
+	caFile, serverName string // for a door by TLS
 }
 
-// flags are those by which the door is found.
-func (t *ctl) flags(c *cobra.Command) {
+// addFlags are those by which the door is found.
+func (t *adminClient) addFlags(c *cobra.Command) {
 	f := c.PersistentFlags()
-	f.StringVar(&t.at, "door", os.Getenv("WAYHOLD_DOOR"), "the node's socket, or IP:port; else as --config says; WAYHOLD_DOOR names it too")
-	f.StringVar(&t.file, "token-file", "", "the token for IP:port; else as --config says")
-	f.StringVar(&t.ca, "ca", "", "authorities of a door that takes TLS, as PEM")
-	f.StringVar(&t.name, "name", "", "that its certificate is for; else its address")
+	f.StringVar(&t.address, "door", os.Getenv("WAYHOLD_DOOR"), "the node's socket, or IP:port; else as --config says; WAYHOLD_DOOR names it too")
+	f.StringVar(&t.tokenFile, "token-file", "", "the token for IP:port; else as --config says")
+	f.StringVar(&t.caFile, "ca", "", "authorities of a door that takes TLS, as PEM")
+	f.StringVar(&t.serverName, "name", "", "that its certificate is for; else its address")
 }
 
 func ctlCommand(own *string) *cobra.Command {
-	t := ctl{own: own}
+	t := adminClient{configPath: own}
 	c := &cobra.Command{
 		Use:   "ctl",
 		Short: "See to a running node by its door: status, drain, undrain, watch, server",
@@ -79,7 +79,7 @@
 well (drain --wait: drained), 4 if no node answers, 5 if the deadline passed with requests open, 6 if the drain was
 taken back, 7 if the node says no as things stand, and 1 otherwise.`,
 	}
-	t.flags(c)
+	t.addFlags(c)
 	var asJSON bool
 	status := &cobra.Command{Use: "status", Short: "Print how the node stands", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var s node.Status
@@ -142,7 +142,7 @@
 }
 
 // levelCommand shows the level of service, and sets it by hand.
-func (t *ctl) levelCommand(who *string) *cobra.Command {
+func (t *adminClient) levelCommand(who *string) *cobra.Command {
 	showAt := func(c *cobra.Command, method, path string, body any) error {
 		var st router.LevelStatus
 		if _, err := t.call(method, path, body, &st); err != nil {
@@ -216,11 +216,11 @@
 	return c
 }
 
-// dial finds the door.
-func (t *ctl) dial() (*http.Client, string, error) {
-	at, file := t.at, t.file
-	if at == "" && *t.own != "" {
-		o, err := nodeconfig.Load(*t.own)
+// connect finds the door.
+func (t *adminClient) connect() (*http.Client, string, error) {
+	at, file := t.address, t.tokenFile
+	if at == "" && *t.configPath != "" {
+		o, err := nodeconfig.Load(*t.configPath)
 		if err != nil {
 			return nil, "", err
 		}
@@ -238,7 +238,7 @@
 			return nil, "", err
 		}
 	}
-	conf, err := t.tls()
+	conf, err := t.tlsConfig()
 	if err != nil {
 		return nil, "", err
 	}
@@ -246,21 +246,21 @@
 	return c, base, nil
 }
 
-// tls is how a door by TLS is spoken to; nil: without.
-func (t *ctl) tls() (*tls.Config, error) {
-	if t.ca == "" {
+// tlsConfig is how a door by TLS is spoken to; nil: without.
+func (t *adminClient) tlsConfig() (*tls.Config, error) {
+	if t.caFile == "" {
 		return nil, nil
 	}
-	set, err := certificates.Load(certificates.Sources{Trust: t.ca}, time.Now())
+	set, err := certificates.Load(certificates.Sources{Trust: t.caFile}, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	return &tls.Config{RootCAs: set.Pool, ServerName: t.name, MinVersion: tls.VersionTLS13}, nil
+	return &tls.Config{RootCAs: set.Pool, ServerName: t.serverName, MinVersion: tls.VersionTLS13}, nil
 }
 
 // call asks the door, and reads its answer.
-func (t *ctl) call(method, path string, body, to any) ([]byte, error) {
-	c, base, err := t.dial()
+func (t *adminClient) call(method, path string, body, to any) ([]byte, error) {
+	c, base, err := t.connect()
 	if err != nil {
 		return nil, err
 	}
@@ -278,12 +278,12 @@
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return nil, statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), unreachable}
+		return nil, statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), exitUnreachable}
 	}
 	defer resp.Body.Close()
 	raw, err = io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, statusError{fmt.Errorf("ctl: the answer broke off: %w", err), unreachable}
+		return nil, statusError{fmt.Errorf("ctl: the answer broke off: %w", err), exitUnreachable}
 	}
 	if resp.StatusCode >= 300 {
 		var e adminapi.ErrorBody
@@ -292,7 +292,7 @@
 		}
 		err := fmt.Errorf("ctl: %s", e.Message)
 		if resp.StatusCode == http.StatusConflict {
-			return nil, statusError{err, conflict}
+			return nil, statusError{err, exitConflict}
 		}
 		return nil, err
 	}
@@ -306,13 +306,13 @@
 
 // watch shows events: a line that changes on a terminal, else a line of JSON each. With until it returns when
 // the drain is over.
-func (t *ctl) watch(out io.Writer, until bool) error {
-	c, base, err := t.dial()
+func (t *adminClient) watch(out io.Writer, until bool) error {
+	c, base, err := t.connect()
 	if err != nil {
 		return err
 	}
 	defer c.CloseIdleConnections()
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/events", nil)
 	if err != nil {
@@ -320,7 +320,7 @@
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), unreachable}
+		return statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), exitUnreachable}
 	}
 	defer resp.Body.Close()
 	terminal := demo.Terminal(os.Stdout)
@@ -369,7 +369,7 @@
 	if ctx.Err() != nil && !until {
 		return nil
 	}
-	return statusError{errors.New("ctl: the node went away"), unreachable}
+	return statusError{errors.New("ctl: the node went away"), exitUnreachable}
 }
 
 // outcome is what a drain has come to, once it is over.
@@ -378,9 +378,9 @@
 	case drain.Drained:
 		return true, nil
 	case drain.Forced:
-		return true, statusError{fmt.Errorf("ctl: the deadline passed with %d requests open; they were answered", s.Drain.OpenAtDeadline), overdue}
+		return true, statusError{fmt.Errorf("ctl: the deadline passed with %d requests open; they were answered", s.Drain.OpenAtDeadline), exitDeadlinePassed}
 	case drain.Serving:
-		return true, statusError{errors.New("ctl: the drain was taken back"), errDrainCancelled}
+		return true, statusError{errors.New("ctl: the drain was taken back"), exitDrainCancelled}
 	}
 	return false, nil
 }
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -35,7 +35,7 @@
 	compare, quiet       bool
 }
 
-func rehearseCommand(e Extra) *cobra.Command {
+func rehearseCommand(e Extensions) *cobra.Command {
 	var o rehearsal
 	c := &cobra.Command{
 		Use:   "rehearse SCRIPT | rehearse --compare A B",
@@ -79,8 +79,8 @@
 	return c
 }
 
-func (o *rehearsal) run(c *cobra.Command, path string, e Extra) error {
-	if o.html != "" && e.Page == nil {
+func (o *rehearsal) run(c *cobra.Command, path string, e Extensions) error {
+	if o.html != "" && e.WriteHTML == nil {
 		return errNoPage
 	}
 	if o.real && o.mutant != "" {
@@ -117,7 +117,7 @@
 		options.Progress = func(at time.Duration) { _ = bar.Set64(min(int64(at/time.Second), int64(s.Length/time.Second))) }
 		defer bar.Finish() //nolint:errcheck // it is only shown
 	}
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	var r *result.Result
 	if o.real {
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		r, err = realtime.Run(ctx, p, realtime.Options{Command: []string{self, "serve"}, XDS: e.Control, Levels: text, Progress: options.Progress, Detail: options.Detail})
+		r, err = realtime.Run(ctx, p, realtime.Options{Command: []string{self, "serve"}, XDS: e.NewControlPlane, Levels: text, Progress: options.Progress, Detail: options.Detail})
 		if err := errors.Join(err, finish()); err != nil {
 			return err
 		}
@@ -166,14 +166,14 @@
 }
 
 // tell writes a result wherever it is wanted, and returns an error where it is no good one.
-func (o *rehearsal) tell(c *cobra.Command, r *result.Result, e Extra) error {
+func (o *rehearsal) tell(c *cobra.Command, r *result.Result, e Extensions) error {
 	if err := report.Text(c.OutOrStdout(), r); err != nil {
 		return err
 	}
 	if err := write(o.json, func(w io.Writer) error { return report.JSON(w, r) }); err != nil {
 		return err
 	}
-	if err := write(o.html, func(w io.Writer) error { return e.Page(w, r) }); err != nil {
+	if err := write(o.html, func(w io.Writer) error { return e.WriteHTML(w, r) }); err != nil {
 		return err
 	}
 	switch {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -30,7 +30,7 @@
 
 // serve runs the node, with own as the operator's own file. What it sets in the process is the
 // daemon's to set: a library leaves it to its host.
-func serve(own string, logs io.Writer, e Extra) error {
+func serve(own string, logs io.Writer, e Extensions) error {
 	hup := make(chan os.Signal, 1) // one more that is waiting stands for all: the file is read after it
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -38,28 +38,28 @@
 	if err != nil {
 		return err
 	}
-	alone, err := standAlone(own)
+	alone, err := loadConfiguration(own)
 	if err != nil {
 		return err
 	}
-	c, err := alone.config()
+	c, err := alone.nodeConfig()
 	if err != nil {
 		return err
 	}
-	apply(o, &c)
+	applyDrain(o, &c)
 	level := new(slog.LevelVar)
-	log := logger(o.Log, level, logs)
-	alone.serve(&c, log)
-	if err := useXDS(o, &c, e, log); err != nil {
+	log := newLogger(o.Log, level, logs)
+	alone.install(&c, log)
+	if err := applyXDS(o, &c, e, log); err != nil {
 		return err
 	}
-	if c.Msgpack, err = msgpack(o.Msgpack); err != nil {
+	if c.Msgpack, err = openMsgpack(o.Msgpack); err != nil {
 		return err
 	}
-	if c.AdminAPI, err = doorOf(o.AdminAPI); err != nil {
+	if c.AdminAPI, err = adminAPIConfig(o.AdminAPI); err != nil {
 		return err
 	}
-	if c.TLS, err = alone.own.NodeTLS(time.Now()); err != nil {
+	if c.TLS, err = alone.ownFile.NodeTLS(time.Now()); err != nil {
 		return fmt.Errorf("%s:%w", own, err)
 	}
 	if c.TLS != nil && len(c.TLS.Secrets) > 0 && o.XDS.Bootstrap == "" {
@@ -70,7 +70,7 @@
 	c.SharedDir = os.Getenv("TMPDIR")
 	c.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20))) }
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	listener, err := clientsListener(&c, os.Getenv)
 	if err != nil {
@@ -84,7 +84,7 @@
 	log.Info("listening", "name", c.Name, "address", listener.Addr(), "servers", len(c.InitialList.Endpoints))
 	reloads, done := make(chan node.Config, 1), make(chan struct{})
 	defer close(done)
-	r := reloader{own: own, running: o, level: level, log: log, alone: alone}
+	r := reloader{path: own, running: o, level: level, log: log, alone: alone}
 	go r.run(hup, reloads, done)
 	return node.Run(ctx, c, listener, reloads, log)
 }
@@ -110,8 +110,8 @@
 	return ln, nil
 }
 
-// doorOf is the door that the table [door] asks for.
-func doorOf(d nodeconfig.AdminAPI) (adminapi.Config, error) {
+// adminAPIConfig is the door that the table [door] asks for.
+func adminAPIConfig(d nodeconfig.AdminAPI) (adminapi.Config, error) {
 	c := adminapi.Config{Socket: d.Socket, Listen: d.Listen}
 	if d.TokenFile == "" {
 		return c, nil
@@ -124,8 +124,8 @@
 	return c, nil
 }
 
-// apply puts what the operator's own file says into the node's configuration.
-func apply(o nodeconfig.File, c *node.Config) {
+// applyDrain puts what the operator's own file says into the node's configuration.
+func applyDrain(o nodeconfig.File, c *node.Config) {
 	if o.Drain.AnnounceFor.Set {
 		c.AnnounceFor = &o.Drain.AnnounceFor.Duration
 	}
@@ -134,9 +134,9 @@
 	}
 }
 
-// msgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
+// openMsgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
 // and goes.
-func msgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
+func openMsgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
 	c := node.Msgpack{MaxConns: m.MaxConns, MaxCallsPerConn: m.MaxCallsPerConn, ServerKinds: m.ServerKinds}
 	if m.Listen == "" {
 		return c, nil
@@ -162,18 +162,18 @@
 // errNoXDS tells who asks for xDS of a program that does not link it.
 var errNoXDS = errors.New("xds: this program has none; run wayhold-xds in its place")
 
-// useXDS puts in place what the table [xds] asks for.
-func useXDS(o nodeconfig.File, c *node.Config, e Extra, log *slog.Logger) error {
+// applyXDS puts in place what the table [xds] asks for.
+func applyXDS(o nodeconfig.File, c *node.Config, e Extensions, log *slog.Logger) error {
 	if !o.XDS.Enabled() {
 		return nil
 	}
-	if e.XDS == nil {
+	if e.NewXDSSource == nil {
 		return errNoXDS
 	}
 	if err := bindPools(o, c); err != nil {
 		return err
 	}
-	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) { return e.XDS(o, *c, own, log) }
+	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) { return e.NewXDSSource(o, *c, own, log) }
 	return nil
 }
 
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func logger(l nodeconfig.Log, level *slog.LevelVar, to io.Writer) *slog.Logger {
+func newLogger(l nodeconfig.Log, level *slog.LevelVar, to io.Writer) *slog.Logger {
 	level.Set(l.Level.Level)
 	options := &slog.HandlerOptions{Level: level}
 	if l.Format == "json" {
@@ -200,11 +200,11 @@
 
 // reloader reads both files again, and puts them in force together or not at all.
 type reloader struct {
-	own     string          // the operator's own file
+	path    string          // the operator's own file
 	running nodeconfig.File // as it was at the start
 	level   *slog.LevelVar
 	log     *slog.Logger
-	alone   *alone
+	alone   *configuration
 }
 
 // run reads at each SIGHUP until done; the newest configuration stands in reloads.
@@ -229,15 +229,15 @@
 }
 
 func (r *reloader) read() (node.Config, error) {
-	o, err := nodeconfig.Load(r.own)
+	o, err := nodeconfig.Load(r.path)
 	if err != nil {
 		return node.Config{}, err
 	}
-	c, adopt, err := r.alone.reload(r.own)
+	c, adopt, err := r.alone.reload(r.path)
 	if err != nil {
 		return node.Config{}, err
 	}
-	apply(o, &c)
+	applyDrain(o, &c)
 	if r.running.XDS.Enabled() { // else there is no source whose clusters classes could be bound to
 		if err := bindPools(o, &c); err != nil {
 			return node.Config{}, err
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -17,7 +17,7 @@
 )
 
 // checkCommand reads configurations without serving.
-func checkCommand(own *string, e Extra) *cobra.Command {
+func checkCommand(own *string, e Extensions) *cobra.Command {
 	var platform string
 	c := &cobra.Command{
 		Use:   "check [FILE]",
@@ -45,7 +45,7 @@
 				if o, err = nodeconfig.Load(path); err != nil {
 					return err
 				}
-				if o.XDS.Enabled() && e.XDS == nil {
+				if o.XDS.Enabled() && e.NewXDSSource == nil {
 					return errNoXDS
 				}
 				alone, err := standalone.Load(path)
@@ -112,7 +112,7 @@
 the proof that no booking ran twice. The exit status is 0 if that holds and every request was answered.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, stop := interrupted()
+			ctx, stop := signalContext()
 			defer stop()
 			return demo.Run(ctx, conf, c.OutOrStdout(), demo.Terminal(os.Stdout))
 		},
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -37,7 +37,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(nodeEnv) != "" {
 		os.Args = []string{"wayhold", "serve"}
-		os.Exit(cli.Main(cli.Extra{}))
+		os.Exit(cli.Main(cli.Extensions{}))
 	}
 	flag.Parse()
 	os.Exit(m.Run())
