--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -1,9 +1,11 @@
 package cli
 
 import (
+	"context"
 	"crypto/rand"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"strings"
 	"time"
@@ -15,80 +17,72 @@
 	"github.com/spf13/cobra"
 )
 
-// exitStatusError is one that scripts go by.
-type exitStatusError int
+const defaultCallTimeout = 5 * time.Second
 
-// The statuses of a call that was not served.
-const (
-	exitNotRun     exitStatusError = 2 // it has not run: trying again is harmless
-	exitMayHaveRun exitStatusError = 3 // it may have run
-)
-
-func (s exitStatusError) Error() string {
-	if s == exitNotRun {
-		return "not served; it has not run"
-	}
-	return "not served; it may have run"
-}
-
-// callCommand calls a node by MessagePack-RPC.
+// callCommand returns the command that calls a node by MessagePack-RPC.
 func callCommand() *cobra.Command {
-	var q msgpackrpc.Call
+	var call msgpackrpc.Call
 	var body string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "call ADDRESS",
 		Short: "Make one call to a node by MessagePack-RPC",
 		Long: `Make one call to the node at ADDRESS (host:port, or the path of a Unix socket) by MessagePack-RPC, and
-print the body that comes back. The exit status is 0 if it was served, 2 if it has not run and trying
-again is harmless, 3 if it may have run, and 1 if it could not be made. It is never repeated.`,
+print the body of the answer. The exit status is 0 if it was served, 2 if it was not executed and a retry is
+harmless, 3 if it may have been executed, and 1 if it could not be made. It is never retried.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			network := "tcp"
-			if strings.HasPrefix(args[0], "/") {
-				network = "unix"
-			}
-			if q.ID == "" {
-				q.ID = rand.Text()
-			}
-			q.Body = []byte(body)
-			if name, ok := strings.CutPrefix(body, "@"); ok {
-				var err error
-				if q.Body, err = os.ReadFile(name); err != nil {
-					return err
-				}
-			}
-			to := client.New(network, args[0])
-			defer to.Close()
-			reply, err := to.Call(c.Context(), q)
-			var notSent *mux.NotSentError
-			switch {
-			case errors.As(err, &notSent):
-				return fmt.Errorf("%w: %w", exitNotRun, err)
-			case err != nil:
-				return fmt.Errorf("%w: %w", exitMayHaveRun, err)
+			if call.ID == "" {
+				call.ID = rand.Text()
 			}
-			switch reply.Code {
-			case "":
-				_, err := c.OutOrStdout().Write(append(reply.Body, '\n'))
+			var err error
+			if call.Body, err = readBody(body); err != nil {
 				return err
-			case msgpackrpc.Refused, msgpackrpc.Overloaded, msgpackrpc.NotRun:
-				return fmt.Errorf("%w: %s %s (come back in %v)", exitNotRun, reply.Code, reply.Text, reply.RetryAfter)
-			case msgpackrpc.Malformed:
-				return fmt.Errorf("call: %s: %s", reply.Code, reply.Text)
 			}
-			return fmt.Errorf("%w: %s %s", exitMayHaveRun, reply.Code, reply.Text)
+			return makeCall(c.Context(), c.OutOrStdout(), args[0], call)
 		},
 	}
-	f := c.Flags()
-	f.StringVar(&q.ID, "id", "", "the request's id; else a new one")
-	f.StringVar(&q.Class, "class", "", "the request's class")
-	f.StringVar(&q.Tenant, "tenant", "", "the workspace")
-	f.StringVar(&q.Key, "key", "", "what the request is about")
-	f.StringVar(&q.IdempotencyKey, "idempotency-key", "", "of a keyed class")
-	f.StringVar(&q.Target, "target", "/", "path and query")
-	f.StringVar(&q.ContentType, "content-type", "", "of the body")
-	f.StringVar(&body, "body", "", "the body, or @FILE")
-	f.DurationVar(&q.Wait, "wait", 5*time.Second, "how long to wait")
-	_ = c.MarkFlagRequired("class") // fails only for a flag that is not there
-	return c
+	flags := command.Flags()
+	flags.StringVar(&call.ID, "id", "", "the request's id; else a new one")
+	flags.StringVar(&call.Class, "class", "", "the request's class")
+	flags.StringVar(&call.Tenant, "tenant", "", "the workspace")
+	flags.StringVar(&call.Key, "key", "", "what the request is about")
+	flags.StringVar(&call.IdempotencyKey, "idempotency-key", "", "of a keyed class")
+	flags.StringVar(&call.Target, "target", "/", "path and query")
+	flags.StringVar(&call.ContentType, "content-type", "", "of the body")
+	flags.StringVar(&body, "body", "", "the body, or @FILE")
+	flags.DurationVar(&call.Wait, "wait", defaultCallTimeout, "how long to wait")
+	_ = command.MarkFlagRequired("class") // fails only for an unknown flag
+	return command
+}
+
+// readBody returns a text, or the content of the file that it names behind an @.
+func readBody(text string) ([]byte, error) {
+	if path, ok := strings.CutPrefix(text, "@"); ok {
+		return os.ReadFile(path)
+	}
+	return []byte(text), nil
+}
+
+// makeCall makes a call, and prints the body of the answer. Its errors have an exit status.
+func makeCall(ctx context.Context, out io.Writer, address string, call msgpackrpc.Call) error {
+	rpc := client.New(networkOf(address), address)
+	defer rpc.Close()
+	reply, err := rpc.Call(ctx, call)
+	var notSent *mux.NotSentError
+	switch {
+	case errors.As(err, &notSent):
+		return fmt.Errorf("%w: %w", errNotRun, err)
+	case err != nil:
+		return fmt.Errorf("%w: %w", errMayHaveRun, err)
+	}
+	switch reply.Code {
+	case "":
+		_, err := out.Write(append(reply.Body, '\n'))
+		return err
+	case msgpackrpc.Refused, msgpackrpc.Overloaded, msgpackrpc.NotRun:
+		return fmt.Errorf("%w: %s %s (retry after %v)", errNotRun, reply.Code, reply.Text, reply.RetryAfter)
+	case msgpackrpc.Malformed:
+		return fmt.Errorf("call: %s: %s", reply.Code, reply.Text)
+	}
+	return fmt.Errorf("%w: %s %s", errMayHaveRun, reply.Code, reply.Text)
 }
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -13,89 +13,120 @@
 	"github.com/spf13/cobra"
 )
 
-// certsCommand looks at certificates without a node.
-func certsCommand(own *string) *cobra.Command {
-	all := &cobra.Command{Use: "certs", Short: "Certificates, keys and authorities: check them, see what a node holds, probe a server"}
-	var from certificates.Sources
-	var asOf string
-	var within time.Duration
-	check := &cobra.Command{
+// certsCommand returns the command about certificates.
+func certsCommand(configPath *string) *cobra.Command {
+	command := &cobra.Command{
+		Use:   "certs",
+		Short: "Certificates, keys and authorities: check them, see what a node uses, probe a server",
+	}
+	command.AddCommand(
+		certsCheckCommand(configPath), certsShowCommand(configPath), certsProbeCommand(), certsTicketsCommand())
+	return command
+}
+
+// certificateCheck has the flags of certs check.
+type certificateCheck struct {
+	sources certificates.Sources
+	asOf    string // a date; empty: now
+	within  time.Duration
+}
+
+func certsCheckCommand(configPath *string) *cobra.Command {
+	var check certificateCheck
+	command := &cobra.Command{
 		Use:   "check",
-		Short: "Read certificates as a node would, and list when each ends",
-		Long: `Read certificates with their keys, and the authorities that are trusted, as a node would, from flags or from the table [tls]
-of the file that --config names: whatever is wrong is one line that names the file, and the exit status is then 1. What is in order is listed, the first to end in front. With --within
-the exit status is 8 where one ends before that.`,
+		Short: "Read certificates as a node would, and list when each expires",
+		Long: `Read certificates with their keys, and the trusted authorities, as a node would, from flags or from the table
+[tls] of the file that --config names. An error is one line that names the file, and the exit status is then 1. Valid
+certificates are listed, the first to expire in front. With --within the exit status is 8 if one expires before that.`,
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			now := time.Now()
-			if asOf != "" {
-				var err error
-				if now, err = time.Parse(time.DateOnly, asOf); err != nil {
-					return fmt.Errorf("--as-of: want a day as in 2027-01-31, got %q", asOf)
-				}
-			}
-			entries, err := entriesOf(from, *own, now)
-			if err != nil {
-				return err
-			}
-			for _, e := range entries {
-				names := strings.Join(e.Names, ",")
-				if names == "" {
-					names = "-"
-				}
-				fmt.Fprintf(c.OutOrStdout(), "%s  %d days left  serial %s  %s  %s\n", e.Ends.UTC().Format(time.RFC3339), int(e.Ends.Sub(now).Hours()/24), e.Serial, names, e.Source)
-			}
-			n := 0
-			for _, e := range entries {
-				if !e.Ends.After(now.Add(within)) {
-					n++
-				}
-			}
-			if within > 0 && n > 0 {
-				fmt.Fprintf(c.ErrOrStderr(), "%d of them end within %v\n", n, within)
-				return exitStatusError(8)
-			}
-			return nil
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return check.run(c, *configPath) },
+	}
+	flags := command.Flags()
+	flags.StringVar(&check.sources.Dir, "dir", "",
+		"a directory with a directory for each name, which has cert.pem and key.pem")
+	flags.StringVar(&check.sources.Cert, "cert", "", "a certificate with its chain")
+	flags.StringVar(&check.sources.Key, "key", "", "its key, which only its owner may read")
+	flags.StringVar(&check.sources.Trust, "trust", "", "a bundle of authorities")
+	flags.StringVar(&check.asOf, "as-of", "", "the day to check for, as in 2027-01-31; else now")
+	flags.DurationVar(&check.within, "within", 0, "warn of certificates that expire within this time, as in 720h")
+	return command
+}
+
+func (c *certificateCheck) run(command *cobra.Command, configPath string) error {
+	now := time.Now()
+	if c.asOf != "" {
+		var err error
+		if now, err = time.Parse(time.DateOnly, c.asOf); err != nil {
+			return fmt.Errorf("--as-of: want a day as in 2027-01-31, got %q", c.asOf)
+		}
 	}
-	f := check.Flags()
-	f.StringVar(&from.Dir, "dir", "", "a directory with a directory for each name, which holds cert.pem and key.pem")
-	f.StringVar(&from.Cert, "cert", "", "a certificate with its chain")
-	f.StringVar(&from.Key, "key", "", "its key, which nobody else may read")
-	f.StringVar(&from.Trust, "trust", "", "a bundle of authorities")
-	f.StringVar(&asOf, "as-of", "", "the day to check for, as in 2027-01-31; else now")
-	f.DurationVar(&within, "within", 0, "warn of what ends within this time, as in 720h")
-	all.AddCommand(check, certsShowCommand(own), certsProbeCommand(), certsTicketsCommand())
-	return all
+	entries, err := loadEntries(c.sources, configPath, now)
+	if err != nil {
+		return err
+	}
+	out := &printer{out: command.OutOrStdout()}
+	expiring := 0
+	for _, entry := range entries {
+		names := strings.Join(entry.Names, ",")
+		if names == "" {
+			names = "-"
+		}
+		out.printf("%s  %d days left  serial %s  %s  %s\n", entry.Ends.UTC().Format(time.RFC3339),
+			int(entry.Ends.Sub(now).Hours()/24), entry.Serial, names, entry.Source)
+		if !entry.Ends.After(now.Add(c.within)) {
+			expiring++
+		}
+	}
+	if c.within <= 0 || expiring == 0 {
+		return out.err
+	}
+	errOut := &printer{out: command.ErrOrStderr()}
+	errOut.printf("%d of them end within %v\n", expiring, c.within)
+	return errors.Join(errExpiring, out.err, errOut.err)
 }
 
-// entriesOf reads what flags name or, where they name nothing, the table [tls] of the operator's own file.
-func entriesOf(from certificates.Sources, own string, now time.Time) ([]certificates.Entry, error) {
-	if from != (certificates.Sources{}) {
-		set, err := certificates.Load(from, now)
+// loadEntries reads the certificates of the sources or, if there are none, of the table [tls] of the operator's own
+// file, the first to expire in front.
+func loadEntries(sources certificates.Sources, configPath string, now time.Time) ([]certificates.Entry, error) {
+	if sources != (certificates.Sources{}) {
+		set, err := certificates.Load(sources, now)
 		if err != nil {
 			return nil, err
 		}
 		return set.Entries(), nil
 	}
-	if own == "" {
+	if configPath == "" {
 		return nil, errors.New("nothing to check: give --dir, --cert with --key, --trust, or --config")
 	}
-	f, err := standalone.Load(own)
+	file, err := standalone.Load(configPath)
 	if err != nil {
 		return nil, err
 	}
-	t, err := f.NodeTLS(now)
+	config, err := file.NodeTLS(now)
 	if err != nil {
-		return nil, fmt.Errorf("%s:%w", own, err)
+		return nil, fmt.Errorf("%s:%w", configPath, err)
+	}
+	if config == nil {
+		return nil, fmt.Errorf("%s: it has no table [tls]", configPath)
 	}
-	if t == nil {
-		return nil, fmt.Errorf("%s: it has no table [tls]", own)
+	var entries []certificates.Entry
+	for _, store := range config.Stores {
+		entries = append(entries, store.Set().Entries()...)
 	}
-	var all []certificates.Entry
-	for _, s := range t.Stores {
-		all = append(all, s.Set().Entries()...)
+	slices.SortFunc(entries, func(a, b certificates.Entry) int { return a.Ends.Compare(b.Ends) })
+	return entries, nil
+}
+
+// certsTicketsCommand returns the command that rotates session ticket keys.
+func certsTicketsCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "tickets FILE",
+		Short: "Create a file of session ticket keys, or rotate the keys in it",
+		Long: `Create FILE with two keys, or rotate the keys in it: the last one, which every node has read by now, seals
+sessions from now on, the former ones still open those that they sealed, and a new one is added behind them. Run it as often as
+sessions should end, and copy FILE to all nodes of an installation before it is run again.`,
+		Args: cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error { return certificates.RotateTickets(args[0]) },
 	}
-	slices.SortFunc(all, func(a, b certificates.Entry) int { return a.Ends.Compare(b.Ends) })
-	return all, nil
 }
--- a/internal/cli/certs_test.go
+++ b/internal/cli/certs_test.go
@@ -13,7 +13,7 @@
 		"a certificate and its key go": {"certs", "check", "--cert", "a"},
 		"none/ca.pem: no such file":    {"certs", "check", "--trust", "none/ca.pem"},
 	} {
-		c := command(Extensions{})
+		c := rootCommand(Extensions{})
 		var out bytes.Buffer
 		c.SetOut(&out)
 		c.SetErr(&out)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -81,7 +81,7 @@
 	ended := make(chan error, 1)
 	log := &logs{}
 	go func() {
-		c := command(Extensions{})
+		c := rootCommand(Extensions{})
 		c.SetArgs(nil) // as the platform starts it
 		c.SetErr(log)
 		ended <- c.Execute()
@@ -120,7 +120,7 @@
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
-	c := command(Extensions{})
+	c := rootCommand(Extensions{})
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&out)
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -13,125 +13,156 @@
 	"github.com/spf13/cobra"
 )
 
-var errNotMet = errors.New("expect: expectations are not met")
+var errExpectationsNotMet = errors.New("expect: expectations are not met")
 
-// expectCommand holds a configuration against expectations.
-func expectCommand(own *string) *cobra.Command {
-	var form string
-	c := &cobra.Command{
+// expectCommand returns the command that checks a configuration against expectations.
+func expectCommand(configPath *string) *cobra.Command {
+	var format string
+	command := &cobra.Command{
 		Use:   "expect FILE...",
-		Short: "Hold a configuration against what is expected of it, without traffic",
-		Long: `Hold the configuration that --config names against the expectations of each FILE (docs/expectations.md): on the
-real routes, identities, engine and module, in virtual time, without a socket. What is not met is told with the
-request and the line that decided. The exit status is 0 if all are met.`,
+		Short: "Check a configuration against expectations, without traffic",
+		Long: `Check the configuration that --config names against the expectations of each FILE (docs/expectations.md): with
+the real routes, identities, engine and policy, in virtual time, without a socket. Expectations that are not met are printed
+with the request and the line that decided. The exit status is 0 if all are met.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			conf, err := standalone.Load(*own)
+			results, err := runExpectations(*configPath, args)
 			if err != nil {
 				return err
 			}
-			if !conf.Standalone() {
-				return errors.New("expect: name a configuration with a listener by --config")
-			}
-			var all []expectation
-			for _, path := range args {
-				f, err := expect.Load(path)
-				if err != nil {
-					return err
-				}
-				results, err := f.Run(conf)
-				if err != nil {
-					return err
-				}
-				for _, r := range results {
-					all = append(all, expectation{path, r})
-				}
-			}
-			return tellExpectations(c.OutOrStdout(), form, all)
+			return printExpectations(c.OutOrStdout(), format, results)
 		},
 	}
-	c.Flags().StringVar(&form, "format", "text", "text, tap or junit")
-	return c
+	command.Flags().StringVar(&format, "format", "text", "text, tap or junit")
+	return command
 }
 
+// expectation is the result of one expectation of a file.
 type expectation struct {
 	path string
 	expect.Result
 }
 
-func (e expectation) name() string { return fmt.Sprintf("%s:%d: %s", e.path, e.Line, e.Name) }
+func (e *expectation) title() string { return fmt.Sprintf("%s:%d: %s", e.path, e.Line, e.Name) }
 
-func tellExpectations(out io.Writer, form string, all []expectation) error {
+func (e *expectation) failed() bool { return len(e.Failures) > 0 }
+
+// runExpectations checks a configuration against the expectations of files.
+func runExpectations(configPath string, paths []string) ([]expectation, error) {
+	config, err := standalone.Load(configPath)
+	if err != nil {
+		return nil, err
+	}
+	if !config.Standalone() {
+		return nil, errors.New("expect: name a configuration with a listener by --config")
+	}
+	var expectations []expectation
+	for _, path := range paths {
+		file, err := expect.Load(path)
+		if err != nil {
+			return nil, err
+		}
+		results, err := file.Run(config)
+		if err != nil {
+			return nil, err
+		}
+		for _, result := range results {
+			expectations = append(expectations, expectation{path, result})
+		}
+	}
+	return expectations, nil
+}
+
+// printExpectations prints the results in a format. It returns an error if an expectation is not met.
+func printExpectations(out io.Writer, format string, expectations []expectation) error {
 	failed := 0
-	for _, e := range all {
-		if len(e.Failures) > 0 {
+	for i := range expectations {
+		if expectations[i].failed() {
 			failed++
 		}
 	}
 	var err error
-	switch form {
+	switch format {
 	case "text":
-		for _, e := range all {
-			for _, f := range e.Failures {
-				fmt.Fprintf(out, "%s\n    %s\n", e.name(), f)
-			}
-		}
-		_, err = fmt.Fprintf(out, "%d of %d expectations are met\n", len(all)-failed, len(all))
+		err = printText(out, expectations, failed)
 	case "tap":
-		fmt.Fprintf(out, "TAP version 14\n1..%d\n", len(all))
-		for i, e := range all {
-			not := ""
-			if len(e.Failures) > 0 {
-				not = "not "
-			}
-			// A # would begin a directive.
-			_, err = fmt.Fprintf(out, "%sok %d - %s\n", not, i+1, strings.ReplaceAll(e.name(), "#", "\\#"))
-			for _, f := range e.Failures {
-				fmt.Fprintf(out, "  # %s\n", f)
-			}
-		}
+		err = printTAP(out, expectations)
 	case "junit":
-		err = junit(out, all, failed)
+		err = printJUnit(out, expectations, failed)
 	default:
-		return fmt.Errorf("--format: want text, tap or junit, got %q", form)
+		return fmt.Errorf("--format: want text, tap or junit, got %q", format)
 	}
 	if err == nil && failed > 0 {
-		err = errNotMet
+		err = errExpectationsNotMet
 	}
 	return err
 }
 
-// junit writes what the readers of JUnit's XML agree on.
-func junit(out io.Writer, all []expectation, failed int) error {
-	type failure struct {
-		Message string `xml:"message,attr"`
-		Text    string `xml:",chardata"`
+func printText(out io.Writer, expectations []expectation, failed int) error {
+	to := &printer{out: out}
+	for i := range expectations {
+		for _, failure := range expectations[i].Failures {
+			to.printf("%s\n    %s\n", expectations[i].title(), failure)
+		}
 	}
-	type testcase struct {
-		Name    string    `xml:"name,attr"`
-		Class   string    `xml:"classname,attr"`
-		Failure []failure `xml:"failure"`
+	to.printf("%d of %d expectations are met\n", len(expectations)-failed, len(expectations))
+	return to.err
+}
+
+// printTAP prints the results in the Test Anything Protocol.
+func printTAP(out io.Writer, expectations []expectation) error {
+	to := &printer{out: out}
+	to.printf("TAP version 14\n1..%d\n", len(expectations))
+	for i := range expectations {
+		not := ""
+		if expectations[i].failed() {
+			not = "not "
+		}
+		title := strings.ReplaceAll(expectations[i].title(), "#", "\\#") // a # would begin a directive
+		to.printf("%sok %d - %s\n", not, i+1, title)
+		for _, failure := range expectations[i].Failures {
+			to.printf("  # %s\n", failure)
+		}
 	}
-	suite := struct {
-		XMLName  xml.Name   `xml:"testsuite"`
-		Name     string     `xml:"name,attr"`
-		Tests    int        `xml:"tests,attr"`
-		Failures int        `xml:"failures,attr"`
-		Cases    []testcase `xml:"testcase"`
-	}{Name: "expectations", Tests: len(all), Failures: failed}
-	for _, e := range all {
-		c := testcase{Name: e.Name, Class: fmt.Sprintf("%s:%d", e.path, e.Line)}
-		if len(e.Failures) > 0 {
-			c.Failure = []failure{{e.Failures[0], strings.Join(e.Failures, "\n")}}
+	return to.err
+}
+
+type junitSuite struct {
+	XMLName  xml.Name    `xml:"testsuite"`
+	Name     string      `xml:"name,attr"`
+	Tests    int         `xml:"tests,attr"`
+	Failures int         `xml:"failures,attr"`
+	Cases    []junitCase `xml:"testcase"`
+}
+
+type junitCase struct {
+	Name    string         `xml:"name,attr"`
+	Class   string         `xml:"classname,attr"`
+	Failure []junitFailure `xml:"failure"`
+}
+
+type junitFailure struct {
+	Message string `xml:"message,attr"`
+	Text    string `xml:",chardata"`
+}
+
+// printJUnit prints the results as JUnit's XML, with the elements that all its readers know.
+func printJUnit(out io.Writer, expectations []expectation, failed int) error {
+	suite := junitSuite{Name: "expectations", Tests: len(expectations), Failures: failed}
+	for i := range expectations {
+		result := &expectations[i]
+		testCase := junitCase{Name: result.Name, Class: fmt.Sprintf("%s:%d", result.path, result.Line)}
+		if result.failed() {
+			testCase.Failure = []junitFailure{{result.Failures[0], strings.Join(result.Failures, "\n")}}
 		}
-		suite.Cases = append(suite.Cases, c)
+		suite.Cases = append(suite.Cases, testCase)
 	}
 	if _, err := io.WriteString(out, xml.Header); err != nil {
 		return err
 	}
-	enc := xml.NewEncoder(out)
-	enc.Indent("", " ")
-	if err := enc.Encode(suite); err != nil {
+	encoder := xml.NewEncoder(out)
+	encoder.Indent("", " ")
+	if err := encoder.Encode(suite); err != nil {
 		return err
 	}
 	_, err := io.WriteString(out, "\n")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -9,22 +9,23 @@
 	"github.com/spf13/cobra"
 )
 
-const fleetProgram = "wayhold-fleet" // beside this one
+const fleetProgram = "wayhold-fleet" // in the directory of this program
 
-// fleetCommand hands over to the program of the fleet: nothing of it is linked into this one.
+// fleetCommand returns the command that replaces this process by the fleet's program, which is not linked into this
+// one.
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "fleet",
-		Short:              "See to the fleet, by the program wayhold-fleet beside this one",
+		Short:              "Run the fleet's program, wayhold-fleet, from the directory of this one",
 		DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			other := filepath.Join(filepath.Dir(self), fleetProgram)
-			if err := syscall.Exec(other, append([]string{fleetProgram}, args...), os.Environ()); err != nil {
-				return fmt.Errorf("fleet: %s: %w", other, err)
+			path := filepath.Join(filepath.Dir(self), fleetProgram)
+			if err := syscall.Exec(path, append([]string{fleetProgram}, args...), os.Environ()); err != nil {
+				return fmt.Errorf("fleet: %s: %w", path, err)
 			}
 			return nil
 		},
--- a/internal/cli/msgpack_test.go
+++ b/internal/cli/msgpack_test.go
@@ -51,7 +51,7 @@
 	ended := make(chan error, 1)
 	log := &logs{}
 	go func() {
-		c := command(Extensions{})
+		c := rootCommand(Extensions{})
 		c.SetArgs([]string{"serve", "--config", own})
 		c.SetErr(log)
 		ended <- c.Execute()
@@ -64,7 +64,7 @@
 		t.Errorf("%q, %v", out, err)
 	}
 	var status exitStatusError
-	if _, err := call("r2", "--class", "read"); !errors.As(err, &status) || status != exitMayHaveRun || !strings.Contains(err.Error(), "conflict") {
+	if _, err := call("r2", "--class", "read"); !errors.As(err, &status) || status != errMayHaveRun || !strings.Contains(err.Error(), "conflict") {
 		t.Errorf("an id that was used: %v", err)
 	}
 	if _, err := call("r3", "--class", "none"); err == nil || errors.As(err, new(exitStatusError)) || !strings.Contains(err.Error(), "class: unknown") {
@@ -90,7 +90,7 @@
 	if err := testkit.Receive(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
-	if _, err := call("r4", "--class", "read"); !errors.As(err, &status) || status != exitNotRun {
+	if _, err := call("r4", "--class", "read"); !errors.As(err, &status) || status != errNotRun {
 		t.Errorf("a call to nobody: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/cli/rehearseoutput.go
@@ -0,0 +1,83 @@
+package cli
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"cobaltward/emulator/plan"
+	"cobaltward/emulator/report"
+	"cobaltward/emulator/result"
+
+	"github.com/spf13/cobra"
+)
+
+// writeResults prints a result, writes it to the files that flags name, and returns an error if it is void or a rule
+// was broken.
+func (r *rehearsal) writeResults(command *cobra.Command, measured *result.Result, extensions Extensions) error {
+	if err := report.Text(command.OutOrStdout(), measured); err != nil {
+		return err
+	}
+	writeJSON := func(out io.Writer) error { return report.JSON(out, measured) }
+	if err := createFile(r.jsonPath, writeJSON); err != nil {
+		return err
+	}
+	writeHTML := func(out io.Writer) error { return extensions.WriteHTML(out, measured) }
+	if err := createFile(r.htmlPath, writeHTML); err != nil {
+		return err
+	}
+	switch {
+	case measured.Void != "":
+		return fmt.Errorf("rehearse: void: %s", measured.Void)
+	case !measured.Verdict.Kept():
+		return errors.New("rehearse: rules were broken")
+	}
+	return nil
+}
+
+// outcomeWriter writes a line for each request to a file. A nil pointer writes nothing.
+type outcomeWriter struct {
+	printer
+	played *plan.Plan
+	file   *os.File
+	buffer *bufio.Writer
+}
+
+// newOutcomeWriter creates the file; without a path it returns nil.
+func newOutcomeWriter(path string, played *plan.Plan) (*outcomeWriter, error) {
+	if path == "" {
+		return nil, nil
+	}
+	file, err := os.Create(path)
+	if err != nil {
+		return nil, err
+	}
+	buffer := bufio.NewWriter(file)
+	writer := &outcomeWriter{printer: printer{out: buffer}, played: played, file: file, buffer: buffer}
+	writer.printf("id,at_s,class,workspace,zone,end,took_ms,tries,attempts,faults\n")
+	return writer, nil
+}
+
+// add writes the line of a request.
+func (w *outcomeWriter) add(request *plan.Request, outcome result.Outcome) {
+	var faults []string
+	for _, fault := range outcome.Met {
+		faults = append(faults, w.played.Faults[fault].Label())
+	}
+	site := w.played.Script
+	w.printf("%s,%.6f,%s,%s,%s,%v,%.3f,%d,%d,%s\n", request.ID, request.At.Seconds(),
+		site.Classes[request.Class].Name, site.Tenants[request.Tenant].Name, request.Zone, outcome.End,
+		float64(outcome.Took)/float64(time.Millisecond), outcome.Tries, outcome.Attempts, strings.Join(faults, "; "))
+}
+
+// close completes the file, and returns the first error.
+func (w *outcomeWriter) close() error {
+	if w == nil {
+		return nil
+	}
+	return errors.Join(w.err, w.buffer.Flush(), w.file.Close())
+}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -1,254 +1,124 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"math"
-	"net"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"slices"
-	"strings"
 	"syscall"
 	"time"
 
-	"cobaltward/internal/adminapi"
 	"cobaltward/internal/node"
 	"cobaltward/internal/nodeconfig"
 	"cobaltward/internal/operations"
-	"cobaltward/internal/sockets"
-	"cobaltward/policy"
-	"cobaltward/router"
 )
 
-// heapPart of the memory limit is the runtime's; stacks of the system and the sockets take the rest.
-const heapPart = 0.6
+// heapFraction of the memory limit is for Go's heap; the rest is for thread stacks and sockets.
+const heapFraction = 0.6
 
-// serve runs the node, with own as the operator's own file. What it sets in the process is the
-// daemon's to set: a library leaves it to its host.
-func serve(own string, logs io.Writer, e Extensions) error {
-	hup := make(chan os.Signal, 1) // one more that is waiting stands for all: the file is read after it
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
-	o, err := nodeconfig.Load(own)
+// serve runs the node with the operator's own file at a path, until a signal ends it.
+func serve(path string, logs io.Writer, extensions Extensions) error {
+	// One buffered signal is enough: the files are read after it is received.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	options, err := nodeconfig.Load(path)
 	if err != nil {
 		return err
 	}
-	alone, err := loadConfiguration(own)
+	configuration, err := loadConfiguration(path)
 	if err != nil {
 		return err
 	}
-	c, err := alone.nodeConfig()
+	config, err := configuration.nodeConfig()
 	if err != nil {
 		return err
 	}
-	applyDrain(o, &c)
 	level := new(slog.LevelVar)
-	log := newLogger(o.Log, level, logs)
-	alone.install(&c, log)
-	if err := applyXDS(o, &c, e, log); err != nil {
+	log := newLogger(options.Log, level, logs)
+	configuration.install(&config, log)
+	if err := applyOptions(options, &config, extensions, log); err != nil {
 		return err
 	}
-	if c.Msgpack, err = openMsgpack(o.Msgpack); err != nil {
+	if config.TLS, err = loadTLS(path, configuration, options); err != nil {
 		return err
 	}
-	if c.AdminAPI, err = adminAPIConfig(o.AdminAPI); err != nil {
-		return err
-	}
-	if c.TLS, err = alone.ownFile.NodeTLS(time.Now()); err != nil {
-		return fmt.Errorf("%s:%w", own, err)
-	}
-	if c.TLS != nil && len(c.TLS.Secrets) > 0 && o.XDS.Bootstrap == "" {
-		return fmt.Errorf("%s: tls: a secret is named, but no control plane to hand it: xds.bootstrap", own)
-	}
-	c.DrainMark = o.Drain.StateFile
-	debug.SetMemoryLimit(int64(heapPart * float64(c.MemoryMB) * (1 << 20)))
-	c.SharedDir = os.Getenv("TMPDIR")
-	c.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20))) }
-	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
+	setRuntimeLimits(&config)
 	ctx, stop := signalContext()
 	defer stop()
-	listener, err := clientsListener(&c, os.Getenv)
+	listener, err := listenForClients(&config, os.Getenv)
 	if err != nil {
 		return err
 	}
-	if c.OperationsAddr != "" {
-		if c.OperationsListener, err = operations.Listen(c.OperationsAddr); err != nil {
+	if config.OperationsAddr != "" {
+		if config.OperationsListener, err = operations.Listen(config.OperationsAddr); err != nil {
 			return err
 		}
 	}
-	log.Info("listening", "name", c.Name, "address", listener.Addr(), "servers", len(c.InitialList.Endpoints))
+	log.Info("listening", "name", config.Name, "address", listener.Addr(), "servers", len(config.InitialList.Endpoints))
 	reloads, done := make(chan node.Config, 1), make(chan struct{})
 	defer close(done)
-	r := reloader{path: own, running: o, level: level, log: log, alone: alone}
-	go r.run(hup, reloads, done)
-	return node.Run(ctx, c, listener, reloads, log)
-}
-
-// acceptFD names the descriptor of the clients' listening socket, where another process holds it.
-const acceptFD = "ROUTER_ACCEPT_FD"
-
-// clientsListener opens the address of the clients, or takes over the listening socket that the platform holds.
-func clientsListener(c *node.Config, getenv func(string) string) (net.Listener, error) {
-	v := getenv(acceptFD)
-	if v == "" {
-		ln, err := net.Listen("tcp", c.Listen)
-		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
-		}
-		return ln, nil
-	}
-	ln, err := sockets.Inherited(v)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", acceptFD, err)
-	}
-	c.SharedListener = true
-	return ln, nil
+	reload := reloader{path: path, running: options, level: level, log: log, configuration: configuration}
+	go reload.run(hangups, reloads, done)
+	return node.Run(ctx, config, listener, reloads, log)
 }
 
-// adminAPIConfig is the door that the table [door] asks for.
-func adminAPIConfig(d nodeconfig.AdminAPI) (adminapi.Config, error) {
-	c := adminapi.Config{Socket: d.Socket, Listen: d.Listen}
-	if d.TokenFile == "" {
-		return c, nil
+// applyOptions adds the operator's options to the node's configuration, and opens the listener for MessagePack-RPC.
+func applyOptions(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
+	applyDrain(options, config)
+	config.DrainMark = options.Drain.StateFile
+	if err := applyXDS(options, config, extensions, log); err != nil {
+		return err
 	}
 	var err error
-	c.Token, err = nodeconfig.ReadToken(d.TokenFile)
-	if err != nil {
-		return c, fmt.Errorf("door.token_file: %w", err)
+	if config.Msgpack, err = openMsgpack(options.Msgpack); err != nil {
+		return err
 	}
-	return c, nil
+	config.AdminAPI, err = adminAPIConfig(options.AdminAPI)
+	return err
 }
 
-// applyDrain puts what the operator's own file says into the node's configuration.
-func applyDrain(o nodeconfig.File, c *node.Config) {
-	if o.Drain.AnnounceFor.Set {
-		c.AnnounceFor = &o.Drain.AnnounceFor.Duration
+// applyDrain adds the durations of a drain to the node's configuration.
+func applyDrain(options nodeconfig.File, config *node.Config) {
+	if options.Drain.AnnounceFor.Set {
+		config.AnnounceFor = &options.Drain.AnnounceFor.Duration
 	}
-	if o.Drain.Timeout.Set {
-		c.DrainTimeout = &o.Drain.Timeout.Duration
+	if options.Drain.Timeout.Set {
+		config.DrainTimeout = &options.Drain.Timeout.Duration
 	}
 }
 
-// openMsgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
-// and goes.
-func openMsgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
-	c := node.Msgpack{MaxConns: m.MaxConns, MaxCallsPerConn: m.MaxCallsPerConn, ServerKinds: m.ServerKinds}
-	if m.Listen == "" {
-		return c, nil
-	}
-	network := "tcp"
-	if strings.HasPrefix(m.Listen, "/") {
-		network = "unix"
-		if other, err := net.Dial(network, m.Listen); err == nil {
-			other.Close()
-			return c, fmt.Errorf("msgpack.listen: %s: another process listens there", m.Listen)
-		} else if errors.Is(err, syscall.ECONNREFUSED) {
-			_ = os.Remove(m.Listen) // Listen says what is wrong, if this did not help
-		}
-	}
-	ln, err := net.Listen(network, m.Listen)
+// loadTLS reads the table [tls] with its files.
+func loadTLS(path string, configuration *configuration, options nodeconfig.File) (*node.TLS, error) {
+	config, err := configuration.ownFile.NodeTLS(time.Now())
 	if err != nil {
-		return c, fmt.Errorf("msgpack.listen: %w", err)
+		return nil, fmt.Errorf("%s:%w", path, err)
 	}
-	c.Listener = ln
-	return c, nil
-}
-
-// errNoXDS tells who asks for xDS of a program that does not link it.
-var errNoXDS = errors.New("xds: this program has none; run wayhold-xds in its place")
-
-// applyXDS puts in place what the table [xds] asks for.
-func applyXDS(o nodeconfig.File, c *node.Config, e Extensions, log *slog.Logger) error {
-	if !o.XDS.Enabled() {
-		return nil
+	if config != nil && len(config.Secrets) > 0 && options.XDS.Bootstrap == "" {
+		return nil, fmt.Errorf("%s: tls: a secret is named, but no control plane that sends it: xds.bootstrap", path)
 	}
-	if e.NewXDSSource == nil {
-		return errNoXDS
-	}
-	if err := bindPools(o, c); err != nil {
-		return err
-	}
-	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) { return e.NewXDSSource(o, *c, own, log) }
-	return nil
+	return config, nil
 }
 
-// bindPools binds classes to clusters as the table [xds.pools] says.
-func bindPools(o nodeconfig.File, c *node.Config) error {
-	for class, cluster := range o.XDS.ClusterByClass {
-		i := slices.IndexFunc(c.Settings.Classes, func(k policy.Class) bool { return k.Name == class })
-		if i < 0 {
-			return fmt.Errorf("xds.pools.%s: the settings have no such class", class)
-		}
-		c.Settings.Classes[i].Pool = cluster
-	}
-	return nil
+// setRuntimeLimits sets the memory limit and the number of threads of this process, which a library must not do.
+func setRuntimeLimits(config *node.Config) {
+	heapLimit := heapFraction * float64(config.MemoryMB) * (1 << 20)
+	debug.SetMemoryLimit(int64(heapLimit))
+	config.SetMemoryShare = func(share float64) { debug.SetMemoryLimit(int64(share * heapLimit)) }
+	config.SharedDir = os.Getenv("TMPDIR")
+	runtime.GOMAXPROCS(int(max(1, math.Ceil(config.Cores))))
 }
 
-func newLogger(l nodeconfig.Log, level *slog.LevelVar, to io.Writer) *slog.Logger {
-	level.Set(l.Level.Level)
+// newLogger returns a logger, and sets its level.
+func newLogger(config nodeconfig.Log, level *slog.LevelVar, logs io.Writer) *slog.Logger {
+	level.Set(config.Level.Level)
 	options := &slog.HandlerOptions{Level: level}
-	if l.Format == "json" {
-		return slog.New(slog.NewJSONHandler(to, options))
-	}
-	return slog.New(slog.NewTextHandler(to, options))
-}
-
-// reloader reads both files again, and puts them in force together or not at all.
-type reloader struct {
-	path    string          // the operator's own file
-	running nodeconfig.File // as it was at the start
-	level   *slog.LevelVar
-	log     *slog.Logger
-	alone   *configuration
-}
-
-// run reads at each SIGHUP until done; the newest configuration stands in reloads.
-func (r *reloader) run(hup <-chan os.Signal, reloads chan node.Config, done <-chan struct{}) {
-	for {
-		select {
-		case <-hup:
-		case <-done:
-			return
-		}
-		c, err := r.read()
-		if err != nil {
-			r.log.Error("reload: keeping the old configuration", "err", err)
-			continue
-		}
-		select {
-		case <-reloads:
-		default:
-		}
-		reloads <- c
-	}
-}
-
-func (r *reloader) read() (node.Config, error) {
-	o, err := nodeconfig.Load(r.path)
-	if err != nil {
-		return node.Config{}, err
-	}
-	c, adopt, err := r.alone.reload(r.path)
-	if err != nil {
-		return node.Config{}, err
-	}
-	applyDrain(o, &c)
-	if r.running.XDS.Enabled() { // else there is no source whose clusters classes could be bound to
-		if err := bindPools(o, &c); err != nil {
-			return node.Config{}, err
-		}
-	}
-	if err := adopt(); err != nil {
-		return node.Config{}, err
-	}
-	r.level.Set(o.Log.Level.Level)
-	for _, key := range nodeconfig.RestartKeys(r.running, o) {
-		r.log.Warn("reload: takes effect at the next start", "key", key)
+	if config.Format == "json" {
+		return slog.New(slog.NewJSONHandler(logs, options))
 	}
-	return c, nil
+	return slog.New(slog.NewTextHandler(logs, options))
 }
--- /dev/null
+++ b/internal/cli/xds.go
@@ -0,0 +1,46 @@
+package cli
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+
+	"cobaltward/internal/node"
+	"cobaltward/internal/nodeconfig"
+	"cobaltward/policy"
+	"cobaltward/router"
+)
+
+// errNoXDS reports that the file asks for xDS, which the program does not link.
+var errNoXDS = errors.New("xds: this program has none; run wayhold-xds in its place")
+
+// applyXDS has the node's servers come from xDS, if the file asks for it.
+func applyXDS(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
+	if !options.XDS.Enabled() {
+		return nil
+	}
+	if extensions.NewXDSSource == nil {
+		return errNoXDS
+	}
+	if err := bindClusters(options, config); err != nil {
+		return err
+	}
+	config.NewEndpointSource = func(platform router.EndpointSource) (router.EndpointSource, error) {
+		return extensions.NewXDSSource(options, *config, platform, log)
+	}
+	return nil
+}
+
+// bindClusters sets the pools of classes to the clusters that the file names.
+func bindClusters(options nodeconfig.File, config *node.Config) error {
+	classes := config.Settings.Classes
+	for name, cluster := range options.XDS.ClusterByClass {
+		i := slices.IndexFunc(classes, func(class policy.Class) bool { return class.Name == name })
+		if i < 0 {
+			return fmt.Errorf("xds.pools.%s: the settings have no such class", name)
+		}
+		classes[i].Pool = cluster
+	}
+	return nil
+}
