--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -50,7 +50,7 @@
 	flags.StringVar(&call.Target, "target", "/", "path and query")
 	flags.StringVar(&call.ContentType, "content-type", "", "of the body")
 	flags.StringVar(&body, "body", "", "the body, or @FILE")
-	flags.DurationVar(&call.Wait, "wait", defaultCallTimeout, "how long to wait")
+	flags.DurationVar(&call.Timeout, "wait", defaultCallTimeout, "how long to wait")
 	_ = command.MarkFlagRequired("class") // fails only for an unknown flag
 	return command
 }
@@ -79,7 +79,7 @@
 	case "":
 		_, err := out.Write(append(reply.Body, '\n'))
 		return err
-	case msgpackrpc.Refused, msgpackrpc.Overloaded, msgpackrpc.NotRun:
+	case msgpackrpc.Rejected, msgpackrpc.Overloaded, msgpackrpc.NotRun:
 		return fmt.Errorf("%w: %s %s (retry after %v)", errNotRun, reply.Code, reply.Text, reply.RetryAfter)
 	case msgpackrpc.Malformed:
 		return fmt.Errorf("call: %s: %s", reply.Code, reply.Text)
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -61,20 +61,20 @@
 			return fmt.Errorf("--as-of: want a day as in 2027-01-31, got %q", c.asOf)
 		}
 	}
-	entries, err := loadEntries(c.sources, configPath, now)
+	summaries, err := loadSummaries(c.sources, configPath, now)
 	if err != nil {
 		return err
 	}
 	out := &printer{out: command.OutOrStdout()}
 	expiring := 0
-	for _, entry := range entries {
-		names := strings.Join(entry.Names, ",")
+	for _, summary := range summaries {
+		names := strings.Join(summary.Names, ",")
 		if names == "" {
 			names = "-"
 		}
-		out.printf("%s  %d days left  serial %s  %s  %s\n", entry.Ends.UTC().Format(time.RFC3339),
-			int(entry.Ends.Sub(now).Hours()/24), entry.Serial, names, entry.Source)
-		if !entry.Ends.After(now.Add(c.within)) {
+		out.printf("%s  %d days left  serial %s  %s  %s\n", summary.ExpiresAt.UTC().Format(time.RFC3339),
+			int(summary.ExpiresAt.Sub(now).Hours()/24), summary.Serial, names, summary.Source)
+		if !summary.ExpiresAt.After(now.Add(c.within)) {
 			expiring++
 		}
 	}
@@ -86,15 +86,15 @@
 	return errors.Join(errExpiring, out.err, errOut.err)
 }
 
-// loadEntries reads the certificates of the sources or, if there are none, of the table [tls] of the operator's own
+// loadSummaries reads the certificates of the sources or, if there are none, of the table [tls] of the operator's own
 // file, the first to expire in front.
-func loadEntries(sources certificates.Sources, configPath string, now time.Time) ([]certificates.Entry, error) {
+func loadSummaries(sources certificates.Sources, configPath string, now time.Time) ([]certificates.Summary, error) {
 	if sources != (certificates.Sources{}) {
 		set, err := certificates.Load(sources, now)
 		if err != nil {
 			return nil, err
 		}
-		return set.Entries(), nil
+		return set.Summaries(), nil
 	}
 	if configPath == "" {
 		return nil, errors.New("nothing to check: give --dir, --cert with --key, --trust, or --config")
@@ -110,12 +110,12 @@
 	if config == nil {
 		return nil, fmt.Errorf("%s: it has no table [tls]", configPath)
 	}
-	var entries []certificates.Entry
+	var summaries []certificates.Summary
 	for _, store := range config.Stores {
-		entries = append(entries, store.Set().Entries()...)
+		summaries = append(summaries, store.Set().Summaries()...)
 	}
-	slices.SortFunc(entries, func(a, b certificates.Entry) int { return a.Ends.Compare(b.Ends) })
-	return entries, nil
+	slices.SortFunc(summaries, func(a, b certificates.Summary) int { return a.ExpiresAt.Compare(b.ExpiresAt) })
+	return summaries, nil
 }
 
 // certsTicketsCommand returns the command that rotates session ticket keys.
--- a/internal/cli/certsshow.go
+++ b/internal/cli/certsshow.go
@@ -53,7 +53,7 @@
 	}
 	table := newTable(out)
 	for _, entry := range status.Certificates {
-		table.printf("%s\t%s\tserial %s\t%s\t%s\n", entry.Ends.UTC().Format(time.RFC3339), remaining(entry.Ends.Sub(now)),
+		table.printf("%s\t%s\tserial %s\t%s\t%s\n", entry.ExpiresAt.UTC().Format(time.RFC3339), remaining(entry.ExpiresAt.Sub(now)),
 			entry.Serial, strings.Join(entry.Names, ","), entry.Source)
 	}
 	table.printf("\nside\tfull\tresumed\tmean\tresumed mean\tof it work\tfailures\n")
--- a/internal/cli/listeners.go
+++ b/internal/cli/listeners.go
@@ -30,7 +30,7 @@
 		}
 		return listener, nil
 	}
-	listener, err := sockets.Inherited(descriptor)
+	listener, err := sockets.InheritedListener(descriptor)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", inheritedListenerVariable, err)
 	}
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -105,13 +105,13 @@
 		table.printf("path\t%s\trejected with 400: %v\n", path, err)
 		return table.flush()
 	}
-	found := finder.Find(&identity.Request{Peer: request.peer, Header: request.header})
+	found := finder.Resolve(&identity.Request{Peer: request.peer, Header: request.header})
 	tenant := found.Tenant
 	if found.Layer >= 0 {
-		table.printf("tenant\t%s\tby layer %d, %v\n", tenant, found.Layer+1, found.By)
+		table.printf("tenant\t%s\tby layer %d, %v\n", tenant, found.Layer+1, found.Kind)
 	} else {
-		tenant = identity.Shared
-		table.printf("tenant\tanonymous\tby its address, %s\n", found.Net)
+		tenant = identity.SharedTenant
+		table.printf("tenant\tanonymous\tby its address, %s\n", found.Network)
 	}
 	table.printf("client\t%s\t\n", found.Client)
 	index := routeTable.Match(&routes.Request{
@@ -134,8 +134,8 @@
 
 func printRoute(table *table, file *standalone.File, route *routes.Route, index int) {
 	table.printf("route\t%d\tline %d\n", index+1, route.Line)
-	if route.Share < 1 {
-		table.printf("share\t%.4g\tthis request is in it\n", route.Share)
+	if route.Fraction < 1 {
+		table.printf("share\t%.4g\tthis request is in it\n", route.Fraction)
 	}
 	for _, class := range file.Settings().Classes {
 		if class.Name == route.Class {
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -58,8 +58,8 @@
 	active, waiting := 0, 0
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		switch c := e.Value.(*clientConn); {
-		case !c.tls.Shaking():
-		case c.tls.Working(), c.tls.Silent() && time.Since(c.acceptedAt) <= handshakes.SilentAfter:
+		case !c.tls.Handshaking():
+		case c.tls.HandshakeOnCPU(), c.tls.NothingReceived() && time.Since(c.acceptedAt) <= handshakes.SilentAfter:
 			active++
 		default: // waits for its client, which may be slow or hostile
 			waiting++
--- a/internal/node/clientstate.go
+++ b/internal/node/clientstate.go
@@ -11,7 +11,7 @@
 func (c *clientConn) noteNextRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.arrival.NextBegins(time.Now())
+	c.arrival.RecordNextStart(time.Now())
 }
 
 // noteRequestBytes notes that a read returned bytes of a request. readBegan is when the read began, readAll whether
@@ -19,7 +19,7 @@
 func (c *clientConn) noteRequestBytes(readBegan time.Time, readAll bool) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.arrival.Read(readBegan, time.Now(), readAll)
+	c.arrival.RecordRead(readBegan, time.Now(), readAll)
 	return c.noteRequestBytesLocked()
 }
 
@@ -78,7 +78,7 @@
 	c.arrival.Reset(time.Now())
 	l := c.listener
 	delete(l.partialRequests, c)
-	if !l.shuttingDown || c.halfClosed || !sockets.Quiet(c.TCPConn) {
+	if !l.shuttingDown || c.halfClosed || !sockets.IsIdle(c.TCPConn) {
 		return false
 	}
 	c.halfClosed = true
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -11,14 +11,14 @@
 
 // TLSStatus is the status of a node's TLS, as the admin API sends it.
 type TLSStatus struct {
-	Certificates   []certificates.Entry `json:"keys"` // in force; those of a store in the order in which they end
-	RejectedFile   string               `json:"refused_files,omitempty"`
-	HandshakeSteps uint64               `json:"pieces"`  // computed, of all handshakes
-	HandshakeTime  time.Duration        `json:"work_ns"` // that the steps took, in nanoseconds
-	Servers        *secure.Stats        `json:"servers,omitempty"`
-	Clients        *frontsecure.Stats   `json:"clients,omitempty"`
-	Msgpack        *frontsecure.Stats   `json:"msgpack,omitempty"`
-	AdminAPI       *frontsecure.Stats   `json:"door,omitempty"`
+	Certificates   []certificates.Summary `json:"keys"` // in force; those of a store in the order in which they end
+	RejectedFile   string                 `json:"refused_files,omitempty"`
+	HandshakeSteps uint64                 `json:"pieces"`  // computed, of all handshakes
+	HandshakeTime  time.Duration          `json:"work_ns"` // that the steps took, in nanoseconds
+	Servers        *secure.Stats          `json:"servers,omitempty"`
+	Clients        *frontsecure.Stats     `json:"clients,omitempty"`
+	Msgpack        *frontsecure.Stats     `json:"msgpack,omitempty"`
+	AdminAPI       *frontsecure.Stats     `json:"door,omitempty"`
 }
 
 // status returns the present status; nil for a node without TLS.
@@ -44,7 +44,7 @@
 }
 
 // layerStats returns the statistics of a listener's layer; nil where there is no layer.
-func layerStats(layer *frontsecure.Layer) *frontsecure.Stats {
+func layerStats(layer *frontsecure.Terminator) *frontsecure.Stats {
 	if layer == nil {
 		return nil
 	}
@@ -53,10 +53,10 @@
 }
 
 // certificates returns the certificates of all stores.
-func (s *nodeTLS) certificates() []certificates.Entry {
-	var all []certificates.Entry
+func (s *nodeTLS) certificates() []certificates.Summary {
+	var all []certificates.Summary
 	for _, store := range s.config.Stores {
-		all = append(all, store.Set().Entries()...)
+		all = append(all, store.Set().Summaries()...)
 	}
 	return all
 }
--- a/internal/standalone/identity.go
+++ b/internal/standalone/identity.go
@@ -38,18 +38,18 @@
 }
 
 // IdentityFinder returns the compiled layers.
-func (f *File) IdentityFinder() (*identity.Finder, error) {
+func (f *File) IdentityFinder() (*identity.Resolver, error) {
 	config := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
 	for _, tenant := range f.Tenants {
 		config.Tenants = append(config.Tenants, tenant.Name)
 	}
 	for _, layer := range f.Identity.Layers {
 		config.Layers = append(config.Layers, identity.Layer{
-			Name:    layer.Name,
-			Secrets: layer.Secrets,
-			Nets:    layer.Nets,
-			Names:   layer.Names,
-			Kind:    layerKinds[layer.By],
+			Name:     layer.Name,
+			Secrets:  layer.Secrets,
+			Networks: layer.Nets,
+			Names:    layer.Names,
+			Kind:     layerKinds[layer.By],
 		})
 	}
 	return identity.New(config)
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -57,11 +57,11 @@
 	if !errors.As(err, &invalid) {
 		return nil, err
 	}
-	message := invalid.What
-	if invalid.Other >= 0 {
-		message += fmt.Sprintf(" line %d", invalid.Before)
+	message := invalid.Problem
+	if invalid.OtherIndex >= 0 {
+		message += fmt.Sprintf(" line %d", invalid.OtherLine)
 	}
-	key := fmt.Sprintf("route[%d]", invalid.Route)
+	key := fmt.Sprintf("route[%d]", invalid.RouteIndex)
 	return nil, &stricttoml.Error{Line: invalid.Line, Key: key, Message: message}
 }
 
@@ -89,27 +89,27 @@
 		Regexp:   route.Regexp,
 		Headers:  toFields(route.Headers),
 		Query:    toFields(route.Query),
-		Share:    route.Fraction,
-		Salt:     route.HashSalt,
-		By:       map[string]routes.By{"key": routes.ByKey, "id": routes.ByID}[route.HashBy],
+		Fraction: route.Fraction,
+		HashSalt: route.HashSalt,
+		HashBy:   map[string]routes.HashInput{"key": routes.HashByKey, "id": routes.HashByID}[route.HashBy],
 		Class:    route.Class,
-		Budget:   route.Timeout,
+		Timeout:  route.Timeout,
 	}, nil
 }
 
 // toFields returns conditions on headers or query parameters, sorted by name.
-func toFields(values map[string]string) (fields []routes.Field) {
+func toFields(values map[string]string) (fields []routes.Condition) {
 	for name, value := range values {
-		field := routes.Field{Name: name, Is: value}
+		field := routes.Condition{Name: name, Value: value}
 		switch value {
 		case fieldPresent:
-			field = routes.Field{Name: name, Any: true}
+			field = routes.Condition{Name: name, Present: true}
 		case fieldMissing:
-			field = routes.Field{Name: name, Missing: true}
+			field = routes.Condition{Name: name, Missing: true}
 		}
 		fields = append(fields, field)
 	}
-	slices.SortFunc(fields, func(a, b routes.Field) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(fields, func(a, b routes.Condition) int { return strings.Compare(a.Name, b.Name) })
 	return fields
 }
 
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -39,13 +39,13 @@
 `
 	const servers, clients = "[[tls.servers]]\n", "[tls.clients]\ncert = \"cert.pem\"\nkey = \"key.pem\"\n"
 	const identity = "[[tenant]]\nname = \"t\"\n[[identity.layer]]\nby = \"certificate\"\nnames = {a = \"t\"}\n"
-	const plainProvesNothing = "9: tls.servers[0]: plain: servers that are spoken to without TLS prove nothing"
+	const plainProvesNothing = "9: tls.servers[0]: plain: servers without TLS cannot be verified"
 	const noCertificate = "tls.clients: no certificate: name cert and key, dir, or cert_sds"
 	for text, want := range map[string]string{
 		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor the door",
 		servers:                                             "9: tls.servers[0]: trust: missing",
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
-		servers + "trust = \"bad.pem\"\n":                   "bad.pem: it ends in the midst of a block",
+		servers + "trust = \"bad.pem\"\n":                   "bad.pem: incomplete PEM block",
 		servers + "cert = \"cert.pem\"\n":                   "10: tls.servers[0].cert: a certificate and its key go together",
 		servers + "plain = true\npins = [\"a\"]\n":          plainProvesNothing,
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
