--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -1,4 +1,4 @@
-// Package mixed is a router.Transport of several: each server is spoken to in the protocol that it speaks.
+// Package mixed is a router.Transport over several transports, for servers of different protocols.
 package mixed
 
 import (
@@ -9,13 +9,13 @@
 	"cobaltward/router"
 )
 
-// Transport hands each server to one of several transports.
+// Transport assigns each server to one of several transports. Its methods may be called concurrently.
 type Transport struct {
 	selectTransport func(router.Endpoint) int
 	transports      []router.Transport
 
 	mu       sync.RWMutex
-	byServer map[string]int // by server
+	byServer map[string]int // index of the transport
 }
 
 var (
@@ -24,91 +24,107 @@
 	_ router.WriteCounter      = (*Transport)(nil)
 )
 
-// New returns a transport that has server m spoken to by transports[of(m)]. It closes them all.
-func New(of func(m router.Endpoint) int, transports ...router.Transport) *Transport {
-	return &Transport{selectTransport: of, transports: transports, byServer: make(map[string]int)}
+// New returns a transport that assigns an endpoint to transports[selectTransport(endpoint)]. It owns them all.
+func New(selectTransport func(router.Endpoint) int, transports ...router.Transport) *Transport {
+	return &Transport{
+		selectTransport: selectTransport,
+		transports:      transports,
+		byServer:        make(map[string]int),
+	}
 }
 
-// Attempt has the server's own transport make the attempt.
+// Attempt makes the attempt by the server's transport.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
+	transport := t.transportOf(server)
+	if transport == nil {
+		return router.Result{Code: policy.ConnectFailed} // not in the endpoint list
+	}
+	return transport.Attempt(ctx, server, r)
+}
+
+// transportOf returns the transport of a server; nil if the server is not in the endpoint list.
+func (t *Transport) transportOf(server string) router.Transport {
 	t.mu.RLock()
+	defer t.mu.RUnlock()
 	i, ok := t.byServer[server]
-	t.mu.RUnlock()
 	if !ok {
-		return router.Result{Code: policy.ConnectFailed} // not in the list
+		return nil
 	}
-	return t.transports[i].Attempt(ctx, server, r)
+	return t.transports[i]
 }
 
-// Configure tells all of them.
+// Configure configures all transports.
 func (t *Transport) Configure(s policy.Settings) {
-	for _, x := range t.transports {
-		x.Configure(s)
+	for _, transport := range t.transports {
+		transport.Configure(s)
+	}
+}
+
+// Update passes each transport the changes of its servers. A server that changes its protocol is removed from its
+// former transport.
+func (t *Transport) Update(update router.EndpointUpdate) {
+	for i, endpoints := range t.assign(update) {
+		if len(endpoints) > 0 || update.Kind != policy.ListUpdate {
+			t.transports[i].Update(router.EndpointUpdate{Kind: update.Kind, Endpoints: endpoints})
+		}
 	}
 }
 
-// Update tells each of its servers. One that comes to speak another protocol leaves the former transport.
-func (t *Transport) Update(c router.EndpointUpdate) {
-	parts := make([][]router.Endpoint, len(t.transports))
+// assign returns the endpoints of an update by transport.
+func (t *Transport) assign(update router.EndpointUpdate) [][]router.Endpoint {
+	assigned := make([][]router.Endpoint, len(t.transports))
 	t.mu.Lock()
-	if c.Kind != policy.ListUpdate {
+	defer t.mu.Unlock()
+	if update.Kind != policy.ListUpdate {
 		clear(t.byServer)
 	}
-	for _, m := range c.Endpoints {
-		i := t.selectTransport(m)
-		if was, ok := t.byServer[m.ID]; ok && was != i {
-			gone := m
-			gone.Availability = policy.Removed
-			parts[was] = append(parts[was], gone)
+	for _, endpoint := range update.Endpoints {
+		i := t.selectTransport(endpoint)
+		if former, ok := t.byServer[endpoint.ID]; ok && former != i {
+			removed := endpoint
+			removed.Availability = policy.Removed
+			assigned[former] = append(assigned[former], removed)
 		}
-		if m.Availability == policy.Removed {
-			delete(t.byServer, m.ID)
+		if endpoint.Availability == policy.Removed {
+			delete(t.byServer, endpoint.ID)
 		} else {
-			t.byServer[m.ID] = i
-		}
-		parts[i] = append(parts[i], m)
-	}
-	t.mu.Unlock()
-	for i, x := range t.transports {
-		if len(parts[i]) > 0 || c.Kind != policy.ListUpdate {
-			x.Update(router.EndpointUpdate{Kind: c.Kind, Endpoints: parts[i]})
+			t.byServer[endpoint.ID] = i
 		}
+		assigned[i] = append(assigned[i], endpoint)
 	}
+	return assigned
 }
 
-// CloseIdle passes it on to the server's own.
+// CloseIdle closes the idle connections to one server.
 func (t *Transport) CloseIdle(server string) {
-	t.mu.RLock()
-	i, ok := t.byServer[server]
-	t.mu.RUnlock()
-	if ok {
-		t.transports[i].CloseIdle(server)
+	if transport := t.transportOf(server); transport != nil {
+		transport.CloseIdle(server)
 	}
 }
 
-// Conns is the number of connections of those that tell.
-func (t *Transport) Conns() (n int) {
-	for _, x := range t.transports {
-		if c, ok := x.(router.ConnectionCounter); ok {
-			n += c.Conns()
+// Conns returns the number of open connections of all transports that count them.
+func (t *Transport) Conns() (total int) {
+	for _, transport := range t.transports {
+		if counter, ok := transport.(router.ConnectionCounter); ok {
+			total += counter.Conns()
 		}
 	}
-	return n
+	return total
 }
 
-// Written is the number of attempts that went out whole, by those that tell.
-func (t *Transport) Written() (n uint64) {
-	for _, x := range t.transports {
-		if w, ok := x.(router.WriteCounter); ok {
-			n += w.Written()
+// Written returns the number of attempts of which the last byte was written, by all transports that count them.
+func (t *Transport) Written() (total uint64) {
+	for _, transport := range t.transports {
+		if counter, ok := transport.(router.WriteCounter); ok {
+			total += counter.Written()
 		}
 	}
-	return n
+	return total
 }
 
-// Close closes all of them.
+// Close closes all transports.
 func (t *Transport) Close() {
-	for _, x := range t.transports {
-		x.Close()
+	for _, transport := range t.transports {
+		transport.Close()
 	}
 }
--- /dev/null
+++ b/transport/msgpack/attempt.go
@@ -0,0 +1,137 @@
+package msgpack
+
+import (
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	"cobaltward/msgpackrpc"
+	"cobaltward/msgpackrpc/mux"
+	"cobaltward/policy"
+	"cobaltward/router"
+	"cobaltward/transport/outcome"
+	"cobaltward/transport/secure"
+)
+
+// maxBodyBytes bounds the body of a request, which is part of one message.
+const maxBodyBytes = 64 << 10
+
+var errUntrusted = errors.New("server certificate is no longer trusted")
+
+// Attempt sends r to the server once, and waits for the reply until ctx ends.
+func (t *Transport) Attempt(ctx context.Context, id string, r *router.Request) router.Result {
+	call := msgpackrpc.Call{
+		ID:             r.ID,
+		IdempotencyKey: r.IdempotencyKey,
+		Method:         r.Method,
+		Target:         r.Target,
+		Authority:      r.Authority,
+		ContentType:    r.ContentType,
+		Body:           r.Body,
+	}
+	if r.Upload != nil {
+		var ok bool
+		if call.Body, ok = readUpload(r.Upload); !ok {
+			return router.Result{Code: policy.Superseded} // a message cannot hold it: the server is not at fault
+		}
+	}
+	for {
+		srv, conn, err := t.acquire(ctx, id)
+		if err != nil {
+			return router.Result{Code: acquireFailure(ctx, err)}
+		}
+		if deadline, ok := ctx.Deadline(); ok {
+			call.Wait = max(time.Millisecond, time.Until(deadline))
+		}
+		reply, err := conn.Call(ctx, &call, func() error { return t.checkSendable(ctx, srv, conn) })
+		t.release(conn)
+		if err == nil {
+			t.written.Add(1)
+			return t.resultOf(&reply)
+		}
+		var notSent *mux.NotSentError
+		isSent := !errors.As(err, &notSent)
+		if isSent {
+			t.written.Add(1)
+		}
+		if errors.Is(err, mux.ErrRetired) && !isSent && ctx.Err() == nil {
+			continue // the connection was retired just now: another may have a free slot
+		}
+		return router.Result{Code: callFailure(ctx, err, isSent)}
+	}
+}
+
+// acquireFailure returns the outcome of an attempt without a connection.
+func acquireFailure(ctx context.Context, err error) policy.Code {
+	switch {
+	case errors.Is(err, errServerDraining):
+		return policy.Overloaded // as if the server had rejected it
+	case errors.As(err, new(*secure.UntrustedError)) && ctx.Err() == nil:
+		return policy.Untrusted
+	case errors.Is(err, errNoConnection) || errors.Is(err, secure.ErrTooManyHandshakes):
+		return policy.Superseded // the server is not at fault
+	}
+	return outcome.FailureCode(ctx, false)
+}
+
+// callFailure returns the outcome of a call without a reply.
+func callFailure(ctx context.Context, err error, isSent bool) policy.Code {
+	var malformed *mux.SpoiltError
+	switch {
+	case errors.Is(err, errUntrusted):
+		return policy.Untrusted
+	case errors.Is(err, errServerDraining):
+		return policy.Overloaded
+	case errors.As(err, &malformed):
+		return policy.ServerError
+	}
+	return outcome.FailureCode(ctx, isSent)
+}
+
+// checkSendable returns why nothing may be written to a server any more; nil if it may.
+func (t *Transport) checkSendable(ctx context.Context, srv *server, conn *pooledConn) error {
+	if err := outcome.CheckSendable(ctx); err != nil {
+		return err
+	}
+	if !conn.isTrusted() {
+		return errUntrusted
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.isDraining(srv) {
+		return errServerDraining
+	}
+	return nil
+}
+
+// readUpload reads a body of a known length that fits a message.
+func readUpload(upload router.Upload) (body []byte, ok bool) {
+	if upload.Length() < 0 || upload.Length() > maxBodyBytes {
+		return nil, false
+	}
+	reader, err := upload.Open()
+	if err != nil {
+		return nil, false
+	}
+	body, err = io.ReadAll(reader)
+	return body, err == nil
+}
+
+// resultOf returns what a reply says of the attempt.
+func (t *Transport) resultOf(reply *msgpackrpc.Reply) router.Result {
+	switch reply.Code {
+	case "":
+		t.mu.Lock()
+		fields := t.loadReportFields
+		t.mu.Unlock()
+		return router.Result{
+			Code:       policy.OK,
+			Answer:     router.Answer{Body: reply.Body, ContentType: reply.ContentType},
+			LoadReport: outcome.ParseLoadReport(reply.Load, fields),
+		}
+	case msgpackrpc.NotRun, msgpackrpc.Refused, msgpackrpc.Overloaded:
+		return router.Result{Code: policy.Overloaded}
+	}
+	return router.Result{Code: policy.ServerError}
+}
--- /dev/null
+++ b/transport/msgpack/pool.go
@@ -0,0 +1,141 @@
+package msgpack
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"cobaltward/msgpackrpc/mux"
+	"cobaltward/transport/secure"
+	"cobaltward/transport/servers"
+)
+
+var (
+	errUnknownServer  = errors.New("server is not in the endpoint list")
+	errServerDraining = errors.New("server is draining")
+	errNoConnection   = errors.New("all connections are full and the connection limit is reached")
+)
+
+// server is one process of one server with its connection pool; State is nil until the first attempt.
+type server = servers.Server[*pool]
+
+// pool is the connection pool of one server, guarded by the mutex of the transport.
+type pool struct {
+	conns           []*pooledConn
+	dial            *pendingDial // nil: none
+	drainNotifiedAt time.Time    // when the server last sent a drain notice
+	removed         bool         // the server left the endpoint list
+}
+
+// pooledConn is a connection with the number of its open calls.
+type pooledConn struct {
+	*mux.Conn
+	tls   *secure.Conn // nil: plaintext
+	calls int          // guarded by the mutex of the transport
+}
+
+// pendingDial is a connection that is being opened. All attempts that need one wait for the same.
+type pendingDial struct {
+	done chan struct{} // closed at the end, when err is set
+	err  error
+}
+
+// isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
+func (c *pooledConn) isTrusted() bool { return c.tls == nil || c.tls.IsTrusted(time.Now()) }
+
+// isDraining reports whether the server itself says that it is draining.
+func (p *pool) isDraining() bool {
+	return !p.drainNotifiedAt.IsZero() && time.Since(p.drainNotifiedAt) < drainNoticeTTL
+}
+
+// retireAll makes all connections accept no further calls.
+func (p *pool) retireAll() {
+	for _, conn := range p.conns {
+		conn.Retire()
+	}
+}
+
+// acquire returns a connection with a free slot for a call, and opens one where there is none.
+func (t *Transport) acquire(ctx context.Context, id string) (*server, *pooledConn, error) {
+	for {
+		srv, conn, dial, err := t.acquireOrDial(id)
+		if err != nil || conn != nil {
+			return srv, conn, err
+		}
+		select {
+		case <-dial.done:
+			if dial.err != nil {
+				return nil, nil, dial.err
+			}
+		case <-ctx.Done():
+			return nil, nil, ctx.Err()
+		}
+	}
+}
+
+// acquireOrDial returns a connection with a free slot, or a pending one to wait for.
+func (t *Transport) acquireOrDial(id string) (*server, *pooledConn, *pendingDial, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	srv := t.servers.Get(id)
+	if srv == nil || t.closed {
+		return nil, nil, nil, errUnknownServer
+	}
+	if srv.State == nil {
+		srv.State = &pool{}
+	}
+	if t.isDraining(srv) {
+		return nil, nil, nil, errServerDraining
+	}
+	if conn := srv.State.leastLoaded(t.config.Streams); conn != nil {
+		conn.calls++
+		return srv, conn, nil, nil
+	}
+	dial, err := t.dialLocked(srv)
+	return srv, nil, dial, err
+}
+
+// isDraining reports whether no new calls may be sent to a server, by the endpoint list or by its own notice.
+func (t *Transport) isDraining(srv *server) bool {
+	return srv.WritesForbidden(t.drainGrace) || srv.State.isDraining()
+}
+
+// leastLoaded returns the connection with the fewest calls that has a free slot; nil where there is none. Connections
+// that are no longer trusted are retired.
+func (p *pool) leastLoaded(maxCalls int) (best *pooledConn) {
+	for _, conn := range p.conns {
+		if !conn.isTrusted() {
+			conn.Retire()
+			continue
+		}
+		if conn.calls < maxCalls && (best == nil || conn.calls < best.calls) && conn.Usable() {
+			best = conn
+		}
+	}
+	return best
+}
+
+// dialLocked returns the pending connection to a server, and starts to open one where there is none. The caller holds
+// the mutex.
+func (t *Transport) dialLocked(srv *server) (*pendingDial, error) {
+	pool := srv.State
+	if pool.dial != nil {
+		return pool.dial, nil
+	}
+	if len(pool.conns) >= t.config.ConnsPerServer || t.openConns >= t.config.MaxConns {
+		return nil, errNoConnection
+	}
+	dial := &pendingDial{done: make(chan struct{})}
+	pool.dial = dial
+	t.openConns++
+	endpoint := srv.Endpoint
+	t.tasks.Go(func() { t.connect(srv, endpoint, dial) })
+	return dial, nil
+}
+
+// release ends a call.
+func (t *Transport) release(conn *pooledConn) {
+	t.mu.Lock()
+	conn.calls--
+	t.mu.Unlock()
+}
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome has what transports of every protocol say alike of an attempt: whether it may still go out,
-// what it came to where it brought no answer, and how a load report reads.
+// Package outcome has what transports of all protocols share about attempts: whether an attempt may still be written,
+// the outcome of one that got no response, and the parser of load reports.
 package outcome
 
 import (
@@ -13,74 +13,82 @@
 	"cobaltward/router"
 )
 
-// ErrIdempotencyExpired says that the servers which drop the repeats of a request's key do not remember it for certain
-// any more: to send it now could have its effect twice.
-var ErrIdempotencyExpired = errors.New("the time in which servers drop repeats of the key is over")
+// ErrIdempotencyExpired means that servers may have forgotten the idempotency key of the request: writing the attempt
+// could run it a second time.
+var ErrIdempotencyExpired = errors.New("dedup window of the idempotency key has passed")
 
-// ErrAbandoned says that the request has its answer, or that its client has left.
-var ErrAbandoned = errors.New("nobody waits for the attempt any more")
+// ErrAbandoned means that the request has its answer, or that its client has disconnected.
+var ErrAbandoned = errors.New("attempt is abandoned")
 
-// CheckSendable tells why nothing may go out for an attempt any more; nil while it may.
+// CheckSendable returns why an attempt may not be written any more; nil if it may.
 func CheckSendable(ctx context.Context) error {
-	// A repeat may have waited for its connection.
-	if a, ok := ctx.(router.SendDeadlineContext); ok {
-		if by := a.SendBy(); !by.IsZero() && !time.Now().Before(by) {
+	// An attempt may have waited for its connection since it was decided on.
+	if sendCtx, ok := ctx.(router.SendDeadlineContext); ok {
+		if sendBy := sendCtx.SendBy(); !sendBy.IsZero() && !time.Now().Before(sendBy) {
 			return ErrIdempotencyExpired
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if a, ok := ctx.(router.AbandonableContext); ok && a.Abandoned() {
+	if abandonable, ok := ctx.(router.AbandonableContext); ok && abandonable.Abandoned() {
 		return ErrAbandoned
 	}
-	if end, ok := ctx.Deadline(); ok && !time.Now().Before(end) { // its timer may be late as well
+	// The timer of ctx may be late.
+	if deadline, ok := ctx.Deadline(); ok && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-// FailureCode names the outcome of an attempt that brought no answer. One whose last byte was never written can't
-// have run, also where its time is up; when unsure, it may have run.
+// FailureCode returns the outcome of an attempt that got no response. mayRun says that its last byte may have been
+// written: without that, the server cannot have run it, even if its deadline has passed.
 func FailureCode(ctx context.Context, mayRun bool) policy.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return policy.Cancelled
-	case !mayRun && (errors.Is(CheckSendable(ctx), ErrIdempotencyExpired) || errors.Is(CheckSendable(ctx), ErrAbandoned)):
-		return policy.Superseded // the server is not to blame
 	case !mayRun:
-		return policy.ConnectFailed
+		return unsentCode(ctx)
 	case ctx.Err() != nil:
 		return policy.TimedOut
 	}
 	return policy.Reset
 }
 
-// maxLoadValue is more than any figure of a load report can be.
+// unsentCode returns the outcome of an attempt whose last byte was not written.
+func unsentCode(ctx context.Context) policy.Code {
+	err := CheckSendable(ctx)
+	if errors.Is(err, ErrIdempotencyExpired) || errors.Is(err, ErrAbandoned) {
+		return policy.Superseded // the server is not at fault
+	}
+	return policy.ConnectFailed
+}
+
+// maxLoadValue bounds the values of a load report; larger ones are invalid.
 const maxLoadValue = 1e9
 
-// ParseLoadReport reads `name=value,name=value` into the order of names; nil where there is none, or where
-// a part of it is missing or makes no sense: the rest is then not to be trusted either.
+// ParseLoadReport parses `name=value,name=value` and returns the values of the given names, in their order. It returns
+// nil for a report that lacks one of them, or of which any part is invalid.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
 	}
-	figures := make(map[string]float64)
+	values := make(map[string]float64)
 	for _, pair := range strings.Split(text, ",") {
-		name, v, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		n, err := strconv.ParseFloat(v, 64)
-		if _, twice := figures[name]; twice || err != nil || !(n >= 0 && n <= maxLoadValue) {
+		name, number, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		value, err := strconv.ParseFloat(number, 64)
+		if _, duplicate := values[name]; duplicate || err != nil || !(value >= 0 && value <= maxLoadValue) {
 			return nil
 		}
-		figures[name] = n
+		values[name] = value
 	}
-	row := make([]float64, len(names))
+	ordered := make([]float64, len(names))
 	for i, name := range names {
-		n, ok := figures[name]
+		value, ok := values[name]
 		if !ok {
 			return nil
 		}
-		row[i] = n
+		ordered[i] = value
 	}
-	return row
+	return ordered
 }
--- a/transport/servers/servers.go
+++ b/transport/servers/servers.go
@@ -1,5 +1,5 @@
-// Package servers keeps what a transport holds for each server of the list: the same rules on moves,
-// restarts and drains for every protocol.
+// Package servers holds what a transport keeps for each server of the endpoint list. Moves, restarts and drains of
+// servers thus follow the same rules for every protocol.
 package servers
 
 import (
@@ -9,54 +9,60 @@
 	"cobaltward/router"
 )
 
-// Server is one process of one server, with what the transport holds for it.
-type Server[P any] struct {
-	ID, Addr       string
-	Started        time.Time
-	Endpoint       router.Endpoint // as the list has it now; what is above does not change
-	DrainStartedAt time.Time       // when the list said that it drains or is gone; zero while it runs
-	removed        bool            // it is not listed any more, and no grace is known where none is told
-	State          P
+// Server is one process of one server, with the state that a transport keeps for it.
+type Server[S any] struct {
+	ID, Addr string
+	Started  time.Time
+
+	Endpoint       router.Endpoint // the current entry of the list; the fields above do not change
+	DrainStartedAt time.Time       // when the list reported it as draining or removed; zero while it is running
+	State          S
+
+	removed bool // it was removed from the list without having been draining
 }
 
-// Table is the servers of a list. It isn't safe for concurrent use.
-type Table[P any] struct {
-	onRemove func(*Server[P]) // ends what is held for one that is gone
-	byID     map[string]*Server[P]
-	idByAddr map[string]string // the server at each address
+// Table holds the servers of an endpoint list. It is not safe for concurrent use.
+type Table[S any] struct {
+	onRemove func(*Server[S])
+	byID     map[string]*Server[S]
+	idByAddr map[string]string
 }
 
-// New returns an empty table. drop is called for each server that leaves it.
-func New[P any](drop func(*Server[P])) Table[P] {
-	return Table[P]{onRemove: drop, byID: make(map[string]*Server[P]), idByAddr: make(map[string]string)}
+// New returns an empty table. onRemove is called for each server that leaves it.
+func New[S any](onRemove func(*Server[S])) Table[S] {
+	return Table[S]{onRemove: onRemove, byID: make(map[string]*Server[S]), idByAddr: make(map[string]string)}
 }
 
 // Get returns a server, or nil.
-func (t *Table[P]) Get(id string) *Server[P] { return t.byID[id] }
+func (t *Table[S]) Get(id string) *Server[S] { return t.byID[id] }
 
-// All are the servers by id. It must not be changed.
-func (t *Table[P]) All() map[string]*Server[P] { return t.byID }
+// All returns the servers by ID. The caller must not change the map.
+func (t *Table[S]) All() map[string]*Server[S] { return t.byID }
 
-// Update follows the list. A server that moved or started anew is another one: what was open to its
-// former process is of no use.
-func (t *Table[P]) Update(c router.EndpointUpdate) {
-	for _, m := range c.Endpoints {
-		s := t.byID[m.ID]
+// Update applies a change of the list. A server that moved or restarted is removed and added, since the connections to
+// its former process are of no use.
+func (t *Table[S]) Update(update router.EndpointUpdate) {
+	for _, endpoint := range update.Endpoints {
+		known := t.byID[endpoint.ID]
 		switch {
-		case m.Availability == policy.Removed:
-			t.remove(m.ID)
-		case s == nil || s.Addr != m.Addr || !s.Started.Equal(m.Started):
-			t.remove(m.ID)
-			t.add(m)
+		case endpoint.Availability == policy.Removed:
+			t.remove(endpoint.ID)
+		case known == nil || known.Addr != endpoint.Addr || !known.Started.Equal(endpoint.Started):
+			t.remove(endpoint.ID)
+			t.add(endpoint)
 		}
-		t.updateEndpoint(m)
+		t.updateEndpoint(endpoint)
 	}
-	if c.Kind == policy.ListUpdate {
-		return
+	if update.Kind != policy.ListUpdate {
+		t.removeUnlisted(update.Endpoints)
 	}
-	listed := make(map[string]bool, len(c.Endpoints))
-	for i := range c.Endpoints {
-		listed[c.Endpoints[i].ID] = true
+}
+
+// removeUnlisted removes the servers that a complete list does not name.
+func (t *Table[S]) removeUnlisted(endpoints []router.Endpoint) {
+	listed := make(map[string]bool, len(endpoints))
+	for i := range endpoints {
+		listed[endpoints[i].ID] = true
 	}
 	for id := range t.byID {
 		if !listed[id] {
@@ -65,46 +71,53 @@
 	}
 }
 
-// add puts m in, unless another server has its address by now: of two at one address the one that
-// started last is there, and what is meant for the other must not reach it.
-func (t *Table[P]) add(m router.Endpoint) {
-	if id, taken := t.idByAddr[m.Addr]; taken {
-		if t.byID[id].Started.After(m.Started) {
+// add adds a server, unless one that started later has its address: only the last process at an address can be reached
+// there, and it must not get requests for the other one.
+func (t *Table[S]) add(endpoint router.Endpoint) {
+	if id, taken := t.idByAddr[endpoint.Addr]; taken {
+		if t.byID[id].Started.After(endpoint.Started) {
 			return
 		}
 		t.remove(id)
 	}
-	t.byID[m.ID], t.idByAddr[m.Addr] = &Server[P]{ID: m.ID, Addr: m.Addr, Started: m.Started}, m.ID
+	t.byID[endpoint.ID] = &Server[S]{ID: endpoint.ID, Addr: endpoint.Addr, Started: endpoint.Started}
+	t.idByAddr[endpoint.Addr] = endpoint.ID
 }
 
-// updateEndpoint notes what else the list says of m, and since when it drains.
-func (t *Table[P]) updateEndpoint(m router.Endpoint) {
-	s := t.byID[m.ID]
-	if s != nil {
-		s.Endpoint = m
+// updateEndpoint stores an entry of the list, and when its server began to drain.
+func (t *Table[S]) updateEndpoint(endpoint router.Endpoint) {
+	server := t.byID[endpoint.ID]
+	if server == nil {
+		return
 	}
+	server.Endpoint = endpoint
 	switch {
-	case s == nil:
-	case m.Availability != policy.Draining:
-		s.DrainStartedAt = time.Time{}
-	case s.DrainStartedAt.IsZero():
-		s.DrainStartedAt = time.Now()
+	case endpoint.Availability != policy.Draining:
+		server.DrainStartedAt = time.Time{}
+	case server.DrainStartedAt.IsZero():
+		server.DrainStartedAt = time.Now()
 	}
 }
 
-// remove drops a server. Attempts may still be making connections to it: for them it is as one that drains.
-func (t *Table[P]) remove(id string) {
-	if s := t.byID[id]; s != nil {
-		if s.DrainStartedAt.IsZero() {
-			s.DrainStartedAt, s.removed = time.Now(), true
-		}
-		t.onRemove(s)
-		delete(t.byID, id)
-		delete(t.idByAddr, s.Addr) // no two of them have one address
+// remove removes a server. For attempts that are still connecting to it, it is like one that is draining.
+func (t *Table[S]) remove(id string) {
+	server := t.byID[id]
+	if server == nil {
+		return
 	}
+	if server.DrainStartedAt.IsZero() {
+		server.DrainStartedAt, server.removed = time.Now(), true
+	}
+	t.onRemove(server)
+	delete(t.byID, id)
+	delete(t.idByAddr, server.Addr) // addresses are unique within the table
 }
 
-// WritesForbidden tells whether nothing may be written to s any more: it has drained, or was gone, for the grace.
-func (s *Server[P]) WritesForbidden(grace time.Duration) bool {
-	return !s.DrainStartedAt.IsZero() && !(s.removed && grace == 0) && time.Since(s.DrainStartedAt) >= grace
+// WritesForbidden reports whether nothing may be written to the server any more: it has been draining or removed for
+// the grace. A grace of 0 does not apply to a server that was removed without having been draining.
+func (s *Server[S]) WritesForbidden(grace time.Duration) bool {
+	if s.DrainStartedAt.IsZero() || s.removed && grace == 0 {
+		return false
+	}
+	return time.Since(s.DrainStartedAt) >= grace
 }
