--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -68,7 +68,7 @@
 	n.bodies = n.config.bodyLimits()
 	n.httpServer.server.Handler = n.newHandler()
 	if n.rpcServer != nil {
-		n.rpcServer.Front = n.newRPCFront()
+		n.rpcServer.Server = n.newRPCFront()
 	}
 	n.admin = &adminAPI{
 		name:        n.config.Name,
@@ -211,11 +211,11 @@
 // isReady reports whether readiness checks succeed.
 func (n *node) isReady() bool { return n.engine.Phase() == router.Serving || n.handedOver.Load() }
 
-func (n *node) newRPCFront() *msgpackfront.Front {
+func (n *node) newRPCFront() *msgpackfront.Server {
 	return msgpackfront.New(n.engine, msgpackfront.Config{
 		MaxConns:       n.limits.msgpackClients,
 		MaxCalls:       n.config.Msgpack.MaxCallsPerConn,
-		Idle:           clientIdleTimeout,
+		IdleTimeout:    clientIdleTimeout,
 		MessageTimeout: headerTimeout,
 		WriteTimeout:   writeTimeout,
 		Log:            n.log,
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -69,7 +69,7 @@
 // unread.
 func clientDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
-	return ok && sockets.Left(c.TCPConn)
+	return ok && sockets.PeerClosed(c.TCPConn)
 }
 
 // awaitsFirstRequest reports whether the first request of a connection may be on its way.
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -30,8 +30,8 @@
 func (l *clientListener) evictIdleLocked(includeNew bool) bool {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
-		handshaking := c.tls != nil && c.tls.Shaking() && !c.tls.Silent()
-		if handshaking || !includeNew && c.awaitsFirstRequest() || !sockets.Quiet(c.TCPConn) {
+		handshaking := c.tls != nil && c.tls.Handshaking() && !c.tls.NothingReceived()
+		if handshaking || !includeNew && c.awaitsFirstRequest() || !sockets.IsIdle(c.TCPConn) {
 			continue // a request that meets a close fails
 		}
 		l.rejectEvictedLocked(c, !c.requestSeen)
@@ -67,11 +67,11 @@
 func (l *clientListener) evictHandshakeLocked() bool {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
-		if !c.tls.Shaking() || c.tls.Working() {
+		if !c.tls.Handshaking() || c.tls.HandshakeOnCPU() {
 			continue
 		}
 		age := time.Since(c.acceptedAt)
-		if age > stalledHandshakeAge || c.tls.Silent() && age > silentHandshakeAge {
+		if age > stalledHandshakeAge || c.tls.NothingReceived() && age > silentHandshakeAge {
 			c.forgetLocked()
 			_ = c.Close()
 			return true
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -26,7 +26,7 @@
 	queueTimeout func() time.Duration
 	// retryAfter returns the Retry-After of rejected clients; 0: they get none.
 	retryAfter func() time.Duration
-	tlsLayer   *secure.Layer // nil: connections are plain TCP
+	tlsLayer   *secure.Terminator // nil: connections are plain TCP
 
 	mu        sync.Mutex
 	maxConns  int         // connections that are served
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -17,7 +17,7 @@
 func TestCloseIdle_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	sendRequestLine(t, client)
-	testkit.Await(t, "the bytes", func() bool { return !sockets.Quiet(conn.TCPConn) })
+	testkit.Await(t, "the bytes", func() bool { return !sockets.IsIdle(conn.TCPConn) })
 	listener.mu.Lock()
 	read := make(chan error, 1)
 	go func() {
--- a/internal/node/rpcserver.go
+++ b/internal/node/rpcserver.go
@@ -22,7 +22,7 @@
 // rpcServer is the node's MessagePack-RPC listener with its connections. Its Front is set after its engine is made, and
 // before Serve.
 type rpcServer struct {
-	*msgpackfront.Front
+	*msgpackfront.Server
 	wrapTLS func(net.Listener) net.Listener // returns the listener itself without TLS
 
 	mu       sync.Mutex
@@ -53,7 +53,7 @@
 			<-resumed
 			continue
 		}
-		err := s.Front.Serve(listener)
+		err := s.Server.Serve(listener)
 		s.mu.Lock()
 		replaced := s.listener != listener
 		s.mu.Unlock()
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	s.listener = nil
 	s.mu.Unlock()
-	s.Front.StopAccepting()
+	s.Server.StopAccepting()
 }
 
 // ResumeAccepting opens the listener again, at the same address.
@@ -83,7 +83,7 @@
 		return err
 	}
 	s.listener = s.wrapTLS(listener)
-	_ = s.Front.ResumeAccepting() // returns nil
+	_ = s.Server.ResumeAccepting() // returns nil
 	close(s.resumed)
 	s.resumed = make(chan struct{})
 	return nil
@@ -92,13 +92,13 @@
 // Shutdown stops accepting, and waits for open calls until ctx ends.
 func (s *rpcServer) Shutdown(ctx context.Context) error {
 	s.markClosed()
-	return s.Front.Shutdown(ctx)
+	return s.Server.Shutdown(ctx)
 }
 
 // Close closes all connections.
 func (s *rpcServer) Close() {
 	s.markClosed()
-	s.Front.Close()
+	s.Server.Close()
 }
 
 // markClosed lets Serve return.
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -52,9 +52,9 @@
 	cpuBudget    *handshakes.CPUScheduler
 	engine       atomic.Pointer[router.Router] // nil until the engine is made
 	serverLayer  *secure.ClientTLS             // nil: no TLS towards servers
-	clientLayer  *frontsecure.Layer            // nil: clients use plain HTTP
-	msgpackLayer *frontsecure.Layer            // nil: MessagePack-RPC without TLS
-	adminLayer   *frontsecure.Layer            // nil: the admin API uses plain HTTP
+	clientLayer  *frontsecure.Terminator       // nil: clients use plain HTTP
+	msgpackLayer *frontsecure.Terminator       // nil: MessagePack-RPC without TLS
+	adminLayer   *frontsecure.Terminator       // nil: the admin API uses plain HTTP
 	rejectedFile atomic.Pointer[string]        // why a file is rejected at present; nil: none is
 }
 
@@ -93,20 +93,20 @@
 }
 
 // newListenerLayer returns the layer of a listener that offers the protocols alpn; nil where the listener has no TLS.
-func (s *nodeTLS) newListenerLayer(listener *TLSListener, alpn ...string) (*frontsecure.Layer, error) {
+func (s *nodeTLS) newListenerLayer(listener *TLSListener, alpn ...string) (*frontsecure.Terminator, error) {
 	if listener == nil {
 		return nil, nil
 	}
 	return frontsecure.New(frontsecure.Config{
-		Keys:    listener.Certificates,
-		Trust:   listener.ClientCAs,
-		Require: listener.RequireClientCert,
-		Tickets: listener.Tickets,
-		TLS12:   listener.AllowTLS12,
-		ALPN:    alpn,
-		Timeout: listener.HandshakeTimeout,
-		Core:    s.cpuBudget,
-		Log:     s.log,
+		Certificates: listener.Certificates,
+		Trust:        listener.ClientCAs,
+		Require:      listener.RequireClientCert,
+		Tickets:      listener.Tickets,
+		TLS12:        listener.AllowTLS12,
+		ALPN:         alpn,
+		Timeout:      listener.HandshakeTimeout,
+		CPU:          s.cpuBudget,
+		Log:          s.log,
 	})
 }
 
@@ -125,7 +125,7 @@
 }
 
 // clientListenerLayer returns the layer of the clients' listener; nil: plain HTTP.
-func (s *nodeTLS) clientListenerLayer() *frontsecure.Layer {
+func (s *nodeTLS) clientListenerLayer() *frontsecure.Terminator {
 	if s == nil {
 		return nil
 	}
@@ -141,9 +141,9 @@
 }
 
 // listenerLayers returns the layers of the listeners that use TLS.
-func (s *nodeTLS) listenerLayers() []*frontsecure.Layer {
-	var layers []*frontsecure.Layer
-	for _, layer := range []*frontsecure.Layer{s.clientLayer, s.msgpackLayer, s.adminLayer} {
+func (s *nodeTLS) listenerLayers() []*frontsecure.Terminator {
+	var layers []*frontsecure.Terminator
+	for _, layer := range []*frontsecure.Terminator{s.clientLayer, s.msgpackLayer, s.adminLayer} {
 		if layer != nil {
 			layers = append(layers, layer)
 		}
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -197,7 +197,7 @@
 // openSecret returns the store of a secret, which is empty until the control plane sends it.
 func (s *storeSet) openSecret(secret string) *certificates.Store {
 	if s.bySecret[secret] == nil {
-		s.bySecret[secret] = certificates.Handed()
+		s.bySecret[secret] = certificates.NewEmptyStore()
 		s.all = append(s.all, s.bySecret[secret])
 	}
 	return s.bySecret[secret]
--- a/transport/http1/conn.go
+++ b/transport/http1/conn.go
@@ -45,7 +45,7 @@
 	if c.tls != nil {
 		return c.tls.IsIdle()
 	}
-	return sockets.Quiet(c.tcp)
+	return sockets.IsIdle(c.tcp)
 }
 
 // isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -25,7 +25,7 @@
 		return nil, ctx.Err()
 	}
 	t.unreserve()
-	if sockets.IsShortage(err) || errors.Is(err, secure.ErrTooManyHandshakes) {
+	if sockets.IsResourceExhaustion(err) || errors.Is(err, secure.ErrTooManyHandshakes) {
 		return nil, errNoConnection
 	}
 	return nil, err
--- a/transport/msgpack/attempt.go
+++ b/transport/msgpack/attempt.go
@@ -42,7 +42,7 @@
 			return router.Result{Code: acquireFailure(ctx, err)}
 		}
 		if deadline, ok := ctx.Deadline(); ok {
-			call.Wait = max(time.Millisecond, time.Until(deadline))
+			call.Timeout = max(time.Millisecond, time.Until(deadline))
 		}
 		reply, err := conn.Call(ctx, &call, func() error { return t.checkSendable(ctx, srv, conn) })
 		t.release(conn)
@@ -77,7 +77,7 @@
 
 // callFailure returns the outcome of a call without a reply.
 func callFailure(ctx context.Context, err error, isSent bool) policy.Code {
-	var malformed *mux.SpoiltError
+	var malformed *mux.MalformedReplyError
 	switch {
 	case errors.Is(err, errUntrusted):
 		return policy.Untrusted
@@ -130,7 +130,7 @@
 			Answer:     router.Answer{Body: reply.Body, ContentType: reply.ContentType},
 			LoadReport: outcome.ParseLoadReport(reply.Load, fields),
 		}
-	case msgpackrpc.NotRun, msgpackrpc.Refused, msgpackrpc.Overloaded:
+	case msgpackrpc.NotRun, msgpackrpc.Rejected, msgpackrpc.Overloaded:
 		return router.Result{Code: policy.Overloaded}
 	}
 	return router.Result{Code: policy.ServerError}
--- a/transport/msgpack/connect.go
+++ b/transport/msgpack/connect.go
@@ -15,7 +15,7 @@
 // connect opens a connection. It goes on when the attempts that wait for it have ended, since later ones can use it.
 func (t *Transport) connect(srv *server, endpoint router.Endpoint, dial *pendingDial) {
 	conn, netConn, err := t.open(&endpoint)
-	if sockets.IsShortage(err) {
+	if sockets.IsResourceExhaustion(err) {
 		err = errNoConnection // a local shortage: the server is not at fault
 	}
 	t.mu.Lock()
--- a/transport/msgpack/transport.go
+++ b/transport/msgpack/transport.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		for _, conn := range srv.State.conns {
-			idleSince, isIdle := conn.Quiet()
+			idleSince, isIdle := conn.IdleSince()
 			if !isIdle || conn.calls > 0 {
 				continue
 			}
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -101,10 +101,10 @@
 // the same digests.
 func (r *Rule) digests() (trust, ownCertificate string) {
 	if r.Trust != nil {
-		trust = r.Trust.Set().Digest
+		trust = r.Trust.Set().TrustDigest
 	}
 	if r.ClientCertificate != nil {
-		ownCertificate = r.ClientCertificate.Set().Own
+		ownCertificate = r.ClientCertificate.Set().OwnDigest
 	}
 	return trust, ownCertificate
 }
