--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -39,7 +39,7 @@
 `
 	const servers, clients = "[[tls.servers]]\n", "[tls.clients]\ncert = \"cert.pem\"\nkey = \"key.pem\"\n"
 	const identity = "[[tenant]]\nname = \"t\"\n[[identity.layer]]\nby = \"certificate\"\nnames = {a = \"t\"}\n"
-	const plainProvesNothing = "9: tls.servers[0]: plain: servers without TLS cannot be verified"
+	const plainCannotBeVerified = "9: tls.servers[0]: plain: servers without TLS cannot be verified"
 	const noCertificate = "tls.clients: no certificate: name cert and key, dir, or cert_sds"
 	for text, want := range map[string]string{
 		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor the door",
@@ -47,7 +47,7 @@
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
 		servers + "trust = \"bad.pem\"\n":                   "bad.pem: incomplete PEM block",
 		servers + "cert = \"cert.pem\"\n":                   "10: tls.servers[0].cert: a certificate and its key go together",
-		servers + "plain = true\npins = [\"a\"]\n":          plainProvesNothing,
+		servers + "plain = true\npins = [\"a\"]\n":          plainCannotBeVerified,
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
 		servers + "trust = \"ca.pem\"\ncolour = 1\n":        "11: tls.servers[0].colour: unknown key",
 		clients + "require = true\n":                        "tls.clients: require: want trust",
