--- /dev/null
+++ b/internal/routes/match.go
@@ -0,0 +1,188 @@
+package routes
+
+import (
+	"slices"
+	"strings"
+)
+
+// Match returns the index of the route for a request; -1 if there is none.
+func (t *Table) Match(req *Request) int {
+	search := search{table: t, req: req, best: int32(len(t.routes))}
+	if index := t.hosts[req.Host]; index != nil {
+		search.tryIndex(index)
+	}
+	if len(t.wildcards) > 0 {
+		search.tryWildcards()
+	}
+	search.tryIndex(&t.anyHost)
+	if search.best == int32(len(t.routes)) {
+		return -1
+	}
+	return int(search.best)
+}
+
+// search is a search for the first route of which all conditions hold.
+type search struct {
+	table *Table
+	req   *Request
+	best  int32 // index of the first one so far
+}
+
+// tryWildcards tries the routes of all wildcards that match the host.
+func (s *search) tryWildcards() {
+	for rest := s.req.Host; ; {
+		dot := strings.IndexByte(rest, '.')
+		if dot < 0 {
+			return
+		}
+		rest = rest[dot+1:]
+		if index := s.table.wildcards[rest]; index != nil && dot > 0 {
+			s.tryIndex(index)
+		}
+	}
+}
+
+func (s *search) tryIndex(index *index) {
+	s.tryRoutes(index.exact[s.req.Path])
+	s.tryRoutes(index.other)
+	if strings.HasPrefix(s.req.Path, "/") {
+		s.tryNode(&index.trie, s.req.Path[1:], false)
+	}
+}
+
+// tryNode tries the routes of a node, and of all nodes below it that match the rest of the path. done says that the
+// whole path has been matched.
+func (s *search) tryNode(n *node, rest string, done bool) {
+	s.tryRoutes(n.prefixes)
+	if done {
+		s.tryRoutes(n.segments)
+		return
+	}
+	segment, rest, more := strings.Cut(rest, "/")
+	if next := n.next[segment]; next != nil {
+		s.tryNode(next, rest, !more)
+	}
+	if n.param != nil && segment != "" {
+		s.tryNode(n.param, rest, !more)
+	}
+}
+
+// tryRoutes tries routes of which the host matches, and the path unless it is a regular expression.
+func (s *search) tryRoutes(indexes []int32) {
+	for _, i := range indexes {
+		if i >= s.best {
+			return
+		}
+		if s.table.conditionsHold(int(i), s.req) {
+			s.best = i
+			return
+		}
+	}
+}
+
+// conditionsHold reports whether the conditions of a route hold that the index does not check.
+func (t *Table) conditionsHold(i int, req *Request) bool {
+	route := &t.routes[i]
+	if route.Listener != "" && route.Listener != req.Listener {
+		return false
+	}
+	if len(route.Methods) > 0 && !slices.Contains(route.Methods, req.Method) {
+		return false
+	}
+	for k := range route.Headers {
+		if !route.Headers[k].matchesHeader(req.Header) {
+			return false
+		}
+	}
+	for k := range route.Query {
+		if !route.Query[k].matchesQuery(req.Query) {
+			return false
+		}
+	}
+	if route.Fraction < 1 && !route.inFraction(req) {
+		return false
+	}
+	return t.regexps[i] == nil || t.regexps[i].MatchString(req.Path)
+}
+
+// matchesHeader reports whether a condition holds for a header. One with several values matches no Value, because
+// another server might use another one of them.
+func (c *Condition) matchesHeader(header map[string][]string) bool {
+	values, present := header[c.Name]
+	switch {
+	case c.Missing:
+		return !present
+	case c.Present:
+		return present
+	}
+	return len(values) == 1 && values[0] == c.Value
+}
+
+// matchesQuery reports whether a condition holds for a query. As with headers, a repeated parameter matches no Value.
+func (c *Condition) matchesQuery(query string) bool {
+	count, equal := 0, false
+	for query != "" {
+		var pair string
+		pair, query, _ = strings.Cut(query, "&")
+		name, value, _ := strings.Cut(pair, "=")
+		if decodesTo(name, c.Name) {
+			count++
+			equal = decodesTo(value, c.Value)
+		}
+	}
+	switch {
+	case c.Missing:
+		return count == 0
+	case c.Present:
+		return count > 0
+	}
+	return count == 1 && equal
+}
+
+// decodesTo reports whether want is the decoded form of a part of a query, without allocating.
+func decodesTo(encoded, want string) bool {
+	for encoded != "" {
+		char := encoded[0]
+		size := 1
+		switch {
+		case char == '+':
+			char = ' '
+		case char == '%' && len(encoded) >= 3 && isHex(encoded[1]) && isHex(encoded[2]):
+			char, size = hexValue(encoded[1])<<4|hexValue(encoded[2]), 3
+		}
+		if want == "" || want[0] != char {
+			return false
+		}
+		encoded, want = encoded[size:], want[1:]
+	}
+	return want == ""
+}
+
+// inFraction reports whether a request belongs to the route's fraction.
+func (r *Route) inFraction(req *Request) bool {
+	input := req.Tenant
+	switch {
+	case r.HashBy == HashByKey && req.Key != "":
+		input = req.Key
+	case r.HashBy == HashByID || input == "":
+		input = req.ID
+	}
+	return hashFraction(r.HashSalt, input) < r.Fraction
+}
+
+// hashFraction returns a number from 0 up to 1, the same at every node: FNV-1a, with the finalizer of MurmurHash3.
+func hashFraction(salt, input string) float64 {
+	const (
+		fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
+		mix1, mix2          = 0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53
+	)
+	hash := uint64(fnvOffset)
+	for _, text := range [...]string{salt, "\x00", input} {
+		for i := 0; i < len(text); i++ {
+			hash = (hash ^ uint64(text[i])) * fnvPrime
+		}
+	}
+	hash = (hash ^ hash>>33) * mix1
+	hash = (hash ^ hash>>33) * mix2
+	return float64((hash^hash>>33)>>11) / (1 << 53)
+}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -15,60 +15,76 @@
 	"pgregory.net/rapid"
 )
 
-// plain matches as the page says, one route after the other.
-func plain(all []Route, q *Request) int {
-	return slices.IndexFunc(all, func(r Route) bool {
-		switch below, wild := strings.CutPrefix(r.Host, "*"); {
-		case wild && (!strings.HasSuffix(q.Host, below) || len(q.Host) <= len(below)), !wild && r.Host != "" && r.Host != q.Host:
-			return false
+// plainMatch is a matcher that goes through the routes one by one.
+func plainMatch(all []Route, req *Request) int {
+	return slices.IndexFunc(all, func(route Route) bool {
+		return plainHostMatches(route.Host, req.Host) &&
+			(route.Listener == "" || route.Listener == req.Listener) &&
+			(len(route.Methods) == 0 || slices.Contains(route.Methods, req.Method)) &&
+			plainPathMatches(&route, req.Path) &&
+			plainConditionsHold(&route, req) &&
+			plainInFraction(&route, req)
+	})
+}
+
+func plainHostMatches(host, got string) bool {
+	suffix, wildcard := strings.CutPrefix(host, "*")
+	if wildcard {
+		return strings.HasSuffix(got, suffix) && len(got) > len(suffix)
+	}
+	return host == "" || host == got
+}
+
+func plainPathMatches(route *Route, path string) bool {
+	var pattern string
+	switch {
+	case route.Path != "":
+		pattern = regexp.QuoteMeta(route.Path)
+	case route.Prefix != "":
+		pattern = regexp.QuoteMeta(strings.TrimSuffix(route.Prefix, "/")) + "(/.*)?"
+	case route.Segments != "":
+		pattern = regexp.MustCompile(`\\\{[^/]*\\\}`).ReplaceAllString(regexp.QuoteMeta(route.Segments), "[^/]+")
+	default:
+		if pattern = route.Regexp; pattern == "" {
+			pattern = ".*"
 		}
-		if r.Listener != "" && r.Listener != q.Listener || len(r.Methods) > 0 && !slices.Contains(r.Methods, q.Method) {
+	}
+	return regexp.MustCompile(`(?s)\A(?:` + pattern + `)\z`).MatchString(path)
+}
+
+func plainConditionsHold(route *Route, req *Request) bool {
+	query, _ := url.ParseQuery(req.Query) // an error leaves the parameters that could be read
+	return plainAllHold(route.Headers, req.Header) && plainAllHold(route.Query, query)
+}
+
+func plainAllHold(conditions []Condition, got map[string][]string) bool {
+	for _, condition := range conditions {
+		values, present := got[condition.Name]
+		if condition.Missing == present {
 			return false
 		}
-		var pattern string
-		switch {
-		case r.Path != "":
-			pattern = regexp.QuoteMeta(r.Path)
-		case r.Prefix != "":
-			pattern = regexp.QuoteMeta(strings.TrimSuffix(r.Prefix, "/")) + "(/.*)?"
-		case r.Segments != "":
-			pattern = regexp.MustCompile(`\\\{[^/]*\\\}`).ReplaceAllString(regexp.QuoteMeta(r.Segments), "[^/]+")
-		default:
-			if pattern = r.Regexp; pattern == "" {
-				pattern = ".*"
-			}
-		}
-		if !regexp.MustCompile(`(?s)\A(?:` + pattern + `)\z`).MatchString(q.Path) {
+		if !condition.Missing && !condition.Present && (len(values) != 1 || values[0] != condition.Value) {
 			return false
 		}
-		for _, f := range r.Headers {
-			v, there := q.Header[f.Name]
-			if f.Missing == there || !f.Missing && !f.Present && (len(v) != 1 || v[0] != f.Value) {
-				return false
-			}
-		}
-		values, _ := url.ParseQuery(q.Query)
-		for _, f := range r.Query {
-			v, there := values[f.Name]
-			if f.Missing == there || !f.Missing && !f.Present && (len(v) != 1 || v[0] != f.Value) {
-				return false
-			}
-		}
-		by := q.Tenant
-		if r.HashBy == HashByKey && q.Key != "" {
-			by = q.Key
-		}
-		if r.HashBy == HashByID || by == "" {
-			by = q.ID
-		}
-		return r.Fraction == 0 || r.Fraction == 1 || part(r.HashSalt, by) < r.Fraction
-	})
+	}
+	return true
+}
+
+func plainInFraction(route *Route, req *Request) bool {
+	input := req.Tenant
+	if route.HashBy == HashByKey && req.Key != "" {
+		input = req.Key
+	}
+	if route.HashBy == HashByID || input == "" {
+		input = req.ID
+	}
+	return route.Fraction == 0 || route.Fraction == 1 || hashFraction(route.HashSalt, input) < route.Fraction
 }
 
 var (
-	segs    = []string{"a", "b", "rooms", "x1"}
-	hosts   = []string{"", "h.example", "*.example", "*.b.example", "b.example"}
-	askedOf = []string{"h.example", "b.example", "c.b.example", "example", "other"}
+	segments     = []string{"a", "b", "rooms", "x1"}
+	hosts        = []string{"", "h.example", "*.example", "*.b.example", "b.example"}
+	requestHosts = []string{"h.example", "b.example", "c.b.example", "example", "other"}
 )
 
 func drawPath(rng *rand.Rand, params bool) string {
@@ -77,79 +93,86 @@
 		if params && rng.IntN(3) == 0 {
 			fmt.Fprintf(&path, "/{p%d}", n)
 		} else {
-			path.WriteString("/" + segs[rng.IntN(len(segs))])
+			path.WriteString("/" + segments[rng.IntN(len(segments))])
 		}
 	}
 	return path.String()
 }
 
 func drawRoute(rng *rand.Rand, line int) Route {
-	r := Route{Line: line, Class: fmt.Sprint("c", line), Host: hosts[rng.IntN(len(hosts))]}
+	route := Route{Line: line, Class: fmt.Sprint("c", line), Host: hosts[rng.IntN(len(hosts))]}
 	switch rng.IntN(6) {
 	case 0, 1:
-		r.Path = drawPath(rng, false)
+		route.Path = drawPath(rng, false)
 	case 2:
-		r.Prefix = drawPath(rng, false)
+		route.Prefix = drawPath(rng, false)
 	case 3:
-		r.Segments = drawPath(rng, true)
+		route.Segments = drawPath(rng, true)
 	case 4:
-		r.Regexp = []string{"/a/.*", "/rooms/[a-z]+", ".*x1", "/(a|b)(/.*)?", "/a|/b/a"}[rng.IntN(5)]
+		route.Regexp = []string{"/a/.*", "/rooms/[a-z]+", ".*x1", "/(a|b)(/.*)?", "/a|/b/a"}[rng.IntN(5)]
 	}
 	if rng.IntN(3) == 0 {
-		r.Methods = []string{"GET", "POST"}[rng.IntN(2):][:1]
-	}
-	field := func(names ...string) []Condition {
-		f := Condition{Name: names[rng.IntN(len(names))]}
-		switch rng.IntN(3) {
-		case 0:
-			f.Present = true
-		case 1:
-			f.Missing = true
-		default:
-			f.Value = []string{"1", "", "a b"}[rng.IntN(3)]
-		}
-		return []Condition{f}
+		route.Methods = []string{"GET", "POST"}[rng.IntN(2):][:1]
 	}
 	if rng.IntN(3) == 0 {
-		r.Headers = field("X-A", "X-B")
+		route.Headers = drawConditions(rng, "X-A", "X-B")
 	}
 	if rng.IntN(4) == 0 {
-		r.Query = field("q", "p")
+		route.Query = drawConditions(rng, "q", "p")
 	}
 	if rng.IntN(4) == 0 {
-		r.Fraction, r.HashBy, r.HashSalt = []float64{0.1, 0.5, 0.9}[rng.IntN(3)], HashInput(rng.IntN(3)), fmt.Sprint(rng.IntN(2))
+		route.Fraction = []float64{0.1, 0.5, 0.9}[rng.IntN(3)]
+		route.HashBy = HashInput(rng.IntN(3))
+		route.HashSalt = fmt.Sprint(rng.IntN(2))
 	}
-	return r
+	return route
+}
+
+func drawConditions(rng *rand.Rand, names ...string) []Condition {
+	condition := Condition{Name: names[rng.IntN(len(names))]}
+	switch rng.IntN(3) {
+	case 0:
+		condition.Present = true
+	case 1:
+		condition.Missing = true
+	default:
+		condition.Value = []string{"1", "", "a b"}[rng.IntN(3)]
+	}
+	return []Condition{condition}
 }
 
 func drawRequest(rng *rand.Rand) *Request {
-	q := &Request{
-		Host: askedOf[rng.IntN(len(askedOf))], Method: []string{"GET", "POST", "PUT"}[rng.IntN(3)], Path: drawPath(rng, false),
-		Query: []string{"", "q=1", "q=a+b&p", "q=%31", "p=1&p=1", "q=a%20b", "q"}[rng.IntN(7)], Tenant: fmt.Sprint(rng.IntN(9)), ID: fmt.Sprint(rng.IntN(99)),
+	req := &Request{
+		Host:   requestHosts[rng.IntN(len(requestHosts))],
+		Method: []string{"GET", "POST", "PUT"}[rng.IntN(3)],
+		Path:   drawPath(rng, false),
+		Query:  []string{"", "q=1", "q=a+b&p", "q=%31", "p=1&p=1", "q=a%20b", "q"}[rng.IntN(7)],
+		Tenant: fmt.Sprint(rng.IntN(9)),
+		ID:     fmt.Sprint(rng.IntN(99)),
 	}
 	if rng.IntN(2) == 0 {
-		q.Key = fmt.Sprint(rng.IntN(9))
+		req.Key = fmt.Sprint(rng.IntN(9))
 	}
 	if rng.IntN(2) == 0 {
-		q.Header = map[string][]string{"X-A": {[]string{"1", "", "a b"}[rng.IntN(3)]}}
+		req.Header = map[string][]string{"X-A": {[]string{"1", "", "a b"}[rng.IntN(3)]}}
 		if rng.IntN(3) == 0 {
-			q.Header["X-B"] = []string{"1", "1"}
+			req.Header["X-B"] = []string{"1", "1"}
 		}
 	}
-	return q
+	return req
 }
 
-// A compiled table chooses what going through the routes one by one does. REQUESTS=1000000 for the long form.
-func TestMatchesLikeThePlainOne(t *testing.T) {
+// A compiled table matches as the plain matcher does. REQUESTS in the environment is the number of requests.
+func TestMatch_EqualsPlainMatcher(t *testing.T) {
 	want := 20_000
 	if n, err := strconv.Atoi(os.Getenv("REQUESTS")); err == nil {
 		want = n
 	}
-	taken := 0
+	matched := 0
 	for seed, n := uint64(0), 0; n < want; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var all []Route
-		for line := range 1 + rng.IntN(25) { // what can't be reached is left out
+		for line := range 1 + rng.IntN(25) { // routes that cannot be reached are left out
 			if next := append(all, drawRoute(rng, line)); reachable(t, next) {
 				all = next
 			}
@@ -163,31 +186,34 @@
 		}
 		for range 200 {
 			n++
-			q := drawRequest(rng)
-			got, want := table.Match(q), plain(all, q)
+			req := drawRequest(rng)
+			got, want := table.Match(req), plainMatch(all, req)
 			if got != want {
-				t.Fatalf("seed %d: %+v is taken by %d, want %d of %+v", seed, q, got, want, all)
+				t.Fatalf("seed %d: %+v is matched by %d, want %d of %+v", seed, req, got, want, all)
 			}
 			if got >= 0 {
-				taken++
+				matched++
 			}
 		}
 	}
-	if taken < want/10 {
-		t.Errorf("only %d of %d requests were taken by a route", taken, want)
+	if matched < want/10 {
+		t.Errorf("only %d of %d requests were matched", matched, want)
 	}
 }
 
+// reachable reports whether all routes can be reached. They must be valid.
 func reachable(t *testing.T, all []Route) bool {
+	t.Helper()
 	_, err := New(all)
-	if e := (*Error)(nil); errors.As(err, &e) && e.OtherIndex < 0 {
+	var invalid *Error
+	if errors.As(err, &invalid) && invalid.OtherIndex < 0 {
 		t.Fatal(err)
 	}
 	return err == nil
 }
 
-// What New calls unreachable no request reaches.
-func TestUnreachable(t *testing.T) {
+// No request reaches a route that New rejects as unreachable.
+func TestNew_UnreachableRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		all := []Route{drawRoute(rng, 1), drawRoute(rng, 2)}
@@ -196,17 +222,17 @@
 			return
 		}
 		for range 300 {
-			if q := drawRequest(rng); plain(all, q) == 1 {
-				t.Fatalf("%v, but %+v reaches it", err, q)
+			if req := drawRequest(rng); plainMatch(all, req) == 1 {
+				t.Fatalf("%v, but %+v reaches it", err, req)
 			}
 		}
 	})
 }
 
-func TestErrors(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestNew_InvalidRoutes(t *testing.T) {
+	for name, test := range map[string]struct {
 		routes []Route
-		says   string
+		want   string
 	}{
 		"class":     {[]Route{{Line: 3}}, "line 3: class: missing"},
 		"two paths": {[]Route{{Line: 3, Class: "c", Path: "/a", Prefix: "/b"}}, "want one of path"},
@@ -216,18 +242,26 @@
 		"names":     {[]Route{{Line: 3, Class: "c", Segments: "/{b}/{b}"}}, "there once"},
 		"host":      {[]Route{{Line: 3, Class: "c", Host: "A:80"}}, "in lower case without a port"},
 		"share":     {[]Route{{Line: 3, Class: "c", Fraction: 2}}, "want 0 to 1"},
-		"covered":   {[]Route{{Line: 3, Class: "c", Prefix: "/a"}, {Line: 9, Class: "d", Path: "/a/b", Methods: []string{"GET"}}}, "line 9: no request reaches it: all that it would take is taken by line 3"},
-		"ambiguous": {[]Route{{Line: 3, Class: "c", Segments: "/a/{x}"}, {Line: 9, Class: "d", Segments: "/a/{y}"}}, "line 9: it has the conditions of another route, and another end: line 3"},
+		"covered": {[]Route{
+			{Line: 3, Class: "c", Prefix: "/a"},
+			{Line: 9, Class: "d", Path: "/a/b", Methods: []string{"GET"}},
+		}, "line 9: no request reaches it: all that it would take is taken by line 3"},
+		"ambiguous": {[]Route{
+			{Line: 3, Class: "c", Segments: "/a/{x}"},
+			{Line: 9, Class: "d", Segments: "/a/{y}"},
+		}, "line 9: it has the conditions of another route, and another end: line 3"},
 	} {
-		if _, err := New(c.routes); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", name, err, c.says)
+		if _, err := New(test.routes); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %q", name, err, test.want)
 		}
 	}
 }
 
-// What passes has no second reading; what has one is refused.
 func TestCheckPath(t *testing.T) {
-	for _, bad := range []string{"", "a", "//a", "/a//b", "/.", "/a/..", "/a/./b", "/%2e%2E/a", "/.%2e", "/a%2Fb", "/a%5cb", `/a\b`, "/a%00", "/%252e", "/%", "/%zz", "/a?b", "/a b", "/\x7f", "/é"} {
+	for _, bad := range []string{
+		"", "a", "//a", "/a//b", "/.", "/a/..", "/a/./b", "/%2e%2E/a", "/.%2e", "/a%2Fb", "/a%5cb", `/a\b`,
+		"/a%00", "/%252e", "/%", "/%zz", "/a?b", "/a b", "/\x7f", "/é",
+	} {
 		if CheckPath(bad) == nil {
 			t.Errorf("%q passes", bad)
 		}
@@ -239,56 +273,56 @@
 	}
 }
 
-// A share is kept to, and moves nobody to and fro as it grows.
-func TestShare(t *testing.T) {
-	in := func(share float64) (n map[string]bool) {
-		n = make(map[string]bool)
-		table, err := New([]Route{{Class: "new", Fraction: share}})
+// A route takes its fraction of the tenants, and keeps them when the fraction grows.
+func TestMatch_Fraction(t *testing.T) {
+	matchedTenants := func(fraction float64) (tenants map[string]bool) {
+		tenants = make(map[string]bool)
+		table, err := New([]Route{{Class: "new", Fraction: fraction}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 20000 {
 			if tenant := fmt.Sprint("t", i); table.Match(&Request{Tenant: tenant}) == 0 {
-				n[tenant] = true
+				tenants[tenant] = true
 			}
 		}
-		return n
+		return tenants
 	}
-	before := in(0.05)
-	for _, share := range []float64{0.1, 0.25, 0.5, 0.9} {
-		now := in(share)
-		if got := float64(len(now)) / 20000; got < share-0.015 || got > share+0.015 {
-			t.Errorf("a share of %v takes %v", share, got)
+	before := matchedTenants(0.05)
+	for _, fraction := range []float64{0.1, 0.25, 0.5, 0.9} {
+		now := matchedTenants(fraction)
+		if got := float64(len(now)) / 20000; got < fraction-0.015 || got > fraction+0.015 {
+			t.Errorf("a fraction of %v takes %v", fraction, got)
 		}
 		for tenant := range before {
 			if !now[tenant] {
-				t.Fatalf("%s has gone back as the share grew to %v", tenant, share)
+				t.Fatalf("%s is not matched any more with a fraction of %v", tenant, fraction)
 			}
 		}
 		before = now
 	}
 }
 
-// many is a table as sites have them: n routes over hosts, services and their paths.
-func many(tb testing.TB, n int) (*Table, []*Request) {
+// largeTable returns a table of n routes over several hosts and services, and a request for each.
+func largeTable(tb testing.TB, n int) (*Table, []*Request) {
 	tb.Helper()
 	var all []Route
-	var asked []*Request
+	var requests []*Request
 	for i := range n {
-		r := Route{Line: i, Class: "c", Host: fmt.Sprintf("h%d.example", i%7)}
+		route := Route{Line: i, Class: "c", Host: fmt.Sprintf("h%d.example", i%7)}
 		switch i % 4 {
 		case 0:
-			r.Path = fmt.Sprintf("/s%d/list", i)
+			route.Path = fmt.Sprintf("/s%d/list", i)
 		case 1:
-			r.Segments = fmt.Sprintf("/s%d/rooms/{id}/book", i)
+			route.Segments = fmt.Sprintf("/s%d/rooms/{id}/book", i)
 		case 2:
-			r.Prefix = fmt.Sprintf("/s%d/api", i)
+			route.Prefix = fmt.Sprintf("/s%d/api", i)
 		default:
-			r.Regexp = fmt.Sprintf("/s%d/v[0-9]+/.*", i)
+			route.Regexp = fmt.Sprintf("/s%d/v[0-9]+/.*", i)
 		}
-		all = append(all, r)
-		asked = append(asked, &Request{
-			Host: r.Host, Method: "GET", Tenant: "t", ID: "i",
+		all = append(all, route)
+		requests = append(requests, &Request{
+			Host: route.Host, Method: "GET", Tenant: "t", ID: "i",
 			Path: fmt.Sprintf("/s%d/%s", i, []string{"list", "rooms/77/book", "api/x/y", "v2/z"}[i%4]),
 		})
 	}
@@ -296,28 +330,29 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return table, asked
+	return table, requests
 }
 
-func TestMatchAllocatesNothing(t *testing.T) {
-	table, asked := many(t, 1000)
-	if n := testing.AllocsPerRun(1000, func() {
-		if table.Match(asked[500]) != 500 || table.Match(asked[501]) != 501 || table.Match(asked[503]) != 503 {
-			t.Fatal("taken by another")
+func TestMatch_AllocatesNothing(t *testing.T) {
+	table, requests := largeTable(t, 1000)
+	allocs := testing.AllocsPerRun(1000, func() {
+		if table.Match(requests[500]) != 500 || table.Match(requests[501]) != 501 || table.Match(requests[503]) != 503 {
+			t.Fatal("matched by another route")
 		}
-	}); n > 0 {
-		t.Errorf("%v allocations a request", n)
+	})
+	if allocs > 0 {
+		t.Errorf("%v allocations a request", allocs)
 	}
 }
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, asked := many(b, n)
+			table, requests := largeTable(b, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if k := i * 7919 % n; table.Match(asked[k]) != k {
-					b.Fatal("taken by another")
+				if k := i * 7919 % n; table.Match(requests[k]) != k {
+					b.Fatal("matched by another route")
 				}
 			}
 		})
@@ -326,6 +361,6 @@
 
 func BenchmarkCompile(b *testing.B) {
 	for b.Loop() {
-		many(b, 10000)
+		largeTable(b, 10000)
 	}
 }
