--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -42,19 +42,19 @@
 	}
 	careless := func(event func(policy.Event) policy.Event) func() Options {
 		return func() Options {
-			return Options{Careless: true, Without: func() safeguards.Overrides { return safeguards.Overrides{WrapModule: hears(event)} }}
+			return Options{Careless: true, Without: func() safeguards.Overrides { return safeguards.Overrides{WrapPolicy: hears(event)} }}
 		}
 	}
 	return []Mutant{
-		{"answers twice", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapModule: hears(unended)})},
+		{"answers twice", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapPolicy: hears(unended)})},
 		{"answers late", "sick", checker.Answered, engine(safeguards.AnswerDeadline)},
 		{"leaves requests without an answer", "sick", checker.Answered, without(safeguards.Overrides{
 			Disabled: safeguards.BackstopAnswer,
-			WrapModule: func(m safeguards.Policy) safeguards.Policy {
+			WrapPolicy: func(m safeguards.Policy) safeguards.Policy {
 				return &tamper{Policy: m, action: func(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }}
 			},
 		})},
-		{"sends after the answer", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapModule: hears(unended)})},
+		{"sends after the answer", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapPolicy: hears(unended)})},
 		{"takes an id twice", "bad-clients", checker.Once, engine(safeguards.UniqueID)},
 		{"refuses what may have run", "sick", checker.Once, engine(safeguards.NoRejectionAfterRun)},
 		{"repeats an unsafe request", "sick", checker.Once, classes(func(c *policy.Class) {
@@ -68,7 +68,7 @@
 		{"writes a repeat when its key is forgotten", "keys", checker.Once, engine(safeguards.DedupWindow)},
 		{"does not hear of drains", "rolling", checker.Drained, careless(undrained)},
 		{"does not hear of servers that are gone", "wrong-list", checker.Drained, careless(unremoved)},
-		{"takes cold servers for warm", "fresh", checker.Cold, without(safeguards.Overrides{WrapModule: hears(warm)})},
+		{"takes cold servers for warm", "fresh", checker.Cold, without(safeguards.Overrides{WrapPolicy: hears(warm)})},
 		{"has no budget for cold servers", "fresh", checker.Cold, without(safeguards.Overrides{Settings: func(s policy.Settings) policy.Settings {
 			s.Rules.SlowStartShare, s.Rules.OverloadFactor = 1, 1e6
 			return s
--- a/internal/rundir/rundir.go
+++ b/internal/rundir/rundir.go
@@ -1,6 +1,7 @@
-// Package rundir is the directory through which the processes of one node know of each other while one replaces
-// another. Each process holds a lock on a file of its own, which the system releases with the process; beside it lies
-// its last report. One more file holds the order that stands. Readers find a file as it was or as it is, never a part.
+// Package rundir is the directory through which the processes of one node exchange messages during a hot restart. Each
+// process holds a lock on a file of its own, which the system releases when the process ends; beside it is the
+// process's last report. One more file has the present order on standby. Files are replaced as a whole: a reader finds
+// the former content or the new one, never a part.
 package rundir
 
 import (
@@ -23,7 +24,7 @@
 	lockSuffix   = ".alive"
 	reportSuffix = ".report"
 	orderFile    = prefix + "order"
-	maxProcesses = 8 // that are looked at: more than a few are no replacement
+	maxProcesses = 8 // others that are read; a hot restart needs one or two
 )
 
 // Process is this process's entry in the directory. It is not safe for concurrent use.
@@ -32,9 +33,9 @@
 	lock      *os.File
 }
 
-// Register makes this process known in the directory.
+// Register adds this process to the directory.
 func Register(dir string) (*Process, error) {
-	// A process id comes again, and so does a time of the wall clock.
+	// Process IDs and times of the wall clock may repeat, so the name has a random part.
 	name := fmt.Sprintf("%s%d-%s", prefix, os.Getpid(), rand.Text())
 	lock, err := os.OpenFile(filepath.Join(dir, name+lockSuffix), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
@@ -56,9 +57,10 @@
 
 func (p *Process) reportPath() string { return filepath.Join(p.dir, p.name+reportSuffix) }
 
-// Others returns the newest reports of the other processes that live, by name, and removes what dead ones have left.
-// A process whose report can't be read is there with an empty one, and the error says why.
-func (p *Process) Others() (reports map[string]hotrestart.Report, problem error) {
+// Others returns the last reports of the other running processes, by name, and removes the files of processes that
+// have ended. If a report is unreadable, the process has a zero report in the map, and the error of one such report is
+// returned with the map.
+func (p *Process) Others() (reports map[string]hotrestart.Report, reportErr error) {
 	locks, err := filepath.Glob(filepath.Join(p.dir, prefix+"*"+lockSuffix))
 	if err != nil {
 		return nil, err
@@ -77,14 +79,14 @@
 		}
 		report, err := readFile[hotrestart.Report](base + reportSuffix)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			problem = err
+			reportErr = err
 		}
 		reports[name] = report
 	}
-	return reports, problem
+	return reports, reportErr
 }
 
-// isAlive reports whether the process that has made a lock file still holds the lock.
+// isAlive reports whether the process that has created a lock file still holds the lock.
 func isAlive(lockPath string) bool {
 	file, err := os.OpenFile(lockPath, os.O_RDWR, 0)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return replaceFile(p.reportPath(), report)
 }
 
-// Order returns the order that stands; the zero value where there is none.
+// Order returns the present order; the zero value where there is none.
 func (p *Process) Order() (hotrestart.Order, error) {
 	order, err := readFile[hotrestart.Order](filepath.Join(p.dir, orderFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -109,13 +111,13 @@
 	return order, err
 }
 
-// WriteOrder replaces the order that stands.
+// WriteOrder replaces the present order.
 func (p *Process) WriteOrder(order hotrestart.Order) error {
 	order.Version = hotrestart.Version
 	return replaceFile(filepath.Join(p.dir, orderFile), order)
 }
 
-// readFile reads a message from a file. Errors about its content name the file.
+// readFile reads a message from a file. Errors name the file.
 func readFile[T hotrestart.Report | hotrestart.Order](path string) (message T, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -133,13 +135,13 @@
 	return message, nil
 }
 
-// replaceFile replaces a file as a whole. It does not wait for the disk: the file need not outlive the machine.
+// replaceFile replaces a file as a whole. It does not sync the file, which need not survive a crash of the machine.
 func replaceFile[T hotrestart.Report | hotrestart.Order](path string, message T) error {
 	raw, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	// The name holds the process id, so that a later process with the same id overwrites what a killed one has left.
+	// The name has the process ID, so that a later process with the same ID overwrites what a killed one has left.
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
 		return err
--- a/internal/rundir/stored_test.go
+++ b/internal/rundir/stored_test.go
@@ -11,9 +11,9 @@
 	"cobaltward/internal/hotrestart"
 )
 
-// TestRead_FilesOfEarlierVersion reads the files of two processes of one node that an earlier version has written, and
-// writes them again: to the byte the same.
-func TestRead_FilesOfEarlierVersion(t *testing.T) {
+// TestReadFile_EarlierVersion reads the files that an earlier version has written for two processes of one node, and
+// encodes them again: every byte is the same.
+func TestReadFile_EarlierVersion(t *testing.T) {
 	dir := filepath.Join("testdata", "node")
 	moment := time.Date(2026, 12, 1, 8, 30, 0, 0, time.UTC)
 	for name, want := range map[string]hotrestart.Report{
@@ -50,27 +50,26 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, raw) {
-		t.Errorf("written again: %s, want %s", again, raw)
+		t.Errorf("encoded again: %s, want %s", again, raw)
 	}
 }
 
-// TestOthers_OfEarlierVersion finds the process of an earlier version that lives, by its lock, and clears up what a
-// dead one has left.
-func TestOthers_OfEarlierVersion(t *testing.T) {
+// TestOthers_EarlierVersion removes the files of an earlier version's processes, which have ended, and reads its order.
+func TestOthers_EarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "node"))); err != nil {
 		t.Fatal(err)
 	}
-	place, err := Register(dir)
+	process, err := Register(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.Unregister()
-	others, err := place.Others()
+	defer process.Unregister()
+	others, err := process.Others()
 	if err != nil || len(others) != 0 {
-		t.Errorf("others %+v, %v; want none, since nobody holds their locks", others, err)
+		t.Errorf("others %+v, %v; want none, since no process holds their locks", others, err)
 	}
-	if order, err := place.Order(); err != nil || !order.Standby {
+	if order, err := process.Order(); err != nil || !order.Standby {
 		t.Errorf("order %+v, %v; want standby", order, err)
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"+reportSuffix))
--- a/router/loop.go
+++ b/router/loop.go
@@ -90,7 +90,7 @@
 			return nil, err
 		}
 	}
-	if wrap := opts.disabledGuards.WrapModule; wrap != nil {
+	if wrap := opts.disabledGuards.WrapPolicy; wrap != nil {
 		eventLoop.balancer = wrap(balancer)
 	}
 	return eventLoop, nil
