--- /dev/null
+++ b/middleware/pacedbody_test.go
@@ -0,0 +1,25 @@
+package middleware
+
+import (
+	"testing"
+	"time"
+)
+
+// TestPacedBody_StallTimeout: what has arrived of a long body extends the timeout of the next read, within a bound.
+func TestPacedBody_StallTimeout(t *testing.T) {
+	for received, want := range map[int64]time.Duration{
+		0:             bodyStallTimeout,
+		minUploadRate: bodyStallTimeout + time.Second,
+		maxShortBody:  bodyStallTimeout + 2*time.Second,
+		1 << 20:       longBodyStallTimeout,
+	} {
+		body := pacedBody{received: received}
+		if got := body.stallTimeout(); got != bodyStallTimeout {
+			t.Errorf("short: %v after %d bytes, want %v", got, received, bodyStallTimeout)
+		}
+		body.long = true
+		if got := body.stallTimeout(); got != want {
+			t.Errorf("long: %v after %d bytes, want %v", got, received, want)
+		}
+	}
+}
