--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -48,7 +48,7 @@
 func TestAccept_SparesSlowHandshakeWhileCoreIsBusy(t *testing.T) {
 	listener := newTestListener(t, 100)
 	var err error
-	if listener.tlsLayer, err = secure.New(secure.Config{Keys: openTestCertificate(t)}); err != nil {
+	if listener.tlsLayer, err = secure.New(secure.Config{Certificates: openTestCertificate(t)}); err != nil {
 		t.Fatal(err)
 	}
 	accept := func() *clientConn {
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -41,7 +41,7 @@
 	}
 	// With a byte of the next request net/http would stop watching for a disconnect. The watch goes on here until net/http
 	// ends it with a read deadline in the past.
-	if oneByteRead && err == nil && sockets.AwaitLeave(c.TCPConn) == nil {
+	if oneByteRead && err == nil && sockets.AwaitPeerClose(c.TCPConn) == nil {
 		return n, io.EOF
 	}
 	return n, err
@@ -78,7 +78,7 @@
 		if waited {
 			c.arrival.Reset(now)
 		}
-		c.arrival.Read(now, now, n < len(buf))
+		c.arrival.RecordRead(now, now, n < len(buf))
 		closing = n > 0 && !c.noteRequestBytesLocked()
 		return true
 	})
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -249,11 +249,11 @@
 			t.Fatal(err)
 		}
 	}
-	testkit.Await(t, "the handshakes", func() bool { return harness.tlsStatus().Clients.Going >= stalled })
+	testkit.Await(t, "the handshakes", func() bool { return harness.tlsStatus().Clients.InProgress >= stalled })
 	harness.request(harness.client(), "c0", true, drainSettings().Classes[0])
-	if status := harness.tlsStatus(); status.Clients.Going < stalled {
+	if status := harness.tlsStatus(); status.Clients.InProgress < stalled {
 		t.Errorf("%d of %d stalled handshakes in progress: the request was served only after others had ended",
-			status.Clients.Going, stalled)
+			status.Clients.InProgress, stalled)
 	}
 	harness.checkResults()
 }
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -11,10 +11,10 @@
 // used by one goroutine.
 type certificateWatch struct {
 	tls      *nodeTLS
-	files    []*certificates.Watched
+	files    []*certificates.FileWatcher
 	secrets  map[*certificates.Store]*certificates.Set // as seen last
 	rejected map[string]string                         // reasons, by the file's source
-	warnings *certificates.Warnings
+	warnings *certificates.ExpiryWarnings
 }
 
 // run applies changed certificates, and warns of those that end, until ctx ends.
@@ -43,7 +43,7 @@
 		tls:      s,
 		secrets:  make(map[*certificates.Store]*certificates.Set),
 		rejected: make(map[string]string),
-		warnings: certificates.NewWarnings(s.config.ExpiryWarnings),
+		warnings: certificates.NewExpiryWarnings(s.config.ExpiryWarnings),
 	}
 	for _, store := range s.config.Secrets {
 		watch.secrets[store] = store.Set()
@@ -65,13 +65,13 @@
 func (c *certificateWatch) logExpiries() {
 	log := c.tls.log
 	for _, warning := range c.warnings.Due(time.Now(), c.tls.certificates()) {
-		if warning.Left <= 0 {
+		if warning.Remaining <= 0 {
 			log.Error("tls: certificate has expired",
-				"source", warning.Source, "serial", warning.Serial, "ended", warning.Ends)
+				"source", warning.Source, "serial", warning.Serial, "ended", warning.ExpiresAt)
 			continue
 		}
 		log.Warn("tls: certificate will expire", "source", warning.Source, "serial", warning.Serial,
-			"ends", warning.Ends, "left", warning.Left.Round(time.Minute))
+			"ends", warning.ExpiresAt, "left", warning.Remaining.Round(time.Minute))
 	}
 }
 
@@ -96,18 +96,18 @@
 }
 
 // checkFile reads a file again if it has changed. A file that is rejected leaves what was read before in force.
-func (c *certificateWatch) checkFile(file *certificates.Watched) (changed bool) {
-	look := file.Look(time.Now())
-	if look.Err != nil {
-		c.rejected[look.Source] = look.Err.Error()
-		c.tls.log.Error("tls: keeping the former keys", "err", look.Err)
+func (c *certificateWatch) checkFile(file *certificates.FileWatcher) (changed bool) {
+	poll := file.Poll(time.Now())
+	if poll.Err != nil {
+		c.rejected[poll.Source] = poll.Err.Error()
+		c.tls.log.Error("tls: keeping the former keys", "err", poll.Err)
 		return false
 	}
-	if look.Changed {
-		delete(c.rejected, look.Source)
-		c.tls.log.Info("tls: new keys in force", "source", look.Source, "trust_changed", look.Trust)
+	if poll.Changed {
+		delete(c.rejected, poll.Source)
+		c.tls.log.Info("tls: new keys in force", "source", poll.Source, "trust_changed", poll.TrustChanged)
 	}
-	return look.Changed
+	return poll.Changed
 }
 
 // applyCertificates has all layers use the certificates that are in the stores now.
@@ -116,6 +116,6 @@
 		s.serverLayer.InvalidateTrust()
 	}
 	for _, layer := range s.listenerLayers() {
-		layer.Retake()
+		layer.ReloadTicketKeys()
 	}
 }
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -32,21 +32,21 @@
 // the identities, and deadline and request ID are added. Its methods may be called from several goroutines at once.
 type Frontend struct {
 	tables    atomic.Pointer[tables]
-	anonymous *identity.Anonymous
+	anonymous *identity.AnonymousTenants
 	startedAt time.Time
 }
 
 // tables are what one request is looked up in; Reload replaces them together.
 type tables struct {
 	routes     *routes.Table
-	identities *identity.Finder
+	identities *identity.Resolver
 	deadlines  map[string]time.Duration // by class
 }
 
 // NewFrontend returns a frontend by a file that Load has returned.
 func NewFrontend(file *File) (*Frontend, error) {
 	frontend := &Frontend{
-		anonymous: identity.NewAnonymous(file.AnonymousNames(), anonymousNameTTL),
+		anonymous: identity.NewAnonymousTenants(file.AnonymousNames(), anonymousNameTTL),
 		startedAt: time.Now(),
 	}
 	return frontend, frontend.Reload(file)
@@ -111,12 +111,12 @@
 // tenant returns the tenant of a request, or an anonymous name.
 func (f *Frontend) tenant(current *tables, r *http.Request) string {
 	peer, _ := netip.ParseAddrPort(r.RemoteAddr) // the zero value for a Unix socket
-	names := secure.Names(r.Context())
-	found := current.identities.Find(&identity.Request{Peer: peer.Addr(), Header: r.Header, Names: names})
+	names := secure.PeerNames(r.Context())
+	found := current.identities.Resolve(&identity.Request{Peer: peer.Addr(), Header: r.Header, Names: names})
 	if found.Tenant != "" {
 		return found.Tenant
 	}
-	return f.anonymous.Name(found.Net, time.Since(f.startedAt))
+	return f.anonymous.Tenant(found.Network, time.Since(f.startedAt))
 }
 
 // requestID returns the ID of a request if it is valid, else a new one.
@@ -129,8 +129,8 @@
 
 // requestTimeout returns the deadline of the request's class, shortened by the route and by the client.
 func requestTimeout(r *http.Request, route *routes.Route, timeout time.Duration) time.Duration {
-	if route.Budget > 0 {
-		timeout = min(timeout, route.Budget)
+	if route.Timeout > 0 {
+		timeout = min(timeout, route.Timeout)
 	}
 	ms, err := strconv.ParseUint(singleHeader(r, headerDeadline), 10, 32)
 	if err == nil && ms > 0 {
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -45,7 +45,7 @@
 		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor the door",
 		servers:                                             "9: tls.servers[0]: trust: missing",
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
-		servers + "trust = \"bad.pem\"\n":                   "bad.pem: it ends in the midst of a block",
+		servers + "trust = \"bad.pem\"\n":                   "bad.pem: incomplete PEM block",
 		servers + "cert = \"cert.pem\"\n":                   "10: tls.servers[0].cert: a certificate and its key go together",
 		servers + "plain = true\npins = [\"a\"]\n":          plainProvesNothing,
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -59,7 +59,7 @@
 		transport.mu.Lock()
 		defer transport.mu.Unlock()
 		idle := transport.servers.Get("s0").State.idle
-		return len(idle) == 0 || !sockets.Quiet(transport.servers.Get("s0").State.idle[0].tcp)
+		return len(idle) == 0 || !sockets.IsIdle(transport.servers.Get("s0").State.idle[0].tcp)
 	})
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
 		t.Errorf("code %v", r.Code)
@@ -138,7 +138,7 @@
 		testkit.Await(t, "what nobody asked for", func() bool {
 			transport.mu.Lock()
 			defer transport.mu.Unlock()
-			return !sockets.Quiet(transport.servers.Get("s0").State.idle[0].tcp)
+			return !sockets.IsIdle(transport.servers.Get("s0").State.idle[0].tcp)
 		})
 		time.Sleep(2 * reuseDelay)
 		if r := attempt(t, transport, testRequest(http.MethodGet, "r2", "")); string(r.Answer.Body) != "2" {
--- a/transport/secure/handshake.go
+++ b/transport/secure/handshake.go
@@ -127,7 +127,7 @@
 	}
 	if c.rule.ClientCertificate != nil {
 		certificate := new(tls.Certificate) // none, if the store has none yet
-		if pair := c.rule.ClientCertificate.Set().For(""); pair != nil {
+		if pair := c.rule.ClientCertificate.Set().PairFor(""); pair != nil {
 			certificate = &pair.Cert
 		}
 		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
