--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -124,8 +124,8 @@
 		Use:   "tickets FILE",
 		Short: "Create a file of session ticket keys, or rotate the keys in it",
 		Long: `Create FILE with two keys, or rotate the keys in it: the last one, which every node has read by now, seals
-sessions from now on, the former ones still open those that they sealed, and a new one is added behind them. Run it as often as
-sessions should end, and copy FILE to all nodes of an installation before it is run again.`,
+sessions from now on, the former ones still open those that they sealed, and a new one is added behind them. Run it as
+often as sessions should end, and copy FILE to all nodes of an installation before it is run again.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return certificates.RotateTickets(args[0]) },
 	}
--- a/internal/cli/certsprobe.go
+++ b/internal/cli/certsprobe.go
@@ -37,7 +37,8 @@
 		Short: "Make two handshakes with a server as a node would, and print their results",
 		Long: `Make two handshakes with the server at ADDR, by the same rules as a table [[tls.servers]], without a request.
 Printed are the server's certificates and their validity, whether the session was resumed, and how long it took; or why
-a node would reject the server. The exit status is 0 if a node would use the server, 9 if it would reject it, and 1 otherwise.`,
+a node would reject the server. The exit status is 0 if a node would use the server, 9 if it would reject it, and 1
+otherwise.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return probe.run(c.OutOrStdout(), args[0]) },
 	}
--- a/internal/cli/certsshow.go
+++ b/internal/cli/certsshow.go
@@ -53,8 +53,9 @@
 	}
 	table := newTable(out)
 	for _, entry := range status.Certificates {
-		table.printf("%s\t%s\tserial %s\t%s\t%s\n", entry.ExpiresAt.UTC().Format(time.RFC3339), remaining(entry.ExpiresAt.Sub(now)),
-			entry.Serial, strings.Join(entry.Names, ","), entry.Source)
+		table.printf("%s\t%s\tserial %s\t%s\t%s\n",
+			entry.ExpiresAt.UTC().Format(time.RFC3339), remaining(entry.ExpiresAt.Sub(now)), entry.Serial,
+			strings.Join(entry.Names, ","), entry.Source)
 	}
 	table.printf("\nside\tfull\tresumed\tmean\tresumed mean\tof it work\tfailures\n")
 	if s := status.Servers; s != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -7,9 +7,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
-	"regexp"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 
@@ -17,139 +15,91 @@
 	"cobaltward/internal/testkit"
 )
 
-// agent is a discovery that has no servers to tell of, and passes on each query.
-func agent(t *testing.T) (addr string, queries chan string) {
+// platformText is a configuration of the platform, as a format for the address of the registry.
+const platformText = `{"name":"n","listen":"127.0.0.1:0","discovery":"%s","seed":"1",
+	"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
+	"settings":{"position":0,"groupSize":1,"services":[{"name":"pay","deadline":600}]}}`
+
+// noRegistry is an address at which nothing listens.
+const noRegistry = "127.0.0.1:9"
+
+// startRegistry starts a registry without servers. The channel gets the query of each request.
+func startRegistry(t *testing.T) (address string, queries chan string) {
+	t.Helper()
 	queries = make(chan string, 100)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.RawQuery
 		if r.URL.Query().Has("index") {
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprint(w, `{"revision":3,"complete":true,"members":[]}`)
+		_, _ = fmt.Fprint(w, `{"revision":3,"complete":true,"members":[]}`) // the node may have disconnected
 	}))
-	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), queries
-}
-
-// logs keeps what a program logs, and tells the address that it listens on.
-type logs struct {
-	mu   sync.Mutex
-	text strings.Builder
-}
-
-func (l *logs) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), queries
 }
 
-func (l *logs) address() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if m := regexp.MustCompile(`msg=listening.* address=(\S+)`).FindStringSubmatch(l.text.String()); m != nil {
-		return m[1]
-	}
-	return ""
-}
-
-// SIGHUP moves discovery to what the file names then, also where ROUTER_DISCOVERY said otherwise at
-// the start; a file that can't be read changes nothing; SIGTERM still ends the program in order.
-func TestReload(t *testing.T) {
-	first, atFirst := agent(t)
-	second, atSecond := agent(t)
-	third, atThird := agent(t)
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	config := func(discovery string) string {
+// TestServe_Reload checks that SIGHUP moves the node to the registry that the file names then, although
+// ROUTER_DISCOVERY named another at the start; that an invalid file changes nothing; and that SIGTERM ends the program.
+func TestServe_Reload(t *testing.T) {
+	first, firstQueries := startRegistry(t)
+	second, secondQueries := startRegistry(t)
+	third, thirdQueries := startRegistry(t)
+	dir := t.TempDir()
+	config := func(registry string) string {
 		return fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 			"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
-			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, discovery)
+			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, registry)
 	}
-	write(config(first))
-	t.Setenv("ROUTER_CONFIG", path)
+	write := func(text string) string { return writeFile(t, dir, "config.json", text) }
+	t.Setenv("ROUTER_CONFIG", write(config(first)))
 	t.Setenv("ROUTER_DISCOVERY", first)
-	signal := func(s syscall.Signal) {
-		if err := syscall.Kill(os.Getpid(), s); err != nil {
-			t.Fatal(err)
-		}
-	}
-	ended := make(chan error, 1)
-	log := &logs{}
-	go func() {
-		c := rootCommand(Extensions{})
-		c.SetArgs(nil) // as the platform starts it
-		c.SetErr(log)
-		ended <- c.Execute()
-	}()
-	if q := testkit.Receive(t, "the first call", atFirst); q != "index=1&wait=5000" {
-		t.Errorf("first call: %q", q)
+	ended, logs := startInProcess() // as the platform starts it
+	if query := testkit.Receive(t, "the first call", firstQueries); query != "index=1&wait=5000" {
+		t.Errorf("first call: %q", query)
 	}
 	write(config(second))
-	signal(syscall.SIGHUP)
-	if q := testkit.Receive(t, "the call at the second address", atSecond); q != "" {
-		t.Errorf("asks for %q, not for the whole list", q)
+	signalSelf(t, syscall.SIGHUP)
+	if query := testkit.Receive(t, "the call at the second address", secondQueries); query != "" {
+		t.Errorf("asks for %q, not for the whole list", query)
 	}
 	write(`{"discovery":`)
-	signal(syscall.SIGHUP)
+	signalSelf(t, syscall.SIGHUP)
 	write(config(third))
-	signal(syscall.SIGHUP)
-	signal(syscall.SIGHUP)
-	testkit.Receive(t, "the call at the third address", atThird)
-	resp, err := http.Get("http://" + log.address() + "/health/ready")
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("after the reloads: %v, %v", resp, err)
-	}
-	signal(syscall.SIGTERM)
-	signal(syscall.SIGHUP) // harmless during a drain
+	signalSelf(t, syscall.SIGHUP)
+	signalSelf(t, syscall.SIGHUP)
+	testkit.Receive(t, "the call at the third address", thirdQueries)
+	status, err := get("http://" + logs.address() + "/health/ready")
+	if err != nil || status != http.StatusOK {
+		t.Errorf("after the reloads: %v, %v", status, err)
+	}
+	signalSelf(t, syscall.SIGTERM)
+	signalSelf(t, syscall.SIGHUP) // harmless during a drain
 	if err := testkit.Receive(t, "the end", ended); err != nil {
 		t.Error(err)
 	}
 	select {
-	case q := <-atFirst:
-		t.Errorf("the first address was called again: %q", q)
+	case query := <-firstQueries:
+		t.Errorf("the first address was called again: %q", query)
 	default:
 	}
 }
 
-// run runs the command line, and returns what it prints.
-func run(t *testing.T, args ...string) (string, error) {
-	t.Helper()
-	var out strings.Builder
-	c := rootCommand(Extensions{})
-	c.SetArgs(args)
-	c.SetOut(&out)
-	c.SetErr(&out)
-	err := c.Execute()
-	return out.String(), err
-}
-
-// check reads both files, and names the one that is wrong in one line.
+// TestCheck checks that valid files are described, and that an error is one line that names the file.
 func TestCheck(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	dir := t.TempDir()
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
+	write := func(name, text string) string { return writeFile(t, dir, name, text) }
 	own := write("own.toml", "[log]\nlevel = \"warn\"\n")
-	platform := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
-		"settings":{"position":0,"groupSize":1,"services":[{"name":"pay","deadline":600}]}}`
+	platform := fmt.Sprintf(platformText, noRegistry)
 	out, err := run(t, "check", own, "--platform", write("good.json", platform))
 	if err != nil || !strings.Contains(out, "own.toml: good") || !strings.Contains(out, "only if it never ran") {
 		t.Errorf("good files: %v\n%s", err, out)
 	}
+	badPlatform := write("bad.json", strings.Replace(platform, "600", `"x"`, 1))
 	for want, args := range map[string][]string{
 		"own2.toml:1: log.level":           {"check", write("own2.toml", "log.level = 3")},
-		"settings.services[0].deadline":    {"check", "--platform", write("bad.json", strings.Replace(platform, "600", `"x"`, 1))},
+		"settings.services[0].deadline":    {"check", "--platform", badPlatform},
 		"nothing to check":                 {"check"},
 		"no such file":                     {"check", own + "x"},
 		"run wayhold-xds":                  {"check", write("xds.toml", "[xds]\nfiles = [\"a.yaml\"]\n")},
@@ -158,64 +108,89 @@
 		"accepts at most 1 arg":            {"check", own, own},
 		"own3.toml:2: log.colour: unknown": {"--config", write("own3.toml", "[log]\ncolour = \"red\""), "serve"},
 	} {
-		if _, err := run(t, args...); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		_, err := run(t, args...)
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: got %v, want one line with %q", args, err, want)
 		}
 	}
 }
 
 func TestHelpAndVersion(t *testing.T) {
-	if out, err := run(t, "--help"); err != nil || !strings.Contains(out, "demo") || !strings.Contains(out, "check") || !strings.Contains(out, "--config") {
-		t.Errorf("%v\n%s", err, out)
+	out, err := run(t, "--help")
+	if err != nil {
+		t.Error(err)
+	}
+	for _, want := range []string{"demo", "check", "--config"} {
+		if !strings.Contains(out, want) {
+			t.Errorf("no %s in\n%s", want, out)
+		}
 	}
 	if out, err := run(t, "version"); err != nil || !strings.HasPrefix(out, "wayhold ") {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
-// SIGHUP reads the operator's own file again: what can change at once does, what can't is named, and a
-// file that is wrong changes nothing, in the platform's either.
-func TestReloadReadsTheOperatorsFile(t *testing.T) {
+// levelsTable is a level of reduced service for the class of platformText.
+const levelsTable = `
+[[level]]
+name = "less"
+enter = [{signal = "demand", bound = 1.1}]
+exit = [{signal = "demand", bound = 0.9}]
+measure = [{class = "pay", shed = 0.5}]
+`
+
+// TestReloader_ReadsOwnFile checks that SIGHUP applies the keys of the operator's own file that can change at once,
+// names those that can't, and changes nothing, in the platform's configuration either, if the file is invalid.
+func TestReloader_ReadsOwnFile(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, "config.json")
-	t.Setenv("ROUTER_CONFIG", path)
-	if err := os.WriteFile(path, []byte(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
-		"settings":{"position":0,"groupSize":1,"services":[{"name":"pay","deadline":600}]}}`), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	t.Setenv("ROUTER_CONFIG", writeFile(t, dir, "config.json", fmt.Sprintf(platformText, noRegistry)))
 	var logs strings.Builder
 	level := new(slog.LevelVar)
-	running := nodeconfig.File{XDS: nodeconfig.XDS{Files: []string{"a.yaml"}}}
-	r := reloader{path: filepath.Join(dir, "own.toml"), running: running, level: level, log: newLogger(nodeconfig.Log{}, level, &logs)}
-	const ladder = "\n[[level]]\nname = \"less\"\nenter = [{signal = \"demand\", bound = 1.1}]\nexit = [{signal = \"demand\", bound = 0.9}]\nmeasure = [{class = \"pay\", shed = 0.5}]\n"
-	for _, c := range []struct{ own, err, next, pool string }{
-		{"[log]\nlevel = \"warn\"\n[xds]\nfiles = [\"a.yaml\"]" + ladder, "", "", ""},
-		{"[log]\nlevel = \"warn\"" + strings.Replace(ladder, "pay", "none", 1), "own.toml:3: level[0]", "", ""},
-		{"[log]\nlevel = \"error\"\n[drain]\ndeadline = \"2s\"\n[xds]\nfiles = [\"a.yaml\"]\n[xds.pools]\npay = \"rooms\"", "", "", "rooms"},
-		{"[log]\nlevel = \"info\"\nformat = \"json\"\n[xds]\nfiles = [\"b.yaml\"]", "", "log.format xds.files", ""},
-		{"[log]\nlevel = \"debug\"\n[xds]\nfiles = [\"a.yaml\"]\n[xds.pools]\nsearch = \"rooms\"", "xds.pools.search: the settings have no such class", "", ""},
+	reload := reloader{
+		path:    filepath.Join(dir, "own.toml"),
+		running: nodeconfig.File{XDS: nodeconfig.XDS{Files: []string{"a.yaml"}}},
+		level:   level,
+		log:     newLogger(nodeconfig.Log{}, level, &logs),
+	}
+	const xds, pools = "\n[xds]\nfiles = [\"a.yaml\"]", "\n[xds.pools]\n"
+	for _, test := range []struct{ own, err, restartKeys, pool string }{
+		{"[log]\nlevel = \"warn\"" + xds + levelsTable, "", "", ""},
+		{"[log]\nlevel = \"warn\"" + strings.Replace(levelsTable, "pay", "none", 1), "own.toml:3: level[0]", "", ""},
+		{
+			"[log]\nlevel = \"error\"\n[drain]\ndeadline = \"2s\"" + xds + pools + "pay = \"rooms\"",
+			"", "", "rooms",
+		},
+		{
+			"[log]\nlevel = \"info\"\nformat = \"json\"\n[xds]\nfiles = [\"b.yaml\"]",
+			"", "log.format xds.files", "",
+		},
+		{
+			"[log]\nlevel = \"debug\"" + xds + pools + "search = \"rooms\"",
+			"xds.pools.search: the settings have no such class", "", "",
+		},
 		{"[log]\nlevel = 3", "own.toml:2: log.level", "", ""},
 	} {
-		if err := os.WriteFile(r.path, []byte(c.own), 0o600); err != nil {
+		if err := os.WriteFile(reload.path, []byte(test.own), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		logs.Reset()
-		was := level.Level()
-		conf, err := r.read()
-		if c.err != "" {
-			if err == nil || !strings.Contains(err.Error(), c.err) || level.Level() != was {
-				t.Errorf("%s: got %v, level %v", c.own, err, level.Level())
+		previousLevel := level.Level()
+		config, err := reload.read()
+		if test.err != "" {
+			if err == nil || !strings.Contains(err.Error(), test.err) || level.Level() != previousLevel {
+				t.Errorf("%s: got %v, level %v", test.own, err, level.Level())
 			}
 			continue
 		}
-		if (conf.Levels != nil) != strings.Contains(c.own, "[[level]]") {
-			t.Errorf("%s: levels %v", c.own, conf.Levels)
+		if (config.Levels != nil) != strings.Contains(test.own, "[[level]]") {
+			t.Errorf("%s: levels %v", test.own, config.Levels)
 		}
-		if err != nil || conf.Settings.Classes[0].Pool != c.pool || (conf.DrainTimeout != nil) != strings.Contains(c.own, "deadline") || level.Level() == was {
-			t.Errorf("%s: %+v, %v, level %v", c.own, conf, err, level.Level())
+		hasTimeout := config.DrainTimeout != nil
+		if err != nil || config.Settings.Classes[0].Pool != test.pool ||
+			hasTimeout != strings.Contains(test.own, "deadline") || level.Level() == previousLevel {
+			t.Errorf("%s: %+v, %v, level %v", test.own, config, err, level.Level())
 		}
-		for _, key := range strings.Fields(c.next) {
+		for _, key := range strings.Fields(test.restartKeys) {
 			if !strings.Contains(logs.String(), "key="+key) {
 				t.Errorf("%s is not named in %s", key, logs.String())
 			}
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -22,8 +22,8 @@
 		Use:   "expect FILE...",
 		Short: "Check a configuration against expectations, without traffic",
 		Long: `Check the configuration that --config names against the expectations of each FILE (docs/expectations.md): with
-the real routes, identities, engine and policy, in virtual time, without a socket. Expectations that are not met are printed
-with the request and the line that decided. The exit status is 0 if all are met.`,
+the real routes, identities, engine and policy, in virtual time, without a socket. Expectations that are not met are
+printed with the request and the line that decided. The exit status is 0 if all are met.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			results, err := runExpectations(*configPath, args)
--- /dev/null
+++ b/internal/cli/process_test.go
@@ -0,0 +1,143 @@
+package cli
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+
+	"cobaltward/internal/testkit"
+)
+
+// programVariable has the test binary run the program.
+const programVariable = "WAYHOLD_TEST_PROGRAM"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(programVariable) != "" {
+		os.Exit(Main(Extensions{}))
+	}
+	os.Exit(m.Run())
+}
+
+// logBuffer keeps what a program logs. Its methods may be called from several goroutines at once.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+// address returns the address that the program listens on, or an empty text.
+func (l *logBuffer) address() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	match := regexp.MustCompile(`msg=listening.* address=(\S+)`).FindSubmatch(l.text.Bytes())
+	if match == nil {
+		return ""
+	}
+	return string(match[1])
+}
+
+// programCommand returns a command that runs the program in a process of its own.
+func programCommand(environment []string, args ...string) *exec.Cmd {
+	command := exec.Command(os.Args[0], args...)
+	command.Env = append(append(os.Environ(), programVariable+"=1"), environment...)
+	return command
+}
+
+// startProgram runs the program until the test ends, and returns the address that it listens on once it is ready.
+func startProgram(t *testing.T, args ...string) (address string, command *exec.Cmd) {
+	t.Helper()
+	command = programCommand([]string{"ROUTER_CONFIG="}, args...)
+	logs := &logBuffer{}
+	command.Stderr = logs
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = command.Process.Signal(syscall.SIGTERM)
+		if err := command.Wait(); err != nil {
+			t.Errorf("the node ended: %v", err)
+		}
+	})
+	testkit.Await(t, "the node's address", func() bool { address = logs.address(); return address != "" })
+	testkit.Await(t, "readiness", func() bool {
+		status, err := get("http://" + address + "/health/ready")
+		return err == nil && status == http.StatusOK
+	})
+	return address, command
+}
+
+// startInProcess runs the command line in this process. The channel gets its error when it has ended.
+func startInProcess(args ...string) (ended <-chan error, logs *logBuffer) {
+	result, logs := make(chan error, 1), &logBuffer{}
+	go func() { // ends with the program
+		command := rootCommand(Extensions{})
+		command.SetArgs(args)
+		command.SetErr(logs)
+		result <- command.Execute()
+	}()
+	return result, logs
+}
+
+// run runs the command line, and returns what it prints.
+func run(t *testing.T, args ...string) (string, error) {
+	t.Helper()
+	var out strings.Builder
+	command := rootCommand(Extensions{})
+	command.SetArgs(args)
+	command.SetOut(&out)
+	command.SetErr(&out)
+	err := command.Execute()
+	return out.String(), err
+}
+
+// get sends a GET, and returns the status of the answer.
+func get(url string) (status int, err error) {
+	request, err := http.NewRequest(http.MethodGet, url, nil)
+	if err != nil {
+		return 0, err
+	}
+	status, _, err = do(request)
+	return status, err
+}
+
+// do sends a request, and returns the status and the body of the answer.
+func do(request *http.Request) (status int, body string, err error) {
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0, "", err
+	}
+	raw, err := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	return response.StatusCode, string(raw), err
+}
+
+// writeFile writes a file to a directory, and returns its path.
+func writeFile(t *testing.T, dir, name, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// signalSelf sends a signal to this process.
+func signalSelf(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
+	}
+}
