--- /dev/null
+++ b/internal/frontend/framing/head.go
@@ -0,0 +1,109 @@
+package framing
+
+import (
+	"bytes"
+
+	"cobaltward/internal/ascii"
+)
+
+// stepHead takes a byte of a line of the head.
+func (g *Guard) stepHead(char byte) {
+	isBlank := char == ' ' || char == '\t'
+	switch {
+	case char == '\r':
+		g.state = stateHeadCR
+	case char == '\n':
+		g.problem = "bare line feed in the head"
+	case char == 0:
+		g.problem = "zero byte in the head"
+	case !g.hasRequestLine: // its content does not matter to the framing
+		if len(g.line) < maxLineBytes {
+			g.line = append(g.line, char)
+		}
+	case !g.inValue && char == ':':
+		g.endHeaderName()
+	case !g.inValue && len(g.line) == 0 && isBlank:
+		g.problem = "header continued in a second line"
+	case !g.inValue && isBlank:
+		g.problem = "blank before the colon of a header"
+	case g.inValue && g.header == headerOther:
+	case len(g.line) < maxLineBytes:
+		g.line = append(g.line, char)
+	case g.inValue:
+		g.problem = "Content-Length or Transfer-Encoding is too long"
+	}
+}
+
+func (g *Guard) stepHeadCR(char byte) {
+	if char != '\n' {
+		g.problem = "bare carriage return in the head"
+		return
+	}
+	g.state = stateHead
+	g.endHeadLine()
+}
+
+// endHeaderName takes the colon behind the name of a header.
+func (g *Guard) endHeaderName() {
+	switch {
+	case ascii.EqualFold(g.line, "content-length"):
+		g.header = headerContentLength
+		if g.hasLength {
+			g.problem = "Content-Length is given twice"
+		}
+		g.hasLength = true
+	case ascii.EqualFold(g.line, "transfer-encoding"):
+		g.header = headerTransferEncoding
+		if g.hasCoding {
+			g.problem = "Transfer-Encoding is given twice"
+		}
+		g.hasCoding = true
+	}
+	g.inValue, g.line = true, g.line[:0]
+}
+
+// endHeadLine takes the end of a line of the head.
+func (g *Guard) endHeadLine() {
+	switch {
+	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines ahead of the first request alone
+		g.problem = "empty line ahead of the request"
+	case !g.hasRequestLine:
+		g.hasRequestLine = true
+	case !g.inValue && len(g.line) == 0:
+		g.endHead()
+		return
+	case !g.inValue:
+		g.problem = "header line has no colon"
+	case g.header == headerTransferEncoding && !ascii.EqualFold(g.trimmedValue(), "chunked"):
+		g.problem = "transfer coding is not chunked"
+	case g.header == headerContentLength:
+		g.parseLength()
+	}
+	g.line, g.inValue, g.header = g.line[:0], false, headerOther
+}
+
+func (g *Guard) trimmedValue() []byte { return bytes.Trim(g.line, " \t") }
+
+func (g *Guard) parseLength() {
+	length, ok := ascii.ParseDecimal(g.trimmedValue(), maxLengthDigits)
+	if !ok {
+		g.problem = "Content-Length is not a number"
+		return
+	}
+	g.number = length
+}
+
+// endHead takes the empty line behind a head.
+func (g *Guard) endHead() {
+	g.heads++
+	switch {
+	case g.hasLength && g.hasCoding:
+		g.problem = "body has both a length and a transfer coding"
+	case g.hasCoding:
+		g.state, g.number, g.digits, g.sizeEnded = stateChunkSize, 0, 0, false
+	case g.number > 0:
+		g.state, g.remaining = stateBody, g.number
+	default:
+		g.reset()
+	}
+}
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -33,7 +33,7 @@
 	if oneByteRead {
 		c.noteNextRequest()
 	}
-	if wellFormed := c.framing.Pass(buf[:n]); wellFormed < n {
+	if wellFormed := c.framing.Check(buf[:n]); wellFormed < n {
 		if wellFormed == 0 {
 			return c.readMalformed(buf)
 		}
