--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -120,7 +120,7 @@
 	if g.conns != nil {
 		g.conns.SetMaxConns(share.ServerConns)
 	}
-	g.budget.SetMost(int64(share.Memory * float64(g.budgetBytes)))
+	g.budget.SetLimit(int64(share.Memory * float64(g.budgetBytes)))
 	if g.setMemoryShare != nil && share.Memory != g.share.Memory {
 		g.setMemoryShare(share.Memory)
 	}
@@ -156,7 +156,8 @@
 	g.followed = order
 	g.mu.Unlock()
 	if err := g.process.WriteOrder(order); err != nil {
-		g.log.Error("hot restart: order not written, other processes of this node do not follow it", "standby", standby, "err", err)
+		g.log.Error("hot restart: order not written, other processes of this node do not follow it",
+			"standby", standby, "err", err)
 	}
 }
 
