--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -8,55 +8,55 @@
 	"cobaltward/policy"
 )
 
-// names of the actions on the wire, by kind.
+// actionNames has the names of actions on the wire, by kind.
 var actionNames = [...]string{
 	policy.Send: "handOff", policy.Reject: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
 	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendToPeer: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchEndpoints: "listen", policy.FetchEndpoints: "readList",
 }
 
-// AppendAction appends the line for one action of an instance.
-func AppendAction(b []byte, node int, a policy.Action) []byte {
+// AppendAction appends the line of an action of an instance.
+func AppendAction(b []byte, node int, action policy.Action) []byte {
 	b = append(b, `["`...)
-	b = append(b, actionNames[a.Kind]...)
+	b = append(b, actionNames[action.Kind]...)
 	b = append(b, `",`...)
 	b = strconv.AppendInt(b, int64(node), 10)
-	switch a.Kind {
+	switch action.Kind {
 	case policy.Send:
-		b = appendString(appendString(b, a.ID), a.Server)
-		if a.Until > 0 {
-			b = appendMs(b, a.Until)
+		b = appendString(appendString(b, action.ID), action.Server)
+		if action.Until > 0 {
+			b = appendMs(b, action.Until)
 		}
 	case policy.Reject:
-		b = appendString(b, a.ID)
-		if a.Wait > 0 {
-			b = appendMs(b, a.Wait)
+		b = appendString(b, action.ID)
+		if action.Wait > 0 {
+			b = appendMs(b, action.Wait)
 		}
 	case policy.Fail:
-		b = appendString(b, a.ID)
+		b = appendString(b, action.ID)
 	case policy.Cancel:
-		b = strconv.AppendInt(append(appendString(b, a.ID), ','), int64(a.Attempt), 10)
+		b = strconv.AppendInt(append(appendString(b, action.ID), ','), int64(action.Attempt), 10)
 	case policy.SetTimer:
-		b = strconv.AppendUint(append(appendMs(b, a.Wait), ','), a.Token, 10)
+		b = strconv.AppendUint(append(appendMs(b, action.Wait), ','), action.Token, 10)
 	case policy.Probe, policy.CloseIdle:
-		b = appendString(b, a.Server)
+		b = appendString(b, action.Server)
 	case policy.SendToPeer:
-		b = appendString(strconv.AppendInt(append(b, ','), int64(a.Peer), 10), a.Text)
+		b = appendString(strconv.AppendInt(append(b, ','), int64(action.Peer), 10), action.Text)
 	case policy.Log:
-		b = appendString(b, a.Text)
+		b = appendString(b, action.Text)
 	case policy.WatchEndpoints:
-		b = strconv.AppendBool(append(b, ','), a.On)
+		b = strconv.AppendBool(append(b, ','), action.On)
 	}
 	return append(b, "]\n"...)
 }
 
-// AppendCrash appends the line that reports a crash of an instance's decisions.
+// AppendCrash appends the line that reports a panic of an instance.
 func AppendCrash(b []byte, node int, text string) []byte {
 	b = strconv.AppendInt(append(b, `["broken",`...), int64(node), 10)
 	return append(appendString(b, text), "]\n"...)
 }
 
-// AppendReplyEnd appends the line that closes a reply.
+// AppendReplyEnd appends the line that ends a reply.
 func AppendReplyEnd(b []byte) []byte { return append(b, "[\"yield\"]\n"...) }
 
 func appendMs(b []byte, d time.Duration) []byte {
@@ -67,8 +67,8 @@
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			q, _ := json.Marshal(s) // a string always encodes
-			return append(b, q...)
+			quoted, _ := json.Marshal(s) // does not fail for a string
+			return append(b, quoted...)
 		}
 	}
 	b = append(append(b, '"'), s...)
--- /dev/null
+++ b/internal/simprotocol/event.go
@@ -0,0 +1,66 @@
+package simprotocol
+
+import (
+	"errors"
+
+	"cobaltward/policy"
+)
+
+// decodeEvent decodes the messages that are events of package policy.
+func (d *Decoder) decodeEvent(name string, args *args) (policy.Event, error) {
+	switch name {
+	case "ingress":
+		return args.requestEvent(), nil
+	case "completed":
+		return args.outcomeEvent(), nil
+	case "reminder":
+		return policy.Timer{Token: args.uint(1, "token")}, nil
+	case "lapsed":
+		return policy.ClientGone{ID: args.text(1, "ticket")}, nil
+	case "headers":
+		return policy.FirstByte{
+			ID: args.text(1, "ticket"), Attempt: args.int(2, "roundNo"),
+			Latency: args.ms(3, "waitTime"), Server: args.name(4, "server"),
+		}, nil
+	case "healthResult":
+		return policy.ProbeResult{
+			Latency: args.ms(1, "waitTime"), Code: args.code(2),
+			Server: args.name(3, "server"), LoadReport: args.loadReport(4),
+		}, nil
+	case "neighbourSays":
+		return policy.PeerMessage{From: args.int(1, "from"), Body: args.text(2, "body")}, nil
+	case "peersKnown":
+		return d.endpointListEvent(args)
+	}
+	return nil, errors.New("unknown message")
+}
+
+func (a *args) requestEvent() policy.Request {
+	return policy.Request{
+		ID: a.text(1, "ticket"), Class: a.name(2, "cls"), Tenant: a.optName(3, "team"),
+		Key: a.optText(4, "object"), ExpiresIn: a.ms(5, "expiresIn"), CostHint: a.optMs(6, "effort"),
+		Retry: a.optBool(7, "isRetry"), Write: a.optBool(8, "update"),
+	}
+}
+
+func (a *args) outcomeEvent() policy.Outcome {
+	return policy.Outcome{
+		ID: a.text(1, "ticket"), Attempt: a.int(2, "roundNo"), Server: a.name(3, "server"),
+		Code: a.code(4), Latency: a.ms(5, "waitTime"), Answered: a.optBool(6, "doneFlag"), LoadReport: a.loadReport(7),
+	}
+}
+
+var outcomeCodes = map[string]policy.Code{
+	"done": policy.OK, "err": policy.ServerError, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
+	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset,
+	"ecanceled": policy.Cancelled, "skipped": policy.Superseded,
+}
+
+func (a *args) code(i int) policy.Code {
+	s := a.name(i, "rc")
+	c, ok := outcomeCodes[s]
+	if !ok {
+		a.fail("rc", "unknown outcome code %q", s)
+	}
+	return c
+}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -2,188 +2,111 @@
 
 import (
 	"fmt"
-	"math"
-	"time"
 
 	"cobaltward/policy"
 
 	"github.com/valyala/fastjson"
 )
 
-// object reads the keys of a JSON object, keeping the first error. Keys it is not asked for are
-// skipped, and an absent key leaves the zero value.
-type object struct {
-	v    *fastjson.Value
-	path string
-	err  *error
-}
-
-func (o object) get(key string, want ...fastjson.Type) *fastjson.Value {
-	v := o.v.Get(key)
-	if v == nil || v.Type() == fastjson.TypeNull {
-		return nil
-	}
-	for _, t := range want {
-		if v.Type() == t {
-			return v
-		}
-	}
-	o.fail(key, fmt.Sprintf("want %s, got %s", want[0], v.Type()))
-	return nil
-}
-
-func (o object) fail(key, what string) {
-	if *o.err == nil {
-		*o.err = fmt.Errorf("%s%s: %s", o.path, key, what)
-	}
-}
-
-func (o object) sub(key string) object {
-	return object{v: o.get(key, fastjson.TypeObject), path: o.path + key + ".", err: o.err}
-}
-
-func (o object) each(key string, do func(object)) {
-	v := o.get(key, fastjson.TypeArray)
-	if v == nil {
-		return
-	}
-	for i, e := range v.GetArray() {
-		at := fmt.Sprintf("%s%s[%d]", o.path, key, i)
-		if e.Type() != fastjson.TypeObject {
-			object{path: at, err: o.err}.fail("", "want object, got "+e.Type().String())
-			return
-		}
-		do(object{v: e, path: at + ".", err: o.err})
-	}
-}
-
-func (o object) num(key string) float64 {
-	if v := o.get(key, fastjson.TypeNumber); v != nil {
-		return v.GetFloat64()
-	}
-	return 0
-}
-
-func (o object) whole(key string) int {
-	n := o.num(key)
-	if n != math.Trunc(n) || math.Abs(n) > math.MaxInt32 {
-		o.fail(key, "want a whole number")
-		return 0
-	}
-	return int(n)
-}
-
-func (o object) ms(key string) time.Duration {
-	n := o.num(key)
-	if math.Abs(n) > maxMs {
-		o.fail(key, "out of range")
-		return 0
-	}
-	return millis(n)
-}
-
-func (o object) strs(key string) []string {
-	v := o.get(key, fastjson.TypeArray)
-	if v == nil {
-		return nil
-	}
-	var all []string
-	for i, e := range v.GetArray() {
-		if e.Type() != fastjson.TypeString {
-			o.fail(fmt.Sprintf("%s[%d]", key, i), "want string, got "+e.Type().String())
-			return nil
-		}
-		all = append(all, text(e))
-	}
-	return all
-}
-
-func (o object) str(key string) string { return text(o.get(key, fastjson.TypeString)) }
-
-func (o object) flag(key string) bool {
-	v := o.get(key, fastjson.TypeTrue, fastjson.TypeFalse)
-	return v != nil && v.Type() == fastjson.TypeTrue
-}
-
-// word looks a string up in a table; absent means the table's entry for "".
-func word[T any](o object, key string, table map[string]T) T {
-	s := o.str(key)
-	t, ok := table[s]
-	if !ok {
-		o.fail(key, fmt.Sprintf("unknown word %q", s))
-	}
-	return t
-}
-
+// The protocol's words for values of enumerations.
 var (
-	repeats = map[string]policy.Idempotency{
+	idempotencies = map[string]policy.Idempotency{
 		"": policy.NonIdempotent, "single_shot": policy.NonIdempotent,
 		"guarded": policy.IdempotencyKeyed, "free": policy.Idempotent,
 	}
-	groups = map[string]policy.DedupScope{
+	dedupScopes = map[string]policy.DedupScope{
 		"": policy.DedupCell, "cell": policy.DedupCell,
 		"zone": policy.DedupZone, "all": policy.DedupAll,
 	}
-	modes  = map[string]bool{"": false, "automatic": false, "subscribe": true}
-	worths = map[string]bool{"": false, "request": false, "work": true}
+	registryModes = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	weightings    = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ParseSettings reads the settings object on its own, as a node's configuration holds it.
+// ParseSettings parses a settings object, as the configuration of a node contains it.
 func ParseSettings(raw []byte) (policy.Settings, error) {
-	v, err := fastjson.ParseBytes(raw)
+	conf, err := fastjson.ParseBytes(raw)
 	if err != nil {
 		return policy.Settings{}, fmt.Errorf("not JSON: %w", firstLine(err))
 	}
-	if v.Type() != fastjson.TypeObject {
-		return policy.Settings{}, fmt.Errorf("want an object, got %s", v.Type())
+	if conf.Type() != fastjson.TypeObject {
+		return policy.Settings{}, fmt.Errorf("want an object, got %s", conf.Type())
 	}
-	return settings(v)
+	return parseSettings(conf)
 }
 
-// settings reads the object of a configure message.
-func settings(conf *fastjson.Value) (policy.Settings, error) {
+// parseSettings parses the object of a configure message.
+func parseSettings(conf *fastjson.Value) (policy.Settings, error) {
 	var err error
-	o := object{v: conf, err: &err}
-	s := policy.Settings{
-		Node: o.whole("position"), Nodes: o.whole("groupSize"), Zone: o.str("zone"),
-		Subscribe:   word(o, "registryMode", modes),
-		KeyAffinity: o.sub("familyInfo").flag("warmKeys"), WeightByWork: word(o, "worthBy", worths),
-	}
-	o.each("services", func(c object) {
-		s.Classes = append(s.Classes, policy.Class{
-			Name: c.str("name"), LatencyObjective: c.ms("aim"), ObjectiveWorkFactor: c.num("aimStretch"), Deadline: c.ms("deadline"),
-			Idempotency: word(c, "repeat", repeats), DedupScope: word(c, "group", groups), DedupWindow: c.ms("window"),
-			LateWeightFraction: c.num("lateWorth"), PriorityWeight: c.num("value"), Stream: c.flag("stream"),
-			Kinds: c.strs("servedOn"), Zones: c.strs("localitiesOnly"),
-		})
-	})
-	o.each("tenants", func(t object) {
-		s.Tenants = append(s.Tenants, policy.Tenant{
-			Name: t.str("name"), Quota: t.num("quotaRps"), Share: t.num("fraction"),
+	root := object{value: conf, err: &err}
+	settings := policy.Settings{
+		Node: root.integer("position"), Nodes: root.integer("groupSize"), Zone: root.text("zone"),
+		Subscribe:   enum(root, "registryMode", registryModes),
+		KeyAffinity: root.object("familyInfo").flag("warmKeys"), WeightByWork: enum(root, "worthBy", weightings),
+	}
+	root.each("services", func(class object) { settings.Classes = append(settings.Classes, parseClass(class)) })
+	root.each("tenants", func(tenant object) {
+		settings.Tenants = append(settings.Tenants, policy.Tenant{
+			Name: tenant.text("name"), Quota: tenant.number("quotaRps"), Share: tenant.number("fraction"),
 		})
 	})
-	lim := o.sub("limits")
-	s.Capabilities = policy.Capabilities{
-		Cancel: lim.flag("cancelling"), Hedge: lim.flag("secondCopies"), Probe: lim.flag("probes"),
-		Peers: lim.flag("peerMessages"), RetryAfter: lim.flag("retryAfter"),
-		MaxAttempts: lim.whole("maxAttempts"), MaxRetryAfter: lim.ms("maxRetryAfter"),
-		ConnIdleTimeout: lim.ms("connIdle"),
+	settings.Capabilities = parseCapabilities(root.object("limits"))
+	settings.Rules = parseRules(root.object("guarantees"))
+	settings.LoadReportFields = root.object("report").texts("fields")
+	return settings, err
+}
+
+func parseClass(class object) policy.Class {
+	return policy.Class{
+		Name:                class.text("name"),
+		LatencyObjective:    class.ms("aim"),
+		ObjectiveWorkFactor: class.number("aimStretch"),
+		Deadline:            class.ms("deadline"),
+		Idempotency:         enum(class, "repeat", idempotencies),
+		DedupScope:          enum(class, "group", dedupScopes),
+		DedupWindow:         class.ms("window"),
+		LateWeightFraction:  class.number("lateWorth"),
+		PriorityWeight:      class.number("value"),
+		Stream:              class.flag("stream"),
+		Kinds:               class.texts("servedOn"),
+		Zones:               class.texts("localitiesOnly"),
 	}
-	g := o.sub("guarantees")
-	s.Rules = policy.Rules{
-		AnswerGrace: g.ms("graceToAnswer"), DrainGrace: g.ms("drainGrace"), SlowStartShare: g.num("coldShare"),
-		SlowStartWindow: g.ms("cold"), OverloadFactor: g.num("fallMultiple"), OverloadDuration: g.ms("overloadFor"),
-		MaxPollInterval: g.ms("mustAskIn"), RetryBudget: budget(g),
+}
+
+func parseCapabilities(limits object) policy.Capabilities {
+	return policy.Capabilities{
+		Cancel:          limits.flag("cancelling"),
+		Hedge:           limits.flag("secondCopies"),
+		Probe:           limits.flag("probes"),
+		Peers:           limits.flag("peerMessages"),
+		RetryAfter:      limits.flag("retryAfter"),
+		MaxAttempts:     limits.integer("maxAttempts"),
+		MaxRetryAfter:   limits.ms("maxRetryAfter"),
+		ConnIdleTimeout: limits.ms("connIdle"),
 	}
-	s.LoadReportFields = o.sub("report").strs("fields")
-	return s, err
 }
 
-// budget reads the rule on further attempts, which holds where any of its figures is present.
-func budget(g object) *policy.RetryBudget {
-	number := fastjson.TypeNumber
-	if g.get("minExtra", number) == nil && g.get("budgetShare", number) == nil && g.get("ratioSpan", number) == nil {
+func parseRules(guarantees object) policy.Rules {
+	return policy.Rules{
+		AnswerGrace:      guarantees.ms("graceToAnswer"),
+		DrainGrace:       guarantees.ms("drainGrace"),
+		SlowStartShare:   guarantees.number("coldShare"),
+		SlowStartWindow:  guarantees.ms("cold"),
+		OverloadFactor:   guarantees.number("fallMultiple"),
+		OverloadDuration: guarantees.ms("overloadFor"),
+		MaxPollInterval:  guarantees.ms("mustAskIn"),
+		RetryBudget:      parseRetryBudget(guarantees),
+	}
+}
+
+// parseRetryBudget returns the limit of retries; nil if none of its figures is present.
+func parseRetryBudget(guarantees object) *policy.RetryBudget {
+	isPresent := func(key string) bool { return guarantees.get(key, fastjson.TypeNumber) != nil }
+	if !isPresent("minExtra") && !isPresent("budgetShare") && !isPresent("ratioSpan") {
 		return nil
 	}
-	return &policy.RetryBudget{MinRetries: g.num("minExtra"), RetryRatio: g.num("budgetShare"), Window: g.ms("ratioSpan")}
+	return &policy.RetryBudget{
+		MinRetries: guarantees.number("minExtra"),
+		RetryRatio: guarantees.number("budgetShare"),
+		Window:     guarantees.ms("ratioSpan"),
+	}
 }
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -11,31 +11,31 @@
 
 const ms = time.Millisecond
 
-func decode(t *testing.T, d *Decoder, line string) Line {
+func decode(t *testing.T, decoder *Decoder, line string) Line {
 	t.Helper()
-	l, err := d.Decode([]byte(line))
+	decoded, err := decoder.Decode([]byte(line))
 	if err != nil {
 		t.Fatalf("%s: %v", line, err)
 	}
-	return l
+	return decoded
 }
 
-func TestDecodesEveryEvent(t *testing.T) {
-	var d Decoder
-	decode(t, &d, `["list",3,[[null,"Running",1,"k","a",0,"s1"],[6100.5,"Stopping",1.5,"k","b",7,"s2"],`+
-		`[0,"Deleted",1,"k","b",7,"s3",null,"more"]]]`)
-	list := []policy.Endpoint{
-		{Server: "s1", Zone: "a", Kind: "k", Weight: 1},
-		{
-			Server: "s2", Zone: "b", Kind: "k", Cell: 7, Weight: 1.5, OnlineSince: 6100*ms + 500*time.Microsecond,
-			Availability: policy.Draining,
-		},
-		{Server: "s3", Zone: "b", Kind: "k", Cell: 7, Weight: 1, Availability: policy.Removed},
+type decodeTest struct {
+	line string
+	want Line
+}
+
+func runDecodeTests(t *testing.T, decoder *Decoder, tests []decodeTest) {
+	t.Helper()
+	for _, test := range tests {
+		if got := decode(t, decoder, test.line); !reflect.DeepEqual(got, test.want) {
+			t.Errorf("%s\n got %+v\nwant %+v", test.line, got, test.want)
+		}
 	}
-	for _, c := range []struct {
-		line string
-		want Line
-	}{
+}
+
+func TestDecode_Events(t *testing.T) {
+	runDecodeTests(t, new(Decoder), []decodeTest{
 		{`["mark",8412.25]`, Line{Kind: BatchStart, Now: 8412*ms + 250*time.Microsecond}},
 		{`["eob"]`, Line{Kind: BatchEnd}},
 		{`["shutdown",3]`, Line{Kind: Shutdown, Node: 3}},
@@ -71,6 +71,22 @@
 			Kind: Event, Node: 3,
 			Event: policy.PeerMessage{From: 2, Body: `hi "7"`},
 		}},
+	})
+}
+
+func TestDecode_EndpointLists(t *testing.T) {
+	var decoder Decoder
+	decode(t, &decoder, `["list",3,[[null,"Running",1,"k","a",0,"s1"],[6100.5,"Stopping",1.5,"k","b",7,"s2"],`+
+		`[0,"Deleted",1,"k","b",7,"s3",null,"more"]]]`)
+	list := []policy.Endpoint{
+		{Server: "s1", Zone: "a", Kind: "k", Weight: 1},
+		{
+			Server: "s2", Zone: "b", Kind: "k", Cell: 7, Weight: 1.5, OnlineSince: 6100*ms + 500*time.Microsecond,
+			Availability: policy.Draining,
+		},
+		{Server: "s3", Zone: "b", Kind: "k", Cell: 7, Weight: 1, Availability: policy.Removed},
+	}
+	runDecodeTests(t, &decoder, []decodeTest{
 		{`["peersKnown",3,"restored",41,3]`, Line{
 			Kind: Event, Node: 3,
 			Event: policy.EndpointList{Kind: policy.ListRestored, Endpoints: list},
@@ -79,31 +95,28 @@
 			Kind: Event, Node: 3,
 			Event: policy.EndpointList{Kind: policy.ListUnavailable},
 		}},
-	} {
-		if got := decode(t, &d, c.line); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s\n got %+v\nwant %+v", c.line, got, c.want)
-		}
-	}
+	})
 }
 
-func TestDecodesEveryCode(t *testing.T) {
+func TestDecode_OutcomeCodes(t *testing.T) {
 	notRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
-	var d Decoder
-	for word := range codes {
-		l := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
-		if got := l.Event.(policy.Outcome).Code.NotExecuted(); got != notRun[word] {
+	var decoder Decoder
+	for word := range outcomeCodes {
+		decoded := decode(t, &decoder, `["completed",1,"id",0,"s","`+word+`",1,false]`)
+		if got := decoded.Event.(policy.Outcome).Code.NotExecuted(); got != notRun[word] {
 			t.Errorf("%s: NotRun %v", word, got)
 		}
 	}
 }
 
-func TestDecodesSettings(t *testing.T) {
-	var d Decoder
-	l := decode(t, &d, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
+func TestDecode_Settings(t *testing.T) {
+	var decoder Decoder
+	decoded := decode(t, &decoder, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
 		`"services":[{"name":"x","aim":250,"deadline":600,"repeat":"guarded","group":"zone","window":5000,"new":1,`+
 		`"servedOn":["k1","k2"],"localitiesOnly":["a"]},{"name":"y","servedOn":null}],"worthBy":"work",`+
 		`"tenants":[{"name":"t","quotaRps":42,"fraction":0.4}],"limits":{"maxAttempts":4,"cancelling":true,"connIdle":5000},`+
-		`"guarantees":{"coldShare":0.17,"cold":23000,"minExtra":5,"budgetShare":0.15,"ratioSpan":5000},"report":{"fields":["util"]},"familyInfo":{"warmKeys":true}}]`)
+		`"guarantees":{"coldShare":0.17,"cold":23000,"minExtra":5,"budgetShare":0.15,"ratioSpan":5000},`+
+		`"report":{"fields":["util"]},"familyInfo":{"warmKeys":true}}]`)
 	want := policy.Settings{
 		Node: 1, Nodes: 4, Zone: "a", Subscribe: true, KeyAffinity: true,
 		Classes: []policy.Class{
@@ -121,20 +134,20 @@
 			RetryBudget: &policy.RetryBudget{MinRetries: 5, RetryRatio: 0.15, Window: 5 * time.Second},
 		}, LoadReportFields: []string{"util"},
 	}
-	if l.Seed != 7 || !reflect.DeepEqual(l.Settings, want) {
-		t.Errorf("got seed %d, %+v\nwant %+v", l.Seed, l.Settings, want)
+	if decoded.Seed != 7 || !reflect.DeepEqual(decoded.Settings, want) {
+		t.Errorf("got seed %d, %+v\nwant %+v", decoded.Seed, decoded.Settings, want)
 	}
 }
 
-// A node's configuration holds the settings on their own; they read the same.
-func TestParsesSettingsAlone(t *testing.T) {
+// Settings in the configuration of a node are parsed as those in a configure message.
+func TestParseSettings(t *testing.T) {
 	const conf = `{"position":1,"groupSize":4,"services":[{"name":"x","deadline":600,"repeat":"free"}]}`
 	got, err := ParseSettings([]byte(conf))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var d Decoder
-	if want := decode(t, &d, `["configure",2,7,`+conf+`]`).Settings; !reflect.DeepEqual(got, want) {
+	var decoder Decoder
+	if want := decode(t, &decoder, `["configure",2,7,`+conf+`]`).Settings; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 	for raw, want := range map[string]string{`{`: "not JSON", `[]`: "want an object", `{"zone":1}`: "zone"} {
@@ -144,7 +157,7 @@
 	}
 }
 
-func TestErrorsNameMessageAndField(t *testing.T) {
+func TestDecode_ErrorNamesMessageAndField(t *testing.T) {
 	for line, want := range map[string]string{
 		`{`:                                  "JSON",
 		`{}`:                                 "array",
@@ -177,19 +190,19 @@
 	}
 }
 
-// A list that takes a number anew must not change what instances already hold.
-func TestListsAreNotOverwritten(t *testing.T) {
-	var d Decoder
-	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
-	first := decode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.EndpointList)
-	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
+// A list that reuses a number must not change the list that instances already have.
+func TestDecode_ListNumberReused(t *testing.T) {
+	var decoder Decoder
+	decode(t, &decoder, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
+	first := decode(t, &decoder, `["peersKnown",3,"replace",1,0]`).Event.(policy.EndpointList)
+	decode(t, &decoder, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
 	if first.Endpoints[0].Server != "s1" {
 		t.Error("the older list changed")
 	}
 }
 
-func TestEncodesEveryAction(t *testing.T) {
-	for _, c := range []struct {
+func TestAppendAction(t *testing.T) {
+	for _, test := range []struct {
 		act  policy.Action
 		want string
 	}{
@@ -210,21 +223,23 @@
 		{policy.Action{Kind: policy.WatchEndpoints, On: true}, `["listen",3,true]`},
 		{policy.Action{Kind: policy.FetchEndpoints}, `["readList",3]`},
 	} {
-		if got := string(AppendAction(nil, 3, c.act)); got != c.want+"\n" {
-			t.Errorf("got %swant %s", got, c.want)
+		if got := string(AppendAction(nil, 3, test.act)); got != test.want+"\n" {
+			t.Errorf("got %swant %s", got, test.want)
 		}
 	}
-	if got := string(AppendReplyEnd(AppendCrash(nil, 3, `a "b"`))); got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
+	got := string(AppendReplyEnd(AppendCrash(nil, 3, `a "b"`)))
+	if got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
 		t.Errorf("got %s", got)
 	}
 }
 
-// Whatever the line, the decoder returns a line or a plain one-line error.
+// For any input the decoder returns a line, or an error of one line.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`["mark",1]`, `["ingress",3,"id","c","t","k",240.0,12.0,true,true]`,
 		`["list",0,[[1,"Running",1,"k","a",0,"s"]]]`, `["peersKnown",3,"update",1,0]`,
-		`["configure",1,2,{"services":[{"name":"x","deadline":1}],"limits":{}}]`, `["completed",1,"x",0,"s","done",1,true,[1,null]]`,
+		`["configure",1,2,{"services":[{"name":"x","deadline":1}],"limits":{}}]`,
+		`["completed",1,"x",0,"s","done",1,true,[1,null]]`,
 	} {
 		f.Add([]byte(s))
 	}
