--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -384,10 +384,10 @@
 		"console":             {[]string{"ROUTER_CONSOLE=here"}, `console: want host:port, got "here"`},
 		"taken":               {[]string{"ROUTER_CONSOLE=" + inUse, "ROUTER_ACCEPT_FD=3"}, "console: listen tcp " + inUse},
 		"the clients'":        {[]string{same}, "console: 127.0.0.1:18 is the address of the clients, too"},
-		"no number":           {[]string{"ROUTER_ACCEPT_FD=x"}, `ROUTER_ACCEPT_FD: want the number of a descriptor, got "x"`},
+		"no number":           {[]string{"ROUTER_ACCEPT_FD=x"}, `ROUTER_ACCEPT_FD: want a descriptor number, got "x"`},
 		"not open":            {[]string{"ROUTER_ACCEPT_FD=99"}, "ROUTER_ACCEPT_FD: descriptor 99 is not open"},
-		"no socket":           {[]string{"ROUTER_ACCEPT_FD=4"}, "ROUTER_ACCEPT_FD: descriptor 4 is no listening socket"},
-		"not a descriptor":    {[]string{"ROUTER_ACCEPT_FD=-1"}, "ROUTER_ACCEPT_FD: want the number"},
+		"no socket":           {[]string{"ROUTER_ACCEPT_FD=4"}, "ROUTER_ACCEPT_FD: descriptor 4 is not a listening socket"},
+		"not a descriptor":    {[]string{"ROUTER_ACCEPT_FD=-1"}, "ROUTER_ACCEPT_FD: want a descriptor number"},
 		"configuration's own": {[]string{same, "ROUTER_ACCEPT_FD=3"}, "console: 127.0.0.1:18"},
 	} {
 		environment := append([]string{"ROUTER_CONFIG=" + node.config, "TMPDIR=" + node.dir}, test.environment...)
--- a/internal/sockets/arrival.go
+++ b/internal/sockets/arrival.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// immediate is how long a system call takes at most that had nothing to wait for.
-const immediate = time.Millisecond
+// maxImmediate is the longest duration of a system call that did not wait.
+const maxImmediate = time.Millisecond
 
-// HadToWait reports whether a system call that began and returned at these times had to wait.
-func HadToWait(began, returned time.Time) bool { return returned.Sub(began) > immediate }
+// HadToWait reports whether a system call that began and returned at these times waited for the peer.
+func HadToWait(began, returned time.Time) bool { return returned.Sub(began) > maxImmediate }
 
-// Arrival bounds from below when the request in hand came on a connection: bytes may have waited unread, in the accept
-// queue, while there was no room, or behind another request. It goes by what reads and accepts had to wait for. It is
-// not safe for concurrent use.
+// Arrival determines the earliest time at which the current request of a connection can have arrived. Its bytes may
+// have been unread for some time: in the accept queue, while there was no connection slot, or after another request.
+// The time is derived from which reads and accepts had to wait. It is not safe for concurrent use.
 type Arrival struct {
-	earliest  time.Time // of the request in hand
-	following time.Time // of the one behind it; zero: nothing of it has come
-	pipelined bool      // the request in hand was sent before the one ahead of it was answered
-	drained   time.Time // when a read last took all that had come
+	earliest      time.Time // arrival of the current request
+	nextStartedAt time.Time // when the next request was seen to begin; zero: it was not
+	pipelined     bool      // the current request was sent before the previous one was answered
+	drainedAt     time.Time // when a read last returned all bytes that had arrived
 }
 
-// Earliest is the time before which the last byte of the request in hand did not come.
+// Earliest returns a time before which the last byte of the current request cannot have arrived.
 func (a *Arrival) Earliest() time.Time { return a.earliest }
 
-// Pipelined reports whether the request in hand was sent before the one ahead of it was answered.
+// Pipelined reports whether the current request was sent before the previous one was answered.
 func (a *Arrival) Pipelined() bool { return a.pipelined }
 
-// Reset says that nothing of the next request came before a time.
+// Reset begins a request of which no byte can have arrived before earliest.
 func (a *Arrival) Reset(earliest time.Time) { *a = Arrival{earliest: earliest} }
 
-// RecordRead says that a read of the request in hand began and returned at these times, and whether it took all that had come.
+// RecordRead records when a read of the current request began and returned, and whether it returned all bytes that had
+// arrived.
 func (a *Arrival) RecordRead(began, returned time.Time, all bool) {
 	switch {
 	case HadToWait(began, returned):
 		a.earliest = returned
-	case a.drained.After(a.earliest):
-		a.earliest = a.drained
+	case a.drainedAt.After(a.earliest):
+		a.earliest = a.drainedAt
 	}
 	if all {
-		a.drained = returned
+		a.drainedAt = returned
 	}
 }
 
-// RecordNextStart says that the first byte of the request behind the one in hand has come.
-func (a *Arrival) RecordNextStart(now time.Time) { a.following = now }
+// RecordNextStart records that the first byte of the next request has arrived.
+func (a *Arrival) RecordNextStart(now time.Time) { a.nextStartedAt = now }
 
-// Advance makes the request behind the one in hand the one in hand. Where nobody saw it begin it came with the one
-// ahead of it.
+// Advance makes the next request the current one. If it was not seen to begin, it arrived together with the previous
+// one.
 func (a *Arrival) Advance() {
 	a.pipelined = true
-	if !a.following.IsZero() {
-		a.earliest, a.following = a.following, time.Time{}
+	if !a.nextStartedAt.IsZero() {
+		a.earliest, a.nextStartedAt = a.nextStartedAt, time.Time{}
 	}
 }
--- /dev/null
+++ b/internal/sockets/idle.go
@@ -0,0 +1,25 @@
+// Package sockets has what package net does not offer for TCP: the state of connections in the kernel, inherited
+// listening sockets, and listeners that survive errors.
+package sockets
+
+import (
+	"errors"
+	"net"
+	"syscall"
+)
+
+// IsIdle reports whether a connection is open and has no unread bytes. It does not block, and may be called while
+// another goroutine reads.
+func IsIdle(c *net.TCPConn) bool {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	idle := false
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		idle = errors.Is(err, syscall.EAGAIN)
+	})
+	return idle && err == nil
+}
--- a/internal/sockets/persistent.go
+++ b/internal/sockets/listener.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Bounds of the pause between two calls of Accept that fail.
+// Limits of the backoff between two calls of Accept that fail.
 const (
-	acceptPauseMin = time.Millisecond
-	acceptPauseMax = 20 * time.Millisecond
+	minAcceptBackoff = time.Millisecond
+	maxAcceptBackoff = 20 * time.Millisecond
 )
 
-// acceptSpell is how long accepting has to have been in order for its next failure to be logged again.
-const acceptSpell = 10 * time.Second
+// acceptLogInterval is the time without a failure after which the next failure is logged.
+const acceptLogInterval = 10 * time.Second
 
-// PersistentListener is a listener whose Accept fails only once it is closed, or at a deadline that was set. Servers
-// such as net/http's end at an error of accept(2) that lasts for a moment: for want of memory, for instance, or because
-// the connection that was to be accepted has met an error of the network.
+// PersistentListener is a listener whose Accept fails only after Close, or at its deadline. Servers such as that of
+// net/http end at the first error of accept(2), although many are temporary: a lack of memory, or a network error of
+// the connection that was to be accepted.
 type PersistentListener struct {
 	net.Listener
 	log *slog.Logger
@@ -29,11 +29,11 @@
 	closed    chan struct{}
 	closeErr  error
 
-	lastFailure time.Time // of the goroutine that accepts
+	lastFailure time.Time // used by Accept only
 }
 
-// NewPersistentListener returns a listener that goes on after errors of inner. The first error of a spell is logged,
-// to log or, if that is nil, nowhere. One goroutine at a time may call Accept.
+// NewPersistentListener returns a listener that continues after errors of inner. Errors are logged if log is not nil,
+// but not those that follow another one within ten seconds. Accept must not be called concurrently.
 func NewPersistentListener(inner net.Listener, log *slog.Logger) *PersistentListener {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -43,7 +43,7 @@
 
 // Accept implements net.Listener.
 func (l *PersistentListener) Accept() (net.Conn, error) {
-	pause := acceptPauseMin
+	backoff := minAcceptBackoff
 	for {
 		conn, err := l.Listener.Accept()
 		switch {
@@ -54,15 +54,15 @@
 		}
 		l.logFailure(err)
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
-		pause = min(2*pause, acceptPauseMax)
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
-// Close implements net.Listener. A second call returns what the first one did.
+// Close implements net.Listener. Further calls return what the first one returned.
 func (l *PersistentListener) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -71,7 +71,7 @@
 	return l.closeErr
 }
 
-// SetDeadline sets until when Accept waits, where the inner listener can be told.
+// SetDeadline sets the deadline of Accept. It returns errors.ErrUnsupported if the inner listener has none.
 func (l *PersistentListener) SetDeadline(t time.Time) error {
 	inner, ok := l.Listener.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -89,11 +89,11 @@
 	}
 }
 
-// logFailure logs an error unless there was one shortly before.
+// logFailure logs an error, unless there was another one shortly before.
 func (l *PersistentListener) logFailure(err error) {
 	now := time.Now()
-	if l.lastFailure.IsZero() || now.Sub(l.lastFailure) > acceptSpell {
-		l.log.Warn("accepting connections fails, and goes on", "address", l.Addr(), "err", err)
+	if l.lastFailure.IsZero() || now.Sub(l.lastFailure) > acceptLogInterval {
+		l.log.Warn("accept failed, retrying", "address", l.Addr(), "err", err)
 	}
 	l.lastFailure = now
 }
--- /dev/null
+++ b/internal/sockets/peerclosed.go
@@ -0,0 +1,48 @@
+package sockets
+
+import "net"
+
+// The kernel's numbers of the TCP states in which the peer has closed its side, or the connection.
+const (
+	tcpClose     = 7
+	tcpCloseWait = 8
+	tcpLastAck   = 9
+	tcpClosing   = 11
+	tcpTimeWait  = 6
+)
+
+// PeerClosed reports whether the peer has closed its side of a connection, or reset it, even if bytes before that are
+// still unread. It does not block. If the kernel does not tell, it returns false.
+func PeerClosed(c *net.TCPConn) bool {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	closed := false
+	err = raw.Control(func(fd uintptr) { closed = isClosedByPeer(fd) })
+	return closed || err != nil // an error: closed on this side
+}
+
+// AwaitPeerClose waits until the peer has closed its side of a connection, and returns an error if the read deadline is
+// reached first. It reads nothing. There must be no concurrent Read.
+func AwaitPeerClose(c *net.TCPConn) error {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return err
+	}
+	return raw.Read(isClosedByPeer)
+}
+
+// isClosedByPeer gets the state of a connection from the kernel. A read could not tell, because unread bytes precede
+// the end of the stream.
+func isClosedByPeer(fd uintptr) bool {
+	var info tcpInfo
+	if !info.read(fd, stateSize) {
+		return false
+	}
+	switch info[0] {
+	case tcpClose, tcpCloseWait, tcpLastAck, tcpClosing, tcpTimeWait:
+		return true
+	}
+	return false
+}
--- a/internal/sockets/tcpinfo.go
+++ b/internal/sockets/tcpinfo.go
@@ -8,20 +8,20 @@
 	"unsafe"
 )
 
-// Where the kernel's struct tcp_info has what is read of it, in bytes. It has only ever grown at its end.
+// Offsets and sizes, in bytes, in the kernel's struct tcp_info, which grows at its end only.
 const (
 	stateSize            = 1
-	lastDataRecvOffset   = 52 // milliseconds since data came last
+	lastDataRecvOffset   = 52 // milliseconds since data was last received
 	lastDataRecvSize     = 4
 	bytesReceivedOffset  = 128
 	bytesReceivedSize    = 8
 	lastReceivedInfoSize = bytesReceivedOffset + bytesReceivedSize
 )
 
-// tcpInfo is the beginning of a struct tcp_info.
+// tcpInfo is the first part of a struct tcp_info.
 type tcpInfo [lastReceivedInfoSize]byte
 
-// read asks the kernel for the first size bytes; false where it does not have them.
+// read gets the first size bytes from the kernel; false if it has fewer.
 func (i *tcpInfo) read(fd uintptr, size uint32) bool {
 	got := size
 	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -29,8 +29,8 @@
 	return errno == 0 && got >= size
 }
 
-// SinceLastReceived returns how long ago the kernel received the newest bytes of a connection, read or not; false
-// where it does not say, or has received none. It is exact to a tick of the kernel's clock, 10 ms at most.
+// SinceLastReceived returns the time since the kernel received the newest bytes of a connection, read or not; false
+// if it has received none, or does not tell. The resolution is a tick of the kernel's clock, 10 ms at most.
 func SinceLastReceived(c *net.TCPConn) (time.Duration, bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
