--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -33,12 +33,12 @@
 type Source struct {
 	router.EndpointSource
 
-	mu        sync.Mutex
-	disabled  map[string]bool            // by an operator
-	untrusted map[string]bool            // could not prove their identity
-	endpoints map[string]router.Endpoint // as the wrapped source has published them
-	pending   []string                   // ids whose state was changed here and is not published; each once
-	wake      chan struct{}              // holds a token while pending is not empty
+	mu            sync.Mutex
+	disabled      map[string]bool            // by an operator
+	untrusted     map[string]bool            // could not prove their identity
+	endpoints     map[string]router.Endpoint // as the wrapped source has published them
+	pending       []string                   // ids whose state was changed here and is not published; each once
+	pendingSignal chan struct{}              // holds a token while pending is not empty
 }
 
 // New returns a source that wraps another.
@@ -48,7 +48,7 @@
 		disabled:       make(map[string]bool),
 		untrusted:      make(map[string]bool),
 		endpoints:      make(map[string]router.Endpoint),
-		wake:           make(chan struct{}, 1),
+		pendingSignal:  make(chan struct{}, 1),
 	}
 }
 
@@ -79,7 +79,7 @@
 		select {
 		case update := <-updates:
 			publish(s.applyUpdate(update))
-		case <-s.wake:
+		case <-s.pendingSignal:
 			if update := s.pendingUpdate(); len(update.Endpoints) > 0 {
 				publish(update)
 			}
@@ -187,7 +187,7 @@
 		s.pending = append(s.pending, id)
 	}
 	select {
-	case s.wake <- struct{}{}:
+	case s.pendingSignal <- struct{}{}:
 	default: // Run has not taken the last token yet
 	}
 }
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -153,7 +153,7 @@
 	case ctx.Err() != nil: // another address, or the end
 		return true, 0
 	}
-	s.outage.begun = true
+	s.outage.inProgress = true
 	switch {
 	case errors.Is(err, errWatchSilent): // the registry has not failed, and no time is to be lost
 		s.log.Warn("discovery: registry watch idle, reopening")
@@ -175,16 +175,16 @@
 // outage is a time without an answer because calls failed or fell silent.
 type outage struct {
 	lastAnswer time.Time // or the start of Run
-	begun      bool
+	inProgress bool
 }
 
 // end takes in an answer and returns how long the outage was that it ends; 0 where there was none.
 func (o *outage) end(answered time.Time) time.Duration {
 	length := answered.Sub(o.lastAnswer)
-	if !o.begun {
+	if !o.inProgress {
 		length = 0
 	}
-	o.lastAnswer, o.begun = answered, false
+	o.lastAnswer, o.inProgress = answered, false
 	return length
 }
 
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -85,7 +85,7 @@
 	defer conns.close()
 	failures := 0
 	for index := 0; ctx.Err() == nil; {
-		answered, err := s.tryServer(ctx, conns, index, publish)
+		answered, err := s.streamFrom(ctx, conns, index, publish)
 		if ctx.Err() != nil {
 			return
 		}
@@ -136,8 +136,8 @@
 	}
 }
 
-// tryServer runs one stream to a server to its end, and reports whether any response came on it.
-func (s *Source) tryServer(
+// streamFrom runs one stream to a server to its end, and reports whether any response came on it.
+func (s *Source) streamFrom(
 	ctx context.Context, conns *connections, index int, publish func(router.EndpointUpdate),
 ) (answered bool, _ error) {
 	conn, err := conns.get(index)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -61,7 +61,7 @@
 	switch {
 	case m.status.State.Done():
 		if takesOver {
-			m.takeOver(now, order, counts)
+			m.supersede(now, order, counts)
 		}
 		return ErrDrained
 	case m.status.State == Serving:
@@ -76,7 +76,7 @@
 		if deadline.Before(m.status.Deadline) {
 			m.status.Deadline = deadline
 		}
-		m.takeOver(now, order, counts)
+		m.supersede(now, order, counts)
 		return nil
 	case order.Force && deadline.Before(m.status.Deadline):
 		m.status.Deadline = deadline
@@ -86,11 +86,11 @@
 	return &InProgressError{m.status}
 }
 
-// takeOver makes the drain final, on behalf of an order.
-func (m *Machine) takeOver(now time.Time, order Order, counts Counts) {
+// supersede makes the drain final, on behalf of an order.
+func (m *Machine) supersede(now time.Time, order Order, counts Counts) {
 	m.status.Final = true
 	m.status.Reason, m.status.RequestedBy = order.Reason, order.RequestedBy
-	m.recordOrder(now, ChangeTakenOver, order, counts)
+	m.recordOrder(now, ChangeSuperseded, order, counts)
 }
 
 // recordOrder records that an order has changed the drain, which stays in its state.
--- a/drain/event.go
+++ b/drain/event.go
@@ -7,13 +7,13 @@
 
 // The changes. Their values are part of the admin API.
 const (
-	ChangeStarted   Change = "started"
-	ChangeTakenOver Change = "took over" // by a final drain, while another was in progress or over
-	ChangeShortened Change = "shortened" // the deadline is earlier
-	ChangePhase     Change = "phase"     // the next state, since its time had come
-	ChangeCancelled Change = "cancelled"
-	ChangeDrained   Change = "drained"
-	ChangeForced    Change = "forced" // the deadline has passed
+	ChangeStarted    Change = "started"
+	ChangeSuperseded Change = "took over" // by a final drain, while another was in progress or over
+	ChangeShortened  Change = "shortened" // the deadline is earlier
+	ChangePhase      Change = "phase"     // the next state, since its time had come
+	ChangeCancelled  Change = "cancelled"
+	ChangeDrained    Change = "drained"
+	ChangeForced     Change = "forced" // the deadline has passed
 )
 
 // Event is one transition, or a change of the deadline.
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -15,7 +15,7 @@
 	"cobaltward/router"
 )
 
-// Engine is what a server needs of a *router.Router. If it also has QueuePatience or RejectOverloaded, as that has,
+// Engine is what a server needs of a *router.Router. If it also has QueueTimeout or RejectOverloaded, as that has,
 // they are used.
 type Engine interface {
 	Do(ctx context.Context, req router.Request) (router.Answer, error)
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -15,8 +15,8 @@
 	firstCallGrace = 100 * time.Millisecond
 	// slotRecheckInterval is the shortest time between two checks whether an overflow connection may be accepted.
 	slotRecheckInterval = 5 * time.Millisecond
-	// defaultQueuePatience is how long connections wait for a slot if the engine has no QueuePatience.
-	defaultQueuePatience = 300 * time.Millisecond
+	// defaultQueueTimeout is how long connections wait for a slot if the engine has no QueueTimeout.
+	defaultQueueTimeout = 300 * time.Millisecond
 )
 
 // admit starts serving a connection that did not arrive before earliest. If there are too many, it waits until one of
@@ -56,10 +56,10 @@
 }
 
 func (s *Server) queuePatience() time.Duration {
-	if engine, ok := s.engine.(interface{ QueuePatience() time.Duration }); ok {
-		return engine.QueuePatience()
+	if engine, ok := s.engine.(interface{ QueueTimeout() time.Duration }); ok {
+		return engine.QueueTimeout()
 	}
-	return defaultQueuePatience
+	return defaultQueueTimeout
 }
 
 // rejectsOverflow reports whether a connection is an overflow connection, and still has no slot.
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -181,7 +181,7 @@
 		return err
 	}
 	n.engine = engine
-	n.httpServer.listener.queueTimeout = engine.QueuePatience
+	n.httpServer.listener.queueTimeout = engine.QueueTimeout
 	n.httpServer.listener.retryAfter = engine.OverloadRetryAfter
 	if n.tls != nil {
 		n.tls.engine.Store(engine)
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -31,17 +31,17 @@
 	exitProbing    bool
 	exitProbeStart time.Duration
 
-	signals   map[signalKey]float64
-	capacity  float64                  // work a second that servers complete in time
-	heldSince map[string]time.Duration // since when conditions hold without a break, by their texts
-	shed      [][]float64              // by level and measure: the fraction that it sheds now
+	signals            map[signalKey]float64
+	capacity           float64                  // work a second that servers complete in time
+	conditionHeldSince map[string]time.Duration // since when conditions hold without a break, by their texts
+	shed               [][]float64              // by level and measure: the fraction that it sheds now
 }
 
 // levelHistory is the remembered state of a level.
 type levelHistory struct {
-	stayFactor float64 // how many times MinInterval it stays at least
-	leftAt     time.Duration
-	hasLeft    bool // leftAt is set
+	minStayFactor float64 // how many times MinInterval it stays at least
+	leftAt        time.Duration
+	hasLeft       bool // leftAt is set
 }
 
 // New returns a controller at full service. Its errors are of type *ConfigError.
@@ -53,15 +53,15 @@
 		config.MinInterval = defaultMinInterval
 	}
 	controller := &Controller{
-		config:    config,
-		reason:    "the start",
-		history:   make([]levelHistory, len(config.Levels)+1),
-		maxLevel:  -1,
-		signals:   make(map[signalKey]float64),
-		heldSince: make(map[string]time.Duration),
+		config:             config,
+		reason:             "the start",
+		history:            make([]levelHistory, len(config.Levels)+1),
+		maxLevel:           -1,
+		signals:            make(map[signalKey]float64),
+		conditionHeldSince: make(map[string]time.Duration),
 	}
 	for i := range controller.history {
-		controller.history[i].stayFactor = 1
+		controller.history[i].minStayFactor = 1
 	}
 	for _, level := range config.Levels {
 		controller.shed = append(controller.shed, make([]float64, len(level.Measures)))
@@ -142,7 +142,7 @@
 		return
 	}
 	c.level, c.changedAt, c.hasChanged = level, now, true
-	clear(c.heldSince) // what conditions saw was under another level
+	clear(c.conditionHeldSince) // what conditions saw was under another level
 	c.record(Event{At: now, From: former, To: level, Name: c.config.levelName(level), Reason: reason})
 }
 
--- a/levels/manual_test.go
+++ b/levels/manual_test.go
@@ -15,7 +15,7 @@
 	}
 	const quiet, busy = 0.0, 1.0
 	now := 0
-	for ; len(controller.heldSince) == 0; now++ { // until a condition of an entry holds
+	for ; len(controller.conditionHeldSince) == 0; now++ { // until a condition of an entry holds
 		if now > 100 {
 			t.Fatal("no condition ever holds")
 		}
@@ -31,7 +31,7 @@
 	controller.ReleaseManual()
 	at = time.Duration(now) * time.Second
 	second(now, busy)
-	for name, since := range controller.heldSince {
+	for name, since := range controller.conditionHeldSince {
 		if since < at {
 			t.Errorf("%q counts as held for %v, in which an operator had set the level", name, at-since)
 		}
--- a/levels/step.go
+++ b/levels/step.go
@@ -21,7 +21,7 @@
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
-		clear(c.heldSince) // conditions are not evaluated without a break
+		clear(c.conditionHeldSince) // conditions are not evaluated without a break
 		return
 	}
 	c.manual = false
@@ -43,9 +43,9 @@
 	}
 	if history := &c.history[next]; history.hasLeft {
 		if now-history.leftAt < reentryWindow {
-			history.stayFactor = min(maxStayFactor, 2*history.stayFactor)
+			history.minStayFactor = min(maxStayFactor, 2*history.minStayFactor)
 		} else {
-			history.stayFactor = 1
+			history.minStayFactor = 1
 		}
 	}
 	c.exitProbing = false
@@ -69,7 +69,7 @@
 		c.exitProbing = false
 		history.leftAt, history.hasLeft = now, true
 		c.changeTo(now, c.level-1, reason)
-	case !c.exitProbing && hold && c.mayChange(now, history.stayFactor):
+	case !c.exitProbing && hold && c.mayChange(now, history.minStayFactor):
 		c.exitProbing, c.exitProbeStart = true, now
 	}
 }
@@ -127,13 +127,13 @@
 // heldLongEnough notes whether a condition holds now, and reports whether it has for a time without a break.
 func (c *Controller) heldLongEnough(now time.Duration, name string, holds bool, duration time.Duration) bool {
 	if !holds {
-		delete(c.heldSince, name)
+		delete(c.conditionHeldSince, name)
 		return false
 	}
-	since, known := c.heldSince[name]
+	since, known := c.conditionHeldSince[name]
 	if !known {
 		since = now
-		c.heldSince[name] = now
+		c.conditionHeldSince[name] = now
 	}
 	return now-since >= duration
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -12,11 +12,11 @@
 const routerRetryAfter = time.Second
 
 const (
-	// queuePatiencePart is the part of the shortest deadline of a class for which clients may wait for room. They give a
-	// request up after a third of it at the earliest.
-	queuePatiencePart = 0.25
-	// maxQueuePatience bounds that where all deadlines are long.
-	maxQueuePatience = 300 * time.Millisecond
+	// queueTimeoutFraction of the shortest deadline of a class is the longest wait for a connection slot. Clients abandon
+	// a request after a third of its deadline at the earliest.
+	queueTimeoutFraction = 0.25
+	// maxQueueTimeout bounds the wait where all deadlines are long.
+	maxQueueTimeout = 300 * time.Millisecond
 )
 
 // request is an admitted request. The loop keeps it until it is answered and all its attempts are over.
--- a/router/drain.go
+++ b/router/drain.go
@@ -120,7 +120,7 @@
 	}
 	run := r.drainRun
 	run.cancelled.Store(true)
-	run.markDone()
+	run.finish()
 	r.loop.drained.Store(false) // here, since the loop may be busy, and cancelling a drain must not wait
 	r.resumeServing()
 	var err error
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// markDone ends the run, unless it has ended. Router.drainMu is held.
-func (d *drainRun) markDone() {
+// finish ends the run, unless it has ended. Router.drainMu is held.
+func (d *drainRun) finish() {
 	if !d.isDone() {
 		close(d.done)
 	}
@@ -87,7 +87,7 @@
 func (r *Router) endDrainRun(run *drainRun) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
-	run.markDone()
+	run.finish()
 }
 
 // stepDrain moves the machine on, and applies its state, unless the run has ended. It returns when to call it
--- a/router/router.go
+++ b/router/router.go
@@ -119,14 +119,15 @@
 	return r.classes.Load().overloaded
 }
 
-// QueuePatience is for how long a listener may have clients wait for room. Beyond it their requests are to be rejected
-// at once: a request may have any part of its deadline left, and its answer is lost half a second after that.
-func (r *Router) QueuePatience() time.Duration {
-	return min(maxQueuePatience, time.Duration(queuePatiencePart*float64(r.ShortestDeadline())))
+// QueueTimeout is the time for which a listener may let clients wait for a connection slot. After it their requests
+// must be rejected at once: a request may have any part of its deadline left, and its answer is lost half a second
+// after that.
+func (r *Router) QueueTimeout() time.Duration {
+	return min(maxQueueTimeout, time.Duration(queueTimeoutFraction*float64(r.ShortestDeadline())))
 }
 
-// OverloadRetryAfter is when clients of requests that a listener has no room for are to try again; 0 where the settings
-// don't allow to say.
+// OverloadRetryAfter is the Retry-After for requests that a listener has no slot for; 0 where the settings allow
+// none.
 func (r *Router) OverloadRetryAfter() time.Duration { return r.classes.Load().overloaded.RetryAfter }
 
 // Conns is the number of connections to servers; 0 unless the transport is a ConnectionCounter.
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -41,19 +41,19 @@
 // startLag is the smallest age, by the wall clock, at which a list without an outage before it named a new start. A
 // start can't be later than its list, which bounds the lead of the wall clock over the clock that noted the start.
 type startLag struct {
-	least time.Duration
-	known bool
+	minimum time.Duration
+	known   bool
 }
 
 // observe takes in one age.
 func (s *startLag) observe(age time.Duration) {
-	if !s.known || age < s.least {
-		s.least, s.known = age, true
+	if !s.known || age < s.minimum {
+		s.minimum, s.known = age, true
 	}
 }
 
 // excess is the part of the lag that lists which come late don't explain.
-func (s *startLag) excess() time.Duration { return max(0, s.least-startCredit) }
+func (s *startLag) excess() time.Duration { return max(0, s.minimum-startCredit) }
 
 // beginUpdate goes ahead of the starts that an update names: outage is how long discovery failed before it, wallStep by
 // how much the wall clock was stepped since the router's start.
