--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -20,7 +20,7 @@
 	name        string
 	engine      *router.Router
 	disabled    *disabled.Source
-	intake      *httpServer
+	httpServer  *httpServer
 	announceFor time.Duration      // of a drain
 	nodeTLS     *nodeTLS           // nil: no TLS
 	drainMark   string             // path of the file that exists while a drain on request does; empty: none
@@ -51,7 +51,7 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// watchEvents sends the events of drains, and the status again and again, until the client leaves.
+// watchEvents sends the events of drains, and the status at intervals, until the client disconnects.
 func (a *adminAPI) watchEvents(api *adminapi.Server, w http.ResponseWriter, r *http.Request) {
 	var last uint64 // number of the last event that was sent
 	api.StreamEvents(w, r, eventInterval, func() (events []adminapi.Event, more bool) {
@@ -120,7 +120,7 @@
 	a.replyLevel(w, r, a.engine.ReleaseLevel())
 }
 
-// replyLevel answers a change of the level: with the level in force, or with why there was no change.
+// replyLevel answers a change of the level: with the present level, or with the reason why it was not changed.
 func (a *adminAPI) replyLevel(w http.ResponseWriter, r *http.Request, err error) {
 	if err != nil {
 		adminapi.WriteError(w, http.StatusConflict, err.Error())
@@ -141,7 +141,7 @@
 	a.replyDisabled(w, a.disabled.Enable(r.PathValue("id")))
 }
 
-// replyDisabled answers a change of the servers that are disabled at this node.
+// replyDisabled answers a change of the disabled servers, with all of them or an error.
 func (a *adminAPI) replyDisabled(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, disabled.ErrUnknownServer):
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -172,7 +172,7 @@
 // removeDrainMark removes the file, so that a restarted process serves.
 func (a *adminAPI) removeDrainMark() {
 	if a.drainMark != "" {
-		_ = os.Remove(a.drainMark) // it may not be there
+		_ = os.Remove(a.drainMark) // usually it does not exist
 	}
 }
 
@@ -186,7 +186,7 @@
 		return
 	}
 	var request DrainRequest
-	_ = json.Unmarshal(raw, &request)    // an incomplete file still says that there was a drain
+	_ = json.Unmarshal(raw, &request)    // an incomplete file still shows that there was a drain
 	_ = a.engine.StartDrain(drain.Order{ // a new engine has no other drain
 		Timeout:     defaultDrainTimeout,
 		Reason:      "drained before the restart: " + request.Reason,
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -101,7 +101,7 @@
 func (a *adminAPI) connectionCounts(stats router.Stats) ConnectionCounts {
 	counts := ConnectionCounts{Servers: stats.ServerConns}
 	counts.Clients, counts.Busy = a.engine.ClientConnections()
-	counts.ClosedForDrain, counts.RetriedByClients = a.intake.idleCloseCounts()
+	counts.ClosedForDrain, counts.RetriedByClients = a.httpServer.idleCloseCounts()
 	return counts
 }
 
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -54,10 +54,14 @@
 		return err
 	}
 	n.buildHTTPServer(listener)
-	endpoints, err := n.buildEndpointSource()
+	endpoints, err := n.newEndpointSource()
 	if err != nil {
 		return err
 	}
+	if err := n.openAdminServer(); err != nil {
+		return err
+	}
+	endpoints = n.wrapEndpointSource(endpoints)
 	n.transport = newTransport(n.config, n.limits.servers, n.tls.transportLayer())
 	if n.config.Msgpack.Listener != nil {
 		n.rpcServer = newRPCServer(n.config.Msgpack.Listener, n.tls.wrapMsgpack)
@@ -68,14 +72,14 @@
 	n.bodies = n.config.bodyLimits()
 	n.httpServer.server.Handler = n.newHandler()
 	if n.rpcServer != nil {
-		n.rpcServer.Server = n.newRPCFront()
+		n.rpcServer.Server = n.newMsgpackServer()
 	}
 	n.admin = &adminAPI{
 		name:        n.config.Name,
 		engine:      n.engine,
 		disabled:    n.disabledServers,
 		nodeTLS:     n.tls,
-		intake:      n.httpServer,
+		httpServer:  n.httpServer,
 		announceFor: n.config.announceDuration(),
 		drainMark:   n.config.DrainMark,
 	}
@@ -120,26 +124,23 @@
 	n.httpServer.listener.tlsLayer = n.tls.clientListenerLayer()
 }
 
-// buildEndpointSource returns the engine's source of endpoints, and opens the admin API where there is one: servers
-// can be disabled by it, or be untrusted, where the source is wrapped accordingly.
-func (n *node) buildEndpointSource() (router.EndpointSource, error) {
-	var source router.EndpointSource = n.registry
-	if n.config.NewEndpointSource != nil {
-		custom, err := n.config.NewEndpointSource(n.registry)
-		if err != nil {
-			return nil, err
-		}
-		source = custom
+// newEndpointSource returns the source of endpoints: the registry, or what the configuration makes of it.
+func (n *node) newEndpointSource() (router.EndpointSource, error) {
+	if n.config.NewEndpointSource == nil {
+		return n.registry, nil
 	}
-	if err := n.openAdminServer(); err != nil {
-		return nil, err
-	}
-	if n.adminServer != nil || n.tls.transportLayer() != nil {
-		n.disabledServers = disabled.New(source)
-		n.disabledServers.SetInitial(n.config.InitialList.Endpoints)
-		source = n.disabledServers
+	return n.config.NewEndpointSource(n.registry)
+}
+
+// wrapEndpointSource has a source show disabled and untrusted servers as draining, where there is an admin API to
+// disable them by, or TLS towards servers.
+func (n *node) wrapEndpointSource(source router.EndpointSource) router.EndpointSource {
+	if n.adminServer == nil && n.tls.transportLayer() == nil {
+		return source
 	}
-	return source, nil
+	n.disabledServers = disabled.New(source)
+	n.disabledServers.SetInitial(n.config.InitialList.Endpoints)
+	return n.disabledServers
 }
 
 // openAdminServer opens the admin API's listeners. Calls wait there until the server starts.
@@ -211,7 +212,7 @@
 // isReady reports whether readiness checks succeed.
 func (n *node) isReady() bool { return n.engine.Phase() == router.Serving || n.handedOver.Load() }
 
-func (n *node) newRPCFront() *msgpackfront.Server {
+func (n *node) newMsgpackServer() *msgpackfront.Server {
 	return msgpackfront.New(n.engine, msgpackfront.Config{
 		MaxConns:       n.limits.msgpackClients,
 		MaxCalls:       n.config.Msgpack.MaxCallsPerConn,
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -140,6 +140,6 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		_, _ = w.Write(raw) // the client may have left
+		_, _ = w.Write(raw) // the client may have disconnected
 	})
 }
