--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// hasUnambiguousFraming reports whether this side and a server find the end of the request's body at the same place. net/http
-// takes the length from a transfer coding and ignores Content-Length, and ignores the coding in HTTP/1.0. With
-// WithBodyLimits the host has checked the coding.
+// hasUnambiguousFraming reports whether this side and a server find the end of the request's body at the same place.
+// net/http takes the length from a transfer coding and ignores Content-Length, and ignores the coding in HTTP/1.0.
+// With WithBodyLimits the host has checked the coding.
 func (f *Frontend) hasUnambiguousFraming(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && (len(r.TransferEncoding) == 0 || f.bodyLimits != nil)
 }
