--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -167,7 +167,7 @@
 		return false
 	}
 	if known.Incarnation != "" {
-		a.config.Log.Error("fleet: another process goes by this name", "name", known.Name, "address", known.Address)
+		a.config.Log.Error("fleet: another process has this name", "name", known.Name, "address", known.Address)
 	}
 	return true
 }
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -303,7 +303,7 @@
 	for _, want := range fleet.RejectionErrors() {
 		t.Run(want.Error(), func(t *testing.T) {
 			address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-				adminapi.WriteJSON(w, http.StatusOK, consensus.ProposeResponse{Position: 3, Error: want.Error()})
+				adminapi.WriteJSON(w, http.StatusOK, consensus.ProposeResponse{Position: 3, Error: fleet.RejectionWireText(want)})
 			})
 			client := NewClient([]string{address}, nil, "", nil)
 			defer client.HTTP.CloseIdleConnections()
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -23,7 +23,7 @@
 	// ErrNoResponse reports that no answer came. The request may have been carried out or not.
 	ErrNoResponse = errors.New("no answer")
 	// ErrRejected reports that the request is rejected, and was not carried out.
-	ErrRejected = errors.New("refused")
+	ErrRejected = errors.New("call rejected")
 )
 
 const (
@@ -133,21 +133,11 @@
 	}
 	result := fleet.Result{Position: response.Position, FencingToken: response.FencingToken}
 	if response.Error != "" {
-		result.Err = rejectionError(response.Error)
+		result.Err = fleet.ParseRejection(response.Error)
 	}
 	return result, nil
 }
 
-// rejectionError returns the error of package fleet that has a text, or another one where there is none.
-func rejectionError(text string) error {
-	for _, err := range fleet.RejectionErrors() {
-		if err.Error() == text {
-			return err
-		}
-	}
-	return errors.New(text)
-}
-
 // Statuses asks all replicas for their status. The result has those that answered, by address.
 func (c *Client) Statuses(ctx context.Context) map[string]consensus.Status {
 	type answer struct {
--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -12,9 +12,9 @@
 // Errors of requests for effects.
 var (
 	// ErrStaleToken reports that an effect is rejected: its token is stale, or its job is closed.
-	ErrStaleToken = errors.New("refused")
+	ErrStaleToken = errors.New("effect rejected")
 	// ErrNotReady reports that the agent does not know of the step yet, or is not running. The request may be repeated.
-	ErrNotReady = errors.New("the agent is not ready for the effect: ask again")
+	ErrNotReady = errors.New("the agent is not ready for the effect, try again later")
 )
 
 // maxDetail bounds the detail of an outcome, in bytes.
@@ -61,9 +61,9 @@
 // reject logs and counts an effect that is rejected. The caller has the mutex.
 func (a *Agent) reject(request lease.EffectRequest, response lease.EffectResponse) error {
 	a.rejected++
-	a.config.Log.Warn("fleet: an old owner's effect is refused", "work", request.Resource,
+	a.config.Log.Warn("fleet: effect with a stale token rejected", "work", request.Resource,
 		"key", request.IdempotencyKey, "token", request.FencingToken, "newest", response.HighestToken)
-	return fmt.Errorf("%w: the token %d is old (%d has been seen), or the job is over",
+	return fmt.Errorf("%w: fencing token %d is stale (highest seen: %d), or the job is closed",
 		ErrStaleToken, request.FencingToken, response.HighestToken)
 }
 
@@ -85,7 +85,7 @@
 	if err := a.save(); err != nil {
 		a.config.Log.Error("fleet: outcome not stored", "key", request.IdempotencyKey, "error", err)
 	}
-	a.config.Log.Info("fleet: an effect has ended", "key", request.IdempotencyKey, "token", request.FencingToken,
+	a.config.Log.Info("fleet: effect finished", "key", request.IdempotencyKey, "token", request.FencingToken,
 		"outcome", outcome, "detail", detail)
 }
 
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -126,7 +126,7 @@
 	token, holds := r.controller.HoldsLease()
 	r.mu.Unlock()
 	if held := r.holdsLease.Swap(holds); holds != held { // it may have ended between two proposals
-		r.config.Log.Info("fleet: ownership", "work", r.config.Kind, "holder", r.config.Identity, "owns", holds,
+		r.config.Log.Info("fleet: lease changed", "work", r.config.Kind, "holder", r.config.Identity, "owns", holds,
 			"token", token, "position", result.Position)
 	}
 }
@@ -256,7 +256,7 @@
 	leaseLost := r.controller.HandleWrite(result)
 	r.mu.Unlock()
 	if leaseLost {
-		r.config.Log.Warn("fleet: entry rejected: the lease is another's", "resource", r.config.Kind,
+		r.config.Log.Warn("fleet: entry rejected: another process holds the lease", "resource", r.config.Kind,
 			"job", entry.JobID, "step", entry.Step.String(), "token", entry.FencingToken)
 	}
 }
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -160,7 +160,7 @@
 	case err == nil:
 		response := ProposeResponse{Position: result.Position, FencingToken: result.FencingToken}
 		if result.Err != nil {
-			response.Error = result.Err.Error()
+			response.Error = fleet.RejectionWireText(result.Err)
 		}
 		adminapi.WriteJSON(w, http.StatusOK, response)
 	case errors.As(err, &notPossible):
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -203,7 +203,7 @@
 		want   string // in the body
 	}{
 		{"accepted", grantTo("a/1"), http.StatusOK, `"token"`},
-		{"rejected by the state", grantTo("b/1"), http.StatusOK, fleet.ErrConflict.Error()},
+		{"rejected by the state", grantTo("b/1"), http.StatusOK, fleet.RejectionWireText(fleet.ErrConflict)},
 		{"an entry of replicas alone", fleet.Entry{Kind: fleet.KindExpireLease}, http.StatusForbidden, "expire"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -200,8 +200,8 @@
 		t.Fatal(err)
 	}
 	for i, err := range fleet.RejectionErrors() {
-		if err.Error() != texts[i] {
-			t.Errorf("an error reads %q, want %q", err, texts[i])
+		if text := fleet.RejectionWireText(err); text != texts[i] {
+			t.Errorf("an error is transmitted as %q, want %q", text, texts[i])
 		}
 	}
 }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -2,24 +2,49 @@
 
 import "errors"
 
-// Errors of entries that the state rejects. A rejected entry changes nothing but the position. Their texts are
-// transmitted in answers to proposals, and must not change.
+// RejectionError is an error with which the state rejects an entry. A rejected entry changes nothing but the position.
+type RejectionError struct {
+	wireText string // transmitted in answers to proposals; must not change
+	message  string
+}
+
+// Error returns a message for operators.
+func (e *RejectionError) Error() string { return e.message }
+
+// WireText returns the text by which processes of all versions identify the error in answers to proposals.
+func (e *RejectionError) WireText() string { return e.wireText }
+
 var (
 	// ErrConflict rejects an entry because another holder has the lease, or another job or version change is open.
-	ErrConflict = errors.New("another has the work")
+	ErrConflict error = &RejectionError{
+		"another has the work", "the lease, job or version change conflicts with one that is open",
+	}
 	// ErrLeaseLost rejects an entry because its fencing token is not that of the current lease, because the lease is
 	// revoked, or because the job is closed.
-	ErrLeaseLost = errors.New("the ownership is over")
+	ErrLeaseLost error = &RejectionError{
+		"the ownership is over", "the lease is lost or revoked, or the job is closed",
+	}
 	// ErrNotFound rejects an entry about something that does not exist.
-	ErrNotFound = errors.New("there is no such thing")
+	ErrNotFound error = &RejectionError{
+		"there is no such thing", "the subject of the entry does not exist",
+	}
 	// ErrAlreadyExists rejects an entry that would create something that exists, or repeat a finished step.
-	ErrAlreadyExists = errors.New("it is there already")
+	ErrAlreadyExists error = &RejectionError{
+		"it is there already", "the subject of the entry exists already, or the step is finished",
+	}
 	// ErrFormatTooNew rejects an entry whose format version is above that of the state.
-	ErrFormatTooNew = errors.New("the entry is above the level that all members know")
+	ErrFormatTooNew error = &RejectionError{
+		"the entry is above the level that all members know",
+		"the format version of the entry is above that of the state",
+	}
 	// ErrLimitExceeded rejects an entry that would exceed a limit of the state or of a job.
-	ErrLimitExceeded = errors.New("there is no more room")
+	ErrLimitExceeded error = &RejectionError{
+		"there is no more room", "the entry exceeds a limit of the state or of the job",
+	}
 	// ErrInvalidEntry rejects an entry that is malformed, or whose fields contradict its kind.
-	ErrInvalidEntry = errors.New("the entry makes no sense")
+	ErrInvalidEntry error = &RejectionError{
+		"the entry makes no sense", "the entry is malformed, or its fields contradict its kind",
+	}
 )
 
 // RejectionErrors returns all errors with which the state rejects entries.
@@ -29,6 +54,26 @@
 	}
 }
 
+// RejectionWireText returns the text by which an answer to a proposal identifies an error.
+func RejectionWireText(err error) string {
+	var rejection *RejectionError
+	if errors.As(err, &rejection) {
+		return rejection.wireText
+	}
+	return err.Error()
+}
+
+// ParseRejection returns the error that a text in an answer to a proposal identifies. Texts of other versions of the
+// program become errors of their own.
+func ParseRejection(wireText string) error {
+	for _, err := range RejectionErrors() {
+		if RejectionWireText(err) == wireText {
+			return err
+		}
+	}
+	return errors.New(wireText)
+}
+
 // ErrUnsupportedFormat reports a log or snapshot whose format version is newer than FormatVersion. The process has to
 // stop applying entries, or its state would diverge from that of the others.
 var ErrUnsupportedFormat = errors.New("fleet: the format version of the log is newer than this program supports")
--- a/fleet/stored_test.go
+++ b/fleet/stored_test.go
@@ -338,7 +338,7 @@
 		}
 		text := ""
 		if result.Err != nil {
-			text = result.Err.Error()
+			text = RejectionWireText(result.Err)
 		}
 		if result.Position != current.Position || result.FencingToken != current.Token || text != current.Error {
 			t.Errorf("%s: %+v, want %+v", current.Raw, result, current)
