--- a/internal/fleetcli/calls.go
+++ b/internal/fleetcli/calls.go
@@ -47,7 +47,7 @@
 	return err
 }
 
-// commit proposes an entry to one replica after another, until one can tell the outcome.
+// commit proposes an entry to one replica after another, until one reports the outcome.
 func (c *operatorCommands) commit(client *agent.Client, entry fleet.Entry) (fleet.Result, error) {
 	entry.RequestedBy, entry.Reason = c.requestedBy, c.reason
 	var lastErr error
@@ -63,7 +63,7 @@
 		}
 		lastErr = err
 	}
-	err := fmt.Errorf("no member of the council could say what became of it: %w; look at status before you ask again",
+	err := fmt.Errorf("no replica reported the outcome: %w; check the status before you retry",
 		lastErr)
 	return fleet.Result{}, exitError{err, exitUnavailable}
 }
@@ -87,7 +87,7 @@
 		}
 	}
 	if newest == nil {
-		err := fmt.Errorf("no member of the council answers; %d were asked", len(client.Replicas))
+		err := fmt.Errorf("none of %d replicas answers", len(client.Replicas))
 		return nil, nil, exitError{err, exitUnavailable}
 	}
 	return statuses, newest, nil
@@ -106,15 +106,14 @@
 	return newest
 }
 
-// condition reports whether what a command waits for is so, and a line about the progress.
+// condition reports whether the state that a command waits for is reached, and the progress in one line.
 type condition func(statuses map[string]consensus.Status, state *fleet.State) (met bool, progress string)
 
-// newID returns an ID that nothing else has: neither a command given in the same moment, nor one given before the wall
-// clock was stepped back.
+// newID returns an ID that is unique even among commands of the same instant, and after the wall clock was stepped back.
 func newID(kind string) string { return kind + "-" + strings.ToLower(rand.Text()) }
 
-// pollUntil looks at the state until a condition is met, or a timeout has passed. It prints the progress where it
-// changes. what names the condition in the error.
+// pollUntil polls the state until a condition is met or a timeout has passed, and prints the progress when it changes.
+// what names the condition in the error.
 func (c *operatorCommands) pollUntil(client *agent.Client, what string, timeout time.Duration, met condition) error {
 	lastProgress := ""
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
@@ -131,7 +130,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			return exitError{fmt.Errorf("%s did not come within %v", what, timeout), exitTimeout}
+			return exitError{fmt.Errorf("timeout: %s not reached within %v", what, timeout), exitTimeout}
 		}
 	}
 }
--- a/internal/fleetcli/disable.go
+++ b/internal/fleetcli/disable.go
@@ -30,7 +30,7 @@
 	command := c.clientCommand("hold [SERVER ...]", "Disable servers, or the servers of zones, at all nodes for a time",
 		cobra.ArbitraryArgs, run)
 	flags := command.Flags()
-	flags.StringVar(&options.id, "id", "", "ID of the disable order; by default one by the time")
+	flags.StringVar(&options.id, "id", "", "ID of the disable order; by default a new one")
 	flags.StringSliceVar(&options.zones, "zone", nil, "all servers of a zone, as each node's endpoint list has them")
 	flags.DurationVar(&options.duration, "for", defaultDisableDuration, "how long the servers are disabled")
 	flags.DurationVar(&options.timeout, "wait", 0, "how long to wait until the order is in force at all nodes")
--- a/internal/fleetcli/membership.go
+++ b/internal/fleetcli/membership.go
@@ -29,10 +29,10 @@
 	defer cancel()
 	var status consensus.Status
 	if err := client.Call(ctx, http.MethodGet, address, "/status", nil, &status); err != nil {
-		return exitError{fmt.Errorf("the new member has to run first: %w", err), exitUnavailable}
+		return exitError{fmt.Errorf("member add: the new member must be running: %w", err), exitUnavailable}
 	}
 	if status.Name != name {
-		return fmt.Errorf("member add: at %s is %q, not %q", address, status.Name, name)
+		return fmt.Errorf("member add: the process at %s is %q, want %q", address, status.Name, name)
 	}
 	return c.changeMembership(client, consensus.MembershipRequest{Name: name, Address: address, ID: status.ID})
 }
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -12,10 +12,10 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Bounds of the pause between two attempts to restart a replica whose storage has failed.
+// Bounds of the backoff between attempts to restart a replica whose storage has failed.
 const (
-	restartPauseMin = 50 * time.Millisecond
-	restartPauseMax = 2 * time.Second
+	minRestartBackoff = 50 * time.Millisecond
+	maxRestartBackoff = 2 * time.Second
 )
 
 // runReplica runs a replica of the consensus group until SIGTERM.
@@ -25,8 +25,8 @@
 	return serveReplica(ctx, loaded, hooks)
 }
 
-// serveReplica runs a replica until ctx ends. One whose storage fails is started anew on what is stored, as often as it
-// takes: a disk may be full, or fail, for a while.
+// serveReplica runs a replica until ctx ends. After a failure of its storage it is restarted on the stored state, as
+// often as necessary: a disk may be full, or fail, for a while.
 func serveReplica(ctx context.Context, loaded *settings, hooks TestHooks) error {
 	replica, err := startReplica(loaded, hooks, consensus.OpenStorage)
 	if err != nil {
@@ -50,7 +50,7 @@
 		if failed := (*consensus.StorageError)(nil); !errors.As(err, &failed) {
 			return err
 		}
-		loaded.log.Error("fleet: storage has failed, the replica starts anew", "error", err)
+		loaded.log.Error("fleet: storage failed, restarting the replica", "error", err)
 		if replica, err = restartReplica(ctx, loaded, hooks); err != nil {
 			return nil // ctx has ended
 		}
@@ -77,12 +77,12 @@
 	return replica, nil
 }
 
-// restartReplica starts a replica on recovered storage, again and again until that succeeds or ctx ends.
+// restartReplica starts a replica on recovered storage, and retries with backoff until that succeeds or ctx ends.
 func restartReplica(ctx context.Context, loaded *settings, hooks TestHooks) (*consensus.Replica, error) {
 	lastProblem := ""
-	for pause := restartPauseMin; ; pause = min(2*pause, restartPauseMax) {
+	for backoff := minRestartBackoff; ; backoff = min(2*backoff, maxRestartBackoff) {
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -90,17 +90,17 @@
 		if err == nil {
 			return replica, nil
 		}
-		if problem := err.Error(); problem != lastProblem { // one that lasts is logged once
+		if problem := err.Error(); problem != lastProblem { // a lasting problem is logged once
 			lastProblem = problem
-			loaded.log.Error("fleet: the replica can't start yet", "error", err)
+			loaded.log.Error("fleet: replica restart failed, retrying", "error", err)
 		}
 	}
 }
 
-// replicaHandler answers calls by the replica that runs now.
+// replicaHandler passes calls to the replica that is running.
 type replicaHandler struct{ current atomic.Pointer[http.Handler] }
 
-// replace has calls answered by another replica; nil: by none, until the next.
+// replace passes further calls to another replica; with nil they are rejected until the next one is set.
 func (h *replicaHandler) replace(replica *consensus.Replica) {
 	if replica == nil {
 		h.current.Store(nil)
@@ -114,7 +114,7 @@
 func (h *replicaHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := h.current.Load()
 	if handler == nil {
-		adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica's storage has failed, and it starts anew")
+		adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica's storage failed, and it is restarting")
 		return
 	}
 	(*handler).ServeHTTP(w, r)
--- a/internal/fleetcli/replica_test.go
+++ b/internal/fleetcli/replica_test.go
@@ -20,8 +20,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// failingStorage fails to save for as long as it is told. Half of what it fails to save it has saved all the same, as a
-// disk does that reports an error after the write.
+// failingStorage fails to save while its faults are on. Half of the failed writes are stored nevertheless, as by a disk
+// that reports an error after the write.
 type failingStorage struct {
 	consensus.Storage
 	faults *storageFaults
@@ -66,8 +66,8 @@
 	return err
 }
 
-// TestReplicaOutlivesStorageErrors has the disk of a replica fail for a while, twice: the replica comes back by itself
-// with all that it has acknowledged, and goes on.
+// TestReplicaOutlivesStorageErrors has the disk of a replica fail for a while, twice: the replica restarts by itself
+// with all acknowledged entries, and accepts further ones.
 func TestReplicaOutlivesStorageErrors(t *testing.T) {
 	addresses := make(chan string, 1)
 	loaded := bootstrapped(t, slog.New(addressHandler{slog.DiscardHandler, addresses}))
--- a/internal/fleetcli/rollingupdate.go
+++ b/internal/fleetcli/rollingupdate.go
@@ -66,7 +66,7 @@
 	flags.IntVar(&options.spec.MaxFailures, "failures", defaultMaxFailures,
 		"failed steps after which the update stops by itself; 0: never")
 	flags.DurationVar(&options.spec.DrainTimeout, "drain", defaultDrainTimeout, "timeout of each drain")
-	flags.StringVar(&options.id, "id", "", "ID of the job; by default one by the time")
+	flags.StringVar(&options.id, "id", "", "ID of the job; by default a new one")
 	flags.BoolVar(&options.wait, "wait", false, "show progress until the job is closed")
 	flags.DurationVar(&options.timeout, "for", defaultUpdateTimeout, "how long --wait waits")
 	return command
@@ -94,14 +94,14 @@
 	closed := func(_ map[string]consensus.Status, state *fleet.State) (bool, string) {
 		job := state.Jobs[id]
 		if job == nil {
-			return false, id + " is not there yet"
+			return false, id + " is not known yet"
 		}
 		return !job.Open(), jobLine(job)
 	}
 	return c.pollUntil(client, "the end of the rolling update", options.timeout, closed)
 }
 
-// selectNodes returns the nodes that are named, once each and all of them known; without a name it returns all nodes.
+// selectNodes returns the named nodes, which must be known and named once; without a name it returns all nodes.
 func selectNodes(state *fleet.State, names []string) ([]string, error) {
 	known := slices.Sorted(maps.Keys(state.Nodes))
 	if len(names) == 0 {
@@ -109,7 +109,7 @@
 	}
 	for i, name := range names {
 		if !slices.Contains(known, name) {
-			return nil, fmt.Errorf("round: there is no node %q; there are %s", name, strings.Join(known, " "))
+			return nil, fmt.Errorf("round: unknown node %q; known are %s", name, strings.Join(known, " "))
 		}
 		if slices.Contains(names[:i], name) {
 			return nil, fmt.Errorf("round: %s is named twice", name)
--- a/internal/fleetcli/rollingupdate_test.go
+++ b/internal/fleetcli/rollingupdate_test.go
@@ -54,7 +54,7 @@
 		nodes []string
 		want  string
 	}{
-		{"an unknown node", []string{"n1", "n7"}, `there is no node "n7"; there are n1 n2`},
+		{"an unknown node", []string{"n1", "n7"}, `unknown node "n7"; known are n1 n2`},
 		{"a node named twice", []string{"n1", "n1"}, "n1 is named twice"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/fleetcli/root.go
+++ b/internal/fleetcli/root.go
@@ -12,11 +12,11 @@
 	"cobaltward/fleet/agent"
 )
 
-// The exit statuses that scripts go by, beside 0 and 1. They are those of wayhold ctl where it has them.
+// Exit statuses beside 0 and 1, as of wayhold ctl.
 const (
 	exitUnavailable = 4 // no replica answers
-	exitTimeout     = 5 // what was waited for did not come in time
-	exitRejected    = 7 // the fleet rejects what was asked for
+	exitTimeout     = 5 // the state that a command waits for was not reached in time
+	exitRejected    = 7 // the fleet rejects the change
 )
 
 // exitError is an error with the exit status of the program.
@@ -42,7 +42,7 @@
 	return 1
 }
 
-// operatorCommands is what the operators' commands share: their common flags, and where they print.
+// operatorCommands has the flags that the operators' commands share, and their output.
 type operatorCommands struct {
 	configPath  string
 	asJSON      bool
@@ -51,9 +51,9 @@
 	out         io.Writer
 }
 
-const rootDescription = `Operations on the fleet as a whole, not on one node. The replicas to ask are in the table
-[fleet] of the file that --config or WAYHOLD_CONFIG names. The exit status is 0 if all is well, 4 if no replica answers,
-5 if what was waited for did not come in time, 7 if the fleet rejects what was asked for, and 1 otherwise.`
+const rootDescription = `Operations on the fleet as a whole, not on one node. The replicas to call are in the table
+[fleet] of the file that --config or WAYHOLD_CONFIG names. The exit status is 0 on success, 4 if no replica answers,
+5 if the state that a command waits for was not reached in time, 7 if the fleet rejects the change, and 1 otherwise.`
 
 func rootCommand(hooks TestHooks) *cobra.Command {
 	commands := &operatorCommands{}
@@ -69,8 +69,8 @@
 	flags.StringVar(&commands.configPath, "config", os.Getenv("WAYHOLD_CONFIG"),
 		"a process's own file, with the table [fleet]; WAYHOLD_CONFIG names it too")
 	flags.BoolVar(&commands.asJSON, "json", false, "print JSON")
-	flags.StringVar(&commands.requestedBy, "who", os.Getenv("USER"), "who asks")
-	flags.StringVar(&commands.reason, "reason", "", "why, for those who find the change later")
+	flags.StringVar(&commands.requestedBy, "who", os.Getenv("USER"), "operator, stored with the change")
+	flags.StringVar(&commands.reason, "reason", "", "stored with the change")
 	root.AddCommand(commands.processCommands(hooks)...)
 	root.AddCommand(commands.leaseCommands()...)
 	root.AddCommand(
@@ -80,7 +80,7 @@
 	return root
 }
 
-// withAliases gives a command other names. The first one, that of Use, is what documentation and scripts name.
+// withAliases gives a command further names. Documentation and scripts use the name in Use.
 func withAliases(command *cobra.Command, aliases ...string) *cobra.Command {
 	command.Aliases = aliases
 	return command
@@ -132,7 +132,7 @@
 			return err
 		}
 		if len(loaded.Replicas) == 0 {
-			return errors.New("fleet.council: missing: there is no replica to ask")
+			return errors.New("fleet.council: missing: no replica to call")
 		}
 		client := agent.NewClient(loaded.Replicas, loaded.AddressOverrides, loaded.token, loaded.clientTLS())
 		defer client.HTTP.CloseIdleConnections()
--- a/internal/fleetcli/root_test.go
+++ b/internal/fleetcli/root_test.go
@@ -19,7 +19,7 @@
 	return paths
 }
 
-// The commands and flags that documentation and scripts name are there.
+// The commands and flags that documentation and scripts name exist.
 func TestRootCommand_KeepsDocumentedCommands(t *testing.T) {
 	paths := commandPaths(rootCommand(TestHooks{}))
 	for path, flags := range map[string][]string{
@@ -32,18 +32,18 @@
 		t.Run(path, func(t *testing.T) {
 			command, ok := paths[path]
 			if !ok {
-				t.Fatal("there is no such command")
+				t.Fatal("the command is missing")
 			}
 			for _, flag := range slices.Concat(flags, []string{"config", "json", "who", "reason"}) {
 				if command.Flag(flag) == nil {
-					t.Errorf("there is no flag --%s", flag)
+					t.Errorf("flag --%s is missing", flag)
 				}
 			}
 		})
 	}
 }
 
-// A command has the field's name beside the documented one.
+// Each alias leads to the command with the documented name.
 func TestRootCommand_AliasesReachDocumentedCommands(t *testing.T) {
 	root := rootCommand(TestHooks{})
 	for _, test := range []struct{ alias, documented []string }{
--- a/internal/fleetcli/serve.go
+++ b/internal/fleetcli/serve.go
@@ -21,13 +21,13 @@
 	"cobaltward/internal/sockets"
 )
 
-// TestHooks are what tests change of a process. The zero value is the program as it is.
+// TestHooks replace parts of a process in tests. The zero value replaces nothing.
 type TestHooks struct {
 	Clock     consensus.Clock // zero: that of the system
 	Storage   func(consensus.Storage) consensus.Storage
 	Unsafe    lease.UnsafeOptions
 	FailPoint func(point string)
-	// ObserveProposal is told of each proposal about a lease; see agent.ControllerConfig.
+	// ObserveProposal is called for each proposal about a lease; see agent.ControllerConfig.
 	ObserveProposal func(entry fleet.Entry, holder string) func(result fleet.Result, known bool)
 }
 
@@ -45,8 +45,8 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// serveHTTP answers calls on the process's address until stop is called, which waits for what it has started. The
-// contexts of requests end with ctx.
+// serveHTTP answers calls on the process's address until stop is called, which waits for the goroutines. The contexts
+// of requests end with ctx.
 func serveHTTP(ctx context.Context, loaded *settings, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", loaded.Listen)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			loaded.log.Error("fleet: no calls are answered any more", "error", err)
+			loaded.log.Error("fleet: server stopped", "error", err)
 		}
 	})
 	loaded.log.Info("listening", "name", loaded.Name, "address", listener.Addr())
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -25,14 +25,14 @@
 // load reads a process's own file. Its log is written to logs.
 func load(path string, logs io.Writer) (*settings, error) {
 	if path == "" {
-		return nil, errors.New("which process? Name its own file by --config")
+		return nil, errors.New("want the process's own file, by --config or WAYHOLD_CONFIG")
 	}
 	file, err := standalone.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	if file.Fleet == nil {
-		return nil, fmt.Errorf("%s: there is no table [fleet]", path)
+		return nil, fmt.Errorf("%s: the table [fleet] is missing", path)
 	}
 	options, err := nodeconfig.Load(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return slog.New(slog.NewTextHandler(logs, options))
 }
 
-// clientTLS returns how this process encrypts its calls; nil: it does not.
+// clientTLS returns the TLS configuration of this process's calls; nil: they are not encrypted.
 func (s *settings) clientTLS() *tls.Config {
 	if s.mutualTLS == nil {
 		return nil
--- a/internal/fleetcli/status.go
+++ b/internal/fleetcli/status.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	if !hasLeader {
-		err := errors.New("the council has no leader among those that answer: nothing new is agreed on")
+		err := errors.New("no leader among the replicas that answer: nothing is committed")
 		return exitError{err, exitUnavailable}
 	}
 	return nil
@@ -87,11 +87,11 @@
 	case !answered:
 		return "does not answer"
 	case !status.IsMember && len(status.State.Members) == 0:
-		return fmt.Sprintf("%s (%s) has an empty disk, and is not of the council: member add", status.Name, status.ID)
+		return fmt.Sprintf("%s (%s) has empty storage and is no member: member add", status.Name, status.ID)
 	case !status.IsMember:
-		return fmt.Sprintf("%s (%s) is not of the council any more", status.Name, status.ID)
+		return fmt.Sprintf("%s (%s) is no longer a member", status.Name, status.ID)
 	case status.LeaderID == "":
-		return fmt.Sprintf("%s has had no leader for %v: too few members answer one another; it stands still at position %d",
+		return fmt.Sprintf("%s has had no leader for %v: too few members reach one another; stopped at position %d",
 			status.Name, status.LeaderlessFor.Round(time.Second), status.Position)
 	case isLeader(status):
 		return fmt.Sprintf("%s leads, term %d, position %d", status.Name, status.Term, status.Position)
@@ -102,7 +102,7 @@
 func printState(rows *table, state *fleet.State) {
 	rows.row("state",
 		fmt.Sprintf("position %d, epoch %d, level %d", state.Position, state.Epoch, state.FormatVersion),
-		fmt.Sprintf("%d nodes, %d holds", len(state.Nodes), len(state.DisableOrders)))
+		fmt.Sprintf("%d nodes, %d disable orders", len(state.Nodes), len(state.DisableOrders)))
 	printLeases(rows, state)
 	for _, id := range slices.Sorted(maps.Keys(state.Jobs)) {
 		rows.row("job", id, jobLine(state.Jobs[id]))
@@ -112,9 +112,9 @@
 func printNodes(rows *table, state *fleet.State, reports map[string]consensus.AgentReport) {
 	for _, name := range slices.Sorted(maps.Keys(state.Nodes)) {
 		node := state.Nodes[name]
-		line := "has said nothing to the members that answer"
+		line := "has not reported to the members that answer"
 		if report, ok := reports[name]; ok {
-			line = fmt.Sprintf("is at position %d, said %v ago, holds %s", report.Position,
+			line = fmt.Sprintf("at position %d, reported %v ago, active disable orders: %s", report.Position,
 				time.Since(report.SeenAt).Round(time.Second), listOrNothing(report.ActiveDisableOrders))
 		}
 		rows.row("node", name, fmt.Sprintf("zone %s, %s; %s", node.Zone, node.Address, line))
@@ -146,7 +146,7 @@
 			line += "; asked to step down by " + lease.StepDownRequestedBy
 		}
 		if lease.RevokedBy != "" {
-			line += "; pushed out by " + lease.RevokedBy
+			line += "; revoked by " + lease.RevokedBy
 		}
 		rows.row("owner", resource, line)
 	}
@@ -177,10 +177,10 @@
 	if !job.Open() {
 		condition = string(job.CloseReason)
 	}
-	line := fmt.Sprintf("%s %s: %d of %d nodes through, %d steps failed",
+	line := fmt.Sprintf("%s %s: %d of %d nodes done, %d steps failed",
 		job.Spec.Kind, condition, done, len(job.Spec.Nodes), job.Failures)
 	if unavailable := slices.Sorted(maps.Keys(job.UnavailableNodes())); len(unavailable) > 0 {
-		line += ", away: " + strings.Join(unavailable, " ")
+		line += ", unavailable: " + strings.Join(unavailable, " ")
 	}
 	if job.Detail != "" {
 		line += "; " + job.Detail
--- a/internal/fleetcli/storage.go
+++ b/internal/fleetcli/storage.go
@@ -23,7 +23,7 @@
 func (c *operatorCommands) bootstrap(loaded *settings, _ TestHooks) error {
 	rewrite := func(persisted consensus.PersistentState) (consensus.PersistentState, error) {
 		if !persisted.Empty() {
-			return persisted, fmt.Errorf("%s: this storage is of a cluster already", loaded.Dir)
+			return persisted, fmt.Errorf("%s: this storage belongs to a cluster already", loaded.Dir)
 		}
 		return consensus.Bootstrap(loaded.member(persisted.ID)), nil
 	}
@@ -31,20 +31,20 @@
 }
 
 // forceNewCluster makes this process the only member of a new cluster, once most members have lost their storage.
-// What only they knew is lost, and is not asked for.
+// Entries that only they stored are lost.
 func (c *operatorCommands) forceNewCluster(loaded *settings, _ TestHooks) error {
 	if c.reason == "" {
-		return errors.New("recover: want a --reason: what only the lost members know is lost for good")
+		return errors.New("recover: want a --reason: entries that only the lost members stored are lost for good")
 	}
 	rewrite := func(persisted consensus.PersistentState) (consensus.PersistentState, error) {
 		if persisted.Snapshot == nil {
-			return persisted, fmt.Errorf("%s: this storage has never been of a cluster", loaded.Dir)
+			return persisted, fmt.Errorf("%s: this storage has never belonged to a cluster", loaded.Dir)
 		}
 		return consensus.ForceNewCluster(persisted, loaded.member(persisted.ID))
 	}
 	if err := consensus.RewriteStorage(loaded.storagePath(), rewrite); err != nil {
 		return err
 	}
-	loaded.log.Warn("fleet: new cluster forced", "name", loaded.Name, "who", c.requestedBy, "reason", c.reason)
+	loaded.log.Warn("fleet: new cluster forced", "name", loaded.Name, "requested_by", c.requestedBy, "reason", c.reason)
 	return nil
 }
--- a/internal/fleetcli/tls.go
+++ b/internal/fleetcli/tls.go
@@ -11,18 +11,18 @@
 	"cobaltward/certificates"
 )
 
-// reloadInterval is the time between two looks at the files of keys and certificates.
+// reloadInterval is the time between checks of the files of keys and certificates.
 const reloadInterval = time.Second
 
-// mutualTLS is how processes of the fleet prove to one another who they are: each shows a certificate by an authority
-// that all trust, for a name that all share. Keys and trust may change while processes run.
+// mutualTLS authenticates the processes of the fleet to one another: each presents a certificate for a name that all
+// share, from an authority that all trust. Keys and authorities may change while processes run.
 type mutualTLS struct {
 	store      *certificates.Store
 	serverName string
 	log        *slog.Logger
 }
 
-// server returns the configuration of a listener. It accepts only peers that prove to be of the fleet.
+// server returns the configuration of a listener, which accepts processes of the fleet only.
 func (m *mutualTLS) server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
@@ -38,7 +38,7 @@
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ServerName:         m.serverName,
-		InsecureSkipVerify: true, // VerifyConnection verifies it, by what is trusted at the time of the handshake
+		InsecureSkipVerify: true, // VerifyConnection verifies the certificate by the authorities of that moment
 		VerifyConnection:   m.verify(x509.ExtKeyUsageServerAuth),
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &m.store.Set().Pairs[0].Cert, nil
@@ -46,11 +46,11 @@
 	}
 }
 
-// verify returns a function that verifies the certificate of a peer by what is trusted at the time of the handshake.
+// verify returns a function that verifies the certificate of a peer by the authorities at the time of the handshake.
 func (m *mutualTLS) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(connection tls.ConnectionState) error {
 		if len(connection.PeerCertificates) == 0 {
-			return errors.New("the peer shows no certificate")
+			return errors.New("the peer presented no certificate")
 		}
 		options := x509.VerifyOptions{
 			Roots:         m.store.Set().Pool,
--- a/internal/fleetcli/tls_test.go
+++ b/internal/fleetcli/tls_test.go
@@ -52,7 +52,7 @@
 	return &mutualTLS{store: store, serverName: fleetName, log: slog.New(slog.DiscardHandler)}
 }
 
-// startTLSServer serves calls by TLS until the test ends, and returns its address.
+// startTLSServer serves calls over TLS until the test ends, and returns its address.
 func startTLSServer(t *testing.T, server *mutualTLS) string {
 	t.Helper()
 	addresses := make(chan string, 1)
@@ -81,7 +81,7 @@
 	return client.Call(ctx, http.MethodGet, address, "/x", struct{}{}, new(map[string]int))
 }
 
-// Calls by TLS: who shows no certificate, one of another authority, or one for another name is rejected, and a server
+// Clients without a certificate, with one of another authority, or with one for another name are rejected, and a server
 // that is not trusted is not called.
 func TestMutualTLS_RejectsPeersOutsideTheFleet(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
@@ -107,8 +107,8 @@
 	}
 }
 
-// Trust that changes while all runs counts from the next handshake on: who was accepted is rejected, and the other way
-// round.
+// Authorities that change while the server runs apply from the next handshake on: a client that was accepted is
+// rejected, and the other way round.
 func TestMutualTLS_FollowsReloadedTrust(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
 	ours, theirs := pki.Year("ours"), pki.Year("theirs")
@@ -123,14 +123,14 @@
 		t.Fatal(err)
 	}
 	if call(t, address, good.client()) == nil {
-		t.Error("an authority that is trusted no more is still accepted")
+		t.Error("an authority that was removed is still accepted")
 	}
 	if err := call(t, address, files.issue("other", theirs, ours, fleetName).client()); err != nil {
 		t.Errorf("the newly trusted authority: %v", err)
 	}
 }
 
-// addressHandler hands on the address that is logged.
+// addressHandler sends the address that is logged to a channel.
 type addressHandler struct {
 	slog.Handler
 	addresses chan string
--- a/internal/fleetcli/wait_test.go
+++ b/internal/fleetcli/wait_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestNewID_OfOneMoment draws IDs faster than any clock goes on.
+// TestNewID_OfOneMoment draws IDs faster than any clock advances.
 func TestNewID_OfOneMoment(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 1000 {
