--- a/drain/drain.go
+++ b/drain/drain.go
@@ -3,7 +3,10 @@
 // caller carries out what each state asks for.
 package drain
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Order asks for a drain.
 type Order struct {
@@ -119,14 +122,14 @@
 	})
 }
 
-// Cancel ends a drain, also one that is over: the machine is Serving again. Its errors are ErrNotDraining and ErrFinal.
+// Cancel ends a drain, also a completed one: the machine is Serving again. Its errors wrap ErrNotDraining or ErrFinal.
 func (m *Machine) Cancel(now time.Time, requestedBy string, counts Counts) error {
 	former := m.status
 	switch {
 	case former.State == Serving:
 		return ErrNotDraining
 	case former.Final:
-		return ErrFinal
+		return fmt.Errorf("cancel drain: %w", ErrFinal)
 	}
 	m.status = Status{State: Serving, Since: now}
 	m.phaseEnd = time.Time{}
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -91,7 +91,7 @@
 	return result, logs
 }
 
-// run runs the command line, and returns what it prints.
+// run executes the command line, and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
--- a/internal/fleetcli/calls.go
+++ b/internal/fleetcli/calls.go
@@ -109,7 +109,7 @@
 // condition reports whether the state that a command waits for is reached, and the progress in one line.
 type condition func(statuses map[string]consensus.Status, state *fleet.State) (met bool, progress string)
 
-// newID returns an ID that is unique even among commands of the same instant, and after the wall clock was stepped back.
+// newID returns an ID that is unique even among commands of the same instant, and after the wall clock is stepped back.
 func newID(kind string) string { return kind + "-" + strings.ToLower(rand.Text()) }
 
 // pollUntil polls the state until a condition is met or a timeout has passed, and prints the progress when it changes.
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -41,22 +41,22 @@
 	return o.Sequence > followed.Sequence
 }
 
-// ErrUnsupportedVersion says that a message is of another version.
-var ErrUnsupportedVersion = errors.New("it is of another version")
+// ErrUnsupportedVersion reports a message with a version other than Version.
+var ErrUnsupportedVersion = errors.New("unsupported message version")
 
-// Decode reads a message. One that is incomplete, longer than MaxSize or of another version is an error.
+// Decode decodes a message. A message that is incomplete, longer than MaxSize or of another version is an error.
 func Decode[T Report | Order](raw []byte) (message T, err error) {
 	if len(raw) > MaxSize {
-		return message, fmt.Errorf("it holds more than %d bytes", MaxSize)
+		return message, fmt.Errorf("message is longer than %d bytes", MaxSize)
 	}
 	var header struct {
 		Version int `json:"version"`
 	}
 	if err := json.Unmarshal(raw, &header); err != nil {
-		return message, fmt.Errorf("it can't be read: %w", err)
+		return message, fmt.Errorf("decode message: %w", err)
 	}
 	if header.Version != Version {
-		return message, ErrUnsupportedVersion
+		return message, fmt.Errorf("%w: got %d, want %d", ErrUnsupportedVersion, header.Version, Version)
 	}
 	err = json.Unmarshal(raw, &message)
 	return message, err
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -102,7 +102,7 @@
 }
 
 // resolve returns the dotted key that parts make within a table, and the first part's node. A part that names an
-// array of tables stands for its last element, unless it is the last part.
+// array of tables means its last element, unless it is the last part.
 func (x *indexer) resolve(parts unstable.Iterator, table string) (key string, first *unstable.Node) {
 	key = table
 	for parts.Next() {
--- a/internal/stricttoml/value.go
+++ b/internal/stricttoml/value.go
@@ -21,7 +21,7 @@
 	rangeType    = reflect.TypeFor[Range]()
 )
 
-// value is a value of the text, and what it is decoded into.
+// value is a value of the text, with the Go value that it sets.
 type value struct {
 	key  string // dotted
 	from any    // as the TOML parser returns it
@@ -203,7 +203,7 @@
 	return 0, false
 }
 
-// format returns a value roughly as it stands in the text.
+// format returns a value roughly as the text has it.
 func format(from any) string {
 	switch from := from.(type) {
 	case string:
