--- a/drain/drain.go
+++ b/drain/drain.go
@@ -3,7 +3,10 @@
 // caller carries out what each state asks for.
 package drain
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Order asks for a drain.
 type Order struct {
@@ -61,7 +64,7 @@
 	switch {
 	case m.status.State.Done():
 		if takesOver {
-			m.takeOver(now, order, counts)
+			m.supersede(now, order, counts)
 		}
 		return ErrDrained
 	case m.status.State == Serving:
@@ -76,7 +79,7 @@
 		if deadline.Before(m.status.Deadline) {
 			m.status.Deadline = deadline
 		}
-		m.takeOver(now, order, counts)
+		m.supersede(now, order, counts)
 		return nil
 	case order.Force && deadline.Before(m.status.Deadline):
 		m.status.Deadline = deadline
@@ -86,11 +89,11 @@
 	return &InProgressError{m.status}
 }
 
-// takeOver makes the drain final, on behalf of an order.
-func (m *Machine) takeOver(now time.Time, order Order, counts Counts) {
+// supersede makes the drain final, on behalf of an order.
+func (m *Machine) supersede(now time.Time, order Order, counts Counts) {
 	m.status.Final = true
 	m.status.Reason, m.status.RequestedBy = order.Reason, order.RequestedBy
-	m.recordOrder(now, ChangeTakenOver, order, counts)
+	m.recordOrder(now, ChangeSuperseded, order, counts)
 }
 
 // recordOrder records that an order has changed the drain, which stays in its state.
@@ -119,14 +122,14 @@
 	})
 }
 
-// Cancel ends a drain, also one that is over: the machine is Serving again. Its errors are ErrNotDraining and ErrFinal.
+// Cancel ends a drain, also a completed one: the machine is Serving again. Its errors wrap ErrNotDraining or ErrFinal.
 func (m *Machine) Cancel(now time.Time, requestedBy string, counts Counts) error {
 	former := m.status
 	switch {
 	case former.State == Serving:
 		return ErrNotDraining
 	case former.Final:
-		return ErrFinal
+		return fmt.Errorf("cancel drain: %w", ErrFinal)
 	}
 	m.status = Status{State: Serving, Since: now}
 	m.phaseEnd = time.Time{}
