--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -36,7 +36,7 @@
 	case call.Method != "" && call.Method != router.Method(class):
 		return malformed("method: this class takes " + router.Method(class))
 	case len(call.Body) > 0 && router.Method(class) == "GET":
-		return malformed("body: a class that is safe to repeat has none")
+		return malformed("body: want none for an idempotent class")
 	}
 	return router.Request{
 		ID: call.ID, Class: call.Class, ClassSnapshot: &class, Tenant: call.Tenant,
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -59,7 +59,7 @@
 func (c *conn) handle(ctx context.Context, message msgpackrpc.Message) error {
 	switch message.Kind {
 	case msgpackrpc.Response:
-		return &msgpackrpc.ProtocolError{Problem: "a response, where requests belong"}
+		return &msgpackrpc.ProtocolError{Problem: "unexpected response"}
 	case msgpackrpc.Notification: // unknown methods may be of a later version
 		if id, ok := msgpackrpc.CancelledID(message); ok && message.Method == msgpackrpc.MethodCancel {
 			c.cancel(id)
@@ -90,14 +90,14 @@
 	if !ok {
 		cancel()
 		<-c.callSlots
-		return &msgpackrpc.ProtocolError{Problem: "a msgid that is in use"}
+		return &msgpackrpc.ProtocolError{Problem: "duplicate msgid"}
 	}
 	c.server.count(&c.server.stats.Calls)
 	req, reply := c.parseRequest(message, receivedAt)
 	switch {
 	case reply.Code != "":
 	case draining: // the call crossed the notification, and is not forwarded
-		reply = msgpackrpc.Reply{Code: msgpackrpc.Overloaded, Text: "the node drains"}
+		reply = msgpackrpc.Reply{Code: msgpackrpc.Overloaded, Text: "the node is draining"}
 	case c.server.rejectsOverflow(c):
 		reply = c.server.overloadedReply(req.Class)
 	default:
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -52,7 +52,7 @@
 		return nil, errors.New("no certificate to present")
 	}
 	if config.Require && config.Trust == nil {
-		return nil, errors.New("require: by which authorities do clients prove who they are?")
+		return nil, errors.New("require: needs trusted authorities for client certificates")
 	}
 	if config.Timeout <= 0 {
 		config.Timeout = DefaultTimeout
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -32,10 +32,10 @@
 // shadowedError describes a route that is covered by an earlier one.
 func (t *Table) shadowedError(later, earlier int) error {
 	route, other := &t.routes[later], &t.routes[earlier]
-	problem := "no request reaches it: all that it would take is taken by"
+	problem := "unreachable: all its requests match the route of"
 	sameResult := route.Class == other.Class && route.Pool == other.Pool && route.Timeout == other.Timeout
 	if route.covers(other) && !sameResult {
-		problem = "it has the conditions of another route, and another end:"
+		problem = "same conditions, but another result, as the route of"
 	}
 	return &Error{RouteIndex: later, OtherIndex: earlier, Line: route.Line, OtherLine: other.Line, Problem: problem}
 }
--- a/msgpackrpc/call.go
+++ b/msgpackrpc/call.go
@@ -62,7 +62,7 @@
 	fields := c.fields()
 	rest, err = parseFields(rest, "params", fields[:])
 	if err == nil && len(rest) > 0 {
-		err = protocolErrorf("params: can't be read")
+		err = protocolErrorf("params: malformed")
 	}
 	return c, err
 }
--- a/msgpackrpc/field.go
+++ b/msgpackrpc/field.go
@@ -74,7 +74,7 @@
 		at := indexOf(fields, name)
 		if at < 0 {
 			if raw, err = msgp.Skip(raw); err != nil {
-				return nil, protocolErrorf("%s: can't be read", what)
+				return nil, protocolErrorf("%s: malformed", what)
 			}
 			continue
 		}
--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -70,7 +70,7 @@
 		m.Result, raw, err = readValue(raw)
 	}
 	if err != nil || len(raw) > 0 {
-		return protocolErrorf("a response that can't be read")
+		return protocolErrorf("malformed response")
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 		return protocolErrorf("params: want an array")
 	}
 	if m.Params, raw, err = readValue(raw); err != nil || len(raw) > 0 {
-		return protocolErrorf("params: can't be read")
+		return protocolErrorf("params: malformed")
 	}
 	return nil
 }
--- a/msgpackrpc/mux/errors.go
+++ b/msgpackrpc/mux/errors.go
@@ -18,7 +18,7 @@
 type NoReplyError struct{ Err error }
 
 // Error implements error.
-func (e *NoReplyError) Error() string { return "sent, without an answer: " + e.Err.Error() }
+func (e *NoReplyError) Error() string { return "sent, no reply received: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *NoReplyError) Unwrap() error { return e.Err }
@@ -27,7 +27,7 @@
 type MalformedReplyError struct{ Err error }
 
 // Error implements error.
-func (e *MalformedReplyError) Error() string { return "the answer can't be read: " + e.Err.Error() }
+func (e *MalformedReplyError) Error() string { return "malformed reply: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *MalformedReplyError) Unwrap() error { return e.Err }
--- a/msgpackrpc/mux/read.go
+++ b/msgpackrpc/mux/read.go
@@ -16,7 +16,7 @@
 func (c *Conn) handle(message msgpackrpc.Message) error {
 	switch message.Kind {
 	case msgpackrpc.Request:
-		return &msgpackrpc.ProtocolError{Problem: "a request, where answers belong"}
+		return &msgpackrpc.ProtocolError{Problem: "unexpected request"}
 	case msgpackrpc.Notification: // unknown methods may be of a later version
 		if message.Method == msgpackrpc.MethodDrain {
 			c.Retire()
@@ -42,7 +42,7 @@
 		return nil
 	}
 	if !open || call.state == queued {
-		return &msgpackrpc.ProtocolError{Problem: "an answer to no call that is open"}
+		return &msgpackrpc.ProtocolError{Problem: "response to an unknown msgid"}
 	}
 	c.finish(call, outcome{reply, err})
 	return nil
