--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -20,7 +20,7 @@
 type Conn struct {
 	net.Conn // its other methods
 	TCP      *net.TCPConn
-	// AbortIfPeerCloses fails the handshake as soon as the peer has closed, without working on what it sent before.
+	// AbortIfPeerCloses fails the handshake as soon as the peer has closed, and discards what it sent before.
 	AbortIfPeerCloses bool
 
 	cpu            *CPUScheduler
@@ -95,7 +95,8 @@
 	c.cpu.release(&c.task, c.taskStart)
 }
 
-// Read reads from the connection. During the handshake it returns only when the CPU is available for what was read.
+// Read reads from the connection. During the handshake it returns only when the CPU is available for the computation
+// that follows.
 func (c *Conn) Read(p []byte) (int, error) {
 	switch {
 	case c.readsNonBlocking:
--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -80,7 +80,7 @@
 	return len(data)
 }
 
-// skipBody passes over the bytes of a body or chunk, of which so many are available. It returns their number.
+// skipBody passes over the available bytes of a body or chunk, and returns their number.
 func (g *Guard) skipBody(available int) int {
 	n := min(g.remaining, uint64(available))
 	g.remaining -= n
@@ -112,7 +112,7 @@
 	return n
 }
 
-// Problem returns what is wrong with the framing; empty if nothing is.
+// Problem describes the error of the framing; empty if there is none.
 func (g *Guard) Problem() string { return g.problem }
 
 // InHead reports whether the next byte belongs to a head, or begins one.
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -32,7 +32,7 @@
 }
 
 // openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, since the next request can
-// use its connection: errClientGone is returned then, and the reservation is no longer the caller's.
+// use its connection: errClientGone is returned then, and the goroutine of the handshake owns the reservation.
 func (t *Transport) openForRequest(ctx context.Context, srv *server) (*conn, error) {
 	if t.tls == nil {
 		return t.open(ctx, ctx, srv, true)
--- a/transport/http1/head.go
+++ b/transport/http1/head.go
@@ -183,7 +183,7 @@
 // finalChunk ends a chunked body without trailers.
 var finalChunk = []byte("\r\n0\r\n\r\n")
 
-// hasFinalChunk reports whether all of a chunked body seems to be in what was read already.
+// hasFinalChunk reports whether the buffered bytes seem to include the end of a chunked body.
 func hasFinalChunk(in *bufio.Reader) bool {
 	buffered, _ := in.Peek(in.Buffered())
 	return bytes.HasSuffix(buffered, finalChunk)
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// add waits for space, and adds what was read.
+// add waits for space, and adds data.
 func (a *readAhead) add(data []byte, err error) (ended bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,7 +60,7 @@
 	return err != nil || a.closed
 }
 
-// Read returns what was read ahead, and waits for it.
+// Read returns buffered bytes, and waits for them.
 func (a *readAhead) Read(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -166,7 +166,8 @@
 	ended chan struct{} // closed when the goroutine of ahead has ended
 }
 
-// Read waits for what was read ahead. Timeouts are those of the goroutine that reads the connection.
+// Read returns bytes that were read ahead, and waits for them. Timeouts are those of the goroutine that reads the
+// connection.
 func (s *readAheadStream) Read(p []byte) (int, error) {
 	n, err := s.ahead.Read(p)
 	if errors.Is(err, io.EOF) {
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -53,7 +53,7 @@
 	preconnects sync.WaitGroup  // connections that are being opened with TLS
 	ctx         context.Context // ends with the transport
 	cancel      context.CancelFunc
-	written     atomic.Uint64 // attempts of which the last byte was written
+	written     atomic.Uint64 // attempts that were written completely
 
 	mu               sync.Mutex
 	servers          servers.Table[serverPool]
@@ -97,7 +97,8 @@
 	return t
 }
 
-// removeServer drops what is held for a server that left the endpoint list. The caller holds the mutex.
+// removeServer drops the connections and the TLS state of a server that left the endpoint list. The caller holds the
+// mutex.
 func (t *Transport) removeServer(s *server) {
 	t.closeOldest(s, len(s.State.idle))
 	if t.tls != nil {
@@ -172,7 +173,7 @@
 	t.maxConns = max(1, n)
 }
 
-// Written returns the number of attempts of which the last byte was written.
+// Written returns the number of attempts that were written completely.
 func (t *Transport) Written() uint64 { return t.written.Load() }
 
 // Close closes all idle connections. Those in use are closed when their attempts end.
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -89,7 +89,7 @@
 	return err
 }
 
-// earlyResponse returns the outcome of an attempt of which the last byte was not written. The server may have responded
+// earlyResponse returns the outcome of an attempt that was not written completely. The server may have responded
 // that it did not run the request.
 func earlyResponse(ctx context.Context, c *conn, err error) router.Result {
 	_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -112,7 +112,7 @@
 	return total
 }
 
-// Written returns the number of attempts of which the last byte was written, by all transports that count them.
+// Written returns the number of attempts that were written completely, by all transports that count them.
 func (t *Transport) Written() (total uint64) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.WriteCounter); ok {
--- a/transport/msgpack/connect.go
+++ b/transport/msgpack/connect.go
@@ -12,7 +12,7 @@
 	"cobaltward/transport/secure"
 )
 
-// connect opens a connection. It goes on when the attempts that wait for it have ended, since later ones can use it.
+// connect opens a connection. It continues after the attempts that wait for it have ended, since later ones can use it.
 func (t *Transport) connect(srv *server, endpoint router.Endpoint, dial *pendingDial) {
 	conn, netConn, err := t.open(&endpoint)
 	if sockets.IsResourceExhaustion(err) {
--- a/transport/msgpack/transport.go
+++ b/transport/msgpack/transport.go
@@ -60,7 +60,7 @@
 	dialer  net.Dialer
 	stop    chan struct{}
 	tasks   sync.WaitGroup
-	written atomic.Uint64 // attempts of which the last byte was written, counted at their end
+	written atomic.Uint64 // attempts written completely, counted at their end
 
 	mu               sync.Mutex
 	servers          servers.Table[*pool]
@@ -179,7 +179,7 @@
 	}
 }
 
-// Written returns the number of attempts of which the last byte was written.
+// Written returns the number of attempts that were written completely.
 func (t *Transport) Written() uint64 { return t.written.Load() }
 
 // Close closes all connections. It may be called once the last Attempt has returned.
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -68,7 +68,7 @@
 const maxLoadValue = 1e9
 
 // ParseLoadReport parses `name=value,name=value` and returns the values of the given names, in their order. It returns
-// nil for a report that lacks one of them, or of which any part is invalid.
+// nil for a report that lacks one of them, or that is invalid in any part.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/transport/secure/client.go
+++ b/transport/secure/client.go
@@ -17,7 +17,7 @@
 // DefaultHandshakeTimeout is the default of Config.HandshakeTimeout.
 const DefaultHandshakeTimeout = time.Second
 
-// ErrTooManyHandshakes is the error of a handshake for which there is no place in the queue. Nothing was sent, and the
+// ErrTooManyHandshakes is the error of a handshake that found the queue full. Nothing was sent, and the
 // server is not at fault.
 var ErrTooManyHandshakes = errors.New("handshake queue is full")
 
