--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -83,7 +83,8 @@
 
 func (w *testNode) addEndpoint(addr string) {
 	id := fmt.Sprint("s", len(w.initialList.Endpoints))
-	w.initialList.Endpoints = append(w.initialList.Endpoints, router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+	endpoint := router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1}
+	w.initialList.Endpoints = append(w.initialList.Endpoints, endpoint)
 }
 
 // startWithClient starts the node and returns a client. The test's end stops the node and requires it to end well.
