--- a/internal/cli/standalone_test.go
+++ b/internal/cli/standalone_test.go
@@ -133,7 +133,7 @@
 		"aim":    {`aim = "300ms"`, `aim = "3s"`, "class[0].aim: want at most the deadline, 2s, got 3s"},
 		"open to anyone": {
 			"# Who may", "[identity]\n[[identity.layer]]\nby = \"header\"\nname = \"X-T\"\n# Who may",
-			"no trusted proxies",
+			"no trusted proxies, so any client could claim",
 		},
 	} {
 		text := strings.Replace(standalone.Example, test.old, test.replacement, 1)
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -9,27 +9,27 @@
 func (t *Table) Match(req *Request) int {
 	search := search{table: t, req: req, best: int32(len(t.routes))}
 	if index := t.hosts[req.Host]; index != nil {
-		search.tryIndex(index)
+		search.searchIndex(index)
 	}
 	if len(t.wildcards) > 0 {
-		search.tryWildcards()
+		search.searchWildcards()
 	}
-	search.tryIndex(&t.anyHost)
+	search.searchIndex(&t.anyHost)
 	if search.best == int32(len(t.routes)) {
 		return -1
 	}
 	return int(search.best)
 }
 
-// search is a search for the first route of which all conditions hold.
+// search is a search for the first route whose conditions all hold.
 type search struct {
 	table *Table
 	req   *Request
 	best  int32 // index of the first one so far
 }
 
-// tryWildcards tries the routes of all wildcards that match the host.
-func (s *search) tryWildcards() {
+// searchWildcards searches the routes of all wildcards that match the host.
+func (s *search) searchWildcards() {
 	for rest := s.req.Host; ; {
 		dot := strings.IndexByte(rest, '.')
 		if dot < 0 {
@@ -37,38 +37,39 @@
 		}
 		rest = rest[dot+1:]
 		if index := s.table.wildcards[rest]; index != nil && dot > 0 {
-			s.tryIndex(index)
+			s.searchIndex(index)
 		}
 	}
 }
 
-func (s *search) tryIndex(index *index) {
-	s.tryRoutes(index.exact[s.req.Path])
-	s.tryRoutes(index.other)
+func (s *search) searchIndex(index *index) {
+	s.matchFirst(index.exact[s.req.Path])
+	s.matchFirst(index.other)
 	if strings.HasPrefix(s.req.Path, "/") {
-		s.tryNode(&index.trie, s.req.Path[1:], false)
+		s.searchNode(&index.trie, s.req.Path[1:], false)
 	}
 }
 
-// tryNode tries the routes of a node, and of all nodes below it that match the rest of the path. done says that the
-// whole path has been matched.
-func (s *search) tryNode(n *node, rest string, done bool) {
-	s.tryRoutes(n.prefixes)
+// searchNode searches the routes of a node, and of all nodes below it that match the rest of the path. done says that
+// the whole path has been matched.
+func (s *search) searchNode(n *node, rest string, done bool) {
+	s.matchFirst(n.prefixes)
 	if done {
-		s.tryRoutes(n.segments)
+		s.matchFirst(n.segments)
 		return
 	}
 	segment, rest, more := strings.Cut(rest, "/")
 	if next := n.next[segment]; next != nil {
-		s.tryNode(next, rest, !more)
+		s.searchNode(next, rest, !more)
 	}
 	if n.param != nil && segment != "" {
-		s.tryNode(n.param, rest, !more)
+		s.searchNode(n.param, rest, !more)
 	}
 }
 
-// tryRoutes tries routes of which the host matches, and the path unless it is a regular expression.
-func (s *search) tryRoutes(indexes []int32) {
+// matchFirst finds the first route whose remaining conditions hold, in a list whose host and path match, except for
+// regular expressions.
+func (s *search) matchFirst(indexes []int32) {
 	for _, i := range indexes {
 		if i >= s.best {
 			return
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -10,7 +10,7 @@
 // first segment, or with any.
 func (t *Table) checkShadowed() error {
 	bySegment := make(map[string][]int32) // routes by a fixed first segment
-	var anySegment []int32                // routes of which the first segment varies
+	var anySegment []int32                // routes whose first segment varies
 	for later := range t.routes {
 		route := &t.routes[later]
 		candidates := anySegment
--- a/internal/sockets/arrival.go
+++ b/internal/sockets/arrival.go
@@ -24,7 +24,7 @@
 // Pipelined reports whether the current request was sent before the previous one was answered.
 func (a *Arrival) Pipelined() bool { return a.pipelined }
 
-// Reset begins a request of which no byte can have arrived before earliest.
+// Reset begins a request that cannot have arrived, not even in part, before earliest.
 func (a *Arrival) Reset(earliest time.Time) { *a = Arrival{earliest: earliest} }
 
 // RecordRead records when a read of the current request began and returned, and whether it returned all bytes that had
--- a/msgpackrpc/scanner.go
+++ b/msgpackrpc/scanner.go
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// close ends a value, and the arrays and maps of which it is the last one. Its payload may not have arrived.
+// close ends a value, and the arrays and maps whose last value it is. Its payload may not have arrived.
 func (s *scanner) close() {
 	for s.depth > 0 {
 		if s.remaining[s.depth-1]--; s.remaining[s.depth-1] > 0 {
