--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -219,7 +219,7 @@
 		g.procs[n].kill()
 	}
 	testkit.Await(t, "its end", func() bool { return g.court.holds("b-1")+g.court.holds("b-2") == 0 })
-	if out, err = g.tool("n1", "hold", "s-7", "--for", "6s", "--reason", "again"); err == nil || !strings.Contains(out, "no member of the council") {
+	if out, err = g.tool("n1", "hold", "s-7", "--for", "6s", "--reason", "again"); err == nil || !strings.Contains(out, "no replica reported the outcome") {
 		t.Errorf("without a council: %v: %s", err, out)
 	}
 }
