--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -36,11 +36,11 @@
 		Format any `toml:"format"`
 	} `toml:"log"`
 	Drain struct {
-		Leave    any `toml:"leave"`
-		Deadline any `toml:"deadline"`
-		Remember any `toml:"remember"`
+		AnnounceFor any `toml:"leave"`
+		Timeout     any `toml:"deadline"`
+		StateFile   any `toml:"remember"`
 	} `toml:"drain"`
-	Door struct {
+	AdminAPI struct {
 		Socket    any `toml:"socket"`
 		Listen    any `toml:"listen"`
 		TokenFile any `toml:"token_file"`
@@ -133,16 +133,16 @@
 	}{
 		{"log", "level", doc.Log.Level, &f.Log.Level},
 		{"log", "format", doc.Log.Format, &f.Log.Format},
-		{"drain", "leave", doc.Drain.Leave, &f.Drain.AnnounceFor},
-		{"drain", "deadline", doc.Drain.Deadline, &f.Drain.Timeout},
+		{"drain", "leave", doc.Drain.AnnounceFor, &f.Drain.AnnounceFor},
+		{"drain", "deadline", doc.Drain.Timeout, &f.Drain.Timeout},
 		{"xds", "bootstrap", doc.XDS.Bootstrap, (*filePath)(&f.XDS.Bootstrap)},
 		{"xds", "ca_file", doc.XDS.CAFile, (*filePath)(&f.XDS.CAFile)},
 		{"xds", "dir", doc.XDS.Dir, (*filePath)(&f.XDS.CacheDir)},
 		{"msgpack", "listen", doc.Msgpack.Listen, (*listenAddress)(&f.Msgpack.Listen)},
-		{"drain", "remember", doc.Drain.Remember, (*filePath)(&f.Drain.StateFile)},
-		{"door", "socket", doc.Door.Socket, (*absolutePath)(&f.AdminAPI.Socket)},
-		{"door", "listen", doc.Door.Listen, (*loopbackAddress)(&f.AdminAPI.Listen)},
-		{"door", "token_file", doc.Door.TokenFile, (*filePath)(&f.AdminAPI.TokenFile)},
+		{"drain", "remember", doc.Drain.StateFile, (*filePath)(&f.Drain.StateFile)},
+		{"door", "socket", doc.AdminAPI.Socket, (*absolutePath)(&f.AdminAPI.Socket)},
+		{"door", "listen", doc.AdminAPI.Listen, (*loopbackAddress)(&f.AdminAPI.Listen)},
+		{"door", "token_file", doc.AdminAPI.TokenFile, (*filePath)(&f.AdminAPI.TokenFile)},
 	} {
 		if field.from == nil {
 			continue
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -34,11 +34,11 @@
 	TLS          *TLS         `toml:"tls"`
 	Fleet        *Fleet       `toml:"fleet"`
 
-	Log     any `toml:"log"`
-	Drain   any `toml:"drain"`
-	XDS     any `toml:"xds"`
-	Msgpack any `toml:"msgpack"`
-	Door    any `toml:"door"`
+	Log      any `toml:"log"`
+	Drain    any `toml:"drain"`
+	XDS      any `toml:"xds"`
+	Msgpack  any `toml:"msgpack"`
+	AdminAPI any `toml:"door"`
 
 	lines stricttoml.Lines
 	path  string
