--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -8,7 +8,7 @@
 )
 
 // arrivalAge returns an upper bound of the time since the last byte of a request came that was read just now. The
-// kernel's own figure is used except for pipelined requests, of which it knows nothing.
+// kernel's own figure is used, which says nothing of pipelined requests.
 func arrivalAge(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -21,7 +21,7 @@
 	"cobaltward/router"
 )
 
-// patternReader reads a body of size bytes of which each is known by its offset, so that no copy is needed to check it.
+// patternReader reads a body of size bytes. Each follows from its offset, so that no copy is needed to check it.
 type patternReader struct{ offset, size int64 }
 
 func (p *patternReader) Read(buf []byte) (int, error) {
@@ -83,7 +83,8 @@
 
 func (w *testNode) addEndpoint(addr string) {
 	id := fmt.Sprint("s", len(w.initialList.Endpoints))
-	w.initialList.Endpoints = append(w.initialList.Endpoints, router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1})
+	endpoint := router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Weight: 1}
+	w.initialList.Endpoints = append(w.initialList.Endpoints, endpoint)
 }
 
 // startWithClient starts the node and returns a client. The test's end stops the node and requires it to end well.
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -39,8 +39,8 @@
 		}
 		return wellFormed, nil
 	}
-	// With a byte of the next request net/http would stop watching for a disconnect. The watch goes on here until net/http
-	// ends it with a read deadline in the past.
+	// With a byte of the next request net/http would stop watching for a disconnect. The watch continues here until
+	// net/http ends it with a read deadline in the past.
 	if oneByteRead && err == nil && sockets.AwaitPeerClose(c.TCPConn) == nil {
 		return n, io.EOF
 	}
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// keepIdle cancels closeIdle: connections that become idle stay open.
-func (l *clientListener) keepIdle() {
+// cancelCloseIdle cancels closeIdle: connections that become idle stay open.
+func (l *clientListener) cancelCloseIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shuttingDown = false
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -100,7 +100,7 @@
 	t.Run("until the drain is cancelled", func(t *testing.T) {
 		listener, _, conn := newClientPair(t)
 		listener.closeIdle()
-		listener.keepIdle()
+		listener.cancelCloseIdle()
 		listener.recheckIdle()
 		listener.mu.Lock()
 		defer listener.mu.Unlock()
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -11,8 +11,8 @@
 const slotRecheckInterval = 5 * time.Millisecond
 
 // awaitSlotLocked waits until there is a slot for an accepted connection. Where each open connection has a request,
-// one will end, but connections in the accept queue meanwhile lose time: after queueTimeout, connections are accepted
-// as overflow and their requests are rejected at once.
+// one will end, but the requests of connections in the accept queue get old: after queueTimeout, connections are
+// accepted as overflow and their requests are rejected at once.
 func (l *clientListener) awaitSlotLocked(conn *clientConn) {
 	for l.open > l.maxConns && !l.closed {
 		timeout := l.queueTimeout() - time.Since(l.queueEmptyAt)
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// testPartialRequests has clients send a part of a request and no more.
+// testPartialRequests has clients send a part of a request and nothing else.
 func testPartialRequests(t *testing.T, part string) {
 	t.Helper()
 	server, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
--- a/internal/node/clientstate.go
+++ b/internal/node/clientstate.go
@@ -98,7 +98,7 @@
 }
 
 // forgetLocked takes the connection out of the listener's count. It does not change idle: a read of an idle
-// connection goes on as one step with the check of closed.
+// connection stays one step with the check of closed.
 func (c *clientConn) forgetLocked() {
 	if c.idleElement != nil {
 		c.listener.idle.Remove(c.idleElement)
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -45,7 +45,7 @@
 
 // ResumeAccepting keeps connections open again.
 func (s *httpServer) ResumeAccepting() error {
-	s.listener.keepIdle()
+	s.listener.cancelCloseIdle()
 	return nil
 }
 
