--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -34,7 +34,7 @@
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the connections that were within firstRequestGrace, unless keepIdle was called meanwhile.
+// recheckIdle closes the connections that were within firstRequestGrace, unless cancelCloseIdle was called meanwhile.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
