--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -21,7 +21,7 @@
 	"cobaltward/router"
 )
 
-// patternReader reads a body of size bytes of which each is known by its offset, so that no copy is needed to check it.
+// patternReader reads a body of size bytes. Each follows from its offset, so that no copy is needed to check it.
 type patternReader struct{ offset, size int64 }
 
 func (p *patternReader) Read(buf []byte) (int, error) {
