--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -34,7 +34,7 @@
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the connections that were within firstRequestGrace, unless keepIdle was called meanwhile.
+// recheckIdle closes the connections that were within firstRequestGrace, unless cancelCloseIdle was called meanwhile.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
@@ -54,8 +54,8 @@
 	}
 }
 
-// keepIdle cancels closeIdle: connections that become idle stay open.
-func (l *clientListener) keepIdle() {
+// cancelCloseIdle cancels closeIdle: connections that become idle stay open.
+func (l *clientListener) cancelCloseIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shuttingDown = false
