--- a/.ci/checks.sh
+++ b/.ci/checks.sh
@@ -136,7 +136,7 @@
 # Who does not use gin does not link it.
 check_links() {
 	local packages
-	packages=$(go list -deps ./cmd/... ./router ./middleware ./front/... ./transport/... ./discovery/...)
+	packages=$(go list -deps ./cmd/... ./router ./middleware ./internal/frontend/... ./transport/... ./discovery/...)
 	if grep -q gin-gonic <<<"$packages"; then
 		fail "gin is linked outside middleware/ginmw"
 	fi
