--- a/emulator/model/draw.go
+++ b/emulator/model/draw.go
@@ -55,15 +55,15 @@
 	return (float64((x^x>>33)>>12) + 0.5) / (1 << 52)
 }
 
-// Keys is the table of a group of servers, which discards what repeats a key within its window.
-type Keys struct {
+// KeyTable is the table of a group of servers, which discards what repeats a key within its window.
+type KeyTable struct {
 	Window time.Duration
 	first  map[string]time.Duration
 	order  []string // by time
 }
 
-// Repeat tells whether the key was there within the window, and notes it where it was not.
-func (k *Keys) Repeat(key string, now time.Duration) bool {
+// IsDuplicate tells whether the key was there within the window, and notes it where it was not.
+func (k *KeyTable) IsDuplicate(key string, now time.Duration) bool {
 	if k.first == nil {
 		k.first = make(map[string]time.Duration)
 	}
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -33,7 +33,7 @@
 		took(s.Advance(at))
 		id := fmt.Sprint(i)
 		came[id] = at
-		if s.Offer(at, Request{ID: id, Work: w.Draw(3, id)}) != Taken {
+		if s.Offer(at, Request{ID: id, Work: w.Draw(3, id)}) != Accepted {
 			panic("turned away")
 		}
 	}
@@ -112,7 +112,7 @@
 		// dW/dt = from + (1-from) W/warm, from W = 0 on
 		true: func(t float64) float64 { return from * warm / (1 - from) * math.Expm1((1-from)*t/warm) },
 	} {
-		c := Config{Cores: 1, Speed: 1, Slots: 1, Queue: 1 << 20, Cold: Cold{From: from, For: 4 * time.Second, ByWork: byWork}}
+		c := Config{Cores: 1, Speed: 1, Slots: 1, Queue: 1 << 20, WarmUp: WarmUp{InitialCapacity: from, Duration: 4 * time.Second, ByWork: byWork}}
 		s := New(c, nil, time.Minute)
 		const each = 0.001
 		for i := range 10_000 {
@@ -120,8 +120,8 @@
 		}
 		for _, after := range []float64{0.5, 1, 2, 3} {
 			s.Advance(time.Minute + time.Duration(after*float64(time.Second)))
-			if math.Abs(s.done/want(after)-1) > 0.002 {
-				t.Errorf("by work %v, after %v s: %.4f s of work, the closed form has %.4f", byWork, after, s.done, want(after))
+			if math.Abs(s.workDone/want(after)-1) > 0.002 {
+				t.Errorf("by work %v, after %v s: %.4f s of work, the closed form has %.4f", byWork, after, s.workDone, want(after))
 			}
 		}
 	}
@@ -130,8 +130,8 @@
 // A cold server that is sent more than the multiple of what it can do falls over at the moment that the
 // closed form has, loses what it holds, and stays down; under it, it does not, and a warm one never.
 func TestFallsOver(t *testing.T) {
-	fallen := func(rate float64, cold Cold) time.Duration {
-		s := New(Config{Cores: 2, Speed: 1, Slots: 2, Queue: 1 << 20, Cold: cold}, nil, 0)
+	fallen := func(rate float64, cold WarmUp) time.Duration {
+		s := New(Config{Cores: 2, Speed: 1, Slots: 2, Queue: 1 << 20, WarmUp: cold}, nil, 0)
 		const work = 0.001
 		for at := time.Duration(0); at < 8*time.Second; at += time.Duration(work / rate * float64(time.Second)) {
 			if s.Offer(at, Request{ID: fmt.Sprint(at), Work: work}) == Down {
@@ -143,7 +143,7 @@
 		}
 		return -1
 	}
-	cold := Cold{From: 0.5, For: 8 * time.Second, Multiple: 3, Window: time.Second}
+	cold := WarmUp{InitialCapacity: 0.5, Duration: 8 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
 	// At a rate r from the start, r·t passes 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375), if that is within the
 	// window; later the window's work is r.
 	for _, rate := range []float64{3.6, 4.5, 9} {
@@ -155,7 +155,7 @@
 	if got := fallen(2.9, cold); got != -1 {
 		t.Errorf("under the multiple it fell after %v", got)
 	}
-	cold.Multiple = 0
+	cold.OverloadFactor = 0
 	if got := fallen(20, cold); got != -1 {
 		t.Errorf("one that never falls fell after %v", got)
 	}
@@ -183,17 +183,17 @@
 		want        float64
 	}{
 		"as it is":          {Config{Slots: 1, Queue: 9}, 3, 0, 3},
-		"a pause":           {Config{Slots: 1, Queue: 9, Pause: Pause{Every: 2 * time.Second, Length: 500 * time.Millisecond}}, 3, 0, 3.5},
-		"one that grows":    {Config{Slots: 1, Queue: 9, Pause: Pause{Every: 2500 * time.Millisecond, Length: 500 * time.Millisecond, Grow: 1}}, 3, 0, 4},
-		"thrash":            {Config{Slots: 1, Queue: 9, Thrash: 0.5, ThrashAt: 1}, 3, 0, 2 + 1.5 + 1},
-		"a full table":      {Config{Slots: 1, Queue: 9, ConnCap: 4, FullTax: 0.5}, 3, 4, 6},
-		"connections' work": {Config{Slots: 3, Queue: 9, ConnWork: 0.25}, 1, 1, 1.25},
+		"a pause":           {Config{Slots: 1, Queue: 9, Pause: Pause{Interval: 2 * time.Second, Duration: 500 * time.Millisecond}}, 3, 0, 3.5},
+		"one that grows":    {Config{Slots: 1, Queue: 9, Pause: Pause{Interval: 2500 * time.Millisecond, Duration: 500 * time.Millisecond, Growth: 1}}, 3, 0, 4},
+		"thrash":            {Config{Slots: 1, Queue: 9, ThrashFactor: 0.5, ThrashThreshold: 1}, 3, 0, 2 + 1.5 + 1},
+		"a full table":      {Config{Slots: 1, Queue: 9, MaxConns: 4, ConnOverhead: 0.5}, 3, 4, 6},
+		"connections' work": {Config{Slots: 3, Queue: 9, ConnSetupWork: 0.25}, 1, 1, 1.25},
 	} {
 		if got := end(c.c, c.held, c.conns); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("%s: the last ends after %.6f s, want %v", name, got, c.want)
 		}
 	}
-	s := New(Config{ConnCap: 1}, nil, 0)
+	s := New(Config{MaxConns: 1}, nil, 0)
 	if !s.Connect(0) || s.Connect(0) {
 		t.Error("the cap on connections does not hold")
 	}
@@ -208,7 +208,7 @@
 		s := New(Config{Slots: 1, Queue: 2, Cancel: cancel, DropExpired: drop}, nil, 0)
 		got := ""
 		for _, id := range []string{"a", "b", "c", "d"} {
-			if s.Offer(0, Request{ID: id, Work: 1, Deadline: 1500 * time.Millisecond}) == Full {
+			if s.Offer(0, Request{ID: id, Work: 1, Deadline: 1500 * time.Millisecond}) == Rejected {
 				got += id + " full "
 			}
 		}
@@ -223,22 +223,22 @@
 		cancel Cancel
 		drop   bool
 	}{
-		"d full a 1.0 b 2.0 c 3.0 ": {CancelNothing, false},
-		"d full a 1.0 c 2.0 ":       {CancelWaiting, false},
+		"d full a 1.0 b 2.0 c 3.0 ": {CancelIgnored, false},
+		"d full a 1.0 c 2.0 ":       {CancelQueued, false},
 		"d full c 1.5 ":             {CancelAll, false},
-		"d full a 1.0 b 2.0 ":       {CancelNothing, true}, // c's time is over when its turn comes
+		"d full a 1.0 b 2.0 ":       {CancelIgnored, true}, // c's time is over when its turn comes
 	} {
 		if got := run(c.cancel, c.drop); got != want {
 			t.Errorf("%+v: %q, want %q", c, got, want)
 		}
 	}
-	group := &Keys{Window: 4 * time.Second}
+	group := &KeyTable{Window: 4 * time.Second}
 	one, other := New(Config{Slots: 9}, group, 0), New(Config{Slots: 9}, group, 0)
 	one.Offer(0, Request{ID: "a", Key: "k", Work: 1})
 	other.Offer(3999*time.Millisecond, Request{ID: "b", Key: "k", Work: 1})
 	one.Offer(4*time.Second, Request{ID: "c", Key: "k", Work: 1})
 	var seen []bool
-	for _, e := range append(slices.Clone(one.Ledger()), other.Ledger()...) {
+	for _, e := range append(slices.Clone(one.Executions()), other.Executions()...) {
 		seen = append(seen, e.Discarded)
 	}
 	if !slices.Equal(seen, []bool{false, false, true}) { // a, c, b
@@ -253,13 +253,13 @@
 		c := Config{
 			Cores: rapid.IntRange(1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.5, 2).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 8).Draw(t, "slots"), Queue: rapid.IntRange(0, 5).Draw(t, "queue"),
-			Thrash: rapid.Float64Range(0, 0.5).Draw(t, "thrash"), ThrashAt: 1, Cancel: Cancel(rapid.IntRange(0, 2).Draw(t, "cancel")),
+			ThrashFactor: rapid.Float64Range(0, 0.5).Draw(t, "thrash"), ThrashThreshold: 1, Cancel: Cancel(rapid.IntRange(0, 2).Draw(t, "cancel")),
 		}
 		if rapid.Bool().Draw(t, "pauses") {
-			c.Pause = Pause{Every: 50 * time.Millisecond, Length: 10 * time.Millisecond, Grow: 0.5}
+			c.Pause = Pause{Interval: 50 * time.Millisecond, Duration: 10 * time.Millisecond, Growth: 0.5}
 		}
 		if rapid.Bool().Draw(t, "cold") {
-			c.Cold = Cold{From: 0.3, For: time.Second, Multiple: 3, Window: 100 * time.Millisecond}
+			c.WarmUp = WarmUp{InitialCapacity: 0.3, Duration: time.Second, OverloadFactor: 3, OverloadWindow: 100 * time.Millisecond}
 		}
 		coarse, fine := New(c, nil, 0), New(c, nil, 0)
 		open, given := make(map[string]bool), make(map[string]bool)
@@ -285,7 +285,7 @@
 			if v != w {
 				t.Fatalf("%s: %v, and in finer steps %v", id, v, w)
 			}
-			if v == Taken {
+			if v == Accepted {
 				open[id] = true
 				taken++
 			}
@@ -308,8 +308,8 @@
 				t.Fatalf("%s was taken and never ended", id)
 			}
 		}
-		if len(coarse.Ledger()) > taken || coarse.Held() > 0 {
-			t.Fatalf("%d executions of %d taken, %d still held", len(coarse.Ledger()), taken, coarse.Held())
+		if len(coarse.Executions()) > taken || coarse.InFlight() > 0 {
+			t.Fatalf("%d executions of %d taken, %d still held", len(coarse.Executions()), taken, coarse.InFlight())
 		}
 	})
 }
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -36,8 +36,8 @@
 // at readiness.
 type traffic struct {
 	g       *Rig
-	hosts   []*servermodel.Host
-	faces   []*serverprotocol.HTTP
+	hosts   []*servermodel.Server
+	faces   []*serverprotocol.HTTPServer
 	nodes   map[string]*proc
 	clients map[string]*http.Client
 
@@ -243,7 +243,7 @@
 	defer t.mu.Unlock()
 	ran := make(map[string]int)
 	for _, h := range t.hosts {
-		for _, e := range h.Ledger() {
+		for _, e := range h.Executions() {
 			ran[e.ID]++
 		}
 	}
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -106,15 +106,15 @@
 			c := model.Config{
 				Cores: k.Cores, Speed: speed,
 				Slots: max(1, int(math.Round(k.Slots.Interpolate(rng.Float64())*cores))), Queue: int(math.Round(k.Queue.Interpolate(rng.Float64()) * cores)),
-				Thrash: k.Thrash, ThrashAt: k.ThrashAt,
-				Cold: model.Cold{
-					From: k.ColdFrom.Interpolate(rng.Float64()), For: k.ColdFor, ByWork: k.ColdBy == "work",
-					Multiple: s.Rules.FallMultiple, Window: s.Rules.FallFor,
+				ThrashFactor: k.Thrash, ThrashThreshold: k.ThrashAt,
+				WarmUp: model.WarmUp{
+					InitialCapacity: k.ColdFrom.Interpolate(rng.Float64()), Duration: k.ColdFor, ByWork: k.ColdBy == "work",
+					OverloadFactor: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallFor,
 				},
-				Pause:  model.Pause{Every: k.PauseEvery, Length: k.Pause, Grow: k.PauseGrow},
-				Cancel: map[string]model.Cancel{"nothing": model.CancelNothing, "waiting": model.CancelWaiting, "all": model.CancelAll}[k.Cancel],
+				Pause:  model.Pause{Interval: k.PauseEvery, Duration: k.Pause, Growth: k.PauseGrow},
+				Cancel: map[string]model.Cancel{"nothing": model.CancelIgnored, "waiting": model.CancelQueued, "all": model.CancelAll}[k.Cancel],
 
-				DropExpired: k.DropExpired, ConnWork: k.ConnWork.Seconds(), ConnCap: k.ConnCap * k.Cores, FullTax: k.FullTax,
+				DropExpired: k.DropExpired, ConnSetupWork: k.ConnWork.Seconds(), MaxConns: k.ConnCap * k.Cores, ConnOverhead: k.FullTax,
 			}
 			p.Servers = append(p.Servers, Server{ID: names[i], Zone: zone, Kind: k.Name, Cell: cells[zone], Weight: cores, Config: c, ErrorRate: k.ErrorRate, Msgpack: k.Protocol == "msgpack"})
 		}
--- a/emulator/realtime/live.go
+++ b/emulator/realtime/live.go
@@ -56,7 +56,7 @@
 	frontMu sync.Mutex
 
 	keysMu sync.Mutex
-	keys   map[string]*model.Keys
+	keys   map[string]*model.KeyTable
 
 	parts  sync.WaitGroup
 	timers sync.WaitGroup
@@ -101,7 +101,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	w := &world{
-		p: p, o: o, dir: dir, front: p.Front(), keys: make(map[string]*model.Keys), quit: make(chan struct{}), stop: stop,
+		p: p, o: o, dir: dir, front: p.Front(), keys: make(map[string]*model.KeyTable), quit: make(chan struct{}), stop: stop,
 		flying: make(chan struct{}, mostFlying),
 	}
 	places := make(map[string]*plan.Server)
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -23,7 +23,7 @@
 	mu    sync.Mutex
 	id    string
 	addrs []string // by node
-	host  *servermodel.Host
+	host  *servermodel.Server
 	faces []interface{ Close() }
 	life  int
 	fell  bool
@@ -36,15 +36,15 @@
 	defer s.mu.Unlock()
 	c := s.spec.Config
 	if warm {
-		c.Cold = model.Cold{}
+		c.WarmUp = model.WarmUp{}
 	} else {
 		s.began = time.Now().UnixMilli()
-		if c.Cold.From > 0 && c.Cold.For > 0 {
+		if c.WarmUp.InitialCapacity > 0 && c.WarmUp.Duration > 0 {
 			s.w.court.started()
 		}
 	}
 	s.id, s.fell, s.life = id, false, s.life+1
-	s.host = servermodel.StartWatched(c, &group{s.w, s.spec}, func(e model.Execution) {
+	s.host = servermodel.StartObserved(c, &group{s.w, s.spec}, func(e model.Execution) {
 		id, _, _ := strings.Cut(e.ID, "/")
 		s.w.court.ran(s.id, id, e.Discarded)
 	})
@@ -65,11 +65,11 @@
 		if s.w.p.Nodes[n].Zone != s.spec.Zone {
 			way = s.w.p.Script.Net.Cross
 		}
-		o := serverprotocol.Options{Treat: s.treat(n, way), Turned: func(id string) { s.w.court.proved(n, id) }, Reports: s.w.p.Script.Reports}
+		o := serverprotocol.Options{Behavior: s.treat(n, way), OnRejected: func(id string) { s.w.court.proved(n, id) }, LoadFields: s.w.p.Script.Reports}
 		if s.spec.Msgpack {
-			s.faces = append(s.faces, serverprotocol.TreatMsgpack(ln, s.host, o))
+			s.faces = append(s.faces, serverprotocol.ServeMsgpackWithOptions(ln, s.host, o))
 		} else {
-			s.faces = append(s.faces, serverprotocol.TreatHTTP1(ln, s.host, o))
+			s.faces = append(s.faces, serverprotocol.ServeHTTP1WithOptions(ln, s.host, o))
 		}
 	}
 	return nil
@@ -98,7 +98,7 @@
 	if h == nil {
 		return
 	}
-	pushed := h.Pushed()
+	pushed := h.OverloadingRequests()
 	if len(pushed) == 0 {
 		return
 	}
@@ -111,14 +111,14 @@
 }
 
 // treat says what becomes of the requests of one node.
-func (s *server) treat(n int, way time.Duration) serverprotocol.Treat {
-	return func(_, id string) serverprotocol.Treatment {
+func (s *server) treat(n int, way time.Duration) serverprotocol.BehaviorFunc {
+	return func(_, id string) serverprotocol.Behavior {
 		w := s.w
 		s.mu.Lock()
 		server := s.id
 		s.mu.Unlock()
 		q, attempt := w.court.sent(n, id, server, w.p.Nodes[n].Zone != s.spec.Zone)
-		t := serverprotocol.Treatment{ID: fmt.Sprintf("%s/%d", id, attempt), Way: way}
+		t := serverprotocol.Behavior{ID: fmt.Sprintf("%s/%d", id, attempt), NetworkDelay: way}
 		if q == nil { // the judge has heard of it
 			return t
 		}
@@ -154,9 +154,9 @@
 			case "reset":
 				t.Reset = true
 			case "half-answer":
-				t.Half = true
+				t.Truncate = true
 			case "garbled":
-				t.Spoil = true
+				t.Malform = true
 			default:
 				continue
 			}
@@ -184,15 +184,15 @@
 }
 
 // Repeat tells whether a key was there within its class's window.
-func (g *group) Repeat(key string, _ time.Duration) bool {
+func (g *group) IsDuplicate(key string, _ time.Duration) bool {
 	class, key, _ := strings.Cut(key, "\x00")
 	scope, window := g.w.p.KeyScope(class, g.spec)
 	g.w.keysMu.Lock()
 	defer g.w.keysMu.Unlock()
 	t := g.w.keys[scope]
 	if t == nil {
-		t = &model.Keys{Window: window}
+		t = &model.KeyTable{Window: window}
 		g.w.keys[scope] = t
 	}
-	return t.Repeat(key, g.w.now())
+	return t.IsDuplicate(key, g.w.now())
 }
--- /dev/null
+++ b/emulator/servermodel/group.go
@@ -0,0 +1,28 @@
+package servermodel
+
+import (
+	"sync"
+	"time"
+
+	"cobaltward/emulator/model"
+)
+
+// Group is the table of idempotency keys that several servers share. It is safe for concurrent use.
+type Group struct {
+	mu        sync.Mutex
+	keys      model.KeyTable
+	startedAt time.Time
+}
+
+// NewGroup returns a group whose servers discard the repeats of a key for the window.
+func NewGroup(window time.Duration) *Group {
+	return &Group{keys: model.KeyTable{Window: window}, startedAt: time.Now()}
+}
+
+// IsDuplicate reports whether the key was seen within the window. The clocks of the servers start at different times,
+// so the group uses its own.
+func (g *Group) IsDuplicate(key string, _ time.Duration) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.keys.IsDuplicate(key, time.Since(g.startedAt))
+}
--- /dev/null
+++ b/emulator/servermodel/server.go
@@ -0,0 +1,184 @@
+// Package servermodel runs a model of a server on the wall clock: callers wait for the completion of their requests.
+// Simulations in virtual time step the model themselves and don't need this package.
+package servermodel
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	"cobaltward/emulator/model"
+)
+
+// ErrServerDown is returned by Do if the server crashed or stopped during the request, which may have run.
+var ErrServerDown = errors.New("server down")
+
+// Server is one emulated server. Its methods are safe for concurrent use: a single goroutine owns the model and
+// executes their commands.
+type Server struct {
+	commands  chan func(now time.Duration)
+	stop      chan struct{}
+	tasks     sync.WaitGroup
+	startedAt time.Time
+
+	// Owned by run.
+	state   *model.Server
+	waiters map[string]chan model.Completion
+}
+
+// Start starts a server with the given configuration. Several servers may share a group; nil deduplicates nothing.
+func Start(c model.Config, group *Group) *Server {
+	var dedup model.Deduplicator
+	if group != nil {
+		dedup = group
+	}
+	return StartObserved(c, dedup, nil)
+}
+
+// StartObserved is Start with any deduplicator. If watch is not nil it is called for each execution, and the server
+// keeps no record of executions itself. watch must not call the server.
+func StartObserved(c model.Config, dedup model.Deduplicator, watch func(model.Execution)) *Server {
+	s := &Server{
+		commands: make(chan func(time.Duration)), stop: make(chan struct{}), startedAt: time.Now(),
+		waiters: make(map[string]chan model.Completion),
+	}
+	s.state = model.New(c, dedup, 0)
+	if watch != nil {
+		s.state.OnExecution(watch)
+	}
+	s.tasks.Go(s.run)
+	return s
+}
+
+// run advances the model at each completion and each command, until Stop.
+func (s *Server) run() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		if next, ok := s.state.Next(); ok {
+			timer.Reset(next - time.Since(s.startedAt))
+		} else {
+			timer.Stop()
+		}
+		select {
+		case command := <-s.commands:
+			now := time.Since(s.startedAt)
+			s.deliver(s.state.Advance(now))
+			command(now)
+			s.deliver(s.state.Advance(now))
+		case <-timer.C:
+			s.deliver(s.state.Advance(time.Since(s.startedAt)))
+		case <-s.stop:
+			now := time.Since(s.startedAt)
+			s.state.Stop(now)
+			s.deliver(s.state.Advance(now))
+			return
+		}
+	}
+}
+
+// deliver passes completions to the callers of Do that wait for them.
+func (s *Server) deliver(all []model.Completion) {
+	for _, c := range all {
+		if w := s.waiters[c.ID]; w != nil {
+			delete(s.waiters, c.ID)
+			w <- c
+		}
+	}
+}
+
+// execute runs a function on the goroutine that owns the model; it returns false if that has ended.
+func (s *Server) execute(do func(now time.Duration)) bool {
+	done := make(chan struct{})
+	select {
+	case s.commands <- func(now time.Duration) { do(now); close(done) }:
+		<-done
+		return true
+	case <-s.stop:
+		return false
+	}
+}
+
+// Do sends the server a request and waits for its completion, or cancels it once cancelled is closed. An admission
+// other than model.Accepted means that the request never runs, and ErrServerDown that it may have run.
+func (s *Server) Do(r model.Request, cancelled <-chan struct{}) (model.Completion, model.Admission, error) {
+	admission, completion := model.Down, make(chan model.Completion, 1)
+	s.execute(func(now time.Duration) {
+		if admission = s.state.Offer(now, r); admission == model.Accepted {
+			s.waiters[r.ID] = completion
+		}
+	})
+	if admission != model.Accepted {
+		return model.Completion{}, admission, nil
+	}
+	select {
+	case c := <-completion:
+		if c.Lost {
+			return c, model.Accepted, ErrServerDown
+		}
+		return c, model.Accepted, nil
+	case <-cancelled:
+		s.execute(func(now time.Duration) {
+			delete(s.waiters, r.ID)
+			s.state.Cancel(now, r.ID)
+		})
+		return model.Completion{}, model.Accepted, ErrServerDown
+	}
+}
+
+// Crash ends the server's process: its requests are lost, and it stays down.
+func (s *Server) Crash() {
+	s.execute(func(now time.Duration) { s.state.Stop(now) })
+}
+
+// Connect opens a connection, or returns false if the server is at its connection limit or down.
+func (s *Server) Connect() (ok bool) {
+	s.execute(func(now time.Duration) { ok = s.state.Connect(now) })
+	return ok
+}
+
+// Disconnect closes a connection.
+func (s *Server) Disconnect() {
+	s.execute(func(now time.Duration) { s.state.Disconnect(now) })
+}
+
+// Down reports whether the server has crashed or stopped.
+func (s *Server) Down() bool {
+	down := true
+	s.execute(func(time.Duration) { down = s.state.Down() })
+	return down
+}
+
+// OverloadingRequests returns the IDs of the requests that overloaded a warming server; empty if none did.
+func (s *Server) OverloadingRequests() (ids []string) {
+	s.execute(func(time.Duration) { ids = s.state.OverloadingRequests() })
+	return ids
+}
+
+// Load returns the figures of a load report: requests in flight, those of them that are queued, and the busy fraction
+// of the cores.
+func (s *Server) Load() (inflight, queue int, util float64) {
+	s.execute(func(time.Duration) { inflight, queue, util = s.state.Load() })
+	return inflight, queue, util
+}
+
+// InFlight returns the number of requests that the server runs or queues.
+func (s *Server) InFlight() (n int) {
+	s.execute(func(time.Duration) { n = s.state.InFlight() })
+	return n
+}
+
+// Executions returns all executions so far, oldest first.
+func (s *Server) Executions() (all []model.Execution) {
+	if !s.execute(func(time.Duration) { all = append(all, s.state.Executions()...) }) {
+		s.tasks.Wait()
+		all = s.state.Executions()
+	}
+	return all
+}
+
+// Stop ends the server as Crash does and waits for its goroutine. It must be called once.
+func (s *Server) Stop() {
+	close(s.stop)
+	s.tasks.Wait()
+}
--- /dev/null
+++ b/emulator/serverprotocol/behavior.go
@@ -0,0 +1,112 @@
+// Package serverprotocol serves an emulated server over the protocols that nodes use: HTTP/1.1 as described on the
+// protocol page, and MessagePack-RPC.
+package serverprotocol
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"time"
+
+	"cobaltward/emulator/model"
+	"cobaltward/emulator/servermodel"
+)
+
+// WorkFunc returns the work of a request, in seconds of a core of speed 1, by its path and ID.
+type WorkFunc func(target, id string) float64
+
+// Behavior is the treatment of one request. The zero value answers without work.
+type Behavior struct {
+	Work         float64       // seconds of a core of speed 1
+	ID           string        // in the record of executions; empty: the request's own
+	Key          string        // idempotency key; empty: the request's own
+	NetworkDelay time.Duration // one way
+	Fail         bool          // answered with an error at once, though the request may have had its effect
+	Hang         bool          // read and never answered
+	Reset        bool          // the connection is reset after the last byte of the request, which runs all the same
+	Truncate     bool          // the connection is closed in the middle of the answer
+	Malform      bool          // the framing of the answer is invalid
+}
+
+// BehaviorFunc returns the behavior for a request by its path and ID. It is called after the last byte has arrived.
+type BehaviorFunc func(target, id string) Behavior
+
+// Options configure a protocol server.
+type Options struct {
+	Behavior   BehaviorFunc
+	OnRejected func(id string) // called for each request that the server rejects; may be nil
+	LoadFields []string        // figures of the load report in answers: inflight, queue, util; nil: no report
+}
+
+// loadReport returns the load report of a server in the format of X-Load.
+func (o *Options) loadReport(backend *servermodel.Server) string {
+	if len(o.LoadFields) == 0 {
+		return ""
+	}
+	inflight, queue, util := backend.Load()
+	var parts []string
+	for _, name := range o.LoadFields {
+		switch name {
+		case "inflight":
+			parts = append(parts, fmt.Sprintf("inflight=%d", inflight))
+		case "queue":
+			parts = append(parts, fmt.Sprintf("queue=%d", queue))
+		case "util":
+			parts = append(parts, fmt.Sprintf("util=%.2f", util))
+		}
+	}
+	return strings.Join(parts, ",")
+}
+
+// notifyRejected calls OnRejected if the server rejected the request.
+func (o *Options) notifyRejected(id string, admission model.Admission) {
+	if admission == model.Rejected && o.OnRejected != nil {
+		o.OnRejected(id)
+	}
+}
+
+// plainBehavior does the work of each request, or fails it if fails is not nil and returns true.
+func plainBehavior(work WorkFunc, fails func() bool) BehaviorFunc {
+	return func(target, id string) Behavior {
+		behavior := Behavior{Work: work(target, id)}
+		if behavior.Fail = fails != nil && fails(); behavior.Fail {
+			behavior.Work = 0
+		}
+		return behavior
+	}
+}
+
+// request returns the model's request for a request with the given ID and idempotency key.
+func (b *Behavior) request(id, key string) model.Request {
+	request := model.Request{ID: b.ID, Key: b.Key, Work: b.Work}
+	if request.ID == "" {
+		request.ID = id
+	}
+	if request.Key == "" {
+		request.Key = key
+	}
+	return request
+}
+
+// reset closes a connection as the end of its process does.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
+	}
+	_ = conn.Close()
+}
+
+// sleep waits for d; it returns false if cancelled is closed earlier.
+func sleep(d time.Duration, cancelled <-chan struct{}) bool {
+	if d <= 0 {
+		return true
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-cancelled:
+		return false
+	}
+}
--- a/emulator/serverprotocol/http.go
+++ b/emulator/serverprotocol/http.go
@@ -1,17 +1,13 @@
-// Package serverprotocol gives an emulated server the faces that nodes know: HTTP/1.1 as the protocol page has
-// servers, and MessagePack-RPC.
 package serverprotocol
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -19,237 +15,143 @@
 	"cobaltward/emulator/servermodel"
 )
 
-// Work says what a request costs a server, by its path and its id.
-type Work func(target, id string) float64
-
-// Treatment is what becomes of one request. The zero value is an answer without work.
-type Treatment struct {
-	Work  float64       // seconds of a core of speed 1
-	ID    string        // for the ledger; empty: the request's own
-	Key   string        // that repeats are dropped by; empty: the request's own
-	Way   time.Duration // to the server, and the same back
-	Fail  bool          // answered 500 at once, though it may have had its effect
-	Hang  bool          // read, and never answered
-	Reset bool          // the connection is reset once the request has come whole; it runs all the same
-	Half  bool          // the answer breaks off
-	Spoil bool          // the answer's framing is wrong
-}
-
-// Treat says what becomes of a request, by its path and its id, once its last byte has come.
-type Treat func(target, id string) Treatment
-
-// Options are what a face is told beside its server.
-type Options struct {
-	Treat   Treat
-	Turned  func(id string) // is told of requests that the server turns away; nil: nobody is
-	Reports []string        // figures of the load report in answers: inflight, queue, util; nil: there is none
-}
-
-// report is a server's load report, as X-Load has it.
-func (o *Options) report(h *servermodel.Host) string {
-	if len(o.Reports) == 0 {
-		return ""
-	}
-	inflight, queue, util := h.Load()
-	var parts []string
-	for _, name := range o.Reports {
-		switch name {
-		case "inflight":
-			parts = append(parts, fmt.Sprintf("inflight=%d", inflight))
-		case "queue":
-			parts = append(parts, fmt.Sprintf("queue=%d", queue))
-		case "util":
-			parts = append(parts, fmt.Sprintf("util=%.2f", util))
-		}
-	}
-	return strings.Join(parts, ",")
-}
-
-// treatAs is the treatment of a plain server.
-func treatAs(work Work, fails func() bool) Treat {
-	return func(target, id string) Treatment {
-		t := Treatment{Work: work(target, id)}
-		if t.Fail = fails != nil && fails(); t.Fail {
-			t.Work = 0
-		}
-		return t
-	}
-}
-
-// request is what a request with a treatment is to the model.
-func (t *Treatment) request(id, key string) model.Request {
-	q := model.Request{ID: t.ID, Key: t.Key, Work: t.Work}
-	if q.ID == "" {
-		q.ID = id
-	}
-	if q.Key == "" {
-		q.Key = key
-	}
-	return q
-}
-
-// HTTP is a server that speaks HTTP/1.1. It answers 200 once the request's work is done, 503 with X-Not-Run
-// where the server turns it away, and resets the connection where the server falls over.
-type HTTP struct {
+// HTTPServer serves an emulated server over HTTP/1.1. It answers 200 once the work of the request is done, 503 with
+// X-Not-Run if the server rejects it, and resets the connection if the server crashes.
+type HTTPServer struct {
 	Addr string
 
-	host   *servermodel.Host
-	o      Options
-	server *http.Server
-	ended  sync.WaitGroup
+	backend *servermodel.Server
+	options Options
+	server  *http.Server
+	tasks   sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool // that the host has counted
+	conns map[net.Conn]bool // connections counted at the backend
 }
 
-// ServeHTTP1 runs the face on a listener. The host's end is the caller's to see to. fails, where it is not
-// nil, says of each request whether it is to fail at once: answered 500, though it may have had its effect.
-func ServeHTTP1(ln net.Listener, h *servermodel.Host, work Work, fails func() bool) *HTTP {
-	return TreatHTTP1(ln, h, Options{Treat: treatAs(work, fails)})
+// ServeHTTP1 serves a backend on a listener until Close, which doesn't stop the backend. If fails is not nil, each
+// request for which it returns true is answered 500 at once, though it may have had its effect.
+func ServeHTTP1(ln net.Listener, backend *servermodel.Server, work WorkFunc, fails func() bool) *HTTPServer {
+	return ServeHTTP1WithOptions(ln, backend, Options{Behavior: plainBehavior(work, fails)})
 }
 
-// TreatHTTP1 is ServeHTTP1 with a treatment for each request.
-func TreatHTTP1(ln net.Listener, h *servermodel.Host, o Options) *HTTP {
-	f := &HTTP{Addr: ln.Addr().String(), host: h, o: o, conns: make(map[net.Conn]bool)}
-	f.server = &http.Server{
-		Handler: http.HandlerFunc(f.answer), ConnState: f.state, ConnContext: withConn,
+// ServeHTTP1WithOptions is ServeHTTP1 with a behavior chosen for each request.
+func ServeHTTP1WithOptions(ln net.Listener, backend *servermodel.Server, options Options) *HTTPServer {
+	s := &HTTPServer{Addr: ln.Addr().String(), backend: backend, options: options, conns: make(map[net.Conn]bool)}
+	s.server = &http.Server{
+		Handler: http.HandlerFunc(s.handle), ConnState: s.connState, ConnContext: withConn,
 		ReadHeaderTimeout: time.Minute, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
-	f.ended.Go(func() { _ = f.server.Serve(ln) }) // ends with Close
-	return f
+	s.tasks.Go(func() { _ = s.server.Serve(ln) }) // returns after Close
+	return s
 }
 
-// connKey is where a request's context holds its connection.
+// connKey is the key of the connection in the context of its requests.
 type connKey struct{}
 
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// state counts connections at the host, and closes those that it does not take.
-func (f *HTTP) state(c net.Conn, s http.ConnState) {
-	f.mu.Lock()
-	counted := f.conns[c]
-	if s == http.StateClosed {
-		delete(f.conns, c)
-	}
-	f.mu.Unlock()
-	switch {
-	case s == http.StateNew:
-		if !f.host.Connect() {
-			reset(c)
+// connState counts connections at the backend and resets those that it does not accept.
+func (s *HTTPServer) connState(conn net.Conn, state http.ConnState) {
+	switch state {
+	case http.StateNew:
+		if !s.backend.Connect() {
+			reset(conn)
 			return
 		}
-		f.mu.Lock()
-		f.conns[c] = true
-		f.mu.Unlock()
-	case s == http.StateClosed && counted:
-		f.host.Disconnect()
+		s.mu.Lock()
+		s.conns[conn] = true
+		s.mu.Unlock()
+	case http.StateClosed:
+		s.disconnect(conn)
 	}
 }
 
-// reset ends a connection as a process that died does.
-func reset(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only once it is closed
+// disconnect closes a connection at the backend if it was counted there.
+func (s *HTTPServer) disconnect(conn net.Conn) {
+	s.mu.Lock()
+	counted := s.conns[conn]
+	delete(s.conns, conn)
+	s.mu.Unlock()
+	if counted {
+		s.backend.Disconnect()
 	}
-	c.Close()
 }
 
-func (f *HTTP) answer(w http.ResponseWriter, r *http.Request) {
+func (s *HTTPServer) handle(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	if id == "" {
 		http.NotFound(w, r)
 		return
 	}
-	if _, err := io.Copy(io.Discard, r.Body); err != nil { // a request begins when its last byte has come
+	if _, err := io.Copy(io.Discard, r.Body); err != nil { // a request starts when its last byte has arrived
 		return
 	}
-	t := f.o.Treat(r.URL.Path, id)
-	q := t.request(id, r.Header.Get("Idempotency-Key"))
-	gone := r.Context().Done()
-	if !pause(t.Way, gone) {
+	behavior := s.options.Behavior(r.URL.Path, id)
+	request := behavior.request(id, r.Header.Get("Idempotency-Key"))
+	cancelled := r.Context().Done()
+	if !sleep(behavior.NetworkDelay, cancelled) {
 		return
 	}
-	if t.Hang {
-		<-gone
+	if behavior.Hang {
+		<-cancelled
 		return
 	}
-	if t.Reset {
-		go f.host.Do(q, nil) // it ends with the host
-		f.abort(r)
-	}
-	_, verdict, err := f.host.Do(q, gone)
-	if verdict == model.Full && f.o.Turned != nil {
-		f.o.Turned(id)
+	if behavior.Reset {
+		go func() { _, _, _ = s.backend.Do(request, nil) }() // returns at the latest when the backend stops
+		abort(r)
 	}
-	if !pause(t.Way, gone) {
+	_, admission, err := s.backend.Do(request, cancelled)
+	s.options.notifyRejected(id, admission)
+	if !sleep(behavior.NetworkDelay, cancelled) {
 		return
 	}
-	if load := f.o.report(f.host); load != "" {
+	if load := s.options.loadReport(s.backend); load != "" {
 		w.Header().Set("X-Load", load)
 	}
 	switch {
-	case verdict == model.Full:
+	case admission == model.Rejected:
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case verdict == model.Down || errors.Is(err, servermodel.ErrLost):
-		f.abort(r)
-	case t.Fail:
+	case admission == model.Down || errors.Is(err, servermodel.ErrServerDown):
+		abort(r)
+	case behavior.Fail:
 		w.WriteHeader(http.StatusInternalServerError)
-	case t.Half, t.Spoil:
-		c, _, err := http.NewResponseController(w).Hijack()
-		if err != nil {
-			panic(http.ErrAbortHandler)
-		}
-		length := "1000"
-		if t.Spoil {
-			length = "1x"
-		}
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: "+length+"\r\n\r\ndone") // whoever asked may have left
-		c.Close()
-		f.forget(c)
+	case behavior.Truncate, behavior.Malform:
+		s.writeInvalid(w, behavior.Malform)
 	default:
 		body := "done " + id
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		_, _ = io.WriteString(w, body) // whoever asked may have left
+		_, _ = io.WriteString(w, body) // fails if the client has disconnected
 	}
 }
 
-// abort resets the connection of a request, without an answer.
-func (f *HTTP) abort(r *http.Request) {
-	reset(r.Context().Value(connKey{}).(net.Conn))
-	panic(http.ErrAbortHandler)
-}
-
-// forget counts a connection out that the server does not see the end of.
-func (f *HTTP) forget(c net.Conn) {
-	f.mu.Lock()
-	counted := f.conns[c]
-	delete(f.conns, c)
-	f.mu.Unlock()
-	if counted {
-		f.host.Disconnect()
+// writeInvalid closes the connection after a truncated response or one with a malformed length.
+func (s *HTTPServer) writeInvalid(w http.ResponseWriter, malformed bool) {
+	conn, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		panic(http.ErrAbortHandler)
+	}
+	length := "1000"
+	if malformed {
+		length = "1x"
 	}
+	// The write fails if the client has disconnected.
+	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+length+"\r\n\r\ndone")
+	_ = conn.Close()
+	s.disconnect(conn) // net/http doesn't report the end of a hijacked connection
 }
 
-// pause waits, unless whoever asked leaves before.
-func pause(d time.Duration, gone <-chan struct{}) bool {
-	if d <= 0 {
-		return true
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-gone:
-		return false
-	}
+// abort resets the connection of a request without an answer.
+func abort(r *http.Request) {
+	reset(r.Context().Value(connKey{}).(net.Conn))
+	panic(http.ErrAbortHandler)
 }
 
-// Close ends the face: connections are reset.
-func (f *HTTP) Close() {
-	_ = f.server.Close()
-	f.ended.Wait()
+// Close resets all connections and waits for the server's goroutine.
+func (s *HTTPServer) Close() {
+	_ = s.server.Close()
+	s.tasks.Wait()
 }
--- a/emulator/serverprotocol/msgpack.go
+++ b/emulator/serverprotocol/msgpack.go
@@ -10,155 +10,204 @@
 	"cobaltward/msgpackrpc"
 )
 
-// Msgpack is a server that speaks MessagePack-RPC, as docs/msgpack-rpc.md has app servers.
-type Msgpack struct {
+// MsgpackServer serves an emulated server over MessagePack-RPC as described for app servers in docs/msgpack-rpc.md.
+type MsgpackServer struct {
 	Addr string
 
-	host  *servermodel.Host
-	o     Options
-	ln    net.Listener
-	ended sync.WaitGroup
+	backend  *servermodel.Server
+	options  Options
+	listener net.Listener
+	tasks    sync.WaitGroup
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-// ServeMsgpack runs the face on a listener. The host's end is the caller's to see to.
-func ServeMsgpack(ln net.Listener, h *servermodel.Host, work Work) *Msgpack {
-	return TreatMsgpack(ln, h, Options{Treat: treatAs(work, nil)})
+// ServeMsgpack serves a backend on a listener until Close, which doesn't stop the backend.
+func ServeMsgpack(ln net.Listener, backend *servermodel.Server, work WorkFunc) *MsgpackServer {
+	return ServeMsgpackWithOptions(ln, backend, Options{Behavior: plainBehavior(work, nil)})
 }
 
-// TreatMsgpack is ServeMsgpack with a treatment for each call.
-func TreatMsgpack(ln net.Listener, h *servermodel.Host, o Options) *Msgpack {
-	f := &Msgpack{Addr: ln.Addr().String(), host: h, o: o, ln: ln, conns: make(map[net.Conn]bool)}
-	f.ended.Go(func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			f.mu.Lock()
-			if f.closed {
-				c.Close()
-			}
-			f.conns[c] = true
-			f.mu.Unlock()
-			f.ended.Go(func() {
-				f.serve(c)
-				f.mu.Lock()
-				delete(f.conns, c)
-				f.mu.Unlock()
-			})
+// ServeMsgpackWithOptions is ServeMsgpack with a behavior chosen for each call.
+func ServeMsgpackWithOptions(ln net.Listener, backend *servermodel.Server, options Options) *MsgpackServer {
+	s := &MsgpackServer{
+		Addr: ln.Addr().String(), backend: backend, options: options, listener: ln, conns: make(map[net.Conn]bool),
+	}
+	s.tasks.Go(s.accept)
+	return s
+}
+
+// accept serves the connections of the listener until that is closed.
+func (s *MsgpackServer) accept() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
 		}
-	})
-	return f
+		s.mu.Lock()
+		if s.closed {
+			_ = conn.Close()
+		}
+		s.conns[conn] = true
+		s.mu.Unlock()
+		s.tasks.Go(func() {
+			s.serveConn(conn)
+			s.mu.Lock()
+			delete(s.conns, conn)
+			s.mu.Unlock()
+		})
+	}
+}
+
+// msgpackConn is one connection with its open calls.
+type msgpackConn struct {
+	net.Conn
+	server *MsgpackServer
+	calls  sync.WaitGroup
+	writes sync.Mutex // serializes replies
+
+	mu      sync.Mutex
+	pending map[uint32]chan struct{} // by call ID; closed when the call is cancelled
 }
 
-// serve is one connection: calls run at once, and are answered as they end.
-func (f *Msgpack) serve(c net.Conn) {
-	if !f.host.Connect() {
-		reset(c)
+// serveConn reads calls until the connection ends. Calls run concurrently and are answered as they complete.
+func (s *MsgpackServer) serveConn(conn net.Conn) {
+	if !s.backend.Connect() {
+		reset(conn)
 		return
 	}
-	defer f.host.Disconnect()
-	var writing, open sync.Mutex
-	var calls sync.WaitGroup
-	gone := make(map[uint32]chan struct{})
-	defer calls.Wait()
-	defer func() {
-		open.Lock()
-		defer open.Unlock()
-		for _, g := range gone {
-			close(g)
-		}
-		clear(gone)
-	}()
-	defer c.Close()
-	in := msgpackrpc.NewReader(c)
+	defer s.backend.Disconnect()
+	c := &msgpackConn{Conn: conn, server: s, pending: make(map[uint32]chan struct{})}
+	defer c.calls.Wait()
+	defer c.cancelAll()
+	defer func() { _ = conn.Close() }()
+	reader := msgpackrpc.NewReader(conn)
 	for {
-		raw, err := in.Next()
+		raw, err := reader.Next()
 		if err != nil {
 			return
 		}
-		m, err := msgpackrpc.Parse(raw)
-		if err != nil {
+		message, err := msgpackrpc.Parse(raw)
+		if err != nil || !c.receive(&message) {
 			return
 		}
-		if id, ok := msgpackrpc.CancelledID(m); ok && m.Kind == msgpackrpc.Notification && m.Method == msgpackrpc.MethodCancel {
-			open.Lock()
-			if g := gone[id]; g != nil {
-				close(g)
-				delete(gone, id)
-			}
-			open.Unlock()
-		}
-		if m.Kind != msgpackrpc.Request {
-			continue
+	}
+}
+
+// receive handles one message; it returns false if its parameters are invalid.
+func (c *msgpackConn) receive(message *msgpackrpc.Message) bool {
+	if message.Kind == msgpackrpc.Notification && message.Method == msgpackrpc.MethodCancel {
+		if id, ok := msgpackrpc.CancelledID(*message); ok {
+			c.cancel(id)
 		}
-		q, err := msgpackrpc.ParseCall(m.Params)
-		if err != nil {
-			return
+	}
+	if message.Kind != msgpackrpc.Request {
+		return true
+	}
+	call, err := msgpackrpc.ParseCall(message.Params)
+	if err != nil {
+		return false
+	}
+	id, cancelled := message.ID, make(chan struct{})
+	c.mu.Lock()
+	c.pending[id] = cancelled
+	c.mu.Unlock()
+	c.calls.Go(func() { c.run(id, &call, cancelled) })
+	return true
+}
+
+// cancel cancels a call if it is pending.
+func (c *msgpackConn) cancel(id uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cancelled := c.pending[id]; cancelled != nil {
+		close(cancelled)
+		delete(c.pending, id)
+	}
+}
+
+// cancelAll cancels all pending calls.
+func (c *msgpackConn) cancelAll() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, cancelled := range c.pending {
+		close(cancelled)
+	}
+	clear(c.pending)
+}
+
+// complete removes a call; it returns false if the call was cancelled.
+func (c *msgpackConn) complete(id uint32, cancelled chan struct{}) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	wasPending := c.pending[id] == cancelled
+	delete(c.pending, id)
+	return wasPending
+}
+
+// run executes one call and writes its reply.
+func (c *msgpackConn) run(id uint32, call *msgpackrpc.Call, cancelled chan struct{}) {
+	options, backend := &c.server.options, c.server.backend
+	behavior := options.Behavior(call.Target, call.ID)
+	admission, err := c.do(call, &behavior, cancelled)
+	if !c.complete(id, cancelled) {
+		return
+	}
+	reply := msgpackrpc.Reply{Body: []byte("done " + call.ID), Load: options.loadReport(backend)}
+	switch {
+	case admission == model.Rejected:
+		reply = msgpackrpc.Reply{Code: msgpackrpc.NotRun}
+	case admission == model.Down || errors.Is(err, servermodel.ErrServerDown):
+		reset(c.Conn)
+		return
+	case behavior.Fail:
+		reply = msgpackrpc.Reply{Code: msgpackrpc.Failed}
+	}
+	c.write(msgpackrpc.AppendReply(nil, id, &reply), &behavior)
+}
+
+// do passes a call to the backend as its behavior says.
+func (c *msgpackConn) do(call *msgpackrpc.Call, behavior *Behavior, cancelled chan struct{}) (model.Admission, error) {
+	backend := c.server.backend
+	request := behavior.request(call.ID, call.IdempotencyKey)
+	switch {
+	case !sleep(behavior.NetworkDelay, cancelled):
+		return model.Accepted, nil
+	case behavior.Hang:
+		<-cancelled
+		return model.Accepted, nil
+	case behavior.Reset:
+		c.calls.Go(func() { _, _, _ = backend.Do(request, nil) }) // returns at the latest when the backend stops
+		return model.Accepted, servermodel.ErrServerDown
+	}
+	_, admission, err := backend.Do(request, cancelled)
+	c.server.options.notifyRejected(call.ID, admission)
+	sleep(behavior.NetworkDelay, cancelled)
+	return admission, err
+}
+
+// write sends an encoded reply. A truncated or malformed one resets the connection, which can't be used any more.
+func (c *msgpackConn) write(raw []byte, behavior *Behavior) {
+	c.writes.Lock()
+	defer c.writes.Unlock()
+	if behavior.Truncate || behavior.Malform {
+		if raw = raw[:len(raw)/2]; behavior.Malform {
+			raw = []byte{0xc1}
 		}
-		g := make(chan struct{})
-		open.Lock()
-		gone[m.ID] = g
-		open.Unlock()
-		calls.Go(func() {
-			t := f.o.Treat(q.Target, q.ID)
-			todo := t.request(q.ID, q.IdempotencyKey)
-			verdict, err := model.Taken, error(nil)
-			switch {
-			case !pause(t.Way, g):
-			case t.Hang:
-				<-g
-			case t.Reset:
-				calls.Go(func() { f.host.Do(todo, nil) }) // it ends with the host
-				err = servermodel.ErrLost
-			default:
-				if _, verdict, err = f.host.Do(todo, g); verdict == model.Full && f.o.Turned != nil {
-					f.o.Turned(q.ID)
-				}
-				pause(t.Way, g)
-			}
-			open.Lock()
-			waited := gone[m.ID] == g
-			delete(gone, m.ID)
-			open.Unlock()
-			r := msgpackrpc.Reply{Body: []byte("done " + q.ID), Load: f.o.report(f.host)}
-			switch {
-			case !waited: // given up
-				return
-			case verdict == model.Full:
-				r = msgpackrpc.Reply{Code: msgpackrpc.NotRun}
-			case verdict == model.Down || errors.Is(err, servermodel.ErrLost):
-				reset(c)
-				return
-			case t.Fail:
-				r = msgpackrpc.Reply{Code: msgpackrpc.Failed}
-			}
-			raw := msgpackrpc.AppendReply(nil, m.ID, &r)
-			writing.Lock()
-			defer writing.Unlock()
-			if t.Half || t.Spoil { // the connection is no good any more
-				if raw = raw[:len(raw)/2]; t.Spoil {
-					raw = []byte{0xc1}
-				}
-				defer reset(c)
-			}
-			_, _ = c.Write(raw) // whoever asked may have left
-		})
+		defer reset(c.Conn)
 	}
+	_, _ = c.Write(raw) // fails if the client has disconnected
 }
 
-// Close ends the face with all its connections.
-func (f *Msgpack) Close() {
-	f.mu.Lock()
-	f.closed = true
-	f.ln.Close()
-	for c := range f.conns {
-		c.Close()
+// Close closes the listener and all connections and waits for their goroutines.
+func (s *MsgpackServer) Close() {
+	s.mu.Lock()
+	s.closed = true
+	_ = s.listener.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
-	f.mu.Unlock()
-	f.ended.Wait()
+	s.mu.Unlock()
+	s.tasks.Wait()
 }
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -50,13 +50,13 @@
 func (s *server) start() {
 	c := s.spec.Config
 	if s.started == 0 {
-		c.Cold = model.Cold{}
-	} else if c.Cold.From > 0 && c.Cold.For > 0 {
+		c.WarmUp = model.WarmUp{}
+	} else if c.WarmUp.InitialCapacity > 0 && c.WarmUp.Duration > 0 {
 		s.w.judge.Started()
 	}
 	s.up = &process{s: s, tries: make(map[string]*try)}
 	s.up.m = model.New(c, &group{&s.w.keys, s}, s.w.now)
-	s.up.m.Watch(func(e model.Execution) {
+	s.up.m.OnExecution(func(e model.Execution) {
 		id, _, _ := strings.Cut(e.ID, "/")
 		s.w.judge.Ran(s.w.now, s.id, id, e.Discarded)
 	})
@@ -104,7 +104,7 @@
 		}
 	}
 	if p.m.Down() && !p.dead { // it fell over
-		w.judge.Fell(w.now, p.s.id, tries(p.m.Pushed()))
+		w.judge.Fell(w.now, p.s.id, tries(p.m.OverloadingRequests()))
 		p.s.up = nil
 		p.s.heard(policy.Removed)
 		p.die()
@@ -218,14 +218,14 @@
 	}
 	verdict := p.m.Offer(w.now, model.Request{ID: t.id, Key: key, Work: work, Deadline: t.until})
 	switch verdict {
-	case model.Taken:
+	case model.Accepted:
 		w.book.Work(work)
 		if s.failing("reset", t) {
 			delete(p.tries, t.id)
 			t.broken(t.delay)
 		}
 		t.half, t.garbled = s.failing("half-answer", t), s.failing("garbled", t)
-	case model.Full:
+	case model.Rejected:
 		delete(p.tries, t.id)
 		t.turnedAway()
 	case model.Down:
@@ -251,7 +251,7 @@
 // keyTables are the tables by which groups of servers drop repeats.
 type keyTables struct {
 	world  *world
-	tables map[string]*model.Keys
+	tables map[string]*model.KeyTable
 }
 
 // group is how one server looks repeats up: in the table of the group that it shares for the key's class.
@@ -261,16 +261,16 @@
 }
 
 // Repeat tells whether a key was there within its class's window.
-func (g *group) Repeat(key string, now time.Duration) bool {
+func (g *group) IsDuplicate(key string, now time.Duration) bool {
 	class, key, _ := strings.Cut(key, "\x00")
 	scope, window := g.k.world.p.KeyScope(class, g.s.spec)
 	if g.k.tables == nil {
-		g.k.tables = make(map[string]*model.Keys)
+		g.k.tables = make(map[string]*model.KeyTable)
 	}
 	t := g.k.tables[scope]
 	if t == nil {
-		t = &model.Keys{Window: window}
+		t = &model.KeyTable{Window: window}
 		g.k.tables[scope] = t
 	}
-	return t.Repeat(key, now)
+	return t.IsDuplicate(key, now)
 }
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -26,8 +26,8 @@
 // server is an emulated app server.
 type server struct {
 	id, zone string
-	host     *servermodel.Host
-	face     *serverprotocol.HTTP
+	host     *servermodel.Server
+	face     *serverprotocol.HTTPServer
 }
 
 // startServer runs the n-th server on loopback. Those of one group drop each other's repeats.
@@ -62,7 +62,7 @@
 	s.host.Stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, e := range s.host.Ledger() {
+	for _, e := range s.host.Executions() {
 		w.ran[e.ID]++
 		if e.Discarded {
 			w.dropped++
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -124,26 +124,26 @@
 	}
 	serverID := fmt.Sprintf("s%d", number)
 	config := model.Config{Cores: 8, Slots: 16, Queue: 32, Cancel: model.CancelAll}
-	host := servermodel.StartWatched(config, group, func(e model.Execution) {
+	host := servermodel.StartObserved(config, group, func(e model.Execution) {
 		n.locked(func(now time.Duration) {
 			n.executed[e.ID] = true
 			n.checker.Ran(now, serverID, e.ID, e.Discarded)
 		})
 	})
 	work := model.Work{Dist: model.Lognormal, Mean: 0.06, CV: 1.5}
-	server := serverprotocol.TreatHTTP1(listener, host, serverprotocol.Options{
-		Treat: func(_, id string) serverprotocol.Treatment {
+	server := serverprotocol.ServeHTTP1WithOptions(listener, host, serverprotocol.Options{
+		Behavior: func(_, id string) serverprotocol.Behavior {
 			n.locked(func(now time.Duration) {
 				n.checker.Sent(now, "n", id, n.checker.Attempts(id), serverID)
 			})
-			treatment := serverprotocol.Treatment{Work: work.Draw(1, id)}
+			treatment := serverprotocol.Behavior{Work: work.Draw(1, id)}
 			if n.failingServer.Load() == int64(number+1) {
 				treatment.Fail = model.Uniform(2, id) < 0.3
 				treatment.Reset = model.Uniform(3, id) < 0.2
 			}
 			return treatment
 		},
-		Turned: func(id string) {
+		OnRejected: func(id string) {
 			n.locked(func(time.Duration) { n.checker.Proved("n", id, n.checker.Attempts(id)-1) })
 		},
 	})
