--- a/internal/node/rpcserver.go
+++ b/internal/node/rpcserver.go
@@ -19,7 +19,7 @@
 	relistenInterval = 10 * time.Millisecond
 )
 
-// rpcServer is the node's MessagePack-RPC listener with its connections. Its Front is set after its engine is made, and
+// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set after the engine is made, and
 // before Serve.
 type rpcServer struct {
 	*msgpackfront.Server
