--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -18,7 +18,7 @@
 	slowLatencyFraction  = 0.6  // of the latency objective, from which an answer is slow
 	sharedScaleIncrease  = 0.02 // part by which a good answer raises the scale of shared servers' thresholds
 	sharedScaleDecrease  = 0.1  // and a bad one lowers it; against sharedScaleIncrease, a sixth may be bad
-	maxSharedScale       = 8.0  // 20 was no better
+	maxSharedScale       = 8.0  // bound of that scale
 	faultRatioGain       = 0.05 // weight of one outcome in a server's fault ratio
 	commonFaultRatio     = 0.08 // at every other server, from which faults tell nothing of one,
 	minFaultWeight       = 0.25 // so that each counts for so much less
