--- /dev/null
+++ b/emulator/model/keytable.go
@@ -0,0 +1,34 @@
+package model
+
+import "time"
+
+// Deduplicator decides which requests are duplicates within a group of servers: a *KeyTable, or a table shared by
+// several servers.
+type Deduplicator interface {
+	// IsDuplicate reports whether the key was seen within the window, and records it if not.
+	IsDuplicate(key string, now time.Duration) bool
+}
+
+// KeyTable is the table of idempotency keys of a group of servers. It isn't safe for concurrent use.
+type KeyTable struct {
+	Window    time.Duration // time for which a key is remembered
+	firstSeen map[string]time.Duration
+	order     []string // oldest first
+}
+
+// IsDuplicate reports whether the key was seen within the window, and records it if not.
+func (k *KeyTable) IsDuplicate(key string, now time.Duration) bool {
+	if k.firstSeen == nil {
+		k.firstSeen = make(map[string]time.Duration)
+	}
+	for len(k.order) > 0 && now-k.firstSeen[k.order[0]] >= k.Window {
+		delete(k.firstSeen, k.order[0])
+		k.order = k.order[1:]
+	}
+	if _, ok := k.firstSeen[key]; ok {
+		return true
+	}
+	k.firstSeen[key] = now
+	k.order = append(k.order, key)
+	return false
+}
--- /dev/null
+++ b/emulator/model/request.go
@@ -0,0 +1,36 @@
+package model
+
+import "time"
+
+// Request is a request to a server.
+type Request struct {
+	ID       string
+	Key      string        // idempotency key, by which duplicates are discarded
+	Work     float64       // seconds of a core of speed 1
+	Deadline time.Duration // time after which the client no longer waits; 0: none
+}
+
+// Admission is the immediate decision on a request.
+type Admission uint8
+
+// The decisions. After Rejected and Down the request never runs.
+const (
+	Accepted Admission = iota
+	Rejected           // the queue is full
+	Down               // the server has crashed or stopped
+)
+
+// Completion is the end of a request at a server.
+type Completion struct {
+	ID        string
+	At        time.Duration
+	Discarded bool // a duplicate: answered without an effect
+	Lost      bool // not answered: the server crashed or stopped
+}
+
+// Execution records the start of a request.
+type Execution struct {
+	ID, Key   string
+	StartedAt time.Duration
+	Discarded bool // a duplicate, without an effect
+}
