--- /dev/null
+++ b/emulator/plan/arrivals.go
@@ -0,0 +1,208 @@
+package plan
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"cobaltward/emulator/script"
+)
+
+// Request is a client's request with its random choices.
+type Request struct {
+	Number     int
+	At         time.Duration
+	ID         string  // of its first attempt
+	Class      int     // index in Script.Classes
+	Tenant     int     // index in Script.Tenants
+	Zone       string  // of the client
+	Node       int     // node to which a fault directs the request; -1: chosen by the balancer
+	Key        string  // idempotency key; empty if the class has none
+	CostFactor float64 // by which faults multiply the work
+	CostFault  int     // index of the last of these faults; -1: none
+	OverQuota  bool    // the tenant exceeds its quota
+}
+
+// AttemptID returns the ID of the n-th retry of a request; retry 0 is the first attempt.
+func (r *Request) AttemptID(n int) string {
+	if n == 0 {
+		return r.ID
+	}
+	return fmt.Sprintf("%s.%d", r.ID, n)
+}
+
+// Arrivals generates the requests in the order of their arrival, independently of how they are served. It isn't safe
+// for concurrent use.
+type Arrivals struct {
+	plan       *Plan
+	rng        *rand.Rand
+	at         time.Duration
+	count      int
+	peakFactor float64 // highest possible rate, as a multiple of the script's
+	// Each tenant has a token bucket that holds its quota of one second.
+	tokens     []float64
+	lastRefill []time.Duration
+}
+
+// Arrivals starts the plan's traffic.
+func (p *Plan) Arrivals() *Arrivals {
+	tenants := len(p.Script.Tenants)
+	arrivals := &Arrivals{
+		plan: p, rng: p.random(streamTraffic),
+		tokens: make([]float64, tenants), lastRefill: make([]time.Duration, tenants),
+	}
+	for i := range arrivals.tokens {
+		arrivals.tokens[i] = p.Settings.Tenants[i].Quota
+	}
+	arrivals.peakFactor = 1 + p.Script.Traffic.Amplitude
+	for i := range p.Faults {
+		fault := &p.Faults[i]
+		if fault.Kind == script.FaultSurge || fault.Kind == script.FaultTenantBurst {
+			arrivals.peakFactor *= max(1, fault.Factor)
+		}
+	}
+	return arrivals
+}
+
+// trafficFactor returns the factor by which a fault multiplies traffic at a time; 1 while it is inactive.
+func trafficFactor(fault *script.Fault, at time.Duration) float64 {
+	if at < fault.At || at >= fault.End() {
+		return 1
+	}
+	progress := 1.0
+	if fault.RampDuration > 0 {
+		progress = min(1, min(at-fault.At, fault.End()-at).Seconds()/fault.RampDuration.Seconds())
+	}
+	return 1 + (fault.Factor-1)*progress
+}
+
+// demand returns the relative load of each tenant at a time, and the total rate in requests per second.
+func (a *Arrivals) demand(at time.Duration) (byTenant []float64, rate float64) {
+	source := a.plan.Script
+	base := 0.0
+	for _, tenant := range source.Tenants {
+		byTenant = append(byTenant, tenant.Share*tenant.Usage)
+		base += tenant.Share * tenant.Usage
+	}
+	rate = source.Traffic.Rate / base
+	for i := range a.plan.Faults {
+		fault := &a.plan.Faults[i]
+		switch fault.Kind {
+		case script.FaultSurge:
+			rate *= trafficFactor(fault.Fault, at)
+		case script.FaultTenantBurst:
+			tenant := slices.IndexFunc(source.Tenants, func(t script.Tenant) bool { return t.Name == fault.Tenant })
+			byTenant[tenant] *= trafficFactor(fault.Fault, at)
+		}
+	}
+	sum := 0.0
+	for _, usage := range byTenant {
+		sum += usage
+	}
+	return byTenant, shapedRate(rate, source, at) * sum
+}
+
+// shapedRate returns the rate at a time with the shape of the traffic.
+func shapedRate(rate float64, source *script.Script, at time.Duration) float64 {
+	amplitude := source.Traffic.Amplitude
+	period := source.Traffic.PeriodOf(source.Duration).Seconds()
+	switch source.Traffic.Shape {
+	case "wave":
+		rate *= 1 + amplitude*math.Sin(2*math.Pi*at.Seconds()/period)
+	case "square":
+		if math.Mod(at.Seconds()/period, 1) < 0.5 {
+			rate *= 1 + amplitude
+		} else {
+			rate *= 1 - amplitude
+		}
+	case "ramp":
+		rate *= 1 - amplitude + 2*amplitude*(at.Seconds()/source.Duration.Seconds())
+	}
+	return rate
+}
+
+// Next returns the next request; ok is false once there are no more.
+func (a *Arrivals) Next() (request Request, ok bool) {
+	source := a.plan.Script
+	for {
+		// Thinning: arrivals are drawn at the highest possible rate, and kept with the probability that gives the
+		// rate at their time.
+		a.at += time.Duration(a.rng.ExpFloat64() / (source.Traffic.Rate * a.peakFactor) * float64(time.Second))
+		if a.at >= source.Duration {
+			return Request{}, false
+		}
+		byTenant, rate := a.demand(a.at)
+		if a.rng.Float64()*source.Traffic.Rate*a.peakFactor < rate {
+			return a.draw(byTenant), true
+		}
+	}
+}
+
+// draw returns a request that arrives now. The order of the draws is part of each plan.
+func (a *Arrivals) draw(byTenant []float64) Request {
+	source := a.plan.Script
+	request := Request{Number: a.count, At: a.at, Node: -1, CostFactor: 1, CostFault: -1}
+	a.count++
+	request.ID = fmt.Sprintf("q%08x-%d", uint32(a.plan.Seed*2654435761), request.Number)
+	request.Tenant = weightedIndex(a.rng, byTenant)
+	request.Class = weightedIndexFunc(a.rng, source.Classes, func(c script.Class) float64 { return c.Share })
+	zoneWeight := func(zone string) float64 { return weight(source.Traffic.Zones, zone) }
+	request.Zone = source.Network.Zones[weightedIndexFunc(a.rng, source.Network.Zones, zoneWeight)]
+	if source.Classes[request.Class].Idempotency == script.IdempotencyKeyed {
+		request.Key = "k-" + request.ID
+	}
+	a.applyFaults(&request)
+	request.OverQuota = !a.takeToken(request.Tenant)
+	return request
+}
+
+// applyFaults draws the effects of active faults on a request.
+func (a *Arrivals) applyFaults(request *Request) {
+	class := a.plan.Script.Classes[request.Class].Name
+	for i := range a.plan.Faults {
+		fault := &a.plan.Faults[i]
+		if !fault.ActiveAt(request.At) {
+			continue
+		}
+		switch {
+		case fault.Kind == script.FaultCostly && fault.Class == class && a.rng.Float64() < fault.Fraction:
+			request.CostFactor, request.CostFault = request.CostFactor*fault.Factor, i
+		case fault.Kind == script.FaultHotNode && a.rng.Float64() < fault.Fraction:
+			request.Node = fault.Nodes[a.rng.IntN(len(fault.Nodes))]
+			request.Zone = a.plan.Nodes[request.Node].Zone
+		}
+	}
+}
+
+// takeToken takes a token of a tenant's quota; it returns false if the tenant exceeds the quota.
+func (a *Arrivals) takeToken(tenant int) bool {
+	quota := a.plan.Settings.Tenants[tenant].Quota
+	a.tokens[tenant] = min(quota, a.tokens[tenant]+quota*(a.at-a.lastRefill[tenant]).Seconds())
+	a.lastRefill[tenant] = a.at
+	if a.tokens[tenant] < 1 {
+		return false
+	}
+	a.tokens[tenant]--
+	return true
+}
+
+// weightedIndex draws an index with a probability in proportion to its weight.
+func weightedIndex(rng *rand.Rand, weights []float64) int {
+	return weightedIndexFunc(rng, weights, func(w float64) float64 { return w })
+}
+
+func weightedIndexFunc[T any](rng *rand.Rand, all []T, weight func(T) float64) int {
+	sum := 0.0
+	for _, v := range all {
+		sum += weight(v)
+	}
+	x := rng.Float64() * sum
+	for i, v := range all {
+		if x -= weight(v); x < 0 {
+			return i
+		}
+	}
+	return len(all) - 1
+}
--- a/emulator/realtime/config.go
+++ b/emulator/realtime/config.go
@@ -19,7 +19,7 @@
 // configOf is the platform's configuration file for a node, in the form of its ROUTER_CONFIG.
 func configOf(p *plan.Plan, node int, listen, discovery string, known []Entry, revision int64, life int) ([]byte, error) {
 	s := p.Script
-	set := p.SettingsOf(node)
+	set := p.NodeSettings(node)
 	var classes, tenants []obj
 	for _, c := range set.Classes {
 		classes = append(classes, obj{
@@ -40,7 +40,7 @@
 			"limits": obj{
 				"cancelling": set.Capabilities.Cancel, "secondCopies": set.Capabilities.Hedge, "retryAfter": set.Capabilities.RetryAfter,
 				"maxAttempts": set.Capabilities.MaxAttempts, "maxRetryAfter": ms(set.Capabilities.MaxRetryAfter), "connIdle": ms(set.Capabilities.ConnIdleTimeout),
-				"maxOpen": s.Nodes.MaxOpen, "connectTimeout": ms(s.Net.Connect),
+				"maxOpen": s.Nodes.MaxOpen, "connectTimeout": ms(s.Network.ConnectTimeout),
 			},
 			"guarantees": obj{
 				"graceToAnswer": ms(set.Rules.AnswerGrace), "drainGrace": ms(set.Rules.DrainGrace), "coldShare": set.Rules.SlowStartShare,
@@ -65,7 +65,7 @@
 // operatorOf is the operator's own file for a node.
 func operatorOf(p *plan.Plan, more string) string {
 	var kinds []string
-	for _, k := range p.Script.Kinds {
+	for _, k := range p.Script.ServerKinds {
 		if k.Protocol == "msgpack" {
 			kinds = append(kinds, strconv.Quote(k.Name))
 		}
--- a/emulator/realtime/live.go
+++ b/emulator/realtime/live.go
@@ -20,6 +20,7 @@
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
+	"cobaltward/emulator/script"
 	"cobaltward/emulator/sim"
 )
 
@@ -52,7 +53,7 @@
 	servers []*server
 	nodes   []*node
 	clients []*http.Client // by node
-	front   *plan.Front
+	front   *plan.Balancer
 	frontMu sync.Mutex
 
 	keysMu sync.Mutex
@@ -90,7 +91,7 @@
 		return nil, fmt.Errorf("live: %d servers and %d nodes: real time takes %d and %d at most; virtual time takes more",
 			len(p.Servers), len(p.Nodes), mostServers, mostNodes)
 	}
-	if p.Script.Discovery.Form == "xds" && o.XDS == nil {
+	if p.Script.Discovery.Protocol == "xds" && o.XDS == nil {
 		return nil, errors.New(`live: discovery.form = "xds": this program has no xDS; run wayhold-xds in its place`)
 	}
 	dir, err := os.MkdirTemp("", "rehearse")
@@ -101,7 +102,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	w := &world{
-		p: p, o: o, dir: dir, front: p.Front(), keys: make(map[string]*model.KeyTable), quit: make(chan struct{}), stop: stop,
+		p: p, o: o, dir: dir, front: p.NewBalancer(), keys: make(map[string]*model.KeyTable), quit: make(chan struct{}), stop: stop,
 		flying: make(chan struct{}, mostFlying),
 	}
 	places := make(map[string]*plan.Server)
@@ -148,7 +149,7 @@
 	for i := range p.Faults {
 		f := &p.Faults[i]
 		w.at(f.At, func() { w.begin(f) })
-		w.at(f.Until(), func() { w.end(ctx, f) })
+		w.at(f.End(), func() { w.end(ctx, f) })
 	}
 	if o.Levels != "" {
 		w.parts.Go(w.levels)
@@ -177,7 +178,7 @@
 	}
 	var err error
 	start := NewAgent(startAgent)
-	if w.p.Script.Discovery.Form == "xds" {
+	if w.p.Script.Discovery.Protocol == "xds" {
 		start = w.o.XDS
 	}
 	if n.agent, err = start(w.dir, first, func(id string, open bool) { w.court.told(n.spec.Name, id, open) }); err != nil {
@@ -253,7 +254,7 @@
 	w.lateMu.Unlock()
 	for i, n := range w.nodes {
 		e := s.entry(i, phase)
-		w.at(w.now()+n.spec.Delay+more, func() { n.agent.Set(e) })
+		w.at(w.now()+n.spec.DiscoveryDelay+more, func() { n.agent.Set(e) })
 	}
 }
 
@@ -261,31 +262,31 @@
 	for _, i := range f.Servers {
 		s := w.servers[i]
 		switch f.Kind {
-		case "crash", "replaced":
+		case script.FaultCrash, script.FaultReplaced:
 			s.crash()
 			w.heard(s, "removed")
-		case "drain":
+		case script.FaultDrain:
 			w.heard(s, "draining")
-		case "list-wrong":
+		case script.FaultListWrong:
 			w.heard(s, "removed")
 		}
 	}
 	switch f.Kind {
-	case "discovery-down":
+	case script.FaultDiscoveryDown:
 		for _, n := range w.nodes {
 			n.agent.Silence(true)
 		}
-	case "list-late":
+	case script.FaultListLate:
 		w.lateMu.Lock()
 		w.late = append(w.late, f.Delay)
 		w.lateMu.Unlock()
-	case "node-crash":
+	case script.FaultNodeCrash:
 		for _, i := range f.Nodes {
 			n := w.nodes[i]
 			n.kill()
 			w.court.do(func(time.Duration) { w.court.judge.NodeDown(n.spec.Name) })
 			_, _, life := n.state()
-			w.at(w.now()+w.p.Script.Nodes.Notice, func() {
+			w.at(w.now()+w.p.Script.Nodes.FailureDetection, func() {
 				if _, up, now := n.state(); !up && now == life {
 					w.notice(i, true)
 				}
@@ -297,7 +298,7 @@
 func (w *world) notice(node int, dead bool) {
 	w.frontMu.Lock()
 	defer w.frontMu.Unlock()
-	w.front.Notice(node, dead)
+	w.front.SetDown(node, dead)
 }
 
 func (w *world) end(ctx context.Context, f *plan.Fault) {
@@ -305,12 +306,12 @@
 		s := w.servers[i]
 		var err error
 		switch f.Kind {
-		case "crash", "drain":
+		case script.FaultCrash, script.FaultDrain:
 			s.crash()
 			err = s.start(s.id, false)
-		case "replaced":
+		case script.FaultReplaced:
 			err = s.start(s.id+"r", false)
-		case "list-wrong":
+		case script.FaultListWrong:
 		default:
 			continue
 		}
@@ -321,11 +322,11 @@
 		w.heard(s, "up")
 	}
 	switch f.Kind {
-	case "discovery-down":
+	case script.FaultDiscoveryDown:
 		for _, n := range w.nodes {
 			n.agent.Silence(false)
 		}
-	case "list-late":
+	case script.FaultListLate:
 		w.lateMu.Lock()
 		for i, d := range w.late {
 			if d == f.Delay {
@@ -334,7 +335,7 @@
 			}
 		}
 		w.lateMu.Unlock()
-	case "node-crash":
+	case script.FaultNodeCrash:
 		for _, i := range f.Nodes {
 			if err := w.nodes[i].start(ctx); err != nil {
 				w.fail(err)
@@ -386,12 +387,15 @@
 
 // client is one request with all its tries.
 func (w *world) client(ctx context.Context, r *request) {
-	_, leaves := w.p.Client(&r.Request)
+	_, leaves := w.p.ClientBehavior(&r.Request)
 	for n := 0; ; n++ {
 		end, lost, retryAfter := w.try(r, n, leaves)
 		leaves = 0
 		if end == result.Refused || end == result.Missed || end == result.Failed {
-			wait, again := w.p.Again(&r.Request, n+1, end == result.Refused, end == result.Failed || lost, retryAfter, w.now()-r.At)
+			wait, again := w.p.Retry(&r.Request, n+1, plan.Outcome{
+				Rejected: end == result.Refused, MayHaveRun: end == result.Failed || lost,
+				RetryAfter: retryAfter, Elapsed: w.now() - r.At,
+			})
 			if again {
 				t := time.NewTimer(wait)
 				select {
@@ -427,16 +431,16 @@
 	node, class := w.nodes[i], s.Classes[r.Class]
 	addr, up, life := node.state()
 	if !up {
-		time.Sleep(2 * s.Net.Client)
+		time.Sleep(2 * s.Network.ClientDelay)
 		return result.Missed, false, 0
 	}
-	id, patience := r.Try(n), w.p.Patience(&r.Request, w.now()-r.At)
+	id, patience := r.AttemptID(n), w.p.AttemptTimeout(&r.Request, w.now()-r.At)
 	stays := patience
 	if leaves > 0 {
 		stays = time.Duration(leaves * float64(patience))
 	}
 	method := http.MethodPost
-	if class.Repeat == "free" {
+	if class.Idempotency == script.Idempotent {
 		method = http.MethodGet
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stays+s.Rules.AnswerGrace+slack)
@@ -500,7 +504,7 @@
 	for i := range w.p.Faults {
 		f := &w.p.Faults[i]
 		for _, n := range f.Nodes {
-			if f.Kind == "node-crash" && n == node && f.At <= now && now < f.Until()+time.Second {
+			if f.Kind == script.FaultNodeCrash && n == node && f.At <= now && now < f.End()+time.Second {
 				w.court.met(r, i)
 			}
 		}
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -10,6 +10,7 @@
 
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
+	"cobaltward/emulator/script"
 	"cobaltward/emulator/servermodel"
 	"cobaltward/emulator/serverprotocol"
 )
@@ -61,12 +62,12 @@
 		if len(s.addrs) == n {
 			s.addrs = append(s.addrs, ln.Addr().String())
 		}
-		way := s.w.p.Script.Net.Same
+		way := s.w.p.Script.Network.SameZoneDelay
 		if s.w.p.Nodes[n].Zone != s.spec.Zone {
-			way = s.w.p.Script.Net.Cross
+			way = s.w.p.Script.Network.CrossZoneDelay
 		}
-		o := serverprotocol.Options{Behavior: s.treat(n, way), OnRejected: func(id string) { s.w.court.proved(n, id) }, LoadFields: s.w.p.Script.Reports}
-		if s.spec.Msgpack {
+		o := serverprotocol.Options{Behavior: s.treat(n, way), OnRejected: func(id string) { s.w.court.proved(n, id) }, LoadFields: s.w.p.Script.LoadFields}
+		if s.spec.SpeaksMsgpack {
 			s.faces = append(s.faces, serverprotocol.ServeMsgpackWithOptions(ln, s.host, o))
 		} else {
 			s.faces = append(s.faces, serverprotocol.ServeHTTP1WithOptions(ln, s.host, o))
@@ -129,10 +130,10 @@
 		now := w.now()
 		for i := range w.p.Faults {
 			f := &w.p.Faults[i]
-			if now < f.At || now >= f.Until() {
+			if now < f.At || now >= f.End() {
 				continue
 			}
-			if f.Kind == "zone-cut" && (f.Zone == s.spec.Zone) != (f.Zone == w.p.Nodes[n].Zone) {
+			if f.Kind == script.FaultZoneCut && (f.Zone == s.spec.Zone) != (f.Zone == w.p.Nodes[n].Zone) {
 				t.Hang = true
 				w.court.met(q, i)
 				continue
@@ -140,22 +141,22 @@
 			if !slices.Contains(f.Servers, s.index) {
 				continue
 			}
-			part := f.Part == 0 || w.p.Chance(f.Kind+f.Label(), t.ID) < f.Part
+			part := f.Fraction == 0 || w.p.Chance(f.Kind+f.Label(), t.ID) < f.Fraction
 			if !part {
 				continue
 			}
 			switch f.Kind {
-			case "fast-errors":
+			case script.FaultFastErrors:
 				t.Fail, t.Work = true, 0
-			case "hung", "silent":
+			case script.FaultHung, script.FaultSilent:
 				t.Hang = true
-			case "slow":
+			case script.FaultSlow:
 				t.Work *= f.Factor
-			case "reset":
+			case script.FaultReset:
 				t.Reset = true
-			case "half-answer":
+			case script.FaultHalfAnswer:
 				t.Truncate = true
-			case "garbled":
+			case script.FaultGarbled:
 				t.Malform = true
 			default:
 				continue
@@ -186,7 +187,7 @@
 // Repeat tells whether a key was there within its class's window.
 func (g *group) IsDuplicate(key string, _ time.Duration) bool {
 	class, key, _ := strings.Cut(key, "\x00")
-	scope, window := g.w.p.KeyScope(class, g.spec)
+	scope, window := g.w.p.DedupTable(class, g.spec)
 	g.w.keysMu.Lock()
 	defer g.w.keysMu.Unlock()
 	t := g.w.keys[scope]
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -159,7 +159,7 @@
 func NewBook(p *plan.Plan, clock string, detail func(*plan.Request, Outcome)) *Book {
 	s := p.Script
 	r := &Result{
-		Title: s.Title, Seed: p.Seed, Clock: clock, Length: s.Length, Servers: len(p.Servers), Nodes: len(p.Nodes), Zones: s.Net.Zones,
+		Title: s.Title, Seed: p.Seed, Clock: clock, Length: s.Duration, Servers: len(p.Servers), Nodes: len(p.Nodes), Zones: s.Network.Zones,
 		All: newService(), Classes: make(map[string]*Service), Tenants: make(map[string]*Service), ByZone: make(map[string]*Service),
 	}
 	for _, c := range s.Classes {
@@ -168,7 +168,7 @@
 	for _, t := range s.Tenants {
 		r.Tenants[t.Name] = newService()
 	}
-	for _, z := range s.Net.Zones {
+	for _, z := range s.Network.Zones {
 		r.ByZone[z] = newService()
 	}
 	for i := range p.Faults {
@@ -180,7 +180,7 @@
 		for _, n := range f.Nodes {
 			hit = append(hit, p.Nodes[n].Name)
 		}
-		r.Faults = append(r.Faults, Fault{Label: f.Label(), Kind: f.Kind, From: f.At, To: f.Until(), Hit: hit})
+		r.Faults = append(r.Faults, Fault{Label: f.Label(), Kind: f.Kind, From: f.At, To: f.End(), Hit: hit})
 	}
 	return &Book{p: p, r: r, digest: sha256.New(), detail: detail}
 }
@@ -243,14 +243,14 @@
 		second.Failed++
 	}
 	worth := 1.0
-	if r.OverShare {
+	if r.OverQuota {
 		worth = overShareWorth
 	}
-	inAim := o.End == Served && o.Took <= class.Aim
+	inAim := o.End == Served && o.Took <= class.LatencyObjective
 	for _, v := range []*Service{b.r.All, b.r.Classes[class.Name], b.r.Tenants[s.Tenants[r.Tenant].Name], b.r.ByZone[r.Zone]} {
 		v.Offered++
 		v.Asked += worth
-		if !r.OverShare {
+		if !r.OverQuota {
 			v.Within++
 		}
 		switch o.End {
@@ -259,12 +259,12 @@
 			if inAim {
 				v.InAim++
 				v.Worth += worth
-				if !r.OverShare {
+				if !r.OverQuota {
 					v.WithinOK++
 				}
 			} else {
 				v.Late++
-				v.Worth += worth * class.LateWorth
+				v.Worth += worth * class.LateWeightFraction
 			}
 		case Refused:
 			v.Refused++
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -6,6 +6,7 @@
 
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
+	"cobaltward/emulator/script"
 	"cobaltward/router"
 )
 
@@ -50,7 +51,7 @@
 		r := &request{Request: next, work: w.p.Work(&next)}
 		w.meetTraffic(r)
 		w.book.Offered(&r.Request)
-		_, leaves := w.p.Client(&r.Request)
+		_, leaves := w.p.ClientBehavior(&r.Request)
 		w.try(r, leaves)
 		w.arrive(a)
 	})
@@ -58,16 +59,16 @@
 
 // meetTraffic notes the faults of traffic that a request is part of.
 func (w *world) meetTraffic(r *request) {
-	if r.CostlyBy >= 0 {
-		r.meet(r.CostlyBy)
+	if r.CostFault >= 0 {
+		r.meet(r.CostFault)
 	}
 	for i := range w.p.Faults {
 		f := &w.p.Faults[i]
-		if r.At < f.At || r.At >= f.Until() {
+		if r.At < f.At || r.At >= f.End() {
 			continue
 		}
-		if f.Kind == "surge" || f.Kind == "tenant-burst" && f.Tenant == w.p.Script.Tenants[r.Tenant].Name ||
-			f.Kind == "hot-node" && r.Node >= 0 && slices.Contains(f.Nodes, r.Node) {
+		if f.Kind == script.FaultSurge || f.Kind == script.FaultTenantBurst && f.Tenant == w.p.Script.Tenants[r.Tenant].Name ||
+			f.Kind == script.FaultHotNode && r.Node >= 0 && slices.Contains(f.Nodes, r.Node) {
 			r.meet(i)
 		}
 	}
@@ -88,8 +89,8 @@
 // try sends a request once.
 func (w *world) try(r *request, leaves float64) {
 	r.sent = w.now
-	r.wait = w.p.Patience(&r.Request, w.now-r.At)
-	r.id = r.Try(r.tries)
+	r.wait = w.p.AttemptTimeout(&r.Request, w.now-r.At)
+	r.id = r.AttemptID(r.tries)
 	r.at = w.node(r)
 	r.tries++
 	r.live, r.lost = true, false
@@ -99,13 +100,13 @@
 		w.requests = make(map[string]*request)
 	}
 	w.requests[id] = r
-	way := w.delay(w.p.Script.Net.Client, "client", id)
+	way := w.delay(w.p.Script.Network.ClientDelay, "client", id)
 	if n == nil {
 		w.after(2*way, func() { w.tried(r, id, result.Missed, 0) })
 		return
 	}
 	times := 1
-	if w.p.Chance("duplicate", id) < w.p.Script.Clients.DuplicateIDs {
+	if w.p.Chance("duplicate", id) < w.p.Script.Clients.DuplicateIDFraction {
 		times = 2
 	}
 	for i := range times {
@@ -191,7 +192,7 @@
 		if r.live && r.at == n && r.id == id {
 			r.meet(f.Index)
 			r.lost = true
-			w.after(w.p.Script.Net.Client, func() { w.tried(r, id, result.Missed, 0) })
+			w.after(w.p.Script.Network.ClientDelay, func() { w.tried(r, id, result.Missed, 0) })
 		}
 	}
 }
@@ -209,7 +210,10 @@
 		}
 	})
 	if end == result.Refused || end == result.Missed || end == result.Failed {
-		wait, again := w.p.Again(&r.Request, r.tries, end == result.Refused, end == result.Failed || r.lost, retryAfter, w.now-r.At)
+		wait, again := w.p.Retry(&r.Request, r.tries, plan.Outcome{
+			Rejected: end == result.Refused, MayHaveRun: end == result.Failed || r.lost,
+			RetryAfter: retryAfter, Elapsed: w.now - r.At,
+		})
 		if again {
 			w.after(wait, func() { w.try(r, 0) })
 			return
--- a/emulator/sim/levels_test.go
+++ b/emulator/sim/levels_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Traffic.Quota, s.Length = 3000, 50*time.Second
+		s.Traffic.Quota, s.Duration = 3000, 50*time.Second
 		p, err := plan.New(s, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Length = 20 * time.Second
+		s.Duration = 20 * time.Second
 		p, err := plan.New(s, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cobaltward/emulator/plan"
+	"cobaltward/emulator/script"
 	"cobaltward/internal/learnedstate"
 	"cobaltward/policy"
 	"cobaltward/router"
@@ -59,7 +60,7 @@
 func (n *node) start() error {
 	seed := fnv.New64a()
 	seed.Write([]byte{byte(n.index), byte(n.index >> 8), byte(n.lives)})
-	c := router.Config{Settings: n.w.p.SettingsOf(n.index), MaxInFlight: n.w.p.Script.Nodes.MaxOpen, Seed: n.w.p.Seed ^ seed.Sum64()}
+	c := router.Config{Settings: n.w.p.NodeSettings(n.index), MaxInFlight: n.w.p.Script.Nodes.MaxOpen, Seed: n.w.p.Seed ^ seed.Sum64()}
 	for _, id := range sortedKeys(n.known) {
 		c.Endpoints = append(c.Endpoints, n.known[id])
 	}
@@ -75,7 +76,7 @@
 		return err
 	}
 	n.engine, n.born, n.wake = engine, n.w.now, 0
-	n.w.front.Notice(n.index, false)
+	n.w.front.SetDown(n.index, false)
 	n.rests = nil
 	n.idle, n.conns, n.out = make(map[string][]*conn), 0, make(map[router.Attempt]*try)
 	n.drained = make(map[string]time.Duration)
@@ -135,9 +136,9 @@
 	}
 	n.w.lose(n, f)
 	life := n.lives
-	n.w.after(n.w.p.Script.Nodes.Notice, func() {
+	n.w.after(n.w.p.Script.Nodes.FailureDetection, func() {
 		if n.lives == life && n.engine == nil {
-			n.w.front.Notice(n.index, true)
+			n.w.front.SetDown(n.index, true)
 		}
 	})
 }
@@ -156,7 +157,7 @@
 
 // news has the agent learn of a server, late.
 func (n *node) news(m router.Endpoint) {
-	at := n.w.now + n.spec.Delay
+	at := n.w.now + n.spec.DiscoveryDelay
 	for _, d := range n.w.late {
 		at += d
 	}
@@ -222,7 +223,7 @@
 	}
 	if s.state != policy.Running { // the node knows no better, by fault of the list
 		for i := range w.p.Faults {
-			if f := &w.p.Faults[i]; (f.Kind == "discovery-down" || f.Kind == "list-late" || f.Kind == "list-wrong") && f.At <= w.now && w.now < f.Until() {
+			if f := &w.p.Faults[i]; (f.Kind == script.FaultDiscoveryDown || f.Kind == script.FaultListLate || f.Kind == script.FaultListWrong) && f.At <= w.now && w.now < f.End() {
 				t.met(f)
 			}
 		}
@@ -232,7 +233,7 @@
 	for len(idle) > 0 {
 		c := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
-		if w.now-c.used < w.p.Script.Allow.ConnIdle/2 && !c.p.dead && !c.broken {
+		if w.now-c.used < w.p.Script.Capabilities.ConnIdle/2 && !c.p.dead && !c.broken {
 			n.idle[s.id] = idle
 			t.conn = c
 			t.send()
@@ -337,7 +338,7 @@
 	w := t.n.w
 	for i := range w.p.Faults {
 		f := &w.p.Faults[i]
-		if (f.Kind == "crash" || f.Kind == "replaced" || f.Kind == "drain") && f.At <= w.now && w.now < f.Until()+time.Second &&
+		if (f.Kind == script.FaultCrash || f.Kind == script.FaultReplaced || f.Kind == script.FaultDrain) && f.At <= w.now && w.now < f.End()+time.Second &&
 			slices.ContainsFunc(f.Servers, func(n int) bool { return w.p.Servers[n].ID == strings.TrimRight(t.server.id, "r") }) {
 			t.met(f)
 		}
@@ -354,7 +355,7 @@
 		return len(t.server.silent) > 0
 	}
 	for i := range w.p.Faults {
-		if f := &w.p.Faults[i]; f.Kind == "zone-cut" && f.At <= w.now && w.now < f.Until() {
+		if f := &w.p.Faults[i]; f.Kind == script.FaultZoneCut && f.At <= w.now && w.now < f.End() {
 			t.met(f)
 		}
 	}
@@ -366,7 +367,7 @@
 	w, s := t.n.w, t.server
 	w.book.Connect()
 	if t.blocked() {
-		w.after(w.p.Script.Net.Connect, func() { t.end(policy.ConnectFailed) })
+		w.after(w.p.Script.Network.ConnectTimeout, func() { t.end(policy.ConnectFailed) })
 		return
 	}
 	w.after(t.delay, func() {
@@ -384,7 +385,7 @@
 		}
 		p.run()
 		t.conn = &conn{p: p}
-		w.after(t.delay*time.Duration(2*w.p.Script.Net.RTTs-1), func() {
+		w.after(t.delay*time.Duration(2*w.p.Script.Network.HandshakeRTTs-1), func() {
 			if !t.over {
 				t.send()
 			}
@@ -505,7 +506,7 @@
 		return
 	}
 	p := c.p
-	d := p.s.w.p.Script.Net.Same
+	d := p.s.w.p.Script.Network.SameZoneDelay
 	if t != nil {
 		d = t.delay
 	}
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -7,6 +7,7 @@
 
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
+	"cobaltward/emulator/script"
 	"cobaltward/policy"
 )
 
@@ -136,7 +137,7 @@
 // silence cuts the machine off: nothing comes or goes. The list learns of it late, if at all.
 func (s *server) silence(f *plan.Fault) {
 	s.silent = append(s.silent, f)
-	if after := s.w.p.Script.Discovery.Silent; after > 0 && after < f.For {
+	if after := s.w.p.Script.Discovery.SilenceTimeout; after > 0 && after < f.Duration {
 		s.w.after(after, func() { s.quiet++; s.heard(policy.Removed) })
 	}
 }
@@ -171,7 +172,7 @@
 // failing tells whether a fault with a part of requests takes this one, and notes that it met it.
 func (s *server) failing(kind string, t *try) bool {
 	for _, f := range s.faults {
-		if f.Kind == kind && s.w.p.Chance(kind+f.Label(), t.id) < f.Part {
+		if f.Kind == kind && s.w.p.Chance(kind+f.Label(), t.id) < f.Fraction {
 			t.met(f)
 			return true
 		}
@@ -187,19 +188,19 @@
 		return
 	}
 	for _, f := range s.faults {
-		if f.Kind == "hung" { // it reads, and never answers
+		if f.Kind == script.FaultHung { // it reads, and never answers
 			t.met(f)
 			return
 		}
 	}
 	work := t.work
 	for _, f := range s.faults {
-		if f.Kind == "slow" {
+		if f.Kind == script.FaultSlow {
 			t.met(f)
 			work *= f.Factor
 		}
 	}
-	t.fails = s.failing("fast-errors", t)
+	t.fails = s.failing(script.FaultFastErrors, t)
 	if !t.fails && s.spec.ErrorRate > 0 {
 		t.fails = w.p.Chance("errors"+s.id, t.id) < s.spec.ErrorRate
 	}
@@ -220,11 +221,11 @@
 	switch verdict {
 	case model.Accepted:
 		w.book.Work(work)
-		if s.failing("reset", t) {
+		if s.failing(script.FaultReset, t) {
 			delete(p.tries, t.id)
 			t.broken(t.delay)
 		}
-		t.half, t.garbled = s.failing("half-answer", t), s.failing("garbled", t)
+		t.half, t.garbled = s.failing(script.FaultHalfAnswer, t), s.failing(script.FaultGarbled, t)
 	case model.Rejected:
 		delete(p.tries, t.id)
 		t.turnedAway()
@@ -263,7 +264,7 @@
 // Repeat tells whether a key was there within its class's window.
 func (g *group) IsDuplicate(key string, now time.Duration) bool {
 	class, key, _ := strings.Cut(key, "\x00")
-	scope, window := g.k.world.p.KeyScope(class, g.s.spec)
+	scope, window := g.k.world.p.DedupTable(class, g.s.spec)
 	if g.k.tables == nil {
 		g.k.tables = make(map[string]*model.KeyTable)
 	}
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -88,7 +88,7 @@
 	}
 	short := func() *plan.Plan { // with all of its faults begun
 		p := load(t, "../../scenarios/together.toml")
-		p.Script.Length = 16 * time.Second
+		p.Script.Duration = 16 * time.Second
 		return p
 	}
 	p := short()
@@ -115,7 +115,7 @@
 func TestFaultsTogether(t *testing.T) {
 	r := play(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
-		if f.Kind == "fast-errors" || f.Kind == "node-crash" {
+		if f.Kind == script.FaultFastErrors || f.Kind == script.FaultNodeCrash {
 			if f.Met == 0 || f.Alone == 0 || f.Alone > f.Met || f.Served > f.Met {
 				t.Errorf("%+v", f)
 			}
--- a/emulator/sim/world.go
+++ b/emulator/sim/world.go
@@ -12,6 +12,7 @@
 	"cobaltward/emulator/checker"
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
+	"cobaltward/emulator/script"
 	"cobaltward/internal/learnedstate"
 	"cobaltward/internal/safeguards"
 	"cobaltward/levels"
@@ -48,7 +49,7 @@
 	servers []*server
 	byID    map[string]*server
 	nodes   []*node
-	front   *plan.Front
+	front   *plan.Balancer
 	cut     map[string]int // zones that are cut off
 	keys    keyTables
 
@@ -63,7 +64,7 @@
 // Run plays a plan to its end.
 func Run(ctx context.Context, p *plan.Plan, o Options) (*result.Result, error) {
 	w := &world{
-		p: p, o: o, byID: make(map[string]*server), front: p.Front(),
+		p: p, o: o, byID: make(map[string]*server), front: p.NewBalancer(),
 		cut: make(map[string]int), book: result.NewBook(p, "virtual", o.Detail), traffic: true,
 	}
 	w.keys.world = w
@@ -86,7 +87,7 @@
 	}
 	var progress time.Duration
 	for n := 0; len(w.q.heap) > 0; n++ {
-		if !w.traffic && w.flying == 0 && w.now > p.Script.Length+longest(p) {
+		if !w.traffic && w.flying == 0 && w.now > p.Script.Duration+longest(p) {
 			break
 		}
 		e := w.q.take()
@@ -128,17 +129,17 @@
 
 // delay is a one-way delay, drawn for an id and a matter.
 func (w *world) delay(base time.Duration, matter, id string) time.Duration {
-	if w.p.Script.Net.Jitter == 0 {
+	if w.p.Script.Network.Jitter == 0 {
 		return base
 	}
-	return base + time.Duration(float64(base)*w.p.Script.Net.Jitter*w.p.Chance(matter, id))
+	return base + time.Duration(float64(base)*w.p.Script.Network.Jitter*w.p.Chance(matter, id))
 }
 
 func (w *world) between(a, b string) time.Duration {
 	if a == b {
-		return w.p.Script.Net.Same
+		return w.p.Script.Network.SameZoneDelay
 	}
-	return w.p.Script.Net.Cross
+	return w.p.Script.Network.CrossZoneDelay
 }
 
 // parted tells whether nothing passes between two zones.
@@ -161,7 +162,7 @@
 	} else {
 		w.book.Sample(nil)
 	}
-	if w.now < w.p.Script.Length {
+	if w.now < w.p.Script.Duration {
 		w.after(time.Second, w.sample)
 	}
 }
@@ -179,7 +180,7 @@
 		}
 		n.kept = learnedstate.Snapshot{Version: learnedstate.Version, Node: n.spec.Name, At: epoch.Add(w.now), State: k}
 	}
-	if w.now < w.p.Script.Length {
+	if w.now < w.p.Script.Duration {
 		w.after(w.o.Remember, w.remember)
 	}
 }
@@ -187,34 +188,34 @@
 // schedule puts a fault on the timeline.
 func (w *world) schedule(f *plan.Fault) {
 	w.q.put(f.At, func() { w.begin(f) })
-	w.q.put(f.Until(), func() { w.end(f) })
+	w.q.put(f.End(), func() { w.end(f) })
 }
 
 func (w *world) begin(f *plan.Fault) {
 	for _, i := range f.Servers {
 		s := w.servers[i]
 		switch f.Kind {
-		case "crash", "replaced":
+		case script.FaultCrash, script.FaultReplaced:
 			s.crash()
 			s.heard(policy.Removed)
-		case "drain":
+		case script.FaultDrain:
 			s.heard(policy.Draining)
-		case "list-wrong":
+		case script.FaultListWrong:
 			s.heard(policy.Removed)
-		case "silent":
+		case script.FaultSilent:
 			s.silence(f)
 		default:
 			s.faults = append(s.faults, f)
 		}
 	}
 	switch f.Kind {
-	case "discovery-down":
+	case script.FaultDiscoveryDown:
 		w.unheard++
-	case "list-late":
+	case script.FaultListLate:
 		w.late = append(w.late, f.Delay)
-	case "zone-cut":
+	case script.FaultZoneCut:
 		w.cut[f.Zone]++
-	case "node-crash":
+	case script.FaultNodeCrash:
 		for _, i := range f.Nodes {
 			w.nodes[i].crash(f)
 		}
@@ -225,38 +226,38 @@
 	for _, i := range f.Servers {
 		s := w.servers[i]
 		switch f.Kind {
-		case "crash":
+		case script.FaultCrash:
 			s.restart()
-		case "replaced":
+		case script.FaultReplaced:
 			w.servers[i] = w.addServer(s.spec, s.id+"r", i, false)
 			w.servers[i].heard(policy.Running)
-		case "drain":
+		case script.FaultDrain:
 			s.crash()
 			s.restart()
-		case "list-wrong":
+		case script.FaultListWrong:
 			s.heard(policy.Running)
-		case "silent":
+		case script.FaultSilent:
 			s.speak(f)
 		default:
 			s.faults = slices.DeleteFunc(s.faults, func(g *plan.Fault) bool { return g == f })
 		}
 	}
 	switch f.Kind {
-	case "discovery-down":
+	case script.FaultDiscoveryDown:
 		if w.unheard--; w.unheard == 0 {
 			for _, n := range w.nodes {
 				n.listen()
 			}
 		}
-	case "list-late":
+	case script.FaultListLate:
 		w.late = slices.Delete(w.late, slices.Index(w.late, f.Delay), slices.Index(w.late, f.Delay)+1)
-	case "zone-cut":
+	case script.FaultZoneCut:
 		if w.cut[f.Zone]--; w.cut[f.Zone] == 0 {
 			for _, n := range w.nodes {
 				n.unstick()
 			}
 		}
-	case "node-crash":
+	case script.FaultNodeCrash:
 		for _, i := range f.Nodes {
 			if err := w.nodes[i].restart(); err != nil {
 				w.engines = fmt.Errorf("sim: %s: %w", w.nodes[i].spec.Name, err)
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -122,7 +122,7 @@
 	if !r.quiet && demo.Terminal(os.Stderr) {
 		bar := newProgressBar(site)
 		options.Progress = func(at time.Duration) {
-			_ = bar.Set64(min(int64(at/time.Second), int64(site.Length/time.Second))) // only shown
+			_ = bar.Set64(min(int64(at/time.Second), int64(site.Duration/time.Second))) // only shown
 		}
 		defer func() { _ = bar.Finish() }() // only shown
 	}
@@ -156,7 +156,7 @@
 }
 
 func newProgressBar(site *script.Script) *progressbar.ProgressBar {
-	return progressbar.NewOptions64(int64(site.Length/time.Second),
+	return progressbar.NewOptions64(int64(site.Duration/time.Second),
 		progressbar.OptionSetDescription(site.Title),
 		progressbar.OptionSetWriter(os.Stderr),
 		progressbar.OptionClearOnFinish(),
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -31,7 +31,7 @@
 
 func wave(shape string, period time.Duration, swing, rate float64) func(*script.Script) {
 	return func(s *script.Script) {
-		s.Traffic.Shape, s.Traffic.Period, s.Traffic.Swing, s.Traffic.Rate = shape, period, swing, rate
+		s.Traffic.Shape, s.Traffic.Period, s.Traffic.Amplitude, s.Traffic.Rate = shape, period, swing, rate
 	}
 }
 
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Traffic.Quota, s.Length = 3000, length // shares that nobody can carry: no bucket holds the work back
+	s.Traffic.Quota, s.Duration = 3000, length // shares that nobody can carry: no bucket holds the work back
 	v.change(s)
 	if open > 0 {
 		s.Nodes.MaxOpen = open
