--- a/emulator/clustersim/invariants.go
+++ b/emulator/clustersim/invariants.go
@@ -9,8 +9,8 @@
 	"cobaltward/fleet/rollingupdate"
 )
 
-// applyEffect applies an effect to a node, and checks the invariants of effects: no older token after a newer one at
-// the same node, no more nodes drained than allowed, patches on drained nodes only, and no patch repeated.
+// applyEffect applies an effect to a node, and checks the invariants of effects: tokens never decrease at a node, at
+// most maxUnavailable nodes are drained, only drained nodes are patched, and each patch is applied once.
 func (w *world) applyEffect(target *node, request lease.EffectRequest) {
 	action, token, key := request.Step.Action, request.FencingToken, request.IdempotencyKey
 	if action == fleet.ActionDrain && target.drained || action == fleet.ActionResume && !target.drained {
