--- /dev/null
+++ b/tools/bench/certificates.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"os"
+	"path/filepath"
+	"sync"
+
+	"cobaltward/internal/pki"
+)
+
+// certificatesEnv names the directory of the certificates that all processes use. Without it none uses TLS.
+const certificatesEnv = "BENCH_CERTIFICATES"
+
+// Files of that directory.
+const (
+	certFile      = "cert.pem"
+	keyFile       = "key.pem"
+	rootsFile     = "ca.pem"
+	ownConfigFile = "own.toml" // the daemon's configuration
+)
+
+const ownConfig = `[tls]
+[[tls.servers]]
+trust = "ca.pem"
+[tls.clients]
+cert = "cert.pem"
+key = "key.pem"
+`
+
+// writeCertificates writes an authority, a certificate with its key and the daemon's configuration.
+func writeCertificates(dir string) error {
+	authority := pki.Year("bench")
+	pair := authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	for name, text := range map[string][]byte{
+		certFile: pki.PEM(pair.Cert), keyFile: pair.KeyPEM(), rootsFile: authority.PEM(),
+		ownConfigFile: []byte(ownConfig),
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// certificates returns the certificate and the roots of the directory that certificatesEnv names, or nil for both
+// without TLS. It panics where they can't be read: this program wrote them.
+var certificates = sync.OnceValues(func() (*tls.Certificate, *x509.CertPool) {
+	dir := os.Getenv(certificatesEnv)
+	if dir == "" {
+		return nil, nil
+	}
+	own, err := tls.LoadX509KeyPair(filepath.Join(dir, certFile), filepath.Join(dir, keyFile))
+	if err != nil {
+		panic(err)
+	}
+	raw, err := os.ReadFile(filepath.Join(dir, rootsFile))
+	if err != nil {
+		panic(err)
+	}
+	roots := x509.NewCertPool()
+	roots.AppendCertsFromPEM(raw)
+	return &own, roots
+})
--- /dev/null
+++ b/tools/bench/roles.go
@@ -0,0 +1,153 @@
+package main
+
+import (
+	"bufio"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+	"os"
+	"os/signal"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"cobaltward/internal/node"
+	"cobaltward/middleware"
+	"cobaltward/router"
+	"cobaltward/tools/internal/benchkit"
+	"cobaltward/transport/http1"
+)
+
+const (
+	stubCount = 8
+	bodySize  = 512 // bytes of a stub server's response body
+)
+
+// runRole is what this program does as one of the processes that it starts.
+func runRole(role string, args []string) error {
+	switch role {
+	case "as-stubs":
+		return serveStubs(args[0])
+	case "as-proxy":
+		return serveProxy(args)
+	case "as-middleware":
+		return serveMiddleware(args[0])
+	}
+	return fmt.Errorf("unknown role %q", role)
+}
+
+// listen listens on a free port of loopback, by TLS where the command runs with -tls, and announces the address.
+func listen() (net.Listener, error) {
+	ln, err := benchkit.ListenLoopback()
+	if err != nil {
+		return nil, err
+	}
+	fmt.Fprintf(os.Stderr, "address=%s\n", ln.Addr())
+	if own, _ := certificates(); own != nil {
+		conf := &tls.Config{Certificates: []tls.Certificate{*own}, NextProtos: []string{"http/1.1"}}
+		ln = tls.NewListener(ln, conf)
+	}
+	return ln, nil
+}
+
+// serveStubs runs the servers, whose responses each come after the given duration and cost little CPU.
+func serveStubs(service string) error {
+	delay, err := time.ParseDuration(service)
+	if err != nil {
+		return err
+	}
+	response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s",
+		bodySize, strings.Repeat("x", bodySize))
+	for range stubCount {
+		ln, err := listen()
+		if err != nil {
+			return err
+		}
+		go benchkit.AcceptLoop(ln, func(conn net.Conn) { serveStub(conn, delay, response) })
+	}
+	select {} // the command ends the process
+}
+
+func serveStub(conn net.Conn, delay time.Duration, response []byte) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
+	for {
+		if _, err := http.ReadRequest(in); err != nil {
+			return
+		}
+		time.Sleep(delay)
+		if _, err := conn.Write(response); err != nil {
+			return
+		}
+	}
+}
+
+// serveProxy runs httputil.ReverseProxy, with the servers in rotation.
+func serveProxy(servers []string) error {
+	var next atomic.Uint64
+	scheme, conf := "http", (*tls.Config)(nil)
+	if _, roots := certificates(); roots != nil {
+		scheme, conf = "https", &tls.Config{RootCAs: roots}
+	}
+	proxy := &httputil.ReverseProxy{
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxConns, DisableCompression: true, TLSClientConfig: conf},
+		Rewrite: func(r *httputil.ProxyRequest) {
+			r.SetURL(&url.URL{Scheme: scheme, Host: servers[next.Add(1)%uint64(len(servers))]})
+		},
+	}
+	ln, err := listen()
+	if err != nil {
+		return err
+	}
+	return http.Serve(ln, proxy)
+}
+
+// serveMiddleware runs an application with the middleware in it.
+func serveMiddleware(profile string) (err error) {
+	config, err := node.LoadConfig(os.Getenv)
+	if err != nil {
+		return err
+	}
+	routerConfig := router.Config{
+		Settings: config.Settings, Endpoints: config.InitialList.Endpoints, Seed: config.Seed,
+	}
+	engine, err := router.New(routerConfig,
+		router.WithTransport(http1.New(http1.Config{ConnectTimeout: config.ConnectTimeout})),
+		router.WithLogger(slog.New(slog.DiscardHandler)))
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, engine.Close()) }()
+	ln, err := listen()
+	if err != nil {
+		return err
+	}
+	if profile != "" {
+		if err := profileUntilTerminated(profile); err != nil {
+			return err
+		}
+	}
+	return http.Serve(ln, middleware.New(engine).Handler(http.NotFoundHandler()))
+}
+
+// profileUntilTerminated writes a CPU profile, which SIGTERM completes before it ends the process.
+func profileUntilTerminated(path string) error {
+	stop, err := benchkit.StartCPUProfile(path)
+	if err != nil {
+		return err
+	}
+	terminated := make(chan os.Signal, 1)
+	signal.Notify(terminated, syscall.SIGTERM)
+	go func() { // ends the process
+		<-terminated
+		benchkit.ExitOnError("bench", stop())
+		os.Exit(0)
+	}()
+	return nil
+}
