--- /dev/null
+++ b/tools/rpcbench/callers.go
@@ -0,0 +1,156 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cobaltward/msgpackrpc"
+	"cobaltward/msgpackrpc/client"
+)
+
+// callTimeout is the deadline of each call.
+const callTimeout = 9 * time.Second
+
+// caller makes one call at a time, concurrently with others. It returns nil for a call that was served.
+type caller func(id string, body []byte) error
+
+// newHTTPCaller returns a caller over so many connections, and what closes them.
+func newHTTPCaller(addr string, conns int) (call caller, closeConns func()) {
+	httpClient := &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: conns, MaxConnsPerHost: conns, DisableCompression: true,
+	}}
+	timeout := strconv.FormatInt(callTimeout.Milliseconds(), 10)
+	return func(id string, body []byte) error {
+		req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/api", bytes.NewReader(body))
+		if err != nil {
+			return err
+		}
+		req.Header = http.Header{
+			"X-Request-Id": {id}, "X-Class": {"pay"}, "X-Tenant": {"t"}, "X-Deadline-Ms": {timeout},
+		}
+		resp, err := httpClient.Do(req)
+		if err != nil {
+			return err
+		}
+		defer func() { _ = resp.Body.Close() }()
+		_, err = io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != http.StatusOK {
+			return fmt.Errorf("status %d", resp.StatusCode)
+		}
+		return err
+	}, httpClient.CloseIdleConnections
+}
+
+// newMsgpackCaller returns a caller over so many connections in rotation, and what closes them.
+func newMsgpackCaller(addr string, conns int) (call caller, closeConns func()) {
+	clients := make([]*client.Client, conns)
+	for i := range clients {
+		clients[i] = client.New("tcp", addr)
+	}
+	var next atomic.Uint64
+	call = func(id string, body []byte) error {
+		rpc := newCall(id, "/api", body)
+		reply, err := clients[next.Add(1)%uint64(conns)].Call(context.Background(), rpc)
+		if err == nil && reply.Code != "" {
+			err = fmt.Errorf("%s %s", reply.Code, reply.Text)
+		}
+		return err
+	}
+	return call, func() {
+		for _, c := range clients {
+			c.Close()
+		}
+	}
+}
+
+func newCall(id, target string, body []byte) msgpackrpc.Call {
+	return msgpackrpc.Call{ID: id, Class: "pay", Tenant: "t", Timeout: callTimeout, Target: target, Body: body}
+}
+
+// load is a number of calls in flight, each of which is followed by the next at once.
+type load struct {
+	call     caller
+	inFlight int
+	body     []byte
+
+	mu     sync.Mutex
+	took   []time.Duration
+	failed int
+}
+
+// lastID makes the IDs of calls unique within the process.
+var lastID atomic.Uint64
+
+// run makes calls for a time, and returns once the last of them has ended. It adds them to the record if told to.
+func (l *load) run(length time.Duration, record bool) {
+	end := time.Now().Add(length)
+	var callers sync.WaitGroup
+	for range l.inFlight {
+		callers.Go(func() {
+			took, failed := l.callUntil(end)
+			if !record {
+				return
+			}
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			l.took = append(l.took, took...)
+			l.failed += failed
+		})
+	}
+	callers.Wait()
+}
+
+func (l *load) callUntil(end time.Time) (took []time.Duration, failed int) {
+	for time.Now().Before(end) {
+		began := time.Now()
+		if l.call(strconv.FormatUint(lastID.Add(1), 36), l.body) != nil {
+			failed++
+		}
+		took = append(took, time.Since(began))
+	}
+	return took, failed
+}
+
+// sample is what one measurement of a node showed.
+type sample struct {
+	cpu, allocs float64 // µs and allocations per call
+	rate        float64 // calls a second
+	p50, p99    time.Duration
+	failed      int
+}
+
+// measure loads the node for a quarter of the length, so that connections and buffers settle, and then for the
+// length that counts.
+func measure(node *nodeProcess, call caller, inFlight, size int, length time.Duration) (sample, error) {
+	calls := load{call: call, inFlight: inFlight, body: make([]byte, size)}
+	calls.run(length/4, false)
+	before, err := node.usage()
+	if err != nil {
+		return sample{}, err
+	}
+	began := time.Now()
+	calls.run(length, true)
+	lasted := time.Since(began)
+	after, err := node.usage()
+	if err != nil {
+		return sample{}, err
+	}
+	slices.Sort(calls.took)
+	count := float64(len(calls.took))
+	return sample{
+		cpu:    float64((after.CPU - before.CPU).Microseconds()) / count,
+		allocs: float64(after.Allocs-before.Allocs) / count,
+		rate:   count / lasted.Seconds(),
+		p50:    calls.took[len(calls.took)/2],
+		p99:    calls.took[len(calls.took)*99/100],
+		failed: calls.failed,
+	}, nil
+}
--- /dev/null
+++ b/tools/rpcbench/memory.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"time"
+
+	"cobaltward/msgpackrpc"
+)
+
+const (
+	memoryConns = 1000
+	memoryCalls = 200 // one each on so many of the connections; the admission policy would queue more
+
+	// memorySettle is how long a node has to take in what was opened or sent.
+	memorySettle = 500 * time.Millisecond
+)
+
+// measureMemory prints how much of a node's memory a connection without a call takes, and a call in flight.
+func measureMemory() error {
+	servers, err := startServers(serveNothing)
+	if err != nil {
+		return err
+	}
+	node, err := startNode(protocolMsgpack, "", servers)
+	if err != nil {
+		return err
+	}
+	defer node.stop()
+	conns := make([]net.Conn, 0, memoryConns)
+	defer func() {
+		for _, conn := range conns {
+			_ = conn.Close()
+		}
+	}()
+	empty, err := settledHeap(node)
+	if err != nil {
+		return err
+	}
+	for range memoryConns {
+		conn, err := net.Dial("tcp", node.addr)
+		if err != nil {
+			return err
+		}
+		conns = append(conns, conn)
+	}
+	idle, err := settledHeap(node)
+	if err != nil {
+		return err
+	}
+	for i, conn := range conns[:memoryCalls] {
+		call := newCall(fmt.Sprint("m", i), "/", make([]byte, 100))
+		if _, err := conn.Write(msgpackrpc.AppendCall(nil, 1, &call)); err != nil {
+			return err
+		}
+	}
+	loaded, err := settledHeap(node)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%.1f KB a connection without a call, %.1f KB a call in flight on one of its own\n",
+		float64(idle-empty)/memoryConns/1024, float64(loaded-idle)/memoryCalls/1024)
+	return nil
+}
+
+func settledHeap(node *nodeProcess) (uint64, error) {
+	time.Sleep(memorySettle)
+	own, err := node.usage()
+	return own.Heap, err
+}
