--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -7,7 +7,6 @@
 import (
 	"flag"
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -16,55 +15,61 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"cobaltward/tools/internal/benchkit"
 )
 
-const config = `{"name":"idle","listen":%q,"discovery":"127.0.0.1:9","seed":"1",
+const (
+	// configFormat is the configuration of a node without servers, whose one value is the address to listen on.
+	configFormat = `{"name":"idle","listen":%q,"discovery":"127.0.0.1:9","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`
 
+	readyInterval = 200 * time.Microsecond // between two checks: the resolution of the result
+	readyTimeout  = 10 * time.Second
+)
+
 func main() {
 	runs := flag.Int("runs", 20, "runs of each")
 	rest := flag.Duration("rest", 300*time.Millisecond, "how long a daemon rests before its memory is read")
 	flag.Parse()
-	ready, memory := make(map[string][]float64), make(map[string][]float64)
+	readyMS, residentMB := make(map[string][]float64), make(map[string][]float64)
 	for range *runs {
-		for _, name := range flag.Args() {
-			took, kb, err := one(name, *rest)
+		for _, daemon := range flag.Args() {
+			ms, mb, err := measure(daemon, *rest)
 			if err != nil {
-				fmt.Fprintf(os.Stderr, "startup: %s: %v\n", name, err)
-				os.Exit(1)
+				benchkit.ExitOnError("startup", fmt.Errorf("%s: %w", daemon, err))
 			}
-			ready[name], memory[name] = append(ready[name], took), append(memory[name], kb)
+			readyMS[daemon], residentMB[daemon] = append(readyMS[daemon], ms), append(residentMB[daemon], mb)
 		}
 	}
-	for _, name := range flag.Args() {
-		fmt.Printf("%-28s ready after ms: %s   resident MB: %s\n", name, spread(ready[name]), spread(memory[name]))
+	for _, daemon := range flag.Args() {
+		fmt.Printf("%-28s ready after ms: %s   resident MB: %s\n",
+			daemon, summarize(readyMS[daemon]), summarize(residentMB[daemon]))
 	}
 }
 
-func spread(v []float64) string {
-	slices.Sort(v)
-	return fmt.Sprintf("min %.1f, median %.1f, max %.1f", v[0], v[len(v)/2], v[len(v)-1])
+func summarize(values []float64) string {
+	slices.Sort(values)
+	return fmt.Sprintf("min %.1f, median %.1f, max %.1f", values[0], values[len(values)/2], values[len(values)-1])
 }
 
-// one starts a daemon, waits for readiness and ends it.
-func one(name string, rest time.Duration) (ms, mb float64, err error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// measure starts a daemon, waits for its readiness, lets it rest and ends it.
+func measure(daemon string, rest time.Duration) (readyMS, residentMB float64, err error) {
+	addr, err := benchkit.FreeAddress()
 	if err != nil {
 		return 0, 0, err
 	}
-	addr := ln.Addr().String()
-	ln.Close()
 	dir, err := os.MkdirTemp("", "startup")
 	if err != nil {
 		return 0, 0, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf(config, addr)), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configFormat, addr), 0o600); err != nil {
 		return 0, 0, err
 	}
-	cmd := exec.Command(name)
+	cmd := exec.Command(daemon)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path)
 	began := time.Now()
 	if err := cmd.Start(); err != nil {
@@ -74,26 +79,23 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}()
-	for {
-		resp, err := http.Get("http://" + addr + "/health/ready")
-		if err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				break
-			}
-		}
-		if time.Since(began) > 10*time.Second {
-			return 0, 0, fmt.Errorf("never became ready: %w", err)
-		}
-		time.Sleep(200 * time.Microsecond)
+	url := "http://" + addr + "/health/ready"
+	if err := benchkit.WaitReady(http.DefaultClient, url, readyInterval, readyTimeout); err != nil {
+		return 0, 0, err
 	}
-	ms = float64(time.Since(began).Microseconds()) / 1000
+	readyMS = float64(time.Since(began).Microseconds()) / 1000
 	time.Sleep(rest)
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
+	residentMB, err = readResidentMB(cmd.Process.Pid)
+	return readyMS, residentMB, err
+}
+
+// readResidentMB returns a process's resident memory in MiB.
+func readResidentMB(pid int) (float64, error) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return 0, 0, err
+		return 0, err
 	}
 	_, after, _ := strings.Cut(string(raw), "VmRSS:")
 	kb, err := strconv.ParseFloat(strings.Fields(after)[0], 64)
-	return ms, kb / 1024, err
+	return kb / 1024, err
 }
--- /dev/null
+++ b/tools/xdsbench/updates.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"fmt"
+	"runtime"
+	"strconv"
+	"strings"
+	"time"
+
+	"cobaltward/tools/internal/benchkit"
+)
+
+// settleTime is how long a node has to apply the first lists before updates are measured.
+const settleTime = 500 * time.Millisecond
+
+// updateRun measures updates that change one endpoint of the first cluster.
+type updateRun struct {
+	bin        string
+	endpoints  int // of all clusters together
+	perCluster int
+	delta      bool
+	rounds     int // updates, of which the first changes nothing and isn't counted
+}
+
+// cost is what the counted updates took together, and each from its push until it was applied.
+type cost struct {
+	latencies []time.Duration
+	cpu       time.Duration
+	allocs    uint64
+}
+
+func (u updateRun) measure() error {
+	plane, err := startControlPlane(u.bin, u.script())
+	if err != nil {
+		return err
+	}
+	defer plane.stop()
+	if _, err := plane.await("pushed "); err != nil {
+		return err
+	}
+	subject, err := newNode(plane.addr, u.delta)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = subject.router.Close() }()
+	if _, err := plane.await(": wait 1s"); err != nil {
+		return err
+	}
+	time.Sleep(settleTime)
+	for len(subject.updates) > 0 {
+		<-subject.updates
+	}
+	var total cost
+	for i := range u.rounds {
+		if err := total.measureUpdate(plane, subject, i > 0); err != nil {
+			return err
+		}
+	}
+	u.print(total)
+	return nil
+}
+
+// script has the first cluster alternate between all its endpoints and one fewer.
+func (u updateRun) script() string {
+	var script strings.Builder
+	for i := range max(1, u.endpoints/u.perCluster) {
+		fmt.Fprintf(&script, "cluster c%d\nmany c%d %d %d\n", i, i, u.perCluster, 1000+i)
+	}
+	fmt.Fprintf(&script, "push\nexpect acks 2 within 60s\nwait 1s\n")
+	for i := range u.rounds {
+		fmt.Fprintf(&script, "many c0 %d 1000\npush\nwait 500ms\n", u.perCluster-i%2)
+	}
+	return script.String()
+}
+
+// measureUpdate waits for the next push, and adds what it took if it counts.
+func (c *cost) measureUpdate(plane *controlPlane, subject *node, counts bool) error {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	cpuBefore, err := benchkit.CPUTime()
+	if err != nil {
+		return err
+	}
+	pushed, err := plane.await("pushed ")
+	if err != nil || !counts {
+		return err
+	}
+	nanoseconds, err := strconv.ParseInt(pushed, 10, 64)
+	if err != nil {
+		return err
+	}
+	applied := <-subject.updates
+	c.latencies = append(c.latencies, applied.Sub(time.Unix(0, nanoseconds)))
+	cpuAfter, err := benchkit.CPUTime()
+	if err != nil {
+		return err
+	}
+	c.cpu += cpuAfter - cpuBefore
+	runtime.ReadMemStats(&after)
+	c.allocs += after.Mallocs - before.Mallocs
+	return nil
+}
+
+func (u updateRun) print(total cost) {
+	form := "sotw"
+	if u.delta {
+		form = "delta"
+	}
+	counted := len(total.latencies)
+	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
+	fmt.Printf("%6d endpoints, %s, %6d in the cluster that changes: push to applied median %v, most %v; "+
+		"CPU %v, %d allocations an update\n",
+		u.endpoints, form, u.perCluster,
+		round(benchkit.Quantile(total.latencies, 0.5)), round(benchkit.Quantile(total.latencies, 1)),
+		round(total.cpu/time.Duration(counted)), total.allocs/uint64(counted))
+}
