--- /dev/null
+++ b/tools/tlsbench/echo.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"context"
+	"io"
+	"net"
+	"runtime"
+	"time"
+
+	"cobaltward/certificates"
+	"cobaltward/handshakes"
+	frontsecure "cobaltward/internal/frontend/secure"
+	"cobaltward/router"
+	"cobaltward/tools/internal/benchkit"
+	"cobaltward/transport/secure"
+)
+
+// dialTimeout limits a connection's handshake and first exchange.
+const dialTimeout = 10 * time.Second
+
+// newCPUScheduler lets one handshake compute at a time, as a node on one core does.
+func newCPUScheduler() *handshakes.CPUScheduler {
+	return handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })
+}
+
+// listenTLSEcho runs an echo server behind the node's TLS frontend, until the listener is closed.
+func listenTLSEcho(own *certificates.Store) (*frontsecure.Terminator, net.Listener, error) {
+	terminator, err := frontsecure.New(frontsecure.Config{Certificates: own, CPU: newCPUScheduler()})
+	if err != nil {
+		return nil, nil, err
+	}
+	plain, err := benchkit.ListenLoopback()
+	if err != nil {
+		return nil, nil, err
+	}
+	ln := terminator.Listener(plain)
+	go benchkit.AcceptLoop(ln, benchkit.EchoConn)
+	return terminator, ln, nil
+}
+
+// dialTLSEcho connects to an echo server by the node's client TLS. One exchange follows the handshake, so that the
+// session ticket arrives.
+func dialTLSEcho(clientTLS *secure.ClientTLS, server router.Endpoint) (*secure.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	clientTLS.UpdateServer(server)
+	conn, err := clientTLS.Handshake(ctx, ctx, &server, true, func() (*net.TCPConn, error) {
+		raw, err := net.Dial("tcp", server.Addr)
+		if err != nil {
+			return nil, err
+		}
+		return raw.(*net.TCPConn), nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return conn, exchange(conn)
+}
+
+// exchange sends a line to an echo server and reads it back.
+func exchange(conn io.ReadWriter) error {
+	line := []byte("x\n")
+	if _, err := conn.Write(line); err != nil {
+		return err
+	}
+	_, err := io.ReadFull(conn, line)
+	return err
+}
--- /dev/null
+++ b/tools/tlsbench/load.go
@@ -0,0 +1,71 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// client returns a client that trusts the bench's authority.
+func (b *bench) client() *http.Client {
+	return &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 1, TLSClientConfig: &tls.Config{RootCAs: b.roots},
+	}}
+}
+
+// outcome is one request's: when it was sent, counted from the start of the load, how long it took, and whether it
+// was answered with status 200.
+type outcome struct {
+	sentAt, took time.Duration
+	ok           bool
+}
+
+// startLoad has clients send requests until ctx ends, each over one connection and with a pause between two. Each
+// outcome is passed to record, concurrently. The returned group ends with the last client.
+func (b *bench) startLoad(
+	ctx context.Context, addr string, clients int, pause time.Duration, record func(outcome),
+) *sync.WaitGroup {
+	var all sync.WaitGroup
+	began := time.Now()
+	for i := range clients {
+		all.Go(func() {
+			conn, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: b.roots})
+			if err != nil {
+				record(outcome{})
+				return
+			}
+			defer func() { _ = conn.Close() }()
+			in := bufio.NewReader(conn)
+			for k := 0; ctx.Err() == nil; k++ {
+				sent := time.Now()
+				status, err := request(conn, in, fmt.Sprintf("l%d-%d", i, k))
+				record(outcome{sentAt: sent.Sub(began), took: time.Since(sent), ok: status == http.StatusOK})
+				if err != nil {
+					return
+				}
+				time.Sleep(pause)
+			}
+		})
+	}
+	return &all
+}
+
+// request sends one request and reads its response to the end.
+func request(conn net.Conn, in *bufio.Reader, id string) (status int, err error) {
+	if _, err := fmt.Fprintf(conn, "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\n\r\n", id); err != nil {
+		return 0, err
+	}
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		return 0, err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode, errors.Join(err, resp.Body.Close())
+}
--- /dev/null
+++ b/tools/tlsbench/memory.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"runtime"
+	"time"
+
+	"cobaltward/internal/pki"
+	"cobaltward/router"
+	"cobaltward/tools/internal/benchkit"
+	"cobaltward/transport/secure"
+)
+
+// closeSettle is how long both ends have to release closed connections.
+const closeSettle = 200 * time.Millisecond
+
+// heapBytes returns the memory of the heap and the stacks that is in use after a collection.
+func heapBytes() uint64 {
+	runtime.GC()
+	runtime.GC() // the first one runs finalizers
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc + stats.StackInuse
+}
+
+// measureMemory prints the memory of connections and sessions, with both ends in this process.
+func (b *bench) measureMemory() error {
+	own, trust, err := b.writeCertificates(pki.P256)
+	if err != nil {
+		return err
+	}
+	_, ln, err := listenTLSEcho(own)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = ln.Close() }()
+	clientTLS, err := secure.New(secure.Config{Rules: []secure.Rule{{Trust: trust}}})
+	if err != nil {
+		return err
+	}
+	defer clientTLS.Close()
+	plain, err := b.plainConnMemory()
+	if err != nil {
+		return err
+	}
+	addr := ln.Addr().String()
+	encrypted, err := measureConns(b.count, func(int) (net.Conn, error) {
+		return dialTLSEcho(clientTLS, router.Endpoint{ID: "s", Addr: addr})
+	})
+	if err != nil {
+		return err
+	}
+	sessions, err := b.sessionMemory(clientTLS, addr)
+	if err != nil {
+		return err
+	}
+	perUnit := func(bytes uint64) float64 { return float64(bytes) / float64(b.count) / 1e3 }
+	fmt.Printf("memory: a connection of TLS, both ends together, %.1f KB (%.1f KB without TLS); "+
+		"a server with its session %.1f KB (%d kept)\n",
+		perUnit(encrypted), perUnit(plain), perUnit(sessions), clientTLS.Stats().Sessions)
+	return nil
+}
+
+// plainConnMemory returns the bytes of connections without TLS.
+func (b *bench) plainConnMemory() (uint64, error) {
+	ln, err := benchkit.ListenLoopback()
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = ln.Close() }()
+	go benchkit.AcceptLoop(ln, benchkit.EchoConn)
+	return measureConns(b.count, func(int) (net.Conn, error) {
+		conn, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			return nil, err
+		}
+		return conn, exchange(conn)
+	})
+}
+
+// sessionMemory returns the bytes of one server with a session for each connection made, without the connection.
+func (b *bench) sessionMemory(clientTLS *secure.ClientTLS, addr string) (uint64, error) {
+	before := heapBytes()
+	for i := range b.count {
+		conn, err := dialTLSEcho(clientTLS, router.Endpoint{ID: fmt.Sprint("s", i), Addr: addr})
+		if err != nil {
+			return 0, err
+		}
+		_ = conn.Close()
+	}
+	time.Sleep(closeSettle)
+	return heapBytes() - before, nil
+}
+
+// measureConns returns the bytes that open connections take, and closes them.
+func measureConns(count int, dial func(i int) (net.Conn, error)) (uint64, error) {
+	var open []net.Conn
+	defer func() {
+		for _, conn := range open {
+			_ = conn.Close()
+		}
+		time.Sleep(closeSettle)
+	}()
+	before := heapBytes()
+	for i := range count {
+		conn, err := dial(i)
+		if err != nil {
+			return 0, err
+		}
+		open = append(open, conn)
+	}
+	return heapBytes() - before, nil
+}
--- /dev/null
+++ b/tools/tlsbench/reuse.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"time"
+)
+
+// measureReuse counts the handshakes with servers while connections come and go.
+func (b *bench) measureReuse() error {
+	subject, err := b.startNode(12, 10)
+	if err != nil {
+		return err
+	}
+	defer subject.stop()
+	ctx, cancel := context.WithTimeout(context.Background(), b.length)
+	defer cancel()
+	var requests, failed atomic.Int64
+	b.startLoad(ctx, subject.addr, 32, 2*time.Millisecond, func(o outcome) {
+		requests.Add(1)
+		if !o.ok {
+			failed.Add(1)
+		}
+	}).Wait()
+	status, err := subject.tlsStatus()
+	if err != nil {
+		return err
+	}
+	servers := status.Servers
+	fmt.Printf("reuse: %d requests (%d not 200), servers end a connection at each tenth: "+
+		"%d full handshakes, %d resumed: %.1f%% of the full ones saved\n",
+		requests.Load(), failed.Load(), servers.Full.Count, servers.Resumed.Count, 100*servers.ResumptionRate())
+	return nil
+}
--- /dev/null
+++ b/tools/tlsbench/storm.go
@@ -0,0 +1,156 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cobaltward/tools/internal/benchkit"
+)
+
+const (
+	stormRole        = "as-storm"       // the first argument of the process that makes the handshakes
+	stormDialTimeout = 20 * time.Second // of one of its clients
+	loadSettle       = time.Second      // requests sent earlier are not counted: connections settle
+)
+
+// stormLog sorts the requests in flight by whether they were sent before the storm or during it.
+type stormLog struct {
+	mu             sync.Mutex
+	from, to       time.Duration // of the storm, counted from the start of the load; 0: not yet
+	before, during []time.Duration
+	failed         int
+}
+
+func (l *stormLog) record(o outcome) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch {
+	case !o.ok:
+		l.failed++
+	case o.sentAt < loadSettle:
+	case l.from == 0:
+		l.before = append(l.before, o.took)
+	case l.to == 0:
+		l.during = append(l.during, o.took)
+	}
+}
+
+func (l *stormLog) mark(moment *time.Duration, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	*moment = at
+}
+
+// measureStorm has many clients make their handshakes at once, and measures the requests in flight meanwhile.
+func (b *bench) measureStorm() error {
+	subject, err := b.startNode(8, 0)
+	if err != nil {
+		return err
+	}
+	defer subject.stop()
+	ctx, cancel := context.WithTimeout(context.Background(), b.length)
+	defer cancel()
+	var log stormLog
+	began := time.Now()
+	load := b.startLoad(ctx, subject.addr, 16, 5*time.Millisecond, log.record)
+	time.Sleep(b.length / 2)
+	log.mark(&log.from, time.Since(began))
+	served, failed, err := b.startStorm(subject.addr)
+	if err != nil {
+		return err
+	}
+	log.mark(&log.to, time.Since(began))
+	load.Wait()
+	status, err := subject.tlsStatus()
+	if err != nil {
+		return err
+	}
+	b.printStorm(&log, served, failed)
+	fmt.Printf("  the node's own count: %d full, %d resumed, failures %v\n",
+		status.Clients.Full.Count, status.Clients.Resumed.Count, status.Clients.Failures)
+	return nil
+}
+
+// startStorm runs the storm's clients in a process of their own, so that their computing delays no request that is
+// measured in this one. It returns how many clients were served and how many not.
+func (b *bench) startStorm(addr string) (served, failed int, err error) {
+	self, err := os.Executable()
+	if err != nil {
+		return 0, 0, err
+	}
+	cmd := exec.Command(self, stormRole, addr, strconv.Itoa(b.stormClients), b.path(rootsFile))
+	cmd.Env, cmd.Stderr = append(os.Environ(), "GOMAXPROCS=3"), os.Stderr
+	raw, err := cmd.Output()
+	if err != nil {
+		return 0, 0, err
+	}
+	_, err = fmt.Sscan(string(raw), &served, &failed)
+	return served, failed, err
+}
+
+func (b *bench) printStorm(log *stormLog, served, failed int) {
+	quantile := func(all []time.Duration, part float64) time.Duration {
+		return benchkit.Quantile(all, part).Round(10 * time.Microsecond)
+	}
+	p99Before, p99During := quantile(log.before, 0.99), quantile(log.during, 0.99)
+	fmt.Printf("storm: %d clients at once, %d through, %d not, in %v; "+
+		"requests in flight: p50 %v, p99 %v before (%d), p50 %v, p99 %v during (%d), ratio of p99 %.2f; %d not served\n",
+		b.stormClients, served, failed, (log.to - log.from).Round(time.Millisecond),
+		quantile(log.before, 0.5), p99Before, len(log.before), quantile(log.during, 0.5), p99During, len(log.during),
+		float64(p99During)/float64(max(1, p99Before)), log.failed)
+}
+
+// runStormClients is the process of the storm: so many clients make their handshakes at once, and send a request
+// each. It prints how many were served and how many not.
+func runStormClients(addr, count, rootsPath string) error {
+	raw, err := os.ReadFile(rootsPath)
+	if err != nil {
+		return err
+	}
+	roots := x509.NewCertPool()
+	roots.AppendCertsFromPEM(raw)
+	clients, err := strconv.Atoi(count)
+	if err != nil {
+		return err
+	}
+	var all sync.WaitGroup
+	var served, failed atomic.Int64
+	for i := range clients {
+		all.Go(func() {
+			if err := runStormClient(addr, roots, fmt.Sprint("s", i)); err != nil {
+				failed.Add(1)
+			} else {
+				served.Add(1)
+			}
+		})
+	}
+	all.Wait()
+	fmt.Println(served.Load(), failed.Load())
+	return nil
+}
+
+func runStormClient(addr string, roots *x509.CertPool, id string) error {
+	dialer := &net.Dialer{Timeout: stormDialTimeout}
+	conn, err := tls.DialWithDialer(dialer, "tcp", addr, &tls.Config{RootCAs: roots})
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	status, err := request(conn, bufio.NewReader(conn), id)
+	if err == nil && status != http.StatusOK {
+		err = errors.New(http.StatusText(status))
+	}
+	return err
+}
