--- /dev/null
+++ b/tools/decisions/history.go
@@ -0,0 +1,225 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+)
+
+// history is one random history of a node, in the simulator's protocol. Its times are in milliseconds.
+type history struct {
+	rand     *rand.Rand
+	now      float64
+	batch    strings.Builder
+	inFlight []attempt
+	attempts map[string]int // made so far, by request
+	timers   []timer
+	servers  int
+	requests int // sent so far
+	counts   *counts
+}
+
+// attempt is one without an outcome yet.
+type attempt struct {
+	request, server string
+	number          int
+	sentAt          float64
+}
+
+type timer struct {
+	due   float64
+	token string
+}
+
+func newHistory(seed uint64, totals *counts) *history {
+	return &history{rand: rand.New(rand.NewPCG(seed, 1)), now: 5000, attempts: make(map[string]int), counts: totals}
+}
+
+// write adds a line to the batch.
+func (h *history) write(format string, args ...any) {
+	fmt.Fprintf(&h.batch, format+"\n", args...)
+}
+
+// pick draws one of the values.
+func pick[T any](random *rand.Rand, of ...T) T { return of[random.IntN(len(of))] }
+
+// configure draws the settings: few nodes or many, classes bound to server kinds or zones, with and without quotas.
+func (h *history) configure() {
+	nodes := pick(h.rand, 1, 2, 3, 4, 9, 40)
+	binding := pick(h.rand, "", "", `,"servedOn":["k1"]`, `,"localitiesOnly":["a","b"]`)
+	tenants := pick(h.rand, "",
+		`,"tenants":[{"name":"t0","quotaRps":200,"fraction":0.5},{"name":"t1","quotaRps":40,"fraction":0.1}]`)
+	extra := pick(h.rand, "", `,"minExtra":5,"budgetShare":0.2,"ratioSpan":5000`)
+	h.write(`["configure",0,%d,{"position":%d,"groupSize":%d,"zone":"a","familyInfo":{"warmKeys":%t},"services":[`+
+		`{"name":"read","aim":300,"deadline":1500,"repeat":"free","lateWorth":0.2,"value":1},`+
+		`{"name":"pay","aim":400,"deadline":1500,"repeat":"single_shot","lateWorth":0.2,"value":1%s},`+
+		`{"name":"undo","aim":500,"deadline":2000,"repeat":"guarded","group":"%s","window":1000,"value":1}],`+
+		`"limits":{"cancelling":true,"secondCopies":%t,"retryAfter":true,"maxAttempts":%d,"connIdle":%d},`+
+		`"guarantees":{"graceToAnswer":50,"drainGrace":500,"coldShare":0.3,"cold":5000,`+
+		`"fallMultiple":3,"overloadFor":1000%s}%s}]`,
+		h.rand.Uint32(), h.rand.IntN(nodes), nodes, h.rand.IntN(3) == 0, binding, pick(h.rand, "all", "zone", "cell"),
+		h.rand.IntN(2) == 0, 1+h.rand.IntN(5), pick(h.rand, 0, 5000), extra, tenants)
+}
+
+// entry returns a server's entry of the endpoint list.
+func (h *history) entry(i int, state string) string {
+	since := "null"
+	if h.rand.IntN(12) == 0 {
+		since = fmt.Sprintf("%.3f", h.now-1000)
+	}
+	return fmt.Sprintf(`[%s,"%s",1,"k%d","%s",%d,"s%04d"]`,
+		since, state, 1+h.rand.IntN(2), pick(h.rand, "a", "a", "b", "c"), h.rand.IntN(4), i)
+}
+
+// How an endpoint list arrives.
+const (
+	listRestored = "restored"
+	listUpdate   = "update"
+	listReplace  = "replace"
+)
+
+// writeList writes a complete endpoint list, or an update with some changed entries.
+func (h *history) writeList(mode string) {
+	var entries []string
+	if mode != listUpdate {
+		for i := h.rand.IntN(1 + h.servers/2); i < h.servers; i++ {
+			entries = append(entries, h.entry(i, "Running"))
+		}
+	} else {
+		for range 1 + h.rand.IntN(pick(h.rand, 3, 30)) {
+			server := h.rand.IntN(h.servers + 3)
+			state := pick(h.rand, "Running", "Running", "Stopping", "Deleted")
+			entries = append(entries, h.entry(server, state))
+		}
+	}
+	h.write(`["list",0,[%s]]`, strings.Join(entries, ","))
+	h.write(`["peersKnown",0,"%s",1,0]`, mode)
+}
+
+// writeRequests writes new requests.
+func (h *history) writeRequests() {
+	for range 1 + h.rand.IntN(h.servers/4+2) {
+		h.requests++
+		class := pick(h.rand, "read", "pay", "undo", "other")
+		h.write(`["ingress",0,"r%d","%s","t%d","key%d",%d]`,
+			h.requests, class, h.rand.IntN(3), h.rand.IntN(7), 100+h.rand.IntN(1900))
+	}
+}
+
+// writeOutcomes ends some of the attempts in flight.
+func (h *history) writeOutcomes() {
+	for range min(len(h.inFlight), 1+h.rand.IntN(h.servers/4+2)) {
+		i := h.rand.IntN(len(h.inFlight))
+		ended := h.inFlight[i]
+		h.inFlight = slices.Delete(h.inFlight, i, i+1)
+		result := pick(h.rand,
+			"done", "done", "done", "done", "done", "err", "busy", "etimedout", "econnrefused", "econnreset")
+		h.write(`["completed",0,"%s",%d,"%s","%s",%.3f,%t]`,
+			ended.request, ended.number, ended.server, result, h.now-ended.sentAt, result == "done")
+	}
+}
+
+// writeDueTimers fires the timers that are due.
+func (h *history) writeDueTimers() {
+	var pending []timer
+	for _, t := range h.timers {
+		if t.due <= h.now {
+			h.write(`["reminder",0,%s]`, t.token)
+		} else {
+			pending = append(pending, t)
+		}
+	}
+	h.timers = pending
+}
+
+// nextBatch advances the time and returns the next batch.
+func (h *history) nextBatch(first bool) string {
+	h.batch.Reset()
+	h.now += float64(h.rand.IntN(60))
+	h.write(`["mark",%.3f]`, h.now)
+	if first {
+		h.servers = pick(h.rand, 3, 20, 130, 300)
+		h.configure()
+		h.writeList(listRestored)
+	}
+	h.writeDueTimers()
+	switch h.rand.IntN(10) {
+	case 0:
+		h.writeList(listUpdate)
+	case 1:
+		if h.rand.IntN(8) == 0 {
+			h.writeList(listReplace)
+		}
+	case 2, 3, 4:
+		h.writeRequests()
+	default:
+		h.writeOutcomes()
+	}
+	h.write(`["eob"]`)
+	return h.batch.String()
+}
+
+// apply takes over the actions of a reply.
+func (h *history) apply(reply []string) error {
+	for _, line := range reply {
+		parts := strings.Split(strings.Trim(line, "[]"), ",")
+		for i := range parts {
+			parts[i] = strings.Trim(parts[i], `"`)
+		}
+		switch parts[0] {
+		case "handOff":
+			request, server := parts[2], parts[3]
+			h.inFlight = append(h.inFlight, attempt{
+				request: request, server: server, number: h.attempts[request], sentAt: h.now,
+			})
+			h.attempts[request]++
+		case "wakeMe":
+			var wait float64
+			if _, err := fmt.Sscan(parts[2], &wait); err != nil {
+				return fmt.Errorf("%s: %w", line, err)
+			}
+			h.timers = append(h.timers, timer{due: h.now + wait, token: parts[3]})
+		case "broken":
+			return errors.New(line)
+		}
+	}
+	return nil
+}
+
+// play sends the history to both builds, and fails at the first reply that differs.
+func (h *history) play(formerPath, currentPath string) error {
+	former, err := startAdapter(formerPath)
+	if err != nil {
+		return err
+	}
+	defer former.stop()
+	current, err := startAdapter(currentPath)
+	if err != nil {
+		return err
+	}
+	defer current.stop()
+	for i := range 40 + h.rand.IntN(160) {
+		batch := h.nextBatch(i == 0)
+		want, err := former.send(batch)
+		if err != nil {
+			return err
+		}
+		got, err := current.send(batch)
+		if err != nil {
+			return err
+		}
+		if strings.Join(got, "\n") != strings.Join(want, "\n") {
+			const separator = "\n        "
+			return fmt.Errorf("batch %d\n%sformer: %s\nnow:    %s",
+				i, batch, strings.Join(want, separator), strings.Join(got, separator))
+		}
+		h.counts.replies.Add(1)
+		h.counts.actions.Add(int64(len(got)))
+		if err := h.apply(got); err != nil {
+			return err
+		}
+	}
+	return nil
+}
