--- /dev/null
+++ b/emulator/checker/request.go
@@ -0,0 +1,52 @@
+package checker
+
+import (
+	"slices"
+	"time"
+)
+
+// requestKey identifies the n-th concurrent request with the same ID at a node.
+type requestKey struct {
+	node, id string
+	n        int
+}
+
+// request is a request that a node has received, with its attempts at servers.
+type request struct {
+	node, id, class string
+	deadline        time.Duration
+	forgetAt        time.Duration
+	answered        bool
+	gone            bool // the client has disconnected or the node was killed: no answer is due
+	rejected        bool
+	attempts        []attempt
+	executions      int // with an effect
+	firstMayRun     int // index of the first attempt that may have run; -1: none
+}
+
+type attempt struct {
+	server string
+	sent   time.Duration
+	notRun bool // proven not to have run
+}
+
+// setAttempt records the n-th attempt. Attempts before it that were not reported didn't reach a server.
+func (r *request) setAttempt(n int, a attempt) {
+	for len(r.attempts) <= n {
+		r.attempts = append(r.attempts, attempt{notRun: true})
+	}
+	r.attempts[n] = a
+	r.updateFirstMayRun()
+}
+
+// setNotRun records that the n-th attempt is proven not to have run.
+func (r *request) setNotRun(n int) {
+	if n < len(r.attempts) {
+		r.attempts[n].notRun = true
+		r.updateFirstMayRun()
+	}
+}
+
+func (r *request) updateFirstMayRun() {
+	r.firstMayRun = slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notRun })
+}
--- a/emulator/realtime/court.go
+++ b/emulator/realtime/court.go
@@ -16,8 +16,8 @@
 	began time.Time
 
 	mu       sync.Mutex
-	judge    *checker.Judge
-	book     *result.Book
+	judge    *checker.Checker
+	book     *result.Recorder
 	requests map[string]*request // by the id of a try
 	old      []string            // ids of tries that are over, oldest first, with when
 	oldAt    []time.Duration
@@ -46,8 +46,8 @@
 
 func (c *court) taken(r *request, id string, node string, due time.Duration) {
 	c.do(func(now time.Duration) {
-		c.judge.Taken(now, node, id, c.p.Script.Classes[r.Class].Name, due)
-		c.book.Try()
+		c.judge.RequestReceived(now, node, id, c.p.Script.Classes[r.Class].Name, due)
+		c.book.ClientAttempt()
 		c.requests[id] = r
 	})
 }
@@ -66,8 +66,8 @@
 func (c *court) sent(node int, id, server string, crossing bool) (r *request, attempt int) {
 	c.do(func(now time.Duration) {
 		r, attempt = c.requests[id], c.judge.Attempts(id)
-		c.judge.Sent(now, c.p.Nodes[node].Name, id, attempt, server)
-		c.book.Attempt(now, attempt, crossing)
+		c.judge.AttemptSent(now, c.p.Nodes[node].Name, id, attempt, server)
+		c.book.ServerAttempt(now, attempt, crossing)
 		if r != nil {
 			r.attempts++
 		}
@@ -77,15 +77,15 @@
 
 // proved says that the last attempt for an id was turned away.
 func (c *court) proved(node int, id string) {
-	c.do(func(time.Duration) { c.judge.Proved(c.p.Nodes[node].Name, id, c.judge.Attempts(id)-1) })
+	c.do(func(time.Duration) { c.judge.AttemptNotRun(c.p.Nodes[node].Name, id, c.judge.Attempts(id)-1) })
 }
 
 func (c *court) ran(server, id string, discarded bool) {
-	c.do(func(now time.Duration) { c.judge.Ran(now, server, id, discarded) })
+	c.do(func(now time.Duration) { c.judge.ServerExecuted(now, server, id, discarded) })
 }
 
 func (c *court) work(r *request, work float64) {
-	c.do(func(time.Duration) { c.book.Work(work); r.ran = work })
+	c.do(func(time.Duration) { c.book.WorkStarted(work); r.ran = work })
 }
 
 func (c *court) met(r *request, fault int) {
@@ -97,11 +97,11 @@
 }
 
 func (c *court) fell(server string, pushed []string) {
-	c.do(func(now time.Duration) { c.judge.Fell(now, server, pushed) })
+	c.do(func(now time.Duration) { c.judge.ServerOverloaded(now, server, pushed) })
 }
 
-func (c *court) started() { c.do(func(time.Duration) { c.judge.Started() }) }
+func (c *court) started() { c.do(func(time.Duration) { c.judge.ServerStarted() }) }
 
 func (c *court) told(node, server string, open bool) {
-	c.do(func(now time.Duration) { c.judge.Told(now, node, server, open) })
+	c.do(func(now time.Duration) { c.judge.EndpointUpdated(now, node, server, open) })
 }
--- a/emulator/realtime/live.go
+++ b/emulator/realtime/live.go
@@ -116,7 +116,7 @@
 		return "", 0
 	})
 	rules.Slack = slack
-	w.court = &court{p: p, began: time.Now(), judge: checker.New(rules), book: result.NewBook(p, "real", o.Detail), requests: make(map[string]*request)}
+	w.court = &court{p: p, began: time.Now(), judge: checker.New(rules), book: result.NewRecorder(p, "real", o.Detail), requests: make(map[string]*request)}
 	defer w.parts.Wait()
 	defer w.timers.Wait()
 	defer close(w.quit)
@@ -163,11 +163,11 @@
 		return nil, err
 	}
 	if w.behind > int(latePart*float64(w.sent)) {
-		w.court.book.Void(fmt.Sprintf("the load generator sent %d of %d requests more than %v late: this machine is too busy or too small for the script", w.behind, w.sent, lateSend))
+		w.court.book.Invalidate(fmt.Sprintf("the load generator sent %d of %d requests more than %v late: this machine is too busy or too small for the script", w.behind, w.sent, lateSend))
 	}
 	w.court.mu.Lock()
 	defer w.court.mu.Unlock()
-	return w.court.book.End(w.court.judge.End()), nil
+	return w.court.book.Finish(w.court.judge.Finish()), nil
 }
 
 func (w *world) addNode(ctx context.Context, i int) (*node, error) {
@@ -375,12 +375,12 @@
 		case w.flying <- struct{}{}:
 		default:
 			w.court.do(func(time.Duration) {
-				w.court.book.Void(fmt.Sprintf("more than %d requests were in the clients' hands", mostFlying))
+				w.court.book.Invalidate(fmt.Sprintf("more than %d requests were in the clients' hands", mostFlying))
 			})
 			return
 		}
 		r := &request{Request: next, work: w.p.Work(&next)}
-		w.court.do(func(time.Duration) { w.court.book.Offered(&r.Request); w.court.book.Lag(lag) })
+		w.court.do(func(time.Duration) { w.court.book.RequestArrived(&r.Request); w.court.book.GeneratorLag(lag) })
 		all.Go(func() { w.client(ctx, r); <-w.flying })
 	}
 }
@@ -391,9 +391,9 @@
 	for n := 0; ; n++ {
 		end, lost, retryAfter := w.try(r, n, leaves)
 		leaves = 0
-		if end == result.Refused || end == result.Missed || end == result.Failed {
+		if end == result.Rejected || end == result.Unreachable || end == result.Failed {
 			wait, again := w.p.Retry(&r.Request, n+1, plan.Outcome{
-				Rejected: end == result.Refused, MayHaveRun: end == result.Failed || lost,
+				Rejected: end == result.Rejected, MayHaveRun: end == result.Failed || lost,
 				RetryAfter: retryAfter, Elapsed: w.now() - r.At,
 			})
 			if again {
@@ -408,16 +408,16 @@
 		}
 		w.court.do(func(now time.Duration) {
 			if end == result.Served {
-				w.court.book.Useful(r.ran)
+				w.court.book.WorkUseful(r.ran)
 			}
-			w.court.book.Done(now, &r.Request, result.Outcome{End: end, Took: now - r.At, Tries: n + 1, Attempts: r.attempts, Met: r.faults})
+			w.court.book.RequestDone(&r.Request, result.Outcome{Status: end, Latency: now - r.At, ClientAttempts: n + 1, ServerAttempts: r.attempts, Faults: r.faults})
 		})
 		return
 	}
 }
 
 // try sends a request once. lost says that the client can't know whether it ran.
-func (w *world) try(r *request, n int, leaves float64) (end result.End, lost bool, retryAfter time.Duration) {
+func (w *world) try(r *request, n int, leaves float64) (end result.Status, lost bool, retryAfter time.Duration) {
 	s := w.p.Script
 	i := r.Node
 	if i < 0 || n > 0 {
@@ -426,13 +426,13 @@
 		w.frontMu.Unlock()
 	}
 	if i < 0 {
-		return result.Missed, false, 0
+		return result.Unreachable, false, 0
 	}
 	node, class := w.nodes[i], s.Classes[r.Class]
 	addr, up, life := node.state()
 	if !up {
 		time.Sleep(2 * s.Network.ClientDelay)
-		return result.Missed, false, 0
+		return result.Unreachable, false, 0
 	}
 	id, patience := r.AttemptID(n), w.p.AttemptTimeout(&r.Request, w.now()-r.At)
 	stays := patience
@@ -476,22 +476,22 @@
 		_, _, lives := node.state()
 		left := leaves > 0 && ctx.Err() != nil
 		if left || lives != life {
-			w.court.do(func(time.Duration) { w.court.judge.Left(node.spec.Name, id, 0) })
+			w.court.do(func(time.Duration) { w.court.judge.ClientLeft(node.spec.Name, id, 0) })
 		}
 		if left || lives == life {
-			return result.GaveUp, true, 0 // without an answer, though its node lived: the judge will say so
+			return result.ClientLeft, true, 0 // without an answer, though its node lived: the judge will say so
 		}
 		w.meetNode(r, i)
-		return result.Missed, true, 0
+		return result.Unreachable, true, 0
 	}
 	refused := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
-	w.court.do(func(now time.Duration) { w.court.judge.Answer(now, node.spec.Name, id, 0, refused) })
+	w.court.do(func(now time.Duration) { w.court.judge.ResponseReceived(now, node.spec.Name, id, 0, refused) })
 	switch {
 	case refused:
 		if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			retryAfter = time.Duration(v * float64(time.Second))
 		}
-		return result.Refused, false, retryAfter
+		return result.Rejected, false, retryAfter
 	case resp.StatusCode == http.StatusOK:
 		return result.Served, false, 0
 	}
--- a/emulator/realtime/live_test.go
+++ b/emulator/realtime/live_test.go
@@ -141,15 +141,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%v: %+v, %d attempts, verdict %v of %v", time.Since(began), r.All, r.Attempts, r.Verdict.Count, r.Verdict.Checked)
-	if !r.Verdict.Kept() {
-		t.Errorf("broken: %+v", r.Verdict.Breaches)
+	t.Logf("%v: %+v, %d attempts, verdict %v of %v", time.Since(began), r.All, r.ServerAttempts, r.Verdict.Count, r.Verdict.Checked)
+	if !r.Verdict.Passed() {
+		t.Errorf("broken: %+v", r.Verdict.Violations)
 	}
-	if r.All.InAim+r.All.Late < r.All.Offered/2 { // on however busy a machine
-		t.Errorf("%d of %d were served", r.All.InAim+r.All.Late, r.All.Offered)
+	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // on however busy a machine
+		t.Errorf("%d of %d were served", r.All.OnTime+r.All.Late, r.All.Offered)
 	}
 	for _, f := range r.Faults {
-		if (f.Kind == "fast-errors" || f.Kind == "reset" || f.Kind == "half-answer") && f.Met == 0 {
+		if (f.Kind == "fast-errors" || f.Kind == "reset" || f.Kind == "half-answer") && f.Affected == 0 {
 			t.Errorf("nobody met %s", f.Label)
 		}
 	}
--- /dev/null
+++ b/emulator/result/recorder.go
@@ -0,0 +1,185 @@
+package result
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math"
+	"time"
+
+	"cobaltward/emulator/checker"
+	"cobaltward/emulator/plan"
+	"cobaltward/policy"
+)
+
+// Outcome is the outcome of a request.
+type Outcome struct {
+	Status         Status
+	Latency        time.Duration // since the scheduled arrival
+	ClientAttempts int
+	ServerAttempts int
+	Faults         []int // indices of the faults that affected the request, ascending
+}
+
+// Recorder collects a result. It isn't safe for concurrent use.
+type Recorder struct {
+	plan       *plan.Plan
+	result     *Result
+	digest     hash.Hash
+	inFlight   int
+	usefulWork float64
+	onDone     func(request *plan.Request, outcome Outcome)
+	scratch    []byte // reused by each digest entry
+}
+
+// NewRecorder returns a recorder for a run of a plan. clock is virtual or real. onDone is called with the outcome of
+// each request unless it is nil.
+func NewRecorder(source *plan.Plan, clock string, onDone func(*plan.Request, Outcome)) *Recorder {
+	scenario := source.Script
+	result := &Result{
+		Title: scenario.Title, Seed: source.Seed, Clock: clock, Duration: scenario.Duration,
+		Servers: len(source.Servers), Nodes: len(source.Nodes), Zones: scenario.Network.Zones, All: newService(),
+		Classes: make(map[string]*Service), Tenants: make(map[string]*Service), ByZone: make(map[string]*Service),
+	}
+	for i := range scenario.Classes {
+		result.Classes[scenario.Classes[i].Name] = newService()
+	}
+	for _, tenant := range scenario.Tenants {
+		result.Tenants[tenant.Name] = newService()
+	}
+	for _, zone := range scenario.Network.Zones {
+		result.ByZone[zone] = newService()
+	}
+	for i := range source.Faults {
+		result.Faults = append(result.Faults, newFault(source, &source.Faults[i]))
+	}
+	return &Recorder{plan: source, result: result, digest: sha256.New(), onDone: onDone}
+}
+
+func newFault(p *plan.Plan, fault *plan.Fault) Fault {
+	var targets []string
+	for _, i := range fault.Servers {
+		targets = append(targets, p.Servers[i].ID)
+	}
+	for _, i := range fault.Nodes {
+		targets = append(targets, p.Nodes[i].Name)
+	}
+	return Fault{Label: fault.Label(), Kind: fault.Kind, From: fault.At, To: fault.End(), Targets: targets}
+}
+
+// second returns the figures of the second that a time is in.
+func (r *Recorder) second(now time.Duration) *Second {
+	n := int(max(0, now) / time.Second)
+	for len(r.result.Seconds) <= n {
+		r.result.Seconds = append(r.result.Seconds, Second{InFlight: r.inFlight})
+	}
+	return &r.result.Seconds[n]
+}
+
+// RequestArrived records the arrival of a request.
+func (r *Recorder) RequestArrived(request *plan.Request) {
+	r.second(request.At).Offered++
+	r.inFlight++
+	second := r.second(request.At)
+	second.InFlight = max(second.InFlight, r.inFlight)
+	r.result.OfferedWork += r.plan.Work(request)
+}
+
+// ClientAttempt records an attempt of a client at a node.
+func (r *Recorder) ClientAttempt() { r.result.ClientAttempts++ }
+
+// ServerAttempt records the n-th attempt of a node at a server, from 0, for one client attempt.
+func (r *Recorder) ServerAttempt(now time.Duration, n int, crossZone bool) {
+	r.result.ServerAttempts++
+	if n > 0 {
+		r.result.Retries++
+	}
+	second := r.second(now)
+	second.Attempts++
+	if crossZone {
+		r.result.CrossZone++
+		second.CrossZone++
+	}
+}
+
+// Connected records a new connection to a server.
+func (r *Recorder) Connected() { r.result.Connections++ }
+
+// WorkStarted records work that a server starts.
+func (r *Recorder) WorkStarted(work float64) { r.result.Work += work }
+
+// WorkUseful records started work whose answer has reached its client.
+func (r *Recorder) WorkUseful(work float64) { r.usefulWork += work }
+
+// RequestDone records the outcome of a request.
+func (r *Recorder) RequestDone(request *plan.Request, outcome Outcome) {
+	r.inFlight--
+	second := r.second(request.At)
+	switch outcome.Status {
+	case Served:
+		second.Served++
+	case Rejected:
+		second.Rejected++
+	default:
+		second.Failed++
+	}
+	class := &r.plan.Script.Classes[request.Class]
+	tenant := r.plan.Script.Tenants[request.Tenant].Name
+	served := outcome.Status == Served
+	onTime := served && outcome.Latency <= class.LatencyObjective
+	for _, service := range []*Service{
+		r.result.All, r.result.Classes[class.Name], r.result.Tenants[tenant], r.result.ByZone[request.Zone],
+	} {
+		service.add(&outcome, request.OverQuota, onTime, class.LateWeightFraction)
+	}
+	for _, fault := range outcome.Faults {
+		r.result.Faults[fault].add(served, len(outcome.Faults) == 1)
+	}
+	r.addToDigest(request.ID, &outcome)
+	if r.onDone != nil {
+		r.onDone(request, outcome)
+	}
+}
+
+func (r *Recorder) addToDigest(id string, outcome *Outcome) {
+	r.scratch = fmt.Appendf(r.scratch[:0], "%s %d %d %d %d %v\n", id, outcome.Status, outcome.Latency,
+		outcome.ClientAttempts, outcome.ServerAttempts, outcome.Faults)
+	_, _ = r.digest.Write(r.scratch) // a hash's Write never fails
+}
+
+// Sample records the learned state of the servers at a node.
+func (r *Recorder) Sample(views []policy.View) {
+	row := make([]Sample, 0, len(views))
+	for _, v := range views {
+		row = append(row, Sample{v.Server, v.InFlight, math.Round(v.Threshold*100) / 100, v.Ejected})
+	}
+	r.result.Samples = append(r.result.Samples, row)
+}
+
+// Level records the degradation level of a node.
+func (r *Recorder) Level(level Level) { r.result.Levels = append(r.result.Levels, level) }
+
+// GeneratorLag records by how much a request was sent after its scheduled arrival.
+func (r *Recorder) GeneratorLag(lag time.Duration) { r.result.MaxLag = max(r.result.MaxLag, lag) }
+
+// Invalidate marks the rehearsal as invalid for a reason.
+func (r *Recorder) Invalidate(reason string) { r.result.InvalidReason = reason }
+
+// Finish returns the result with the verdict of the rules.
+func (r *Recorder) Finish(verdict *checker.Verdict) *Result {
+	result := r.result
+	result.Verdict = verdict
+	result.WastedWork = max(0, result.Work-r.usefulWork)
+	result.Digest = hex.EncodeToString(r.digest.Sum(nil))
+	all := []*Service{result.All}
+	for _, services := range []map[string]*Service{result.Classes, result.Tenants, result.ByZone} {
+		for _, service := range services {
+			all = append(all, service)
+		}
+	}
+	for _, service := range all {
+		service.P50, service.P99 = service.latency.quantile(0.5), service.latency.quantile(0.99)
+	}
+	return result
+}
--- /dev/null
+++ b/emulator/result/service.go
@@ -0,0 +1,111 @@
+package result
+
+import (
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// overQuotaValue is the value of a request beyond its tenant's quota; the value of others is 1.
+const overQuotaValue = 0.05
+
+// Status is the final state of a request after all its attempts.
+type Status uint8
+
+// The final states.
+const (
+	Served Status = iota
+	Rejected
+	Failed      // may have run
+	Unreachable // the last attempt found no node, or lost it
+	ClientLeft
+	statusCount // the number of states
+)
+
+var statusNames = [statusCount]string{"served", "refused", "failed", "missed", "gave up"}
+
+// String returns the name of the status in reports.
+func (s Status) String() string { return statusNames[s] }
+
+// Service summarizes a set of requests.
+type Service struct {
+	Offered           int     `json:"offered"`
+	OnTime            int     `json:"served_in_aim"` // within the latency objective
+	Late              int     `json:"served_late"`
+	Rejected          int     `json:"refused"`
+	Failed            int     `json:"failed"`
+	Unreachable       int     `json:"missed"`
+	ClientLeft        int     `json:"gave_up"`
+	WithinQuota       int     `json:"within_share"`
+	WithinQuotaOnTime int     `json:"within_share_in_aim"`
+	Value             float64 `json:"worth"`
+	OfferedValue      float64 `json:"worth_offered"`
+	P50               float64 `json:"p50_ms"`
+	P99               float64 `json:"p99_ms"`
+
+	latency histogram
+}
+
+func newService() *Service {
+	return &Service{latency: histogram{hdrhistogram.New(1, maxLatency, latencyDigits)}}
+}
+
+// ValueShare returns the fraction of the offered value that was served.
+func (s *Service) ValueShare() float64 {
+	if s.OfferedValue == 0 {
+		return 1
+	}
+	return s.Value / s.OfferedValue
+}
+
+// add records a request. lateValue is the fraction of its value that a late answer has.
+func (s *Service) add(outcome *Outcome, overQuota, onTime bool, lateValue float64) {
+	value := 1.0
+	if overQuota {
+		value = overQuotaValue
+	}
+	s.Offered++
+	s.OfferedValue += value
+	if !overQuota {
+		s.WithinQuota++
+	}
+	switch outcome.Status {
+	case Served:
+		s.latency.add(outcome.Latency)
+		if !onTime {
+			s.Late++
+			s.Value += value * lateValue
+			return
+		}
+		s.OnTime++
+		s.Value += value
+		if !overQuota {
+			s.WithinQuotaOnTime++
+		}
+	case Rejected:
+		s.Rejected++
+	case Failed:
+		s.Failed++
+	case Unreachable:
+		s.Unreachable++
+	case ClientLeft:
+		s.ClientLeft++
+	}
+}
+
+const (
+	maxLatency    = int64(time.Hour / time.Microsecond) // microseconds; longer ones count as this
+	latencyDigits = 2                                   // significant digits
+)
+
+// histogram records latencies in microseconds within bounded memory.
+type histogram struct{ *hdrhistogram.Histogram }
+
+func (h histogram) add(d time.Duration) {
+	_ = h.RecordValue(min(maxLatency, max(1, d.Microseconds()))) // never out of range
+}
+
+// quantile returns a quantile in milliseconds; 0 if there are no latencies.
+func (h histogram) quantile(q float64) float64 {
+	return float64(h.ValueAtQuantile(100*q)) / 1000
+}
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -50,7 +50,7 @@
 	w.q.put(next.At, func() {
 		r := &request{Request: next, work: w.p.Work(&next)}
 		w.meetTraffic(r)
-		w.book.Offered(&r.Request)
+		w.book.RequestArrived(&r.Request)
 		_, leaves := w.p.ClientBehavior(&r.Request)
 		w.try(r, leaves)
 		w.arrive(a)
@@ -94,7 +94,7 @@
 	r.at = w.node(r)
 	r.tries++
 	r.live, r.lost = true, false
-	w.book.Try()
+	w.book.ClientAttempt()
 	n, id := r.at, r.id
 	if w.requests == nil {
 		w.requests = make(map[string]*request)
@@ -102,7 +102,7 @@
 	w.requests[id] = r
 	way := w.delay(w.p.Script.Network.ClientDelay, "client", id)
 	if n == nil {
-		w.after(2*way, func() { w.tried(r, id, result.Missed, 0) })
+		w.after(2*way, func() { w.tried(r, id, result.Unreachable, 0) })
 		return
 	}
 	times := 1
@@ -112,12 +112,12 @@
 	for i := range times {
 		w.after(way+time.Duration(i)*time.Millisecond, func() { w.deliver(r, n, id, way, i) })
 	}
-	w.after(r.wait, func() { w.leave(r, n, id, way, result.GaveUp) })
+	w.after(r.wait, func() { w.leave(r, n, id, way, result.ClientLeft) })
 	if leaves > 0 {
 		w.after(time.Duration(leaves*float64(r.wait)), func() {
 			if r.live && r.id == id {
-				w.judge.Left(n.spec.Name, id, 0)
-				w.leave(r, n, id, way, result.GaveUp)
+				w.judge.ClientLeft(n.spec.Name, id, 0)
+				w.leave(r, n, id, way, result.ClientLeft)
 			}
 		})
 	}
@@ -127,15 +127,15 @@
 func (w *world) deliver(r *request, n *node, id string, way time.Duration, i int) {
 	if n.engine == nil {
 		if i == 0 {
-			w.after(way, func() { w.tried(r, id, result.Missed, 0) })
+			w.after(way, func() { w.tried(r, id, result.Unreachable, 0) })
 		}
 		return
 	}
 	s := w.p.Script
 	due := r.sent + r.wait
-	w.judge.Taken(w.now, n.spec.Name, id, s.Classes[r.Class].Name, due)
+	w.judge.RequestReceived(w.now, n.spec.Name, id, s.Classes[r.Class].Name, due)
 	if !r.live || r.id != id { // it left while the request was on its way
-		w.judge.Left(n.spec.Name, id, i)
+		w.judge.ClientLeft(n.spec.Name, id, i)
 	}
 	life := n.lives
 	n.step(func(now time.Duration) {
@@ -157,14 +157,14 @@
 
 func (w *world) answered(r *request, n *node, id string, i int, a router.Answer) {
 	refused := a.Outcome == router.Rejected || a.Outcome == router.Overloaded
-	w.judge.Answer(w.now, n.spec.Name, id, i, refused)
+	w.judge.ResponseReceived(w.now, n.spec.Name, id, i, refused)
 	if i > 0 {
 		return
 	}
 	end := result.Failed
 	switch {
 	case refused:
-		end = result.Refused
+		end = result.Rejected
 	case a.Outcome == router.Served:
 		end = result.Served
 	}
@@ -172,7 +172,7 @@
 }
 
 // leave has a client close its connection.
-func (w *world) leave(r *request, n *node, id string, way time.Duration, end result.End) {
+func (w *world) leave(r *request, n *node, id string, way time.Duration, end result.Status) {
 	if !r.live || r.id != id {
 		return
 	}
@@ -192,13 +192,13 @@
 		if r.live && r.at == n && r.id == id {
 			r.meet(f.Index)
 			r.lost = true
-			w.after(w.p.Script.Network.ClientDelay, func() { w.tried(r, id, result.Missed, 0) })
+			w.after(w.p.Script.Network.ClientDelay, func() { w.tried(r, id, result.Unreachable, 0) })
 		}
 	}
 }
 
 // tried is the end of a try: the client's end, or its next try.
-func (w *world) tried(r *request, id string, end result.End, retryAfter time.Duration) {
+func (w *world) tried(r *request, id string, end result.Status, retryAfter time.Duration) {
 	if !r.live || r.id != id {
 		return
 	}
@@ -209,9 +209,9 @@
 			delete(w.requests, id)
 		}
 	})
-	if end == result.Refused || end == result.Missed || end == result.Failed {
+	if end == result.Rejected || end == result.Unreachable || end == result.Failed {
 		wait, again := w.p.Retry(&r.Request, r.tries, plan.Outcome{
-			Rejected: end == result.Refused, MayHaveRun: end == result.Failed || r.lost,
+			Rejected: end == result.Rejected, MayHaveRun: end == result.Failed || r.lost,
 			RetryAfter: retryAfter, Elapsed: w.now - r.At,
 		})
 		if again {
@@ -220,8 +220,8 @@
 		}
 	}
 	if end == result.Served {
-		w.book.Useful(r.ranWork)
+		w.book.WorkUseful(r.ranWork)
 	}
 	w.flying--
-	w.book.Done(w.now, &r.Request, result.Outcome{End: end, Took: w.now - r.At, Tries: r.tries, Attempts: r.attempts, Met: r.faults})
+	w.book.RequestDone(&r.Request, result.Outcome{Status: end, Latency: w.now - r.At, ClientAttempts: r.tries, ServerAttempts: r.attempts, Faults: r.faults})
 }
--- a/emulator/sim/levels_test.go
+++ b/emulator/sim/levels_test.go
@@ -38,14 +38,14 @@
 	}
 	with := play(t, monday(), Options{Levels: ladder()})
 	without := play(t, monday(), Options{})
-	if !with.Verdict.Kept() {
-		t.Errorf("%v", with.Verdict.Breaches)
+	if !with.Verdict.Passed() {
+		t.Errorf("%v", with.Verdict.Violations)
 	}
 	for name, s := range with.Classes {
-		t.Logf("%s: worth kept %.3f (%.3f without levels), in aim %d (%d)", name, s.Share(), without.Classes[name].Share(), s.InAim, without.Classes[name].InAim)
+		t.Logf("%s: worth kept %.3f (%.3f without levels), in aim %d (%d)", name, s.ValueShare(), without.Classes[name].ValueShare(), s.OnTime, without.Classes[name].OnTime)
 	}
-	t.Logf("all: %.3f (%.3f)", with.All.Share(), without.All.Share())
-	if a, b := with.Classes["rezervacia"].Share(), without.Classes["rezervacia"].Share(); a < b+0.02 {
+	t.Logf("all: %.3f (%.3f)", with.All.ValueShare(), without.All.ValueShare())
+	if a, b := with.Classes["rezervacia"].ValueShare(), without.Classes["rezervacia"].ValueShare(); a < b+0.02 {
 		t.Errorf("bookings: %.3f with levels, %.3f without", a, b)
 	}
 }
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -46,30 +46,30 @@
 		}
 	}
 	return []Mutant{
-		{"answers twice", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapPolicy: hears(unended)})},
-		{"answers late", "sick", checker.Answered, engine(safeguards.AnswerDeadline)},
-		{"leaves requests without an answer", "sick", checker.Answered, without(safeguards.Overrides{
+		{"answers twice", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapPolicy: hears(unended)})},
+		{"answers late", "sick", checker.RuleOneAnswer, engine(safeguards.AnswerDeadline)},
+		{"leaves requests without an answer", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{
 			Disabled: safeguards.BackstopAnswer,
 			WrapPolicy: func(m safeguards.Policy) safeguards.Policy {
 				return &tamper{Policy: m, action: func(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }}
 			},
 		})},
-		{"sends after the answer", "sick", checker.Answered, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapPolicy: hears(unended)})},
-		{"takes an id twice", "bad-clients", checker.Once, engine(safeguards.UniqueID)},
-		{"refuses what may have run", "sick", checker.Once, engine(safeguards.NoRejectionAfterRun)},
-		{"repeats an unsafe request", "sick", checker.Once, classes(func(c *policy.Class) {
+		{"sends after the answer", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapPolicy: hears(unended)})},
+		{"takes an id twice", "bad-clients", checker.RuleAtMostOnce, engine(safeguards.UniqueID)},
+		{"refuses what may have run", "sick", checker.RuleAtMostOnce, engine(safeguards.NoRejectionAfterRun)},
+		{"repeats an unsafe request", "sick", checker.RuleAtMostOnce, classes(func(c *policy.Class) {
 			if c.Idempotency == policy.NonIdempotent {
 				c.Idempotency = policy.Idempotent
 			}
 		})},
-		{"takes a reset for proof", "sick", checker.Once, func() Options { return Options{Lying: true} }},
-		{"forgets the group of a key", "keys", checker.Once, classes(func(c *policy.Class) { c.DedupScope = policy.DedupAll })},
-		{"forgets the window of a key", "keys", checker.Once, without(safeguards.Overrides{Disabled: safeguards.DedupWindow, Settings: changed(func(c *policy.Class) { c.DedupWindow *= 100 })})},
-		{"writes a repeat when its key is forgotten", "keys", checker.Once, engine(safeguards.DedupWindow)},
-		{"does not hear of drains", "rolling", checker.Drained, careless(undrained)},
-		{"does not hear of servers that are gone", "wrong-list", checker.Drained, careless(unremoved)},
-		{"takes cold servers for warm", "fresh", checker.Cold, without(safeguards.Overrides{WrapPolicy: hears(warm)})},
-		{"has no budget for cold servers", "fresh", checker.Cold, without(safeguards.Overrides{Settings: func(s policy.Settings) policy.Settings {
+		{"takes a reset for proof", "sick", checker.RuleAtMostOnce, func() Options { return Options{Lying: true} }},
+		{"forgets the group of a key", "keys", checker.RuleAtMostOnce, classes(func(c *policy.Class) { c.DedupScope = policy.DedupAll })},
+		{"forgets the window of a key", "keys", checker.RuleAtMostOnce, without(safeguards.Overrides{Disabled: safeguards.DedupWindow, Settings: changed(func(c *policy.Class) { c.DedupWindow *= 100 })})},
+		{"writes a repeat when its key is forgotten", "keys", checker.RuleAtMostOnce, engine(safeguards.DedupWindow)},
+		{"does not hear of drains", "rolling", checker.RuleDrainGrace, careless(undrained)},
+		{"does not hear of servers that are gone", "wrong-list", checker.RuleDrainGrace, careless(unremoved)},
+		{"takes cold servers for warm", "fresh", checker.RuleSlowStart, without(safeguards.Overrides{WrapPolicy: hears(warm)})},
+		{"has no budget for cold servers", "fresh", checker.RuleSlowStart, without(safeguards.Overrides{Settings: func(s policy.Settings) policy.Settings {
 			s.Rules.SlowStartShare, s.Rules.OverloadFactor = 1, 1e6
 			return s
 		}})},
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -83,7 +83,7 @@
 	for id, m := range n.known {
 		if m.Availability != policy.Running {
 			n.drained[id] = n.w.now
-			n.w.judge.Told(n.w.now, n.spec.Name, id, false)
+			n.w.judge.EndpointUpdated(n.w.now, n.spec.Name, id, false)
 		}
 	}
 	n.step(func(now time.Duration) { engine.Advance(now) })
@@ -177,7 +177,7 @@
 	n.agent = nil
 	for _, m := range news {
 		open := m.Availability == policy.Running
-		n.w.judge.Told(n.w.now, n.spec.Name, m.ID, open)
+		n.w.judge.EndpointUpdated(n.w.now, n.spec.Name, m.ID, open)
 		if m.Availability == policy.Removed {
 			delete(n.known, m.ID)
 		} else {
@@ -365,7 +365,7 @@
 // connect makes a connection, and sends over it.
 func (t *try) connect() {
 	w, s := t.n.w, t.server
-	w.book.Connect()
+	w.book.Connected()
 	if t.blocked() {
 		w.after(w.p.Script.Network.ConnectTimeout, func() { t.end(policy.ConnectFailed) })
 		return
@@ -409,11 +409,11 @@
 		return
 	}
 	t.sent = true
-	w.book.Attempt(w.now, t.e.Number, t.server.spec.Zone != n.spec.Zone)
+	w.book.ServerAttempt(w.now, t.e.Number, t.server.spec.Zone != n.spec.Zone)
 	if w.o.sent != nil {
 		w.o.sent(w.now, n.spec.Name, t.server.id)
 	}
-	w.judge.Sent(w.now, n.spec.Name, t.e.Request.ID, t.e.Number, t.server.id)
+	w.judge.AttemptSent(w.now, n.spec.Name, t.e.Request.ID, t.e.Number, t.server.id)
 	if t.blocked() {
 		t.stuck = true
 		return
@@ -453,7 +453,7 @@
 // turnedAway is the server's word that the request never ran.
 func (t *try) turnedAway() {
 	t.reply(func() {
-		t.n.w.judge.Proved(t.n.spec.Name, t.e.Request.ID, t.e.Number)
+		t.n.w.judge.AttemptNotRun(t.n.spec.Name, t.e.Request.ID, t.e.Number)
 		t.end(policy.Overloaded)
 	})
 }
--- a/emulator/sim/remember_test.go
+++ b/emulator/sim/remember_test.go
@@ -46,8 +46,8 @@
 				n++
 			}
 		}
-		if r := play(t, p, o); !r.Verdict.Kept() {
-			t.Errorf("%+v", r.Verdict.Breaches)
+		if r := play(t, p, o); !r.Verdict.Passed() {
+			t.Errorf("%+v", r.Verdict.Violations)
 		}
 		return n
 	}
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -53,13 +53,13 @@
 	if s.started == 0 {
 		c.WarmUp = model.WarmUp{}
 	} else if c.WarmUp.InitialCapacity > 0 && c.WarmUp.Duration > 0 {
-		s.w.judge.Started()
+		s.w.judge.ServerStarted()
 	}
 	s.up = &process{s: s, tries: make(map[string]*try)}
 	s.up.m = model.New(c, &group{&s.w.keys, s}, s.w.now)
 	s.up.m.OnExecution(func(e model.Execution) {
 		id, _, _ := strings.Cut(e.ID, "/")
-		s.w.judge.Ran(s.w.now, s.id, id, e.Discarded)
+		s.w.judge.ServerExecuted(s.w.now, s.id, id, e.Discarded)
 	})
 }
 
@@ -105,7 +105,7 @@
 		}
 	}
 	if p.m.Down() && !p.dead { // it fell over
-		w.judge.Fell(w.now, p.s.id, tries(p.m.OverloadingRequests()))
+		w.judge.ServerOverloaded(w.now, p.s.id, tries(p.m.OverloadingRequests()))
 		p.s.up = nil
 		p.s.heard(policy.Removed)
 		p.die()
@@ -220,7 +220,7 @@
 	verdict := p.m.Offer(w.now, model.Request{ID: t.id, Key: key, Work: work, Deadline: t.until})
 	switch verdict {
 	case model.Accepted:
-		w.book.Work(work)
+		w.book.WorkStarted(work)
 		if s.failing(script.FaultReset, t) {
 			delete(p.tries, t.id)
 			t.broken(t.delay)
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -48,10 +48,10 @@
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".toml"), func(t *testing.T) {
 			t.Parallel()
 			r := play(t, load(t, path), Options{})
-			t.Logf("share %.3f attempts %d repeats %d crossings %d conns %d work %.0f waste %.0f %v", r.All.Share(), r.Attempts, r.Repeats, r.Crossing, r.Conns, r.Work, r.Waste, r.Verdict.Checked)
-			if !r.Verdict.Kept() {
+			t.Logf("share %.3f attempts %d repeats %d crossings %d conns %d work %.0f waste %.0f %v", r.All.ValueShare(), r.ServerAttempts, r.Retries, r.CrossZone, r.Connections, r.Work, r.WastedWork, r.Verdict.Checked)
+			if !r.Verdict.Passed() {
 				t.Errorf("broken: %v", r.Verdict.Count)
-				for _, b := range r.Verdict.Breaches[:min(5, len(r.Verdict.Breaches))] {
+				for _, b := range r.Verdict.Violations[:min(5, len(r.Verdict.Violations))] {
 					t.Errorf("%+v", b)
 				}
 			}
@@ -65,14 +65,14 @@
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, load(t, "../../scenarios/"+m.Scenario+".toml"), m.Options())
-			i := slices.IndexFunc(r.Verdict.Breaches, func(b checker.Breach) bool { return b.Rule == m.Rule })
+			i := slices.IndexFunc(r.Verdict.Violations, func(b checker.Violation) bool { return b.Rule == m.Rule })
 			if i < 0 {
 				t.Fatalf("not convicted of %v: %v", m.Rule, r.Verdict.Count)
 			}
-			if b := r.Verdict.Breaches[i]; b.ID == "" || b.At == 0 || b.What == "" {
+			if b := r.Verdict.Violations[i]; b.ID == "" || b.At == 0 || b.Description == "" {
 				t.Errorf("without evidence: %+v", b)
 			}
-			t.Logf("%v: %+v", r.Verdict.Count, r.Verdict.Breaches[i])
+			t.Logf("%v: %+v", r.Verdict.Count, r.Verdict.Violations[i])
 		})
 	}
 }
@@ -116,7 +116,7 @@
 	r := play(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
 		if f.Kind == script.FaultFastErrors || f.Kind == script.FaultNodeCrash {
-			if f.Met == 0 || f.Alone == 0 || f.Alone > f.Met || f.Served > f.Met {
+			if f.Affected == 0 || f.AffectedAlone == 0 || f.AffectedAlone > f.Affected || f.AffectedServed > f.Affected {
 				t.Errorf("%+v", f)
 			}
 		}
--- a/emulator/sim/world.go
+++ b/emulator/sim/world.go
@@ -43,8 +43,8 @@
 	o     Options
 	q     queue
 	now   time.Duration
-	judge *checker.Judge
-	book  *result.Book
+	judge *checker.Checker
+	book  *result.Recorder
 
 	servers []*server
 	byID    map[string]*server
@@ -65,7 +65,7 @@
 func Run(ctx context.Context, p *plan.Plan, o Options) (*result.Result, error) {
 	w := &world{
 		p: p, o: o, byID: make(map[string]*server), front: p.NewBalancer(),
-		cut: make(map[string]int), book: result.NewBook(p, "virtual", o.Detail), traffic: true,
+		cut: make(map[string]int), book: result.NewRecorder(p, "virtual", o.Detail), traffic: true,
 	}
 	w.keys.world = w
 	w.judge = checker.New(Rulebook(p, w.place))
@@ -106,14 +106,14 @@
 			}
 		}
 	}
-	return w.book.End(w.judge.End()), nil
+	return w.book.Finish(w.judge.Finish()), nil
 }
 
 // Rulebook is what a judge must know of a plan.
-func Rulebook(p *plan.Plan, place func(server string) (string, int64)) checker.Rulebook {
-	b := checker.Rulebook{Classes: make(map[string]checker.Class), AnswerGrace: p.Settings.Rules.AnswerGrace, DrainGrace: p.Settings.Rules.DrainGrace, Place: place}
+func Rulebook(p *plan.Plan, place func(server string) (string, int64)) checker.Config {
+	b := checker.Config{Classes: make(map[string]checker.Class), AnswerGrace: p.Settings.Rules.AnswerGrace, DrainGrace: p.Settings.Rules.DrainGrace, Place: place}
 	for _, c := range p.Settings.Classes {
-		b.Classes[c.Name] = checker.Class{Repeat: c.Idempotency, Group: c.DedupScope, Window: c.DedupWindow}
+		b.Classes[c.Name] = checker.Class{Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow}
 	}
 	return b
 }
--- a/internal/cli/rehearseoutput.go
+++ b/internal/cli/rehearseoutput.go
@@ -31,9 +31,9 @@
 		return err
 	}
 	switch {
-	case measured.Void != "":
-		return fmt.Errorf("rehearse: void: %s", measured.Void)
-	case !measured.Verdict.Kept():
+	case measured.InvalidReason != "":
+		return fmt.Errorf("rehearse: void: %s", measured.InvalidReason)
+	case !measured.Verdict.Passed():
 		return errors.New("rehearse: rules were broken")
 	}
 	return nil
@@ -65,13 +65,13 @@
 // add writes the line of a request.
 func (w *outcomeWriter) add(request *plan.Request, outcome result.Outcome) {
 	var faults []string
-	for _, fault := range outcome.Met {
+	for _, fault := range outcome.Faults {
 		faults = append(faults, w.played.Faults[fault].Label())
 	}
 	site := w.played.Script
 	w.printf("%s,%.6f,%s,%s,%s,%v,%.3f,%d,%d,%s\n", request.ID, request.At.Seconds(),
-		site.Classes[request.Class].Name, site.Tenants[request.Tenant].Name, request.Zone, outcome.End,
-		float64(outcome.Took)/float64(time.Millisecond), outcome.Tries, outcome.Attempts, strings.Join(faults, "; "))
+		site.Classes[request.Class].Name, site.Tenants[request.Tenant].Name, request.Zone, outcome.Status,
+		float64(outcome.Latency)/float64(time.Millisecond), outcome.ClientAttempts, outcome.ServerAttempts, strings.Join(faults, "; "))
 }
 
 // close completes the file, and returns the first error.
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -200,13 +200,13 @@
 func (s *drainScript) checkResults(drains int) {
 	s.t.Helper()
 	s.mu.Lock()
-	verdict := s.checker.End()
+	verdict := s.checker.Finish()
 	s.mu.Unlock()
 	s.t.Logf("%d drains: %v; %d served, %d rejected, %d failed, %d retried after a close, %d unanswered; facts %v",
 		drains, s.outcomes, s.served.Load(), s.rejected.Load(), s.failed.Load(), s.retriedAfterClose.Load(),
 		s.unanswered.Load(), verdict.Checked)
-	if !verdict.Kept() {
-		s.t.Errorf("broken: %v %+v", verdict.Count, verdict.Breaches[:min(5, len(verdict.Breaches))])
+	if !verdict.Passed() {
+		s.t.Errorf("broken: %v %+v", verdict.Count, verdict.Violations[:min(5, len(verdict.Violations))])
 	}
 	if s.served.Load() == 0 || s.conflicts.Load() > 0 {
 		s.t.Errorf("%d served, %d conflicts", s.served.Load(), s.conflicts.Load())
--- a/internal/node/testclients_test.go
+++ b/internal/node/testclients_test.go
@@ -55,7 +55,7 @@
 
 // request sends a request, once more if its connection was closed meanwhile, and records the outcome.
 func (n *testNode) request(client *http.Client, class policy.Class, id string) {
-	n.locked(func(now time.Duration) { n.checker.Taken(now, "n", id, class.Name, now+class.Deadline) })
+	n.locked(func(now time.Duration) { n.checker.RequestReceived(now, "n", id, class.Name, now+class.Deadline) })
 	status, reused, err := n.send(client, class, id)
 	if err != nil && reused && !errors.Is(err, context.DeadlineExceeded) {
 		// A close of the connection crossed the request, so a client retries it. If the node had accepted it, the node
@@ -71,7 +71,7 @@
 		n.recordUnanswered(id, reused, err)
 		return
 	}
-	n.locked(func(now time.Duration) { n.checker.Answer(now, "n", id, 0, isRejection(status)) })
+	n.locked(func(now time.Duration) { n.checker.ResponseReceived(now, "n", id, 0, isRejection(status)) })
 	switch {
 	case status == http.StatusOK:
 		n.served.Add(1)
@@ -95,7 +95,7 @@
 		if n.executed[id] && (reused || !errors.Is(err, syscall.ECONNREFUSED)) {
 			n.t.Errorf("%v: %s was executed, and has no answer: %v", now, id, err)
 		}
-		n.checker.Left("n", id, 0)
+		n.checker.ClientLeft("n", id, 0)
 	})
 }
 
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -42,7 +42,7 @@
 	state          StateConfig
 
 	mu            sync.Mutex
-	checker       *checker.Judge
+	checker       *checker.Checker
 	executed      map[string]bool // by request ID
 	startedAt     time.Time
 	failingServer atomic.Int64 // number of the server that fails requests, from 1; others: none
@@ -100,8 +100,8 @@
 	return node
 }
 
-func newChecker(settings policy.Settings) *checker.Judge {
-	rules := checker.Rulebook{
+func newChecker(settings policy.Settings) *checker.Checker {
+	rules := checker.Config{
 		Classes:     make(map[string]checker.Class),
 		AnswerGrace: settings.Rules.AnswerGrace,
 		DrainGrace:  settings.Rules.DrainGrace,
@@ -109,7 +109,7 @@
 	}
 	for _, class := range settings.Classes {
 		rules.Classes[class.Name] = checker.Class{
-			Repeat: class.Idempotency, Group: class.DedupScope, Window: class.DedupWindow,
+			Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow,
 		}
 	}
 	return checker.New(rules)
@@ -127,14 +127,14 @@
 	host := servermodel.StartObserved(config, group, func(e model.Execution) {
 		n.locked(func(now time.Duration) {
 			n.executed[e.ID] = true
-			n.checker.Ran(now, serverID, e.ID, e.Discarded)
+			n.checker.ServerExecuted(now, serverID, e.ID, e.Discarded)
 		})
 	})
 	work := model.Work{Dist: model.Lognormal, Mean: 0.06, CV: 1.5}
 	server := serverprotocol.ServeHTTP1WithOptions(listener, host, serverprotocol.Options{
 		Behavior: func(_, id string) serverprotocol.Behavior {
 			n.locked(func(now time.Duration) {
-				n.checker.Sent(now, "n", id, n.checker.Attempts(id), serverID)
+				n.checker.AttemptSent(now, "n", id, n.checker.Attempts(id), serverID)
 			})
 			treatment := serverprotocol.Behavior{Work: work.Draw(1, id)}
 			if n.failingServer.Load() == int64(number+1) {
@@ -144,7 +144,7 @@
 			return treatment
 		},
 		OnRejected: func(id string) {
-			n.locked(func(time.Duration) { n.checker.Proved("n", id, n.checker.Attempts(id)-1) })
+			n.locked(func(time.Duration) { n.checker.AttemptNotRun("n", id, n.checker.Attempts(id)-1) })
 		},
 	})
 	n.t.Cleanup(func() {
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -207,9 +207,9 @@
 // add adds one run of so many that the mean is of.
 func (f *figure) add(run *result.Result, runs float64) {
 	bookings := run.Classes[classBooking]
-	f.value += run.All.Share() / runs
-	f.booked += float64(bookings.InAim) / float64(bookings.Offered) / runs
-	f.waste += run.Waste / max(1, run.Work) / runs
+	f.value += run.All.ValueShare() / runs
+	f.booked += float64(bookings.OnTime) / float64(bookings.Offered) / runs
+	f.waste += run.WastedWork / max(1, run.Work) / runs
 	for i := 1; i < len(run.Levels); i++ {
 		if run.Levels[i].Level != run.Levels[i-1].Level {
 			f.levelChanges++
@@ -239,8 +239,8 @@
 		}
 	}
 	run, err := sim.Run(context.Background(), scheduled, options)
-	if err == nil && !run.Verdict.Kept() {
-		err = fmt.Errorf("rules were broken: %v", run.Verdict.Breaches)
+	if err == nil && !run.Verdict.Passed() {
+		err = fmt.Errorf("rules were broken: %v", run.Verdict.Violations)
 	}
 	return run, err
 }
