--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -30,8 +30,8 @@
 // an emulated load balancer that checks the nodes' readiness.
 type traffic struct {
 	harness  *Harness
-	servers  []*servermodel.Host
-	handlers []*serverprotocol.HTTP
+	servers  []*servermodel.Server
+	handlers []*serverprotocol.HTTPServer
 	nodes    map[string]*process
 	clients  map[string]*http.Client // by node
 	inFlight sync.WaitGroup
@@ -155,7 +155,7 @@
 	defer t.mu.Unlock()
 	executions := make(map[string]int)
 	for _, server := range t.servers {
-		for _, entry := range server.Ledger() {
+		for _, entry := range server.Executions() {
 			executions[entry.ID]++
 		}
 	}
