--- /dev/null
+++ b/internal/racetest/harness_test.go
@@ -0,0 +1,219 @@
+// Package racetest holds tests alone: instants at which one side ends something while the other has just begun to
+// rely on it, forced over loopback sockets. Each party is a stand-in that stops at a named point until the test lets
+// it continue. A test waits for an observed state, never for a time that has passed. Results are judged by what the
+// stand-ins recorded, not by what the node reports about itself.
+package racetest
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"cobaltward/discovery/registry"
+	"cobaltward/internal/adminapi"
+	"cobaltward/internal/node"
+	"cobaltward/internal/testkit"
+	"cobaltward/policy"
+	"cobaltward/router"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// harness is one node among stand-ins.
+type harness struct {
+	t         *testing.T
+	config    node.Config
+	addr      string // client address of the node
+	discovery *discoveryStub
+	reloads   chan node.Config
+	terminate context.CancelFunc // acts on the node as SIGTERM does
+	exited    chan error
+	stopped   bool // the node's exit has been received
+
+	oldServer, newServer string // addresses of two servers, in tests of the endpoint list
+	trackedID            string // ID of the request that a termination test examines
+
+	mu        sync.Mutex
+	forwarded []forwardedRequest // requests whose last byte reached a server, in order
+}
+
+// forwardedRequest is one request that a server received completely.
+type forwardedRequest struct {
+	server, id string
+	at         time.Time
+}
+
+// settings returns settings whose limits and times are so long that nothing ends but what the test ends.
+func settings() policy.Settings {
+	class := func(name string, idempotency policy.Idempotency) policy.Class {
+		return policy.Class{
+			Name: name, LatencyObjective: 40 * time.Second, Deadline: 60 * time.Second, PriorityWeight: 1,
+			Idempotency: idempotency, DedupScope: policy.DedupAll, DedupWindow: 50 * time.Second,
+		}
+	}
+	return policy.Settings{
+		Nodes: 1, Zone: "a",
+		Classes: []policy.Class{
+			class("read", policy.Idempotent), class("pay", policy.NonIdempotent), class("undo", policy.IdempotencyKeyed),
+		},
+		Capabilities: policy.Capabilities{
+			Cancel: true, RetryAfter: true, MaxAttempts: 4, MaxRetryAfter: time.Second, ConnIdleTimeout: time.Minute,
+		},
+		Rules: policy.Rules{
+			DrainGrace: 500 * time.Millisecond, SlowStartShare: 1, OverloadFactor: 3, OverloadDuration: time.Second,
+			RetryBudget: &policy.RetryBudget{MinRetries: 1e6, Window: time.Second},
+		},
+	}
+}
+
+// newHarness returns a harness whose node has not been started; change may be nil.
+func newHarness(t *testing.T, change func(c *node.Config)) *harness {
+	env := &harness{t: t, reloads: make(chan node.Config, 1), exited: make(chan error, 1)}
+	env.discovery = newDiscoveryStub(t)
+	announceFor := time.Millisecond // termination tests remove it, and the daemon's own duration applies
+	env.config = node.Config{
+		Name: "n", Discovery: env.discovery.addr, Seed: 1, MaxDescriptors: 256, MemoryMB: 64,
+		Settings: settings(), ConnectTimeout: 10 * time.Second, AnnounceFor: &announceFor,
+		InitialList: registry.List{Revision: 1, Full: true},
+		AdminAPI:    adminapi.Config{Socket: filepath.Join(t.TempDir(), "door")},
+	}
+	if change != nil {
+		change(&env.config)
+	}
+	return env
+}
+
+// endpoint is one server of the endpoint list that a restarted node holds.
+func endpoint(id, addr string) router.Endpoint {
+	return router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Cell: 1, Weight: 1}
+}
+
+// addEndpoints appends to the endpoint list that the node starts with.
+func (env *harness) addEndpoints(endpoints ...router.Endpoint) {
+	env.config.InitialList.Endpoints = append(env.config.InitialList.Endpoints, endpoints...)
+}
+
+// start runs the node until the test ends, and waits until it is ready.
+func (env *harness) start() *harness {
+	env.t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		env.t.Fatal(err)
+	}
+	env.addr = ln.Addr().String()
+	ctx, cancel := context.WithCancel(context.Background())
+	env.terminate = cancel
+	env.discovery.adoptInitialList(env.config.InitialList)
+	go func() { env.exited <- node.Run(ctx, env.config, ln, env.reloads, slog.New(slog.DiscardHandler)) }()
+	env.t.Cleanup(env.shutdown)
+	testkit.Await(env.t, "readiness", env.isReady)
+	return env
+}
+
+// shutdown terminates the node as SIGTERM does, and waits for its exit.
+func (env *harness) shutdown() {
+	if env.stopped {
+		return
+	}
+	env.terminate()
+	env.awaitExit()
+}
+
+// awaitExit waits for the exit of a node that was terminated, which must be without an error.
+func (env *harness) awaitExit() {
+	env.t.Helper()
+	env.stopped = true
+	if err := testkit.Receive(env.t, "the node's exit", env.exited); err != nil {
+		env.t.Error(err)
+	}
+}
+
+// isReady asks for readiness as a load balancer in front of the node does.
+func (env *harness) isReady() bool {
+	resp, err := oneShotClient.Get("http://" + env.addr + "/health/ready")
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// reload has a configuration applied or rejected: the node has finished with it once it takes the next.
+func (env *harness) reload(next node.Config) {
+	env.reloads <- next
+	env.reloads <- next
+	env.reloads <- next // the channel holds one: the first has been handled
+}
+
+// serversReached lists the servers that received the request completely, in order.
+func (env *harness) serversReached(id string) (servers []string) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, f := range env.forwarded {
+		if f.id == id {
+			servers = append(servers, f.server)
+		}
+	}
+	return servers
+}
+
+// forwardedAfter returns the requests that the server received later than at.
+func (env *harness) forwardedAfter(server string, at time.Time) (late []forwardedRequest) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, f := range env.forwarded {
+		if f.server == server && f.at.After(at) {
+			late = append(late, f)
+		}
+	}
+	return late
+}
+
+// expectNotForwarded checks that no server received the request.
+func (env *harness) expectNotForwarded(id string) {
+	env.t.Helper()
+	if servers := env.serversReached(id); len(servers) > 0 {
+		env.t.Errorf("%s went to %v", id, servers)
+	}
+}
+
+// status is what the node's admin API reports. It tells the test which state the node has reached; no result is judged
+// by it.
+func (env *harness) status() (status node.Status) {
+	client, base := adminapi.NewClient(env.config.AdminAPI.Socket, "", nil)
+	defer client.CloseIdleConnections()
+	resp, err := client.Get(base + "/status")
+	if err != nil {
+		return status
+	}
+	defer func() { _ = resp.Body.Close() }()
+	_ = json.NewDecoder(resp.Body).Decode(&status) // an empty status is polled again
+	return status
+}
+
+// awaitStatus waits until the node's status satisfies ok.
+func (env *harness) awaitStatus(what string, ok func(s node.Status) bool) {
+	env.t.Helper()
+	testkit.Await(env.t, what, func() bool {
+		status := env.status()
+		return status.Version > 0 && ok(status)
+	})
+}
+
+// queuedRequests is a condition for awaitStatus: n requests are queued.
+func queuedRequests(n int) func(node.Status) bool {
+	return func(s node.Status) bool { return s.Requests.Queued == n }
+}
+
+// noOpenRequests is a condition for awaitStatus: no request is open and no attempt in flight.
+func noOpenRequests(s node.Status) bool {
+	return s.Requests.Open == 0 && s.Requests.AttemptsInFlight == 0
+}
--- /dev/null
+++ b/internal/racetest/server_test.go
@@ -0,0 +1,186 @@
+package racetest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"cobaltward/internal/testkit"
+)
+
+// serverRequest is one request that a server has read, with the connection on which it came.
+type serverRequest struct {
+	net.Conn
+	id      string
+	earlier int // requests on this connection before
+}
+
+// respond answers 200 with a body, and tells whether that was written.
+func (req serverRequest) respond(body string) bool {
+	_, err := fmt.Fprintf(req, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	return err == nil
+}
+
+// write sends text, and tells whether that succeeded.
+func (req serverRequest) write(text string) bool {
+	_, err := io.WriteString(req, text)
+	return err == nil
+}
+
+// resetOnClose makes the end of the connection an RST.
+func (req serverRequest) resetOnClose() { _ = req.Conn.(*net.TCPConn).SetLinger(0) }
+
+// requestHandler is a server's reaction to a request; false ends the connection. A nil handler answers 200.
+type requestHandler func(req serverRequest) bool
+
+// hangIf returns a handler that leaves requests whose ID has the prefix open until they are cancelled, and answers
+// others.
+func hangIf(prefix string) requestHandler {
+	return func(req serverRequest) bool {
+		if strings.HasPrefix(req.id, prefix) {
+			_, _ = io.Copy(io.Discard, req) // until the node cancels it
+			return false
+		}
+		return req.respond("done")
+	}
+}
+
+// startServer runs a server until the test ends, and returns its address.
+func (env *harness) startServer(id string, handler requestHandler) string {
+	return testkit.RawServer(env.t, func(c net.Conn, r *bufio.Reader) { env.serveConn(id, handler, c, r) })
+}
+
+// serveConn records and handles the requests of a connection until it ends.
+func (env *harness) serveConn(id string, handler requestHandler, conn net.Conn, r *bufio.Reader) {
+	if handler == nil {
+		handler = func(req serverRequest) bool { return req.respond("done " + req.id) }
+	}
+	for n := 0; ; n++ {
+		parsed, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		if _, err := io.Copy(io.Discard, parsed.Body); err != nil {
+			return
+		}
+		req := serverRequest{conn, parsed.Header.Get("X-Request-Id"), n}
+		env.mu.Lock()
+		env.forwarded = append(env.forwarded, forwardedRequest{id, req.id, time.Now()})
+		env.mu.Unlock()
+		if !handler(req) {
+			return
+		}
+	}
+}
+
+// blockedServer is a server whose accept queue is full, so that dials to it hang until unblock is called.
+type blockedServer struct {
+	fd        int
+	unblocked bool
+	serve     func(conn fdConn)
+	running   sync.WaitGroup
+
+	mu    sync.Mutex
+	conns []net.Conn
+}
+
+// startBlockedServer runs a server to which connections are not established until unblock is called.
+func (env *harness) startBlockedServer(id string) (addr string, unblock func()) {
+	env.t.Helper()
+	fd, addr := listenWithoutBacklog(env.t)
+	fillAcceptQueue(env.t, addr)
+	server := &blockedServer{fd: fd, serve: func(conn fdConn) { env.serveConn(id, nil, conn, bufio.NewReader(conn)) }}
+	env.t.Cleanup(server.stop)
+	return addr, server.unblock
+}
+
+// listenWithoutBacklog returns a listening socket with the shortest accept queue, and its address.
+func listenWithoutBacklog(t *testing.T) (fd int, addr string) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err == nil {
+		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	}
+	if err == nil {
+		err = syscall.Listen(fd, 0)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	at, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fd, fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
+}
+
+// fillAcceptQueue connects until a dial is not answered. The connections stay open until the test ends.
+func fillAcceptQueue(t *testing.T, addr string) {
+	t.Helper()
+	for {
+		conn, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
+		if err != nil {
+			return
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+	}
+}
+
+// unblock begins to accept connections.
+func (s *blockedServer) unblock() {
+	s.unblocked = true
+	s.running.Go(func() {
+		defer func() { _ = syscall.Close(s.fd) }()
+		for {
+			fd, _, err := syscall.Accept(s.fd)
+			if err != nil {
+				return
+			}
+			conn := fdConn{fd}
+			s.mu.Lock()
+			s.conns = append(s.conns, conn)
+			s.mu.Unlock()
+			s.running.Go(func() { s.serve(conn) })
+		}
+	})
+}
+
+// stop ends the server and waits for its goroutines.
+func (s *blockedServer) stop() {
+	_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // ends an accept
+	if !s.unblocked {
+		_ = syscall.Close(s.fd)
+	}
+	s.mu.Lock()
+	for _, conn := range s.conns {
+		_ = conn.Close()
+	}
+	s.mu.Unlock()
+	s.running.Wait()
+}
+
+// fdConn is a connection on a bare descriptor. It implements of net.Conn only what a server here needs.
+type fdConn struct{ fd int }
+
+func (c fdConn) Read(p []byte) (int, error) {
+	n, err := syscall.Read(c.fd, p)
+	if n == 0 && err == nil {
+		err = io.EOF
+	}
+	return max(n, 0), err
+}
+
+func (c fdConn) Write(p []byte) (int, error)      { return syscall.Write(c.fd, p) }
+func (c fdConn) Close() error                     { return syscall.Shutdown(c.fd, syscall.SHUT_RDWR) }
+func (c fdConn) LocalAddr() net.Addr              { return nil }
+func (c fdConn) RemoteAddr() net.Addr             { return nil }
+func (c fdConn) SetDeadline(time.Time) error      { return nil }
+func (c fdConn) SetReadDeadline(time.Time) error  { return nil }
+func (c fdConn) SetWriteDeadline(time.Time) error { return nil }
