--- a/tools/bench/load.go
+++ b/tools/bench/load.go
@@ -99,7 +99,7 @@
 	return took, failed, nil
 }
 
-// dial connects to a subject, by TLS where the command runs with -tls.
+// dial connects to a subject, with TLS if the command runs with -tls.
 func dial(addr string) (net.Conn, error) {
 	if _, roots := certificates(); roots != nil {
 		return tls.Dial("tcp", addr, &tls.Config{RootCAs: roots})
--- a/tools/bench/main.go
+++ b/tools/bench/main.go
@@ -1,6 +1,6 @@
 // Command bench sets the daemon, the middleware and httputil.ReverseProxy side by side on the same stub
-// servers, over loopback: p50, p99 and CPU time per request, and their ratios pair by pair. It is no
-// part of CI.
+// servers, over loopback: p50, p99 and CPU time per request, and their ratios pair by pair. CI does
+// not run it.
 //
 //	go build -o bin/ ./cmd/... && go run ./tools/bench -daemon bin/wayhold
 //
--- a/tools/bench/roles.go
+++ b/tools/bench/roles.go
@@ -42,7 +42,7 @@
 	return fmt.Errorf("unknown role %q", role)
 }
 
-// listen listens on a free port of loopback, by TLS where the command runs with -tls, and announces the address.
+// listen listens on a free port of loopback, with TLS if the command runs with -tls, and announces the address.
 func listen() (net.Listener, error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -1,6 +1,6 @@
 // Command levelsbench compares levels of reduced service with no levels, with the best fixed limit on open requests
 // and with the best share of searches that is shed all the time, on scripts of overload in virtual time. The best is
-// the one that keeps most value. It is no part of CI.
+// the one that keeps most value. CI does not run it.
 //
 //	go run ./tools/levelsbench [-seeds 2] [-scripts scenarios]
 package main
@@ -92,7 +92,7 @@
 type figure struct {
 	value        float64 // kept, as a share of the value offered
 	booked       float64 // bookings within their latency objective, as a share of those offered
-	waste        float64 // work for requests that nobody waits for, as a share of all work
+	waste        float64 // share of all work that servers did for abandoned requests
 	levelChanges int
 }
 
--- a/tools/rpcbench/callers.go
+++ b/tools/rpcbench/callers.go
@@ -75,7 +75,7 @@
 	return msgpackrpc.Call{ID: id, Class: "pay", Tenant: "t", Timeout: callTimeout, Target: target, Body: body}
 }
 
-// load is a number of calls in flight, each of which is followed by the next at once.
+// load keeps a constant number of calls in flight.
 type load struct {
 	call     caller
 	inFlight int
--- a/tools/rpcbench/compare.go
+++ b/tools/rpcbench/compare.go
@@ -18,8 +18,8 @@
 	newCaller func(addr string, conns int) (call caller, closeConns func())
 }
 
-// compare prints a line for each size of a body and number of calls in flight. The first variant is the one that
-// the ratios of CPU refer to.
+// compare prints a line for each size of a body and number of calls in flight. The ratios of CPU refer to the
+// first variant.
 func compare(length time.Duration, rounds int, inFlight, bodies []int, profile string) error {
 	httpServers, err := startServers(serveHTTP)
 	if err != nil {
--- a/tools/rpcbench/main.go
+++ b/tools/rpcbench/main.go
@@ -41,7 +41,7 @@
 	benchkit.ExitOnError("rpcbench", err)
 }
 
-// parseNumbers returns the numbers of a list with commas, and leaves out what is none.
+// parseNumbers returns the numbers of a list with commas, without the fields that are not numbers.
 func parseNumbers(text string) (numbers []int) {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, err := strconv.Atoi(field); err == nil {
--- a/tools/rpcbench/memory.go
+++ b/tools/rpcbench/memory.go
@@ -12,7 +12,7 @@
 	memoryConns = 1000
 	memoryCalls = 200 // one each on so many of the connections; the admission policy would queue more
 
-	// memorySettle is how long a node has to take in what was opened or sent.
+	// memorySettle is the time for a node to accept connections and to forward calls.
 	memorySettle = 500 * time.Millisecond
 )
 
--- a/tools/rpcbench/node.go
+++ b/tools/rpcbench/node.go
@@ -95,7 +95,7 @@
 	fmt.Fprintln(os.Stderr, "rpcbench: node stopped serving:", err)
 }
 
-// readUsage reads the CPU time before the collection, which is no work of the calls.
+// readUsage reads the CPU time before it collects garbage, so that the collection is not counted.
 func readUsage() (usage, error) {
 	cpu, err := benchkit.CPUTime()
 	if err != nil {
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -1,5 +1,5 @@
 // Command startup measures how long daemons take from their start to readiness, and what memory they
-// hold at rest. Subjects take turns. It is no part of CI.
+// hold at rest. Subjects take turns. CI does not run it.
 //
 //	go run ./tools/startup [-runs 20] bin/wayhold [OTHER ...]
 package main
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -1,6 +1,6 @@
 // Command tlsbench measures what TLS costs a node: handshakes of every kind of key, full and resumed, on both sides;
 // memory of connections and sessions; how many handshakes sessions save while connections come and go; and what a storm
-// of handshakes does to requests in flight. It is no part of CI.
+// of handshakes does to requests in flight. CI does not run it.
 //
 //	go build -o bin/ ./cmd/... && go run ./tools/tlsbench -daemon bin/wayhold
 //
--- a/tools/xdsbench/controlplane.go
+++ b/tools/xdsbench/controlplane.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// maxBufferedLines bounds the lines of a control plane that nobody has read yet.
+// maxBufferedLines bounds the unread lines of a control plane.
 const maxBufferedLines = 1 << 16
 
 // controlPlane is the stand-in in a process of its own.
--- a/tools/xdsbench/updates.go
+++ b/tools/xdsbench/updates.go
@@ -19,7 +19,7 @@
 	endpoints  int // of all clusters together
 	perCluster int
 	delta      bool
-	rounds     int // updates, of which the first changes nothing and isn't counted
+	rounds     int // updates, of which the first changes nothing and is not counted
 }
 
 // cost is what the counted updates took together, and each from its push until it was applied.
@@ -73,7 +73,7 @@
 	return script.String()
 }
 
-// measureUpdate waits for the next push, and adds what it took if it counts.
+// measureUpdate waits for the next push, and adds its cost if counts is set.
 func (c *cost) measureUpdate(plane *controlPlane, subject *node, counts bool) error {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
