--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's wire: it reads batches
-// on standard input, routes events to instances, and writes their actions on standard output.
+// Command simhost hosts instances of the policy module for the simulator: it reads batches of its protocol from
+// standard input, delivers events to instances, and writes their actions to standard output.
 package main
 
 import (
@@ -32,23 +32,23 @@
 
 // host holds the instances of one process.
 type host struct {
-	dec   simprotocol.Decoder
-	nodes map[int]*policy.Balancer
-	now   policy.Time
-	open  bool // inside a batch
-	out   []byte
+	decoder simprotocol.Decoder
+	nodes   map[int]*policy.Balancer
+	now     policy.Time
+	inBatch bool
+	reply   []byte // to the current batch, so far
 }
 
 // serve runs until the end of input. Errors name the line.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{nodes: make(map[int]*policy.Balancer)}
+	instances := host{nodes: make(map[int]*policy.Balancer)}
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
 	var long []byte
 	for n := 1; ; n++ {
 		line, err := readLine(r, &long)
 		if errors.Is(err, io.EOF) {
-			if len(line) == 0 && !h.open {
+			if len(line) == 0 && !instances.inBatch {
 				return nil
 			}
 			return fmt.Errorf("line %d: input ended inside a batch", n)
@@ -56,23 +56,27 @@
 		if err != nil {
 			return fmt.Errorf("line %d: reading: %w", n, err)
 		}
-		done, err := h.line(line)
+		batchEnded, err := instances.handleLine(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		if !done {
+		if !batchEnded {
 			continue
 		}
-		if _, err := w.Write(h.out); err != nil {
+		if err := instances.writeReply(w); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
-		}
-		h.out = h.out[:0]
 	}
 }
 
+func (h *host) writeReply(w *bufio.Writer) error {
+	if _, err := w.Write(h.reply); err != nil {
+		return err
+	}
+	h.reply = h.reply[:0]
+	return w.Flush()
+}
+
 // readLine returns the next line without its end; long holds lines that outgrow the buffer.
 func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
@@ -87,49 +91,50 @@
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// line carries out one line and reports whether it closed a batch.
-func (h *host) line(raw []byte) (bool, error) {
-	l, err := h.dec.Decode(raw)
+// handleLine executes one line and reports whether it ended a batch.
+func (h *host) handleLine(raw []byte) (batchEnded bool, err error) {
+	message, err := h.decoder.Decode(raw)
 	if err != nil {
 		return false, err
 	}
-	if (l.Kind == simprotocol.BatchStart) == h.open {
-		return false, fmt.Errorf("message outside of a batch, or a batch inside another")
+	if (message.Kind == simprotocol.BatchStart) == h.inBatch {
+		return false, errors.New("message outside of a batch, or a batch inside another")
 	}
-	switch l.Kind {
+	switch message.Kind {
 	case simprotocol.BatchStart:
-		h.now, h.open = l.Now, true
+		h.now, h.inBatch = message.Now, true
 	case simprotocol.BatchEnd:
-		h.open, h.out = false, simprotocol.AppendReplyEnd(h.out)
+		h.inBatch, h.reply = false, simprotocol.AppendReplyEnd(h.reply)
 		return true, nil
 	case simprotocol.Configure:
-		b, err := policy.New(l.Settings, h.now, l.Seed)
+		balancer, err := policy.New(message.Settings, h.now, message.Seed)
 		if err != nil {
 			return false, fmt.Errorf("configure: conf: %w", err)
 		}
-		h.nodes[l.Node] = b
+		h.nodes[message.Node] = balancer
 	case simprotocol.Shutdown:
-		delete(h.nodes, l.Node)
+		delete(h.nodes, message.Node)
 	case simprotocol.Event:
-		// Nothing arrives for a node that was shut down; if it does, nobody is there to hear it.
-		if b := h.nodes[l.Node]; b != nil {
-			h.deliver(l.Node, b, l.Event)
+		// Events of a node that was shut down are dropped.
+		if balancer := h.nodes[message.Node]; balancer != nil {
+			h.deliver(message.Node, balancer, message.Event)
 		}
 	}
 	return false, nil
 }
 
-// deliver hands one event to an instance; a panic in it is reported, not passed on.
-func (h *host) deliver(node int, b *policy.Balancer, ev policy.Event) {
+// deliver passes one event to an instance. An instance that panics is reported and removed, without effect on the
+// others.
+func (h *host) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
 			fmt.Fprintf(os.Stderr, "instance %d: %s\n%s", node, text, debug.Stack())
-			h.out = simprotocol.AppendCrash(h.out, node, text)
+			h.reply = simprotocol.AppendCrash(h.reply, node, text)
 			delete(h.nodes, node)
 		}
 	}()
-	for _, a := range b.Handle(h.now, ev) {
-		h.out = simprotocol.AppendAction(h.out, node, a)
+	for _, action := range balancer.Handle(h.now, event) {
+		h.reply = simprotocol.AppendAction(h.reply, node, action)
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -17,7 +17,7 @@
 
 func lines(l ...string) string { return strings.Join(l, "\n") + "\n" }
 
-func TestServesABatch(t *testing.T) {
+func TestServe_AnswersBatch(t *testing.T) {
 	in := lines(`["mark",0]`, `["eob"]`, `["mark",5]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["eob"]`)
 	var out bytes.Buffer
@@ -31,21 +31,27 @@
 	}
 }
 
-func TestErrorsNameTheLine(t *testing.T) {
+func TestServe_ErrorsNameLine(t *testing.T) {
+	const start = `["mark",0]`
+	withLimits := func(before string) string {
+		return strings.Replace(configure("1"), `"limits":{`, before+`"limits":{`, 1)
+	}
+	shareWithoutSpan := `"guarantees":{"budgetShare":0.1},`
+	oddOutcome := `["completed",1,"r",0,"s","odd",1,false]`
 	for in, want := range map[string]string{
-		lines(`["mark",0]`, `["ingress",3,"id"]`): "line 2: ingress: cls",
-		lines(`["eob"]`):                                               "line 1",
-		lines(`["mark",0]`):                                            "line 2: input ended inside a batch",
-		lines(`["mark",0]`, `["configure",1,2,{}]`):                    "classes",
-		lines(`["mark",0]`, `["surprise",1]`):                          "line 2: surprise: unknown message",
-		lines(`["mark",0]`, `["reminder",1,"x"]`):                      "line 2: reminder: token: want number",
-		lines(`["mark",0]`, `["completed",1,"r",0,"s","odd",1,false]`): "line 2: completed: rc: unknown outcome code",
-		lines(`["mark",0]`, `["peersKnown",3,"replace",1,9]`):          "line 2: peersKnown: buffer: list 9 was never sent",
-		lines(`["mark",0]`, `["mark",5]`):                              "line 2: message outside of a batch, or a batch inside",
-		lines(`["reminder",1,7]`):                                      "line 1: message outside of a batch",
-		lines(`["mark",0]`, `[`):                                       "line 2: not JSON",
-		lines(`["mark",0]`, strings.Replace(configure("1"), `"limits":{`, `"guarantees":{"budgetShare":0.1},"limits":{`, 1)): "attempt budget: span",
-		lines(`["mark",0]`, strings.Replace(configure("1"), "0", "9", 1)):                                                    "node 9",
+		lines(start, `["ingress",3,"id"]`):                         "line 2: ingress: cls",
+		lines(`["eob"]`):                                           "line 1",
+		lines(start):                                               "line 2: input ended inside a batch",
+		lines(start, `["configure",1,2,{}]`):                       "classes",
+		lines(start, `["surprise",1]`):                             "line 2: surprise: unknown message",
+		lines(start, `["reminder",1,"x"]`):                         "line 2: reminder: token: want number",
+		lines(start, `["peersKnown",3,"replace",1,9]`):             "line 2: peersKnown: buffer: list 9 was never sent",
+		lines(start, oddOutcome):                                   "line 2: completed: rc: unknown outcome code",
+		lines(start, `["mark",5]`):                                 "line 2: message outside of a batch, or a batch inside",
+		lines(`["reminder",1,7]`):                                  "line 1: message outside of a batch",
+		lines(start, `[`):                                          "line 2: not JSON",
+		lines(start, withLimits(shareWithoutSpan)):                 "attempt budget: span",
+		lines(start, strings.Replace(configure("1"), "0", "9", 1)): "node 9",
 	} {
 		err := serve(strings.NewReader(in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -54,8 +60,8 @@
 	}
 }
 
-// Instances act alike whether they share a process or not.
-func TestInstancesAreIndependent(t *testing.T) {
+// Instances decide the same whether they share a process or not.
+func TestServe_InstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, list}
 		for _, n := range nodes {
@@ -75,7 +81,7 @@
 	}
 }
 
-func TestRestartInOneBatchForgets(t *testing.T) {
+func TestServe_ReconfiguredNodeForgetsRequests(t *testing.T) {
 	in := lines(`["mark",0]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["shutdown",3]`, `["lapsed",3,"r1"]`, configure("3"),
 		`["peersKnown",3,"restored",1,0]`, `["completed",3,"r1",0,"s1","err",1,false]`, `["eob"]`)
@@ -84,18 +90,18 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("%d sends, want 1: the new life knows no r1\n%s", n, out.String())
+		t.Errorf("%d sends, want 1: the reconfigured node knows no r1\n%s", n, out.String())
 	}
 }
 
-// A crash in one instance is reported with its text; the others go on.
-func TestPanicIsReported(t *testing.T) {
+// A panic in one instance is reported with its text, and only that instance is removed.
+func TestDeliver_ReportsPanic(t *testing.T) {
 	h := host{nodes: map[int]*policy.Balancer{3: nil}}
 	h.deliver(3, nil, policy.Timer{})
-	if got := string(h.out); !strings.HasPrefix(got, `["broken",3,"`) || !strings.Contains(got, "nil pointer") {
+	if got := string(h.reply); !strings.HasPrefix(got, `["broken",3,"`) || !strings.Contains(got, "nil pointer") {
 		t.Errorf("got %s", got)
 	}
 	if _, kept := h.nodes[3]; kept {
-		t.Error("the broken instance is still there")
+		t.Error("the crashed instance is still there")
 	}
 }
--- a/cmd/wayhold-fleet/main.go
+++ b/cmd/wayhold-fleet/main.go
@@ -1,5 +1,5 @@
-// Command wayhold-fleet is what belongs to a fleet of nodes and not to one: members of its council, the followers
-// beside nodes, and the operators' commands. "wayhold fleet" runs it. Nothing of it is linked into wayhold.
+// Command wayhold-fleet has what serves a fleet of nodes as a whole: replicas of its replicated state, the agents
+// beside nodes, and the operators' commands. "wayhold fleet" runs it. None of it is linked into wayhold.
 package main
 
 import (
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -1,4 +1,4 @@
-// Command wayhold is one request-routing node on real sockets, and the tools for who operates it.
+// Command wayhold is one request-routing node on real sockets, together with the tools of its operators.
 package main
 
 import (
--- a/cmd/xds-standin/main.go
+++ b/cmd/xds-standin/main.go
@@ -1,5 +1,5 @@
-// Command xds-standin is a control plane to rehearse with: it serves xDS on loopback as a script says,
-// and writes down every request that it gets. It is for tests and rehearsals only.
+// Command xds-standin is a scripted control plane for tests and rehearsals: it serves xDS on loopback and records
+// every request that it receives.
 package main
 
 import (
@@ -30,11 +30,12 @@
 	}
 }
 
+// options are the command's flags.
 type options struct{ listen, requests, cert, key string }
 
 func command() *cobra.Command {
-	var o options
-	c := &cobra.Command{
+	var opts options
+	root := &cobra.Command{
 		Use:   "xds-standin SCRIPT",
 		Short: "Serve xDS on loopback as a script says",
 		Long: `Serve the Aggregated Discovery Service, both variants, on loopback as SCRIPT says (- for standard
@@ -42,65 +43,103 @@
 serves on until interrupted; the exit status is 1 where an expectation of the script is not met.`,
 		Args:         cobra.ExactArgs(1),
 		SilenceUsage: true, SilenceErrors: true,
-		RunE: func(c *cobra.Command, args []string) error { return run(c.Context(), o, args[0], c.OutOrStdout()) },
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return run(cmd.Context(), opts, args[0], cmd.OutOrStdout())
+		},
 	}
-	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:0", "the address, on loopback")
-	c.Flags().StringVar(&o.requests, "requests", "", "a file for the requests that come, a JSON object a line")
-	c.Flags().StringVar(&o.cert, "cert", "", "PEM certificate, to serve TLS")
-	c.Flags().StringVar(&o.key, "key", "", "PEM key of --cert")
-	return c
+	root.Flags().StringVar(&opts.listen, "listen", "127.0.0.1:0", "the address, on loopback")
+	root.Flags().StringVar(&opts.requests, "requests", "", "a file for the requests that come, a JSON object a line")
+	root.Flags().StringVar(&opts.cert, "cert", "", "PEM certificate, to serve TLS")
+	root.Flags().StringVar(&opts.key, "key", "", "PEM key of --cert")
+	return root
 }
 
-func run(ctx context.Context, o options, path string, out io.Writer) (err error) {
-	at, err := net.ResolveTCPAddr("tcp", o.listen)
-	if err != nil || !at.IP.IsLoopback() {
-		return fmt.Errorf("--listen: want an address on loopback, got %q", o.listen)
+// run serves the script at the path until ctx ends, and then returns nil unless an expectation was not met before.
+func run(ctx context.Context, opts options, path string, out io.Writer) (err error) {
+	addr, err := net.ResolveTCPAddr("tcp", opts.listen)
+	if err != nil || !addr.IP.IsLoopback() {
+		return fmt.Errorf("--listen: want an address on loopback, got %q", opts.listen)
 	}
-	in := os.Stdin
-	if path != "-" {
-		if in, err = os.Open(path); err != nil {
-			return err
-		}
-		defer in.Close()
-	}
-	script, err := standin.ParseScript(in)
+	script, err := loadScript(path)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return err
 	}
-	var server []grpc.ServerOption
-	if o.cert != "" || o.key != "" {
-		creds, err := credentials.NewServerTLSFromFile(o.cert, o.key)
-		if err != nil {
-			return fmt.Errorf("--cert, --key: %w", err)
-		}
-		server = append(server, grpc.Creds(creds))
+	serverOptions, err := opts.serverOptions()
+	if err != nil {
+		return err
 	}
-	p, err := standin.Start(o.listen, server...)
+	plane, err := standin.Start(opts.listen, serverOptions...)
 	if err != nil {
 		return err
 	}
-	defer p.Stop()
-	if o.requests != "" {
-		f, err := os.Create(o.requests)
+	defer plane.Stop()
+	if opts.requests != "" {
+		finish, err := recordRequests(plane, opts.requests)
 		if err != nil {
 			return err
 		}
-		w := bufio.NewWriter(f)
-		lines := json.NewEncoder(w)
-		p.OnRequest(func(s standin.RecordedRequest) { _ = lines.Encode(s) }) // a failure is kept until Flush
-		defer func() {
-			p.Stop()
-			err = errors.Join(err, w.Flush(), f.Close())
-		}()
+		defer func() { err = errors.Join(err, finish()) }()
+	}
+	if _, err := fmt.Fprintln(out, "listening", plane.Addr); err != nil {
+		return err
 	}
-	fmt.Fprintln(out, "listening", p.Addr)
-	if err := script.Run(ctx, p, out); err != nil {
+	if err := script.Run(ctx, plane, out); err != nil {
 		if ctx.Err() != nil {
 			return nil
 		}
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintln(out, "done")
+	if _, err := fmt.Fprintln(out, "done"); err != nil {
+		return err
+	}
 	<-ctx.Done()
 	return nil
 }
+
+// loadScript reads the script at a path, or from standard input for "-".
+func loadScript(path string) (*standin.Script, error) {
+	in := os.Stdin
+	if path != "-" {
+		file, err := os.Open(path)
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = file.Close() }()
+		in = file
+	}
+	script, err := standin.ParseScript(in)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return script, nil
+}
+
+// serverOptions has the gRPC credentials where the flags name a certificate.
+func (o options) serverOptions() ([]grpc.ServerOption, error) {
+	if o.cert == "" && o.key == "" {
+		return nil, nil
+	}
+	creds, err := credentials.NewServerTLSFromFile(o.cert, o.key)
+	if err != nil {
+		return nil, fmt.Errorf("--cert, --key: %w", err)
+	}
+	return []grpc.ServerOption{grpc.Creds(creds)}, nil
+}
+
+// recordRequests writes every request to a file, as JSON. The returned function stops the control plane and
+// completes the file.
+func recordRequests(plane *standin.ControlPlane, path string) (finish func() error, err error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return nil, err
+	}
+	w := bufio.NewWriter(file)
+	lines := json.NewEncoder(w)
+	plane.OnRequest(func(request standin.RecordedRequest) {
+		_ = lines.Encode(request) // the writer keeps the error until Flush
+	})
+	return func() error {
+		plane.Stop()
+		return errors.Join(w.Flush(), file.Close())
+	}, nil
+}
