--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -1,6 +1,6 @@
 // Command wayhold-xds is wayhold with xDS linked: clusters and endpoints from an Envoy control plane or
-// from files, as the table [xds] of the operator's own file says. It is a program of its own, for gRPC
-// costs a node at rest about 5 MB that it may not have.
+// from files, configured by the table [xds] of the operator's own file. It is a program of its own because of the
+// memory that gRPC costs a node at rest.
 package main
 
 import (
@@ -21,55 +21,65 @@
 	"github.com/spf13/cobra"
 )
 
-func main() { os.Exit(cli.Main(extra())) }
+func main() { os.Exit(cli.Main(extensions())) }
 
-func extra() cli.Extensions {
-	return cli.Extensions{NewXDSSource: membership, WriteHTML: page.Write, NewControlPlane: control.New, Commands: []*cobra.Command{xdsCommand()}}
+// extensions are what this program adds to wayhold.
+func extensions() cli.Extensions {
+	return cli.Extensions{
+		NewXDSSource: newEndpointSource, WriteHTML: page.Write, NewControlPlane: control.New,
+		Commands: []*cobra.Command{xdsCommand()},
+	}
 }
 
-// membership is the source that the operator's own file asks for, with the platform's discovery first
-// unless it is to stand alone.
-func membership(o nodeconfig.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error) {
-	secrets := make(map[string]func(*certificates.Set))
-	if c.TLS != nil {
-		for name, store := range c.TLS.Secrets {
+// newEndpointSource returns the source that the operator's own file configures, merged with the platform's discovery
+// unless the file excludes that.
+func newEndpointSource(
+	file nodeconfig.File, config node.Config, platform router.EndpointSource, log *slog.Logger,
+) (router.EndpointSource, error) {
+	secrets := make(secretUpdaters)
+	if config.TLS != nil {
+		for name, store := range config.TLS.Secrets {
 			secrets[name] = store.Replace
 		}
 	}
-	source, err := open(o.XDS, secrets, log)
+	source, err := newXDSSource(file.XDS, secrets, log)
 	if err != nil {
 		return nil, err
 	}
-	if o.XDS.WithoutPlatform {
+	if file.XDS.WithoutPlatform {
 		return source, nil
 	}
-	both := merge.New(own, source)
-	both.SetInitial(0, c.InitialList.Endpoints)
+	both := merge.New(platform, source)
+	both.SetInitial(0, config.InitialList.Endpoints)
 	return both, nil
 }
 
-// open makes the source of the control planes, or of the files.
-func open(x nodeconfig.XDS, secrets map[string]func(*certificates.Set), log *slog.Logger) (router.EndpointSource, error) {
-	if len(x.Files) > 0 {
-		return xds.NewFileSource(x.Files, log)
+// secretUpdaters have by the name of an SDS secret the function that puts its certificates in force.
+type secretUpdaters = map[string]func(*certificates.Set)
+
+// newXDSSource returns a source that reads the configured files or, without any, subscribes to the control planes.
+func newXDSSource(table nodeconfig.XDS, secrets secretUpdaters, log *slog.Logger) (router.EndpointSource, error) {
+	if len(table.Files) > 0 {
+		return xds.NewFileSource(table.Files, log)
 	}
-	c, err := bootstrap(x)
+	config, err := loadBootstrap(table)
 	if err != nil {
 		return nil, err
 	}
-	c.Log, c.Secrets = log, secrets
-	return xds.New(c)
+	config.Log, config.Secrets = log, secrets
+	return xds.New(config)
 }
 
-func bootstrap(x nodeconfig.XDS) (xds.Config, error) {
-	raw, err := os.ReadFile(x.Bootstrap)
+// loadBootstrap reads the bootstrap file that the table names.
+func loadBootstrap(table nodeconfig.XDS) (xds.Config, error) {
+	raw, err := os.ReadFile(table.Bootstrap)
 	if err != nil {
 		return xds.Config{}, fmt.Errorf("xds.bootstrap: %w", err)
 	}
-	c, err := xds.ParseBootstrap(raw, x.CAFile)
+	config, err := xds.ParseBootstrap(raw, table.CAFile)
 	if err != nil {
-		return xds.Config{}, fmt.Errorf("%s: %w", x.Bootstrap, err)
+		return xds.Config{}, fmt.Errorf("%s: %w", table.Bootstrap, err)
 	}
-	c.Delta, c.CacheDir = x.Delta, x.CacheDir
-	return c, nil
+	config.Delta, config.CacheDir = table.Delta, table.CacheDir
+	return config, nil
 }
--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -25,21 +25,17 @@
 	"go.uber.org/goleak"
 )
 
-// asProgram has the test's own binary be the program: for nodes of a rehearsal.
+// asProgram is the environment variable by which the test binary runs as the program, for nodes of a rehearsal.
 const asProgram = "WAYHOLD_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
-		os.Exit(cli.Main(extra()))
+		os.Exit(cli.Main(extensions()))
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// A rehearsal whose nodes hear of their servers by xDS alone, with crashes, drains and a control plane that
-// falls silent: every rule is kept.
-func TestRehearsalByXDS(t *testing.T) {
-	t.Setenv(asProgram, "1")
-	site := `base = "calm.toml"
+const rehearsalScript = `base = "calm.toml"
 length = "4s"
 [discovery]
 form = "xds"
@@ -66,12 +62,18 @@
 at = "1s"
 for = "1s"
 `
+
+// A rehearsal whose nodes have their servers from xDS alone, with crashes, drains and an unreachable control plane:
+// every rule is kept.
+func TestRehearsalByXDS(t *testing.T) {
+	t.Setenv(asProgram, "1")
 	calm, err := filepath.Abs("../../scenarios/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path, page := filepath.Join(t.TempDir(), "site.toml"), filepath.Join(t.TempDir(), "page.html")
-	if err := os.WriteFile(path, []byte(strings.Replace(site, "calm.toml", calm, 1)), 0o600); err != nil {
+	script := strings.Replace(rehearsalScript, "calm.toml", calm, 1)
+	if err := os.WriteFile(path, []byte(script), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	out, err := exec.Command(os.Args[0], "rehearse", "--real", "--quiet", "--html", page, path).CombinedOutput()
@@ -85,61 +87,66 @@
 	}
 }
 
-func endpoint(t testing.TB, addr string) *xdspb.LbEndpoint {
+// newEndpoint returns an endpoint as xDS has it.
+func newEndpoint(t testing.TB, addr string) *xdspb.LbEndpoint {
 	t.Helper()
-	a, err := net.ResolveTCPAddr("tcp", addr)
+	tcp, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &xdspb.LbEndpoint{HostIdentifier: &xdspb.LbEndpoint_Endpoint{Endpoint: &xdspb.Endpoint{Address: &xdspb.Address{
-		Address: &xdspb.Address_SocketAddress{SocketAddress: &xdspb.SocketAddress{
-			Address:       a.IP.String(),
-			PortSpecifier: &xdspb.SocketAddress_PortValue{PortValue: uint32(a.Port)},
-		}},
-	}}}}
+	address := &xdspb.Address{Address: &xdspb.Address_SocketAddress{SocketAddress: &xdspb.SocketAddress{
+		Address:       tcp.IP.String(),
+		PortSpecifier: &xdspb.SocketAddress_PortValue{PortValue: uint32(tcp.Port)},
+	}}}
+	return &xdspb.LbEndpoint{HostIdentifier: &xdspb.LbEndpoint_Endpoint{Endpoint: &xdspb.Endpoint{Address: address}}}
 }
 
-// files makes an operator's own file that names the control plane, with more of the table.
-func files(t testing.TB, p *standin.ControlPlane, more string) (own string) {
+// newAssignment has the endpoints of cluster "rooms".
+func newAssignment(endpoints ...*xdspb.LbEndpoint) *xdspb.ClusterLoadAssignment {
+	return &xdspb.ClusterLoadAssignment{
+		ClusterName: "rooms", Endpoints: []*xdspb.LocalityLbEndpoints{{LbEndpoints: endpoints}},
+	}
+}
+
+// writeOwnFile writes an operator's own file that names the control plane, with more lines of the table [xds].
+func writeOwnFile(t testing.TB, plane *standin.ControlPlane, more string) (path string) {
 	t.Helper()
 	dir := t.TempDir()
-	boot := filepath.Join(dir, "bootstrap.json")
-	text := fmt.Sprintf(`{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}]}],"node":{"id":"n1"}}`, p.Addr)
-	if err := os.WriteFile(boot, []byte(text), 0o600); err != nil {
+	bootstrap := filepath.Join(dir, "bootstrap.json")
+	const format = `{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}]}],"node":{"id":"n1"}}`
+	if err := os.WriteFile(bootstrap, fmt.Appendf(nil, format, plane.Addr), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own = filepath.Join(dir, "wayhold.toml")
-	if err := os.WriteFile(own, []byte(fmt.Sprintf("[xds]\nbootstrap = %q\n%s", boot, more)), 0o600); err != nil {
+	path = filepath.Join(dir, "wayhold.toml")
+	if err := os.WriteFile(path, fmt.Appendf(nil, "[xds]\nbootstrap = %q\n%s", bootstrap, more), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return own
+	return path
 }
 
-func plane(t testing.TB, endpoints ...*xdspb.LbEndpoint) *standin.ControlPlane {
+// startPlane runs a control plane whose cluster "rooms" has the endpoints.
+func startPlane(t testing.TB, endpoints ...*xdspb.LbEndpoint) *standin.ControlPlane {
 	t.Helper()
-	p, err := standin.Start("")
+	plane, err := standin.Start("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Stop)
-	p.Set(&xdspb.Cluster{Name: "rooms", ClusterDiscoveryType: &xdspb.Cluster_Type{Type: xdspb.Cluster_EDS}},
-		&xdspb.ClusterLoadAssignment{ClusterName: "rooms", Endpoints: []*xdspb.LocalityLbEndpoints{{LbEndpoints: endpoints}}})
-	return p
+	t.Cleanup(plane.Stop)
+	plane.Set(&xdspb.Cluster{Name: "rooms", ClusterDiscoveryType: &xdspb.Cluster_Type{Type: xdspb.Cluster_EDS}},
+		newAssignment(endpoints...))
+	return plane
 }
 
-// A node takes its servers from a control plane beside the platform's discovery: a class that is bound
-// to a cluster goes there, the others anywhere.
-func TestNodeWithBothSources(t *testing.T) {
-	server := func(name string) string {
-		return testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, name) })
-	}
-	listed, byXDS := server("listed"), server("xds")
-	p := plane(t, endpoint(t, byXDS))
+// loadNodeConfig returns the configuration of a node whose discovery has one server. Class "bound" is bound to
+// cluster "rooms".
+func loadNodeConfig(t *testing.T, server string) node.Config {
+	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"known":{"revision":1,"complete":true,"members":[{"id":"s1","host_port":%q,"phase":"up"}]},
-		"settings":{"position":0,"groupSize":1,"services":[{"name":"any","deadline":600,"repeat":"free"},{"name":"bound","deadline":600,"repeat":"free"}],
-			"limits":{"maxAttempts":2,"connectTimeout":2000}}}`, listed)
+		"settings":{"position":0,"groupSize":1,
+			"services":[{"name":"any","deadline":600,"repeat":"free"},{"name":"bound","deadline":600,"repeat":"free"}],
+			"limits":{"maxAttempts":2,"connectTimeout":2000}}}`, server)
 	if !json.Valid([]byte(raw)) {
 		t.Fatal("not JSON")
 	}
@@ -147,17 +154,59 @@
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := node.LoadConfig(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
+	config, err := node.LoadConfig(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := nodeconfig.Load(files(t, p, ""))
+	config.Settings.Classes[1].Pool = "rooms"
+	return config
+}
+
+// requestSender sends requests to a node, each over a connection of its own.
+type requestSender struct {
+	addr   string
+	client http.Client
+	sent   int
+}
+
+// send returns the status and the body, or the text of the error.
+func (s *requestSender) send(t *testing.T, class string) string {
+	t.Helper()
+	s.sent++
+	req, err := http.NewRequest(http.MethodGet, "http://"+s.addr+"/api", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.Classes[1].Pool = "rooms"
-	c.NewEndpointSource = func(own router.EndpointSource) (router.EndpointSource, error) {
-		return membership(o, c, own, slog.New(slog.DiscardHandler))
+	req.Header = http.Header{
+		"X-Request-Id": {fmt.Sprint("r", s.sent)}, "X-Class": {class}, "X-Tenant": {"t"}, "X-Deadline-Ms": {"500"},
+	}
+	resp, err := s.client.Do(req)
+	if err != nil {
+		return err.Error()
+	}
+	defer func() { _ = resp.Body.Close() }()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprint(resp.StatusCode, " ", string(body))
+}
+
+// A node has its servers from a control plane beside the platform's discovery: a class that is bound to a cluster
+// is served there, the other class by any server.
+func TestNode_MergesXDSWithPlatformDiscovery(t *testing.T) {
+	startServer := func(name string) string {
+		return testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, name) })
+	}
+	listed, byXDS := startServer("listed"), startServer("xds")
+	plane := startPlane(t, newEndpoint(t, byXDS))
+	config := loadNodeConfig(t, listed)
+	file, err := nodeconfig.Load(writeOwnFile(t, plane, ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	config.NewEndpointSource = func(platform router.EndpointSource) (router.EndpointSource, error) {
+		return newEndpointSource(file, config, platform, slog.New(slog.DiscardHandler))
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,30 +214,16 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- node.Run(ctx, c, ln, nil, slog.New(slog.DiscardHandler)) }()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	n := 0
-	ask := func(class string) string {
-		n++
-		req, err := http.NewRequest(http.MethodGet, "http://"+ln.Addr().String()+"/api", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for k, v := range map[string]string{"X-Request-Id": fmt.Sprint("r", n), "X-Class": class, "X-Tenant": "t", "X-Deadline-Ms": "500"} {
-			req.Header.Set(k, v)
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			return err.Error()
-		}
-		defer resp.Body.Close()
-		body, _ := io.ReadAll(resp.Body)
-		return fmt.Sprint(resp.StatusCode, " ", string(body))
+	go func() { ended <- node.Run(ctx, config, ln, nil, slog.New(slog.DiscardHandler)) }()
+	sender := &requestSender{
+		addr: ln.Addr().String(), client: http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	testkit.Await(t, "the bound class at its cluster", func() bool { return ask("bound") == "200 xds" })
-	testkit.Await(t, "the other class", func() bool { return ask("any") == "200 listed" || ask("any") == "200 xds" })
+	testkit.Await(t, "the bound class at its cluster", func() bool { return sender.send(t, "bound") == "200 xds" })
+	testkit.Await(t, "the other class", func() bool {
+		return sender.send(t, "any") == "200 listed" || sender.send(t, "any") == "200 xds"
+	})
 	for range 20 {
-		if got := ask("bound"); got != "200 xds" {
+		if got := sender.send(t, "bound"); got != "200 xds" {
 			t.Errorf("the bound class: %s", got)
 		}
 	}
@@ -198,57 +233,80 @@
 	}
 }
 
-func run(t *testing.T, args ...string) (string, error) {
+// runXDS runs the command xds with arguments, and returns what it prints.
+func runXDS(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
-	c := xdsCommand()
-	c.PersistentFlags().String("config", "", "")
-	c.SilenceErrors, c.SilenceUsage = true, true
-	c.SetArgs(args)
-	c.SetOut(&out)
-	c.SetErr(&out)
-	err := c.ExecuteContext(t.Context())
+	command := xdsCommand()
+	command.PersistentFlags().String("config", "", "")
+	command.SilenceErrors, command.SilenceUsage = true, true
+	command.SetArgs(args)
+	command.SetOut(&out)
+	command.SetErr(&out)
+	err := command.ExecuteContext(t.Context())
 	return out.String(), err
 }
 
-// dump says of each endpoint whether it is used and why not, and of a refusal its reason.
-func TestDump(t *testing.T) {
-	drains := endpoint(t, "10.0.0.2:1")
-	drains.HealthStatus = xdspb.HealthStatus_DRAINING
-	p := plane(t, endpoint(t, "10.0.0.1:1"), drains)
-	for _, more := range []string{"", "delta = true\n"} {
-		out, err := run(t, "dump", "--config", files(t, p, more))
-		if err != nil || !strings.Contains(out, "list whole: true") || !strings.Contains(out, "no: DRAINING") || !strings.Contains(out, "acknowledged") {
-			t.Errorf("%v\n%s", err, out)
+// wantInOutput checks that a command succeeded and printed each of the texts.
+func wantInOutput(t *testing.T, out string, err error, texts ...string) {
+	t.Helper()
+	if err != nil {
+		t.Errorf("%v\n%s", err, out)
+	}
+	for _, want := range texts {
+		if !strings.Contains(out, want) {
+			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	p.Set(&xdspb.ClusterLoadAssignment{ClusterName: "rooms", Endpoints: []*xdspb.LocalityLbEndpoints{{LbEndpoints: []*xdspb.LbEndpoint{endpoint(t, "10.0.0.1:0")}}}})
-	out, err := run(t, "dump", "--within", "300ms", "--config", files(t, p, ""))
+}
+
+// wantInError checks that a command failed with each of the texts.
+func wantInError(t *testing.T, err error, texts ...string) {
+	t.Helper()
+	if err == nil {
+		t.Errorf("no error, want one with %q", texts)
+		return
+	}
+	for _, want := range texts {
+		if !strings.Contains(err.Error(), want) {
+			t.Errorf("no %q in error: %v", want, err)
+		}
+	}
+}
+
+// The output has of each endpoint whether it is used and why not, and of a rejected resource the reason.
+func TestDump_SaysWhyUnused(t *testing.T) {
+	draining := newEndpoint(t, "10.0.0.2:1")
+	draining.HealthStatus = xdspb.HealthStatus_DRAINING
+	plane := startPlane(t, newEndpoint(t, "10.0.0.1:1"), draining)
+	for _, more := range []string{"", "delta = true\n"} {
+		out, err := runXDS(t, "dump", "--config", writeOwnFile(t, plane, more))
+		wantInOutput(t, out, err, "list whole: true", "no: DRAINING", "acknowledged")
+	}
+	plane.Set(newAssignment(newEndpoint(t, "10.0.0.1:0")))
+	out, err := runXDS(t, "dump", "--within", "300ms", "--config", writeOwnFile(t, plane, ""))
 	if err == nil || !strings.Contains(out, "port_value: want 1 to 65535, got 0") {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheck_AcceptsAndRejectsFiles(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.yaml"), filepath.Join(dir, "bad.yaml")
-	const text = `resources:
+	const format = `resources:
 - "@type": type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment
   cluster_name: rooms
   endpoints: [{lb_endpoints: [{endpoint: {address: {socket_address: {address: %s, port_value: 9000}}}}]}]
 `
 	for path, host := range map[string]string{good: "10.0.0.1", bad: "rooms.svc"} {
-		if err := os.WriteFile(path, []byte(fmt.Sprintf(text, host)), 0o600); err != nil {
+		if err := os.WriteFile(path, fmt.Appendf(nil, format, host), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if out, err := run(t, "check", good); err != nil || !strings.Contains(out, "10.0.0.1:9000") || !strings.Contains(out, "good: 1 servers") {
-		t.Errorf("%v\n%s", err, out)
-	}
-	if _, err := run(t, "check", bad); err == nil || !strings.Contains(err.Error(), bad) || !strings.Contains(err.Error(), `want an IP address, got "rooms.svc"`) {
-		t.Errorf("%v", err)
-	}
-	if _, err := run(t, "dump"); err == nil || !strings.Contains(err.Error(), "--config") {
-		t.Errorf("%v", err)
-	}
+	out, err := runXDS(t, "check", good)
+	wantInOutput(t, out, err, "10.0.0.1:9000", "good: 1 servers")
+	_, err = runXDS(t, "check", bad)
+	wantInError(t, err, bad, `want an IP address, got "rooms.svc"`)
+	_, err = runXDS(t, "dump")
+	wantInError(t, err, "--config")
 }
--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -1,18 +1,17 @@
 // Command app is a small workspace application with the router inside it: pages of its own, booking
-// requests of its clients under /api, a call of its own, and an orderly end.
+// requests of its clients under /api, a request that it sends itself, and a graceful shutdown.
 //
 //	go run ./examples/app                                    # on 127.0.0.1:8080
 //	curl -H 'X-Request-Id: 1' -H 'X-Class: hladanie' -H 'X-Deadline-Ms: 2000' 127.0.0.1:8080/api/rooms
 //	curl 127.0.0.1:8080/
 //
-// Its one app server is a stand-in of its own. A real application would name its servers, or take them
+// Its one app server runs in the same process. A real application would configure its servers, or take them
 // from discovery with discovery/registry.
 package main
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -43,36 +42,30 @@
 	}
 }
 
-// run serves on the listener until ctx ends, and ends in order.
-func run(ctx context.Context, ln net.Listener, log *slog.Logger) error {
-	rooms, err := net.Listen("tcp", "127.0.0.1:0")
+const (
+	readHeaderTimeout = 3 * time.Second
+	idleTimeout       = 15 * time.Second
+	drainTimeout      = 3 * time.Second // for requests in flight at the shutdown
+)
+
+// run serves on the listener until ctx ends, and shuts down gracefully.
+func run(ctx context.Context, ln net.Listener, log *slog.Logger) (err error) {
+	rooms, err := startRoomServer()
 	if err != nil {
 		return err
 	}
-	standIn := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "two rooms are free\n") })}
-	go func() { _ = standIn.Serve(rooms) }() // until it is closed below
-	defer standIn.Close()
+	defer func() { _ = rooms.Close() }()
 
-	server := &http.Server{ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
-	r, err := router.New(router.Config{
-		Settings: policy.Settings{
-			Nodes: 1,
-			Classes: []policy.Class{
-				{Name: "hladanie", LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.Idempotent},
-				{Name: "rezervacia", LatencyObjective: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond, Idempotency: policy.NonIdempotent},
-			},
-			Capabilities: policy.Capabilities{Cancel: true, RetryAfter: true, MaxAttempts: 3},
-			Rules:        policy.Rules{DrainGrace: 500 * time.Millisecond},
-		},
-		Endpoints: []router.Endpoint{{ID: "rooms", Addr: rooms.Addr().String(), Weight: 1}},
-	}, router.WithTransport(http1.New(http1.Config{})), router.WithLogger(log), router.WithListener(server))
+	server := &http.Server{ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
+	engine, err := newRouter(rooms.Addr, server, log)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer func() { err = errors.Join(err, engine.Close()) }()
 
-	front := middleware.New(r, middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
-	server.Handler = front.Handler(pages(&http.Client{Transport: front.RoundTripper()}))
+	front := middleware.New(engine,
+		middleware.WithMatcher(middleware.Path("/api")), middleware.WithReadyPath("/health/ready"))
+	server.Handler = front.Handler(newPages(&http.Client{Transport: front.RoundTripper()}))
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
 	select {
@@ -80,16 +73,55 @@
 		return err
 	case <-ctx.Done():
 	}
-	last, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := r.Drain(last); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if err := engine.Drain(drainCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
 	return server.Close()
 }
 
-// pages are the application's own. The first of them asks the booking servers itself.
-func pages(client *http.Client) http.Handler {
+// startRoomServer runs the one app server, on the address that it returns as the server's.
+func startRoomServer() (*http.Server, error) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	server := &http.Server{
+		Addr: ln.Addr().String(),
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			_, _ = io.WriteString(w, "two rooms are free\n")
+		}),
+	}
+	go func() { _ = server.Serve(ln) }() // until the server is closed
+	return server, nil
+}
+
+// newRouter returns a router to one server. Its Drain stops the application's listener, too.
+func newRouter(roomServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
+	settings := policy.Settings{
+		Nodes: 1,
+		Classes: []policy.Class{
+			{
+				Name: "hladanie", LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second,
+				Idempotency: policy.Idempotent,
+			},
+			{
+				Name: "rezervacia", LatencyObjective: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond,
+				Idempotency: policy.NonIdempotent,
+			},
+		},
+		Capabilities: policy.Capabilities{Cancel: true, RetryAfter: true, MaxAttempts: 3},
+		Rules:        policy.Rules{DrainGrace: 500 * time.Millisecond},
+	}
+	endpoints := []router.Endpoint{{ID: "rooms", Addr: roomServer, Weight: 1}}
+	return router.New(router.Config{Settings: settings, Endpoints: endpoints},
+		router.WithTransport(http1.New(http1.Config{})), router.WithLogger(log), router.WithListener(listener))
+}
+
+// newPages has the application's own pages. They show what the booking servers respond to a request of the
+// application.
+func newPages(client *http.Client) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://rooms.svc/api/rooms", nil)
 		if err != nil {
@@ -102,8 +134,8 @@
 			http.Error(w, "no room list now", http.StatusBadGateway)
 			return
 		}
-		defer resp.Body.Close()
-		fmt.Fprint(w, "Welcome. Today: ")
-		_, _ = io.Copy(w, resp.Body) // a client that has left reads no more of it
+		defer func() { _ = resp.Body.Close() }()
+		_, _ = io.WriteString(w, "Welcome. Today: ") // errors: the client has disconnected
+		_, _ = io.Copy(w, resp.Body)
 	})
 }
--- a/examples/app/main_test.go
+++ b/examples/app/main_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// The example serves its own pages and booking requests, and ends in order.
-func TestApp(t *testing.T) {
+// The example serves its own pages and booking requests, and shuts down without an error.
+func TestRun_ServesPagesAndBookings(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,15 +33,19 @@
 		if err != nil {
 			return 0, err.Error()
 		}
-		defer resp.Body.Close()
-		body, _ := io.ReadAll(resp.Body)
+		defer func() { _ = resp.Body.Close() }()
+		body, err := io.ReadAll(resp.Body)
+		if err != nil {
+			return 0, err.Error()
+		}
 		return resp.StatusCode, string(body)
 	}
 	testkit.Await(t, "readiness", func() bool { status, _ := get("/health/ready"); return status == 200 })
 	if status, body := get("/"); status != 200 || body != "Welcome. Today: two rooms are free\n" {
 		t.Errorf("its page: %d %q", status, body)
 	}
-	if status, body := get("/api/rooms", "X-Request-Id", "1", "X-Class", "hladanie", "X-Deadline-Ms", "2000"); status != 200 || body != "two rooms are free\n" {
+	status, body := get("/api/rooms", "X-Request-Id", "1", "X-Class", "hladanie", "X-Deadline-Ms", "2000")
+	if status != 200 || body != "two rooms are free\n" {
 		t.Errorf("a booking request: %d %q", status, body)
 	}
 	stop()
