--- a/certificates/load_test.go
+++ b/certificates/load_test.go
@@ -21,12 +21,12 @@
 type authority struct{ *pki.Authority }
 
 func newAuthority(_ testing.TB, name string, from, to time.Time) authority {
-	return authority{pki.New(name, from, to)}
+	return authority{pki.NewAuthorityBetween(name, from, to)}
 }
 
 // issue returns a certificate and its key, as PEM.
 func (a authority) issue(from, to time.Time, names ...string) (cert, key []byte) {
-	p := a.Issue(pki.Leaf{From: from, To: to, Names: names, Kind: pki.Ed25519})
+	p := a.Issue(pki.Leaf{From: from, To: to, Names: names, KeyKind: pki.Ed25519})
 	return pki.PEM(p.Cert), p.KeyPEM()
 }
 
--- a/discovery/xds/secret_test.go
+++ b/discovery/xds/secret_test.go
@@ -43,7 +43,7 @@
 
 func testSecrets(t *testing.T, delta bool) {
 	controlPlane := startControlPlane(t)
-	ca, next := pki.Year("one"), pki.Year("two")
+	ca, next := pki.NewAuthority("one"), pki.NewAuthority("two")
 	good := ca.Issue(pki.Leaf{Names: []string{"a"}})
 	expired := ca.Issue(pki.Leaf{Names: []string{"a"}, To: time.Now().Add(-time.Second)})
 	trust, own := certificates.NewEmptyStore(), certificates.NewEmptyStore()
--- a/discovery/xds/xds_test.go
+++ b/discovery/xds/xds_test.go
@@ -220,7 +220,7 @@
 		const want = `assignment "rooms": endpoints[0].lb_endpoints[311].endpoint.address.socket_address.port_value: ` +
 			`want 1 to 65535, got 0`
 		if !controlPlane.Await(
-			testkit.Long,
+			testkit.MaxWait,
 			func(controlPlane *standin.ControlPlane) bool { return slices.Contains(controlPlane.Nacks(), want) },
 		) {
 			t.Errorf("refused for %q", controlPlane.Nacks())
@@ -351,7 +351,7 @@
 	published.mu.Unlock()
 	controlPlane.Set(assignment("rooms", "[fd00::1]:1", "10.0.0.1:1"))
 	if !controlPlane.Await(
-		testkit.Long,
+		testkit.MaxWait,
 		func(controlPlane *standin.ControlPlane) bool { return controlPlane.Acks.Load() >= 3 },
 	) {
 		t.Fatal("not acknowledged")
--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -163,7 +163,7 @@
 	if err := g.procs["c3"].start(); err != nil {
 		t.Fatal(err)
 	}
-	heal, stop := context.WithTimeout(ctx, testkit.Long)
+	heal, stop := context.WithTimeout(ctx, testkit.MaxWait)
 	defer stop()
 	for _, n := range []string{"c1", "c2"} {
 		if err := g.addMember(heal, n); err != nil {
--- a/emulator/serverprotocol/protocol_test.go
+++ b/emulator/serverprotocol/protocol_test.go
@@ -94,7 +94,7 @@
 	defer transport.Close()
 	transport.Update(router.EndpointUpdate{Endpoints: []router.Endpoint{{ID: "s", Addr: addr}}})
 	for _, id := range []string{"a", "b"} {
-		if got := attempt(t, transport, id, "k", testkit.Long); got != "ok" {
+		if got := attempt(t, transport, id, "k", testkit.MaxWait); got != "ok" {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
@@ -112,17 +112,17 @@
 	executed := func(n int) bool { return len(backend.Executions()) == n }
 	slow("slow1", "timed out", 300*time.Millisecond) // its cancellation frees the slot
 	testkit.Await(t, "start of the first", func() bool { return executed(3) })
-	slow("slow2", "reset", testkit.Long)
+	slow("slow2", "reset", testkit.MaxWait)
 	testkit.Await(t, "arrival of the second", func() bool { return backend.InFlight() == 2 || executed(4) })
 	testkit.Await(t, "end of the first", func() bool { return executed(4) })
-	slow("slow3", "reset", testkit.Long)
+	slow("slow3", "reset", testkit.MaxWait)
 	testkit.Await(t, "the second running, the third queued", func() bool { return executed(4) && backend.InFlight() == 2 })
-	if got := attempt(t, transport, "c", "", testkit.Long); got != "rejected" {
+	if got := attempt(t, transport, "c", "", testkit.MaxWait); got != "rejected" {
 		t.Errorf("with a full queue: %s", got)
 	}
 	backend.Crash()
 	inFlight.Wait()
-	if got := attempt(t, transport, "d", "", testkit.Long); got != "reset" && got != "not connected" {
+	if got := attempt(t, transport, "d", "", testkit.MaxWait); got != "reset" && got != "not connected" {
 		t.Errorf("at a server that is down: %s", got)
 	}
 	if !backend.Down() {
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -79,7 +79,7 @@
 	agent, err := New(Config{
 		Self:    fleet.Node{Name: "n1", Incarnation: "run-1"},
 		Dir:     dir,
-		Timeout: testkit.Long,
+		Timeout: testkit.MaxWait,
 		Clock:   consensus.SystemClock(),
 		Log:     slog.New(slog.DiscardHandler),
 	}, node, client)
--- a/fleet/agent/runner_test.go
+++ b/fleet/agent/runner_test.go
@@ -87,7 +87,7 @@
 		Self:     self,
 		Dir:      c.t.TempDir(),
 		Commands: Commands{Patch: []string{"/bin/true"}, Verify: []string{"/bin/false"}},
-		Timeout:  testkit.Long,
+		Timeout:  testkit.MaxWait,
 		Clock:    consensus.SystemClock(),
 		Log:      log,
 	}, c.nodes[name], client)
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -127,7 +127,7 @@
 	}
 	select {
 	case <-replica.Done():
-	case <-time.After(testkit.Long):
+	case <-time.After(testkit.MaxWait):
 		t.Error("the replica goes on")
 	}
 	if err := replica.Close(); !errors.Is(err, errSave) {
@@ -284,7 +284,7 @@
 		return replica.View().State.Members[replica.ID()].SupportedFormat == fleet.FormatVersion
 	})
 	state := replica.View().State
-	request := WatchRequest{Wait: testkit.Long}
+	request := WatchRequest{Wait: testkit.MaxWait}
 	request.Epoch, request.Position = state.Epoch, state.Position
 	type outcome struct {
 		result fleet.Result
--- a/internal/conformance/server_test.go
+++ b/internal/conformance/server_test.go
@@ -118,7 +118,7 @@
 func testUnsafeRequestThatMayHaveRunFails(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
-		if testkit.Swallow(r) {
+		if testkit.ReadFullRequest(r) {
 			reached.Add(1)
 		}
 	})
--- a/internal/conformance/support_test.go
+++ b/internal/conformance/support_test.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	long      = testkit.Long
+	long      = testkit.MaxWait
 	readyPath = "/health/ready"
 
 	// The bounds that the suite holds a build to.
--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	ca := pki.Year("the suite's")
+	ca := pki.NewAuthority("the suite's")
 	pair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	var files [3]string
 	for i, f := range []struct {
--- a/internal/fleetcli/tls_test.go
+++ b/internal/fleetcli/tls_test.go
@@ -85,7 +85,7 @@
 // that is not trusted is not called.
 func TestMutualTLS_RejectsPeersOutsideTheFleet(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
-	ours, theirs := pki.Year("ours"), pki.Year("theirs")
+	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
 	address := startTLSServer(t, files.issue("server", ours, ours, fleetName))
 	for _, test := range []struct {
 		name     string
@@ -111,7 +111,7 @@
 // rejected, and the other way round.
 func TestMutualTLS_FollowsReloadedTrust(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
-	ours, theirs := pki.Year("ours"), pki.Year("theirs")
+	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
 	server := files.issue("server", ours, ours, fleetName)
 	address := startTLSServer(t, server)
 	good := files.issue("good", ours, ours, fleetName)
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(testkit.Long))
+	_ = conn.SetDeadline(time.Now().Add(testkit.MaxWait))
 	return rawClient{conn, msgpackrpc.NewReader(conn)}
 }
 
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -32,7 +32,7 @@
 	ca  *pki.Authority
 }
 
-func newFixture(t testing.TB) *fixture { return &fixture{t, t.TempDir(), pki.Year("ours")} }
+func newFixture(t testing.TB) *fixture { return &fixture{t, t.TempDir(), pki.NewAuthority("ours")} }
 
 func (f *fixture) path(name string) string { return filepath.Join(f.dir, name) }
 
@@ -97,12 +97,12 @@
 
 // request opens a connection, sends a line and returns the answer.
 func request(addr string, conf *tls.Config) (answer string, state tls.ConnectionState, err error) {
-	c, err := tls.DialWithDialer(&net.Dialer{Timeout: testkit.Long}, "tcp", addr, conf)
+	c, err := tls.DialWithDialer(&net.Dialer{Timeout: testkit.MaxWait}, "tcp", addr, conf)
 	if err != nil {
 		return "", state, err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(testkit.Long))
+	_ = c.SetDeadline(time.Now().Add(testkit.MaxWait))
 	if _, err := io.WriteString(c, "who am I\n"); err != nil {
 		return "", state, err
 	}
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = nc.SetDeadline(time.Now().Add(testkit.Long))
+		_ = nc.SetDeadline(time.Now().Add(testkit.MaxWait))
 		_, _ = io.WriteString(nc, test.send)
 		got, _ := io.ReadAll(nc) // it ends
 		_ = nc.Close()
@@ -226,7 +226,7 @@
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
 	const uri = "spiffe://site/tenant/desk"
-	partners, others := pki.Year("partners"), pki.Year("others")
+	partners, others := pki.NewAuthority("partners"), pki.NewAuthority("others")
 	for _, require := range []bool{false, true} {
 		fixture.writeTrust(partners)
 		store := fixture.store(certificates.Sources{Trust: fixture.path("clients.pem")})
@@ -280,7 +280,7 @@
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
 	cpu := handshakes.NewCPUScheduler(0.5, 1, func() bool { return true })
-	terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), CPU: cpu, Timeout: testkit.Long})
+	terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), CPU: cpu, Timeout: testkit.MaxWait})
 	pool := x509.NewCertPool()
 	pool.AddCert(fixture.ca.Cert)
 	var all sync.WaitGroup
@@ -293,7 +293,7 @@
 					return
 				}
 				defer func() { _ = nc.Close() }()
-				_ = nc.SetDeadline(time.Now().Add(testkit.Long))
+				_ = nc.SetDeadline(time.Now().Add(testkit.MaxWait))
 				_ = tls.Client(&closedAfterWrite{Conn: nc}, &tls.Config{RootCAs: pool, ServerName: "a.example"}).Handshake()
 				return
 			}
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -22,7 +22,7 @@
 func TestEviction_SparesNewConnection(t *testing.T) {
 	listener, _, older := newClientPair(t)
 	listener.setMaxConns(2)
-	listener.queueTimeout = func() time.Duration { return testkit.Long }
+	listener.queueTimeout = func() time.Duration { return testkit.MaxWait }
 	client, conn := connectClient(t, listener)
 	noteRequest(older) // it is answered below
 	dialClient(t, listener.Addr().String())
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(client, "GET / HTTP/1.1\r\n")
-	_ = conn.SetReadDeadline(time.Now().Add(testkit.Long))
+	_ = conn.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	if n, err := conn.Read(make([]byte, 64)); n == 0 {
 		t.Errorf("the new connection was closed: %v", err)
 	}
@@ -159,7 +159,7 @@
 // expectRejection reads the start of an answer, and requires it to be complete.
 func expectRejection(t *testing.T, client net.Conn) {
 	t.Helper()
-	_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
+	_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	answer := make([]byte, len(rejectionStart))
 	if n, err := io.ReadFull(client, answer); err != nil || string(answer) != rejectionStart {
 		t.Fatalf("got %q and %v, want a rejection", answer[:n], err)
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	sources := certificates.Sources{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
-	leaf := pki.Year("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	leaf := pki.NewAuthority("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	for name, text := range map[string][]byte{sources.Cert: pki.PEM(leaf.Cert), sources.Key: leaf.KeyPEM()} {
 		if err := os.WriteFile(name, text, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -89,7 +89,7 @@
 	t.Run("which sends nothing", func(t *testing.T) {
 		listener, client, _ := newClientPair(t)
 		listener.closeIdle()
-		_ = client.SetReadDeadline(time.Now().Add(testkit.Long))
+		_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("not closed after firstRequestGrace: %v", err)
 		}
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -95,7 +95,7 @@
 // crossSign has the old authority sign for the new one, so that the servers' certificates are valid by both.
 func (r *rotation) crossSign() {
 	r.t.Helper()
-	cross := r.oldCA.Cross(r.newCA)
+	cross := r.oldCA.CrossSign(r.newCA)
 	r.step(func() {
 		for _, server := range r.servers {
 			cert := r.newLeaf(r.newCA, cross)
@@ -182,13 +182,13 @@
 // A part in parentheses tells two with the same reason apart.
 func (h *rotationHarness) invalidCerts() map[string]servedCert {
 	name := []string{"127.0.0.1"}
-	intermediate := h.oldCA.Under("middle")
+	intermediate := h.oldCA.NewIntermediate("middle")
 	certs := make(map[string]servedCert)
 	for reason, pair := range map[string]pki.Pair{
 		"another name":              h.oldCA.Issue(pki.Leaf{Names: []string{"other.example"}}),
 		"expired":                   h.oldCA.Issue(pki.Leaf{Names: name, To: time.Now().Add(-time.Second)}),
 		"not yet valid":             h.oldCA.Issue(pki.Leaf{Names: name, From: time.Now().Add(time.Hour)}),
-		unknownAuthority:            pki.Year("a stranger").Issue(pki.Leaf{Names: name}),
+		unknownAuthority:            pki.NewAuthority("a stranger").Issue(pki.Leaf{Names: name}),
 		unknownAuthority + " (gap)": intermediate.Issue(pki.Leaf{Names: name}), // without the intermediate certificate
 		"sends too much":            h.oldCA.Issue(pki.Leaf{Names: name, Padding: 100 << 10}),
 	} {
--- a/internal/node/rotationharness_test.go
+++ b/internal/node/rotationharness_test.go
@@ -73,9 +73,9 @@
 	harness := &rotationHarness{
 		t:          t,
 		dir:        t.TempDir(),
-		oldCA:      pki.Year("old"),
-		newCA:      pki.Year("new"),
-		listenerCA: pki.Year("front"),
+		oldCA:      pki.NewAuthority("old"),
+		newCA:      pki.NewAuthority("new"),
+		listenerCA: pki.NewAuthority("front"),
 		executions: make(map[string]int),
 		idempotent: make(map[string]bool),
 		notServed:  make(map[string]int),
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki is a stand-in for an authority: tests and measurements have their certificates from it. Nothing of a
-// node links it. What can't fail but for want of memory panics.
+// Package pki issues certificates for tests and benchmarks. No node links it. It panics where crypto/x509 rejects a
+// certificate, which is an error in the test.
 package pki
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// The kinds of key.
+// Kinds of key.
 const (
 	P256    = "P-256"
 	RSA2048 = "RSA-2048"
@@ -29,7 +29,7 @@
 
 var serial atomic.Int64
 
-// Authority signs.
+// Authority is a certificate authority.
 type Authority struct {
 	Cert *x509.Certificate
 	Key  crypto.Signer
@@ -42,7 +42,7 @@
 	return v
 }
 
-// NewKey makes a key of a kind.
+// NewKey returns a new key of the kind; an unknown one is P256.
 func NewKey(kind string) crypto.Signer {
 	switch kind {
 	case RSA2048:
@@ -60,42 +60,45 @@
 	return must(x509.ParseCertificate(raw))
 }
 
-func authority(name string, from, to time.Time) *x509.Certificate {
-	return &x509.Certificate{Subject: pkix.Name{CommonName: name}, NotBefore: from, NotAfter: to, IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+func authorityTemplate(name string, from, to time.Time) *x509.Certificate {
+	return &x509.Certificate{
+		Subject: pkix.Name{CommonName: name}, NotBefore: from, NotAfter: to,
+		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
 }
 
-// New makes an authority that nobody signs for but itself.
-func New(name string, from, to time.Time) *Authority {
+// NewAuthorityBetween returns a self-signed authority with the given validity.
+func NewAuthorityBetween(name string, from, to time.Time) *Authority {
 	a := &Authority{Key: NewKey(P256)}
-	tmpl := authority(name, from, to)
+	tmpl := authorityTemplate(name, from, to)
 	a.Cert = sign(tmpl, a.Key.Public(), &Authority{tmpl, a.Key})
 	return a
 }
 
-// Year is an authority in force since a year ago, for a year.
-func Year(name string) *Authority {
-	return New(name, time.Now().AddDate(-1, 0, 0), time.Now().AddDate(1, 0, 0))
+// NewAuthority returns a self-signed authority that has been valid for a year and stays so for a year.
+func NewAuthority(name string) *Authority {
+	return NewAuthorityBetween(name, time.Now().AddDate(-1, 0, 0), time.Now().AddDate(1, 0, 0))
 }
 
-// Under makes an authority that a signs for.
-func (a *Authority) Under(name string) *Authority {
+// NewIntermediate returns an authority whose certificate a signs, with the validity of a.
+func (a *Authority) NewIntermediate(name string) *Authority {
 	u := &Authority{Key: NewKey(P256)}
-	u.Cert = sign(authority(name, a.Cert.NotBefore, a.Cert.NotAfter), u.Key.Public(), a)
+	u.Cert = sign(authorityTemplate(name, a.Cert.NotBefore, a.Cert.NotAfter), u.Key.Public(), a)
 	return u
 }
 
-// Cross is the certificate by which a signs for another authority's key.
-func (a *Authority) Cross(other *Authority) *x509.Certificate {
-	return sign(authority(other.Cert.Subject.CommonName, a.Cert.NotBefore, a.Cert.NotAfter), other.Key.Public(), a)
+// CrossSign returns a certificate that a signs for the key of another authority.
+func (a *Authority) CrossSign(other *Authority) *x509.Certificate {
+	return sign(authorityTemplate(other.Cert.Subject.CommonName, a.Cert.NotBefore, a.Cert.NotAfter), other.Key.Public(), a)
 }
 
-// Leaf is what a certificate is for.
+// Leaf describes an end entity's certificate, for clients and servers alike.
 type Leaf struct {
-	From, To time.Time // zero: an hour ago, in 30 days
-	Names    []string  // names, addresses and URIs
-	Kind     string    // of key; empty: P-256
-	Subject  string
-	Padding  int // bytes that it is longer by
+	From, To time.Time // validity; zero: from an hour ago, for 30 days from now
+	Names    []string  // subject alternative names: DNS names, IP addresses and URIs
+	KeyKind  string    // empty: P256
+	Subject  string    // common name
+	Padding  int       // bytes of an extension that makes the certificate longer
 }
 
 // Pair is a certificate with its key.
@@ -104,35 +107,43 @@
 	Key  crypto.Signer
 }
 
-// Issue makes a certificate.
-func (a *Authority) Issue(l Leaf) Pair {
-	if l.From.IsZero() {
-		l.From = time.Now().Add(-time.Hour)
+// paddingExtension is an arc of private enterprises; no verifier reads it.
+var paddingExtension = []int{1, 3, 6, 1, 4, 1, 99999, 1}
+
+// addName adds a subject alternative name of the type that the text has.
+func addName(tmpl *x509.Certificate, name string) {
+	if u, err := url.Parse(name); err == nil && u.Scheme != "" && u.Host != "" {
+		tmpl.URIs = append(tmpl.URIs, u)
+	} else if ip := net.ParseIP(name); ip != nil {
+		tmpl.IPAddresses = append(tmpl.IPAddresses, ip)
+	} else {
+		tmpl.DNSNames = append(tmpl.DNSNames, name)
+	}
+}
+
+// Issue returns a certificate with a new key.
+func (a *Authority) Issue(leaf Leaf) Pair {
+	if leaf.From.IsZero() {
+		leaf.From = time.Now().Add(-time.Hour)
 	}
-	if l.To.IsZero() {
-		l.To = time.Now().AddDate(0, 0, 30)
+	if leaf.To.IsZero() {
+		leaf.To = time.Now().AddDate(0, 0, 30)
 	}
 	tmpl := &x509.Certificate{
-		NotBefore: l.From, NotAfter: l.To, Subject: pkix.Name{CommonName: l.Subject},
+		NotBefore: leaf.From, NotAfter: leaf.To, Subject: pkix.Name{CommonName: leaf.Subject},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	for _, n := range l.Names {
-		if u, err := url.Parse(n); err == nil && u.Scheme != "" && u.Host != "" {
-			tmpl.URIs = append(tmpl.URIs, u)
-		} else if ip := net.ParseIP(n); ip != nil {
-			tmpl.IPAddresses = append(tmpl.IPAddresses, ip)
-		} else {
-			tmpl.DNSNames = append(tmpl.DNSNames, n)
-		}
+	for _, name := range leaf.Names {
+		addName(tmpl, name)
 	}
-	if l.Padding > 0 {
-		tmpl.ExtraExtensions = []pkix.Extension{{Id: []int{1, 3, 6, 1, 4, 1, 99999, 1}, Value: make([]byte, l.Padding)}}
+	if leaf.Padding > 0 {
+		tmpl.ExtraExtensions = []pkix.Extension{{Id: paddingExtension, Value: make([]byte, leaf.Padding)}}
 	}
-	key := NewKey(l.Kind)
+	key := NewKey(leaf.KeyKind)
 	return Pair{sign(tmpl, key.Public(), a), key}
 }
 
-// PEM is certificates as files hold them.
+// PEM returns certificates in PEM, in the given order.
 func PEM(certs ...*x509.Certificate) (text []byte) {
 	for _, c := range certs {
 		text = append(text, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
@@ -140,19 +151,19 @@
 	return text
 }
 
-// PEM is an authority's certificate.
+// PEM returns the authority's certificate in PEM.
 func (a *Authority) PEM() []byte { return PEM(a.Cert) }
 
-// KeyPEM is the pair's key as files hold it.
+// KeyPEM returns the pair's key in PEM, as PKCS #8.
 func (p Pair) KeyPEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: must(x509.MarshalPKCS8PrivateKey(p.Key))})
 }
 
-// TLS is the pair with the rest of its chain, as crypto/tls has it.
+// TLS returns the pair and the rest of its chain for crypto/tls.
 func (p Pair) TLS(chain ...*x509.Certificate) tls.Certificate {
-	c := tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
-	for _, more := range chain {
-		c.Certificate = append(c.Certificate, more.Raw)
+	cert := tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
+	for _, issuer := range chain {
+		cert.Certificate = append(cert.Certificate, issuer.Raw)
 	}
-	return c
+	return cert
 }
--- a/internal/protocolmatrix/pairs_test.go
+++ b/internal/protocolmatrix/pairs_test.go
@@ -375,7 +375,7 @@
 // secure has the apps speak TLS, and returns how the node does.
 func (p pair) secure(t testing.TB, apps []*app) *secure.ClientTLS {
 	t.Helper()
-	ca := pki.Year("the apps'")
+	ca := pki.NewAuthority("the apps'")
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	if err := os.WriteFile(file, ca.PEM(), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/racetest/rig_test.go
+++ b/internal/racetest/rig_test.go
@@ -353,7 +353,7 @@
 
 // answer reads an answer whole.
 func (c *peer) answer() (status int, body string, err error) {
-	_ = c.SetReadDeadline(time.Now().Add(testkit.Long))
+	_ = c.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, "", err
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -13,7 +13,7 @@
 // writeCertificates writes a CA, a certificate with its key, and an invalid file to a directory.
 func writeCertificates(t *testing.T, dir string) {
 	t.Helper()
-	ca := pki.Year("ours")
+	ca := pki.NewAuthority("ours")
 	pair := ca.Issue(pki.Leaf{Names: []string{"a"}})
 	for name, text := range map[string][]byte{
 		"ca.pem": ca.PEM(), "cert.pem": pki.PEM(pair.Cert), "key.pem": pair.KeyPEM(), "bad.pem": []byte("x"),
--- a/internal/testkit/failinglistener.go
+++ b/internal/testkit/failinglistener.go
@@ -7,25 +7,25 @@
 	"syscall"
 )
 
-// AcceptErrors are what accept4(2) may fail with while the listening socket stays in order: errors of the process, of
-// the system, and of the connection that was to be accepted.
+// AcceptErrors are the errors of accept4(2) that leave the listening socket usable: errors of the process, of the
+// system, and of the connection to be accepted.
 var AcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPERM, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.ENETDOWN, syscall.ENETUNREACH,
 	syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET, syscall.EOPNOTSUPP, syscall.ETIMEDOUT, syscall.EAGAIN,
 }
 
-// FailingListener fails to accept as it is told. The connection that was to be accepted stays in the queue, as it
-// does where accept4 fails for want of a descriptor.
+// FailingListener is a listener whose Accept fails on request. The connection to be accepted stays in the queue, as
+// when accept4 fails because no descriptor is left. One goroutine at a time may call Accept.
 type FailingListener struct {
 	net.Listener
 
 	mu       sync.Mutex
 	failures []syscall.Errno
-	waiting  net.Conn // accepted from the system, and not handed out yet
+	accepted net.Conn // accepted from the system, not yet returned
 }
 
-// FailNext has the next calls that would return a connection fail, so many times.
+// FailNext makes the given number of further calls fail that would return a connection.
 func (l *FailingListener) FailNext(errno syscall.Errno, times int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// Pending is how many of the failures have not occurred yet.
+// Pending returns the number of failures that have not occurred yet.
 func (l *FailingListener) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,12 +43,12 @@
 
 // Accept implements net.Listener.
 func (l *FailingListener) Accept() (net.Conn, error) {
-	if l.waiting == nil { // of the one goroutine that accepts
+	if l.accepted == nil { // only the accepting goroutine uses it
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		l.waiting = conn
+		l.accepted = conn
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 		l.failures = l.failures[1:]
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", errno)}
 	}
-	conn := l.waiting
-	l.waiting = nil
+	conn := l.accepted
+	l.accepted = nil
 	return conn, nil
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what tests of several packages need: servers at the level of connections, and
-// waiting that ends. It is linked by tests only.
+// Package testkit has what tests of several packages need: servers at the level of connections, a listener that
+// fails, and waits with a limit. Only tests link it.
 package testkit
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Long is more than any step of a test takes; nothing waits for it unless the test fails.
-const Long = 30 * time.Second
+// MaxWait is longer than any step of a test takes. Only a failing test waits that long.
+const MaxWait = 30 * time.Second
 
-// RawServer runs a server of one's own at the level of the connection, and returns its address. What
-// it serves ends with the test.
+// RawServer calls serve for each connection, in a goroutine of its own, and returns the address. It closes the
+// connections when the test ends, and waits for the calls.
 func RawServer(t testing.TB, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,32 +31,32 @@
 		ended  sync.WaitGroup
 	)
 	t.Cleanup(func() {
-		ln.Close()
+		_ = ln.Close()
 		mu.Lock()
 		closed = true
-		for c := range conns {
-			c.Close()
+		for conn := range conns {
+			_ = conn.Close()
 		}
 		mu.Unlock()
 		ended.Wait()
 	})
 	ended.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			conns[c] = true
+			conns[conn] = true
 			if closed {
-				c.Close()
+				_ = conn.Close()
 			}
 			mu.Unlock()
 			ended.Go(func() {
-				serve(c, bufio.NewReader(c))
-				c.Close()
+				serve(conn, bufio.NewReader(conn))
+				_ = conn.Close()
 				mu.Lock()
-				delete(conns, c)
+				delete(conns, conn)
 				mu.Unlock()
 			})
 		}
@@ -64,8 +64,8 @@
 	return ln.Addr().String()
 }
 
-// Swallow reads a request to its last byte.
-func Swallow(r *bufio.Reader) bool {
+// ReadFullRequest reads a request and its body to the end, and reports whether both were readable.
+func ReadFullRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -74,7 +74,7 @@
 	return err == nil
 }
 
-// HTTPServer runs h, and returns its address.
+// HTTPServer serves by the handler until the test ends, and returns the address.
 func HTTPServer(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -85,24 +85,24 @@
 	return s.Listener.Addr().String()
 }
 
-// Await waits until ok.
+// Await polls until ok returns true. The test fails after MaxWait; what names the awaited state.
 func Await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Long); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(MaxWait); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// Receive waits for a value.
+// Receive waits for a value. The test fails after MaxWait; what names the value.
 func Receive[T any](t testing.TB, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(Long):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(MaxWait):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -194,7 +194,7 @@
 func TestHostRetry_GetsConflict(t *testing.T) {
 	var served atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
-		if testkit.Swallow(r) {
+		if testkit.ReadFullRequest(r) {
 			served.Add(1) // and the connection breaks: the request may have run
 		}
 	})
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -51,7 +51,7 @@
 		c.Close()
 		_ = other.Close()
 	})
-	_ = other.SetDeadline(time.Now().Add(testkit.Long))
+	_ = other.SetDeadline(time.Now().Add(testkit.MaxWait))
 	return c, peer{other, msgpackrpc.NewReader(other)}
 }
 
--- a/tools/bench/certificates.go
+++ b/tools/bench/certificates.go
@@ -31,7 +31,7 @@
 
 // writeCertificates writes an authority, a certificate with its key and the daemon's configuration.
 func writeCertificates(dir string) error {
-	authority := pki.Year("bench")
+	authority := pki.NewAuthority("bench")
 	pair := authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	for name, text := range map[string][]byte{
 		certFile: pki.PEM(pair.Cert), keyFile: pair.KeyPEM(), rootsFile: authority.PEM(),
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(b.dir) }()
-	b.authority = pki.Year("bench")
+	b.authority = pki.NewAuthority("bench")
 	b.roots = x509.NewCertPool()
 	b.roots.AddCert(b.authority.Cert)
 	known := map[string]func() error{
@@ -88,7 +88,7 @@
 
 // writeCertificates writes a new certificate with a kind of key, and the authority, and opens them.
 func (b *bench) writeCertificates(kind string) (own, trust *certificates.Store, err error) {
-	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, Kind: kind})
+	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, KeyKind: kind})
 	err = errors.Join(
 		os.WriteFile(b.path(certFile), pki.PEM(pair.Cert), 0o600),
 		os.WriteFile(b.path(keyFile), pair.KeyPEM(), 0o600),
--- a/tools/tlsbench/node.go
+++ b/tools/tlsbench/node.go
@@ -36,7 +36,7 @@
 // startNode runs the daemon in front of servers, each of which closes a connection every closeEvery requests;
 // 0: never. It returns once the node is ready.
 func (b *bench) startNode(servers int, closeEvery int64) (_ *nodeProcess, err error) {
-	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, Kind: pki.P256})
+	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, KeyKind: pki.P256})
 	if _, _, err := b.writeCertificates(pki.P256); err != nil {
 		return nil, err
 	}
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -21,7 +21,7 @@
 	var conns atomic.Int32
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
-		for testkit.Swallow(r) {
+		for testkit.ReadFullRequest(r) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 		}
 	})
@@ -49,7 +49,7 @@
 // TestClosedIdleConnectionIsReplaced checks that a connection which the server closed while idle is not written to.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
-		if testkit.Swallow(r) {
+		if testkit.ReadFullRequest(r) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
@@ -122,7 +122,7 @@
 		release, conns := make(chan struct{}), atomic.Int32{}
 		addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			n := conns.Add(1)
-			for testkit.Swallow(r) {
+			for testkit.ReadFullRequest(r) {
 				_, _ = fmt.Fprint(c, answer, n)
 				if n == 1 {
 					<-release
--- a/transport/http1/roundtrip_test.go
+++ b/transport/http1/roundtrip_test.go
@@ -54,7 +54,7 @@
 	} {
 		var sent atomic.Int32
 		addr := testkit.RawServer(t, func(c2 net.Conn, r *bufio.Reader) {
-			if testkit.Swallow(r) {
+			if testkit.ReadFullRequest(r) {
 				sent.Add(1)
 				_, _ = io.WriteString(c2, test.answer)
 			}
@@ -99,7 +99,7 @@
 		var requests, conns atomic.Int32
 		addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			conns.Add(1)
-			for testkit.Swallow(r) {
+			for testkit.ReadFullRequest(r) {
 				if requests.Add(1) > 1 {
 					return // breaks the connection under the second
 				}
@@ -161,7 +161,7 @@
 	} {
 		got, closed := make(chan struct{}), make(chan struct{})
 		addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
-			testkit.Swallow(r)
+			testkit.ReadFullRequest(r)
 			close(got)
 			_, _ = r.ReadByte() // returns when the node closes
 			close(closed)
@@ -217,7 +217,7 @@
 		closed := make(chan struct{})
 		addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			defer close(closed)
-			testkit.Swallow(r)
+			testkit.ReadFullRequest(r)
 			_, err := io.WriteString(c, head)
 			for err == nil {
 				_, err = io.WriteString(c, strings.Repeat("x", 1000))
--- a/transport/http1/transport_test.go
+++ b/transport/http1/transport_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // long is the timeout of every step; only a failing test waits for it.
-const long = testkit.Long
+const long = testkit.MaxWait
 
 func testSettings() policy.Settings {
 	return policy.Settings{
--- a/transport/secure/conn_test.go
+++ b/transport/secure/conn_test.go
@@ -40,7 +40,7 @@
 // TestSessionResumption checks that a session is resumed as long as the server process, the authorities and the
 // certificate of this node are the same, and that a server which does not resume it serves all the same.
 func TestSessionResumption(t *testing.T) {
-	ca, other := pki.Year("ours"), pki.Year("others")
+	ca, other := pki.NewAuthority("ours"), pki.NewAuthority("others")
 	trust, trustFile := openTrust(t, ca)
 	sources := pairFiles(t)
 	writePair(t, ca, sources)
@@ -105,7 +105,7 @@
 // TestConnIsIdle checks that a connection with unread messages of TLS itself is idle, and that one with data of the
 // server or its closing alert is not.
 func TestConnIsIdle(t *testing.T) {
-	ca := pki.Year("ours")
+	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	config := serverConfig(ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS())
 	actions := make(chan func(*tls.Conn))
@@ -160,7 +160,7 @@
 // TestConnectionsFollowTrust checks that a connection may be used exactly as long as the certificate on it is trusted,
 // and that a handshake succeeds exactly if the certificate presented is trusted, whatever the order of changes.
 func TestConnectionsFollowTrust(t *testing.T) {
-	authorities := []*pki.Authority{pki.Year("a"), pki.Year("b"), pki.Year("c")}
+	authorities := []*pki.Authority{pki.NewAuthority("a"), pki.NewAuthority("b"), pki.NewAuthority("c")}
 	configs := make([]*tls.Config, len(authorities))
 	for i, authority := range authorities {
 		configs[i] = serverConfig(authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS())
--- a/transport/secure/handshake_test.go
+++ b/transport/secure/handshake_test.go
@@ -20,7 +20,7 @@
 // TestHandshake_FailureReasons checks by which reason the failures of servers that break the protocol or the connection
 // are counted, and that each handshake ends in time.
 func TestHandshake_FailureReasons(t *testing.T) {
-	ca := pki.Year("ours")
+	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	certificate := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	handshake := func(conn net.Conn, pair pki.Pair) { _ = tls.Server(conn, serverConfig(pair.TLS())).Handshake() }
@@ -77,7 +77,7 @@
 // TestHandshakesAreBounded checks that however many requests want a connection at once, a server has few handshakes at
 // a time, and fewer while it is warming up. Handshakes beyond the queue are rejected at once.
 func TestHandshakesAreBounded(t *testing.T) {
-	ca := pki.Year("ours")
+	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	certificate := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS()
 	for _, test := range []struct {
@@ -95,7 +95,7 @@
 			client := newClient(t, Config{
 				Rules:            []Rule{{Trust: trust}},
 				SlowStart:        time.Minute,
-				HandshakeTimeout: testkit.Long,
+				HandshakeTimeout: testkit.MaxWait,
 				Limits: handshakes.Limits{
 					MaxConcurrent:       16,
 					MaxPerServer:        3,
@@ -179,7 +179,7 @@
 // TestUntrustedServer_IsRechecked checks that an untrusted server is rechecked without a request, and trusted once it
 // passes verification.
 func TestUntrustedServer_IsRechecked(t *testing.T) {
-	ca := pki.Year("ours")
+	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	good := serverConfig(ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS())
 	bad := serverConfig(ca.Issue(pki.Leaf{Names: []string{"127.0.0.2"}}).TLS())
--- a/transport/secure/helpers_test.go
+++ b/transport/secure/helpers_test.go
@@ -82,13 +82,13 @@
 func connect(t testing.TB, client *ClientTLS, endpoint router.Endpoint) (*Conn, error) {
 	t.Helper()
 	client.UpdateServer(endpoint)
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Long)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.MaxWait)
 	defer cancel()
 	conn, err := client.Handshake(ctx, ctx, &endpoint, true, dialer(endpoint.Addr))
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(testkit.Long))
+	_ = conn.SetDeadline(time.Now().Add(testkit.MaxWait))
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return conn, err
 	}
--- a/transport/secure/rule_test.go
+++ b/transport/secure/rule_test.go
@@ -45,8 +45,8 @@
 
 func verificationTests(t *testing.T) map[string]verificationTest {
 	t.Helper()
-	ca, other := pki.Year("ours"), pki.Year("others")
-	middle := ca.Under("middle")
+	ca, other := pki.NewAuthority("ours"), pki.NewAuthority("others")
+	middle := ca.NewIntermediate("middle")
 	trust, _ := openTrust(t, ca)
 	pin := func(p pki.Pair) string {
 		sum := sha256.Sum256(p.Cert.RawSubjectPublicKeyInfo)
@@ -95,7 +95,7 @@
 }
 
 func TestRuleValidate(t *testing.T) {
-	trust, _ := openTrust(t, pki.Year("ours"))
+	trust, _ := openTrust(t, pki.NewAuthority("ours"))
 	for want, rule := range map[string]Rule{
 		"trust: missing":           {},
 		"plain: servers":           {Plaintext: true, Trust: trust},
@@ -112,7 +112,7 @@
 
 // TestUsesTLS_FirstMatchingRule checks which rule applies to a server.
 func TestUsesTLS_FirstMatchingRule(t *testing.T) {
-	trust, _ := openTrust(t, pki.Year("ours"))
+	trust, _ := openTrust(t, pki.NewAuthority("ours"))
 	client := newClient(t, Config{Rules: []Rule{
 		{Kinds: []string{"old"}, Plaintext: true},
 		{Zones: []string{"a"}, Pools: []string{"p", "q"}, Trust: trust},
