--- a/internal/cli/ctlwatch.go
+++ b/internal/cli/ctlwatch.go
@@ -34,7 +34,7 @@
 	defer func() { _ = stream.Close() }() // nothing more is read
 	view := &eventView{
 		printer:      printer{out: out},
-		isTerminal:   demo.Terminal(os.Stdout),
+		isTerminal:   demo.IsTerminal(os.Stdout),
 		untilDrained: untilDrained,
 	}
 	lines := bufio.NewScanner(stream)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -27,10 +27,10 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signalContext()
 			defer stop()
-			return demo.Run(ctx, config, c.OutOrStdout(), demo.Terminal(os.Stdout))
+			return demo.Run(ctx, config, c.OutOrStdout(), demo.IsTerminal(os.Stdout))
 		},
 	}
-	command.Flags().DurationVar(&config.For, "for", defaultDemoDuration, "duration of the traffic")
+	command.Flags().DurationVar(&config.Duration, "for", defaultDemoDuration, "duration of the traffic")
 	command.Flags().Float64Var(&config.Rate, "rate", defaultDemoRate, "requests a second")
 	command.Flags().Uint64Var(&config.Seed, "seed", 1, "of the traffic's random numbers")
 	return command
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -119,7 +119,7 @@
 	if outcomes != nil {
 		options.Detail = outcomes.add
 	}
-	if !r.quiet && demo.Terminal(os.Stderr) {
+	if !r.quiet && demo.IsTerminal(os.Stderr) {
 		bar := newProgressBar(site)
 		options.Progress = func(at time.Duration) {
 			_ = bar.Set64(min(int64(at/time.Second), int64(site.Length/time.Second))) // only shown
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,11 +10,11 @@
 	"go.uber.org/goleak"
 )
 
-// A demonstration ends by itself, keeps the rules, tells of each class, and leaves nothing behind.
-func TestDemonstration(t *testing.T) {
+// A demonstration ends by itself, keeps the rules, reports on each class, and leaves no goroutine behind.
+func TestRun_ReportsEachClass(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var out bytes.Buffer
-	if err := Run(t.Context(), Config{For: 1500 * time.Millisecond, Rate: 100}, &out, false); err != nil {
+	if err := Run(t.Context(), Config{Duration: 1500 * time.Millisecond, Rate: 100}, &out, false); err != nil {
 		t.Fatalf("%v\n%s", err, &out)
 	}
 	for _, want := range []string{
@@ -27,21 +27,20 @@
 	}
 }
 
-// The proof can fail: a booking that ran twice, and an answer that is missing, are errors.
-func TestReportTellsOfABreach(t *testing.T) {
-	for name, spoil := range map[string]func(*world){
-		"twice": func(w *world) { w.booked["b1"], w.ran["b1"] = true, 2 },
-		"lost":  func(w *world) { w.classes["hladanie"].lost++ },
+// A booking that was executed twice, and a lost request, are errors.
+func TestReport_FailsOnBrokenRule(t *testing.T) {
+	for name, breakRule := range map[string]func(*demonstration){
+		"twice": func(d *demonstration) { d.bookings["b1"], d.executions["b1"] = true, 2 },
+		"lost":  func(d *demonstration) { d.classes["hladanie"].lost++ },
 	} {
-		w := newWorld(Config{})
-		w.classes = map[string]*tally{"hladanie": {}, "rezervacia": {}, "zrusenie": {}}
+		demo := newDemonstration(Config{})
 		var out bytes.Buffer
-		if err := w.report(&out); err != nil {
+		if err := demo.report(&out); err != nil {
 			t.Fatal(err)
 		}
-		spoil(w)
+		breakRule(demo)
 		out.Reset()
-		if err := w.report(&out); err == nil || strings.Contains(out.String(), "Every request") {
+		if err := demo.report(&out); err == nil || strings.Contains(out.String(), "Every request") {
 			t.Errorf("%s: %v\n%s", name, err, &out)
 		}
 	}
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -13,71 +13,81 @@
 )
 
 const (
-	slowServer, badServer = 2, 0 // by number: both in the node's own data centre
-	badFrom, badTo        = 0.25, 0.6
-	badShare              = 0.8                    // of its requests fail meanwhile
-	work                  = 40 * time.Millisecond  // mean, exponential
-	slowWork              = 250 * time.Millisecond // of the slow one
-	slots                 = 8                      // requests in work at a server
-	queue                 = 32                     // waiting; beyond that it turns away
-	keyWindow             = 4 * time.Second        // in which all servers drop a cancellation's repeat
+	faultyServer, slowServer = 0, 2 // by number: both in the node's own zone
+
+	// The faulty server fails a share of its requests during a part of the traffic.
+	faultyFrom, faultyTo = 0.25, 0.6
+	faultyShare          = 0.8
+
+	meanWork     = 40 * time.Millisecond  // of a request, exponentially distributed
+	slowMeanWork = 250 * time.Millisecond // at the slow server
+
+	serverSlots = 8  // requests that a server executes at once
+	serverQueue = 32 // requests that wait for a slot; a server rejects more
 )
 
 // server is an emulated app server.
 type server struct {
 	id, zone string
-	host     *servermodel.Server
-	face     *serverprotocol.HTTPServer
+	model    *servermodel.Server
+	frontend *serverprotocol.HTTPServer
 }
 
-// startServer runs the n-th server on loopback. Those of one group drop each other's repeats.
-func startServer(n int, w *world, group *servermodel.Group) (*server, error) {
+// startServer runs the n-th server on loopback. The servers of one group drop each other's duplicates.
+func startServer(n int, demo *demonstration, group *servermodel.Group) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{id: fmt.Sprintf("server-%d", n), zone: []string{"bystrica", "presov", "nitra"}[n/3]}
-	s.host = servermodel.Start(model.Config{Cores: slots, Slots: slots, Queue: queue, Cancel: model.CancelAll}, group)
-	costs := model.Work{Dist: model.Exponential, Mean: work.Seconds()}
+	started := &server{id: fmt.Sprintf("server-%d", n), zone: zones[n/(serverCount/len(zones))]}
+	limits := model.Config{Cores: serverSlots, Slots: serverSlots, Queue: serverQueue, Cancel: model.CancelAll}
+	started.model = servermodel.Start(limits, group)
+	work := model.Work{Dist: model.Exponential, Mean: meanWork.Seconds()}
 	if n == slowServer {
-		costs.Mean = slowWork.Seconds()
+		work.Mean = slowMeanWork.Seconds()
 	}
 	var fails func() bool
-	if n == badServer {
-		fails = func() bool {
-			since := time.Since(w.began).Seconds() / w.c.For.Seconds()
-			return since >= badFrom && since < badTo && rand.Float64() < badShare
-		}
+	if n == faultyServer {
+		fails = demo.drawFault
 	}
-	s.face = serverprotocol.ServeHTTP1(ln, s.host, func(_, id string) float64 {
-		w.attempt(id)
-		return costs.Draw(w.c.Seed, id)
+	started.frontend = serverprotocol.ServeHTTP1(ln, started.model, func(_, id string) float64 {
+		demo.recordAttempt(id)
+		return work.Draw(demo.config.Seed, id)
 	}, fails)
-	return s, nil
+	return started, nil
+}
+
+// drawFault reports whether the faulty server fails a request now.
+func (d *demonstration) drawFault() bool {
+	part := time.Since(d.began).Seconds() / d.config.Duration.Seconds()
+	return part >= faultyFrom && part < faultyTo && rand.Float64() < faultyShare
 }
 
-// stop ends the server, and books what it has run.
-func (s *server) stop(w *world) {
-	s.face.Close()
-	s.host.Stop()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range s.host.Executions() {
-		w.ran[e.ID]++
-		if e.Discarded {
-			w.dropped++
+// stop stops the server, and records what it has executed.
+func (s *server) stop(d *demonstration) {
+	s.frontend.Close()
+	s.model.Stop()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, execution := range s.model.Executions() {
+		d.executions[execution.ID]++
+		if execution.Discarded {
+			d.deduplicated++
 		}
 	}
 }
 
-// serve runs h on loopback.
-func serve(h http.Handler) (addr string, end func(), err error) {
+// startHTTP serves by the handler on loopback, until stop is called.
+func startHTTP(handler http.Handler) (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
-	s := &http.Server{Handler: h}
+	httpServer := &http.Server{Handler: handler}
 	ended := make(chan struct{})
-	go func() { _ = s.Serve(ln); close(ended) }() // it ends with Close, and has nothing else to tell
-	return ln.Addr().String(), func() { _ = s.Close(); <-ended }, nil
+	go func() {
+		_ = httpServer.Serve(ln) // until it is closed
+		close(ended)
+	}()
+	return ln.Addr().String(), func() { _ = httpServer.Close(); <-ended }, nil
 }
