--- /dev/null
+++ b/internal/expect/check.go
@@ -0,0 +1,94 @@
+package expect
+
+import (
+	"fmt"
+	"slices"
+)
+
+// defaultTolerance is that of a zone's share of the first attempts.
+const defaultTolerance = 0.05
+
+// failures are texts of what does not hold.
+type failures []string
+
+func (f *failures) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
+
+// check returns what does not hold of the requests sent so far.
+func (s *simulation) check(want *Want) failures {
+	var found failures
+	s.checkServers(want, &found)
+	s.checkZoneShares(want, &found)
+	s.checkOutcomes(want, &found)
+	s.checkAttempts(want, &found)
+	return found
+}
+
+// checkServers checks where the first attempt went, and that no attempt went to excluded zones.
+func (s *simulation) checkServers(want *Want, found *failures) {
+	first, goes := "", "nowhere"
+	if len(s.firstServers) > 0 {
+		first = s.firstServers[0]
+		goes = fmt.Sprintf("to %s in %s", first, s.zones[first])
+	}
+	if want.FirstZone != "" && (first == "" || s.zones[first] != want.FirstZone) {
+		found.add("want the first attempt to go to zone %s; it goes %s", want.FirstZone, goes)
+	}
+	if want.FirstServer != "" && first != want.FirstServer {
+		found.add("want the first attempt to go to server %s; it goes %s", want.FirstServer, goes)
+	}
+	for _, zone := range want.NeverZones {
+		if s.zoneAttempts[zone] > 0 {
+			found.add("want nothing sent to zone %s; %d attempts were", zone, s.zoneAttempts[zone])
+		}
+	}
+}
+
+func (s *simulation) checkZoneShares(want *Want, found *failures) {
+	firstAttempts := make(map[string]int) // by zone
+	for _, server := range s.firstServers {
+		firstAttempts[s.zones[server]]++
+	}
+	tolerance := want.Tolerance
+	if tolerance == 0 {
+		tolerance = defaultTolerance
+	}
+	for zone, share := range want.ZoneShare {
+		got := float64(firstAttempts[zone]) / max(1, float64(len(s.firstServers)))
+		if got < share-tolerance || got > share+tolerance {
+			found.add("want %.2f of the first attempts in zone %s, within %.2f; got %.2f of %d",
+				share, zone, tolerance, got, len(s.firstServers))
+		}
+	}
+}
+
+func (s *simulation) checkOutcomes(want *Want, found *failures) {
+	total := 0
+	for _, count := range s.outcomes {
+		total += count
+	}
+	if want.Outcome != "" && s.outcomes[want.Outcome] != total {
+		found.add("want all %d requests %s; got %v", total, want.Outcome, s.outcomes)
+	}
+	if bounds := want.Rejected; bounds != nil {
+		got := float64(s.outcomes[outcomeRejected]) / max(1, float64(total))
+		if got < bounds.Lo || got > bounds.Hi {
+			found.add("want %.2f to %.2f of %d requests rejected; got %.2f", bounds.Lo, bounds.Hi, total, got)
+		}
+	}
+	if want.RetryAfter && slices.Contains(s.retryAfters, 0) {
+		found.add("want every rejection to have a Retry-After; some have none")
+	}
+}
+
+// checkAttempts reports one request with too many attempts.
+func (s *simulation) checkAttempts(want *Want, found *failures) {
+	if want.MaxAttempts == 0 {
+		return
+	}
+	for id, count := range s.attempts {
+		if count > want.MaxAttempts {
+			found.add("want at most %d attempts a request; %s had %d", want.MaxAttempts, id, count)
+			return
+		}
+	}
+}
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -162,6 +162,7 @@
 route = "none"
 `
 
+// load writes a configuration and expectations to files, and loads them.
 func load(t *testing.T, conf, expectations string) (*standalone.File, *File) {
 	t.Helper()
 	dir := t.TempDir()
@@ -170,93 +171,208 @@
 			t.Fatal(err)
 		}
 	}
-	c, err := standalone.Load(filepath.Join(dir, "c.toml"))
+	loaded, err := standalone.Load(filepath.Join(dir, "c.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Load(filepath.Join(dir, "e.toml"))
+	file, err := Load(filepath.Join(dir, "e.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, f
+	return loaded, file
 }
 
-func failures(t *testing.T, conf, expectations string) (all []string) {
+// allFailures returns the failures of all expectations, each behind the expectation's name.
+func allFailures(t *testing.T, conf, expectations string) (all []string) {
 	t.Helper()
-	c, f := load(t, conf, expectations)
-	results, err := f.Run(c)
+	loaded, file := load(t, conf, expectations)
+	results, err := file.Run(loaded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range results {
-		for _, f := range r.Failures {
-			all = append(all, r.Name+": "+f)
+	for _, result := range results {
+		for _, failure := range result.Failures {
+			all = append(all, result.Name+": "+failure)
 		}
 	}
 	return all
 }
 
+// brokenConfigurations each change a text of the configuration. The change makes the expectation fail whose name
+// begins with failing, with a text that contains says.
+var brokenConfigurations = map[string]struct{ old, replacement, failing, says string }{
+	"node in another zone": {
+		old:         `zone = "presov"` + "\n[[class]]",
+		replacement: `zone = "nitra"` + "\n[[class]]",
+		failing:     "search prefers its own zone",
+		says:        "want the first attempt to go to zone presov; it goes to n1 in nitra",
+	},
+	"class of another zone": {
+		old:         "aim = \"600ms\"",
+		replacement: "aim = \"600ms\"\nzones = [\"bystrica\"]",
+		failing:     "search prefers its own zone",
+		says:        "first attempt to go to zone presov; it goes to b1 in bystrica",
+	},
+	"class lost its zones": {
+		old:         `zones = ["bystrica", "presov"]`,
+		replacement: "",
+		failing:     "bookings without their zones are refused",
+		says:        "want nothing sent to zone nitra",
+	},
+	"class with a wrong zone": {
+		old:         `zones = ["bystrica", "presov"]`,
+		replacement: `zones = ["nitra"]`,
+		failing:     "bookings never go to nitra",
+		says:        "want nothing sent to zone nitra",
+	},
+	"bookings may be repeated": {
+		old:         "name = \"rezervacia\"\nrepeat = \"never\"",
+		replacement: "name = \"rezervacia\"\nrepeat = \"guarded\"\nwindow = \"4s\"",
+		failing:     "a failing booking is tried once",
+		says:        "IdempotencyKey: missing",
+	},
+	"share": {
+		old:         "share = 0.25",
+		replacement: "share = 0.5",
+		failing:     "a quarter tries the new release",
+		says:        "want 0.25 of the first attempts in zone nitra",
+	},
+	"share by tenant": {
+		old:         `by = "id"`,
+		replacement: `by = "tenant"`,
+		failing:     "a quarter tries the new release",
+		says:        "want 0.25 of the first attempts",
+	},
+	"release in another zone": {
+		old:         `zones = ["nitra"]`,
+		replacement: `zones = ["presov"]`,
+		failing:     "a quarter tries the new release",
+		says:        "of the first attempts in zone nitra",
+	},
+	"quota": {
+		old:         "quota = 5",
+		replacement: "quota = 500",
+		failing:     "a workspace beyond its quota",
+		says:        "requests rejected; got 0.00",
+	},
+	"trust": {
+		old:         `"10.0.0.0/8"`,
+		replacement: `"0.0.0.0/0"`,
+		failing:     "nobody claims to be a workspace",
+		says:        "want tenant anonymous, got mlyn, by identity layer 1 (header)",
+	},
+	"no trust": {
+		old:         `"10.0.0.0/8"`,
+		replacement: `"10.9.0.0/16"`,
+		failing:     "a workspace beyond its quota",
+		says:        "want tenant mlyn, got anonymous, by no identity layer",
+	},
+	"another header": {
+		old:         `name = "X-Workspace"`,
+		replacement: `name = "X-Space"`,
+		failing:     "a workspace beyond its quota",
+		says:        "want tenant mlyn",
+	},
+	"route order": {
+		old: "[[route]]\nprefix = \"/new\"\nshare = 0.25\nby = \"id\"\nclass = \"nove\"\n" +
+			"[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"",
+		replacement: "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"",
+		failing:     "search prefers its own zone",
+		says:        "want class hladanie, got nove, by the route of line 31",
+	},
+	"route by another path": {
+		old:         `path = "/book"`,
+		replacement: `path = "/booking"`,
+		failing:     "bookings never go to nitra",
+		says:        "POST http://x/book: no route matches",
+	},
+	"route of another class": {
+		old:         "[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"",
+		replacement: "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"",
+		failing:     "search prefers its own zone",
+		says:        "want class hladanie, got nove",
+	},
+	"route for all hosts lost": {
+		old:         "[[route]]\nmethods = [\"GET\"]",
+		replacement: "[[route]]\nhost = \"y\"\nmethods = [\"GET\"]",
+		failing:     "search prefers its own zone",
+		says:        "no route matches",
+	},
+	"server drained for good": {
+		old:         "address = \"127.0.0.1:3\"",
+		replacement: "address = \"127.0.0.1:3\"\ndrain = true",
+		failing:     "search prefers its own zone",
+		says:        "first attempt to go to zone presov",
+	},
+	"server of another kind": {
+		old:         "name = \"hladanie\"",
+		replacement: "name = \"hladanie\"\nkinds = [\"big\"]",
+		failing:     "search prefers its own zone",
+		says:        "it goes nowhere",
+	},
+	"pool that nobody is in": {
+		old:         "name = \"hladanie\"",
+		replacement: "name = \"hladanie\"\npool = \"rooms\"",
+		failing:     "search prefers its own zone",
+		says:        "it goes nowhere",
+	},
+	"bucket of the others": {
+		old:         "rate = 1000, burst = 1000",
+		replacement: "rate = 1, burst = 1",
+		failing:     "search prefers its own zone",
+		says:        "requests served",
+	},
+}
+
 // The right configuration meets all expectations; each broken one fails the expectation that is about it, with the
 // request and the line that decided.
-func TestBrokenConfigurations(t *testing.T) {
-	if all := failures(t, conf, expectations); len(all) > 0 {
+func TestRun_FindsBrokenConfigurations(t *testing.T) {
+	if all := allFailures(t, conf, expectations); len(all) > 0 {
 		t.Fatalf("%q", all)
 	}
-	for name, c := range map[string]struct{ old, new, fails, says string }{
-		"node in another zone":     {`zone = "presov"` + "\n[[class]]", `zone = "nitra"` + "\n[[class]]", "search prefers its own zone", "want the first attempt to go to zone presov; it goes to n1 in nitra"},
-		"class of another zone":    {"aim = \"600ms\"", "aim = \"600ms\"\nzones = [\"bystrica\"]", "search prefers its own zone", "first attempt to go to zone presov; it goes to b1 in bystrica"},
-		"class lost its zones":     {`zones = ["bystrica", "presov"]`, "", "bookings without their zones are refused", "want nothing sent to zone nitra"},
-		"class with a wrong zone":  {`zones = ["bystrica", "presov"]`, `zones = ["nitra"]`, "bookings never go to nitra", "want nothing sent to zone nitra"},
-		"bookings may be repeated": {"name = \"rezervacia\"\nrepeat = \"never\"", "name = \"rezervacia\"\nrepeat = \"guarded\"\nwindow = \"4s\"", "a failing booking is tried once", "IdempotencyKey: missing"},
-		"share":                    {"share = 0.25", "share = 0.5", "a quarter tries the new release", "want 0.25 of the first attempts in zone nitra"},
-		"share by tenant":          {`by = "id"`, `by = "tenant"`, "a quarter tries the new release", "want 0.25 of the first attempts"},
-		"release in another zone":  {`zones = ["nitra"]`, `zones = ["presov"]`, "a quarter tries the new release", "of the first attempts in zone nitra"},
-		"quota":                    {"quota = 5", "quota = 500", "a workspace beyond its quota", "requests refused; got 0.00"},
-		"trust":                    {`"10.0.0.0/8"`, `"0.0.0.0/0"`, "nobody claims to be a workspace", "want tenant anonymous, got mlyn, by identity layer 1 (header)"},
-		"no trust":                 {`"10.0.0.0/8"`, `"10.9.0.0/16"`, "a workspace beyond its quota", "want tenant mlyn, got anonymous, by no identity layer"},
-		"another header":           {`name = "X-Workspace"`, `name = "X-Space"`, "a workspace beyond its quota", "want tenant mlyn"},
-		"route order":              {"[[route]]\nprefix = \"/new\"\nshare = 0.25\nby = \"id\"\nclass = \"nove\"\n[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"", "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"", "search prefers its own zone", "want class hladanie, got nove, by the route of line 31"},
-		"route by another path":    {`path = "/book"`, `path = "/booking"`, "bookings never go to nitra", "POST http://x/book: no route takes it"},
-		"route of another class":   {"[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"", "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"", "search prefers its own zone", "want class hladanie, got nove"},
-		"route for all hosts lost": {"[[route]]\nmethods = [\"GET\"]", "[[route]]\nhost = \"y\"\nmethods = [\"GET\"]", "search prefers its own zone", "no route takes it"},
-		"server drained for good":  {"address = \"127.0.0.1:3\"", "address = \"127.0.0.1:3\"\ndrain = true", "search prefers its own zone", "first attempt to go to zone presov"},
-		"server of another kind":   {"name = \"hladanie\"", "name = \"hladanie\"\nkinds = [\"big\"]", "search prefers its own zone", "it goes nowhere"},
-		"pool that nobody is in":   {"name = \"hladanie\"", "name = \"hladanie\"\npool = \"rooms\"", "search prefers its own zone", "it goes nowhere"},
-		"bucket of the others":     {"rate = 1000, burst = 1000", "rate = 1, burst = 1", "search prefers its own zone", "requests served"},
-	} {
+	for name, test := range brokenConfigurations {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(conf, c.old, c.new, 1)
+			text := strings.Replace(conf, test.old, test.replacement, 1)
 			if text == conf {
 				t.Fatal("the change changes nothing")
 			}
-			all := failures(t, text, expectations)
+			all := allFailures(t, text, expectations)
 			for _, f := range all {
-				if strings.HasPrefix(f, c.fails) && strings.Contains(f, c.says) && strings.Contains(f, "http://x/") {
+				if strings.HasPrefix(f, test.failing) && strings.Contains(f, test.says) && strings.Contains(f, "http://x/") {
 					return
 				}
 			}
-			t.Errorf("no failure of %q that says %q: %q", c.fails, c.says, all)
+			t.Errorf("no failure of %q that says %q: %q", test.failing, test.says, all)
 		})
 	}
 }
 
-// A case that can't be played is an error, not a failure.
-func TestErrors(t *testing.T) {
-	c, f := load(t, conf, strings.Replace(expectations, `zones_gone = ["presov"]`, `zones_gone = ["kosice"]`, 1))
-	if _, err := f.Run(c); err == nil || !strings.Contains(err.Error(), `there is no zone "kosice"`) || !strings.Contains(err.Error(), "e.toml:12: expect[1]") {
-		t.Error(err)
+// A case that can't be evaluated is an error, not a failure.
+func TestRun_UnknownZoneIsAnError(t *testing.T) {
+	unknown := strings.Replace(expectations, `zones_gone = ["presov"]`, `zones_gone = ["kosice"]`, 1)
+	loaded, file := load(t, conf, unknown)
+	_, err := file.Run(loaded)
+	if err == nil {
+		t.Fatal("no error")
+	}
+	for _, want := range []string{`unknown zone "kosice"`, "e.toml:12: expect[1]"} {
+		if !strings.Contains(err.Error(), want) {
+			t.Errorf("no %q in %v", want, err)
+		}
 	}
 }
 
-// A thousand expectations over a thousand routes take no more than seconds.
-func TestAThousand(t *testing.T) {
+// A thousand expectations over a thousand routes are all met. The test logs how long that takes.
+func TestRun_ThousandExpectations(t *testing.T) {
 	var routes, cases strings.Builder
 	for i := range 1000 {
 		fmt.Fprintf(&routes, "[[route]]\npath = \"/p%d\"\nclass = \"hladanie\"\n", i)
-		fmt.Fprintf(&cases, "[[expect]]\nname = \"%d\"\nurl = \"http://x/p%d\"\ndraws = 10\n[expect.want]\nfirst_zone = \"presov\"\n", i, i)
+		fmt.Fprintf(&cases, "[[expect]]\nname = \"%d\"\nurl = \"http://x/p%d\"\ndraws = 10\n"+
+			"[expect.want]\nfirst_zone = \"presov\"\n", i, i)
 	}
 	began := time.Now()
-	if all := failures(t, strings.Replace(conf, "[[route]]", routes.String()+"[[route]]", 1), cases.String()); len(all) > 0 {
+	withRoutes := strings.Replace(conf, "[[route]]", routes.String()+"[[route]]", 1)
+	if all := allFailures(t, withRoutes, cases.String()); len(all) > 0 {
 		t.Errorf("%d failures, the first %s", len(all), all[0])
 	}
 	t.Logf("%v", time.Since(began))
