--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -233,7 +233,7 @@
 	}
 }
 
-// runXDS runs the command xds with arguments, and returns what it prints.
+// runXDS runs the command xds with arguments, and returns its output.
 func runXDS(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -50,14 +50,14 @@
 
 // run serves on the listener until ctx ends, and shuts down gracefully.
 func run(ctx context.Context, ln net.Listener, log *slog.Logger) (err error) {
-	rooms, err := startRoomServer()
+	bookingServer, err := startBookingServer()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = rooms.Close() }()
+	defer func() { _ = bookingServer.Close() }()
 
 	server := &http.Server{ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
-	engine, err := newRouter(rooms.Addr, server, log)
+	engine, err := newRouter(bookingServer.Addr, server, log)
 	if err != nil {
 		return err
 	}
@@ -81,8 +81,8 @@
 	return server.Close()
 }
 
-// startRoomServer runs the one app server, on the address that it returns as the server's.
-func startRoomServer() (*http.Server, error) {
+// startBookingServer runs the one app server, on the address that it returns as the server's.
+func startBookingServer() (*http.Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 }
 
 // newRouter returns a router to one server. Its Drain stops the application's listener, too.
-func newRouter(roomServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
+func newRouter(bookingServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
 	settings := policy.Settings{
 		Nodes: 1,
 		Classes: []policy.Class{
@@ -114,7 +114,7 @@
 		Capabilities: policy.Capabilities{Cancel: true, RetryAfter: true, MaxAttempts: 3},
 		Rules:        policy.Rules{DrainGrace: 500 * time.Millisecond},
 	}
-	endpoints := []router.Endpoint{{ID: "rooms", Addr: roomServer, Weight: 1}}
+	endpoints := []router.Endpoint{{ID: "rooms", Addr: bookingServer, Weight: 1}}
 	return router.New(router.Config{Settings: settings, Endpoints: endpoints},
 		router.WithTransport(http1.New(http1.Config{})), router.WithLogger(log), router.WithListener(listener))
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -18,13 +18,13 @@
 }
 
 // record counts a request by its status, or by the error in its place.
-func (r *classResult) record(status int, err error, took time.Duration, attempts int) {
+func (r *classResult) record(status int, err error, latency time.Duration, attempts int) {
 	switch {
 	case err != nil:
 		r.lost++
 	case status == http.StatusOK:
 		r.served++
-		r.latencies = append(r.latencies, took)
+		r.latencies = append(r.latencies, latency)
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		r.rejected++
 	default:
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -63,7 +63,7 @@
 	return part >= faultyFrom && part < faultyTo && rand.Float64() < faultyShare
 }
 
-// stop stops the server, and records what it has executed.
+// stop stops the server and records its executions.
 func (s *server) stop(d *demonstration) {
 	s.frontend.Close()
 	s.model.Stop()
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -100,11 +100,11 @@
 	defer cancel()
 	began := time.Now()
 	status, err := sent.do(ctx, client, d.addr)
-	took := time.Since(began)
+	latency := time.Since(began)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.inFlight--
-	d.classes[sent.class].record(status, err, took, d.attempts[sent.id])
+	d.classes[sent.class].record(status, err, latency, d.attempts[sent.id])
 }
 
 // do sends the request in the platform's protocol and reads the whole response.
--- a/tools/bench/load.go
+++ b/tools/bench/load.go
@@ -40,19 +40,19 @@
 		return sample{}, err
 	}
 	var (
-		wg       sync.WaitGroup
-		mu       sync.Mutex
-		took     []time.Duration
-		failed   int
-		firstErr error
+		wg        sync.WaitGroup
+		mu        sync.Mutex
+		latencies []time.Duration
+		failed    int
+		firstErr  error
 	)
 	began := time.Now()
 	for range conns {
 		wg.Go(func() {
-			clientTook, clientFailed, err := l.runClient(target.addr, began.Add(length))
+			clientLatencies, clientFailed, err := l.runClient(target.addr, began.Add(length))
 			mu.Lock()
 			defer mu.Unlock()
-			took, failed = append(took, clientTook...), failed+clientFailed
+			latencies, failed = append(latencies, clientLatencies...), failed+clientFailed
 			if firstErr == nil {
 				firstErr = err
 			}
@@ -66,16 +66,18 @@
 	if err != nil {
 		return sample{}, err
 	}
-	slices.Sort(took)
+	slices.Sort(latencies)
+	count := len(latencies)
 	return sample{
-		p50: took[len(took)/2], p99: took[len(took)*99/100], cpu: (cpuAfter - cpuBefore) / time.Duration(len(took)),
-		rate: float64(len(took)) / time.Since(began).Seconds(), failed: failed,
+		p50: latencies[count/2], p99: latencies[count*99/100],
+		cpu:  (cpuAfter - cpuBefore) / time.Duration(count),
+		rate: float64(count) / time.Since(began).Seconds(), failed: failed,
 	}, nil
 }
 
-// runClient sends requests over one connection until the given time, and returns how long each took and how many
+// runClient sends requests over one connection until the given time, and returns their latencies and how many
 // failed.
-func (l *loader) runClient(addr string, until time.Time) (took []time.Duration, failed int, err error) {
+func (l *loader) runClient(addr string, until time.Time) (latencies []time.Duration, failed int, err error) {
 	conn, err := dial(addr)
 	if err != nil {
 		return nil, 0, err
@@ -91,12 +93,12 @@
 		if !ok {
 			failed++
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(began))
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return nil, 0, errors.New("no request was answered")
 	}
-	return took, failed, nil
+	return latencies, failed, nil
 }
 
 // dial connects to a subject, with TLS if the command runs with -tls.
--- a/tools/internal/benchkit/benchkit.go
+++ b/tools/internal/benchkit/benchkit.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// EchoConn writes back what it reads until the connection ends, and closes it.
+// EchoConn echoes all data until the peer closes the connection, and then closes it.
 func EchoConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_, _ = io.Copy(struct{ io.Writer }{conn}, conn) // without ReadFrom, which would splice on TCP
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -1,6 +1,6 @@
 // Command levelsbench compares levels of reduced service with no levels, with the best fixed limit on open requests
-// and with the best share of searches that is shed all the time, on scripts of overload in virtual time. The best is
-// the one that keeps most value. CI does not run it.
+// and with the best share of searches that is shed all the time, on scripts of overload in virtual time. The best limit
+// or share has the highest value of served requests. CI does not run it.
 //
 //	go run ./tools/levelsbench [-seeds 2] [-scripts scenarios]
 package main
--- a/tools/rpcbench/callers.go
+++ b/tools/rpcbench/callers.go
@@ -81,9 +81,9 @@
 	inFlight int
 	body     []byte
 
-	mu     sync.Mutex
-	took   []time.Duration
-	failed int
+	mu        sync.Mutex
+	latencies []time.Duration
+	failed    int
 }
 
 // lastID makes the IDs of calls unique within the process.
@@ -95,28 +95,28 @@
 	var callers sync.WaitGroup
 	for range l.inFlight {
 		callers.Go(func() {
-			took, failed := l.callUntil(end)
+			latencies, failed := l.callUntil(end)
 			if !record {
 				return
 			}
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.took = append(l.took, took...)
+			l.latencies = append(l.latencies, latencies...)
 			l.failed += failed
 		})
 	}
 	callers.Wait()
 }
 
-func (l *load) callUntil(end time.Time) (took []time.Duration, failed int) {
+func (l *load) callUntil(end time.Time) (latencies []time.Duration, failed int) {
 	for time.Now().Before(end) {
 		began := time.Now()
 		if l.call(strconv.FormatUint(lastID.Add(1), 36), l.body) != nil {
 			failed++
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(began))
 	}
-	return took, failed
+	return latencies, failed
 }
 
 // sample is what one measurement of a node showed.
@@ -143,14 +143,14 @@
 	if err != nil {
 		return sample{}, err
 	}
-	slices.Sort(calls.took)
-	count := float64(len(calls.took))
+	slices.Sort(calls.latencies)
+	count := float64(len(calls.latencies))
 	return sample{
 		cpu:    float64((after.CPU - before.CPU).Microseconds()) / count,
 		allocs: float64(after.Allocs-before.Allocs) / count,
 		rate:   count / lasted.Seconds(),
-		p50:    calls.took[len(calls.took)/2],
-		p99:    calls.took[len(calls.took)*99/100],
+		p50:    calls.latencies[len(calls.latencies)/2],
+		p99:    calls.latencies[len(calls.latencies)*99/100],
 		failed: calls.failed,
 	}, nil
 }
--- a/tools/tlsbench/load.go
+++ b/tools/tlsbench/load.go
@@ -23,8 +23,8 @@
 // outcome is one request's: when it was sent, counted from the start of the load, how long it took, and whether it
 // was answered with status 200.
 type outcome struct {
-	sentAt, took time.Duration
-	ok           bool
+	sentAt, latency time.Duration
+	ok              bool
 }
 
 // startLoad has clients send requests until ctx ends, each over one connection and with a pause between two. Each
@@ -46,7 +46,7 @@
 			for k := 0; ctx.Err() == nil; k++ {
 				sent := time.Now()
 				status, err := request(conn, in, fmt.Sprintf("l%d-%d", i, k))
-				record(outcome{sentAt: sent.Sub(began), took: time.Since(sent), ok: status == http.StatusOK})
+				record(outcome{sentAt: sent.Sub(began), latency: time.Since(sent), ok: status == http.StatusOK})
 				if err != nil {
 					return
 				}
--- a/tools/tlsbench/node.go
+++ b/tools/tlsbench/node.go
@@ -33,8 +33,8 @@
 	stopServers []func()
 }
 
-// startNode runs the daemon in front of servers, each of which closes a connection every closeEvery requests;
-// 0: never. It returns once the node is ready.
+// startNode runs the daemon in front of servers. Each server closes a connection every closeEvery requests; 0: never.
+// startNode returns once the node is ready.
 func (b *bench) startNode(servers int, closeEvery int64) (_ *nodeProcess, err error) {
 	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, KeyKind: pki.P256})
 	if _, _, err := b.writeCertificates(pki.P256); err != nil {
--- a/tools/tlsbench/storm.go
+++ b/tools/tlsbench/storm.go
@@ -41,9 +41,9 @@
 		l.failed++
 	case o.sentAt < loadSettle:
 	case l.from == 0:
-		l.before = append(l.before, o.took)
+		l.before = append(l.before, o.latency)
 	case l.to == 0:
-		l.during = append(l.during, o.took)
+		l.during = append(l.during, o.latency)
 	}
 }
 
--- a/tools/xdsbench/flood.go
+++ b/tools/xdsbench/flood.go
@@ -100,29 +100,29 @@
 		if _, err := engine.Do(context.Background(), req); err != nil {
 			return err
 		}
-		result.took = append(result.took, time.Since(began))
+		result.latencies = append(result.latencies, time.Since(began))
 		time.Sleep(requestInterval)
 	}
 }
 
 type floodResult struct {
-	phase   string
-	took    []time.Duration // of the phase's requests
-	calmP99 time.Duration
-	ratios  []float64 // of p99 with updates to that without, one a round
+	phase     string
+	latencies []time.Duration // of the phase's requests
+	calmP99   time.Duration
+	ratios    []float64 // of p99 with updates to that without, one a round
 }
 
 func (r *floodResult) endPhase() {
-	p99 := benchkit.Quantile(r.took, 0.99)
+	p99 := benchkit.Quantile(r.latencies, 0.99)
 	switch r.phase {
 	case phaseCalm:
 		r.calmP99 = p99
 	case phaseFlood:
 		r.ratios = append(r.ratios, float64(p99)/float64(r.calmP99))
 		fmt.Printf("p99 %v without updates, %v with; median %v with, %d requests\n",
-			r.calmP99, p99, benchkit.Quantile(r.took, 0.5), len(r.took))
+			r.calmP99, p99, benchkit.Quantile(r.latencies, 0.5), len(r.latencies))
 	}
-	r.took = nil
+	r.latencies = nil
 }
 
 func (r *floodResult) print() error {
--- a/tools/xdsbench/updates.go
+++ b/tools/xdsbench/updates.go
@@ -19,7 +19,7 @@
 	endpoints  int // of all clusters together
 	perCluster int
 	delta      bool
-	rounds     int // updates, of which the first changes nothing and is not counted
+	rounds     int // updates; the first changes nothing and is not counted
 }
 
 // cost is what the counted updates took together, and each from its push until it was applied.
