--- a/internal/cli/rehearseoutput.go
+++ b/internal/cli/rehearseoutput.go
@@ -69,23 +69,10 @@
 		faults = append(faults, w.played.Faults[fault].Label())
 	}
 	site := w.played.Script
-	w.printf(
-		"%s,%.6f,%s,%s,%s,%v,%.3f,%d,%d,%s\n",
-		request.ID,
-		request.At.Seconds(),
-		site.Classes[request.Class].Name,
-		site.Tenants[request.Tenant].Name,
-		request.Zone,
-		outcome.Status,
-		float64(
-			outcome.Latency,
-		)/float64(
-			time.Millisecond,
-		),
-		outcome.ClientAttempts,
-		outcome.ServerAttempts,
-		strings.Join(faults, "; "),
-	)
+	latencyMS := float64(outcome.Latency) / float64(time.Millisecond)
+	w.printf("%s,%.6f,%s,%s,%s,%v,%.3f,%d,%d,%s\n", request.ID, request.At.Seconds(),
+		site.Classes[request.Class].Name, site.Tenants[request.Tenant].Name, request.Zone, outcome.Status,
+		latencyMS, outcome.ClientAttempts, outcome.ServerAttempts, strings.Join(faults, "; "))
 }
 
 // close completes the file, and returns the first error.
