--- a/emulator/realtime/live.go
+++ b/emulator/realtime/live.go
@@ -109,7 +109,7 @@
 	for i := range p.Servers {
 		places[p.Servers[i].ID] = &p.Servers[i]
 	}
-	rules := sim.Rulebook(p, func(id string) (string, int64) {
+	rules := sim.CheckerConfig(p, func(id string) (string, int64) {
 		if s := places[strings.TrimRight(id, "r")]; s != nil {
 			return s.Zone, s.Cell
 		}
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -10,218 +10,232 @@
 	"cobaltward/router"
 )
 
-// request is one of a client's, with all its tries.
+// duplicateDelay is the time after which a client sends the duplicate of a request.
+const duplicateDelay = time.Millisecond
+
+// request is a client's request with all its attempts.
 type request struct {
 	plan.Request
-	work     float64
-	ranWork  float64 // of the attempt that was answered last
-	tries    int
-	attempts int
-	faults   []int  // that it met
-	at       *node  // where its present try is
-	live     bool   // the try is out
-	lost     bool   // it went with its node: it may have run
-	id       string // of the present try
-	sent     time.Duration
-	wait     time.Duration
+	work           float64
+	servedWork     float64 // of the last attempt at a server that succeeded
+	clientAttempts int
+	serverAttempts int
+	faults         []int // indices of the faults that affected the request, ascending
+
+	// Of the current attempt of the client.
+	attemptID string
+	node      *node
+	open      bool // not finished
+	nodeLost  bool // the node crashed: the request may have run
+	sentAt    time.Duration
+	timeout   time.Duration
 }
 
-func (r *request) meet(fault int) {
-	for i, f := range r.faults {
-		if f == fault {
-			return
-		}
-		if f > fault {
-			r.faults = append(r.faults[:i], append([]int{fault}, r.faults[i:]...)...)
-			return
-		}
+// isOpen reports whether an attempt is the current one and not finished.
+func (r *request) isOpen(attemptID string) bool { return r.open && r.attemptID == attemptID }
+
+// addFault records that a fault affected the request.
+func (r *request) addFault(index int) {
+	if i, found := slices.BinarySearch(r.faults, index); !found {
+		r.faults = slices.Insert(r.faults, i, index)
 	}
-	r.faults = append(r.faults, fault)
 }
 
-// arrive has the next request come, at its time whatever became of those before.
-func (w *world) arrive(a *plan.Arrivals) {
-	next, ok := a.Next()
+// clientAttempt is one attempt of a client at a node.
+type clientAttempt struct {
+	*request
+	id    string
+	node  *node
+	delay time.Duration // one way
+}
+
+// scheduleArrival schedules the next request, which arrives independently of the outcome of earlier ones.
+func (sim *simulation) scheduleArrival(arrivals *plan.Arrivals) {
+	next, ok := arrivals.Next()
 	if !ok {
-		w.traffic = false
+		sim.arriving = false
 		return
 	}
-	w.flying++
-	w.q.put(next.At, func() {
-		r := &request{Request: next, work: w.p.Work(&next)}
-		w.meetTraffic(r)
-		w.book.RequestArrived(&r.Request)
-		_, leaves := w.p.ClientBehavior(&r.Request)
-		w.try(r, leaves)
-		w.arrive(a)
+	sim.openRequests++
+	sim.events.push(next.At, func() {
+		r := &request{Request: next, work: sim.plan.Work(&next)}
+		sim.addTrafficFaults(r)
+		sim.recorder.RequestArrived(&r.Request)
+		_, leavesAfter := sim.plan.ClientBehavior(&r.Request)
+		sim.startAttempt(r, leavesAfter)
+		sim.scheduleArrival(arrivals)
 	})
 }
 
-// meetTraffic notes the faults of traffic that a request is part of.
-func (w *world) meetTraffic(r *request) {
+// addTrafficFaults records the traffic faults that a request is part of.
+func (sim *simulation) addTrafficFaults(r *request) {
 	if r.CostFault >= 0 {
-		r.meet(r.CostFault)
+		r.addFault(r.CostFault)
 	}
-	for i := range w.p.Faults {
-		f := &w.p.Faults[i]
-		if r.At < f.At || r.At >= f.End() {
+	tenant := sim.plan.Script.Tenants[r.Tenant].Name
+	for i := range sim.plan.Faults {
+		fault := &sim.plan.Faults[i]
+		if !fault.ActiveAt(r.At) {
 			continue
 		}
-		if f.Kind == script.FaultSurge || f.Kind == script.FaultTenantBurst && f.Tenant == w.p.Script.Tenants[r.Tenant].Name ||
-			f.Kind == script.FaultHotNode && r.Node >= 0 && slices.Contains(f.Nodes, r.Node) {
-			r.meet(i)
+		if fault.Kind == script.FaultSurge || fault.Kind == script.FaultTenantBurst && fault.Tenant == tenant ||
+			fault.Kind == script.FaultHotNode && r.Node >= 0 && slices.Contains(fault.Nodes, r.Node) {
+			r.addFault(i)
 		}
 	}
 }
 
-// node is where the front sends a client; nil where it knows of none that lives.
-func (w *world) node(r *request) *node {
-	n := r.Node
-	if n < 0 || r.tries > 0 {
-		n = w.front.Next(r.Zone)
+// chooseNode returns the node for a client's attempt; nil if the balancer knows of none that is up.
+func (sim *simulation) chooseNode(r *request) *node {
+	index := r.Node
+	if index < 0 || r.clientAttempts > 0 {
+		index = sim.balancer.Next(r.Zone)
 	}
-	if n < 0 {
+	if index < 0 {
 		return nil
 	}
-	return w.nodes[n]
+	return sim.nodes[index]
 }
 
-// try sends a request once.
-func (w *world) try(r *request, leaves float64) {
-	r.sent = w.now
-	r.wait = w.p.AttemptTimeout(&r.Request, w.now-r.At)
-	r.id = r.AttemptID(r.tries)
-	r.at = w.node(r)
-	r.tries++
-	r.live, r.lost = true, false
-	w.book.ClientAttempt()
-	n, id := r.at, r.id
-	if w.requests == nil {
-		w.requests = make(map[string]*request)
-	}
-	w.requests[id] = r
-	way := w.delay(w.p.Script.Network.ClientDelay, "client", id)
-	if n == nil {
-		w.after(2*way, func() { w.tried(r, id, result.Unreachable, 0) })
+// startAttempt sends a request to a node. The client disconnects after the fraction leavesAfter of its timeout; 0: it
+// waits.
+func (sim *simulation) startAttempt(r *request, leavesAfter float64) {
+	r.sentAt = sim.now
+	r.timeout = sim.plan.AttemptTimeout(&r.Request, sim.now-r.At)
+	r.attemptID = r.AttemptID(r.clientAttempts)
+	r.node = sim.chooseNode(r)
+	r.clientAttempts++
+	r.open, r.nodeLost = true, false
+	sim.recorder.ClientAttempt()
+	current := &clientAttempt{request: r, id: r.attemptID, node: r.node}
+	sim.requestsByAttempt[current.id] = r
+	current.delay = sim.delay(sim.plan.Script.Network.ClientDelay, "client", current.id)
+	if current.node == nil {
+		sim.after(2*current.delay, func() { sim.finishAttempt(r, current.id, result.Unreachable, 0) })
 		return
 	}
-	times := 1
-	if w.p.Chance("duplicate", id) < w.p.Script.Clients.DuplicateIDFraction {
-		times = 2
+	copies := 1
+	if sim.plan.Chance("duplicate", current.id) < sim.plan.Script.Clients.DuplicateIDFraction {
+		copies = 2
 	}
-	for i := range times {
-		w.after(way+time.Duration(i)*time.Millisecond, func() { w.deliver(r, n, id, way, i) })
+	for i := range copies {
+		sim.after(current.delay+time.Duration(i)*duplicateDelay, func() { sim.deliver(current, i) })
 	}
-	w.after(r.wait, func() { w.leave(r, n, id, way, result.ClientLeft) })
-	if leaves > 0 {
-		w.after(time.Duration(leaves*float64(r.wait)), func() {
-			if r.live && r.id == id {
-				w.judge.ClientLeft(n.spec.Name, id, 0)
-				w.leave(r, n, id, way, result.ClientLeft)
+	sim.after(r.timeout, func() { sim.disconnect(current) })
+	if leavesAfter > 0 {
+		sim.after(time.Duration(leavesAfter*float64(r.timeout)), func() {
+			if r.isOpen(current.id) {
+				sim.checker.ClientLeft(current.node.spec.Name, current.id, 0)
+				sim.disconnect(current)
 			}
 		})
 	}
 }
 
-// deliver hands a try to its node; i counts those under one id.
-func (w *world) deliver(r *request, n *node, id string, way time.Duration, i int) {
+// deliver passes an attempt to its node. index numbers the requests with the same ID.
+func (sim *simulation) deliver(current *clientAttempt, index int) {
+	n := current.node
 	if n.engine == nil {
-		if i == 0 {
-			w.after(way, func() { w.tried(r, id, result.Unreachable, 0) })
+		if index == 0 {
+			sim.after(current.delay, func() { sim.finishAttempt(current.request, current.id, result.Unreachable, 0) })
 		}
 		return
 	}
-	s := w.p.Script
-	due := r.sent + r.wait
-	w.judge.RequestReceived(w.now, n.spec.Name, id, s.Classes[r.Class].Name, due)
-	if !r.live || r.id != id { // it left while the request was on its way
-		w.judge.ClientLeft(n.spec.Name, id, i)
+	source := sim.plan.Script
+	class, deadline := source.Classes[current.Class].Name, current.sentAt+current.timeout
+	sim.checker.RequestReceived(sim.now, n.spec.Name, current.id, class, deadline)
+	if !current.isOpen(current.id) { // the client left while the request was on its way
+		sim.checker.ClientLeft(n.spec.Name, current.id, index)
 	}
-	life := n.lives
+	incarnation := n.incarnation
 	n.step(func(now time.Duration) {
 		err := n.engine.Submit(now, router.Request{
-			ID: id, Class: s.Classes[r.Class].Name, Tenant: s.Tenants[r.Tenant].Name,
-			IdempotencyKey: r.Key, Timeout: due - w.now, IsRetry: r.tries > 1,
-		}, func(a router.Answer) {
-			w.after(way, func() {
-				if n.lives == life { // else the connection went with the node
-					w.answered(r, n, id, i, a)
+			ID: current.id, Class: class, Tenant: source.Tenants[current.Tenant].Name,
+			IdempotencyKey: current.Key, Timeout: deadline - sim.now, IsRetry: current.clientAttempts > 1,
+		}, func(answer router.Answer) {
+			sim.after(current.delay, func() {
+				if n.incarnation == incarnation { // else the connection was lost with the node
+					sim.receiveAnswer(current, index, answer)
 				}
 			})
 		})
 		if err != nil {
-			w.engines = err
+			sim.err = err
 		}
 	})
 }
 
-func (w *world) answered(r *request, n *node, id string, i int, a router.Answer) {
-	refused := a.Outcome == router.Rejected || a.Outcome == router.Overloaded
-	w.judge.ResponseReceived(w.now, n.spec.Name, id, i, refused)
-	if i > 0 {
+// receiveAnswer passes an answer to its client. The client ignores the answer to a duplicate.
+func (sim *simulation) receiveAnswer(current *clientAttempt, index int, answer router.Answer) {
+	rejected := answer.Outcome == router.Rejected || answer.Outcome == router.Overloaded
+	sim.checker.ResponseReceived(sim.now, current.node.spec.Name, current.id, index, rejected)
+	if index > 0 {
 		return
 	}
-	end := result.Failed
+	status := result.Failed
 	switch {
-	case refused:
-		end = result.Rejected
-	case a.Outcome == router.Served:
-		end = result.Served
+	case rejected:
+		status = result.Rejected
+	case answer.Outcome == router.Served:
+		status = result.Served
 	}
-	w.tried(r, id, end, a.RetryAfter)
+	sim.finishAttempt(current.request, current.id, status, answer.RetryAfter)
 }
 
-// leave has a client close its connection.
-func (w *world) leave(r *request, n *node, id string, way time.Duration, end result.Status) {
-	if !r.live || r.id != id {
+// disconnect closes the connection of a client whose attempt is open.
+func (sim *simulation) disconnect(a *clientAttempt) {
+	if !a.isOpen(a.id) {
 		return
 	}
-	life := n.lives
-	w.after(way, func() {
-		if n.lives == life {
-			n.step(func(now time.Duration) { n.engine.ClientGone(now, id) })
+	n, incarnation := a.node, a.node.incarnation
+	sim.after(a.delay, func() {
+		if n.incarnation == incarnation {
+			n.step(func(now time.Duration) { n.engine.ClientGone(now, a.id) })
 		}
 	})
-	w.tried(r, id, end, 0)
+	sim.finishAttempt(a.request, a.id, result.ClientLeft, 0)
 }
 
-// lose has the clients of a node that died learn of it.
-func (w *world) lose(n *node, f *plan.Fault) {
-	for _, id := range sortedKeys(w.requests) {
-		r := w.requests[id]
-		if r.live && r.at == n && r.id == id {
-			r.meet(f.Index)
-			r.lost = true
-			w.after(w.p.Script.Network.ClientDelay, func() { w.tried(r, id, result.Unreachable, 0) })
+// loseNode makes the clients of a crashed node notice the end of their connections.
+func (sim *simulation) loseNode(n *node, fault *plan.Fault) {
+	for _, id := range sortedKeys(sim.requestsByAttempt) {
+		r := sim.requestsByAttempt[id]
+		if r.isOpen(id) && r.node == n {
+			r.addFault(fault.Index)
+			r.nodeLost = true
+			sim.after(sim.plan.Script.Network.ClientDelay, func() { sim.finishAttempt(r, id, result.Unreachable, 0) })
 		}
 	}
 }
 
-// tried is the end of a try: the client's end, or its next try.
-func (w *world) tried(r *request, id string, end result.Status, retryAfter time.Duration) {
-	if !r.live || r.id != id {
+// finishAttempt ends a client's attempt, with a retry or with the outcome of the request.
+func (sim *simulation) finishAttempt(r *request, id string, status result.Status, retryAfter time.Duration) {
+	if !r.isOpen(id) {
 		return
 	}
-	r.live = false
-	// The engine may still send for it, so it is known by its id for a while.
-	w.after(longest(w.p), func() {
-		if w.requests[id] == r {
-			delete(w.requests, id)
+	r.open = false
+	// The engine may still send attempts for the request, so it is found by its ID for a while.
+	sim.after(maxRequestTime(sim.plan), func() {
+		if sim.requestsByAttempt[id] == r {
+			delete(sim.requestsByAttempt, id)
 		}
 	})
-	if end == result.Rejected || end == result.Unreachable || end == result.Failed {
-		wait, again := w.p.Retry(&r.Request, r.tries, plan.Outcome{
-			Rejected: end == result.Rejected, MayHaveRun: end == result.Failed || r.lost,
-			RetryAfter: retryAfter, Elapsed: w.now - r.At,
+	if status == result.Rejected || status == result.Unreachable || status == result.Failed {
+		delay, retry := sim.plan.Retry(&r.Request, r.clientAttempts, plan.Outcome{
+			Rejected: status == result.Rejected, MayHaveRun: status == result.Failed || r.nodeLost,
+			RetryAfter: retryAfter, Elapsed: sim.now - r.At,
 		})
-		if again {
-			w.after(wait, func() { w.try(r, 0) })
+		if retry {
+			sim.after(delay, func() { sim.startAttempt(r, 0) })
 			return
 		}
 	}
-	if end == result.Served {
-		w.book.WorkUseful(r.ranWork)
+	if status == result.Served {
+		sim.recorder.WorkUseful(r.servedWork)
 	}
-	w.flying--
-	w.book.RequestDone(&r.Request, result.Outcome{Status: end, Latency: w.now - r.At, ClientAttempts: r.tries, ServerAttempts: r.attempts, Faults: r.faults})
+	sim.openRequests--
+	sim.recorder.RequestDone(&r.Request, result.Outcome{
+		Status: status, Latency: sim.now - r.At,
+		ClientAttempts: r.clientAttempts, ServerAttempts: r.serverAttempts, Faults: r.faults,
+	})
 }
--- a/emulator/sim/levels_test.go
+++ b/emulator/sim/levels_test.go
@@ -9,40 +9,44 @@
 	"cobaltward/levels"
 )
 
-// ladder sheds what workspaces send beyond their shares, then searches.
-func ladder() *levels.Config {
-	over := func(bound float64) []levels.Condition {
-		return []levels.Condition{{Signal: levels.Demand, Threshold: bound, For: 2 * time.Second}}
+// bookingLevels shed searches beyond the tenants' quotas, then nearly all searches and some cancellations.
+func bookingLevels() *levels.Config {
+	above := func(threshold float64) []levels.Condition {
+		return []levels.Condition{{Signal: levels.Demand, Threshold: threshold, For: 2 * time.Second}}
 	}
 	calm := []levels.Condition{{Signal: levels.Demand, Threshold: 0.95, For: 10 * time.Second}}
-	return &levels.Config{Classes: []levels.Class{{Name: "hladanie"}, {Name: "rezervacia", ShedLast: true}, {Name: "zrusenie"}}, Levels: []levels.Level{
-		{Name: "fewer searches", Enter: over(1.1), Exit: calm, Measures: []levels.Measure{{Class: "hladanie", Shed: 0.5, NoHedging: true}}},
-		{Name: "bookings first", Enter: over(1.3), Exit: calm, Measures: []levels.Measure{{Class: "hladanie", Shed: 0.9}, {Class: "zrusenie", Shed: 0.4}}},
-	}}
+	return &levels.Config{
+		Classes: []levels.Class{{Name: "hladanie"}, {Name: "rezervacia", ShedLast: true}, {Name: "zrusenie"}},
+		Levels: []levels.Level{
+			{
+				Name: "fewer searches", Enter: above(1.1), Exit: calm,
+				Measures: []levels.Measure{{Class: "hladanie", Shed: 0.5, NoHedging: true}},
+			},
+			{
+				Name: "bookings first", Enter: above(1.3), Exit: calm,
+				Measures: []levels.Measure{{Class: "hladanie", Shed: 0.9}, {Class: "zrusenie", Shed: 0.4}},
+			},
+		},
+	}
 }
 
-// On a Monday on which shares were promised that the servers can't carry, so that no bucket holds the work back,
-// bookings are served better under levels than without, and every rule is kept.
-func TestLevelsOnAMonday(t *testing.T) {
+// With quotas beyond what the servers can carry, so that no quota limits the load, levels serve bookings better than no
+// levels do, and every rule is kept.
+func TestLevels_ServeBookingsBetterUnderOverload(t *testing.T) {
 	monday := func() *plan.Plan {
-		s, err := script.Load("../../scenarios/monday.toml")
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.Traffic.Quota, s.Duration = 3000, 50*time.Second
-		p, err := plan.New(s, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return p
+		scenario := loadScript(t, "../../scenarios/monday.toml")
+		scenario.Traffic.Quota, scenario.Duration = 3000, 50*time.Second
+		return newPlan(t, scenario)
 	}
-	with := play(t, monday(), Options{Levels: ladder()})
-	without := play(t, monday(), Options{})
+	with := run(t, monday(), Options{Levels: bookingLevels()})
+	without := run(t, monday(), Options{})
 	if !with.Verdict.Passed() {
 		t.Errorf("%v", with.Verdict.Violations)
 	}
-	for name, s := range with.Classes {
-		t.Logf("%s: worth kept %.3f (%.3f without levels), in aim %d (%d)", name, s.ValueShare(), without.Classes[name].ValueShare(), s.OnTime, without.Classes[name].OnTime)
+	for name, service := range with.Classes {
+		before := without.Classes[name]
+		t.Logf("%s: worth kept %.3f (%.3f without levels), in aim %d (%d)",
+			name, service.ValueShare(), before.ValueShare(), service.OnTime, before.OnTime)
 	}
 	t.Logf("all: %.3f (%.3f)", with.All.ValueShare(), without.All.ValueShare())
 	if a, b := with.Classes["rezervacia"].ValueShare(), without.Classes["rezervacia"].ValueShare(); a < b+0.02 {
@@ -50,26 +54,19 @@
 	}
 }
 
-// A fault that is no overload enters no level: what healthy servers can carry is not shed.
-func TestNoLevelWithoutOverload(t *testing.T) {
-	for _, name := range []string{"fast-errors", "hot-node"} {
-		s, err := script.Load("../../scenarios/" + name + ".toml")
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.Duration = 20 * time.Second
-		p, err := plan.New(s, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := play(t, p, Options{Levels: ladder()})
+// Faults without overload enter no level: what healthy servers can carry is not shed.
+func TestLevels_NoneWithoutOverload(t *testing.T) {
+	for _, name := range []string{script.FaultFastErrors, script.FaultHotNode} {
+		scenario := loadScript(t, "../../scenarios/"+name+".toml")
+		scenario.Duration = 20 * time.Second
+		r := run(t, newPlan(t, scenario), Options{Levels: bookingLevels()})
 		for at, l := range r.Levels {
 			if l.Level != 0 {
 				t.Fatalf("%s: level %d after %d s, demand %.2f", name, l.Level, at, l.Demand)
 			}
 		}
 		if len(r.Levels) < 15 {
-			t.Errorf("%s: %d seconds were looked at", name, len(r.Levels))
+			t.Errorf("%s: only %d seconds have a level", name, len(r.Levels))
 		}
 	}
 }
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -8,93 +8,144 @@
 	"cobaltward/policy"
 )
 
-// Mutant is an engine with one guard taken away, and the rule that it is to be convicted of.
+// Mutant is a configuration of the nodes without one safeguard. The checker has to report violations of its rule.
 type Mutant struct {
-	Name     string
-	Scenario string // of scenarios/, which gives it the occasion
-	Rule     checker.Rule
-	options  func() Options
+	Name       string
+	Scenario   string // in scenarios/, in which the safeguard is needed
+	Rule       checker.Rule
+	newOptions func() Options
 }
 
-// Options are those of a run of the mutant.
-func (m Mutant) Options() Options { return m.options() }
+// Options returns the options of a run of the mutant.
+func (m Mutant) Options() Options { return m.newOptions() }
 
-// Mutants are all of them. They show that the verdict can fail.
+// Mutants returns all mutants, by rule. They show that the checker detects violations.
 func Mutants() []Mutant {
-	without := func(w safeguards.Overrides) func() Options {
-		return func() Options { return Options{Without: func() safeguards.Overrides { return w }} }
-	}
-	engine := func(s safeguards.Guards) func() Options { return without(safeguards.Overrides{Disabled: s}) }
-	hears := func(event func(policy.Event) policy.Event) func(safeguards.Policy) safeguards.Policy {
-		return func(m safeguards.Policy) safeguards.Policy { return &tamper{Policy: m, event: event} }
-	}
-	changed := func(change func(*policy.Class)) func(policy.Settings) policy.Settings {
-		return func(s policy.Settings) policy.Settings {
-			s.Classes = slices.Clone(s.Classes)
-			for i := range s.Classes {
-				change(&s.Classes[i])
-			}
-			return s
-		}
+	return slices.Concat(answerMutants(), effectMutants(), drainMutants(), slowStartMutants())
+}
+
+func answerMutants() []Mutant {
+	const rule = checker.RuleOneAnswer
+	return []Mutant{
+		{"answers twice", "sick", rule, overriding(safeguards.Overrides{
+			Disabled: safeguards.SingleAnswer, WrapPolicy: changeEvents(hideAnswer),
+		})},
+		{"answers late", "sick", rule, disabling(safeguards.AnswerDeadline)},
+		{"leaves requests without an answer", "sick", rule, overriding(safeguards.Overrides{
+			Disabled:   safeguards.BackstopAnswer,
+			WrapPolicy: func(p safeguards.Policy) safeguards.Policy { return &tamperedPolicy{Policy: p, keep: isNoFailure} },
+		})},
+		{"sends after the answer", "sick", rule, overriding(safeguards.Overrides{
+			Disabled: safeguards.NoAttemptAfterAnswer, WrapPolicy: changeEvents(hideAnswer),
+		})},
 	}
-	classes := func(change func(*policy.Class)) func() Options {
-		return without(safeguards.Overrides{Settings: changed(change)})
+}
+
+func effectMutants() []Mutant {
+	const rule = checker.RuleAtMostOnce
+	return []Mutant{
+		{"takes an id twice", "bad-clients", rule, disabling(safeguards.UniqueID)},
+		{"refuses what may have run", "sick", rule, disabling(safeguards.NoRejectionAfterRun)},
+		{"repeats an unsafe request", "sick", rule, overriding(safeguards.Overrides{
+			Settings: changeClasses(func(class *policy.Class) {
+				if class.Idempotency == policy.NonIdempotent {
+					class.Idempotency = policy.Idempotent
+				}
+			}),
+		})},
+		{"takes a reset for proof", "sick", rule, func() Options { return Options{TrustResets: true} }},
+		{"forgets the group of a key", "keys", rule, overriding(safeguards.Overrides{
+			Settings: changeClasses(func(class *policy.Class) { class.DedupScope = policy.DedupAll }),
+		})},
+		{"forgets the window of a key", "keys", rule, overriding(safeguards.Overrides{
+			Disabled: safeguards.DedupWindow,
+			Settings: changeClasses(func(class *policy.Class) { class.DedupWindow *= 100 }),
+		})},
+		{"writes a repeat when its key is forgotten", "keys", rule, disabling(safeguards.DedupWindow)},
 	}
-	careless := func(event func(policy.Event) policy.Event) func() Options {
-		return func() Options {
-			return Options{Careless: true, Without: func() safeguards.Overrides { return safeguards.Overrides{WrapPolicy: hears(event)} }}
-		}
+}
+
+func drainMutants() []Mutant {
+	const rule = checker.RuleDrainGrace
+	return []Mutant{
+		{"does not hear of drains", "rolling", rule, ignoringDrains(hideDrains)},
+		{"does not hear of servers that are gone", "wrong-list", rule, ignoringDrains(hideRemovals)},
 	}
+}
+
+func slowStartMutants() []Mutant {
+	const rule = checker.RuleSlowStart
 	return []Mutant{
-		{"answers twice", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{Disabled: safeguards.SingleAnswer, WrapPolicy: hears(unended)})},
-		{"answers late", "sick", checker.RuleOneAnswer, engine(safeguards.AnswerDeadline)},
-		{"leaves requests without an answer", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{
-			Disabled: safeguards.BackstopAnswer,
-			WrapPolicy: func(m safeguards.Policy) safeguards.Policy {
-				return &tamper{Policy: m, action: func(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }}
-			},
+		{"takes cold servers for warm", "fresh", rule, overriding(safeguards.Overrides{
+			WrapPolicy: changeEvents(hideWarmUp),
 		})},
-		{"sends after the answer", "sick", checker.RuleOneAnswer, without(safeguards.Overrides{Disabled: safeguards.NoAttemptAfterAnswer, WrapPolicy: hears(unended)})},
-		{"takes an id twice", "bad-clients", checker.RuleAtMostOnce, engine(safeguards.UniqueID)},
-		{"refuses what may have run", "sick", checker.RuleAtMostOnce, engine(safeguards.NoRejectionAfterRun)},
-		{"repeats an unsafe request", "sick", checker.RuleAtMostOnce, classes(func(c *policy.Class) {
-			if c.Idempotency == policy.NonIdempotent {
-				c.Idempotency = policy.Idempotent
-			}
+		{"has no budget for cold servers", "fresh", rule, overriding(safeguards.Overrides{
+			Settings: func(s policy.Settings) policy.Settings {
+				s.Rules.SlowStartShare, s.Rules.OverloadFactor = 1, 1e6
+				return s
+			},
 		})},
-		{"takes a reset for proof", "sick", checker.RuleAtMostOnce, func() Options { return Options{Lying: true} }},
-		{"forgets the group of a key", "keys", checker.RuleAtMostOnce, classes(func(c *policy.Class) { c.DedupScope = policy.DedupAll })},
-		{"forgets the window of a key", "keys", checker.RuleAtMostOnce, without(safeguards.Overrides{Disabled: safeguards.DedupWindow, Settings: changed(func(c *policy.Class) { c.DedupWindow *= 100 })})},
-		{"writes a repeat when its key is forgotten", "keys", checker.RuleAtMostOnce, engine(safeguards.DedupWindow)},
-		{"does not hear of drains", "rolling", checker.RuleDrainGrace, careless(undrained)},
-		{"does not hear of servers that are gone", "wrong-list", checker.RuleDrainGrace, careless(unremoved)},
-		{"takes cold servers for warm", "fresh", checker.RuleSlowStart, without(safeguards.Overrides{WrapPolicy: hears(warm)})},
-		{"has no budget for cold servers", "fresh", checker.RuleSlowStart, without(safeguards.Overrides{Settings: func(s policy.Settings) policy.Settings {
-			s.Rules.SlowStartShare, s.Rules.OverloadFactor = 1, 1e6
-			return s
-		}})},
 	}
 }
 
-// tamper is a module that hears or says something else than the true one would.
-type tamper struct {
+// overriding returns options with overrides of the engines.
+func overriding(overrides safeguards.Overrides) func() Options {
+	return func() Options { return Options{Overrides: func() safeguards.Overrides { return overrides }} }
+}
+
+// disabling returns options without some guards.
+func disabling(guards safeguards.Guards) func() Options {
+	return overriding(safeguards.Overrides{Disabled: guards})
+}
+
+// ignoringDrains returns options in which neither the policy nor the transports notice that servers drain.
+func ignoringDrains(change func(policy.Event) policy.Event) func() Options {
+	overrides := safeguards.Overrides{WrapPolicy: changeEvents(change)}
+	return func() Options {
+		return Options{IgnoreDrains: true, Overrides: func() safeguards.Overrides { return overrides }}
+	}
+}
+
+// changeEvents wraps a policy so that it receives changed events.
+func changeEvents(change func(policy.Event) policy.Event) func(safeguards.Policy) safeguards.Policy {
+	return func(p safeguards.Policy) safeguards.Policy { return &tamperedPolicy{Policy: p, change: change} }
+}
+
+// changeClasses changes each class of the settings.
+func changeClasses(change func(*policy.Class)) func(policy.Settings) policy.Settings {
+	return func(s policy.Settings) policy.Settings {
+		s.Classes = slices.Clone(s.Classes)
+		for i := range s.Classes {
+			change(&s.Classes[i])
+		}
+		return s
+	}
+}
+
+// isNoFailure reports whether an action is not a final answer of a failed or rejected request.
+func isNoFailure(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }
+
+// tamperedPolicy is a policy that receives changed events, or some of whose actions are dropped.
+type tamperedPolicy struct {
 	safeguards.Policy
-	event  func(policy.Event) policy.Event
-	action func(policy.Action) bool // reports whether it is to be done
+	change func(policy.Event) policy.Event // nil: events are passed on
+	keep   func(policy.Action) bool        // nil: all actions are kept
 }
 
-func (t *tamper) Handle(now policy.Time, ev policy.Event) []policy.Action {
-	if t.event != nil {
-		ev = t.event(ev)
+// Handle passes an event to the policy and returns its actions.
+func (t *tamperedPolicy) Handle(now policy.Time, event policy.Event) []policy.Action {
+	if t.change != nil {
+		event = t.change(event)
 	}
-	all := t.Policy.Handle(now, ev)
-	if t.action != nil {
-		all = slices.DeleteFunc(slices.Clone(all), func(a policy.Action) bool { return !t.action(a) })
+	actions := t.Policy.Handle(now, event)
+	if t.keep != nil {
+		actions = slices.DeleteFunc(slices.Clone(actions), func(a policy.Action) bool { return !t.keep(a) })
 	}
-	return all
+	return actions
 }
 
-func members(ev policy.Event, change func(*policy.Endpoint)) policy.Event {
+// changeEndpoints returns an event whose endpoints are changed; other events are returned as they are.
+func changeEndpoints(ev policy.Event, change func(*policy.Endpoint)) policy.Event {
 	list, ok := ev.(policy.EndpointList)
 	if !ok {
 		return ev
@@ -106,24 +157,24 @@
 	return list
 }
 
-func undrained(ev policy.Event) policy.Event {
-	return members(ev, func(m *policy.Endpoint) {
+func hideDrains(ev policy.Event) policy.Event {
+	return changeEndpoints(ev, func(m *policy.Endpoint) {
 		if m.Availability == policy.Draining {
 			m.Availability = policy.Running
 		}
 	})
 }
 
-func unremoved(ev policy.Event) policy.Event {
-	return members(ev, func(m *policy.Endpoint) { m.Availability = policy.Running })
+func hideRemovals(ev policy.Event) policy.Event {
+	return changeEndpoints(ev, func(m *policy.Endpoint) { m.Availability = policy.Running })
 }
 
-func warm(ev policy.Event) policy.Event {
-	return members(ev, func(m *policy.Endpoint) { m.OnlineSince, m.SlowStartAt = 0, 0 })
+func hideWarmUp(ev policy.Event) policy.Event {
+	return changeEndpoints(ev, func(m *policy.Endpoint) { m.OnlineSince, m.SlowStartAt = 0, 0 })
 }
 
-// unended hides that a request has its answer, so that a failed attempt of it is tried again.
-func unended(ev policy.Event) policy.Event {
+// hideAnswer hides that a request was answered, so that failed attempts of it are retried.
+func hideAnswer(ev policy.Event) policy.Event {
 	if o, ok := ev.(policy.Outcome); ok {
 		o.Answered = false
 		if o.Code == policy.OK {
--- /dev/null
+++ b/emulator/sim/process.go
@@ -0,0 +1,166 @@
+package sim
+
+import (
+	"time"
+
+	"cobaltward/emulator/model"
+	"cobaltward/emulator/script"
+	"cobaltward/policy"
+)
+
+// process is one run of a server.
+type process struct {
+	server   *server
+	model    *model.Server
+	nextWake time.Duration // time of the next scheduled advance; 0: none
+	attempts map[string]*attempt
+	ended    bool
+}
+
+// resetAttempts ends the process for the attempts that it has.
+func (p *process) resetAttempts() {
+	p.ended = true
+	p.advance()
+	for _, id := range sortedKeys(p.attempts) {
+		a := p.attempts[id]
+		a.addProcessFaults()
+		a.breakConn(a.delay)
+	}
+	p.attempts = nil
+}
+
+// advance moves the model to the current time, passes completions on, and schedules the next advance.
+func (p *process) advance() {
+	for _, completion := range p.model.Advance(p.server.sim.now) {
+		a := p.attempts[completion.ID]
+		if a == nil {
+			continue
+		}
+		delete(p.attempts, completion.ID)
+		if completion.Lost {
+			a.breakConn(a.delay)
+		} else {
+			a.complete()
+		}
+	}
+	if p.ended {
+		return
+	}
+	if p.model.Down() {
+		p.overloaded()
+		return
+	}
+	p.scheduleNext()
+}
+
+// overloaded ends a process that crashed by itself.
+func (p *process) overloaded() {
+	var requests []string
+	for _, id := range p.model.OverloadingRequests() {
+		requests = append(requests, requestID(id))
+	}
+	p.server.sim.checker.ServerOverloaded(p.server.sim.now, p.server.id, requests)
+	p.server.process = nil
+	p.server.announce(policy.Removed)
+	p.resetAttempts()
+}
+
+func (p *process) scheduleNext() {
+	sim := p.server.sim
+	at, ok := p.model.Next()
+	if !ok || p.nextWake > sim.now && at >= p.nextWake {
+		return
+	}
+	at = max(at, sim.now+1)
+	p.nextWake = at
+	sim.events.push(at, func() {
+		if p.nextWake == at && !p.ended {
+			p.advance()
+		}
+	})
+}
+
+// receive handles a complete request.
+func (p *process) receive(incoming *attempt) {
+	if p.ended {
+		incoming.breakConn(incoming.delay)
+		return
+	}
+	for _, fault := range p.server.faults {
+		if fault.Kind == script.FaultHung {
+			incoming.addFault(fault)
+			return
+		}
+	}
+	work := p.workOf(incoming)
+	p.advance() // requests that have ended free their slots
+	if p.ended {
+		incoming.breakConn(incoming.delay)
+		return
+	}
+	p.offer(incoming, work)
+	p.advance()
+}
+
+// workOf returns the work of an attempt under the active faults, and decides whether it fails.
+func (p *process) workOf(incoming *attempt) float64 {
+	s, work := p.server, incoming.work
+	for _, fault := range s.faults {
+		if fault.Kind == script.FaultSlow {
+			incoming.addFault(fault)
+			work *= fault.Factor
+		}
+	}
+	incoming.fails = s.hasFault(script.FaultFastErrors, incoming)
+	if !incoming.fails && s.spec.ErrorRate > 0 {
+		incoming.fails = s.sim.plan.Chance("errors"+s.id, incoming.id) < s.spec.ErrorRate
+	}
+	if incoming.fails {
+		return 0
+	}
+	return work
+}
+
+// offer passes an attempt to the model.
+func (p *process) offer(incoming *attempt, work float64) {
+	key := ""
+	if incoming.key != "" {
+		key = incoming.class + keySeparator + incoming.key
+	}
+	p.attempts[incoming.id] = incoming
+	request := model.Request{ID: incoming.id, Key: key, Work: work, Deadline: incoming.deadline}
+	switch p.model.Offer(p.server.sim.now, request) {
+	case model.Accepted:
+		p.server.sim.recorder.WorkStarted(work)
+		if p.server.hasFault(script.FaultReset, incoming) {
+			delete(p.attempts, incoming.id)
+			incoming.breakConn(incoming.delay)
+		}
+		incoming.truncated = p.server.hasFault(script.FaultHalfAnswer, incoming)
+		incoming.malformed = p.server.hasFault(script.FaultGarbled, incoming)
+	case model.Rejected:
+		delete(p.attempts, incoming.id)
+		incoming.reject()
+	case model.Down:
+		delete(p.attempts, incoming.id)
+		incoming.breakConn(incoming.delay)
+	}
+}
+
+// cancel ends the connection of an attempt, which cancels it.
+func (p *process) cancel(a *attempt) {
+	if p.ended {
+		return
+	}
+	if p.attempts[a.id] == a {
+		delete(p.attempts, a.id)
+		p.model.Cancel(p.server.sim.now, a.id)
+	}
+	p.disconnect()
+}
+
+// disconnect closes a connection.
+func (p *process) disconnect() {
+	p.model.Disconnect(p.server.sim.now)
+	p.advance()
+}
--- a/emulator/sim/queue.go
+++ b/emulator/sim/queue.go
@@ -2,9 +2,11 @@
 
 import "time"
 
-// queue holds what is to happen, earliest first; what is to happen at one moment, in the order in which it
-// was put in.
-type queue struct {
+// heapArity is the number of children of a node in the heap of events.
+const heapArity = 4
+
+// eventQueue is a priority queue of events by time. Events of the same time keep the order in which they were added.
+type eventQueue struct {
 	heap []event
 	seq  uint64
 }
@@ -17,39 +19,42 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// put adds an event.
-func (q *queue) put(at time.Duration, do func()) {
+func (q *eventQueue) empty() bool { return len(q.heap) == 0 }
+
+// push adds an event.
+func (q *eventQueue) push(at time.Duration, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{at, q.seq, do})
-	h := q.heap
-	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 4
-		if !h[i].before(&h[up]) {
+	heap := q.heap
+	for i := len(heap) - 1; i > 0; {
+		parent := (i - 1) / heapArity
+		if !heap[i].before(&heap[parent]) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		heap[i], heap[parent] = heap[parent], heap[i]
+		i = parent
 	}
 }
 
-// take removes the earliest event.
-func (q *queue) take() event {
-	h := q.heap
-	first, last := h[0], len(h)-1
-	h[0], h[last] = h[last], event{}
-	h = h[:last]
-	q.heap = h
+// pop removes the earliest event. The queue must not be empty.
+func (q *eventQueue) pop() event {
+	heap := q.heap
+	first, last := heap[0], len(heap)-1
+	heap[0], heap[last] = heap[last], event{}
+	heap = heap[:last]
+	q.heap = heap
 	for i := 0; ; {
 		least := i
-		for c := 4*i + 1; c <= 4*i+4 && c < len(h); c++ {
-			if h[c].before(&h[least]) {
-				least = c
+		firstChild := heapArity*i + 1
+		for child := firstChild; child < min(firstChild+heapArity, len(heap)); child++ {
+			if heap[child].before(&heap[least]) {
+				least = child
 			}
 		}
 		if least == i {
 			return first
 		}
-		h[i], h[least] = h[least], h[i]
+		heap[i], heap[least] = heap[least], heap[i]
 		i = least
 	}
 }
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -7,271 +7,132 @@
 
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
-	"cobaltward/emulator/script"
 	"cobaltward/policy"
+	"cobaltward/router"
 )
 
-// server is one machine: its processes come and go.
-type server struct {
-	w       *world
-	spec    *plan.Server
-	id      string
-	addr    string
-	started time.Duration // of its process; 0: long ago
-	up      *process      // nil while there is none
-	faults  []*plan.Fault // in force
-	silent  []*plan.Fault
-	state   policy.Availability // as the truth has it
-	quiet   int                 // silences that the list has come to know
-}
-
-// process is one run of a server.
-type process struct {
-	s     *server
-	m     *model.Server
-	wake  time.Duration // when its next event is due; 0: none is
-	tries map[string]*try
-	dead  bool
-}
+// replacementSuffix is appended to the ID of a server that replaces another one.
+const replacementSuffix = "r"
 
-func (w *world) addServer(spec *plan.Server, id string, index int, warm bool) *server {
-	s := &server{w: w, spec: spec, id: id, addr: fmt.Sprintf("127.1.%d.%d:9000", index>>8, index&255)}
+// server is one machine, whose processes start and end.
+type server struct {
+	sim           *simulation
+	spec          *plan.Server
+	id            string
+	addr          string
+	startedAt     time.Duration // of its process; 0: before the simulation, so that it is warm
+	process       *process      // nil while none runs
+	faults        []*plan.Fault // active faults of requests
+	silences      []*plan.Fault // active faults that cut the machine off
+	state         policy.Availability
+	knownSilences int // silences that discovery has noticed
+}
+
+func (sim *simulation) addServer(spec *plan.Server, id string, index int, warm bool) *server {
+	s := &server{sim: sim, spec: spec, id: id, addr: fmt.Sprintf("127.1.%d.%d:9000", index>>8, index&255)}
 	if !warm {
-		s.started = w.now
+		s.startedAt = sim.now
 	}
 	s.start()
 	if warm {
-		w.servers = append(w.servers, s)
+		sim.servers = append(sim.servers, s)
 	}
-	w.byID[id] = s
+	sim.byID[id] = s
 	return s
 }
 
-// start runs a process, cold unless it is the one of the beginning.
+// start runs a process. It warms up unless it is the one that ran before the simulation.
 func (s *server) start() {
-	c := s.spec.Config
-	if s.started == 0 {
-		c.WarmUp = model.WarmUp{}
-	} else if c.WarmUp.InitialCapacity > 0 && c.WarmUp.Duration > 0 {
-		s.w.judge.ServerStarted()
-	}
-	s.up = &process{s: s, tries: make(map[string]*try)}
-	s.up.m = model.New(c, &group{&s.w.keys, s}, s.w.now)
-	s.up.m.OnExecution(func(e model.Execution) {
-		id, _, _ := strings.Cut(e.ID, "/")
-		s.w.judge.ServerExecuted(s.w.now, s.id, id, e.Discarded)
+	config := s.spec.Config
+	if s.startedAt == 0 {
+		config.WarmUp = model.WarmUp{}
+	} else if config.WarmUp.InitialCapacity > 0 && config.WarmUp.Duration > 0 {
+		s.sim.checker.ServerStarted()
+	}
+	s.process = &process{server: s, attempts: make(map[string]*attempt)}
+	s.process.model = model.New(config, &serverKeys{&s.sim.keyTables, s}, s.sim.now)
+	s.process.model.OnExecution(func(e model.Execution) {
+		s.sim.checker.ServerExecuted(s.sim.now, s.id, requestID(e.ID), e.Discarded)
 	})
 }
 
 func (s *server) restart() {
-	s.started = s.w.now
+	s.startedAt = s.sim.now
 	s.start()
-	s.heard(policy.Running)
+	s.announce(policy.Running)
 }
 
-// crash ends the process: its connections are reset.
+// crash ends the process. Its connections are reset.
 func (s *server) crash() {
-	p := s.up
+	p := s.process
 	if p == nil {
 		return
 	}
-	s.up = nil
-	p.m.Stop(s.w.now)
-	p.die()
+	s.process = nil
+	p.model.Stop(s.sim.now)
+	p.resetAttempts()
 }
 
-// die resets what a process had.
-func (p *process) die() {
-	p.dead = true
-	p.run()
-	for _, id := range sortedKeys(p.tries) {
-		p.tries[id].metEnd()
-		p.tries[id].broken(p.tries[id].delay)
-	}
-	p.tries = nil
-}
-
-// run lets the model's time pass, passes its completions on, and sees to the next.
-func (p *process) run() {
-	w := p.s.w
-	for _, c := range p.m.Advance(w.now) {
-		if t := p.tries[c.ID]; t != nil {
-			delete(p.tries, c.ID)
-			if c.Lost {
-				t.broken(t.delay)
-			} else {
-				t.done(c.Discarded)
-			}
-		}
-	}
-	if p.m.Down() && !p.dead { // it fell over
-		w.judge.ServerOverloaded(w.now, p.s.id, tries(p.m.OverloadingRequests()))
-		p.s.up = nil
-		p.s.heard(policy.Removed)
-		p.die()
-		return
-	}
-	if p.dead {
-		return
-	}
-	if at, ok := p.m.Next(); ok && (p.wake <= w.now || at < p.wake) {
-		at = max(at, w.now+1)
-		p.wake = at
-		w.q.put(at, func() {
-			if p.wake == at && !p.dead {
-				p.run()
-			}
-		})
-	}
-}
-
-// tries strips the numbers of attempts.
-func tries(ids []string) (all []string) {
-	for _, id := range ids {
-		id, _, _ = strings.Cut(id, "/")
-		all = append(all, id)
-	}
-	return all
-}
-
-// silence cuts the machine off: nothing comes or goes. The list learns of it late, if at all.
-func (s *server) silence(f *plan.Fault) {
-	s.silent = append(s.silent, f)
-	if after := s.w.p.Script.Discovery.SilenceTimeout; after > 0 && after < f.Duration {
-		s.w.after(after, func() { s.quiet++; s.heard(policy.Removed) })
+// announce reports a state to discovery, which passes it on to each node after the node's delay.
+func (s *server) announce(state policy.Availability) {
+	s.state = state
+	for _, n := range s.sim.nodes {
+		n.queueUpdate(s.endpoint(state))
 	}
 }
 
-func (s *server) speak(f *plan.Fault) {
-	for i := range s.silent {
-		if s.silent[i] == f {
-			s.silent = append(s.silent[:i], s.silent[i+1:]...)
-			break
-		}
-	}
-	if len(s.silent) == 0 {
-		for _, n := range s.w.nodes {
-			n.unstick()
-		}
+// endpoint returns the server's entry in the endpoint list.
+func (s *server) endpoint(state policy.Availability) router.Endpoint {
+	endpoint := router.Endpoint{
+		ID: s.id, Addr: s.addr, Zone: s.spec.Zone, Kind: s.spec.Kind, Cell: s.spec.Cell, Weight: s.spec.Weight,
+		Availability: state,
 	}
-	if s.quiet > 0 {
-		if s.quiet--; s.quiet == 0 && s.up != nil {
-			s.heard(policy.Running)
-		}
+	if s.startedAt > 0 {
+		endpoint.Started = epoch.Add(s.startedAt)
 	}
+	return endpoint
 }
 
-// heard has discovery learn of a state, and each node in its time.
-func (s *server) heard(state policy.Availability) {
-	s.state = state
-	for _, n := range s.w.nodes {
-		n.news(s.member(state))
-	}
-}
-
-// failing tells whether a fault with a part of requests takes this one, and notes that it met it.
-func (s *server) failing(kind string, t *try) bool {
-	for _, f := range s.faults {
-		if f.Kind == kind && s.w.p.Chance(kind+f.Label(), t.id) < f.Fraction {
-			t.met(f)
+// hasFault reports whether an active fault of a kind affects an attempt, and records it at its request.
+func (s *server) hasFault(kind string, a *attempt) bool {
+	for _, fault := range s.faults {
+		if fault.Kind == kind && s.sim.plan.Chance(kind+fault.Label(), a.id) < fault.Fraction {
+			a.addFault(fault)
 			return true
 		}
 	}
 	return false
 }
 
-// receive has the whole of a request come in.
-func (p *process) receive(t *try) {
-	s, w := p.s, p.s.w
-	if p.dead {
-		t.broken(t.delay)
-		return
-	}
-	for _, f := range s.faults {
-		if f.Kind == script.FaultHung { // it reads, and never answers
-			t.met(f)
-			return
-		}
-	}
-	work := t.work
-	for _, f := range s.faults {
-		if f.Kind == script.FaultSlow {
-			t.met(f)
-			work *= f.Factor
-		}
-	}
-	t.fails = s.failing(script.FaultFastErrors, t)
-	if !t.fails && s.spec.ErrorRate > 0 {
-		t.fails = w.p.Chance("errors"+s.id, t.id) < s.spec.ErrorRate
-	}
-	if t.fails {
-		work = 0
-	}
-	p.run() // what ended before makes room
-	if p.dead {
-		t.broken(t.delay)
-		return
-	}
-	p.tries[t.id] = t
-	key := ""
-	if t.key != "" {
-		key = t.class + "\x00" + t.key
-	}
-	verdict := p.m.Offer(w.now, model.Request{ID: t.id, Key: key, Work: work, Deadline: t.until})
-	switch verdict {
-	case model.Accepted:
-		w.book.WorkStarted(work)
-		if s.failing(script.FaultReset, t) {
-			delete(p.tries, t.id)
-			t.broken(t.delay)
-		}
-		t.half, t.garbled = s.failing(script.FaultHalfAnswer, t), s.failing(script.FaultGarbled, t)
-	case model.Rejected:
-		delete(p.tries, t.id)
-		t.turnedAway()
-	case model.Down:
-		delete(p.tries, t.id)
-		t.broken(t.delay)
-	}
-	p.run()
-}
-
-// cancel has the server learn that nobody waits.
-func (p *process) cancel(t *try) {
-	if p.dead {
-		return
-	}
-	if p.tries[t.id] == t {
-		delete(p.tries, t.id)
-		p.m.Cancel(p.s.w.now, t.id)
-	}
-	p.m.Disconnect(p.s.w.now)
-	p.run()
+// requestID returns the ID of the request that an attempt at a server belongs to.
+func requestID(attemptID string) string {
+	id, _, _ := strings.Cut(attemptID, "/")
+	return id
 }
 
-// keyTables are the tables by which groups of servers drop repeats.
+// keyTables holds the tables of idempotency keys of the groups of servers, by their names.
 type keyTables struct {
-	world  *world
+	sim    *simulation
 	tables map[string]*model.KeyTable
 }
 
-// group is how one server looks repeats up: in the table of the group that it shares for the key's class.
-type group struct {
-	k *keyTables
-	s *server
+// serverKeys looks keys up for one server, in the table of the server's group for the class of the request.
+type serverKeys struct {
+	*keyTables
+	server *server
 }
 
-// Repeat tells whether a key was there within its class's window.
-func (g *group) IsDuplicate(key string, now time.Duration) bool {
-	class, key, _ := strings.Cut(key, "\x00")
-	scope, window := g.k.world.p.DedupTable(class, g.s.spec)
-	if g.k.tables == nil {
-		g.k.tables = make(map[string]*model.KeyTable)
-	}
-	t := g.k.tables[scope]
-	if t == nil {
-		t = &model.KeyTable{Window: window}
-		g.k.tables[scope] = t
+// keySeparator separates the class of a request from its idempotency key.
+const keySeparator = "\x00"
+
+// IsDuplicate reports whether a key, which follows its class, was seen within the window of the class.
+func (k *serverKeys) IsDuplicate(classAndKey string, now time.Duration) bool {
+	class, key, _ := strings.Cut(classAndKey, keySeparator)
+	name, window := k.sim.plan.DedupTable(class, k.server.spec)
+	table := k.tables[name]
+	if table == nil {
+		table = &model.KeyTable{Window: window}
+		k.tables[name] = table
 	}
-	return t.IsDuplicate(key, now)
+	return table.IsDuplicate(key, now)
 }
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -15,31 +15,40 @@
 	"cobaltward/emulator/script"
 )
 
-func load(t *testing.T, path string) *plan.Plan {
+func loadScript(t *testing.T, path string) *script.Script {
 	t.Helper()
-	s, err := script.Load(path)
+	scenario, err := script.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := plan.New(s, 0)
+	return scenario
+}
+
+func newPlan(t *testing.T, scenario *script.Script) *plan.Plan {
+	t.Helper()
+	p, err := plan.New(scenario, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func play(t *testing.T, p *plan.Plan, o Options) *result.Result {
+func load(t *testing.T, path string) *plan.Plan {
+	t.Helper()
+	return newPlan(t, loadScript(t, path))
+}
+
+func run(t *testing.T, p *plan.Plan, options Options) *result.Result {
 	t.Helper()
-	r, err := Run(t.Context(), p, o)
+	r, err := Run(t.Context(), p, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// Every scenario of the incident record ends with all rules kept, and with facts held against each rule that
-// it is about.
-func TestScenarios(t *testing.T) {
+// Every scenario ends without a violation of a rule.
+func TestRun_ScenariosKeepAllRules(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) < 12 {
 		t.Fatalf("%d scenarios, error %v", len(paths), err)
@@ -47,46 +56,48 @@
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".toml"), func(t *testing.T) {
 			t.Parallel()
-			r := play(t, load(t, path), Options{})
-			t.Logf("share %.3f attempts %d repeats %d crossings %d conns %d work %.0f waste %.0f %v", r.All.ValueShare(), r.ServerAttempts, r.Retries, r.CrossZone, r.Connections, r.Work, r.WastedWork, r.Verdict.Checked)
+			r := run(t, load(t, path), Options{})
+			t.Logf("value %.3f, attempts %d, retries %d, to another zone %d, connections %d, work %.0f, wasted %.0f, checked %v",
+				r.All.ValueShare(), r.ServerAttempts, r.Retries, r.CrossZone, r.Connections, r.Work, r.WastedWork,
+				r.Verdict.Checked)
 			if !r.Verdict.Passed() {
-				t.Errorf("broken: %v", r.Verdict.Count)
-				for _, b := range r.Verdict.Violations[:min(5, len(r.Verdict.Violations))] {
-					t.Errorf("%+v", b)
+				t.Errorf("violations: %v", r.Verdict.Count)
+				for _, violation := range r.Verdict.Violations[:min(5, len(r.Verdict.Violations))] {
+					t.Errorf("%+v", violation)
 				}
 			}
 		})
 	}
 }
 
-// Each engine with a guard taken away is convicted of the right rule, by a request or a server that is named.
-func TestMutantsAreConvicted(t *testing.T) {
-	for _, m := range Mutants() {
-		t.Run(m.Name, func(t *testing.T) {
+// The checker finds the violation of each mutant, with a request, a time and a description.
+func TestMutants_AreDetected(t *testing.T) {
+	for _, mutant := range Mutants() {
+		t.Run(mutant.Name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, load(t, "../../scenarios/"+m.Scenario+".toml"), m.Options())
-			i := slices.IndexFunc(r.Verdict.Violations, func(b checker.Violation) bool { return b.Rule == m.Rule })
+			r := run(t, load(t, "../../scenarios/"+mutant.Scenario+".toml"), mutant.Options())
+			i := slices.IndexFunc(r.Verdict.Violations, func(v checker.Violation) bool { return v.Rule == mutant.Rule })
 			if i < 0 {
-				t.Fatalf("not convicted of %v: %v", m.Rule, r.Verdict.Count)
+				t.Fatalf("no violation of %v: %v", mutant.Rule, r.Verdict.Count)
 			}
-			if b := r.Verdict.Violations[i]; b.ID == "" || b.At == 0 || b.Description == "" {
-				t.Errorf("without evidence: %+v", b)
+			if v := r.Verdict.Violations[i]; v.ID == "" || v.At == 0 || v.Description == "" {
+				t.Errorf("without evidence: %+v", v)
 			}
 			t.Logf("%v: %+v", r.Verdict.Count, r.Verdict.Violations[i])
 		})
 	}
 }
 
-// The same plan comes to the same end, byte for byte, on one core and on several; another seed to another.
-func TestReplay(t *testing.T) {
+// The same plan gives the same result, byte for byte, on one core and on several; another seed gives another one.
+func TestRun_SameResultAtEachReplay(t *testing.T) {
 	text := func(p *plan.Plan) string {
-		raw, err := json.Marshal(play(t, p, Options{}))
+		raw, err := json.Marshal(run(t, p, Options{}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(raw)
 	}
-	short := func() *plan.Plan { // with all of its faults begun
+	short := func() *plan.Plan { // all of its faults start
 		p := load(t, "../../scenarios/together.toml")
 		p.Script.Duration = 16 * time.Second
 		return p
@@ -94,11 +105,11 @@
 	p := short()
 	first := text(p)
 	for _, n := range []int{1, 4} {
-		was := runtime.GOMAXPROCS(n)
+		previous := runtime.GOMAXPROCS(n)
 		again := text(short())
-		runtime.GOMAXPROCS(was)
+		runtime.GOMAXPROCS(previous)
 		if again != first {
-			t.Errorf("another end on %d cores", n)
+			t.Errorf("another result on %d cores", n)
 		}
 	}
 	other, err := plan.New(p.Script, 99)
@@ -110,10 +121,9 @@
 	}
 }
 
-// Several faults at once: the result tells which request met which, and requests that met one alone fare as
-// where it is alone.
-func TestFaultsTogether(t *testing.T) {
-	r := play(t, load(t, "../../scenarios/together.toml"), Options{})
+// With several faults at once the result has the requests that each fault affected, and those that it alone affected.
+func TestRun_AttributesRequestsToFaults(t *testing.T) {
+	r := run(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
 		if f.Kind == script.FaultFastErrors || f.Kind == script.FaultNodeCrash {
 			if f.Affected == 0 || f.AffectedAlone == 0 || f.AffectedAlone > f.Affected || f.AffectedServed > f.Affected {
--- /dev/null
+++ b/emulator/sim/simulation.go
@@ -0,0 +1,220 @@
+// Package sim runs a plan in virtual time: the engine and the policy as they are, with models of the servers, the
+// network, discovery, the load balancer and the clients around them. It uses one goroutine, no clock and no sockets, so
+// that the same plan gives the same result byte for byte.
+package sim
+
+import (
+	"context"
+	"time"
+
+	"cobaltward/emulator/checker"
+	"cobaltward/emulator/model"
+	"cobaltward/emulator/plan"
+	"cobaltward/emulator/result"
+	"cobaltward/internal/learnedstate"
+	"cobaltward/internal/safeguards"
+	"cobaltward/levels"
+)
+
+// epoch is the wall-clock time at the start of a simulation.
+var epoch = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
+
+const (
+	progressInterval = time.Second // of virtual time, between calls of Options.OnProgress
+	contextCheckMask = 0xfff       // the context is checked once in this many events, plus one
+)
+
+// Options configure a simulation. The zero value runs the nodes as they are.
+type Options struct {
+	Overrides        func() safeguards.Overrides // returns the changes of a node's engine; nil: none
+	IgnoreDrains     bool                        // transports send to draining servers
+	TrustResets      bool                        // transports take each reset as proof that the request did not run
+	Levels           *levels.Config              // degradation levels of every node; nil: none
+	SnapshotInterval time.Duration               // between snapshots of the nodes' learned state for restarts; 0: none
+	OnProgress       func(at time.Duration)      // may be nil
+	OnDone           func(*plan.Request, result.Outcome)
+
+	onSend func(at time.Duration, node, server string) // called for each attempt at a server; for tests
+}
+
+// simulation is the state of one run.
+type simulation struct {
+	plan     *plan.Plan
+	options  Options
+	events   eventQueue
+	now      time.Duration
+	checker  *checker.Checker
+	recorder *result.Recorder
+
+	servers   []*server
+	byID      map[string]*server
+	nodes     []*node
+	balancer  *plan.Balancer
+	cutZones  map[string]int // number of active faults by zone
+	keyTables keyTables
+
+	discoveryFaults   int             // active faults that block discovery
+	listDelays        []time.Duration // extra delays of the endpoint list
+	openRequests      int
+	arriving          bool                // more requests are to come
+	requestsByAttempt map[string]*request // by the ID of the client's attempt
+	err               error               // of an engine; it ends the simulation
+}
+
+// Run runs a plan to its end. It returns an error if an engine fails or ctx is done.
+func Run(ctx context.Context, p *plan.Plan, options Options) (*result.Result, error) {
+	sim := &simulation{
+		plan: p, options: options, byID: make(map[string]*server), balancer: p.NewBalancer(),
+		cutZones: make(map[string]int), recorder: result.NewRecorder(p, "virtual", options.OnDone),
+		arriving: true, requestsByAttempt: make(map[string]*request),
+	}
+	sim.keyTables = keyTables{sim: sim, tables: make(map[string]*model.KeyTable)}
+	sim.checker = checker.New(CheckerConfig(p, sim.place))
+	if err := sim.start(); err != nil {
+		return nil, err
+	}
+	if err := sim.runEvents(ctx); err != nil {
+		return nil, err
+	}
+	return sim.recorder.Finish(sim.checker.Finish()), nil
+}
+
+// start creates servers and nodes and schedules the first events.
+func (sim *simulation) start() error {
+	for i := range sim.plan.Servers {
+		sim.addServer(&sim.plan.Servers[i], sim.plan.Servers[i].ID, i, true)
+	}
+	for i := range sim.plan.Nodes {
+		if err := sim.addNode(i); err != nil {
+			return err
+		}
+	}
+	for i := range sim.plan.Faults {
+		sim.schedule(&sim.plan.Faults[i])
+	}
+	sim.scheduleArrival(sim.plan.Arrivals())
+	sim.sample()
+	if sim.options.SnapshotInterval > 0 {
+		sim.takeSnapshots()
+	}
+	return nil
+}
+
+// runEvents executes events until all requests have their outcome and late effects have had time to show.
+func (sim *simulation) runEvents(ctx context.Context) error {
+	var progress time.Duration
+	for n := 0; !sim.events.empty(); n++ {
+		done := !sim.arriving && sim.openRequests == 0
+		if done && sim.now > sim.plan.Script.Duration+maxRequestTime(sim.plan) {
+			break
+		}
+		next := sim.events.pop()
+		sim.now = max(sim.now, next.at)
+		next.do()
+		if sim.err != nil {
+			return sim.err
+		}
+		if n&contextCheckMask != 0 {
+			continue
+		}
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		if sim.options.OnProgress != nil && sim.now >= progress {
+			sim.options.OnProgress(sim.now)
+			progress = sim.now + progressInterval
+		}
+	}
+	return nil
+}
+
+// CheckerConfig returns the checker's configuration for a plan.
+func CheckerConfig(p *plan.Plan, place func(server string) (string, int64)) checker.Config {
+	rules := &p.Settings.Rules
+	config := checker.Config{
+		Classes: make(map[string]checker.Class), AnswerGrace: rules.AnswerGrace, DrainGrace: rules.DrainGrace, Place: place,
+	}
+	for _, class := range p.Settings.Classes {
+		config.Classes[class.Name] = checker.Class{
+			Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow,
+		}
+	}
+	return config
+}
+
+// maxRequestTime returns the longest time after its arrival in which a request can have an effect.
+func maxRequestTime(p *plan.Plan) (longest time.Duration) {
+	for i := range p.Settings.Classes {
+		class := &p.Settings.Classes[i]
+		longest = max(longest, class.Deadline+class.DedupWindow)
+	}
+	return longest
+}
+
+// after schedules an event after a delay.
+func (sim *simulation) after(d time.Duration, do func()) { sim.events.push(sim.now+d, do) }
+
+// delay returns a one-way delay with the jitter that depends on the purpose and the ID.
+func (sim *simulation) delay(base time.Duration, purpose, id string) time.Duration {
+	jitter := sim.plan.Script.Network.Jitter
+	if jitter == 0 {
+		return base
+	}
+	return base + time.Duration(float64(base)*jitter*sim.plan.Chance(purpose, id))
+}
+
+// networkDelay returns the one-way delay between two zones without jitter.
+func (sim *simulation) networkDelay(a, b string) time.Duration {
+	if a == b {
+		return sim.plan.Script.Network.SameZoneDelay
+	}
+	return sim.plan.Script.Network.CrossZoneDelay
+}
+
+// partitioned reports whether a fault separates two zones.
+func (sim *simulation) partitioned(a, b string) bool {
+	return a != b && (sim.cutZones[a] > 0 || sim.cutZones[b] > 0)
+}
+
+// place returns the zone and the cell of a server.
+func (sim *simulation) place(id string) (zone string, cell int64) {
+	if s := sim.byID[id]; s != nil {
+		return s.spec.Zone, s.spec.Cell
+	}
+	return "", 0
+}
+
+// sample records the learned state of the first node, each second.
+func (sim *simulation) sample() {
+	if n := sim.nodes[0]; n.engine != nil {
+		sim.recorder.Sample(n.engine.Views())
+		if status, err := n.engine.Level(); err == nil { // else the node has no levels
+			sim.recorder.Level(result.Level{Level: status.Level, Demand: status.Demand, Slow: status.Slow})
+		}
+	} else {
+		sim.recorder.Sample(nil)
+	}
+	if sim.now < sim.plan.Script.Duration {
+		sim.after(time.Second, sim.sample)
+	}
+}
+
+// takeSnapshots stores the learned state of each node, at the interval of the options.
+func (sim *simulation) takeSnapshots() {
+	for _, n := range sim.nodes {
+		if n.engine == nil {
+			continue
+		}
+		state, err := n.engine.ExportState()
+		if err != nil {
+			sim.err = err
+			return
+		}
+		n.snapshot = learnedstate.Snapshot{
+			Version: learnedstate.Version, Node: n.spec.Name, At: epoch.Add(sim.now), State: state,
+		}
+	}
+	if sim.now < sim.plan.Script.Duration {
+		sim.after(sim.options.SnapshotInterval, sim.takeSnapshots)
+	}
+}
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -117,11 +117,11 @@
 		return err
 	}
 	if outcomes != nil {
-		options.Detail = outcomes.add
+		options.OnDone = outcomes.add
 	}
 	if !r.quiet && demo.Terminal(os.Stderr) {
 		bar := newProgressBar(site)
-		options.Progress = func(at time.Duration) {
+		options.OnProgress = func(at time.Duration) {
 			_ = bar.Set64(min(int64(at/time.Second), int64(site.Duration/time.Second))) // only shown
 		}
 		defer func() { _ = bar.Finish() }() // only shown
@@ -150,8 +150,8 @@
 		Command:  []string{self, "serve"},
 		XDS:      extensions.NewControlPlane,
 		Levels:   levelsText,
-		Progress: options.Progress,
-		Detail:   options.Detail,
+		Progress: options.OnProgress,
+		Detail:   options.OnDone,
 	})
 }
 
