--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -74,7 +74,7 @@
 
 // newCredentials writes certificates to a directory, where the node checks them for changes until it exits.
 func newCredentials(dir string) (*credentials, error) {
-	ca := pki.Year("the suite's")
+	ca := pki.NewAuthority("the suite's")
 	pair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	caFile := filepath.Join(dir, "ca.pem")
--- a/internal/node/rpcserver.go
+++ b/internal/node/rpcserver.go
@@ -19,8 +19,8 @@
 	relistenInterval = 10 * time.Millisecond
 )
 
-// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set after the engine is made, and
-// before Serve.
+// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set after the engine is made,
+// and before Serve.
 type rpcServer struct {
 	*msgpackfront.Server
 	wrapTLS func(net.Listener) net.Listener // returns the listener itself without TLS
--- a/internal/racetest/client_test.go
+++ b/internal/racetest/client_test.go
@@ -70,7 +70,7 @@
 
 // readResponse reads a response with its body.
 func (c *clientConn) readResponse() (status int, body string, err error) {
-	_ = c.SetReadDeadline(time.Now().Add(testkit.Long))
+	_ = c.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -1,6 +1,6 @@
 // Command levelsbench compares levels of reduced service with no levels, with the best fixed limit on open requests
-// and with the best share of searches that is shed all the time, on scripts of overload in virtual time. The best is
-// the one that keeps most value. It is no part of CI.
+// and with the best share of searches that is shed all the time, on scripts of overload in virtual time. The best limit
+// or share has the highest value of served requests. CI does not run it.
 //
 //	go run ./tools/levelsbench [-seeds 2] [-scripts scenarios]
 package main
@@ -44,7 +44,7 @@
 // wave returns a change of the traffic's shape; rate is in requests a second.
 func wave(shape string, period time.Duration, swing, rate float64) func(*script.Script) {
 	return func(s *script.Script) {
-		s.Traffic.Shape, s.Traffic.Period, s.Traffic.Swing, s.Traffic.Rate = shape, period, swing, rate
+		s.Traffic.Shape, s.Traffic.Period, s.Traffic.Amplitude, s.Traffic.Rate = shape, period, swing, rate
 	}
 }
 
@@ -92,7 +92,7 @@
 type figure struct {
 	value        float64 // kept, as a share of the value offered
 	booked       float64 // bookings within their latency objective, as a share of those offered
-	waste        float64 // work for requests that nobody waits for, as a share of all work
+	waste        float64 // share of all work that servers did for abandoned requests
 	levelChanges int
 }
 
@@ -207,9 +207,9 @@
 // add adds one run of so many that the mean is of.
 func (f *figure) add(run *result.Result, runs float64) {
 	bookings := run.Classes[classBooking]
-	f.value += run.All.Share() / runs
-	f.booked += float64(bookings.InAim) / float64(bookings.Offered) / runs
-	f.waste += run.Waste / max(1, run.Work) / runs
+	f.value += run.All.ValueShare() / runs
+	f.booked += float64(bookings.OnTime) / float64(bookings.Offered) / runs
+	f.waste += run.WastedWork / max(1, run.Work) / runs
 	for i := 1; i < len(run.Levels); i++ {
 		if run.Levels[i].Level != run.Levels[i-1].Level {
 			f.levelChanges++
@@ -223,7 +223,7 @@
 	if err != nil {
 		return nil, err
 	}
-	scenario.Traffic.Quota, scenario.Length = unlimitedQuota, b.length
+	scenario.Traffic.Quota, scenario.Duration = unlimitedQuota, b.length
 	v.change(scenario)
 	if with.maxOpen > 0 {
 		scenario.Nodes.MaxOpen = with.maxOpen
@@ -239,8 +239,8 @@
 		}
 	}
 	run, err := sim.Run(context.Background(), scheduled, options)
-	if err == nil && !run.Verdict.Kept() {
-		err = fmt.Errorf("rules were broken: %v", run.Verdict.Breaches)
+	if err == nil && !run.Verdict.Passed() {
+		err = fmt.Errorf("rules were broken: %v", run.Verdict.Violations)
 	}
 	return run, err
 }
