--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -32,7 +32,7 @@
 	busyTime   time.Duration // of all finished tasks
 }
 
-// NewCPUBudget returns a budget of a share (0 to 1) of so many cores. A share outside of that range means
+// NewCPUBudget returns a budget of a share (0 to 1) of the given number of cores. A share outside of that range means
 // DefaultCPUShare.
 func NewCPUBudget(share float64, cores int) *CPUBudget {
 	if !(share > 0 && share <= 1) {
@@ -78,7 +78,7 @@
 	return task
 }
 
-// Finish ends a running task that took so long. It has no effect on a task that is not running.
+// Finish ends a running task and charges it the elapsed time. It has no effect on a task that is not running.
 func (b *CPUBudget) Finish(now time.Duration, task *Task, elapsed time.Duration) {
 	if !task.running {
 		return
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -19,8 +19,8 @@
 	pauseTimer *time.Timer             // fires at the end of a pause of the budget
 }
 
-// NewCPUScheduler returns a scheduler for so many cores. Handshakes take at most a share of them, from 0 to 1, while
-// hasRequests reports requests in flight.
+// NewCPUScheduler returns a scheduler for the given number of cores. Handshakes take at most a share of them, from 0 to
+// 1, while hasRequests reports requests in flight.
 func NewCPUScheduler(share float64, cores int, hasRequests func() bool) *CPUScheduler {
 	return &CPUScheduler{
 		hasRequests: hasRequests,
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -20,7 +20,7 @@
 	Server      string
 	Idle        int           // connections that could take a request now
 	LastUsed    time.Duration // time of the last request
-	Used        bool          // there was a request
+	EverUsed    bool          // it has got a request
 	Unavailable bool          // the server is draining or untrusted
 	Connecting  int           // connections that are being opened ahead of requests
 }
@@ -36,7 +36,7 @@
 	var candidates []PoolState
 	for _, pool := range pools {
 		isReady := pool.Idle > 0 || pool.Connecting > 0
-		isExpected := pool.Used && !pool.Unavailable && now-pool.LastUsed < recentUse
+		isExpected := pool.EverUsed && !pool.Unavailable && now-pool.LastUsed < recentUse
 		if isExpected && !isReady {
 			candidates = append(candidates, pool)
 		}
--- a/handshakes/preconnect_test.go
+++ b/handshakes/preconnect_test.go
@@ -12,7 +12,7 @@
 func TestPreconnectTargets(t *testing.T) {
 	now := time.Minute
 	pool := func(id string, change func(*PoolState)) PoolState {
-		state := PoolState{Server: id, Used: true, LastUsed: now - time.Second}
+		state := PoolState{Server: id, EverUsed: true, LastUsed: now - time.Second}
 		change(&state)
 		return state
 	}
@@ -20,7 +20,7 @@
 		pool("a", func(*PoolState) {}),
 		pool("b", func(p *PoolState) { p.LastUsed = now }),
 		pool("idle", func(p *PoolState) { p.Idle = 1 }),
-		pool("never", func(p *PoolState) { p.Used = false }),
+		pool("never", func(p *PoolState) { p.EverUsed = false }),
 		pool("long ago", func(p *PoolState) { p.LastUsed = now - recentUse }),
 		pool("unavailable", func(p *PoolState) { p.Unavailable = true }),
 		pool("connecting", func(p *PoolState) { p.Connecting = 1 }),
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// socketHost is the Host header of requests over a Unix socket.
+// socketHost is the Host header of requests over a Unix socket. Servers ignore it.
 const socketHost = "door"
 
 // NewClient returns a client for the server at an address, and the URL with which paths begin. The address is the
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -16,8 +16,8 @@
 	// lingerTimeout is how long a connection is read after its write side was closed: closing it with unread bytes would
 	// reset it, and the client could lose the last answers.
 	lingerTimeout = time.Second
-	// drainGrace is how long calls that cross the drain notification are still answered.
-	drainGrace = 200 * time.Millisecond
+	// lateCallTimeout is how long calls that cross the drain notification are still answered.
+	lateCallTimeout = 200 * time.Millisecond
 )
 
 // conn is one client's connection. One goroutine reads, one writes, and each open call has one that waits for its
@@ -128,7 +128,7 @@
 	if !c.draining {
 		c.notifications = msgpackrpc.AppendDrain(c.notifications)
 		c.draining, c.drainNotifiedAt = true, time.Now()
-		time.AfterFunc(drainGrace, c.writeSignal.Notify)
+		time.AfterFunc(lateCallTimeout, c.writeSignal.Notify)
 	}
 	c.mu.Unlock()
 	c.writeSignal.Notify()
--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -79,7 +79,7 @@
 	if !c.idle() || len(c.notifications) > 0 {
 		return false
 	}
-	return c.closing || c.draining && time.Since(c.drainNotifiedAt) >= drainGrace
+	return c.closing || c.draining && time.Since(c.drainNotifiedAt) >= lateCallTimeout
 }
 
 // closeWriteSide ends the sending, and gives the client some time to close its side.
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -15,8 +15,8 @@
 	"cobaltward/router"
 )
 
-// Engine is what a server needs of a *router.Router. If it also has QueueTimeout or RejectOverloaded, as that has,
-// they are used.
+// Engine is what a server needs of a *router.Router. If it also has QueueTimeout or RejectOverloaded, as
+// *router.Router has, they are used.
 type Engine interface {
 	Do(ctx context.Context, req router.Request) (router.Answer, error)
 	Class(name string) (policy.Class, bool)
@@ -80,7 +80,7 @@
 	Conns, Open    int    // connections and open calls at present
 	Calls          uint64 // received
 	ProtocolErrors uint64 // connections closed because the client violated the protocol
-	Evicted        uint64 // idle connections closed in favour of others
+	Evicted        uint64 // connections closed in favour of others: idle ones, and stalled ones beyond the limit
 }
 
 // New returns a server that passes calls to an engine.
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -36,7 +36,7 @@
 	return true
 }
 
-// awaitSlot waits until there is a slot for a connection. After the engine's queue patience, up to overflowConns
+// awaitSlot waits until there is a slot for a connection. After the engine's queue timeout, up to overflowConns
 // connections are accepted without a slot, and their calls rejected: clients in the listen backlog get an answer in
 // time.
 func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
@@ -44,18 +44,18 @@
 		if s.evict() {
 			continue
 		}
-		patience := s.queuePatience() - time.Since(earliest)
-		if patience <= 0 && len(s.conns) < s.config.MaxConns+overflowConns {
+		remaining := s.queueTimeout() - time.Since(earliest)
+		if remaining <= 0 && len(s.conns) < s.config.MaxConns+overflowConns {
 			conn.overflow = true
 			return
 		}
-		recheck := time.AfterFunc(max(patience, slotRecheckInterval), s.recheckSlots)
+		recheck := time.AfterFunc(max(remaining, slotRecheckInterval), s.recheckSlots)
 		s.slotFreed.Wait()
 		recheck.Stop()
 	}
 }
 
-func (s *Server) queuePatience() time.Duration {
+func (s *Server) queueTimeout() time.Duration {
 	if engine, ok := s.engine.(interface{ QueueTimeout() time.Duration }); ok {
 		return engine.QueueTimeout()
 	}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -143,7 +143,7 @@
 	return n.disabledServers
 }
 
-// openAdminServer opens the admin API's listeners. Calls wait there until the server starts.
+// openAdminServer opens the admin API's listeners. Connections wait in the accept queue until start.
 func (n *node) openAdminServer() error {
 	if !n.config.AdminAPI.Enabled() {
 		return nil
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -32,7 +32,7 @@
 		c := e.Value.(*clientConn)
 		handshaking := c.tls != nil && c.tls.Handshaking() && !c.tls.NothingReceived()
 		if handshaking || !includeNew && c.awaitsFirstRequest() || !sockets.IsIdle(c.TCPConn) {
-			continue // a request that meets a close fails
+			continue // in a handshake, new, or with a request that the close would fail
 		}
 		l.rejectEvictedLocked(c, !c.requestSeen)
 		return true
@@ -80,10 +80,10 @@
 	return false
 }
 
-// rejectEvictedLocked closes a connection; the mutex is released meanwhile. With a rejection, a plain connection gets
-// one ahead of the close, since the rest of a request may be on its way; behind an answer that ends the connection
-// anyway it is never read. The rejection is written before the connection counts as closed: its reader closes it on
-// seeing that.
+// rejectEvictedLocked closes a connection; the mutex is released meanwhile. If withRejection is set, a plain connection
+// is sent a 503 first, since the rest of its request may be on its way; a client that has an answer with Connection:
+// close would not read it. The rejection is written before the connection counts as closed, since its reader closes it
+// then.
 func (l *clientListener) rejectEvictedLocked(c *clientConn, withRejection bool) {
 	if withRejection && c.tls == nil {
 		_ = c.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout))
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -30,7 +30,7 @@
 
 	mu        sync.Mutex
 	maxConns  int         // connections that are served
-	slotFreed sync.Cond   // broadcast on whatever may let an accepted connection in
+	slotFreed sync.Cond   // signalled when an accepted connection may get a slot
 	open      int         // connections, those in excess of maxConns included
 	idle      linked.List // of *clientConn: the connections without a request, longest idle first
 	// partialRequests holds the connections that have sent a part of a request that is not handed on yet.
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -45,7 +45,7 @@
 func (l *clientListener) awaitHandshakeSlotLocked() {
 	for !l.closed {
 		admit, crowded := l.admitHandshakeLocked()
-		if admit || crowded && l.evictHandshakeLocked() { // while the core works on handshakes, an eviction frees nothing
+		if admit || crowded && l.evictHandshakeLocked() {
 			return
 		}
 		l.waitForSlotLocked(slotRecheckInterval)
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -100,17 +100,18 @@
 	poll := file.Poll(time.Now())
 	if poll.Err != nil {
 		c.rejected[poll.Source] = poll.Err.Error()
-		c.tls.log.Error("tls: keeping the former keys", "err", poll.Err)
+		c.tls.log.Error("tls: reload failed, keeping the current files", "err", poll.Err)
 		return false
 	}
 	if poll.Changed {
 		delete(c.rejected, poll.Source)
-		c.tls.log.Info("tls: new keys in force", "source", poll.Source, "trust_changed", poll.TrustChanged)
+		c.tls.log.Info("tls: reloaded", "source", poll.Source, "trust_changed", poll.TrustChanged)
 	}
 	return poll.Changed
 }
 
-// applyCertificates has all layers use the certificates that are in the stores now.
+// applyCertificates makes the TLS layers forget what they have verified and use the present ticket keys. Certificates
+// are read from their stores at each handshake.
 func (s *nodeTLS) applyCertificates() {
 	if s.serverLayer != nil {
 		s.serverLayer.InvalidateTrust()
--- a/middleware/answer.go
+++ b/middleware/answer.go
@@ -54,8 +54,8 @@
 	header["Content-Length"] = []string{strconv.Itoa(len(answer.Body))}
 }
 
-// addCloseHeader has the answer close its connection if the router is closing. It is called when the answer is there: a
-// drain that began since the request came would wait for the connection.
+// addCloseHeader has the answer close its connection if the router is closing. It is called just before the answer is
+// written, so that a drain begun since the request came need not wait for the connection.
 func (f *Frontend) addCloseHeader(w http.ResponseWriter) {
 	if f.engine.Phase() >= router.Closing {
 		w.Header().Set("Connection", "close")
--- a/middleware/frontend.go
+++ b/middleware/frontend.go
@@ -90,8 +90,9 @@
 // must not get here.
 func WithBodyLimits(limits body.Limits) Option { return func(f *Frontend) { f.bodyLimits = &limits } }
 
-// WithDisconnectCheck sets the check of a request's context for whether its client has disconnected. It is made right
-// before the request is handed on, which may have waited unread, and must not block. By default no client has.
+// WithDisconnectCheck sets the check of a request's context for whether its client has disconnected. It is made just
+// before the request is forwarded, which may have waited unread until then, and must not block. By default no client
+// counts as disconnected.
 func WithDisconnectCheck(disconnected func(context.Context) bool) Option {
 	return func(f *Frontend) { f.disconnected = disconnected }
 }
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -35,7 +35,7 @@
 	}
 	switch {
 	case f.disconnected(ctx):
-		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // must not be taken for served, should anything read it
+		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // not 200, in case a proxy still reads it
 	case f.isOverflow(ctx):
 		w.Header().Set("Connection", "close")
 		f.writeAnswer(w, f.overloadAnswer(req.Class))
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -66,7 +66,7 @@
 func (t *Transport) open(queueCtx, ctx context.Context, srv *server, forRequest bool) (*conn, error) {
 	var idle *conn
 	dial := func() (*net.TCPConn, error) {
-		if idle = t.takeInstead(srv, forRequest); idle != nil {
+		if idle = t.takeIdleInstead(srv, forRequest); idle != nil {
 			return nil, errIdleConnAvailable
 		}
 		return secure.DialTCP(ctx, &t.dialer, srv.Addr)
@@ -90,9 +90,9 @@
 	return opened, nil
 }
 
-// takeInstead takes a connection that became idle while a request was queued for its handshake. It replaces the
+// takeIdleInstead takes a connection that became idle while a request was queued for its handshake. It replaces the
 // connection that was counted for the request.
-func (t *Transport) takeInstead(s *server, forRequest bool) *conn {
+func (t *Transport) takeIdleInstead(s *server, forRequest bool) *conn {
 	if t.tls == nil || !forRequest {
 		return nil
 	}
--- a/transport/http1/errors.go
+++ b/transport/http1/errors.go
@@ -30,7 +30,8 @@
 	return errMalformedResponse
 }
 
-// failureCode returns the outcome of an attempt that got no response. mayRun says that all of the request was written.
+// failureCode returns the outcome of an attempt that got no response. mayRun says that the last byte of the request may
+// have been written.
 func failureCode(ctx context.Context, err error, mayRun bool) policy.Code {
 	code := outcome.FailureCode(ctx, mayRun)
 	if code == policy.Reset && errors.Is(err, errMalformedResponse) {
--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -6,7 +6,7 @@
 	"cobaltward/transport/servers"
 )
 
-// server is one process of one server with its connection pool.
+// server is one run of a server, with its connections.
 type server = servers.Server[serverPool]
 
 // serverPool is the connection pool of one server.
--- a/transport/http1/preconnect.go
+++ b/transport/http1/preconnect.go
@@ -70,7 +70,7 @@
 			Server:      id,
 			Idle:        len(s.State.idle),
 			LastUsed:    s.State.lastRequest.Sub(startedAt),
-			Used:        !s.State.lastRequest.IsZero(),
+			EverUsed:    !s.State.lastRequest.IsZero(),
 			Unavailable: s.Endpoint.Availability != policy.Running || t.tls.CheckTrusted(&s.Endpoint) != nil,
 			Connecting:  s.State.connecting,
 		})
--- a/transport/http1/roundtrip.go
+++ b/transport/http1/roundtrip.go
@@ -104,7 +104,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s.WritesForbidden(t.drainGrace) {
+	if s.WritesForbidden(t.drainWriteTime) {
 		return errServerDraining
 	}
 	return nil
--- a/transport/http1/roundtrip_test.go
+++ b/transport/http1/roundtrip_test.go
@@ -260,7 +260,7 @@
 		t.Errorf("within the grace: code %v", r.Code)
 	}
 	transport.mu.Lock()
-	transport.servers.Get("s0").DrainStartedAt = time.Now().Add(-transport.drainGrace)
+	transport.servers.Get("s0").DrainStartedAt = time.Now().Add(-transport.drainWriteTime)
 	transport.mu.Unlock()
 	transport.Update(
 		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: drains},
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -60,7 +60,7 @@
 	openConns        int // including those that are being opened
 	maxConns         int
 	idleTimeout      time.Duration
-	drainGrace       time.Duration // after it, nothing is written to a draining server
+	drainWriteTime   time.Duration // from a drain notification; after it nothing is written to the server
 	loadReportFields []string      // in order
 	closed           bool
 }
@@ -130,7 +130,7 @@
 	defer t.mu.Unlock()
 	// A request written just as the server closes the connection would end as a reset.
 	t.idleTimeout = serverIdleTimeout / 2
-	t.drainGrace = s.Rules.DrainGrace / 2
+	t.drainWriteTime = s.Rules.DrainGrace / 2 // bytes written may arrive later, and must within the grace
 	t.loadReportFields = s.LoadReportFields
 }
 
