--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -19,24 +19,24 @@
 	cancelClass  = "zrusenie"
 )
 
-// client sends requests one after another, keeps its connection as long as it can, and opens another while the node may
-// be sent new ones.
+// client sends requests one after another, keeps its connection as long as it can, and opens another while clients are
+// routed to the node.
 type client struct {
 	name     string
 	addr     string
 	rng      *rand.Rand
 	history  *history
-	longest  time.Duration // that it waits
-	arriving *atomic.Bool  // new connections may be opened
-	ended    *atomic.Bool  // the node was killed, or has ended
-	leaves   float64       // part of its requests that it gives up on
+	longest  time.Duration // the longest deadline of its requests
+	routed   *atomic.Bool  // connections may be opened
+	ended    *atomic.Bool  // the node has ended
+	abandons float64       // part of its requests whose response it does not wait for
 	crowded  bool          // idle clients fill the node's descriptors
-	pause    time.Duration // between an answer and the next request, at most; 0: none
+	pause    time.Duration // longest between a response and the next request; 0: none
 }
 
 // run sends until the node has ended.
 func (c *client) run() {
-	for n := 0; !c.ended.Load() && c.arriving.Load(); {
+	for n := 0; !c.ended.Load() && c.routed.Load(); {
 		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			time.Sleep(5 * time.Millisecond)
@@ -51,7 +51,7 @@
 	}
 }
 
-// exchange sends one request and reads its answer; false where the connection is over.
+// exchange sends one request and reads its response; false where the connection has ended.
 func (c *client) exchange(conn net.Conn, used int, n *int) bool {
 	if c.ended.Load() {
 		return false
@@ -62,36 +62,36 @@
 	deadline := c.longest/3 + time.Duration(c.rng.Int64N(int64(c.longest*2/3)))
 	text := requestText(id, class, deadline)
 	cut := c.rng.IntN(len(text))
-	if _, err := io.WriteString(conn, text[:cut]); err != nil { // the node has closed: nothing was sent whole
-		return false
+	if _, err := io.WriteString(conn, text[:cut]); err != nil {
+		return false // the node has closed the connection: it has no complete request
 	}
 	if c.rng.IntN(10) == 0 {
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
-	c.history.begin(id, class, deadline)
-	if _, err := io.WriteString(conn, text[cut:]); err != nil { // its last byte was not written: it was not taken
+	c.history.recordRequest(id, class, deadline)
+	if _, err := io.WriteString(conn, text[cut:]); err != nil { // the same
 		c.history.count("not sent whole")
 		return false
 	}
-	if c.rng.Float64() < c.leaves {
+	if c.rng.Float64() < c.abandons {
 		time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
-		c.history.leave(id)
+		c.history.recordClose(id)
 		return false
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(deadline + answerSlack))
+	_ = conn.SetReadDeadline(time.Now().Add(deadline + responseSlack))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
-		defer func() { _ = response.Body.Close() }()                 // its end was read, or its error
-		if _, err = io.Copy(io.Discard, response.Body); err != nil { // cut short so that the client can tell: failed
+		defer func() { _ = response.Body.Close() }()                 // its end was read, or an error
+		if _, err = io.Copy(io.Discard, response.Body); err != nil { // the client can tell that it failed
 			c.history.count("answers cut short")
 			return false
 		}
 	}
 	if err != nil {
-		c.history.unanswered(id, used > 0, c.crowded, err)
+		c.history.recordNoResponse(id, used > 0, c.crowded, err)
 		return false
 	}
-	c.history.answered(id, response.StatusCode)
+	c.history.recordResponse(id, response.StatusCode)
 	return !response.Close
 }
 
@@ -105,17 +105,17 @@
 	case cancelClass:
 		extra = "Content-Length: 5\r\nIdempotency-Key: k-" + id + "\r\n"
 	}
-	const form = "%s /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t\r\n" +
+	const format = "%s /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t\r\n" +
 		"X-Deadline-Ms: %d\r\n%s\r\n"
-	text := fmt.Sprintf(form, method, id, class, deadline.Milliseconds(), extra)
+	text := fmt.Sprintf(format, method, id, class, deadline.Milliseconds(), extra)
 	if strings.HasPrefix(extra, "Content-Length") {
 		text += "hello"
 	}
 	return text
 }
 
-// crowd is idle and half-spoken clients, who hold their connections.
-func crowd(addr string, size int) (leave func()) {
+// openIdleConns opens connections, some with half a request, which stay open until closeAll.
+func openIdleConns(addr string, size int) (closeAll func()) {
 	var conns []net.Conn
 	for i := range size {
 		conn, err := net.Dial("tcp", addr)
--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -24,28 +24,30 @@
 
 // The usual size of a fleet, and the largest: servers, and nodes that share them.
 const (
-	usualServers, usualNodes = 200, 300
-	mostServers, mostNodes   = 3200, 900
+	usualServers, usualNodes     = 200, 300
+	largestServers, largestNodes = 3200, 900
 )
 
 const (
 	growthRate  = 20 // requests a second of the node, at each size
 	growthSteps = 20 // in which half of the servers are replaced
-	serverTakes = 20 * time.Millisecond
+	serviceTime = 20 * time.Millisecond
 	kilobyte    = 1 << 10
 	megabyte    = 1 << 20
 )
 
-// needs is what a node took over its run.
-type needs struct {
-	cpuSeconds, peakMemory, descriptors, connections, listBytes, share float64
+// resourceUse is what a node used over its run.
+type resourceUse struct {
+	cpuSeconds, peakMemory, descriptors, connections, listBytes float64
+
+	servedShare float64 // of the requests
 }
 
-// TestGrowth holds one node of the largest fleet against one of the usual size, over the same traffic and the same part
-// of the servers replaced: what it needs may grow only so far.
-func TestGrowth(t *testing.T) {
+// TestGrowth_ResourceUseIsBounded compares a node of the largest fleet with one of the usual size, over the same
+// traffic and with the same part of the servers replaced: the growth of its resource use is bounded.
+func TestGrowth_ResourceUseIsBounded(t *testing.T) {
 	binary := buildNode(t)
-	var usual, largest needs
+	var usual, largest resourceUse
 	t.Run("sizes", func(t *testing.T) {
 		t.Run("usual", func(t *testing.T) {
 			t.Parallel()
@@ -53,48 +55,49 @@
 		})
 		t.Run("largest", func(t *testing.T) {
 			t.Parallel()
-			largest = runFleetNode(t, binary, mostServers, mostNodes)
+			largest = runFleetNode(t, binary, largestServers, largestNodes)
 		})
 	})
 	t.Logf("usual size %+v", usual)
 	t.Logf("largest    %+v", largest)
-	const thousands = mostServers / 1000.
+	const thousands = largestServers / 1000.
 	for _, bound := range []struct {
-		what      string
-		got, most float64
+		what     string
+		got, max float64
 	}{
 		{"CPU seconds", largest.cpuSeconds, 1.4*usual.cpuSeconds + 0.02 + 0.03*thousands},
 		{"bytes of peak memory", largest.peakMemory, 1.5*usual.peakMemory + 8*megabyte + 4*megabyte*thousands},
 		{"descriptors", largest.descriptors, 2*usual.descriptors + 40},
 		{"connections made to servers", largest.connections, 2.5*usual.connections + 40},
 		{"bytes of lists", largest.listBytes, 2*usual.listBytes + 64*kilobyte + 500*kilobyte*thousands},
-		{"share not served", 1 - largest.share, 1 - 0.85*usual.share},
+		{"share not served", 1 - largest.servedShare, 1 - 0.85*usual.servedShare},
 	} {
-		if bound.got > bound.most {
-			t.Errorf("%s: %v, and at most %v wanted", bound.what, bound.got, bound.most)
+		if bound.got > bound.max {
+			t.Errorf("%s: %v, and at most %v wanted", bound.what, bound.got, bound.max)
 		}
 	}
 }
 
-// fleet is the stand-ins of one size: servers, and discovery that tells what has changed.
+// fleet is the servers of one size of a fleet, and its discovery service, which sends changes.
 type fleet struct {
 	listeners   []net.Listener
 	connections atomic.Int64
 	listBytes   atomic.Int64
 
 	mu      sync.Mutex
-	changes []string // an entry of the list each; its place is its revision less one
+	changes []string // an entry of the list each; its index is its revision less one
 	changed chan struct{}
 }
 
 func (f *fleet) addServer(t *testing.T) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(serverTakes)
+			time.Sleep(serviceTime)
 			_, _ = io.WriteString(w, "ok")
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
@@ -108,8 +111,8 @@
 	f.listeners = append(f.listeners, listener)
 }
 
-// tell adds changes of these servers to what discovery tells.
-func (f *fleet) tell(from, to int, phase string, started time.Time) {
+// publish adds a change of each server in a range. started is when the servers started; zero: before all others.
+func (f *fleet) publish(from, to int, phase string, started time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := from; i < to; i++ {
@@ -124,15 +127,15 @@
 	f.changed = make(chan struct{})
 }
 
-// list is what has changed since a revision.
+// list returns the changes since a revision, or a channel that closes at the next change if there are none.
 func (f *fleet) list(since int) (list string, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if since == len(f.changes) {
 		return "", f.changed
 	}
-	const form = `{"revision":%d,"complete":%t,"members":[%s]}`
-	return fmt.Sprintf(form, len(f.changes), since == 0, strings.Join(f.changes[since:], ",")), nil
+	const format = `{"revision":%d,"complete":%t,"members":[%s]}`
+	return fmt.Sprintf(format, len(f.changes), since == 0, strings.Join(f.changes[since:], ",")), nil
 }
 
 func (f *fleet) serveList(w http.ResponseWriter, request *http.Request) {
@@ -154,53 +157,58 @@
 	f.listBytes.Add(int64(n))
 }
 
-// runFleetNode runs one node of a fleet as a process, and returns what it needed.
-func runFleetNode(t *testing.T, binary string, servers, nodes int) (n needs) {
-	standIns := &fleet{changed: make(chan struct{})}
+// runFleetNode runs one node of a fleet as a process, and returns its resource use.
+func runFleetNode(t *testing.T, binary string, servers, nodes int) (use resourceUse) {
+	t.Helper()
+	stub := &fleet{changed: make(chan struct{})}
 	for range servers + servers/2 {
-		standIns.addServer(t)
+		stub.addServer(t)
 	}
-	standIns.tell(0, servers, "up", time.Time{})
-	r := &run{t: t, exited: make(chan struct{}), binary: binary}
-	known, _ := standIns.list(0)
-	config := fmt.Sprintf(configFormat, testkit.HTTPServer(t, standIns.serveList), 576, known, 1500)
-	r.startWith(strings.Replace(config, `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, nodes), 1))
+	stub.publish(0, servers, "up", time.Time{})
+	known, _ := stub.list(0)
+	config := fmt.Sprintf(configFormat, testkit.HTTPServer(t, stub.serveList), 576, known, 1500)
+	config = strings.Replace(config, `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, nodes), 1)
+	node := startNode(t, exec.Command(binary, "serve"), config)
+	pid := node.command.Process.Pid
 
 	ended := make(chan struct{})
-	var all sync.WaitGroup
-	var asked, served atomic.Int64
-	all.Go(func() { standIns.replaceHalf(servers, ended) })
-	all.Go(func() {
-		for {
-			select {
-			case <-ended:
-				return
-			case <-time.After(20 * time.Millisecond):
-				open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.process.Process.Pid))
-				n.descriptors = max(n.descriptors, float64(len(open)))
-			}
-		}
-	})
+	var running sync.WaitGroup
+	var sent, served atomic.Int64
+	running.Go(func() { stub.replaceHalf(servers, ended) })
+	running.Go(func() { use.descriptors = maxDescriptors(pid, ended) })
 	ticker := time.NewTicker(time.Second / growthRate)
 	for end := time.Now().Add(*growthFor); time.Now().Before(end); <-ticker.C {
-		id := fmt.Sprint("g", asked.Add(1))
-		all.Go(func() {
-			if ask(r.addr, id) {
+		id := fmt.Sprint("g", sent.Add(1))
+		running.Go(func() {
+			if requestServed(node.addr, id) {
 				served.Add(1)
 			}
 		})
 	}
 	ticker.Stop()
 	close(ended)
-	all.Wait()
-	n.cpuSeconds, n.peakMemory = consumed(t, r.process.Process.Pid)
-	n.connections, n.listBytes = float64(standIns.connections.Load()), float64(standIns.listBytes.Load())
-	n.share = float64(served.Load()) / float64(asked.Load())
-	return n
+	running.Wait()
+	use.cpuSeconds, use.peakMemory = processUse(t, pid)
+	use.connections, use.listBytes = float64(stub.connections.Load()), float64(stub.listBytes.Load())
+	use.servedShare = float64(served.Load()) / float64(sent.Load())
+	return use
+}
+
+// maxDescriptors samples the open descriptors of a process until ended closes, and returns the maximum.
+func maxDescriptors(pid int, ended <-chan struct{}) (most float64) {
+	for {
+		select {
+		case <-ended:
+			return most
+		case <-time.After(20 * time.Millisecond):
+			open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // a sample that fails counts as none
+			most = max(most, float64(len(open)))
+		}
+	}
 }
 
-// replaceHalf replaces half of the servers in steps over the run.
-func (f *fleet) replaceHalf(servers int, ended chan struct{}) {
+// replaceHalf replaces half of the servers in steps over the run, or until ended closes.
+func (f *fleet) replaceHalf(servers int, ended <-chan struct{}) {
 	for step := range growthSteps {
 		select {
 		case <-ended:
@@ -208,18 +216,18 @@
 		case <-time.After(*growthFor / (growthSteps + 1)):
 		}
 		from, to := step*servers/2/growthSteps, (step+1)*servers/2/growthSteps
-		f.tell(from, to, "removed", time.Time{})
-		f.tell(servers+from, servers+to, "up", time.Now())
+		f.publish(from, to, "removed", time.Time{})
+		f.publish(servers+from, servers+to, "up", time.Now())
 	}
 }
 
-// ask sends a request on a connection of its own, and reports whether it was served.
-func ask(addr, id string) bool {
+// requestServed sends a request on a connection of its own, and reports whether it was served.
+func requestServed(addr, id string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	write(conn, requestText(id, searchClass, 1500*time.Millisecond))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -229,8 +237,8 @@
 	return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 }
 
-// consumed is the CPU time and the peak memory of a process.
-func consumed(t *testing.T, pid int) (cpuSeconds, peakMemory float64) {
+// processUse is the CPU time and the peak memory, in bytes, of a process.
+func processUse(t *testing.T, pid int) (cpuSeconds, peakMemory float64) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d", pid)
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -259,7 +267,7 @@
 	return cpuSeconds, kilobytes * kilobyte
 }
 
-// buildNode builds the node as it is shipped: the race detector of these tests takes many times the CPU and memory.
+// buildNode builds the node as it is shipped, without the race detector, which multiplies the use of CPU and memory.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "wayhold")
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -8,44 +8,45 @@
 	"time"
 )
 
-// Bounds of what the terms allow, each with some time for a machine that is busy.
+// Bounds that the operators' terms set, each with some time for a busy machine.
 const (
 	machineSlack  = 150 * time.Millisecond
-	answerSlack   = 500*time.Millisecond + machineSlack // after a request's time: its answer is late, not lost
-	leaveSlack    = 100*time.Millisecond + machineSlack // after a client's close, in which an attempt may begin
-	deadlineSlack = 150*time.Millisecond + machineSlack // of what a server is told of the client's time
+	responseSlack = 500*time.Millisecond + machineSlack // after a request's deadline, until its response is lost
+	closeSlack    = 100*time.Millisecond + machineSlack // after a client's close, in which an attempt may begin
+	deadlineSlack = 150*time.Millisecond + machineSlack // of a server's deadline beyond the client's
 )
 
-// requestRecord is what clients and servers have seen of one request.
+// requestRecord is what clients and servers have recorded of one request.
 type requestRecord struct {
 	class    string
 	deadline time.Duration
 	sent     time.Time // its last byte was written
-	left     time.Time // its client has closed; zero: it has not
+	closedAt time.Time // its client has closed the connection; zero: it has not
 	attempts []attemptRecord
-	refused  bool
+	rejected bool
 }
 
-// attemptRecord is one attempt as a server has seen it.
+// attemptRecord is one attempt that a server has received.
 type attemptRecord struct {
 	at     time.Time
 	notRun bool
 }
 
-// history is what a run has seen, and what of it breaks a rule. It is safe for concurrent use.
+// history is what clients and servers of a run have recorded, and what of it violates a rule. It is safe for concurrent
+// use.
 type history struct {
-	mu       sync.Mutex
-	requests map[string]*requestRecord
-	breaks   []string
-	counts   map[string]int
+	mu         sync.Mutex
+	requests   map[string]*requestRecord
+	violations []string
+	counts     map[string]int
 }
 
 func newHistory() *history {
 	return &history{requests: make(map[string]*requestRecord), counts: make(map[string]int)}
 }
 
-func (h *history) breakf(format string, args ...any) {
-	h.breaks = append(h.breaks, fmt.Sprintf(format, args...))
+func (h *history) violatef(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
 func (h *history) count(what string) {
@@ -54,43 +55,44 @@
 	h.counts[what]++
 }
 
-// begin notes a request whose last byte is about to be written.
-func (h *history) begin(id, class string, deadline time.Duration) {
+// recordRequest records a request whose last byte is about to be written.
+func (h *history) recordRequest(id, class string, deadline time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.requests[id] = &requestRecord{class: class, deadline: deadline, sent: time.Now()}
 	h.counts["requests"]++
 }
 
-// leave notes that a client closes its connection.
-func (h *history) leave(id string) {
+// recordClose records that a client closes its connection.
+func (h *history) recordClose(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.requests[id].left = time.Now()
+	h.requests[id].closedAt = time.Now()
 	h.counts["clients left"]++
 }
 
-// attempt notes that a request came to a server whole, told so much time.
-func (h *history) attempt(id string, told time.Duration) (number int) {
+// recordAttempt records that a server has received a request completely, with a deadline, and returns the number of the
+// attempt.
+func (h *history) recordAttempt(id string, deadline time.Duration) (number int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now, r := time.Now(), h.requests[id]
 	if r == nil {
-		h.breakf("%s was sent by no client", id)
+		h.violatef("%s was sent by no client", id)
 		return 0
 	}
 	h.counts["attempts"]++
-	if left := r.deadline - now.Sub(r.sent); told > left+deadlineSlack {
-		h.breakf("%s: a server was told %v, its client has %v left", id, told, left)
+	if left := r.deadline - now.Sub(r.sent); deadline > left+deadlineSlack {
+		h.violatef("%s: a server got a deadline of %v, its client has %v left", id, deadline, left)
 	}
-	if !r.left.IsZero() && now.Sub(r.left) > leaveSlack {
-		h.breakf("%s: an attempt came %v after its client had left", id, now.Sub(r.left))
+	if !r.closedAt.IsZero() && now.Sub(r.closedAt) > closeSlack {
+		h.violatef("%s: an attempt came %v after its client had disconnected", id, now.Sub(r.closedAt))
 	}
-	if r.refused {
-		h.breakf("%s: an attempt came after it was refused", id)
+	if r.rejected {
+		h.violatef("%s: an attempt came after it was rejected", id)
 	}
 	if r.class == bookingClass && r.mayHaveRun() {
-		h.breakf("%s of a class that must not run twice: attempt %d", id, len(r.attempts))
+		h.violatef("%s of a class that must not run twice: attempt %d", id, len(r.attempts))
 	}
 	r.attempts = append(r.attempts, attemptRecord{at: now})
 	return len(r.attempts) - 1
@@ -105,8 +107,8 @@
 	return false
 }
 
-// notRun notes that a server is about to say that an attempt did not run.
-func (h *history) notRun(id string, attempt int) {
+// recordNotRun records that a server is about to respond that an attempt did not run.
+func (h *history) recordNotRun(id string, attempt int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r := h.requests[id]; r != nil {
@@ -114,35 +116,35 @@
 	}
 }
 
-// answered notes a whole answer.
-func (h *history) answered(id string, status int) {
+// recordResponse records a complete response.
+func (h *history) recordResponse(id string, status int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.requests[id]
 	h.counts[fmt.Sprint("answered ", status)]++
-	if late := time.Since(r.sent) - r.deadline; late > answerSlack {
-		h.breakf("%s: answered with %d, %v after its time", id, status, late)
+	if late := time.Since(r.sent) - r.deadline; late > responseSlack {
+		h.violatef("%s: answered with %d, %v after its deadline", id, status, late)
 	}
 	if status == 429 || status == 503 {
-		r.refused = true
+		r.rejected = true
 		if r.class == bookingClass && r.mayHaveRun() {
-			h.breakf("%s: refused with %d, and may have run", id, status)
+			h.violatef("%s: rejected with %d, and may have run", id, status)
 		}
 	}
 }
 
-// unanswered notes that a connection ended with no answer. A request that crosses the close of a connection that rested
-// may be sent again, if no server has seen it; one on a new connection is lost, unless idle clients fill the
-// descriptors: then new connections may be shut unread.
-func (h *history) unanswered(id string, rested, crowded bool, why error) {
+// recordNoResponse records that a connection ended without a response. A request that crosses the close of an idle
+// connection may be sent again, if no server has received it; one on a new connection is lost, unless idle clients fill
+// the descriptors: then new connections may be closed unread.
+func (h *history) recordNoResponse(id string, reused, crowded bool, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.requests[id]
-	shut := !errors.Is(why, os.ErrDeadlineExceeded) && len(r.attempts) == 0
-	if shut && (rested || crowded) {
-		h.counts["shut unread"]++
+	closedUnread := !errors.Is(cause, os.ErrDeadlineExceeded) && len(r.attempts) == 0
+	if closedUnread && (reused || crowded) {
+		h.counts["closed unread"]++
 		return
 	}
-	h.breakf("%s: lost %v after it was sent, of %v; on a connection used before: %v; at %d servers: %v",
-		id, time.Since(r.sent), r.deadline, rested, len(r.attempts), why)
+	h.violatef("%s: lost %v after it was sent, of %v; on a connection used before: %v; at %d servers: %v",
+		id, time.Since(r.sent), r.deadline, reused, len(r.attempts), cause)
 }
--- a/internal/soak/servers_test.go
+++ b/internal/soak/servers_test.go
@@ -17,15 +17,16 @@
 	"cobaltward/internal/testkit"
 )
 
-// server is a stand-in of an app server. While it hangs, it answers nothing.
+// server is an application server. While it hangs, it answers no request.
 type server struct {
 	id, addr string
 	history  *history
 	hangs    atomic.Bool
-	faults   float64 // part of the requests that meet a fault
+	faults   float64 // part of the requests that get a fault
 }
 
 func startServer(t *testing.T, id string, h *history, faults float64) *server {
+	t.Helper()
 	s := &server{id: id, history: h, faults: faults}
 	s.addr = testkit.RawServer(t, s.serve)
 	return s
@@ -42,8 +43,8 @@
 			return
 		}
 		id := request.Header.Get("X-Request-Id")
-		told, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms"))
-		attempt := s.history.attempt(id, time.Duration(told)*time.Millisecond)
+		deadlineMs, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms")) // a missing deadline is not too long
+		attempt := s.history.recordAttempt(id, time.Duration(deadlineMs)*time.Millisecond)
 		if !s.answer(conn, in, id, attempt) {
 			return
 		}
@@ -53,7 +54,7 @@
 // answer answers one request; false ends the connection.
 func (s *server) answer(conn net.Conn, in *bufio.Reader, id string, attempt int) bool {
 	if s.hangs.Load() {
-		_, _ = in.Peek(1) // until the node gives up
+		_, _ = in.Peek(1) // until the node cancels the attempt
 		return false
 	}
 	time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
@@ -61,12 +62,12 @@
 		return write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 	}
 	switch rand.IntN(7) {
-	case 0: // turned away
-		s.history.notRun(id, attempt)
+	case 0: // rejected
+		s.history.recordNotRun(id, attempt)
 		return write(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case 1:
 		return write(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-	case 2: // reset under the request
+	case 2: // reset
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case 3: // half a head
@@ -89,7 +90,7 @@
 	return err == nil
 }
 
-// registry is a stand-in of discovery: it holds a call until there is a newer list.
+// registry is a discovery service: it holds a call until there is a newer list.
 type registry struct {
 	addr string
 
@@ -100,9 +101,10 @@
 }
 
 func startRegistry(t *testing.T, servers []*server) *registry {
+	t.Helper()
 	r := &registry{changed: make(chan struct{})}
 	r.set(servers)
-	r.addr = testkit.HTTPServer(t, r.serve)
+	r.addr = testkit.HTTPServer(t, r.serveHTTP)
 	return r
 }
 
@@ -120,11 +122,18 @@
 	r.changed = make(chan struct{})
 }
 
+// list is the complete list as it is now.
 func (r *registry) list() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.listLocked()
+}
+
+func (r *registry) listLocked() string {
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, r.revision, strings.Join(r.members, ","))
 }
 
-func (r *registry) serve(w http.ResponseWriter, request *http.Request) {
+func (r *registry) serveHTTP(w http.ResponseWriter, request *http.Request) {
 	wait, _ := strconv.Atoi(request.URL.Query().Get("wait"))
 	r.mu.Lock()
 	changed := r.changed
@@ -142,5 +151,5 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, _ = io.WriteString(w, r.list())
+	_, _ = io.WriteString(w, r.listLocked())
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -4,11 +4,8 @@
 	"flag"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -16,22 +13,21 @@
 	"time"
 
 	"cobaltward/internal/cli"
-	"cobaltward/internal/testkit"
 )
 
 var (
 	firstSeed = flag.Uint64("soak.seed", 1, "the seed of the first run")
 	seeds     = flag.Int("soak.seeds", 6, "how many runs")
-	together  = flag.Int("soak.together", 3, "how many runs at a time")
+	parallel  = flag.Int("soak.together", 3, "how many runs at a time")
 )
 
-// nodeEnv says that this process is the node of a run.
+// nodeEnv names the environment variable that makes this binary the node of a run.
 const nodeEnv = "WAYHOLD_SOAK_NODE"
 
-// Times of the operators' pages.
+// Times that the operators' pages give.
 const (
-	killAfterDeadline = 700 * time.Millisecond // and the longest deadline after SIGTERM, SIGKILL may come
-	comingAfterTerm   = 200 * time.Millisecond // for so long new connections come at least
+	killDelay        = 700 * time.Millisecond // from SIGTERM and the longest deadline to the earliest SIGKILL
+	clientsRoutedFor = 200 * time.Millisecond // the shortest time after SIGTERM in which clients open connections
 )
 
 func TestMain(m *testing.M) {
@@ -43,39 +39,36 @@
 	os.Exit(m.Run())
 }
 
-// TestSoak plays a run for each seed.
-func TestSoak(t *testing.T) {
-	limit := make(chan struct{}, *together)
+// TestSoak_KeepsOperatorsRules does one run for each seed.
+func TestSoak_KeepsOperatorsRules(t *testing.T) {
+	limit := make(chan struct{}, *parallel)
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			newRun(t, seed).play()
+			newSoakRun(t, seed).execute()
 		})
 	}
 }
 
-// run is one run.
-type run struct {
+// soakRun is one node with its servers and clients. All that it does is drawn from its seed.
+type soakRun struct {
 	t        *testing.T
 	rng      *rand.Rand
 	history  *history
 	servers  []*server
 	registry *registry
-	longest  time.Duration // deadline of a class
-	addr     string
-	process  *exec.Cmd
-	binary   string // of the node; "": this test's own
-	exited   chan struct{}
-	arriving atomic.Bool
-	ended    atomic.Bool
-	log      string
+	longest  time.Duration // the deadline of every class
+	node     *nodeProcess
+	routed   atomic.Bool // clients may open connections to the node
+	ended    atomic.Bool // the node has ended
 }
 
-func newRun(t *testing.T, seed uint64) *run {
-	r := &run{t: t, rng: rand.New(rand.NewPCG(seed, seed)), history: newHistory(), exited: make(chan struct{})}
+func newSoakRun(t *testing.T, seed uint64) *soakRun {
+	t.Helper()
+	r := &soakRun{t: t, rng: rand.New(rand.NewPCG(seed, seed)), history: newHistory()}
 	r.longest = time.Duration(150+r.rng.IntN(1350)) * time.Millisecond
 	for i := range 3 + r.rng.IntN(4) {
 		r.servers = append(r.servers, startServer(t, fmt.Sprint("s", i), r.history, []float64{0, 0.05, 0.3}[r.rng.IntN(3)]))
@@ -84,34 +77,34 @@
 	return r
 }
 
-// play starts the node, has clients use it, tells it to end, kills it at the earliest moment, and judges.
-func (r *run) play() {
-	r.start()
+// execute starts the node, has clients use it, terminates it, kills it at the earliest moment, and reports violations.
+func (r *soakRun) execute() {
+	r.startNode()
 	var clients sync.WaitGroup
-	r.arriving.Store(true)
-	crowded, leave := r.rng.IntN(3) == 0, func() {}
+	r.routed.Store(true)
+	crowded, closeIdle := r.rng.IntN(3) == 0, func() {}
 	if crowded {
-		leave = crowd(r.addr, 40+r.rng.IntN(80))
+		closeIdle = openIdleConns(r.node.addr, 40+r.rng.IntN(80))
 	}
-	leaving := []float64{0, 0.05, 0.2}
+	abandonRates := []float64{0, 0.05, 0.2}
 	pauses := []time.Duration{0, 20 * time.Millisecond, 300 * time.Millisecond}
 	for i := range 6 + r.rng.IntN(24) {
 		c := &client{
-			name: fmt.Sprint("c", i), addr: r.addr, rng: rand.New(rand.NewPCG(r.rng.Uint64(), 1)), history: r.history,
-			longest: r.longest, arriving: &r.arriving, ended: &r.ended, crowded: crowded,
-			leaves: leaving[r.rng.IntN(len(leaving))], pause: pauses[r.rng.IntN(len(pauses))],
+			name: fmt.Sprint("c", i), addr: r.node.addr, rng: rand.New(rand.NewPCG(r.rng.Uint64(), 1)), history: r.history,
+			longest: r.longest, routed: &r.routed, ended: &r.ended, crowded: crowded,
+			abandons: abandonRates[r.rng.IntN(len(abandonRates))], pause: pauses[r.rng.IntN(len(pauses))],
 		}
 		clients.Go(c.run)
 	}
-	r.disturb(time.Duration(200+r.rng.IntN(800)) * time.Millisecond)
+	r.injectFaults(time.Duration(200+r.rng.IntN(800)) * time.Millisecond)
 	r.terminate()
 	clients.Wait()
-	leave()
-	r.judge()
+	closeIdle()
+	r.report()
 }
 
-// disturb has servers hang and come back, the list change and the configuration be read again, for a while.
-func (r *run) disturb(duration time.Duration) {
+// injectFaults has servers hang and recover, the endpoint list change and the configuration be reloaded, for a while.
+func (r *soakRun) injectFaults(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(20+r.rng.IntN(80)) * time.Millisecond)
 		switch r.rng.IntN(4) {
@@ -119,125 +112,66 @@
 			s := r.servers[r.rng.IntN(len(r.servers))]
 			s.hangs.Store(!s.hangs.Load())
 		case 1:
-			r.signal(syscall.SIGHUP)
+			r.node.signal(syscall.SIGHUP)
 		case 2:
 			r.registry.set(r.servers[:1+r.rng.IntN(len(r.servers))])
 		}
 	}
 }
 
-// terminate sends SIGTERM, other signals in series, and SIGKILL when the pages allow it first.
-func (r *run) terminate() {
+// terminate sends SIGTERM, other signals in series, and SIGKILL at the earliest time that the pages allow.
+func (r *soakRun) terminate() {
 	if r.rng.IntN(2) == 0 {
 		for _, s := range r.servers {
 			s.hangs.Store(r.rng.IntN(2) == 0)
 		}
 	}
-	told := time.Now()
-	r.signal(syscall.SIGTERM)
-	time.AfterFunc(comingAfterTerm, func() { r.arriving.Store(false) })
-	kill := told.Add(r.longest + killAfterDeadline)
+	terminatedAt := time.Now()
+	r.node.signal(syscall.SIGTERM)
+	time.AfterFunc(clientsRoutedFor, func() { r.routed.Store(false) })
+	killAt := terminatedAt.Add(r.longest + killDelay)
 	for range r.rng.IntN(5) {
 		time.Sleep(time.Duration(r.rng.Int64N(int64(r.longest / 4))))
-		r.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[r.rng.IntN(2)])
+		r.node.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[r.rng.IntN(2)])
 	}
 	select {
-	case <-r.exited:
+	case <-r.node.exited:
 		r.history.count("ended by itself")
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killAt)):
 		r.history.count("killed")
-		r.signal(syscall.SIGKILL)
-		<-r.exited
+		r.node.signal(syscall.SIGKILL)
+		<-r.node.exited
 	}
 	r.ended.Store(true)
-	r.arriving.Store(false)
+	r.routed.Store(false)
 }
 
-// signal sends a signal; a process that has ended is sent none.
-func (r *run) signal(s syscall.Signal) {
-	select {
-	case <-r.exited:
-	default:
-		_ = r.process.Process.Signal(s) // it may have ended just now
-	}
-}
-
-// judge says what has broken a rule.
-func (r *run) judge() {
+// report fails the test for each violation of a rule, and shows the log of the node.
+func (r *soakRun) report() {
 	h := r.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.t.Logf("longest deadline %v: %v", r.longest, h.counts)
-	if len(h.breaks) == 0 {
+	if len(h.violations) == 0 {
 		return
 	}
-	for _, what := range h.breaks[:min(len(h.breaks), 10)] {
-		r.t.Error(what)
+	for _, violation := range h.violations[:min(len(h.violations), 10)] {
+		r.t.Error(violation)
 	}
-	log, _ := os.ReadFile(r.log)
-	r.t.Logf("%d breaks; the node's log:\n%s", len(h.breaks), log)
-}
-
-// start starts the node, and waits until it is ready.
-func (r *run) start() {
-	sockets := 64 + r.rng.IntN(4)*64
-	r.startWith(fmt.Sprintf(configFormat, r.registry.addr, sockets, r.registry.list(), r.longest.Milliseconds()))
+	log, _ := os.ReadFile(r.node.logPath) // without it the violations are still reported
+	r.t.Logf("%d violations; the node's log:\n%s", len(h.violations), log)
 }
 
-// startWith starts the node with a configuration.
-func (r *run) startWith(text string) {
-	dir := r.t.TempDir()
-	config := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		r.t.Fatal(err)
-	}
-	r.log = filepath.Join(dir, "log")
-	log, err := os.Create(r.log)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	defer func() { _ = log.Close() }() // the node has its own
-	r.process = exec.Command(os.Args[0])
-	if r.binary != "" {
-		r.process = exec.Command(r.binary, "serve")
-	}
-	r.process.Env = append(os.Environ(), nodeEnv+"=1", "ROUTER_CONFIG="+config, "TMPDIR="+dir)
-	r.process.Stderr = log
-	if err := r.process.Start(); err != nil {
-		r.t.Fatal(err)
-	}
-	go func() {
-		_ = r.process.Wait() // its status is no rule's
-		close(r.exited)
-	}()
-	r.t.Cleanup(func() {
-		r.signal(syscall.SIGKILL)
-		<-r.exited
-	})
-	testkit.Await(r.t, "the node to listen", func() bool {
-		raw, _ := os.ReadFile(r.log)
-		_, rest, found := strings.Cut(string(raw), "msg=listening")
-		if !found {
-			return false
-		}
-		_, rest, _ = strings.Cut(rest, "address=")
-		r.addr, _, found = strings.Cut(rest, " ")
-		return found
-	})
-	testkit.Await(r.t, "the node to be ready", func() bool {
-		conn, err := net.Dial("tcp", r.addr)
-		if err != nil {
-			return false
-		}
-		defer func() { _ = conn.Close() }() // it was only asked
-		write(conn, "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		head := make([]byte, len("HTTP/1.1 200"))
-		n, _ := conn.Read(head)
-		return string(head[:n]) == "HTTP/1.1 200"
-	})
+// startNode starts this test's own binary as the node.
+func (r *soakRun) startNode() {
+	r.t.Helper()
+	descriptors := 64 + r.rng.IntN(4)*64
+	config := fmt.Sprintf(configFormat, r.registry.addr, descriptors, r.registry.list(), r.longest.Milliseconds())
+	r.node = startNode(r.t, exec.Command(os.Args[0]), config)
 }
 
-// configFormat is the node's configuration: discovery, descriptors, the last list, and the longest deadline.
+// configFormat is the node's configuration. Its arguments are the address of discovery, the number of descriptors, the
+// last endpoint list, and the deadline of every class in ms.
 const configFormat = `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
  "limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,
  "settings":{"position":0,"groupSize":1,"zone":"a","localities":["a"],"kinds":["k"],
