--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -113,8 +113,8 @@
 	runTunnel(ln, accept, dial)
 }
 
-// runClientTunnel forwards connections of clients to the node by TLS. It closes its listener once the node refuses
-// connections.
+// runClientTunnel forwards connections of clients to the node by TLS. The listener is closed at the first connection
+// that the node refuses.
 func runClientTunnel(ln net.Listener, config *tls.Config, node string) {
 	accept := func(conn *net.TCPConn) halfCloser { return conn }
 	dial := func() (halfCloser, error) {
