--- a/emulator/realtime/agent.go
+++ b/emulator/realtime/agent.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"net"
 	"net/http"
 	"slices"
@@ -11,148 +12,179 @@
 	"time"
 )
 
-// Agent is discovery as one node has it.
+// Endpoint is a server in the format of the platform's discovery.
+type Endpoint struct {
+	ID        string  `json:"id"`
+	Addr      string  `json:"host_port"`
+	Zone      string  `json:"locality"`
+	Kind      string  `json:"flavor"`
+	Cell      int64   `json:"cell"`
+	Phase     string  `json:"phase"`
+	Weight    float64 `json:"size"`
+	StartedAt int64   `json:"up_since_ms"` // Unix time in milliseconds; 0: unknown
+}
+
+// Values of Endpoint.Phase.
+const (
+	PhaseUp       = "up"
+	PhaseDraining = "draining"
+	PhaseRemoved  = "removed"
+)
+
+// Agent is the discovery service of one node. Its methods are safe for concurrent use.
 type Agent interface {
-	Addr() string            // for the platform's configuration
-	Operator() string        // for the operator's own file
-	Set(e Entry)             // it learns of a server
-	Silence(on bool)         // it says nothing, or speaks again
-	Known() ([]Entry, int64) // what a node that starts is given, and its revision
+	Addr() string                  // for the platform's configuration
+	NodeConfig() string            // TOML for the node's own configuration
+	Update(e Endpoint)             // reports a change of a server
+	SetSilent(silent bool)         // makes the agent stop or resume sending updates
+	Snapshot() ([]Endpoint, int64) // the list for a node that starts, and its revision
 	Stop()
 }
 
-// NewAgent starts an agent with a list. told is to be called, at the latest as it is written, with all that
-// the node is told.
-type NewAgent func(dir string, first []Entry, told func(id string, open bool)) (Agent, error)
+// NewAgent starts an agent with a list of endpoints and a directory for its files. It calls notified for each endpoint
+// that it sends to the node, at the latest when it is written.
+type NewAgent func(dir string, endpoints []Endpoint, notified func(id string, available bool)) (Agent, error)
+
+// maxWatch is the longest time for which a request for changes waits.
+const maxWatch = time.Minute
 
-// agent is discovery as one node has it: what it has been sent, in the protocol's own form. It is silent
-// while discovery is down.
+// agent is an Agent that uses the platform's discovery protocol.
 type agent struct {
-	addr   string
-	server *http.Server
-	ended  sync.WaitGroup
-	told   func(id string, open bool) // of what is written to the node
-
-	mu       sync.Mutex
-	revision int64
-	entries  map[string]Entry
-	changed  map[string]int64 // revision of each Entry's last change, removals among them
-	news     chan struct{}    // closed at each change
-	silent   bool
+	addr     string
+	server   *http.Server
+	tasks    sync.WaitGroup
+	notified func(id string, available bool)
+
+	mu        sync.Mutex
+	revision  int64
+	endpoints map[string]Endpoint
+	changedAt map[string]int64 // revision of each endpoint's last change, removals included
+	changes   chan struct{}    // closed at each change
+	silent    bool
 }
 
-func startAgent(_ string, first []Entry, told func(id string, open bool)) (Agent, error) {
+func startAgent(_ string, endpoints []Endpoint, notified func(id string, available bool)) (Agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{addr: ln.Addr().String(), told: told, revision: 1, entries: make(map[string]Entry), changed: make(map[string]int64), news: make(chan struct{})}
-	for _, e := range first {
-		a.entries[e.ID] = e
+	a := &agent{
+		addr: ln.Addr().String(), notified: notified, revision: 1,
+		endpoints: make(map[string]Endpoint), changedAt: make(map[string]int64), changes: make(chan struct{}),
 	}
-	a.server = &http.Server{Handler: http.HandlerFunc(a.answer), ReadHeaderTimeout: time.Minute}
-	a.ended.Go(func() { _ = a.server.Serve(ln) }) // ends with Stop
+	for _, endpoint := range endpoints {
+		a.endpoints[endpoint.ID] = endpoint
+	}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.handle), ReadHeaderTimeout: time.Minute}
+	a.tasks.Go(func() { _ = a.server.Serve(ln) }) // returns after Stop
 	return a, nil
 }
 
-func (a *agent) Addr() string     { return a.addr }
-func (a *agent) Operator() string { return "" }
+func (a *agent) Addr() string       { return a.addr }
+func (a *agent) NodeConfig() string { return "" }
 
 func (a *agent) Stop() {
-	a.server.Close()
-	a.ended.Wait()
+	_ = a.server.Close()
+	a.tasks.Wait()
 }
 
-// Set has the agent learn of a server.
-func (a *agent) Set(e Entry) {
+func (a *agent) Update(e Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.revision++
-	a.entries[e.ID] = e
-	a.changed[e.ID] = a.revision
-	a.wake()
+	a.endpoints[e.ID] = e
+	a.changedAt[e.ID] = a.revision
+	a.wakeWatches()
 }
 
-func (a *agent) wake() {
-	close(a.news)
-	a.news = make(chan struct{})
+// wakeWatches makes waiting requests look at the state again. The lock is held.
+func (a *agent) wakeWatches() {
+	close(a.changes)
+	a.changes = make(chan struct{})
 }
 
-func (a *agent) Silence(on bool) {
+func (a *agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent = on
-	a.wake()
+	a.silent = silent
+	a.wakeWatches()
 }
 
-// list is what the node would be told now, in the order of the ids.
-func (a *agent) list(after int64) (all []Entry, revision int64) {
-	for id, e := range a.entries {
-		if whole := after < 0; whole && e.Phase != "removed" || !whole && a.changed[id] > after {
-			all = append(all, e)
+// list returns the endpoints that have changed after a revision, in the order of their IDs; after < 0: the complete
+// list. The lock is held.
+func (a *agent) list(after int64) (all []Endpoint, revision int64) {
+	for id, endpoint := range a.endpoints {
+		complete := after < 0
+		if complete && endpoint.Phase != PhaseRemoved || !complete && a.changedAt[id] > after {
+			all = append(all, endpoint)
 		}
 	}
-	slices.SortFunc(all, func(x, y Entry) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y Endpoint) int { return strings.Compare(x.ID, y.ID) })
 	return all, a.revision
 }
 
-// Known is the list for a node that starts.
-func (a *agent) Known() ([]Entry, int64) {
+func (a *agent) Snapshot() ([]Endpoint, int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list(-1)
 }
 
-func (a *agent) answer(w http.ResponseWriter, r *http.Request) {
+// handle answers a request for the list, or for changes after a revision once there are any.
+func (a *agent) handle(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
-	after, wait := int64(-1), time.Duration(0)
-	if text := r.URL.Query().Get("index"); text != "" {
-		n, err := strconv.ParseInt(text, 10, 64)
-		ms, err2 := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 32)
-		if err != nil || err2 != nil {
-			w.WriteHeader(http.StatusBadRequest)
-			return
-		}
-		after, wait = n, min(time.Minute, time.Duration(ms)*time.Millisecond)
+	after, wait, err := parseWatch(r)
+	if err != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	over := false
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	expired := false
 	for {
 		a.mu.Lock()
-		members, revision := a.list(after)
-		silent, news := a.silent, a.news
+		endpoints, revision := a.list(after)
+		silent, changes := a.silent, a.changes
 		a.mu.Unlock()
-		if !silent && (after < 0 || len(members) > 0 || over) {
-			if members == nil {
-				members = []Entry{}
-			}
-			raw, err := json.Marshal(obj{"revision": revision, "complete": after < 0, "members": members})
-			if err != nil {
-				panic(err) // of figures and names
-			}
-			for _, m := range members {
-				a.told(m.ID, m.Phase == "up")
-			}
-			_, _ = w.Write(raw) // a node that has died asks again
+		if !silent && (after < 0 || len(endpoints) > 0 || expired) {
+			a.write(w, endpoints, revision, after < 0)
 			return
 		}
 		select {
-		case <-news:
-		case <-end.C:
-			over = true
+		case <-changes:
+		case <-timer.C: // fires once: a silent agent answers only after its silence
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
-		if over && silent {
-			select { // silence has no end of its own
-			case <-news:
-			case <-r.Context().Done():
-				return
-			}
-		}
 	}
 }
+
+// parseWatch returns the revision after which a request asks for changes, or -1 for the complete list, and the longest
+// time to wait for them.
+func parseWatch(r *http.Request) (after int64, wait time.Duration, err error) {
+	text := r.URL.Query().Get("index")
+	if text == "" {
+		return -1, 0, nil
+	}
+	after, err = strconv.ParseInt(text, 10, 64)
+	ms, err2 := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 32)
+	return after, min(maxWatch, time.Duration(ms)*time.Millisecond), errors.Join(err, err2)
+}
+
+// write sends endpoints to the node.
+func (a *agent) write(w http.ResponseWriter, endpoints []Endpoint, revision int64, complete bool) {
+	if endpoints == nil {
+		endpoints = []Endpoint{}
+	}
+	raw, err := json.Marshal(object{"revision": revision, "complete": complete, "members": endpoints})
+	if err != nil {
+		panic(err) // numbers and names can always be encoded
+	}
+	for _, endpoint := range endpoints {
+		a.notified(endpoint.ID, endpoint.Phase == PhaseUp)
+	}
+	_, _ = w.Write(raw) // fails if the node has died; it requests the list again after its restart
+}
--- a/emulator/realtime/config.go
+++ b/emulator/realtime/config.go
@@ -11,67 +11,85 @@
 	"cobaltward/policy"
 )
 
-// obj is an object of JSON.
-type obj = map[string]any
+// object is a JSON object.
+type object = map[string]any
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// milliseconds returns a duration in the unit of the platform's configuration.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// configOf is the platform's configuration file for a node, in the form of its ROUTER_CONFIG.
-func configOf(p *plan.Plan, node int, listen, discovery string, known []Entry, revision int64, life int) ([]byte, error) {
-	s := p.Script
-	set := p.NodeSettings(node)
-	var classes, tenants []obj
-	for _, c := range set.Classes {
-		classes = append(classes, obj{
-			"name": c.Name, "aim": ms(c.LatencyObjective), "deadline": ms(c.Deadline), "window": ms(c.DedupWindow), "lateWorth": c.LateWeightFraction, "value": c.PriorityWeight,
-			"repeat": map[policy.Idempotency]string{policy.Idempotent: "free", policy.IdempotencyKeyed: "guarded", policy.NonIdempotent: "single_shot"}[c.Idempotency],
-			"group":  map[policy.DedupScope]string{policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[c.DedupScope],
-		})
+// platformOptions are the values of a node's configuration beside those of the plan.
+type platformOptions struct {
+	node              int
+	listen, discovery string // addresses
+	endpoints         []Endpoint
+	revision          int64 // of endpoints
+	incarnation       int
+}
+
+// platformConfig returns the platform's configuration of a node, in the format of ROUTER_CONFIG.
+func platformConfig(p *plan.Plan, options platformOptions) ([]byte, error) {
+	seed := p.Seed + uint64(options.node)*1000 + uint64(options.incarnation)
+	return json.Marshal(object{
+		"name": p.Nodes[options.node].Name, "listen": options.listen, "discovery": options.discovery,
+		"seed":     fmt.Sprintf("%x", seed),
+		"limits":   object{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":    object{"revision": options.revision, "complete": true, "members": options.endpoints},
+		"settings": platformSettings(p, options.node),
+	})
+}
+
+func platformSettings(source *plan.Plan, node int) object {
+	settings := source.NodeSettings(node)
+	capabilities, rules := &settings.Capabilities, &settings.Rules
+	var classes, tenants []object
+	for i := range settings.Classes {
+		classes = append(classes, platformClass(&settings.Classes[i]))
 	}
-	for _, t := range set.Tenants {
-		tenants = append(tenants, obj{"name": t.Name, "quotaRps": t.Quota, "fraction": t.Share})
+	for _, tenant := range settings.Tenants {
+		tenants = append(tenants, object{"name": tenant.Name, "quotaRps": tenant.Quota, "fraction": tenant.Share})
 	}
-	return json.Marshal(obj{
-		"name": p.Nodes[node].Name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", p.Seed+uint64(node)*1000+uint64(life)),
-		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":  obj{"revision": revision, "complete": true, "members": known},
-		"settings": obj{
-			"position": node, "groupSize": set.Nodes, "zone": set.Zone, "services": classes, "tenants": tenants, "report": obj{"fields": set.LoadReportFields},
-			"limits": obj{
-				"cancelling": set.Capabilities.Cancel, "secondCopies": set.Capabilities.Hedge, "retryAfter": set.Capabilities.RetryAfter,
-				"maxAttempts": set.Capabilities.MaxAttempts, "maxRetryAfter": ms(set.Capabilities.MaxRetryAfter), "connIdle": ms(set.Capabilities.ConnIdleTimeout),
-				"maxOpen": s.Nodes.MaxOpen, "connectTimeout": ms(s.Network.ConnectTimeout),
-			},
-			"guarantees": obj{
-				"graceToAnswer": ms(set.Rules.AnswerGrace), "drainGrace": ms(set.Rules.DrainGrace), "coldShare": set.Rules.SlowStartShare,
-				"cold": ms(set.Rules.SlowStartWindow), "fallMultiple": set.Rules.OverloadFactor, "overloadFor": ms(set.Rules.OverloadDuration),
-			},
+	return object{
+		"position": node, "groupSize": settings.Nodes, "zone": settings.Zone,
+		"services": classes, "tenants": tenants, "report": object{"fields": settings.LoadReportFields},
+		"limits": object{
+			"cancelling": capabilities.Cancel, "secondCopies": capabilities.Hedge,
+			"retryAfter": capabilities.RetryAfter, "maxAttempts": capabilities.MaxAttempts,
+			"maxRetryAfter": milliseconds(capabilities.MaxRetryAfter),
+			"connIdle":      milliseconds(capabilities.ConnIdleTimeout),
+			"maxOpen":       source.Script.Nodes.MaxOpen, "connectTimeout": milliseconds(source.Script.Network.ConnectTimeout),
 		},
-	})
+		"guarantees": object{
+			"graceToAnswer": milliseconds(rules.AnswerGrace), "drainGrace": milliseconds(rules.DrainGrace),
+			"coldShare": rules.SlowStartShare, "cold": milliseconds(rules.SlowStartWindow),
+			"fallMultiple": rules.OverloadFactor, "overloadFor": milliseconds(rules.OverloadDuration),
+		},
+	}
 }
 
-// Entry is one server in discovery's form.
-type Entry struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int64   `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+func platformClass(class *policy.Class) object {
+	idempotency := map[policy.Idempotency]string{
+		policy.Idempotent: "free", policy.IdempotencyKeyed: "guarded", policy.NonIdempotent: "single_shot",
+	}
+	scopes := map[policy.DedupScope]string{
+		policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupCell: "cell",
+	}
+	return object{
+		"name": class.Name, "aim": milliseconds(class.LatencyObjective), "deadline": milliseconds(class.Deadline),
+		"window": milliseconds(class.DedupWindow), "lateWorth": class.LateWeightFraction, "value": class.PriorityWeight,
+		"repeat": idempotency[class.Idempotency], "group": scopes[class.DedupScope],
+	}
 }
 
-// operatorOf is the operator's own file for a node.
-func operatorOf(p *plan.Plan, more string) string {
+// nodeConfig returns a node's own configuration, which starts with the given TOML.
+func nodeConfig(p *plan.Plan, toml string) string {
 	var kinds []string
-	for _, k := range p.Script.ServerKinds {
-		if k.Protocol == "msgpack" {
-			kinds = append(kinds, strconv.Quote(k.Name))
+	for _, kind := range p.Script.ServerKinds {
+		if kind.Protocol == "msgpack" {
+			kinds = append(kinds, strconv.Quote(kind.Name))
 		}
 	}
 	if len(kinds) > 0 {
-		more += "\n[msgpack]\nservers = [" + strings.Join(kinds, ", ") + "]\n"
+		toml += "\n[msgpack]\nservers = [" + strings.Join(kinds, ", ") + "]\n"
 	}
-	return more + "\n"
+	return toml + "\n"
 }
--- a/emulator/realtime/control/control.go
+++ b/emulator/realtime/control/control.go
@@ -1,8 +1,9 @@
-// Package control is a rehearsal's discovery as an Envoy control plane: one for each node, which is told of
-// servers by xDS alone.
+// Package control provides a rehearsal's discovery by xDS: an Envoy control plane for each node, from which the node
+// gets all its endpoints.
 package control
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -15,117 +16,138 @@
 	"cobaltward/emulator/realtime"
 )
 
+// cluster is the name of the cluster that holds all endpoints.
 const cluster = "site"
 
-type plane struct {
+// unusedAddr is an address at which no discovery service listens.
+const unusedAddr = "127.0.0.1:9"
+
+// agent is a realtime.Agent with a control plane.
+type agent struct {
 	plane     *standin.ControlPlane
-	bootstrap string
-	told      func(id string, open bool)
-
-	mu       sync.Mutex
-	entries  map[string]realtime.Entry
-	revision int64
-	silent   bool
-	unsaid   []realtime.Entry // learned since it fell silent
+	bootstrap string // path of the node's bootstrap file
+	notified  func(id string, available bool)
+
+	mu        sync.Mutex
+	endpoints map[string]realtime.Endpoint
+	revision  int64
+	silent    bool
+	pending   []realtime.Endpoint // updates during the silence
 }
 
-// New is a live.NewAgent.
-func New(dir string, first []realtime.Entry, told func(id string, open bool)) (realtime.Agent, error) {
-	p, err := standin.Start("127.0.0.1:0")
+// New starts a control plane with a list of endpoints. It is a realtime.NewAgent.
+func New(
+	dir string, endpoints []realtime.Endpoint, notified func(id string, available bool),
+) (realtime.Agent, error) {
+	plane, err := standin.Start("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &plane{plane: p, told: told, entries: make(map[string]realtime.Entry)}
-	f, err := os.CreateTemp(dir, "bootstrap-*.json")
+	bootstrap, err := writeBootstrap(dir, plane.Addr)
 	if err != nil {
-		p.Stop()
+		plane.Stop()
 		return nil, err
 	}
-	a.bootstrap = f.Name()
-	_, err = fmt.Fprintf(f, `{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}]}],"node":{"id":"rehearsal"}}`, p.Addr)
-	if err2 := f.Close(); err == nil {
-		err = err2
+	started := &agent{
+		plane: plane, bootstrap: bootstrap, notified: notified, endpoints: make(map[string]realtime.Endpoint),
 	}
-	if err != nil {
-		p.Stop()
-		return nil, err
+	for _, endpoint := range endpoints {
+		started.endpoints[endpoint.ID] = endpoint
 	}
-	for _, e := range first {
-		a.entries[e.ID] = e
+	plane.Set(&xdspb.Cluster{Name: cluster, ClusterDiscoveryType: &xdspb.Cluster_Type{Type: xdspb.Cluster_EDS}})
+	started.push()
+	return started, nil
+}
+
+// writeBootstrap writes a bootstrap file for the control plane at an address, and returns its path.
+func writeBootstrap(dir, addr string) (path string, err error) {
+	file, err := os.CreateTemp(dir, "bootstrap-*.json")
+	if err != nil {
+		return "", err
 	}
-	p.Set(&xdspb.Cluster{Name: cluster, ClusterDiscoveryType: &xdspb.Cluster_Type{Type: xdspb.Cluster_EDS}})
-	a.push()
-	return a, nil
+	_, err = fmt.Fprintf(file,
+		`{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}]}],"node":{"id":"rehearsal"}}`, addr)
+	return file.Name(), errors.Join(err, file.Close())
 }
 
-// Addr is no discovery: the operator's own file says that the control plane stands alone.
-func (a *plane) Addr() string { return "127.0.0.1:9" }
+// Addr returns an unused address, since the node's own configuration makes xDS its only discovery.
+func (a *agent) Addr() string { return unusedAddr }
 
-func (a *plane) Operator() string {
+// NodeConfig returns the table with which the node uses the control plane.
+func (a *agent) NodeConfig() string {
 	return fmt.Sprintf("[xds]\nbootstrap = %q\nalone = true\n", filepath.ToSlash(a.bootstrap))
 }
 
-func (a *plane) Set(e realtime.Entry) {
+// Update sends a change of a server, unless the agent is silent.
+func (a *agent) Update(e realtime.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent {
-		a.unsaid = append(a.unsaid, e)
+		a.pending = append(a.pending, e)
 		return
 	}
-	a.entries[e.ID] = e
-	a.told(e.ID, e.Phase == "up")
+	a.endpoints[e.ID] = e
+	a.notified(e.ID, e.Phase == realtime.PhaseUp)
 	a.push()
 }
 
-// push sets the whole assignment anew. The lock is held, or nobody knows of the plane yet.
-func (a *plane) push() {
+// push sends the complete assignment. The lock is held, or the agent is not yet shared.
+func (a *agent) push() {
 	a.revision++
 	var texts []string
-	for _, e := range a.entries {
-		if e.Phase == "removed" {
-			continue
-		}
-		health := "HEALTHY"
-		if e.Phase == "draining" {
-			health = "DRAINING"
+	for _, endpoint := range a.endpoints {
+		if endpoint.Phase != realtime.PhaseRemoved {
+			texts = append(texts, assignmentText(&endpoint))
 		}
-		text := fmt.Sprintf("%s/zone=%s,health=%s,kind=%s,cell=%d,weight=%d", e.HostPort, e.Locality, health, e.Flavor, e.Cell, max(1, int(e.Size)))
-		if e.UpSince > 0 {
-			text += fmt.Sprintf(",started=%d", e.UpSince)
-		}
-		texts = append(texts, text)
 	}
 	slices.Sort(texts)
-	cla, err := standin.ParseAssignment(cluster, texts)
+	assignment, err := standin.ParseAssignment(cluster, texts)
 	if err != nil {
-		panic("control: " + err.Error() + ": " + strings.Join(texts, " ")) // of addresses and figures made here
+		panic("control: " + err.Error() + ": " + strings.Join(texts, " ")) // addresses and numbers are always valid
+	}
+	a.plane.Set(assignment)
+}
+
+// assignmentText returns an endpoint in the format of standin.ParseAssignment.
+func assignmentText(e *realtime.Endpoint) string {
+	health := "HEALTHY"
+	if e.Phase == realtime.PhaseDraining {
+		health = "DRAINING"
+	}
+	text := fmt.Sprintf("%s/zone=%s,health=%s,kind=%s,cell=%d,weight=%d",
+		e.Addr, e.Zone, health, e.Kind, e.Cell, max(1, int(e.Weight)))
+	if e.StartedAt > 0 {
+		text += fmt.Sprintf(",started=%d", e.StartedAt)
 	}
-	a.plane.Set(cla)
+	return text
 }
 
-func (a *plane) Silence(on bool) {
+// SetSilent stops or resumes the control plane's responses.
+func (a *agent) SetSilent(silent bool) {
 	a.mu.Lock()
-	a.silent = on
-	unsaid := a.unsaid
-	a.unsaid = nil
+	a.silent = silent
+	pending := a.pending
+	a.pending = nil
 	a.mu.Unlock()
-	a.plane.SetMuted(on)
-	for _, e := range unsaid {
-		a.Set(e)
+	a.plane.SetMuted(silent)
+	for _, endpoint := range pending {
+		a.Update(endpoint)
 	}
 }
 
-func (a *plane) Known() ([]realtime.Entry, int64) {
+// Snapshot returns the current endpoints in the order of their IDs, and their revision.
+func (a *agent) Snapshot() ([]realtime.Endpoint, int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := []realtime.Entry{}
-	for _, e := range a.entries {
-		if e.Phase != "removed" {
-			all = append(all, e)
+	all := []realtime.Endpoint{}
+	for _, endpoint := range a.endpoints {
+		if endpoint.Phase != realtime.PhaseRemoved {
+			all = append(all, endpoint)
 		}
 	}
-	slices.SortFunc(all, func(x, y realtime.Entry) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y realtime.Endpoint) int { return strings.Compare(x.ID, y.ID) })
 	return all, a.revision
 }
 
-func (a *plane) Stop() { a.plane.Stop() }
+// Stop stops the control plane.
+func (a *agent) Stop() { a.plane.Stop() }
--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -17,59 +18,72 @@
 
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
-	"cobaltward/internal/adminapi"
 	"cobaltward/router"
 )
 
 const (
-	readyWithin = 20 * time.Second
-	readyEvery  = 10 * time.Millisecond
-	logKept     = 200 // lines of a node's log
+	startTimeout   = 20 * time.Second // for each of listening and being ready
+	readyInterval  = 10 * time.Millisecond
+	requestTimeout = time.Second // of requests to a node's own API
+	maxLogLines    = 200         // kept of a node's log
 )
 
-// node is one instance of the router: a process of its own.
+// node is one instance of the router, in a process of its own.
 type node struct {
-	w     *world
-	index int
-	spec  *plan.Node
-	agent Agent
-
-	mu     sync.Mutex
-	addr   string
-	cmd    *exec.Cmd
-	exited chan struct{}
-	killed bool // by the script
-	lives  int  // that the script has ended
-	up     bool
-	log    []string
+	rehearsal *rehearsal
+	index     int
+	spec      *plan.Node
+	agent     Agent
+
+	mu          sync.Mutex
+	addr        string
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	killed      bool // by a fault or the end of the run
+	incarnation int
+	up          bool
+	log         []string // last lines
 }
 
+// listening matches the log line with which a node reports its address.
 var listening = regexp.MustCompile(`msg=listening .*address=(\S+)`)
 
-// start runs the process, and waits until it is ready.
-func (n *node) start(ctx context.Context) error {
-	known, revision := n.agent.Known()
-	n.mu.Lock()
-	addr, life := n.addr, n.lives
-	n.mu.Unlock()
-	listen := addr
-	if listen == "" {
-		listen = fmt.Sprintf("127.10.%d.%d:0", n.index/200, n.index%200+1)
+// addNode adds a node with its agent and client, and starts it.
+func (r *rehearsal) addNode(ctx context.Context, index int) error {
+	n := &node{rehearsal: r, index: index, spec: &r.plan.Nodes[index]}
+	var endpoints []Endpoint
+	for _, s := range r.servers {
+		endpoints = append(endpoints, s.endpoint(index, PhaseUp))
 	}
-	config, err := configOf(n.w.p, n.index, listen, n.agent.Addr(), known, revision, life)
-	if err != nil {
-		return err
+	newAgent := NewAgent(startAgent)
+	if r.plan.Script.Discovery.Protocol == protocolXDS {
+		newAgent = r.options.NewControlPlane
 	}
-	path := filepath.Join(n.w.dir, n.spec.Name+".json")
-	if err := os.WriteFile(path, config, 0o600); err != nil {
+	var err error
+	n.agent, err = newAgent(r.dir, endpoints, func(id string, available bool) {
+		r.observer.endpointUpdated(n.spec.Name, id, available)
+	})
+	if err != nil {
 		return err
 	}
-	own := filepath.Join(n.w.dir, n.spec.Name+".toml")
-	if err := os.WriteFile(own, []byte(operatorOf(n.w.p, n.agent.Operator())+n.w.o.Levels+n.door()), 0o600); err != nil {
+	r.nodes = append(r.nodes, n)
+	r.clients = append(r.clients, &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 256, IdleConnTimeout: 10 * time.Second,
+		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
+	}})
+	return n.start(ctx)
+}
+
+// start runs the process and waits until it is ready.
+func (n *node) start(ctx context.Context) error {
+	configPath, ownPath, err := n.writeConfigs()
+	if err != nil {
 		return err
 	}
-	cmd := exec.Command(n.w.o.Command[0], n.w.o.Command[1:]...)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "WAYHOLD_CONFIG="+own, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=", "GOMAXPROCS=")
+	command := n.rehearsal.options.Command
+	cmd := exec.Command(command[0], command[1:]...)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "WAYHOLD_CONFIG="+ownPath,
+		"ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=", "GOMAXPROCS=")
 	logs, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -77,95 +91,127 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	found, exited := make(chan string, 1), make(chan struct{})
-	n.w.parts.Go(func() {
-		lines := bufio.NewScanner(logs)
-		for lines.Scan() {
-			if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-				select {
-				case found <- m[1]:
-				default:
-				}
-			}
-			n.mu.Lock()
-			if n.log = append(n.log, lines.Text()); len(n.log) > logKept {
-				n.log = n.log[1:]
-			}
-			n.mu.Unlock()
-		}
-		_, _ = io.Copy(io.Discard, logs) // a line too long to scan
-		err := cmd.Wait()
-		n.mu.Lock()
-		crashed := !n.killed
-		n.up = false
-		n.mu.Unlock()
-		close(exited)
-		if crashed {
-			n.w.fail(fmt.Errorf("live: node %s ended by itself: %w; its log ends with %q", n.spec.Name, err, n.lastLine()))
-		}
-	})
+	addrs, exited := make(chan string, 1), make(chan struct{})
+	n.rehearsal.tasks.Go(func() { n.follow(cmd, logs, addrs, exited) })
 	n.mu.Lock()
 	n.cmd, n.exited, n.killed = cmd, exited, false
 	n.mu.Unlock()
+	timeout := time.NewTimer(startTimeout)
+	defer timeout.Stop()
 	select {
-	case addr = <-found:
+	case addr := <-addrs:
+		return n.awaitReady(ctx, addr)
 	case <-exited:
-		return fmt.Errorf("live: node %s did not start: %s", n.spec.Name, n.lastLine())
-	case <-time.After(readyWithin):
-		return fmt.Errorf("live: node %s never listened: %s", n.spec.Name, n.lastLine())
+		return fmt.Errorf("start node %s: process ended: %s", n.spec.Name, n.lastLogLine())
+	case <-timeout.C:
+		return fmt.Errorf("start node %s: not listening after %v: %s", n.spec.Name, startTimeout, n.lastLogLine())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return n.awaitReady(ctx, addr)
 }
 
-// door is the table by which the level of service is asked for; empty where there are none.
-func (n *node) door() string {
-	if n.w.o.Levels == "" {
+// writeConfigs writes the platform's configuration of the node, and its own.
+func (n *node) writeConfigs() (configPath, ownPath string, err error) {
+	r := n.rehearsal
+	endpoints, revision := n.agent.Snapshot()
+	n.mu.Lock()
+	listen, incarnation := n.addr, n.incarnation
+	n.mu.Unlock()
+	if listen == "" {
+		listen = fmt.Sprintf("127.10.%d.%d:0", n.index/200, n.index%200+1)
+	}
+	config, err := platformConfig(r.plan, platformOptions{
+		node: n.index, listen: listen, discovery: n.agent.Addr(),
+		endpoints: endpoints, revision: revision, incarnation: incarnation,
+	})
+	if err != nil {
+		return "", "", err
+	}
+	configPath = filepath.Join(r.dir, n.spec.Name+".json")
+	if err := os.WriteFile(configPath, config, 0o600); err != nil {
+		return "", "", err
+	}
+	own := nodeConfig(r.plan, n.agent.NodeConfig()) + r.options.Levels + n.adminConfig()
+	ownPath = filepath.Join(r.dir, n.spec.Name+".toml")
+	return configPath, ownPath, os.WriteFile(ownPath, []byte(own), 0o600)
+}
+
+// follow reads the log of a process, sends the address that it listens on, and waits for its end.
+func (n *node) follow(cmd *exec.Cmd, logs io.Reader, addrs chan<- string, exited chan<- struct{}) {
+	lines := bufio.NewScanner(logs)
+	for lines.Scan() {
+		if match := listening.FindStringSubmatch(lines.Text()); match != nil {
+			select {
+			case addrs <- match[1]:
+			default:
+			}
+		}
+		n.mu.Lock()
+		if n.log = append(n.log, lines.Text()); len(n.log) > maxLogLines {
+			n.log = n.log[1:]
+		}
+		n.mu.Unlock()
+	}
+	_, _ = io.Copy(io.Discard, logs) // the rest, after a line that is too long to scan
+	err := cmd.Wait()
+	n.mu.Lock()
+	crashed := !n.killed
+	n.up = false
+	n.mu.Unlock()
+	close(exited)
+	if crashed {
+		n.rehearsal.fail(fmt.Errorf("node %s ended by itself: %w; its log ends with %q", n.spec.Name, err, n.lastLogLine()))
+	}
+}
+
+// adminConfig is the table that enables the node's admin API, which is used to read the degradation level.
+func (n *node) adminConfig() string {
+	if n.rehearsal.options.Levels == "" {
 		return ""
 	}
-	return fmt.Sprintf("\n[door]\nsocket = %q\n", n.sock())
+	return fmt.Sprintf("\n[door]\nsocket = %q\n", n.adminSocket())
 }
 
-func (n *node) sock() string { return filepath.Join(n.w.dir, n.spec.Name+".sock") }
+func (n *node) adminSocket() string { return filepath.Join(n.rehearsal.dir, n.spec.Name+".sock") }
 
-// level asks for the level of service; ok is false while the node does not answer.
-func (n *node) level() (l result.Level, ok bool) {
-	c, base := adminapi.NewClient(n.sock(), "", nil)
-	defer c.CloseIdleConnections()
-	c.Timeout = time.Second
-	resp, err := c.Get(base + "/level")
+// level reads the degradation level; ok is false if the node doesn't answer.
+func (n *node) level() (level result.Level, ok bool) {
+	client, baseURL := n.rehearsal.options.AdminClient(n.adminSocket())
+	defer client.CloseIdleConnections()
+	client.Timeout = requestTimeout
+	response, err := client.Get(baseURL + "/level")
 	if err != nil {
-		return l, false
+		return result.Level{}, false
 	}
-	defer resp.Body.Close()
-	var st router.LevelStatus
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&st) != nil {
-		return l, false
+	defer func() { _ = response.Body.Close() }()
+	var status router.LevelStatus
+	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&status) != nil {
+		return result.Level{}, false
 	}
-	return result.Level{Level: st.Level, Demand: st.Demand, Slow: st.Slow}, true
+	return result.Level{Level: status.Level, Demand: status.Demand, Slow: status.Slow}, true
 }
 
+// awaitReady waits until the node at an address reports that it is ready.
 func (n *node) awaitReady(ctx context.Context, addr string) error {
-	client := &http.Client{Timeout: time.Second}
+	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
-	for end := time.Now().Add(readyWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(readyEvery) {
-		resp, err := client.Get("http://" + addr + "/health/ready")
+	for end := time.Now().Add(startTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(readyInterval) {
+		response, err := client.Get("http://" + addr + "/health/ready")
 		if err != nil {
 			continue
 		}
-		resp.Body.Close()
-		if resp.StatusCode == http.StatusOK {
+		_ = response.Body.Close()
+		if response.StatusCode == http.StatusOK {
 			n.mu.Lock()
 			n.addr, n.up = addr, true
 			n.mu.Unlock()
 			return nil
 		}
 	}
-	return errors.Join(ctx.Err(), fmt.Errorf("live: node %s never became ready", n.spec.Name))
+	return errors.Join(ctx.Err(), fmt.Errorf("start node %s: not ready after %v", n.spec.Name, startTimeout))
 }
 
-func (n *node) lastLine() string {
+func (n *node) lastLogLine() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.log) == 0 {
@@ -174,23 +220,23 @@
 	return n.log[len(n.log)-1]
 }
 
-// kill ends the process at once, and waits for its end.
+// kill ends the process at once and waits for its end.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
 	n.killed, n.up = true, false
-	n.lives++
+	n.incarnation++
 	n.mu.Unlock()
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Kill() // fails only once it has ended
+	_ = cmd.Process.Kill() // fails only if the process has ended
 	<-exited
 }
 
-// state is where the node is reached, whether it lives, and how often the script has ended it.
-func (n *node) state() (addr string, up bool, lives int) {
+// state returns the node's address, whether it is up, and how often it has been killed.
+func (n *node) state() (addr string, up bool, incarnation int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.addr, n.up, n.lives
+	return n.addr, n.up, n.incarnation
 }
--- a/emulator/realtime/live_test.go
+++ b/emulator/realtime/realtime_test.go
@@ -14,14 +14,17 @@
 	"go.uber.org/goleak"
 )
 
+// asNode is the environment variable that makes the test binary a node.
 const asNode = "WAYHOLD_TEST_NODE"
 
-// The test's own binary is a node where its environment says so: no build, no path.
+// TestMain runs a node if the environment says so, so that the test's own binary serves as the nodes.
 func TestMain(m *testing.M) {
 	if os.Getenv(asNode) != "" {
 		os.Exit(cli.Main(cli.Extensions{}))
 	}
-	os.Setenv(asNode, "1")
+	if err := os.Setenv(asNode, "1"); err != nil {
+		panic(err)
+	}
 	goleak.VerifyTestMain(m)
 }
 
@@ -117,40 +120,46 @@
 for = "1s"
 `
 
-// A small site on sockets, with a node killed and many faults at once, in each protocol: every rule is kept,
-// each fault is met, and nothing is left running.
-func TestRealTime(t *testing.T) {
+// With a node killed and many faults at once, in each protocol, every rule is kept, the faults affect requests, and no
+// goroutine is left.
+func TestRun_KeepsRulesUnderFaults(t *testing.T) {
 	t.Run("http", func(t *testing.T) { t.Parallel(); rehearse(t, site) })
 	t.Run("msgpack", func(t *testing.T) {
 		t.Parallel()
-		rehearse(t, "reports = [\"inflight\", \"queue\", \"util\"]\n"+strings.Replace(site, `name = "small"`, "name = \"small\"\nprotocol = \"msgpack\"", 1))
+		overMsgpack := strings.Replace(site, `name = "small"`, "name = \"small\"\nprotocol = \"msgpack\"", 1)
+		rehearse(t, "reports = [\"inflight\", \"queue\", \"util\"]\n"+overMsgpack)
 	})
 }
 
 func rehearse(t *testing.T, text string) {
-	s, err := script.Parse("site.toml", []byte(text))
+	t.Helper()
+	scenario, err := script.Parse("site.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := plan.New(s, 0)
+	p, err := plan.New(scenario, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	r, err := realtime.Run(t.Context(), p, realtime.Options{Command: []string{os.Args[0], "serve"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%v: %+v, %d attempts, verdict %v of %v", time.Since(began), r.All, r.ServerAttempts, r.Verdict.Count, r.Verdict.Checked)
+	t.Logf("%v: %+v, %d attempts, violations %v of %v checked",
+		time.Since(startedAt), r.All, r.ServerAttempts, r.Verdict.Count, r.Verdict.Checked)
 	if !r.Verdict.Passed() {
-		t.Errorf("broken: %+v", r.Verdict.Violations)
+		t.Errorf("violations: %+v", r.Verdict.Violations)
 	}
-	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // on however busy a machine
+	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // also on a busy machine
 		t.Errorf("%d of %d were served", r.All.OnTime+r.All.Late, r.All.Offered)
 	}
 	for _, f := range r.Faults {
-		if (f.Kind == "fast-errors" || f.Kind == "reset" || f.Kind == "half-answer") && f.Affected == 0 {
-			t.Errorf("nobody met %s", f.Label)
+		switch f.Kind {
+		case script.FaultFastErrors, script.FaultReset, script.FaultHalfAnswer:
+			if f.Affected == 0 {
+				t.Errorf("%s affected no request", f.Label)
+			}
 		}
 	}
 }
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -15,185 +15,210 @@
 	"cobaltward/emulator/serverprotocol"
 )
 
-// server is one machine, with an address for each node, by which it knows who sends.
+// server is one machine. It has an address for each node, by which it recognizes the sender of a request.
 type server struct {
-	w     *world
-	spec  *plan.Server
-	index int
+	rehearsal *rehearsal
+	spec      *plan.Server
+	index     int
 
-	mu    sync.Mutex
-	id    string
-	addrs []string // by node
-	host  *servermodel.Server
-	faces []interface{ Close() }
-	life  int
-	fell  bool
-	began int64 // Unix time in milliseconds; 0: long ago
+	mu        sync.Mutex
+	id        string
+	addrs     []string // by node
+	backend   *servermodel.Server
+	listeners []interface{ Close() }
+	startedAt int64 // Unix time in milliseconds; 0: before the run
 }
 
-// start runs a process, cold unless it is the first. The addresses stay the same.
+// start starts a process, which warms up unless warm is set. Its addresses stay the same.
 func (s *server) start(id string, warm bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.spec.Config
+	config := s.spec.Config
 	if warm {
-		c.WarmUp = model.WarmUp{}
+		config.WarmUp = model.WarmUp{}
 	} else {
-		s.began = time.Now().UnixMilli()
-		if c.WarmUp.InitialCapacity > 0 && c.WarmUp.Duration > 0 {
-			s.w.court.started()
+		s.startedAt = time.Now().UnixMilli()
+		if config.WarmUp.InitialCapacity > 0 && config.WarmUp.Duration > 0 {
+			s.rehearsal.observer.serverWarmsUp()
 		}
 	}
-	s.id, s.fell, s.life = id, false, s.life+1
-	s.host = servermodel.StartObserved(c, &group{s.w, s.spec}, func(e model.Execution) {
-		id, _, _ := strings.Cut(e.ID, "/")
-		s.w.court.ran(s.id, id, e.Discarded)
+	s.id = id
+	s.backend = servermodel.StartObserved(config, &serverKeys{s.rehearsal, s.spec}, func(e model.Execution) {
+		s.rehearsal.observer.serverExecuted(s.id, requestID(e.ID), e.Discarded)
 	})
-	s.faces = nil
-	for n := range s.w.p.Nodes {
-		addr := fmt.Sprintf("127.%d.%d.%d:0", 20+n, s.index/200, s.index%200+1)
-		if len(s.addrs) > n {
-			addr = s.addrs[n]
-		}
-		ln, err := net.Listen("tcp", addr)
-		if err != nil {
+	s.listeners = nil
+	for node := range s.rehearsal.plan.Nodes {
+		if err := s.listen(node); err != nil {
 			return err
 		}
-		if len(s.addrs) == n {
-			s.addrs = append(s.addrs, ln.Addr().String())
-		}
-		way := s.w.p.Script.Network.SameZoneDelay
-		if s.w.p.Nodes[n].Zone != s.spec.Zone {
-			way = s.w.p.Script.Network.CrossZoneDelay
-		}
-		o := serverprotocol.Options{Behavior: s.treat(n, way), OnRejected: func(id string) { s.w.court.proved(n, id) }, LoadFields: s.w.p.Script.LoadFields}
-		if s.spec.SpeaksMsgpack {
-			s.faces = append(s.faces, serverprotocol.ServeMsgpackWithOptions(ln, s.host, o))
-		} else {
-			s.faces = append(s.faces, serverprotocol.ServeHTTP1WithOptions(ln, s.host, o))
-		}
 	}
 	return nil
 }
 
-// crash ends the process; its connections are reset, and new ones refused.
+// listen serves the process on the address for a node. The lock is held.
+func (s *server) listen(node int) error {
+	source := s.rehearsal.plan
+	addr := fmt.Sprintf("127.%d.%d.%d:0", 20+node, s.index/200, s.index%200+1)
+	if len(s.addrs) > node {
+		addr = s.addrs[node]
+	}
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return err
+	}
+	if len(s.addrs) == node {
+		s.addrs = append(s.addrs, ln.Addr().String())
+	}
+	delay := source.Script.Network.SameZoneDelay
+	if source.Nodes[node].Zone != s.spec.Zone {
+		delay = source.Script.Network.CrossZoneDelay
+	}
+	options := serverprotocol.Options{
+		Behavior:   func(_, id string) serverprotocol.Behavior { return s.behavior(node, id, delay) },
+		OnRejected: func(id string) { s.rehearsal.observer.serverRejected(node, id) },
+		LoadFields: source.Script.LoadFields,
+	}
+	if s.spec.SpeaksMsgpack {
+		s.listeners = append(s.listeners, serverprotocol.ServeMsgpackWithOptions(ln, s.backend, options))
+	} else {
+		s.listeners = append(s.listeners, serverprotocol.ServeHTTP1WithOptions(ln, s.backend, options))
+	}
+	return nil
+}
+
+// crash ends the process. Its connections are reset, and new ones refused.
 func (s *server) crash() {
 	s.mu.Lock()
-	faces, h := s.faces, s.host
-	s.faces, s.host = nil, nil
+	listeners, backend := s.listeners, s.backend
+	s.listeners, s.backend = nil, nil
 	s.mu.Unlock()
-	if h == nil {
+	if backend == nil {
 		return
 	}
-	h.Stop()
-	for _, f := range faces {
-		f.Close()
+	backend.Stop()
+	for _, listener := range listeners {
+		listener.Close()
 	}
 }
 
-// look sees whether the process has fallen over, and ends what is left of it.
-func (s *server) look() {
+// poll ends the process if it was overloaded.
+func (s *server) poll() {
 	s.mu.Lock()
-	h, id := s.host, s.id
+	backend, id := s.backend, s.id
 	s.mu.Unlock()
-	if h == nil {
+	if backend == nil {
 		return
 	}
-	pushed := h.OverloadingRequests()
-	if len(pushed) == 0 {
+	requests := backend.OverloadingRequests()
+	if len(requests) == 0 {
 		return
 	}
-	for i := range pushed {
-		pushed[i], _, _ = strings.Cut(pushed[i], "/")
+	for i := range requests {
+		requests[i] = requestID(requests[i])
 	}
-	s.w.court.fell(id, pushed)
+	s.rehearsal.observer.serverOverloaded(id, requests)
 	s.crash()
-	s.w.heard(s, "removed")
+	s.rehearsal.announce(s, PhaseRemoved)
 }
 
-// treat says what becomes of the requests of one node.
-func (s *server) treat(n int, way time.Duration) serverprotocol.BehaviorFunc {
-	return func(_, id string) serverprotocol.Behavior {
-		w := s.w
-		s.mu.Lock()
-		server := s.id
-		s.mu.Unlock()
-		q, attempt := w.court.sent(n, id, server, w.p.Nodes[n].Zone != s.spec.Zone)
-		t := serverprotocol.Behavior{ID: fmt.Sprintf("%s/%d", id, attempt), NetworkDelay: way}
-		if q == nil { // the judge has heard of it
-			return t
-		}
-		t.Work = q.work
-		if q.Key != "" {
-			t.Key = w.p.Script.Classes[q.Class].Name + "\x00" + q.Key
-		}
-		now := w.now()
-		for i := range w.p.Faults {
-			f := &w.p.Faults[i]
-			if now < f.At || now >= f.End() {
-				continue
-			}
-			if f.Kind == script.FaultZoneCut && (f.Zone == s.spec.Zone) != (f.Zone == w.p.Nodes[n].Zone) {
-				t.Hang = true
-				w.court.met(q, i)
-				continue
-			}
-			if !slices.Contains(f.Servers, s.index) {
-				continue
-			}
-			part := f.Fraction == 0 || w.p.Chance(f.Kind+f.Label(), t.ID) < f.Fraction
-			if !part {
-				continue
-			}
-			switch f.Kind {
-			case script.FaultFastErrors:
-				t.Fail, t.Work = true, 0
-			case script.FaultHung, script.FaultSilent:
-				t.Hang = true
-			case script.FaultSlow:
-				t.Work *= f.Factor
-			case script.FaultReset:
-				t.Reset = true
-			case script.FaultHalfAnswer:
-				t.Truncate = true
-			case script.FaultGarbled:
-				t.Malform = true
-			default:
-				continue
-			}
-			w.court.met(q, i)
-		}
-		if s.spec.ErrorRate > 0 && w.p.Chance("errors"+s.spec.ID, t.ID) < s.spec.ErrorRate {
-			t.Fail, t.Work = true, 0
+// behavior returns the behavior for a request of a node under the active faults.
+func (s *server) behavior(node int, id string, delay time.Duration) serverprotocol.Behavior {
+	source := s.rehearsal.plan
+	s.mu.Lock()
+	serverID := s.id
+	s.mu.Unlock()
+	crossZone := source.Nodes[node].Zone != s.spec.Zone
+	request, attempt := s.rehearsal.observer.serverReceived(node, id, serverID, crossZone)
+	behavior := serverprotocol.Behavior{ID: fmt.Sprintf("%s/%d", id, attempt), NetworkDelay: delay}
+	if request == nil { // the checker has reported the attempt
+		return behavior
+	}
+	behavior.Work = request.work
+	if request.Key != "" {
+		behavior.Key = source.Script.Classes[request.Class].Name + keySeparator + request.Key
+	}
+	now := s.rehearsal.now()
+	for i := range source.Faults {
+		fault := &source.Faults[i]
+		if fault.ActiveAt(now) && s.applyFault(fault, source.Nodes[node].Zone, &behavior) {
+			s.rehearsal.observer.addFault(request, i)
 		}
-		w.court.work(q, t.Work)
-		return t
 	}
+	if s.spec.ErrorRate > 0 && source.Chance("errors"+s.spec.ID, behavior.ID) < s.spec.ErrorRate {
+		behavior.Fail, behavior.Work = true, 0
+	}
+	s.rehearsal.observer.workStarted(request, behavior.Work)
+	return behavior
+}
+
+// applyFault changes the behavior for a request of a node in a zone as an active fault requires. It returns false if
+// the fault doesn't affect the request.
+func (s *server) applyFault(fault *plan.Fault, nodeZone string, behavior *serverprotocol.Behavior) bool {
+	if fault.Kind == script.FaultZoneCut && (fault.Zone == s.spec.Zone) != (fault.Zone == nodeZone) {
+		behavior.Hang = true
+		return true
+	}
+	if !slices.Contains(fault.Servers, s.index) {
+		return false
+	}
+	chance := s.rehearsal.plan.Chance(fault.Kind+fault.Label(), behavior.ID)
+	if fault.Fraction != 0 && chance >= fault.Fraction {
+		return false
+	}
+	switch fault.Kind {
+	case script.FaultFastErrors:
+		behavior.Fail, behavior.Work = true, 0
+	case script.FaultHung, script.FaultSilent:
+		behavior.Hang = true
+	case script.FaultSlow:
+		behavior.Work *= fault.Factor
+	case script.FaultReset:
+		behavior.Reset = true
+	case script.FaultHalfAnswer:
+		behavior.Truncate = true
+	case script.FaultGarbled:
+		behavior.Malform = true
+	default:
+		return false
+	}
+	return true
 }
 
-// entry is what discovery tells a node of the server.
-func (s *server) entry(node int, phase string) Entry {
+// endpoint returns the entry of the server in the endpoint list of a node.
+func (s *server) endpoint(node int, phase string) Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Entry{ID: s.id, HostPort: s.addrs[node], Locality: s.spec.Zone, Flavor: s.spec.Kind, Cell: s.spec.Cell, Phase: phase, Size: s.spec.Weight, UpSince: s.began}
+	return Endpoint{
+		ID: s.id, Addr: s.addrs[node], Zone: s.spec.Zone, Kind: s.spec.Kind, Cell: s.spec.Cell,
+		Phase: phase, Weight: s.spec.Weight, StartedAt: s.startedAt,
+	}
 }
 
-// group is how one server looks repeats up: in the table of the group that it shares for the key's class.
-type group struct {
-	w    *world
-	spec *plan.Server
+// requestID returns the ID of the request that an attempt at a server belongs to.
+func requestID(attemptID string) string {
+	id, _, _ := strings.Cut(attemptID, "/")
+	return id
 }
 
-// Repeat tells whether a key was there within its class's window.
-func (g *group) IsDuplicate(key string, _ time.Duration) bool {
-	class, key, _ := strings.Cut(key, "\x00")
-	scope, window := g.w.p.DedupTable(class, g.spec)
-	g.w.keysMu.Lock()
-	defer g.w.keysMu.Unlock()
-	t := g.w.keys[scope]
-	if t == nil {
-		t = &model.KeyTable{Window: window}
-		g.w.keys[scope] = t
-	}
-	return t.IsDuplicate(key, g.w.now())
+// keySeparator separates the class of a request from its idempotency key.
+const keySeparator = "\x00"
+
+// serverKeys looks keys up for one server, in the table of the server's group for the class of the request.
+type serverKeys struct {
+	rehearsal *rehearsal
+	spec      *plan.Server
+}
+
+// IsDuplicate reports whether a key, which follows its class, was seen within the window of the class.
+func (k *serverKeys) IsDuplicate(classAndKey string, _ time.Duration) bool {
+	class, key, _ := strings.Cut(classAndKey, keySeparator)
+	name, window := k.rehearsal.plan.DedupTable(class, k.spec)
+	k.rehearsal.keysMu.Lock()
+	defer k.rehearsal.keysMu.Unlock()
+	table := k.rehearsal.keyTables[name]
+	if table == nil {
+		table = &model.KeyTable{Window: window}
+		k.rehearsal.keyTables[name] = table
+	}
+	return table.IsDuplicate(key, k.rehearsal.now())
 }
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"strings"
 	"time"
@@ -14,6 +15,7 @@
 	"cobaltward/emulator/result"
 	"cobaltward/emulator/script"
 	"cobaltward/emulator/sim"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/demo"
 	"cobaltward/internal/standalone"
 	"cobaltward/levels"
@@ -147,11 +149,12 @@
 		return nil, err
 	}
 	return realtime.Run(ctx, played, realtime.Options{
-		Command:  []string{self, "serve"},
-		XDS:      extensions.NewControlPlane,
-		Levels:   levelsText,
-		Progress: options.OnProgress,
-		Detail:   options.OnDone,
+		Command:         []string{self, "serve"},
+		NewControlPlane: extensions.NewControlPlane,
+		AdminClient:     func(socket string) (*http.Client, string) { return adminapi.NewClient(socket, "", nil) },
+		Levels:          levelsText,
+		OnProgress:      options.OnProgress,
+		OnDone:          options.OnDone,
 	})
 }
 
