--- a/.ci/checks.sh
+++ b/.ci/checks.sh
@@ -194,7 +194,7 @@
 # check_known_red runs each test of KNOWN-RED.txt by itself and prints its entry. A test has to be the only one of its
 # name. One that fails always has to fail still; one that fails sometimes may do either.
 check_known_red() {
-	local entry command seen issue how folder name top log result
+	local entry command seen issue how folder name top log result flags
 	log=$(mktemp)
 	while IFS='|' read -r entry command seen issue; do
 		read -r how folder name <<<"$entry"
@@ -205,8 +205,9 @@
 		top=${name%%/*}
 		[ "$(git grep -lE "^func $top\\(" -- '*_test.go' | wc -l)" -eq 1 ] || fail "KNOWN-RED.txt: $top is not the name of one test"
 		git grep -qE "^func $top\\(" -- "$folder/*_test.go" || fail "KNOWN-RED.txt: $folder has no test $top"
+		read -r -a flags <<<"$(grep -oE -- ' -[a-z]+\.[a-z]+=[0-9]+' <<<"$command" | tr -d '\n' || true)" # such as a seed
 		result=failed
-		if go test -race -count=1 -v -run "$(test_pattern "$name")" "./$folder" >"$log" 2>&1; then
+		if go test -race -count=1 -v -run "$(test_pattern "$name")" "./$folder" "${flags[@]}" >"$log" 2>&1; then
 			result=passed
 		fi
 		grep -qE "^ *--- [A-Z]+: $name " "$log" || fail "KNOWN-RED.txt: $name did not run: $(tail -n 5 "$log")"
