--- a/keys/inode.go
+++ b/certificates/inode.go
@@ -1,4 +1,4 @@
-package keys
+package certificates
 
 import (
 	"os"
--- a/keys/keys.go
+++ b/certificates/keys.go
@@ -1,6 +1,6 @@
-// Package keys holds what TLS goes by: certificates with their keys, and the authorities that are trusted. It reads
+// Package certificates holds what TLS goes by: certificates with their keys, and the authorities that are trusted. It reads
 // files whole, refuses what would not hold, and swaps all of it at once: a set that is wrong in one place changes nothing.
-package keys
+package certificates
 
 import (
 	"bytes"
--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -8,14 +8,14 @@
 	"log/slog"
 	"os"
 
+	"cobaltward/certificates"
 	"cobaltward/discovery/merge"
 	"cobaltward/discovery/xds"
-	"cobaltward/emulator/live/control"
+	"cobaltward/emulator/realtime/control"
 	"cobaltward/emulator/report/page"
 	"cobaltward/internal/cli"
 	"cobaltward/internal/node"
-	"cobaltward/internal/operator"
-	"cobaltward/keys"
+	"cobaltward/internal/nodeconfig"
 	"cobaltward/router"
 
 	"github.com/spf13/cobra"
@@ -29,8 +29,8 @@
 
 // membership is the source that the operator's own file asks for, with the platform's discovery first
 // unless it is to stand alone.
-func membership(o operator.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error) {
-	secrets := make(map[string]func(*keys.Set))
+func membership(o nodeconfig.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error) {
+	secrets := make(map[string]func(*certificates.Set))
 	if c.TLS != nil {
 		for name, store := range c.TLS.Secrets {
 			secrets[name] = store.Adopt
@@ -49,7 +49,7 @@
 }
 
 // open makes the source of the control planes, or of the files.
-func open(x operator.XDS, secrets map[string]func(*keys.Set), log *slog.Logger) (router.EndpointSource, error) {
+func open(x nodeconfig.XDS, secrets map[string]func(*certificates.Set), log *slog.Logger) (router.EndpointSource, error) {
 	if len(x.Files) > 0 {
 		return xds.NewFileSource(x.Files, log)
 	}
@@ -61,7 +61,7 @@
 	return xds.New(c)
 }
 
-func bootstrap(x operator.XDS) (xds.Config, error) {
+func bootstrap(x nodeconfig.XDS) (xds.Config, error) {
 	raw, err := os.ReadFile(x.Bootstrap)
 	if err != nil {
 		return xds.Config{}, fmt.Errorf("xds.bootstrap: %w", err)
--- a/cmd/wayhold-xds/xds.go
+++ b/cmd/wayhold-xds/xds.go
@@ -17,7 +17,7 @@
 
 	"cobaltward/discovery/xds"
 	"cobaltward/discovery/xds/ads"
-	"cobaltward/internal/operator"
+	"cobaltward/internal/nodeconfig"
 	"cobaltward/policy"
 	"cobaltward/router"
 
@@ -90,12 +90,12 @@
 }
 
 // own is the operator's own file that --config names.
-func own(c *cobra.Command) (operator.File, error) {
+func own(c *cobra.Command) (nodeconfig.File, error) {
 	path, err := c.Flags().GetString("config")
 	if err != nil {
-		return operator.File{}, err
+		return nodeconfig.File{}, err
 	}
-	o, err := operator.Load(path)
+	o, err := nodeconfig.Load(path)
 	if err == nil && !o.XDS.On() {
 		err = errors.New("xds: the operator's own file, by --config, names no control plane and no file")
 	}
--- a/discovery/registry/list.go
+++ b/discovery/registry/list.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"cobaltward/internal/fields"
+	"cobaltward/internal/jsonconfig"
 	"cobaltward/policy"
 	"cobaltward/router"
 )
@@ -50,7 +50,7 @@
 // that would be left out might be a drain. Errors name the field.
 func ParseList(raw []byte) (List, error) {
 	var parsed listJSON
-	if err := fields.Unmarshal(raw, &parsed); err != nil {
+	if err := jsonconfig.Unmarshal(raw, &parsed); err != nil {
 		return List{}, err
 	}
 	if parsed.Revision == nil {
@@ -79,7 +79,7 @@
 		return router.Endpoint{}, errors.New("up_since_ms: out of range")
 	}
 	if availability != policy.Removed {
-		if err := fields.CheckAddress(e.HostPort); err != nil {
+		if err := jsonconfig.CheckAddress(e.HostPort); err != nil {
 			return router.Endpoint{}, fmt.Errorf("host_port: %w", err)
 		}
 	}
--- a/discovery/xds/bootstrap.go
+++ b/discovery/xds/bootstrap.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"cobaltward/discovery/xds/xdspb"
-	"cobaltward/internal/fields"
+	"cobaltward/internal/jsonconfig"
 
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/protobuf/encoding/protojson"
@@ -46,7 +46,7 @@
 // system's are used. Errors name the key.
 func ParseBootstrap(raw []byte, caFile string) (Config, error) {
 	var parsed bootstrapJSON
-	if err := fields.Unmarshal(raw, &parsed); err != nil {
+	if err := jsonconfig.Unmarshal(raw, &parsed); err != nil {
 		return Config{}, fmt.Errorf("bootstrap: %w", err)
 	}
 	if len(parsed.Servers) == 0 {
@@ -71,7 +71,7 @@
 
 // server is the control plane of an entry; key is where the entry stands.
 func (s serverJSON) server(key, caFile string) (Server, error) {
-	if err := fields.CheckAddress(s.URI); err != nil {
+	if err := jsonconfig.CheckAddress(s.URI); err != nil {
 		return Server{}, fmt.Errorf("%s.server_uri: %w", key, err)
 	}
 	for _, creds := range s.Credentials {
--- a/discovery/xds/config.go
+++ b/discovery/xds/config.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/discovery/xds/xdspb"
-	"cobaltward/keys"
 
 	"google.golang.org/grpc/credentials"
 )
@@ -42,7 +42,7 @@
 	Log      *slog.Logger // nil: nothing is logged
 	// Secrets has, by the name of each secret to subscribe to, the function that receives every accepted version of
 	// it. The functions must not block. A secret that the control plane removes stays in use here.
-	Secrets map[string]func(*keys.Set)
+	Secrets map[string]func(*certificates.Set)
 
 	// Intervals that tests shorten; 0: the default.
 	backoffBase, backoffMax, responseTimeout, failbackInterval time.Duration
--- a/discovery/xds/decode.go
+++ b/discovery/xds/decode.go
@@ -8,7 +8,7 @@
 	"cobaltward/discovery/xds/ads"
 	"cobaltward/discovery/xds/resource"
 	"cobaltward/discovery/xds/xdspb"
-	"cobaltward/internal/pace"
+	"cobaltward/internal/cpuyield"
 
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
@@ -157,7 +157,7 @@
 }
 
 func decodeAssignment(raw []byte) (ads.Resource, error) {
-	name, assignment, err := resource.DecodeAssignment(raw, new(pace.Pacer).Pause)
+	name, assignment, err := resource.DecodeAssignment(raw, new(cpuyield.Pacer).Pause)
 	switch {
 	case err != nil && name == "":
 		return ads.Resource{}, err
--- a/discovery/xds/resource/secret.go
+++ b/discovery/xds/resource/secret.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/discovery/xds/xdspb"
-	"cobaltward/keys"
 )
 
 // ParseSecret validates a secret, a certificate with its key or a list of authorities, as of now, by the rules for
 // files. Only inline data is accepted: a control plane must not choose which files or variables a node reads.
-func ParseSecret(message *xdspb.Secret, now time.Time) (*keys.Set, error) {
+func ParseSecret(message *xdspb.Secret, now time.Time) (*certificates.Set, error) {
 	source := "secret " + message.GetName()
 	switch secret := message.GetType().(type) {
 	case *xdspb.Secret_TlsCertificate:
@@ -23,7 +23,7 @@
 	}
 }
 
-func parseCertificate(source string, message *xdspb.TlsCertificate, now time.Time) (*keys.Set, error) {
+func parseCertificate(source string, message *xdspb.TlsCertificate, now time.Time) (*certificates.Set, error) {
 	chain, err := inlineData("tls_certificate.certificate_chain", message.GetCertificateChain())
 	if err != nil {
 		return nil, err
@@ -32,23 +32,25 @@
 	if err != nil {
 		return nil, err
 	}
-	pair, err := keys.PairOf(source, chain, key, now)
+	pair, err := certificates.PairOf(source, chain, key, now)
 	if err != nil {
 		return nil, err
 	}
-	return keys.NewSet([]*keys.Pair{pair}, nil), nil
+	return certificates.NewSet([]*certificates.Pair{pair}, nil), nil
 }
 
-func parseAuthorities(source string, message *xdspb.CertificateValidationContext, now time.Time) (*keys.Set, error) {
+func parseAuthorities(
+	source string, message *xdspb.CertificateValidationContext, now time.Time,
+) (*certificates.Set, error) {
 	raw, err := inlineData("validation_context.trusted_ca", message.GetTrustedCa())
 	if err != nil {
 		return nil, err
 	}
-	trust, err := keys.TrustOf(source, raw, now)
+	trust, err := certificates.TrustOf(source, raw, now)
 	if err != nil {
 		return nil, err
 	}
-	return keys.NewSet(nil, trust), nil
+	return certificates.NewSet(nil, trust), nil
 }
 
 // inlineData is the data that a field holds itself.
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -10,7 +10,7 @@
 	"cobaltward/discovery/xds/priority"
 	"cobaltward/discovery/xds/resource"
 	"cobaltward/dropoverload"
-	"cobaltward/internal/pace"
+	"cobaltward/internal/cpuyield"
 	"cobaltward/policy"
 	"cobaltward/router"
 )
@@ -27,7 +27,7 @@
 	listings         map[string][]clusterListing // by address, in order of the clusters' names
 	initialPublished bool                        // the first list of servers has been published
 	drops            dropoverload.Fractions      // as published
-	pacer            pace.Pacer
+	pacer            cpuyield.Pacer
 }
 
 // clusterState is a cluster as it was last applied.
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/discovery/xds/ads"
 	"cobaltward/discovery/xds/resource"
-	"cobaltward/keys"
 	"cobaltward/router"
 )
 
@@ -193,7 +193,7 @@
 // deliverSecrets passes accepted secrets on to who uses them.
 func (s *Source) deliverSecrets(secrets []ads.Resource) {
 	for _, secret := range secrets {
-		set, ok := secret.Value.(*keys.Set)
+		set, ok := secret.Value.(*certificates.Set)
 		adopt := s.config.Secrets[secret.Name]
 		if ok && secret.Err == nil && adopt != nil {
 			adopt(set)
--- a/emulator/judge/judge.go
+++ b/emulator/checker/judge.go
@@ -1,7 +1,7 @@
-// Package judge holds what nodes did against the four rules, from what clients, servers and discovery saw and
+// Package checker holds what nodes did against the four rules, from what clients, servers and discovery saw and
 // not from what the nodes say of themselves. It does no I/O and reads no clock: facts and their times in, a
 // verdict with its evidence out. What it keeps of a request ends some seconds after the request's time.
-package judge
+package checker
 
 import (
 	"fmt"
--- a/emulator/concert/concert.go
+++ b/emulator/clustersim/concert.go
@@ -1,11 +1,11 @@
-// Package concert plays a fleet in virtual time: the cores of a council, stewards and receivers, the same modules as in
+// Package clustersim plays a fleet in virtual time: the cores of a council, stewards and receivers, the same modules as in
 // the processes, on disks, links and clocks that do what a schedule drawn from a seed says. The same seed plays the
 // same schedule.
 //
 // It stands in for processes that die, are stopped, or are cut off, for messages that are lost, late or repeated, and
 // for clocks that run apart by up to lease.MaxClockDrift, or jump where the schedule says so. What it does not play:
 // HTTP, the file system, and goroutines; the rig of processes does.
-package concert
+package clustersim
 
 import (
 	"container/heap"
--- a/emulator/concert/concert_test.go
+++ b/emulator/clustersim/concert_test.go
@@ -1,4 +1,4 @@
-package concert
+package clustersim
 
 import (
 	"flag"
@@ -165,7 +165,7 @@
 
 // TestMany plays many schedules on all cores, each in processes of their own, with progress:
 //
-//	go test ./emulator/concert -run TestMany -schedules 100000 -timeout 2h -v
+//	go test ./emulator/clustersim -run TestMany -schedules 100000 -timeout 2h -v
 func TestMany(t *testing.T) {
 	if *schedules < 1000 {
 		t.Skip("a measurement: -schedules 1000 or more")
--- a/emulator/concert/versions.go
+++ b/emulator/clustersim/versions.go
@@ -1,4 +1,4 @@
-package concert
+package clustersim
 
 import (
 	"fmt"
--- a/emulator/processes/history.go
+++ b/emulator/multiprocess/history.go
@@ -1,4 +1,4 @@
-package processes
+package multiprocess
 
 import (
 	"cmp"
--- a/emulator/processes/script.go
+++ b/emulator/multiprocess/script.go
@@ -1,9 +1,9 @@
-// Package processes is a rig: it starts many real processes of the program on loopback, puts a relay on each link
+// Package multiprocess is a rig: it starts many real processes of the program on loopback, puts a relay on each link
 // between two of them, does to them what a script says, and lets stand-ins that received effects tell what happened.
 //
 // It stands processes that end by themselves. It trusts the machine's monotonic clock alone. From a process that
 // does not answer nothing follows until the script is over, its faults are gone and the time to heal has passed.
-package processes
+package multiprocess
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"cobaltward/internal/strict"
+	"cobaltward/internal/stricttoml"
 )
 
 // Script is what is started and what goes wrong. Council members are c1, c2, ...; nodes, each with its follower, are
@@ -89,7 +89,7 @@
 // Parse reads a script. Errors name the line.
 func Parse(text []byte) (*Script, error) {
 	s := &Script{Lease: time.Second, Tick: 25 * time.Millisecond, AtOnce: 1}
-	lines, err := strict.Decode(text, s)
+	lines, err := stricttoml.Decode(text, s)
 	if err != nil {
 		return nil, err
 	}
--- a/emulator/processes/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -1,4 +1,4 @@
-package processes
+package multiprocess
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"time"
 
 	"cobaltward/drain"
-	"cobaltward/emulator/face"
-	"cobaltward/emulator/host"
 	"cobaltward/emulator/model"
-	"cobaltward/internal/door"
+	"cobaltward/emulator/servermodel"
+	"cobaltward/emulator/serverprotocol"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/node"
 )
 
@@ -36,8 +36,8 @@
 // at readiness.
 type traffic struct {
 	g       *Rig
-	hosts   []*host.Host
-	faces   []*face.HTTP
+	hosts   []*servermodel.Host
+	faces   []*serverprotocol.HTTP
 	nodes   map[string]*proc
 	clients map[string]*http.Client
 
@@ -61,10 +61,10 @@
 		if err != nil {
 			return nil, err
 		}
-		h := host.Start(model.Config{Cores: 16, Slots: 16, Queue: 64, Cancel: model.CancelAll}, host.NewGroup(4*time.Second))
+		h := servermodel.Start(model.Config{Cores: 16, Slots: 16, Queue: 64, Cancel: model.CancelAll}, servermodel.NewGroup(4*time.Second))
 		work := model.Work{Dist: model.Exponential, Mean: 0.02}
 		t.hosts = append(t.hosts, h)
-		t.faces = append(t.faces, face.ServeHTTP1(ln, h, func(_, id string) float64 { return work.Draw(g.s.Seed, id) }, nil))
+		t.faces = append(t.faces, serverprotocol.ServeHTTP1(ln, h, func(_, id string) float64 { return work.Draw(g.s.Seed, id) }, nil))
 		fmt.Fprintf(&servers, "[[server]]\nid = \"s%d\"\naddress = %q\n", i+1, ln.Addr())
 	}
 	for _, name := range g.s.Names()[g.s.Council:] {
@@ -99,7 +99,7 @@
 
 // drained tells whether a node's own door says that nothing is open.
 func (t *traffic) drained(name string) bool {
-	c, base := door.Dial(filepath.Join(t.g.dir, name+".sock"), "", nil)
+	c, base := adminapi.Dial(filepath.Join(t.g.dir, name+".sock"), "", nil)
 	defer c.CloseIdleConnections()
 	c.Timeout = 2 * time.Second
 	resp, err := c.Get(base + "/status")
--- a/emulator/live/agent.go
+++ b/emulator/realtime/agent.go
@@ -1,4 +1,4 @@
-package live
+package realtime
 
 import (
 	"encoding/json"
--- a/emulator/live/control/control.go
+++ b/emulator/realtime/control/control.go
@@ -12,7 +12,7 @@
 
 	"cobaltward/discovery/xds/standin"
 	"cobaltward/discovery/xds/xdspb"
-	"cobaltward/emulator/live"
+	"cobaltward/emulator/realtime"
 )
 
 const cluster = "site"
@@ -23,19 +23,19 @@
 	told      func(id string, open bool)
 
 	mu       sync.Mutex
-	entries  map[string]live.Entry
+	entries  map[string]realtime.Entry
 	revision int64
 	silent   bool
-	unsaid   []live.Entry // learned since it fell silent
+	unsaid   []realtime.Entry // learned since it fell silent
 }
 
 // New is a live.NewAgent.
-func New(dir string, first []live.Entry, told func(id string, open bool)) (live.Agent, error) {
+func New(dir string, first []realtime.Entry, told func(id string, open bool)) (realtime.Agent, error) {
 	p, err := standin.Start("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &plane{plane: p, told: told, entries: make(map[string]live.Entry)}
+	a := &plane{plane: p, told: told, entries: make(map[string]realtime.Entry)}
 	f, err := os.CreateTemp(dir, "bootstrap-*.json")
 	if err != nil {
 		p.Stop()
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("[xds]\nbootstrap = %q\nalone = true\n", filepath.ToSlash(a.bootstrap))
 }
 
-func (a *plane) Set(e live.Entry) {
+func (a *plane) Set(e realtime.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent {
@@ -115,16 +115,16 @@
 	}
 }
 
-func (a *plane) Known() ([]live.Entry, int64) {
+func (a *plane) Known() ([]realtime.Entry, int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := []live.Entry{}
+	all := []realtime.Entry{}
 	for _, e := range a.entries {
 		if e.Phase != "removed" {
 			all = append(all, e)
 		}
 	}
-	slices.SortFunc(all, func(x, y live.Entry) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y realtime.Entry) int { return strings.Compare(x.ID, y.ID) })
 	return all, a.revision
 }
 
--- a/emulator/live/court.go
+++ b/emulator/realtime/court.go
@@ -1,11 +1,11 @@
-package live
+package realtime
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"cobaltward/emulator/judge"
+	"cobaltward/emulator/checker"
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
 )
@@ -16,7 +16,7 @@
 	began time.Time
 
 	mu       sync.Mutex
-	judge    *judge.Judge
+	judge    *checker.Judge
 	book     *result.Book
 	requests map[string]*request // by the id of a try
 	old      []string            // ids of tries that are over, oldest first, with when
--- a/emulator/live/live.go
+++ b/emulator/realtime/live.go
@@ -1,7 +1,7 @@
-// Package live plays a plan on real sockets and in real time, on loopback: nodes are processes of the daemon,
+// Package realtime plays a plan on real sockets and in real time, on loopback: nodes are processes of the daemon,
 // servers are the emulator's behind their face, discovery speaks its own form, and clients are open loop. What
 // it can't do as virtual time does is listed in docs/rehearse.md.
-package live
+package realtime
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"cobaltward/emulator/judge"
+	"cobaltward/emulator/checker"
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
 	"cobaltward/emulator/result"
@@ -115,7 +115,7 @@
 		return "", 0
 	})
 	rules.Slack = slack
-	w.court = &court{p: p, began: time.Now(), judge: judge.New(rules), book: result.NewBook(p, "real", o.Detail), requests: make(map[string]*request)}
+	w.court = &court{p: p, began: time.Now(), judge: checker.New(rules), book: result.NewBook(p, "real", o.Detail), requests: make(map[string]*request)}
 	defer w.parts.Wait()
 	defer w.timers.Wait()
 	defer close(w.quit)
--- a/emulator/live/server.go
+++ b/emulator/realtime/server.go
@@ -1,4 +1,4 @@
-package live
+package realtime
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"cobaltward/emulator/face"
-	"cobaltward/emulator/host"
 	"cobaltward/emulator/model"
 	"cobaltward/emulator/plan"
+	"cobaltward/emulator/servermodel"
+	"cobaltward/emulator/serverprotocol"
 )
 
 // server is one machine, with an address for each node, by which it knows who sends.
@@ -23,7 +23,7 @@
 	mu    sync.Mutex
 	id    string
 	addrs []string // by node
-	host  *host.Host
+	host  *servermodel.Host
 	faces []interface{ Close() }
 	life  int
 	fell  bool
@@ -44,7 +44,7 @@
 		}
 	}
 	s.id, s.fell, s.life = id, false, s.life+1
-	s.host = host.StartWatched(c, &group{s.w, s.spec}, func(e model.Execution) {
+	s.host = servermodel.StartWatched(c, &group{s.w, s.spec}, func(e model.Execution) {
 		id, _, _ := strings.Cut(e.ID, "/")
 		s.w.court.ran(s.id, id, e.Discarded)
 	})
@@ -65,11 +65,11 @@
 		if s.w.p.Nodes[n].Zone != s.spec.Zone {
 			way = s.w.p.Script.Net.Cross
 		}
-		o := face.Options{Treat: s.treat(n, way), Turned: func(id string) { s.w.court.proved(n, id) }, Reports: s.w.p.Script.Reports}
+		o := serverprotocol.Options{Treat: s.treat(n, way), Turned: func(id string) { s.w.court.proved(n, id) }, Reports: s.w.p.Script.Reports}
 		if s.spec.Msgpack {
-			s.faces = append(s.faces, face.TreatMsgpack(ln, s.host, o))
+			s.faces = append(s.faces, serverprotocol.TreatMsgpack(ln, s.host, o))
 		} else {
-			s.faces = append(s.faces, face.TreatHTTP1(ln, s.host, o))
+			s.faces = append(s.faces, serverprotocol.TreatHTTP1(ln, s.host, o))
 		}
 	}
 	return nil
@@ -111,14 +111,14 @@
 }
 
 // treat says what becomes of the requests of one node.
-func (s *server) treat(n int, way time.Duration) face.Treat {
-	return func(_, id string) face.Treatment {
+func (s *server) treat(n int, way time.Duration) serverprotocol.Treat {
+	return func(_, id string) serverprotocol.Treatment {
 		w := s.w
 		s.mu.Lock()
 		server := s.id
 		s.mu.Unlock()
 		q, attempt := w.court.sent(n, id, server, w.p.Nodes[n].Zone != s.spec.Zone)
-		t := face.Treatment{ID: fmt.Sprintf("%s/%d", id, attempt), Way: way}
+		t := serverprotocol.Treatment{ID: fmt.Sprintf("%s/%d", id, attempt), Way: way}
 		if q == nil { // the judge has heard of it
 			return t
 		}
--- a/emulator/report/page/page.go
+++ b/emulator/report/page/page.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"cobaltward/emulator/judge"
+	"cobaltward/emulator/checker"
 	"cobaltward/emulator/report"
 	"cobaltward/emulator/result"
 
@@ -36,7 +36,7 @@
 		Share string
 	}
 	type rule struct {
-		Rule     judge.Rule
+		Rule     checker.Rule
 		Facts    int
 		Count    int
 		Breaches []string
@@ -54,7 +54,7 @@
 	for i, s := range all {
 		data.Lines = append(data.Lines, line{names[i], s, fmt.Sprintf("%.3f", s.Share())})
 	}
-	for _, ru := range judge.Rules {
+	for _, ru := range checker.Rules {
 		one := rule{Rule: ru, Facts: r.Verdict.Checked[ru], Count: r.Verdict.Count[ru]}
 		for _, b := range r.Verdict.Breaches {
 			if b.Rule == ru {
--- a/emulator/report/report.go
+++ b/emulator/report/report.go
@@ -11,7 +11,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"cobaltward/emulator/judge"
+	"cobaltward/emulator/checker"
 	"cobaltward/emulator/result"
 )
 
@@ -92,7 +92,7 @@
 	if r.Void != "" {
 		fmt.Fprintf(w, "VOID: %s\n", r.Void)
 	}
-	for _, rule := range judge.Rules {
+	for _, rule := range checker.Rules {
 		n := r.Verdict.Count[rule]
 		if n == 0 {
 			fmt.Fprintf(w, "rule %d, %v: kept (%d facts)\n", rule, rule, r.Verdict.Checked[rule])
@@ -115,7 +115,7 @@
 }
 
 // Breach is one breach in a line.
-func Breach(b judge.Breach) string {
+func Breach(b checker.Breach) string {
 	parts := []string{fmt.Sprintf("%.3f s", b.At.Seconds())}
 	for _, p := range []struct{ what, v string }{{"request", b.ID}, {"node", b.Node}, {"server", b.Server}} {
 		if p.v != "" {
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"cobaltward/emulator/judge"
+	"cobaltward/emulator/checker"
 	"cobaltward/emulator/plan"
 	"cobaltward/policy"
 
@@ -114,7 +114,7 @@
 	Nodes    int                 `json:"nodes"`
 	Zones    []string            `json:"zones"`
 	Void     string              `json:"void,omitempty"` // why the rehearsal counts for nothing
-	Verdict  *judge.Verdict      `json:"verdict"`
+	Verdict  *checker.Verdict    `json:"verdict"`
 	All      *Service            `json:"all"`
 	Classes  map[string]*Service `json:"classes"`
 	Tenants  map[string]*Service `json:"tenants"`
@@ -315,7 +315,7 @@
 func (b *Book) Void(why string) { b.r.Void = why }
 
 // End returns the result.
-func (b *Book) End(v *judge.Verdict) *Result {
+func (b *Book) End(v *checker.Verdict) *Result {
 	b.r.Verdict = v
 	b.r.Waste = max(0, b.r.Work-b.useful)
 	b.r.Digest = hex.EncodeToString(b.digest.Sum(nil))
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"cobaltward/internal/strict"
+	"cobaltward/internal/stricttoml"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -35,7 +35,7 @@
 	Rules     Rules         `toml:"rules"`
 	Faults    []Fault       `toml:"fault"`
 
-	lines strict.Lines
+	lines stricttoml.Lines
 	path  string
 }
 
@@ -72,12 +72,12 @@
 	Count       int                `toml:"count" need:"1" min:"1" max:"5000"`
 	Zones       map[string]float64 `toml:"zones" min:"0"` // weights; none: evenly
 	Cores       int                `toml:"cores" min:"1" max:"256"`
-	Speed       strict.Range       `toml:"speed" min:"0.001" max:"1000"`
-	Slots       strict.Range       `toml:"slots" min:"0.01" max:"1000"`    // a core
-	Queue       strict.Range       `toml:"queue" min:"0" max:"10000"`      // a core
+	Speed       stricttoml.Range   `toml:"speed" min:"0.001" max:"1000"`
+	Slots       stricttoml.Range   `toml:"slots" min:"0.01" max:"1000"`    // a core
+	Queue       stricttoml.Range   `toml:"queue" min:"0" max:"10000"`      // a core
 	Thrash      float64            `toml:"thrash" min:"0" max:"10"`        // capacity is divided by 1 + this for each request a core
 	ThrashAt    float64            `toml:"thrash_at" min:"0" max:"10000"`  // held beyond this
-	ColdFrom    strict.Range       `toml:"cold_from" min:"0" max:"1"`      // part of its capacity at a start; 0: warm at once
+	ColdFrom    stricttoml.Range   `toml:"cold_from" min:"0" max:"1"`      // part of its capacity at a start; 0: warm at once
 	ColdFor     time.Duration      `toml:"cold_for" min:"0s" max:"10m"`    // until it is warm
 	ColdBy      string             `toml:"cold_by" one:"time|work"`        //
 	PauseEvery  time.Duration      `toml:"pause_every" min:"0s" max:"10m"` // 0s: never
@@ -268,12 +268,12 @@
 		if _, err := Parse(filepath.ToSlash(at), under); err != nil {
 			return nil, err
 		}
-		if _, err := strict.Decode(under, s); err != nil {
+		if _, err := stricttoml.Decode(under, s); err != nil {
 			return nil, fmt.Errorf("%s:%w", filepath.ToSlash(at), err)
 		}
 		s.Title, s.Faults = title, nil
 	}
-	lines, err := strict.Decode(text, s)
+	lines, err := stricttoml.Decode(text, s)
 	if err == nil {
 		s.lines = lines
 		s.defaults()
@@ -299,11 +299,11 @@
 		k := &s.Kinds[i]
 		k.Cores = max(1, k.Cores)
 		for _, d := range []struct {
-			r *strict.Range
+			r *stricttoml.Range
 			v float64
 		}{{&k.Speed, 1}, {&k.Slots, 8}, {&k.Queue, 20}} {
-			if *d.r == (strict.Range{}) {
-				*d.r = strict.Range{Lo: d.v, Hi: d.v}
+			if *d.r == (stricttoml.Range{}) {
+				*d.r = stricttoml.Range{Lo: d.v, Hi: d.v}
 			}
 		}
 		if k.Cancel == "" {
--- a/emulator/host/host.go
+++ b/emulator/servermodel/host.go
@@ -1,6 +1,6 @@
-// Package host runs a model of a server on the wall clock: requests wait for their completions. What runs a
+// Package servermodel runs a model of a server on the wall clock: requests wait for their completions. What runs a
 // model in virtual time needs none of it.
-package host
+package servermodel
 
 import (
 	"errors"
--- a/emulator/face/http.go
+++ b/emulator/serverprotocol/http.go
@@ -1,6 +1,6 @@
-// Package face gives an emulated server the faces that nodes know: HTTP/1.1 as the protocol page has
+// Package serverprotocol gives an emulated server the faces that nodes know: HTTP/1.1 as the protocol page has
 // servers, and MessagePack-RPC.
-package face
+package serverprotocol
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"cobaltward/emulator/host"
 	"cobaltward/emulator/model"
+	"cobaltward/emulator/servermodel"
 )
 
 // Work says what a request costs a server, by its path and its id.
@@ -46,7 +46,7 @@
 }
 
 // report is a server's load report, as X-Load has it.
-func (o *Options) report(h *host.Host) string {
+func (o *Options) report(h *servermodel.Host) string {
 	if len(o.Reports) == 0 {
 		return ""
 	}
@@ -93,7 +93,7 @@
 type HTTP struct {
 	Addr string
 
-	host   *host.Host
+	host   *servermodel.Host
 	o      Options
 	server *http.Server
 	ended  sync.WaitGroup
@@ -104,12 +104,12 @@
 
 // ServeHTTP1 runs the face on a listener. The host's end is the caller's to see to. fails, where it is not
 // nil, says of each request whether it is to fail at once: answered 500, though it may have had its effect.
-func ServeHTTP1(ln net.Listener, h *host.Host, work Work, fails func() bool) *HTTP {
+func ServeHTTP1(ln net.Listener, h *servermodel.Host, work Work, fails func() bool) *HTTP {
 	return TreatHTTP1(ln, h, Options{Treat: treatAs(work, fails)})
 }
 
 // TreatHTTP1 is ServeHTTP1 with a treatment for each request.
-func TreatHTTP1(ln net.Listener, h *host.Host, o Options) *HTTP {
+func TreatHTTP1(ln net.Listener, h *servermodel.Host, o Options) *HTTP {
 	f := &HTTP{Addr: ln.Addr().String(), host: h, o: o, conns: make(map[net.Conn]bool)}
 	f.server = &http.Server{
 		Handler: http.HandlerFunc(f.answer), ConnState: f.state, ConnContext: withConn,
@@ -193,7 +193,7 @@
 	case verdict == model.Full:
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case verdict == model.Down || errors.Is(err, host.ErrLost):
+	case verdict == model.Down || errors.Is(err, servermodel.ErrLost):
 		f.abort(r)
 	case t.Fail:
 		w.WriteHeader(http.StatusInternalServerError)
--- a/emulator/face/msgpack.go
+++ b/emulator/serverprotocol/msgpack.go
@@ -1,12 +1,12 @@
-package face
+package serverprotocol
 
 import (
 	"errors"
 	"net"
 	"sync"
 
-	"cobaltward/emulator/host"
 	"cobaltward/emulator/model"
+	"cobaltward/emulator/servermodel"
 	"cobaltward/msgpackrpc"
 )
 
@@ -14,7 +14,7 @@
 type Msgpack struct {
 	Addr string
 
-	host  *host.Host
+	host  *servermodel.Host
 	o     Options
 	ln    net.Listener
 	ended sync.WaitGroup
@@ -25,12 +25,12 @@
 }
 
 // ServeMsgpack runs the face on a listener. The host's end is the caller's to see to.
-func ServeMsgpack(ln net.Listener, h *host.Host, work Work) *Msgpack {
+func ServeMsgpack(ln net.Listener, h *servermodel.Host, work Work) *Msgpack {
 	return TreatMsgpack(ln, h, Options{Treat: treatAs(work, nil)})
 }
 
 // TreatMsgpack is ServeMsgpack with a treatment for each call.
-func TreatMsgpack(ln net.Listener, h *host.Host, o Options) *Msgpack {
+func TreatMsgpack(ln net.Listener, h *servermodel.Host, o Options) *Msgpack {
 	f := &Msgpack{Addr: ln.Addr().String(), host: h, o: o, ln: ln, conns: make(map[net.Conn]bool)}
 	f.ended.Go(func() {
 		for {
@@ -114,7 +114,7 @@
 				<-g
 			case t.Reset:
 				calls.Go(func() { f.host.Do(todo, nil) }) // it ends with the host
-				err = host.ErrLost
+				err = servermodel.ErrLost
 			default:
 				if _, verdict, err = f.host.Do(todo, g); verdict == model.Full && f.o.Turned != nil {
 					f.o.Turned(q.ID)
@@ -131,7 +131,7 @@
 				return
 			case verdict == model.Full:
 				r = msgpackrpc.Reply{Code: msgpackrpc.NotRun}
-			case verdict == model.Down || errors.Is(err, host.ErrLost):
+			case verdict == model.Down || errors.Is(err, servermodel.ErrLost):
 				reset(c)
 				return
 			case t.Fail:
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cobaltward/emulator/plan"
-	"cobaltward/learnedstate"
+	"cobaltward/internal/learnedstate"
 	"cobaltward/policy"
 	"cobaltward/router"
 )
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -15,7 +15,7 @@
 
 	"cobaltward/fleet"
 	"cobaltward/fleet/consensus"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 )
 
 // Errors of calls.
@@ -102,7 +102,7 @@
 	if c.UseTLS {
 		scheme = "https://"
 	}
-	url := scheme + address + "/" + door.Version + path
+	url := scheme + address + "/" + adminapi.Version + path
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	if response.StatusCode >= firstUnknownStatus {
 		return fmt.Errorf("%w: %s says %s: %s", ErrNoResponse, address, response.Status, bytes.TrimSpace(raw))
 	}
-	var body door.Error
+	var body adminapi.Error
 	_ = json.Unmarshal(raw, &body) // the status tells as much
 	return fmt.Errorf("%w by %s: %s", ErrRejected, address, cmp.Or(body.Error, response.Status))
 }
--- a/fleet/agent/handler.go
+++ b/fleet/agent/handler.go
@@ -7,7 +7,7 @@
 
 	"cobaltward/fleet"
 	"cobaltward/fleet/lease"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 )
 
 // Status is what an agent shows of its node.
@@ -27,17 +27,17 @@
 
 func (a *Agent) handleEffect(w http.ResponseWriter, r *http.Request) {
 	var request lease.EffectRequest
-	if !door.Read(w, r, &request) {
+	if !adminapi.Read(w, r, &request) {
 		return
 	}
 	response, err := a.HandleEffect(request)
 	switch {
 	case errors.Is(err, ErrStaleToken):
-		door.Reply(w, http.StatusConflict, door.Error{Error: err.Error(), More: response})
+		adminapi.Reply(w, http.StatusConflict, adminapi.Error{Error: err.Error(), More: response})
 	case err != nil:
-		door.Reply(w, http.StatusServiceUnavailable, door.Error{Error: err.Error(), More: response})
+		adminapi.Reply(w, http.StatusServiceUnavailable, adminapi.Error{Error: err.Error(), More: response})
 	default:
-		door.Reply(w, http.StatusOK, response)
+		adminapi.Reply(w, http.StatusOK, response)
 	}
 }
 
@@ -54,5 +54,5 @@
 	a.mu.Lock()
 	status.Rejected = a.rejected
 	a.mu.Unlock()
-	door.Reply(w, http.StatusOK, status)
+	adminapi.Reply(w, http.StatusOK, status)
 }
--- a/fleet/agent/nodeclient.go
+++ b/fleet/agent/nodeclient.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cobaltward/drain"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/node"
 )
 
@@ -50,7 +50,7 @@
 
 // NewNodeClient returns a client of the admin API at the path of a Unix socket, or at IP:port with a bearer token.
 func NewNodeClient(address, authToken string) *NodeClient {
-	httpClient, _ := door.Dial(address, authToken, nil)
+	httpClient, _ := adminapi.Dial(address, authToken, nil)
 	base := address
 	if strings.HasPrefix(address, "/") {
 		base = socketHost
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cobaltward/fleet"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 )
 
 // maxWatchWait is how long a watch request may wait for news.
@@ -48,7 +48,7 @@
 		defer func() { <-r.watchers }()
 	default: // the agent comes again, or asks another replica
 		w.Header().Set("Retry-After", "1")
-		door.Fail(w, http.StatusServiceUnavailable, "too many agents are waiting")
+		adminapi.Fail(w, http.StatusServiceUnavailable, "too many agents are waiting")
 		return
 	}
 	timeout := time.NewTimer(min(request.Wait, maxWatchWait))
@@ -56,7 +56,7 @@
 	for timedOut := false; ; {
 		view, updated := r.recordReport(request.AgentReport)
 		if timedOut || request.Epoch != view.State.Epoch || view.NotifyPosition > request.Position {
-			door.Reply(w, http.StatusOK, view.responseTo(request))
+			adminapi.Reply(w, http.StatusOK, view.responseTo(request))
 			return
 		}
 		select {
@@ -66,7 +66,7 @@
 		case <-req.Context().Done():
 			return
 		case <-r.ctx.Done():
-			door.Fail(w, http.StatusServiceUnavailable, "the replica is shutting down")
+			adminapi.Fail(w, http.StatusServiceUnavailable, "the replica is shutting down")
 			return
 		}
 	}
--- a/internal/door/door.go
+++ b/internal/adminapi/door.go
@@ -1,6 +1,6 @@
-// Package door is the operators' way into a node: a small versioned JSON interface over HTTP on a Unix socket,
+// Package adminapi is the operators' way into a node: a small versioned JSON interface over HTTP on a Unix socket,
 // or on loopback with a token. Subsystems mount what they have to show and to take.
-package door
+package adminapi
 
 import (
 	"context"
--- a/internal/door/door_test.go
+++ b/internal/adminapi/door_test.go
@@ -1,4 +1,4 @@
-package door
+package adminapi
 
 import (
 	"bufio"
--- a/internal/cli/alone.go
+++ b/internal/cli/alone.go
@@ -11,7 +11,7 @@
 	"cobaltward/discovery/file"
 	"cobaltward/discovery/registry"
 	"cobaltward/internal/node"
-	"cobaltward/internal/site"
+	"cobaltward/internal/standalone"
 	"cobaltward/levels"
 	"cobaltward/router"
 )
@@ -21,22 +21,22 @@
 // alone is a node without a platform: its configuration is the operator's own file. The zero value is a node with
 // one.
 type alone struct {
-	own   *site.File // the operator's own file, whatever it has
-	file  *site.File // nil: the platform's configuration holds
-	front *site.Front
+	own   *standalone.File // the operator's own file, whatever it has
+	file  *standalone.File // nil: the platform's configuration holds
+	front *standalone.Front
 	list  *file.Source
 }
 
 // standAlone reads the operator's own file, and tells by it whether the node stands alone.
 func standAlone(own string) (*alone, error) {
-	f, err := site.Load(own)
+	f, err := standalone.Load(own)
 	if err != nil {
 		return nil, err
 	}
 	if !f.On() {
 		return &alone{own: f}, nil
 	}
-	front, err := site.NewFront(f)
+	front, err := standalone.NewFront(f)
 	return &alone{own: f, file: f, front: front}, err
 }
 
@@ -56,7 +56,7 @@
 }
 
 // ladderOf is the ladder of levels that a file has for a node.
-func ladderOf(f *site.File, c *node.Config) (*levels.Config, error) {
+func ladderOf(f *standalone.File, c *node.Config) (*levels.Config, error) {
 	ladder, err := f.Ladder(c.Settings.Classes)
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", f.Path(), err)
@@ -64,7 +64,7 @@
 	return ladder, nil
 }
 
-func configOf(f *site.File) (node.Config, error) {
+func configOf(f *standalone.File) (node.Config, error) {
 	members, err := f.List()
 	if err != nil {
 		return node.Config{}, err
@@ -106,7 +106,7 @@
 // reload reads the configuration again. adopt puts its routes, identities and servers in force, once nothing else
 // of it is refused. A node does not come to stand alone, or cease to, while it runs.
 func (a *alone) reload(own string) (c node.Config, adopt func() error, err error) {
-	f, err := site.Load(own)
+	f, err := standalone.Load(own)
 	if err != nil {
 		return node.Config{}, nil, err
 	}
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"cobaltward/internal/site"
-	"cobaltward/keys"
+	"cobaltward/certificates"
+	"cobaltward/internal/standalone"
 
 	"github.com/spf13/cobra"
 )
@@ -16,7 +16,7 @@
 // certsCommand looks at certificates without a node.
 func certsCommand(own *string) *cobra.Command {
 	all := &cobra.Command{Use: "certs", Short: "Certificates, keys and authorities: check them, see what a node holds, probe a server"}
-	var from keys.Sources
+	var from certificates.Sources
 	var asOf string
 	var within time.Duration
 	check := &cobra.Command{
@@ -70,9 +70,9 @@
 }
 
 // entriesOf reads what flags name or, where they name nothing, the table [tls] of the operator's own file.
-func entriesOf(from keys.Sources, own string, now time.Time) ([]keys.Entry, error) {
-	if from != (keys.Sources{}) {
-		set, err := keys.Load(from, now)
+func entriesOf(from certificates.Sources, own string, now time.Time) ([]certificates.Entry, error) {
+	if from != (certificates.Sources{}) {
+		set, err := certificates.Load(from, now)
 		if err != nil {
 			return nil, err
 		}
@@ -81,7 +81,7 @@
 	if own == "" {
 		return nil, errors.New("nothing to check: give --dir, --cert with --key, --trust, or --config")
 	}
-	f, err := site.Load(own)
+	f, err := standalone.Load(own)
 	if err != nil {
 		return nil, err
 	}
@@ -92,10 +92,10 @@
 	if t == nil {
 		return nil, fmt.Errorf("%s: it has no table [tls]", own)
 	}
-	var all []keys.Entry
+	var all []certificates.Entry
 	for _, s := range t.Stores {
 		all = append(all, s.Set().Entries()...)
 	}
-	slices.SortFunc(all, func(a, b keys.Entry) int { return a.Ends.Compare(b.Ends) })
+	slices.SortFunc(all, func(a, b certificates.Entry) int { return a.Ends.Compare(b.Ends) })
 	return all, nil
 }
--- a/internal/cli/certs_running.go
+++ b/internal/cli/certs_running.go
@@ -12,9 +12,9 @@
 	"text/tabwriter"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/internal/handshaking"
 	"cobaltward/internal/node"
-	"cobaltward/keys"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
 
@@ -122,7 +122,7 @@
 func certsProbeCommand() *cobra.Command {
 	var rule secure.Rule
 	var trust string
-	var own keys.Sources
+	var own certificates.Sources
 	var m router.Endpoint
 	c := &cobra.Command{
 		Use:   "probe ADDR",
@@ -135,12 +135,12 @@
 			now := time.Now()
 			var err error
 			if trust != "" {
-				if rule.Trust, err = keys.Open(keys.Sources{Trust: trust}, now); err != nil {
+				if rule.Trust, err = certificates.Open(certificates.Sources{Trust: trust}, now); err != nil {
 					return err
 				}
 			}
 			if own.Cert != "" || own.Key != "" {
-				if rule.Own, err = keys.Open(own, now); err != nil {
+				if rule.Own, err = certificates.Open(own, now); err != nil {
 					return err
 				}
 			}
@@ -227,6 +227,6 @@
 the former ones still open those that they sealed, and a fresh one waits behind them. Run it as often as sessions should
 end, and give FILE to all nodes of an installation before it is run again.`,
 		Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return keys.RotateTickets(args[0]) },
+		RunE: func(_ *cobra.Command, args []string) error { return certificates.RotateTickets(args[0]) },
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,10 +12,10 @@
 	"os/signal"
 	"syscall"
 
-	"cobaltward/emulator/live"
+	"cobaltward/emulator/realtime"
 	"cobaltward/emulator/result"
 	"cobaltward/internal/node"
-	"cobaltward/internal/operator"
+	"cobaltward/internal/nodeconfig"
 	"cobaltward/router"
 
 	"github.com/spf13/cobra"
@@ -23,13 +23,13 @@
 
 // Membership makes the source of the servers that the operator's own file asks for. own is the
 // protocol's discovery, which it may take in. nil stands for own alone.
-type Membership func(o operator.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error)
+type Membership func(o nodeconfig.File, c node.Config, own router.EndpointSource, log *slog.Logger) (router.EndpointSource, error)
 
 // Extra is what a program has beyond wayhold. The zero value is nothing.
 type Extra struct {
 	XDS      Membership
 	Page     func(w io.Writer, r *result.Result) error // of a rehearsal, with plots
-	Control  live.NewAgent                             // of a rehearsal, a control plane
+	Control  realtime.NewAgent                         // of a rehearsal, a control plane
 	Commands []*cobra.Command
 }
 
--- a/internal/cli/ctl.go
+++ b/internal/cli/ctl.go
@@ -19,12 +19,12 @@
 	"text/tabwriter"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/drain"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/demo"
-	"cobaltward/internal/door"
 	"cobaltward/internal/node"
-	"cobaltward/internal/operator"
-	"cobaltward/keys"
+	"cobaltward/internal/nodeconfig"
 	"cobaltward/router"
 
 	"github.com/spf13/cobra"
@@ -220,7 +220,7 @@
 func (t *ctl) dial() (*http.Client, string, error) {
 	at, file := t.at, t.file
 	if at == "" && *t.own != "" {
-		o, err := operator.Load(*t.own)
+		o, err := nodeconfig.Load(*t.own)
 		if err != nil {
 			return nil, "", err
 		}
@@ -234,7 +234,7 @@
 	secret := ""
 	if file != "" {
 		var err error
-		if secret, err = operator.Token(file); err != nil {
+		if secret, err = nodeconfig.Token(file); err != nil {
 			return nil, "", err
 		}
 	}
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	c, base := door.Dial(at, secret, conf)
+	c, base := adminapi.Dial(at, secret, conf)
 	return c, base, nil
 }
 
@@ -251,7 +251,7 @@
 	if t.ca == "" {
 		return nil, nil
 	}
-	set, err := keys.Load(keys.Sources{Trust: t.ca}, time.Now())
+	set, err := certificates.Load(certificates.Sources{Trust: t.ca}, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -286,7 +286,7 @@
 		return nil, statusError{fmt.Errorf("ctl: the answer broke off: %w", err), unreachable}
 	}
 	if resp.StatusCode >= 300 {
-		var e door.Error
+		var e adminapi.Error
 		if json.Unmarshal(raw, &e) != nil || e.Error == "" {
 			e.Error = resp.Status
 		}
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"cobaltward/internal/expect"
-	"cobaltward/internal/site"
+	"cobaltward/internal/standalone"
 
 	"github.com/spf13/cobra"
 )
@@ -26,7 +26,7 @@
 request and the line that decided. The exit status is 0 if all are met.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			conf, err := site.Load(*own)
+			conf, err := standalone.Load(*own)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/init.go
+++ b/internal/cli/init.go
@@ -11,10 +11,10 @@
 	"strings"
 	"text/tabwriter"
 
-	"cobaltward/identity"
-	"cobaltward/internal/site"
+	"cobaltward/internal/identity"
+	"cobaltward/internal/routes"
+	"cobaltward/internal/standalone"
 	"cobaltward/policy"
-	"cobaltward/routes"
 
 	"github.com/spf13/cobra"
 )
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			_, err = f.WriteString(site.Example)
+			_, err = f.WriteString(standalone.Example)
 			if err := errors.Join(err, f.Close()); err != nil {
 				return err
 			}
@@ -47,7 +47,7 @@
 }
 
 // describe prints what a configuration says, in tables.
-func describe(out io.Writer, f *site.File) error {
+func describe(out io.Writer, f *standalone.File) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "listens on %s\n\nclass\taim\tdeadline\tmay be sent again\n", f.Listen[0].Address)
 	for _, c := range f.Settings().Classes {
@@ -68,7 +68,7 @@
 }
 
 // describeLevels prints the ladder of levels as a table.
-func describeLevels(out io.Writer, f *site.File, classes []policy.Class) error {
+func describeLevels(out io.Writer, f *standalone.File, classes []policy.Class) error {
 	c, err := f.Ladder(classes)
 	if err != nil {
 		return fmt.Errorf("%s:%w", f.Path(), err)
@@ -114,7 +114,7 @@
 			if file != "" {
 				path = file
 			}
-			f, err := site.Load(path)
+			f, err := standalone.Load(path)
 			if err != nil {
 				return err
 			}
@@ -148,7 +148,7 @@
 	return c
 }
 
-func explainRequest(out io.Writer, f *site.File, method string, u *url.URL, h http.Header, from netip.Addr) error {
+func explainRequest(out io.Writer, f *standalone.File, method string, u *url.URL, h http.Header, from netip.Addr) error {
 	table, err := f.Table()
 	if err != nil {
 		return err
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"cobaltward/emulator/live"
 	"cobaltward/emulator/plan"
+	"cobaltward/emulator/realtime"
 	"cobaltward/emulator/report"
 	"cobaltward/emulator/result"
 	"cobaltward/emulator/script"
 	"cobaltward/emulator/sim"
 	"cobaltward/internal/demo"
-	"cobaltward/internal/site"
+	"cobaltward/internal/standalone"
 	"cobaltward/levels"
 
 	"github.com/schollz/progressbar/v3"
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		r, err = live.Run(ctx, p, live.Options{Command: []string{self, "serve"}, XDS: e.Control, Levels: text, Progress: options.Progress, Detail: options.Detail})
+		r, err = realtime.Run(ctx, p, realtime.Options{Command: []string{self, "serve"}, XDS: e.Control, Levels: text, Progress: options.Progress, Detail: options.Detail})
 		if err := errors.Join(err, finish()); err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 	if o.levels == "" {
 		return nil, "", nil
 	}
-	f, err := site.Load(o.levels)
+	f, err := standalone.Load(o.levels)
 	if err != nil {
 		return nil, "", err
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	only := site.File{Service: f.Service, Levels: f.Levels}
+	only := standalone.File{Service: f.Service, Levels: f.Levels}
 	switch {
 	case len(f.Levels) == 0:
 		return nil, "", fmt.Errorf("rehearse: --levels: %s has no [[level]]", o.levels)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"cobaltward/internal/console"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/node"
-	"cobaltward/internal/operator"
+	"cobaltward/internal/nodeconfig"
+	"cobaltward/internal/operations"
 	"cobaltward/internal/sockets"
 	"cobaltward/policy"
 	"cobaltward/router"
@@ -34,7 +34,7 @@
 	hup := make(chan os.Signal, 1) // one more that is waiting stands for all: the file is read after it
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	o, err := operator.Load(own)
+	o, err := nodeconfig.Load(own)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 		return err
 	}
 	if c.Console != "" {
-		if c.ConsoleListener, err = console.Open(c.Console); err != nil {
+		if c.ConsoleListener, err = operations.Open(c.Console); err != nil {
 			return err
 		}
 	}
@@ -111,13 +111,13 @@
 }
 
 // doorOf is the door that the table [door] asks for.
-func doorOf(d operator.Door) (door.Config, error) {
-	c := door.Config{Socket: d.Socket, Listen: d.Listen}
+func doorOf(d nodeconfig.Door) (adminapi.Config, error) {
+	c := adminapi.Config{Socket: d.Socket, Listen: d.Listen}
 	if d.TokenFile == "" {
 		return c, nil
 	}
 	var err error
-	c.Token, err = operator.Token(d.TokenFile)
+	c.Token, err = nodeconfig.Token(d.TokenFile)
 	if err != nil {
 		return c, fmt.Errorf("door.token_file: %w", err)
 	}
@@ -125,7 +125,7 @@
 }
 
 // apply puts what the operator's own file says into the node's configuration.
-func apply(o operator.File, c *node.Config) {
+func apply(o nodeconfig.File, c *node.Config) {
 	if o.Drain.Leave.Set {
 		c.Leave = &o.Drain.Leave.Duration
 	}
@@ -136,7 +136,7 @@
 
 // msgpack opens what the table [msgpack] asks for. A socket that nobody listens on any more is in the way,
 // and goes.
-func msgpack(m operator.Msgpack) (node.Msgpack, error) {
+func msgpack(m nodeconfig.Msgpack) (node.Msgpack, error) {
 	c := node.Msgpack{Connections: m.Connections, Calls: m.Calls, Servers: m.Servers}
 	if m.Listen == "" {
 		return c, nil
@@ -163,7 +163,7 @@
 var errNoXDS = errors.New("xds: this program has none; run wayhold-xds in its place")
 
 // useXDS puts in place what the table [xds] asks for.
-func useXDS(o operator.File, c *node.Config, e Extra, log *slog.Logger) error {
+func useXDS(o nodeconfig.File, c *node.Config, e Extra, log *slog.Logger) error {
 	if !o.XDS.On() {
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 // bindPools binds classes to clusters as the table [xds.pools] says.
-func bindPools(o operator.File, c *node.Config) error {
+func bindPools(o nodeconfig.File, c *node.Config) error {
 	for class, cluster := range o.XDS.Pools {
 		i := slices.IndexFunc(c.Settings.Classes, func(k policy.Class) bool { return k.Name == class })
 		if i < 0 {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func logger(l operator.Log, level *slog.LevelVar, to io.Writer) *slog.Logger {
+func logger(l nodeconfig.Log, level *slog.LevelVar, to io.Writer) *slog.Logger {
 	level.Set(l.Level.Level)
 	options := &slog.HandlerOptions{Level: level}
 	if l.Format == "json" {
@@ -200,8 +200,8 @@
 
 // reloader reads both files again, and puts them in force together or not at all.
 type reloader struct {
-	own     string        // the operator's own file
-	running operator.File // as it was at the start
+	own     string          // the operator's own file
+	running nodeconfig.File // as it was at the start
 	level   *slog.LevelVar
 	log     *slog.Logger
 	alone   *alone
@@ -229,7 +229,7 @@
 }
 
 func (r *reloader) read() (node.Config, error) {
-	o, err := operator.Load(r.own)
+	o, err := nodeconfig.Load(r.own)
 	if err != nil {
 		return node.Config{}, err
 	}
@@ -247,7 +247,7 @@
 		return node.Config{}, err
 	}
 	r.level.Set(o.Log.Level.Level)
-	for _, key := range operator.AtNextStart(r.running, o) {
+	for _, key := range nodeconfig.AtNextStart(r.running, o) {
 		r.log.Warn("reload: takes effect at the next start", "key", key)
 	}
 	return c, nil
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -9,8 +9,8 @@
 
 	"cobaltward/internal/demo"
 	"cobaltward/internal/node"
-	"cobaltward/internal/operator"
-	"cobaltward/internal/site"
+	"cobaltward/internal/nodeconfig"
+	"cobaltward/internal/standalone"
 	"cobaltward/policy"
 
 	"github.com/spf13/cobra"
@@ -38,17 +38,17 @@
 				return fmt.Errorf("check: nothing to check: name a FILE, --platform or ROUTER_CONFIG")
 			}
 			out := c.OutOrStdout()
-			var o operator.File
-			own := &site.File{}
+			var o nodeconfig.File
+			own := &standalone.File{}
 			if path != "" {
 				var err error
-				if o, err = operator.Load(path); err != nil {
+				if o, err = nodeconfig.Load(path); err != nil {
 					return err
 				}
 				if o.XDS.On() && e.XDS == nil {
 					return errNoXDS
 				}
-				alone, err := site.Load(path)
+				alone, err := standalone.Load(path)
 				if err != nil {
 					return err
 				}
--- a/internal/pace/pace.go
+++ b/internal/cpuyield/pace.go
@@ -1,5 +1,5 @@
-// Package pace keeps long work from holding requests up on few cores.
-package pace
+// Package cpuyield keeps long work from holding requests up on few cores.
+package cpuyield
 
 import "time"
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"cobaltward/discovery/registry"
-	"cobaltward/emulator/host"
+	"cobaltward/emulator/servermodel"
 	"cobaltward/internal/node"
 	"cobaltward/policy"
 	"cobaltward/router"
@@ -140,7 +140,7 @@
 		}
 	}()
 	w.began = time.Now()
-	group := host.NewGroup(keyWindow)
+	group := servermodel.NewGroup(keyWindow)
 	var members []router.Endpoint
 	for i := range 9 {
 		s, err := startServer(i, w, group)
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"cobaltward/emulator/face"
-	"cobaltward/emulator/host"
 	"cobaltward/emulator/model"
+	"cobaltward/emulator/servermodel"
+	"cobaltward/emulator/serverprotocol"
 )
 
 const (
@@ -26,18 +26,18 @@
 // server is an emulated app server.
 type server struct {
 	id, zone string
-	host     *host.Host
-	face     *face.HTTP
+	host     *servermodel.Host
+	face     *serverprotocol.HTTP
 }
 
 // startServer runs the n-th server on loopback. Those of one group drop each other's repeats.
-func startServer(n int, w *world, group *host.Group) (*server, error) {
+func startServer(n int, w *world, group *servermodel.Group) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &server{id: fmt.Sprintf("server-%d", n), zone: []string{"bystrica", "presov", "nitra"}[n/3]}
-	s.host = host.Start(model.Config{Cores: slots, Slots: slots, Queue: queue, Cancel: model.CancelAll}, group)
+	s.host = servermodel.Start(model.Config{Cores: slots, Slots: slots, Queue: queue, Cancel: model.CancelAll}, group)
 	costs := model.Work{Dist: model.Exponential, Mean: work.Seconds()}
 	if n == slowServer {
 		costs.Mean = slowWork.Seconds()
@@ -49,7 +49,7 @@
 			return since >= badFrom && since < badTo && rand.Float64() < badShare
 		}
 	}
-	s.face = face.ServeHTTP1(ln, s.host, func(_, id string) float64 {
+	s.face = serverprotocol.ServeHTTP1(ln, s.host, func(_, id string) float64 {
 		w.attempt(id)
 		return costs.Draw(w.c.Seed, id)
 	}, fails)
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -13,19 +13,19 @@
 	"strings"
 	"time"
 
-	"cobaltward/identity"
-	"cobaltward/internal/site"
-	"cobaltward/internal/strict"
+	"cobaltward/internal/identity"
+	"cobaltward/internal/routes"
+	"cobaltward/internal/standalone"
+	"cobaltward/internal/stricttoml"
 	"cobaltward/policy"
 	"cobaltward/router"
-	"cobaltward/routes"
 )
 
 // File is a file of expectations.
 type File struct {
 	Cases []Case `toml:"expect" need:"1"`
 
-	lines strict.Lines
+	lines stricttoml.Lines
 	path  string
 }
 
@@ -63,7 +63,7 @@
 	Share      map[string]float64 `toml:"zone_share"` // part of the first attempts, within Within
 	Within     float64            `toml:"within" min:"0" max:"1"`
 	Outcome    string             `toml:"outcome" one:"served|refused|failed"` // of all draws
-	Refused    *strict.Range      `toml:"refused"`                             // part of the draws, at least and at most
+	Refused    *stricttoml.Range  `toml:"refused"`                             // part of the draws, at least and at most
 	RetryAfter bool               `toml:"retry_after"`                         // refusals say when to come back
 	Attempts   int                `toml:"at_most_attempts" min:"1"`
 }
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	f := &File{path: path}
-	if f.lines, err = strict.Decode(text, f); err != nil {
+	if f.lines, err = stricttoml.Decode(text, f); err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
 	return f, nil
@@ -90,7 +90,7 @@
 }
 
 // Run holds a configuration against the file's expectations.
-func (f *File) Run(conf *site.File) ([]Result, error) {
+func (f *File) Run(conf *standalone.File) ([]Result, error) {
 	table, err := conf.Table()
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 }
 
 // run is one expectation.
-func run(conf *site.File, table *routes.Table, finder *identity.Finder, c *Case) (failures []string, err error) {
+func run(conf *standalone.File, table *routes.Table, finder *identity.Finder, c *Case) (failures []string, err error) {
 	fail := func(format string, args ...any) { failures = append(failures, fmt.Sprintf(format, args...)) }
 	u, err := url.Parse(c.URL)
 	if err != nil {
@@ -229,7 +229,7 @@
 
 const answerAfter = 10 * time.Millisecond
 
-func newWorld(conf *site.File, c *Case) (*world, error) {
+func newWorld(conf *standalone.File, c *Case) (*world, error) {
 	members, err := conf.List()
 	if err != nil {
 		return nil, err
--- a/internal/fleetcli/agent.go
+++ b/internal/fleetcli/agent.go
@@ -10,7 +10,7 @@
 
 	"cobaltward/fleet"
 	"cobaltward/fleet/agent"
-	"cobaltward/internal/operator"
+	"cobaltward/internal/nodeconfig"
 )
 
 // incarnationSize is the length, in bytes, of what tells one run of a process from another.
@@ -76,7 +76,7 @@
 	if s.nodeAdmin.Listen == "" {
 		return nil, errors.New("door: missing: an agent drives its node by its admin API")
 	}
-	token, err := operator.Token(s.nodeAdmin.TokenFile)
+	token, err := nodeconfig.Token(s.nodeAdmin.TokenFile)
 	if err != nil {
 		return nil, fmt.Errorf("door.token_file: %w", err)
 	}
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cobaltward/fleet/consensus"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 )
 
 // Bounds of the pause between two attempts to restart a replica whose storage has failed.
@@ -114,7 +114,7 @@
 func (h *replicaHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := h.current.Load()
 	if handler == nil {
-		door.Fail(w, http.StatusServiceUnavailable, "the replica's storage has failed, and it starts anew")
+		adminapi.Fail(w, http.StatusServiceUnavailable, "the replica's storage has failed, and it starts anew")
 		return
 	}
 	(*handler).ServeHTTP(w, r)
--- a/internal/fleetcli/serve.go
+++ b/internal/fleetcli/serve.go
@@ -17,7 +17,7 @@
 	"cobaltward/fleet"
 	"cobaltward/fleet/consensus"
 	"cobaltward/fleet/lease"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/sockets"
 )
 
@@ -65,7 +65,7 @@
 		tasks.Go(func() { loaded.mutualTLS.watch(ctx) })
 	}
 	server := &http.Server{
-		Handler:           door.Guarded(handler, loaded.token),
+		Handler:           adminapi.Guarded(handler, loaded.token),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -8,17 +8,17 @@
 	"log/slog"
 	"time"
 
-	"cobaltward/internal/operator"
-	"cobaltward/internal/site"
-	"cobaltward/keys"
+	"cobaltward/certificates"
+	"cobaltward/internal/nodeconfig"
+	"cobaltward/internal/standalone"
 )
 
 // settings are those of a process's own file.
 type settings struct {
-	*site.Fleet
+	*standalone.Fleet
 	token     string     // bearer token of all calls of the fleet
 	mutualTLS *mutualTLS // nil: calls are not encrypted
-	nodeAdmin operator.Door
+	nodeAdmin nodeconfig.Door
 	log       *slog.Logger
 }
 
@@ -27,25 +27,26 @@
 	if path == "" {
 		return nil, errors.New("which process? Name its own file by --config")
 	}
-	file, err := site.Load(path)
+	file, err := standalone.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	if file.Fleet == nil {
 		return nil, fmt.Errorf("%s: there is no table [fleet]", path)
 	}
-	options, err := operator.Load(path)
+	options, err := nodeconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	loaded := &settings{Fleet: file.Fleet, nodeAdmin: options.Door, log: newLogger(options.Log, logs)}
-	if loaded.token, err = operator.Token(file.Fleet.TokenFile); err != nil {
+	if loaded.token, err = nodeconfig.Token(file.Fleet.TokenFile); err != nil {
 		return nil, fmt.Errorf("%s: fleet.token_file: %w", path, err)
 	}
 	if loaded.Cert == "" {
 		return loaded, nil
 	}
-	store, err := keys.Open(keys.Sources{Cert: loaded.Cert, Key: loaded.Key, Trust: loaded.Trust}, time.Now())
+	sources := certificates.Sources{Cert: loaded.Cert, Key: loaded.Key, Trust: loaded.Trust}
+	store, err := certificates.Open(sources, time.Now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: fleet: %w", path, err)
 	}
@@ -53,7 +54,7 @@
 	return loaded, nil
 }
 
-func newLogger(config operator.Log, logs io.Writer) *slog.Logger {
+func newLogger(config nodeconfig.Log, logs io.Writer) *slog.Logger {
 	options := &slog.HandlerOptions{Level: config.Level.Level}
 	if config.Format == "json" {
 		return slog.New(slog.NewJSONHandler(logs, options))
--- a/internal/fleetcli/tls.go
+++ b/internal/fleetcli/tls.go
@@ -8,7 +8,7 @@
 	"log/slog"
 	"time"
 
-	"cobaltward/keys"
+	"cobaltward/certificates"
 )
 
 // reloadInterval is the time between two looks at the files of keys and certificates.
@@ -17,7 +17,7 @@
 // mutualTLS is how processes of the fleet prove to one another who they are: each shows a certificate by an authority
 // that all trust, for a name that all share. Keys and trust may change while processes run.
 type mutualTLS struct {
-	store      *keys.Store
+	store      *certificates.Store
 	serverName string
 	log        *slog.Logger
 }
--- a/front/secure/secure.go
+++ b/internal/frontend/secure/secure.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/internal/handshaking"
-	"cobaltward/keys"
 )
 
 // DefaultTimeout bounds a handshake, its waiting for the core among it.
@@ -25,10 +25,10 @@
 
 // Config is what a Layer is told at its start.
 type Config struct {
-	Keys    *keys.Store // certificates
-	Trust   *keys.Store // authorities, whose clients may show a certificate; nil: none are asked for
-	Require bool        // clients have to
-	Tickets *keys.Tickets
+	Keys    *certificates.Store // certificates
+	Trust   *certificates.Store // authorities, whose clients may show a certificate; nil: none are asked for
+	Require bool                // clients have to
+	Tickets *certificates.Tickets
 	TLS12   bool // 1.2 is taken, too
 	ALPN    []string
 	Timeout time.Duration // 0: DefaultTimeout
--- a/internal/fields/fields.go
+++ b/internal/jsonconfig/fields.go
@@ -1,5 +1,5 @@
-// Package fields reads JSON from outside so that errors name the field as its author wrote it.
-package fields
+// Package jsonconfig reads JSON from outside so that errors name the field as its author wrote it.
+package jsonconfig
 
 import (
 	"encoding/json"
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cobaltward/drain"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
 )
 
 const (
@@ -33,21 +33,21 @@
 
 func (a *adminAPI) handleDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
-	if !door.Read(w, r, &request) {
+	if !adminapi.Read(w, r, &request) {
 		return
 	}
 	order, err := a.drainOrder(request)
 	if err != nil {
-		door.Fail(w, http.StatusBadRequest, err.Error())
+		adminapi.Fail(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	err = a.startDrain(order)
 	var inProgress *drain.InProgressError
 	switch {
 	case errors.As(err, &inProgress):
-		door.Reply(w, http.StatusConflict, door.Error{Error: err.Error(), More: inProgress.Status})
+		adminapi.Reply(w, http.StatusConflict, adminapi.Error{Error: err.Error(), More: inProgress.Status})
 	case err != nil:
-		door.Fail(w, http.StatusConflict, err.Error())
+		adminapi.Fail(w, http.StatusConflict, err.Error())
 	default:
 		a.replyDrainStarted(w, request)
 	}
@@ -84,25 +84,25 @@
 // replyDrainStarted remembers a drain for a restart of the process, and answers its request.
 func (a *adminAPI) replyDrainStarted(w http.ResponseWriter, request DrainRequest) {
 	if err := a.writeDrainMark(request); err != nil {
-		door.Reply(w, http.StatusAccepted, door.Error{
+		adminapi.Reply(w, http.StatusAccepted, adminapi.Error{
 			Error: "it drains, but a restart will not know: " + err.Error(),
 			More:  a.currentStatus(),
 		})
 		return
 	}
-	door.Reply(w, http.StatusAccepted, a.currentStatus())
+	adminapi.Reply(w, http.StatusAccepted, a.currentStatus())
 }
 
 func (a *adminAPI) handleCancelDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
-	if !door.Read(w, r, &request) {
+	if !adminapi.Read(w, r, &request) {
 		return
 	}
 	if err := a.cancelDrain(request.RequestedBy); err != nil {
-		door.Fail(w, http.StatusConflict, err.Error())
+		adminapi.Fail(w, http.StatusConflict, err.Error())
 		return
 	}
-	door.Reply(w, http.StatusOK, a.currentStatus())
+	adminapi.Reply(w, http.StatusOK, a.currentStatus())
 }
 
 // startDrain starts a drain, whichever way it was ordered, and has other processes of the node follow.
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"cobaltward/front/framing"
-	"cobaltward/front/secure"
+	"cobaltward/internal/frontend/framing"
+	"cobaltward/internal/frontend/secure"
 	"cobaltward/internal/sockets"
 )
 
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cobaltward/front/secure"
+	"cobaltward/internal/frontend/secure"
 	"cobaltward/internal/sockets"
 )
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"cobaltward/discovery/registry"
-	"cobaltward/internal/door"
-	"cobaltward/internal/fields"
-	"cobaltward/internal/wire"
+	"cobaltward/internal/adminapi"
+	"cobaltward/internal/jsonconfig"
+	"cobaltward/internal/simprotocol"
 	"cobaltward/levels"
 	"cobaltward/policy"
 	"cobaltward/router"
@@ -59,7 +59,7 @@
 
 	// Door is the operators' way in; the zero value is none. DrainMark is a file that stands while a drain on
 	// request does, so that a restart goes on with it; empty: a restart serves.
-	Door      door.Config
+	Door      adminapi.Config
 	DrainMark string
 
 	// State is where the node keeps what it learns; the zero value keeps nothing.
@@ -110,14 +110,14 @@
 			*field = v
 		}
 	}
-	if err := fields.CheckAddress(c.Listen); err != nil {
+	if err := jsonconfig.CheckAddress(c.Listen); err != nil {
 		return Config{}, fmt.Errorf("configuration: listen: %w", err)
 	}
-	if err := fields.CheckAddress(c.Discovery); err != nil {
+	if err := jsonconfig.CheckAddress(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	if c.Console != "" {
-		if err := fields.CheckAddress(c.Console); err != nil {
+		if err := jsonconfig.CheckAddress(c.Console); err != nil {
 			return Config{}, fmt.Errorf("configuration: console: %w", err)
 		}
 		if c.Console == c.Listen {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := fields.CheckAddress(c.Discovery); err != nil {
+	if err := jsonconfig.CheckAddress(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	return c, nil
@@ -177,7 +177,7 @@
 		Known    json.RawMessage `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := fields.Unmarshal(raw, &f); err != nil {
+	if err := jsonconfig.Unmarshal(raw, &f); err != nil {
 		return Config{}, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -204,7 +204,7 @@
 	if c.Known, err = registry.ParseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings.%w", err)
 	}
 	if _, err := policy.New(c.Settings, 0, 0); err != nil { // the module checks what it is given
@@ -222,7 +222,7 @@
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"limits"`
 	}
-	if err := fields.Unmarshal(settings, &s); err != nil {
+	if err := jsonconfig.Unmarshal(settings, &s); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	switch l := s.Limits; {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cobaltward/body"
-	"cobaltward/hotrestart"
+	"cobaltward/internal/hotrestart"
 	"cobaltward/internal/rundir"
 	"cobaltward/router"
 	"cobaltward/transport/http1"
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -10,7 +10,7 @@
 
 	"cobaltward/router"
 
-	msgpackfront "cobaltward/front/msgpack"
+	msgpackfront "cobaltward/internal/frontend/msgpack"
 )
 
 // intake is the daemon's HTTP front. Its listener stays open while a drain on request goes on, so that who asks
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,16 +17,16 @@
 	"cobaltward/body"
 	"cobaltward/discovery/disabled"
 	"cobaltward/discovery/registry"
-	"cobaltward/hotrestart"
-	"cobaltward/internal/console"
-	"cobaltward/internal/door"
+	"cobaltward/internal/adminapi"
+	"cobaltward/internal/hotrestart"
+	"cobaltward/internal/operations"
 	"cobaltward/middleware"
 	"cobaltward/router"
 	"cobaltward/transport/http1"
 	"cobaltward/transport/mixed"
 	"cobaltward/transport/secure"
 
-	msgpackfront "cobaltward/front/msgpack"
+	msgpackfront "cobaltward/internal/frontend/msgpack"
 	nodesockets "cobaltward/internal/sockets"
 	msgpacktransport "cobaltward/transport/msgpack"
 )
@@ -59,7 +59,7 @@
 	sockets, callers := c.Sockets-ownSockets, 0
 	if c.ConsoleListener != nil {
 		defer c.ConsoleListener.Close()
-		sockets -= console.Slots
+		sockets -= operations.Slots
 	}
 	if c.Msgpack.Listener != nil {
 		if callers = c.Msgpack.Connections; callers == 0 {
@@ -98,12 +98,12 @@
 			return err
 		}
 	}
-	var way *door.Door
+	var way *adminapi.Door
 	if c.Door.On() {
 		if safe != nil && safe.door != nil {
 			c.Door.Wrap = safe.door.Listener
 		}
-		if way, err = door.Open(c.Door, log); err != nil {
+		if way, err = adminapi.Open(c.Door, log); err != nil {
 			return err
 		}
 		defer way.Close()
@@ -182,8 +182,8 @@
 		way.Start()
 	}
 	if c.ConsoleListener != nil {
-		desk := &operations{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}
-		defer console.Serve(c.ConsoleListener, desk, log).Close()
+		desk := &operationsNode{engine: engine, startDrain: ctl.startDrain, cancelDrain: ctl.cancelDrain}
+		defer operations.Serve(c.ConsoleListener, desk, log).Close()
 	}
 	running, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -16,21 +16,21 @@
 	standbyLeaveFor    = time.Second
 )
 
-// operations is what the operations endpoint shows and changes. Its methods do not block.
-type operations struct {
+// operationsNode is what the operations endpoint shows and changes. Its methods do not block.
+type operationsNode struct {
 	engine      *router.Router
 	startDrain  func(drain.Order) error
 	cancelDrain func(requestedBy string) error
 }
 
 // Serving reports whether this process can serve. In standby it can.
-func (o *operations) Serving() bool {
+func (o *operationsNode) Serving() bool {
 	phase := o.engine.Phase()
 	return phase != router.Starting && phase != router.Closed
 }
 
 // Standby starts to drain the node. It may be called again.
-func (o *operations) Standby() error {
+func (o *operationsNode) Standby() error {
 	err := o.startDrain(drain.Order{
 		AnnounceFor: standbyAnnounceFor,
 		LeaveFor:    standbyLeaveFor,
@@ -48,7 +48,7 @@
 }
 
 // Active has the node serve again. It may be called again.
-func (o *operations) Active() error {
+func (o *operationsNode) Active() error {
 	err := o.cancelDrain("console")
 	if errors.Is(err, drain.ErrNotDraining) {
 		return nil
@@ -57,7 +57,7 @@
 }
 
 // Figures appends the metrics to a page, one line each.
-func (o *operations) Figures(page []byte) []byte {
+func (o *operationsNode) Figures(page []byte) []byte {
 	metrics := o.engine.Metrics()
 	for _, class := range metrics.Classes {
 		page = appendMetric(page, "success", class.Class, class.Served)
--- a/internal/node/secureclient.go
+++ b/internal/node/secureclient.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"cobaltward/front/secure"
+	"cobaltward/internal/frontend/secure"
 )
 
 // secureClient is a connection of a client by TLS. It has no methods of TCP's than those that it names: others would
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
+	"cobaltward/internal/adminapi"
 	"cobaltward/internal/atomicfile"
 	"cobaltward/internal/bootclock"
-	"cobaltward/internal/door"
-	"cobaltward/learnedstate"
+	"cobaltward/internal/learnedstate"
 	"cobaltward/policy"
 	"cobaltward/router"
 )
@@ -132,11 +132,11 @@
 }
 
 // register adds what the node has learned to the admin API.
-func (k *stateKeeper) register(api *door.Door) {
+func (k *stateKeeper) register(api *adminapi.Door) {
 	api.Handle(http.MethodGet, "/knowledge", func(w http.ResponseWriter, _ *http.Request) {
 		raw, err := k.snapshot()
 		if err != nil {
-			door.Fail(w, http.StatusConflict, err.Error())
+			adminapi.Fail(w, http.StatusConflict, err.Error())
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -9,13 +9,13 @@
 	"sync/atomic"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/handshakes"
 	"cobaltward/internal/handshaking"
-	"cobaltward/keys"
 	"cobaltward/router"
 	"cobaltward/transport/secure"
 
-	frontsecure "cobaltward/front/secure"
+	frontsecure "cobaltward/internal/frontend/secure"
 )
 
 // TLS is who is spoken to by TLS, and by which keys. What its files hold is swapped while all runs.
@@ -26,17 +26,17 @@
 	Share   float64       // of a core, for the arithmetic of handshakes while requests are in flight; 0: the default
 	Clients *Listener     // nil: they come in plain
 	Door    *Listener
-	Stores  []*keys.Store          // all of the above, each once
-	Secrets map[string]*keys.Store // of them, those that a control plane hands, by the name of the secret
-	Every   time.Duration          // between looks at the files
+	Stores  []*certificates.Store          // all of the above, each once
+	Secrets map[string]*certificates.Store // of them, those that a control plane hands, by the name of the secret
+	Every   time.Duration                  // between looks at the files
 	Warn    []time.Duration
 }
 
 // Listener is how clients come in.
 type Listener struct {
-	Keys    *keys.Store
-	Trust   *keys.Store   // whose clients may show a certificate; nil: none are asked for
-	Tickets *keys.Tickets // nil: each process has its own
+	Keys    *certificates.Store
+	Trust   *certificates.Store   // whose clients may show a certificate; nil: none are asked for
+	Tickets *certificates.Tickets // nil: each process has its own
 	Require bool
 	TLS12   bool
 	Timeout time.Duration
@@ -44,14 +44,14 @@
 
 // TLSStatus is what the door tells of TLS.
 type TLSStatus struct {
-	Keys    []keys.Entry       `json:"keys"` // in force, the first to end in front
-	Refused string             `json:"refused_files,omitempty"`
-	Pieces  uint64             `json:"pieces"`  // of arithmetic, of both sides
-	Worked  time.Duration      `json:"work_ns"` // that they took
-	Servers *secure.Stats      `json:"servers,omitempty"`
-	Clients *frontsecure.Stats `json:"clients,omitempty"`
-	Msgpack *frontsecure.Stats `json:"msgpack,omitempty"`
-	Door    *frontsecure.Stats `json:"door,omitempty"`
+	Keys    []certificates.Entry `json:"keys"` // in force, the first to end in front
+	Refused string               `json:"refused_files,omitempty"`
+	Pieces  uint64               `json:"pieces"`  // of arithmetic, of both sides
+	Worked  time.Duration        `json:"work_ns"` // that they took
+	Servers *secure.Stats        `json:"servers,omitempty"`
+	Clients *frontsecure.Stats   `json:"clients,omitempty"`
+	Msgpack *frontsecure.Stats   `json:"msgpack,omitempty"`
+	Door    *frontsecure.Stats   `json:"door,omitempty"`
 }
 
 // secured is a node's TLS at work; nil is a node without.
@@ -137,8 +137,8 @@
 	if s == nil {
 		return
 	}
-	var files []*keys.Watched
-	handed := make(map[*keys.Store]*keys.Set)
+	var files []*certificates.Watched
+	handed := make(map[*certificates.Store]*certificates.Set)
 	for _, k := range s.c.Secrets {
 		handed[k] = k.Set()
 	}
@@ -152,7 +152,7 @@
 			files = append(files, l.Tickets.Watch())
 		}
 	}
-	warnings := keys.NewWarnings(s.c.Warn)
+	warnings := certificates.NewWarnings(s.c.Warn)
 	bad := make(map[string]string)
 	tick := time.NewTicker(s.c.Every)
 	defer tick.Stop()
@@ -174,7 +174,7 @@
 }
 
 // look is one look at the files, and at what a control plane has handed; bad keeps the files that are refused.
-func (s *secured) look(files []*keys.Watched, handed map[*keys.Store]*keys.Set, bad map[string]string) {
+func (s *secured) look(files []*certificates.Watched, handed map[*certificates.Store]*certificates.Set, bad map[string]string) {
 	changed := false
 	for k, was := range handed {
 		if now := k.Set(); now != was {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (s *secured) entries() (all []keys.Entry) {
+func (s *secured) entries() (all []certificates.Entry) {
 	for _, k := range s.c.Stores {
 		all = append(all, k.Set().Entries()...)
 	}
--- a/internal/operator/operator.go
+++ b/internal/nodeconfig/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's own file, deploy/wayhold.toml: what the platform's
+// Package nodeconfig reads the operator's own file, deploy/wayhold.toml: what the platform's
 // configuration does not say. All of it is optional, and an empty file changes nothing.
-package operator
+package nodeconfig
 
 import (
 	"bytes"
--- a/internal/operator/operator_test.go
+++ b/internal/nodeconfig/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package nodeconfig
 
 import (
 	"log/slog"
--- a/internal/console/console.go
+++ b/internal/operations/console.go
@@ -1,7 +1,7 @@
-// Package console is the second address of a node, for who runs it: whether the process can serve, its figures,
+// Package operations is the second address of a node, for who runs it: whether the process can serve, its figures,
 // and taking it out and back. It decides nothing, and nothing on its way waits for requests: what it shows was
 // published already, and orders go to whoever decides on drains.
-package console
+package operations
 
 import (
 	"context"
--- a/internal/console/console_test.go
+++ b/internal/operations/console_test.go
@@ -1,4 +1,4 @@
-package console
+package operations
 
 import (
 	"errors"
--- a/internal/crossings/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -1,4 +1,4 @@
-package crossings
+package racetest
 
 import (
 	"fmt"
--- a/internal/rundir/rundir.go
+++ b/internal/rundir/rundir.go
@@ -15,7 +15,7 @@
 	"strings"
 	"syscall"
 
-	"cobaltward/hotrestart"
+	"cobaltward/internal/hotrestart"
 )
 
 const (
--- a/internal/guards/guards.go
+++ b/internal/safeguards/guards.go
@@ -1,6 +1,6 @@
-// Package guards names what the engine guards the rules by, so that a rehearsal can take one away and see
+// Package safeguards names what the engine guards the rules by, so that a rehearsal can take one away and see
 // whether its verdict finds out. Nothing outside this module can: the type is internal.
-package guards
+package safeguards
 
 import "cobaltward/policy"
 
--- a/internal/wire/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's line protocol and the types of package policy.
+// Package simprotocol translates between the simulator's line protocol and the types of package policy.
 // It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"fmt"
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
--- a/internal/site/front.go
+++ b/internal/standalone/front.go
@@ -1,4 +1,4 @@
-package site
+package standalone
 
 import (
 	"crypto/rand"
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"cobaltward/front/secure"
-	"cobaltward/identity"
+	"cobaltward/internal/frontend/secure"
+	"cobaltward/internal/identity"
+	"cobaltward/internal/routes"
 	"cobaltward/router"
-	"cobaltward/routes"
 )
 
 // headers of the protocol that a request bears once it is routed. What a client sends under these names is not
--- a/internal/site/tls.go
+++ b/internal/standalone/tls.go
@@ -1,4 +1,4 @@
-package site
+package standalone
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/handshakes"
 	"cobaltward/internal/node"
-	"cobaltward/keys"
 	"cobaltward/transport/secure"
 )
 
@@ -79,15 +79,15 @@
 			return name
 		}
 		return filepath.Join(filepath.Dir(f.path), name)
-	}, known: make(map[keys.Sources]*keys.Store), secrets: make(map[string]*keys.Store)}
+	}, known: make(map[certificates.Sources]*certificates.Store), secrets: make(map[string]*certificates.Store)}
 	for i, s := range t.Servers {
 		at := fmt.Sprintf("tls.servers[%d]", i)
 		r := secure.Rule{Servers: s.IDs, Zones: s.Zones, Pools: s.Pools, Kinds: s.Kinds, Plain: s.Plain, Name: s.Name, URIs: s.URIs, Pins: s.Pins, TLS12: s.TLS12, ALPN: s.ALPN}
 		var err error
-		if r.Trust, err = open.store(keys.Sources{Trust: s.Trust}, s.TrustSDS); err != nil {
+		if r.Trust, err = open.store(certificates.Sources{Trust: s.Trust}, s.TrustSDS); err != nil {
 			return nil, f.lines.Errorf(at+".trust", "%s", err)
 		}
-		if r.Own, err = open.store(keys.Sources{Cert: s.Cert, Key: s.Key}, s.CertSDS); err != nil {
+		if r.Own, err = open.store(certificates.Sources{Cert: s.Cert, Key: s.Key}, s.CertSDS); err != nil {
 			return nil, f.lines.Errorf(at+".cert", "%s", err)
 		}
 		if err := r.Check(); err != nil {
@@ -119,31 +119,31 @@
 type stores struct {
 	now     time.Time
 	at      func(string) string
-	known   map[keys.Sources]*keys.Store
-	all     []*keys.Store
-	secrets map[string]*keys.Store
+	known   map[certificates.Sources]*certificates.Store
+	all     []*certificates.Store
+	secrets map[string]*certificates.Store
 }
 
 // store is the one of files, or of a secret; nil where neither is named.
-func (o *stores) store(from keys.Sources, secret string) (*keys.Store, error) {
+func (o *stores) store(from certificates.Sources, secret string) (*certificates.Store, error) {
 	if secret != "" {
-		if from != (keys.Sources{}) {
+		if from != (certificates.Sources{}) {
 			return nil, fmt.Errorf("want either files or the secret %q, got both", secret)
 		}
 		if o.secrets[secret] == nil {
-			o.secrets[secret] = keys.Handed()
+			o.secrets[secret] = certificates.Handed()
 			o.all = append(o.all, o.secrets[secret])
 		}
 		return o.secrets[secret], nil
 	}
-	from = keys.Sources{Dir: o.at(from.Dir), Cert: o.at(from.Cert), Key: o.at(from.Key), Trust: o.at(from.Trust)}
-	if from == (keys.Sources{}) {
+	from = certificates.Sources{Dir: o.at(from.Dir), Cert: o.at(from.Cert), Key: o.at(from.Key), Trust: o.at(from.Trust)}
+	if from == (certificates.Sources{}) {
 		return nil, nil
 	}
 	if s := o.known[from]; s != nil {
 		return s, nil
 	}
-	s, err := keys.Open(from, o.now)
+	s, err := certificates.Open(from, o.now)
 	if err != nil {
 		return nil, err
 	}
@@ -153,11 +153,11 @@
 }
 
 func (o *stores) listener(l *TLSListener) (*node.Listener, error) {
-	k, err := o.store(keys.Sources{Dir: l.Dir, Cert: l.Cert, Key: l.Key}, l.CertSDS)
+	k, err := o.store(certificates.Sources{Dir: l.Dir, Cert: l.Cert, Key: l.Key}, l.CertSDS)
 	if err != nil {
 		return nil, err
 	}
-	trust, err := o.store(keys.Sources{Trust: l.Trust}, l.TrustSDS)
+	trust, err := o.store(certificates.Sources{Trust: l.Trust}, l.TrustSDS)
 	switch {
 	case err != nil:
 		return nil, err
@@ -168,7 +168,7 @@
 	}
 	c := &node.Listener{Keys: k, Trust: trust, Require: l.Require, TLS12: l.TLS12, Timeout: l.Timeout}
 	if l.Tickets != "" {
-		if c.Tickets, err = keys.OpenTickets(o.at(l.Tickets)); err != nil {
+		if c.Tickets, err = certificates.OpenTickets(o.at(l.Tickets)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/site/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -1,4 +1,4 @@
-package site
+package standalone
 
 import (
 	"os"
--- a/internal/strict/strict.go
+++ b/internal/stricttoml/strict.go
@@ -1,9 +1,9 @@
-// Package strict reads TOML so that what is wrong is told in one line, which names the line, the key and
+// Package stricttoml reads TOML so that what is wrong is told in one line, which names the line, the key and
 // what is allowed there.
 //
 // Fields are bound by the tag toml. Further tags say what is allowed: min and max bound numbers and times,
 // one lists words apart by |, and need asks for the key to be there where the field has no value yet.
-package strict
+package stricttoml
 
 import (
 	"bytes"
--- a/router/action.go
+++ b/router/action.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"context"
 
-	"cobaltward/internal/guards"
+	"cobaltward/internal/safeguards"
 	"cobaltward/policy"
 )
 
@@ -67,7 +67,7 @@
 // failByBalancer answers a request that the balancer has given up.
 func (l *loop) failByBalancer(r *request) {
 	outcome := Failed
-	if !l.enforced(guards.RefuseRan) {
+	if !l.enforced(safeguards.RefuseRan) {
 		outcome = Rejected
 	}
 	l.answer(r, Answer{Outcome: outcome})
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cobaltward/internal/pace"
+	"cobaltward/internal/cpuyield"
 	"cobaltward/policy"
 )
 
@@ -27,7 +27,7 @@
 	endpoints := update.Endpoints
 	if update.Kind == policy.ListUpdate && len(endpoints) > updateBatchSize {
 		endpoints = byAvailability(endpoints)
-		var pacer pace.Pacer
+		var pacer cpuyield.Pacer
 		for len(endpoints) > updateBatchSize {
 			batch := update
 			batch.Endpoints, batch.Drops, batch.more = endpoints[:updateBatchSize], nil, true
--- a/router/loop.go
+++ b/router/loop.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cobaltward/dropoverload"
-	"cobaltward/internal/guards"
+	"cobaltward/internal/safeguards"
 	"cobaltward/policy"
 )
 
@@ -25,9 +25,9 @@
 type loop struct {
 	clock          clock
 	log            *slog.Logger
-	balancer       guards.Module // a policy.Balancer
+	balancer       safeguards.Module // a policy.Balancer
 	launcher       attemptLauncher
-	disabledGuards guards.Without
+	disabledGuards safeguards.Without
 	config         Config
 	transport      Transport
 	endpointSource EndpointSource
@@ -97,7 +97,7 @@
 }
 
 // enforced reports whether a safeguard is in force. All are, outside of tests and rehearsals.
-func (l *loop) enforced(guard guards.Set) bool { return l.disabledGuards.Has(guard) }
+func (l *loop) enforced(guard safeguards.Set) bool { return l.disabledGuards.Has(guard) }
 
 // send queues an event; false where the loop has ended.
 func (l *loop) send(ev event) bool {
--- a/router/options.go
+++ b/router/options.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"cobaltward/internal/guards"
+	"cobaltward/internal/safeguards"
 	"cobaltward/levels"
 )
 
@@ -18,7 +18,7 @@
 	listeners      []Listener
 	drainDelay     time.Duration
 	drainDelaySet  bool
-	disabledGuards guards.Without
+	disabledGuards safeguards.Without
 	levels         *levels.Config
 }
 
--- a/router/options_guards.go
+++ b/router/options_guards.go
@@ -1,7 +1,7 @@
 package router
 
-import "cobaltward/internal/guards"
+import "cobaltward/internal/safeguards"
 
 // WithoutGuards disables safeguards of the engine, so that a test can show that their absence is noticed.
 // It is for tests and rehearsals only; the type of its parameter keeps it inside this Go module.
-func WithoutGuards(w guards.Without) Option { return func(o *options) { o.disabledGuards = w } }
+func WithoutGuards(w safeguards.Without) Option { return func(o *options) { o.disabledGuards = w } }
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -18,7 +18,7 @@
 	"cobaltward/emulator/result"
 	"cobaltward/emulator/script"
 	"cobaltward/emulator/sim"
-	"cobaltward/internal/site"
+	"cobaltward/internal/standalone"
 	"cobaltward/levels"
 )
 
@@ -70,7 +70,7 @@
 }
 
 func run(dir, file string, length time.Duration, seeds int) error {
-	f, err := site.Load(file)
+	f, err := standalone.Load(file)
 	if err != nil {
 		return err
 	}
--- a/tools/rpcbench/main.go
+++ b/tools/rpcbench/main.go
@@ -34,7 +34,7 @@
 	"cobaltward/router"
 	"cobaltward/transport/http1"
 
-	msgpackfront "cobaltward/front/msgpack"
+	msgpackfront "cobaltward/internal/frontend/msgpack"
 	msgpacktransport "cobaltward/transport/msgpack"
 )
 
--- a/transport/secure/rules.go
+++ b/transport/secure/rules.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
+	"cobaltward/certificates"
 	"cobaltward/internal/handshaking"
-	"cobaltward/keys"
 	"cobaltward/router"
 )
 
@@ -31,8 +31,8 @@
 	TLS12 bool     // 1.2 is taken, too
 	ALPN  []string
 
-	Trust *keys.Store // authorities; nil where pins alone hold
-	Own   *keys.Store // the certificate that this node shows; nil: none
+	Trust *certificates.Store // authorities; nil where pins alone hold
+	Own   *certificates.Store // the certificate that this node shows; nil: none
 }
 
 // Check tells what is wrong with a rule.
