--- /dev/null
+++ b/emulator/multiprocess/checker.go
@@ -0,0 +1,230 @@
+package multiprocess
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"cobaltward/drain"
+)
+
+// effectKind is what an effect does to a node.
+type effectKind string
+
+const (
+	effectDrain       effectKind = "drain"
+	effectResume      effectKind = "resume"
+	effectPatchBegin  effectKind = "patch begin"
+	effectPatchCommit effectKind = "patch commit"
+)
+
+// effect is one effect on a node, as its stand-in received it.
+type effect struct {
+	at    time.Duration
+	node  string
+	kind  effectKind
+	token uint64
+	key   string // idempotency key, of patches
+}
+
+func (e effect) String() string {
+	return fmt.Sprintf("%8.3fs %s %s token %d %s", e.at.Seconds(), e.node, e.kind, e.token, e.key)
+}
+
+// effectChecker receives all effects, by the admin APIs of stand-ins for nodes and from the commands that patch them,
+// and checks the invariants: no older token after a newer one at the same node, as many nodes available as the script
+// says, patches on drained nodes only, and each patch once.
+type effectChecker struct {
+	harness  *Harness
+	listener net.Listener
+	server   *http.Server
+
+	mu         sync.Mutex
+	effects    []effect
+	nodes      map[string]*nodeStandIn
+	patches    map[string]int // by idempotency key
+	violations []string
+}
+
+func newEffectChecker(h *Harness) (*effectChecker, error) {
+	listener, err := net.Listen("tcp", listenAddress)
+	if err != nil {
+		return nil, fmt.Errorf("open the checker of effects: %w", err)
+	}
+	checker := &effectChecker{
+		harness: h, listener: listener, nodes: make(map[string]*nodeStandIn), patches: make(map[string]int),
+	}
+	mux := http.NewServeMux()
+	for path, handle := range map[string]func(*http.Request) (status int){
+		patchBeginPath:  checker.handleBegin,
+		patchApplyPath:  checker.handleApply,
+		patchCommitPath: checker.handleCommit,
+		patchVerifyPath: checker.handleVerify,
+	} {
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(handle(r)) })
+	}
+	checker.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	go func() { _ = checker.server.Serve(listener) }() // ends with close
+	return checker, nil
+}
+
+func (c *effectChecker) close() {
+	_ = c.server.Close()
+	for _, node := range c.nodes {
+		if node.admin != nil {
+			node.admin.Close()
+		}
+	}
+}
+
+var tokenSuffix = regexp.MustCompile(`token (\d+)$`)
+
+// record records an effect and checks the invariants. The token is at the end of the text that came with the effect.
+// The caller holds the mutex.
+func (c *effectChecker) record(node *nodeStandIn, kind effectKind, text, key string) {
+	received := effect{at: c.harness.elapsed(), node: node.name, kind: kind, key: key}
+	if match := tokenSuffix.FindStringSubmatch(text); match != nil {
+		received.token, _ = strconv.ParseUint(match[1], 10, 64) // digits; out of range: the highest token
+	}
+	c.effects = append(c.effects, received)
+	fail := func(format string, args ...any) {
+		c.violations = append(c.violations, fmt.Sprintf(format, args...)+": "+received.String())
+	}
+	if received.token < node.highestToken {
+		fail("token order violated: the node has seen %d", node.highestToken)
+	}
+	node.highestToken = max(node.highestToken, received.token)
+	switch kind {
+	case effectDrain:
+		node.drained = true
+		c.checkAvailability(fail)
+	case effectResume:
+		node.drained = false
+	case effectPatchBegin, effectPatchCommit:
+		if node.finishDrain(); node.admin != nil && node.state != drain.Drained {
+			fail("a node is patched while not drained (%v)", node.state)
+		}
+		if kind == effectPatchCommit {
+			c.patches[key]++
+			if times := c.patches[key]; times > 1 {
+				fail("a patch was applied %d times", times)
+			}
+		}
+	}
+}
+
+// checkAvailability checks how many nodes are drained. The caller holds the mutex.
+func (c *effectChecker) checkAvailability(fail func(format string, args ...any)) {
+	script, drained := c.harness.script, 0
+	for _, node := range c.nodes {
+		if node.drained {
+			drained++
+		}
+	}
+	if drained > script.MaxUnavailable {
+		fail("%d nodes are drained, at most %d may be", drained, script.MaxUnavailable)
+	}
+	if serving := len(c.nodes) - drained; float64(serving) < script.MinCapacity {
+		fail("%d nodes serve, at least %.0f have to", serving, script.MinCapacity)
+	}
+}
+
+// recordReport records an effect that a command reports, and returns the HTTP status of the response.
+func (c *effectChecker) recordReport(r *http.Request, kind effectKind) (status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	node := c.nodes[r.FormValue("node")]
+	if node == nil {
+		return http.StatusBadRequest
+	}
+	c.record(node, kind, "token "+r.FormValue("token"), r.FormValue("key"))
+	return http.StatusOK
+}
+
+func (c *effectChecker) handleBegin(r *http.Request) (status int) {
+	if traffic := c.harness.traffic; traffic != nil && !traffic.isDrained(r.FormValue("node")) {
+		c.harness.fail(r.FormValue("node") + " is patched while not drained")
+	}
+	return c.recordReport(r, effectPatchBegin)
+}
+
+// handleApply restarts a real node.
+func (c *effectChecker) handleApply(r *http.Request) (status int) {
+	if traffic := c.harness.traffic; traffic != nil {
+		if err := traffic.restartNode(r.FormValue("node")); err != nil {
+			c.harness.fail(err.Error())
+		}
+	}
+	return http.StatusOK
+}
+
+func (c *effectChecker) handleCommit(r *http.Request) (status int) {
+	return c.recordReport(r, effectPatchCommit)
+}
+
+// handleVerify responds whether a patch was applied.
+func (c *effectChecker) handleVerify(r *http.Request) (status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.patches[r.FormValue("key")] > 0 {
+		return http.StatusOK
+	}
+	return http.StatusNotFound
+}
+
+// patchedNodes returns the number of nodes that a job has patched.
+func (c *effectChecker) patchedNodes(job string) (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key, times := range c.patches {
+		if times > 0 && strings.HasPrefix(key, job+"/") && strings.HasSuffix(key, "/patch") {
+			count++
+		}
+	}
+	return count
+}
+
+// nodesDisabling returns the number of nodes at which a server is disabled.
+func (c *effectChecker) nodesDisabling(server string) (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, node := range c.nodes {
+		if node.disabledServers[server] {
+			count++
+		}
+	}
+	return count
+}
+
+func (c *effectChecker) recordedEffects() []effect {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.effects)
+}
+
+// addTo adds the violations and counts to the result of the run. An effect under an older token than one that another
+// node had already is harmless, and counted as late.
+func (c *effectChecker) addTo(result *Result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	result.Violations, result.Effects = slices.Clone(c.violations), len(c.effects)
+	highest := uint64(0)
+	tokens := make(map[uint64]bool)
+	for _, received := range c.effects {
+		if received.token < highest {
+			result.LateEffects++
+		}
+		highest = max(highest, received.token)
+		tokens[received.token] = true
+	}
+	result.Tokens = len(tokens)
+	for _, times := range c.patches {
+		result.Patches += times
+	}
+}
--- /dev/null
+++ b/emulator/multiprocess/leasehistory.go
@@ -0,0 +1,112 @@
+package multiprocess
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"cobaltward/fleet"
+)
+
+// leaseState is the state of the lease model.
+type leaseState struct {
+	token   fleet.FencingToken // 0: no holder, or one whose grant was not received
+	highest fleet.FencingToken
+}
+
+// leaseModel says which responses the requests of many processes may get if each takes effect at one moment between
+// its sending and its response. A lease may end at any time without a request. A request without a response may take
+// effect or not, at any time after its sending, and so may one that the network duplicates.
+var leaseModel = (&porcupine.NondeterministicModel{
+	Init: func() []any { return []any{leaseState{}} },
+	Step: func(state, input, output any) []any {
+		return nextLeaseStates(state.(leaseState), input.(LeaseRequest), output.(LeaseRequest))
+	},
+	Equal: func(a, b any) bool { return a == b },
+}).ToModel()
+
+// nextLeaseStates returns the states that may follow a request with a response; none where the response is wrong.
+func nextLeaseStates(state leaseState, request, response LeaseRequest) []any {
+	free := leaseState{highest: state.highest}
+	succeeded := response.OutcomeKnown && response.Error == ""
+	switch {
+	case request.Kind == fleet.KindGrantLease:
+		return statesAfterGrant(state, response)
+	case succeeded && state.token != request.Token:
+		return nil // only the holder can renew or release
+	case request.Kind == fleet.KindRenewLease && succeeded:
+		return []any{state}
+	case request.Kind == fleet.KindRenewLease && response.OutcomeKnown && state.token == request.Token:
+		return []any{free} // the lease expired
+	case request.Kind == fleet.KindReleaseLease && succeeded:
+		return []any{free}
+	case request.Kind == fleet.KindReleaseLease && !response.OutcomeKnown && state.token == request.Token:
+		return []any{state, free}
+	}
+	return []any{state}
+}
+
+func statesAfterGrant(state leaseState, response LeaseRequest) []any {
+	switch {
+	case response.granted() && response.GrantedToken > state.highest: // the lease before may have expired
+		return []any{leaseState{response.GrantedToken, response.GrantedToken}}
+	case response.granted():
+		return nil // tokens have to increase
+	case response.OutcomeKnown: // another process holds the lease, or did
+		return []any{state}
+	}
+	return []any{state, leaseState{highest: state.highest}}
+}
+
+// CheckLeaseHistory checks that the responses to the lease requests of all processes are those of a lease with one
+// holder at a time. A search that takes longer than the timeout finds no violation. An error names the first token
+// that is out of order, where one is.
+func CheckLeaseHistory(requests []LeaseRequest, timeout time.Duration) error {
+	history := leaseOperations(requests)
+	if porcupine.CheckOperationsTimeout(leaseModel, history, timeout) != porcupine.Illegal {
+		return nil
+	}
+	var grants []LeaseRequest
+	for _, request := range requests {
+		if request.granted() {
+			grants = append(grants, request)
+		}
+	}
+	slices.SortFunc(grants, func(a, b LeaseRequest) int { return cmp.Compare(a.RespondedAt, b.RespondedAt) })
+	for i := 1; i < len(grants); i++ {
+		before, after := grants[i-1], grants[i]
+		if after.SentAt > before.RespondedAt && after.GrantedToken <= before.GrantedToken {
+			return fmt.Errorf("lease history: %s was granted token %d after %s was granted %d",
+				after.Holder, after.GrantedToken, before.Holder, before.GrantedToken)
+		}
+	}
+	return fmt.Errorf("lease history: no order of the %d requests explains their responses", len(history))
+}
+
+// leaseOperations converts requests to operations of the model. Renewals without a response change nothing, and are
+// left out.
+func leaseOperations(requests []LeaseRequest) (operations []porcupine.Operation) {
+	clients := make(map[string]int)
+	for _, request := range requests {
+		if _, ok := clients[request.Holder]; !ok {
+			clients[request.Holder] = len(clients)
+		}
+		returned := request.RespondedAt
+		if !request.OutcomeKnown {
+			if request.Kind == fleet.KindRenewLease {
+				continue
+			}
+			returned = math.MaxInt64
+		}
+		operations = append(operations, porcupine.Operation{
+			ClientId: clients[request.Holder],
+			Input:    request, Call: request.SentAt,
+			Output: request, Return: returned,
+		})
+	}
+	return operations
+}
--- /dev/null
+++ b/emulator/multiprocess/leaserequests.go
@@ -0,0 +1,105 @@
+package multiprocess
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+
+	"cobaltward/fleet"
+)
+
+// LeaseRequest is one proposal about a lease, as its process recorded it. Times are of the machine's clock, in
+// nanoseconds.
+type LeaseRequest struct {
+	Number       uint64             `json:"n"` // counts the requests of a process
+	Holder       string             `json:"holder"`
+	Kind         fleet.Kind         `json:"kind"`
+	Resource     string             `json:"work"`
+	Token        fleet.FencingToken `json:"token"`
+	SentAt       int64              `json:"called"`
+	RespondedAt  int64              `json:"back"`  // 0: no response came, or the process ended before
+	OutcomeKnown bool               `json:"known"` // of the proposal
+	GrantedToken fleet.FencingToken `json:"got"`
+	Error        string             `json:"error"`
+}
+
+// granted reports whether the request obtained a lease.
+func (r LeaseRequest) granted() bool {
+	return r.Kind == fleet.KindGrantLease && r.OutcomeKnown && r.Error == ""
+}
+
+// leaseRecorder appends the lease requests of a process to a file.
+type leaseRecorder struct {
+	mu     sync.Mutex
+	file   *os.File
+	number uint64
+}
+
+// newLeaseRecorder opens the file of a recorder. It stays open until the process ends.
+func newLeaseRecorder(path string) (*leaseRecorder, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("open the record of lease requests: %w", err)
+	}
+	return &leaseRecorder{file: file}, nil
+}
+
+// observe records a request before it is sent. The function that it returns records it again with its response.
+func (r *leaseRecorder) observe(entry fleet.Entry, holder string) func(fleet.Result, bool) {
+	r.mu.Lock()
+	r.number++
+	request := LeaseRequest{
+		Number: r.number, Holder: holder, Kind: entry.Kind, Resource: entry.Resource, Token: entry.FencingToken,
+		SentAt: time.Now().UnixNano(),
+	}
+	r.mu.Unlock()
+	r.write(request)
+	return func(result fleet.Result, outcomeKnown bool) {
+		request.RespondedAt = time.Now().UnixNano()
+		request.OutcomeKnown, request.GrantedToken = outcomeKnown, result.FencingToken
+		if result.Err != nil {
+			request.Error = result.Err.Error()
+		}
+		r.write(request)
+	}
+}
+
+func (r *leaseRecorder) write(request LeaseRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	raw, err := json.Marshal(request)
+	if err == nil {
+		_, err = r.file.Write(append(raw, '\n'))
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "record a lease request:", err)
+	}
+}
+
+// readLeaseRequests reads what a process recorded: each request once, with its response where one came. Lines that a
+// crash cut short are skipped.
+func readLeaseRequests(path string) (requests []LeaseRequest) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil // the process recorded none
+	}
+	defer func() { _ = file.Close() }()
+	indexes := make(map[string]int)
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		var request LeaseRequest
+		if json.Unmarshal(lines.Bytes(), &request) != nil {
+			continue
+		}
+		key := fmt.Sprint(request.Holder, request.Number)
+		if i, ok := indexes[key]; ok {
+			requests[i] = request
+			continue
+		}
+		indexes[key] = len(requests)
+		requests = append(requests, request)
+	}
+	return requests
+}
--- /dev/null
+++ b/emulator/multiprocess/proxy.go
@@ -0,0 +1,186 @@
+package multiprocess
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	maxProxiedBody      = 64 << 20 // bytes
+	maxDelay            = 3 * time.Second
+	maxDuplicateDelay   = 3 * time.Second
+	duplicateTimeout    = 3 * time.Second
+	proxyIdleTimeout    = 2 * time.Second
+	maxProxyIdlePerHost = 4
+)
+
+var errProcessDown = errors.New("the process is down")
+
+// link is a link in one direction, from the process that sends requests to the process that responds.
+type link struct{ from, to string }
+
+// proxy forwards the requests on one link, and injects faults into whole messages: a request or its response.
+type proxy struct {
+	link    link
+	harness *Harness
+	address string
+	server  *http.Server
+	client  *http.Client
+
+	mu     sync.Mutex
+	faults map[int]linkFault // in force, by index
+	rand   *rand.Rand
+}
+
+// MessageCounts counts the messages on all links, and those that met a fault. Bytes are those of the bodies, in both
+// directions.
+type MessageCounts struct {
+	Requests, Bytes, LostRequests, LostResponses atomic.Int64
+	Delayed, Duplicated, Stalled, Reset          atomic.Int64
+}
+
+// String returns the counts but for the bytes.
+func (c *MessageCounts) String() string {
+	return fmt.Sprintf("of %d messages %d lost, %d responses lost, %d delayed, %d duplicated, %d stalled, %d reset",
+		c.Requests.Load(), c.LostRequests.Load(), c.LostResponses.Load(), c.Delayed.Load(), c.Duplicated.Load(),
+		c.Stalled.Load(), c.Reset.Load())
+}
+
+func newProxy(h *Harness, ends link, seed uint64) (*proxy, error) {
+	listener, err := net.Listen("tcp", listenAddress)
+	if err != nil {
+		return nil, fmt.Errorf("open the proxy from %s to %s: %w", ends.from, ends.to, err)
+	}
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxProxyIdlePerHost, IdleConnTimeout: proxyIdleTimeout, DisableCompression: true,
+	}
+	p := &proxy{
+		link: ends, harness: h, address: listener.Addr().String(), faults: make(map[int]linkFault),
+		rand: rand.New(rand.NewPCG(seed, 1)), client: &http.Client{Transport: transport},
+	}
+	p.server = &http.Server{Handler: p, ReadHeaderTimeout: headerTimeout}
+	go func() { _ = p.server.Serve(listener) }() // ends with close
+	return p, nil
+}
+
+func (p *proxy) close() {
+	_ = p.server.Close()
+	p.client.CloseIdleConnections()
+}
+
+// ServeHTTP forwards one request and its response, with the faults in force.
+func (p *proxy) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxProxiedBody))
+	if err != nil {
+		return
+	}
+	counts := &p.harness.Messages
+	counts.Requests.Add(1)
+	counts.Bytes.Add(int64(len(body)))
+	fate := p.drawFate()
+	switch {
+	case fate.reset:
+		counts.Reset.Add(1)
+		resetConnection(w)
+		return
+	case fate.loseRequest:
+		counts.LostRequests.Add(1)
+		<-request.Context().Done() // until the sender gives up
+		return
+	case fate.stall:
+		counts.Stalled.Add(1)
+		<-request.Context().Done()
+		return
+	}
+	if fate.delay > 0 {
+		counts.Delayed.Add(1)
+		time.Sleep(fate.delay)
+	}
+	if fate.duplicate {
+		counts.Duplicated.Add(1)
+		p.harness.tasks.Go(func() { p.sendDuplicate(request, body, fate.duplicateDelay) })
+	}
+	p.forward(w, request, body)
+}
+
+// forward sends a request to its process and returns the response, with the faults in force by then.
+func (p *proxy) forward(w http.ResponseWriter, request *http.Request, body []byte) {
+	response, err := p.send(request.Context(), request, body)
+	if err != nil {
+		resetConnection(w)
+		return
+	}
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxProxiedBody))
+	_ = response.Body.Close()
+	if err != nil {
+		resetConnection(w)
+		return
+	}
+	counts := &p.harness.Messages
+	counts.Bytes.Add(int64(len(responseBody)))
+	fate := p.drawFate()
+	if fate.delay > 0 {
+		time.Sleep(fate.delay)
+	}
+	if fate.loseResponse || fate.stall {
+		counts.LostResponses.Add(1)
+		<-request.Context().Done()
+		return
+	}
+	for name, values := range response.Header {
+		if name != "Connection" {
+			w.Header()[name] = values
+		}
+	}
+	w.WriteHeader(response.StatusCode)
+	_, _ = w.Write(responseBody) // the sender may have given up
+}
+
+// sendDuplicate sends a request once more after a delay, whatever the outcome of the first, and drops the response.
+func (p *proxy) sendDuplicate(request *http.Request, body []byte, delay time.Duration) {
+	select {
+	case <-time.After(delay):
+	case <-p.harness.closing:
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), duplicateTimeout)
+	defer cancel()
+	if response, err := p.send(ctx, request, body); err == nil {
+		_ = response.Body.Close()
+	}
+}
+
+func (p *proxy) send(ctx context.Context, request *http.Request, body []byte) (*http.Response, error) {
+	address := p.harness.address(p.link.to)
+	if address == "" {
+		return nil, fmt.Errorf("send to %s: %w", p.link.to, errProcessDown)
+	}
+	url := "http://" + address + request.URL.RequestURI()
+	forwarded, err := http.NewRequestWithContext(ctx, request.Method, url, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	forwarded.Header = request.Header.Clone()
+	return p.client.Do(forwarded)
+}
+
+// resetConnection closes the sender's connection by a TCP reset.
+func resetConnection(w http.ResponseWriter) {
+	conn, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		return
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+	_ = conn.Close()
+}
--- /dev/null
+++ b/emulator/multiprocess/result.go
@@ -0,0 +1,84 @@
+package multiprocess
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"cobaltward/fleet/agent"
+)
+
+// shownLogLines is the number of lines of each process's log that a failed run shows.
+const shownLogLines = 60
+
+// Result is the outcome of a run.
+type Result struct {
+	Script         *Script
+	Violations     []string // broken invariants, each with the effect that broke it
+	Effects        int
+	Tokens         int // fencing tokens under which there were effects
+	LateEffects    int // effects under an older token than one already seen at another node
+	Rejected       uint64
+	Patches        int
+	RollingUpdates int            // that ended
+	Faults         map[string]int // by kind
+	Links          string         // counts of the messages between processes
+	LeaseRequests  []LeaseRequest
+	Log            string // the ends of all logs, where an invariant is broken
+	Traffic        string // counts of the requests to real nodes
+}
+
+// String returns the counts on one line.
+func (r *Result) String() string {
+	var faults []string
+	for _, kind := range slices.Sorted(maps.Keys(r.Faults)) {
+		faults = append(faults, fmt.Sprintf("%s %d", kind, r.Faults[kind]))
+	}
+	return fmt.Sprintf("%d effects under %d fencing tokens (%d late and harmless, %d rejected), "+
+		"%d patches in %d rolling updates; %s; %s",
+		r.Effects, r.Tokens, r.LateEffects, r.Rejected, r.Patches, r.RollingUpdates,
+		strings.Join(faults, ", "), r.Links+r.Traffic)
+}
+
+// result gathers the counts of the run.
+func (h *Harness) result() *Result {
+	h.mu.Lock()
+	result := &Result{Script: h.script, Faults: maps.Clone(h.injected), RollingUpdates: h.updatesEnded}
+	h.mu.Unlock()
+	if h.traffic != nil {
+		result.Traffic = h.traffic.String()
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	client := h.Client()
+	for _, name := range h.script.Names() {
+		var status agent.Status
+		if !isReplica(name) && client.Call(ctx, http.MethodGet, canonicalAddress(name), "/node", struct{}{}, &status) == nil {
+			result.Rejected += status.Rejected
+		}
+		result.LeaseRequests = append(result.LeaseRequests, readLeaseRequests(h.path(name+leaseHistorySuffix))...)
+	}
+	h.checker.addTo(result)
+	result.Links = h.Messages.String()
+	return result
+}
+
+// logs returns all effects, and the ends of all logs.
+func (h *Harness) logs() string {
+	var text strings.Builder
+	if h.checker != nil {
+		for _, e := range h.checker.recordedEffects() {
+			fmt.Fprintln(&text, e)
+		}
+	}
+	for _, name := range h.processNames() {
+		lines := h.processes[name].logLines()
+		shown := lines[max(0, len(lines)-shownLogLines):]
+		fmt.Fprintf(&text, "--- %s\n%s\n", name, strings.Join(shown, "\n"))
+	}
+	return text.String()
+}
--- /dev/null
+++ b/tools/fleetbench/requests.go
@@ -0,0 +1,128 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"cobaltward/emulator/multiprocess"
+)
+
+const (
+	trafficWarmUp  = 2 * time.Second
+	stateSettle    = 500 * time.Millisecond
+	latencySample  = 4 * time.Second
+	recoveryTime   = 2 * time.Second
+	floodProposers = 16
+)
+
+// The states of the replicas under which requests are measured.
+const (
+	replicasWork    = "work"
+	replicasPaused  = "are paused"
+	replicasDown    = "are down"
+	replicasFlooded = "are flooded"
+)
+
+var replicaNames = []string{"c1", "c2", "c3"}
+
+// measureRequests measures the latencies of requests to nodes while the replicas work, are paused, down or flooded.
+func measureRequests(ctx context.Context) error {
+	harness, err := start(ctx, 3, 3, 600)
+	if err != nil {
+		return err
+	}
+	defer harness.Close()
+	ctx, cancel := context.WithCancel(ctx)
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer cancel()
+	tasks.Go(func() { harness.SendTraffic(ctx) })
+	time.Sleep(trafficWarmUp)
+	harness.Latencies()
+	p99 := make(map[string][]float64) // milliseconds
+	states := []string{replicasWork, replicasPaused, replicasDown, replicasFlooded}
+	for range max(3, *rounds/4) {
+		for _, state := range states {
+			sample, err := sampleLatency(ctx, harness, state)
+			if err != nil {
+				return err
+			}
+			p99[state] = append(p99[state], sample)
+		}
+	}
+	baseline := median(p99[replicasWork])
+	for _, state := range states {
+		middle := median(p99[state])
+		fmt.Printf("p99 of requests while the replicas %s: %.1f ms, %.2f of that while they work\n",
+			state, middle, middle/baseline)
+	}
+	return nil
+}
+
+func median(samples []float64) float64 {
+	slices.Sort(samples)
+	return samples[len(samples)/2]
+}
+
+// sampleLatency brings the replicas into a state, and returns the 99th percentile of the latencies in milliseconds.
+func sampleLatency(ctx context.Context, harness *multiprocess.Harness, state string) (float64, error) {
+	floodCtx, stopFlood := context.WithCancel(ctx)
+	defer stopFlood()
+	disturb(harness, state)
+	var flood sync.WaitGroup
+	if state == replicasFlooded {
+		startFlood(floodCtx, harness, &flood)
+	}
+	time.Sleep(stateSettle)
+	harness.Latencies()
+	time.Sleep(latencySample)
+	latencies := harness.Latencies()
+	stopFlood()
+	if err := restore(harness, state); err != nil {
+		return 0, err
+	}
+	time.Sleep(recoveryTime)
+	flood.Wait()
+	return latencies[p99Index(len(latencies))].Seconds() * 1e3, nil
+}
+
+func disturb(harness *multiprocess.Harness, state string) {
+	for _, name := range replicaNames {
+		switch state {
+		case replicasPaused:
+			harness.Signal(name, syscall.SIGSTOP)
+		case replicasDown:
+			harness.Kill(name)
+		}
+	}
+}
+
+func restore(harness *multiprocess.Harness, state string) error {
+	for _, name := range replicaNames {
+		switch state {
+		case replicasPaused:
+			harness.Signal(name, syscall.SIGCONT)
+		case replicasDown:
+			if err := harness.Restart(name); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// startFlood proposes entries without a pause, until the context ends.
+func startFlood(ctx context.Context, harness *multiprocess.Harness, tasks *sync.WaitGroup) {
+	client := harness.Client()
+	for i := range floodProposers {
+		tasks.Go(func() {
+			for ctx.Err() == nil {
+				_ = proposeRegistration(ctx, client, i) // the load counts, not the outcome
+			}
+		})
+	}
+}
--- /dev/null
+++ b/tools/fleetbench/watchers.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+
+	"cobaltward/emulator/multiprocess"
+	"cobaltward/fleet"
+	"cobaltward/fleet/agent"
+	"cobaltward/fleet/consensus"
+)
+
+const (
+	watcherCount = 1000
+	outage       = 5 * time.Second
+)
+
+// watchers are state watchers in this process, in place of as many agents.
+type watchers struct {
+	harness *multiprocess.Harness
+	all     []*agent.StateWatcher
+}
+
+// measureWatchers measures how fast watchers get an entry: while the fleet is idle, and right after an outage of all
+// replicas, when all watchers reconnect at once.
+func measureWatchers(ctx context.Context) error {
+	harness, err := start(ctx, 3, 1, 0)
+	if err != nil {
+		return err
+	}
+	defer harness.Close()
+	ctx, cancel := context.WithCancel(ctx)
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer cancel()
+	started := startWatchers(ctx, harness, &tasks)
+	await(func() bool { return started.reached(1) == watcherCount })
+	for range 3 {
+		if err := started.measureEntry(ctx, "idle"); err != nil {
+			return err
+		}
+	}
+	if err := restartReplicas(ctx, harness); err != nil {
+		return err
+	}
+	return started.measureEntry(ctx, "right after the replicas' return")
+}
+
+func startWatchers(ctx context.Context, harness *multiprocess.Harness, tasks *sync.WaitGroup) *watchers {
+	started := &watchers{harness: harness, all: make([]*agent.StateWatcher, watcherCount)}
+	for i := range started.all {
+		client := harness.Client()
+		client.AddressOverrides = harness.ProxyAddresses("n1")
+		client.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+		report := func() consensus.AgentReport { return consensus.AgentReport{Name: fmt.Sprint("f", i)} }
+		watcher := agent.NewStateWatcher(client, report, slog.New(slog.DiscardHandler))
+		started.all[i] = watcher
+		tasks.Go(func() { watcher.Run(ctx) })
+	}
+	return started
+}
+
+// reached returns the number of watchers whose state has reached a position.
+func (w *watchers) reached(position fleet.Position) (count int) {
+	for _, watcher := range w.all {
+		if state, _ := watcher.State(); state.Position >= position {
+			count++
+		}
+	}
+	return count
+}
+
+// measureEntry measures the time until an entry is applied, and until all watchers have it.
+func (w *watchers) measureEntry(ctx context.Context, condition string) error {
+	id := fmt.Sprint("hold-", time.Now().UnixNano())
+	proposedAt := time.Now()
+	if err := disableServer(ctx, w.harness, id); err != nil {
+		return err
+	}
+	applied := time.Since(proposedAt)
+	state, _ := w.harness.State(ctx)
+	await(func() bool { return w.reached(state.DisableOrders[id].Position) == watcherCount })
+	fmt.Printf("%d watchers, %s: an entry applied after %v, known to all after %v\n", watcherCount, condition,
+		applied.Round(time.Millisecond), time.Since(proposedAt).Round(time.Millisecond))
+	return nil
+}
+
+// restartReplicas ends all replicas for the length of an outage, and waits until one leads again.
+func restartReplicas(ctx context.Context, harness *multiprocess.Harness) error {
+	replicas := []string{"c1", "c2", "c3"}
+	for _, name := range replicas {
+		harness.Kill(name)
+	}
+	time.Sleep(outage)
+	restartedAt := time.Now()
+	for _, name := range replicas {
+		if err := harness.Restart(name); err != nil {
+			return err
+		}
+	}
+	await(func() bool {
+		_, hasLeader := harness.State(ctx)
+		return hasLeader
+	})
+	fmt.Printf("%d watchers, the replicas back after %v: a leader after %v\n", watcherCount, outage,
+		time.Since(restartedAt).Round(time.Millisecond))
+	return nil
+}
