--- a/tools/fleetbench/main.go
+++ b/tools/fleetbench/main.go
@@ -82,7 +82,7 @@
 	return time.Since(startedAt)
 }
 
-// summarize returns the median and the 99th percentile of samples, of which there is at least one.
+// summarize returns the median and the 99th percentile of at least one sample.
 func summarize(samples []time.Duration) string {
 	slices.Sort(samples)
 	median, p99 := samples[len(samples)/2], samples[p99Index(len(samples))]
