--- a/levels/check.go
+++ b/levels/check.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// ConfigError describes the fault of a configuration.
+// ConfigError describes why a configuration is invalid.
 type ConfigError struct {
-	Level   int // index in Config.Levels; -1 where no level is at fault
+	Level   int // index of the invalid level in Config.Levels; -1 if no single level is invalid
 	Problem string
 }
 
@@ -18,10 +18,10 @@
 	return fmt.Sprintf("level %d: %s", e.Level+1, e.Problem)
 }
 
-// check returns the first thing that is wrong with a configuration, as a *ConfigError.
+// check validates the configuration. It returns the first problem found, as a *ConfigError.
 func (c *Config) check() error {
 	names := make(map[string]bool)
-	shed := make(map[string]float64) // by class, of all tenants, so far
+	shed := make(map[string]float64) // by class: the largest fraction shed of all tenants by the levels checked so far
 	for i := range c.Levels {
 		if err := c.checkLevel(i, names, shed); err != nil {
 			return &ConfigError{Level: i, Problem: err.Error()}
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkLevel checks a level; names and shed are of the levels before it, and of this one afterwards.
+// checkLevel checks one level. names and shed cover the levels before it; checkLevel adds this level to them.
 func (c *Config) checkLevel(index int, names map[string]bool, shed map[string]float64) error {
 	level := &c.Levels[index]
 	if err := level.checkParts(names); err != nil {
@@ -51,32 +51,32 @@
 	return c.checkShedLast(shed)
 }
 
-// checkParts checks that a level has a name of its own, conditions and measures.
+// checkParts checks that a level has a unique name, conditions and measures.
 func (l *Level) checkParts(names map[string]bool) error {
 	switch {
 	case l.Name == "" || l.Name == fullServiceName:
-		return fmt.Errorf("name: want one of its own, got %q", l.Name)
+		return fmt.Errorf("name: want a unique name that is not reserved, got %q", l.Name)
 	case names[l.Name]:
-		return fmt.Errorf("name: %q is there twice", l.Name)
+		return fmt.Errorf("name: %q is used twice", l.Name)
 	case len(l.Enter) == 0:
-		return fmt.Errorf("it is never entered: there is no condition for it")
+		return fmt.Errorf("it has no condition for entering it")
 	case len(l.Exit) == 0:
-		return fmt.Errorf("it is never left: there is no condition for it")
+		return fmt.Errorf("it has no condition for leaving it")
 	case len(l.Measures) == 0:
-		return fmt.Errorf("it does nothing: there is no measure")
+		return fmt.Errorf("it has no measures")
 	}
 	names[l.Name] = true
 	return nil
 }
 
-// checkConditions checks the values and the classes of a level's conditions.
+// checkConditions checks the thresholds, durations and classes of a level's conditions.
 func (c *Config) checkConditions(level *Level) error {
 	for _, condition := range slices.Concat(level.Enter, level.Exit) {
 		if condition.Threshold < 0 || condition.For < 0 {
-			return fmt.Errorf("%v: want a bound and a time of 0 or more", condition)
+			return fmt.Errorf("%v: bound and for must not be negative", condition)
 		}
 		if condition.Class != "" && !c.hasClass(condition.Class) {
-			return fmt.Errorf("%v: there is no such class", condition)
+			return fmt.Errorf("%v: the class does not exist", condition)
 		}
 	}
 	return nil
@@ -86,12 +86,12 @@
 	return slices.ContainsFunc(c.Classes, func(class Class) bool { return class.Name == name })
 }
 
-// sameSignal reports whether two conditions are about the same signal.
+// sameSignal reports whether two conditions compare the same signal of the same class.
 func (c Condition) sameSignal(other Condition) bool {
 	return c.Signal == other.Signal && c.Class == other.Class
 }
 
-// checkExitBelowEntry checks that a level is not left above the threshold at which it is entered.
+// checkExitBelowEntry checks that the exit threshold of each signal is below its entry threshold.
 func (l *Level) checkExitBelowEntry() error {
 	for _, enter := range l.Enter {
 		for _, exit := range l.Exit {
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// checkReachable checks that a level's conditions are not met before those of the level before it.
+// checkReachable checks that no entry condition of a level holds before the same condition of the level before it:
+// levels are entered one after another, so the lower threshold would have no effect.
 func (c *Config) checkReachable(index int) error {
 	if index == 0 {
 		return nil
@@ -112,20 +113,20 @@
 	for _, enter := range c.Levels[index].Enter {
 		for _, before := range c.Levels[index-1].Enter {
 			if enter.sameSignal(before) && enter.Threshold < before.Threshold && enter.For <= before.For {
-				return fmt.Errorf("it can't be reached on its own: the level before it is entered above %.4g of %s, "+
-					"later than this one above %.4g", before.Threshold, enter.label(), enter.Threshold)
+				return fmt.Errorf("its entry threshold has no effect: the level before it is entered above %.4g of %s, "+
+					"and this one already above %.4g", before.Threshold, enter.label(), enter.Threshold)
 			}
 		}
 	}
 	return nil
 }
 
-// checkMeasures checks a level's measures, and adds up the load that they shed.
+// checkMeasures checks a level's measures, and updates the fraction of each class that is shed of all tenants.
 func (c *Config) checkMeasures(level *Level, shed map[string]float64) error {
 	for i := range level.Measures {
 		measure := &level.Measures[i]
 		if !c.hasClass(measure.Class) {
-			return fmt.Errorf("a measure for class %q, which there is not", measure.Class)
+			return fmt.Errorf("a measure for class %q, which does not exist", measure.Class)
 		}
 		if err := measure.check(); err != nil {
 			return fmt.Errorf("%s: %w", measure.Class, err)
@@ -137,19 +138,19 @@
 	return nil
 }
 
-// check checks the values of a measure.
+// check checks that the values of a measure are in range and that it has an effect.
 func (m *Measure) check() error {
 	switch {
 	case m.Shed < 0 || m.Shed > 1:
 		return fmt.Errorf("shed: want 0 to 1, got %v", m.Shed)
 	case m.FollowDemand && m.Shed == 0:
-		return fmt.Errorf("follow: shed says how much it may shed at most")
+		return fmt.Errorf("follow: needs shed, the largest fraction that may be shed")
 	case m.MaxQueueTime < 0:
 		return fmt.Errorf("hold: want 0 or more, got %v", m.MaxQueueTime)
 	case m.MaxAttempts < 0:
 		return fmt.Errorf("attempts: want 0 or more, got %d", m.MaxAttempts)
 	case m.isEmpty():
-		return fmt.Errorf("the measure does nothing")
+		return fmt.Errorf("the measure has no effect")
 	}
 	return nil
 }
@@ -159,12 +160,12 @@
 	return m.Shed == 0 && !m.NoHedging && m.MaxAttempts == 0 && !m.WithinQuota && m.MaxQueueTime == 0 && !m.ZoneLocal
 }
 
-// checkShedLast checks that a class to be shed last is shed at most as much as one that is not.
+// checkShedLast checks that no class with ShedLast is shed more than a class without it.
 func (c *Config) checkShedLast(shed map[string]float64) error {
 	for _, last := range c.Classes {
 		for _, other := range c.Classes {
 			if last.ShedLast && !other.ShedLast && shed[last.Name] > shed[other.Name] {
-				return fmt.Errorf("it sheds %.4g of %s, which is guarded, and %.4g of %s, which is not",
+				return fmt.Errorf("it sheds %.4g of the guarded class %s, and only %.4g of %s, which is not guarded",
 					shed[last.Name], last.Name, shed[other.Name], other.Name)
 			}
 		}
--- a/levels/config.go
+++ b/levels/config.go
@@ -1,7 +1,8 @@
 // Package levels decides at which level of reduced service (degradation level) a node works while its servers can't
-// carry all of the offered load: the part shed of each class, and the limits on the rest. It is a state machine
-// without I/O or a clock: counts and times in, a level with its reason out. A level is applied before the rate limits
-// of package policy, which stay as they are.
+// handle all of the offered load. A level says which fraction of each class is shed, and limits how the remaining
+// requests are served. The package is a state machine without I/O or a clock: callers pass in counts and times, and
+// get the level and the reason for it. A level is applied before the rate limits of package policy, and does not
+// change them.
 package levels
 
 import (
@@ -9,39 +10,41 @@
 	"time"
 )
 
-// Signal is a measured value that conditions compare to a threshold.
+// Signal identifies a measured value that conditions compare with a threshold.
 type Signal uint8
 
-// The signals. Each is of the last second, smoothed exponentially.
+// The signals. Each is computed from the counts of every second and smoothed exponentially.
 const (
-	// Demand is the work offered, shed work included, over the work that servers have lately been seen to complete
-	// in time. What a level sheds does not lower it, so that no level ends by its own effect.
+	// Demand is the offered work, including shed work, divided by the estimated capacity: the work that servers have
+	// recently completed within the latency objectives. Shedding does not lower it, so that no level ends by its own
+	// effect.
 	Demand Signal = iota
-	// SlowAnswers is the fraction of answers that missed their latency objective, or never came.
+	// SlowAnswers is the fraction of requests whose response missed its latency objective, or that got no response.
 	SlowAnswers
-	// Queued is the fraction of the open requests that wait for a server.
+	// Queued is the fraction of open requests that are waiting for a server.
 	Queued
 )
 
 var signalNames = [...]string{"demand", "slow", "held"}
 
-// String names the signal as configurations do.
+// String returns the name of the signal in the settings.
 func (s Signal) String() string { return signalNames[s] }
 
-// Condition holds once a signal has been beyond a threshold for a while.
+// Condition compares a signal with a threshold. It holds once the signal has been above the threshold (to enter a
+// level) or below it (to leave one) for the whole duration For.
 type Condition struct {
 	Signal    Signal
-	Class     string // of this class alone; empty: of all classes together
+	Class     string // class whose signal is compared; empty: the signal of all classes together
 	Threshold float64
 	For       time.Duration
 }
 
-// String describes the condition.
+// String returns the condition as text, for errors and as a key.
 func (c Condition) String() string {
 	return fmt.Sprintf("%s %.4g for %v", c.label(), c.Threshold, c.For)
 }
 
-// label names what the condition compares.
+// label returns the name of the signal, with the class if there is one.
 func (c Condition) label() string {
 	if c.Class == "" {
 		return c.Signal.String()
@@ -49,61 +52,63 @@
 	return c.Signal.String() + " of " + c.Class
 }
 
-// Measure is what a level does to the requests of a class.
+// Measure describes how a level restricts the requests of a class.
 type Measure struct {
 	Class        string
-	Tenants      []string      // of these tenants alone; nil: of all
-	Shed         float64       // fraction that is rejected at once, 0 to 1
-	NoHedging    bool          // no hedged requests
-	MaxAttempts  int           // for one request; 0: as the settings allow
-	WithinQuota  bool          // what a tenant sends beyond its quota is rejected
-	MaxQueueTime time.Duration // that a request waits for a server; 0: as the policy decides
-	ZoneLocal    bool          // no request crosses zones while the node's own zone has a server
-	// FollowDemand makes Shed the most that is shed: each second, as much of the class is shed as servers can't carry
-	// after the measures before this one. Demand counts shed work, so this does not oscillate.
+	Tenants      []string      // tenants that it applies to; nil: all
+	Shed         float64       // fraction of requests that are rejected at once, 0 to 1
+	NoHedging    bool          // no hedged requests are sent
+	MaxAttempts  int           // per request; 0: as many as the settings allow
+	WithinQuota  bool          // requests beyond a tenant's quota are rejected
+	MaxQueueTime time.Duration // how long a request may wait for a server; 0: as the policy decides
+	ZoneLocal    bool          // requests stay in the node's zone while it has a server
+	// FollowDemand makes Shed an upper limit: each second, the fraction shed is set to the load that still exceeds
+	// the capacity of the servers after the measures before this one. Demand includes shed work, so this does not
+	// oscillate.
 	FollowDemand bool
 }
 
-// Level is one level of reduced service.
+// Level is one level of reduced service: when it is entered and left, and what it restricts.
 type Level struct {
 	Name     string
-	Enter    []Condition // the level is entered when any of them is above its threshold
-	Exit     []Condition // and left when all of them are below theirs
-	Measures []Measure   // added to those of the levels before it
+	Enter    []Condition // the level is entered when any of them holds
+	Exit     []Condition // the level is left when all of them hold
+	Measures []Measure   // they apply in addition to those of the levels before it
 }
 
-// Class has the attributes of a class that the check of a configuration needs.
+// Class is a class of requests that levels may restrict.
 type Class struct {
 	Name     string
-	ShedLast bool // no level may shed more of it than of a class without this mark
+	ShedLast bool // no level may shed more of it than of a class without ShedLast
 }
 
-// Config is a sequence of levels. Level 0 is full service; each further level adds its measures to those before it.
+// Config is a sequence of levels. Level 0 is full service; the measures of each further level apply in addition to
+// those of the levels before it.
 type Config struct {
 	Levels  []Level
 	Classes []Class
-	DryRun  bool // levels are decided on and counted, and change nothing for requests
-	// MinInterval is the time between two changes of the level; 0: 30 s. A level that is entered again within
-	// 2 minutes of its end then stays twice as long, up to eight times, so that load near a threshold does not make the
-	// level oscillate.
+	DryRun  bool // levels are decided and counted, but not applied to requests
+	// MinInterval is the minimum time between two changes of the level; 0: 30 s. When a level is entered again
+	// within 2 minutes after it was left, its minimum time in force doubles, up to eight times MinInterval, so that
+	// load near a threshold does not make the level oscillate.
 	MinInterval time.Duration
 }
 
-// Event is one change of the level.
+// Event records one change of the level.
 type Event struct {
 	At       time.Duration
 	From, To int
-	Name     string // of To; "full" for 0
+	Name     string // name of level To; "full" for level 0
 	Reason   string
 }
 
-// Window is what a node has counted for one class in one second.
+// Window holds the counts of one class in one second.
 type Window struct {
-	Offered float64 // requests, shed ones included
+	Offered float64 // requests, including shed ones
 	Shed    float64 // requests shed by a level
-	Work    float64 // mean of a request, in any unit that is the same for all classes
-	OnTime  float64 // answers within their latency objective
-	Late    float64 // answers after it, and requests that failed or were rejected because there was no server
-	Queued  float64 // requests that wait for a server, at the end of the second
-	Open    float64 // requests without their answer, at the end of the second
+	Work    float64 // mean work per request, in any unit that is the same for all classes
+	OnTime  float64 // responses within their latency objective
+	Late    float64 // responses after it, and requests that failed or were rejected because there was no server
+	Queued  float64 // requests that are waiting for a server at the end of the second
+	Open    float64 // requests without a response at the end of the second
 }
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	defaultMinInterval = 30 * time.Second // of Config.MinInterval
-	maxEvents          = 100              // that are kept
+	defaultMinInterval = 30 * time.Second // used if Config.MinInterval is 0
+	maxEvents          = 100              // older events are dropped
 	fullServiceName    = "full"
 )
 
-// Controller is the state of one node. It is not safe for concurrent use. Times must not go back.
+// Controller chooses the level of one node. It is not safe for concurrent use. The times passed to its methods must
+// not decrease.
 type Controller struct {
 	config Config
 
-	level      int // in force; 0: full service
+	level      int // the level in force; 0: full service
 	reason     string
 	changedAt  time.Duration
 	hasChanged bool           // changedAt is set
 	history    []levelHistory // by level
 	events     []Event
-	maxLevel   int // levels beyond it are not entered by their conditions; negative: all may be
+	maxLevel   int // conditions enter no level beyond it; negative: no limit
 
 	manual      bool          // an operator has set the level
 	manualUntil time.Duration // 0: until ReleaseManual
 
-	// While the exit of the level is probed, half of the load that it sheds beyond the levels before it passes.
+	// While the exit of the level in force is probed, half of the load that it sheds in addition to the levels before
+	// it is let through.
 	exitProbing    bool
 	exitProbeStart time.Duration
 
 	signals            map[signalKey]float64
-	capacity           float64                  // work a second that servers complete in time
-	conditionHeldSince map[string]time.Duration // since when conditions hold without a break, by their texts
-	shed               [][]float64              // by level and measure: the fraction that it sheds now
+	capacity           float64                  // estimated work per second that servers complete in time
+	conditionHeldSince map[string]time.Duration // by condition text: since when it has held
+	shed               [][]float64              // by level and measure: the fraction that is shed now
 }
 
-// levelHistory is the remembered state of a level.
+// levelHistory records when a level was last left, and how long it has to stay in force.
 type levelHistory struct {
-	minStayFactor float64 // how many times MinInterval it stays at least
+	minStayFactor float64 // minimum time in force, as a multiple of MinInterval
 	leftAt        time.Duration
 	hasLeft       bool // leftAt is set
 }
 
-// New returns a controller at full service. Its errors are of type *ConfigError.
+// New returns a controller at full service. It returns a *ConfigError if the configuration is invalid.
 func New(config Config) (*Controller, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -70,29 +72,30 @@
 	return controller, nil
 }
 
-// Level returns the level in force, 0 for full service, its name, and the reason for it.
+// Level returns the level in force (0 for full service), its name, and the reason of the last change.
 func (c *Controller) Level() (level int, name, reason string) {
 	return c.level, c.config.levelName(c.level), c.reason
 }
 
-// Events returns the last changes, oldest first; 100 at most. They must not be changed.
+// Events returns the last changes of the level, oldest first, 100 at most. Callers must not modify the slice.
 func (c *Controller) Events() []Event { return c.events }
 
-// Value returns a signal as conditions see it now; class is empty for that of all classes together.
+// Value returns the smoothed value of a signal. An empty class stands for all classes together.
 func (c *Controller) Value(signal Signal, class string) float64 {
 	return c.signals[signalKey{signal, class}]
 }
 
-// MaxLevel returns the last level that may be entered; -1: all may be.
+// MaxLevel returns the highest level that conditions may enter; -1 means no limit.
 func (c *Controller) MaxLevel() int { return c.maxLevel }
 
-// DryRun reports whether levels change nothing for requests.
+// DryRun reports whether levels are decided and counted, but not applied to requests.
 func (c *Controller) DryRun() bool { return c.config.DryRun }
 
 // ExitProbing reports whether the exit of the level in force is being probed.
 func (c *Controller) ExitProbing() bool { return c.exitProbing }
 
-// ExitConditions describes what would end the level in force, a condition each; nothing at full service.
+// ExitConditions describes the conditions for leaving the level in force, with the current values of their signals.
+// It returns nil at full service.
 func (c *Controller) ExitConditions() (descriptions []string) {
 	if c.level == 0 {
 		return nil
@@ -104,8 +107,9 @@
 	return descriptions
 }
 
-// SetManual puts a level in force on behalf of an operator, for a while; 0: until ReleaseManual.
-func (c *Controller) SetManual(now time.Duration, level int, duration time.Duration, who, why string) error {
+// SetManual sets the level on behalf of an operator. Conditions do not change it for the given duration, or until
+// ReleaseManual if the duration is 0.
+func (c *Controller) SetManual(now time.Duration, level int, duration time.Duration, requestedBy, reason string) error {
 	if level < 0 || level > len(c.config.Levels) {
 		return fmt.Errorf("want a level from 0 to %d, got %d", len(c.config.Levels), level)
 	}
@@ -113,28 +117,28 @@
 	if duration > 0 {
 		c.manualUntil = now + duration
 	}
-	c.changeTo(now, level, fmt.Sprintf("by hand of %s: %s", who, why))
+	c.changeTo(now, level, fmt.Sprintf("by hand, set by %s: %s", requestedBy, reason))
 	return nil
 }
 
-// ReleaseManual leaves the level to the conditions again, from where it stands.
+// ReleaseManual lets conditions change the level again, starting from the level in force.
 func (c *Controller) ReleaseManual() { c.manual = false }
 
-// SetMaxLevel keeps conditions from entering levels beyond one, and leaves such levels; negative: all may be entered.
-// A level that an operator has set stays.
-func (c *Controller) SetMaxLevel(now time.Duration, maxLevel int, who, why string) error {
+// SetMaxLevel sets the highest level that conditions may enter; a negative value removes the limit. If the level in
+// force is higher, it is lowered to maxLevel at once, unless an operator has set it.
+func (c *Controller) SetMaxLevel(now time.Duration, maxLevel int, requestedBy, reason string) error {
 	if maxLevel > len(c.config.Levels) {
-		return fmt.Errorf("want a level from 0 to %d, or -1 for none, got %d", len(c.config.Levels), maxLevel)
+		return fmt.Errorf("want a level from 0 to %d, or -1 for no limit, got %d", len(c.config.Levels), maxLevel)
 	}
 	c.maxLevel = maxLevel
 	if maxLevel >= 0 && c.level > maxLevel && !c.manual {
 		c.exitProbing = false
-		c.changeTo(now, maxLevel, fmt.Sprintf("levels beyond %d forbidden by %s: %s", maxLevel, who, why))
+		c.changeTo(now, maxLevel, fmt.Sprintf("levels beyond %d forbidden by %s: %s", maxLevel, requestedBy, reason))
 	}
 	return nil
 }
 
-// changeTo puts a level in force, or only sets the reason where it is already.
+// changeTo changes the level, or only the reason if the level is already in force.
 func (c *Controller) changeTo(now time.Duration, level int, reason string) {
 	former := c.level
 	if former == level {
@@ -142,11 +146,11 @@
 		return
 	}
 	c.level, c.changedAt, c.hasChanged = level, now, true
-	clear(c.conditionHeldSince) // what conditions saw was under another level
+	clear(c.conditionHeldSince) // conditions have to hold for their whole time under the new level
 	c.record(Event{At: now, From: former, To: level, Name: c.config.levelName(level), Reason: reason})
 }
 
-// record keeps a change.
+// record appends an event, and drops the oldest one beyond maxEvents.
 func (c *Controller) record(event Event) {
 	c.reason = event.Reason
 	c.events = append(c.events, event)
@@ -155,7 +159,7 @@
 	}
 }
 
-// levelName returns the name of a level.
+// levelName returns the name of a level by its number.
 func (c *Config) levelName(level int) string {
 	if level == 0 {
 		return fullServiceName
@@ -163,7 +167,7 @@
 	return c.Levels[level-1].Name
 }
 
-// levelOf returns the level of a name; 0 where there is none.
+// levelOf returns the number of the level with a name; 0 if there is none.
 func (c *Config) levelOf(name string) int {
 	return slices.IndexFunc(c.Levels, func(level Level) bool { return level.Name == name }) + 1
 }
--- a/levels/effect.go
+++ b/levels/effect.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Effect is what the level in force does to a request.
+// Effect is what the level in force does to the requests of a class and a tenant. Its fields are those of Measure.
 type Effect struct {
-	Shed         float64 // the fraction of such requests that is rejected at once, 0 to 1
+	Shed         float64 // fraction of these requests that are rejected at once, 0 to 1
 	NoHedging    bool
 	MaxAttempts  int // 0: the level sets no limit
 	WithinQuota  bool
@@ -15,11 +15,11 @@
 	ZoneLocal    bool
 }
 
-// Effect returns what the level in force does to requests of a class and a tenant. Of several measures the strictest
-// counts.
+// Effect returns what the level in force does to requests of a class and a tenant. If several measures apply, the
+// strictest value of each field is used.
 func (c *Controller) Effect(class, tenant string) Effect {
 	var effect Effect
-	passed := 1.0 // fraction
+	passed := 1.0 // fraction of requests that are not shed
 	for i := range c.level {
 		for j := range c.config.Levels[i].Measures {
 			measure := &c.config.Levels[i].Measures[j]
@@ -28,7 +28,7 @@
 			}
 			shed := c.shed[i][j]
 			probed := c.exitProbing && i == c.level-1
-			if probed && 1-shed < passed { // half of the load that it sheds beyond the levels before it
+			if probed && 1-shed < passed { // let half of the load through that this level sheds in addition
 				shed -= (shed - (1 - passed)) / 2
 			}
 			passed = min(passed, 1-shed)
@@ -43,7 +43,7 @@
 	return m.Class == class && (m.Tenants == nil || slices.Contains(m.Tenants, tenant))
 }
 
-// tighten adds the limits of a measure.
+// tighten applies the limits of a measure where they are stricter.
 func (e *Effect) tighten(measure *Measure) {
 	e.ZoneLocal = e.ZoneLocal || measure.ZoneLocal
 	e.NoHedging = e.NoHedging || measure.NoHedging
@@ -52,7 +52,7 @@
 	e.MaxAttempts = lowerLimit(e.MaxAttempts, measure.MaxAttempts)
 }
 
-// lowerLimit returns the lower of two limits; 0 or less means none.
+// lowerLimit returns the lower of two limits; 0 means no limit.
 func lowerLimit[T int | time.Duration](current, limit T) T {
 	if limit > 0 && (current == 0 || limit < current) {
 		return limit
--- a/levels/effect_test.go
+++ b/levels/effect_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestEffect_FollowsDemand checks that a measure which follows demand sheds what servers can't carry, each second:
-// nothing while they carry all, never more than its most, and the next measure what is left.
-func TestEffect_FollowsDemand(t *testing.T) {
+// TestEffect_ShedsExcessDemand checks that a measure with FollowDemand sheds exactly the demand beyond the capacity:
+// nothing while there is no excess, and never more than Shed. The next measure sheds the rest.
+func TestEffect_ShedsExcessDemand(t *testing.T) {
 	follow := func(shed float64, class string) Measure {
 		return Measure{Class: class, Shed: shed, FollowDemand: true}
 	}
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	for name, test := range map[string]struct{ total, a, b, shedA, shedB float64 }{
-		"servers carry all":           {0.9, 0.5, 0.4, 0, 0},
-		"a little too much":           {1.2, 0.8, 0.4, 0.25, 0},
+		"no excess":                   {0.9, 0.5, 0.4, 0, 0},
+		"small excess":                {1.2, 0.8, 0.4, 0.25, 0},
 		"more than the first measure": {1.5, 0.8, 0.7, 0.625, 0},
 		"the second class, too":       {1.7, 0.8, 0.9, 0.8, 0.06 / 0.9},
 		"more than all measures":      {3, 1, 2, 0.8, 0.4},
@@ -39,7 +39,7 @@
 			controller.updateShed()
 			shedA, shedB := controller.Effect("a", "").Shed, controller.Effect("b", "").Shed
 			if math.Abs(shedA-test.shedA) > 1e-9 || math.Abs(shedB-test.shedB) > 1e-9 {
-				t.Errorf("sheds %.3f and %.3f, want %.3f and %.3f", shedA, shedB, test.shedA, test.shedB)
+				t.Errorf("shed %.3f of class a and %.3f of class b, want %.3f and %.3f", shedA, shedB, test.shedA, test.shedB)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if controller.Effect("hladanie", "t").Shed == 0 {
-			b.Fatal("nothing is shed")
+			b.Fatal("no requests are shed at level 2")
 		}
 	}
 }
--- a/levels/exit_test.go
+++ b/levels/exit_test.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// exitTest plays two minutes of a load under which answers are late unless enough is shed.
+// exitTest simulates a load under which responses are late unless enough of it is shed.
 type exitTest struct {
 	controller *Controller
-	// bearsHalf says that servers carry what passes while the exit is probed; else only what passes under the level.
-	bearsHalf bool
-	probes    int
-	hasLeft   bool
+	// canServeHalf says that servers can handle the load let through while the exit is probed; otherwise they can
+	// only handle the load let through by the level.
+	canServeHalf bool
+	probes       int
+	hasLeft      bool
 }
 
-// TestExit_IsProbed checks that the exit of a level is probed with half of its shed load: where that brings the signal
-// back over its threshold, the level stays without a change. A level that is forbidden meanwhile is not entered.
+// TestExit_IsProbed checks that a level is left only after a probe that lets half of its shed load through. If the
+// signal reaches its threshold during the probe, the level stays in force and no event is recorded. The test also
+// checks that a level beyond MaxLevel is not entered.
 func TestExit_IsProbed(t *testing.T) {
 	config := Config{
 		Classes: []Class{{Name: "x"}}, MinInterval: time.Second,
@@ -24,27 +26,27 @@
 			Measures: []Measure{{Class: "x", Shed: 0.8}},
 		}},
 	}
-	for name, bearsHalf := range map[string]bool{"servers can't carry half": false, "servers carry half": true} {
+	for name, canServeHalf := range map[string]bool{"servers can't handle half": false, "servers can handle half": true} {
 		t.Run(name, func(t *testing.T) {
-			test := &exitTest{controller: newController(t, config), bearsHalf: bearsHalf}
+			test := &exitTest{controller: newController(t, config), canServeHalf: canServeHalf}
 			test.setMaxLevel(t, 0, 0)
 			for i := range 120 {
 				now := time.Duration(i+1) * time.Second
 				if i == 30 {
 					if level, _, _ := test.controller.Level(); level != 0 {
-						t.Fatal("a level that is forbidden was entered")
+						t.Fatal("a level beyond MaxLevel was entered")
 					}
 					test.setMaxLevel(t, now, -1)
 				}
-				test.second(t, now)
+				test.simulateSecond(t, now)
 				level, _, _ := test.controller.Level()
 				test.hasLeft = test.hasLeft || i > 60 && level == 0
 			}
-			if bearsHalf != test.hasLeft || test.probes == 0 {
-				t.Errorf("left: %v, after %d probes, %v", test.hasLeft, test.probes, test.controller.Events())
+			if canServeHalf != test.hasLeft || test.probes == 0 {
+				t.Errorf("level left: %v, after %d probes; events: %v", test.hasLeft, test.probes, test.controller.Events())
 			}
-			if !bearsHalf && (test.probes < 2 || len(test.controller.Events()) != 1) {
-				t.Errorf("%d probes, %v; want further probes and no further change", test.probes, test.controller.Events())
+			if !canServeHalf && (test.probes < 2 || len(test.controller.Events()) != 1) {
+				t.Errorf("%d probes, events %v; want at least 2 probes and only one change", test.probes, test.controller.Events())
 			}
 		})
 	}
@@ -57,10 +59,10 @@
 	}
 }
 
-func (e *exitTest) second(t *testing.T, now time.Duration) {
+func (e *exitTest) simulateSecond(t *testing.T, now time.Duration) {
 	t.Helper()
 	late := 0.5
-	if shed := e.controller.Effect("x", "").Shed; shed > 0.7 || e.bearsHalf && shed > 0 || e.hasLeft {
+	if shed := e.controller.Effect("x", "").Shed; shed > 0.7 || e.canServeHalf && shed > 0 || e.hasLeft {
 		late = 0
 	}
 	wasProbing := e.controller.ExitProbing()
@@ -71,6 +73,6 @@
 	}
 	e.probes++
 	if shed := e.controller.Effect("x", "").Shed; shed != 0.4 {
-		t.Errorf("sheds %v while its exit is probed, want 0.4", shed)
+		t.Errorf("fraction shed is %v while the exit is probed, want 0.4", shed)
 	}
 }
--- a/levels/manual_test.go
+++ b/levels/manual_test.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// TestManualLevel_ConditionsHoldAnew has a condition hold for a moment, then an operator set the level that is in force
-// for a while: the condition has to hold for its whole time after that, whatever the signals were meanwhile.
-func TestManualLevel_ConditionsHoldAnew(t *testing.T) {
+// TestManualLevel_RestartsConditionTimes guards against a condition that counts as held while an operator sets the
+// level. The condition holds shortly before, and its signal is below the threshold meanwhile; after ReleaseManual, it
+// has to hold for its whole time again.
+func TestManualLevel_RestartsConditionTimes(t *testing.T) {
 	controller := newController(t, testConfig())
-	second := func(now int, late float64) {
+	simulateSecond := func(now int, late float64) {
 		window := Window{Offered: 100, OnTime: 100 * (1 - late), Late: 100 * late, Work: 1}
 		controller.Step(time.Duration(now)*time.Second, map[string]Window{testClasses[0].Name: window})
 	}
-	const quiet, busy = 0.0, 1.0
+	const noneLate, allLate = 0.0, 1.0
 	now := 0
-	for ; len(controller.conditionHeldSince) == 0; now++ { // until a condition of an entry holds
+	for ; len(controller.conditionHeldSince) == 0; now++ { // until an entry condition holds
 		if now > 100 {
-			t.Fatal("no condition ever holds")
+			t.Fatal("no entry condition holds after 100 s of late responses")
 		}
-		second(now, busy)
+		simulateSecond(now, allLate)
 	}
 	at := time.Duration(now) * time.Second
 	if err := controller.SetManual(at, 0, 0, "an operator", "a rehearsal"); err != nil {
 		t.Fatal(err)
 	}
 	for end := now + 30; now < end; now++ {
-		second(now, quiet)
+		simulateSecond(now, noneLate)
 	}
 	controller.ReleaseManual()
 	at = time.Duration(now) * time.Second
-	second(now, busy)
+	simulateSecond(now, allLate)
 	for name, since := range controller.conditionHeldSince {
 		if since < at {
-			t.Errorf("%q counts as held for %v, in which an operator had set the level", name, at-since)
+			t.Errorf("condition %q counts as held for %v while an operator had set the level", name, at-since)
 		}
 	}
 	if level, name, _ := controller.Level(); level != 0 {
-		t.Errorf("%q is in force at once", name)
+		t.Errorf("level %q was entered right after ReleaseManual", name)
 	}
 }
--- a/levels/model_test.go
+++ b/levels/model_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// modelTest drives a controller by random counts and operators' orders.
+// modelTest drives a controller with random counts and random levels set by an operator.
 type modelTest struct {
 	controller  *Controller
 	lastChange  time.Duration
 	manualUntil time.Duration
 }
 
-// TestController_MatchesModel checks that, whatever is counted: the level moves by one at a time, no two changes but
-// those by operators are within the minimum interval, each change is an event that says why, classes that are to be
-// shed last never lose more than others, and a level set by an operator holds for its time.
+// TestController_MatchesModel checks, for random counts, that the level changes by one at a time and not more often
+// than the minimum interval allows (except by operators), that each change is recorded as an event with a reason,
+// that ShedLast classes are never shed more than others, and that a level set by an operator stays for its duration.
 func TestController_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller, err := New(testConfig())
@@ -25,12 +25,12 @@
 		}
 		model := &modelTest{controller: controller, lastChange: -time.Hour}
 		for i := range rapid.IntRange(1, 300).Draw(t, "seconds") {
-			model.second(t, time.Duration(i+1)*time.Second)
+			model.simulateSecond(t, time.Duration(i+1)*time.Second)
 		}
 	})
 }
 
-func (m *modelTest) second(t *rapid.T, now time.Duration) {
+func (m *modelTest) simulateSecond(t *rapid.T, now time.Duration) {
 	before, _, _ := m.controller.Level()
 	isManual := rapid.IntRange(0, 40).Draw(t, "hand") == 0
 	if isManual {
@@ -40,7 +40,7 @@
 	}
 	after, name, reason := m.controller.Level()
 	if reason == "" || name == "" {
-		t.Fatal("no reason")
+		t.Fatal("the level has no name or no reason")
 	}
 	if !isManual {
 		m.checkStep(t, now, before, after)
@@ -49,7 +49,7 @@
 		m.lastChange = now
 		want := Event{At: now, From: before, To: after, Name: name, Reason: reason}
 		if events := m.controller.Events(); events[len(events)-1] != want {
-			t.Fatalf("%+v, want %+v", events[len(events)-1], want)
+			t.Fatalf("last event is %+v, want %+v", events[len(events)-1], want)
 		}
 	}
 	m.checkEffect(t)
@@ -81,21 +81,21 @@
 func (m *modelTest) checkStep(t *rapid.T, now time.Duration, before, after int) {
 	switch {
 	case after > before+1 || after < before-1:
-		t.Fatalf("from %d to %d in one step", before, after)
+		t.Fatalf("level changed from %d to %d in one step", before, after)
 	case after == before:
 	case now < m.manualUntil:
-		t.Fatalf("moved to %d, though a level by hand holds until %v", after, m.manualUntil)
+		t.Fatalf("level changed to %d although an operator had set the level until %v", after, m.manualUntil)
 	case now-m.lastChange < 30*time.Second:
-		t.Fatalf("moved %v after the change before", now-m.lastChange)
+		t.Fatalf("level changed %v after the previous change, want at least 30s", now-m.lastChange)
 	}
 }
 
 func (m *modelTest) checkEffect(t *rapid.T) {
 	if effect := m.controller.Effect("x", "t"); effect != (Effect{}) {
-		t.Fatalf("a class without a measure: %+v", effect)
+		t.Fatalf("a class without a measure has the effect %+v", effect)
 	}
 	shed := func(class string) float64 { return m.controller.Effect(class, "t").Shed }
 	if shed("rezervacia") > min(shed("hladanie"), shed("zrusenie")) {
-		t.Fatal("bookings are shed first")
+		t.Fatal("bookings are shed more than another class")
 	}
 }
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Reconfigure puts another configuration in force. The level stays where the new configuration has one of its name;
-// else the nearest level before it that the new one has is entered, so that shedding does not grow. Signals, the
-// time since the last change and operators' settings are kept; conditions have to hold for their whole time again.
-// changed reports that the level in force is another one. On an error, which is a *ConfigError, nothing has changed.
+// Reconfigure replaces the configuration. If the new configuration has a level with the name of the one in force,
+// that level stays in force. Otherwise the controller changes to the nearest level before it that also exists in the
+// new configuration, so that shedding does not increase. Signals, the time since the last change and operators'
+// settings are kept; conditions have to hold for their whole time again. changed reports whether the level in force
+// is now another one. If the configuration is invalid, Reconfigure returns a *ConfigError and changes nothing.
 func (c *Controller) Reconfigure(now time.Duration, config Config) (changed bool, err error) {
 	next, err := New(config)
 	if err != nil {
@@ -19,23 +20,23 @@
 	for level := c.level; level > 0 && next.level == 0; level-- {
 		next.level = config.levelOf(c.config.levelName(level))
 	}
-	stays := c.level == 0 || next.level > 0 && config.levelName(next.level) == formerName
-	if c.manual && stays {
+	keepsLevel := c.level == 0 || next.level > 0 && config.levelName(next.level) == formerName
+	if c.manual && keepsLevel {
 		next.manual, next.manualUntil = true, c.manualUntil
 	}
-	if !stays {
+	if !keepsLevel {
 		next.changedAt, next.hasChanged = now, true
 		next.record(Event{
 			At: now, From: c.level, To: next.level, Name: config.levelName(next.level),
-			Reason: fmt.Sprintf("a reload: there is no level %q any more", formerName),
+			Reason: fmt.Sprintf("reload: level %q no longer exists", formerName),
 		})
 	}
 	*c = *next
 	c.updateShed()
-	return !stays, nil
+	return !keepsLevel, nil
 }
 
-// inherit adopts the state that another configuration does not change.
+// inherit copies the state that is kept when the configuration is replaced.
 func (c *Controller) inherit(former *Controller) {
 	c.changedAt, c.hasChanged = former.changedAt, former.hasChanged
 	c.capacity, c.signals = former.capacity, former.signals
--- a/levels/reconfigure_test.go
+++ b/levels/reconfigure_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// reconfigureTest drives a controller whose configuration changes.
+// reconfigureTest drives a controller whose configuration is replaced at random.
 type reconfigureTest struct {
 	controller *Controller
 	config     Config
@@ -16,9 +16,9 @@
 	lastChange time.Duration
 }
 
-// TestReconfigure_KeepsLevel changes the configuration at any time: the level stays if the new configuration has one of
-// its name, else the nearest one before it is entered; nothing is shed that neither configuration sheds, and the time
-// between two changes is kept.
+// TestReconfigure_KeepsLevel replaces the configuration at random times. The level in force has to stay if the new
+// configuration has a level of that name; otherwise the nearest level before it that still exists has to be entered.
+// The minimum interval between two changes still applies.
 func TestReconfigure_KeepsLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := drawConfig(t, "first")
@@ -63,18 +63,19 @@
 	after, nameAfter, _ := r.controller.Level()
 	if err != nil {
 		if after != before || nameAfter != nameBefore {
-			t.Fatal("a configuration that was refused has changed the level")
+			t.Fatal("an invalid configuration changed the level")
 		}
 		return
 	}
 	want := 0
 	for level := before; level > 0 && want == 0; level-- {
-		// Not by the controller's own look-up, which is under test.
+		// The lookup is written out here, because Config.levelOf is under test.
 		sameName := func(other Level) bool { return other.Name == r.config.Levels[level-1].Name }
 		want = slices.IndexFunc(next.Levels, sameName) + 1
 	}
 	if after != want || changed != (before > 0 && nameAfter != nameBefore) {
-		t.Fatalf("from %d, %s, to %d, %s; want %d; changed %v", before, nameBefore, after, nameAfter, want, changed)
+		t.Fatalf("level changed from %d (%s) to %d (%s), want level %d; changed is %v",
+			before, nameBefore, after, nameAfter, want, changed)
 	}
 	r.config = next
 	if changed {
@@ -102,7 +103,7 @@
 		return
 	}
 	if r.now-r.lastChange < 30*time.Second {
-		t.Fatalf("changed %v after the change before", r.now-r.lastChange)
+		t.Fatalf("level changed %v after the previous change, want at least 30s", r.now-r.lastChange)
 	}
 	r.lastChange = r.now
 }
--- a/levels/signals.go
+++ b/levels/signals.go
@@ -1,22 +1,22 @@
 package levels
 
 const (
-	smoothing          = 0.25 // weight of the newest second
-	capacityDecay      = 0.02 // fraction of the capacity that is forgotten each second
-	saturatedSlowRatio = 0.15 // fraction of slow answers from which servers show what they can carry
-	unsaturatedGrowth  = 1.1  // of the work done in time, which servers are trusted with where none is saturated
-	fullDemand         = 1.0  // the demand that servers can just carry
+	smoothing          = 0.25 // weight of the newest second in the exponential smoothing
+	capacityDecay      = 0.02 // fraction by which the capacity estimate shrinks each second
+	saturatedSlowRatio = 0.15 // fraction of slow responses above which servers count as saturated
+	unsaturatedGrowth  = 1.1  // limit of the capacity estimate of unsaturated servers, as a multiple of completed work
+	fullDemand         = 1.0  // the demand at which the offered work equals the capacity
 )
 
-// signalKey names a signal of a class, or of all classes where the class is empty.
+// signalKey identifies a signal of a class, or of all classes together if the class is empty.
 type signalKey struct {
 	signal Signal
 	class  string
 }
 
-// updateSignals turns the counts of one second into signals.
+// updateSignals updates all signals, the capacity and the shed fractions from the counts of one second.
 func (c *Controller) updateSignals(windows map[string]Window) {
-	var total Window // of all classes; OnTime and Late count answers
+	var total Window // sums over all classes
 	var offeredWork, completedWork float64
 	for _, class := range c.config.Classes {
 		window := windows[class.Name]
@@ -40,9 +40,10 @@
 	c.updateShed()
 }
 
-// updateCapacity estimates the work that servers can complete in time. It is the most that was completed lately, less
-// as that ages. Where many answers are slow it falls to the work completed now; where few are, nothing shows that
-// servers could not carry the offered load.
+// updateCapacity estimates the work per second that servers can complete within the latency objectives: the largest
+// amount completed recently, decaying with time. While many responses are slow, the estimate falls toward the work
+// completed now. While few are, nothing shows that servers could not handle the offered work, so the estimate rises
+// to it, up to unsaturatedGrowth times the work completed now.
 func (c *Controller) updateCapacity(offeredWork, completedWork float64) {
 	saturated := c.signals[signalKey{SlowAnswers, ""}] > saturatedSlowRatio
 	c.capacity *= 1 - capacityDecay
@@ -55,49 +56,49 @@
 	}
 }
 
-// updateShed works out the fraction that each measure sheds. One that follows demand sheds as much as is left of the
-// demand beyond what servers carry, after the measures before it.
+// updateShed computes the fraction that each measure sheds. A measure with FollowDemand sheds the excess demand that
+// remains after the measures before it.
 func (c *Controller) updateShed() {
 	excess := c.signals[signalKey{Demand, ""}] - fullDemand
-	shedOfClass := make(map[string]float64) // fraction shed of a class so far
+	shedOfClass := make(map[string]float64) // by class: the fraction shed by the measures so far
 	for i := range c.config.Levels {
 		for j := range c.config.Levels[i].Measures {
 			measure := &c.config.Levels[i].Measures[j]
 			demand := c.signals[signalKey{Demand, measure.Class}]
-			before := shedOfClass[measure.Class]
-			shed := measure.shedFor(before, demand, excess)
-			if more := shed - before; more > 0 && measure.Tenants == nil {
+			alreadyShed := shedOfClass[measure.Class]
+			shed := measure.shedFor(alreadyShed, demand, excess)
+			if additional := shed - alreadyShed; additional > 0 && measure.Tenants == nil {
 				shedOfClass[measure.Class] = shed
-				excess -= more * demand
+				excess -= additional * demand
 			}
 			c.shed[i][j] = shed
 		}
 	}
 }
 
-// shedFor returns the fraction of its class that a measure sheds, where so much is shed before it and so much of the
-// demand is in excess of what servers carry.
-func (m *Measure) shedFor(before, demand, excess float64) float64 {
+// shedFor returns the fraction of its class that a measure sheds. alreadyShed is the fraction shed by the measures
+// before it, demand the demand of the class, and excess the remaining demand of all classes beyond the capacity.
+func (m *Measure) shedFor(alreadyShed, demand, excess float64) float64 {
 	if !m.FollowDemand {
 		return m.Shed
 	}
 	if demand > 0 && excess > 0 {
-		return min(m.Shed, before+excess/demand)
+		return min(m.Shed, alreadyShed+excess/demand)
 	}
-	return before
+	return alreadyShed
 }
 
 func (c *Controller) smoothSignal(key signalKey, value float64) {
 	c.signals[key] += smoothing * (value - c.signals[key])
 }
 
-// slowRatio is the fraction of the answers that were late.
+// slowRatio returns the fraction of requests that were not answered within their latency objective.
 func (w *Window) slowRatio() float64 { return ratio(w.Late, w.OnTime+w.Late) }
 
-// queuedRatio is the fraction of the open requests that wait for a server.
+// queuedRatio returns the fraction of open requests that are waiting for a server.
 func (w *Window) queuedRatio() float64 { return ratio(w.Queued, w.Open) }
 
-// ratio is a/b, or 0 where b is not positive.
+// ratio returns a/b, or 0 if b is not positive.
 func ratio(a, b float64) float64 {
 	if b <= 0 {
 		return 0
--- a/levels/simulation_test.go
+++ b/levels/simulation_test.go
@@ -8,12 +8,13 @@
 
 var testClasses = []Class{{Name: "hladanie"}, {Name: "rezervacia", ShedLast: true}, {Name: "zrusenie"}}
 
-// slowAbove is the condition that too many answers are slow.
+// slowAbove returns the condition that the fraction of slow responses is beyond the threshold for the duration.
 func slowAbove(threshold float64, duration time.Duration) []Condition {
 	return []Condition{{Signal: SlowAnswers, Threshold: threshold, For: duration}}
 }
 
-// testConfig sheds searches first, then cancellations with them, and bookings never.
+// testConfig returns two levels: the first sheds searches (hladanie), the second also cancellations (zrusenie).
+// Bookings (rezervacia) are never shed.
 func testConfig() Config {
 	exit := slowAbove(0.05, 10*time.Second)
 	return Config{
@@ -40,12 +41,13 @@
 	return controller
 }
 
-// servers complete so much work a second in time: work beyond it is late, whichever class it is of, and leaves a
-// backlog that makes what follows late as well.
+// servers simulates servers that complete a fixed amount of work per second in time. Work beyond it is late,
+// whichever class it belongs to, and leaves a backlog that delays later work as well.
 type servers struct{ capacity, backlog float64 }
 
-// second plays one second of load, in requests of each class, under a controller; nil: without one.
-func (s *servers) second(controller *Controller, load, work map[string]float64) map[string]Window {
+// simulateSecond returns the counts of one second. load is the number of requests by class, work the work per
+// request. The controller decides how much is shed; nil means that nothing is.
+func (s *servers) simulateSecond(controller *Controller, load, work map[string]float64) map[string]Window {
 	windows := make(map[string]Window)
 	demanded := s.backlog
 	for _, class := range testClasses {
@@ -57,7 +59,7 @@
 		windows[class.Name] = window
 	}
 	late := math.Max(0, 1-s.capacity/math.Max(demanded, 1e-9))
-	s.backlog = math.Min(math.Max(0, demanded-s.capacity), s.capacity) // deadlines bound it
+	s.backlog = math.Min(math.Max(0, demanded-s.capacity), s.capacity) // older work is past its deadline
 	for name, window := range windows {
 		passed := window.Offered - window.Shed
 		window.OnTime, window.Late, window.Open = passed*(1-late), passed*late, passed
@@ -66,23 +68,24 @@
 	return windows
 }
 
-// loadOf returns so many requests a second, by class.
-func loadOf(total float64) map[string]float64 {
+// splitByClass splits a number of requests per second among the classes.
+func splitByClass(total float64) map[string]float64 {
 	return map[string]float64{"hladanie": total * 0.5, "rezervacia": total * 0.3, "zrusenie": total * 0.2}
 }
 
-var evenWork = map[string]float64{"hladanie": 1, "rezervacia": 1, "zrusenie": 1}
+var equalWork = map[string]float64{"hladanie": 1, "rezervacia": 1, "zrusenie": 1}
 
-// loadFunc returns the load and the work of a request in a second, by class.
+// loadFunc returns the requests of a second and the work per request, by class.
 type loadFunc func(second int) (load, work map[string]float64)
 
-// play plays seconds of a load, and returns the fractions of bookings and of all requests that were served in time.
-func play(controller *Controller, seconds int, load loadFunc) (bookings, all float64) {
-	plant := servers{capacity: 100}
+// simulate runs a load for a number of seconds, and returns the fractions of bookings and of all requests that were
+// served in time.
+func simulate(controller *Controller, seconds int, load loadFunc) (bookings, all float64) {
+	simulated := servers{capacity: 100}
 	var bookingsOnTime, bookingsOffered, allOnTime, allOffered float64
 	for i := range seconds {
 		amount, work := load(i)
-		windows := plant.second(controller, amount, work)
+		windows := simulated.simulateSecond(controller, amount, work)
 		for _, class := range testClasses {
 			window := windows[class.Name]
 			allOnTime += window.OnTime
--- a/levels/step.go
+++ b/levels/step.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// reentryWindow is the time after a level's end in which entering it again shows that it was left too early: it then
-	// stays twice as long as the last time.
+	// reentryWindow is the time after leaving a level in which entering it again shows that it was left too early.
+	// Its minimum time in force is then doubled.
 	reentryWindow = 2 * time.Minute
-	// maxStayFactor bounds how long such a level stays, in minimum intervals.
+	// maxStayFactor limits the minimum time in force after such doublings, as a multiple of MinInterval.
 	maxStayFactor = 8
-	// exitProbeTime is how long half of what a level sheds is let through before the level ends: some seconds, so that
-	// the smoothed signals show it.
+	// exitProbeTime is how long half of the load that a level sheds is let through before the level ends. It spans
+	// some seconds, so that the smoothed signals show the effect.
 	exitProbeTime = 5 * time.Second
 )
 
-// Step takes in the counts of one second, by class, and moves by one level at the most.
+// Step updates the signals with the counts of one second, by class, and changes the level by at most one.
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
-		clear(c.conditionHeldSince) // conditions are not evaluated without a break
+		clear(c.conditionHeldSince) // conditions are not evaluated now, so their times start again later
 		return
 	}
 	c.manual = false
@@ -53,8 +53,8 @@
 	return true
 }
 
-// exitCurrent leaves the level in force in two steps: once its exit conditions hold, the exit is probed; if they still
-// hold after that, the level ends.
+// exitCurrent leaves the level in force in two steps: once the exit conditions hold, the exit is probed; if they
+// still hold at the end of the probe, the level before it is entered.
 func (c *Controller) exitCurrent(now time.Duration) {
 	if c.level == 0 {
 		return
@@ -63,7 +63,7 @@
 	history := &c.history[c.level]
 	reason, hold := c.allHold(now, exit)
 	switch {
-	case c.exitProbing && c.anyExceeded(exit): // half was too much already
+	case c.exitProbing && c.anyExceeded(exit): // even half of the shed load is too much for the servers
 		c.exitProbing = false
 	case c.exitProbing && now-c.exitProbeStart >= exitProbeTime && hold:
 		c.exitProbing = false
@@ -74,26 +74,26 @@
 	}
 }
 
-// mayChange reports whether the last change is long enough ago.
+// mayChange reports whether at least stayFactor minimum intervals have passed since the last change.
 func (c *Controller) mayChange(now time.Duration, stayFactor float64) bool {
 	interval := time.Duration(stayFactor * float64(c.config.MinInterval))
 	return !c.hasChanged || now-c.changedAt >= interval
 }
 
-// value returns the signal that a condition is about.
+// value returns the current value of the signal that a condition compares.
 func (c *Controller) value(condition Condition) float64 {
 	return c.signals[signalKey{condition.Signal, condition.Class}]
 }
 
-// anyExceeded reports whether one of the signals is at its threshold or above.
+// anyExceeded reports whether the signal of any condition is at its threshold or above.
 func (c *Controller) anyExceeded(conditions []Condition) bool {
 	return slices.ContainsFunc(conditions, func(condition Condition) bool {
 		return c.value(condition) >= condition.Threshold
 	})
 }
 
-// anyHolds reports whether one of the conditions of an entry has held for its time. It looks at all of them, since
-// each has a time of its own.
+// anyHolds reports whether any entry condition has held for its duration, and describes the first that has. It
+// evaluates all of them, since the time that each has held is tracked separately.
 func (c *Controller) anyHolds(now time.Duration, conditions []Condition) (reason string, holds bool) {
 	for _, condition := range conditions {
 		value := c.value(condition)
@@ -105,8 +105,7 @@
 	return reason, holds
 }
 
-// allHold reports whether each of the conditions of an exit has held for its time. The last one represents all of them
-// in the reason.
+// allHold reports whether every exit condition has held for its duration. The reason describes only the last one.
 func (c *Controller) allHold(now time.Duration, conditions []Condition) (reason string, hold bool) {
 	hold = len(conditions) > 0
 	for _, condition := range conditions {
@@ -119,12 +118,13 @@
 	return reason, hold
 }
 
-// describe says that a condition holds, and at which value.
+// describe returns a reason for an event: the condition that holds, and the value of its signal.
 func (c Condition) describe(relation string, value float64) string {
 	return fmt.Sprintf("%s %s %.4g for %v: %.4g", c.label(), relation, c.Threshold, c.For, value)
 }
 
-// heldLongEnough notes whether a condition holds now, and reports whether it has for a time without a break.
+// heldLongEnough records whether the named condition holds now, and reports whether it has held without interruption
+// for the duration.
 func (c *Controller) heldLongEnough(now time.Duration, name string, holds bool, duration time.Duration) bool {
 	if !holds {
 		delete(c.conditionHeldSince, name)
