--- a/dropoverload/dropoverload.go
+++ b/dropoverload/dropoverload.go
@@ -1,21 +1,21 @@
 // Package dropoverload decides which requests are rejected because the control plane asks for a fraction of a pool's
-// requests to be dropped (Envoy's drop_overloads). It does no I/O and keeps no state: all nodes decide alike on a
-// request id.
+// requests to be dropped (Envoy's drop_overloads). It does no I/O and keeps no state: all nodes make the same
+// decision for a request id.
 package dropoverload
 
 import "math"
 
-// Fractions are the fractions of requests that are to be dropped, 0 to 1, by pool.
+// Fractions holds the fraction of requests to be dropped, 0 to 1, by pool.
 type Fractions map[string]float64
 
-// ShouldDrop reports whether to drop the request with an id, of a class that is bound to a pool. Requests of classes
-// that are bound to no pool, for which pool is empty, are never dropped.
+// ShouldDrop reports whether to drop the request with the given id. pool is the pool that the class of the request is
+// bound to; it is empty for a class without a pool, whose requests are never dropped.
 func (f Fractions) ShouldDrop(pool, id string) bool {
 	fraction := f[pool]
 	return fraction > 0 && pool != "" && Fraction(id) < fraction
 }
 
-// Equal reports whether two tables have the same fractions. One of 0 is the same as none.
+// Equal reports whether f and other drop the same fractions. A pool with fraction 0 equals a missing pool.
 func (f Fractions) Equal(other Fractions) bool {
 	return f.includes(other) && other.includes(f)
 }
@@ -29,7 +29,7 @@
 	return true
 }
 
-// Merge returns what several sources ask for together: for each pool, the highest fraction.
+// Merge combines the fractions of several sources: each pool gets the highest fraction of any source.
 func Merge(sources ...Fractions) Fractions {
 	merged := make(Fractions)
 	for _, source := range sources {
@@ -42,24 +42,24 @@
 
 // Parameters of 64-bit FNV-1a, and of the finalizer of MurmurHash3.
 const (
-	fnvOffset       = 14695981039346656037
-	fnvPrime        = 1099511628211
-	murmurFirst     = 0xff51afd7ed558ccd
-	murmurSecond    = 0xc4ceb9fe1a85ec53
-	murmurShift     = 33
-	mantissaBits    = 53
-	discardedOfHash = 64 - mantissaBits
+	fnvOffset         = 14695981039346656037
+	fnvPrime          = 1099511628211
+	murmurMultiplier1 = 0xff51afd7ed558ccd
+	murmurMultiplier2 = 0xc4ceb9fe1a85ec53
+	murmurShift       = 33
+	mantissaBits      = 53
+	discardedHashBits = 64 - mantissaBits
 )
 
-// Fraction maps a request id to [0, 1): evenly, and alike at every node. FNV-1a alone would not do, since ids that
-// count up differ in their last bits only.
+// Fraction maps a request id to a value in [0, 1). Values are evenly distributed, and the same on every node. The
+// hash is finalized after FNV-1a, which alone spreads consecutive ids badly: they differ in their last bits only.
 func Fraction(id string) float64 {
 	hash := uint64(fnvOffset)
 	for i := 0; i < len(id); i++ {
 		hash = (hash ^ uint64(id[i])) * fnvPrime
 	}
-	hash = (hash ^ hash>>murmurShift) * murmurFirst
-	hash = (hash ^ hash>>murmurShift) * murmurSecond
+	hash = (hash ^ hash>>murmurShift) * murmurMultiplier1
+	hash = (hash ^ hash>>murmurShift) * murmurMultiplier2
 	hash ^= hash >> murmurShift
-	return math.Ldexp(float64(hash>>discardedOfHash), -mantissaBits)
+	return math.Ldexp(float64(hash>>discardedHashBits), -mantissaBits)
 }
--- a/dropoverload/dropoverload_test.go
+++ b/dropoverload/dropoverload_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestShouldDrop_DropsTheFraction checks that of many ids the fraction that is asked for is dropped, and that an id
-// which is dropped at a fraction is dropped at every higher one.
+// TestShouldDrop_DropsTheFraction checks that the requested fraction of many ids is dropped, and that an id that is
+// dropped at a fraction is also dropped at a higher one.
 func TestShouldDrop_DropsTheFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1).Draw(t, "part")
@@ -23,21 +23,21 @@
 			if at.ShouldDrop("rooms", id) {
 				dropped++
 				if !above.ShouldDrop("rooms", id) {
-					t.Fatalf("%s is dropped at %v and not at %v", id, fraction, higher)
+					t.Fatalf("id %s is dropped at fraction %v, but not at %v", id, fraction, higher)
 				}
 			}
 			if at.ShouldDrop("", id) || at.ShouldDrop("others", id) {
-				t.Fatalf("%s of another pool, or none, is dropped", id)
+				t.Fatalf("id %s is dropped without a pool or in a pool without a fraction", id)
 			}
 		}
 		if off := math.Abs(float64(dropped)/ids - fraction); off > 5*math.Sqrt(0.25/ids) {
-			t.Fatalf("%d of %d dropped, want the fraction %v", dropped, ids, fraction)
+			t.Fatalf("%d of %d ids dropped, want about the fraction %v", dropped, ids, fraction)
 		}
 	})
 }
 
-// TestFraction_StableAcrossVersions holds the hash to the values of earlier versions: nodes of two versions drop the
-// same requests.
+// TestFraction_StableAcrossVersions compares the hash with values of earlier versions, so that nodes of two versions
+// drop the same requests.
 func TestFraction_StableAcrossVersions(t *testing.T) {
 	for id, want := range map[string]float64{
 		"":    0.93676944839044,
@@ -46,16 +46,16 @@
 		"r-2": 0.6792227215271556,
 	} {
 		if got := Fraction(id); got != want {
-			t.Errorf("%q: %v, want %v", id, got, want)
+			t.Errorf("fraction of id %q is %v, want %v", id, got, want)
 		}
 	}
 }
 
-// TestMerge_HighestFractionWins merges tables, and compares the result with equal and unequal ones.
+// TestMerge_HighestFractionWins checks Merge, and Equal for equal and unequal fractions.
 func TestMerge_HighestFractionWins(t *testing.T) {
 	got := Merge(Fractions{"a": 0.2, "b": 0.1}, nil, Fractions{"a": 0.1, "c": 1})
 	want := Fractions{"a": 0.2, "b": 0.1, "c": 1}
 	if !got.Equal(want) || got.Equal(Fractions{"a": 0.2}) || (Fractions{}).Equal(got) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("merged: %v, want %v (or Equal is wrong)", got, want)
 	}
 }
