--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,6 +1,6 @@
-// Package drain is the graceful shutdown of a router as a state machine: which states follow one another and when, and
-// who may start, shorten or cancel it. It does no I/O and reads no clock: orders, counts and times in, events out. The
-// caller carries out what each state asks for.
+// Package drain implements the graceful shutdown of a router as a state machine. It decides when the router goes from
+// one state to the next, and whether an order may start, shorten or cancel a drain. It does no I/O and reads no
+// clock: the caller passes in orders, counts and times, reads the resulting state and events, and acts on them.
 package drain
 
 import (
@@ -8,53 +8,54 @@
 	"time"
 )
 
-// Order asks for a drain.
+// Order is a request to start a drain, or to change the one in progress.
 type Order struct {
-	AnnounceFor time.Duration // how long the router is Announced
-	LeaveFor    time.Duration // how long it is Leaving
-	Timeout     time.Duration // of the whole drain
+	AnnounceFor time.Duration // time in state Announced
+	LeaveFor    time.Duration // time in state Leaving
+	Timeout     time.Duration // maximum duration of the whole drain
 	Reason      string
 	RequestedBy string
-	Final       bool // the drain can't be cancelled: the process is to end
+	Final       bool // the drain can't be cancelled, because the process exits after it
 	Force       bool // the order may shorten the deadline of a drain in progress
 }
 
-// Counts is the work that a router still has.
+// Counts is the remaining work of a router.
 type Counts struct {
-	OpenRequests int // without their answer
-	BusyConns    int // client connections with a request in them
+	OpenRequests int // requests without a response
+	BusyConns    int // client connections with a request in progress
 }
 
-// Status describes a drain.
+// Status describes the state of a router and its drain, if there is one.
 type Status struct {
 	State          State     `json:"state"`
-	Since          time.Time `json:"since,omitzero"` // of the state
-	StartedAt      time.Time `json:"began,omitzero"`
+	Since          time.Time `json:"since,omitzero"` // when the state was entered
+	StartedAt      time.Time `json:"began,omitzero"` // when the drain started
 	Deadline       time.Time `json:"deadline,omitzero"`
 	Reason         string    `json:"reason,omitempty"`
 	RequestedBy    string    `json:"who,omitempty"`
 	Final          bool      `json:"final,omitempty"`
-	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // of Forced: requests answered at the deadline
+	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // requests still open at the deadline, if Forced
 }
 
-// Machine is the state of one router. It is not safe for concurrent use. Times must not go back.
+// Machine is the drain state machine of one router. It is not safe for concurrent use. The times passed to its
+// methods must not decrease.
 type Machine struct {
 	status     Status
-	order      Order     // of the drain in progress
-	phaseEnd   time.Time // when the state ends by itself; zero: at the deadline
+	order      Order     // the order that started the drain in progress
+	phaseEnd   time.Time // when the state ends; zero: only at the deadline, or when nothing is open
 	events     []Event
-	lastNumber uint64 // of the events
+	lastNumber uint64 // number of the last event
 }
 
-// New returns a machine that is Serving.
+// New returns a machine in state Serving.
 func New(now time.Time) *Machine { return &Machine{status: Status{Since: now}} }
 
-// Status returns where the machine stands.
+// Status returns the current state, and the drain that led to it.
 func (m *Machine) Status() Status { return m.status }
 
-// Start starts a drain, or changes the one in progress: a final order supersedes any other, and its deadline holds
-// where it is the earlier one; another order may shorten the deadline with Force. Its errors are ErrInvalidTimeout,
-// ErrDrained and *InProgressError.
+// Start starts a drain, or changes the one in progress: a final order supersedes an order that is not final, and
+// shortens the deadline if its own is earlier. Other orders can only shorten the deadline, and need Force for that.
+// Start returns ErrInvalidTimeout, ErrDrained or *InProgressError.
 func (m *Machine) Start(now time.Time, order Order, counts Counts) error {
 	if order.Timeout <= 0 {
 		return ErrInvalidTimeout
@@ -89,14 +90,14 @@
 	return &InProgressError{m.status}
 }
 
-// supersede makes the drain final, on behalf of an order.
+// supersede makes the drain final, with the reason and the requester of the new order.
 func (m *Machine) supersede(now time.Time, order Order, counts Counts) {
 	m.status.Final = true
 	m.status.Reason, m.status.RequestedBy = order.Reason, order.RequestedBy
 	m.recordOrder(now, ChangeSuperseded, order, counts)
 }
 
-// recordOrder records that an order has changed the drain, which stays in its state.
+// recordOrder records an event for an order that changed the drain without changing its state.
 func (m *Machine) recordOrder(now time.Time, change Change, order Order, counts Counts) {
 	m.record(Event{
 		At: now, From: m.status.State, To: m.status.State, Change: change,
@@ -104,7 +105,7 @@
 	})
 }
 
-// enter enters a state of the drain.
+// enter changes the state, sets the time at which it ends, and records an event.
 func (m *Machine) enter(now time.Time, state State, change Change, counts Counts) {
 	former := m.status.State
 	m.status.State, m.status.Since = state, now
@@ -122,7 +123,8 @@
 	})
 }
 
-// Cancel ends a drain, also a completed one: the machine is Serving again. Its errors wrap ErrNotDraining or ErrFinal.
+// Cancel ends a drain, even a completed one, and returns to state Serving. Its errors wrap ErrNotDraining or
+// ErrFinal.
 func (m *Machine) Cancel(now time.Time, requestedBy string, counts Counts) error {
 	former := m.status
 	switch {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// ExpireNow moves the deadline of the drain in progress to now.
+// ExpireNow moves the deadline of the drain in progress to now, so that the next Step forces the end of the drain.
 func (m *Machine) ExpireNow(now time.Time) {
 	if m.inProgress() && now.Before(m.status.Deadline) {
 		m.status.Deadline = now
@@ -150,7 +152,7 @@
 // inProgress reports whether a drain has started and is not over.
 func (m *Machine) inProgress() bool { return m.status.State != Serving && !m.status.State.Done() }
 
-// Step goes through as many states as are due, given the work that is left.
+// Step enters all states that are due at this time, given the remaining work.
 func (m *Machine) Step(now time.Time, counts Counts) {
 	for m.inProgress() {
 		state := m.status.State
@@ -169,7 +171,8 @@
 	}
 }
 
-// Next returns when Step has something to do if nothing else happens; ok is false where no drain is in progress.
+// Next returns the time at which Step has to be called next if the counts and orders do not change. ok is false if no
+// drain is in progress.
 func (m *Machine) Next() (at time.Time, ok bool) {
 	if !m.inProgress() {
 		return time.Time{}, false
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -8,18 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// modelTest drives a machine by random orders, cancellations, counts and times.
+// modelTest drives a machine with random orders, cancellations, counts and times.
 type modelTest struct {
-	machine *Machine
-	now     time.Time
-	counts  Counts
-	final   bool   // the drain can't be cancelled
-	seen    uint64 // the last event
+	machine   *Machine
+	now       time.Time
+	counts    Counts
+	final     bool   // the drain in progress can't be cancelled
+	lastEvent uint64 // number of the last event that was checked
 }
 
-// TestMachine_MatchesModel checks that, whatever is ordered, cancelled and counted, and however time passes: states go
-// forward except for a cancel, a drain that is over stays so unless it is cancelled, nothing is open in Drained, Forced
-// comes at the deadline and not before it, a final drain is not cancelled, and each change of state is an event.
+// TestMachine_MatchesModel checks for random orders, cancellations, counts and times that states only go forward
+// except by a cancellation, that a completed drain stays completed unless it is cancelled, that nothing is open in
+// Drained, that Forced is entered exactly at the deadline, that a final drain can't be cancelled, and that each
+// change of the state is recorded as an event.
 func TestMachine_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_800_000_000, 0)
@@ -43,7 +44,7 @@
 		}
 		deadline := model.machine.Status().Deadline
 		if at, ok := model.machine.Next(); ok && at.After(deadline) {
-			t.Fatalf("next is at %v, after the deadline %v", at, deadline)
+			t.Fatalf("the next step is due at %v, after the deadline %v", at, deadline)
 		}
 	})
 }
@@ -63,15 +64,15 @@
 	err := m.machine.Start(m.now, order, m.counts)
 	after := m.machine.Status()
 	if !startAsExpected(m.now, before, after, order, err) {
-		t.Fatalf("%+v, order %+v: %v, %+v", before, order, err, after)
+		t.Fatalf("unexpected result: status %+v, order %+v: error %v, new status %+v", before, order, err, after)
 	}
 	if before.State != Serving && after.Deadline.After(before.Deadline) {
-		t.Fatalf("the deadline has moved from %v to %v", before.Deadline, after.Deadline)
+		t.Fatalf("the deadline was extended from %v to %v", before.Deadline, after.Deadline)
 	}
 	m.final = after.Final
 }
 
-// startAsExpected reports whether an order had the result that it has to have.
+// startAsExpected reports whether Start returned the expected error and state for an order.
 func startAsExpected(now time.Time, before, after Status, order Order, err error) bool {
 	if order.Timeout == 0 {
 		return errors.Is(err, ErrInvalidTimeout)
@@ -91,7 +92,7 @@
 	err := m.machine.Cancel(m.now, "x", m.counts)
 	possible := before.State != Serving && !m.final
 	if possible != (err == nil) || possible && m.machine.Status().State != Serving {
-		t.Fatalf("%+v: cancel: %v", before, err)
+		t.Fatalf("status before Cancel %+v, error %v", before, err)
 	}
 }
 
@@ -101,39 +102,40 @@
 	wasInProgress := !before.State.Done() && before.State != Serving
 	switch {
 	case after.State < before.State:
-		t.Fatalf("back from %v to %v", before.State, after.State)
+		t.Fatalf("the state went back from %v to %v", before.State, after.State)
 	case before.State.Done() && after != before:
-		t.Fatalf("%+v is not the last: %+v", before, after)
+		t.Fatalf("the completed drain %+v changed to %+v", before, after)
 	case wasInProgress && !m.now.Before(before.Deadline) && after.State != Forced:
-		t.Fatalf("%v at the deadline", after.State)
+		t.Fatalf("state %v after the deadline, want forced", after.State)
 	case after.State == Forced && before.State != Forced && m.now.Before(before.Deadline):
-		t.Fatal("forced before the deadline")
+		t.Fatal("the drain was forced before the deadline")
 	case after.State == Drained && before.State != Drained && m.counts != Counts{}:
-		t.Fatalf("drained with %+v", m.counts)
+		t.Fatalf("drained with remaining work %+v", m.counts)
 	case after.State == Closing && m.counts == Counts{}:
-		t.Fatal("nothing is left, and it is not drained")
+		t.Fatal("the state is still closing without remaining work")
 	}
 	if at, ok := m.machine.Next(); ok && !at.After(m.now) {
-		t.Fatalf("%v is due again at once", after.State)
+		t.Fatalf("another step is due right after a step, in state %v", after.State)
 	}
 }
 
-// checkEvents checks that events are numbered without a gap, and that a change of state is the last of them.
+// checkEvents checks that events are numbered without a gap, and that the last one records a change of the state.
 func (m *modelTest) checkEvents(t *rapid.T, before Status) {
-	for _, event := range m.machine.Events(m.seen) {
-		if event.Number != m.seen+1 || event.At.After(m.now) {
-			t.Fatalf("after event %d: %+v", m.seen, event)
+	for _, event := range m.machine.Events(m.lastEvent) {
+		if event.Number != m.lastEvent+1 || event.At.After(m.now) {
+			t.Fatalf("after event %d: wrong number or future time: %+v", m.lastEvent, event)
 		}
-		m.seen = event.Number
+		m.lastEvent = event.Number
 	}
 	state := m.machine.Status().State
 	events := m.machine.Events(0)
 	if state != before.State && (len(events) == 0 || events[len(events)-1].To != state) {
-		t.Fatalf("no event of %v", state)
+		t.Fatalf("no event records the change to state %v", state)
 	}
 }
 
-// TestState_TextRoundTrip reads each state's name back, and refuses a name that no state has.
+// TestState_TextRoundTrip checks that each state's name is decoded to the same state, and an unknown name is
+// rejected.
 func TestState_TextRoundTrip(t *testing.T) {
 	for state := Serving; state <= Forced; state++ {
 		t.Run(state.String(), func(t *testing.T) {
@@ -143,11 +145,11 @@
 			}
 			var decoded State
 			if err := decoded.UnmarshalText(text); err != nil || decoded != state {
-				t.Errorf("%s: %v, %v", text, decoded, err)
+				t.Errorf("%s is decoded to %v, error %v", text, decoded, err)
 			}
 		})
 	}
 	if err := new(State).UnmarshalText([]byte("gone")); err == nil {
-		t.Error("a state that there is not")
+		t.Error("an unknown state name is accepted")
 	}
 }
--- a/drain/errors.go
+++ b/drain/errors.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Errors of Start and Cancel, which change nothing then, except that a final order for a drained router makes its
-// drain final.
+// Errors of Start and Cancel. A call that returns one of them has changed nothing, except that a final order for a
+// drained router makes its drain final.
 var (
-	// ErrDrained reports that the router is drained already.
-	ErrDrained = errors.New("the router is drained already")
-	// ErrNotDraining reports that there is no drain to cancel.
+	// ErrDrained is returned by Start if the router is already drained.
+	ErrDrained = errors.New("the router is already drained")
+	// ErrNotDraining is returned by Cancel if there is no drain to cancel.
 	ErrNotDraining = errors.New("no drain in progress")
-	// ErrFinal reports that a drain cannot be cancelled, because the process ends after it.
-	ErrFinal = errors.New("process is shutting down")
-	// ErrInvalidTimeout reports that an order's timeout is not positive.
+	// ErrFinal is wrapped by the error of Cancel if the drain is final, because the process exits after it.
+	ErrFinal = errors.New("the process is shutting down")
+	// ErrInvalidTimeout is returned by Start if the timeout of the order is not positive.
 	ErrInvalidTimeout = errors.New("want a deadline above 0s")
 )
 
-// InProgressError reports that another drain is in progress, and that the order does not change it.
+// InProgressError is returned by Start if a drain is in progress and the order does not change it. Status describes
+// that drain.
 type InProgressError struct{ Status Status }
 
 func (e *InProgressError) Error() string {
--- a/drain/event.go
+++ b/drain/event.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Change says what an event reports.
+// Change is the kind of an event.
 type Change string
 
-// The changes. Their values are part of the admin API.
+// The kinds of events. Their values are part of the admin API.
 const (
 	ChangeStarted    Change = "started"
-	ChangeSuperseded Change = "took over" // by a final drain, while another was in progress or over
-	ChangeShortened  Change = "shortened" // the deadline is earlier
-	ChangePhase      Change = "phase"     // the next state, since its time had come
+	ChangeSuperseded Change = "took over" // a final order superseded the drain in progress or completed
+	ChangeShortened  Change = "shortened" // an order moved the deadline to an earlier time
+	ChangePhase      Change = "phase"     // the time of a state was over, and the next state was entered
 	ChangeCancelled  Change = "cancelled"
 	ChangeDrained    Change = "drained"
-	ChangeForced     Change = "forced" // the deadline has passed
+	ChangeForced     Change = "forced" // the deadline passed before the drain was complete
 )
 
-// Event is one transition, or a change of the deadline.
+// Event records a change of the state or of the order of a drain.
 type Event struct {
-	Number       uint64    `json:"n"` // 1, 2, ...: a gap says that some were not kept
+	Number       uint64    `json:"n"` // 1, 2, ...: a gap means that older events were dropped
 	At           time.Time `json:"at"`
 	From         State     `json:"from"`
 	To           State     `json:"to"`
@@ -26,13 +26,13 @@
 	Reason       string    `json:"reason,omitempty"`
 	RequestedBy  string    `json:"who,omitempty"`
 	Deadline     time.Time `json:"deadline,omitzero"`
-	OpenRequests int       `json:"open"` // without their answer at that moment
+	OpenRequests int       `json:"open"` // requests without a response at that time
 }
 
-// maxEvents is how many events are kept.
+// maxEvents is the number of events that are kept; older ones are dropped.
 const maxEvents = 128
 
-// Events returns the kept events after the one with a number, oldest first. They must not be changed.
+// Events returns the kept events with a number above after, oldest first. Callers must not modify the slice.
 func (m *Machine) Events(after uint64) []Event {
 	for i := range m.events {
 		if m.events[i].Number > after {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// record numbers an event, completes it with the deadline in force, and keeps it.
+// record sets the number and the deadline of an event and appends it.
 func (m *Machine) record(event Event) {
 	m.lastNumber++
 	event.Number = m.lastNumber
--- a/drain/state.go
+++ b/drain/state.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// State is a state of a drain.
+// State is a state of the drain state machine.
 type State uint8
 
-// The states. A drain goes through them in order. Cancel leads back to Serving from any of them, unless the drain is
-// final.
+// The states. A drain goes through them in order, and ends in Drained or Forced. Cancel returns to Serving from any
+// of them, unless the drain is final.
 const (
 	Serving   State = iota // no drain in progress
-	Announced              // the router reports that it is not ready, and serves on: clients notice that late
-	Leaving                // answers close their connections; new connections are still accepted
-	Closing                // no new connections are accepted; open requests are answered
-	Drained                // nothing is open, and nothing is accepted
-	Forced                 // like Drained; the deadline passed before all requests had their answers
+	Announced              // the router reports that it is not ready, but serves on, since clients notice that late
+	Leaving                // responses close their connections; new connections are still accepted
+	Closing                // no new connections are accepted; open requests are completed
+	Drained                // nothing is open, and no connections are accepted
+	Forced                 // like Drained, but the deadline passed before all requests were completed
 )
 
 var stateNames = [...]string{"serving", "announced", "leaving", "closing", "drained", "forced"}
 
-// String is the state's name in logs, events and the admin API.
+// String returns the state's name in logs, events and the admin API.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -26,10 +26,10 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// MarshalText returns the state's name.
+// MarshalText implements encoding.TextMarshaler with the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state's name.
+// UnmarshalText implements encoding.TextUnmarshaler with the state's name.
 func (s *State) UnmarshalText(text []byte) error {
 	for i, name := range stateNames {
 		if name == string(text) {
@@ -37,7 +37,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no such state: %q", text)
+	return fmt.Errorf("unknown drain state %q", text)
 }
 
 // Done reports whether the drain is over.
