--- a/body/budget.go
+++ b/body/budget.go
@@ -1,5 +1,5 @@
-// Package body buffers the bodies of requests on their way through a node. All buffers share one budget of memory;
-// where the budget is used up, bodies are passed on as they arrive.
+// Package body buffers request bodies between a client and the servers that a request is sent to. All buffers share
+// one memory budget; once it is used up, bodies are passed on unbuffered as they arrive.
 package body
 
 import (
@@ -7,17 +7,18 @@
 	"sync/atomic"
 )
 
-// ChunkSize is the unit of buffers, in bytes.
+// ChunkSize is the size in bytes of the chunks that buffers are made of.
 const ChunkSize = 32 << 10
 
-// Budget bounds the bytes that all bodies together may buffer, in chunks. Its methods are safe for concurrent use.
+// Budget limits the memory that all bodies together may use for buffers. It is counted in whole chunks. Its methods
+// are safe for concurrent use.
 type Budget struct {
 	limit atomic.Int64
 	used  atomic.Int64
 	pool  sync.Pool // of *[ChunkSize]byte
 }
 
-// NewBudget returns a budget of limit bytes, and of one chunk at least.
+// NewBudget returns a budget of limit bytes, but of at least one chunk.
 func NewBudget(limit int64) *Budget {
 	b := new(Budget)
 	b.SetLimit(limit)
@@ -25,17 +26,17 @@
 	return b
 }
 
-// SetLimit changes the limit to a number of bytes, and to one chunk at least. Chunks in use beyond it stay in use until
-// they are released.
+// SetLimit changes the limit to a number of bytes, but to at least one chunk. Chunks in use beyond it stay in use
+// until they are released.
 func (b *Budget) SetLimit(limit int64) { b.limit.Store(max(ChunkSize, limit)) }
 
-// Limit returns the bytes that may be buffered.
+// Limit returns the number of bytes that may be buffered.
 func (b *Budget) Limit() int64 { return b.limit.Load() }
 
-// Used returns the bytes that are buffered now.
+// Used returns the number of bytes in the chunks that are in use.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// acquireChunk returns a chunk, or nil where the budget is used up.
+// acquireChunk returns a chunk, or nil if the budget is used up.
 func (b *Budget) acquireChunk() *[ChunkSize]byte {
 	if b.used.Add(ChunkSize) > b.limit.Load() {
 		b.used.Add(-ChunkSize)
--- a/body/reader.go
+++ b/body/reader.go
@@ -7,13 +7,14 @@
 	"cobaltward/router"
 )
 
-// reader reads a body once. It is not safe for concurrent use with itself.
+// reader reads a body once, from its start. A single reader is not safe for concurrent use; several readers of one
+// Upload are.
 type reader struct {
 	upload *Upload
-	offset int64 // bytes that were read
+	offset int64 // bytes read so far
 }
 
-// Read reads buffered bytes first, then the source.
+// Read reads the buffered bytes first, and then from the source.
 func (r *reader) Read(buf []byte) (int, error) {
 	if len(buf) == 0 {
 		return 0, nil
@@ -24,7 +25,7 @@
 	return r.readSource(buf)
 }
 
-// readBuffered copies buffered bytes; done is false where the source has to be read.
+// readBuffered copies buffered bytes. done is false if the source has to be read instead.
 func (r *reader) readBuffered(buf []byte) (n int, done bool, err error) {
 	u := r.upload
 	u.mu.Lock()
@@ -44,7 +45,8 @@
 	return 0, false, nil
 }
 
-// readSource reads from the source, if no other reader has done so at this offset.
+// readSource reads from the source. It returns router.ErrBodyConsumed if another reader has already read the bytes at
+// this offset.
 func (r *reader) readSource(buf []byte) (int, error) {
 	upload := r.upload
 	upload.reading.Lock()
--- a/body/upload.go
+++ b/body/upload.go
@@ -17,23 +17,23 @@
 	ErrClosed = errors.New("body: upload is closed")
 )
 
-// Limits bounds bodies.
+// Limits limits the length of bodies and how much of them is buffered.
 type Limits struct {
 	MaxLength   int64   // bytes of one body
 	MaxBuffered int64   // bytes of one body that are buffered
 	Budget      *Budget // shared by all bodies
 }
 
-// Timestamped is optionally implemented by the source of an Upload, which asks it as soon as the source returned
-// io.EOF.
+// Timestamped may be implemented by the source of an Upload. The Upload calls LastByteAt as soon as the source has
+// returned io.EOF.
 type Timestamped interface {
-	// LastByteAt returns when the last byte arrived, which may have waited unread since.
+	// LastByteAt returns when the last byte arrived, which can be long before it was read.
 	LastByteAt() time.Time
 }
 
-// Upload is the body of one request. FillBuffer buffers what the limits allow. The rest is passed on to the one
-// reader that gets there; from then on the body can't be read from its start again. Its methods are safe for
-// concurrent use.
+// Upload is the body of one request. FillBuffer buffers as much of it as the limits allow. The rest is passed on to
+// the first reader that gets there; from then on the body can't be read from its start again. Its methods are safe
+// for concurrent use.
 type Upload struct {
 	source      io.Reader
 	length      int64 // -1: unknown
@@ -42,24 +42,24 @@
 	budget      *Budget
 
 	reading  sync.Mutex // held while source is read
-	readErr  error      // under reading: what source returned last, other than io.EOF
-	received int64      // under reading: bytes read from source
+	readErr  error      // guarded by reading: the error that source returned, other than io.EOF
+	received int64      // guarded by reading: bytes read from source
 
 	mu          sync.Mutex
 	chunks      []*[ChunkSize]byte
-	buffered    int64 // bytes in chunks, from the first of the body on
+	buffered    int64 // bytes in chunks, counted from the start of the body
 	complete    bool  // source returned io.EOF
 	completedAt time.Time
 	onComplete  func(time.Time)
 	closed      bool
 
-	consumed atomic.Bool // bytes were passed on that are not buffered
+	consumed atomic.Bool // bytes that are not buffered were passed on
 }
 
 var _ router.Upload = (*Upload)(nil)
 
-// New returns the upload of a body of length bytes, -1 where the length is unknown. source ends with io.EOF, and keeps
-// returning it.
+// New returns the upload of a body of length bytes; -1 means that the length is unknown. source has to end with
+// io.EOF, and to keep returning it.
 func New(source io.Reader, length int64, limits Limits) *Upload {
 	return &Upload{
 		source: source, length: length,
@@ -68,7 +68,7 @@
 }
 
 // FillBuffer reads the body to its end, or until no more of it may be buffered. It returns ErrTooLong, or the error
-// of a source that broke off.
+// of a source that failed before the end of the body.
 func (u *Upload) FillBuffer() error {
 	u.reading.Lock()
 	defer u.reading.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// storeChunk keeps a chunk of n bytes, or releases it where it is empty or the upload was closed.
+// storeChunk stores a chunk with n bytes, or releases it if it is empty or the upload is closed.
 func (u *Upload) storeChunk(chunk *[ChunkSize]byte, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,14 +107,14 @@
 	u.buffered += int64(n)
 }
 
-// atEOF tells a body that ended within a chunk from one that broke off there, for which io.ReadFull returns the same
-// error: only the first returns io.EOF again.
+// atEOF reports whether the body has ended. io.ReadFull returns io.ErrUnexpectedEOF for a body that ends within a
+// chunk and for a source that breaks off there, but only the former returns io.EOF on the next read.
 func (u *Upload) atEOF() bool {
 	n, err := u.source.Read(make([]byte, 1))
 	return n == 0 && errors.Is(err, io.EOF)
 }
 
-// finish notes the end of the body.
+// finish marks the body as complete, and notifies the caller of OnComplete.
 func (u *Upload) finish() {
 	u.mu.Lock()
 	u.complete, u.completedAt = true, u.lastByteAt()
@@ -133,8 +133,8 @@
 	return time.Now()
 }
 
-// Close releases the buffer, and has readers fail from now on. If one of them is reading the source, interrupt is
-// called, which has to make that read end soon. Close returns when the source is not read any more.
+// Close releases the buffer and makes all further reads fail. If the source is being read, Close calls interrupt,
+// which has to make that read return soon. Close returns once the source is no longer read.
 func (u *Upload) Close(interrupt func()) {
 	u.mu.Lock()
 	u.closed, u.onComplete = true, nil
@@ -154,7 +154,7 @@
 	u.chunks, u.buffered = nil, 0
 }
 
-// Length returns the length of the whole body in bytes; -1 where it is unknown.
+// Length returns the length of the whole body in bytes; -1 means that it is unknown.
 func (u *Upload) Length() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -164,8 +164,8 @@
 	return u.length
 }
 
-// OnComplete has f called once with the time at which the last byte arrived. If that is past, it returns true and
-// does not call f.
+// OnComplete registers f to be called once, with the time at which the last byte arrived. If the body is already
+// complete, OnComplete returns true and does not call f.
 func (u *Upload) OnComplete(f func(at time.Time)) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -176,7 +176,7 @@
 	return false
 }
 
-// CompletedAt returns when the last byte arrived; zero where it has not.
+// CompletedAt returns when the last byte arrived; the zero time if it has not arrived yet.
 func (u *Upload) CompletedAt() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -190,10 +190,10 @@
 	return u.complete
 }
 
-// Consumed reports whether bytes have been passed on that are not buffered.
+// Consumed reports whether bytes that are not buffered have been passed on to a reader.
 func (u *Upload) Consumed() bool { return u.consumed.Load() }
 
-// Bytes returns a copy of the body, if it is buffered as a whole and of at most limit bytes.
+// Bytes returns a copy of the body if all of it is buffered and it has at most limit bytes.
 func (u *Upload) Bytes(limit int64) (all []byte, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -207,8 +207,8 @@
 	return all, true
 }
 
-// Open returns a reader from the first byte on, or router.ErrBodyConsumed. Bytes that are not buffered go to the reader
-// that asks for them first; another one gets router.ErrBodyConsumed there.
+// Open returns a reader that starts at the first byte, or router.ErrBodyConsumed. Bytes that are not buffered go to
+// the first reader that asks for them; every other reader gets router.ErrBodyConsumed at that offset.
 func (u *Upload) Open() (io.Reader, error) {
 	if u.consumed.Load() {
 		return nil, router.ErrBodyConsumed
--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawUpload returns the upload of a body, both of any form.
+// drawUpload returns an upload and its content, with random limits, length and source.
 func drawUpload(t *rapid.T) (upload *Upload, content []byte) {
 	content = make([]byte, rapid.IntRange(0, 5*ChunkSize).Draw(t, "size"))
 	for i := range content {
@@ -35,8 +35,9 @@
 	return New(source, length, Limits{MaxLength: 1 << 30, MaxBuffered: maxBuffered, Budget: budget}), content
 }
 
-// TestUpload_AnyBudget reads bodies twice under any budget. A reader gets the body as it is; a second one does, too, or
-// gets router.ErrBodyConsumed. The end is notified exactly once, and the budget is released.
+// TestUpload_AnyBudget reads bodies twice under random budgets. The first reader has to get the whole body; the
+// second one gets it too, or router.ErrBodyConsumed. Either OnComplete reports a complete body, or its function is
+// called exactly once, and Close releases the budget.
 func TestUpload_AnyBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		upload, content := drawUpload(t)
@@ -47,20 +48,20 @@
 		completeAtFirst := upload.OnComplete(func(time.Time) { notified++ })
 		readTwice(t, upload, content)
 		if completeAtFirst == (notified == 1) || notified > 1 || !upload.Complete() || upload.CompletedAt().IsZero() {
-			t.Fatalf("complete at first: %v, notified %d times", completeAtFirst, notified)
+			t.Fatalf("complete before the first read: %v, notified %d times", completeAtFirst, notified)
 		}
 		all, ok := upload.Bytes(1 << 20)
 		if ok == upload.Consumed() || ok && !bytes.Equal(all, content) {
-			t.Fatalf("all bytes: %v, consumed: %v", ok, upload.Consumed())
+			t.Fatalf("Bytes returned the body: %v (as sent or not), consumed: %v", ok, upload.Consumed())
 		}
-		upload.Close(func() { t.Fatal("interrupted, though nothing reads") })
+		upload.Close(func() { t.Fatal("Close called interrupt, though the source is not being read") })
 		if used := upload.budget.Used(); used != 0 {
-			t.Fatalf("%d bytes are not released", used)
+			t.Fatalf("%d bytes of the budget are not released", used)
 		}
 	})
 }
 
-// readTwice requires two readers to get the content; the second one may be rejected where the body was consumed.
+// readTwice checks that two readers get the content, except that the second one may fail if the body is consumed.
 func readTwice(t *rapid.T, upload *Upload, content []byte) {
 	for i := range 2 {
 		r, err := upload.Open()
@@ -72,15 +73,16 @@
 		}
 		got, err := io.ReadAll(r)
 		if err != nil || !bytes.Equal(got, content) {
-			t.Fatalf("reader %d: %d bytes of %d, %v", i, len(got), len(content), err)
+			t.Fatalf("reader %d got %d bytes of %d (or wrong ones), error %v", i, len(got), len(content), err)
 		}
 		if upload.Length() >= 0 && upload.Length() != int64(len(content)) {
-			t.Fatalf("length %d", upload.Length())
+			t.Fatalf("Length is %d, want the length of the content", upload.Length())
 		}
 	}
 }
 
-// TestUpload_SourceBreaksOff has the source fail within a chunk or between two: that is not the end of the body.
+// TestUpload_SourceBreaksOff checks that a source that fails within a chunk or between two chunks is not taken for
+// the end of the body.
 func TestUpload_SourceBreaksOff(t *testing.T) {
 	errBroken := errors.New("broken")
 	for _, n := range []int{0, 100, ChunkSize, 2*ChunkSize + 1} {
@@ -93,23 +95,24 @@
 				err = discard(t, upload)
 			}
 			if !errors.Is(err, errBroken) || upload.Complete() {
-				t.Errorf("after %d bytes, %d buffered: %v, complete %v", n, maxBuffered, err, upload.Complete())
+				t.Errorf("source failed after %d bytes, MaxBuffered %d: error %v, complete %v",
+					n, maxBuffered, err, upload.Complete())
 			}
 			upload.Close(func() {})
 			if used := budget.Used(); used != 0 {
-				t.Errorf("%d bytes are not released", used)
+				t.Errorf("%d bytes of the budget are not released", used)
 			}
 		}
 	}
 }
 
-// TestUpload_TooLong has the part of a body that is not buffered exceed MaxLength.
+// TestUpload_TooLong checks the error if a body exceeds MaxLength in the part that is not buffered.
 func TestUpload_TooLong(t *testing.T) {
 	limits := Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)}
 	upload := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, limits)
 	_ = upload.FillBuffer()
 	if err := discard(t, upload); !errors.Is(err, ErrTooLong) {
-		t.Errorf("got %v, want ErrTooLong", err)
+		t.Errorf("got error %v, want ErrTooLong", err)
 	}
 }
 
@@ -124,7 +127,8 @@
 	return err
 }
 
-// TestClose_WhileReading closes an upload while a reader waits for the client: its read is interrupted, and it ends.
+// TestClose_WhileReading checks that Close interrupts a reader that is waiting for the client, and that later reads
+// fail.
 func TestClose_WhileReading(t *testing.T) {
 	in, out := io.Pipe()
 	upload := New(in, -1, Limits{MaxLength: 1 << 20, MaxBuffered: 0, Budget: NewBudget(ChunkSize)})
@@ -143,9 +147,9 @@
 	}
 	upload.Close(func() { _ = out.CloseWithError(io.ErrClosedPipe) })
 	if err := <-ended; err == nil {
-		t.Error("the reader is not interrupted")
+		t.Error("the interrupted read returned no error")
 	}
 	if _, err := r.Read(make([]byte, 1)); !errors.Is(err, ErrClosed) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("read after Close: error %v, want ErrClosed", err)
 	}
 }
