--- a/handshakes/admission.go
+++ b/handshakes/admission.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	// maxActiveClients bounds the handshakes of clients that compete for the CPU.
+	// maxActiveClients limits the client handshakes that compete for the CPU at the same time.
 	maxActiveClients = 4
-	// maxWaitingFraction is the fraction of the client connections that handshakes waiting for their client may hold.
+	// maxWaitingFraction limits the handshakes that wait for their client, as a fraction of the maximum of client
+	// connections.
 	maxWaitingFraction = 0.25
-	// SilentAfter is the time without an answer after which a client counts as distant or silent.
+	// SilentAfter is the time without a reply after which a client counts as distant or silent.
 	SilentAfter = 20 * time.Millisecond
 )
 
-// AdmitClient reports whether another client connection is accepted beside active handshakes, which compete for the
-// CPU, and waiting ones, which wait for their client, of maxConns connections. Distant and stalled clients thus block
-// nobody until there are many of them; further clients stay in the accept queue. crowded reports that a connection
-// would be accepted if there were fewer waiting handshakes.
+// AdmitClient reports whether another client connection may be accepted. active is the number of handshakes that
+// compete for the CPU, waiting the number of those that wait for their client, and maxConns the maximum of client
+// connections. Since the two are limited separately, distant and stalled clients delay no others until there are many
+// of them. Clients that are not admitted stay in the accept queue. crowded reports that the connection would be
+// accepted if fewer handshakes were waiting.
 func AdmitClient(active, waiting, maxConns int) (admit, crowded bool) {
 	maxWaiting := max(maxActiveClients, int(maxWaitingFraction*float64(maxConns)))
 	hasCPU := active < maxActiveClients
--- a/handshakes/admission_test.go
+++ b/handshakes/admission_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A waiting handshake is evicted for another client only where that one would be accepted: not while the core has as
-// many handshakes as it may.
+// TestAdmitClient_CrowdedOnlyWithCPU checks that crowded is reported only if the client would be accepted with fewer
+// waiting handshakes. Otherwise a waiting handshake would be evicted although the CPU has no capacity for another
+// one.
 func TestAdmitClient_CrowdedOnlyWithCPU(t *testing.T) {
 	const maxConns, maxWaiting = 100, 25
 	for _, test := range []struct {
@@ -11,10 +12,10 @@
 		active, waiting        int
 		wantAdmit, wantCrowded bool
 	}{
-		{"nothing", 0, 0, true, false},
-		{"core busy", maxActiveClients, 0, false, false},
-		{"many wait", 0, maxWaiting, false, true},
-		{"many wait, core busy", maxActiveClients, maxWaiting, false, false},
+		{"no handshakes", 0, 0, true, false},
+		{"CPU busy", maxActiveClients, 0, false, false},
+		{"many waiting", 0, maxWaiting, false, true},
+		{"many waiting, CPU busy", maxActiveClients, maxWaiting, false, false},
 	} {
 		admit, crowded := AdmitClient(test.active, test.waiting, maxConns)
 		if admit != test.wantAdmit || crowded != test.wantCrowded {
--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -9,49 +9,50 @@
 	"cobaltward/internal/sockets"
 )
 
-// MaxHandshakeBytes bounds what a peer may send during its handshake. It keeps excessive certificate chains from taking
-// memory and CPU time.
+// MaxHandshakeBytes limits the bytes that a peer may send during its handshake. It keeps excessive certificate chains
+// from taking memory and CPU time.
 const MaxHandshakeBytes = 64 << 10
 
-// ErrHandshakeTooLarge is the error of a read beyond MaxHandshakeBytes.
+// ErrHandshakeTooLarge is returned by Read if the peer has sent more than MaxHandshakeBytes.
 var ErrHandshakeTooLarge = errors.New("peer sent more than 64 KiB during the handshake")
 
-// Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run under
-// a CPUScheduler. After EndHandshake it only passes reads and writes on. As with crypto/tls, one goroutine may read
-// while another writes; HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at any time by any
-// goroutine.
+// Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run
+// under a CPUScheduler. After EndHandshake it only passes reads and writes on. As with crypto/tls, one goroutine may
+// read while another writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at any time
+// by any goroutine.
 type Conn struct {
-	net.Conn // its other methods
+	net.Conn // provides the methods that Conn does not define
 	TCP      *net.TCPConn
 	reader   *sockets.DeadlineReader
-	// AbortIfPeerCloses fails the handshake as soon as the peer has closed, and discards what it sent before.
+	// AbortIfPeerCloses makes the handshake fail once the peer has closed, without processing the data that was read
+	// last.
 	AbortIfPeerCloses bool
-	// TrackRecords has WithinRecord follow the records that blocking reads return.
+	// TrackRecords makes blocking reads track TLS records, for WithinRecord.
 	TrackRecords bool
-	// OnReceive, if it is not nil, is called after each blocking read beyond the handshake that returned bytes.
+	// OnReceive, if it is not nil, is called after each blocking read after the handshake that returned bytes.
 	OnReceive func()
 
 	cpu            *CPUScheduler
 	task           Task
-	deadline       time.Time       // of the handshake
+	deadline       time.Time       // end of the time allowed for the handshake
 	cancelled      <-chan struct{} // closed when the handshake is no longer wanted
 	inHandshake    bool
 	holdsCPU       bool
 	taskStart      time.Time // valid while holdsCPU
-	handshakeBytes int       // received
+	handshakeBytes int       // bytes received during the handshake
 	computeTime    time.Duration
 
-	records           recordTracker // used by the reader only
+	records           recordTracker // used by the reading goroutine only
 	withinRecord      atomic.Bool
 	readsNonBlocking  bool
 	writesNonBlocking atomic.Bool
 	received          atomic.Bool
-	computing         atomic.Bool               // a computation is queued or running
+	computing         atomic.Bool               // a handshake computation is queued or running
 	lastComputed      atomic.Pointer[time.Time] // the end of the last computation; nil: none yet
 }
 
-// NewConn returns the connection of a handshake that starts now. urgent says that a request waits for it. The handshake
-// ends at the deadline, or when cancelled is closed.
+// NewConn returns the connection of a handshake that starts now. urgent says that a request is waiting for it. The
+// handshake fails at the deadline, or when cancelled is closed.
 func NewConn(tcp *net.TCPConn, cpu *CPUScheduler, urgent bool, deadline time.Time, cancelled <-chan struct{}) *Conn {
 	return &Conn{
 		Conn:        tcp,
@@ -65,18 +66,18 @@
 	}
 }
 
-// EndHandshake ends the scheduling of computations. It returns the time that they took.
+// EndHandshake ends the handshake and the scheduling of its computations. It returns the total time that they took.
 func (c *Conn) EndHandshake() (computeTime time.Duration) {
 	c.releaseCPU()
 	c.inHandshake, c.cancelled = false, nil
 	return c.computeTime
 }
 
-// HasReceived reports whether the peer has sent anything during the handshake.
+// HasReceived reports whether the peer has sent anything during the handshake. A failed read counts as well.
 func (c *Conn) HasReceived() bool { return c.received.Load() }
 
-// IsComputing reports whether a computation of the handshake is queued or running, or ended less than SilentAfter ago,
-// which is the time that a nearby peer has to answer.
+// IsComputing reports whether a computation of the handshake is queued or running, or ended less than SilentAfter
+// ago, which is how long a nearby peer may take to reply.
 func (c *Conn) IsComputing() bool {
 	if c.computing.Load() {
 		return true
@@ -85,7 +86,8 @@
 	return lastComputed != nil && time.Since(*lastComputed) < SilentAfter
 }
 
-// BeginCompute waits for the CPU ahead of the first read: a client generates its key share then.
+// BeginCompute waits until a computation may run. A TLS client calls it before its first read, since it generates its
+// key share then.
 func (c *Conn) BeginCompute() error {
 	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
 		return err
@@ -123,7 +125,7 @@
 	return n, err
 }
 
-// WithinRecord reports whether a part of a record has been read, but not the rest; false without TrackRecords.
+// WithinRecord reports whether a TLS record has been read in part only. It is always false without TrackRecords.
 func (c *Conn) WithinRecord() bool { return c.withinRecord.Load() }
 
 func (c *Conn) trackRecords(received []byte) {
@@ -137,7 +139,7 @@
 	return errors.Join(c.SetReadDeadline(t), c.TCP.SetWriteDeadline(t))
 }
 
-// SetReadDeadline implements net.Conn. What has been received by the deadline can still be read then.
+// SetReadDeadline implements net.Conn. Data received before the deadline can still be read after it.
 func (c *Conn) SetReadDeadline(t time.Time) error { return c.reader.SetReadDeadline(t) }
 
 func (c *Conn) readHandshake(p []byte) (int, error) {
@@ -162,7 +164,7 @@
 	return n, nil
 }
 
-// Write writes to the connection.
+// Write writes to the connection. After DropBlockingWrites it never blocks.
 func (c *Conn) Write(p []byte) (int, error) {
 	if c.writesNonBlocking.Load() {
 		return c.writeNonBlocking(p)
@@ -170,12 +172,12 @@
 	return c.TCP.Write(p)
 }
 
-// DropBlockingWrites makes all further writes drop what they could not write at once. It keeps the alert that closes a
-// TLS connection from blocking.
+// DropBlockingWrites makes all further writes drop the data that can't be written without blocking. It keeps the
+// alert that closes a TLS connection from blocking.
 func (c *Conn) DropBlockingWrites() { c.writesNonBlocking.Store(true) }
 
-// ReadAvailable calls read, whose reads from the connection do not block. It reports whether read failed because there
-// was nothing to be read.
+// ReadAvailable calls read with the connection in non-blocking mode. It reports whether read failed because no data
+// was available.
 func (c *Conn) ReadAvailable(read func() error) (wouldBlock bool) {
 	c.readsNonBlocking = true
 	err := read()
@@ -183,9 +185,9 @@
 	return errors.Is(err, errWouldBlock)
 }
 
-// RemoteAlert returns the TLS alert by which the peer ended the handshake; empty if it sent none.
+// RemoteAlert returns the TLS alert that the peer sent to end the handshake; empty if err is not caused by one.
 func RemoteAlert(err error) string {
-	// crypto/tls does not export the type of alerts.
+	// crypto/tls wraps a received alert, whose type it does not export, in a net.OpError.
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "remote error" {
 		return opErr.Err.Error()
--- a/handshakes/cpu_budget_test.go
+++ b/handshakes/cpu_budget_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestCPUBudgetKeepsItsShare checks that tasks which are not urgent take their share of the time, and no more, while
-// requests are in flight, and that all others take all of it.
-func TestCPUBudgetKeepsItsShare(t *testing.T) {
+// TestCPUBudget_StaysWithinShare checks that normal tasks take their share of the time while requests are in
+// flight, and that they run without pauses if there are no requests, as urgent tasks always do.
+func TestCPUBudget_StaysWithinShare(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		inFlight, urgent bool
-		atLeast, atMost  time.Duration // until 100 tasks of 2 ms have finished, with a share of 0.25
+		atLeast, atMost  time.Duration // total time of 100 tasks of 2 ms, with a share of 0.25
 	}{
 		{"requests in flight", true, false, 790 * time.Millisecond, 810 * time.Millisecond},
 		{"no requests", false, false, 200 * time.Millisecond, 200 * time.Millisecond},
@@ -26,7 +26,7 @@
 	}
 }
 
-// runTasks runs 100 tasks of 2 ms on one core at a share of 0.25. It returns the time that they took.
+// runTasks runs 100 tasks of 2 ms each on one core with a share of 0.25. It returns the total time, including pauses.
 func runTasks(t *testing.T, inFlight, urgent bool) (end time.Duration) {
 	t.Helper()
 	const duration = 2 * time.Millisecond
@@ -56,9 +56,9 @@
 	return now
 }
 
-// TestCPUBudgetPauseIsBounded checks the pause behind a very long task, that urgent tasks ignore it, and that a
-// cancelled task never starts.
-func TestCPUBudgetPauseIsBounded(t *testing.T) {
+// TestCPUBudget_PauseIsBounded checks that the pause after a very long task is at most maxPause, that urgent
+// tasks ignore it, and that a cancelled task never starts.
+func TestCPUBudget_PauseIsBounded(t *testing.T) {
 	budget := NewCPUBudget(0.01, 1)
 	first, second, urgent := &Task{}, &Task{}, &Task{Urgent: true}
 	budget.Enqueue(first)
@@ -66,11 +66,11 @@
 	_, _ = budget.Next(0, true)
 	budget.Finish(time.Second, first, time.Second)
 	if _, wait := budget.Next(time.Second, true); wait <= 0 || wait > maxPause {
-		t.Errorf("a task of 1 s is followed by a pause of %v, want at most %v", wait, maxPause)
+		t.Errorf("a task of 1 s is followed by a pause of %v, want more than 0 and at most %v", wait, maxPause)
 	}
 	budget.Enqueue(urgent)
 	if started, _ := budget.Next(time.Second, true); len(started) != 1 || started[0] != urgent {
-		t.Error("an urgent task is delayed by a pause or by a task that is not urgent")
+		t.Error("an urgent task is delayed by a pause or by a normal task")
 	}
 	if budget.Cancel(second) || !budget.Cancel(urgent) {
 		t.Error("Cancel reports a queued task as running, or a running one as queued")
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// CPUScheduler runs the computations of handshakes within a CPUBudget. Its methods may be called concurrently. A nil
-// CPUScheduler imposes no limit. Its queue is bounded by the number of connections.
+// CPUScheduler makes goroutines wait until a CPUBudget lets their handshake computations run. It is safe for
+// concurrent use. A nil CPUScheduler imposes no limit. The queue holds at most one task per connection.
 type CPUScheduler struct {
 	hasRequests func() bool
 	startedAt   time.Time
 
 	mu         sync.Mutex
 	budget     *CPUBudget
-	granted    map[*Task]chan struct{} // of queued tasks; closed when the task may run
+	granted    map[*Task]chan struct{} // by queued task; closed when the task may run
 	pauseTimer *time.Timer             // fires at the end of a pause of the budget
 }
 
-// NewCPUScheduler returns a scheduler for the given number of cores. Handshakes take at most a share of them, from 0 to
-// 1, while hasRequests reports requests in flight.
+// NewCPUScheduler returns a scheduler for the given number of cores. While hasRequests reports requests in flight,
+// handshakes that are not urgent take at most the given share (0 to 1) of the CPU time of these cores.
 func NewCPUScheduler(share float64, cores int, hasRequests func() bool) *CPUScheduler {
 	return &CPUScheduler{
 		hasRequests: hasRequests,
@@ -88,7 +88,7 @@
 	s.startReady()
 }
 
-// startReady starts the tasks that may run now. The caller holds the mutex.
+// startReady starts the tasks that may run now. The caller must hold s.mu.
 func (s *CPUScheduler) startReady() {
 	started, wait := s.budget.Next(time.Since(s.startedAt), s.hasRequests())
 	for _, task := range started {
@@ -111,7 +111,7 @@
 	})
 }
 
-// Totals returns the number of finished computations, and the time that they took together.
+// Totals returns the number of finished computations and their total duration.
 func (s *CPUScheduler) Totals() (finished uint64, busyTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -1,18 +1,18 @@
-// Package handshakes limits what TLS handshakes may cost a node, on both of its sides.
+// Package handshakes limits the resources that TLS handshakes with clients and servers may take from a node.
 //
-// The decisions are state machines without I/O, clocks or goroutines, and are not safe for concurrent use: how many
-// handshakes with servers run at once (Limiter), which part of the CPU their computations may take from requests in
-// flight (CPUBudget), when an untrusted server is checked again (UntrustedBackoff), and which connections are opened
-// ahead of requests (PreconnectTargets). CPUScheduler and Conn apply a CPUBudget to connections; they use clocks and
-// may be shared by goroutines as their documentation says.
+// The decisions are made by state machines without I/O, clocks or goroutines, which are not safe for concurrent use:
+// how many handshakes with servers run at once (Limiter), which share of the CPU handshake computations may take from
+// requests in flight (CPUBudget), when an untrusted server is checked again (UntrustedBackoff), and to which servers
+// connections are opened ahead of requests (PreconnectTargets). CPUScheduler and Conn apply a CPUBudget to
+// connections; they use clocks and may be shared by goroutines as their documentation says.
 package handshakes
 
-// Limits bounds the handshakes with servers that run at once. A field of 0 takes its default.
+// Limits limits the handshakes with servers that run at once. A field that is 0 or negative takes its default.
 type Limits struct {
-	MaxConcurrent       int // with all servers
-	MaxPerServer        int // with one server
-	MaxPerWarmingServer int // with a server that is warming up, whose capacity is left to requests
-	MaxQueued           int // waiting for a slot; further ones are rejected
+	MaxConcurrent       int // running handshakes with all servers together
+	MaxPerServer        int // running handshakes with one server
+	MaxPerWarmingServer int // the same for a server that is warming up, whose capacity is left to requests
+	MaxQueued           int // handshakes that wait for a slot; further ones are rejected
 }
 
 // Defaults of Limits.
@@ -36,7 +36,7 @@
 	return l
 }
 
-// Decision is the answer to Limiter.Acquire.
+// Decision is the result of Limiter.Acquire.
 type Decision uint8
 
 // The decisions.
@@ -68,7 +68,8 @@
 	return &Limiter{limits: limits.withDefaults(), perServer: make(map[string]int)}
 }
 
-// Acquire asks for a slot. Every reservation has to be passed to Release, except where the decision is Reject.
+// Acquire requests a slot for a handshake. Unless the decision is Reject, the reservation has to be passed to
+// Release.
 func (l *Limiter) Acquire(r *Reservation) Decision {
 	blocked := r.Speculative && len(l.queue) > 0 || l.hasQueuedFor(r.Server)
 	if !blocked && l.hasCapacity(r) {
@@ -105,9 +106,9 @@
 	l.perServer[r.Server]++
 }
 
-// Release ends a reservation: its handshake has ended, or is no longer wanted. It returns the queued reservations whose
-// handshakes may start now, in order of arrival; a server at its limit does not block those of other servers.
-// Releasing a reservation a second time has no effect.
+// Release ends a reservation whose handshake has ended or is no longer wanted. It returns the queued reservations
+// whose handshakes may start now, in order of arrival. A server at its limit does not block reservations for other
+// servers. Releasing a reservation a second time has no effect.
 func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
 	if r.released {
 		return nil
@@ -136,5 +137,5 @@
 	return admitted
 }
 
-// Usage returns the number of handshakes that run and of those that are queued.
+// Usage returns the numbers of running and of queued handshakes.
 func (l *Limiter) Usage() (running, queued int) { return l.total, len(l.queue) }
--- a/handshakes/limiter_test.go
+++ b/handshakes/limiter_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// limiterModel is what a Limiter has to hold, as sets.
+// limiterModel tracks the reservations that a Limiter is expected to have running and queued.
 type limiterModel struct {
 	limits  Limits
 	limiter *Limiter
@@ -16,9 +16,9 @@
 	queued  []*Reservation
 }
 
-// TestLimiterKeepsItsBounds checks that no sequence of calls exceeds a limit, leaves a reservation queued though there
-// is capacity for it, or starts reservations of one kind out of order.
-func TestLimiterKeepsItsBounds(t *testing.T) {
+// TestLimiter_StaysWithinLimits checks for random sequences of calls that no limit is exceeded, no reservation is
+// left queued while there is capacity for it, and queued reservations of the same kind start in order of arrival.
+func TestLimiter_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			MaxConcurrent:       rapid.IntRange(1, 6).Draw(t, "all"),
@@ -42,7 +42,7 @@
 func (m *limiterModel) release(t *rapid.T, released *Reservation) {
 	admitted := m.limiter.Release(released)
 	if m.limiter.Release(released) != nil {
-		t.Fatal("a reservation was released twice")
+		t.Fatal("releasing a reservation a second time admitted others")
 	}
 	isReleased := func(r *Reservation) bool { return r == released }
 	m.running = slices.DeleteFunc(m.running, isReleased)
@@ -51,7 +51,7 @@
 		sameKind := func(r *Reservation) bool { return r.Server == next.Server && r.WarmingUp == next.WarmingUp }
 		i := slices.Index(m.queued, next)
 		if i < 0 || slices.ContainsFunc(m.queued[:i], sameKind) {
-			t.Fatal("a reservation was admitted out of order")
+			t.Fatal("a reservation was admitted out of order, or was not queued")
 		}
 		m.queued = slices.DeleteFunc(m.queued, func(r *Reservation) bool { return r == next })
 		m.running = append(m.running, next)
@@ -92,7 +92,7 @@
 	}
 	for _, r := range m.running {
 		if perServer[r.Server] > limitOf(r) {
-			t.Fatalf("%d handshakes run with server %s", perServer[r.Server], r.Server)
+			t.Fatalf("%d handshakes are running with server %s, more than its limit", perServer[r.Server], r.Server)
 		}
 	}
 	running, queued := m.limiter.Usage()
--- a/handshakes/nonblocking.go
+++ b/handshakes/nonblocking.go
@@ -6,7 +6,8 @@
 	"syscall"
 )
 
-// errWouldBlock is the error of a read that would wait. crypto/tls keeps a connection usable after a temporary error.
+// errWouldBlock is returned by a non-blocking read if no data is available. It is marked as temporary, because
+// crypto/tls keeps a connection usable only after a temporary error.
 var errWouldBlock = wouldBlockError{}
 
 type wouldBlockError struct{}
@@ -15,7 +16,7 @@
 func (wouldBlockError) Timeout() bool   { return true }
 func (wouldBlockError) Temporary() bool { return true }
 
-// readNonBlocking reads what the system has received.
+// readNonBlocking reads data that the system has already received, or returns errWouldBlock.
 func (c *Conn) readNonBlocking(p []byte) (n int, err error) {
 	raw, err := c.TCP.SyscallConn()
 	if err != nil {
@@ -31,14 +32,15 @@
 	case errors.Is(readErr, syscall.EAGAIN):
 		return 0, errWouldBlock
 	case readErr != nil:
-		return 0, readErr // unwrapped: crypto/tls looks at its type
+		return 0, readErr // not wrapped, because crypto/tls checks its type
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// writeNonBlocking writes as much as the system has buffer space for, and drops the rest.
+// writeNonBlocking writes as much as fits into the system's send buffer. It drops the rest, but reports all of it as
+// written.
 func (c *Conn) writeNonBlocking(p []byte) (n int, err error) {
 	raw, err := c.TCP.SyscallConn()
 	if err != nil {
@@ -54,7 +56,8 @@
 	return len(p), nil
 }
 
-// peerClosed reports whether the peer has closed its side, or the connection is broken or closed on this side.
+// peerClosed reports whether the peer has closed its side of the connection, or the connection is broken or closed on
+// this side.
 func (c *Conn) peerClosed() bool {
 	raw, err := c.TCP.SyscallConn()
 	if err != nil {
--- a/handshakes/preconnect_test.go
+++ b/handshakes/preconnect_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestPreconnectTargets checks that connections are opened ahead only to servers that will need them, and never with
-// the capacity that requests need.
-func TestPreconnectTargets(t *testing.T) {
+// TestPreconnectTargets_OnlyExpectedServers checks that connections are opened ahead of requests only to servers that
+// are expected to need them, and only while less than half of the connection limit is used.
+func TestPreconnectTargets_OnlyExpectedServers(t *testing.T) {
 	now := time.Minute
 	pool := func(id string, change func(*PoolState)) PoolState {
 		state := PoolState{Server: id, EverUsed: true, LastUsed: now - time.Second}
@@ -21,7 +21,7 @@
 		pool("b", func(p *PoolState) { p.LastUsed = now }),
 		pool("idle", func(p *PoolState) { p.Idle = 1 }),
 		pool("never", func(p *PoolState) { p.EverUsed = false }),
-		pool("long ago", func(p *PoolState) { p.LastUsed = now - recentUse }),
+		pool("long ago", func(p *PoolState) { p.LastUsed = now - recentUseWindow }),
 		pool("unavailable", func(p *PoolState) { p.Unavailable = true }),
 		pool("connecting", func(p *PoolState) { p.Connecting = 1 }),
 	}
@@ -29,12 +29,12 @@
 		t.Errorf("targets are %v, want [b a]", got)
 	}
 	if got := PreconnectTargets(now, pools, 50, 100); got != nil {
-		t.Errorf("targets are %v with half of the connections open, want none", got)
+		t.Errorf("targets are %v with half of the connection limit used, want none", got)
 	}
 }
 
-// TestShouldReplace_SpreadsOverWindow checks that about half of the servers' connections are replaced in the first half
-// of the window, and all of them by its end.
+// TestShouldReplace_SpreadsOverWindow checks that about half of the servers' connections are replaced in the first
+// half of the window, and all of them by its end.
 func TestShouldReplace_SpreadsOverWindow(t *testing.T) {
 	early := 0
 	for i := range 100 {
--- a/handshakes/records.go
+++ b/handshakes/records.go
@@ -8,14 +8,14 @@
 	recordLengthOffset = 3
 )
 
-// recordTracker follows the records in a stream of TLS bytes.
+// recordTracker tracks the boundaries of TLS records in a stream of bytes.
 type recordTracker struct {
 	header     [recordHeaderSize]byte
-	headerSize int // bytes of the current header that have come
-	remaining  int // bytes of the current record's content that have not come
+	headerSize int // bytes of the current header received so far
+	remaining  int // bytes of the current record's content not yet received
 }
 
-// advance takes the next bytes of the stream, and reports whether they end within a record.
+// advance processes the next bytes of the stream, and reports whether they end within a record.
 func (t *recordTracker) advance(data []byte) (within bool) {
 	for len(data) > 0 {
 		if t.remaining > 0 {
--- a/handshakes/records_test.go
+++ b/handshakes/records_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRecordTracker_AnyPieces has three records, one of them empty, come in pieces of each size: the stream is within a
-// record but at the end of one.
+// TestRecordTracker_AnyPieces splits a stream of three records, one of them empty, into pieces of every size. The
+// tracker has to report a position within a record except at the end of one.
 func TestRecordTracker_AnyPieces(t *testing.T) {
 	stream := []byte{23, 3, 3, 0, 2, 'a', 'b', 21, 3, 3, 0, 0, 23, 3, 3, 0, 1, 'c'}
 	ends := map[int]bool{7: true, 12: true, 18: true}
@@ -12,7 +12,7 @@
 		for at := 0; at < len(stream); at += size {
 			end := min(at+size, len(stream))
 			if within := tracker.advance(stream[at:end]); within == ends[end] {
-				t.Errorf("pieces of %d: within a record after %d bytes: %v", size, end, within)
+				t.Errorf("pieces of %d bytes: after %d bytes, within a record is %v", size, end, within)
 			}
 		}
 	}
--- a/handshakes/untrusted.go
+++ b/handshakes/untrusted.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	initialBackoff = 500 * time.Millisecond // before the first recheck of a server; doubled by each failed one
+	initialBackoff = 500 * time.Millisecond // before the first recheck of a server; doubled after each failed recheck
 	maxBackoff     = 4 * time.Second
-	jitterFraction = 0.25 // by which backoffs of different servers differ at most, so that they spread
-	// recheckAllWithin is the time within which all servers are rechecked after a change of the trust store.
+	jitterFraction = 0.25 // largest deviation of a backoff, as a fraction of it; spreads the rechecks of servers
+	// recheckAllWithin is the time within which the rechecks of all servers are due after a change of the trust
+	// store.
 	recheckAllWithin = time.Second
 	maxBackoffShift  = 16 // keeps the doubling from overflowing
-	// MaxConcurrentRechecks bounds the rechecks that run at once.
+	// MaxConcurrentRechecks is the maximum number of rechecks that run at once.
 	MaxConcurrentRechecks = 4
-	// MaxUntrustedServers bounds the servers in an UntrustedBackoff. Beyond it, each attempt at a server fails by its
-	// own handshake.
+	// MaxUntrustedServers is the maximum number of servers in an UntrustedBackoff. Further untrusted servers are not
+	// recorded, so that each attempt at one of them fails in its own handshake.
 	MaxUntrustedServers = 10_000
 )
 
@@ -26,25 +27,25 @@
 	Server   string        `json:"server"`
 	Reason   string        `json:"why"`
 	Since    time.Duration `json:"-"`
-	Rechecks int           `json:"looks"` // failed handshakes since
+	Rechecks int           `json:"looks"` // failed rechecks since then
 
 	nextRecheck time.Duration
 	rechecking  bool
 }
 
-// UntrustedBackoff holds the servers that failed verification. They get no requests; each is rechecked with an
-// exponential backoff by a handshake without a request. It is not safe for concurrent use.
+// UntrustedBackoff holds the servers that failed verification. They get no requests; each is rechecked by a handshake
+// without a request, with an exponential backoff. It is not safe for concurrent use.
 type UntrustedBackoff struct {
 	servers    map[string]*UntrustedServer
-	rechecking int // servers whose recheck is running
+	rechecking int // number of servers whose recheck is running
 }
 
-// NewUntrustedBackoff returns a backoff without servers.
+// NewUntrustedBackoff returns an UntrustedBackoff without servers.
 func NewUntrustedBackoff() *UntrustedBackoff {
 	return &UntrustedBackoff{servers: make(map[string]*UntrustedServer)}
 }
 
-// Reason returns why a server is untrusted, and whether it is.
+// Reason reports whether a server is untrusted, and why.
 func (b *UntrustedBackoff) Reason(server string) (reason string, untrusted bool) {
 	if entry := b.servers[server]; entry != nil {
 		return entry.Reason, true
@@ -102,11 +103,11 @@
 	}
 }
 
-// Forget removes a server that was removed or restarted.
+// Forget drops a server that was removed from the endpoint list or has restarted.
 func (b *UntrustedBackoff) Forget(server string) { b.RecordSuccess(server) }
 
-// RecheckAll resets the backoff of all servers and spreads their rechecks over a short time, after a change of the
-// trust store.
+// RecheckAll is called after a change of the trust store. It resets the backoff of all servers and spreads their
+// rechecks over a short time.
 func (b *UntrustedBackoff) RecheckAll(now time.Duration) {
 	for _, entry := range b.servers {
 		entry.Rechecks = 0
@@ -115,8 +116,9 @@
 	}
 }
 
-// StartDue starts the rechecks that are due, the longest overdue first, as far as MaxConcurrentRechecks allows, and
-// returns their servers. Each has to be ended by RecordFailure, RecordSuccess, RecordInconclusive or Forget.
+// StartDue marks the rechecks that are due as running, the longest overdue first, as far as MaxConcurrentRechecks
+// allows, and returns their servers. Each has to be ended by RecordFailure, RecordSuccess, RecordInconclusive or
+// Forget.
 func (b *UntrustedBackoff) StartDue(now time.Duration) (servers []string) {
 	if b.rechecking >= MaxConcurrentRechecks {
 		return nil
@@ -149,14 +151,14 @@
 	return list
 }
 
-// hashFraction maps a server to a fixed value from 0 up to 1, different for different servers.
+// hashFraction maps a server to a fixed value in [0, 1), by a hash of its name.
 func hashFraction(server string) float64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(server))
 	return float64(hash.Sum32()) / (1 << 32)
 }
 
-// withJitter changes a duration by up to jitterFraction, by the hash of the server.
+// withJitter changes a duration by up to jitterFraction of it in either direction, depending on a hash of the server.
 func withJitter(server string, d time.Duration) time.Duration {
 	return d + time.Duration(jitterFraction*(2*hashFraction(server)-1)*float64(d))
 }
--- a/handshakes/untrusted_test.go
+++ b/handshakes/untrusted_test.go
@@ -10,9 +10,9 @@
 
 const tickInterval = 50 * time.Millisecond
 
-// TestUntrustedBackoffSchedule checks that however many servers fail verification, and for how long, few are rechecked
-// at once, each again within seconds, and none earlier than its backoff says.
-func TestUntrustedBackoffSchedule(t *testing.T) {
+// TestUntrustedBackoff_RecheckIntervals checks for random numbers of untrusted servers that at most
+// MaxConcurrentRechecks run at once, that each server is rechecked within seconds, and not before its backoff ends.
+func TestUntrustedBackoff_RecheckIntervals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backoff, servers := NewUntrustedBackoff(), rapid.IntRange(1, 40).Draw(t, "servers")
 		lastChecked := make(map[string]time.Duration)
@@ -28,7 +28,7 @@
 	})
 }
 
-// checkRecheckIntervals lets all rechecks of a minute fail.
+// checkRecheckIntervals lets all rechecks of a minute fail, and checks the intervals between them.
 func checkRecheckIntervals(t *rapid.T, backoff *UntrustedBackoff, lastChecked map[string]time.Duration) {
 	rechecks := make(map[string]int)
 	tolerance := time.Second + time.Duration(len(lastChecked))*tickInterval
@@ -40,7 +40,7 @@
 		for _, id := range due {
 			earliest := withJitter(id, min(maxBackoff, initialBackoff<<rechecks[id]))
 			if gap := now - lastChecked[id]; gap < earliest || gap > earliest+tolerance {
-				t.Fatalf("recheck %d of %s started after %v, want about %v", rechecks[id], id, gap, earliest)
+				t.Fatalf("recheck %d of server %s started after %v, want about %v", rechecks[id], id, gap, earliest)
 			}
 			rechecks[id]++
 			lastChecked[id] = now
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkRecheckAll checks that all servers are rechecked within seconds after a change of the trust store, and trusted
+// checkRecheckAll checks that all servers are rechecked within 3 s after a change of the trust store, and are trusted
 // once they have passed.
 func checkRecheckAll(t *rapid.T, backoff *UntrustedBackoff, servers int) {
 	backoff.RecheckAll(time.Minute)
@@ -58,7 +58,7 @@
 		for _, id := range backoff.StartDue(now) {
 			rechecked[id] = true
 			if !backoff.RecordSuccess(id) {
-				t.Fatalf("%s was rechecked though it was trusted", id)
+				t.Fatalf("server %s was rechecked though it was trusted", id)
 			}
 		}
 	}
