--- a/body/budget.go
+++ b/body/budget.go
@@ -15,7 +15,7 @@
 type Budget struct {
 	limit atomic.Int64
 	used  atomic.Int64
-	pool  sync.Pool // of *[ChunkSize]byte
+	pool  sync.Pool // unused chunks, as *[ChunkSize]byte
 }
 
 // NewBudget returns a budget of limit bytes, but of at least one chunk.
--- a/body/upload.go
+++ b/body/upload.go
@@ -12,15 +12,15 @@
 
 var (
 	// ErrTooLong is returned for a body of more than Limits.MaxLength bytes.
-	ErrTooLong = errors.New("body: longer than its limit")
+	ErrTooLong = errors.New("body: longer than the limit")
 	// ErrClosed is returned by the readers of an Upload that was closed.
 	ErrClosed = errors.New("body: upload is closed")
 )
 
 // Limits limits the length of bodies and how much of them is buffered.
 type Limits struct {
-	MaxLength   int64   // bytes of one body
-	MaxBuffered int64   // bytes of one body that are buffered
+	MaxLength   int64   // maximum length of one body, in bytes
+	MaxBuffered int64   // maximum number of bytes of one body that are buffered
 	Budget      *Budget // shared by all bodies
 }
 
--- a/drain/errors.go
+++ b/drain/errors.go
@@ -16,7 +16,7 @@
 	// ErrFinal is wrapped by the error of Cancel if the drain is final, because the process exits after it.
 	ErrFinal = errors.New("the process is shutting down")
 	// ErrInvalidTimeout is returned by Start if the timeout of the order is not positive.
-	ErrInvalidTimeout = errors.New("want a deadline above 0s")
+	ErrInvalidTimeout = errors.New("the deadline of a drain must be more than 0s")
 )
 
 // InProgressError is returned by Start if a drain is in progress and the order does not change it. Status describes
@@ -26,7 +26,7 @@
 func (e *InProgressError) Error() string {
 	status := e.Status
 	return fmt.Sprintf(
-		"a drain is in progress since %s, ordered by %s (%s), until %s; only force applies a shorter deadline",
+		"a drain has been in progress since %s, ordered by %s (%s), until %s; only force applies a shorter deadline",
 		status.StartedAt.Format(time.TimeOnly), orDash(status.RequestedBy), orDash(status.Reason),
 		status.Deadline.Format(time.TimeOnly))
 }
--- a/drain/state.go
+++ b/drain/state.go
@@ -40,5 +40,5 @@
 	return fmt.Errorf("unknown drain state %q", text)
 }
 
-// Done reports whether the drain is over.
+// Done reports whether the drain is over: the state is Drained or Forced.
 func (s State) Done() bool { return s >= Drained }
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -60,7 +60,7 @@
 	limits    Limits
 	perServer map[string]int // running handshakes by server
 	total     int            // running handshakes
-	queue     []*Reservation // in order of arrival
+	queue     []*Reservation // queued reservations, in order of arrival
 }
 
 // NewLimiter returns a limiter without reservations.
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -21,7 +21,7 @@
 	reason     string
 	changedAt  time.Duration
 	hasChanged bool           // changedAt is set
-	history    []levelHistory // by level
+	history    []levelHistory // by level number
 	events     []Event
 	maxLevel   int // conditions enter no level beyond it; negative: no limit
 
