--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	rateWindow         = time.Second  // of limits made from quotas; also the Retry-After of a quota of zero
-	burstSeconds       = 0.5          // of a quota's rate that its bucket holds: bursts within the quota
-	minBurst           = 3            // tokens, so that a small part of a quota still admits a few at once
-	maxBuckets         = 4096         // bound where clients name tenants freely; the rest share one bucket
-	refillCompensation = 1 / math.Ln2 // as whole-token refill passes only ln 2 of the rate of Poisson arrivals
+	rateWindow         = time.Second  // window of limits derived from quotas; also the Retry-After for a quota of zero
+	burstSeconds       = 0.5          // seconds of a quota's rate that its bucket holds, to admit bursts
+	minBurst           = 3            // tokens, so that a small part of a quota still admits a small burst
+	maxBuckets         = 4096         // bounds memory if clients make up tenants; those beyond it share a bucket
+	refillCompensation = 1 / math.Ln2 // refilling whole tokens only admits ln 2 of the rate of Poisson arrivals
 
-	rateScaleStep     = 0.02 // up or down at each selection: half of them may find no capacity
-	minRateScale      = 0.3  // below, traffic within its quota starves by faults that shedding can't mend
-	cautiousRateScale = 1.5  // above, only while few answers are bad
-	maxBadRatio       = 0.06 // of the answers, then
-	maxRateScale      = 3.0  // above, there is little value left to win
+	rateScaleStep     = 0.02 // relative change per selection; steady while half of them find capacity
+	minRateScale      = 0.3  // below it, faults that shedding can't cure starve traffic within its quota
+	cautiousRateScale = 1.5  // above it, rateScale only rises while few outcomes are bad
+	maxBadRatio       = 0.06 // highest badRatio at which rateScale may exceed cautiousRateScale
+	maxRateScale      = 3.0  // admitting still more gains little
 )
 
-// refill adds the whole tokens of the time gone by, which resets the refill time, up to the burst.
+// refill adds the whole tokens for the time since the last refill, up to the burst. Adding any resets the refill
+// time, so that fractions of tokens are lost.
 func (k *bucket) refill(now Time, perSecond float64, burst int64) {
 	added := math.Floor((now - k.lastRefill).Seconds() * perSecond)
 	if added >= 1 {
@@ -34,7 +35,7 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter is the wait, in whole seconds, in the answer to a rejected client.
+// retryAfter returns the Retry-After for a rejected client: the time for one token, rounded up to whole seconds.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
@@ -44,12 +45,13 @@
 }
 
 func (b *Balancer) quotaLimit(quota float64) Limit {
-	rate := quota / float64(b.settings.Nodes) * refillCompensation // this node's part
+	rate := quota / float64(b.settings.Nodes) * refillCompensation // this node's fraction of the quota
 	burst := max(minBurst, int64(math.Ceil(rate*burstSeconds)))
 	return Limit{PerWindow: rate * rateWindow.Seconds(), Window: rateWindow, Burst: burst}
 }
 
-// resolveLimit resolves the layers: tenant's quota or default, override for the class, platform maximum.
+// resolveLimit returns the limit of a request and the key of its bucket: the limit of the class if there is one, else
+// the tenant's quota or the default, each bounded by RateLimits.Max. If no limit applies, ok is false.
 func (b *Balancer) resolveLimit(tenant, class string) (limit Limit, key bucketKey, ok bool) {
 	key.tenant = tenant
 	if override, found := b.settings.RateLimits.PerClass[class]; found {
@@ -96,7 +98,7 @@
 		r = b.newRequest(event)
 	}
 	b.setDeadlines(r, event)
-	if known { // the last byte of its body has come: its attempts are timed from now on
+	if known { // the last byte of its body has arrived: latencies of its attempts count from now
 		for i := range r.attempts {
 			r.attempts[i].sentAt = b.now
 		}
@@ -114,7 +116,7 @@
 
 func (b *Balancer) newRequest(e Request) *request {
 	r := &request{id: e.ID, class: b.classes[e.Class], notReplayable: e.BodyPending, zoneLocal: e.ZoneLocal}
-	if r.class == nil { // not in the settings: never repeated once it may have run
+	if r.class == nil { // unknown class: treated as non-idempotent
 		unknown := Class{LatencyObjective: e.ExpiresIn, LateWeightFraction: 1}
 		r.class = &class{Class: unknown, capabilities: b.settings.Capabilities, eligible: &b.pool}
 	}
@@ -124,7 +126,8 @@
 	return r
 }
 
-// setDeadlines bounds the attempts of r, and its time in the queue: late rejections cost clients time.
+// setDeadlines sets the deadlines of r. A request is queued for at most half of its objective or remaining time, so
+// that a rejected client has time left to retry elsewhere.
 func (b *Balancer) setDeadlines(r *request, e Request) {
 	r.deadline, r.bodyPending = b.now+e.ExpiresIn, e.BodyPending
 	objective := r.class.LatencyObjective + time.Duration(r.class.ObjectiveWorkFactor*float64(e.CostHint))
@@ -134,8 +137,9 @@
 	}
 }
 
-// adjustRateScale scales all bucket rates alike by whether the servers have capacity: else a slowdown of the
-// fleet sheds nothing, and a node that sees more than its even part of a quota rejects traffic within it.
+// adjustRateScale lowers all bucket rates if the servers lack capacity, and raises them if buckets reject requests
+// while there is capacity. With fixed rates, a slowdown of the fleet would shed nothing, and a node that gets more
+// than an even share of a tenant's traffic would reject requests within the quota.
 func (b *Balancer) adjustRateScale(hasCapacity bool) {
 	switch {
 	case !hasCapacity && b.rateScale <= 1 && b.serversShedLoad():
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -13,8 +13,8 @@
 		r := testRequest(fmt.Sprint(i), "idempotent")
 		r.Tenant = "u"
 		if rejects := actionsOf(b.Handle(ms, r), Reject); len(rejects) == 1 {
-			if i != 8 { // 10 a second / ln 2, half a second of burst
-				t.Errorf("rejected after %d, want 8", i)
+			if i != 8 { // burst of half a second at a quota of 10 requests/s, divided by ln 2
+				t.Errorf("first rejection after %d requests, want after 8", i)
 			}
 			if rejects[0].Wait != time.Second {
 				t.Errorf("retry-after %v, want 1 s", rejects[0].Wait)
@@ -34,10 +34,10 @@
 		rejected += len(actionsOf(b.Handle(ms, testRequest(fmt.Sprint("f", i), "idempotent")), Reject))
 	}
 	if rejected != 3 {
-		t.Errorf("rejected %d of 5, want 3: the maximum cuts the burst to 2", rejected)
+		t.Errorf("rejected %d of 5 requests, want 3, as Max limits the burst to 2", rejected)
 	}
 	if len(actionsOf(b.Handle(ms, testRequest("x", "single")), Reject)) != 0 {
-		t.Error("another class was rejected by the override's bucket")
+		t.Error("request of a class without an override was rejected by the override's bucket")
 	}
 }
 
@@ -47,36 +47,38 @@
 		b.adjustRateScale(false)
 	}
 	if b.rateScale >= 0.5 || b.rateScale < minRateScale {
-		t.Errorf("after 100 choices without capacity the scale is %v", b.rateScale)
+		t.Errorf("after 100 selections without capacity, rateScale is %v, want from minRateScale to below 0.5",
+			b.rateScale)
 	}
-	was := b.rateScale
+	before := b.rateScale
 	b.adjustRateScale(true)
-	if b.rateScale != was {
-		t.Error("the scale rose though no bucket rejected")
+	if b.rateScale != before {
+		t.Error("rateScale changed though no bucket rejected a request")
 	}
 	b.rateLimited = true
 	b.adjustRateScale(true)
-	if b.rateScale <= was {
-		t.Error("the scale did not rise though a bucket rejected and there was capacity")
+	if b.rateScale <= before {
+		t.Error("rateScale did not rise though a bucket rejected a request and there was capacity")
 	}
 }
 
-// A request that is queued for long tells once that servers had no capacity, not at each look.
+// A queued request must lower rateScale only once, not each time that it looks for a server.
 func TestRateScale_QueuedRequestMovesItOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order[0]
 	s.threshold, s.thresholdReduced, s.inFlight = 1, true, 3
 	b.Handle(ms, testRequest("x", "idempotent"))
-	was := b.rateScale
+	before := b.rateScale
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.queued) != 1 || was >= 1 || b.rateScale != was {
-		t.Errorf("%d queued, the scale went from %v to %v", len(b.queued), was, b.rateScale)
+	if len(b.queued) != 1 || before >= 1 || b.rateScale != before {
+		t.Errorf("%d requests queued, rateScale went from %v to %v; want 1 queued, and no change from a value below 1",
+			len(b.queued), before, b.rateScale)
 	}
 }
 
-// Traffic far beyond the quotas passes only while next to no answer is bad: other nodes may lack capacity.
+// Traffic far beyond the quotas is admitted only while almost no answer is bad, since other nodes may lack capacity.
 func TestRateScale_FarOverQuotasNeedsGoodAnswers(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	grow := func() {
@@ -87,14 +89,14 @@
 	}
 	grow()
 	if b.rateScale != maxRateScale {
-		t.Errorf("with good answers the scale is %v, want %v", b.rateScale, maxRateScale)
+		t.Errorf("with good answers only, rateScale is %v, want %v", b.rateScale, maxRateScale)
 	}
 	for range 20 {
 		b.updateThreshold(b.order[0], b.activeClasses[0], Outcome{Code: TimedOut, Latency: ms})
 	}
 	grow()
 	if b.rateScale > cautiousRateScale*(1+rateScaleStep) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.rateScale, cautiousRateScale)
+		t.Errorf("with bad answers, rateScale is %v, want at most about %v", b.rateScale, cautiousRateScale)
 	}
 }
 
@@ -102,15 +104,15 @@
 	k := bucket{tokens: 0, lastRefill: 0}
 	k.refill(599*ms, 1.667, 100)
 	if k.tokens != 0 || k.lastRefill != 0 {
-		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
+		t.Fatalf("time for less than one token: bucket is %+v, want no token and the refill time unchanged", k)
 	}
-	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
+	k.refill(1100*ms, 1.667, 100) // 1.83 tokens accrued: one is added, the fraction is lost
 	if k.tokens != 1 || k.lastRefill != 1100*ms {
-		t.Fatalf("1.83 tokens: got %+v, want one token and the refill time reset", k)
+		t.Fatalf("time for 1.83 tokens: bucket is %+v, want one token and the refill time updated", k)
 	}
 	k.refill(time.Hour, 1.667, 100)
 	if k.tokens != 100 {
-		t.Fatalf("after an hour: got %d tokens, want the burst of 100", k.tokens)
+		t.Fatalf("after an hour: %d tokens, want the burst of 100", k.tokens)
 	}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,159 +1,161 @@
 // Package policy decides, for one node of a reverse proxy, which requests to admit, which server gets each
 // attempt, and when to retry, hedge, reject or fail. It is an event-driven state machine: a host hands each
-// event in by Handle, with the time, and carries out the actions that it returns, in order. The package does
-// no I/O, reads no clock and starts no goroutine; its random choices come from the seed, so that the same
-// events always lead to the same actions.
+// event and the current time to Handle, and carries out the returned actions in order. The package does no I/O,
+// reads no clock and starts no goroutine; its random choices come from the seed, so that the same events always
+// lead to the same actions.
 //
-// A request passes these files, each with the decisions of one concern:
+// Each of these files implements one part of request handling:
 //
-//   - admission.go: rate limits by tenant and class, and their scale by the capacity of the servers;
-//   - selection.go and threshold.go: which server is sent an attempt, under a learned concurrency limit for
-//     each; placement.go: where it may run at all; index.go: the same choice among many servers;
-//   - attempts.go and retry_budget.go: sending, queueing, retries, hedged requests and their outcomes;
-//   - connections.go: idle connections that were dropped unseen;
-//   - outlier.go: ejection of servers that fail, and the probes that take them back;
-//   - slow_start.go: the load of servers that warm up;
-//   - endpoints.go: the endpoint list, the order of the servers and this node's subset of them.
+//   - admission.go: rate limits by tenant and class, scaled by the available capacity of the servers;
+//   - placement.go: the servers that a request is allowed to run on;
+//   - selection.go and threshold.go: choosing the server of an attempt, under a learned concurrency limit for
+//     each server; index.go: making the same choice faster among many servers;
+//   - attempts.go, retry_budget.go and reconnect.go: sending, queueing, retries, hedged requests and outcomes;
+//   - connections.go: closing idle connections that were probably dropped by the network;
+//   - outlier.go: ejection of failing servers, and the probes that reinstate them;
+//   - slow_start.go: limits on the load of servers that have just started;
+//   - endpoints.go: the endpoint list, the order of the servers, and this node's subset of them.
 //
-// policy.go takes events and settings in, state.go and learned_state.go hold the state, and this file is the
-// interface: settings, events and actions.
+// policy.go dispatches events and applies settings, state.go and learned_state.go define the state, and this file
+// defines the interface: settings, events and actions.
 package policy
 
 import "time"
 
-// Time is a moment on the host's monotonic clock, as the duration since any fixed origin.
+// Time is a point on the host's monotonic clock, as the duration since an arbitrary fixed origin.
 type Time = time.Duration
 
-// Idempotency says whether a request may be sent again once an attempt of it may have run.
+// Idempotency says whether a request may be sent again after an attempt that may have been executed.
 type Idempotency uint8
 
-// The zero value is the strictest: a class without a setting is never executed twice.
+// The zero value is the strictest: requests of a class without this setting are never executed twice.
 const (
-	NonIdempotent    Idempotency = iota // must never run twice
-	IdempotencyKeyed                    // servers in DedupScope drop duplicates for DedupWindow
-	Idempotent                          // may run any number of times
+	NonIdempotent    Idempotency = iota // must never be executed twice
+	IdempotencyKeyed                    // servers within DedupScope discard duplicates for DedupWindow
+	Idempotent                          // may be executed any number of times
 )
 
-// DedupScope names the servers that drop duplicates of an IdempotencyKeyed request.
+// DedupScope says which servers discard duplicates of an IdempotencyKeyed request.
 type DedupScope uint8
 
 // The zero value is the narrowest scope.
 const (
-	DedupCell DedupScope = iota // servers of the same Cell as the first that may have run it
-	DedupZone                   // servers of the same Zone
+	DedupCell DedupScope = iota // servers with the same Cell as the first server that may have executed it
+	DedupZone                   // servers in the same Zone as that server
 	DedupAll                    // all servers
 )
 
-// Class describes one kind of request. All figures are zero or more.
+// Class describes one kind of request. All numbers must be zero or more.
 type Class struct {
 	// Name is unique among the classes.
 	Name string
-	// LatencyObjective is the latency within which an answer has its full value; 0 means Deadline.
+	// LatencyObjective is the latency up to which an answer has its full value; 0 means Deadline.
 	LatencyObjective time.Duration
 	// ObjectiveWorkFactor adds this multiple of Request.CostHint to the objective; 0 adds nothing.
 	ObjectiveWorkFactor float64
-	// Deadline is how long a client waits in all, over all its tries; more than zero.
+	// Deadline is the total time that a client waits, over all its retries; must be more than zero.
 	Deadline time.Duration
-	// Idempotency says whether it may be sent again once it may have run.
+	// Idempotency says whether a request may be sent again after it may have been executed.
 	Idempotency Idempotency
-	// DedupScope names the servers that drop duplicates; for IdempotencyKeyed.
+	// DedupScope says which servers discard duplicates; only used with IdempotencyKeyed.
 	DedupScope DedupScope
-	// DedupWindow is for how long they do, from the first attempt that may have run; for IdempotencyKeyed.
+	// DedupWindow is how long those servers discard duplicates, counted from the first attempt that may have been
+	// executed; only used with IdempotencyKeyed.
 	DedupWindow time.Duration
-	// LateWeightFraction, from 0 to 1, is the part of the value left between objective and deadline. At 0
-	// no attempt is made after the objective.
+	// LateWeightFraction, from 0 to 1, is the fraction of its value that an answer keeps between objective and
+	// deadline. At 0, no attempt is made after the objective.
 	LateWeightFraction float64
-	// PriorityWeight is the value of one answer in relation to those of other classes. No decision reads it.
+	// PriorityWeight is the value of one answer relative to answers of other classes. No decision reads it.
 	PriorityWeight float64
-	// Stream says that the answer is a stream, announced by FirstByte.
+	// Stream says that answers are streamed; FirstByte reports the start of each.
 	Stream bool
-	// Kinds are the only kinds of server it may be sent to; empty for any.
+	// Kinds are the only kinds of server that requests may be sent to; empty for any.
 	Kinds []string
-	// Zones are the only zones it may be sent to; empty for any.
+	// Zones are the only zones that requests may be sent to; empty for any.
 	Zones []string
-	// Pool is the only pool of servers it may be sent to; empty for any.
+	// Pool is the only pool of servers that requests may be sent to; empty for any.
 	Pool string
 }
 
-// Tenant is one customer and the quota agreed with it.
+// Tenant is a customer with its own request quota.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second over all nodes; 0 or more
-	Share float64 // part of the service, 0 to 1; no decision reads it
+	Share float64 // fraction of the total traffic, 0 to 1; no decision reads it
 }
 
-// Limit is one layer of rate limits: a token bucket that holds Burst and gains PerWindow each Window.
+// Limit is a token bucket limit: the bucket holds up to Burst tokens and gains PerWindow tokens each Window.
 type Limit struct {
-	PerWindow float64       // requests; 0 or less admits the burst only
-	Window    time.Duration // 0 or less means no refill
-	Burst     int64         // requests
+	PerWindow float64       // requests; 0 or less admits only the initial burst
+	Window    time.Duration // refill period; 0 or less disables refill
+	Burst     int64         // bucket capacity, in requests
 }
 
-// RateLimits holds the layers that apply to every tenant. All are optional.
+// RateLimits holds the rate limits that apply besides the tenants' quotas. All are optional.
 type RateLimits struct {
-	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit
-	PerClass map[string]Limit // by class, in place of the tenant's; it has a bucket of its own for each tenant
-	Max      float64          // platform maximum for PerWindow and Burst; 0 for none
+	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit without tenants
+	PerClass map[string]Limit // by class, replacing the tenant's limit; each tenant has its own bucket for it
+	Max      float64          // upper bound of PerWindow and Burst in every limit; 0 for none
 }
 
-// Capabilities says what the site lets a node do.
+// Capabilities says what a node is allowed to do at this site.
 type Capabilities struct {
-	Cancel     bool // attempts in flight may be cancelled
+	Cancel     bool // the node may cancel attempts in flight
 	Hedge      bool // a second attempt may be sent while the first is in flight
-	Probe      bool // servers may be probed by the host; no decision reads it
+	Probe      bool // the host may probe servers; no decision reads it
 	Peers      bool // nodes may send messages to one another; no decision reads it
-	RetryAfter bool // clients follow the wait of a Reject
+	RetryAfter bool // clients honor the wait time of a Reject
 
-	MaxAttempts     int           // for one request, the first included; 0 counts as 1
-	MaxRetryAfter   time.Duration // longest wait a client follows
-	ConnIdleTimeout time.Duration // idle connections are closed after this; 0 if not known
+	MaxAttempts     int           // attempts per request, including the first; 0 means 1
+	MaxRetryAfter   time.Duration // longest wait time that clients honor
+	ConnIdleTimeout time.Duration // how long a connection may be idle before it is closed; 0 if unknown
 }
 
-// RetryBudget limits a node's attempts beyond each request's first: in any Window they number at most
-// MinRetries plus RetryRatio of the requests that the node received in it.
+// RetryBudget limits a node's retries and hedged requests: within any Window it sends at most MinRetries plus
+// RetryRatio times the number of requests that it received in that Window.
 type RetryBudget struct {
-	MinRetries float64       // attempts; 0 or more
-	RetryRatio float64       // attempts for each request; 0 or more
-	Window     time.Duration // more than zero
+	MinRetries float64       // retries allowed at any request rate; 0 or more
+	RetryRatio float64       // further retries allowed per received request; 0 or more
+	Window     time.Duration // length of the sliding window; must be more than zero
 }
 
-// Rules holds the figures of the rules that the site sets for a node. All are zero or more.
+// Rules holds the operating rules that the site sets for a node. All numbers must be zero or more.
 type Rules struct {
-	AnswerGrace      time.Duration // a final answer is still in time this long after the deadline
-	DrainGrace       time.Duration // sends to a draining server must end within this time
-	SlowStartShare   float64       // a server starts at this part of its capacity or more; 0 to 1
-	SlowStartWindow  time.Duration // and is warm within this time
-	OverloadFactor   float64       // sent more than this multiple of its present capacity
-	OverloadDuration time.Duration // for this long, a server that warms up falls over
-	MaxPollInterval  time.Duration // an unsubscribed node must ask for the list this often
-	RetryBudget      *RetryBudget  // nil where the site states none: a default is in force
+	AnswerGrace      time.Duration // how long after the deadline a final answer still counts as in time
+	DrainGrace       time.Duration // how long attempts may still be sent to a server after it began to drain
+	SlowStartShare   float64       // minimum fraction of its capacity that a server has at its start; 0 to 1
+	SlowStartWindow  time.Duration // time after its start by which a server has its full capacity
+	OverloadFactor   float64       // multiple of its current capacity at which a server in slow start fails
+	OverloadDuration time.Duration // how long the load must exceed OverloadFactor for the server to fail
+	MaxPollInterval  time.Duration // longest time between polls of the endpoint list without a subscription
+	RetryBudget      *RetryBudget  // nil if the site sets none, so that a default applies
 }
 
-// Settings is the configuration of a node.
+// Settings is the configuration of a Balancer.
 type Settings struct {
-	Node         int // this node's number, from 0
-	Nodes        int // how many nodes there are; 1 or more
+	Node         int // index of this node, from 0 to Nodes-1
+	Nodes        int // total number of nodes; 1 or more
 	Zone         string
-	Classes      []Class // 1 or more
+	Classes      []Class // at least one
 	Tenants      []Tenant
 	RateLimits   RateLimits
 	Capabilities Capabilities
 	Rules        Rules
-	Subscribe    bool // the endpoint list must be asked for
-	KeyAffinity  bool // a server that lately served a key serves it with less work
-	WeightByWork bool // weight is counted for each unit of work, not for each request; no decision reads it
-	// LoadReportFields names the values in load reports, in order. No decision reads them.
+	Subscribe    bool // the node must subscribe to the endpoint list to get updates
+	KeyAffinity  bool // prefer a key's sticky servers, since serving a key again costs a server less
+	WeightByWork bool // an answer's value is counted per unit of work, not per request; no decision reads it
+	// LoadReportFields names the values in load reports, in their order. No decision reads them.
 	LoadReportFields []string
 }
 
-// Availability is what the endpoint list says of a server's process.
+// Availability is the state of a server's process according to the endpoint list.
 type Availability uint8
 
-// States of a listed server.
+// States of a server in the endpoint list.
 const (
 	Running  Availability = iota
-	Draining              // it takes no new attempts
-	Removed               // absent from the list
+	Draining              // accepts no new attempts
+	Removed               // no longer in the list
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -161,11 +163,11 @@
 	Server      string // unique name
 	Zone        string
 	Kind        string
-	Pools       []string // that it belongs to
-	Cell        int64    // the group of servers that it drops duplicates with
+	Pools       []string // pools that the server belongs to
+	Cell        int64    // group of servers that share a deduplication table, for DedupCell
 	Weight      float64  // relative capacity; no decision reads it
-	OnlineSince Time     // when its process started; 0: long ago
-	// SlowStartAt is when slow start begins, by a clock that is never stepped; 0: at OnlineSince.
+	OnlineSince Time     // when its process started; 0 for long ago
+	// SlowStartAt is when slow start begins, by a clock that is never stepped; 0 means at OnlineSince.
 	SlowStartAt  Time
 	Availability Availability
 }
@@ -173,43 +175,44 @@
 // Event is one of Request, FirstByte, Outcome, ClientGone, Timer, EndpointList, ProbeResult and PeerMessage.
 type Event any
 
-// ListKind says how an EndpointList is to be read.
+// ListKind says how to interpret an EndpointList.
 type ListKind uint8
 
-// Kinds of list events.
+// Kinds of endpoint list updates.
 const (
 	ListReplace     ListKind = iota // the complete list
-	ListUpdate                      // only what changed
-	ListRestored                    // the complete list as last seen, perhaps stale
+	ListUpdate                      // only the changed entries
+	ListRestored                    // the last known complete list, possibly stale
 	ListUnavailable                 // a poll failed or a watch ended; no entries
 )
 
-// EndpointList is an update of the endpoint list. Endpoints may be shared between nodes: it is only read.
+// EndpointList is an update of the endpoint list. Endpoints is never modified, so that nodes may share it.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
-	More      bool // the rest of the same change follows: queued requests wait for it
+	More      bool // further parts of the same change follow; queued requests wait for the last part
 }
 
-// Request is a client's request, which gets exactly one final answer. One with BodyPending may be sent, but can't
-// have run: its body passes through as it comes, and one attempt at a time can have it. It is handed in once more,
-// without BodyPending, when its last byte has come, and its times count from then.
+// Request is a client's request, which gets exactly one final answer. A request with BodyPending may be sent before
+// its whole body has arrived: the body is streamed through to one attempt at a time, and no server can have executed
+// the request yet. The host hands the request in again without BodyPending when the last byte of the body has
+// arrived; its durations count from then on.
 type Request struct {
 	ID     string // unique among the requests in flight
-	Class  string // of the settings; another is never executed twice
+	Class  string // name of a Class; a request of an unknown class is never executed twice
 	Tenant string
-	Key    string // what the request is about, for KeyAffinity; empty for nothing
-
-	ExpiresIn    time.Duration // until the client gives up
-	CostHint     time.Duration // estimate of its work in core time; 0 if unknown
-	Retry        bool          // the client has sent it before; no decision reads it
-	Write        bool          // it changes something; no decision reads it
-	BodyPending  bool          // the last byte of its body has not come yet
-	ZoneLocal    bool          // it is not to leave this node's zone while that has a server
-	MaxQueueTime time.Duration // it is rejected after so long without a server, if not sooner; 0: no bound of its own
+	Key    string // resource that the request concerns, for KeyAffinity; empty for none
+
+	ExpiresIn    time.Duration // time until the client gives up
+	CostHint     time.Duration // estimated CPU time of the request; 0 if unknown
+	Retry        bool          // the client has sent this request before; no decision reads it
+	Write        bool          // the request modifies data; no decision reads it
+	BodyPending  bool          // the last byte of the body has not arrived yet
+	ZoneLocal    bool          // the request must stay in this node's zone while that zone has a running server
+	MaxQueueTime time.Duration // upper bound of the time in the queue; 0 for no bound specific to this request
 }
 
-// queueTime bounds the time that a request is queued by its own maximum.
+// queueTime returns limit, or MaxQueueTime if that is set and shorter.
 func (e Request) queueTime(limit time.Duration) time.Duration {
 	if e.MaxQueueTime > 0 {
 		return min(limit, e.MaxQueueTime)
@@ -217,7 +220,7 @@
 	return limit
 }
 
-// FirstByte says that a streamed answer has begun: no other attempt can answer the client any more.
+// FirstByte reports the start of a streamed answer, after which no other attempt can answer the client.
 type FirstByte struct {
 	ID      string
 	Server  string
@@ -225,46 +228,46 @@
 	Latency time.Duration
 }
 
-// Code says how an attempt ended.
+// Code is the result of an attempt.
 type Code uint8
 
-// The outcome codes. NotExecuted tells which of them prove that the request never ran.
+// Result codes of attempts. NotExecuted tells which of them prove that the server never executed the request.
 const (
 	OK            Code = iota
-	ServerError        // an answer that says that the server failed
-	Overloaded         // the server rejected it for lack of capacity
-	TimedOut           // no answer in time
-	ConnectFailed      // no connection, so nothing was sent
-	Reset              // the connection broke
-	Cancelled          // by the node's own Cancel
-	Superseded         // given up by the node itself before it was sent: it says nothing of the server
-	Untrusted          // the server could not prove who it is, so nothing was sent
+	ServerError        // the server answered with an error of its own
+	Overloaded         // the server rejected the request for lack of capacity
+	TimedOut           // no answer before the attempt's time-out
+	ConnectFailed      // no connection could be established, so nothing was sent
+	Reset              // the connection broke during the attempt
+	Cancelled          // the node cancelled it with a Cancel action
+	Superseded         // the node abandoned it before sending it, which says nothing about the server
+	Untrusted          // the server failed to authenticate itself, so nothing was sent
 )
 
-// NotExecuted reports whether the code proves that the request never ran.
+// NotExecuted reports whether the code proves that the server never executed the request.
 func (c Code) NotExecuted() bool {
 	return c == Overloaded || c == ConnectFailed || c == Superseded || c == Untrusted
 }
 
-// Outcome is the end of one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	ID           string
 	Server       string
 	Attempt      int // number of the attempt, from 0
 	Code         Code
-	Latency      time.Duration // since the attempt was sent
-	Answered     bool          // the request has its final answer
-	BodyConsumed bool          // the request's body is gone: no further attempt could send it
-	LoadReport   []float64     // in the order of Settings.LoadReportFields; nil for none
+	Latency      time.Duration // time since the attempt was sent
+	Answered     bool          // the client has received the final answer
+	BodyConsumed bool          // the request's body can't be replayed, so that no further attempt is possible
+	LoadReport   []float64     // values in the order of Settings.LoadReportFields; nil for none
 }
 
-// ClientGone says that the client has left and needs no answer any more.
+// ClientGone reports that the client has disconnected and needs no answer.
 type ClientGone struct{ ID string }
 
-// Timer says that the timer of a SetTimer is due.
+// Timer reports that the timer set by a SetTimer action has expired.
 type Timer struct{ Token uint64 }
 
-// ProbeResult is the end of one Probe. No decision reads it.
+// ProbeResult reports the end of one Probe. No decision reads it.
 type ProbeResult struct {
 	Server     string
 	Code       Code
@@ -272,38 +275,38 @@
 	LoadReport []float64
 }
 
-// PeerMessage is a message from another node; it may be lost, old or broken. No decision reads it.
+// PeerMessage is a message from another node. Such messages can be lost, delayed or corrupted. No decision reads it.
 type PeerMessage struct {
 	From int
 	Body string
 }
 
-// ActionKind names what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of action; the comments name the fields of Action that count.
+// Kinds of actions. Each comment lists the fields of Action that the kind uses.
 const (
-	Send           ActionKind = iota // ID, Server, Until: send an attempt
-	Reject                           // ID, Wait: nothing ran, or it may run twice: the client may safely retry
-	Fail                             // ID: it may have run
-	Cancel                           // ID, Attempt
-	SetTimer                         // Wait, Token: hand a Timer in
-	Probe                            // Server
-	SendToPeer                       // Peer (-1 for all), Text
-	CloseIdle                        // Server: close its idle connections
-	Log                              // Text
-	WatchEndpoints                   // On: subscribe to the endpoint list
+	Send           ActionKind = iota // ID, Server, Until: send an attempt to the server
+	Reject                           // ID, Wait: reject; not executed or safe to duplicate, so the client may retry
+	Fail                             // ID: fail the request; it may have been executed, so a retry is unsafe
+	Cancel                           // ID, Attempt: cancel the attempt
+	SetTimer                         // Wait, Token: hand in a Timer with the token after the wait
+	Probe                            // Server: probe the server, and hand in a ProbeResult
+	SendToPeer                       // Peer (-1 for all), Text: send the text to another node
+	CloseIdle                        // Server: close the idle connections to the server
+	Log                              // Text: log the text
+	WatchEndpoints                   // On: subscribe to the endpoint list if true
 	FetchEndpoints                   // no fields: poll the endpoint list once
 )
 
-// Action is one thing that the host has to do now.
+// Action is an operation that the host must carry out now.
 type Action struct {
 	Kind    ActionKind
-	ID      string // of the request
+	ID      string // ID of the request
 	Server  string
-	Until   Time          // when the attempt times out; 0: with the client's deadline
-	Wait    time.Duration // until the timer is due, or the Retry-After of a rejected client; 0 for none
-	Token   uint64        // of the timer
+	Until   Time          // when the attempt times out; 0 for the client's deadline
+	Wait    time.Duration // time until the timer expires, or the Retry-After of a rejected client; 0 for none
+	Token   uint64        // identifies the timer
 	Attempt int           // number of the attempt, from 0
 	Peer    int
 	Text    string
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	queuePollInterval = 20 * time.Millisecond // between selections for queued requests
-	tailQuantile      = 0.95                  // of the latency of a class, after which attempts are checked
-	tailGain          = 0.1                   // part by which the estimate of it moves
-	slowAttemptFactor = 1.2                   // times that quantile, an attempt is slow and may be hedged
+	queuePollInterval = 20 * time.Millisecond // interval at which queued requests look for a server again
+	tailQuantile      = 0.95                  // quantile of a class's latency that tailLatency estimates
+	tailGain          = 0.1                   // relative step size of the tailLatency estimate
+	slowAttemptFactor = 1.2                   // multiple of tailLatency after which an attempt counts as slow
 )
 
 func (b *Balancer) dispatch(r *request) {
@@ -19,13 +19,13 @@
 		return
 	}
 	s, hasCapacity := b.selectNext(r)
-	if !r.wasQueued { // a request moves the rates once, however long it is queued
+	if !r.wasQueued { // a request adjusts rateScale only once, however long it is queued
 		b.adjustRateScale(hasCapacity)
 	}
 	switch {
 	case s != nil:
 		b.send(r, s, false)
-	case r.mayHaveRun == nil && b.now+queuePollInterval < r.queueDeadline:
+	case r.firstMaybeExecuted == nil && b.now+queuePollInterval < r.queueDeadline:
 		b.enqueue(r)
 	default:
 		b.giveUp(r)
@@ -49,11 +49,12 @@
 	s.lastSend = b.now
 	s.slowStart.tokens--
 	b.updateIndex(s, 0)
-	r.updateMayHaveRun()
+	r.updateFirstMaybeExecuted()
 	b.scheduleSlowCheck(r)
 }
 
-// scheduleSlowCheck queues r's newest attempt: all of a class are checked after about as long, by one timer.
+// scheduleSlowCheck schedules the check of r's newest attempt. Checks of a class share one timer, since all are due
+// after about the same delay.
 func (b *Balancer) scheduleSlowCheck(r *request) {
 	if c := r.class; c.timerToken > 0 && len(r.attempts) > 0 && !r.bodyPending {
 		due := b.now + time.Duration(slowAttemptFactor*float64(c.tailLatency))
@@ -69,7 +70,9 @@
 	}
 }
 
-// checkSlowAttempts records a fault for a server silent since a slow attempt, and hedges what may run twice.
+// checkSlowAttempts checks the attempts of a class that have become slow. If the server has answered nothing since
+// the attempt was sent, it records a fault of the server, unless the connection had been idle before, and hedges the
+// request where possible.
 func (b *Balancer) checkSlowAttempts(class *class) {
 	class.slowTimerSet = false
 	for len(class.slowChecks) > 0 && class.slowChecks[0].due <= b.now {
@@ -79,7 +82,7 @@
 		r := check.request
 		a := &r.attempts[check.attempt]
 		if a.done || a.server.lastAnswer >= a.sentAt {
-			continue // a server that answers others has a heavy request, which would be as heavy elsewhere
+			continue // the server answers others, so the request is expensive, and would be elsewhere too
 		}
 		if a.idleOctave == 0 {
 			b.recordFault(a.server, silenceWeight)
@@ -93,7 +96,7 @@
 
 func (b *Balancer) hedge(r *request) {
 	if r.notReplayable || r.class.Idempotency == NonIdempotent || !r.class.capabilities.Hedge ||
-		b.isOutnumbered() || !b.retryBudgetAllows() || b.isExhausted(r) {
+		b.nodesOutnumberServers() || !b.retryBudgetAllows() || b.isExhausted(r) {
 		return
 	}
 	if s, hasCapacity := b.selectServer(r); s != nil && hasCapacity {
@@ -120,12 +123,12 @@
 	}
 }
 
-// giveUp ends r without an answer: rejected where it may safely be sent again, else failed.
+// giveUp ends r without an answer from a server: rejected if a retry by the client is safe, else failed.
 func (b *Balancer) giveUp(r *request) {
 	if r.pending > 0 {
-		return // a hedge is still in flight and may yet answer
+		return // another attempt is in flight and may still answer
 	}
-	if r.mayHaveRun == nil || r.class.Idempotency == Idempotent ||
+	if r.firstMaybeExecuted == nil || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotencyKeyed && r.class.DedupScope == DedupAll {
 		b.reject(r, 0)
 		return
@@ -139,7 +142,7 @@
 	b.finish(r)
 }
 
-// finish marks r as answered and cancels its attempts; r is held until these are done.
+// finish marks r as answered, cancels its attempts, and deletes r once none is in flight.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
 		r.answered = true
@@ -169,14 +172,14 @@
 	r := b.requests[outcome.ID]
 	number := outcome.Attempt
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].done {
-		return // late or twice
+		return // a late or duplicate outcome
 	}
 	a := &r.attempts[number]
 	a.done, a.notExecuted = true, outcome.Code.NotExecuted()
 	r.pending--
 	a.server.recordConnectionUse(b.now)
 	a.server.inFlight--
-	r.updateMayHaveRun()
+	r.updateFirstMaybeExecuted()
 	if outcome.Code == ConnectFailed {
 		b.recordFailedConnect(r, a)
 	}
@@ -185,9 +188,9 @@
 	switch {
 	case outcome.Answered || r.answered || outcome.Code == OK:
 		b.finish(r)
-	case r.pending > 0: // a hedge may yet answer
+	case r.pending > 0: // another attempt may still answer
 	case outcome.Code == Superseded || outcome.BodyConsumed || b.now >= r.deadline || r.streaming ||
-		r.mayHaveRun != nil && r.class.Idempotency == NonIdempotent:
+		r.firstMaybeExecuted != nil && r.class.Idempotency == NonIdempotent:
 		b.giveUp(r)
 	default:
 		b.dispatch(r)
@@ -203,7 +206,7 @@
 	case Superseded, Untrusted:
 		return
 	case Cancelled:
-		if !ended.probe { // by this node itself; but a probe that a hedge outran has failed
+		if !ended.probe { // no fault of the server; but a cancelled probe counts as failed
 			return
 		}
 	case OK, ServerError, Overloaded:
@@ -224,6 +227,7 @@
 	b.updateHealth(ended, code)
 }
 
+// recordLatency moves the estimate of the tailQuantile of the latency towards an observed latency.
 func (c *class) recordLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRequest_ZoneLocalAndMaxQueueTime(t *testing.T) {
-	t.Run("stays in its zone however full", func(t *testing.T) {
+	t.Run("stays in its zone when that is full", func(t *testing.T) {
 		b := startBalancer(t, testSettings(1), testEndpoints(4))
 		for _, s := range b.order {
 			s.threshold = 1
@@ -17,17 +17,17 @@
 			r.ZoneLocal = true
 			sends := actionsOf(b.Handle(ms, r), Send)
 			if len(sends) > 1 || len(sends) == 1 && sends[0].Server != "s00" && sends[0].Server != "s02" {
-				t.Errorf("it crosses zones: %+v", sends)
+				t.Errorf("zone-local request left its zone: %+v", sends)
 			}
 		}
 	})
-	t.Run("leaves a zone without a server", func(t *testing.T) {
+	t.Run("leaves a zone without servers", func(t *testing.T) {
 		endpoints := testEndpoints(4)
 		b := startBalancer(t, testSettings(1), []Endpoint{endpoints[1], endpoints[3]})
 		r := testRequest("far", "idempotent")
 		r.ZoneLocal = true
 		if server := sentServer(t, b.Handle(ms, r)); server != "s01" {
-			t.Errorf("sent to %s, want s01", server)
+			t.Errorf("zone-local request sent to %s, want s01", server)
 		}
 	})
 	for maximum, want := range map[time.Duration]time.Duration{0: 125 * ms, 30 * ms: 30 * ms, time.Hour: 125 * ms} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// queueTimeWithoutServer returns the time after which a request is rejected when there is no server.
+// queueTimeWithoutServer returns how long a request is queued until it ends when there is no server.
 func queueTimeWithoutServer(t *testing.T, maximum time.Duration) time.Duration {
 	t.Helper()
 	b := startBalancer(t, testSettings(1), nil)
@@ -66,7 +66,7 @@
 		retried    bool
 		sameZone   bool
 		sameCell   bool
-		wantAction ActionKind // where it is not retried
+		wantAction ActionKind // action expected if the request is not retried
 	}{
 		{name: "idempotent after error", class: "idempotent", code: ServerError, retried: true},
 		{name: "single after error", class: "single", code: ServerError, wantAction: Fail},
@@ -74,9 +74,9 @@
 		{name: "single after time-out", class: "single", code: TimedOut, wantAction: Fail},
 		{name: "single after overload", class: "single", code: Overloaded, retried: true},
 		{name: "single after failed connect", class: "single", code: ConnectFailed, retried: true},
-		{name: "all drop duplicates", class: "dedup-all", code: ServerError, retried: true},
-		{name: "zone drops duplicates", class: "dedup-zone", code: ServerError, retried: true, sameZone: true},
-		{name: "cell drops duplicates", class: "dedup-cell", code: ServerError, retried: true, sameCell: true},
+		{name: "all servers deduplicate", class: "dedup-all", code: ServerError, retried: true},
+		{name: "zone deduplicates", class: "dedup-zone", code: ServerError, retried: true, sameZone: true},
+		{name: "cell deduplicates", class: "dedup-cell", code: ServerError, retried: true, sameCell: true},
 		{name: "all, after the window", class: "dedup-all", code: ServerError, after: 301 * ms, wantAction: Reject},
 		{name: "zone, after the window", class: "dedup-zone", code: ServerError, after: 301 * ms, wantAction: Fail},
 		{name: "cell, after the window", class: "dedup-cell", code: ServerError, after: 301 * ms, wantAction: Fail},
@@ -88,7 +88,8 @@
 			acts := b.Handle(2*ms+test.after, testOutcome("x", 0, first, test.code, test.after))
 			if !test.retried {
 				if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, test.wantAction)) != 1 {
-					t.Errorf("%s after %v at %v: got %+v", test.class, test.code, test.after, acts)
+					t.Errorf("%s: outcome %v after %v led to %+v, want no retry but one action of the expected kind",
+						test.class, test.code, test.after, acts)
 				}
 				return
 			}
@@ -98,14 +99,15 @@
 				zones[endpoint.Server], cells[endpoint.Server] = endpoint.Zone, endpoint.Cell
 			}
 			if test.sameZone && zones[first] != zones[second] || test.sameCell && cells[first] != cells[second] {
-				t.Errorf("%s: first %s, then %s outside its scope", test.class, first, second)
+				t.Errorf("%s: first attempt at %s, retry at %s outside the deduplication scope",
+					test.class, first, second)
 			}
 		})
 	}
 }
 
-// A hedged request is for an attempt whose server has gone silent; one that answers others has a heavy
-// request, and a copy would be as heavy elsewhere.
+// A slow attempt is hedged only if its server answers nothing else either. If the server answers others, the request
+// itself is expensive, and would be elsewhere too.
 func TestHedge_OnlyForSilentServers(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		t.Run(fmt.Sprintf("silent=%v", silent), func(t *testing.T) {
@@ -116,22 +118,22 @@
 			}
 			acts := b.Handle(240*ms, Timer{Token: firstClassTimerToken})
 			if got := len(actionsOf(acts, Send)) == 1; got != silent {
-				t.Errorf("hedged request sent %v, want %v", got, silent)
+				t.Errorf("hedged request sent: %v, want %v", got, silent)
 			}
 		})
 	}
 }
 
-// A client that is rejected still has half of its time to go elsewhere.
+// A queued request is rejected while its client still has half of its time left to retry elsewhere.
 func TestQueue_RejectsWithinHalfOfRequestTime(t *testing.T) {
 	b := startBalancer(t, testSettings(1), nil)
 	r := testRequest("x", "idempotent")
-	r.ExpiresIn = 100 * ms // less than the class's objective
+	r.ExpiresIn = 100 * ms // shorter than the class's latency objective
 	acts := b.Handle(ms, r)
 	for now := ms; now <= 51*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueTimerToken})...)
 	}
 	if len(actionsOf(acts, Reject)) != 1 {
-		t.Errorf("not rejected within half of its time: %+v", acts)
+		t.Errorf("request was not rejected once within half of its time: %+v", acts)
 	}
 }
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// busyBalancer is a node with n servers; the first busy of them are at their thresholds. Its one class is
-// restricted to zones where these are named.
+// busyBalancer returns a balancer with n servers, the first busy of which are above their thresholds. Its only class
+// is restricted to the zones, if any are given.
 func busyBalancer(b testing.TB, n, busy int, zones ...string) *Balancer {
 	b.Helper()
 	settings := reconfigurableSettings()
@@ -30,7 +30,7 @@
 	return node
 }
 
-// runVariants runs a benchmark as the module works, and as it would by a scan of all servers.
+// runVariants runs a benchmark for each number of servers, with the index and with a scan of all servers.
 func runVariants(b *testing.B, sizes []int, run func(b *testing.B, n int, linear bool)) {
 	for _, n := range sizes {
 		for _, linear := range []bool{false, true} {
@@ -39,31 +39,33 @@
 	}
 }
 
-// BenchmarkOneChange is one server's drain or return in a list of many.
+// BenchmarkOneChange measures an update in which one server of many drains or returns to service.
 func BenchmarkOneChange(b *testing.B) {
 	runVariants(b, []int{20, 100, 1000, 10_000, 100_000}, func(b *testing.B, n int, linear bool) {
-		oneChange(b, busyBalancer(b, n, 0), n, linear)
+		applyOneChange(b, busyBalancer(b, n, 0), n, linear)
 	})
 }
 
-func oneChange(b *testing.B, node *Balancer, n int, linear bool) {
+// applyOneChange drains one server and returns it to service in turn.
+func applyOneChange(b *testing.B, node *Balancer, n int, linear bool) {
 	node.linearScan = linear
-	m := Endpoint{Server: fmt.Sprintf("s%06d", n/2), Zone: "a", Weight: 1}
+	endpoint := Endpoint{Server: fmt.Sprintf("s%06d", n/2), Zone: "a", Weight: 1}
 	for i := range b.N {
-		m.Availability = Availability(i % 2)
-		node.Handle(Time(i), EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{m}})
+		endpoint.Availability = Availability(i % 2)
+		node.Handle(Time(i), EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{endpoint}})
 	}
 }
 
-// BenchmarkOneChangeBound is the same where a class is restricted to a part of the servers, here all.
+// BenchmarkOneChangeBound is like BenchmarkOneChange, but with a class that is restricted to a zone, which contains
+// all servers.
 func BenchmarkOneChangeBound(b *testing.B) {
 	runVariants(b, []int{1000, 10_000}, func(b *testing.B, n int, linear bool) {
-		oneChange(b, busyBalancer(b, n, 0, "a"), n, linear)
+		applyOneChange(b, busyBalancer(b, n, 0, "a"), n, linear)
 	})
 }
 
-// BenchmarkRequestAmongBusy is a request and its end where all servers are over their thresholds, and
-// stay so: nothing is learned.
+// BenchmarkRequestAmongBusy measures a request and its outcome while all servers are above their thresholds. The
+// outcome is Cancelled, from which nothing is learned, so that they stay so.
 func BenchmarkRequestAmongBusy(b *testing.B) {
 	runVariants(b, []int{20, 1000, 10_000}, func(b *testing.B, n int, linear bool) {
 		node := busyBalancer(b, n, n)
@@ -80,7 +82,7 @@
 			}
 		}
 		if len(node.queued) > 0 || len(node.requests) > 0 {
-			b.Fatalf("%d queued, %d open", len(node.queued), len(node.requests))
+			b.Fatalf("%d requests queued and %d unfinished, want none", len(node.queued), len(node.requests))
 		}
 	})
 }
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	minIdleTime          = 250 * time.Millisecond // a connection unused for less counts as in use
-	unansweredGain       = 0.2                    // weight of one outcome in an unanswered ratio
-	staleUnansweredRatio = 0.3                    // from which connections idle for as long are not used again,
-	staleFactor          = 3                      // if it is so many times that of connections in use
-	staleDecay           = 0.98                   // of the ratio, with each server's connections closed for it
+	minIdleTime          = 250 * time.Millisecond // a connection that was idle for less counts as in use
+	unansweredGain       = 0.2                    // weight of one outcome in the moving average unansweredRatio
+	staleUnansweredRatio = 0.3                    // minimum unansweredRatio at which idle connections are closed
+	staleFactor          = 3                      // and its minimum multiple of the ratio of connections in use
+	staleDecay           = 0.98                   // factor on the ratio at each close, so that closing stops in time
 )
 
+// recordConnectionUse records that s.inFlight connections to s are in use now.
 func (s *server) recordConnectionUse(now Time) {
 	for len(s.connectionLastUsed) < s.inFlight {
 		s.connectionLastUsed = append(s.connectionLastUsed, now)
@@ -20,8 +21,9 @@
 	s.connectionLastUsed[s.inFlight-1] = now
 }
 
-// prepareConnection returns how long the connection of the next send was idle, in octaves of minIdleTime.
-// Where sends on those idle for as long go unanswered far more often, as if dropped unseen, it closes them.
+// prepareConnection returns the idle time of the connection for the next send to target, as an octave (power of two)
+// of minIdleTime; 0 stands for a connection in use. If sends on connections that were idle for as long go unanswered
+// far more often than others, the network probably drops such connections silently, so that it closes the idle ones.
 func (b *Balancer) prepareConnection(target *server) (idleOctave int) {
 	if target.inFlight >= len(target.connectionLastUsed) {
 		return 0
@@ -45,7 +47,8 @@
 	b.emit(Action{Kind: CloseIdle, Server: s.Server})
 }
 
-// lostStaleConnection reports whether an outcome says nothing of the server, but of an idle connection.
+// lostStaleConnection reports whether an attempt went unanswered on a connection that had been idle, which says
+// nothing about the server. It then closes the server's idle connections.
 func (b *Balancer) lostStaleConnection(a *attempt, unanswered bool) bool {
 	updateRatio(&b.unansweredRatio[a.idleOctave], unansweredGain, unanswered)
 	isStale := unanswered && a.idleOctave > 0
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const watchRetryDelay = 2 * time.Second // mean wait before a failed watch is repeated, spread among nodes
+const watchRetryDelay = 2 * time.Second // mean delay before repeating a failed watch; randomized per node
 
 func (b *Balancer) watchEndpoints() { b.emit(Action{Kind: WatchEndpoints, On: true}) }
 
@@ -21,7 +21,7 @@
 	case list.Kind == ListRestored && b.settings.Subscribe:
 		b.watchEndpoints()
 	}
-	if list.Kind != ListUpdate { // what a complete list lacks is removed
+	if list.Kind != ListUpdate { // servers that are missing from a complete list are removed
 		former := b.servers
 		b.servers = make(map[string]*server, len(list.Endpoints))
 		for _, endpoint := range list.Endpoints {
@@ -39,7 +39,7 @@
 		}
 		b.rebuildOrder()
 	}
-	if !list.More { // else a server may drain in what follows
+	if !list.More { // otherwise the rest of the change may drain a server
 		b.dispatchQueued()
 	}
 }
@@ -50,17 +50,19 @@
 		return
 	}
 	s := b.servers[entry.Server]
-	if s == nil || s.OnlineSince != entry.OnlineSince { // new, or a new process: forget the old one
+	if s == nil || s.OnlineSince != entry.OnlineSince { // a new server or a new process: nothing is learned yet
 		latency := b.settings.Classes[0].LatencyObjective.Seconds() / 4
 		s = &server{lastLatency: latency, nameHash: hashString(entry.Server)}
-		// A random part of a token, so that nodes that learn of it together don't all send at once.
+		// Start with a random fraction of a token, so that nodes that discover the server together don't all send at
+		// once.
 		s.slowStart = slowStartBucket{tokens: b.rng.Float64(), lastRefill: b.now}
 		b.servers[entry.Server] = s
 	}
 	s.Endpoint = entry
 }
 
-// rebuildOrder orders the servers in service: the own zone first, since crossing costs, then by id.
+// rebuildOrder rebuilds all pools. Servers in this node's zone come first, since traffic between zones is costly; each
+// group in the order of IDs from the node's offset on.
 func (b *Balancer) rebuildOrder() {
 	b.runningByZone = make(map[string]int)
 	for p := range b.pools {
@@ -74,6 +76,7 @@
 	b.updateOrder(nil)
 }
 
+// applyChanges applies a short list of changed endpoints without rebuilding the pools.
 func (b *Balancer) applyChanges(endpoints []Endpoint) {
 	added, changed := make([]*server, 0, maxIncrementalChanges), false
 	for _, entry := range endpoints {
@@ -81,7 +84,7 @@
 		wasInService := former.inService()
 		if wasInService && entry.Availability == Running && former.OnlineSince == entry.OnlineSince &&
 			former.Zone == entry.Zone && former.Kind == entry.Kind && slices.Equal(former.Pools, entry.Pools) {
-			former.Endpoint = entry // its weight and cell don't count in the order
+			former.Endpoint = entry // weight and cell don't affect the order
 			continue
 		}
 		if wasInService {
@@ -101,7 +104,8 @@
 	}
 }
 
-// updateOrder arranges the pools after servers were added, nil for all, or removed, and assigns the subset.
+// updateOrder recomputes the order of each pool after servers were added or removed, and assigns this node's subset.
+// added lists the added servers; nil stands for all.
 func (b *Balancer) updateOrder(added []*server) {
 	b.forgetRetiredClasses()
 	formerSubset, coveredZone := b.order[:b.subsetSize], b.subsetSize == b.localCount
@@ -109,9 +113,9 @@
 		b.arrangePool(p)
 	}
 	b.zoneCount = len(b.runningByZone)
-	evenPart := (b.localCount*b.zoneCount + b.settings.Nodes - 1) / b.settings.Nodes
-	b.subsetSize = min(b.localCount, max(minSubsetSize, evenPart))
-	if b.settings.KeyAffinity { // the sticky servers of a key are the same for all nodes of a zone
+	evenShare := (b.localCount*b.zoneCount + b.settings.Nodes - 1) / b.settings.Nodes
+	b.subsetSize = min(b.localCount, max(minSubsetSize, evenShare))
+	if b.settings.KeyAffinity { // all nodes of a zone send a key to the same sticky servers
 		b.subsetSize = b.localCount
 	}
 	if added == nil {
@@ -120,7 +124,7 @@
 		}
 		return
 	}
-	if !coveredZone || b.subsetSize < b.localCount { // else all of the zone were in it, and still are
+	if !coveredZone || b.subsetSize < b.localCount { // otherwise the subset was and is the whole zone
 		b.replaceSubset(formerSubset)
 	}
 	slices.SortFunc(added, func(x, y *server) int { return b.position(x) - b.position(y) })
@@ -129,13 +133,14 @@
 	}
 }
 
+// replaceSubset moves the inSubset mark from the former subset to the servers at the start of the order.
 func (b *Balancer) replaceSubset(former []*server) {
 	subset := b.order[:b.subsetSize]
 	for _, s := range subset {
 		s.inNewSubset = true
 	}
 	for _, s := range former {
-		if !s.inNewSubset && b.servers[s.Server] == s && s.inService() { // a former process stays as it was
+		if !s.inNewSubset && b.servers[s.Server] == s && s.inService() { // replaced processes are left unchanged
 			s.inSubset = false
 		}
 	}
@@ -145,10 +150,11 @@
 	}
 }
 
+// assignSubset sets whether s is in this node's subset, and its threshold if it joins the subset or has none yet.
 func (b *Balancer) assignSubset(s *server, inSubset bool) {
 	wasInSubset := s.inSubset
 	s.inSubset = inSubset
-	if inSubset && !wasInSubset { // its former main user drains, died or moved on with the list
+	if inSubset && !wasInSubset { // the nodes that sent it most of its load may be gone, or have another subset
 		s.threshold = max(s.threshold, b.initialThreshold(s))
 	}
 	if s.threshold == 0 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,8 +7,8 @@
 	"cobaltward/policy"
 )
 
-// A node's life: settings, the endpoint list, a request, its outcomes, a timer. There is nothing to close at the
-// end.
+// The example hands a Balancer its settings, the endpoint list, a request with its outcomes, and timers. A Balancer
+// holds no resources, so it needs no closing.
 func Example() {
 	const ms = time.Millisecond
 	b, err := policy.New(policy.Settings{
@@ -31,7 +31,7 @@
 				fmt.Println("send", a.ID, "to", a.Server, "until", a.Until)
 			case policy.Reject:
 				fmt.Println("reject", a.ID, "for", a.Wait)
-			case policy.SetTimer: // hand policy.Timer{Token: a.Token} back after a.Wait
+			case policy.SetTimer: // a host hands in policy.Timer{Token: a.Token} after a.Wait
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 		ID: "r1", Attempt: 1, Server: "two", Code: policy.OK, Latency: 20 * ms, Answered: true,
 	}))
 
-	// Without a server in service a request is queued, and rejected while its client still waits.
+	// With no server in service, a request is queued, and rejected while its client is still waiting.
 	carryOut(b.Handle(now, policy.EndpointList{Kind: policy.ListReplace}))
 	carryOut(b.Handle(now, policy.Request{ID: "r2", Class: "read", Tenant: "acme", ExpiresIn: time.Second}))
 	for range 6 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment with one class of each kind.
+// testSettings returns settings with one class of each idempotency and deduplication scope.
 func testSettings(nodes int) Settings {
 	return Settings{
 		Nodes: nodes, Zone: "a",
@@ -35,7 +35,7 @@
 	}
 }
 
-// testEndpoints are servers in two zones in turn, of three kinds and four cells.
+// testEndpoints returns n servers that alternate between two zones, and cycle through three kinds and four cells.
 func testEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -47,7 +47,7 @@
 	return list
 }
 
-// startBalancer returns a node that has its endpoint list.
+// startBalancer returns a balancer that has received the endpoint list.
 func startBalancer(t *testing.T, settings Settings, list []Endpoint) *Balancer {
 	t.Helper()
 	b, err := New(settings, 0, 1)
@@ -73,7 +73,7 @@
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
 }
 
-// sentServer returns the server of the only send.
+// sentServer returns the server of the only Send action.
 func sentServer(t *testing.T, acts []Action) string {
 	t.Helper()
 	sends := actionsOf(acts, Send)
@@ -87,7 +87,7 @@
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, Answered: code == OK}
 }
 
-// handle returns a copy of the actions, which the next call would overwrite.
+// handle returns a copy of the actions, since the next call of Handle would overwrite them.
 func handle(b *Balancer, now Time, event Event) []Action {
 	return append([]Action(nil), b.Handle(now, event)...)
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// reconfigurableSettings are those of one node in one zone, without hedging.
+// reconfigurableSettings returns settings of one node in one zone, without hedged requests.
 func reconfigurableSettings() Settings {
 	return Settings{
 		Nodes: 1, Zone: "a",
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	hotRestartOrigin = 24 * time.Hour // when a run begins
-	warmingOnline    = 2500           // ms of a run after which the server that warms up comes
-	replacementStart = 3000           // ms of a run after which the second process takes over
+	hotRestartStart    = 24 * time.Hour // balancer time at which a run starts
+	warmingOnlineMS    = 2500           // ms into a run at which a server in slow start is added
+	replacementStartMS = 3000           // ms into a run at which the second process starts
 )
 
-// hotRestart is one node of two processes. The second replaces the first: requests go to the second
-// in a part that grows from 0 to 1, both see each other's reports each 100 ms, and the first hands its buckets
-// over. With alone, the first process is left to itself.
+// hotRestart simulates a node whose process is replaced by a second one. The fraction of requests that go to the
+// second process grows from 0 to 1, the two exchange reports every 100 ms, and the second starts with the buckets of
+// the first. With singleProcess, the first process serves throughout.
 type hotRestart struct {
-	alone     bool
-	processes [2]*Balancer
-	splitters [2]hotrestart.Splitter
-	taken     [2]uint64
-	list      EndpointList
-	due       []dueOutcome
-	admitted  int // requests of tenant t
-	toWarming []Time
-	arrived   int
+	singleProcess  bool
+	processes      [2]*Balancer
+	splitters      [2]hotrestart.Splitter
+	acceptedCounts [2]uint64
+	list           EndpointList
+	dueOutcomes    []dueOutcome
+	admittedCount  int // number of admitted requests of tenant t
+	warmingSends   []Time
+	requestCount   int
 }
 
 type dueOutcome struct {
@@ -48,23 +48,23 @@
 	}
 }
 
-func (h *hotRestart) offer(now Time, process *Balancer, tenant string) {
-	h.arrived++
-	id := fmt.Sprint(h.arrived)
+func (h *hotRestart) handleRequest(now Time, process *Balancer, tenant string) {
+	h.requestCount++
+	id := fmt.Sprint(h.requestCount)
 	request := Request{ID: id, Class: "pay", Tenant: tenant, ExpiresIn: 2 * time.Second}
 	for _, action := range process.Handle(now, request) {
 		if action.Kind != Send {
 			continue
 		}
 		if tenant == "t" {
-			h.admitted++
+			h.admittedCount++
 		}
 		if action.Server == "a-warming" {
-			h.toWarming = append(h.toWarming, now)
+			h.warmingSends = append(h.warmingSends, now)
 		}
 		const latency = 20 * time.Millisecond
 		outcome := Outcome{ID: id, Server: action.Server, Code: OK, Latency: latency}
-		h.due = append(h.due, dueOutcome{now + latency, process, outcome})
+		h.dueOutcomes = append(h.dueOutcomes, dueOutcome{now + latency, process, outcome})
 	}
 }
 
@@ -78,43 +78,43 @@
 	return b
 }
 
-// runHotRestart plays six seconds: the first process alone, a server that warms up from 2.5 s on, the replacement
-// from 3 s on.
-func runHotRestart(t *testing.T, perSecond int, tenant string, alone bool) *hotRestart {
+// runHotRestart simulates six seconds. The first process starts alone, a server in slow start is added after 2.5 s,
+// and the second process starts after 3 s.
+func runHotRestart(t *testing.T, perSecond int, tenant string, singleProcess bool) *hotRestart {
 	t.Helper()
-	run := &hotRestart{alone: alone, list: EndpointList{Kind: ListReplace}}
+	run := &hotRestart{singleProcess: singleProcess, list: EndpointList{Kind: ListReplace}}
 	for i := range 4 {
 		run.list.Endpoints = append(run.list.Endpoints, Endpoint{Server: fmt.Sprint("s", i), Weight: 1})
 	}
-	run.processes[0] = run.startProcess(t, hotRestartOrigin, 1)
+	run.processes[0] = run.startProcess(t, hotRestartStart, 1)
 	for elapsed := range 6000 {
 		run.step(t, elapsed)
 		for n := elapsed*perSecond/1000 + 1; n <= (elapsed+1)*perSecond/1000; n++ {
 			i := 0
-			if moved := (elapsed - replacementStart) / 10; run.processes[1] != nil && run.arrived*37%100 < moved {
+			if percent := (elapsed - replacementStartMS) / 10; run.processes[1] != nil && run.requestCount*37%100 < percent {
 				i = 1
 			}
-			run.taken[i]++
-			run.offer(hotRestartOrigin+Time(elapsed)*ms, run.processes[i], tenant)
+			run.acceptedCounts[i]++
+			run.handleRequest(hotRestartStart+Time(elapsed)*ms, run.processes[i], tenant)
 		}
 	}
 	return run
 }
 
-// step hands in the outcomes that are due, and carries out what the run has for this millisecond.
+// step hands in the outcomes that are due, and performs the changes scheduled for this millisecond.
 func (h *hotRestart) step(t *testing.T, elapsed int) {
 	t.Helper()
-	now := hotRestartOrigin + Time(elapsed)*ms
-	for len(h.due) > 0 && h.due[0].at <= now {
-		h.due[0].process.Handle(now, h.due[0].outcome)
-		h.due = h.due[1:]
+	now := hotRestartStart + Time(elapsed)*ms
+	for len(h.dueOutcomes) > 0 && h.dueOutcomes[0].at <= now {
+		h.dueOutcomes[0].process.Handle(now, h.dueOutcomes[0].outcome)
+		h.dueOutcomes = h.dueOutcomes[1:]
 	}
 	switch {
-	case elapsed == warmingOnline:
+	case elapsed == warmingOnlineMS:
 		warming := Endpoint{Server: "a-warming", Weight: 1, OnlineSince: now}
 		h.list.Endpoints = append(h.list.Endpoints, warming)
 		h.processes[0].Handle(now, h.list)
-	case elapsed == replacementStart && !h.alone:
+	case elapsed == replacementStartMS && !h.singleProcess:
 		h.processes[1] = h.startProcess(t, now, 2)
 		state := h.processes[0].Export()
 		state.RateScale, state.SharedThresholdScale, state.Servers = 1, 1, nil
@@ -122,7 +122,7 @@
 	}
 	if h.processes[1] != nil && elapsed%100 == 0 {
 		limits := hotrestart.Limits{ClientConns: 10, ServerConns: 10}
-		first, second := hotrestart.Report{Accepted: h.taken[0]}, hotrestart.Report{Accepted: h.taken[1]}
+		first, second := hotrestart.Report{Accepted: h.acceptedCounts[0]}, hotrestart.Report{Accepted: h.acceptedCounts[1]}
 		share := h.splitters[0].Split(first, map[string]hotrestart.Report{"b": second}, limits).Traffic
 		h.processes[0].SetTrafficShare(now, share)
 		share = h.splitters[1].Split(second, map[string]hotrestart.Report{"a": first}, limits).Traffic
@@ -130,41 +130,45 @@
 	}
 }
 
-// While one process replaces another, a tenant over its quota passes hardly more than with one process.
+// While one process replaces another, a tenant over its quota must not get much more than with a single process.
 func TestTrafficShare_BucketsHoldOverTwoProcesses(t *testing.T) {
 	one, two := runHotRestart(t, 1000, "t", true), runHotRestart(t, 1000, "t", false)
-	t.Logf("%d of %d admitted by one process, %d by two", one.admitted, one.arrived, two.admitted)
-	if float64(two.admitted) > 1.15*float64(one.admitted) || two.admitted < one.admitted/2 {
-		t.Errorf("%d admitted by one process, %d by two", one.admitted, two.admitted)
+	t.Logf("one process admitted %d of %d requests, two processes %d",
+		one.admittedCount, one.requestCount, two.admittedCount)
+	if float64(two.admittedCount) > 1.15*float64(one.admittedCount) || two.admittedCount < one.admittedCount/2 {
+		t.Errorf("one process admitted %d requests, two processes %d; want half to 1.15 times as many",
+			one.admittedCount, two.admittedCount)
 	}
 }
 
-// A server that warms up gets less from both together than overloads it: a warm one serves the mean rate.
+// Both processes together must not overload a server in slow start, whose full capacity is taken as the mean rate per
+// server.
 func TestTrafficShare_SlowStartHoldsOverTwoProcesses(t *testing.T) {
 	const perSecond = 400
 	rules := hotRestartSettings().Rules
-	for _, alone := range []bool{true, false} {
-		t.Run(fmt.Sprintf("alone=%v", alone), func(t *testing.T) {
-			run := runHotRestart(t, perSecond, "u", alone)
-			if len(run.toWarming) == 0 {
-				t.Fatal("nothing goes to the server that warms up")
+	for _, singleProcess := range []bool{true, false} {
+		t.Run(fmt.Sprintf("alone=%v", singleProcess), func(t *testing.T) {
+			run := runHotRestart(t, perSecond, "u", singleProcess)
+			if len(run.warmingSends) == 0 {
+				t.Fatal("no request was sent to the server in slow start")
 			}
 			highest := 0.0
-			for i, from := range run.toWarming {
+			for i, from := range run.warmingSends {
 				sends := 0
-				for _, at := range run.toWarming[i:] {
+				for _, at := range run.warmingSends[i:] {
 					if at < from+rules.OverloadDuration {
 						sends++
 					}
 				}
-				age := max(0, (from - hotRestartOrigin - warmingOnline*ms).Seconds())
+				age := max(0, (from - hotRestartStart - warmingOnlineMS*ms).Seconds())
 				fraction := rules.SlowStartShare + (1-rules.SlowStartShare)*age/rules.SlowStartWindow.Seconds()
 				capacity := fraction * perSecond / 5
 				highest = max(highest, float64(sends)/(capacity*rules.OverloadDuration.Seconds()))
 			}
-			t.Logf("%d to the server that warms up, %.2f of its capacity at most", len(run.toWarming), highest)
+			t.Logf("%d requests to the server in slow start, at most %.2f times its capacity",
+				len(run.warmingSends), highest)
 			if highest > rules.OverloadFactor {
-				t.Errorf("%.2f of its capacity, %v overload it", highest, rules.OverloadFactor)
+				t.Errorf("load of %.2f times the capacity, the overload factor is %v", highest, rules.OverloadFactor)
 			}
 		})
 	}
--- a/policy/index.go
+++ b/policy/index.go
@@ -6,21 +6,23 @@
 	"strings"
 )
 
-// The index selects the very servers that a scan of all would: see TestIndex_SelectsAsLinearScan.
+// The index selects exactly the same servers as a scan of all servers; see TestIndex_SelectsAsLinearScan.
 const (
-	blockSize             = 64   // servers that are summed up together
-	maxUnindexedServers   = 128  // up to which a scan costs less than the index
-	maxIncrementalChanges = 16   // entries of a change up to which the order is not rebuilt
-	roundingSlack         = 1e-9 // for sums computed in another order
+	blockSize             = 64   // servers per block
+	maxUnindexedServers   = 128  // number of servers up to which a scan is cheaper than the index
+	maxIncrementalChanges = 16   // number of changed endpoints up to which the order is not rebuilt
+	roundingSlack         = 1e-9 // relative tolerance for floating-point results computed in a different order
 )
 
-// block sums up a run of servers that are not ejected: first those of the subset, then shared ones.
+// block summarizes consecutive servers of an order, without ejected ones. In the arrays, element 0 covers the servers
+// that are not shared, element 1 the shared ones (see isShared).
 type block struct {
-	fresh         bool       // the figures, which are without sharedThresholdScale, are up to date
-	load          [2]float64 // least attempts in flight over threshold
-	projectedLoad [2]float64 // the same with one attempt more
+	fresh         bool       // load and projectedLoad, computed without sharedThresholdScale, are up to date
+	load          [2]float64 // lowest ratio of attempts in flight to threshold
+	projectedLoad [2]float64 // lowest ratio with one more attempt in flight
 }
 
+// blocksOf returns the index of a pool, or nil if a scan of the pool is cheaper.
 func (b *Balancer) blocksOf(p *pool) []block {
 	if len(p.order) <= maxUnindexedServers || b.linearScan {
 		return nil
@@ -51,11 +53,12 @@
 		}
 		summary.load[i] = min(summary.load[i], float64(s.inFlight)/s.threshold)
 		summary.projectedLoad[i] = min(summary.projectedLoad[i], float64(s.inFlight+1)/s.threshold)
-		summary.fresh = summary.fresh && b.slowStartFraction(s) >= 1 // else capacity changes with time
+		summary.fresh = summary.fresh && b.slowStartFraction(s) >= 1 // in slow start, capacity changes with time
 	}
 }
 
-// canSkip tells whether a block is known to have no server with capacity, or a load under leastLoad.
+// canSkip tells whether a block is known to have neither a server with capacity nor one with a projected load below
+// leastLoad.
 func (b *Balancer) canSkip(summary *block, leastLoad float64) bool {
 	margin := 1 - roundingSlack
 	if b.sharedThresholdScale == 1 {
@@ -65,6 +68,7 @@
 		min(summary.projectedLoad[0], summary.projectedLoad[1]/b.sharedThresholdScale*margin) >= leastLoad
 }
 
+// pools yields the pool of all servers, and the pool of each restricted class.
 func (b *Balancer) pools(yield func(*pool) bool) {
 	if !yield(&b.pool) {
 		return
@@ -78,7 +82,8 @@
 	}
 }
 
-// updateIndex marks the blocks that hold s as stale, and adds 1 to the count of ejected servers, or -1, or 0.
+// updateIndex marks the blocks that contain s as stale, and adds ejected, which is 1, -1 or 0, to the number of
+// ejected servers of each pool that contains s.
 func (b *Balancer) updateIndex(s *server, ejected int) {
 	for p := range b.pools {
 		if len(p.blocks) == 0 && ejected == 0 {
@@ -93,6 +98,7 @@
 	}
 }
 
+// position returns the index of s in the order, or -1.
 func (p *pool) position(s *server) int {
 	start := 0
 	for i, partition := range p.partitions {
@@ -155,7 +161,8 @@
 	}
 }
 
-// arrangePool lays out the order of a pool in the memory of the last but one, so as to allocate nothing.
+// arrangePool computes the order of a pool from its partitions. It reuses the buffer of the order before the last
+// one, so as not to allocate memory.
 func (b *Balancer) arrangePool(p *pool) {
 	next := p.spareOrder[:0]
 	for i, partition := range p.partitions {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// indexComparison hands the same events to two nodes of one seed. Only one of them uses the index and small
-// changes of the order; both must return the same actions.
+// indexComparison hands the same events to two balancers with the same seed. One uses the index and incremental
+// changes of the order, the other scans all servers and rebuilds the order; both must return the same actions.
 type indexComparison struct {
 	t        *rapid.T
 	indexed  *Balancer
 	linear   *Balancer
 	now      Time
-	inFlight []Action // sends without their outcome
+	inFlight []Action // Send actions without an outcome yet
 	attempts map[string]int
 	requests int
 	servers  int
@@ -66,11 +66,11 @@
 	return endpoints
 }
 
-// handle hands an event to both nodes and compares their actions.
+// handle hands an event to both balancers and compares their actions.
 func (c *indexComparison) handle(event Event) {
 	got, want := handle(c.indexed, c.now, event), handle(c.linear, c.now, event)
 	if !reflect.DeepEqual(got, want) {
-		c.t.Fatalf("after %#v:\n%+v, and by a linear scan\n%+v", event, got, want)
+		c.t.Fatalf("after %#v:\nactions with the index\n%+v, with a linear scan\n%+v", event, got, want)
 	}
 	for _, action := range got {
 		if action.Kind == Send {
@@ -98,7 +98,7 @@
 	case 2:
 		tokens := []uint64{queueTimerToken, firstClassTimerToken, firstClassTimerToken + 1}
 		c.handle(Timer{Token: rapid.SampledFrom(tokens).Draw(t, "timer")})
-	case 3, 4, 5: // a burst: enough to fill servers up
+	case 3, 4, 5: // a burst, large enough to bring servers to their thresholds
 		for range rapid.IntRange(1, c.servers/4+2).Draw(t, "burst") {
 			c.requests++
 			c.handle(Request{
@@ -140,19 +140,20 @@
 	})
 }
 
-// compareOrder compares what the nodes hold: counts, and the state of each server in order.
+// compareOrder compares counts of the two balancers, and the state of each server in their orders.
 func (c *indexComparison) compareOrder() {
 	indexed, linear := c.indexed, c.linear
 	if indexed.ejectedCount != linear.ejectedCount || indexed.localCount != linear.localCount ||
 		indexed.zoneCount != linear.zoneCount {
-		c.t.Fatalf("ejected %d and %d, in the zone %d and %d, zones %d and %d", indexed.ejectedCount,
+		c.t.Fatalf("indexed and linear: %d and %d ejected servers, %d and %d in the zone, %d and %d zones",
+			indexed.ejectedCount,
 			linear.ejectedCount, indexed.localCount, linear.localCount, indexed.zoneCount, linear.zoneCount)
 	}
 	for i, got := range indexed.order {
 		want := linear.order[i]
 		if got.Server != want.Server || got.inSubset != want.inSubset || got.threshold != want.threshold ||
 			got.probeIdempotency != want.probeIdempotency {
-			c.t.Fatalf("place %d: %+v, and by a rebuilt list %+v", i, got, want)
+			c.t.Fatalf("index %d of the order: %+v after incremental changes, %+v after rebuilding", i, got, want)
 		}
 	}
 }
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// What a balancer has learned, in a form that can be stored and restored; no decision is in this file. How old
-// or foreign state is discounted is decided elsewhere, before Restore.
+// This file exports and restores the learned state of a balancer; it makes no decisions. State that is old or comes
+// from another node must be discounted by the caller, before Restore.
 
-// LearnedState is the state that a balancer has learned. It holds no requests in flight, and nothing of the endpoint
-// list. The keys are those of stored data.
+// LearnedState is the state that a balancer has learned. It contains neither requests in flight nor the endpoint
+// list. The JSON keys are part of the format of stored data.
 type LearnedState struct {
-	RateScale            float64       `json:"pace"`    // scale of all bucket rates
-	SharedThresholdScale float64       `json:"trust"`   // of servers that other nodes mostly use; 1 or more
-	Servers              []ServerState `json:"servers"` // in id order
-	Buckets              []BucketState `json:"buckets"` // by tenant and class
+	RateScale            float64       `json:"pace"`    // factor applied to the refill rates of all buckets
+	SharedThresholdScale float64       `json:"trust"`   // factor applied to the thresholds of shared servers; 1 or more
+	Servers              []ServerState `json:"servers"` // sorted by server ID
+	Buckets              []BucketState `json:"buckets"` // sorted by tenant and class
 }
 
 // ServerState is the learned state of one process of a server.
 type ServerState struct {
 	Server           string        `json:"server"`
-	Uptime           time.Duration `json:"up"`        // since its start; 0: long ago
+	Uptime           time.Duration `json:"up"`        // time since the process started; 0 for long ago
 	Threshold        float64       `json:"threshold"` // learned concurrency limit, in attempts in flight
-	ThresholdReduced bool          `json:"felt"`      // the threshold was reduced at least once
-	Latency          float64       `json:"latency"`   // of its last answer, in seconds
-	FaultRate        float64       `json:"faults"`    // moving average: errors and resets among its outcomes
-	FaultScore       float64       `json:"score"`     // of its circuit breaker
-	Ejected          bool          `json:"out"`
-	EjectedFor       time.Duration `json:"for"`   // until it is probed; negative where that is due
-	Ejections        int           `json:"times"` // in a row
+	ThresholdReduced bool          `json:"felt"`      // the threshold has been reduced at least once
+	Latency          float64       `json:"latency"`   // latency of the last answer or time-out, in seconds
+	FaultRate        float64       `json:"faults"`    // moving average: fraction of outcomes that are faults
+	FaultScore       float64       `json:"score"`     // fault score of the circuit breaker
+	Ejected          bool          `json:"out"`       // ejected or half-open
+	EjectedFor       time.Duration `json:"for"`       // time until it may be probed; negative if that has passed
+	Ejections        int           `json:"times"`     // consecutive ejections
 }
 
 // BucketState is the level of one token bucket.
 type BucketState struct {
 	Tenant string        `json:"tenant"`
-	Class  string        `json:"class,omitempty"` // empty for the bucket of all classes
+	Class  string        `json:"class,omitempty"` // empty for the bucket of all classes without a limit of their own
 	Tokens int64         `json:"tokens"`
-	Idle   time.Duration `json:"idle"` // since tokens were last added
+	Idle   time.Duration `json:"idle"` // time since tokens were last added
 }
 
-// Export returns what the balancer has learned, as of its last event.
+// Export returns the learned state as of the last event.
 func (b *Balancer) Export() LearnedState {
 	state := LearnedState{RateScale: b.rateScale, SharedThresholdScale: b.sharedThresholdScale}
 	for _, s := range b.servers {
@@ -79,7 +79,7 @@
 	return state
 }
 
-// uptime is the time since a server's start, or 0 where it is not known.
+// uptime returns the time since a server's start, or 0 if that is unknown or long ago.
 func (b *Balancer) uptime(s *server) time.Duration {
 	if s.OnlineSince <= 0 {
 		return 0
@@ -87,8 +87,8 @@
 	return max(1, b.now-s.OnlineSince)
 }
 
-// InitialThreshold returns the threshold that the balancer gives a server at first, and the uptime of the
-// server's process; ok is false where the server is not in service.
+// InitialThreshold returns the threshold that a server starts with at this balancer, and the uptime of the server's
+// process; ok is false if the server is not in service.
 func (b *Balancer) InitialThreshold(id string) (threshold float64, uptime time.Duration, ok bool) {
 	s := b.servers[id]
 	if !s.inService() {
@@ -97,7 +97,7 @@
 	return b.initialThreshold(s), b.uptime(s), true
 }
 
-// Restore takes state over as it is. Servers that are not in service, and buckets beyond their bound, are left out.
+// Restore adopts the state unchanged. It ignores servers that are not in service, and buckets beyond maxBuckets.
 func (b *Balancer) Restore(now Time, state LearnedState) {
 	b.now = max(now, b.now)
 	if state.RateScale > 0 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// A probe that its hedged request outran must not block later probes.
-func TestProbe_OutrunByHedgeIsRepeated(t *testing.T) {
+// A probe that is cancelled because a hedged request answered first must not block later probes.
+func TestProbe_RepeatedAfterHedgeAnswersFirst(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
 	b.eject(s)
 	now := s.health.ejectedUntil
 	if got := sentServer(t, b.Handle(now, testRequest("x", "idempotent"))); got != "s00" {
-		t.Fatalf("probe went to %s", got)
+		t.Fatalf("probe sent to %s, want s00", got)
 	}
 	b.Handle(now+100*ms, testOutcome("x", 0, "s00", Cancelled, 100*ms))
 	if s.health.probeInFlight {
-		t.Error("the probe still counts as out")
+		t.Error("the cancelled probe still counts as in flight")
 	}
 	now = s.health.ejectedUntil
 	if got := sentServer(t, b.Handle(now, testRequest("y", "idempotent"))); got != "s00" {
-		t.Errorf("next probe went to %s, want s00", got)
+		t.Errorf("next probe sent to %s, want s00", got)
 	}
 }
 
-// A hung server that is full rejects probes at once: that must not invite the next probe.
+// A hung server that is full rejects a probe immediately. The next probe must wait all the same.
 func TestProbe_OverloadPostponesNext(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -34,11 +34,11 @@
 	b.Handle(now, testRequest("x", "idempotent"))
 	b.Handle(now+ms, testOutcome("x", 0, "s00", Overloaded, ms))
 	if got := sentServer(t, b.Handle(now+2*ms, testRequest("y", "idempotent"))); got == "s00" {
-		t.Error("probed again at once")
+		t.Error("server probed again right after an overload answer")
 	}
 }
 
-// A slow request at a server that answers others is no sign of a hang.
+// A time-out at a server that answers other requests doesn't mean that the server hangs.
 func TestOutlier_TimeoutAtAnsweringServerIsNoFault(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -46,11 +46,11 @@
 	s.lastAnswer = 100 * ms
 	b.Handle(600*ms, testOutcome("x", 0, "s00", TimedOut, 600*ms))
 	if s.health.faultScore != 0 {
-		t.Errorf("score %v, want 0", s.health.faultScore)
+		t.Errorf("fault score %v, want 0", s.health.faultScore)
 	}
 }
 
-// attemptRunner makes attempts at servers of its choice, 25 ms apart.
+// attemptRunner makes attempts at given servers, 25 ms apart.
 type attemptRunner struct {
 	balancer *Balancer
 	now      Time
@@ -69,7 +69,7 @@
 	b.send(b.requests[id], s, probe)
 }
 
-// runCommonFaults has one attempt in ten fail at all servers alike, sometimes two in a row at one.
+// runCommonFaults makes 1200 attempts, of which one in ten fails at every server, always two in a row.
 func (r *attemptRunner) runCommonFaults(t *testing.T) {
 	t.Helper()
 	b := r.balancer
@@ -80,13 +80,13 @@
 		}
 		r.run(b.order[i%6], code)
 		if b.ejectedCount > 0 {
-			t.Fatalf("%d ejected after %d outcomes", b.ejectedCount, i)
+			t.Fatalf("%d servers ejected after %d outcomes, want none", b.ejectedCount, i)
 		}
 	}
 }
 
-// Faults that all servers have alike neither close thresholds nor eject; a server that has many more
-// is ejected all the same, and where others have none it takes two in a row.
+// Faults that are common to all servers neither reduce thresholds much nor eject servers. A server with many more
+// faults than the others is still ejected, and if the others have none, after two in a row.
 func TestOutlier_CommonFaultsCountLess(t *testing.T) {
 	t.Run("common faults", func(t *testing.T) {
 		b := startBalancer(t, testSettings(1), testEndpoints(6))
@@ -95,7 +95,7 @@
 		runner.runCommonFaults(t)
 		for _, s := range b.order {
 			if s.threshold < initial/2 {
-				t.Errorf("%s: threshold %v, was %v", s.Server, s.threshold, initial)
+				t.Errorf("%s: threshold %v, less than half of the initial %v", s.Server, s.threshold, initial)
 			}
 		}
 		b.eject(b.order[0])
@@ -103,17 +103,18 @@
 		runner.send("probe", "idempotent", b.order[0], true)
 		b.Handle(runner.now, testOutcome("probe", 0, "s00", ConnectFailed, 0))
 		if h := b.order[0].health; !h.ejected || h.ejectedUntil != runner.now+baseEjectionTime {
-			t.Errorf("a probe that failed by a common fault puts the next off by %v", h.ejectedUntil-runner.now)
+			t.Errorf("after a probe failed by a common fault, ejected for another %v, want baseEjectionTime",
+				h.ejectedUntil-runner.now)
 		}
 		if b.badRatio > maxBadRatio {
-			t.Errorf("%v of the answers count as bad", b.badRatio)
+			t.Errorf("badRatio is %v, though faults are common to all servers", b.badRatio)
 		}
 		outlier := b.servers["s03"]
 		for range 10 {
 			runner.run(outlier, ServerError)
 		}
 		if !outlier.health.ejected {
-			t.Errorf("a server that always fails is not ejected; score %v", outlier.health.faultScore)
+			t.Errorf("a server that always fails is not ejected; its fault score is %v", outlier.health.faultScore)
 		}
 	})
 	t.Run("no faults at others", func(t *testing.T) {
@@ -128,7 +129,7 @@
 			runner.run(b.order[1], Reset)
 		}
 		if !b.order[1].health.ejected {
-			t.Error("two faults in a row, and none at others: not ejected")
+			t.Error("not ejected after two faults in a row, with none at other servers")
 		}
 	})
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -2,37 +2,38 @@
 
 import "slices"
 
-// permits keeps a class that is restricted to zones, kinds or a pool of servers from going anywhere else.
+// permits tells whether s satisfies the restrictions of the class to zones, kinds and a pool.
 func (c *class) permits(s *server) bool {
 	return (c.Pool == "" || slices.Contains(s.Pools, c.Pool)) &&
 		(len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone))
 }
 
-// mayRunOn guards against a second execution: what may have run only goes where duplicates are dropped.
+// mayRunOn tells whether r may be sent to candidate. If an earlier attempt may have been executed, a request that is
+// not idempotent may only go where the duplicate would be discarded.
 func (b *Balancer) mayRunOn(r *request, candidate *server) bool {
-	if !r.class.permits(candidate) || b.leavesZone(r, candidate) || r.excludes(candidate) {
+	if !r.class.permits(candidate) || b.violatesZoneLocal(r, candidate) || r.excludes(candidate) {
 		return false
 	}
-	if r.mayHaveRun == nil || r.class.Idempotency == Idempotent {
+	if r.firstMaybeExecuted == nil || r.class.Idempotency == Idempotent {
 		return true
 	}
-	if r.class.Idempotency != IdempotencyKeyed || b.now >= r.mayHaveRun.sentAt+r.class.DedupWindow {
+	if r.class.Idempotency != IdempotencyKeyed || b.now >= r.firstMaybeExecuted.sentAt+r.class.DedupWindow {
 		return false
 	}
 	switch r.class.DedupScope {
 	case DedupAll:
 		return true
 	case DedupZone:
-		return candidate.Zone == r.mayHaveRun.server.Zone
+		return candidate.Zone == r.firstMaybeExecuted.server.Zone
 	}
-	return candidate.Cell == r.mayHaveRun.server.Cell
+	return candidate.Cell == r.firstMaybeExecuted.server.Cell
 }
 
-// updateMayHaveRun finds the first attempt of r that may have run; one without an outcome may have.
-func (r *request) updateMayHaveRun() {
-	r.mayHaveRun = nil
+// updateFirstMaybeExecuted sets firstMaybeExecuted. Attempts without an outcome may have been executed.
+func (r *request) updateFirstMaybeExecuted() {
+	r.firstMaybeExecuted = nil
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notExecuted }); i >= 0 {
-		r.mayHaveRun = &r.attempts[i]
+		r.firstMaybeExecuted = &r.attempts[i]
 	}
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// A restricted class goes to its servers only, at every attempt, even when they are all gone; then it is
-// queued and rejected in time. The cap on ejections holds for its few servers by themselves.
+// Requests of a restricted class are only sent to its servers, retries included. If none of these is in service,
+// requests are queued and then rejected. The limit on ejected servers applies to the class's servers by themselves.
 func TestPlacement_HoldsForEveryAttempt(t *testing.T) {
 	settings := testSettings(1)
-	settings.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
+	settings.Classes[0].Kinds = []string{"k1"} // s01, s04 and s07 of the nine servers
 	b := startBalancer(t, settings, testEndpoints(9))
 	eligible := map[string]bool{"s01": true, "s04": true, "s07": true}
 	for i, code := range []Code{ServerError, Overloaded, ConnectFailed} {
 		id := fmt.Sprint(i)
 		s := sentServer(t, b.Handle(ms, testRequest(id, "idempotent")))
 		if !eligible[s] {
-			t.Fatalf("sent to %s", s)
+			t.Fatalf("sent to %s, which is not of kind k1", s)
 		}
 		if s = sentServer(t, b.Handle(2*ms, testOutcome(id, 0, s, code, ms))); !eligible[s] {
-			t.Fatalf("sent again to %s", s)
+			t.Fatalf("retry sent to %s, which is not of kind k1", s)
 		}
 		b.Handle(3*ms, testOutcome(id, 1, s, OK, ms))
 	}
@@ -41,11 +41,11 @@
 		acts = append(acts, b.Handle(now, Timer{Token: queueTimerToken})...)
 	}
 	if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, Reject)) != 1 {
-		t.Errorf("with its servers gone: got %+v, want one rejection and no send", acts)
+		t.Errorf("with all servers of kind k1 draining: got %+v, want one Reject and no Send", acts)
 	}
 }
 
-// A class that is restricted to a pool goes to servers of that pool and no other, however they change.
+// Requests of a class that is restricted to a pool only go to servers that currently belong to the pool.
 func TestPlacement_PoolRestrictsClass(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Pool = "rooms"
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := func(one, two []string) {
+	setPools := func(one, two []string) {
 		b.Handle(0, EndpointList{Endpoints: []Endpoint{
 			{Server: "one", Zone: "a", Pools: one},
 			{Server: "two", Zone: "a", Pools: two},
 		}})
 	}
-	to := func(id string) string {
+	sentTo := func(id string) string {
 		for _, a := range handle(b, 0, Request{ID: id, Class: "read", Tenant: "t", ExpiresIn: time.Second}) {
 			if a.Kind == Send {
 				return a.Server
@@ -67,16 +67,16 @@
 		}
 		return ""
 	}
-	list(nil, []string{"other", "rooms"})
-	if s := to("r1"); s != "two" {
-		t.Errorf("sent to %q", s)
+	setPools(nil, []string{"other", "rooms"})
+	if s := sentTo("r1"); s != "two" {
+		t.Errorf("sent to %q, want two", s)
 	}
-	list([]string{"rooms"}, []string{"other"})
-	if s := to("r2"); s != "one" {
-		t.Errorf("sent to %q", s)
+	setPools([]string{"rooms"}, []string{"other"})
+	if s := sentTo("r2"); s != "one" {
+		t.Errorf("sent to %q, want one", s)
 	}
-	list(nil, []string{"other"})
-	if s := to("r3"); s != "" {
-		t.Errorf("sent to %q, which is not of the pool", s)
+	setPools(nil, []string{"other"})
+	if s := sentTo("r3"); s != "" {
+		t.Errorf("sent to %q, which is not in the pool", s)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-const queueTimerToken, endpointTimerToken, firstClassTimerToken = 1, 2, 8 // then one for each class
+const queueTimerToken, endpointTimerToken, firstClassTimerToken = 1, 2, 8 // one per class from the last one on
 
-// New returns a node's decisions for the given settings. The seed drives its random choices.
+// New returns a Balancer for one node. The seed determines its random choices.
 func New(settings Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
@@ -23,7 +23,7 @@
 	return b, nil
 }
 
-// configure adopts the settings. A class with unchanged settings keeps its learned state.
+// configure applies the settings. A class with unchanged settings keeps its learned state.
 func (b *Balancer) configure(settings Settings) {
 	former, sameCapabilities := b.classes, b.settings.Capabilities == settings.Capabilities
 	b.settings, b.retryBudget, b.activeClasses = settings, defaultRetryBudget, nil
@@ -43,7 +43,7 @@
 		b.classes[c.Name] = current
 	}
 	b.defaultLimit = settings.RateLimits.Default
-	for _, tenant := range settings.Tenants { // without a default, the smallest quota is that of all others
+	for _, tenant := range settings.Tenants { // without a default limit, tenants without a quota get the smallest one
 		limit := b.quotaLimit(tenant.Quota)
 		b.tenantLimits[tenant.Name] = limit
 		isSmallest := b.defaultLimit == nil || limit.PerWindow < b.defaultLimit.PerWindow
@@ -66,15 +66,15 @@
 	return c
 }
 
-// Reconfigure puts other settings in force and returns the actions that this calls for; on an error
-// nothing has changed. Requests in flight keep their class and its capabilities. Servers, buckets, health,
-// the retry budget and slow start carry over, so that both generations together stay within their limits.
+// Reconfigure replaces the settings and returns the resulting actions; on an error nothing has changed. Requests in
+// flight keep their class and its capabilities. Servers, buckets, health, retry budget and slow start carry over, so
+// that requests under old and new settings together stay within the limits.
 func (b *Balancer) Reconfigure(now Time, settings Settings) ([]Action, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
 	}
 	b.now, b.actions = max(now, b.now), b.actions[:0]
-	for key, bucket := range b.buckets { // tokens until now accrue at the old rates
+	for key, bucket := range b.buckets { // tokens up to now accrue at the old rates
 		if limit, current, ok := b.resolveLimit(key.tenant, key.class); ok && current == key {
 			bucket.refill(b.now, limit.perSecond()*b.rateScale, limit.Burst)
 		}
@@ -111,7 +111,7 @@
 	b.retiredClasses = slices.DeleteFunc(b.retiredClasses, func(c *class) bool { return !used[c] })
 }
 
-// Handle takes one event and returns the actions it calls for. The next call reuses the slice.
+// Handle processes an event and returns the resulting actions. The slice is valid until the next call.
 func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch typed := event.(type) {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// world plays random legal events at one node and checks the invariants that a node keeps alone: one final
-// answer in time, no forbidden retry or rejection, no late send to a draining server, placement, and
-// the retry budget. It counts by itself and shares no code with the module.
-type world struct {
-	t             *testing.T
-	rng           *rand.Rand
-	settings      Settings
-	balancer      *Balancer
-	now           Time
-	endpoints     map[string]Endpoint
-	drainingSince map[string]Time // when a server was listed as draining or removed
-	exchanges     map[string]*exchange
-	lastID        int
-	tasks         []task // outcomes, timers, probe results to come
-	log           []string
+// workload hands random valid events to one balancer and checks its invariants: one final answer in time, no
+// forbidden retry or rejection, no send to a server beyond its drain grace, placement, and the retry budget. It does
+// its own bookkeeping and shares no code with the balancer.
+type workload struct {
+	t               *testing.T
+	rng             *rand.Rand
+	settings        Settings
+	balancer        *Balancer
+	now             Time
+	endpoints       map[string]Endpoint
+	drainingSince   map[string]Time // when a server was first listed as draining
+	trackedRequests map[string]*trackedRequest
+	lastID          int
+	tasks           []task // scheduled outcomes, timers and probe results
+	log             []string
 
-	faultDivisor  int // 5 of so many attempts fail, at least
-	maxLatency    int // ms
-	arrivalPeriod int // steps between arrivals, on average
+	faultDivisor  int // about 5 of this many attempts fail, besides time-outs
+	maxLatency    int // upper bound of the latency of an attempt, in ms
+	arrivalPeriod int // mean number of steps between arrivals of requests
 
-	accepted []Time // all requests received
-	retries  []Time // all attempts beyond a request's first
+	accepted []Time // when each request was received
+	retries  []Time // when each attempt after the first of a request was sent
 }
 
-// exchange is a request as the client sees it.
-type exchange struct {
+// trackedRequest is a request as its client sees it, with the attempts that the balancer sent.
+type trackedRequest struct {
 	Request
 	class    Class
 	deadline Time
@@ -54,7 +54,7 @@
 	run func()
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newWorkload(t *testing.T, seed uint64) *workload {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := randomSettings(rng, seed)
@@ -62,9 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{
+	w := &workload{
 		t: t, rng: rng, settings: settings, balancer: b,
-		endpoints: map[string]Endpoint{}, drainingSince: map[string]Time{}, exchanges: map[string]*exchange{},
+		endpoints: map[string]Endpoint{}, drainingSince: map[string]Time{}, trackedRequests: map[string]*trackedRequest{},
 		faultDivisor:  []int{8, 20, 60}[seed/3%3],
 		maxLatency:    []int{300, 50}[seed/2%2],
 		arrivalPeriod: []int{1, 8}[seed/4%2],
@@ -75,11 +75,11 @@
 		}
 		w.endpoints[endpoint.Server] = endpoint
 	}
-	w.handle(EndpointList{Kind: ListRestored, Endpoints: w.listed()})
+	w.handle(EndpointList{Kind: ListRestored, Endpoints: w.listedEndpoints()})
 	return w
 }
 
-// randomSettings is a deployment that differs with the seed.
+// randomSettings returns settings that vary with the seed.
 func randomSettings(rng *rand.Rand, seed uint64) Settings {
 	settings := testSettings([]int{1, 3, 12, 60}[seed%4])
 	settings.Node = rng.IntN(settings.Nodes)
@@ -92,7 +92,7 @@
 	if seed%2 == 1 {
 		settings.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range settings.Classes { // windows shorter than the time a request is worth another attempt
+	for i := range settings.Classes { // shorter than the time in which retries are possible
 		settings.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	switch seed % 3 {
@@ -105,38 +105,38 @@
 	return settings
 }
 
-func (w *world) listed() []Endpoint {
+func (w *workload) listedEndpoints() []Endpoint {
 	var out []Endpoint
 	for i := range 10 {
-		if m, ok := w.endpoints[fmt.Sprintf("s%02d", i)]; ok {
-			out = append(out, m)
+		if endpoint, ok := w.endpoints[fmt.Sprintf("s%02d", i)]; ok {
+			out = append(out, endpoint)
 		}
 	}
 	return out
 }
 
-func (w *world) schedule(wait time.Duration, run func()) {
+func (w *workload) schedule(wait time.Duration, run func()) {
 	w.tasks = append(w.tasks, task{w.now + wait, run})
 }
 
-func (w *world) handle(event Event) {
+func (w *workload) handle(event Event) {
 	for _, a := range slices.Clone(w.balancer.Handle(w.now, event)) {
 		w.log = append(w.log, fmt.Sprintf("%v %+v", w.now, a))
 		w.carryOut(a)
 	}
 }
 
-func (w *world) carryOut(action Action) {
-	client := w.exchanges[action.ID]
+func (w *workload) carryOut(action Action) {
+	tracked := w.trackedRequests[action.ID]
 	switch action.Kind {
 	case Send:
-		w.checkSend(client, action)
-		w.send(client, action)
+		w.checkSend(tracked, action)
+		w.send(tracked, action)
 	case Reject, Fail:
-		w.checkAnswer(client, action)
+		w.checkAnswer(tracked, action)
 	case Cancel:
-		if !w.settings.Capabilities.Cancel || action.Attempt >= len(client.attempts) {
-			w.t.Errorf("cancel of an unknown attempt, or where it is not allowed: %+v", action)
+		if !w.settings.Capabilities.Cancel || action.Attempt >= len(tracked.attempts) {
+			w.t.Errorf("Cancel of an unknown attempt, or without the capability: %+v", action)
 		}
 	case SetTimer:
 		w.schedule(max(action.Wait, ms), func() { w.handle(Timer{Token: action.Token}) })
@@ -149,10 +149,10 @@
 	}
 }
 
-func (w *world) probe(server string) {
+func (w *workload) probe(server string) {
 	load := float64(w.rng.IntN(6))
 	if !w.settings.Capabilities.Probe {
-		w.t.Errorf("probe where it is not allowed")
+		w.t.Errorf("Probe without the capability")
 	}
 	if w.rng.IntN(3) > 0 {
 		w.schedule(ms*time.Duration(w.rng.IntN(30)), func() {
@@ -161,61 +161,63 @@
 	}
 }
 
-// checkSend checks that an attempt may be made, and may go to its server.
-func (w *world) checkSend(client *exchange, action Action) {
+// checkSend checks that the attempt is allowed at this time and at this server.
+func (w *workload) checkSend(tracked *trackedRequest, action Action) {
 	endpoint, listed := w.endpoints[action.Server]
 	if since, ok := w.drainingSince[action.Server]; ok && w.now > since+w.settings.Rules.DrainGrace {
-		w.t.Errorf("%s drains since %v, sent to at %v", action.Server, since, w.now)
+		w.t.Errorf("%s has been draining since %v, but was sent an attempt at %v", action.Server, since, w.now)
 	}
 	if !listed && w.drainingSince[action.Server] == 0 {
-		w.t.Errorf("unknown server %q", action.Server)
+		w.t.Errorf("attempt sent to unknown server %q", action.Server)
 	}
-	if client == nil || client.ended || w.now >= client.deadline {
-		w.t.Fatalf("send after the end: %+v", action)
+	if tracked == nil || tracked.ended || w.now >= tracked.deadline {
+		w.t.Fatalf("attempt sent after the end of its request: %+v", action)
 	}
-	w.checkRetry(client, endpoint, action)
-	if class := client.class; len(class.Kinds) > 0 && !slices.Contains(class.Kinds, endpoint.Kind) ||
+	w.checkRetry(tracked, endpoint, action)
+	if class := tracked.class; len(class.Kinds) > 0 && !slices.Contains(class.Kinds, endpoint.Kind) ||
 		len(class.Zones) > 0 && !slices.Contains(class.Zones, endpoint.Zone) {
-		w.t.Errorf("%s sent to %s of kind %s in zone %s", class.Name, action.Server, endpoint.Kind, endpoint.Zone)
+		w.t.Errorf("request of class %s sent to %s, of kind %s in zone %s, against its placement",
+			class.Name, action.Server, endpoint.Kind, endpoint.Zone)
 	}
-	if len(client.attempts) > 0 {
+	if len(tracked.attempts) > 0 {
 		w.checkRetryBudget()
 	}
 }
 
-// checkRetry checks an attempt against those before it: none may run twice that must not, and there may be only
-// so many.
-func (w *world) checkRetry(client *exchange, endpoint Endpoint, action Action) {
+// checkRetry checks an attempt against the earlier ones: no request may be executed twice unless its class allows
+// that, and hedged requests and the number of attempts must conform to the capabilities.
+func (w *workload) checkRetry(tracked *trackedRequest, endpoint Endpoint, action Action) {
 	pending := 0
-	for _, former := range client.attempts {
+	for _, former := range tracked.attempts {
 		if !former.done {
 			pending++
 		}
 		if former.notExecuted {
 			continue
 		}
-		switch client.class.Idempotency {
+		switch tracked.class.Idempotency {
 		case NonIdempotent:
-			w.t.Errorf("%s sent again though it may have run", client.class.Name)
+			w.t.Errorf("request of class %s sent again though it may have been executed", tracked.class.Name)
 		case IdempotencyKeyed:
-			scope := client.class.DedupScope
-			if w.now > former.sentAt+client.class.DedupWindow || scope == DedupZone && endpoint.Zone != former.server.Zone ||
+			scope := tracked.class.DedupScope
+			if w.now > former.sentAt+tracked.class.DedupWindow || scope == DedupZone && endpoint.Zone != former.server.Zone ||
 				scope == DedupCell && endpoint.Cell != former.server.Cell {
-				w.t.Errorf("%s sent again outside its scope or window", client.class.Name)
+				w.t.Errorf("request of class %s sent again outside its deduplication scope or window",
+					tracked.class.Name)
 			}
 		}
 	}
 	allowed := w.settings.Capabilities
-	if pending > 0 && !allowed.Hedge || len(client.attempts) >= allowed.MaxAttempts {
-		w.t.Errorf("a hedged request or an attempt too many: %+v", action)
+	if pending > 0 && !allowed.Hedge || len(tracked.attempts) >= allowed.MaxAttempts {
+		w.t.Errorf("hedged request without the capability, or more than MaxAttempts attempts: %+v", action)
 	}
 }
 
-// send draws how an attempt will end, and schedules its outcome, sometimes twice.
-func (w *world) send(client *exchange, action Action) {
-	n := len(client.attempts)
-	client.attempts = append(client.attempts, sentAttempt{server: w.endpoints[action.Server], sentAt: w.now})
-	until := client.deadline
+// send draws the outcome of an attempt and schedules it. One outcome in 20 is delivered twice.
+func (w *workload) send(tracked *trackedRequest, action Action) {
+	n := len(tracked.attempts)
+	tracked.attempts = append(tracked.attempts, sentAttempt{server: w.endpoints[action.Server], sentAt: w.now})
+	until := tracked.deadline
 	if action.Until > 0 {
 		until = min(until, action.Until)
 	}
@@ -227,12 +229,12 @@
 		code, latency = TimedOut, until-w.now
 	}
 	w.schedule(latency, func() {
-		client.attempts[n].done, client.attempts[n].notExecuted = true, code.NotExecuted()
+		tracked.attempts[n].done, tracked.attempts[n].notExecuted = true, code.NotExecuted()
 		if code == OK {
-			client.ended = true
+			tracked.ended = true
 		}
 		outcome := Outcome{
-			ID: client.ID, Attempt: n, Server: action.Server, Code: code, Latency: latency, Answered: client.ended,
+			ID: tracked.ID, Attempt: n, Server: action.Server, Code: code, Latency: latency, Answered: tracked.ended,
 		}
 		w.handle(outcome)
 		if w.rng.IntN(20) == 0 {
@@ -241,8 +243,8 @@
 	})
 }
 
-// checkRetryBudget checks the retry budget by its own count.
-func (w *world) checkRetryBudget() {
+// checkRetryBudget records a retry and checks the retry budget with a count of its own.
+func (w *workload) checkRetryBudget() {
 	w.retries = append(w.retries, w.now)
 	budget := w.settings.Rules.RetryBudget
 	if budget == nil {
@@ -258,27 +260,27 @@
 	}
 	allowed := budget.MinRetries + budget.RetryRatio*float64(within(w.accepted))
 	if n := within(w.retries); float64(n) > allowed {
-		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, budget.Window, allowed)
+		w.t.Errorf("%d retries within %v, at most %v allowed", n, budget.Window, allowed)
 	}
 }
 
-func (w *world) checkAnswer(client *exchange, action Action) {
-	if client == nil || client.ended {
-		w.t.Fatalf("answered twice: %+v", action)
-	}
-	client.ended = true
-	mayRunTwice := client.class.Idempotency == Idempotent ||
-		client.class.Idempotency == IdempotencyKeyed && client.class.DedupScope == DedupAll
-	for _, former := range client.attempts {
+func (w *workload) checkAnswer(tracked *trackedRequest, action Action) {
+	if tracked == nil || tracked.ended {
+		w.t.Fatalf("unknown or ended request answered: %+v", action)
+	}
+	tracked.ended = true
+	mayRunTwice := tracked.class.Idempotency == Idempotent ||
+		tracked.class.Idempotency == IdempotencyKeyed && tracked.class.DedupScope == DedupAll
+	for _, former := range tracked.attempts {
 		if action.Kind == Reject && !former.notExecuted && !mayRunTwice {
-			w.t.Errorf("%s rejected though it may have run", client.class.Name)
+			w.t.Errorf("request of class %s rejected though it may have been executed", tracked.class.Name)
 		}
 	}
 }
 
-func (w *world) step() {
+func (w *workload) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
-	stall := w.rng.IntN(400) == 0 // the node gets no turn, and then all that came meanwhile at once
+	stall := w.rng.IntN(400) == 0 // the balancer gets no events for a while, then all that are due at once
 	if stall {
 		w.now += time.Duration(w.rng.IntN(900)) * ms
 	}
@@ -292,12 +294,12 @@
 		}
 		k.run()
 	}
-	for id, p := range w.exchanges { // order is irrelevant: only checked and dropped
-		if !p.ended && w.now > p.deadline+5*ms && !stall {
-			w.t.Fatalf("%s (%s) has no answer in time", id, p.class.Name)
+	for id, tracked := range w.trackedRequests { // the order doesn't matter: requests are only checked and deleted
+		if !tracked.ended && w.now > tracked.deadline+5*ms && !stall {
+			w.t.Fatalf("request %s of class %s got no answer in time", id, tracked.class.Name)
 		}
-		if p.ended && w.now > p.deadline+time.Second {
-			delete(w.exchanges, id)
+		if tracked.ended && w.now > tracked.deadline+time.Second {
+			delete(w.trackedRequests, id)
 		}
 	}
 	switch w.rng.IntN(60) {
@@ -312,12 +314,12 @@
 	}
 	if w.rng.IntN(w.arrivalPeriod) == 0 {
 		for range w.rng.IntN(3) {
-			w.arrive()
+			w.sendRandomRequest()
 		}
 	}
 }
 
-func (w *world) arrive() {
+func (w *workload) sendRandomRequest() {
 	w.lastID++
 	c := Class{Name: "stranger"}
 	if w.rng.IntN(10) > 0 {
@@ -327,22 +329,22 @@
 		ID: fmt.Sprint("r", w.lastID), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
 		ExpiresIn: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30)),
 	}
-	p := &exchange{Request: r, class: c, deadline: w.now + r.ExpiresIn}
-	w.exchanges[r.ID] = p
+	tracked := &trackedRequest{Request: r, class: c, deadline: w.now + r.ExpiresIn}
+	w.trackedRequests[r.ID] = tracked
 	w.accepted = append(w.accepted, w.now)
 	w.handle(r)
-	if !p.ended && w.rng.IntN(40) == 0 {
+	if !tracked.ended && w.rng.IntN(40) == 0 {
 		w.schedule(ms, func() {
-			if !p.ended {
-				p.ended = true
+			if !tracked.ended {
+				tracked.ended = true
 				w.handle(ClientGone{ID: r.ID})
 			}
 		})
 	}
 }
 
-// changeEndpoints drains, removes, restarts or adds a server, or sends the complete list.
-func (w *world) changeEndpoints() {
+// changeEndpoints drains, removes, restarts or adds a server, and sends the change or the complete list.
+func (w *workload) changeEndpoints() {
 	id := fmt.Sprintf("s%02d", w.rng.IntN(10))
 	endpoint, listed := w.endpoints[id]
 	switch {
@@ -367,13 +369,13 @@
 		w.handle(EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{endpoint}})
 		return
 	}
-	w.handle(EndpointList{Kind: ListReplace, Endpoints: w.listed()})
+	w.handle(EndpointList{Kind: ListReplace, Endpoints: w.listedEndpoints()})
 }
 
 func TestBalancer_KeepsInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			w := newWorld(t, seed)
+			w := newWorkload(t, seed)
 			for range 1500 {
 				w.step()
 			}
@@ -383,24 +385,24 @@
 
 func TestBalancer_IsDeterministic(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, 12)
+		w := newWorkload(t, 12)
 		for range 800 {
 			w.step()
 		}
 		return w.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events led to other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
 // The state kept for a request is released once the request has ended.
 func TestBalancer_ForgetsFinishedRequests(t *testing.T) {
-	w := newWorld(t, 4)
+	w := newWorkload(t, 4)
 	for range 3000 {
 		w.step()
 	}
 	if n := len(w.balancer.requests); n > 600 {
-		t.Errorf("%d requests kept", n)
+		t.Errorf("%d requests kept, want at most 600", n)
 	}
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -14,19 +14,19 @@
 	}
 }
 
-// requestOf is a request of tenant t that expires in a second.
+// requestOf returns a request of tenant t that expires in a second.
 func requestOf(class, id string) Request {
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: time.Second}
 }
 
-// endAttempt hands in the outcome of an attempt at the server that it went to.
+// endAttempt hands in the outcome of an attempt, and returns the resulting actions.
 func endAttempt(b *Balancer, now Time, id string, attempt int, code Code) []Action {
 	server := b.requests[id].attempts[attempt].server.Server
 	return handle(b, now, testOutcome(id, attempt, server, code, ms))
 }
 
-// A request keeps the settings of its class as they were when it was accepted: one that must never run twice is
-// not sent again though the class of its name now may be.
+// A request keeps the class settings that were active when it was accepted: one that was accepted as non-idempotent
+// is not sent again, even if its class is idempotent in the new settings.
 func TestReconfigure_RequestsKeepTheirClass(t *testing.T) {
 	b, err := New(reconfigurableSettings(), 0, 1)
 	if err != nil {
@@ -35,7 +35,7 @@
 	b.Handle(0, twoEndpoints())
 	for _, class := range []string{"pay", "read"} {
 		if n := countActions(handle(b, ms, requestOf(class, class)), Send); n != 1 {
-			t.Fatalf("%s: %d sends", class, n)
+			t.Fatalf("request of class %s: %d sends, want 1", class, n)
 		}
 	}
 	swapped := reconfigurableSettings()
@@ -43,24 +43,23 @@
 	reconfigure(t, b, 2*ms, swapped)
 	acts := endAttempt(b, 3*ms, "pay", 0, Reset)
 	if countActions(acts, Send) != 0 || countActions(acts, Fail) != 1 {
-		t.Errorf("a booking that may have run: %+v", acts)
+		t.Errorf("accepted as non-idempotent, then reset: got %+v, want one Fail and no Send", acts)
 	}
 	acts = endAttempt(b, 3*ms, "read", 0, Reset)
 	if countActions(acts, Send) != 1 {
-		t.Errorf("a search that was safe to repeat when it was accepted: %+v", acts)
+		t.Errorf("accepted as idempotent, then reset: got %+v, want one Send", acts)
 	}
-	for _, r := range []string{"pay2", "read2"} { // those that come now go by the new rules
+	for _, r := range []string{"pay2", "read2"} { // later requests follow the new settings
 		class := strings.TrimSuffix(r, "2")
 		handle(b, 4*ms, requestOf(class, r))
 		acts := endAttempt(b, 5*ms, r, 0, Reset)
 		if want := map[string]int{"pay": 1, "read": 0}[class]; countActions(acts, Send) != want {
-			t.Errorf("%s: %+v, want %d sends", r, acts, want)
+			t.Errorf("request %s, accepted under the new settings: %+v, want %d sends", r, acts, want)
 		}
 	}
 }
 
-// The budget of retries holds over both generations, also where the new one counts over a
-// longer span than the old one remembered.
+// Retries before Reconfigure count in the retry budget after it, even if the new window is longer than the old one.
 func TestReconfigure_KeepsRetryBudget(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Rules.RetryBudget = &RetryBudget{MinRetries: 4.5, Window: time.Second}
@@ -83,30 +82,30 @@
 	}
 	retry(10)
 	if retries != 4 {
-		t.Fatalf("%d retries under the old budget, want 4", retries)
+		t.Fatalf("%d retries under the old settings, want 4", retries)
 	}
 	reconfigure(t, b, now, settings)
 	retry(10)
 	if retries != 4 {
-		t.Errorf("%d retries after a reload with the same budget, want 4", retries)
+		t.Errorf("%d retries after reconfiguring with the same budget, want still 4", retries)
 	}
 	now = 1500 * ms
-	retry(10) // the old span has passed
+	retry(10) // the retries have left the window
 	if retries != 8 {
-		t.Fatalf("%d retries in two spans, want 8", retries)
+		t.Fatalf("%d retries in two windows, want 8", retries)
 	}
 	now = 2900 * ms
-	retry(1) // by now the old budget has forgotten all but this one
+	retry(1) // the only retry within the old window
 	longer := settings
 	longer.Rules.RetryBudget = &RetryBudget{MinRetries: 9.5, Window: 10 * time.Second}
 	reconfigure(t, b, now, longer)
 	retry(10)
 	if retries != 9 {
-		t.Errorf("%d retries within the longer span, 9 are allowed", retries)
+		t.Errorf("%d retries within the longer window, want the 9 allowed", retries)
 	}
 }
 
-// A server that warms up gets no fresh budget by a reload.
+// Reconfigure must not reset the slow start bucket of a server.
 func TestReconfigure_KeepsSlowStartBudget(t *testing.T) {
 	sent := func(reloads bool) (n int) {
 		settings := reconfigurableSettings()
@@ -127,11 +126,12 @@
 		return n
 	}
 	if with, without := sent(true), sent(false); with > without {
-		t.Errorf("%d sends to a server that warms up with reloads, %d without", with, without)
+		t.Errorf("%d sends to a server in slow start with reconfigurations, %d without", with, without)
 	}
 }
 
-// A server that drains after a reload gets no retry of a request accepted before it, of a restricted class either.
+// A server that drains after Reconfigure gets no retry of a request that was accepted before, even if the request's
+// restricted class is not in the new settings.
 func TestReconfigure_DrainingAppliesToRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Zones = []string{"a"}
@@ -147,12 +147,12 @@
 	handle(b, 3*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{draining}})
 	acts := endAttempt(b, 4*ms, "r", 0, Reset)
 	if countActions(acts, Send) != 0 {
-		t.Errorf("sent to a server that drains: %+v", acts)
+		t.Errorf("retry sent to a draining server: %+v", acts)
 	}
 }
 
-// Buckets survive: used tokens stay used, a lower burst cuts the present ones, and a removed layer
-// leaves nothing behind.
+// Reconfigure keeps the buckets: used tokens stay used, a lower burst reduces the remaining tokens, and the buckets of
+// a removed limit are deleted.
 func TestReconfigure_KeepsBuckets(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Tenants = []Tenant{{Name: "t", Quota: 0}}
@@ -163,50 +163,50 @@
 	admitted := func(now Time, class, tenant string, n int) (ok int) {
 		b.now = now
 		for range n {
-			if may, _ := b.admit(tenant, class); may {
+			if allowed, _ := b.admit(tenant, class); allowed {
 				ok++
 			}
 		}
 		return ok
 	}
 	if n := admitted(0, "pay", "x", 5); n != 2 {
-		t.Fatalf("%d of pay at first, want its burst of 2", n)
+		t.Fatalf("%d requests of pay admitted at first, want its burst of 2", n)
 	}
 	if n := admitted(0, "read", "x", 60); n != 60 {
-		t.Fatalf("%d of read", n)
+		t.Fatalf("%d requests of read admitted, want all 60", n)
 	}
 	reconfigure(t, b, 0, settings)
 	if n := admitted(0, "pay", "x", 5); n != 0 {
-		t.Errorf("%d of pay right after a reload: the burst was handed out again", n)
+		t.Errorf("%d requests of pay admitted right after Reconfigure, want 0: its bucket was refilled", n)
 	}
 	lower := settings
 	lower.RateLimits.Default = &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
 	lower.RateLimits.PerClass = nil
 	reconfigure(t, b, 0, lower)
 	if n := admitted(0, "read", "x", 60); n != 5 {
-		t.Errorf("%d of read under a burst of 5", n)
+		t.Errorf("%d requests of read admitted under a burst of 5, want 5", n)
 	}
 	if _, ok := b.buckets[bucketKey{"x", "pay"}]; ok {
-		t.Error("the bucket of a layer that is gone is still there")
+		t.Error("the bucket of a removed limit is still there")
 	}
 }
 
-// Settings that make no sense change nothing, and classes without requests are not kept.
+// Invalid settings change nothing, and classes of former settings are deleted once they have no requests.
 func TestReconfigure_RejectsInvalidAndForgetsRetiredClasses(t *testing.T) {
 	b, _ := New(reconfigurableSettings(), 0, 1)
 	b.Handle(0, twoEndpoints())
 	bad := reconfigurableSettings()
 	bad.Classes[1].Deadline = -1
 	if _, err := b.Reconfigure(0, bad); err == nil || !strings.Contains(err.Error(), `class "pay": deadline`) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one about the deadline of class pay", err)
 	}
 	if b.classes["pay"].Deadline != time.Second {
-		t.Error("a bad configuration changed something")
+		t.Error("invalid settings changed a class")
 	}
-	same := b.classes["read"]
+	unchanged := b.classes["read"]
 	reconfigure(t, b, 0, reconfigurableSettings())
-	if b.classes["read"] != same || len(b.retiredClasses) != 0 {
-		t.Error("a class that is as it was has been replaced")
+	if b.classes["read"] != unchanged || len(b.retiredClasses) != 0 {
+		t.Error("an unchanged class was replaced")
 	}
 	for i := range 200 {
 		settings := reconfigurableSettings()
@@ -218,11 +218,11 @@
 	}
 	reconfigure(t, b, time.Second, reconfigurableSettings())
 	if len(b.retiredClasses) != 0 {
-		t.Errorf("%d classes of former settings are kept without a request", len(b.retiredClasses))
+		t.Errorf("%d classes of former settings are kept without requests", len(b.retiredClasses))
 	}
 }
 
-// Slow attempts of a class are still checked after its settings have gone: a hedged request is sent.
+// Slow attempts of a class that Reconfigure has replaced are still checked and hedged.
 func TestReconfigure_HedgesRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Capabilities.Hedge = true
@@ -243,6 +243,6 @@
 	next.Classes[0].LatencyObjective, next.Capabilities.Hedge = 100*ms, false
 	reconfigure(t, b, 2*ms, next)
 	if acts := handle(b, ms+timer.Wait, Timer{Token: timer.Token}); countActions(acts, Send) != 1 {
-		t.Errorf("no hedged request: %+v", acts)
+		t.Errorf("got %+v, want one hedged request", acts)
 	}
 }
--- a/policy/reconnect.go
+++ b/policy/reconnect.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	reconnectBackoff    = 100 * time.Millisecond // after the first failed connect of a request, doubled after each
-	maxBackoffDoublings = 10
+	reconnectBackoff    = 100 * time.Millisecond // after a request's first failed connect; doubles each time
+	maxBackoffDoublings = 10                     // limits the backoff to 102.4 s
 )
 
-// selectNext selects the server of r's next attempt. Each server gets one, but for those that could not be connected
-// to: they got nothing, and may get another where no server is left that r has not been sent to.
+// selectNext selects the server of r's next attempt. Each server gets at most one attempt of r, except that a server
+// that failed to connect may get another once no untried server is left.
 func (b *Balancer) selectNext(r *request) (selected *server, hasCapacity bool) {
 	r.reconnecting = b.mayReconnect(r)
 	selected, hasCapacity = b.selectServer(r)
@@ -19,8 +19,8 @@
 	return selected, hasCapacity
 }
 
-// mayReconnect tells whether r may be sent again to servers that could not be connected to: none is left that it has
-// not been sent to, but for ejected ones, and the backoff is over.
+// mayReconnect tells whether r may be sent again to servers that failed to connect: the backoff is over, and all
+// other servers that r may go to are ejected.
 func (b *Balancer) mayReconnect(r *request) bool {
 	if r.reconnectAt == 0 || b.now < r.reconnectAt {
 		return false
@@ -30,7 +30,7 @@
 	})
 }
 
-// recordFailedConnect starts the backoff before another attempt at a server that could not be connected to.
+// recordFailedConnect starts the backoff before r may be sent again to a server that failed to connect.
 func (b *Balancer) recordFailedConnect(r *request, failed *attempt) {
 	failed.connectFailed = true
 	failures := 0
@@ -42,7 +42,7 @@
 	r.reconnectAt = b.now + reconnectBackoff<<min(failures-1, maxBackoffDoublings)
 }
 
-// excludes tells whether r is not to go to s, where an attempt of it went already.
+// excludes tells whether r must not be sent to s because of an earlier attempt there.
 func (r *request) excludes(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return a.server == s && (!a.connectFailed || !r.reconnecting)
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	sheddingRetryCost = 0.15        // of an attempt after overload answers where servers shed load
-	retryHistory      = time.Minute // memory of retries, for a new budget over a longer window
+	sheddingRetryCost = 0.15        // part of a retry that is charged while servers shed load
+	retryHistory      = time.Minute // how long retries are remembered, for new settings with a longer window
 )
 
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// retryBudgetAllows guards against retry storms, by an exact count over a sliding window.
+// retryBudgetAllows tells whether the retry budget, counted exactly over its sliding window, allows another retry. It
+// prevents retry storms.
 func (b *Balancer) retryBudgetAllows() bool {
 	from := b.now - b.retryBudget.Window
 	retries := dropBefore(b.retries, from)
@@ -20,10 +21,11 @@
 	return float64(len(b.retries)+1) <= allowed-roundingSlack
 }
 
-// chargeRetry charges a further attempt of r: in part only where nothing ran and the site states no budget.
+// chargeRetry charges a retry or hedged request of r to the retry budget. It charges only sheddingRetryCost if
+// servers shed load, no attempt of r may have been executed, and the site sets no retry budget.
 func (b *Balancer) chargeRetry(r *request) {
 	b.retryDebt++
-	if b.settings.Rules.RetryBudget == nil && r.mayHaveRun == nil && b.serversShedLoad() {
+	if b.settings.Rules.RetryBudget == nil && r.firstMaybeExecuted == nil && b.serversShedLoad() {
 		b.retryDebt -= 1 - sheddingRetryCost
 	}
 	if b.retryDebt >= 1 {
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The budget counts every request accepted, those rejected too, and each retry itself.
+// The retry budget counts all received requests, including rejected ones, and each retry.
 func TestRetryBudget_CountsExactly(t *testing.T) {
 	settings := testSettings(1)
 	settings.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
@@ -21,32 +21,32 @@
 		}
 		return sent
 	}
-	if got := countRetries(ms, 0, 4); got > 4 { // two, and half of four
+	if got := countRetries(ms, 0, 4); got > 4 { // MinRetries of 2, and half of the 4 requests
 		t.Errorf("%d retries for 4 requests, at most 4 allowed", got)
 	}
 	b.retries, b.accepted = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if may := b.retryBudgetAllows(); may != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d retries: may repeat %v", n, may)
+		if allowed := b.retryBudgetAllows(); allowed != (n < 3) { // stays below the exact limit of 4
+			t.Fatalf("after %d retries: another one allowed: %v", n, allowed)
 		}
 		if !b.retryBudgetAllows() {
 			break
 		}
 		b.retries = append(b.retries, b.now)
 	}
-	b.now = time.Second + 4 // the requests have left the window, the attempts have not
+	b.now = time.Second + 4 // the requests have left the window, the retries have not
 	if b.retryBudgetAllows() {
-		t.Error("more than the least is allowed for requests that have left the window")
+		t.Error("more than MinRetries allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
 	if !b.retryBudgetAllows() || len(b.retries)+len(b.accepted) != 0 {
-		t.Error("the window was not emptied")
+		t.Error("retries or requests of a past window still count")
 	}
 }
 
-// Retries after overload answers cost a part of one, but only where servers shed load, nothing
-// ran, and the site states no budget.
+// A retry is charged only in part if servers shed load, the request can't have been executed, and the site sets no
+// budget.
 func TestRetryBudget_ChargesLessWhereServersShedLoad(t *testing.T) {
 	stated := &RetryBudget{MinRetries: 50, Window: time.Second}
 	for _, test := range []struct {
@@ -56,10 +56,10 @@
 		budget   *RetryBudget
 		want     int
 	}{
-		{name: "servers shed load", shedding: true, want: 3}, // 20 times 0.15
-		{name: "servers don't", shedding: false, want: 20},
-		{name: "it may have run", shedding: true, ran: true, want: 20},
-		{name: "a stated budget", shedding: true, budget: stated, want: 20},
+		{name: "servers shed load", shedding: true, want: 3}, // 20 retries at sheddingRetryCost, 0.15
+		{name: "servers don't shed load", shedding: false, want: 20},
+		{name: "request may have been executed", shedding: true, ran: true, want: 20},
+		{name: "budget set by the site", shedding: true, budget: stated, want: 20},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := testSettings(1)
@@ -70,7 +70,7 @@
 			}
 			r := &request{}
 			if test.ran {
-				r.mayHaveRun = &attempt{}
+				r.firstMaybeExecuted = &attempt{}
 			}
 			for range 20 {
 				b.chargeRetry(r)
@@ -82,7 +82,7 @@
 	}
 }
 
-// Also where nothing is ever sent again, what the retry budget counts by doesn't grow.
+// The recorded times of requests are bounded, even if there is never a retry.
 func TestRetryBudget_ForgetsAcceptedRequests(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	for i := range 5000 {
@@ -90,6 +90,6 @@
 		b.Handle(Time(i)*10*ms, ClientGone{ID: fmt.Sprint(i)})
 	}
 	if n := len(b.accepted); n > 1100 {
-		t.Errorf("%d times kept for a span of %v", n, b.retryBudget.Window)
+		t.Errorf("times of %d requests kept, want those within the window of %v", n, b.retryBudget.Window)
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,21 +3,22 @@
 import "math"
 
 const (
-	maxUnstaggeredNodes = 3             // more would overload the first server, so each starts elsewhere
-	maxProjectedLoad    = 2.0           // above it the least loaded server is not sent more: it would be late
-	stickyServersPerKey = 3             // servers in each zone that are tried first for a key
-	fnvPrime            = 1099511628211 // of the 64-bit FNV hash
+	maxUnstaggeredNodes = 3             // with more, nodes start at different servers, to avoid overloading one
+	maxProjectedLoad    = 2.0           // above it no server is selected, as the answer would be late
+	stickyServersPerKey = 3             // servers in each zone that are preferred for a key
+	fnvPrime            = 1099511628211 // prime of the 64-bit FNV hash
 )
 
-// selectServer returns the first server in order that has capacity, else the least loaded one, if that is not
-// over maxProjectedLoad. It reports capacity too if that one's threshold was never reduced.
+// selectServer returns the first usable server with capacity: a sticky server, or else the first one in order. If
+// none has capacity, it returns the server with the least projected load; that is nil above maxProjectedLoad, unless
+// servers shed load. hasCapacity is also true if the threshold of the least loaded server was never reduced.
 func (b *Balancer) selectServer(r *request) (selected *server, hasCapacity bool) {
 	for _, s := range b.stickyServers(r) {
 		if s != nil && b.isUsable(r, s) && b.hasCapacity(s) {
 			return s, true
 		}
 	}
-	var least *server
+	var leastLoaded *server
 	eligible := r.class.eligible
 	blocks, leastLoad := b.blocksOf(eligible), math.Inf(1)
 	for i := 0; i*blockSize < len(eligible.order); i++ {
@@ -31,21 +32,22 @@
 			if b.hasCapacity(s) {
 				return s, true
 			}
-			if load := b.projectedLoad(s); least == nil || load < leastLoad {
-				least, leastLoad = s, load
+			if load := b.projectedLoad(s); leastLoaded == nil || load < leastLoad {
+				leastLoaded, leastLoad = s, load
 			}
 		}
 		if blocks != nil {
 			b.refreshBlock(&blocks[i], eligible.blockServers(i))
 		}
 	}
-	if least != nil && b.projectedLoad(least) > maxProjectedLoad && !b.serversShedLoad() {
-		return nil, !least.thresholdReduced
+	if leastLoaded != nil && b.projectedLoad(leastLoaded) > maxProjectedLoad && !b.serversShedLoad() {
+		return nil, !leastLoaded.thresholdReduced
 	}
-	return least, least != nil && !least.thresholdReduced
+	return leastLoaded, leastLoaded != nil && !leastLoaded.thresholdReduced
 }
 
-// stickyServers are, by rendezvous hashing, those where all nodes of a zone expect caches warm for a key.
+// stickyServers returns the preferred servers in this zone for r's key, best first. They are chosen by rendezvous
+// hashing, so that all nodes of a zone send a key to the same servers, which then have it cached.
 func (b *Balancer) stickyServers(r *request) (best [stickyServersPerKey]*server) {
 	if r.keyHash == 0 {
 		return best
@@ -64,8 +66,9 @@
 	return best
 }
 
-// projectedLoad is the load of s with one attempt more. A threshold under one is the part of the time that an
-// attempt may be in flight: the next is due once the last one's latency is at most that part.
+// projectedLoad returns the ratio of attempts in flight to the threshold of s after one more attempt. A threshold
+// below 1 is the fraction of time during which an attempt may be in flight: the next one is due once the last latency
+// is at most that fraction of the time since the last send.
 func (b *Balancer) projectedLoad(s *server) float64 {
 	threshold := b.effectiveThreshold(s)
 	if s.inFlight == 0 && threshold < 1 {
@@ -83,10 +86,11 @@
 	return !s.health.ejected && b.mayRunOn(r, s) && b.hasSlowStartCapacity(s)
 }
 
-func (b *Balancer) isStaggered() bool   { return b.settings.Nodes > maxUnstaggeredNodes }
-func (b *Balancer) isOutnumbered() bool { return b.settings.Nodes > len(b.order) }
+func (b *Balancer) isStaggered() bool           { return b.settings.Nodes > maxUnstaggeredNodes }
+func (b *Balancer) nodesOutnumberServers() bool { return b.settings.Nodes > len(b.order) }
 
-// startOffset spreads nodes over a partition: golden-ratio steps lie evenly whichever nodes share a zone.
+// startOffset returns the index in a partition at which this node's order starts. Multiples of the golden ratio
+// spread evenly, whichever nodes share a zone.
 func (b *Balancer) startOffset(servers int) int {
 	if !b.isStaggered() {
 		return 0
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -18,11 +18,11 @@
 		got = append(got, sentServer(t, b.Handle(ms, testRequest(fmt.Sprint(i), "idempotent"))))
 	}
 	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("with a threshold of one: sent to %v, want %v", got, want)
+		t.Errorf("with thresholds of 1: sent to %v, want %v", got, want)
 	}
 }
 
-// Nodes start at different servers, and a key has the same sticky server for all nodes of a zone.
+// Nodes start at different servers, but all nodes of a zone use the same sticky server for a key.
 func TestSelection_StaggersNodesAndSharesStickyServers(t *testing.T) {
 	firsts := map[string]bool{}
 	sticky := map[string]bool{}
@@ -34,14 +34,14 @@
 		sticky[b.stickyServers(&request{class: b.activeClasses[0], keyHash: hashString("acct/1")})[0].Server] = true
 	}
 	if len(firsts) < 5 {
-		t.Errorf("6 nodes begin at only %d servers", len(firsts))
+		t.Errorf("6 nodes start at only %d different servers", len(firsts))
 	}
 	if len(sticky) != 1 {
-		t.Errorf("one key has %d sticky servers", len(sticky))
+		t.Errorf("6 nodes use %d different sticky servers for one key, want 1", len(sticky))
 	}
 }
 
-// A key's second sticky server takes over in the same order at every node of a zone.
+// If a key's first sticky server is ejected, all nodes of a zone use the same second one.
 func TestStickyServers_SecondTakesOverAtAllNodes(t *testing.T) {
 	seen := map[string]bool{}
 	for n := range 6 {
@@ -54,22 +54,22 @@
 		r.Key = "acct/1"
 		seen[sentServer(t, b.Handle(time.Second, r))] = true
 		if sticky[0] == sticky[1] || sticky[1] == sticky[2] {
-			t.Error("a server is sticky twice")
+			t.Error("a server is listed twice among the sticky servers")
 		}
 	}
 	if len(seen) != 1 {
-		t.Errorf("without its first sticky server the key goes to %d servers, want one", len(seen))
+		t.Errorf("with its first sticky server ejected, the key is sent to %d different servers, want one", len(seen))
 	}
 }
 
-// Where nodes outnumber servers, each sends several servers its part of what all nodes do, over time. Were the
-// first in its order to get two attempts at once, that server would get all that a node sends, times however
-// many nodes start there, while others stand idle.
+// If nodes outnumber servers, each node must spread its requests over several servers. If it allowed two attempts in
+// flight at the first server of its order, that server would get all requests of all nodes that start there, while
+// others are idle.
 func TestSelection_SpreadsWhereNodesOutnumberServers(t *testing.T) {
 	const requests = 40
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	sent := make(map[string]int)
-	for i := range requests { // one after another, 10 a second, before much is learned
+	for i := range requests { // one at a time, 10 per second, before much is learned
 		now, id := time.Duration(i)*100*ms, fmt.Sprint(i)
 		server := sentServer(t, b.Handle(now, testRequest(id, "idempotent")))
 		sent[server]++
@@ -82,31 +82,32 @@
 	}
 }
 
-// A node that sends little to each of many servers must not need many answers to see that one has slowed
-// down: all nodes would keep filling it until each has seen them.
+// A node that sends little to each of many servers must react to a single slow answer. Otherwise all nodes would keep
+// overloading a slow server until each has seen many slow answers.
 func TestSelection_SendsLessAfterFirstSlowAnswer(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
-	const from = 10 * time.Second // all have capacity by then
+	const from = 10 * time.Second // all servers have capacity by then
 	slow := sentServer(t, b.Handle(from, testRequest("slow", "idempotent")))
 	b.Handle(from+time.Second, testOutcome("slow", 0, slow, OK, time.Second))
-	part := b.effectiveThreshold(b.servers[slow])
+	threshold := b.effectiveThreshold(b.servers[slow])
 	for now := from + time.Second; now < from+3500*ms; now += 100 * ms {
 		id := fmt.Sprint(now)
 		server := sentServer(t, b.Handle(now, testRequest(id, "idempotent")))
 		if server == slow {
-			t.Fatalf("allowed an attempt for %.2f of the time, which took 1s, and sent another after %v", part, now-from)
+			t.Fatalf("threshold allows an attempt for %.2f of the time, but one that took 1s was followed by another after %v",
+				threshold, now-from)
 		}
 		b.Handle(now+20*ms, testOutcome(id, 0, server, OK, 20*ms))
 	}
 }
 
-// An answer in no time at all, as a transport in memory gives, must not make a server's projected load NaN: then
-// nothing would compare with it any more.
+// An answer with a latency of zero, as from an in-memory transport, must not make a server's projected load NaN,
+// because comparisons with NaN are always false.
 func TestProjectedLoad_IsNumberAfterZeroLatency(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	server := sentServer(t, b.Handle(ms, testRequest("1", "idempotent")))
 	b.Handle(ms, testOutcome("1", 0, server, OK, 0))
 	if load := b.projectedLoad(b.servers[server]); math.IsNaN(load) || load < 0 {
-		t.Errorf("projected load %v", load)
+		t.Errorf("projected load is %v, want a number of 0 or more", load)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,14 +9,14 @@
 // ErrInvalidSettings is matched by every error that New and Reconfigure return.
 var ErrInvalidSettings = errors.New("invalid settings")
 
-// SettingError names the setting that makes no sense, and says why. The errors around it name the class,
-// the tenant or the group of settings that it belongs to.
+// SettingError reports an invalid setting. Setting is a name in the terms of the settings files, such as aim for
+// LatencyObjective. Errors that wrap it name the class, the tenant or the section of the setting.
 type SettingError struct {
 	Setting string
 	Reason  string
 }
 
-// Error returns the setting and the reason in one line.
+// Error returns the setting and the reason.
 func (e *SettingError) Error() string { return e.Setting + ": " + e.Reason }
 
 // Unwrap makes the error match ErrInvalidSettings.
@@ -25,10 +25,10 @@
 // validate returns a SettingError, wrapped in its context, for the first invalid setting.
 func validate(settings Settings) error {
 	if len(settings.Classes) == 0 {
-		return &SettingError{"classes", "there are none"}
+		return &SettingError{"classes", "at least one is required"}
 	}
 	if settings.Nodes < 1 || settings.Node < 0 || settings.Node >= settings.Nodes {
-		reason := fmt.Sprintf("outside the group of %d", settings.Nodes)
+		reason := fmt.Sprintf("out of range for %d nodes", settings.Nodes)
 		return &SettingError{fmt.Sprintf("node %d", settings.Node), reason}
 	}
 	if err := validateClasses(settings.Classes); err != nil {
@@ -47,7 +47,7 @@
 		return fmt.Errorf("rules: %w", err)
 	}
 	if err := validateCapabilities(settings.Capabilities); err != nil {
-		return fmt.Errorf("allowed: %w", err)
+		return fmt.Errorf("capabilities: %w", err)
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 			return fmt.Errorf("class %q: %w", class.Name, err)
 		}
 		if seen[class.Name] {
-			return &SettingError{fmt.Sprintf("class %q", class.Name), "named twice"}
+			return &SettingError{fmt.Sprintf("class %q", class.Name), "used twice"}
 		}
 		seen[class.Name] = true
 	}
@@ -101,7 +101,7 @@
 		return err
 	}
 	if rules.SlowStartShare > 1 {
-		return &SettingError{"cold share", fmt.Sprintf("want at most 1, got %v", rules.SlowStartShare)}
+		return &SettingError{"cold share", fmt.Sprintf("must be at most 1, got %v", rules.SlowStartShare)}
 	}
 	if rules.RetryBudget == nil {
 		return nil
@@ -115,10 +115,10 @@
 	)
 }
 
-// validateNotNegative returns an error for a figure that is negative, infinite or no number.
+// validateNotNegative returns an error for a value that is negative, infinite or NaN.
 func validateNotNegative(setting string, value float64) error {
 	if value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
-		return &SettingError{setting, fmt.Sprintf("want a figure of 0 or more, got %v", value)}
+		return &SettingError{setting, fmt.Sprintf("must be a finite number of 0 or more, got %v", value)}
 	}
 	return nil
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	slowStartMargin  = 0.7 // of the overload factor beyond one: that one is left to chance and unequal servers
-	minSlowStartRate = 1.0 // requests a second by all nodes to a server that warms up when nothing is known yet
+	slowStartMargin  = 0.7 // part of the overload factor above 1 that is used; the rest absorbs variation
+	minSlowStartRate = 1.0 // requests/s of all nodes to a server in slow start, before a rate is known
 
 	completionRateWindow = 3 * time.Second // time constant of the completion rate
 )
 
-// slowStartFraction is the part of its capacity that s has at least, or 1 once it is warm.
+// slowStartFraction returns the minimum fraction of its full capacity that s has now; 1 after slow start.
 func (b *Balancer) slowStartFraction(s *server) float64 {
 	started, rules := cmp.Or(s.SlowStartAt, s.OnlineSince), &b.settings.Rules
 	age := b.now - started
@@ -22,8 +22,9 @@
 	return rules.SlowStartShare + (1-rules.SlowStartShare)*max(0, age.Seconds())/rules.SlowStartWindow.Seconds()
 }
 
-// hasSlowStartCapacity guards against pushing a server over that warms up. This node's mean rate per server,
-// summed over the nodes, is that of a warm one; it may get at most its present part of that.
+// hasSlowStartCapacity tells whether s may be sent an attempt without being overloaded during slow start. A server at
+// full capacity gets this node's mean rate per server, summed over all nodes, so that s may get a fraction of that
+// rate.
 func (b *Balancer) hasSlowStartCapacity(s *server) bool {
 	fraction := b.slowStartFraction(s)
 	if fraction >= 1 {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A server that warms up gets a small part of what a warm one gets, over all nodes.
+// A server in slow start gets, over all nodes, at most half as many requests as the average server.
 func TestSlowStart_DoesNotOverloadServer(t *testing.T) {
 	list := testEndpoints(8)
 	list[0].OnlineSince = 1000 * ms
@@ -30,11 +30,12 @@
 		}
 	}
 	if most := rate / len(list) / 2; sends > most || sends == 0 {
-		t.Errorf("%d of %d went to the server that warms up, want some but at most %d", sends, rate, most)
+		t.Errorf("%d of %d requests went to the server in slow start, want some but at most %d", sends, rate, most)
 	}
 }
 
-// The rate to a server that warms up leaves one multiple of its capacity to chance, whatever factor is allowed.
+// In multiples of its current capacity, the rate to a server in slow start is 0.7 of the overload factor less 1, or
+// 0.35 if that is more. The rest of the factor absorbs random variation.
 func TestSlowStart_RateLeavesMargin(t *testing.T) {
 	for factor, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		t.Run(fmt.Sprintf("factor=%v", factor), func(t *testing.T) {
@@ -43,13 +44,13 @@
 			settings.Rules.SlowStartShare, settings.Rules.SlowStartWindow = 0.5, time.Hour
 			b := startBalancer(t, settings, testEndpoints(1))
 			b.now = time.Second
-			b.completionRate, b.completionRateAt = 100, b.now // a hundred answers a second at one server
+			b.completionRate, b.completionRateAt = 100, b.now // 100 answers per second, from one server
 			warming := b.order[0]
 			warming.OnlineSince = b.now
 			warming.slowStart = slowStartBucket{lastRefill: b.now - 10*ms}
 			b.hasSlowStartCapacity(warming)
 			if got, rate := warming.slowStart.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
-				t.Errorf("%v requests in 10 ms, want %v", got, rate)
+				t.Errorf("%v tokens after 10 ms, want %v", got, rate)
 			}
 		})
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,165 +9,166 @@
 	"time"
 )
 
-// The state that the decisions keep; no decision is in this file.
+// This file defines the state of a Balancer; it makes no decisions.
 
-// Balancer makes one node's decisions. It isn't safe for concurrent use. Make one with New.
+// Balancer makes the decisions of one node. It isn't safe for concurrent use. Use New to create one.
 type Balancer struct {
 	settings Settings
 	now      Time
 	rng      *rand.Rand
-	actions  []Action // of the present event
+	actions  []Action // resulting from the current event
 
 	classes        map[string]*class
 	activeClasses  []*class // in the order of the settings
-	retiredClasses []*class // of former settings, with requests in flight
-	nextTimerToken uint64   // of the next class
+	retiredClasses []*class // removed by Reconfigure, but with requests in flight
+	nextTimerToken uint64   // timer token for the next class
 
 	tenantLimits map[string]Limit
 	defaultLimit *Limit // for tenants without a quota; nil: no limit
 	buckets      map[bucketKey]*bucket
-	rateScale    float64 // scale of all bucket rates
-	trafficShare float64 // part of the node's buckets that this process has, where another serves beside it
-	rateLimited  bool    // a bucket rejected since the last selection
-
-	sharedThresholdScale float64 // scale of the thresholds of servers that other nodes mostly use
-	faultWeight          float64 // weight of an error or a reset, less than 1 where all servers have them
-	overloadRatio        float64 // moving average: overload answers among the bad ones
-	badRatio             float64 // moving average: bad answers among all
-	timeoutRatio         float64 // moving average: time-outs among all but overload answers
-
-	servers           map[string]*server // listed, in service or not
-	pool                                 // all servers in service
-	runningByZone     map[string]int     // servers in service in each zone
-	zoneCount         int                // zones that have servers in service
-	shortestObjective time.Duration      // of the classes in force
-	subsetSize        int                // servers at the start of the order that are this node's subset
-	linearScan        bool               // of tests: scan all servers, and rebuild the order each time
+	rateScale    float64 // factor applied to the refill rates of all buckets
+	trafficShare float64 // this process's fraction of each bucket while two processes serve as one node
+	rateLimited  bool    // a bucket rejected a request since the last selection of a server
+
+	sharedThresholdScale float64 // factor applied to the thresholds of shared servers, see isShared
+	faultWeight          float64 // weight of a fault; below 1 while faults are common to most servers
+	overloadRatio        float64 // moving average: fraction of bad outcomes that are overload answers
+	badRatio             float64 // moving average: fraction of all outcomes that are bad
+	timeoutRatio         float64 // moving average: fraction of time-outs among outcomes other than overload answers
+
+	servers           map[string]*server // all listed servers, in service or not
+	pool                                 // all servers that are in service
+	runningByZone     map[string]int     // number of servers in service in each zone
+	zoneCount         int                // number of zones with servers in service
+	shortestObjective time.Duration      // shortest latency objective of the active classes
+	subsetSize        int                // number of servers, from the start of the order, that form this node's subset
+	linearScan        bool               // set by tests: scan all servers, and rebuild the order at each change
 
 	requests      map[string]*request
 	queued        []*request // waiting for a usable server, oldest first
 	queueTimerSet bool
 
 	retryBudget    RetryBudget
-	retryDebt      float64 // part of a retry not yet charged
-	accepted       []Time  // requests received in the window of the retry budget, oldest first
-	retries        []Time  // attempts beyond a request's first in it
-	expiredRetries []Time  // those that have left it lately
+	retryDebt      float64 // fraction of a retry that has not been charged yet
+	accepted       []Time  // when requests were received within the budget's window, oldest first
+	retries        []Time  // when retries and hedged requests were charged within that window, oldest first
+	expiredRetries []Time  // retries that have left the window, kept for a longer window in new settings
 
-	completionRate   float64 // answers a second, as of completionRateAt
+	completionRate   float64 // successful answers per second, as of completionRateAt
 	completionRateAt Time
-	unansweredRatio  [6]float64 // moving averages: sends unanswered, by idle octave of the connection
+	unansweredRatio  [6]float64 // moving averages: fraction of unanswered sends, by idle octave of the connection
 }
 
-// pool is a set of servers in order: all of them, or those that a class is restricted to.
+// pool is an ordered set of servers in service: all of them, or those that a class is restricted to.
 type pool struct {
-	class        *class       // that is restricted to it; nil for all servers
-	partitions   [2][]*server // by id: those of the own zone, and all others
-	offsets      [2]int       // where the order starts in each partition
-	order        []*server    // the partitions, each from its offset on
-	spareOrder   []*server    // memory for the next order
-	localCount   int          // servers of order in the own zone
-	ejectedCount int          // servers of order that are ejected
-	blocks       []block      // of order, where it is long
+	class        *class       // the class that is restricted to this pool; nil in the pool of all servers
+	partitions   [2][]*server // sorted by ID: servers in this node's zone, and all others
+	offsets      [2]int       // index in each partition at which the order starts
+	order        []*server    // both partitions, each rotated to start at its offset
+	spareOrder   []*server    // buffer reused for the next order
+	localCount   int          // number of servers in this node's zone
+	ejectedCount int          // number of ejected servers
+	blocks       []block      // index over order, used if it is long
 }
 
 // class is a request class and its learned state.
 type class struct {
 	Class
-	capabilities Capabilities  // of the settings that it came with
-	eligible     *pool         // the servers that it may be sent to
-	timerToken   uint64        // 0 for a class that is not in the settings
-	tailLatency  time.Duration // estimate of the tailQuantile of its latency
-	slowChecks   []slowCheck   // of its attempts, by the time they are due
-	slowTimerSet bool          // the timer for the head of slowChecks is set
+	capabilities Capabilities  // capabilities of the settings that defined this class
+	eligible     *pool         // servers that requests of the class may be sent to
+	timerToken   uint64        // token of the timer for slow checks; 0 for a class that is not in the settings
+	tailLatency  time.Duration // estimated tailQuantile of the class's latency
+	slowChecks   []slowCheck   // pending checks for slow attempts, earliest first
+	slowTimerSet bool          // the timer for the first of slowChecks is set
 }
 
-// server is one listed server as this node sees it.
+// server is a listed server with this node's load on it and its learned state.
 type server struct {
 	Endpoint
-	nameHash           uint64
-	probeIdempotency   Idempotency // the highest of the classes that it is open to: these give the probes
-	inFlight           int         // this node's attempts
+	nameHash           uint64      // hash of the server's name, for sticky servers
+	probeIdempotency   Idempotency // highest of the classes that may use it; only those classes probe it
+	inFlight           int         // this node's attempts in flight
 	threshold          float64     // learned concurrency limit, in attempts in flight
-	thresholdReduced   bool        // it was at least once
-	inSubset           bool        // it is in this node's subset
-	inNewSubset        bool        // scratch of replaceSubset
-	connectionLastUsed []Time      // when so many connections were last in use
+	thresholdReduced   bool        // threshold has been reduced at least once
+	inSubset           bool        // the server is in this node's subset
+	inNewSubset        bool        // temporary mark used by replaceSubset
+	connectionLastUsed []Time      // element i: when more than i connections were last in use
 	lastSend           Time
-	lastAnswer         Time    // when it last answered anything
-	lastLatency        float64 // of its last answer, in seconds
-	faultRatio         float64 // moving average: errors and resets among its outcomes
+	lastAnswer         Time    // when the server last gave any answer
+	lastLatency        float64 // latency of the last answer or time-out, in seconds
+	faultRatio         float64 // moving average: fraction of outcomes that are faults
 	health             health
 	slowStart          slowStartBucket
 }
 
-// inService tells whether s is listed and runs.
+// inService tells whether s is listed as running.
 func (s *server) inService() bool { return s != nil && s.Availability == Running }
 
-// request is one client request until its answer is given and its attempts are done.
+// request is a client request that is unanswered or still has attempts in flight.
 type request struct {
-	id            string
-	class         *class
-	deadline      Time   // of the client
-	valueDeadline Time   // later answers have no value
-	queueDeadline Time   // when it is rejected if still queued
-	keyHash       uint64 // hash of its key; 0 for none
-	attempts      []attempt
-	pending       int      // attempts in flight
-	mayHaveRun    *attempt // the first attempt that may have run
-	answered      bool     // the final answer is given
-	streaming     bool     // the answer has begun
-	wasQueued     bool     // it waited for a server at least once
-	bodyPending   bool     // its last byte has not come yet
-	notReplayable bool     // its body passes through: it can't be hedged
-	zoneLocal     bool     // it is not to leave the zone while that has a server
-	reconnectAt   Time     // end of the backoff after a failed connect; 0 for none
-	reconnecting  bool     // while a server is selected: one that could not be connected to may get another attempt
-}
-
-// attempt is one send of a request to a server.
+	id                 string
+	class              *class
+	deadline           Time   // when the client gives up
+	valueDeadline      Time   // after this time an answer has no value
+	queueDeadline      Time   // when the request is rejected if it is still queued
+	keyHash            uint64 // hash of the request's key; 0 for none
+	attempts           []attempt
+	pending            int      // number of attempts in flight
+	firstMaybeExecuted *attempt // first attempt that a server may have executed; nil if there is none
+	answered           bool     // the request has its final answer
+	streaming          bool     // a streamed answer has begun
+	wasQueued          bool     // the request has waited in the queue
+	bodyPending        bool     // the last byte of the request's body has not arrived yet
+	notReplayable      bool     // the body is streamed through, so that the request can't be hedged
+	zoneLocal          bool     // the request must stay in this node's zone while that zone has a running server
+	reconnectAt        Time     // when the backoff after a failed connect ends; 0 for none
+	reconnecting       bool     // set during selection: servers that failed to connect may get another attempt
+}
+
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	server        *server
 	sentAt        Time
 	done          bool
-	notExecuted   bool // an outcome proved that it never ran
-	connectFailed bool // nothing was sent
-	probe         bool // it probes an ejected server
-	idleOctave    int  // of its connection's idle time; 0 for a connection in use
+	notExecuted   bool // the outcome proves that the server never executed the request
+	connectFailed bool // no connection was established, so nothing was sent
+	probe         bool // the attempt probes an ejected server
+	idleOctave    int  // octave of the connection's idle time before the send; 0 if it was in use
 }
 
 type bucketKey struct{ tenant, class string }
 
-// bucket is a token bucket of whole tokens.
+// bucket is a token bucket that only counts whole tokens.
 type bucket struct {
 	tokens     int64
 	lastRefill Time
 }
 
-// slowCheck is one attempt to check once it counts as slow.
+// slowCheck is a scheduled check of an attempt, due when the attempt counts as slow.
 type slowCheck struct {
 	request *request
 	attempt int
 	due     Time
 }
 
-// health is the circuit breaker of one server.
+// health is the circuit breaker state of a server.
 type health struct {
 	faultScore    float64
-	ejected       bool // or half-open, from ejectedUntil on
+	ejected       bool // ejected, or half-open once ejectedUntil has passed
 	ejectedUntil  Time
-	ejections     int // in a row
-	goodProbes    int // in a row
+	ejections     int // consecutive ejections
+	goodProbes    int // consecutive successful probes
 	probeInFlight bool
 }
 
-// slowStartBucket is a token bucket in fractions, filled as fast as this node may send.
+// slowStartBucket is a token bucket with fractional tokens, refilled at the rate that this node may send to a server
+// in slow start.
 type slowStartBucket struct {
 	tokens     float64
 	lastRefill Time
 }
 
-// updateRatio moves an exponential moving average of hits by one more.
+// updateRatio updates an exponential moving average of the fraction of hits with one observation.
 func updateRatio(ratio *float64, gain float64, hit bool) {
 	*ratio -= gain * *ratio
 	if hit {
@@ -175,7 +176,7 @@
 	}
 }
 
-// dropBefore drops the times before a moment; they are in ascending order.
+// dropBefore returns times, which are in ascending order, without those before moment.
 func dropBefore(times []Time, moment Time) []Time {
 	for len(times) > 0 && times[0] < moment {
 		times = times[1:]
@@ -183,10 +184,10 @@
 	return times
 }
 
-// hashString returns the same hash at every node.
+// hashString returns the 64-bit FNV-1a hash of a string, which is the same at every node.
 func hashString(text string) uint64 {
 	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(text)) // it never fails
+	_, _ = digest.Write([]byte(text)) // a hash never returns a write error
 	return digest.Sum64()
 }
 
@@ -194,28 +195,28 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// currentCompletionRate returns the answers a second, decayed since the last one.
+// currentCompletionRate returns the rate of successful answers per second, decayed since the last one.
 func (b *Balancer) currentCompletionRate() float64 {
 	return b.completionRate * math.Exp(-(b.now-b.completionRateAt).Seconds()/completionRateWindow.Seconds())
 }
 
-// isFault tells whether an attempt ended by an error, or by a connection that broke or never came up.
+// isFault tells whether an attempt ended with an error answer, a broken connection or a failed connect.
 func (c Code) isFault() bool { return c == ServerError || c == Reset || c == ConnectFailed }
 
-// leavesZone tells whether r would cross zones to s, and is not to.
-func (b *Balancer) leavesZone(r *request, s *server) bool {
+// violatesZoneLocal tells whether sending r to s would make a ZoneLocal request leave a zone with running servers.
+func (b *Balancer) violatesZoneLocal(r *request, s *server) bool {
 	return r.zoneLocal && s.Zone != b.settings.Zone && b.runningByZone[b.settings.Zone] > 0
 }
 
-// View is what this node has learned of a server.
+// View is a snapshot of this node's learned state of a server.
 type View struct {
 	Server    string
-	InFlight  int     // attempts of this node
+	InFlight  int     // attempts of this node in flight
 	Threshold float64 // learned concurrency limit, in attempts in flight
 	Ejected   bool
 }
 
-// Views returns a View of each server in service, in the order of their ids.
+// Views returns a View of each server in service, sorted by server ID.
 func (b *Balancer) Views() []View {
 	var views []View
 	for _, s := range b.servers {
@@ -227,11 +228,13 @@
 	return views
 }
 
-// UnavailableEndpoints is the number of listed servers that get no ordinary work now: they drain or are ejected.
+// UnavailableEndpoints returns the number of listed servers that get no regular requests, because they are draining
+// or ejected.
 func (b *Balancer) UnavailableEndpoints() int { return len(b.servers) - len(b.order) + b.ejectedCount }
 
-// SetTrafficShare says which part of the node's work, from 0 to 1, comes to this process where two processes are
-// one node, as in a hot restart: it admits by that part of each bucket.
+// SetTrafficShare sets the fraction of the node's traffic, from 0 to 1, that this process gets while two processes
+// serve as one node, as in a hot restart. The process then admits requests at that fraction of each bucket's rate and
+// burst.
 func (b *Balancer) SetTrafficShare(now Time, share float64) {
 	b.now = max(now, b.now)
 	b.trafficShare = min(1, max(0, share))
--- a/policy/threshold_test.go
+++ b/policy/threshold_test.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// TestInitialThreshold_WhereNodesOutnumberServers: a node trusts servers outside its subset with less than its part
-// only where each attempt there would need a connection of its own, because one that is idle is closed before its next
-// use.
+// If nodes outnumber servers, servers outside a node's subset start at a reduced threshold, but only if each attempt
+// there would need a new connection, because an idle one is closed before its next use.
 func TestInitialThreshold_WhereNodesOutnumberServers(t *testing.T) {
 	const (
-		objective   = 250 * ms // the shortest of testSettings
-		part        = initialElsewhere
-		partOfAPart = initialOutnumbered
+		objective             = 250 * ms // shortest latency objective in testSettings
+		fleetThreshold        = initialThresholdOutsideSubset
+		reducedFleetThreshold = initialThresholdOutnumbered
 	)
 	for _, test := range []struct {
 		name           string
@@ -20,19 +19,19 @@
 		idle           time.Duration
 		want           float64
 	}{
-		{"reused before it idles out", 36, 24, 60 * time.Second, part},
-		{"idles out before it is reused", 36, 24, 36 * objective, partOfAPart},
-		{"reused just in time", 36, 24, 36*objective + ms, part},
-		{"many nodes", 300, 200, 10 * time.Second, partOfAPart},
-		{"idle time not known", 36, 24, 0, partOfAPart},
-		{"no more nodes than servers", 300, 300, 10 * time.Second, part},
+		{"reused before the idle timeout", 36, 24, 60 * time.Second, fleetThreshold},
+		{"closed as idle before reuse", 36, 24, 36 * objective, reducedFleetThreshold},
+		{"reused just before the idle timeout", 36, 24, 36*objective + ms, fleetThreshold},
+		{"many nodes", 300, 200, 10 * time.Second, reducedFleetThreshold},
+		{"idle timeout unknown", 36, 24, 0, reducedFleetThreshold},
+		{"no more nodes than servers", 300, 300, 10 * time.Second, fleetThreshold},
 	} {
 		settings := testSettings(test.nodes)
 		settings.Capabilities.ConnIdleTimeout = test.idle
 		b := startBalancer(t, settings, testEndpoints(test.servers))
 		for _, s := range b.order {
 			if want := test.want / float64(test.nodes); !s.inSubset && b.initialThreshold(s) != want {
-				t.Errorf("%s: %s starts at %v, want %v", test.name, s.Server, b.initialThreshold(s), want)
+				t.Errorf("%s: initial threshold of %s is %v, want %v", test.name, s.Server, b.initialThreshold(s), want)
 				break
 			}
 		}
