--- a/router/action.go
+++ b/router/action.go
@@ -13,8 +13,8 @@
 	l.execute(l.balancer.Handle(l.clock.now(), ev))
 }
 
-// execute carries out actions in order. Only then does the balancer learn of attempts that were not made: the
-// actions that it returns for them replace these.
+// execute carries out actions in order. Only then does it report skipped attempts to the balancer, which reuses the
+// slice of actions for the actions that it returns for them.
 func (l *loop) execute(actions []policy.Action) {
 	for {
 		for i := range actions {
@@ -28,13 +28,13 @@
 		if r := l.requests[outcome.ID]; r != nil {
 			r.pendingOutcomes--
 			outcome.Answered = r.finished
-			defer l.forget(r)
+			defer l.removeIfDone(r)
 		}
 		actions = l.balancer.Handle(l.clock.now(), outcome)
 	}
 }
 
-// perform carries out one action. Actions on requests that are gone meanwhile do nothing.
+// perform carries out one action. It ignores actions for requests that no longer exist.
 func (l *loop) perform(action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
@@ -59,22 +59,22 @@
 		l.endpointSource.SetPolling(action.On)
 	case policy.Log:
 		l.log.Info(action.Text)
-	default: // health checks and messages between nodes are not allowed here, and the balancer asks for none
+	default: // health checks and messages between nodes are not supported here, and the balancer requests none
 		l.log.Error("balancer requested an unsupported action", "action", action.Kind)
 	}
 }
 
-// failByBalancer answers a request that the balancer has given up.
+// failByBalancer answers a request that the balancer has given up on.
 func (l *loop) failByBalancer(r *request) {
 	outcome := Failed
 	if !l.enforced(safeguards.NoRejectionAfterRun) {
 		outcome = Rejected
 	}
 	l.answer(r, Answer{Outcome: outcome})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
-// findAttempt returns an attempt of a request by its number; nil where there is none.
+// findAttempt returns an attempt of a request by its number; nil if there is none.
 func (l *loop) findAttempt(id string, number int) *attempt {
 	r := l.requests[id]
 	if r == nil || number >= len(r.attempts) {
--- a/router/admission.go
+++ b/router/admission.go
@@ -8,34 +8,34 @@
 	"cobaltward/policy"
 )
 
-// routerRetryAfter is the Retry-After of requests that the router refuses without the balancer.
+// routerRetryAfter is the Retry-After of requests that the router rejects without asking the balancer.
 const routerRetryAfter = time.Second
 
 const (
-	// queueTimeoutFraction of the shortest deadline of a class is the longest wait for a connection slot. Clients abandon
-	// a request after a third of its deadline at the earliest.
+	// queueTimeoutFraction is the longest wait for a connection slot, as a fraction of the shortest class deadline.
+	// Clients abandon a request after a third of its deadline at the earliest.
 	queueTimeoutFraction = 0.25
-	// maxQueueTimeout bounds the wait where all deadlines are long.
+	// maxQueueTimeout limits the wait if all deadlines are long.
 	maxQueueTimeout = 300 * time.Millisecond
 )
 
-// request is an admitted request. The loop keeps it until it is answered and all its attempts are over.
+// request is an admitted request. The loop keeps it until it is answered and all its attempts have ended.
 type request struct {
 	*call
 	capabilities    policy.Capabilities // in force when it was admitted
-	deadline        policy.Time         // for the balancer's answer
-	dedupWindow     time.Duration       // in which servers drop duplicates of its key; 0 where it has none
-	backstop        timer               // answers the request where the balancer doesn't
+	deadline        policy.Time         // the time by which the balancer must answer
+	dedupWindow     time.Duration       // how long servers detect duplicates of its key; 0 if it has none
+	backstop        timer               // answers the request if the balancer does not
 	finished        bool                // it is answered, or its client has left
 	attempts        []*attempt
-	pendingOutcomes int // attempts whose outcome the balancer does not know yet
+	pendingOutcomes int // attempts whose outcome was not reported to the balancer yet
 }
 
 // admit admits a call and submits it to the balancer, or answers it at once.
 func (l *loop) admit(call *call) {
 	now := l.clock.now()
 	l.recordLag(now - call.submittedAt)
-	if l.enforced(safeguards.ClientGone) && call.clientGone() { // while it was queued: nothing of it is admitted
+	if l.enforced(safeguards.ClientGone) && call.clientGone() { // the client left while the call was queued
 		l.stats.ClientsGone++
 		return
 	}
@@ -51,7 +51,7 @@
 	class := l.class(call.req.Class)
 	r := l.newRequest(call, class)
 	if now >= r.deadline || class.Name != "" && !sameIdempotency(class, &call.class) {
-		// The host kept the router from running until it was late, or a reload came after Do.
+		// The host delayed the router until the deadline had passed, or a reload changed the class after Do.
 		l.deliver(call, Answer{Outcome: Rejected})
 		return
 	}
@@ -63,14 +63,14 @@
 	l.notify(l.balancerRequest(r, now))
 }
 
-// isDuplicate reports whether a request ID is in use, or was recently; else it is from now on. The balancer
-// would wait for the first request of an ID and never answer a second; and an earlier request of an ID may
-// have run, also when it is over.
+// isDuplicate reports whether a request ID is in use or was used recently, and records the ID as used. The balancer
+// would wait for the first request of an ID and never answer a second one; and an earlier request of an ID may have
+// run, even if it is over.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
 	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
 }
 
-// newRequest makes the request of a call under the settings in force.
+// newRequest returns the request of a call under the settings in force.
 func (l *loop) newRequest(c *call, class *policy.Class) *request {
 	end := c.receivedAt + c.timeout
 	if c.bodyPending {
@@ -85,8 +85,8 @@
 	return r
 }
 
-// shouldDrop reports whether a request is to be dropped, by the endpoint source's fractions or by the level
-// of service, and counts it then.
+// shouldDrop reports whether a request must be dropped, by the drop fractions of the endpoint source or by the level
+// of service, and counts it if so.
 func (l *loop) shouldDrop(r *request, class *policy.Class, now policy.Time) bool {
 	if len(l.drops) > 0 && l.drops.ShouldDrop(class.Pool, r.req.ID) {
 		l.stats.Dropped++
@@ -99,7 +99,7 @@
 	return false
 }
 
-// track takes a request into the table of open requests.
+// track adds a request to the table of open requests.
 func (l *loop) track(r *request) {
 	l.requests[r.req.ID] = r
 	l.pendingAnswers++
@@ -107,7 +107,7 @@
 	heap.Push(&l.timers, &r.backstop)
 }
 
-// balancerRequest is the event by which the balancer learns of a request.
+// balancerRequest returns the event that reports a request to the balancer.
 func (l *loop) balancerRequest(r *request, now policy.Time) policy.Request {
 	ev := policy.Request{
 		ID:          r.req.ID,
@@ -125,8 +125,8 @@
 	return ev
 }
 
-// class returns a class of the settings in force; an empty one where a reload has removed it since Do, which
-// the balancer will not know either.
+// class returns a class of the settings in force; an empty one if a reload has removed the class since Do, in which
+// case the balancer does not know the class either.
 func (l *loop) class(name string) *policy.Class {
 	if class := findClass(l.config.Settings.Classes, name); class != nil {
 		return class
@@ -134,7 +134,7 @@
 	return &policy.Class{}
 }
 
-// findClass returns the class of a name; nil where there is none.
+// findClass returns the class with a name; nil if there is none.
 func findClass(classes []policy.Class, name string) *policy.Class {
 	for i := range classes {
 		if classes[i].Name == name {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// sameIdempotency reports whether retries of a request are as harmless under either class.
+// sameIdempotency reports whether retries of a request are equally safe under both classes.
 func sameIdempotency(a, b *policy.Class) bool {
 	if a.Idempotency != b.Idempotency {
 		return false
@@ -155,13 +155,14 @@
 	return a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow
 }
 
-// overloadRetryAfter is the Retry-After where the router refuses without the balancer.
+// overloadRetryAfter is the Retry-After of requests that the router rejects without asking the balancer.
 func overloadRetryAfter(c policy.Capabilities) time.Duration {
-	return heededRetryAfter(routerRetryAfter, c)
+	return clampRetryAfter(routerRetryAfter, c)
 }
 
-// heededRetryAfter bounds a Retry-After: none where the settings allow none, and never longer than clients heed.
-func heededRetryAfter(wait time.Duration, c policy.Capabilities) time.Duration {
+// clampRetryAfter limits a Retry-After: 0 if the settings allow none, and at most the longest wait that clients
+// follow.
+func clampRetryAfter(wait time.Duration, c policy.Capabilities) time.Duration {
 	switch {
 	case !c.RetryAfter:
 		return 0
--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/policy"
 )
 
-// Clients that are refused without the balancer get a Retry-After where the settings allow it, and no longer one
-// than they heed.
+// Requests that the router rejects without asking the balancer get a Retry-After only if the settings allow it, and
+// at most the maximum of the settings.
 func TestOverload_RetryAfterFollowsSettings(t *testing.T) {
 	tests := map[string]struct {
 		capabilities policy.Capabilities
@@ -40,7 +40,7 @@
 	}
 }
 
-// Duplicates and requests beyond the bound are answered by the router: the balancer doesn't see them.
+// The router answers duplicates and requests beyond the limit itself: the balancer does not see them.
 func TestAdmission_AnswersDuplicatesAndSurplus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
@@ -52,18 +52,18 @@
 		}
 		synctest.Wait()
 		if answer := wantDo(t, r, readRequest("surplus"), Overloaded); answer.RetryAfter <= 0 {
-			t.Errorf("Retry-After %v", answer.RetryAfter)
+			t.Errorf("Retry-After %v, want more than 0", answer.RetryAfter)
 		}
 		if n := len(balancer.eventNames()); n != 1+100 {
 			t.Errorf("the balancer received %d events, want the list and 100 requests", n)
 		}
 		time.Sleep(classDeadline)
-		wantDo(t, r, readRequest("r1"), Conflict) // also when the first is over
+		wantDo(t, r, readRequest("r1"), Conflict) // also after the first request is over
 	})
 }
 
-// Ten thousand at once against a bound of a hundred: the surplus is refused at once, and no goroutine of the
-// router's stays.
+// Of ten thousand concurrent requests against a limit of a hundred, the surplus is rejected at once, and no goroutine
+// of the router is left.
 func TestAdmission_BoundsOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
@@ -85,8 +85,8 @@
 		}
 		close(release)
 		clients.Wait()
-		if served, refused := outcomes[Served].Load(), outcomes[Overloaded].Load(); served != 100 || refused != 9_900 {
-			t.Errorf("%d served, %d refused", served, refused)
+		if served, overloaded := outcomes[Served].Load(), outcomes[Overloaded].Load(); served != 100 || overloaded != 9_900 {
+			t.Errorf("%d served, %d overloaded; want 100 and 9900", served, overloaded)
 		}
 	})
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// dedupMargin is how long before servers forget an idempotency key the last retry is written. Of short
-	// windows it is one dedupMarginDivisor-th.
+	// The last retry is written dedupMargin before servers forget the idempotency key. For short windows, the margin
+	// is the window divided by dedupMarginDivisor.
 	dedupMargin        = 50 * time.Millisecond
 	dedupMarginDivisor = 5
 )
@@ -19,27 +19,27 @@
 // attempt is one attempt to serve a request at a server.
 type attempt struct {
 	request     *request
-	number      int // 0 for the request's first
+	number      int // 0 for the first attempt of the request
 	server      string
 	sentAt      policy.Time
-	sendBy      policy.Time // when it must not be written any more; 0: never
+	sendBy      policy.Time // when it must no longer be written; 0: no limit
 	ctx         attemptContext
 	expiry      timer // ends ctx
 	inFlight    bool
-	notExecuted bool   // it is over, or was skipped, and can't have run
-	result      Result // set by the launcher before attemptEnded
+	notExecuted bool   // it has ended or was skipped, and can't have run
+	result      Result // set by the launcher before the attemptEnded event
 }
 
-// attemptLauncher has attempts made. Its methods must not block, nor call the loop.
+// attemptLauncher starts attempts. Its methods must not block or call the loop.
 type attemptLauncher interface {
-	// launch makes an attempt, and has the loop call finishAttempt once when it has ended.
+	// launch starts an attempt, and makes the loop call finishAttempt once when the attempt has ended.
 	launch(a *attempt)
-	// cancelled says that the context of an attempt in flight has ended.
+	// cancelled is called when the context of an attempt in flight was ended.
 	cancelled(a *attempt)
 }
 
-// goroutineLauncher makes each attempt in a goroutine of its own, which ends with Transport.Attempt. The loop
-// waits for all of them at its end.
+// goroutineLauncher makes each attempt in a goroutine of its own, which ends when Transport.Attempt returns. The loop
+// waits for all of them when it ends.
 type goroutineLauncher struct{ loop *loop }
 
 var _ attemptLauncher = goroutineLauncher{}
@@ -51,14 +51,14 @@
 	})
 }
 
-// cancelled has nothing to do: the transport watches the context.
+// cancelled does nothing: the transport watches the context.
 func (goroutineLauncher) cancelled(*attempt) {}
 
-// startAttempt sends a request to a server, unless the attempt is not allowed any more: then it is skipped.
+// startAttempt sends a request to a server, or skips the attempt if it is no longer allowed.
 func (l *loop) startAttempt(action *policy.Action) {
 	r, now := l.requests[action.ID], l.clock.now()
 	if r == nil {
-		l.log.Error("balancer sent a request that is not open", "id", action.ID)
+		l.log.Error("balancer requested an attempt for a request that is not open", "id", action.ID)
 		return
 	}
 	if !r.finished && l.enforced(safeguards.ClientGone) && r.clientGone() {
@@ -81,7 +81,8 @@
 	l.launch(attempt, expiry)
 }
 
-// mayAttempt reports whether an attempt is allowed: neither too late nor one too many.
+// mayAttempt reports whether an attempt is allowed: it is neither too late nor one too many, and the level of service
+// permits it.
 func (l *loop) mayAttempt(a *attempt, now policy.Time) bool {
 	r := a.request
 	switch {
@@ -94,7 +95,7 @@
 	return l.degradation == nil || !l.degradation.forbidsAttempt(r, a.number)
 }
 
-// skipAttempt records that an attempt is not made. The balancer learns of it once all actions are done.
+// skipAttempt records that an attempt is not made. The balancer is notified once all its actions are carried out.
 func (l *loop) skipAttempt(a *attempt) {
 	a.notExecuted = true
 	l.stats.Skipped++
@@ -106,7 +107,7 @@
 	})
 }
 
-// launch makes an attempt, whose context ends at expiry at the latest.
+// launch starts an attempt, whose context ends at expiry at the latest.
 func (l *loop) launch(attempt *attempt, expiry policy.Time) {
 	l.stats.Attempts++
 	if attempt.number > 0 {
@@ -136,7 +137,7 @@
 		answer := result.Answer
 		answer.Outcome = Served
 		l.answer(r, answer)
-	} else { // another attempt was the first, or the client has left
+	} else { // the attempt failed, another one was first, or the client has left
 		closeStream(result.Answer)
 	}
 	latency := l.clock.now() - attempt.sentAt
@@ -153,7 +154,7 @@
 		LoadReport:   result.LoadReport,
 		BodyConsumed: r.req.Upload != nil && r.req.Upload.Consumed(),
 	})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
 // cancelAttempt ends the context of an attempt in flight.
@@ -173,7 +174,7 @@
 	}
 }
 
-// mayHaveRun reports whether an attempt is in flight, or over without proof that it never ran.
+// mayHaveRun reports whether an attempt is in flight, or has ended without proof that it never ran.
 func (r *request) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if !a.notExecuted {
@@ -193,9 +194,10 @@
 	return false
 }
 
-// sendDeadline is the time from which on the request must not be sent any more, since servers may have
-// forgotten its idempotency key; 0 where nothing may have run, or where it has no key. The window counts from
-// the first attempt that may have run, and the way to the next server may take longer than the way to that one.
+// sendDeadline is the time from which the request must not be sent any more, because servers may have forgotten its
+// idempotency key; 0 if no attempt may have run, or if the request has no key. The window counts from the first
+// attempt that may have run. The margin allows for a retry that takes longer to reach its server than that attempt
+// did.
 func (r *request) sendDeadline() policy.Time {
 	if r.dedupWindow == 0 {
 		return 0
--- a/router/attempt_context.go
+++ b/router/attempt_context.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// attemptContext is the context of one attempt. The loop ends it by its own heap of timers when the attempt's time
-// is up: a context of the standard library would cost each attempt a timer, two allocations and a parent's lock.
+// attemptContext is the context of one attempt. The loop ends it by its own heap of timers when the attempt's time is
+// up: a context of the standard library would cost each attempt a timer, two allocations and the lock of a parent
+// context.
 type attemptContext struct {
 	deadline time.Time
 	sendBy   time.Time
 
-	mu           sync.Mutex // guards what follows, and deadline once the attempt is launched
+	mu           sync.Mutex // guards the fields below, and deadline once the attempt is launched
 	err          error
-	abandoned    bool          // nothing may be written any more
+	abandoned    bool          // no more bytes may be written
 	writing      bool          // between BeginWrite and EndWrite
-	afterWrite   func()        // run by EndWrite; nil: nothing
-	done         chan struct{} // made by the first call of Done
-	afterFunc    func()        // registered by AfterFunc; nil where none is
-	registration uint64        // counts the calls of AfterFunc that registered one
+	afterWrite   func()        // called by EndWrite; nil: nothing to call
+	done         chan struct{} // created by the first call of Done
+	afterFunc    func()        // registered by AfterFunc; nil if there is none
+	registration uint64        // number of functions that AfterFunc has registered
 }
 
 var (
@@ -44,22 +45,22 @@
 	return c.deadline, true
 }
 
-// setDeadline moves the deadline, once the body of the request has come.
+// setDeadline moves the deadline once the body of the request has arrived.
 func (c *attemptContext) setDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = deadline
 }
 
-// abandon forbids further writes: the request has its answer, or its client has disconnected. A byte
-// written already is not taken back.
+// abandon forbids further writes, because the request is answered or its client has disconnected. Bytes that were
+// written before are not affected.
 func (c *attemptContext) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abandoned = true
 }
 
-// Abandoned implements AbandonableContext. Transports ask right before they write.
+// Abandoned implements AbandonableContext. Transports call it right before they write.
 func (c *attemptContext) Abandoned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +89,8 @@
 	}
 }
 
-// runAfterWrite has a function run once the write in progress has ended; false where there is none.
+// runAfterWrite registers a function that runs when the write in progress ends; it returns false if there is no write
+// in progress.
 func (c *attemptContext) runAfterWrite(run func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,10 +100,10 @@
 	return c.writing
 }
 
-// SendBy implements SendDeadlineContext. Transports ask right before they write.
+// SendBy implements SendDeadlineContext. Transports call it right before they write.
 func (c *attemptContext) SendBy() time.Time { return c.sendBy }
 
-// Value implements context.Context: there are none.
+// Value implements context.Context. The context has no values.
 func (c *attemptContext) Value(any) any { return nil }
 
 // Err implements context.Context.
@@ -124,8 +126,9 @@
 	return c.done
 }
 
-// AfterFunc is what context.AfterFunc calls. It registers one function, without a goroutine; for a second at the
-// same time a goroutine waits until the context ends, which the loop sees to.
+// AfterFunc implements AfterFuncContext, and context.AfterFunc calls it. It registers one function without starting a
+// goroutine. For a second function at the same time, a goroutine waits until the context ends, which the loop
+// guarantees.
 func (c *attemptContext) AfterFunc(run func()) (stop func() bool) {
 	if registration, ok := c.register(run); ok {
 		return func() bool { return c.unregister(registration) }
@@ -133,7 +136,8 @@
 	return c.watchDone(run)
 }
 
-// register registers a function that runs when the context ends; false where it has ended, or has one already.
+// register registers a function that runs when the context ends; it returns false if the context has ended or has a
+// function already.
 func (c *attemptContext) register(run func()) (registration uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,8 +149,9 @@
 	return c.registration, true
 }
 
-// unregister removes what AfterFunc registered; false where it has run or is removed already. A context derived
-// from this one may stop its function again, long after: that must not remove another's.
+// unregister removes the function with a registration number; it returns false if the function has run or was removed
+// before. A context derived from this one may stop its function a second time much later, which must not remove a
+// function that was registered since.
 func (c *attemptContext) unregister(registration uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +162,7 @@
 	return true
 }
 
-// watchDone runs a function when Done is closed, at once where it is.
+// watchDone runs a function when Done is closed, or at once if it is closed already.
 func (c *attemptContext) watchDone(run func()) (stop func() bool) {
 	inner, cancel := context.WithCancel(doneOnlyContext{c})
 	stopInner := context.AfterFunc(inner, run)
@@ -168,11 +173,11 @@
 	}
 }
 
-// doneOnlyContext hides AfterFunc, so that the standard library watches Done.
+// doneOnlyContext hides AfterFunc, so that the standard library waits for Done instead.
 type doneOnlyContext struct{ context.Context }
 
-// cancel ends the context; only the first cause counts. What AfterFunc registered runs in a goroutine of its own,
-// since the loop must not wait for it.
+// cancel ends the context; only the first cause counts. The function that AfterFunc registered runs in a goroutine of
+// its own, because the loop must not wait for it.
 func (c *attemptContext) cancel(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/attempt_context_test.go
+++ b/router/attempt_context_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// An attempt's context is one like any other: what waits for its end in any way is notified once.
+// An attempt's context behaves as any other context: everything that waits for its end is notified once.
 func TestAttemptContext_BehavesAsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := &attemptContext{deadline: time.Now().Add(time.Second)}
 		if end, ok := ctx.Deadline(); !ok || !end.Equal(ctx.deadline) || ctx.Err() != nil || ctx.Value(1) != nil {
-			t.Errorf("deadline %v %v, error %v", end, ok, ctx.Err())
+			t.Errorf("got deadline %v, %v and error %v, want the deadline that was set and no error", end, ok, ctx.Err())
 		}
 		ran := make(chan string, 10)
 		stopFirst := context.AfterFunc(ctx, func() { ran <- "first" })
@@ -22,7 +22,7 @@
 		child, cancel := context.WithCancel(ctx)
 		defer cancel()
 		if !stopThird() || stopThird() {
-			t.Error("a function could not be stopped, or twice")
+			t.Error("a function could not be stopped, or was stopped twice")
 		}
 		done := ctx.Done()
 		ctx.cancel(context.DeadlineExceeded)
@@ -32,10 +32,10 @@
 		<-child.Done()
 		synctest.Wait()
 		if !errors.Is(ctx.Err(), context.DeadlineExceeded) || !errors.Is(child.Err(), context.DeadlineExceeded) {
-			t.Errorf("errors %v and, of a child, %v", ctx.Err(), child.Err())
+			t.Errorf("context error %v, error of the derived context %v; want deadline exceeded", ctx.Err(), child.Err())
 		}
 		if len(ran) != 2 || stopFirst() || stopSecond() {
-			t.Errorf("%d functions ran", len(ran))
+			t.Errorf("%d functions ran, want 2 that can no longer be stopped", len(ran))
 		}
 		context.AfterFunc(ctx, func() { ran <- "late" })
 		synctest.Wait()
@@ -45,7 +45,7 @@
 	})
 }
 
-// Done is closed also where the context ended before the first call.
+// Done returns a closed channel even if the context ended before the first call of Done.
 func TestAttemptContext_DoneAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
@@ -53,19 +53,19 @@
 		select {
 		case <-ctx.Done():
 		default:
-			t.Error("not done")
+			t.Error("Done is not closed")
 		}
 	})
 }
 
-// Once a function is stopped the next can be registered, as for a dial and then for its connection.
+// Once a function is stopped, another one can be registered, as a dial and then its connection do.
 func TestAttemptContext_AfterFuncReplacesStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
 		ran := make(chan string, 10)
 		for range 3 {
 			if stop := context.AfterFunc(ctx, func() { ran <- "stopped" }); !stop() {
-				t.Fatal("could not be stopped")
+				t.Fatal("a registered function could not be stopped")
 			}
 		}
 		context.AfterFunc(ctx, func() { ran <- "kept" })
@@ -77,24 +77,24 @@
 	})
 }
 
-// A derived context's timer and its cancel may both stop its registration, the second of them when another
-// function is registered: that one stays.
+// The timer of a derived context and its cancel function may both stop the same registration, the second of them
+// after another function was registered: that function must stay registered.
 func TestAttemptContext_SecondStopKeepsOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
-		stopFirst := ctx.AfterFunc(func() { t.Error("the first ran, though it was stopped") })
+		stopFirst := ctx.AfterFunc(func() { t.Error("the first function ran although it was stopped") })
 		if !stopFirst() {
-			t.Fatal("not stopped")
+			t.Fatal("the first function could not be stopped")
 		}
 		ran := make(chan struct{})
 		stopSecond := ctx.AfterFunc(func() { close(ran) })
 		if stopFirst() {
-			t.Error("stopped twice")
+			t.Error("the first function was stopped twice")
 		}
 		ctx.cancel(context.Canceled)
 		<-ran
 		if stopSecond() {
-			t.Error("stopped after it ran")
+			t.Error("the second function was stopped after it had run")
 		}
 	})
 }
--- a/router/attempt_test.go
+++ b/router/attempt_test.go
@@ -9,7 +9,7 @@
 	"cobaltward/policy"
 )
 
-// Attempts beyond the limit are not made, keep their numbers, and are reported as superseded.
+// Attempts beyond the limit are skipped, keep their numbers, and are reported as superseded.
 func TestAttempt_SkippedBeyondMaxAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: endWith(policy.ServerError)}
@@ -18,13 +18,13 @@
 		synctest.Wait()
 		got := balancer.eventNames()
 		if len(got) != 6 || got[2] != outcomeName("r1", 3, policy.Superseded, false) {
-			t.Errorf("the balancer received %q", got)
+			t.Errorf("the balancer received %q, want 6 events, the third of them the superseded attempt", got)
 		}
 		transport.wantAttempts(t, 3)
 	})
 }
 
-// After the final answer nothing is sent, and the attempt in flight still gets its outcome.
+// After the final answer no attempt is sent, and the outcome of the attempt in flight is still reported.
 func TestAttempt_NoneAfterFinalAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
@@ -43,14 +43,14 @@
 			return nil
 		}
 		r, balancer := newTestRouter(t, transport, respond)
-		wantDo(t, r, readRequest("r1"), Failed) // the first of the two
+		wantDo(t, r, readRequest("r1"), Failed) // Fail comes before Reject
 		balancer.wantEvents(t, "list 2", "request r1", "timer 1",
 			outcomeName("r1", 1, policy.Superseded, true), outcomeName("r1", 0, policy.Cancelled, true))
 		transport.wantAttempts(t, 1)
 	})
 }
 
-// An attempt ends within the client's time, whatever the balancer asked for.
+// An attempt ends before the client's deadline, even if the balancer allows it more time.
 func TestAttempt_TimeoutClippedToDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var timeLeft time.Duration
--- a/router/balancer_state.go
+++ b/router/balancer_state.go
@@ -13,7 +13,7 @@
 // availabilityCounter is implemented by balancers that count the endpoints they avoid.
 type availabilityCounter interface{ UnavailableEndpoints() int }
 
-// endpointViewer is implemented by balancers that show their learned state of each endpoint.
+// endpointViewer is implemented by balancers that report their learned state of each endpoint.
 type endpointViewer interface{ Views() []policy.View }
 
 var (
@@ -22,30 +22,30 @@
 	_ endpointViewer      = (*policy.Balancer)(nil)
 )
 
-// StateAdjuster makes the state to restore from a stored one. initial reports the in-flight limit with which the
-// balancer would begin at a server, and for how long the server's process has been up.
+// StateAdjuster returns the state to restore, made from a stored one. initial returns the in-flight limit with which
+// the balancer would begin at a server, and how long the server's process has been up.
 type StateAdjuster func(initial func(server string) (threshold float64, up policy.Time, ok bool)) policy.LearnedState
 
-// ExportState returns what the balancer has learned so far. It returns an error where the balancer does not
-// support it, or ErrClosed.
+// ExportState returns what the balancer has learned so far. It returns an error if the balancer does not support
+// that, or ErrClosed.
 func (r *Router) ExportState() (state policy.LearnedState, err error) {
 	err = r.withBalancer(func(b statefulBalancer, _ policy.Time) { state = b.Export() })
 	return state, err
 }
 
-// RestoreState has the balancer adopt the state that adjust returns. adjust is called in the event loop, and must
-// not call the router. It returns an error as ExportState does.
+// RestoreState makes the balancer adopt the state that adjust returns. adjust is called in the event loop, and must
+// not call the router. It returns an error in the same cases as ExportState.
 func (r *Router) RestoreState(adjust StateAdjuster) error {
 	return r.withBalancer(func(b statefulBalancer, now policy.Time) { b.Restore(now, adjust(b.InitialThreshold)) })
 }
 
-// SetTrafficShare tells the balancer which share of the node's traffic comes to this process, from 0 to 1, while
-// two processes are one node. It returns an error as ExportState does.
+// SetTrafficShare tells the balancer which share of the node's traffic this process receives, from 0 to 1, while two
+// processes serve as one node. It returns an error in the same cases as ExportState.
 func (r *Router) SetTrafficShare(share float64) error {
 	return r.withBalancer(func(b statefulBalancer, now policy.Time) { b.SetTrafficShare(now, share) })
 }
 
-// withBalancer runs f in the loop.
+// withBalancer runs f with the balancer, in the loop.
 func (r *Router) withBalancer(f func(statefulBalancer, policy.Time)) error {
 	return r.runInLoop(func(l *loop) error { return l.withBalancer(f) })
 }
--- a/router/call.go
+++ b/router/call.go
@@ -8,26 +8,27 @@
 	"cobaltward/policy"
 )
 
-// call is one request on its way from Do to the loop and back. Once it is submitted only the loop uses it, but for
-// reply and abandoned.
+// call is one request on its way from Do to the loop and back. Once it is submitted, only the loop uses it, except
+// for reply and abandoned.
 type call struct {
 	req         Request
-	class       policy.Class    // under which Do accepted it
+	class       policy.Class    // the class under which Do accepted it
 	submittedAt policy.Time     // when Do was called
-	receivedAt  policy.Time     // when its last byte was read
-	timeout     time.Duration   // how long the client waits, from receivedAt on
-	reply       chan Answer     // buffered for the one answer: the loop never waits for the caller
-	onAnswer    func(Answer)    // replaces reply; it must not call the loop
-	ctx         context.Context // the caller's; nil in a Stepped engine
+	receivedAt  policy.Time     // when the last byte of the request was read
+	timeout     time.Duration   // how long the client waits, counted from receivedAt
+	reply       chan Answer     // buffered for the one answer, so that the loop never waits for the caller
+	onAnswer    func(Answer)    // replaces reply if it is not nil; it must not call the loop
+	ctx         context.Context // the caller's context; nil in a Stepped engine
 	abandoned   atomic.Bool     // the caller no longer waits for reply
-	bodyPending bool            // the last byte has not come: the timeout counts from then
+	bodyPending bool            // the last byte has not arrived; the timeout starts when it does
 
-	// bodyReceivedAt is the policy.Time of an upload's last byte; 0 until then. The reader of the body sets it.
+	// bodyReceivedAt is the policy.Time at which the last byte of an upload arrived; 0 until then. The reader of the
+	// body sets it.
 	bodyReceivedAt atomic.Int64
 }
 
-// completeEarlyBody starts the timeout of a call whose last byte has come before the call was admitted: the event that
-// says so may be handled before the one that submits the call.
+// completeEarlyBody starts the timeout of a call whose last byte arrived before the call was admitted: the loop may
+// handle the bodyReceived event before the requestSubmitted event of the same call.
 func (c *call) completeEarlyBody() {
 	at := policy.Time(c.bodyReceivedAt.Load())
 	if c.bodyPending && at != 0 {
@@ -36,13 +37,13 @@
 	}
 }
 
-// clientGone reports whether the caller has left. The event that says so may still be queued.
+// clientGone reports whether the caller has stopped waiting. The clientLeft event of the call may still be queued.
 func (c *call) clientGone() bool {
 	return c.abandoned.Load() || c.ctx != nil && c.ctx.Err() != nil
 }
 
-// discardAnswer takes an answer whose caller no longer waits, if there is one: its stream holds a
-// connection.
+// discardAnswer takes an answer for which the caller no longer waits, if there is one, and closes its stream, which
+// holds a connection.
 func (c *call) discardAnswer() {
 	select {
 	case answer := <-c.reply:
@@ -54,6 +55,6 @@
 // closeStream closes the stream of an answer that is not delivered, if it has one.
 func closeStream(answer Answer) {
 	if answer.Stream != nil {
-		_ = answer.Stream.Close() // no caller is left to report an error to
+		_ = answer.Stream.Close() // there is no caller to report an error to
 	}
 }
--- a/router/clock.go
+++ b/router/clock.go
@@ -6,16 +6,16 @@
 	"cobaltward/policy"
 )
 
-// timeOrigin is the policy.Time of the router's start. Servers that started before the router have a start
-// above 0 all the same: 0 means long ago, and would count a server in slow start as warm.
+// timeOrigin is the policy.Time of the router's start. It is above 0 so that servers that started before the router
+// have a positive start time: 0 means long ago, and would make a server in slow start count as warm.
 const timeOrigin = 24 * time.Hour
 
-// clock converts the machine's time to policy.Time. The wall clock is read once, at the start; later only to notice
-// that it was stepped.
+// clock converts the machine's time to policy.Time. It reads the wall clock once at the start, and later only to
+// detect that the wall clock was stepped.
 type clock struct {
 	start   time.Time
-	virtual *policy.Time     // replaces the machine's clock in a Stepped engine; else nil
-	wall    func() time.Time // reads the wall clock where a test steps it; else nil
+	virtual *policy.Time     // replaces the machine's clock in a Stepped engine; otherwise nil
+	wall    func() time.Time // replaces the wall clock in tests of clock steps; otherwise nil
 }
 
 func (c clock) now() policy.Time {
@@ -25,7 +25,7 @@
 	return timeOrigin + time.Since(c.start)
 }
 
-// wallStep is the step of the wall clock since the start: its advance beyond that of the monotonic clock.
+// wallStep is by how much the wall clock was stepped since the start: its advance minus that of the monotonic clock.
 func (c clock) wallStep() time.Duration {
 	elapsed := c.now() - timeOrigin
 	switch {
@@ -37,19 +37,19 @@
 	return time.Now().Round(0).Sub(c.start.Round(0)) - elapsed
 }
 
-// wallTime converts a policy.Time back.
+// wallTime converts a policy.Time to a time of the machine's clock.
 func (c clock) wallTime(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
 
-// policyTime converts a time of the same monotonic clock; one before the start counts as the start.
+// policyTime converts a time of the machine's monotonic clock; a time before the start counts as the start.
 func (c clock) policyTime(t time.Time) policy.Time { return timeOrigin + max(0, t.Sub(c.start)) }
 
-// serverStart converts a server's start. Zero stays 0, and so does a time before the origin, which is just as
-// long ago.
+// serverStart converts the start time of a server. Zero stays 0, and a time before the origin becomes 0, because it
+// is long ago too.
 func (c clock) serverStart(t time.Time) policy.Time {
 	if t.IsZero() {
 		return 0
 	}
-	limit := timeOrigin.Milliseconds() // a start far ahead must not overflow either
+	limit := timeOrigin.Milliseconds() // prevents an overflow for start times far in the past or future
 	ago := min(max(c.start.UnixMilli()-t.UnixMilli(), -limit), limit)
 	return timeOrigin - time.Duration(ago)*time.Millisecond
 }
--- a/router/config.go
+++ b/router/config.go
@@ -8,20 +8,20 @@
 	"cobaltward/policy"
 )
 
-// DefaultMaxInFlight bounds the open requests where Config.MaxInFlight is 0.
+// DefaultMaxInFlight is the maximum number of open requests if Config.MaxInFlight is 0.
 const DefaultMaxInFlight = 1 << 16
 
 // Config configures a router, at its start by New and later by Reload.
 type Config struct {
 	// Settings are the classes, tenants, limits, capabilities and rules of the balancer.
 	Settings policy.Settings
-	// MaxInFlight bounds the requests without an answer; Do answers Overloaded beyond it. 0 means
+	// MaxInFlight is the maximum number of requests without an answer; beyond it, Do answers Overloaded. 0 means
 	// DefaultMaxInFlight.
 	MaxInFlight int
 	// Seed seeds the random choices of the balancer. Only New reads it.
 	Seed uint64
-	// Endpoints is the last known list of servers. New begins with it, as with a list that may be stale.
-	// Reload applies it where the endpoint source is StaticEndpoints, and leaves it to the source otherwise.
+	// Endpoints is the last known list of servers. New starts with it and treats it as possibly stale. Reload applies
+	// it if the endpoint source is StaticEndpoints; other sources report their own list.
 	Endpoints []Endpoint
 }
 
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// maxInFlight is MaxInFlight with its default.
+// maxInFlight returns MaxInFlight, or its default if it is 0.
 func (c Config) maxInFlight() int {
 	if c.MaxInFlight == 0 {
 		return DefaultMaxInFlight
--- a/router/counters.go
+++ b/router/counters.go
@@ -8,11 +8,12 @@
 	"cobaltward/policy"
 )
 
-// maxCountedClasses bounds the classes that are counted, over all reloads: the others count together, under no
-// name.
+// maxCountedClasses is the maximum number of classes that are counted separately, over all reloads. Further classes
+// are counted together, under an empty name.
 const maxCountedClasses = 256
 
-// counters count what Metrics reports, where it happens. Its methods are safe for concurrent use.
+// counters holds the counts that Metrics reports, updated where the counted events happen. Its methods are safe for
+// concurrent use.
 type counters struct {
 	mu                   sync.Mutex // held while classes are added
 	classes              atomic.Pointer[map[string]*classCounters]
@@ -21,12 +22,12 @@
 	unavailableEndpoints atomic.Int64
 }
 
-// classCounters count the final answers of a class.
+// classCounters holds the numbers of final answers of a class.
 type classCounters struct {
 	answers [len(outcomeNames)]atomic.Uint64 // by Outcome
 }
 
-// addClasses has the classes of the settings counted, from 0 where they are new.
+// addClasses adds counts, from 0, for the classes that are not counted yet.
 func (c *counters) addClasses(classes []policy.Class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,10 +52,10 @@
 	return classes[""]
 }
 
-// count counts one final answer.
+// count counts one final answer of a class.
 func (c *counters) count(class string, outcome Outcome) { c.class(class).answers[outcome].Add(1) }
 
-// answers are the final answers of all classes, by Outcome.
+// answers returns the numbers of final answers of all classes, by Outcome.
 func (c *counters) answers() (sum [len(outcomeNames)]uint64) {
 	for _, class := range *c.classes.Load() {
 		for outcome := range sum {
@@ -64,7 +65,7 @@
 	return sum
 }
 
-// setEndpoints sets the counts of endpoints. It writes changed ones only, since it is called after each event.
+// setEndpoints sets the counts of endpoints. It writes only changed counts, because it is called after each event.
 func (c *counters) setEndpoints(listed, unavailable int) {
 	if n := int64(unavailable); n != c.unavailableEndpoints.Load() {
 		c.unavailableEndpoints.Store(n)
--- a/router/deadline.go
+++ b/router/deadline.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// answerMargin is how long before the client's deadline the balancer's time is up, so that its answer
-	// still arrives; half of it before that deadline the backstop answers. Of short timeouts it is one
-	// answerMarginDivisor-th.
+	// answerMargin is how long before the client's deadline the balancer must have answered, so that the answer still
+	// reaches the client. The backstop answers half of the margin before that deadline. For short timeouts, the margin
+	// is the timeout divided by answerMarginDivisor.
 	answerMargin        = 20 * time.Millisecond
 	answerMarginDivisor = 5
-	// noMarginOvertime is by how much answers may be late where the margin is disabled in a rehearsal.
-	noMarginOvertime = time.Second
+	// maxLatenessWithoutMargin is how late answers may be if a rehearsal disables the margin.
+	maxLatenessWithoutMargin = time.Second
 
-	// An upload may take minUploadTimeout, and the time of its bytes at minUploadRate a second. Longer and
-	// unknown lengths count as maxTimedUpload.
+	// An upload may take minUploadTimeout plus the time of its bytes at minUploadRate bytes a second. Lengths that are
+	// unknown or above maxTimedUpload count as maxTimedUpload.
 	minUploadRate    = 32 << 10
 	minUploadTimeout = 5 * time.Second
 	maxTimedUpload   = 32 << 20
 )
 
-// answerTimes returns the time by which the balancer must have answered a request whose client stops waiting
-// at end, and the time of the backstop.
+// answerTimes returns, for a request whose client stops waiting at end, the time by which the balancer must have
+// answered it, and the time of the backstop.
 func (l *loop) answerTimes(end policy.Time, timeout time.Duration) (deadline, backstop policy.Time) {
 	margin := min(answerMargin, timeout/answerMarginDivisor)
 	if !l.enforced(safeguards.AnswerDeadline) {
-		margin = -noMarginOvertime
+		margin = -maxLatenessWithoutMargin
 	}
 	return end - margin, end - margin/2
 }
 
-// uploadTimeout bounds how long a body of a length in bytes may take; a negative length is unknown.
+// uploadTimeout is the longest time for an upload of a length in bytes; a negative length means unknown.
 func uploadTimeout(length int64) time.Duration {
 	if length < 0 || length > maxTimedUpload {
 		length = maxTimedUpload
@@ -43,8 +43,8 @@
 	return minUploadTimeout + time.Duration(length)*time.Second/minUploadRate
 }
 
-// completeBody starts the timeout of a request whose upload is complete: the client counts from its last byte.
-// Nothing can have run before.
+// completeBody starts the timeout of a request whose upload is complete: the client counts it from the last byte. No
+// attempt can have run before.
 func (l *loop) completeBody(e bodyReceived) {
 	r := l.requests[e.call.req.ID]
 	if r == nil || r.call != e.call || r.finished || !r.bodyPending {
@@ -87,7 +87,7 @@
 	case balancerTimer:
 		l.notify(policy.Timer{Token: t.token})
 	case backstopTimer:
-		if l.enforced(safeguards.BackstopAnswer) { // the balancer has not answered
+		if l.enforced(safeguards.BackstopAnswer) { // the balancer has not answered in time
 			l.fail(t.request, Expired)
 		}
 	case attemptTimer:
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Where the balancer never answers, the request is answered shortly before the client stops waiting.
+// If the balancer never answers, the backstop answers shortly before the client stops waiting.
 func TestBackstop_AnswersForSilentBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
@@ -15,7 +15,7 @@
 		req.Timeout = 200 * ms
 		wantDo(t, r, req, Expired)
 		if took := time.Since(began); took >= 200*ms || took < 180*ms {
-			t.Errorf("answered after %v", took)
+			t.Errorf("answered after %v, want 180 ms to 200 ms", took)
 		}
 		balancer.wantEvents(t, "list 2", "request r1", "client gone r1")
 	})
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// immediateRejection bounds the time in which the balancer's rate limit rejects: later rejections waited for
-	// a server.
-	immediateRejection = 10 * time.Millisecond
-	// shedRetrySpread spreads the Retry-After of shed requests: 1 to 1+shedRetrySpread times routerRetryAfter.
+	// maxImmediateRejectionAge is the age up to which a rejection counts as one by the balancer's rate limit: requests
+	// that are rejected later have waited for a server.
+	maxImmediateRejectionAge = 10 * time.Millisecond
+	// shedRetrySpread spreads the Retry-After of shed requests from 1 to 1+shedRetrySpread times routerRetryAfter.
 	shedRetrySpread = 4
-	// serviceTimeGain is the weight of one answer in the mean service time of a class.
+	// serviceTimeGain is the weight of one answer in the moving average of a class's service time.
 	serviceTimeGain = 0.1
 	// levelStepInterval is the time between two steps of the levels.
 	levelStepInterval = time.Second
 )
 
-// degradation measures what the levels of service depend on, and applies the measures of the level in force.
-// The loop owns it.
+// degradation measures the signals that the levels of service depend on, and applies the measures of the level in
+// force. The loop owns it.
 type degradation struct {
 	controller   *levels.Controller
 	shedByClass  map[string]uint64
-	shedByTenant map[string]uint64 // by tenant that the settings list; the others under no name
+	shedByTenant map[string]uint64 // by tenant in the settings; all other tenants count under ""
 	shedWeight   float64           // sum of the priority weights of shed requests
 	classes      map[string]*classWindow
 	quotas       map[string]*quotaBucket // by tenant, for measures that keep tenants to their quotas
@@ -38,13 +38,13 @@
 	priorityWeight   float64
 }
 
-// quotaBucket is a token bucket of one second of a tenant's quota.
+// quotaBucket is a token bucket that holds one second of a tenant's quota.
 type quotaBucket struct {
 	rate, tokens float64 // tokens a second; tokens left
 	refilledAt   policy.Time
 }
 
-// take takes a token; false where there is none.
+// take takes a token; it returns false if there is none.
 func (b *quotaBucket) take(now policy.Time) bool {
 	b.tokens = min(max(1, b.rate), b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -106,28 +106,28 @@
 	return bucket
 }
 
-// withinQuota takes a token of the tenant's quota, and reports whether there was one. A tenant that the settings do not
-// list has no quota: all that it sends is beyond it.
+// withinQuota takes a token of the tenant's quota, and reports whether there was one. A tenant that is not in the
+// settings has no quota: all its requests are beyond it.
 func (d *degradation) withinQuota(tenant string, now policy.Time) bool {
 	bucket := d.quotas[tenant]
 	return bucket != nil && bucket.take(now)
 }
 
-// shouldShed counts an offered request, and reports whether the level in force sheds it. In a dry run it only
-// counts.
+// shouldShed counts an offered request, and reports whether the level in force sheds it. In a dry run it only counts,
+// and returns false.
 func (d *degradation) shouldShed(r *request, now policy.Time) bool {
 	window := d.classes[r.req.Class]
 	if window == nil { // a reload has removed the class since Do
 		return false
 	}
-	if !r.req.IsRetry { // else what a level sheds would come back as more demand
+	if !r.req.IsRetry { // retries of shed requests would otherwise count as additional demand
 		window.Offered++
 	}
 	effect := d.effect(r)
 	within := d.withinQuota(r.req.Tenant, now)
-	// A shed client's retry under another ID would be drawn again, until it is admitted: retries are shed too.
-	drawn := effect.Shed > 0 && (r.req.IsRetry || dropoverload.Fraction(r.req.ID) < effect.Shed)
-	if !drawn && (!effect.WithinQuota || within) {
+	// The draw is by request ID. Retries have new IDs and would be admitted sooner or later, so all of them are shed.
+	selected := effect.Shed > 0 && (r.req.IsRetry || dropoverload.Fraction(r.req.ID) < effect.Shed)
+	if !selected && (!effect.WithinQuota || within) {
 		return false
 	}
 	d.recordShed(r, window)
@@ -145,8 +145,8 @@
 	d.shedWeight += window.priorityWeight
 }
 
-// shedRetryAfter spreads the Retry-After of shed requests over some seconds, by their IDs, so that they don't
-// come back together. limit bounds it; 0: no limit.
+// shedRetryAfter spreads the Retry-After of shed requests over some seconds, by their IDs, so that their clients do
+// not all retry at the same time. limit is the maximum; 0: no limit.
 func shedRetryAfter(id string, limit time.Duration) time.Duration {
 	spread := shedRetrySpread * dropoverload.Fraction("again "+id) * float64(routerRetryAfter)
 	retryAfter := routerRetryAfter + time.Duration(spread)
@@ -156,13 +156,13 @@
 	return retryAfter
 }
 
-// effect is what the level in force does to a request.
+// effect returns the effect of the level in force on a request.
 func (d *degradation) effect(r *request) levels.Effect {
 	return d.controller.Effect(r.req.Class, r.req.Tenant)
 }
 
-// restrictions is what the level in force asks of the balancer for a request: to stay in the node's zone, and
-// to queue for at most maxQueueTime, where that is above 0.
+// restrictions returns what the level in force demands of the balancer for a request: whether to stay in the node's
+// zone, and the longest time in a queue, if maxQueueTime is above 0.
 func (d *degradation) restrictions(r *request) (zoneLocal bool, maxQueueTime time.Duration) {
 	if d.controller.DryRun() {
 		return false, 0
@@ -171,7 +171,7 @@
 	return effect.ZoneLocal, effect.MaxQueueTime
 }
 
-// forbidsAttempt reports whether the level in force forbids an attempt, by its number.
+// forbidsAttempt reports whether the level in force forbids the attempt with a number.
 func (d *degradation) forbidsAttempt(r *request, number int) bool {
 	if number == 0 || d.controller.DryRun() {
 		return false
@@ -183,14 +183,15 @@
 	return effect.NoHedging && r.hasAttemptInFlight() // it would be a hedged request
 }
 
-// recordServiceTime records how long a request took at its server.
-func (d *degradation) recordServiceTime(r *request, took time.Duration) {
+// recordServiceTime records how long a server took for a request.
+func (d *degradation) recordServiceTime(r *request, duration time.Duration) {
 	if window := d.classes[r.req.Class]; window != nil {
-		window.Work += serviceTimeGain * (took.Seconds() - window.Work)
+		window.Work += serviceTimeGain * (duration.Seconds() - window.Work)
 	}
 }
 
-// recordAnswer counts an answer. A conflict, or a rejection by the rate limit, says nothing about the servers.
+// recordAnswer counts an answer as on time or late. A conflict, or a rejection by the rate limit, is not counted,
+// because it says nothing about the servers.
 func (d *degradation) recordAnswer(r *request, outcome Outcome, now policy.Time) {
 	window := d.classes[r.req.Class]
 	if window == nil {
@@ -200,14 +201,14 @@
 	switch {
 	case outcome == Served && age <= window.latencyObjective:
 		window.OnTime++
-	case outcome == Rejected && age < immediateRejection && len(r.attempts) == 0, outcome == Conflict:
+	case outcome == Rejected && age < maxImmediateRejectionAge && len(r.attempts) == 0, outcome == Conflict:
 	default:
 		window.Late++
 	}
 }
 
-// step hands the last second to the controller, and begins the next. changed reports whether another level is in
-// force, by event.
+// step passes the counts of the last second to the controller, and starts new ones. If this changes the level,
+// changed is true and event describes the change.
 func (d *degradation) step(now policy.Time, requests map[string]*request) (event levels.Event, changed bool) {
 	d.countOpen(requests)
 	seconds := make(map[string]levels.Window, len(d.classes))
@@ -225,7 +226,7 @@
 	return events[len(events)-1], true
 }
 
-// countOpen counts the open requests, and those without an attempt yet.
+// countOpen counts the open requests, and those that have had no attempt yet.
 func (d *degradation) countOpen(requests map[string]*request) {
 	for _, r := range requests {
 		window := d.classes[r.req.Class]
--- a/router/degradation_test.go
+++ b/router/degradation_test.go
@@ -11,7 +11,7 @@
 	"cobaltward/policy"
 )
 
-// newLevelsRouter starts a router in real time, which is closed with the test.
+// newLevelsRouter starts a router in real time, and closes it at the end of the test.
 func newLevelsRouter(t *testing.T, settings policy.Settings, opts ...Option) *Router {
 	t.Helper()
 	r, err := New(Config{Settings: settings}, append(opts, WithTransport(&fakeTransport{}))...)
@@ -22,7 +22,7 @@
 	return r
 }
 
-// readLevels returns levels of these names; each sheds a part of the class "read".
+// readLevels returns levels with these names; each sheds a part of the class "read".
 func readLevels(names ...string) *levels.Config {
 	config := &levels.Config{Classes: []levels.Class{{Name: "read"}}}
 	for i, name := range names {
@@ -51,8 +51,8 @@
 	}
 }
 
-// The levels change while the router runs: they are added, kept in force by their names, left as they are where the
-// new ones are invalid, and removed.
+// SetLevels changes the levels while the router runs: levels are added, stay in force by their names, are kept if the
+// new ones are invalid, and are removed.
 func TestSetLevels_ReplacesLevels(t *testing.T) {
 	r := newLevelsRouter(t, policy.Settings{Nodes: 1, Classes: []policy.Class{{
 		Name:             "read",
@@ -63,7 +63,7 @@
 	}}})
 	wantNoLevels(t, r)
 	steps := []struct {
-		setBefore int // level to set by hand before; 0: none
+		setBefore int // level to set manually before; 0: none
 		levels    *levels.Config
 		wantLevel int
 		wantName  string
@@ -85,7 +85,7 @@
 		wantLevel(t, r, step.wantLevel, step.wantName)
 	}
 	if err := r.SetLevels(readLevels("z", "z")); err == nil {
-		t.Error("two levels of one name were accepted")
+		t.Error("two levels with the same name were accepted")
 	}
 	wantLevel(t, r, 0, "full")
 	if err := r.SetLevels(nil); err != nil {
@@ -94,8 +94,8 @@
 	wantNoLevels(t, r)
 }
 
-// The measures of a level are applied: requests are shed with a spread Retry-After and counted by class and tenant,
-// others queue for less. In a dry run nothing changes but the counts.
+// The measures of a level are applied: requests of one class are shed with a spread Retry-After and counted by class
+// and tenant, and requests of another class queue for a shorter time. In a dry run they are only counted.
 func TestLevels_ApplyMeasures(t *testing.T) {
 	for _, dryRun := range []bool{false, true} {
 		t.Run(fmt.Sprint("dry run ", dryRun), func(t *testing.T) { testLevelMeasures(t, dryRun) })
@@ -118,21 +118,22 @@
 	}
 	retryAfters := make(map[time.Duration]bool)
 	for i := range 20 {
-		answer, err := doShortly(t, r, Request{
+		answer, err := doWithShortTimeout(t, r, Request{
 			ID:     fmt.Sprint("r", i),
 			Class:  "read",
 			Tenant: []string{"t", "other"}[i%2],
 		})
 		if isShed(answer, err) == dryRun {
-			t.Errorf("%+v, %v", answer, err)
+			t.Errorf("request shed or admitted contrary to the dry-run setting: answer %+v, error %v", answer, err)
 		}
 		retryAfters[answer.RetryAfter] = true
 	}
 	if !dryRun {
 		if len(retryAfters) < 15 {
-			t.Errorf("20 shed requests were given %d different Retry-After", len(retryAfters))
+			t.Errorf("20 shed requests got %d different Retry-After values, want at least 15", len(retryAfters))
 		}
-		// There is no server: it queues, for less than the half of its latency objective that it would otherwise.
+		// Without a server the request queues. The measure shortens its wait, which would be half of its latency
+		// objective.
 		wantDo(t, r, Request{ID: "h", Class: "held", Tenant: "t"}, Rejected)
 	}
 	wantShedCounts(t, r, dryRun)
@@ -140,11 +141,11 @@
 		t.Fatal(err)
 	}
 	if status, _ := r.Level(); status.MaxLevel != 0 || status.Level != 1 {
-		t.Errorf("a level that was set by hand has ended: %+v", status)
+		t.Errorf("SetMaxLevel ended a level that was set manually: %+v", status)
 	}
 }
 
-// measuredSettings have the classes "read" and "held".
+// measuredSettings returns settings with the classes "read" and "held".
 func measuredSettings() policy.Settings {
 	class := func(name string, weight float64) policy.Class {
 		return policy.Class{
@@ -163,15 +164,15 @@
 	}
 }
 
-// doShortly calls Do with a context that ends after 50 ms.
-func doShortly(t *testing.T, r *Router, req Request) (Answer, error) {
+// doWithShortTimeout calls Do with a context that ends after 50 ms.
+func doWithShortTimeout(t *testing.T, r *Router, req Request) (Answer, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*ms)
 	defer cancel()
 	return r.Do(ctx, req)
 }
 
-// isShed reports whether a request was shed, with a Retry-After in its range.
+// isShed reports whether a request was shed, with a Retry-After of 1 s to 5 s.
 func isShed(answer Answer, err error) bool {
 	return err == nil && answer.Outcome == Rejected &&
 		answer.RetryAfter >= time.Second && answer.RetryAfter <= 5*time.Second
@@ -187,6 +188,6 @@
 		t.Errorf("shed %v, %v; want 20 of read, 10 of each tenant", status.ShedByClass, status.ShedByTenant)
 	}
 	if status.ShedWeight != 40 || len(status.ExitConditions) != 1 || status.DryRun != dryRun {
-		t.Errorf("%+v", status)
+		t.Errorf("unexpected level status: %+v", status)
 	}
 }
--- a/router/do.go
+++ b/router/do.go
@@ -7,11 +7,10 @@
 	"cobaltward/policy"
 )
 
-// Do routes one request and waits for its answer. It returns an error where there is no answer:
-// *InvalidError, ErrDrained and ErrClosed say that the request was not accepted and reached no server; ctx's
-// error says that ctx ended before the answer, in which case the request may have run. Where ctx had ended
-// before the call, nothing ran. No request waits longer than its class allows, nor beyond ctx's deadline.
-// The caller must close Answer.Stream where it is not nil.
+// Do routes one request and waits for its answer. It returns an error if there is no answer: *InvalidError,
+// ErrDrained and ErrClosed mean that the request was not accepted and reached no server; ctx's error means that ctx
+// ended before the answer, and the request may have run, unless ctx had ended before the call. No request waits
+// longer than its class allows, nor beyond ctx's deadline. The caller must close Answer.Stream if it is not nil.
 func (r *Router) Do(ctx context.Context, req Request) (Answer, error) {
 	class, err := r.prepare(&req)
 	if err != nil {
@@ -36,7 +35,7 @@
 	return answer, err
 }
 
-// prepare validates a request, completes it, and returns the class that applies to it.
+// prepare validates a request, fills in its default method, and returns the class that applies to it.
 func (r *Router) prepare(req *Request) (policy.Class, error) {
 	if err := req.validate(); err != nil {
 		return policy.Class{}, err
@@ -57,7 +56,7 @@
 	return class, nil
 }
 
-// submit hands a valid request to the loop, and waits for its answer.
+// submit passes a valid request to the loop, and waits for its answer.
 func (r *Router) submit(ctx context.Context, req *Request, class *policy.Class) (Answer, error) {
 	eventLoop := r.loop
 	switch r.Phase() {
@@ -78,7 +77,7 @@
 	return eventLoop.await(ctx, call)
 }
 
-// newCall makes the call of a request that is submitted now. It runs in the caller's goroutine.
+// newCall returns the call for a request that is submitted now. It runs in the caller's goroutine.
 func (l *loop) newCall(ctx context.Context, req *Request, class *policy.Class) *call {
 	now := l.clock.now()
 	call := &call{
@@ -119,12 +118,12 @@
 	c.abandoned.Store(true)
 	notified := ctx.Err() != nil && l.send(clientLeft{c})
 	select {
-	case answer := <-c.reply: // it came at the last moment
+	case answer := <-c.reply: // the answer arrived in the meantime
 		return answer, nil
 	default:
 	}
 	if !notified {
-		// The loop answers all that it has admitted before it ends: this call it never saw.
+		// The loop answers every call that it has admitted before it ends, so it never received this one.
 		return Answer{}, ErrClosed
 	}
 	return Answer{}, ctx.Err()
--- a/router/do_test.go
+++ b/router/do_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// wantInvalid checks that an error is an *InvalidError of a field.
+// wantInvalid checks that an error is an *InvalidError for a field.
 func wantInvalid(t *testing.T, err error, field string) {
 	t.Helper()
 	var invalid *InvalidError
@@ -39,16 +39,16 @@
 	}
 }
 
-// A request whose context has ended is not accepted; a context's deadline binds the request, and without one the
-// class does.
-func TestDo_HonoursContext(t *testing.T) {
+// A request whose context has ended is not accepted. The deadline of the context bounds the wait for an answer;
+// without one, the deadline of the class does.
+func TestDo_HonorsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
 		r, _ := newTestRouter(t, transport, sendOnce)
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := r.Do(ended, readRequest("ended")); !errors.Is(err, context.Canceled) {
-			t.Errorf("with an ended context: %v", err)
+			t.Errorf("with an ended context: error %v, want it to be canceled", err)
 		}
 		transport.wantAttempts(t, 0)
 
@@ -58,13 +58,13 @@
 		answer, err := r.Do(short, readRequest("short"))
 		wantOutcome(t, "with a deadline", answer, err, Failed)
 		if took := time.Since(began); took >= 300*ms {
-			t.Errorf("with a deadline: answered after %v", took)
+			t.Errorf("with a deadline: answered after %v, want less than 300 ms", took)
 		}
 
 		began = time.Now()
 		wantDo(t, r, readRequest("long"), Failed)
 		if took := time.Since(began); took >= classDeadline {
-			t.Errorf("without a deadline: answered after %v", took)
+			t.Errorf("without a deadline: answered after %v, want less than the deadline of the class", took)
 		}
 	})
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -8,17 +8,18 @@
 	"cobaltward/drain"
 )
 
-// unboundedDrain is the deadline of a drain whose context has none.
+// unboundedDrain is the timeout of a drain whose context has no deadline.
 const unboundedDrain = 24 * time.Hour
 
-// Drain shuts the router down gracefully, for good. It stops being ready at once, keeps serving for a while
-// (WithDrainDelay), has the listeners stop accepting, and waits until no request is open; from then on Do accepts
-// nothing. Where ctx ends first, the open requests are answered (Failed where they may have run, else Rejected),
-// and Drain returns ctx's error. It can't be cancelled, and takes over from a drain that StartDrain began. A second
-// call waits for the same drain; the ctx of the first decides. It returns ErrClosed where Close ends the drain.
+// Drain shuts the router down gracefully, for good. The router stops being ready at once, keeps serving for a while
+// (WithDrainDelay), makes the listeners stop accepting connections, and waits until no request is open; after that Do
+// accepts no request. If ctx ends first, the open requests are answered (Failed if they may have run, otherwise
+// Rejected), and Drain returns ctx's error. The drain can't be cancelled, and supersedes one that StartDrain has
+// started. A second call waits for the same drain, for which only the ctx of the first call counts. Drain returns
+// ErrClosed if Close ends the drain.
 func (r *Router) Drain(ctx context.Context) error { return r.DrainAfter(ctx, r.drainDelay(), 0) }
 
-// DrainAfter is Drain with other durations: for announce the router only stops being ready; for leave it then
+// DrainAfter is Drain with other durations. For announce, the router only stops being ready; then, for leave, it
 // still accepts new requests while answers close their client connections.
 func (r *Router) DrainAfter(ctx context.Context, announce, leave time.Duration) error {
 	order := drain.Order{
@@ -39,14 +40,14 @@
 	return r.awaitDrain(ctx, err == nil)
 }
 
-// inProgress reports whether StartDrain has failed since another drain is in progress, or over.
+// inProgress reports whether StartDrain failed because another drain is in progress or complete.
 func inProgress(err error) bool {
 	var busy *drain.InProgressError
 	return errors.As(err, &busy) || errors.Is(err, drain.ErrDrained)
 }
 
-// awaitDrain waits for the drain that is in progress. first says that the caller has started it: then the end of
-// ctx ends it.
+// awaitDrain waits for the drain in progress. first says that the caller has started it: then the end of ctx ends the
+// drain.
 func (r *Router) awaitDrain(ctx context.Context, first bool) error {
 	r.drainMu.Lock()
 	run, status := r.drainRun, r.drainMachine.Status()
@@ -69,13 +70,13 @@
 		return ctx.Err()
 	}
 	r.forceDrain(run)
-	if r.DrainStatus().State == drain.Drained { // it was over at that very moment
+	if r.DrainStatus().State == drain.Drained { // the drain completed at the same moment
 		return nil
 	}
 	return ctx.Err()
 }
 
-// forceDrain moves the deadline of a drain to now, and waits for its end.
+// forceDrain moves the deadline of a drain to now, and waits until the drain has ended.
 func (r *Router) forceDrain(run *drainRun) {
 	r.drainMu.Lock()
 	r.drainMachine.ExpireNow(time.Now())
@@ -85,8 +86,8 @@
 }
 
 // StartDrain starts a drain, or changes the one in progress, by the rules of drain.Machine.Start, whose errors it
-// returns; or ErrClosed. It does not wait; DrainStatus shows the progress. Order.Announce and Order.Leave of 0 skip
-// these states.
+// returns. After Close it returns ErrClosed. It does not wait; DrainStatus shows the progress. If Order.AnnounceFor
+// or Order.LeaveFor is 0, the state in question is skipped.
 func (r *Router) StartDrain(o drain.Order) error {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -107,21 +108,21 @@
 	return nil
 }
 
-// CancelDrain cancels a drain: the router is ready at once, and its DrainableListeners accept clients again. It
-// returns the errors of drain.Machine.Cancel, ErrClosed, or those of the listeners that can't resume.
-func (r *Router) CancelDrain(who string) error {
+// CancelDrain cancels a drain: the router is ready again at once, and its DrainableListeners accept clients again. It
+// returns the errors of drain.Machine.Cancel, ErrClosed, or the errors of listeners that can't resume.
+func (r *Router) CancelDrain(requestedBy string) error {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	if r.Phase() == Closed {
 		return ErrClosed
 	}
-	if err := r.drainMachine.Cancel(time.Now(), who, r.openWork()); err != nil {
+	if err := r.drainMachine.Cancel(time.Now(), requestedBy, r.openWork()); err != nil {
 		return err
 	}
 	run := r.drainRun
 	run.cancelled.Store(true)
 	run.finish()
-	r.loop.drained.Store(false) // here, since the loop may be busy, and cancelling a drain must not wait
+	r.loop.drained.Store(false) // not in the loop, which may be busy: cancelling a drain must not wait
 	r.resumeServing()
 	var err error
 	if run.acceptingStopped {
@@ -133,22 +134,22 @@
 	return err
 }
 
-// DrainStatus is the status of the drain in progress, or of the last one.
+// DrainStatus returns the status of the drain in progress, or of the last one.
 func (r *Router) DrainStatus() drain.Status {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	return r.drainMachine.Status()
 }
 
-// DrainEvents returns the kept events after the n-th.
+// DrainEvents returns the retained events after event number n.
 func (r *Router) DrainEvents(n uint64) []drain.Event {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	return append([]drain.Event(nil), r.drainMachine.Events(n)...)
 }
 
-// ClientConnections is the number of open client connections, and of those with a request in progress, at the
-// DrainableListeners.
+// ClientConnections returns the number of open client connections at the DrainableListeners, and how many of them
+// have a request in progress.
 func (r *Router) ClientConnections() (open, busy int) {
 	for _, l := range r.drainableListeners() {
 		listenerOpen, listenerBusy := l.Connections()
@@ -158,7 +159,7 @@
 	return open, busy
 }
 
-// pendingFirstRequests is the number of connections whose first request is in progress or may still come.
+// pendingFirstRequests is the number of connections whose first request is in progress or may still arrive.
 func (r *Router) pendingFirstRequests() int {
 	pending := 0
 	for _, l := range r.listeners {
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -9,30 +9,30 @@
 	"cobaltward/drain"
 )
 
-// drainPollInterval is how often the work that is left is counted while the router is closing.
+// drainPollInterval is how often the remaining work is counted while the router is closing.
 const drainPollInterval = 10 * time.Millisecond
 
-// drainRun is one drain, from its start until it is over or cancelled. A goroutine in Router.runDrain drives it;
-// Router.Close waits for that.
+// drainRun is one drain, from its start until it is over or cancelled. Router.runDrain drives it in a goroutine that
+// Router.Close waits for.
 type drainRun struct {
-	wakeup    chan struct{} // the machine has changed; buffered for one
+	wakeup    chan struct{} // signals that the drain machine has changed; buffered for one signal
 	done      chan struct{} // closed once the drain is over, or cancelled
-	cancelled atomic.Bool   // what the loop still has to do for it is void
+	cancelled atomic.Bool   // the loop must ignore the drainEnded event of this drain
 
-	// Guarded by Router.drainMu. The first three are of final drains.
+	// The fields below are guarded by Router.drainMu. The first three are used only in final drains.
 	shutdownStarted  bool
-	shuttingDown     int                // listeners whose Shutdown has not returned
-	cancelShutdown   context.CancelFunc // ends the listeners' Shutdown
-	acceptingStopped bool               // by StopAccepting, which can be undone
+	shuttingDown     int                // number of listeners whose Shutdown has not returned
+	cancelShutdown   context.CancelFunc // ends the context of the listeners' Shutdown
+	acceptingStopped bool               // StopAccepting was called, which can be undone
 
-	listeners sync.WaitGroup // the goroutines of Listener.Shutdown
+	listeners sync.WaitGroup // the goroutines that call Listener.Shutdown
 }
 
 func newDrainRun() *drainRun {
 	return &drainRun{wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// notify has runDrain step the machine. It does not block.
+// notify wakes runDrain, so that it steps the machine. It does not block.
 func (d *drainRun) notify() {
 	select {
 	case d.wakeup <- struct{}{}:
@@ -50,7 +50,7 @@
 	}
 }
 
-// finish ends the run, unless it has ended. Router.drainMu is held.
+// finish marks the run as ended, unless it has ended before. The caller holds Router.drainMu.
 func (d *drainRun) finish() {
 	if !d.isDone() {
 		close(d.done)
@@ -83,14 +83,14 @@
 	}
 }
 
-// endDrainRun ends the run, unless the drain was cancelled meanwhile.
+// endDrainRun ends the run, unless the drain was cancelled in the meantime.
 func (r *Router) endDrainRun(run *drainRun) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	run.finish()
 }
 
-// stepDrain moves the machine on, and applies its state, unless the run has ended. It returns when to call it
+// stepDrain steps the machine and applies its state, unless the run has ended. It returns when it must be called
 // again, and whether the drain is over.
 func (r *Router) stepDrain(run *drainRun) (next time.Time, over bool) {
 	r.drainMu.Lock()
@@ -109,8 +109,9 @@
 	return next, over
 }
 
-// openWork is the work that is left. Of a final drain each listener is a part of it until its Shutdown has returned:
-// the system may have accepted connections that the listener has not seen. drainMu is held.
+// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned,
+// because the operating system may have accepted connections that the listener has not seen. The caller holds
+// drainMu.
 func (r *Router) openWork() drain.Counts {
 	counts := drain.Counts{OpenRequests: int(r.loop.openRequests.Load())}
 	switch run := r.drainRun; {
@@ -125,7 +126,8 @@
 	return counts
 }
 
-// applyDrainState does what the machine's state requires; true once the drain is over. drainMu is held.
+// applyDrainState does what the machine's state requires, and reports whether the drain is over. The caller holds
+// drainMu.
 func (r *Router) applyDrainState(run *drainRun) (over bool) {
 	status := r.drainMachine.Status()
 	switch status.State {
@@ -148,8 +150,8 @@
 	return false
 }
 
-// stopListeners has the listeners accept nothing any more: for good where the drain is final. It does so once for
-// each kind of drain. drainMu is held.
+// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It does so once for
+// each kind of drain. The caller holds drainMu.
 func (r *Router) stopListeners(run *drainRun, status drain.Status) {
 	switch {
 	case status.Final && !run.shutdownStarted:
@@ -163,8 +165,8 @@
 	}
 }
 
-// shutDownListeners starts a goroutine for each listener's Shutdown. They end with it, at the deadline or when the
-// drain is over at the latest; runDrain waits for them. drainMu is held.
+// shutDownListeners calls each listener's Shutdown in a goroutine. The goroutines end at the deadline or when the
+// drain is over, at the latest; runDrain waits for them. The caller holds drainMu.
 func (r *Router) shutDownListeners(run *drainRun, deadline time.Time) {
 	run.shuttingDown = len(r.listeners)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/router/drain_test.go
+++ b/router/drain_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// wantDrainState checks the phase, and how often the listener was shut down.
+// wantDrainState checks the phase of the router, and how often the listener was shut down.
 func wantDrainState(t *testing.T, r *Router, listener *fakeListener, phase Phase, shutdowns int32) {
 	t.Helper()
 	if got, n := r.Phase(), listener.shutdowns.Load(); got != phase || n != shutdowns {
@@ -16,7 +16,7 @@
 	}
 }
 
-// A drain keeps serving, has its listeners stop accepting, and is over when the last request is.
+// A drain keeps serving, then makes its listeners stop accepting, and ends when the last request has ended.
 func TestDrain_PhasesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
@@ -36,7 +36,7 @@
 		wantDrainState(t, r, listener, Closing, 1)
 		close(listener.release)
 		synctest.Wait()
-		wantDrainState(t, r, listener, Closing, 1) // requests are open
+		wantDrainState(t, r, listener, Closing, 1) // requests are still open
 		close(release)
 		for range 2 {
 			if err := <-drained; err != nil {
@@ -46,13 +46,13 @@
 		wantResult(t, "open", open, Served)
 		wantResult(t, "late", late, Served)
 		if _, err := r.Do(t.Context(), readRequest("after")); !errors.Is(err, ErrDrained) {
-			t.Errorf("after the drain: %v", err)
+			t.Errorf("Do after the drain: error %v, want ErrDrained", err)
 		}
 	})
 }
 
-// A drain with no work that the router knows of waits for its listeners all the same: what the system has accepted for
-// them is served.
+// A drain without open requests still waits for its listeners: requests on connections that the operating system has
+// accepted for them are served.
 func TestDrain_WaitsForListenersWithoutWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := &fakeListener{release: make(chan struct{})}
@@ -69,17 +69,18 @@
 	})
 }
 
-// Where the drain's deadline comes first, open requests are answered once: as failed where they may have run.
+// If the drain's deadline comes first, open requests are answered once: as failed if they may have run, otherwise as
+// rejected.
 func TestDrain_DeadlineAnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, sendOnceBut("queued"), WithDrainDelay(0))
+		r, _ := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, sendOnceExcept("queued"), WithDrainDelay(0))
 		sent := startDo(t.Context(), r, readRequest("sent"))
 		queued := startDo(t.Context(), r, readRequest("queued"))
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := r.Drain(ctx); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("Drain: %v", err)
+			t.Errorf("Drain: error %v, want deadline exceeded", err)
 		}
 		wantResult(t, "sent", sent, Failed)
 		wantResult(t, "queued", queued, Rejected)
@@ -87,7 +88,7 @@
 		stats := r.Stats()
 		wantNothingLeft(t, stats)
 		if stats.Phase != Drained {
-			t.Errorf("phase %v", stats.Phase)
+			t.Errorf("phase %v, want drained", stats.Phase)
 		}
 	})
 }
--- a/router/endpoint.go
+++ b/router/endpoint.go
@@ -8,12 +8,12 @@
 	"cobaltward/policy"
 )
 
-// EndpointSource reports the servers.
+// EndpointSource provides the list of servers and its changes.
 type EndpointSource interface {
-	// Run passes each update to publish until ctx ends. publish may block while the router is busy, and
-	// returns at once after the router's end. The router calls Run once, in a goroutine that Close waits for.
+	// Run passes each update to publish until ctx ends. publish may block while the router is busy, and returns at
+	// once after the router has ended. The router calls Run once, in a goroutine that Close waits for.
 	Run(ctx context.Context, publish func(EndpointUpdate))
-	// SetPolling turns polling for updates on or off, as the balancer wants it. It must not block.
+	// SetPolling turns polling for updates on or off, as the balancer requests. It must not block.
 	SetPolling(on bool)
 }
 
@@ -21,20 +21,21 @@
 type EndpointUpdate struct {
 	Kind      policy.ListKind
 	Endpoints []Endpoint // only read by the router
-	// Drops, where it is not nil, replaces the fractions of requests to drop, by pool. The router rejects
-	// them before the balancer sees them. It is only read.
+	// Drops, if not nil, replaces the fractions of requests to drop, by pool. The router rejects these requests before
+	// the balancer sees them. The router does not change the map.
 	Drops dropoverload.Fractions
-	// Outage is for how long, by the monotonic clock, the source had got no answer before this one because its calls
-	// failed or fell silent; 0 where none did. What the update names may have happened at any time of it.
+	// Outage is how long, by the monotonic clock, the source had received no answer before this one because its calls
+	// failed or got no response; 0 if there was no outage. The changes in this update may have happened at any time
+	// during the outage.
 	Outage time.Duration
 	more   bool // other batches of the same update follow
 }
 
-// Endpoint is one server.
+// Endpoint describes one server.
 type Endpoint struct {
-	ID           string   // stable across updates, and the same at every node
-	Addr         string   // host:port, or another form that the transport takes
-	Pools        []string // the clusters that it belongs to; nil where there are none
+	ID           string   // stable across updates, and the same on every node
+	Addr         string   // host:port, or another form that the transport accepts
+	Pools        []string // the clusters that it belongs to; nil if there are none
 	Zone         string
 	Kind         string
 	Cell         int64
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// updateBatchSize is how many entries of an endpoint update the loop handles at a time: few enough for
-	// the balancer to sort them in place, and for requests to be handled in between.
+	// updateBatchSize is how many entries of an endpoint update the loop handles at a time. It is small enough for the
+	// balancer to sort the entries in place, and for requests to be handled between batches.
 	updateBatchSize = 4
-	// maxReusedEndpoints bounds the capacity of loop.endpointBuffer.
+	// maxReusedEndpoints is the largest capacity of loop.endpointBuffer that is kept.
 	maxReusedEndpoints = 4 * updateBatchSize
 )
 
-// endpointSummary is what Stats counts of a server.
+// endpointSummary is the part of an endpoint that Stats counts.
 type endpointSummary struct {
 	availability policy.Availability
 	pools        []string
 }
 
-// enqueueUpdate passes an endpoint update to the loop. A large one goes in batches, running servers first: at no
-// time are there fewer of them than both before and after. It blocks while the loop is busy.
+// enqueueUpdate passes an endpoint update to the loop. A large update is split into batches, running servers first,
+// so that at no time there are fewer of them than both before and after the update. It blocks while the loop is busy.
 func (l *loop) enqueueUpdate(update EndpointUpdate) {
 	endpoints := update.Endpoints
 	if update.Kind == policy.ListUpdate && len(endpoints) > updateBatchSize {
 		endpoints = byAvailability(endpoints)
-		var pacer cpuyield.Yielder
+		var yielder cpuyield.Yielder
 		for len(endpoints) > updateBatchSize {
 			batch := update
 			batch.Endpoints, batch.Drops, batch.more = endpoints[:updateBatchSize], nil, true
@@ -35,7 +35,7 @@
 				return
 			}
 			endpoints = endpoints[updateBatchSize:]
-			pacer.YieldIfDue()
+			yielder.YieldIfDue()
 		}
 	}
 	update.Endpoints = endpoints
@@ -55,7 +55,7 @@
 	return ordered
 }
 
-// sendUpdate queues one batch; false where the loop has ended.
+// sendUpdate queues one batch; it returns false if the loop has ended.
 func (l *loop) sendUpdate(update EndpointUpdate) bool {
 	select {
 	case l.endpointUpdates <- update:
@@ -65,9 +65,9 @@
 	}
 }
 
-// applyPendingUpdate applies the queued endpoint update, if there is one, ahead of the event that the loop has
-// taken: where the host has kept the loop from running, requests have piled up, and none of them may go to a
-// server that drains.
+// applyPendingUpdate applies the queued endpoint update, if there is one, before the event that the loop has taken.
+// If the host has not run the loop for a while, requests have queued up, and none of them may go to a server that is
+// draining.
 func (l *loop) applyPendingUpdate() {
 	select {
 	case update := <-l.endpointUpdates:
@@ -101,7 +101,7 @@
 	}
 }
 
-// balancerEndpoint is an endpoint as the balancer knows it.
+// balancerEndpoint converts an endpoint to the form that the balancer uses.
 func (l *loop) balancerEndpoint(endpoint *Endpoint) policy.Endpoint {
 	online := l.clock.serverStart(endpoint.Started)
 	return policy.Endpoint{
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordEndpoints keeps the summaries for Stats.
+// recordEndpoints updates the summaries of endpoints for Stats.
 func (l *loop) recordEndpoints(update EndpointUpdate) {
 	if update.Kind != policy.ListUpdate {
 		clear(l.endpoints)
--- a/router/endpoint_update_test.go
+++ b/router/endpoint_update_test.go
@@ -8,8 +8,8 @@
 	"cobaltward/policy"
 )
 
-// A large update comes in batches, so that requests are not held up by it, and running servers come before those
-// that leave.
+// A large update is applied in batches, so that it does not delay requests, and running servers come before those
+// that are draining or removed.
 func TestEndpointUpdate_LargeUpdateInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: serveAtOnce}
@@ -28,7 +28,7 @@
 		wantBatches(t, transport.updates[1:], len(endpoints))
 		counts := r.Stats().EndpointsByAvailability
 		if counts[policy.Running] != 34+1 || counts[policy.Draining] != 33 {
-			t.Errorf("%v", counts)
+			t.Errorf("endpoints by availability: %v, want 35 running and 33 draining", counts)
 		}
 	})
 }
@@ -39,11 +39,11 @@
 	last, n := policy.Running, 0
 	for _, batch := range batches {
 		if len(batch.Endpoints) > updateBatchSize {
-			t.Errorf("%d entries at once", len(batch.Endpoints))
+			t.Errorf("a batch has %d entries", len(batch.Endpoints))
 		}
 		for _, endpoint := range batch.Endpoints {
 			if endpoint.Availability < last {
-				t.Errorf("%s comes after one that leaves", endpoint.ID)
+				t.Errorf("%s comes after an endpoint that is draining or removed", endpoint.ID)
 			}
 			last = endpoint.Availability
 			n++
--- a/router/event.go
+++ b/router/event.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// event is a message to the event loop. Endpoint updates have a channel of their own.
+// event is a message to the event loop. Endpoint updates use a channel of their own.
 type event interface{ isEvent() }
 
-// The events of the loop. Those of a single pointer are sent without an allocation.
+// The events of the loop. An event that holds a single pointer is sent without an allocation.
 type (
-	// requestSubmitted is a call that Do hands in.
+	// requestSubmitted submits a call made by Do.
 	requestSubmitted struct{ call *call }
-	// clientLeft says that the caller of a call has left.
+	// clientLeft reports that the caller of a call no longer waits.
 	clientLeft struct{ call *call }
-	// bodyReceived says that the last byte of a call's upload has come.
+	// bodyReceived reports that the last byte of a call's upload has arrived.
 	bodyReceived struct {
 		call *call
 		at   time.Time
 	}
-	// attemptEnded says that the transport has returned from an attempt, with attempt.result set.
+	// attemptEnded reports that the transport has returned from an attempt; attempt.result is set.
 	attemptEnded struct{ attempt *attempt }
-	// drainEnded has the open requests answered, unless the drain was cancelled meanwhile.
+	// drainEnded makes the loop answer the open requests, unless the drain was cancelled in the meantime.
 	drainEnded struct{ run *drainRun }
-	// command has a function run in the loop, and its error sent to reply, which must be buffered.
+	// command runs a function in the loop, and sends its error to reply, which must be buffered.
 	command struct {
 		run   func(*loop) error
 		reply chan<- error
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -9,7 +9,7 @@
 	"cobaltward/router"
 )
 
-// echo is a transport that answers in the server's place; package transport/http1 has a real one.
+// echo is a transport that answers in the server's place; package transport/http1 has a real transport.
 type echo struct{}
 
 func (echo) Attempt(_ context.Context, server string, r *router.Request) router.Result {
@@ -21,7 +21,7 @@
 func (echo) CloseIdle(string)             {}
 func (echo) Close()                       {}
 
-// bookingConfig has one class, and no server.
+// bookingConfig returns a configuration with one class and no server.
 func bookingConfig() router.Config {
 	return router.Config{Settings: policy.Settings{
 		Nodes:   1,
@@ -36,7 +36,7 @@
 	}
 }
 
-// A router from its start to its end.
+// A router is started, routes a request and its duplicate, and is closed.
 func Example() {
 	config := router.Config{
 		Settings: policy.Settings{
@@ -61,12 +61,12 @@
 	request := router.Request{ID: "r1", Class: "booking", Tenant: "stol-nitra", Target: "/rooms/7"}
 	answer, err := r.Do(context.Background(), request)
 	if err != nil {
-		fmt.Println(err) // it was not accepted, or the caller's context has ended
+		fmt.Println(err) // the request was not accepted, or the caller's context has ended
 		return
 	}
 	fmt.Println(answer.Outcome, string(answer.Body))
 
-	// The same ID again is somebody's retry: it does not run a second time.
+	// A second request with the same ID is a duplicate: it does not run.
 	answer, err = r.Do(context.Background(), request)
 	fmt.Println(answer.Outcome, err)
 	// Output:
--- a/router/level_status.go
+++ b/router/level_status.go
@@ -14,23 +14,24 @@
 	Level  int            `json:"level"` // 0: full service
 	Name   string         `json:"name"`
 	Reason string         `json:"reason"`
-	Demand float64        `json:"demand"` // as levels.Demand
-	Slow   float64        `json:"slow"`   // as levels.Slow
-	Queued float64        `json:"held"`   // as levels.Held
+	Demand float64        `json:"demand"` // value of levels.Demand
+	Slow   float64        `json:"slow"`   // value of levels.SlowAnswers
+	Queued float64        `json:"held"`   // value of levels.Queued
 	Events []levels.Event `json:"events"`
 
-	ExitConditions []string `json:"lifts,omitempty"` // what would end the level
-	ExitProbing    bool     `json:"trying"`          // its end is being tried: half of the usual part is shed
-	MaxLevel       int      `json:"most"`            // levels beyond it are not entered by their conditions; -1: all are
-	DryRun         bool     `json:"dry_run"`         // it changes nothing for requests
+	ExitConditions []string `json:"lifts,omitempty"` // conditions that would end the level
+	ExitProbing    bool     `json:"trying"`          // its end is being tried: only half as much is shed
+	MaxLevel       int      `json:"most"`            // levels beyond it are not entered automatically; -1: no limit
+	DryRun         bool     `json:"dry_run"`         // the level is only computed; requests are not affected
 
 	// Requests shed by the levels since the start; in a dry run, those that would have been shed.
 	ShedByClass  map[string]uint64 `json:"shed,omitempty"`
-	ShedByTenant map[string]uint64 `json:"shed_by,omitempty"` // tenants that the settings don't list are under ""
-	ShedWeight   float64           `json:"shed_worth"`        // sum of their priority weights
+	ShedByTenant map[string]uint64 `json:"shed_by,omitempty"` // tenants that are not in the settings count under ""
+	ShedWeight   float64           `json:"shed_worth"`        // sum of the priority weights of shed requests
 }
 
-// Level returns the level of service in force; ErrNoLevels where there are none, ErrClosed after Close.
+// Level returns the level of service in force. It returns ErrNoLevels if there are no levels, and ErrClosed after
+// Close.
 func (r *Router) Level() (status LevelStatus, err error) {
 	err = r.withDegradation(func(d *degradation, _ policy.Time) error {
 		status = d.status()
@@ -39,29 +40,31 @@
 	return status, err
 }
 
-// SetLevel puts a level in force by hand for a duration; 0: until ReleaseLevel. who and why are for the events.
-// It returns an error where there is no such level, ErrNoLevels or ErrClosed.
-func (r *Router) SetLevel(level int, d time.Duration, who, why string) error {
+// SetLevel puts a level in force manually for a duration d, or until ReleaseLevel if d is 0. requestedBy and reason
+// are recorded in the events. It returns an error if there is no such level, ErrNoLevels or ErrClosed.
+func (r *Router) SetLevel(level int, d time.Duration, requestedBy, reason string) error {
 	return r.withDegradation(func(deg *degradation, now policy.Time) error {
-		return deg.controller.SetManual(now, level, d, who, why)
+		return deg.controller.SetManual(now, level, d, requestedBy, reason)
 	})
 }
 
-// SetLevels replaces the levels of service while the router runs; nil: full service always. A level of the same
-// name stays in force. It returns an error that names the invalid value, and changes nothing then, or ErrClosed.
+// SetLevels replaces the levels of service while the router runs; nil means full service always. The level in force
+// stays in force if the new levels have one of the same name. If a value is invalid, SetLevels changes nothing and
+// returns an error that names the value. After Close it returns ErrClosed.
 func (r *Router) SetLevels(c *levels.Config) error {
 	return r.runInLoop(func(l *loop) error { return l.reconfigureLevels(c) })
 }
 
-// SetMaxLevel has no level beyond it entered by its conditions; -1 allows all. who and why are for the events.
-// It returns an error where there is no such level, ErrNoLevels or ErrClosed.
-func (r *Router) SetMaxLevel(level int, who, why string) error {
+// SetMaxLevel prevents levels beyond this one from being entered by their conditions; -1 allows all. requestedBy and
+// reason are recorded in the events. It returns an error if there is no such level, ErrNoLevels or ErrClosed.
+func (r *Router) SetMaxLevel(level int, requestedBy, reason string) error {
 	return r.withDegradation(func(d *degradation, now policy.Time) error {
-		return d.controller.SetMaxLevel(now, level, who, why)
+		return d.controller.SetMaxLevel(now, level, requestedBy, reason)
 	})
 }
 
-// ReleaseLevel returns a level that was set by hand to its conditions. It returns ErrNoLevels or ErrClosed.
+// ReleaseLevel ends the effect of SetLevel: the conditions of the levels decide again. It returns ErrNoLevels or
+// ErrClosed.
 func (r *Router) ReleaseLevel() error {
 	return r.withDegradation(func(d *degradation, _ policy.Time) error {
 		d.controller.ReleaseManual()
@@ -69,7 +72,7 @@
 	})
 }
 
-// withDegradation runs f in the loop; ErrNoLevels where there are no levels.
+// withDegradation runs f in the loop; it returns ErrNoLevels if there are no levels.
 func (r *Router) withDegradation(f func(*degradation, policy.Time) error) error {
 	return r.runInLoop(func(l *loop) error {
 		if l.degradation == nil {
@@ -99,7 +102,7 @@
 	}
 }
 
-// reconfigureLevels is SetLevels in the loop.
+// reconfigureLevels implements SetLevels in the loop.
 func (l *loop) reconfigureLevels(config *levels.Config) error {
 	switch {
 	case config == nil:
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// scheduleLevelStep sets the timer of the next step, unless it is set.
+// scheduleLevelStep sets the timer of the next step, unless it is set already.
 func (l *loop) scheduleLevelStep(now policy.Time) {
 	if l.levelStepScheduled {
 		return
@@ -134,7 +137,7 @@
 	heap.Push(&l.timers, &timer{kind: levelStepTimer, due: now + levelStepInterval})
 }
 
-// stepLevels takes the step that was due, and schedules the next.
+// stepLevels performs the step that was due, and schedules the next.
 func (l *loop) stepLevels(due policy.Time) {
 	l.levelStepScheduled = false
 	if l.degradation == nil { // SetLevels has removed the levels
--- a/router/loop.go
+++ b/router/loop.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// eventBuffer lets callers and attempts send an event while the loop handles others.
+	// eventBuffer is the capacity of the event queue, so that callers and attempts can send events while the loop is
+	// busy.
 	eventBuffer = 1024
-	// lagGain is the weight of one event in the mean lag.
+	// lagGain is the weight of one event in the moving average of the lag.
 	lagGain = 0.05
 )
 
-// loop owns the balancer, the open requests and the timers, in one goroutine. Everything else sends it
-// events; it waits for nothing but the next event, endpoint update or timer.
+// loop owns the balancer, the open requests and the timers, in one goroutine. All other goroutines send it events; it
+// waits for nothing but the next event, endpoint update or timer.
 type loop struct {
 	clock          clock
 	log            *slog.Logger
-	balancer       safeguards.Policy // a policy.Balancer
+	balancer       safeguards.Policy // a *policy.Balancer, except in tests and rehearsals
 	launcher       attemptLauncher
 	disabledGuards safeguards.Overrides
 	config         Config
@@ -33,30 +34,30 @@
 	endpointSource EndpointSource
 
 	events          chan event
-	endpointUpdates chan EndpointUpdate // apart from events, and ahead of them: a drain waits behind no request
+	endpointUpdates chan EndpointUpdate // handled before events, so that no request delays the drain of a server
 	done            chan struct{}       // closed when the loop has ended
 	ready           chan struct{}       // closed when the last known endpoint list is in force
 
 	requests          map[string]*request
 	recentIDs         idHistory
-	withheld          map[*withheldAnswer]struct{} // that were waiting for a write when they were given
-	drained           atomic.Bool                  // no request is admitted, until the drain is cancelled
+	withheld          map[*withheldAnswer]struct{} // rejections that wait for a write in progress
+	drained           atomic.Bool                  // while set, no request is admitted; cleared if the drain is cancelled
 	pendingAnswers    int                          // requests without an answer
-	openRequests      atomic.Int64                 // the same, for other goroutines to read
+	openRequests      atomic.Int64                 // copy of pendingAnswers for other goroutines
 	timers            timerHeap
-	skippedOutcomes   []policy.Outcome // of attempts that were not made; for the balancer once all actions are done
+	skippedOutcomes   []policy.Outcome // of attempts not made; reported to the balancer after all actions
 	attemptGoroutines sync.WaitGroup
 	attemptsInFlight  int
-	stats             Stats // what the loop counts; valid for others once done is closed
+	stats             Stats // counted by the loop; other goroutines may read it once done is closed
 	counters          counters
 
-	endpoints      map[string]endpointSummary // for Stats
+	endpoints      map[string]endpointSummary // the listed endpoints, for Stats
 	starts         startTracker
 	drops          dropoverload.Fractions
 	endpointBuffer []policy.Endpoint // reused for small updates
 
-	degradation        *degradation // nil where there are no levels of service
-	levelStepScheduled bool         // a timer for the next step of the levels is set
+	degradation        *degradation // nil if there are no levels of service
+	levelStepScheduled bool         // the timer for the next step of the levels is set
 }
 
 func newLoop(config Config, opts options, clk clock) (*loop, error) {
@@ -101,7 +102,7 @@
 // enforced reports whether a safeguard is in force. All are, outside of tests and rehearsals.
 func (l *loop) enforced(guard safeguards.Guards) bool { return l.disabledGuards.Enforces(guard) }
 
-// send queues an event; false where the loop has ended.
+// send queues an event; it returns false if the loop has ended.
 func (l *loop) send(ev event) bool {
 	select {
 	case l.events <- ev:
@@ -111,8 +112,8 @@
 	}
 }
 
-// run handles events until ctx ends. Then it answers the open requests, cancels the attempts and waits for
-// them. The last known endpoint list comes before everything else, as the balancer expects.
+// run handles events until ctx ends. Then it answers the open requests, cancels the attempts and waits for them. It
+// applies the last known endpoint list before it handles events, as the balancer expects.
 func (l *loop) run(ctx context.Context) {
 	defer l.attemptGoroutines.Wait()
 	defer l.cancelAllAttempts()
@@ -131,8 +132,8 @@
 	l.stats = l.snapshot()
 }
 
-// next waits for an event, an endpoint update or the next timer, and handles the first two; false where ctx
-// has ended.
+// next waits for an event, an endpoint update or the next timer, and handles the event or update; it returns false if
+// ctx has ended.
 func (l *loop) next(ctx context.Context, wakeup *time.Timer) bool {
 	if len(l.timers) > 0 {
 		wakeup.Reset(l.timers[0].due - l.clock.now())
@@ -153,7 +154,7 @@
 	return true
 }
 
-// begin does the work that precedes all events.
+// begin applies the configured endpoint list and schedules the first step of the levels, before any event is handled.
 func (l *loop) begin() {
 	l.updateEndpoints(EndpointUpdate{Kind: policy.ListRestored, Endpoints: l.config.Endpoints})
 	if l.degradation != nil {
@@ -166,7 +167,7 @@
 	case requestSubmitted:
 		l.admit(ev.call)
 	case clientLeft:
-		l.removeClient(ev.call)
+		l.handleClientGone(ev.call)
 	case bodyReceived:
 		l.completeBody(ev)
 	case attemptEnded:
@@ -180,7 +181,7 @@
 	}
 }
 
-// recordLag records by how much the loop was late for an event.
+// recordLag records the delay with which the loop handles an event or timer.
 func (l *loop) recordLag(lag time.Duration) {
 	lag = max(0, lag)
 	l.stats.Lag.Last = lag
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -10,7 +10,8 @@
 	"cobaltward/policy"
 )
 
-// The restored endpoint list comes first, and the one outcome of a served request says that it is answered.
+// The balancer first receives the restored endpoint list. The only outcome of a served request reports that the
+// request is answered.
 func TestLoop_OrderOfBalancerEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		respond := func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -25,23 +26,23 @@
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: serveAtOnce}, respond)
 		answer := wantDo(t, r, readRequest("r1"), Served)
 		if string(answer.Body) != "yes" {
-			t.Errorf("body %q", answer.Body)
+			t.Errorf("body %q, want yes", answer.Body)
 		}
 		time.Sleep(2 * ms)
 		balancer.wantEvents(t, "list 2", "request r1", outcomeName("r1", 0, policy.OK, true), "timer 77")
 	})
 }
 
-// The host keeps the router from running for 300 ms: what has expired by then gets its one answer and is not sent,
-// an endpoint update goes ahead of the requests that piled up before it, and the lag is reported.
+// The host does not run the router for 300 ms: requests that have expired by then get one answer and are not sent, an
+// endpoint update is applied before the requests that were queued ahead of it, and the lag is reported.
 func TestLoop_StalledHost(t *testing.T) {
-	for range 10 { // a random choice among ready channels is right by chance, but not each time
+	for range 10 { // select chooses a ready channel at random, which could be the right one by chance
 		synctest.Test(t, testStalledHost)
 	}
 }
 
-// stallOn returns a respondFunc that sends each request once, and stalls the loop at the request "stall". It
-// appends received values to order.
+// stallOn returns a respondFunc that sends each request once, and blocks the loop for a time at the request "stall".
+// It appends the IDs of received requests, and "list" for each endpoint list, to order.
 func stallOn(order *[]string, stall time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
@@ -86,14 +87,14 @@
 		}
 	}
 	if len(order) < 3 || order[1] != "stall" || order[2] != "list" {
-		t.Errorf("the endpoint update did not go ahead: %v", order[:min(4, len(order))])
+		t.Errorf("the endpoint update was not applied before the queued requests: %v", order[:min(4, len(order))])
 	}
 	if lag := r.Stats().Lag; lag.Max < 299*ms || lag.Mean <= 0 {
 		t.Errorf("lag %+v, want 300 ms", lag)
 	}
 	for _, name := range balancer.eventNames() {
 		if strings.Contains(name, "late") {
-			t.Errorf("the balancer received: %s", name)
+			t.Errorf("the balancer received an expired request: %s", name)
 		}
 	}
 }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Metrics are counts that are read without waiting, however busy the router is. A request whose caller has left
-// before its answer is counted nowhere.
+// Metrics holds counts that can be read without waiting, however busy the router is. A request whose caller has left
+// before its answer is not counted.
 type Metrics struct {
-	Classes              []ClassMetrics // of every class that the settings have or had, by name
-	InFlight             int            // requests accepted and not ended
+	Classes              []ClassMetrics // one entry for each class that the settings have or had, sorted by name
+	InFlight             int            // requests accepted and not yet finished
 	Endpoints            int            // servers in the endpoint list
-	UnavailableEndpoints int            // of them, those that the balancer avoids
-	AttemptsWritten      uint64         // written completely to servers; 0 where the transport doesn't count them
+	UnavailableEndpoints int            // servers in the endpoint list that the balancer avoids
+	AttemptsWritten      uint64         // attempts written completely to servers; 0 if the transport does not count them
 }
 
-// ClassMetrics are the numbers of final answers of one class, since the start.
+// ClassMetrics holds the numbers of final answers of one class since the start.
 type ClassMetrics struct {
 	Class   string
 	Served  uint64
@@ -30,11 +30,11 @@
 	return metrics
 }
 
-// InFlight is the number of requests accepted and not ended. It does not block.
+// InFlight is the number of requests accepted and not yet finished. It does not block.
 func (r *Router) InFlight() int { return int(r.loop.counters.inFlight.Load()) }
 
-// CountFailed counts a request of a class as failed that a front has answered itself, since it was malformed: the
-// router never saw it.
+// CountFailed counts a malformed request of a class as failed. The caller of the router has answered it itself, and
+// the router never received it.
 func (r *Router) CountFailed(class string) { r.loop.counters.count(class, Failed) }
 
 func (c *counters) metrics() Metrics {
@@ -62,7 +62,7 @@
 	}
 }
 
-// publishEndpointCounts keeps the counts of the endpoints up to date, after each event.
+// publishEndpointCounts updates the counts of endpoints. It is called after each event.
 func (l *loop) publishEndpointCounts() {
 	unavailable := 0
 	if balancer, ok := l.balancer.(availabilityCounter); ok {
--- a/router/options.go
+++ b/router/options.go
@@ -22,7 +22,7 @@
 	levels         *levels.Config
 }
 
-// newOptions applies opts to the defaults.
+// newOptions applies opts to the default options.
 func newOptions(transport Transport, opts []Option) options {
 	all := options{
 		log:            slog.New(slog.DiscardHandler),
@@ -35,7 +35,7 @@
 	return all
 }
 
-// WithTransport sets the transport that makes the attempts. It is required by New. The router closes it.
+// WithTransport sets the transport that makes the attempts. New requires it. Router.Close closes the transport.
 func WithTransport(t Transport) Option { return func(o *options) { o.transport = t } }
 
 // WithEndpointSource sets the source of endpoint updates. The default is StaticEndpoints.
@@ -46,15 +46,15 @@
 // WithLogger sets the logger. By default nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithListener adds a listener that a drain shuts down. May be given more than once. One that has no client
-// connections of its own, and only calls Do, needs none.
+// WithListener adds a listener that a drain shuts down. It may be given more than once. A listener that has no client
+// connections of its own, and only calls Do, need not be added.
 func WithListener(l Listener) Option {
 	return func(o *options) { o.listeners = append(o.listeners, l) }
 }
 
-// WithDrainDelay sets for how long Drain keeps serving as before while Phase is Draining, so that
-// readiness checks can notice. Negative values count as 0. The default is 0.6 of the longest class
-// deadline, but of at most 3 s.
+// WithDrainDelay sets for how long Drain keeps serving as before while Phase is Draining, so that readiness checks
+// notice the drain. Negative values count as 0. The default is 0.6 times the longest class deadline, of which at most
+// 3 s count.
 func WithDrainDelay(d time.Duration) Option {
 	return func(o *options) { o.drainDelay, o.drainDelaySet = max(0, d), true }
 }
--- a/router/phase.go
+++ b/router/phase.go
@@ -1,27 +1,27 @@
 package router
 
-// Phase is a stage in the life of a router, from its start to its end.
+// Phase is a stage in the life cycle of a router.
 type Phase uint32
 
 // The phases, in order.
 const (
 	Starting Phase = iota // the last known endpoint list is not in force yet
 	Serving
-	Draining // new clients should go elsewhere; requests are still served
-	Closing  // listeners end their connections; requests that still come are served
+	Draining // new clients should use another node; requests are still served
+	Closing  // listeners close their connections; requests that still arrive are served
 	Drained  // no request is accepted any more
 	Closed
 )
 
 var phaseNames = [...]string{"starting", "serving", "leaving", "closing", "drained", "closed"}
 
-// String is the phase's name in logs and reports.
+// String returns the phase's name in logs and reports.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Phase is the router's phase. It is ready for new clients while it is Serving.
+// Phase returns the router's phase. The router is ready for new clients only while it is Serving.
 func (r *Router) Phase() Phase { return Phase(r.phase.Load()) }
 
-// advancePhase moves on to a later phase; it does nothing where the router is there or beyond.
+// advancePhase moves on to a later phase; it does nothing if the router is in that phase or a later one.
 func (r *Router) advancePhase(to Phase) {
 	for {
 		current := r.phase.Load()
@@ -31,7 +31,7 @@
 	}
 }
 
-// resumeServing takes the phases of a drain back.
+// resumeServing undoes the phases of a drain.
 func (r *Router) resumeServing() {
 	for _, phase := range []Phase{Draining, Closing, Drained} {
 		r.phase.CompareAndSwap(uint32(phase), uint32(Serving))
--- a/router/reload_test.go
+++ b/router/reload_test.go
@@ -14,9 +14,9 @@
 	"cobaltward/policy"
 )
 
-// Twenty reloads a second for ten seconds, under load, with classes, tenants, limits and servers changing: each
-// request gets one answer, no booking runs twice, and the newest configuration holds at the end with nothing left
-// behind.
+// Twenty reloads a second for ten seconds, under load, change classes, tenants, limits and servers: each request gets
+// one answer, no request of class "pay" is sent again once it may have run, and at the end the newest configuration
+// is in force and no request is left.
 func TestReload_UnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		checker := newRuleChecker(rand.NewPCG(1, 2))
@@ -37,25 +37,25 @@
 			t.Error(violation)
 		}
 		if served := load.answers[Served].Load(); served < 5_000 {
-			t.Errorf("%d served", served)
+			t.Errorf("%d requests were served, want at least 5000", served)
 		}
 		want := newest.Settings.Classes[1].Deadline
 		if class, _ := r.Class("pay"); class.Deadline != want {
-			t.Errorf("pay has the deadline %v, want the newest's %v", class.Deadline, want)
+			t.Errorf("pay has the deadline %v, want %v as in the newest configuration", class.Deadline, want)
 		}
-		time.Sleep(time.Minute) // all timers that are the balancer's own have come due
+		time.Sleep(time.Minute) // by then all timers of the balancer have fired
 		stats := r.Stats()
 		wantNothingLeft(t, stats)
 		if stats.Reloads != 200 || stats.EndpointsByAvailability[policy.Running] != len(newest.Endpoints) {
-			t.Errorf("%+v", stats)
+			t.Errorf("unexpected statistics: %+v", stats)
 		}
 		if stats.Timers > 8 {
-			t.Errorf("%d timers are left", stats.Timers)
+			t.Errorf("%d timers are left, want at most 8", stats.Timers)
 		}
 	})
 }
 
-// changedConfig is the i-th of the configurations of TestReload_UnderLoad.
+// changedConfig returns configuration i of TestReload_UnderLoad.
 func changedConfig(i int) Config {
 	config := testConfig()
 	config.Endpoints = testEndpoints(3 + i%4)
@@ -66,23 +66,23 @@
 	return config
 }
 
-// testLoad is clients that send requests of all classes, one each 5 ms, until they are stopped.
-type testLoad struct {
+// loadGenerator runs clients that each send a request every 5 ms, of all classes in turn, until it is stopped.
+type loadGenerator struct {
 	answers [len(outcomeNames)]atomic.Int64 // by Outcome
 	clients sync.WaitGroup
 	stopped chan struct{}
 }
 
-func startLoad(t *testing.T, r *Router, clients int) *testLoad {
+func startLoad(t *testing.T, r *Router, clients int) *loadGenerator {
 	t.Helper()
-	load := &testLoad{stopped: make(chan struct{})}
+	load := &loadGenerator{stopped: make(chan struct{})}
 	for i := range clients {
 		load.clients.Go(func() { load.run(t, r, i) })
 	}
 	return load
 }
 
-func (l *testLoad) run(t *testing.T, r *Router, client int) {
+func (l *loadGenerator) run(t *testing.T, r *Router, client int) {
 	for n := 0; ; n++ {
 		select {
 		case <-l.stopped:
@@ -100,7 +100,7 @@
 	}
 }
 
-func (l *testLoad) stop() {
+func (l *loadGenerator) stop() {
 	close(l.stopped)
 	l.clients.Wait()
 }
@@ -138,14 +138,14 @@
 				}
 				wantDo(t, r, Request{ID: "r", Class: "pay", Tenant: "t"}, Served)
 				if stats := r.Stats(); stats.Reloads != 0 || stats.EndpointsByAvailability[policy.Running] != 1 {
-					t.Errorf("%+v", stats)
+					t.Errorf("unexpected statistics: %+v", stats)
 				}
 			})
 		})
 	}
 }
 
-// An ID that was used before a reload stays used after it.
+// A request ID that was used before a reload still counts as used after it.
 func TestReload_KeepsUsedIDs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newTestRouter(t, &fakeTransport{attempt: serveAtOnce}, nil)
@@ -160,7 +160,7 @@
 	})
 }
 
-// A class that a reload has removed is unknown to new requests, and its open requests end as they would.
+// A class that a reload has removed is unknown to new requests; open requests of the class end as without the reload.
 func TestReload_RemovesClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
--- a/router/reply.go
+++ b/router/reply.go
@@ -26,18 +26,18 @@
 // deliver counts an answer and passes it to the caller. It is safe for concurrent use.
 func (l *loop) deliver(c *call, answer Answer) {
 	l.countAnswer(c, answer)
-	c.handOver(answer)
+	c.sendAnswer(answer)
 }
 
-// countAnswer counts an answer, but for one that is streamed: it counts when its caller closes it.
+// countAnswer counts an answer, unless it is streamed: then it is counted when the caller closes the stream.
 func (l *loop) countAnswer(c *call, answer Answer) {
 	if answer.Stream == nil {
 		l.counters.count(c.req.Class, answer.Outcome)
 	}
 }
 
-// handOver passes an answer to the caller. It does not block.
-func (c *call) handOver(answer Answer) {
+// sendAnswer passes an answer to the caller. It does not block.
+func (c *call) sendAnswer(answer Answer) {
 	if c.onAnswer != nil {
 		c.onAnswer(answer)
 		return
@@ -48,28 +48,28 @@
 	}
 }
 
-// reject answers a request that the balancer has not sent.
+// reject answers a request that the balancer rejects.
 func (l *loop) reject(r *request, retryAfter time.Duration) {
-	l.answer(r, Answer{Outcome: Rejected, RetryAfter: heededRetryAfter(retryAfter, r.capabilities)})
-	l.forget(r)
+	l.answer(r, Answer{Outcome: Rejected, RetryAfter: clampRetryAfter(retryAfter, r.capabilities)})
+	l.removeIfDone(r)
 }
 
-// fail answers a request in the balancer's place, and tells the balancer that its caller no longer waits.
+// fail answers a request in the balancer's place, and tells the balancer that the caller no longer waits.
 func (l *loop) fail(r *request, outcome Outcome) {
 	l.answer(r, Answer{Outcome: outcome})
 	l.notify(policy.ClientGone{ID: r.req.ID})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
-// removeClient handles that the caller of a call has left. Another request may have its ID by now.
-func (l *loop) removeClient(c *call) {
+// handleClientGone handles the event that the caller of a call has left. Another request may use its ID by now.
+func (l *loop) handleClientGone(c *call) {
 	r := l.requests[c.req.ID]
 	if r == nil || r.call != c || r.finished {
 		return
 	}
 	l.recordClientGone(r)
 	l.notify(policy.ClientGone{ID: r.req.ID})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
 // recordClientGone records that the client of a request no longer waits.
@@ -78,32 +78,32 @@
 	l.stats.ClientsGone++
 }
 
-// finishRequest marks a request as answered, or as given up by its client. It must be called once.
+// finishRequest marks a request as answered, or as abandoned by its client. It must be called once per request.
 func (l *loop) finishRequest(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
-		// What waits for a connection needs no cancellation, which the settings may not allow.
+		// An attempt that still waits for a connection needs no cancellation, which the settings may not allow.
 		if a.inFlight && l.enforced(safeguards.ClientGone) {
 			a.ctx.abandon()
 		}
 	}
 	l.pendingAnswers--
 	l.openRequests.Store(int64(l.pendingAnswers))
-	l.timers.remove(&r.backstop) // it would hold the request until a deadline that may be far off
+	l.timers.remove(&r.backstop) // the timer would keep the request in memory until its deadline
 }
 
-// forget drops a request that is finished and has no attempt in flight.
-func (l *loop) forget(r *request) {
+// removeIfDone drops a request that is finished, once the balancer knows the outcomes of all its attempts.
+func (l *loop) removeIfDone(r *request) {
 	if r.finished && r.pendingOutcomes == 0 && l.requests[r.req.ID] == r {
 		delete(l.requests, r.req.ID)
 	}
 }
 
-// answerOpenRequests answers all open requests, at the end of a drain or of the router: what may have run has
-// failed, and the rest is rejected.
+// answerOpenRequests answers all open requests, at the end of a drain or of the router: as failed if they may have
+// run, otherwise as rejected.
 func (l *loop) answerOpenRequests() {
 	for _, r := range l.oldestFirst() {
-		if r.finished { // meanwhile, by the balancer
+		if r.finished { // the balancer has answered it in the meantime
 			continue
 		}
 		outcome := Rejected
@@ -114,7 +114,7 @@
 	}
 }
 
-// oldestFirst lists the open requests in an order that is always the same, as that of a map is not.
+// oldestFirst returns the open requests in a deterministic order, which iteration over the map does not have.
 func (l *loop) oldestFirst() []*request {
 	open := make([]*request, 0, len(l.requests))
 	for _, r := range l.requests {
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -14,7 +14,7 @@
 	"cobaltward/policy"
 )
 
-// A finished request leaves nothing behind, however far off its deadline was.
+// A finished request leaves no state and no timer behind, however far off its deadline was.
 func TestRequest_ForgottenOnceFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reject := func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -30,12 +30,12 @@
 		stats := r.Stats()
 		wantNothingLeft(t, stats)
 		if stats.Timers != 0 || stats.Answers[Rejected] != 50 {
-			t.Errorf("%+v", stats)
+			t.Errorf("unexpected statistics: %+v", stats)
 		}
 	})
 }
 
-// The balancer learns that a client has left, and can cancel its attempts.
+// The balancer is notified that a client has left, and can cancel the attempts of its request.
 func TestClientGone_NotifiesBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, sendOnce)
@@ -44,14 +44,14 @@
 		synctest.Wait()
 		leave()
 		if result := <-done; !errors.Is(result.err, context.Canceled) {
-			t.Errorf("got %v, error %v", result.answer.Outcome, result.err)
+			t.Errorf("got outcome %v, error %v; want the error of a canceled context", result.answer.Outcome, result.err)
 		}
 		balancer.wantEvents(t, "list 2", "request r1", "client gone r1", outcomeName("r1", 0, policy.Cancelled, true))
 		wantOneClientGone(t, r)
 	})
 }
 
-// startAndLeave calls Do in a goroutine, and has its client leave once the bubble is idle.
+// startAndLeave calls Do in a goroutine, and cancels its context once the bubble is idle.
 func startAndLeave(t *testing.T, r *Router, id string) {
 	t.Helper()
 	ctx, leave := context.WithCancel(t.Context())
@@ -61,19 +61,19 @@
 	synctest.Wait()
 }
 
-// wantOneClientGone checks that one client is counted as gone, and that nothing of its request is left.
+// wantOneClientGone checks that one client is counted as gone, and that its request is forgotten.
 func wantOneClientGone(t *testing.T, r *Router) {
 	t.Helper()
 	stats := r.Stats()
 	wantNothingLeft(t, stats)
 	if stats.ClientsGone != 1 {
-		t.Errorf("%+v", stats)
+		t.Errorf("unexpected statistics, want one client gone: %+v", stats)
 	}
 }
 
-// The event that a client has left may be queued behind others. Its request is not admitted any more where it was
-// queued, gets no further attempt, and is not written where it waits for its connection, also where the settings
-// allow no cancellation.
+// The event that a client has left may be queued behind others. Meanwhile, its request is not admitted if it was
+// still queued, gets no further attempt, and is not written if its attempt waits for a connection, even if the
+// settings allow no cancellation.
 func TestClientGone_NothingIsSent(t *testing.T) {
 	t.Run("while queued", func(t *testing.T) { synctest.Test(t, testClientLeavesWhileQueued) })
 	t.Run("between attempts", func(t *testing.T) { synctest.Test(t, testClientLeavesBetweenAttempts) })
@@ -126,7 +126,7 @@
 	wantOneClientGone(t, r)
 }
 
-// sendAndFail is a respondFunc that answers each request as soon as it is sent.
+// sendAndFail is a respondFunc that sends each request and fails it at once.
 func sendAndFail(now policy.Time, ev policy.Event) []policy.Action {
 	if request, ok := ev.(policy.Request); ok {
 		return append(sendActions(request.ID, 1), policy.Action{Kind: policy.Fail, ID: request.ID})
@@ -152,11 +152,11 @@
 	wantNothingLeft(t, r.Stats())
 }
 
-// Requests that may have run fail and all others are rejected, each once.
+// Close answers each open request once: as failed if it may have run, otherwise as rejected.
 func TestClose_AnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
-		r, balancer := newTestRouter(t, transport, sendOnceBut("queued"))
+		r, balancer := newTestRouter(t, transport, sendOnceExcept("queued"))
 		sent := startDo(t.Context(), r, readRequest("sent"))
 		queued := startDo(t.Context(), r, readRequest("queued"))
 		synctest.Wait()
@@ -165,19 +165,20 @@
 		wantResult(t, "queued", queued, Rejected)
 		names := balancer.eventNames()
 		if !slices.Contains(names, "client gone sent") || !slices.Contains(names, "client gone queued") {
-			t.Errorf("the balancer received %q", names)
+			t.Errorf("the balancer received %q, want both clients reported as gone", names)
 		}
 		if _, err := r.Do(t.Context(), readRequest("late")); !errors.Is(err, ErrClosed) {
-			t.Errorf("after Close: %v", err)
+			t.Errorf("Do after Close: error %v, want ErrClosed", err)
 		}
 		closeRouter(t, r)
 		if transport.closed != 1 {
-			t.Errorf("the transport was closed %d times", transport.closed)
+			t.Errorf("the transport was closed %d times, want once", transport.closed)
 		}
 	})
 }
 
-// Close while requests come, leave and end: each call returns once, with an answer or an error.
+// Close is called while requests arrive, end and are abandoned: each call of Do returns once, with an answer or an
+// error.
 func TestClose_UnderLoad(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, testCloseUnderLoad)
@@ -205,15 +206,15 @@
 	closeRouter(t, r)
 	clients.Wait()
 	if stats := r.Stats(); stats.Phase != Closed || len(stats.OpenByClass) != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("unexpected statistics after Close: %+v", stats)
 	}
 }
 
-// TestReject_RetryAfterIsHeeded has a tenant over a small quota: no client gets a longer Retry-After than the
-// settings say that clients heed.
-func TestReject_RetryAfterIsHeeded(t *testing.T) {
+// TestReject_RetryAfterWithinMaximum checks that the clients of a tenant over a small quota get no longer Retry-After
+// than the maximum of the settings.
+func TestReject_RetryAfterWithinMaximum(t *testing.T) {
 	config := testConfig()
-	config.Settings.Tenants = []policy.Tenant{{Name: "t", Quota: 0.1}} // a token in ten seconds
+	config.Settings.Tenants = []policy.Tenant{{Name: "t", Quota: 0.1}} // one token every ten seconds
 	config.Settings.Capabilities.MaxRetryAfter = 2 * time.Second
 	engine, err := NewStepped(config, &countingHost{}, time.UnixMilli(1_700_000_000_000))
 	if err != nil {
@@ -233,7 +234,7 @@
 			t.Fatal(err)
 		}
 	}
-	if most := config.Settings.Capabilities.MaxRetryAfter; rejected == 0 || longest <= 0 || longest > most {
-		t.Errorf("%d requests were rejected, with a Retry-After of %v at most; want %v", rejected, longest, most)
+	if limit := config.Settings.Capabilities.MaxRetryAfter; rejected == 0 || longest <= 0 || longest > limit {
+		t.Errorf("%d requests were rejected, with a Retry-After of at most %v; want at most %v", rejected, longest, limit)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxDrainDelayBase bounds the part of the longest class deadline that the default drain delay counts.
+	// maxDrainDelayBase limits how much of the longest class deadline counts for the default drain delay.
 	maxDrainDelayBase = 3 * time.Second
-	// drainDelayShare is the share of it for which a drain keeps serving as before.
+	// drainDelayShare is the fraction of that time for which a drain keeps serving as before.
 	drainDelayShare = 0.6
 )
 
@@ -28,28 +28,28 @@
 	classes    atomic.Pointer[classTable]
 
 	stop       context.CancelFunc // ends the loop and the endpoint source
-	goroutines sync.WaitGroup     // the loop, the endpoint source and the drain
+	goroutines sync.WaitGroup     // the goroutines of the loop, the endpoint source and the drain
 	closeOnce  sync.Once
-	reloadMu   sync.Mutex // held during Reload: one at a time
+	reloadMu   sync.Mutex // held during Reload, so that reloads run one at a time
 
-	drainMu      sync.Mutex // guards what follows
+	drainMu      sync.Mutex // guards the fields below
 	drainMachine *drain.Machine
-	drainRun     *drainRun // the drain that is in progress, or the last one; nil before the first
+	drainRun     *drainRun // the drain in progress, or the last one; nil before the first
 }
 
-// classTable is what callers of Do need of the configuration in force. It is never changed.
+// classTable is the part of the configuration in force that callers of Do read. It is immutable.
 type classTable struct {
 	classes          map[string]policy.Class
 	longestDeadline  time.Duration
 	shortestDeadline time.Duration
-	overloaded       Answer // to requests that a listener has no room for
+	overloaded       Answer // the answer to requests for which a listener has no connection slot
 }
 
-// New starts a router. It returns a *ConfigError, wrapped, for an invalid field of c.
+// New starts a router. It returns a wrapped *ConfigError for an invalid field of config.
 func New(config Config, opts ...Option) (*Router, error) {
 	resolved := newOptions(nil, opts)
 	if resolved.transport == nil {
-		return nil, errors.New("router: no transport: give one by WithTransport")
+		return nil, errors.New("router: no transport: WithTransport is required")
 	}
 	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("router: %w", err)
@@ -61,8 +61,7 @@
 	return start(eventLoop, config, resolved), nil
 }
 
-// start starts the router's goroutines, the event loop and the endpoint source. Close ends both, and waits
-// for them.
+// start starts the event loop and the endpoint source in goroutines of their own. Close ends both and waits for them.
 func start(eventLoop *loop, config Config, opts options) *Router {
 	r := &Router{loop: eventLoop, listeners: opts.listeners, drainMachine: drain.New(time.Now())}
 	r.drainDelay = r.defaultDrainDelay
@@ -82,13 +81,13 @@
 	return r
 }
 
-// defaultDrainDelay is the drain delay where WithDrainDelay is not given.
+// defaultDrainDelay is the drain delay if WithDrainDelay is not given.
 func (r *Router) defaultDrainDelay() time.Duration {
 	base := min(r.classes.Load().longestDeadline, maxDrainDelayBase)
 	return time.Duration(drainDelayShare * float64(base))
 }
 
-// publishClasses makes a configuration visible to callers.
+// publishClasses makes the classes of a configuration visible to callers of Do.
 func (r *Router) publishClasses(c Config) {
 	table := &classTable{
 		classes:         make(map[string]policy.Class, len(c.Settings.Classes)),
@@ -110,36 +109,38 @@
 	return class, ok
 }
 
-// ShortestDeadline is the shortest deadline of a class of the configuration in force.
+// ShortestDeadline is the shortest class deadline of the configuration in force.
 func (r *Router) ShortestDeadline() time.Duration { return r.classes.Load().shortestDeadline }
 
-// RejectOverloaded counts a request of a class that a listener has no room for, and returns the answer to it.
+// RejectOverloaded counts a request of a class for which a listener has no connection slot as overloaded, and returns
+// the answer to it.
 func (r *Router) RejectOverloaded(class string) Answer {
 	r.loop.counters.count(class, Overloaded)
 	return r.classes.Load().overloaded
 }
 
-// QueueTimeout is the time for which a listener may let clients wait for a connection slot. After it their requests
-// must be rejected at once: a request may have any part of its deadline left, and its answer is lost half a second
-// after that.
+// QueueTimeout is the longest time for which a listener may let clients wait for a connection slot. After that, their
+// requests must be rejected at once: how much of its deadline a request has left is not known, and an answer that
+// comes half a second after the deadline is lost.
 func (r *Router) QueueTimeout() time.Duration {
 	return min(maxQueueTimeout, time.Duration(queueTimeoutFraction*float64(r.ShortestDeadline())))
 }
 
-// OverloadRetryAfter is the Retry-After for requests that a listener has no slot for; 0 where the settings allow
-// none.
+// OverloadRetryAfter is the Retry-After of requests for which a listener has no connection slot; 0 if the settings do
+// not allow Retry-After.
 func (r *Router) OverloadRetryAfter() time.Duration { return r.classes.Load().overloaded.RetryAfter }
 
-// Conns is the number of connections to servers; 0 unless the transport is a ConnectionCounter.
+// Conns is the number of open connections to servers; 0 unless the transport implements ConnectionCounter.
 func (r *Router) Conns() int { return serverConnections(r.loop.transport) }
 
-// Started is closed once the last known endpoint list is in force: from then on requests can be served.
+// Started returns a channel that is closed once the last known endpoint list is in force; from then on requests can
+// be served.
 func (r *Router) Started() <-chan struct{} { return r.loop.ready }
 
-// Reload applies another configuration without a restart. Requests accepted before end under the classes
-// and limits that they were accepted under; used request IDs, retry budgets and slow start are kept.
-// Config.Seed is not read. It returns an error that names the invalid field, and changes nothing then, or
-// ErrClosed.
+// Reload applies another configuration without a restart. Requests that were accepted before keep the classes and
+// limits under which they were accepted; used request IDs, retry budgets and slow start are kept. Config.Seed is
+// ignored. If the configuration is invalid, Reload changes nothing and returns an error that names the invalid field.
+// After Close it returns ErrClosed.
 func (r *Router) Reload(config Config) error {
 	if err := config.validate(); err != nil {
 		return fmt.Errorf("router: reload: %w", err)
@@ -157,9 +158,9 @@
 	return nil
 }
 
-// Close ends the router at once: open requests are answered (Failed where they may have run, else
-// Rejected), attempts are cancelled, the transport is closed, and Close returns when no goroutine of the
-// router is left. Calling it again only waits. It always returns nil.
+// Close stops the router at once: it answers open requests (Failed if they may have run, otherwise Rejected), cancels
+// attempts, closes the transport, and returns when all goroutines of the router have ended. Calling it again only
+// waits. It always returns nil.
 func (r *Router) Close() error {
 	r.closeOnce.Do(func() {
 		r.advancePhase(Closed)
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// runInLoop has the event loop run f, and returns its error; ErrClosed where the loop has ended.
+// runInLoop runs f in the event loop and returns its error, or ErrClosed if the loop has ended.
 func (r *Router) runInLoop(f func(*loop) error) error {
 	reply := make(chan error, 1) // buffered: the loop must not wait for the caller
 	if !r.loop.send(command{run: f, reply: reply}) {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -8,13 +8,13 @@
 
 func TestNew_InvalidArguments(t *testing.T) {
 	if _, err := New(testConfig()); err == nil || !strings.Contains(err.Error(), "transport") {
-		t.Errorf("without a transport: %v", err)
+		t.Errorf("without a transport: error %v, want one that names the transport", err)
 	}
 	config := testConfig()
 	config.Settings.Classes[0].LatencyObjective = -1
 	_, err := New(config, WithTransport(&fakeTransport{attempt: serveAtOnce}))
 	if err == nil || !strings.Contains(err.Error(), `class "read": aim`) {
-		t.Errorf("with a negative latency objective: %v", err)
+		t.Errorf("with a negative latency objective: error %v, want one that names the field", err)
 	}
 }
 
@@ -28,7 +28,7 @@
 		closeRouter(t, first)
 		wantDo(t, second, readRequest("next"), Served)
 		if stats := second.Stats(); stats.Answers[Served] != 2 {
-			t.Errorf("%d answers counted", stats.Answers[Served])
+			t.Errorf("%d served answers were counted, want 2", stats.Answers[Served])
 		}
 	})
 }
--- a/router/rule_checker_test.go
+++ b/router/rule_checker_test.go
@@ -9,8 +9,8 @@
 	"cobaltward/policy"
 )
 
-// ruleChecker makes attempts that end as drawn from a seed, and checks that no request of the class "pay" is sent
-// again once it may have run.
+// ruleChecker makes attempts with random results drawn from a seed, and checks that no request of the class "pay" is
+// sent again once it may have run.
 type ruleChecker struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -22,7 +22,7 @@
 	return &ruleChecker{rng: rand.New(source), mayHaveRun: make(map[string]bool)}
 }
 
-// attempt is an attemptFunc.
+// attempt is an attemptFunc with a drawn result.
 func (c *ruleChecker) attempt(ctx context.Context, _ string, r *Request) Result {
 	code, took := c.draw(r)
 	select {
@@ -33,14 +33,14 @@
 	}
 }
 
-// draw checks an attempt, and draws how it ends and when.
+// draw checks an attempt, and draws its result and its duration.
 func (c *ruleChecker) draw(r *Request) (policy.Code, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	code := drawCode(c.rng.Float64())
 	took := time.Duration(c.rng.IntN(20)) * ms
 	if r.Class == "pay" && c.mayHaveRun[r.ID] {
-		c.violations = append(c.violations, r.ID+" was sent again though it may have run")
+		c.violations = append(c.violations, r.ID+" was sent again although it may have run")
 	}
 	if !code.NotExecuted() {
 		c.mayHaveRun[r.ID] = true
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -7,56 +7,59 @@
 )
 
 const (
-	// unknownStart is the age up to which the wall clock does not tell that a server has been running for long: it may
-	// have been stepped by an hour since, and so may the clock of who noted the start.
-	unknownStart = 2 * time.Hour
-	// startCredit is how long before the list that names it first a start may be taken to lie: lists come late, by one
-	// to two seconds as a rule. It bounds what a stepped clock can do to a span of slow start.
-	startCredit = 2 * time.Second
-	// maxWallStep is by how much the wall clock may move against the monotonic one and still count as steady.
+	// maxRecentStartAge is the age by the wall clock above which a server has certainly started long ago. Up to it,
+	// that is uncertain: the wall clock may have been stepped by an hour since the start, and so may the clock that
+	// recorded the start.
+	maxRecentStartAge = 2 * time.Hour
+	// maxListDelay is the longest time assumed between a start and the first list that names it. Lists usually come
+	// one to two seconds late. It bounds the error in the duration of slow start that a stepped clock can cause.
+	maxListDelay = 2 * time.Second
+	// maxWallStep is how far the wall clock may move against the monotonic clock and still count as steady.
 	maxWallStep = time.Second
 	// minTrackedStarts is how many servers that are no longer listed are remembered at least.
 	minTrackedStarts = 1024
 )
 
-// startTracker bounds when each server's process started, though wall clocks may be stepped at any moment: slow start
-// is a span of real time. A start that a list names for the first time lies before that list, and by startCredit at the
-// most for all that is believed of the wall clock, unless it is long ago by any clock. Behind an outage of discovery,
-// which the monotonic clock measures, the list may be as much later, and the wall clock is believed for that long, too:
-// only of starts after the router's own, only while no step of it was seen, and less its lead as shown by the lists
-// that came in time. A start once found does not change. The tracker belongs to the event loop.
+// startTracker determines when each server's process started, for slow start, which is a span of real time, although
+// wall clocks may be stepped at any moment. A start that a list names for the first time lies before that list, by at
+// most maxListDelay whatever the wall clock says, unless it is long ago by any clock. After an outage of discovery,
+// whose length the monotonic clock measures, the list may be late by that much more. Only then is the wall clock
+// trusted, for the length of the outage: only for starts after the router's own start, only while no step of the wall
+// clock was seen, and corrected by its lead as shown by the lists that came in time. A start does not change once it
+// is determined. The tracker belongs to the event loop.
 type startTracker struct {
-	bounds  map[string]startBound // by server
-	outage  time.Duration         // ahead of the present update; 0 where the wall clock is not believed
-	stepped bool                  // the wall clock was seen to step
-	lag     startLag
+	bounds    map[string]startBound // by server ID
+	outage    time.Duration         // length of the outage before the current update; 0 if the wall clock is not trusted
+	stepped   bool                  // a step of the wall clock was seen
+	listDelay listDelay
 }
 
-// startBound is when a server is taken to have started.
+// startBound is the time at which a server is assumed to have started.
 type startBound struct {
-	started time.Time // as the list names it
-	since   policy.Time
+	started time.Time   // start time in the endpoint list
+	since   policy.Time // when slow start begins; 0: long ago
 }
 
-// startLag is the smallest age, by the wall clock, at which a list without an outage before it named a new start. A
-// start can't be later than its list, which bounds the lead of the wall clock over the clock that noted the start.
-type startLag struct {
+// listDelay is the smallest age, by the wall clock, at which a list that did not follow an outage named a new start.
+// A start can't be later than its list, so this bounds the lead of the wall clock over the clock that recorded the
+// start.
+type listDelay struct {
 	minimum time.Duration
 	known   bool
 }
 
-// observe takes in one age.
-func (s *startLag) observe(age time.Duration) {
+// observe records the age of one start.
+func (s *listDelay) observe(age time.Duration) {
 	if !s.known || age < s.minimum {
 		s.minimum, s.known = age, true
 	}
 }
 
-// excess is the part of the lag that lists which come late don't explain.
-func (s *startLag) excess() time.Duration { return max(0, s.minimum-startCredit) }
+// excess is the part of the delay that late lists do not explain, and that must be a lead of the wall clock.
+func (s *listDelay) excess() time.Duration { return max(0, s.minimum-maxListDelay) }
 
-// beginUpdate goes ahead of the starts that an update names: outage is how long discovery failed before it, wallStep by
-// how much the wall clock was stepped since the router's start.
+// beginUpdate must be called before slowStartSince is called for the starts in an update. outage is how long
+// discovery failed before the update, wallStep by how much the wall clock was stepped since the router's start.
 func (t *startTracker) beginUpdate(outage, wallStep time.Duration) {
 	t.stepped = t.stepped || wallStep.Abs() > maxWallStep
 	t.outage = outage
@@ -65,9 +68,10 @@
 	}
 }
 
-// slowStartSince returns from when on a server's slow start counts; 0 where it started long ago. started is the start
-// as the list names it, byWallClock where the wall clock places that, as it was at the router's start.
-func (t *startTracker) slowStartSince(id string, started time.Time, byWallClock, now policy.Time) policy.Time {
+// slowStartSince returns the time from which a server's slow start counts; 0 if the server started long ago. started
+// is the start time in the list, wallClockStart the same time converted by the wall clock as it was at the router's
+// start.
+func (t *startTracker) slowStartSince(id string, started time.Time, wallClockStart, now policy.Time) policy.Time {
 	if started.IsZero() {
 		return 0
 	}
@@ -75,8 +79,8 @@
 		return bound.since
 	}
 	since := policy.Time(0)
-	if now-byWallClock <= unknownStart {
-		since = t.firstNamed(byWallClock, now)
+	if now-wallClockStart <= maxRecentStartAge {
+		since = t.boundNewStart(wallClockStart, now)
 	}
 	if t.bounds == nil {
 		t.bounds = make(map[string]startBound)
@@ -85,19 +89,19 @@
 	return since
 }
 
-// firstNamed bounds a start that the present update is the first to name.
-func (t *startTracker) firstNamed(byWallClock, now policy.Time) policy.Time {
-	credit := startCredit
-	if byWallClock >= timeOrigin {
-		credit += t.outage
+// boundNewStart returns the assumed time of a start that the current update is the first to name.
+func (t *startTracker) boundNewStart(wallClockStart, now policy.Time) policy.Time {
+	maxAge := maxListDelay
+	if wallClockStart >= timeOrigin {
+		maxAge += t.outage
 		if t.outage == 0 {
-			t.lag.observe(now - byWallClock)
+			t.listDelay.observe(now - wallClockStart)
 		}
 	}
-	return min(now, max(byWallClock+t.lag.excess(), now-credit))
+	return min(now, max(wallClockStart+t.listDelay.excess(), now-maxAge))
 }
 
-// prune forgets servers that are not listed where there are many.
+// prune forgets servers that are not listed, if too many are remembered.
 func (t *startTracker) prune(listed map[string]endpointSummary) {
 	if len(t.bounds) <= 2*len(listed)+minTrackedStarts {
 		return
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/policy"
 )
 
-// countingHost answers each attempt after a moment, and counts those of one server.
+// countingHost collects attempts until a test finishes them, and counts those to one server.
 type countingHost struct {
 	server   string
 	attempts int
@@ -26,99 +26,101 @@
 
 func (h *countingHost) CloseIdle(string) {}
 
-// TestSlowStart_WallClockStepped starts a server while a node serves. Wherever the wall clock was stepped meanwhile,
-// the server gets the slow start that it gets without a step where the list comes at once, or startCredit late.
+// TestSlowStart_WallClockStepped starts a server while a node serves, and steps the wall clock before that. After a
+// step forward, the server must get the same slow start as without a step; after a step back, the same as if the list
+// came maxListDelay late.
 func TestSlowStart_WallClockStepped(t *testing.T) {
-	atOnce, late := sendsInSlowStart(t, 0), sendsInSlowStart(t, -startCredit)
+	atOnce, late := countSlowStartAttempts(t, 0), countSlowStartAttempts(t, -maxListDelay)
 	if atOnce == 0 || late <= atOnce {
-		t.Fatalf("without a step %d attempts went to the server, %d where the list was late", atOnce, late)
+		t.Fatalf("without a step the server got %d attempts, with a late list %d; want more with a late list", atOnce, late)
 	}
 	for _, c := range []struct {
 		step time.Duration
 		want int
 	}{{5 * time.Second, atOnce}, {time.Hour, atOnce}, {-5 * time.Second, late}, {-time.Hour, late}} {
-		if got := sendsInSlowStart(t, c.step); got != c.want {
+		if got := countSlowStartAttempts(t, c.step); got != c.want {
 			t.Errorf("stepped by %v: %d attempts went to the server in slow start, want %d", c.step, got, c.want)
 		}
 	}
 }
 
-// TestStartTracker_BoundNeverMoves names one start again and again while the clocks advance, through lists that leave
-// the server out, and another start of the same server.
+// TestStartTracker_BoundNeverMoves passes the same start again and again while the clocks advance, with lists in
+// between that do not name the server, and then another start of the same server.
 func TestStartTracker_BoundNeverMoves(t *testing.T) {
 	var tracker startTracker
 	first, second := time.UnixMilli(1_000), time.UnixMilli(9_000)
-	const told = timeOrigin + time.Minute
-	since := tracker.slowStartSince("s", first, told-time.Second, told)
-	if since != told-time.Second {
-		t.Errorf("slow start counts from %v before the list, want 1s", told-since)
+	const now = timeOrigin + time.Minute
+	since := tracker.slowStartSince("s", first, now-time.Second, now)
+	if since != now-time.Second {
+		t.Errorf("slow start counts from %v before the list, want 1s", now-since)
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second} {
 		tracker.prune(nil)
-		if got := tracker.slowStartSince("s", first, told+step, told+time.Second); got != since {
+		if got := tracker.slowStartSince("s", first, now+step, now+time.Second); got != since {
 			t.Errorf("the bound has moved by %v", got-since)
 		}
 	}
-	if got := tracker.slowStartSince("s", second, told+8*time.Second, told+9*time.Second); got != told+8*time.Second {
-		t.Errorf("another start counts from %v after the first list", got-told)
+	if got := tracker.slowStartSince("s", second, now+8*time.Second, now+9*time.Second); got != now+8*time.Second {
+		t.Errorf("another start counts from %v after the first list, want 8s", got-now)
 	}
-	if got := tracker.slowStartSince("old", first, told-3*time.Hour, told); got != 0 {
-		t.Errorf("a start of three hours ago counts from %v before the list", told-got)
+	if got := tracker.slowStartSince("old", first, now-3*time.Hour, now); got != 0 {
+		t.Errorf("a start of three hours ago counts from %v before the list, want it to be long ago", now-got)
 	}
 }
 
-// startedAgo names a start so long ago to a tracker, in an update after an outage of such a length, when the router is
-// a minute old, and returns how long before the update slow start counts.
-func startedAgo(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
-	const told = timeOrigin + time.Minute
+// slowStartAge passes a start of an age to a tracker, in an update after an outage, when the router is one minute
+// old, and returns how long before the update slow start counts from.
+func slowStartAge(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
+	const now = timeOrigin + time.Minute
 	tracker.beginUpdate(outage, wallStep)
 	started := time.UnixMilli(1_700_000_000_000).Add(-ago)
-	return told - tracker.slowStartSince(id, started, told-ago, told)
+	return now - tracker.slowStartSince(id, started, now-ago, now)
 }
 
-// TestStartTracker_AfterOutage names starts in the list that ends an outage of discovery.
+// TestStartTracker_AfterOutage passes new starts in the list that ends an outage of discovery.
 func TestStartTracker_AfterOutage(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, test := range []struct {
 		name             string
-		ago, step, known time.Duration // known: the age of a start that a list in time had named before; 0: none
+		ago, step, known time.Duration // known: age of a start in an earlier list without an outage; 0: none
 		want             time.Duration
 	}{
 		{name: "within the outage", ago: 7 * time.Second, want: 7 * time.Second},
-		{name: "as the last list before it came late", ago: 9 * time.Second, want: 9 * time.Second},
-		{name: "longer ago than can be", ago: 50 * time.Second, want: outage + startCredit},
+		{name: "shortly before the outage", ago: 9 * time.Second, want: 9 * time.Second},
+		{name: "longer ago than possible", ago: 50 * time.Second, want: outage + maxListDelay},
 		{name: "in the future", ago: -5 * time.Second, want: 0},
-		{name: "before the router", ago: 61 * time.Second, want: startCredit},
-		{name: "stepped back meanwhile", ago: 7 * time.Second, step: -5 * time.Second, want: startCredit},
-		{name: "stepped forward meanwhile", ago: 7 * time.Second, step: time.Hour, want: startCredit},
-		{name: "slewed", ago: 7 * time.Second, step: 100 * time.Millisecond, want: 7 * time.Second},
-		{name: "ahead by at most 1 s", ago: 7 * time.Second, known: time.Second, want: 7 * time.Second},
-		{name: "ahead by 5 s, perhaps", ago: 7 * time.Second, known: 5 * time.Second, want: 4 * time.Second},
-		{name: "behind", ago: 3 * time.Second, known: -5 * time.Second, want: 3 * time.Second},
+		{name: "before the router", ago: 61 * time.Second, want: maxListDelay},
+		{name: "wall clock stepped back", ago: 7 * time.Second, step: -5 * time.Second, want: maxListDelay},
+		{name: "wall clock stepped forward", ago: 7 * time.Second, step: time.Hour, want: maxListDelay},
+		{name: "wall clock slewed", ago: 7 * time.Second, step: 100 * time.Millisecond, want: 7 * time.Second},
+		{name: "wall clock ahead by at most 1 s", ago: 7 * time.Second, known: time.Second, want: 7 * time.Second},
+		{name: "wall clock possibly ahead by 5 s", ago: 7 * time.Second, known: 5 * time.Second, want: 4 * time.Second},
+		{name: "wall clock behind", ago: 3 * time.Second, known: -5 * time.Second, want: 3 * time.Second},
 	} {
 		var tracker startTracker
 		if test.known != 0 {
-			startedAgo(&tracker, "known", test.known, 0, 0)
+			slowStartAge(&tracker, "known", test.known, 0, 0)
 		}
-		if got := startedAgo(&tracker, "new", test.ago, outage, test.step); got != test.want {
+		if got := slowStartAge(&tracker, "new", test.ago, outage, test.step); got != test.want {
 			t.Errorf("%s: slow start counts from %v before the list, want %v", test.name, got, test.want)
 		}
-		if got := startedAgo(&tracker, "next", 7*time.Second, 0, 0); got != startCredit {
-			t.Errorf("%s: without an outage it counts from %v before the next list, want %v", test.name, got, startCredit)
+		if got := slowStartAge(&tracker, "next", 7*time.Second, 0, 0); got != maxListDelay {
+			t.Errorf("%s: without an outage it counts from %v before the next list, want %v", test.name, got, maxListDelay)
 		}
 	}
 }
 
-// TestStartTracker_StepIsNotForgotten steps the wall clock forth and back: its value in between is not known.
-func TestStartTracker_StepIsNotForgotten(t *testing.T) {
+// TestStartTracker_RemembersClockStep steps the wall clock forth and back. Its value in between is unknown, so it
+// must not be trusted afterwards.
+func TestStartTracker_RemembersClockStep(t *testing.T) {
 	var tracker startTracker
-	startedAgo(&tracker, "first", time.Second, 0, time.Hour)
-	if got := startedAgo(&tracker, "second", 7*time.Second, 8*time.Second, 0); got != startCredit {
-		t.Errorf("slow start counts from %v before the list, want %v", got, startCredit)
+	slowStartAge(&tracker, "first", time.Second, 0, time.Hour)
+	if got := slowStartAge(&tracker, "second", 7*time.Second, 8*time.Second, 0); got != maxListDelay {
+		t.Errorf("slow start counts from %v before the list, want %v", got, maxListDelay)
 	}
 }
 
-// TestSlowStart_OutageReachesEachBatch ends an outage with a change that is larger than a batch.
+// TestSlowStart_OutageReachesEachBatch ends an outage with an update that is larger than a batch.
 func TestSlowStart_OutageReachesEachBatch(t *testing.T) {
 	config := testConfig()
 	wallStart := time.UnixMilli(1_700_000_000_000)
@@ -143,7 +145,7 @@
 		batches++
 	}
 	if batches < 2 {
-		t.Fatal("the change came in one batch")
+		t.Fatal("the update came in one batch")
 	}
 	for id, bound := range engine.loop.starts.bounds {
 		if got := timeOrigin + now - bound.since; got != ago {
@@ -155,7 +157,7 @@
 	}
 }
 
-// TestClock_WallStep steps the wall clock against the monotonic one.
+// TestClock_WallStep steps the wall clock against the monotonic clock.
 func TestClock_WallStep(t *testing.T) {
 	now := timeOrigin
 	c := clock{start: time.UnixMilli(1_700_000_000_000), virtual: &now}
@@ -163,17 +165,17 @@
 		c.wall = func() time.Time { return c.wallTime(now).Add(step) }
 		now += time.Second
 		if got := c.wallStep(); got != step {
-			t.Errorf("a step of %v reads as %v", step, got)
+			t.Errorf("a step of %v was measured as %v", step, got)
 		}
 	}
 	if got := (clock{start: time.Now()}).wallStep(); got.Abs() > maxWallStep {
-		t.Errorf("the machine's own clock reads as stepped by %v", got)
+		t.Errorf("a step of %v was measured on the machine's clock, which was not stepped", got)
 	}
 }
 
-// sendsInSlowStart is how many attempts a server gets that starts when a node has served for 4 s, in the 12 s after.
-// Its start is told by a wall clock that was stepped.
-func sendsInSlowStart(t *testing.T, step time.Duration) int {
+// countSlowStartAttempts returns how many attempts go to a server in the 12 s after its start, which comes when a
+// node has served for 4 s. The start time of the server comes from a wall clock that is off by step.
+func countSlowStartAttempts(t *testing.T, step time.Duration) int {
 	t.Helper()
 	const (
 		gap, startsAt, end = 5 * time.Millisecond, 4 * time.Second, 16 * time.Second
--- a/router/stats.go
+++ b/router/stats.go
@@ -7,50 +7,50 @@
 	"cobaltward/policy"
 )
 
-// Stats are a router's statistics, counted from its start on unless said otherwise.
+// Stats holds a router's statistics, counted from its start unless a field says otherwise.
 type Stats struct {
 	Phase   Phase
-	Answers [len(outcomeNames)]uint64 // final answers, by Outcome
+	Answers [len(outcomeNames)]uint64 // number of final answers, by Outcome
 
 	ClientsGone     uint64         // requests whose caller left before the answer
-	OpenByClass     map[string]int // requests without an answer now
-	Oldest          time.Duration  // age of the oldest of them
-	OldestRemaining time.Duration  // for how long it is still waited for
+	OpenByClass     map[string]int // number of requests now without an answer, by class
+	Oldest          time.Duration  // age of the oldest request without an answer
+	OldestRemaining time.Duration  // how long the client of the oldest request still waits
 	Queued          int            // open requests that have no attempt in flight
 	Retrying        int            // open requests that have had more than one attempt
-	Retained        int            // requests in memory, among them answered ones with attempts in flight
+	Retained        int            // requests in memory, including answered ones with attempts in flight
 
-	ServerConns      int    // open connections to servers; 0 where the transport doesn't count them
-	Attempts         uint64 // started
-	AttemptsInFlight int    // now
-	AttemptsWritten  uint64 // written completely to servers; 0 where the transport doesn't count them
+	ServerConns      int    // open connections to servers; 0 if the transport does not count them
+	Attempts         uint64 // attempts started
+	AttemptsInFlight int    // attempts in flight now
+	AttemptsWritten  uint64 // attempts written completely to servers; 0 if the transport does not count them
 	Retries          uint64 // attempts beyond a request's first
-	Skipped          uint64 // attempts that the balancer wanted and the rules did not allow
+	Skipped          uint64 // attempts that the balancer requested but that were no longer allowed
 
-	Dropped uint64 // requests rejected by the endpoint source's drop fractions; of Answers[Rejected]
-	Shed    uint64 // requests rejected by the level of service; of Answers[Rejected]
+	Dropped uint64 // requests rejected by the drop fractions of the endpoint source; included in Answers[Rejected]
+	Shed    uint64 // requests rejected by the level of service; included in Answers[Rejected]
 
-	EndpointsByAvailability map[policy.Availability]int // listed now
-	EndpointsByPool         map[string]int              // listed now
+	EndpointsByAvailability map[policy.Availability]int // number of endpoints now listed
+	EndpointsByPool         map[string]int              // number of endpoints now listed, by pool
 	EndpointList            EndpointListStats
-	Drops                   dropoverload.Fractions // drop fractions in force now; only read
+	Drops                   dropoverload.Fractions // drop fractions now in force; must not be changed
 
-	Timers  int // pending now
+	Timers  int // timers pending now
 	Reloads uint64
 	Lag     Lag
 }
 
-// EndpointListStats are the statistics of the endpoint list.
+// EndpointListStats holds the statistics of the endpoint list.
 type EndpointListStats struct {
 	Updates    uint64    `json:"Changes"`
 	Failures   uint64    `json:"Failures"` // times that the source could not be reached
 	LastUpdate time.Time `json:"Changed"`
 }
 
-// Lag is how late the event loop came to requests and timers, since the host kept it from running.
+// Lag is the delay with which the event loop handled requests and timers because the host did not run it in time.
 type Lag struct{ Last, Mean, Max time.Duration }
 
-// Answered is the number of final answers.
+// Answered returns the number of final answers of all outcomes.
 func (s Stats) Answered() (total uint64) {
 	for _, n := range s.Answers {
 		total += n
@@ -58,8 +58,8 @@
 	return total
 }
 
-// Stats returns the statistics. It waits for the event loop, however long the host keeps that from running;
-// after Close it returns the last ones.
+// Stats returns the current statistics. It waits for the event loop, however long the host delays the loop; after
+// Close it returns the statistics at the end.
 func (r *Router) Stats() Stats {
 	var stats Stats
 	err := r.runInLoop(func(l *loop) error {
@@ -73,7 +73,7 @@
 	return stats
 }
 
-// snapshot completes the statistics that the loop counts by those that are read off its state.
+// snapshot returns the statistics that the loop counts, completed by those that are derived from its state.
 func (l *loop) snapshot() Stats {
 	stats := l.stats
 	stats.Answers = l.counters.answers()
--- a/router/stepped.go
+++ b/router/stepped.go
@@ -7,18 +7,18 @@
 	"cobaltward/policy"
 )
 
-// Stepped is the engine of a Router under the control of a caller who owns time and the network: it has no
-// goroutine, clock or channel. Everything happens at the time that a call passes, and in the same way every time:
-// simulations in virtual time use it. It is not safe for concurrent use. Times are durations since its start, and
-// must not go back.
+// Stepped is the engine of a Router for a caller that controls time and the network, such as a simulation in virtual
+// time. It has no goroutine, clock or channel: everything happens at the time that a call passes, and
+// deterministically. It is not safe for concurrent use. Times are durations since its start, and must not decrease.
 type Stepped struct {
 	loop    *loop
 	now     policy.Time
 	started bool
 }
 
-// NewStepped makes an engine whose time 0 is start on the wall clock, by which the starts of servers are read. Of
-// the options, WithLogger, WithLevels and WithoutGuards count. It returns errors as New does.
+// NewStepped makes an engine whose time 0 is start on the wall clock; start times of servers are converted
+// accordingly. Of the options, only WithLogger, WithLevels and WithoutGuards have an effect. It returns the same
+// errors as New.
 func NewStepped(c Config, host AttemptHost, start time.Time, opts ...Option) (*Stepped, error) {
 	transport := hostTransport{host: host}
 	options := newOptions(transport, opts)
@@ -34,9 +34,9 @@
 	return s, nil
 }
 
-// advanceTo lets time pass: events due by then happen first, each at its own time.
+// advanceTo advances the time. Timers that are due by then fire first, each at its own time.
 func (s *Stepped) advanceTo(now time.Duration) {
-	if !s.started { // the last known endpoint list comes before everything else
+	if !s.started { // the last known endpoint list is applied before all events
 		s.started = true
 		s.loop.begin()
 	}
@@ -48,7 +48,7 @@
 	s.now = max(s.now, target)
 }
 
-// Next is when something happens if nothing else is called; ok is false where nothing does.
+// Next is when the next timer is due; ok is false if no timer is set.
 func (s *Stepped) Next() (at time.Duration, ok bool) {
 	if len(s.loop.timers) == 0 {
 		return 0, false
@@ -56,11 +56,11 @@
 	return s.loop.timers[0].due - timeOrigin, true
 }
 
-// Advance lets time pass.
+// Advance advances the time, and fires the timers that are due by then.
 func (s *Stepped) Advance(now time.Duration) { s.advanceTo(now) }
 
-// Submit submits a request whose last byte has just come. answer gets its one answer, perhaps before Submit
-// returns, and must not call the engine. Submit returns an *InvalidError where the request was not accepted.
+// Submit submits a request whose last byte has just arrived. answer is called with its one answer, possibly before
+// Submit returns, and must not call the engine. Submit returns an *InvalidError if the request was not accepted.
 func (s *Stepped) Submit(now time.Duration, req Request, answer func(Answer)) error {
 	s.advanceTo(now)
 	if err := req.validate(); err != nil {
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// ClientGone says that the caller of a request has left. An ID that is not open is ignored.
+// ClientGone reports that the caller of a request no longer waits. An ID that is not open is ignored.
 func (s *Stepped) ClientGone(now time.Duration, id string) {
 	s.advanceTo(now)
 	if r := s.loop.requests[id]; r != nil {
-		s.loop.removeClient(r.call)
+		s.loop.handleClientGone(r.call)
 	}
 }
 
@@ -118,10 +118,10 @@
 	return s.loop.reload(c)
 }
 
-// Stats returns the statistics.
+// Stats returns the current statistics.
 func (s *Stepped) Stats() Stats { return s.loop.snapshot() }
 
-// Views shows what the balancer has learned of the servers; nil where it doesn't tell.
+// Views returns what the balancer has learned of each server; nil if the balancer does not support it.
 func (s *Stepped) Views() []policy.View {
 	if balancer, ok := s.loop.balancer.(endpointViewer); ok {
 		return balancer.Views()
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Level returns the level of service in force; ErrNoLevels where there are none.
+// Level returns the level of service in force, or ErrNoLevels if there are no levels.
 func (s *Stepped) Level() (LevelStatus, error) {
 	if s.loop.degradation == nil {
 		return LevelStatus{}, ErrNoLevels
@@ -137,14 +137,14 @@
 	return s.loop.degradation.status(), nil
 }
 
-// ExportState returns what the balancer has learned so far, or an error where it does not support that.
+// ExportState returns what the balancer has learned so far, or an error if the balancer does not support that.
 func (s *Stepped) ExportState() (state policy.LearnedState, err error) {
 	err = s.loop.withBalancer(func(b statefulBalancer, _ policy.Time) { state = b.Export() })
 	return state, err
 }
 
-// RestoreState has the balancer adopt the state that adjust returns. It must not be called before the first call
-// that passes a time. It returns an error where the balancer does not support it.
+// RestoreState makes the balancer adopt the state that adjust returns. It must not be called before the first call
+// that passes a time. It returns an error if the balancer does not support restoring state.
 func (s *Stepped) RestoreState(adjust StateAdjuster) error {
 	return s.loop.withBalancer(func(b statefulBalancer, now policy.Time) { b.Restore(now, adjust(b.InitialThreshold)) })
 }
--- a/router/stepped_host.go
+++ b/router/stepped_host.go
@@ -10,7 +10,7 @@
 
 // AttemptHost makes the attempts of a Stepped engine. Its methods must not call the engine.
 type AttemptHost interface {
-	// Launch starts an attempt. Its end must be reported once by Stepped.FinishAttempt, also after Cancel.
+	// Launch starts an attempt. The host must report its end once by Stepped.FinishAttempt, also after Cancel.
 	Launch(attempt Attempt)
 	// Cancel reports that the result of an attempt is no longer awaited, or that its time is up.
 	Cancel(attempt Attempt)
@@ -18,17 +18,17 @@
 	CloseIdle(server string)
 }
 
-// Attempt is one attempt of a Stepped engine. Two are equal where they are the same attempt.
+// Attempt is one attempt of a Stepped engine. Two values are equal if they stand for the same attempt.
 type Attempt struct {
-	Request  *Request // only read
-	Number   int      // 0 for a request's first
+	Request  *Request // must not be changed
+	Number   int      // 0 for the first attempt of the request
 	Server   string
-	Deadline time.Duration // when its time is up, since the engine's start
-	SendBy   time.Duration // when it must not be written any more, since servers may forget its key; 0: never
+	Deadline time.Duration // when its time is up, counted from the engine's start
+	SendBy   time.Duration // when it must no longer be written, because servers may have forgotten its key; 0: no limit
 	attempt  *attempt
 }
 
-// Expired reports, of a cancelled attempt, whether its time was up.
+// Expired reports whether a cancelled attempt was cancelled because its time was up.
 func (a Attempt) Expired() bool { return errors.Is(a.attempt.ctx.Err(), context.DeadlineExceeded) }
 
 func newAttempt(a *attempt) Attempt {
@@ -47,7 +47,7 @@
 
 // hostTransport passes the attempts of a Stepped engine to its host.
 type hostTransport struct {
-	Transport // nil: Attempt and Close are never called
+	Transport // nil, because Attempt and Close are never called
 	host      AttemptHost
 }
 
@@ -62,8 +62,8 @@
 // CloseIdle implements Transport.
 func (h hostTransport) CloseIdle(server string) { h.host.CloseIdle(server) }
 
-// Update implements Transport: the host has its own list of servers.
+// Update implements Transport. It does nothing, because the host has its own list of servers.
 func (h hostTransport) Update(EndpointUpdate) {}
 
-// Configure implements Transport.
+// Configure implements Transport. It does nothing.
 func (h hostTransport) Configure(policy.Settings) {}
--- a/router/support_test.go
+++ b/router/support_test.go
@@ -16,13 +16,13 @@
 
 const (
 	ms            = time.Millisecond
-	classDeadline = 9 * time.Second // the deadline of every class; the bubbles' clocks make it cost nothing
+	classDeadline = 9 * time.Second // deadline of every class; in a synctest bubble, waiting for it takes no real time
 )
 
-// respondFunc is how a scriptedBalancer answers an event.
+// respondFunc returns the actions of a scriptedBalancer for an event.
 type respondFunc func(now policy.Time, ev policy.Event) []policy.Action
 
-// scriptedBalancer answers each event as a test says, and records the events.
+// scriptedBalancer responds to events as a test defines, and records them.
 type scriptedBalancer struct {
 	mu       sync.Mutex
 	received []policy.Event
@@ -40,7 +40,7 @@
 	return nil, nil
 }
 
-// eventNames describes the events that the balancer has received.
+// eventNames returns descriptions of the events that the balancer has received.
 func (s *scriptedBalancer) eventNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	return names
 }
 
-// outcomeName describes a policy.Outcome as eventNames does.
+// outcomeName returns the description of a policy.Outcome in eventNames.
 func outcomeName(id string, attempt int, code policy.Code, answered bool) string {
 	return fmt.Sprintf("outcome %s %d code %d answered %v", id, attempt, code, answered)
 }
@@ -76,15 +76,15 @@
 	}
 }
 
-// attemptFunc is how an attempt of a fakeTransport ends.
+// attemptFunc makes the attempts of a fakeTransport.
 type attemptFunc func(ctx context.Context, server string, r *Request) Result
 
-// fakeTransport ends attempts as a test says, and records what reaches it.
+// fakeTransport makes attempts by a function of the test, and records what reaches it.
 type fakeTransport struct {
 	attempt attemptFunc
 
 	mu      sync.Mutex
-	sent    []string // "id server"
+	sent    []string // entries of the form "id server"
 	updates []EndpointUpdate
 	closed  int
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// serveAtOnce is an attemptFunc that serves.
+// serveAtOnce is an attemptFunc that succeeds at once.
 func serveAtOnce(context.Context, string, *Request) Result {
 	return Result{Code: policy.OK, Answer: Answer{Body: []byte("yes")}}
 }
@@ -148,7 +148,7 @@
 	return func(context.Context, string, *Request) Result { return Result{Code: code} }
 }
 
-// serveAfter returns an attemptFunc that serves once release is closed.
+// serveAfter returns an attemptFunc that succeeds once release is closed.
 func serveAfter(release <-chan struct{}) attemptFunc {
 	return func(context.Context, string, *Request) Result {
 		<-release
@@ -156,7 +156,7 @@
 	}
 }
 
-// fakeSource is an EndpointSource that publishes what a test hands it.
+// fakeSource is an EndpointSource that publishes the updates that a test sends.
 type fakeSource struct{ updates chan EndpointUpdate }
 
 var _ EndpointSource = (*fakeSource)(nil)
@@ -174,7 +174,7 @@
 
 func (s *fakeSource) SetPolling(bool) {}
 
-// fakeListener is a Listener whose Shutdown returns once released.
+// fakeListener is a Listener whose Shutdown returns once release is closed.
 type fakeListener struct {
 	shutdowns atomic.Int32
 	release   chan struct{}
@@ -192,7 +192,7 @@
 	}
 }
 
-// testConfig has the classes "read", "pay" and "undo", one of each kind of idempotency.
+// testConfig returns a configuration with the classes "read", "pay" and "undo", one of each kind of idempotency.
 func testConfig() Config {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{
@@ -220,7 +220,7 @@
 	}}
 }
 
-// testEndpoints returns n running servers, "s0" and on.
+// testEndpoints returns n running servers, named "s0", "s1" and so on.
 func testEndpoints(n int) []Endpoint {
 	endpoints := make([]Endpoint, 0, n)
 	for i := range n {
@@ -234,8 +234,8 @@
 	return endpoints
 }
 
-// newTestRouter starts a router of testConfig around a transport, with a scripted balancer if respond is not nil.
-// It must be called inside a bubble, and is closed with the test.
+// newTestRouter starts a router with testConfig and a transport, and with a scripted balancer if respond is not nil.
+// It must be called inside a synctest bubble. The router is closed at the end of the test.
 func newTestRouter(
 	t *testing.T, transport Transport, respond respondFunc, opts ...Option,
 ) (*Router, *scriptedBalancer) {
@@ -277,13 +277,13 @@
 	return Request{ID: id, Class: "read", Tenant: "t", Target: "/api"}
 }
 
-// doResult is what Do has returned.
+// doResult is the result of a call of Do.
 type doResult struct {
 	answer Answer
 	err    error
 }
 
-// startDo calls Do in a goroutine, which ends with it.
+// startDo calls Do in a goroutine, and returns a channel that receives the result.
 func startDo(ctx context.Context, r *Router, req Request) <-chan doResult {
 	done := make(chan doResult, 1)
 	go func() {
@@ -319,11 +319,11 @@
 func wantNothingLeft(t *testing.T, stats Stats) {
 	t.Helper()
 	if stats.Retained != 0 || stats.AttemptsInFlight != 0 || len(stats.OpenByClass) != 0 {
-		t.Errorf("left behind: %+v", stats)
+		t.Errorf("requests or attempts are left: %+v", stats)
 	}
 }
 
-// sendActions sends a request n times to "s0".
+// sendActions returns actions that send a request n times to "s0".
 func sendActions(id string, n int) []policy.Action {
 	actions := make([]policy.Action, 0, n)
 	for range n {
@@ -342,7 +342,7 @@
 	}
 }
 
-// sendOnce is a respondFunc that sends each request once, and fails those not served.
+// sendOnce is a respondFunc that sends each request once, and fails those that are not served.
 func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	switch ev := ev.(type) {
 	case policy.Request:
@@ -355,8 +355,8 @@
 	return nil
 }
 
-// sendOnceBut is sendOnce, but leaves the request of an ID queued.
-func sendOnceBut(queued string) respondFunc {
+// sendOnceExcept returns a respondFunc like sendOnce that leaves the request with one ID queued.
+func sendOnceExcept(queued string) respondFunc {
 	return func(now policy.Time, ev policy.Event) []policy.Action {
 		if request, ok := ev.(policy.Request); ok && request.ID == queued {
 			return nil
@@ -365,5 +365,5 @@
 	}
 }
 
-// noActions is a respondFunc that never does anything.
+// noActions is a respondFunc that returns no actions.
 func noActions(policy.Time, policy.Event) []policy.Action { return nil }
--- a/router/timer.go
+++ b/router/timer.go
@@ -6,30 +6,30 @@
 	"cobaltward/policy"
 )
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	balancerTimer  timerKind = iota // one that the balancer has set
-	backstopTimer                   // a request's: it has no answer yet
-	attemptTimer                    // an attempt's: its time is up
-	levelStepTimer                  // the next step of the levels of service
-	withheldTimer                   // a withheld answer's: it waits no longer
+	balancerTimer  timerKind = iota // set by the balancer
+	backstopTimer                   // a request still has no answer shortly before its deadline
+	attemptTimer                    // the time of an attempt is up
+	levelStepTimer                  // the next step of the levels of service is due
+	withheldTimer                   // a withheld answer must not wait any longer
 )
 
-// timer is one timer of the loop.
+// timer is an entry in the loop's heap of timers.
 type timer struct {
 	due     policy.Time
 	kind    timerKind
-	token   uint64   // of a balancerTimer
-	request *request // of a backstopTimer
-	attempt *attempt // of an attemptTimer
-	index   int      // in the heap; -1 once it is out
+	token   uint64   // set for a balancerTimer
+	request *request // set for a backstopTimer
+	attempt *attempt // set for an attemptTimer
+	index   int      // position in the heap; -1 once it is removed
 
-	withheld *withheldAnswer // of a withheldTimer
+	withheld *withheldAnswer // set for a withheldTimer
 }
 
-// timerHeap orders timers by their time. It implements heap.Interface.
+// timerHeap orders timers by the time at which they are due. It implements heap.Interface.
 type timerHeap []*timer
 
 var _ heap.Interface = (*timerHeap)(nil)
@@ -62,10 +62,10 @@
 	return t
 }
 
-// pop removes the first timer.
+// pop removes and returns the first timer.
 func (h *timerHeap) pop() *timer { return heap.Pop(h).(*timer) }
 
-// remove takes a timer out, unless it is out.
+// remove removes a timer, unless it was removed before.
 func (h *timerHeap) remove(t *timer) {
 	if t.index >= 0 {
 		heap.Remove(h, t.index)
--- a/router/upload_test.go
+++ b/router/upload_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// quickUpload is a body whose last byte comes right after the router has asked to be notified of it, before the request
-// is submitted.
+// quickUpload is a body whose last byte arrives right after the router has registered for it, before the request is
+// submitted.
 type quickUpload struct{}
 
 var _ Upload = quickUpload{}
@@ -23,8 +23,8 @@
 	return false
 }
 
-// A body that is complete before its request is admitted starts the request's timeout all the same: the request does
-// not keep the time that an upload may take.
+// If a body is complete before its request is admitted, the timeout of the request starts all the same: the request
+// must not keep the longer time that an upload may take.
 func TestUpload_CompleteBeforeAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
--- a/router/withheld.go
+++ b/router/withheld.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// maxWithheld bounds the time for which a rejection is withheld: a write to a server that does not read may take long.
+// maxWithheld is the longest time for which a rejection is withheld: a write to a server that does not read may take
+// long.
 const maxWithheld = 200 * time.Millisecond
 
-// withheldAnswer is a rejection that waits until no attempt of its request is being written.
+// withheldAnswer is a rejection that is delivered once no attempt of its request is being written.
 type withheldAnswer struct {
 	call    *call
 	answer  Answer
 	deliver func(*call, Answer) // safe for concurrent use
 
 	mu        sync.Mutex
-	writes    int // in progress
+	writes    int // number of writes in progress
 	counting  bool
 	delivered bool
 }
 
-// deliverAfterWrites delivers the answer of a request that is finished. A rejection waits until no attempt is being
-// written; none begins after that, since the attempts are abandoned. Where a write has not ended in time, the answer is
-// a failure.
+// deliverAfterWrites delivers the answer to a finished request. A rejection waits until no attempt is being written;
+// no write begins after that, because the attempts are abandoned. If a write does not end in time, the answer is
+// Failed.
 func (l *loop) deliverAfterWrites(r *request, answer Answer) {
 	if answer.Outcome != Rejected && answer.Outcome != Overloaded {
 		l.deliver(r.call, answer)
@@ -31,15 +32,15 @@
 	}
 	withheld := &withheldAnswer{call: r.call, answer: answer, deliver: l.deliver, counting: true}
 	for _, a := range r.attempts {
-		withheld.await(&a.ctx) // also of an attempt that is over: a transport may write on a connection that is shared
+		withheld.await(&a.ctx) // ended attempts too: a transport may still write them on a shared connection
 	}
-	if withheld.counted() {
+	if withheld.finishCounting() {
 		l.expireLater(withheld, r)
 	}
 }
 
-// expireLater sets the timer of a withheld answer: maxWithheld ahead, and not after the time of the backstop, which
-// leaves the answer its way to the client.
+// expireLater sets the timer of a withheld answer: at most maxWithheld ahead, and not after the time of the backstop,
+// so that the answer still reaches the client in time.
 func (l *loop) expireLater(withheld *withheldAnswer, r *request) {
 	now := l.clock.now()
 	l.withheld[withheld] = struct{}{}
@@ -56,14 +57,14 @@
 	withheld.expire()
 }
 
-// expireAllWithheld ends the waits of all answers, at the end of the loop.
+// expireAllWithheld ends the waits of all answers, when the loop ends.
 func (l *loop) expireAllWithheld() {
 	for withheld := range l.withheld {
 		l.expireWithheld(withheld)
 	}
 }
 
-// await has the answer wait for the write in progress of an attempt, if there is one.
+// await makes the answer wait for the write in progress of an attempt, if there is one.
 func (w *withheldAnswer) await(ctx *attemptContext) {
 	w.mu.Lock()
 	w.writes++
@@ -73,8 +74,9 @@
 	}
 }
 
-// counted ends the counting of writes, and reports whether the answer has to wait for one.
-func (w *withheldAnswer) counted() (waits bool) {
+// finishCounting ends the counting of writes, and reports whether the answer has to wait for one. If not, it delivers
+// the answer.
+func (w *withheldAnswer) finishCounting() (waits bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counting = false
@@ -84,7 +86,7 @@
 	return w.writes > 0
 }
 
-// writeEnded delivers the answer with the last write.
+// writeEnded records the end of a write, and delivers the answer after the last one.
 func (w *withheldAnswer) writeEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,8 +96,8 @@
 	}
 }
 
-// expire answers while a write is in progress: the server may yet get the rest of it, so that a rejection would promise
-// too much.
+// expire delivers Failed while a write is in progress: the server may still receive the rest of it, so a rejection
+// would wrongly promise that the request does not run.
 func (w *withheldAnswer) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/router/withheld_test.go
+++ b/router/withheld_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// writeOrder records in which order an attempt's write and the answer to its request happen.
+// writeOrder records the order in which an attempt's write and the answer to its request happen.
 type writeOrder struct {
 	mu     sync.Mutex
 	events []string
@@ -22,8 +22,8 @@
 	o.events = append(o.events, event)
 }
 
-// heldWrite is an attemptFunc that rests for a time between its decision to write and the write, as on a busy host.
-func (o *writeOrder) heldWrite(pause time.Duration) attemptFunc {
+// delayedWrite returns an attemptFunc that pauses between its decision to write and the write, as on a busy host.
+func (o *writeOrder) delayedWrite(pause time.Duration) attemptFunc {
 	return func(ctx context.Context, _ string, _ *Request) Result {
 		guard, guarded := ctx.(interface {
 			BeginWrite() bool
@@ -45,7 +45,7 @@
 	}
 }
 
-// rejectAfter sends each request once, and rejects it after a time.
+// rejectAfter returns a respondFunc that sends each request once, and rejects the request "r1" after a time.
 func rejectAfter(wait time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
@@ -58,10 +58,10 @@
 	}
 }
 
-// An attempt rests between its decision to write and the write while its request is rejected: the client learns of the
-// rejection after the write. A write that does not end holds the answer up for maxWithheld at most, and never beyond
-// the client's deadline; that answer is no rejection, since the write may yet reach the server.
-func TestRejection_NoWriteAfterIt(t *testing.T) {
+// An attempt pauses between its decision to write and the write while its request is rejected: the client must get
+// the rejection after the write. A write that does not end delays the answer by at most maxWithheld, and never beyond
+// the client's deadline; that answer is no rejection, because the write may still reach the server.
+func TestRejection_NoWriteAfterAnswer(t *testing.T) {
 	const (
 		timeout  = 500 * ms
 		backstop = timeout - answerMargin/2
@@ -85,7 +85,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				order := &writeOrder{}
-				r, _ := newTestRouter(t, &fakeTransport{attempt: order.heldWrite(test.pause)}, rejectAfter(test.rejectedAt))
+				r, _ := newTestRouter(t, &fakeTransport{attempt: order.delayedWrite(test.pause)}, rejectAfter(test.rejectedAt))
 				began := time.Now()
 				req := readRequest("r1")
 				req.Timeout = timeout
@@ -97,15 +97,16 @@
 				order.mu.Lock()
 				defer order.mu.Unlock()
 				if order.events[0] != test.want {
-					t.Errorf("%v, want first: %s", order.events, test.want)
+					t.Errorf("events %v, want %s first", order.events, test.want)
 				}
 			})
 		})
 	}
 }
 
-// A write goes on after its attempt is over, as on a connection that other calls share: a rejection waits for it, too.
-func TestRejection_NoWriteOfEndedAttemptAfterIt(t *testing.T) {
+// A write may go on after its attempt has ended, as on a connection that other calls share: a rejection must wait for
+// it too.
+func TestRejection_WaitsForWriteOfEndedAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		order := &writeOrder{}
 		attempt := func(ctx context.Context, _ string, _ *Request) Result {
@@ -123,17 +124,17 @@
 		wantDo(t, r, readRequest("r1"), Rejected)
 		order.record("answer")
 		if order.events[0] != "write" {
-			t.Errorf("%v, want the write first", order.events)
+			t.Errorf("events %v, want the write first", order.events)
 		}
 	})
 }
 
-// The router is closed while a rejection is withheld: its answer promises nothing, rather than that the request was not
-// accepted.
+// If the router is closed while a rejection is withheld, the answer is Failed: it must not claim that the request did
+// not run.
 func TestClose_AnswersWithheldRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		order := &writeOrder{}
-		r, _ := newTestRouter(t, &fakeTransport{attempt: order.heldWrite(time.Second)}, rejectAfter(10*ms))
+		r, _ := newTestRouter(t, &fakeTransport{attempt: order.delayedWrite(time.Second)}, rejectAfter(10*ms))
 		var closing sync.WaitGroup
 		closing.Go(func() {
 			time.Sleep(50 * ms)
