--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -9,49 +9,50 @@
 // Result is the outcome of one entry.
 type Result struct {
 	Position     Position
-	FencingToken FencingToken // of the lease that the entry is about; 0 for other entries
+	FencingToken FencingToken // token of the lease that the entry concerns; 0 if it concerns no lease
 	Err          error        // why the entry was rejected; nil if it was accepted
 }
 
-// kindSpec says how the entries of a kind are applied.
+// kindSpec describes how entries of one kind are applied.
 type kindSpec struct {
-	format int // the format version that introduced the kind
+	format int // format version that introduced the kind
 	apply  func(*State, Entry) (FencingToken, error)
 }
 
-// kinds are the kinds of entries that this program supports.
+// kinds are the kinds of entries that this version of the program supports.
 var kinds = map[Kind]kindSpec{
-	KindUpgradeFormat:   {1, tokenless((*State).applyUpgradeFormat)},
-	KindAnnounceFormat:  {1, tokenless((*State).applyAnnounceFormat)},
-	KindRegisterNode:    {1, tokenless((*State).applyRegisterNode)},
-	KindRemoveNode:      {1, tokenless((*State).applyRemoveNode)},
+	KindUpgradeFormat:   {1, withoutToken((*State).applyUpgradeFormat)},
+	KindAnnounceFormat:  {1, withoutToken((*State).applyAnnounceFormat)},
+	KindRegisterNode:    {1, withoutToken((*State).applyRegisterNode)},
+	KindRemoveNode:      {1, withoutToken((*State).applyRemoveNode)},
 	KindGrantLease:      {1, (*State).applyGrantLease},
 	KindRenewLease:      {1, (*State).applyRenewLease},
 	KindExpireLease:     {1, (*State).applyExpireLease},
 	KindReleaseLease:    {1, (*State).applyReleaseLease},
 	KindRequestStepDown: {1, (*State).applyRequestStepDown},
 	KindRevokeLease:     {1, (*State).applyRevokeLease},
-	KindStartJob:        {1, tokenless((*State).applyStartJob)},
-	KindControlJob:      {1, tokenless((*State).applyControlJob)},
-	KindBeginStep:       {1, tokenless((*State).applyBeginStep)},
-	KindFinishStep:      {1, tokenless((*State).applyFinishStep)},
-	KindCloseJob:        {1, tokenless((*State).applyCloseJob)},
-	KindPublishVersion:  {1, tokenless((*State).applyPublishVersion)},
-	KindPromoteVersion:  {1, tokenless((*State).applyPromoteVersion)},
-	KindRetireVersion:   {1, tokenless((*State).applyRetireVersion)},
-	KindClearVersion:    {1, tokenless((*State).applyClearVersion)},
-	KindDisableServers:  {1, tokenless((*State).applyDisableServers)},
-	KindEnableServers:   {1, tokenless((*State).applyEnableServers)},
+	KindStartJob:        {1, withoutToken((*State).applyStartJob)},
+	KindControlJob:      {1, withoutToken((*State).applyControlJob)},
+	KindBeginStep:       {1, withoutToken((*State).applyBeginStep)},
+	KindFinishStep:      {1, withoutToken((*State).applyFinishStep)},
+	KindCloseJob:        {1, withoutToken((*State).applyCloseJob)},
+	KindPublishVersion:  {1, withoutToken((*State).applyPublishVersion)},
+	KindPromoteVersion:  {1, withoutToken((*State).applyPromoteVersion)},
+	KindRetireVersion:   {1, withoutToken((*State).applyRetireVersion)},
+	KindClearVersion:    {1, withoutToken((*State).applyClearVersion)},
+	KindDisableServers:  {1, withoutToken((*State).applyDisableServers)},
+	KindEnableServers:   {1, withoutToken((*State).applyEnableServers)},
 }
 
-// tokenless adapts the apply method of a kind whose results carry no fencing token.
-func tokenless(apply func(*State, Entry) error) func(*State, Entry) (FencingToken, error) {
+// withoutToken adapts the apply method of a kind whose entries concern no lease, so that their results carry no
+// fencing token.
+func withoutToken(apply func(*State, Entry) error) func(*State, Entry) (FencingToken, error) {
 	return func(state *State, entry Entry) (FencingToken, error) { return 0, apply(state, entry) }
 }
 
-// Apply returns the state after an entry at a position of the log, and the outcome of the entry. Bytes that are no
-// entry are rejected like an invalid one. The only error is ErrUnsupportedFormat: the entry needs a newer program,
-// and the caller must not apply any further one.
+// Apply applies the entry at a position of the log, and returns the resulting state and the outcome of the entry.
+// Bytes that cannot be decoded are rejected like an invalid entry. The only error is ErrUnsupportedFormat: the entry
+// needs a newer version of the program, and the caller must not apply any further entry.
 func (s *State) Apply(position Position, raw []byte) (*State, Result, error) {
 	result := Result{Position: position}
 	var entry Entry
@@ -59,7 +60,7 @@
 		result.Err = ErrInvalidEntry
 		return s.at(position), result, nil
 	}
-	spec, err := s.kindOf(entry)
+	spec, err := s.lookupKind(entry)
 	if errors.Is(err, ErrUnsupportedFormat) {
 		return s, result, err
 	}
@@ -78,16 +79,16 @@
 	return next, result, nil
 }
 
-// at returns a copy of the state at another position.
+// at returns a copy of the state with another position.
 func (s *State) at(position Position) *State {
 	next := *s
 	next.Position = position
 	return &next
 }
 
-// kindOf returns how an entry is applied, the reason to reject it, or ErrUnsupportedFormat where the format version
-// of the state allows the entry and this program does not support it.
-func (s *State) kindOf(entry Entry) (kindSpec, error) {
+// lookupKind returns how an entry is applied. Its error is the reason to reject the entry, or ErrUnsupportedFormat if
+// the format version of the state allows the entry but this program does not support it.
+func (s *State) lookupKind(entry Entry) (kindSpec, error) {
 	if max(entry.FormatVersion, 1) > s.FormatVersion {
 		return kindSpec{}, ErrFormatTooNew
 	}
@@ -101,7 +102,8 @@
 	return kindSpec{}, ErrUnsupportedFormat
 }
 
-// apply changes s, a copy whose maps are still those of the former state: they are replaced, never written.
+// apply applies an entry to s, a copy of the previous state. The copy shares its maps with that state, so a map that
+// changes is replaced and never written.
 func (s *State) apply(spec kindSpec, entry Entry) (FencingToken, error) {
 	for _, text := range []string{entry.Reason, entry.Detail, entry.RequestedBy, entry.Holder, entry.Resource} {
 		if len(text) > maxTextLength {
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// mustApply applies entries, one position each, and returns the last result.
+// mustApply applies entries at consecutive positions, and returns the resulting state and the last result.
 func mustApply(t *testing.T, state *State, entries ...Entry) (*State, Result) {
 	t.Helper()
 	var result Result
@@ -21,14 +21,15 @@
 	return state, result
 }
 
-// step is one entry of a sequence, with the error that the state has to reject it with; nil: it has to be accepted.
+// step is one entry of a sequence, and the error with which the state must reject it; a nil error means that the
+// entry must be accepted.
 type step struct {
 	name  string
 	entry Entry
 	want  error
 }
 
-// applySequence applies steps one after another, and checks the outcome of each.
+// applySequence applies the entries of steps in order, and checks the outcome of each.
 func applySequence(t *testing.T, state *State, steps []step) (*State, Result) {
 	t.Helper()
 	var result Result
@@ -43,8 +44,8 @@
 	return state, result
 }
 
-// Members that support different format versions: what the older one does not support is rejected by both until both
-// support it. A program that is too old for the log stops.
+// While members support different format versions, all of them reject entries that the oldest one does not support.
+// Otherwise their states would diverge. A program that is too old for the log must stop applying entries.
 func TestApply_EntriesOfNewerFormats(t *testing.T) {
 	state := NewState(1).WithMembers(1, map[uint64]Member{
 		1: {ID: 1, SupportedFormat: 1},
@@ -52,20 +53,20 @@
 	})
 	state, result := mustApply(t, state, Entry{Kind: "later", FormatVersion: 2})
 	if !errors.Is(result.Err, ErrFormatTooNew) || state.Position != 2 {
-		t.Errorf("entry of a format that not all support: %v at position %d", result.Err, state.Position)
+		t.Errorf("entry of a format that not all members support: %v at position %d", result.Err, state.Position)
 	}
 	if state, result = mustApply(t, state, Entry{Kind: "unheard-of"}); !errors.Is(result.Err, ErrInvalidEntry) {
 		t.Errorf("entry of an unknown kind: %v", result.Err)
 	}
 	upgrade := Entry{Kind: KindUpgradeFormat, Argument: 2}
 	if _, _, err := state.Apply(state.Position+1, upgrade.Marshal()); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("upgrade beyond this program: %v", err)
+		t.Errorf("upgrade to a format that this program does not support: %v", err)
 	}
 	newer := *state
 	newer.FormatVersion = 2
 	later := Entry{Kind: "later", FormatVersion: 2}
 	if _, _, err := newer.Apply(state.Position+1, later.Marshal()); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("entry that the other members support: %v", err)
+		t.Errorf("entry of a format that only the other members support: %v", err)
 	}
 }
 
@@ -75,7 +76,7 @@
 		2: {ID: 2, SupportedFormat: 2},
 	})
 	if proposals := state.FormatProposals(1, true); len(proposals) != 0 {
-		t.Errorf("a format that member 1 does not support is proposed: %v", proposals)
+		t.Errorf("the leader proposes a format that member 1 does not support: %v", proposals)
 	}
 	proposals := state.FormatProposals(2, false)
 	if len(proposals) != 1 {
@@ -102,7 +103,7 @@
 	state, result = applySequence(t, state, []step{
 		{"grant to another holder", grantTo("b"), ErrConflict},
 		{"renewal under another token", Entry{Kind: KindRenewLease, Resource: "w", FencingToken: first + 1}, ErrLeaseLost},
-		{"expiry after a renewal never made", expire(1), ErrConflict},
+		{"expiry that counts a renewal never made", expire(1), ErrConflict},
 		{"renewal", renew, nil},
 		{"expiry overtaken by a renewal", expire(0), ErrConflict},
 		{"revocation", Entry{Kind: KindRevokeLease, Resource: "w", RequestedBy: "op", Reason: "x"}, nil},
@@ -113,11 +114,11 @@
 		{"grant to another holder after expiry", grantTo("b"), nil},
 	})
 	if result.FencingToken <= first {
-		t.Errorf("token %d was granted after %d", result.FencingToken, first)
+		t.Errorf("token %d was granted after %d, want a higher one", result.FencingToken, first)
 	}
 	decoded, err := UnmarshalState(state.Marshal())
 	if err != nil || fmt.Sprint(decoded) != fmt.Sprint(state) {
-		t.Errorf("the snapshot reads as %v, %v", decoded, err)
+		t.Errorf("the snapshot decodes to %v, %v; want %v", decoded, err, state)
 	}
 }
 
@@ -126,15 +127,15 @@
 	state, result := mustApply(t, NewState(3), grant)
 	next := state.NextEpoch(Member{ID: 9})
 	if NewFencingToken(next.Epoch, 1) <= result.FencingToken {
-		t.Errorf("epoch %d has tokens below %d", next.Epoch, result.FencingToken)
+		t.Errorf("tokens of epoch %d are not above %d, a token of the epoch before", next.Epoch, result.FencingToken)
 	}
 	if len(next.Leases) != 0 || !next.NewerThan(state) {
 		t.Errorf("the state of the next epoch is %+v", next)
 	}
 }
 
-// Only the holder of the lease reports on steps, and at most as many nodes are drained as the job allows, whatever a
-// holder believes.
+// Only the holder of the lease may record steps. The state itself limits how many nodes are drained at a time, because
+// a holder may not know which of its entries are in the log.
 func TestApply_JobStepsAndLimits(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollingUpdate, Nodes: []string{"a", "b"}, MaxUnavailable: 1}
 	state, result := mustApply(t, NewState(1),
@@ -157,13 +158,13 @@
 		{"finish before begin", finish(ActionDrain, OutcomeOK), ErrNotFound},
 		{"begin under another token", begin("a", ActionDrain, token+1), ErrLeaseLost},
 		{"begin", begin("a", ActionDrain, token), nil},
-		{"begin again", begin("a", ActionDrain, token), nil},
+		{"begin a second time", begin("a", ActionDrain, token), nil},
 		{"drain beyond the limit", begin("b", ActionDrain, token), ErrLimitExceeded},
 		{"finish", finish(ActionDrain, OutcomeOK), nil},
 		{"begin after finish", begin("a", ActionDrain, token), ErrAlreadyExists},
 		{"begin the last step", begin("a", ActionResume, token), nil},
 		{"last step fails", finish(ActionResume, OutcomeFailed), nil},
-		{"drain while a node is not back", begin("b", ActionDrain, token), ErrLimitExceeded},
+		{"drain while another node is not resumed", begin("b", ActionDrain, token), ErrLimitExceeded},
 		{"unknown command", control("sideways"), ErrInvalidEntry},
 		{"roll back", control(CommandRollBack), nil},
 		{"run after roll back", control(CommandRun), ErrInvalidEntry},
@@ -177,13 +178,13 @@
 	}
 }
 
-// A rollout never has more than two versions in use: publish, promote in stages, retire, clear.
+// A rollout publishes, promotes in stages, retires and clears versions, and never leaves more than two in use.
 func TestApply_RolloutLifecycle(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollout, Artifact: "settings", Digest: "v2", Stages: [][]string{{"a"}}}
 	grant := Entry{Kind: KindGrantLease, Resource: ResourceRollout, Holder: "x", LeaseDuration: time.Second}
 	state, result := mustApply(t, NewState(1), grant)
 	token := result.FencingToken
-	of := func(kind Kind, argument uint64, digest string) Entry {
+	entryOf := func(kind Kind, argument uint64, digest string) Entry {
 		return Entry{Kind: kind, Artifact: "settings", FencingToken: token, Argument: argument, Digest: digest}
 	}
 	publish := Entry{Kind: KindPublishVersion, Artifact: "settings", Digest: "v1"}
@@ -192,24 +193,24 @@
 		{"start before publish", Entry{Kind: KindStartJob, JobID: "j", Spec: spec}, ErrConflict},
 		{"publish", publish, nil},
 		{"publish again", publish, ErrAlreadyExists},
-		{"promote without a job", of(KindPromoteVersion, 0, ""), ErrNotFound},
+		{"promote without a job", entryOf(KindPromoteVersion, 0, ""), ErrNotFound},
 		{"start", Entry{Kind: KindStartJob, JobID: "j", Spec: spec}, nil},
-		{"retire before promote", of(KindRetireVersion, 0, "v1"), ErrNotFound},
-		{"promote to the first stage", of(KindPromoteVersion, 0, ""), nil},
-		{"retire while nodes need the version", of(KindRetireVersion, 0, "v1"), ErrConflict},
-		{"promote to a stage that is not there", of(KindPromoteVersion, 2, ""), ErrConflict},
-		{"promote to a stage beyond all integers", of(KindPromoteVersion, 1<<63, ""), ErrConflict},
-		{"promote to all nodes", of(KindPromoteVersion, 1, ""), nil},
-		{"retire", of(KindRetireVersion, 0, "v1"), nil},
+		{"retire before promote", entryOf(KindRetireVersion, 0, "v1"), ErrNotFound},
+		{"promote to the first stage", entryOf(KindPromoteVersion, 0, ""), nil},
+		{"retire while nodes need the version", entryOf(KindRetireVersion, 0, "v1"), ErrConflict},
+		{"promote to a stage that does not exist", entryOf(KindPromoteVersion, 2, ""), ErrConflict},
+		{"promote to a stage that overflows an int", entryOf(KindPromoteVersion, 1<<63, ""), ErrConflict},
+		{"promote to all nodes", entryOf(KindPromoteVersion, 1, ""), nil},
+		{"retire", entryOf(KindRetireVersion, 0, "v1"), nil},
 		{"close before clear", closeJob, ErrConflict},
-		{"clear another version", of(KindClearVersion, 1, "v1"), ErrNotFound},
+		{"clear another version", entryOf(KindClearVersion, 1, "v1"), ErrNotFound},
 	})
 	artifact := state.Artifacts["settings"]
 	if artifact.Current.Digest != "v2" || artifact.Retiring == nil || !artifact.InTransition() {
 		t.Fatalf("the artifact is %+v", artifact)
 	}
 	state, _ = applySequence(t, state, []step{
-		{"clear", of(KindClearVersion, uint64(artifact.Retiring.Position), "v1"), nil},
+		{"clear", entryOf(KindClearVersion, uint64(artifact.Retiring.Position), "v1"), nil},
 		{"close", closeJob, nil},
 	})
 	if state.Artifacts["settings"].InTransition() {
@@ -217,7 +218,8 @@
 	}
 }
 
-// BenchmarkApply applies an entry to a state of 1,000 nodes, whose maps are copied where they change.
+// BenchmarkApply applies an entry to a state of 1,000 nodes. A renewal copies only the small map of leases, and a
+// registration copies the map of nodes.
 func BenchmarkApply(b *testing.B) {
 	register := func(name, address string) Entry {
 		return Entry{Kind: KindRegisterNode, Node: &Node{Name: name, Address: address, Incarnation: "r"}}
--- a/fleet/applyjob.go
+++ b/fleet/applyjob.go
@@ -25,7 +25,7 @@
 }
 
 func (s *State) applyControlJob(entry Entry) error {
-	job, err := s.jobOf(entry)
+	job, err := s.jobForEntry(entry)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 func (s *State) applyBeginStep(entry Entry) error {
-	job, err := s.jobOfHolder(entry)
+	job, err := s.jobForHolder(entry)
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,9 @@
 	return nil
 }
 
-// mayBegin reports whether a step leaves at most as many nodes unavailable as the job allows. The state checks it, and
-// not the holder alone: a holder whose last proposal was never answered may not know that its entry is in the log.
+// mayBegin reports whether a step can begin without making more nodes unavailable than the job allows. The state checks
+// the limit because the holder of the lease cannot: if its last proposal got no answer, it may not know that the entry
+// is in the log.
 func (j *Job) mayBegin(key StepKey) bool {
 	if key.Action != ActionDrain && key.Action != ActionRollbackDrain {
 		return true
@@ -73,7 +74,7 @@
 }
 
 func (s *State) applyFinishStep(entry Entry) error {
-	job, err := s.jobOfHolder(entry)
+	job, err := s.jobForHolder(entry)
 	if err != nil {
 		return err
 	}
@@ -94,21 +95,21 @@
 }
 
 func (s *State) applyCloseJob(entry Entry) error {
-	job, err := s.jobOfHolder(entry)
+	job, err := s.jobForHolder(entry)
 	if err != nil {
 		return err
 	}
 	if job.Spec.Kind == JobRollout && s.Artifacts[job.Spec.Artifact].InTransition() {
-		return ErrConflict // a version is still to be cleared
+		return ErrConflict // more than one version may be in use until the retired one is cleared
 	}
 	job.CloseReason, job.Detail = CloseReason(entry.Outcome), entry.Detail
 	s.putJob(job)
 	return nil
 }
 
-// jobOf returns a copy of the job that an entry is about. A closed job accepts one thing, the first command to roll
-// it back, and is open again in the copy.
-func (s *State) jobOf(entry Entry) (*Job, error) {
+// jobForEntry returns a copy of the job that an entry concerns. The only entry that a closed job accepts is the first
+// command to roll it back, which reopens the copy.
+func (s *State) jobForEntry(entry Entry) (*Job, error) {
 	current := s.Jobs[entry.JobID]
 	if current == nil {
 		return nil, ErrNotFound
@@ -128,10 +129,10 @@
 	return &job, nil
 }
 
-// jobOfHolder is jobOf for entries that only the holder of the job's lease may propose. Entries of a former holder
-// are rejected here, and its effects by their receivers.
-func (s *State) jobOfHolder(entry Entry) (*Job, error) {
-	job, err := s.jobOf(entry)
+// jobForHolder is like jobForEntry, for entries that only the holder of the job's lease may propose. It rejects the
+// entries of former holders; the receivers of effects reject the requests of former holders.
+func (s *State) jobForHolder(entry Entry) (*Job, error) {
+	job, err := s.jobForEntry(entry)
 	if err != nil {
 		return nil, err
 	}
--- a/fleet/artifact.go
+++ b/fleet/artifact.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Artifact is something versioned that nodes act on, such as settings, routes or a build. At no time are there more
-// than two versions on which a node may still act: the state rejects a third.
+// Artifact is something versioned that nodes act on, such as settings, routes or a build. At no time may nodes act on
+// more than two of its versions: the state rejects a third one.
 type Artifact struct {
 	Name    string  `json:"name"`
-	Current Version `json:"now"` // in force at every node that Next does not reach yet
-	// Next is the version that a rollout is putting into force; nil if there is none.
+	Current Version `json:"now"` // the version of every node that may not act on Next yet
+	// Next is the version that a rollout is introducing; nil if there is none.
 	Next *Version `json:"next,omitempty"`
-	// Retiring is the version with no further leases granted, whose last lease may still be valid; nil if there
-	// is none.
+	// Retiring is a version of which no further leases are granted, but whose last lease may still be valid; nil if
+	// there is none.
 	Retiring       *Version `json:"gone,omitempty"`
-	NextNodes      []string `json:"on,omitempty"`  // that may act on Next
-	NextEverywhere bool     `json:"all,omitempty"` // every node may act on Next
+	NextNodes      []string `json:"on,omitempty"`  // names of the nodes that may act on Next
+	NextEverywhere bool     `json:"all,omitempty"` // whether every node may act on Next
 }
 
 // Version is one version of an artifact.
 type Version struct {
-	Digest   string   `json:"digest"` // of its content
-	Position Position `json:"at"`     // of the entry that put it where it is: published, promoted or retired
+	Digest   string   `json:"digest"` // digest of the content
+	Position Position `json:"at"`     // position of the entry that published, promoted or retired the version
 }
 
 // InTransition reports whether nodes may be acting on more than one version. A nil artifact is not in transition.
 func (a *Artifact) InTransition() bool { return a != nil && (a.Next != nil || a.Retiring != nil) }
 
-// AllowedVersions returns the digests that a node may get a lease of, with the preferred one first.
+// AllowedVersions returns the digests of the versions that a node may get a lease of, the preferred one first.
 func (a *Artifact) AllowedVersions(node string) []string {
 	if a.Next != nil && (a.NextEverywhere || slices.Contains(a.NextNodes, node)) {
 		return []string{a.Next.Digest, a.Current.Digest}
@@ -36,7 +36,8 @@
 // DesiredVersion returns the digest of the version that a node should act on.
 func (a *Artifact) DesiredVersion(node string) string { return a.AllowedVersions(node)[0] }
 
-// canStartRollout reports whether a rollout may start: its version is a new one, and no other is on its way.
+// canStartRollout reports whether a rollout may start: its version differs from the current one, and no other version
+// is being introduced or retired.
 func (s *State) canStartRollout(spec *JobSpec) bool {
 	artifact := s.Artifacts[spec.Artifact]
 	if artifact == nil || artifact.InTransition() {
@@ -59,7 +60,7 @@
 }
 
 func (s *State) applyPromoteVersion(entry Entry) error {
-	artifact, job, err := s.rolloutOf(entry)
+	artifact, job, err := s.rolloutForEntry(entry)
 	if err != nil {
 		return err
 	}
@@ -80,7 +81,7 @@
 }
 
 func (s *State) applyRetireVersion(entry Entry) error {
-	artifact, _, err := s.rolloutOf(entry)
+	artifact, _, err := s.rolloutForEntry(entry)
 	if err != nil {
 		return err
 	}
@@ -90,10 +91,10 @@
 		return ErrNotFound
 	case entry.Digest == artifact.Current.Digest:
 		if !artifact.NextEverywhere {
-			return ErrConflict // some nodes may act on nothing else
+			return ErrConflict // some nodes may act on the current version only
 		}
 		artifact.Current = *next
-	case entry.Digest != next.Digest: // that of Next is the rollback
+	case entry.Digest != next.Digest: // to retire Next is to roll back
 		return ErrNotFound
 	}
 	artifact.Retiring = &Version{entry.Digest, s.Position}
@@ -103,7 +104,7 @@
 }
 
 func (s *State) applyClearVersion(entry Entry) error {
-	artifact, _, err := s.rolloutOf(entry)
+	artifact, _, err := s.rolloutForEntry(entry)
 	if err != nil {
 		return err
 	}
@@ -115,9 +116,9 @@
 	return nil
 }
 
-// rolloutOf returns a copy of the artifact that an entry is about, and the open rollout of it. Only the holder of the
-// rollouts' lease may propose such an entry.
-func (s *State) rolloutOf(entry Entry) (*Artifact, *Job, error) {
+// rolloutForEntry returns a copy of the artifact that an entry concerns, and the open rollout of that artifact. Only
+// the holder of the lease of rollouts may propose such an entry.
+func (s *State) rolloutForEntry(entry Entry) (*Artifact, *Job, error) {
 	current := s.Artifacts[entry.Artifact]
 	if current == nil {
 		return nil, nil, ErrNotFound
--- a/fleet/disable.go
+++ b/fleet/disable.go
@@ -6,13 +6,13 @@
 type DisableOrder struct {
 	ID      string   `json:"id"`
 	Servers []string `json:"servers,omitempty"`
-	// Zones disables all servers of these zones, too, as each node's endpoint list has them.
+	// Zones disables the servers of these zones, too. Each node looks up a server's zone in its own endpoint list.
 	Zones []string `json:"zones,omitempty"`
-	// Until is when the order ends, by the wall clock of each process that carries it out.
+	// Until is the time at which the order ends, by the wall clock of each process that carries it out.
 	Until       time.Time `json:"until"`
 	RequestedBy string    `json:"who,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
-	Position    Position  `json:"at"` // of the entry that created it
+	Position    Position  `json:"at"` // position of the entry that created the order
 }
 
 func (s *State) applyDisableServers(entry Entry) error {
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind says what an entry of the log does. Its values are stored and transmitted, and never change.
+// Kind is the kind of an entry of the log. Its values are stored and transmitted, and must not change.
 type Kind string
 
 // The kinds of entries.
@@ -13,7 +13,7 @@
 	KindUpgradeFormat   Kind = "raise"   // raises the format version of the state
 	KindAnnounceFormat  Kind = "speak"   // records the newest format version that a member supports
 	KindRegisterNode    Kind = "join"    // registers a node, or a new incarnation of it
-	KindRemoveNode      Kind = "forget"  // removes a node that will not come back
+	KindRemoveNode      Kind = "forget"  // removes a node that will not register again
 	KindGrantLease      Kind = "acquire" // grants the lease of a resource
 	KindRenewLease      Kind = "renew"   // renews a lease
 	KindExpireLease     Kind = "expire"  // ends a lease that was not renewed in time
@@ -27,7 +27,7 @@
 	KindCloseJob        Kind = "close"   // ends a job
 	KindPublishVersion  Kind = "offer"   // publishes the first version of an artifact
 	KindPromoteVersion  Kind = "stage"   // lets the next stage of nodes use a job's version
-	KindRetireVersion   Kind = "retire"  // ends the granting of leases of a version
+	KindRetireVersion   Kind = "retire"  // stops further leases of a version from being granted
 	KindClearVersion    Kind = "clear"   // records that the last lease of a retired version has expired
 	KindDisableServers  Kind = "hold"    // disables servers at all nodes
 	KindEnableServers   Kind = "lift"    // ends a disable order
@@ -36,12 +36,12 @@
 // Entry is one entry of the log. Which fields are used depends on its kind.
 type Entry struct {
 	Kind Kind `json:"kind"`
-	// FormatVersion is the format version of the state from which the entry is valid; 0 means 1.
+	// FormatVersion is the lowest format version of the state at which the entry is valid; 0 means 1.
 	FormatVersion int `json:"level,omitempty"`
 	// SupportedFormat is the newest format version that the member supports (KindAnnounceFormat).
 	SupportedFormat int    `json:"knows,omitempty"`
 	Resource        string `json:"work,omitempty"`
-	// Holder identifies one incarnation of a process: its name, a slash, and what no other incarnation has.
+	// Holder identifies one incarnation of a process: its name, a slash, and an identifier unique to the incarnation.
 	Holder       string       `json:"holder,omitempty"`
 	FencingToken FencingToken `json:"token,omitempty"`
 	// Argument is a number whose meaning depends on the kind. KindExpireLease: how many renewals the proposer has
@@ -64,7 +64,7 @@
 	Reason       string        `json:"reason,omitempty"`
 }
 
-// Marshal returns the entry as the log stores it.
+// Marshal encodes the entry as the log stores it.
 func (e Entry) Marshal() []byte {
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -73,5 +73,6 @@
 	return raw
 }
 
-// Deferrable reports whether watchers need not be notified of the entry at once.
+// Deferrable reports whether watchers may receive the entry later, together with the next entry that is not
+// deferrable. Otherwise every renewal of a lease would wake all watchers.
 func (e Entry) Deferrable() bool { return e.Kind == KindRenewLease }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// RejectionError is an error with which the state rejects an entry. A rejected entry changes nothing but the position.
+// RejectionError is the reason for which the state rejects an entry. A rejected entry changes only the position.
 type RejectionError struct {
-	wireText string // transmitted in answers to proposals; must not change
+	wireText string // identifies the error in answers to proposals; must not change
 	message  string
 }
 
 // Error returns a message for operators.
 func (e *RejectionError) Error() string { return e.message }
 
-// WireText returns the text by which processes of all versions identify the error in answers to proposals.
+// WireText returns the text that identifies the error in answers to proposals, for all versions of the program.
 func (e *RejectionError) WireText() string { return e.wireText }
 
 var (
@@ -24,7 +24,7 @@
 	ErrLeaseLost error = &RejectionError{
 		"the ownership is over", "the lease is lost or revoked, or the job is closed",
 	}
-	// ErrNotFound rejects an entry about something that does not exist.
+	// ErrNotFound rejects an entry that refers to something that does not exist.
 	ErrNotFound error = &RejectionError{
 		"there is no such thing", "the subject of the entry does not exist",
 	}
@@ -54,7 +54,8 @@
 	}
 }
 
-// RejectionWireText returns the text by which an answer to a proposal identifies an error.
+// RejectionWireText returns the text that identifies err in an answer to a proposal: its wire text if it is a
+// RejectionError, else its message.
 func RejectionWireText(err error) string {
 	var rejection *RejectionError
 	if errors.As(err, &rejection) {
@@ -63,8 +64,8 @@
 	return err.Error()
 }
 
-// ParseRejection returns the error that a text in an answer to a proposal identifies. Texts of other versions of the
-// program become errors of their own.
+// ParseRejection returns the rejection error that a text in an answer to a proposal identifies. A text that this
+// version of the program does not know becomes a new error with that text.
 func ParseRejection(wireText string) error {
 	for _, err := range RejectionErrors() {
 		if RejectionWireText(err) == wireText {
@@ -74,6 +75,6 @@
 	return errors.New(wireText)
 }
 
-// ErrUnsupportedFormat reports a log or snapshot whose format version is newer than FormatVersion. The process has to
-// stop applying entries, or its state would diverge from that of the others.
+// ErrUnsupportedFormat reports a log or snapshot whose format version is newer than FormatVersion. The process must
+// stop applying entries, or its state would diverge from that of the other members.
 var ErrUnsupportedFormat = errors.New("fleet: the format version of the log is newer than this program supports")
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -7,13 +7,13 @@
 	Resource     string       `json:"work"`
 	Holder       string       `json:"holder"` // see Entry.Holder
 	FencingToken FencingToken `json:"token"`
-	// Duration is how long the holder may act after the last renewal that it asked for.
+	// Duration is how long the holder may act, counted from its request for the newest renewal.
 	Duration time.Duration `json:"lease"`
 	Renewals uint64        `json:"renewals"`
-	// StepDownRequestedBy names the requester of the lease's release and the reason; empty if there is none.
+	// StepDownRequestedBy names who asked the holder to step down, and the reason; empty if nobody did.
 	StepDownRequestedBy string `json:"asked,omitempty"`
-	// RevokedBy names the operator who has forbidden renewals and the reason; empty if there is none. The lease then
-	// expires.
+	// RevokedBy names the operator who has revoked the lease, and the reason; empty if nobody has. A revoked lease
+	// cannot be renewed, and expires.
 	RevokedBy string   `json:"pushed,omitempty"`
 	GrantedAt Position `json:"since"`
 }
@@ -24,8 +24,9 @@
 	return ok && current.FencingToken == token
 }
 
-// leaseOf returns the lease that an entry is about. It is ErrLeaseLost if the entry's token is not that of the lease.
-func (s *State) leaseOf(entry Entry) (Lease, error) {
+// leaseForEntry returns the lease that an entry concerns. It returns ErrLeaseLost if the entry's token is not that of
+// the lease.
+func (s *State) leaseForEntry(entry Entry) (Lease, error) {
 	current, ok := s.Leases[entry.Resource]
 	if !ok || entry.FencingToken != current.FencingToken {
 		return Lease{}, ErrLeaseLost
@@ -33,12 +34,12 @@
 	return current, nil
 }
 
-// leaseForOperator is leaseOf for the entries of operators, who need not name a token.
+// leaseForOperator is like leaseForEntry, for the entries of operators, which may lack the token.
 func (s *State) leaseForOperator(entry Entry) (Lease, error) {
 	if entry.FencingToken == 0 {
 		entry.FencingToken = s.Leases[entry.Resource].FencingToken
 	}
-	return s.leaseOf(entry)
+	return s.leaseForEntry(entry)
 }
 
 func (s *State) applyGrantLease(entry Entry) (FencingToken, error) {
@@ -67,7 +68,7 @@
 }
 
 func (s *State) applyRenewLease(entry Entry) (FencingToken, error) {
-	current, err := s.leaseOf(entry)
+	current, err := s.leaseForEntry(entry)
 	if err != nil {
 		return 0, err
 	}
@@ -80,19 +81,19 @@
 }
 
 func (s *State) applyExpireLease(entry Entry) (FencingToken, error) {
-	current, err := s.leaseOf(entry)
+	current, err := s.leaseForEntry(entry)
 	if err != nil {
 		return 0, err
 	}
 	if entry.Argument != current.Renewals {
-		return 0, ErrConflict // renewed while the entry was under way
+		return 0, ErrConflict // the lease was renewed after the expiry was proposed
 	}
 	s.Leases = withoutKey(s.Leases, entry.Resource)
 	return current.FencingToken, nil
 }
 
 func (s *State) applyReleaseLease(entry Entry) (FencingToken, error) {
-	current, err := s.leaseOf(entry)
+	current, err := s.leaseForEntry(entry)
 	if err != nil {
 		return 0, err
 	}
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// FormatVersion is the newest format version of entries and states that this program supports. The version of the
-// state is raised, by an entry of KindUpgradeFormat, only once every member supports a newer one; an entry above the
-// version of the state is rejected by all members alike.
+// FormatVersion is the newest format version of entries and states that this program supports. An entry of
+// KindUpgradeFormat raises the version of the state once every member supports a newer one. All members reject an
+// entry whose version is above that of the state.
 const FormatVersion = 1
 
 // Limits of a state. An entry that would exceed one is rejected.
 const (
 	maxNodes         = 10_000
-	maxJobs          = 64 // beyond them closed jobs are removed, oldest first
+	maxJobs          = 64 // if there are more, closed jobs are removed, oldest first
 	maxDisableOrders = 1_000
 	maxResources     = 64
 	maxArtifacts     = 64
@@ -24,38 +24,38 @@
 	maxNameLength    = 64    // bytes
 )
 
-// Node is one node of the fleet, as the agent beside it has registered it.
+// Node is a node of the fleet, as registered by the agent that runs beside it.
 type Node struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone,omitempty"`
-	Address  string  `json:"address"` // of its agent, as IP:port
+	Address  string  `json:"address"` // IP:port of the agent
 	Capacity float64 `json:"capacity"`
-	// LeaseCandidate says that its agent may hold leases.
+	// LeaseCandidate reports whether the agent may hold leases.
 	LeaseCandidate bool `json:"owns,omitempty"`
-	// Incarnation identifies the run of the agent that has registered the node.
+	// Incarnation identifies the run of the agent process that has registered the node.
 	Incarnation string `json:"run"`
 }
 
 // Member is one member of the consensus group.
 type Member struct {
-	ID      uint64 `json:"id"` // drawn with its storage: a member that has lost it comes back as another
+	ID      uint64 `json:"id"` // created with the member's storage: a member that lost its storage has a new ID
 	Name    string `json:"name"`
 	Address string `json:"address"`           // IP:port
-	Learner bool   `json:"learner,omitempty"` // it receives the log and does not vote
-	// SupportedFormat is the newest format version that its program supports; 0 until it has announced one.
+	Learner bool   `json:"learner,omitempty"` // whether the member receives the log without a vote
+	// SupportedFormat is the newest format version that the member's program supports; 0 until it is announced.
 	SupportedFormat int `json:"level,omitempty"`
 }
 
-// State is the agreed state of the fleet. It is immutable: Apply and the With methods return a new one. Maps and what
-// they point at are shared between states, and must not be written.
+// State is the agreed state of the fleet. It is immutable: Apply, WithMembers and NextEpoch return a new one. States
+// share their maps and the values that these point to, so nobody may write to them.
 type State struct {
-	Position      Position                 `json:"at"`    // of the last entry applied
-	Epoch         uint64                   `json:"epoch"` // how often a cluster was begun; see NextEpoch
+	Position      Position                 `json:"at"`    // position of the last entry applied
+	Epoch         uint64                   `json:"epoch"` // raised whenever an operator forces a new cluster
 	FormatVersion int                      `json:"level"`
 	Members       map[uint64]Member        `json:"members"` // by ID
 	Nodes         map[string]Node          `json:"nodes"`   // by name
 	Leases        map[string]Lease         `json:"owners"`  // by resource
-	HighestTokens map[string]FencingToken  `json:"last"`    // by resource, of leases that have ended, too
+	HighestTokens map[string]FencingToken  `json:"last"`    // by resource; includes leases that have ended
 	Jobs          map[string]*Job          `json:"jobs"`    // by ID
 	DisableOrders map[string]*DisableOrder `json:"holds"`   // by ID
 	Artifacts     map[string]*Artifact     `json:"things"`  // by name
@@ -64,7 +64,7 @@
 // NewState returns the state before the first entry of an epoch.
 func NewState(epoch uint64) *State { return &State{Epoch: epoch, FormatVersion: 1} }
 
-// UnmarshalState reads a snapshot. It returns ErrUnsupportedFormat for one of a newer program.
+// UnmarshalState decodes a snapshot. It returns ErrUnsupportedFormat if the format version is too new.
 func UnmarshalState(raw []byte) (*State, error) {
 	state := new(State)
 	if err := json.Unmarshal(raw, state); err != nil {
@@ -76,7 +76,7 @@
 	return state, nil
 }
 
-// Marshal returns the state as snapshots store it.
+// Marshal encodes the state as a snapshot.
 func (s *State) Marshal() []byte {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -85,20 +85,20 @@
 	return raw
 }
 
-// NewerThan reports whether s is ahead of other. A later epoch is ahead of every position of an earlier one.
+// NewerThan reports whether s is newer than other: it is of a later epoch, or further in the log of the same epoch.
 func (s *State) NewerThan(other *State) bool {
 	return s.Epoch > other.Epoch || s.Epoch == other.Epoch && s.Position > other.Position
 }
 
-// WithMembers returns the state with another membership, which takes effect at a position.
+// WithMembers returns the state at a position of the log where the membership changes to members.
 func (s *State) WithMembers(position Position, members map[uint64]Member) *State {
 	next := *s
 	next.Position, next.Members = position, members
 	return &next
 }
 
-// NextEpoch returns the state of a cluster that an operator has forced to a single member. All leases end; fencing
-// tokens granted from then on are higher than all earlier ones.
+// NextEpoch returns the state of the new cluster that an operator forces with a single member. All leases end, and
+// fencing tokens granted from then on are higher than all earlier ones.
 func (s *State) NextEpoch(member Member) *State {
 	next := *s
 	next.Epoch++
@@ -107,8 +107,8 @@
 	return &next
 }
 
-// FormatProposals returns the entries about format versions that a member proposes by itself: the version that it
-// supports, and, as the leader, the upgrade to a version that all members support.
+// FormatProposals returns the entries about format versions that a member proposes on its own: the announcement of the
+// version that it supports, and, if it is the leader, the upgrade to the newest version that all members support.
 func (s *State) FormatProposals(memberID uint64, isLeader bool) []Entry {
 	var proposals []Entry
 	if member, ok := s.Members[memberID]; ok && member.SupportedFormat != FormatVersion {
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// ActiveDisableOrders returns the disable orders in force at a moment of the caller's wall clock, ordered by ID.
+// ActiveDisableOrders returns the disable orders that have not ended at now, a time of the caller's wall clock, ordered
+// by ID.
 func (s *State) ActiveDisableOrders(now time.Time) []*DisableOrder {
 	var active []*DisableOrder
 	for _, id := range slices.Sorted(maps.Keys(s.DisableOrders)) {
@@ -146,7 +147,7 @@
 	return active
 }
 
-// withKey returns a copy of m in which key has a value.
+// withKey returns a copy of m in which key maps to value.
 func withKey[K comparable, V any](m map[K]V, key K, value V) map[K]V {
 	clone := maps.Clone(m)
 	if clone == nil {
@@ -156,7 +157,7 @@
 	return clone
 }
 
-// withoutKey returns a copy of m that lacks a key.
+// withoutKey returns a copy of m without key.
 func withoutKey[K comparable, V any](m map[K]V, key K) map[K]V {
 	clone := maps.Clone(m)
 	delete(clone, key)
--- a/fleet/stored_test.go
+++ b/fleet/stored_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// The files in testdata were written by the program as it was before its Go names changed: a state with every part
-// filled, then a log with entries of all kinds, accepted and rejected ones, and the state after them.
+// The files in testdata were written by an earlier version of the program, and guard the stored format against
+// changes: a state with every field set, a log with accepted and rejected entries of all kinds, and the state after
+// that log.
 const (
 	storedSnapshot = "testdata/snapshot.json"
 	storedEntries  = "testdata/entries.json"
 	storedState    = "testdata/state.json"
 )
 
-// storedEntry is one entry of the stored log with its outcome.
+// storedEntry is one entry of the stored log, and its outcome when it was stored.
 type storedEntry struct {
 	Raw      string       `json:"raw"`
 	Position Position     `json:"position"`
@@ -52,7 +53,7 @@
 	storedSpareToken    = 281474976710664
 )
 
-// storedSpec is the specification of the rolling update round-1.
+// storedSpec returns the specification of the rolling update round-1.
 func storedSpec() JobSpec {
 	return JobSpec{
 		Kind:           "round",
@@ -66,12 +67,12 @@
 	}
 }
 
-// storedRolloutSpec is the specification of a rollout.
+// storedRolloutSpec returns the specification of a stored rollout.
 func storedRolloutSpec(digest string, maxStragglers int, stages ...[]string) JobSpec {
 	return JobSpec{Kind: "rollout", Artifact: "settings", Digest: digest, Stages: stages, MaxStragglers: maxStragglers}
 }
 
-// storedNode is the node n3.
+// storedNode returns the node n3.
 func storedNode() Node {
 	return Node{
 		Name:           "n3",
@@ -83,7 +84,7 @@
 	}
 }
 
-// storedOrder is the disable order hold-1, as it was proposed.
+// storedOrder returns the disable order hold-1 as it was proposed.
 func storedOrder() DisableOrder {
 	return DisableOrder{
 		ID:      "hold-1",
@@ -93,7 +94,7 @@
 	}
 }
 
-// storedLog is what the entries of the stored log say, field by field.
+// storedLog returns the entries to which the stored log must decode.
 func storedLog() []Entry {
 	return slices.Concat(storedMembershipEntries(), storedJobEntries(), storedRolloutEntries(), storedOtherEntries())
 }
@@ -176,7 +177,7 @@
 	}
 }
 
-// storedResult is what the state after the stored log says, field by field.
+// storedResult returns the state that must follow from the stored log.
 func storedResult() *State {
 	order := storedOrder()
 	order.RequestedBy, order.Reason, order.Position = "ann", "cables", 79
@@ -290,12 +291,12 @@
 	}
 }
 
-// Entries of every kind that an earlier program stored are read as they were meant, and written as they were stored.
+// Stored entries of every kind must decode to the same fields as in the earlier program, and encode to the same bytes.
 func TestStoredEntries_DecodeAndEncodeUnchanged(t *testing.T) {
 	want := storedLog()
 	stored := readStoredEntries(t)
 	if len(stored) != len(want) {
-		t.Fatalf("%d entries are stored, %d are expected", len(stored), len(want))
+		t.Fatalf("%d entries are stored, want %d", len(stored), len(want))
 	}
 	seen := make(map[Kind]bool)
 	for i, current := range stored {
@@ -305,10 +306,10 @@
 		}
 		seen[entry.Kind] = true
 		if !reflect.DeepEqual(entry, want[i]) {
-			t.Errorf("%s reads as %+v, want %+v", current.Raw, entry, want[i])
+			t.Errorf("%s decodes to %+v, want %+v", current.Raw, entry, want[i])
 		}
 		if encoded := string(entry.Marshal()); encoded != current.Raw {
-			t.Errorf("stored %s, written again %s", current.Raw, encoded)
+			t.Errorf("the stored entry %s is encoded again as %s", current.Raw, encoded)
 		}
 	}
 	for kind := range kinds {
@@ -317,11 +318,12 @@
 		}
 	}
 	if len(seen) != 21 {
-		t.Errorf("%d kinds are stored, want 21", len(seen))
+		t.Errorf("entries of %d kinds are stored, want 21", len(seen))
 	}
 }
 
-// The stored log leads from the stored snapshot to the stored state, each entry with the outcome that it had then.
+// Applied to the stored snapshot, the stored log must lead to the stored state, and each entry must have the same
+// outcome as in the earlier program.
 func TestStoredLog_AppliesToStoredState(t *testing.T) {
 	raw := readStored(t, storedSnapshot)
 	state, err := UnmarshalState(raw)
@@ -329,7 +331,7 @@
 		t.Fatal(err)
 	}
 	if encoded := string(state.Marshal()); encoded != string(raw) {
-		t.Errorf("the snapshot is stored as %s, written again %s", raw, encoded)
+		t.Errorf("the stored snapshot %s is encoded again as %s", raw, encoded)
 	}
 	for _, current := range readStoredEntries(t) {
 		next, result, err := state.Apply(current.Position, []byte(current.Raw))
@@ -349,6 +351,6 @@
 		t.Errorf("the state is %s, want %s", state.Marshal(), want.Marshal())
 	}
 	if want := string(readStored(t, storedState)); string(state.Marshal()) != want {
-		t.Errorf("the state is written as %s, want %s", state.Marshal(), want)
+		t.Errorf("the state is encoded as %s, want %s", state.Marshal(), want)
 	}
 }
