--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -118,7 +118,7 @@
 	}
 	decoded, err := UnmarshalState(state.Marshal())
 	if err != nil || fmt.Sprint(decoded) != fmt.Sprint(state) {
-		t.Errorf("the snapshot decodes to %v, %v; want %v", decoded, err, state)
+		t.Errorf("the snapshot decodes to another state: %v, error %v", decoded, err)
 	}
 }
 
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -14,20 +14,20 @@
 
 // AppliedEntry is one entry of the log that was applied to the state.
 type AppliedEntry struct {
-	ProposalID uint64 // 0: no caller waits for it
+	ProposalID uint64 // 0: no caller waits for the outcome
 	Entry      fleet.Entry
-	Raw        []byte // the entry as the log has it, without the ID of the proposal; nil: an entry of raft's own
+	Raw        []byte // the encoded entry as in the log, without the proposal ID; nil: an internal entry of raft
 	Result     fleet.Result
 }
 
-// ApplyResult is what a write batch has brought into the state.
+// ApplyResult is what has changed in the state by a write batch.
 type ApplyResult struct {
 	Applied  []AppliedEntry
-	Restored bool // the state came as a snapshot, or the membership has changed
-	// ConfirmedReads are the reads since whose request the state is known to be up to date.
+	Restored bool // whether the state was replaced by a snapshot, or the membership has changed
+	// ConfirmedReads are the IDs of reads (see Core.Read) for which the state is now new enough.
 	ConfirmedReads []uint64
-	Snapshot       *raftpb.Snapshot // to be stored in place of the log before it; nil: none
-	FirstRetained  fleet.Position   // of the log once Snapshot is stored; 0: all entries are kept
+	Snapshot       *raftpb.Snapshot // snapshot to store in place of the log before it; nil: none
+	FirstRetained  fleet.Position   // first log entry to keep once Snapshot is stored; 0: all are kept
 }
 
 // Ready returns the next write batch; nil if there is none.
@@ -46,12 +46,12 @@
 	return batch
 }
 
-// Advance reports that a write batch is stored, and returns the state that it has changed. now is the time of
-// the replica's monotonic clock: a replica that was stopped sees entries when it applies them, not earlier. After
-// an error the core must not be used any more.
+// Advance tells the core that a write batch is stored, and returns what has changed in the state by it. now is the time
+// of the replica's monotonic clock. The expiry of leases counts from it: a replica whose process was paused has not
+// seen an entry before it applies it. After an error the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
-	if err := c.persistInMemory(batch, &result); err != nil {
+	if err := c.updateMemoryStorage(batch, &result); err != nil {
 		return result, err
 	}
 	membershipChanged, err := c.applyCommitted(batch.ready.CommittedEntries, &result)
@@ -61,15 +61,15 @@
 	c.confirmReads(batch.ready.ReadStates, &result)
 	c.expiry.Observe(c.state, c.now)
 	c.node.Advance(batch.ready)
-	// A learner cannot start from a snapshot that does not know it.
+	// A learner cannot start from a snapshot whose membership lacks it.
 	if c.snapshotDue() || membershipChanged {
 		err = c.takeSnapshot(&result)
 	}
 	return result, err
 }
 
-// persistInMemory repeats a write batch on the in-memory copy of the storage.
-func (c *Core) persistInMemory(batch *WriteBatch, result *ApplyResult) error {
+// updateMemoryStorage applies a write batch to the in-memory copy of the storage.
+func (c *Core) updateMemoryStorage(batch *WriteBatch, result *ApplyResult) error {
 	if batch.HardState != nil {
 		if err := c.storage.SetHardState(batch.HardState); err != nil {
 			return err
@@ -84,7 +84,7 @@
 	return c.storage.Append(batch.Entries)
 }
 
-// applyCommitted applies entries that are agreed on.
+// applyCommitted applies committed entries, and adds them to result.
 func (c *Core) applyCommitted(entries []*raftpb.Entry, result *ApplyResult) (membershipChanged bool, err error) {
 	for _, entry := range entries {
 		applied, err := c.applyEntry(entry)
@@ -99,14 +99,14 @@
 	return membershipChanged, nil
 }
 
-// applyEntry applies one entry.
+// applyEntry applies one committed entry, which may be one of raft's own.
 func (c *Core) applyEntry(entry *raftpb.Entry) (AppliedEntry, error) {
 	position := fleet.Position(entry.GetIndex())
 	if entry.GetType() != raftpb.EntryNormal {
 		return c.applyMembership(entry, position)
 	}
 	applied := AppliedEntry{Result: fleet.Result{Position: position}}
-	if len(entry.GetData()) < proposalIDSize { // the empty entry by which a leader begins its term
+	if len(entry.GetData()) < proposalIDSize { // the empty entry with which a leader begins its term
 		next := *c.state
 		next.Position = position
 		c.state = &next
@@ -114,7 +114,7 @@
 		return applied, nil
 	}
 	applied.ProposalID, applied.Raw = decodeID(entry.GetData()), entry.GetData()[proposalIDSize:]
-	_ = json.Unmarshal(applied.Raw, &applied.Entry) // Apply rejects what cannot be decoded
+	_ = json.Unmarshal(applied.Raw, &applied.Entry) // Apply rejects an entry that cannot be decoded
 	next, result, err := c.state.Apply(position, applied.Raw)
 	if err != nil {
 		return applied, err
@@ -123,7 +123,8 @@
 	return applied, nil
 }
 
-// confirmReads moves the reads whose position is applied into the result.
+// confirmReads adds the reads that the leader has confirmed to the pending ones, and moves those whose position is
+// applied to the result.
 func (c *Core) confirmReads(confirmed []raft.ReadState, result *ApplyResult) {
 	for _, read := range confirmed {
 		c.pendingReads = append(c.pendingReads, pendingRead{decodeID(read.RequestCtx), read.Index})
@@ -141,7 +142,7 @@
 	return uint64(c.state.Position) >= c.snapshotIndex+trailingDivisor*c.trailingEntries
 }
 
-// takeSnapshot makes a snapshot of the state, and drops the entries before it but for the trailing ones.
+// takeSnapshot makes a snapshot of the state, and drops the entries before it except the newest trailingEntries.
 func (c *Core) takeSnapshot(result *ApplyResult) error {
 	position := uint64(c.state.Position)
 	snapshot, err := c.storage.CreateSnapshot(position, c.confState, c.state.Marshal())
--- a/fleet/consensus/boltstorage.go
+++ b/fleet/consensus/boltstorage.go
@@ -21,7 +21,8 @@
 // storageFile is the name of the database in a replica's directory.
 const storageFile = "council.db"
 
-// recoveredSuffix is of the copy that RecoverStorage makes, until it takes the place of the database.
+// recoveredSuffix is added to the database's name for the copy that RecoverStorage writes, until the copy replaces the
+// database.
 const recoveredSuffix = ".recovered"
 
 // lockTimeout is how long OpenStorage waits for another process to close the database.
@@ -36,11 +37,11 @@
 	snapshotKey  = []byte("snapshot")
 )
 
-// boltStorage implements Storage by a bbolt database.
+// boltStorage implements Storage with a bbolt database.
 type boltStorage struct{ db *bbolt.DB }
 
-// OpenStorage opens the storage of a replica in a directory. If there is none it creates one, with a new ID. One
-// process can have it open at a time.
+// OpenStorage opens the storage of a replica in a directory. If there is none, it creates one with a new ID. Only one
+// process can have the storage open at a time.
 func OpenStorage(dir string) (Storage, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -59,9 +60,9 @@
 	return &boltStorage{db}, nil
 }
 
-// RecoverStorage opens the storage of a replica whose process continues after its storage has failed. All that can be
-// read is written and synced again before it is used: after a failed sync, data read may be in the system's memory
-// alone, and a later sync says nothing of it.
+// RecoverStorage opens the storage of a replica whose process continues after its storage has failed. It first writes
+// and syncs a copy of everything that can be read: after a failed sync, data that is read may exist only in the page
+// cache, and a later sync can succeed without writing it.
 func RecoverStorage(dir string) (Storage, error) {
 	path := filepath.Join(dir, storageFile)
 	if err := rewriteFile(path); err != nil {
@@ -70,7 +71,7 @@
 	return OpenStorage(dir)
 }
 
-// rewriteFile replaces a database by a synced copy of itself.
+// rewriteFile replaces a database with a synced copy of itself.
 func rewriteFile(path string) (err error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true})
 	if err != nil {
@@ -103,7 +104,7 @@
 	return file.Sync()
 }
 
-// syncDir syncs the names in a directory.
+// syncDir syncs the entries of a directory, such as the name of a renamed file.
 func syncDir(dir string) (err error) {
 	file, err := os.Open(dir)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return file.Sync()
 }
 
-// initialize creates the buckets and the ID where they are missing.
+// initialize creates the buckets and the ID if they are missing.
 func initialize(tx *bbolt.Tx) error {
 	if _, err := tx.CreateBucketIfNotExists(logBucket); err != nil {
 		return err
@@ -126,7 +127,7 @@
 	if _, err := rand.Read(id); err != nil {
 		return err
 	}
-	id[len(id)-1] |= 1 // never 0
+	id[len(id)-1] |= 1 // an ID is never 0
 	return meta.Put(idKey, id)
 }
 
@@ -195,7 +196,8 @@
 	})
 }
 
-// putEntries stores entries in place of those that another leader had from their first index on.
+// putEntries stores entries. They replace all stored entries from their first index on, which come from an earlier
+// leader and were not committed.
 func putEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -219,9 +221,9 @@
 	return bucket.Put(key, raw)
 }
 
-// deleteEntries removes the entries from one index to another, both included.
+// deleteEntries removes the entries with indexes from first to last, both included.
 func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
-	var keys [][]byte // collected first: a deletion would move the cursor
+	var keys [][]byte // collected before any is deleted, since a deletion would move the cursor
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(encodeID(first)); key != nil && decodeID(key) <= last; key, _ = cursor.Next() {
 		keys = append(keys, bytes.Clone(key))
--- a/fleet/consensus/bootstrap.go
+++ b/fleet/consensus/bootstrap.go
@@ -9,14 +9,14 @@
 	"cobaltward/fleet/lease"
 )
 
-// Bootstrap returns what the storage of the first member of a new cluster holds.
+// Bootstrap returns the initial storage contents of the first member of a new cluster.
 func Bootstrap(member fleet.Member) PersistentState {
 	state := fleet.NewState(1).WithMembers(1, map[uint64]fleet.Member{member.ID: member})
 	return singleMemberState(member, state, 1, 1)
 }
 
-// ForceNewCluster returns what the storage holds of the one member with which an operator forces a new cluster: all
-// that the member has, in a new epoch. Entries that only the lost members had are lost.
+// ForceNewCluster returns the storage contents of the single member with which an operator forces a new cluster. They
+// keep everything that the member has stored, in a new epoch. Entries that only lost members had stored are lost.
 func ForceNewCluster(persisted PersistentState, member fleet.Member) (PersistentState, error) {
 	core, err := NewCore(persisted, lease.UnsafeOptions{}, CompactAfter, 0, DiscardLogger)
 	if err != nil {
@@ -33,10 +33,10 @@
 	return singleMemberState(member, core.state.NextEpoch(member), max(last, 1)+1, term+1), nil
 }
 
-// applyUncommitted applies every entry that the storage holds, committed or not, and returns the index of the last
-// one. An entry whose proposer got an answer is among them, unless only the lost members had it.
+// applyUncommitted applies every entry that the storage holds, committed or not, and returns the index of the last one.
+// This keeps each entry whose proposer got an answer, unless only lost members had stored it.
 func (c *Core) applyUncommitted() (last uint64, err error) {
-	last, _ = c.storage.LastIndex() // fails with no in-memory storage
+	last, _ = c.storage.LastIndex() // in-memory storage returns no error here
 	first, _ := c.storage.FirstIndex()
 	if last < first {
 		return last, nil
@@ -56,7 +56,8 @@
 	return last, nil
 }
 
-// singleMemberState returns storage that holds nothing but a state, as a snapshot at an index and a term.
+// singleMemberState returns storage contents of a single-member cluster that consist of a snapshot of a state, at an
+// index and a term, and no log.
 func singleMemberState(member fleet.Member, state *fleet.State, index, term uint64) PersistentState {
 	state = state.WithMembers(fleet.Position(index), state.Members)
 	return PersistentState{
--- a/fleet/consensus/clock.go
+++ b/fleet/consensus/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Clock is the clock of a process. Its functions are fields so that tests can have them drift and jump. They may be
+// Clock is the clock of a process. Its functions are fields so that tests can make a clock drift and jump. They may be
 // called from several goroutines at once.
 type Clock struct {
-	Monotonic func() time.Duration // since some moment of the past
+	Monotonic func() time.Duration // time since a fixed moment in the past
 	Wall      func() time.Time
 }
 
-// SystemClock returns the clock of the machine.
+// SystemClock returns a clock that reads the system's time.
 func SystemClock() Clock {
 	start := time.Now()
 	return Clock{Monotonic: func() time.Duration { return time.Since(start) }, Wall: time.Now}
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	electionTicks  = 10 // without a leader, after which a replica asks for votes
-	heartbeatTicks = 2  // between the heartbeats of a leader
+	electionTicks  = 10 // ticks without a leader after which a replica asks for votes
+	heartbeatTicks = 2  // ticks between the heartbeats of a leader
 
-	// maintenanceTicks is how many ticks pass between the proposals that a replica makes by itself.
+	// maintenanceTicks is the number of ticks between the proposals that a replica makes on its own.
 	maintenanceTicks = 5
 
 	maxMessageSize      = 256 << 10 // bytes of entries in one message
-	maxInflightMessages = 64        // messages to a replica without an answer
+	maxInflightMessages = 64        // messages sent to a replica and not acknowledged yet
 	maxUncommittedSize  = 4 << 20   // bytes of proposals that are not committed
 
-	// CompactAfter is how many entries are applied between two snapshots.
+	// CompactAfter is the number of entries that are applied between two snapshots.
 	CompactAfter = 2000
-	// trailingDivisor is the part of CompactAfter that is kept before a snapshot, for slow replicas.
+	// trailingDivisor sets how many entries before a snapshot are kept for slow replicas: CompactAfter divided by it.
 	trailingDivisor = 4
 
-	// proposalIDSize is the length, in bytes, of the proposal's ID that precedes each entry in the log.
+	// proposalIDSize is the length in bytes of the proposal ID that precedes each entry in the log.
 	proposalIDSize = 8
 )
 
-// ErrNoLeader reports that the replica knows of no leader to propose to. Nothing was proposed.
+// ErrNoLeader reports that the replica knows of no leader to which it could propose. Nothing was proposed.
 var ErrNoLeader = errors.New("consensus: no leader is known")
 
-// Core is one replica as a state machine: messages, proposals and ticks in, write batches out. It does no I/O and
-// reads no clock, and is not safe for concurrent use.
+// Core is one replica as a state machine: it handles messages, proposals and ticks, and produces write batches. It does
+// no I/O and reads no clock, and is not safe for concurrent use.
 type Core struct {
 	id            uint64
 	node          *raft.RawNode
@@ -46,18 +46,18 @@
 	state         *fleet.State
 	expiry        lease.ExpiryTracker
 	ticks         int
-	now           time.Duration // of the replica's monotonic clock, when it was last told
-	snapshotIndex uint64        // of the newest snapshot
+	now           time.Duration // time of the replica's monotonic clock, as last passed to Tick or Advance
+	snapshotIndex uint64        // log index of the newest snapshot
 	pendingReads  []pendingRead
-	// trailingEntries is how many entries before a snapshot are kept for slow replicas.
+	// trailingEntries is the number of entries before a snapshot that are kept for slow replicas.
 	trailingEntries uint64
 }
 
-// pendingRead is a read that the leader has confirmed, and whose position is not applied yet.
+// pendingRead is a read that the leader has confirmed, but whose position is not applied yet.
 type pendingRead struct{ id, position uint64 }
 
-// NewCore returns a replica that continues from what its storage holds, and takes a snapshot after compactAfter
-// entries. now is the time of its monotonic clock.
+// NewCore returns a replica that continues from its stored state. It takes a snapshot about every compactAfter entries,
+// and keeps a quarter as many entries before the snapshot. now is the time of the replica's monotonic clock.
 func NewCore(
 	persisted PersistentState, unsafe lease.UnsafeOptions, compactAfter int, now time.Duration, logger raft.Logger,
 ) (*Core, error) {
@@ -94,7 +94,7 @@
 	return core, nil
 }
 
-// load adopts the state in the storage.
+// load initializes the core from its stored state.
 func (c *Core) load(persisted PersistentState) error {
 	if persisted.Snapshot != nil {
 		if err := c.restore(persisted.Snapshot); err != nil {
@@ -109,7 +109,7 @@
 	return c.storage.Append(persisted.Entries)
 }
 
-// restore replaces the state by that of a snapshot.
+// restore replaces the state with that of a snapshot.
 func (c *Core) restore(snapshot *raftpb.Snapshot) error {
 	if err := c.storage.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -133,13 +133,13 @@
 // Leader returns the ID of the leader, as far as this replica knows; 0 if there is none.
 func (c *Core) Leader() uint64 { return c.node.BasicStatus().Lead }
 
-// Status returns the status of raft.
+// Status returns raft's status of the replica.
 func (c *Core) Status() raft.Status { return c.node.Status() }
 
-// ReportUnreachable reports that messages to a replica are lost.
+// ReportUnreachable tells raft that messages to a replica were lost.
 func (c *Core) ReportUnreachable(id uint64) { c.node.ReportUnreachable(id) }
 
-// ReportSnapshot reports whether a snapshot has reached its replica.
+// ReportSnapshot tells raft whether a snapshot was delivered to a replica.
 func (c *Core) ReportSnapshot(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
 	if !delivered {
@@ -148,7 +148,8 @@
 	c.node.ReportSnapshot(id, status)
 }
 
-// Tick reports that a tick has passed. now is the time of the replica's monotonic clock, wall that of its wall clock.
+// Tick tells the core that one tick has passed. now is the time of the replica's monotonic clock, wall that of its wall
+// clock.
 func (c *Core) Tick(now time.Duration, wall time.Time) {
 	c.now = now
 	c.node.Tick()
@@ -166,14 +167,14 @@
 	c.promoteLearner()
 }
 
-// proposeAll proposes entries without a waiting caller. Lost ones are proposed again at a later tick.
+// proposeAll proposes entries for which no caller waits. Lost ones are proposed again at a later tick.
 func (c *Core) proposeAll(entries []fleet.Entry) {
 	for _, entry := range entries {
 		_ = c.Propose(0, entry)
 	}
 }
 
-// endedDisableOrders returns an entry for each disable order whose time is over.
+// endedDisableOrders returns an entry that ends each disable order whose end time has passed.
 func (c *Core) endedDisableOrders(wall time.Time) []fleet.Entry {
 	var entries []fleet.Entry
 	for id, order := range c.state.DisableOrders {
@@ -187,7 +188,7 @@
 	return entries
 }
 
-// Step handles a message of another replica.
+// Step handles a message from another replica.
 func (c *Core) Step(message *raftpb.Message) error {
 	if message.GetTo() != c.id {
 		return fmt.Errorf("consensus: message for replica %x at replica %x", message.GetTo(), c.id)
@@ -195,9 +196,8 @@
 	return c.node.Step(message)
 }
 
-// Propose proposes an entry. id is the ID of the proposal, which AppliedEntry names again; no other proposal has it,
-// and 0 means that no caller waits for the outcome. It returns ErrNoLeader, or an error of raft, if nothing was
-// proposed.
+// Propose proposes an entry. id identifies the proposal in AppliedEntry and must be unique; 0 means that no caller
+// waits for the outcome. It returns ErrNoLeader, or an error of raft, if nothing was proposed.
 func (c *Core) Propose(id uint64, entry fleet.Entry) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
@@ -205,8 +205,8 @@
 	return c.node.Propose(append(encodeID(id), entry.Marshal()...))
 }
 
-// Read asks for a moment at which the state is as new as any that was agreed on by now. ApplyResult.ConfirmedReads
-// names the read by its ID; it may never do so.
+// Read requests a linearizable read. ApplyResult.ConfirmedReads contains id once the state includes all entries that
+// were committed before the call. That may never happen: a request can be lost.
 func (c *Core) Read(id uint64) { c.node.ReadIndex(encodeID(id)) }
 
 func encodeID(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// proposeTimeout is how long a call waits for its proposal to be applied.
+	// proposeTimeout is how long a request waits for its proposal to be applied.
 	proposeTimeout = 5 * time.Second
-	// maxRequestBody bounds the bodies of agents and operators, in bytes.
+	// maxRequestBody is the maximum size of the request bodies of agents and operators, in bytes.
 	maxRequestBody = 64 << 10
 )
 
@@ -24,19 +24,19 @@
 type ProposeResponse struct {
 	Position     fleet.Position     `json:"at,omitempty"`
 	FencingToken fleet.FencingToken `json:"token,omitempty"`
-	Error        string             `json:"error,omitempty"` // the text of one of fleet.RejectionErrors
+	Error        string             `json:"error,omitempty"` // wire text of one of fleet.RejectionErrors
 }
 
 // MembershipRequest asks to add or to remove a member.
 type MembershipRequest struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
-	ID      string `json:"id,omitempty"` // of its storage, in hexadecimal
+	ID      string `json:"id,omitempty"` // ID of the member's storage, in hexadecimal
 	Remove  bool   `json:"remove,omitempty"`
 }
 
-// Handler returns the HTTP interface for replicas, agents and operators. It checks no bearer token; who wraps it
-// does.
+// Handler returns the HTTP interface for replicas, agents and operators. It checks no bearer token: the caller must
+// wrap it in a handler that does.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+messagePath, r.handleMessages)
@@ -49,17 +49,18 @@
 	return mux
 }
 
-// handleMessages queues the messages of another replica. What does not fit is dropped, and sent again.
+// handleMessages queues the messages of another replica. Messages that exceed the queue are dropped; raft sends them
+// again.
 func (r *Replica) handleMessages(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxMessageBody))
 	if err != nil {
 		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// Replicas left out of a new cluster that an operator has forced would still vote, and overwrite its log.
-	mine, theirs := r.View().State.Epoch, req.Header.Get(epochHeader)
-	if mine != 0 && theirs != "0" && theirs != strconv.FormatUint(mine, 10) {
-		message := fmt.Sprintf("this cluster is of epoch %d, and the message of %s", mine, theirs)
+	// Replicas of the old cluster that are no members of a forced new cluster would still vote, and overwrite its log.
+	ownEpoch, senderEpoch := r.View().State.Epoch, req.Header.Get(epochHeader)
+	if ownEpoch != 0 && senderEpoch != "0" && senderEpoch != strconv.FormatUint(ownEpoch, 10) {
+		message := fmt.Sprintf("this cluster has epoch %d, but the message has epoch %s", ownEpoch, senderEpoch)
 		adminapi.WriteError(w, http.StatusGone, message)
 		return
 	}
@@ -73,7 +74,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// enqueue queues the messages of a body, up to the first one that is invalid or does not fit.
+// enqueue queues the messages of a body, up to the first one that is invalid or exceeds the queue.
 func (r *Replica) enqueue(body []byte) (status int, err error) {
 	for len(body) > 0 {
 		message, rest, err := decodeMessage(body)
@@ -82,19 +83,20 @@
 		}
 		body = rest
 		if message.GetTo() != r.core.ID() {
-			return http.StatusGone, fmt.Errorf("replica %x is not here any more: this is %x; remove the one and add the other",
+			return http.StatusGone, fmt.Errorf("replica %x was replaced by %x at this address; remove the former and add the latter",
 				message.GetTo(), r.core.ID())
 		}
 		select {
 		case r.inbox <- message:
 		default:
-			return http.StatusServiceUnavailable, errors.New("too many messages are waiting")
+			return http.StatusServiceUnavailable, errors.New("the queue of messages is full")
 		}
 	}
 	return 0, nil
 }
 
-// readRequest decodes the body of an agent or operator. If it cannot, it answers, and returns false.
+// readRequest decodes the request body of an agent or operator. If it cannot, it responds with an error and returns
+// false.
 func readRequest(w http.ResponseWriter, r *http.Request, to any) bool {
 	r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
 	return adminapi.ReadJSON(w, r, to)
@@ -106,8 +108,8 @@
 		return
 	}
 	switch entry.Kind {
-	case fleet.KindUpgradeFormat, fleet.KindAnnounceFormat, fleet.KindExpireLease: // proposed by replicas alone
-		adminapi.WriteError(w, http.StatusForbidden, fmt.Sprintf("%q is for members alone", entry.Kind))
+	case fleet.KindUpgradeFormat, fleet.KindAnnounceFormat, fleet.KindExpireLease: // proposed by replicas only
+		adminapi.WriteError(w, http.StatusForbidden, fmt.Sprintf("only members may propose entries of kind %q", entry.Kind))
 		return
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), proposeTimeout)
@@ -133,12 +135,12 @@
 	respond(w, result, err)
 }
 
-// memberID returns the ID in a request, or that of the member to be removed.
+// memberID returns the ID in a request. If a request to remove a member has no ID, it looks the member up by name.
 func (r *Replica) memberID(request MembershipRequest) (id uint64, status int, err error) {
 	if request.ID != "" {
 		id, err := strconv.ParseUint(request.ID, 16, 64)
 		if err != nil || id == 0 {
-			err = fmt.Errorf("id: want that of a member, in hexadecimal, got %q", request.ID)
+			err = fmt.Errorf("id: %q is not the ID of a member in hexadecimal", request.ID)
 			return 0, http.StatusBadRequest, err
 		}
 		return id, 0, nil
@@ -153,9 +155,9 @@
 	return 0, http.StatusConflict, fmt.Errorf("no member %q", request.Name)
 }
 
-// respond answers a call with the outcome of its proposal.
+// respond writes the response to a request with the outcome of its proposal.
 func respond(w http.ResponseWriter, result fleet.Result, err error) {
-	var notPossible *MembershipError
+	var membershipErr *MembershipError
 	switch {
 	case err == nil:
 		response := ProposeResponse{Position: result.Position, FencingToken: result.FencingToken}
@@ -163,7 +165,7 @@
 			response.Error = fleet.RejectionWireText(result.Err)
 		}
 		adminapi.WriteJSON(w, http.StatusOK, response)
-	case errors.As(err, &notPossible):
+	case errors.As(err, &membershipErr):
 		adminapi.WriteError(w, http.StatusConflict, err.Error())
 	case errors.Is(err, ErrNoLeader):
 		adminapi.WriteError(w, http.StatusServiceUnavailable, err.Error())
--- a/fleet/consensus/membership.go
+++ b/fleet/consensus/membership.go
@@ -13,23 +13,23 @@
 	"cobaltward/fleet"
 )
 
-// maxLearnerLag is how many entries a learner may lack when it becomes a voter.
+// maxLearnerLag is the number of committed entries that a learner may lack when it becomes a voter.
 const maxLearnerLag = 100
 
-// MembershipError says why the membership cannot change as proposed. Nothing was proposed.
+// MembershipError reports why a change of the membership is not possible. Nothing was proposed.
 type MembershipError struct{ Reason string }
 
 func (e *MembershipError) Error() string { return "consensus: " + e.Reason }
 
-// membershipContext is what a change of the membership carries in the log.
+// membershipContext is the data that an entry with a change of the membership carries in the log.
 type membershipContext struct {
 	ProposalID uint64       `json:"id"`
 	Member     fleet.Member `json:"member"`
 }
 
-// ProposeMembership proposes to add a member, as a learner first and as a voter then, or to remove it. id is that of
-// the proposal, as of Propose. It returns ErrNoLeader, a *MembershipError, or an error of raft, if nothing was
-// proposed.
+// ProposeMembership proposes to add a member or to remove it. A new member is added as a learner first, and becomes a
+// voter later. id identifies the proposal, as in Propose. It returns ErrNoLeader, a *MembershipError, or an error of
+// raft, if nothing was proposed.
 func (c *Core) ProposeMembership(id uint64, member fleet.Member, remove bool) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
@@ -48,25 +48,26 @@
 	})
 }
 
-// membershipChange returns raft's type of a change, or a *MembershipError where the change is not possible.
+// membershipChange returns raft's type of a change, or a *MembershipError if the change is not possible.
 func (c *Core) membershipChange(member fleet.Member, remove bool) (raftpb.ConfChangeType, error) {
 	current, exists := c.state.Members[member.ID]
 	switch {
 	case remove && !exists:
-		return 0, &MembershipError{"there is no such member"}
+		return 0, &MembershipError{"the member to remove does not exist"}
 	case remove && len(c.state.Members) == 1:
-		return 0, &MembershipError{"the last member can't be removed"}
+		return 0, &MembershipError{"the last member cannot be removed"}
 	case remove:
 		return raftpb.ConfChangeRemoveNode, nil
 	case exists && !current.Learner:
-		return 0, &MembershipError{"it is a member already"}
+		return 0, &MembershipError{"the replica is already a member"}
 	case !member.Learner:
 		return raftpb.ConfChangeAddNode, nil
 	}
 	return raftpb.ConfChangeAddLearnerNode, c.checkLearner(member)
 }
 
-// checkLearner returns a *MembershipError if a learner cannot be added beside the other members.
+// checkLearner returns a *MembershipError if a learner cannot be added: another member has its name or address, or
+// another learner is being added.
 func (c *Core) checkLearner(member fleet.Member) error {
 	for _, other := range c.state.Members {
 		switch {
@@ -74,13 +75,13 @@
 		case other.Address == member.Address || other.Name == member.Name:
 			return &MembershipError{fmt.Sprintf("member %x has this name or address: remove it first", other.ID)}
 		case other.Learner:
-			return &MembershipError{other.Name + " is being added: one at a time"}
+			return &MembershipError{other.Name + " is still being added: members are added one at a time"}
 		}
 	}
 	return nil
 }
 
-// promoteLearner proposes to make a voter of a learner that has caught up.
+// promoteLearner proposes to make a learner a voter once it has caught up with the log.
 func (c *Core) promoteLearner() {
 	status := c.node.Status()
 	for id, progress := range status.Progress {
@@ -90,13 +91,13 @@
 		}
 		if progress.Match > 0 && progress.Match+maxLearnerLag >= status.GetCommit() {
 			member.Learner = false
-			_ = c.ProposeMembership(0, member, false) // proposed again at a later tick
+			_ = c.ProposeMembership(0, member, false) // if it fails, a later tick proposes the change again
 			return
 		}
 	}
 }
 
-// applyMembership applies a change of the membership.
+// applyMembership applies a committed change of the membership.
 func (c *Core) applyMembership(entry *raftpb.Entry, position fleet.Position) (AppliedEntry, error) {
 	applied := AppliedEntry{Result: fleet.Result{Position: position}}
 	if entry.GetType() == raftpb.EntryConfChange {
@@ -124,7 +125,8 @@
 	return applied, nil
 }
 
-// inConfState reports whether raft has a member, whatever the context of a change says.
+// inConfState reports whether a replica is a voter or learner in raft's configuration, which decides over the context
+// of a change.
 func (c *Core) inConfState(id uint64) bool {
 	return slices.Contains(c.confState.GetVoters(), id) || slices.Contains(c.confState.GetLearners(), id)
 }
--- a/fleet/consensus/propose.go
+++ b/fleet/consensus/propose.go
@@ -10,34 +10,34 @@
 
 // Errors of proposals.
 var (
-	// ErrOutcomeUnknown reports that nobody can tell what became of a proposal: it may have been applied, or may yet be.
+	// ErrOutcomeUnknown reports that the outcome of a proposal is unknown: it may have been applied, or may be later.
 	ErrOutcomeUnknown = errors.New("consensus: the outcome of the proposal is unknown")
-	// ErrTooManyProposals reports that too many proposals wait for their outcome. Nothing was proposed.
+	// ErrTooManyProposals reports that maxPendingProposals proposals wait for their outcome. Nothing was proposed.
 	ErrTooManyProposals = errors.New("consensus: too many proposals are waiting")
-	// ErrStopped reports that the replica has ended. Nothing was proposed.
+	// ErrStopped reports that the replica has stopped. Nothing was proposed.
 	ErrStopped = errors.New("consensus: the replica has stopped")
 )
 
-// proposal is a change that a caller wants agreed on.
+// proposal is an entry or a change of the membership that a caller of the replica proposes.
 type proposal struct {
 	id       uint64
 	submit   func(core *Core, id uint64) error
-	accepted chan error // gets what submit returns; has room for it
+	accepted chan error // receives the error of submit; buffered, so that sending never blocks
 }
 
-// Propose proposes an entry, and waits until it is applied here. Of ErrOutcomeUnknown and of the end of ctx a caller
-// can conclude nothing: the entry may be applied yet.
+// Propose proposes an entry, and waits until this replica has applied it. A caller can conclude nothing from
+// ErrOutcomeUnknown or from the end of ctx: the entry may still be applied.
 func (r *Replica) Propose(ctx context.Context, entry fleet.Entry) (fleet.Result, error) {
 	return r.await(ctx, func(core *Core, id uint64) error { return core.Propose(id, entry) })
 }
 
-// ChangeMembership adds or removes a member, and waits like Propose. It returns a *MembershipError where the change
-// is not possible.
+// ChangeMembership adds or removes a member, and waits like Propose. It returns a *MembershipError if the change is not
+// possible.
 func (r *Replica) ChangeMembership(ctx context.Context, member fleet.Member, remove bool) (fleet.Result, error) {
 	return r.await(ctx, func(core *Core, id uint64) error { return core.ProposeMembership(id, member, remove) })
 }
 
-// await has the run goroutine submit a proposal, and waits for its outcome.
+// await passes a proposal to the run goroutine, which submits it, and waits for its outcome.
 func (r *Replica) await(ctx context.Context, submit func(*Core, uint64) error) (fleet.Result, error) {
 	id, err := newProposalID()
 	if err != nil {
@@ -52,7 +52,7 @@
 	select {
 	case r.proposals <- next:
 	case <-ctx.Done():
-		return fleet.Result{}, ctx.Err() // never proposed, but callers need not tell that apart
+		return fleet.Result{}, ctx.Err() // nothing was proposed, but callers need not distinguish that
 	case <-r.done:
 		return fleet.Result{}, ErrStopped
 	}
@@ -73,7 +73,7 @@
 	return fleet.Result{}, ErrOutcomeUnknown
 }
 
-// newProposalID returns an ID that no other proposal has; it is never 0.
+// newProposalID returns a random ID, which is never 0.
 func newProposalID() (uint64, error) {
 	raw := encodeID(0)
 	if _, err := rand.Read(raw); err != nil {
@@ -82,7 +82,7 @@
 	return decodeID(raw) | 1, nil
 }
 
-// register returns the channel that gets the outcome of a proposal.
+// register returns the channel that receives the outcome of a proposal.
 func (r *Replica) register(id uint64) (<-chan fleet.Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +102,7 @@
 
 func (r *Replica) submit(next proposal) { next.accepted <- next.submit(r.core, next.id) }
 
-// submitWaiting submits the proposals that wait, up to a batch.
+// submitWaiting submits the proposals that are waiting, at most maxBatch of them.
 func (r *Replica) submitWaiting() {
 	for range maxBatch {
 		select {
--- a/fleet/consensus/raftlog.go
+++ b/fleet/consensus/raftlog.go
@@ -8,11 +8,12 @@
 	"go.etcd.io/raft/v3"
 )
 
-// raftLogger implements raft.Logger. All levels up to warnings are logged as debug, and errors as warnings: they are
-// about a protocol that repairs itself. Fatal and Panic panic, since raft's own rules are broken then.
+// raftLogger implements raft.Logger. It logs raft's warnings and lower levels as debug, and raft's errors as warnings,
+// since the protocol recovers from them by itself. Fatal and Panic panic, because raft calls them when one of its
+// invariants is broken.
 type raftLogger struct{ log *slog.Logger }
 
-// DiscardLogger is a raft.Logger that logs nothing, and panics where raft asks for it.
+// DiscardLogger is a raft.Logger that logs nothing. Its Fatal and Panic methods panic.
 var DiscardLogger raft.Logger = raftLogger{slog.New(slog.DiscardHandler)}
 
 // Debug implements raft.Logger.
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -17,48 +17,50 @@
 // Config configures a replica.
 type Config struct {
 	Name    string
-	Address string // IP:port under which the other replicas reach it
-	// AddressOverrides are the addresses under which this process reaches others, where they differ, by address.
+	Address string // IP:port under which the other replicas reach this one
+	// AddressOverrides maps the addresses of other replicas to those under which this process reaches them, where the
+	// two differ.
 	AddressOverrides map[string]string
 	AuthToken        string      // bearer token of calls to other replicas
-	TLS              *tls.Config // of calls to other replicas; nil: they are not encrypted
+	TLS              *tls.Config // TLS settings of calls to other replicas; nil: calls are not encrypted
 	Tick             time.Duration
 	Clock            Clock // zero: SystemClock
 	Unsafe           lease.UnsafeOptions
 	Log              *slog.Logger
 }
 
-// Bounds of a replica.
+// Limits of a replica.
 const (
-	maxInbox            = 1024 // messages queued for the core; senders repeat dropped ones
+	maxInbox            = 1024 // messages queued for the core; raft sends dropped ones again
 	maxBatch            = 64   // proposals, or messages of one call, that are handled together
 	maxPendingProposals = 1024
-	maxWatchers         = 2048   // watch requests that wait for a change
+	maxWatchers         = 2048   // watch requests that wait at the same time
 	maxReports          = 10_000 // agents whose last report is kept
 )
 
-// Replica runs one Core on its Storage and its links. Its methods may be called from several goroutines at once.
+// Replica runs one Core with its Storage and its network transport. Its methods may be called from several goroutines
+// at once.
 type Replica struct {
 	config    Config
 	storage   Storage
-	core      *Core // of the run goroutine
+	core      *Core // only the run goroutine may use it, except for ID
 	inbox     chan *raftpb.Message
 	proposals chan proposal
-	ctx       context.Context // ends with Close
+	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
 	done      chan struct{} // closed when the run goroutine has ended
-	err       error         // why it has ended; valid once done is closed
+	err       error         // why the run goroutine has ended; valid once done is closed
 	transport *transport
-	watchers  chan struct{} // holds one for each watch request that waits
+	watchers  chan struct{} // semaphore: holds one value for each waiting watch request
 
 	mu             sync.Mutex
-	pendingResults map[uint64]chan fleet.Result // by ID of the proposal
+	pendingResults map[uint64]chan fleet.Result // by proposal ID
 	view           View
-	updated        chan struct{}          // closed, and replaced, when watchers should look at the view again
+	updated        chan struct{}          // closed and replaced when watchers should look at the view again
 	reports        map[string]AgentReport // by name of the agent
 }
 
-// Start starts a replica on a storage, which it closes when it ends. The caller ends it with Close.
+// Start starts a replica on a storage, which it closes when it stops. The caller stops it with Close.
 func Start(config Config, storage Storage) (*Replica, error) {
 	persisted, err := storage.Load()
 	if err != nil {
@@ -92,13 +94,15 @@
 	return replica, nil
 }
 
-// ID returns the ID of the replica, as its storage has it.
+// ID returns the ID of the replica, which is stored in its storage.
 func (r *Replica) ID() uint64 { return r.core.ID() }
 
-// Done is closed when the replica has ended, by Close or because its storage has failed.
+// Done returns a channel that is closed when the replica has stopped, because of Close or of an error, such as failed
+// storage.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Close ends the replica, and returns why it had ended before; nil if it had not.
+// Close stops the replica. It returns the error for which the replica had stopped before, if any, and that of closing
+// the storage.
 func (r *Replica) Close() error {
 	r.cancel()
 	<-r.done
@@ -126,8 +130,8 @@
 	r.err = errors.Join(r.err, r.storage.Close())
 }
 
-// handleNext waits for the next event and hands it to the core; it returns false once the replica is to end. What
-// else waits by then is handed over, too, so that it shares one write.
+// handleNext waits for the next event and passes it to the core; it returns false once the replica must stop. Messages
+// or proposals that wait behind the first one are passed along, so that they share one write to storage.
 func (r *Replica) handleNext(ticks <-chan time.Time) bool {
 	select {
 	case <-r.ctx.Done():
@@ -146,7 +150,7 @@
 	return true
 }
 
-// handleMessage hands a message to the core: one of another replica, or a report of the transport.
+// handleMessage passes a message to the core: one from another replica, or a report of the transport.
 func (r *Replica) handleMessage(message *raftpb.Message) {
 	switch message.GetType() {
 	case raftpb.MsgSnapStatus:
@@ -161,8 +165,8 @@
 	}
 }
 
-// processReady has each write batch of the core stored and applied, and its messages sent, in this order: no message
-// may precede the write.
+// processReady stores and applies each write batch of the core, and then sends its messages: no message may be sent
+// before the write.
 func (r *Replica) processReady() error {
 	for batch := r.core.Ready(); batch != nil; batch = r.core.Ready() {
 		if err := r.processBatch(batch); err != nil {
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -21,7 +21,7 @@
 
 const testTick = 10 * time.Millisecond
 
-// startReplica starts a replica on storage of its own, which ends with the test.
+// startReplica starts a replica on new storage, whose contents rewrite sets. The replica is stopped when the test ends.
 func startReplica(t *testing.T, rewrite func(PersistentState) (PersistentState, error)) *Replica {
 	t.Helper()
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 	return replica
 }
 
-// startLeader starts the only replica of a cluster, and waits until it leads.
+// startLeader starts the only replica of a cluster, and waits until it is the leader.
 func startLeader(t *testing.T) *Replica {
 	t.Helper()
 	replica := startReplica(t, func(persisted PersistentState) (PersistentState, error) {
@@ -55,8 +55,8 @@
 	return replica
 }
 
-// startOutsider starts a replica that is of no cluster.
-func startOutsider(t *testing.T) *Replica {
+// startNonMember starts a replica that is not a member of any cluster.
+func startNonMember(t *testing.T) *Replica {
 	t.Helper()
 	return startReplica(t, func(persisted PersistentState) (PersistentState, error) { return persisted, nil })
 }
@@ -69,28 +69,28 @@
 	replica := startLeader(t)
 	granted, err := replica.Propose(t.Context(), grantTo("a/1"))
 	if err != nil || granted.Err != nil || granted.FencingToken == 0 {
-		t.Fatalf("the first grant: %+v, %v", granted, err)
+		t.Fatalf("the first grant: result %+v, error %v", granted, err)
 	}
 	rejected, err := replica.Propose(t.Context(), grantTo("b/1"))
 	if err != nil || !errors.Is(rejected.Err, fleet.ErrConflict) {
-		t.Errorf("a grant to another holder: %+v, %v", rejected, err)
+		t.Errorf("a grant to another holder: result %+v, error %v, want a conflict", rejected, err)
 	}
 	if state := replica.View().State; state.Leases["w"].Holder != "a/1" || state.Position != rejected.Position {
-		t.Errorf("the state is %s", state.Marshal())
+		t.Errorf("the state has another holder or position: %s", state.Marshal())
 	}
 }
 
 func TestReplica_WithoutLeader(t *testing.T) {
-	replica := startOutsider(t)
+	replica := startNonMember(t)
 	if _, err := replica.Propose(t.Context(), grantTo("a/1")); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("a proposal: %v, want %v", err, ErrNoLeader)
 	}
 	if status := replica.Status(); status.IsMember || status.LeaderID != "" {
-		t.Errorf("the status is %+v", status)
+		t.Errorf("a replica that is no member has the status %+v", status)
 	}
 }
 
-func TestReplica_StoppedTakesNoProposals(t *testing.T) {
+func TestReplica_RejectsProposalsWhenStopped(t *testing.T) {
 	replica := startLeader(t)
 	if err := replica.Close(); err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	}
 }
 
-// failingStorage fails to save.
+// failingStorage is storage whose Save always fails.
 type failingStorage struct{ Storage }
 
 var errSave = errors.New("no space left on device")
@@ -128,10 +128,10 @@
 	select {
 	case <-replica.Done():
 	case <-time.After(testkit.MaxWait):
-		t.Error("the replica goes on")
+		t.Error("the replica did not stop after its storage failed")
 	}
 	if err := replica.Close(); !errors.Is(err, errSave) {
-		t.Errorf("it ended with %v, want %v", err, errSave)
+		t.Errorf("the replica stopped with error %v, want %v", err, errSave)
 	}
 }
 
@@ -145,12 +145,12 @@
 		{"removal of an unknown member", fleet.Member{ID: 9}, true},
 		{"removal of the last member", fleet.Member{ID: replica.ID()}, true},
 		{"addition of a member", fleet.Member{ID: replica.ID()}, false},
-		{"a learner by the name of a member", fleet.Member{ID: 9, Name: "c1", Learner: true}, false},
+		{"addition of a learner with the name of a member", fleet.Member{ID: 9, Name: "c1", Learner: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := replica.ChangeMembership(t.Context(), test.member, test.remove)
-			var notPossible *MembershipError
-			if !errors.As(err, &notPossible) {
+			var membershipErr *MembershipError
+			if !errors.As(err, &membershipErr) {
 				t.Errorf("got %v, want a *MembershipError", err)
 			}
 		})
@@ -167,9 +167,9 @@
 		t.Errorf("the member is %+v, want %+v", got, first)
 	}
 	second := fleet.Member{ID: 10, Name: "c3", Address: "127.0.0.1:3", Learner: true}
-	var notPossible *MembershipError
-	if _, err := replica.ChangeMembership(t.Context(), second, false); !errors.As(err, &notPossible) {
-		t.Errorf("a second learner: %v, want a *MembershipError", err)
+	var membershipErr *MembershipError
+	if _, err := replica.ChangeMembership(t.Context(), second, false); !errors.As(err, &membershipErr) {
+		t.Errorf("adding a second learner: got error %v, want a *MembershipError", err)
 	}
 }
 
@@ -200,11 +200,11 @@
 		name   string
 		entry  fleet.Entry
 		status int
-		want   string // in the body
+		want   string // expected part of the response body
 	}{
 		{"accepted", grantTo("a/1"), http.StatusOK, `"token"`},
 		{"rejected by the state", grantTo("b/1"), http.StatusOK, fleet.RejectionWireText(fleet.ErrConflict)},
-		{"an entry of replicas alone", fleet.Entry{Kind: fleet.KindExpireLease}, http.StatusForbidden, "expire"},
+		{"a kind for replicas only", fleet.Entry{Kind: fleet.KindExpireLease}, http.StatusForbidden, "expire"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := post(t, replica, "/v1/propose", encodeJSON(t, test.entry), nil)
@@ -233,10 +233,10 @@
 		status int
 	}{
 		{"to this replica", messageTo(replica.ID()), epoch(1), http.StatusNoContent},
-		{"of a replica that has no state yet", messageTo(replica.ID()), epoch(0), http.StatusNoContent},
-		{"of another epoch", messageTo(replica.ID()), epoch(2), http.StatusGone},
+		{"from a replica without a state", messageTo(replica.ID()), epoch(0), http.StatusNoContent},
+		{"from another epoch", messageTo(replica.ID()), epoch(2), http.StatusGone},
 		{"to another replica", messageTo(9), epoch(1), http.StatusGone},
-		{"cut off", messageTo(replica.ID())[:3], epoch(1), http.StatusBadRequest},
+		{"truncated", messageTo(replica.ID())[:3], epoch(1), http.StatusBadRequest},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := post(t, replica, messagePath, test.body, test.header); got.Code != test.status {
@@ -246,7 +246,7 @@
 	}
 }
 
-// watch sends a watch request, and decodes its answer.
+// watch sends a watch request, and returns the decoded response.
 func watch(t *testing.T, replica *Replica, request WatchRequest) WatchResponse {
 	t.Helper()
 	recorder := post(t, replica, "/v1/state", encodeJSON(t, request), nil)
@@ -257,10 +257,10 @@
 	return response
 }
 
-func TestHandler_WatchLeadsToNewestState(t *testing.T) {
+func TestHandler_WatchReturnsStateThenEntries(t *testing.T) {
 	replica := startLeader(t)
 	if response := watch(t, replica, WatchRequest{}); response.State == nil || !response.HasLeader {
-		t.Fatalf("an agent that knows nothing gets %+v, want the state", response)
+		t.Fatalf("an agent without a state gets %+v, want the whole state", response)
 	}
 	state := replica.View().State
 	result, err := replica.Propose(t.Context(), grantTo("a/1"))
@@ -270,16 +270,16 @@
 	request := WatchRequest{AgentReport: AgentReport{Name: "n1", Epoch: state.Epoch, Position: state.Position}}
 	response := watch(t, replica, request)
 	if len(response.Entries) == 0 || response.Entries[len(response.Entries)-1].Position != result.Position {
-		t.Errorf("an agent that knows position %d gets %+v, want entries up to %d", state.Position, response, result.Position)
+		t.Errorf("an agent at position %d gets %+v, want entries up to %d", state.Position, response, result.Position)
 	}
 	if reports := replica.Status().Reports; len(reports) != 1 || reports[0].Position != state.Position {
-		t.Errorf("the reports are %+v", reports)
+		t.Errorf("the agent's report is not recorded: %+v", reports)
 	}
 }
 
-func TestHandler_WatchWaitsForNews(t *testing.T) {
+func TestHandler_WatchWaitsForChange(t *testing.T) {
 	replica := startLeader(t)
-	// The replica announces its format by itself; after that it is quiet.
+	// The replica proposes the announcement of its format on its own. After that it proposes nothing more.
 	testkit.Await(t, "the format", func() bool {
 		return replica.View().State.Members[replica.ID()].SupportedFormat == fleet.FormatVersion
 	})
@@ -291,7 +291,7 @@
 		err    error
 	}
 	proposed := make(chan outcome, 1)
-	go func() { // ends with the test at the latest
+	go func() { // stops waiting for the watcher when the test's context ends
 		for len(replica.watchers) == 0 && t.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
@@ -304,6 +304,6 @@
 		t.Fatal(got.err)
 	}
 	if len(response.Entries) != 1 || response.Entries[0].Position != got.result.Position {
-		t.Errorf("the watcher gets %+v, want the entry at %d", response, got.result.Position)
+		t.Errorf("the watcher gets %+v, want the entry at position %d", response, got.result.Position)
 	}
 }
--- a/fleet/consensus/status.go
+++ b/fleet/consensus/status.go
@@ -9,14 +9,14 @@
 	"cobaltward/fleet"
 )
 
-// Status is what a replica shows of itself and of the cluster.
+// Status is the status of a replica, and of the cluster as far as the replica knows it.
 type Status struct {
 	Name       string `json:"name"`
 	ID         string `json:"id"`          // in hexadecimal
-	IsMember   bool   `json:"member"`      // it has been added, and not been removed
-	LeaderID   string `json:"leader"`      // in hexadecimal; empty: it knows of no leader
-	LeaderName string `json:"leader_name"` // empty: it knows of no leader
-	// LeaderlessFor is how long it has known of no leader.
+	IsMember   bool   `json:"member"`      // whether the replica is a member of the cluster
+	LeaderID   string `json:"leader"`      // in hexadecimal; empty if the replica knows of no leader
+	LeaderName string `json:"leader_name"` // empty if the replica knows of no leader
+	// LeaderlessFor is how long the replica has known of no leader.
 	LeaderlessFor time.Duration  `json:"silent"`
 	Term          uint64         `json:"term"`
 	Position      fleet.Position `json:"at"`
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -12,18 +12,19 @@
 
 // PersistentState is what the storage of a replica holds.
 type PersistentState struct {
-	ID        uint64 // drawn with the storage, and never again
+	ID        uint64 // random, chosen when the storage is created, and never changed
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry // after the snapshot
+	Entries   []*raftpb.Entry // entries of the log after the snapshot
 }
 
-// Empty reports whether the storage has never been of a cluster.
+// Empty reports whether the storage has never belonged to a cluster.
 func (p PersistentState) Empty() bool {
 	return p.Snapshot == nil && p.HardState == nil && len(p.Entries) == 0
 }
 
-// WriteBatch is what a core wants done: everything but the messages stored and synced first, then the messages sent.
+// WriteBatch is the output of a core. Everything except the messages must be stored and synced before the messages are
+// sent.
 type WriteBatch struct {
 	HardState *raftpb.HardState // nil: unchanged
 	Entries   []*raftpb.Entry
@@ -33,8 +34,8 @@
 	ready raft.Ready
 }
 
-// StorageError reports that storage has failed, and that the replica on it has ended: the stored state is unknown until
-// it is read again. A replica started on the result of RecoverStorage continues.
+// StorageError reports that storage has failed, and that its replica has stopped, because the stored state is unknown
+// until it is read again. A replica that is started on the result of RecoverStorage can continue.
 type StorageError struct {
 	Operation string
 	Err       error
@@ -42,27 +43,27 @@
 
 // Error implements error.
 func (e *StorageError) Error() string {
-	return fmt.Sprintf("consensus: %s: what is stored is unknown: %v", e.Operation, e.Err)
+	return fmt.Sprintf("consensus: %s failed, and the stored state is unknown: %v", e.Operation, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error of the storage.
 func (e *StorageError) Unwrap() error { return e.Err }
 
-// Storage holds the promises of a replica. Save and Compact return once all of it is synced; after an
-// error the stored state is unknown, and the replica has to stop.
+// Storage is the durable storage of a replica: its ID, raft's hard state, a snapshot and the log. Save and Compact
+// return once everything is synced. After an error the stored state is unknown, and the replica must stop.
 type Storage interface {
 	// Load returns the stored state.
 	Load() (PersistentState, error)
 	// Save stores a write batch.
 	Save(batch *WriteBatch) error
-	// Compact stores a snapshot, and drops the entries before firstRetained; 0 keeps them all.
+	// Compact stores a snapshot, and drops the entries before firstRetained; 0 keeps all entries.
 	Compact(snapshot *raftpb.Snapshot, firstRetained fleet.Position) error
-	// Close closes the storage. It must not be used any more.
+	// Close closes the storage, which must not be used afterwards.
 	Close() error
 }
 
-// RewriteStorage replaces what the storage in a directory holds by what rewrite returns: for the first member of a
-// cluster, and for one with which an operator forces a new cluster. If rewrite fails, nothing changes.
+// RewriteStorage replaces the contents of the storage in a directory with the result of rewrite, which is Bootstrap for
+// the first member of a cluster, or ForceNewCluster. If rewrite fails, nothing changes.
 func RewriteStorage(dir string, rewrite func(PersistentState) (PersistentState, error)) (err error) {
 	storage, err := OpenStorage(dir)
 	if err != nil {
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -13,11 +13,12 @@
 
 const (
 	storedID         = 17624918467334321323
-	storedProposalID = 0xabcd // of each entry
-	storedPosition   = 89     // of the last entry
+	storedProposalID = 0xabcd // proposal ID of every stored entry
+	storedPosition   = 89     // position of the last stored entry
 )
 
-// openStored opens a copy of the storage that a replica wrote before the program's Go names changed.
+// openStored opens a copy of storage that a replica of an earlier version of the program wrote. It guards the stored
+// format against changes.
 func openStored(t *testing.T) Storage {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", storageFile))
@@ -49,7 +50,7 @@
 	return persisted
 }
 
-// readShared reads a file that the tests of package fleet check field by field.
+// readShared reads a file of package fleet's testdata, which the tests of that package check field by field.
 func readShared(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "testdata", name))
@@ -59,7 +60,7 @@
 	return raw
 }
 
-// Storage of an earlier program holds what that program has saved: its ID, its vote, a snapshot, and the log after it.
+// Storage written by an earlier version of the program must load with the same ID, vote, snapshot and log.
 func TestStoredStorage_LoadsUnchanged(t *testing.T) {
 	persisted := loadStored(t)
 	if persisted.ID != storedID {
@@ -90,7 +91,7 @@
 	for i, entry := range persisted.Entries {
 		data := entry.GetData()
 		if entry.GetIndex() != uint64(want[i].Position) || decodeID(data) != storedProposalID {
-			t.Errorf("entry %d of proposal %x, want entry %d", entry.GetIndex(), decodeID(data), want[i].Position)
+			t.Errorf("entry %d has proposal ID %x, want entry %d", entry.GetIndex(), decodeID(data), want[i].Position)
 		}
 		if raw := string(data[proposalIDSize:]); raw != want[i].Raw {
 			t.Errorf("entry %d is %s, want %s", entry.GetIndex(), raw, want[i].Raw)
@@ -98,8 +99,8 @@
 	}
 }
 
-// settle stores and applies what a core has made.
-func settle(t *testing.T, core *Core, storage Storage) {
+// saveAndApplyBatches saves and applies write batches until a core has none left.
+func saveAndApplyBatches(t *testing.T, core *Core, storage Storage) {
 	t.Helper()
 	for batch := core.Ready(); batch != nil; batch = core.Ready() {
 		if err := storage.Save(batch); err != nil {
@@ -111,21 +112,22 @@
 	}
 }
 
-// elect has a single replica become the leader.
-func elect(t *testing.T, core *Core, storage Storage) {
+// electLeader ticks the only replica of a cluster until it is the leader.
+func electLeader(t *testing.T, core *Core, storage Storage) {
 	t.Helper()
-	settle(t, core, storage)
+	saveAndApplyBatches(t, core, storage)
 	for range 10 * electionTicks {
 		if core.Leader() == core.ID() {
 			return
 		}
 		core.node.Tick()
-		settle(t, core, storage)
+		saveAndApplyBatches(t, core, storage)
 	}
-	t.Fatal("the replica does not become the leader")
+	t.Fatal("the replica did not become the leader")
 }
 
-// A replica started on storage of an earlier program reaches the state of that program, and continues from there.
+// A replica started on storage of an earlier version of the program must reach the stored state, and grant higher
+// tokens than before.
 func TestStoredStorage_RestoresState(t *testing.T) {
 	storage := openStored(t)
 	persisted, err := storage.Load()
@@ -136,10 +138,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elect(t, core, storage)
+	electLeader(t, core, storage)
 	state := core.State()
-	if state.Position != storedPosition+1 { // the last entry is the new leader's own, and empty
-		t.Fatalf("the state is at position %d", state.Position)
+	if state.Position != storedPosition+1 { // one more than stored: the empty entry of the new leader's term
+		t.Fatalf("the state is at position %d, want one past the last stored entry", state.Position)
 	}
 	stored := *state
 	stored.Position = storedPosition
@@ -155,13 +157,14 @@
 			t.Fatal(err)
 		}
 	}
-	settle(t, core, storage)
+	saveAndApplyBatches(t, core, storage)
 	if after := core.State().HighestTokens[fleet.ResourceRollingUpdate]; after <= before {
-		t.Errorf("the token went from %d to %d", before, after)
+		t.Errorf("the token after %d is %d, want a higher one", before, after)
 	}
 }
 
-// An operator forces a new cluster on storage of an earlier program: the state is kept, and tokens grow on.
+// A new cluster forced on storage of an earlier version of the program must keep the state except the leases and the
+// other members, and grant higher tokens than before.
 func TestStoredStorage_ForcesNewCluster(t *testing.T) {
 	persisted := loadStored(t)
 	forced, err := ForceNewCluster(persisted, fleet.Member{ID: persisted.ID, Name: "c1", Address: "10.0.0.1:7600"})
@@ -173,15 +176,15 @@
 		t.Fatal(err)
 	}
 	if state.Epoch != 2 || len(state.Leases) != 0 || len(state.Jobs) != 4 || len(state.Members) != 1 {
-		t.Errorf("the state is %s", state.Marshal())
+		t.Errorf("the state of the new cluster is %s", state.Marshal())
 	}
 	next := fleet.NewFencingToken(state.Epoch, state.Position)
 	if highest := state.HighestTokens[fleet.ResourceRollingUpdate]; next <= highest {
-		t.Errorf("the next token is %d, after %d", next, highest)
+		t.Errorf("the next token is %d, want one above %d", next, highest)
 	}
 }
 
-// Messages as an earlier program wrote them are read, and written as they were.
+// Messages written by an earlier version of the program must decode, and encode to the same bytes.
 func TestStoredMessages_DecodeAndEncodeUnchanged(t *testing.T) {
 	messages := jsontest.ReadMessages(t, filepath.Join("testdata", "wire.json"))
 	for name, to := range map[string]any{
@@ -201,7 +204,7 @@
 	}
 	for i, err := range fleet.RejectionErrors() {
 		if text := fleet.RejectionWireText(err); text != texts[i] {
-			t.Errorf("an error is transmitted as %q, want %q", text, texts[i])
+			t.Errorf("a rejection error has the wire text %q, want %q", text, texts[i])
 		}
 	}
 }
--- a/fleet/consensus/transport.go
+++ b/fleet/consensus/transport.go
@@ -18,32 +18,34 @@
 // Headers of calls between replicas.
 const (
 	fromHeader    = "X-Fleet-From"    // ID of the sender, in hexadecimal
-	addressHeader = "X-Fleet-Address" // under which the sender is reached
-	epochHeader   = "X-Fleet-Epoch"   // of the sender's state, in decimal
+	addressHeader = "X-Fleet-Address" // address under which the sender is reached
+	epochHeader   = "X-Fleet-Epoch"   // epoch of the sender's state, in decimal
 )
 
 const (
 	messagePath = "/v1/log"
 
-	maxPeerQueue    = 256      // messages to one replica that wait
-	maxMessageBody  = 64 << 20 // bytes of a call between replicas: a snapshot has to fit
-	maxStalePeers   = 8        // queues beyond those of the members, before the others are closed
-	maxIgnoredBody  = 4096     // bytes of an answer that are read so that its connection can be used again
+	maxPeerQueue    = 256      // messages that wait to be sent to one replica
+	maxMessageBody  = 64 << 20 // bytes in the body of a call between replicas, which may carry a snapshot
+	maxStalePeers   = 8        // queues in excess of the number of members, before those of non-members are closed
+	maxIgnoredBody  = 4096     // bytes of a response that are discarded so that its connection can be reused
 	maxIdlePeer     = 2        // idle connections to one replica
 	peerTimeout     = 2 * time.Second
 	snapshotTimeout = 30 * time.Second
 	idlePeerTimeout = time.Minute
 )
 
-// transport sends messages to other replicas: one call at a time to each, from a queue of bounded length. What does
-// not fit is dropped, since raft repeats lost messages. Its owner is the run goroutine of the replica.
+// transport sends messages to other replicas: one call at a time to each, from a bounded queue. Messages that exceed
+// the queue are dropped, since raft repeats lost messages. Only the run goroutine of the replica may call send and
+// close.
 type transport struct {
 	replica *Replica
 	client  *http.Client
 	scheme  string
-	peers   map[uint64]chan *raftpb.Message // queues, by ID
+	peers   map[uint64]chan *raftpb.Message // queues of messages, by ID of the receiving replica
 	senders sync.WaitGroup
-	// addresses are those that messages came with, by ID: a replica may be called before its member is known.
+	// addresses are the addresses that senders of messages have given, by ID. They are needed to call a replica that is
+	// not in the state's members yet.
 	addresses sync.Map
 }
 
@@ -65,7 +67,7 @@
 	}
 }
 
-// close ends all calls and waits for their goroutines.
+// close closes all queues and waits for the goroutines that send from them.
 func (t *transport) close() {
 	for _, queue := range t.peers {
 		close(queue)
@@ -74,7 +76,7 @@
 	t.client.CloseIdleConnections()
 }
 
-// send queues messages.
+// send queues messages for their receivers. A message that exceeds the queue is reported to the core as undelivered.
 func (t *transport) send(messages []*raftpb.Message) {
 	core := t.replica.core
 	for _, message := range messages {
@@ -91,7 +93,7 @@
 	t.closeStalePeers()
 }
 
-// queue returns the queue to a replica.
+// queue returns the queue of messages to a replica, and starts its sender if there is none.
 func (t *transport) queue(id uint64) chan<- *raftpb.Message {
 	queue := t.peers[id]
 	if queue == nil {
@@ -102,7 +104,8 @@
 	return queue
 }
 
-// closeStalePeers ends the queues to replicas that are not members any more, once there are many of them.
+// closeStalePeers closes the queues to replicas that are not members, once the queues outnumber the members by more
+// than maxStalePeers.
 func (t *transport) closeStalePeers() {
 	core := t.replica.core
 	members := core.State().Members
@@ -115,8 +118,8 @@
 	}
 }
 
-// sendQueued sends what a queue has until it is closed, several messages in one call where they wait, and reports to
-// the core undelivered messages.
+// sendQueued sends the messages of a queue until it is closed, and reports undelivered ones to the core. Messages that
+// wait are sent together in one call.
 func (t *transport) sendQueued(id uint64, queue <-chan *raftpb.Message) {
 	for first := range queue {
 		batch := []*raftpb.Message{first}
@@ -140,15 +143,15 @@
 		}
 		select {
 		case t.replica.inbox <- report:
-		default: // the core finds out by itself
+		default: // the inbox is full, and raft detects the loss by itself
 		}
 	}
 }
 
-// encodeMessages returns messages as the body of a call: each preceded by its length, as an unsigned varint.
+// encodeMessages encodes messages as the body of a call. Each is preceded by its length as an unsigned varint.
 func encodeMessages(messages []*raftpb.Message) (body []byte, hasSnapshot bool) {
 	for _, message := range messages {
-		if message == nil { // of a queue that was closed meanwhile
+		if message == nil { // received from a queue that was closed in the meantime
 			continue
 		}
 		raw, err := proto.Marshal(message)
@@ -161,11 +164,11 @@
 	return body, hasSnapshot
 }
 
-// decodeMessage returns the first message of a body, and what follows it.
+// decodeMessage decodes the first message of a body, and returns it and the rest of the body.
 func decodeMessage(body []byte) (message *raftpb.Message, rest []byte, err error) {
 	size, used := binary.Uvarint(body)
 	if used <= 0 || size > uint64(len(body)-used) {
-		return nil, nil, fmt.Errorf("decoding a message: the body ends within it, %d bytes before the end", len(body))
+		return nil, nil, fmt.Errorf("decoding a message: it is truncated: only %d bytes of the body are left", len(body))
 	}
 	end := used + int(size)
 	message = new(raftpb.Message)
@@ -175,10 +178,10 @@
 	return message, body[end:], nil
 }
 
-// learnAddress records the address that messages of a replica come with.
+// learnAddress records the address that a replica gives in its messages.
 func (t *transport) learnAddress(id uint64, address string) { t.addresses.Store(id, address) }
 
-// address returns where a replica is reached; empty if that is unknown.
+// address returns the address under which a replica is reached; empty if it is unknown.
 func (t *transport) address(id uint64) string {
 	address := ""
 	if member, ok := t.replica.View().State.Members[id]; ok {
@@ -192,7 +195,7 @@
 	return address
 }
 
-// post sends a body to a replica, unless the replica of this process ends before.
+// post sends a body to a replica. The call is canceled when the replica of this process stops.
 func (t *transport) post(id uint64, body []byte, timeout time.Duration) error {
 	address := t.address(id)
 	if address == "" {
@@ -212,10 +215,10 @@
 	if err != nil {
 		return fmt.Errorf("consensus: sending to replica %x: %w", id, err)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing more is read
+	defer func() { _ = response.Body.Close() }() // the error does not matter, since nothing more is read
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
 	if response.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("consensus: sending to replica %x: it answers %s", id, response.Status)
+		return fmt.Errorf("consensus: sending to replica %x: unexpected status %s", id, response.Status)
 	}
 	return nil
 }
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	maxRecentEntries = 4096 // entries that watchers may get one by one
-	// recentSlack is how many more may be there before they are trimmed.
-	recentSlack = maxRecentEntries / 4
+	maxRecentEntries = 4096 // newest entries that are kept, so that watchers need not fetch the whole state
+	// maxRecentExcess is how many entries beyond maxRecentEntries may accumulate before the oldest ones are dropped.
+	maxRecentExcess = maxRecentEntries / 4
 )
 
-// LogEntry is an entry with its position.
+// LogEntry is an encoded entry and its position in the log.
 type LogEntry struct {
 	Position fleet.Position  `json:"at"`
 	Raw      json.RawMessage `json:"raw"`
 }
 
-// View is what a replica shows of the log. It is not changed once it is returned.
+// View is an immutable view of the replica's state, its recent entries and its raft status.
 type View struct {
 	State       *fleet.State
 	Recent      []LogEntry     // the newest entries, oldest first
-	RecentAfter fleet.Position // all entries after it are in Recent
-	// NotifyPosition is the position of the newest entry that watchers should get at once.
+	RecentAfter fleet.Position // Recent has all entries after this position
+	// NotifyPosition is the position of the newest entry that watchers should receive at once.
 	NotifyPosition fleet.Position
 	Raft           raft.Status
 	LeaderSeen     time.Duration // when the replica last had a leader, by its monotonic clock
@@ -39,14 +39,15 @@
 	return View{State: core.State(), RecentAfter: position, NotifyPosition: position, Raft: core.Status()}
 }
 
-// View returns what there is to see now.
+// View returns the current view.
 func (r *Replica) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view
 }
 
-// publish shows watchers the applied state, and answers the proposals that wait for it.
+// publish updates the view after entries were applied, resolves the proposals that wait for them, and wakes the
+// watchers unless all entries are deferrable.
 func (r *Replica) publish(result ApplyResult) {
 	if len(result.Applied) == 0 && !result.Restored {
 		return
@@ -66,7 +67,7 @@
 		}
 	}
 	r.view.State = r.core.State()
-	if result.Restored { // no entries lead there that watchers could apply
+	if result.Restored { // watchers cannot reach this state by applying entries, and need the whole state
 		r.view.Recent, r.view.RecentAfter = nil, r.view.State.Position
 		r.view.NotifyPosition = r.view.State.Position
 	}
@@ -77,27 +78,28 @@
 	}
 }
 
-// trim drops the oldest of the recent entries, in a copy: views that were returned share the former ones.
+// trim drops the oldest recent entries once there are too many. It copies the rest, since views that were returned
+// share the old slice.
 func (v *View) trim() {
 	surplus := len(v.Recent) - maxRecentEntries
-	if surplus <= recentSlack {
+	if surplus <= maxRecentExcess {
 		return
 	}
 	v.RecentAfter = v.Recent[surplus-1].Position
 	v.Recent = slices.Clone(v.Recent[surplus:])
 }
 
-// resolve answers the proposal of an entry.
+// resolve sends the outcome of an entry to the caller that waits for its proposal, if any.
 func (r *Replica) resolve(applied AppliedEntry) {
 	outcome, ok := r.pendingResults[applied.ProposalID]
 	if !ok || applied.ProposalID == 0 {
 		return
 	}
 	delete(r.pendingResults, applied.ProposalID)
-	outcome <- applied.Result // has room for it
+	outcome <- applied.Result // does not block: the channel is buffered
 }
 
-// logApplied logs an entry that operators should know of.
+// logApplied logs an entry unless it is routine: an announcement of a format, a renewal or a registration.
 func (r *Replica) logApplied(applied AppliedEntry) {
 	entry, result := applied.Entry, applied.Result
 	switch entry.Kind {
@@ -109,14 +111,14 @@
 			"position", result.Position, "error", result.Err)
 		return
 	}
-	// The operators' documentation names these lines by their kinds.
+	// The operators' documentation refers to these log lines by the kinds of entries.
 	r.config.Log.Info("fleet: "+string(entry.Kind), "position", result.Position, "work", entry.Resource,
 		"holder", entry.Holder, "job", entry.JobID, "step", entry.Step.String(),
 		"token", max(entry.FencingToken, result.FencingToken), "outcome", entry.Outcome,
 		"who", entry.RequestedBy, "reason", entry.Reason)
 }
 
-// updateStatus shows the status of raft, and logs a change of the leader.
+// updateStatus updates the raft status of the view, and logs a change of the leader.
 func (r *Replica) updateStatus() {
 	status := r.core.Status()
 	r.mu.Lock()
