--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -83,7 +83,7 @@
 		}
 		body = rest
 		if message.GetTo() != r.core.ID() {
-			return http.StatusGone, fmt.Errorf("replica %x was replaced by %x at this address; remove the former and add the latter",
+			return http.StatusGone, fmt.Errorf("replica %x was replaced by %x here; remove the former and add the latter",
 				message.GetTo(), r.core.ID())
 		}
 		select {
--- a/fleet/lease/effect.go
+++ b/fleet/lease/effect.go
@@ -9,15 +9,15 @@
 	"cobaltward/fleet"
 )
 
-// EffectRequest is what the holder of a lease asks the receiver of a node to do.
+// EffectRequest is a request of the holder of a lease that the receiver of a node carries out a step.
 type EffectRequest struct {
 	Resource     string             `json:"work"`
 	FencingToken fleet.FencingToken `json:"token"`
 	JobID        string             `json:"job"`
 	Step         fleet.StepKey      `json:"step"`
-	// IdempotencyKey is the same for all holders that ask for this step.
+	// IdempotencyKey identifies the effect of the step. It is the same for all holders that request it.
 	IdempotencyKey string `json:"key"`
-	// Retry says that the effect may have been asked for before.
+	// Retry reports whether the effect may have been requested before.
 	Retry        bool          `json:"again,omitempty"`
 	DrainTimeout time.Duration `json:"drain,omitempty"`
 	Reason       string        `json:"reason,omitempty"`
@@ -26,29 +26,29 @@
 // EffectResponse is the progress of an effect.
 type EffectResponse struct {
 	Running bool              `json:"running,omitempty"`
-	Outcome fleet.StepOutcome `json:"outcome,omitempty"` // empty: it has not ended
+	Outcome fleet.StepOutcome `json:"outcome,omitempty"` // empty: the effect has not ended
 	Detail  string            `json:"detail,omitempty"`
 	// HighestToken is the highest fencing token of the resource that the receiver has seen.
 	HighestToken fleet.FencingToken `json:"seen"`
 }
 
-// Effect is one effect that a receiver has begun.
+// Effect is the record of an effect that a receiver has begun.
 type Effect struct {
 	Sequence     uint64             `json:"n"` // 1, 2, ... in the order in which effects were begun
 	Resource     string             `json:"work"`
-	FencingToken fleet.FencingToken `json:"token"` // under which it was begun last
+	FencingToken fleet.FencingToken `json:"token"` // token under which the effect was last begun
 	Running      bool               `json:"running"`
 	Outcome      fleet.StepOutcome  `json:"outcome,omitempty"`
 	Detail       string             `json:"detail,omitempty"`
 }
 
-// maxEffects is how many effects an EffectLog keeps; beyond them the oldest is removed.
+// maxEffects is the number of effects that an EffectLog keeps. If there are more, the oldest is removed.
 const maxEffects = 4096
 
-// EffectLog is what a receiver has done, so that a repeated request gets the outcome of the first one.
+// EffectLog records the effects of a receiver, so that a repeated request gets the outcome of the first one.
 type EffectLog struct {
 	Effects      map[string]Effect `json:"effects"` // by idempotency key
-	LastSequence uint64            `json:"n"`
+	LastSequence uint64            `json:"n"`       // sequence number of the newest effect
 }
 
 // Start records that an effect is about to be carried out.
@@ -76,8 +76,8 @@
 	l.Effects[key] = effect
 }
 
-// interrupted returns the keys of the effects that were running when the process ended. Whether they were carried out
-// has to be verified.
+// interrupted returns the keys of the effects that were running when the process ended. The receiver must verify
+// whether they were carried out.
 func (l *EffectLog) interrupted() []string {
 	var keys []string
 	for key, effect := range l.Effects {
--- a/fleet/lease/expiry.go
+++ b/fleet/lease/expiry.go
@@ -8,32 +8,32 @@
 	"cobaltward/fleet"
 )
 
-// MaxClockDrift is how much faster than another a clock may run, as a fraction, while a lease is valid.
+// MaxClockDrift is the fraction by which one clock may run faster than another while a lease is valid.
 const MaxClockDrift = 0.2
 
 const (
-	// expiryMarginDivisor is the part of a lease's duration that is waited for beyond the drift.
+	// expiryMarginDivisor sets the margin that is added to the delay of an expiry: the lease's duration divided by it.
 	expiryMarginDivisor = 20
-	// unsafeExpiryDivisor is the part of a lease's duration after which it expires with SkipExpiryDelay.
+	// unsafeExpiryDivisor sets the delay of an expiry with SkipExpiryDelay: the lease's duration divided by it.
 	unsafeExpiryDivisor = 4
 )
 
-// ExpiryDelay returns how long a process has to see no renewal, by its own clock, before a lease of a duration has
-// expired for certain: the duration, the drift, and a margin of a twentieth.
+// ExpiryDelay returns how long a process must see no renewal, by its own clock, before a lease of a duration has
+// expired for certain: the duration, the maximum clock drift, and a margin of a twentieth of the duration.
 func ExpiryDelay(duration time.Duration) time.Duration {
 	drift := time.Duration(MaxClockDrift * float64(duration))
 	return duration + drift + duration/expiryMarginDivisor
 }
 
-// ExpiryTracker tells which leases have expired. Each member of the consensus group has one, so that a new leader
-// need not start to wait: it has seen the renewals itself, at the earliest when they were agreed on, which is after
-// their holders have asked for them. It is not safe for concurrent use.
+// ExpiryTracker determines which leases have expired. Each member of the consensus group has one, so that a new leader
+// need not begin a wait of its own: it has observed the renewals itself. It observes a renewal when it applies the
+// entry, which is always after the holder's request. ExpiryTracker is not safe for concurrent use.
 type ExpiryTracker struct {
 	Unsafe   UnsafeOptions
 	observed map[string]observation // by resource
 }
 
-// observation is the newest renewal of a lease that the tracker has seen.
+// observation is the newest renewal of a lease that the tracker has seen, and when it was first seen.
 type observation struct {
 	token    fleet.FencingToken
 	renewals uint64
@@ -41,7 +41,7 @@
 	duration time.Duration
 }
 
-// Observe records the leases of a state. now is the time of the caller's monotonic clock.
+// Observe records the leases and renewals of a state. now is the time of the caller's monotonic clock.
 func (t *ExpiryTracker) Observe(state *fleet.State, now time.Duration) {
 	if t.observed == nil {
 		t.observed = make(map[string]observation)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Expired returns an entry for each lease that has expired, ordered by resource. Only the leader proposes them.
+// Expired returns an entry that ends each lease that has expired, ordered by resource. Only the leader proposes them.
 func (t *ExpiryTracker) Expired(now time.Duration) []fleet.Entry {
 	var expired []fleet.Entry
 	for _, resource := range slices.Sorted(maps.Keys(t.observed)) {
--- a/fleet/lease/gate.go
+++ b/fleet/lease/gate.go
@@ -2,13 +2,13 @@
 
 import "cobaltward/fleet"
 
-// FencingGate remembers the highest fencing token of each resource that a receiver has seen. It has to be stored
-// before anything is done under a token that raised it.
+// FencingGate records the highest fencing token of each resource that a receiver has seen. When a token changes the
+// gate, the gate must be stored before any effect is carried out under that token.
 type FencingGate struct {
 	HighestTokens map[string]fleet.FencingToken `json:"seen"` // by resource
 }
 
-// Admit reports whether an effect under a token may be carried out, and whether the gate was changed by the token.
+// Admit reports whether an effect under a token may be carried out, and whether the token has changed the gate.
 func (g *FencingGate) Admit(resource string, token fleet.FencingToken) (admitted, changed bool) {
 	highest := g.HighestTokens[resource]
 	if token <= highest {
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -6,32 +6,32 @@
 	"cobaltward/fleet"
 )
 
-// Parts of a lease's duration, as divisors, by which a holder times its requests.
+// Divisors of a lease's duration that give the times at which a holder makes requests and stops acting.
 const (
-	responseTimeoutDivisor = 2  // a request without an answer is given up, and may be repeated
-	renewalDivisor         = 4  // from one renewal to the next
-	conflictBackoffDivisor = 4  // after another holder was found to have the lease
-	lostBackoffDivisor     = 10 // after the lease was found to be lost
-	unknownBackoffDivisor  = 20 // after a request whose outcome is unknown
-	safetyMarginDivisor    = 10 // before its end, when the holder stops acting
+	responseTimeoutDivisor = 2  // time after which a request without an answer may be repeated
+	renewalDivisor         = 4  // time from one renewal to the next
+	conflictBackoffDivisor = 4  // wait before the next request while another holder has the lease
+	lostBackoffDivisor     = 10 // wait before the next request after the lease was lost
+	unknownBackoffDivisor  = 20 // wait before the next request after one of unknown outcome
+	safetyMarginDivisor    = 10 // time before the end of the lease at which the holder stops acting
 )
 
-// Holder is one process that wants, has, or has lost the lease of a resource. Times are of the process's own
-// monotonic clock. It is not safe for concurrent use.
+// Holder is a process that holds the lease of a resource, or competes for it. Times are of the process's own monotonic
+// clock. It is not safe for concurrent use.
 type Holder struct {
 	Resource string
-	Identity string // of this incarnation of the process; see fleet.Entry.Holder
+	Identity string // identifies this incarnation of the process; see fleet.Entry.Holder
 	Duration time.Duration
 	Unsafe   UnsafeOptions
 
-	token        fleet.FencingToken // of the lease; 0: it has none
-	expiresAt    time.Duration      // it may act before this
-	requestedAt  time.Duration      // of the newest request
-	inFlight     bool               // the newest request has no answer yet
-	nextRequest  time.Duration      // no request before this
+	token        fleet.FencingToken // token of the lease; 0: the process does not hold it
+	expiresAt    time.Duration      // time from which the process must not act
+	requestedAt  time.Duration      // time of the newest request
+	inFlight     bool               // whether the newest request has no answer yet
+	nextRequest  time.Duration      // earliest time of the next request
 	steppingDown bool
-	newestToken  fleet.FencingToken // the highest one it has had: a late answer does not give it an older one back
-	releasing    fleet.FencingToken // given up: the release is requested, and nothing is done under it any more
+	newestToken  fleet.FencingToken // highest token so far, so that a late answer cannot bring back an older one
+	releasing    fleet.FencingToken // token of a lease that is being released: nothing is done under it any more
 }
 
 // NextProposal returns the entry to propose now; ok is false if there is none.
@@ -41,9 +41,9 @@
 		return entry, false
 	}
 	if h.token != 0 && now >= h.expiresAt {
-		h.token = 0 // whatever the log says
+		h.token = 0 // even if the lease has not expired in the log yet
 	}
-	if h.steppingDown && h.token != 0 { // before the release is proposed: then another holder may begin at once
+	if h.steppingDown && h.token != 0 { // stop before the release is proposed: after it another holder may act at once
 		h.releasing, h.token = h.token, 0
 	}
 	if h.steppingDown && (h.releasing == 0 || now >= h.expiresAt) {
@@ -53,7 +53,7 @@
 	return h.proposal(), true
 }
 
-// proposal returns the entry that the holder's condition asks for.
+// proposal returns the entry that the holder needs: the release, grant or renewal of its lease.
 func (h *Holder) proposal() fleet.Entry {
 	if h.steppingDown {
 		return fleet.Entry{Kind: fleet.KindReleaseLease, Resource: h.Resource, FencingToken: h.releasing}
@@ -70,8 +70,8 @@
 	return fleet.Entry{Kind: fleet.KindRenewLease, Resource: h.Resource, FencingToken: h.token}
 }
 
-// HandleResult records the outcome of an entry proposed at requestedAt. known is false where the outcome is unknown;
-// result then counts for nothing.
+// HandleResult records the outcome of an entry proposed at requestedAt. If known is false, the outcome is unknown, and
+// result is ignored.
 func (h *Holder) HandleResult(requestedAt, now time.Duration, entry fleet.Entry, result fleet.Result, known bool) {
 	if requestedAt == h.requestedAt {
 		h.inFlight = false
@@ -79,7 +79,7 @@
 	switch {
 	case !known:
 		h.nextRequest = max(h.nextRequest, now+h.Duration/unknownBackoffDivisor)
-	case entry.Kind == fleet.KindReleaseLease: // released, or lost before
+	case entry.Kind == fleet.KindReleaseLease: // the lease is released, or was lost before
 		if entry.FencingToken == h.releasing {
 			h.releasing = 0
 		}
@@ -121,8 +121,8 @@
 	h.nextRequest = requestedAt + h.Duration/renewalDivisor
 }
 
-// FencingToken returns the token to act under now; ok is false where the process must not act, or should stop since
-// less than a tenth of the lease is left.
+// FencingToken returns the token under which to act now. ok is false if the process must not act, or must stop because
+// no more than a tenth of the lease is left.
 func (h *Holder) FencingToken(now time.Duration) (token fleet.FencingToken, ok bool) {
 	if h.token == 0 || h.steppingDown || now >= h.expiresAt-h.Duration/safetyMarginDivisor {
 		return 0, false
@@ -130,13 +130,13 @@
 	return h.token, true
 }
 
-// SetStepDown has the holder release the lease, and not ask for it until it is set to false. The holder may not act
-// in the meantime.
+// SetStepDown sets whether the holder steps down: while it does, it releases the lease, does not request it again, and
+// must not act.
 func (h *Holder) SetStepDown(stepDown bool) {
 	if h.steppingDown != stepDown {
 		h.steppingDown, h.nextRequest = stepDown, 0
 	}
 }
 
-// HoldsLease reports whether the process has the lease, as far as it knows.
+// HoldsLease reports whether the process holds the lease, as far as it knows.
 func (h *Holder) HoldsLease() bool { return h.token != 0 }
--- a/fleet/lease/holder_test.go
+++ b/fleet/lease/holder_test.go
@@ -13,24 +13,24 @@
 	return &Holder{Resource: "w", Identity: "a/1", Duration: testDuration}
 }
 
-// mustPropose returns the entry that a holder proposes, which has to be of a kind.
+// mustPropose returns the entry that a holder proposes, and fails the test unless it is of a kind.
 func mustPropose(t *testing.T, holder *Holder, now time.Duration, kind fleet.Kind) fleet.Entry {
 	t.Helper()
 	entry, ok := holder.NextProposal(now)
 	if !ok || entry.Kind != kind {
-		t.Fatalf("at %v: proposes %+v (%v), want kind %q", now, entry, ok, kind)
+		t.Fatalf("at %v: the holder proposes %+v (%v), want kind %q", now, entry, ok, kind)
 	}
 	return entry
 }
 
-// grant gives a holder the lease by an answer that takes a while.
+// grant has a holder request the lease at requestedAt, and get the token at answeredAt.
 func grant(t *testing.T, holder *Holder, requestedAt, answeredAt time.Duration, token fleet.FencingToken) {
 	t.Helper()
 	entry := mustPropose(t, holder, requestedAt, fleet.KindGrantLease)
 	holder.HandleResult(requestedAt, answeredAt, entry, fleet.Result{FencingToken: token}, true)
 }
 
-// checkToken fails the test unless a holder may act under a token; 0: it must not act.
+// checkToken fails the test unless a holder may act under the token want; 0 means that it must not act.
 func checkToken(t *testing.T, holder *Holder, now time.Duration, want fleet.FencingToken) {
 	t.Helper()
 	got, ok := holder.FencingToken(now)
@@ -43,14 +43,14 @@
 	holder := newTestHolder()
 	grant(t, holder, 0, 4*time.Second, 7)
 	checkToken(t, holder, 9*time.Second-1, 7)
-	checkToken(t, holder, 9*time.Second, 0) // a tenth before its end
+	checkToken(t, holder, 9*time.Second, 0) // a tenth of the duration before the lease ends
 }
 
 func TestHolder_RenewalExtendsLease(t *testing.T) {
 	holder := newTestHolder()
 	grant(t, holder, 0, time.Second, 7)
 	if entry, ok := holder.NextProposal(2 * time.Second); ok {
-		t.Errorf("proposes %+v before the renewal is due", entry)
+		t.Errorf("the holder proposes %+v before the renewal is due", entry)
 	}
 	renewal := mustPropose(t, holder, 3*time.Second, fleet.KindRenewLease)
 	holder.HandleResult(3*time.Second, 4*time.Second, renewal, fleet.Result{FencingToken: 7}, true)
@@ -84,22 +84,22 @@
 	checkToken(t, holder, time.Second, 0)
 	release := mustPropose(t, holder, time.Second, fleet.KindReleaseLease)
 	if release.FencingToken != 7 {
-		t.Errorf("releases token %d", release.FencingToken)
+		t.Errorf("the holder releases token %d, want 7", release.FencingToken)
 	}
 	checkToken(t, holder, time.Second, 0)
 	holder.HandleResult(time.Second, 2*time.Second, release, fleet.Result{}, true)
 	if entry, ok := holder.NextProposal(9 * time.Second); ok {
-		t.Errorf("proposes %+v after the release", entry)
+		t.Errorf("the holder proposes %+v after the release", entry)
 	}
 	holder.SetStepDown(false)
 	mustPropose(t, holder, 9*time.Second, fleet.KindGrantLease)
 }
 
-// An answer that comes after a newer grant does not give the older token back.
+// The answer to an old request may arrive after that of a newer one. It must not bring back the older token.
 func TestHolder_IgnoresLateAnswers(t *testing.T) {
 	holder := newTestHolder()
 	late := mustPropose(t, holder, 0, fleet.KindGrantLease)
-	grant(t, holder, 6*time.Second, 6*time.Second, 9) // the first request is given up after half the duration
+	grant(t, holder, 6*time.Second, 6*time.Second, 9) // the first request times out after half the duration
 	holder.HandleResult(0, 7*time.Second, late, fleet.Result{FencingToken: 8}, true)
 	checkToken(t, holder, 7*time.Second, 9)
 }
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -2,42 +2,43 @@
 
 import "cobaltward/fleet"
 
-// Decision is what a receiver does with a request.
+// Decision is a receiver's decision on a request.
 type Decision uint8
 
 // The decisions.
 const (
 	Reject      Decision = iota // the fencing token is stale, or the job is closed
-	Defer                       // the receiver does not know enough yet: ask again
-	Report                      // the effect has ended, or is running
-	Execute                     // the effect is to be carried out
-	VerifyFirst                 // the effect may have been carried out: verify, and carry it out only if it was not
+	Defer                       // the receiver has not seen enough of the log yet: the holder has to retry
+	Report                      // the effect is running or has ended: respond with its progress
+	Execute                     // carry out the effect
+	VerifyFirst                 // verify whether the effect was carried out before, and carry it out if it was not
 )
 
-// ReceiverState is what a receiver stores, so that it outlives the process.
+// ReceiverState is the part of a receiver that is stored, so that it survives the process.
 type ReceiverState struct {
 	Gate            FencingGate `json:"gate"`
 	EffectLog       EffectLog   `json:"ledger"`
-	DisabledServers []string    `json:"holds"` // at the node, on behalf of the fleet
+	DisabledServers []string    `json:"holds"` // servers that the fleet's disable orders have disabled at the node
 }
 
 // FencedReceiver decides which effects are carried out at a node. Whenever a method reports that the stored state has
-// changed, it has to be stored before anything is carried out or answered. It is not safe for concurrent use.
+// changed, the caller must store it before it carries out an effect or responds. FencedReceiver is not safe for
+// concurrent use.
 //
-// The stored state may be older than what an earlier process has done: a disk can be lost, or restored from a copy.
-// Therefore a process accepts nothing before it has seen its own registration in the log. Every token granted and
-// every step finished before the process was started precedes that entry, and is known by then.
+// The stored state may lack what an earlier process has done: a disk can be lost, or restored from a copy. Therefore a
+// process carries out no effect before it has seen its own registration in the log. The entries of every token granted
+// and every step finished before the process was started precede the registration, so they are known by then.
 type FencedReceiver struct {
 	ReceiverState
 	node         string
 	incarnation  string
 	unsafe       UnsafeOptions
-	registeredAt fleet.Position  // where its own registration was seen; 0: not yet
-	unverified   map[string]bool // keys of effects that were running when an earlier process ended
+	registeredAt fleet.Position  // position of the first state seen with the process's registration; 0: none yet
+	unverified   map[string]bool // keys of effects that may have been carried out by an earlier process
 }
 
-// Restore returns a receiver with the state that an earlier process has stored. node and incarnation are those with
-// which this process registers the node.
+// Restore returns a receiver with the state that an earlier process has stored. This process registers the node under
+// the given name and incarnation.
 func Restore(stored ReceiverState, node, incarnation string, unsafe UnsafeOptions) *FencedReceiver {
 	receiver := &FencedReceiver{
 		ReceiverState: stored,
@@ -52,7 +53,7 @@
 	return receiver
 }
 
-// Registered reports whether the process has seen its own registration. state is the newest one it knows.
+// Registered reports whether the process has seen its own registration. state is the newest one that it has.
 func (r *FencedReceiver) Registered(state *fleet.State) bool {
 	if r.registeredAt == 0 && state.Nodes[r.node].Incarnation == r.incarnation {
 		r.registeredAt = state.Position
@@ -60,8 +61,9 @@
 	return r.registeredAt != 0
 }
 
-// Decide decides on a request by the newest state that the process knows, which may be behind the log. changed
-// reports that the stored state has changed. A decision to Execute or VerifyFirst is recorded as a running effect.
+// Decide decides on a request, given the newest state that the process has, which may be behind the log. changed
+// reports whether the stored state has changed. With the decision Execute or VerifyFirst, the effect is recorded as
+// running.
 func (r *FencedReceiver) Decide(
 	request EffectRequest, state *fleet.State,
 ) (response EffectResponse, decision Decision, changed bool) {
@@ -95,7 +97,7 @@
 	return response, decision, true
 }
 
-// admit passes the token of a request through the gate, after the highest one that the log knows of.
+// admit checks the token of a request at the gate, after it has raised the gate to the highest token in the log.
 func (r *FencedReceiver) admit(request EffectRequest, state *fleet.State) (admitted, changed bool) {
 	resource := request.Resource
 	_, raisedByLog := r.Gate.Admit(resource, state.HighestTokens[resource])
@@ -106,8 +108,8 @@
 	return admitted, raisedByLog || raised
 }
 
-// checkStep holds a request against the log: the step has to be recorded as begun, and as not finished, in an open
-// job.
+// checkStep checks a request against the log. The effect may be carried out only if the log has the step as begun and
+// not finished, and the job as open.
 func (r *FencedReceiver) checkStep(request EffectRequest, state *fleet.State, response *EffectResponse) Decision {
 	intentExpected := !r.unsafe.RecordIntentLate
 	job := state.Jobs[request.JobID]
@@ -127,12 +129,13 @@
 	case !job.Open():
 		return Reject
 	case step.StartedAt != 0 && step.StartedAt <= r.registeredAt:
-		return VerifyFirst // an earlier process of this node may have carried it out
+		return VerifyFirst // an earlier process of this node may have carried out the step
 	}
 	return Execute
 }
 
-// HandleSaveFailure records that the state could not be stored, so that an effect decided on was not carried out.
+// HandleSaveFailure records that the state could not be stored after the decision on an effect, so that the effect was
+// not carried out. The next request for it is decided on again.
 func (r *FencedReceiver) HandleSaveFailure(key string) {
 	if r.EffectLog.Effects[key].Running {
 		r.unverified[key] = true
--- a/fleet/lease/receiver_test.go
+++ b/fleet/lease/receiver_test.go
@@ -38,11 +38,11 @@
 		log.Start(fmt.Sprint(i), "w", 1)
 	}
 	if _, ok := log.Effects["0"]; ok || len(log.Effects) != maxEffects {
-		t.Errorf("%d effects are kept, the oldest one among them: %v", len(log.Effects), ok)
+		t.Errorf("%d effects are kept, with the oldest one among them: %v", len(log.Effects), ok)
 	}
 }
 
-// fixture is a receiver of node n1, and a state in which a rolling update is open.
+// fixture is a receiver of node n1, and a state in which a rolling update is open and its lease is granted.
 type fixture struct {
 	t        *testing.T
 	state    *fleet.State
@@ -83,7 +83,7 @@
 	}).FencingToken
 }
 
-// restart has another process of the node start on a stored state. It is not registered yet.
+// restart starts another process of the node with a stored state. The process is not registered yet.
 func (f *fixture) restart(stored ReceiverState, incarnation string) {
 	f.receiver = Restore(stored, "n1", incarnation, UnsafeOptions{})
 }
@@ -92,7 +92,7 @@
 	f.t.Helper()
 	f.apply(fleet.Entry{Kind: fleet.KindRegisterNode, Node: &fleet.Node{Name: "n1", Incarnation: incarnation}})
 	if !f.receiver.Registered(f.state) {
-		f.t.Fatal("the registration is not seen")
+		f.t.Fatal("the receiver does not see its registration")
 	}
 }
 
@@ -112,12 +112,12 @@
 	}
 }
 
-// check fails the test unless the receiver decides on a request as wanted.
+// check fails the test unless the receiver's decision on a request is want.
 func (f *fixture) check(request EffectRequest, want Decision) EffectResponse {
 	f.t.Helper()
 	response, decision, _ := f.receiver.Decide(request, f.state)
 	if decision != want {
-		f.t.Fatalf("decision %d, want %d; response %+v", decision, want, response)
+		f.t.Fatalf("got decision %d, want %d; response %+v", decision, want, response)
 	}
 	return response
 }
@@ -127,7 +127,7 @@
 	setup.begin()
 	setup.check(setup.request(), Defer)
 	setup.register("run-1")
-	setup.check(setup.request(), VerifyFirst) // begun before it was registered: an earlier process may have carried it out
+	setup.check(setup.request(), VerifyFirst) // an earlier process may have carried out a step begun before registration
 }
 
 func TestFencedReceiver_DefersUntilStepIsBegun(t *testing.T) {
@@ -143,15 +143,15 @@
 	setup.register("run-1")
 	setup.begin()
 	if response := setup.check(setup.request(), Execute); !response.Running || response.HighestToken != setup.token {
-		t.Errorf("the first response is %+v", response)
+		t.Errorf("the first response is %+v, want a running effect and the highest token", response)
 	}
 	if response := setup.check(setup.request(), Report); !response.Running {
-		t.Errorf("the response while it runs is %+v", response)
+		t.Errorf("the response while the effect is running is %+v", response)
 	}
 	setup.receiver.EffectLog.Finish(setup.request().IdempotencyKey, fleet.OutcomeFailed, "why")
 	response := setup.check(setup.request(), Report)
 	if response.Running || response.Outcome != fleet.OutcomeFailed || response.Detail != "why" {
-		t.Errorf("the response after it has ended is %+v", response)
+		t.Errorf("the response after the effect has failed is %+v", response)
 	}
 }
 
@@ -163,7 +163,7 @@
 	setup.apply(fleet.Entry{Kind: fleet.KindReleaseLease, Resource: stale.Resource, FencingToken: setup.token})
 	setup.token = setup.grant("h/2")
 	if response := setup.check(stale, Reject); response.HighestToken != setup.token {
-		t.Errorf("the response is %+v, want the token %d that the log knows", response, setup.token)
+		t.Errorf("the response is %+v, want the token %d of the newest grant in the log", response, setup.token)
 	}
 }
 
@@ -182,11 +182,11 @@
 	step := setup.request().Step
 	setup.apply(fleet.Entry{Kind: fleet.KindFinishStep, JobID: "j", Step: step, FencingToken: setup.token, Outcome: "ok"})
 	if response := setup.check(setup.request(), Report); response.Outcome != fleet.OutcomeOK {
-		t.Errorf("the response is %+v", response)
+		t.Errorf("the response is %+v, want outcome ok", response)
 	}
 }
 
-// Effects running when the process ended are verified by the next one, once.
+// The next process verifies, once, the effects that were running when the previous process ended.
 func TestFencedReceiver_VerifiesInterruptedEffects(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
@@ -199,7 +199,8 @@
 	setup.check(setup.request(), Report)
 }
 
-// An effect that was decided on and whose record could not be stored was not carried out: it is decided on again.
+// If the record of an effect could not be stored, the effect was not carried out, and the next request must not get the
+// response that it is running.
 func TestFencedReceiver_RepeatsDecisionAfterSaveFailure(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -9,8 +9,8 @@
 	"cobaltward/fleet/lease"
 )
 
-// stepDownLeases is for how many durations of its lease a controller that has stepped down leaves it to others.
-const stepDownLeases = 3
+// stepDownLeaseDurations is for how many durations of its lease a controller that has stepped down leaves it to others.
+const stepDownLeaseDurations = 3
 
 // Controller is one process that wants the lease of a kind of job, and runs the job while it has it: the state in,
 // entries to propose and effects to request out. Times are of the process's own monotonic clock. It is not safe for
@@ -19,11 +19,11 @@
 	kind fleet.JobKind
 	node string // beside the process
 
-	holder      lease.Holder
-	token       fleet.FencingToken // the newest one that it has had
-	lastWritten fleet.Position     // of its newest entry: it decides by no older state
-	awayUntil   time.Duration      // until then it leaves the lease to others
-	requested   map[string]bool    // idempotency keys of the effects of the open job that it has requested
+	holder           lease.Holder
+	token            fleet.FencingToken // the newest one that it has had
+	lastOwnPosition  fleet.Position     // of its newest entry: it decides by no older state
+	steppedDownUntil time.Duration      // until then it leaves the lease to others
+	requested        map[string]bool    // idempotency keys of the effects of the open job that it has requested
 }
 
 // NewController returns a controller. identity is that of this incarnation of the process (see fleet.Entry.Holder),
@@ -50,10 +50,10 @@
 func (c *Controller) NextProposal(now time.Duration, state *fleet.State) (entry fleet.Entry, ok bool) {
 	current, held := state.Leases[c.kind.Resource()]
 	mine := held && current.Holder == c.holder.Identity
-	if mine && current.StepDownRequestedBy != "" && now >= c.awayUntil {
+	if mine && current.StepDownRequestedBy != "" && now >= c.steppedDownUntil {
 		c.stepDown(now)
 	}
-	c.holder.SetStepDown(now < c.awayUntil)
+	c.holder.SetStepDown(now < c.steppedDownUntil)
 	if held && !mine && !c.holder.HoldsLease() {
 		return entry, false
 	}
@@ -66,15 +66,15 @@
 	c.holder.HandleResult(requestedAt, now, entry, result, known)
 	if entry.Kind == fleet.KindGrantLease && known && result.Err == nil {
 		c.token = max(c.token, result.FencingToken)
-		c.lastWritten = max(c.lastWritten, result.Position)
+		c.lastOwnPosition = max(c.lastOwnPosition, result.Position)
 	}
 }
 
 // Resign has the controller release the lease, and never ask for it again.
-func (c *Controller) Resign() { c.awayUntil = math.MaxInt64 }
+func (c *Controller) Resign() { c.steppedDownUntil = math.MaxInt64 }
 
 func (c *Controller) stepDown(now time.Duration) {
-	c.awayUntil = now + stepDownLeases*c.holder.Duration
+	c.steppedDownUntil = now + stepDownLeaseDurations*c.holder.Duration
 }
 
 // HoldsLease reports whether the process has the lease, as far as it knows, and the newest token that it has had.
@@ -96,7 +96,7 @@
 // not act, or while the state lacks the process's own newest entry.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
-	if !ok || state.Position < c.lastWritten || state.HighestTokens[c.kind.Resource()] != token {
+	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
 		return nil
 	}
 	job := state.OpenJob(c.kind)
@@ -150,7 +150,7 @@
 
 // HandleWrite records the outcome of an entry of Next or HandleResponse. It reports whether the lease is another's.
 func (c *Controller) HandleWrite(result fleet.Result) (leaseLost bool) {
-	c.lastWritten = max(c.lastWritten, result.Position)
+	c.lastOwnPosition = max(c.lastOwnPosition, result.Position)
 	return errors.Is(result.Err, fleet.ErrLeaseLost)
 }
 
--- a/fleet/rollingupdate/controller_test.go
+++ b/fleet/rollingupdate/controller_test.go
@@ -47,8 +47,8 @@
 	return result
 }
 
-// maintain proposes what the lease needs, which has to be of a kind; "": nothing.
-func (c *controllerTest) maintain(want fleet.Kind) {
+// proposeForLease proposes what the lease needs, which has to be of a kind; "": nothing.
+func (c *controllerTest) proposeForLease(want fleet.Kind) {
 	c.t.Helper()
 	entry, ok := c.controller.NextProposal(c.now, c.state)
 	if entry.Kind != want {
@@ -89,8 +89,8 @@
 	return *task.Request
 }
 
-// update has a node go through all its steps, each with success. It has to be the next one.
-func (c *controllerTest) update(node string) {
+// completeSteps has a node go through all its steps, each with success. It has to be the next one.
+func (c *controllerTest) completeSteps(node string) {
 	c.t.Helper()
 	for _, action := range []fleet.StepAction{fleet.ActionDrain, fleet.ActionPatch, fleet.ActionResume} {
 		c.propose(fleet.KindBeginStep)
@@ -104,9 +104,9 @@
 
 func TestController_ClosesJobWhenAllAreThrough(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
-	driver.update("a")
-	driver.update("b")
+	driver.proposeForLease(fleet.KindGrantLease)
+	driver.completeSteps("a")
+	driver.completeSteps("b")
 	driver.propose(fleet.KindCloseJob)
 	if job := driver.state.Jobs["j"]; job.CloseReason != fleet.ClosedDone {
 		t.Errorf("the job is %+v", job)
@@ -118,7 +118,7 @@
 
 func TestController_RecordsStepBeforeAndAfterEffect(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.propose(fleet.KindBeginStep)
 	request := driver.request()
 	if request.IdempotencyKey != "j/a/out" || request.Retry || request.DrainTimeout != time.Minute {
@@ -143,7 +143,7 @@
 
 func TestController_DecidesByNoStateOlderThanItsEntries(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	older := driver.state
 	driver.propose(fleet.KindBeginStep)
 	if tasks := driver.controller.Next(driver.now, older, driver.view); len(tasks) != 0 {
@@ -153,7 +153,7 @@
 
 func TestController_StopsWithItsLease(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.now = leaseDuration
 	if tasks := driver.controller.Next(driver.now, driver.state, driver.view); len(tasks) != 0 {
 		t.Errorf("without a lease there is to do: %+v", tasks)
@@ -163,12 +163,12 @@
 // A step that a former holder has begun is taken over in the log before it is requested again.
 func TestController_TakesOverSteps(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.propose(fleet.KindBeginStep)
 	former := driver.request()
 	driver.apply(fleet.Entry{Kind: fleet.KindReleaseLease, Resource: former.Resource, FencingToken: former.FencingToken})
 	driver.start("y/1", "y")
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.propose(fleet.KindBeginStep)
 	request := driver.request()
 	if request.IdempotencyKey != former.IdempotencyKey || request.FencingToken <= former.FencingToken || !request.Retry {
@@ -178,40 +178,40 @@
 
 func TestController_WaitsForAnotherHolder(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.start("y/1", "y")
-	driver.maintain("")
+	driver.proposeForLease("")
 }
 
 func TestController_StepsDownWhenAsked(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.apply(fleet.Entry{Kind: fleet.KindRequestStepDown, Resource: fleet.ResourceRollingUpdate, RequestedBy: "ann"})
-	driver.maintain(fleet.KindReleaseLease)
-	driver.maintain("")
-	driver.now = stepDownLeases * leaseDuration
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindReleaseLease)
+	driver.proposeForLease("")
+	driver.now = stepDownLeaseDurations * leaseDuration
+	driver.proposeForLease(fleet.KindGrantLease)
 }
 
 // The node beside the holder is drained by another one.
 func TestController_LeavesOwnNodeToOthers(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.start("a/1", "a")
-	driver.maintain(fleet.KindGrantLease)
-	driver.update("b")
+	driver.proposeForLease(fleet.KindGrantLease)
+	driver.completeSteps("b")
 	if tasks := driver.controller.Next(driver.now, driver.state, driver.view); len(tasks) != 0 {
 		t.Errorf("there is to do: %+v", tasks)
 	}
-	driver.maintain(fleet.KindReleaseLease)
+	driver.proposeForLease(fleet.KindReleaseLease)
 }
 
 func TestController_ResignsForGood(t *testing.T) {
 	driver := newControllerTest(t)
-	driver.maintain(fleet.KindGrantLease)
+	driver.proposeForLease(fleet.KindGrantLease)
 	driver.controller.Resign()
-	driver.maintain(fleet.KindReleaseLease)
-	driver.now = 100 * stepDownLeases * leaseDuration
-	driver.maintain("")
+	driver.proposeForLease(fleet.KindReleaseLease)
+	driver.now = 100 * stepDownLeaseDurations * leaseDuration
+	driver.proposeForLease("")
 }
 
 func TestController_HandleWriteReportsLostLease(t *testing.T) {
--- a/fleet/rollingupdate/drain.go
+++ b/fleet/rollingupdate/drain.go
@@ -7,14 +7,14 @@
 // drainNext drains nodes that may be drained now, out of those not begun. At most as many nodes are unavailable at a
 // time than the job allows, and the serving ones keep the capacity that it asks for. Where it says so, one zone is
 // finished before the next. The holder's own node is the last, and is drained by another holder.
-func (p *planner) drainNext(fresh []string) []Action {
+func (p *planner) drainNext(notStarted []string) []Action {
 	if p.job.Spec.ByZone {
 		zone := p.currentZone()
-		fresh = slices.DeleteFunc(fresh, func(node string) bool { return p.view.Nodes[node].Zone != zone })
+		notStarted = slices.DeleteFunc(notStarted, func(node string) bool { return p.view.Nodes[node].Zone != zone })
 	}
 	var actions []Action
 	capacity := p.servingCapacity()
-	for _, node := range p.selfLast(fresh) {
+	for _, node := range p.orderSelfLast(notStarted) {
 		status := p.view.Nodes[node]
 		switch {
 		case p.unavailable[node]: // it was not resumed before the rollback, and counts already
@@ -53,8 +53,8 @@
 	return capacity
 }
 
-// selfLast returns nodes with the holder's own one at the end.
-func (p *planner) selfLast(nodes []string) []string {
+// orderSelfLast returns nodes with the holder's own one at the end.
+func (p *planner) orderSelfLast(nodes []string) []string {
 	isSelf := func(node string) bool { return node == p.view.Self }
 	if !slices.ContainsFunc(nodes, isSelf) {
 		return nodes
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	plan := newPlanner(job, view)
-	if action, stuck := plan.closeOnUnknownOutcome(); stuck {
+	if action, found := plan.closeOnUnknownOutcome(); found {
 		return []Action{action}
 	}
 	if job.Command == fleet.CommandRollBack {
@@ -173,7 +173,7 @@
 	actions    []Action // for the nodes under way
 	inProgress int
 	done       int
-	fresh      []string // not begun yet
+	notStarted []string // not begun yet
 }
 
 func (p *planner) progress() progress {
@@ -187,7 +187,7 @@
 			result.inProgress++
 			result.actions = append(result.actions, p.requestStep(node, action))
 		case action == p.sequence.drain:
-			result.fresh = append(result.fresh, node)
+			result.notStarted = append(result.notStarted, node)
 		case p.job.Command == fleet.CommandPause:
 			result.inProgress++
 		default: // a drained node is not left drained
@@ -199,19 +199,19 @@
 }
 
 func (p *planner) next() []Action {
-	lost := p.lostNode()
-	stopping := lost != "" || p.job.Command == fleet.CommandAbort || p.tooManyFailures()
+	notResumed := p.nodeNotResumed()
+	stopping := notResumed != "" || p.job.Command == fleet.CommandAbort || p.tooManyFailures()
 	paused := p.job.Command == fleet.CommandPause
 	current := p.progress()
 	switch {
 	case paused, stopping && current.inProgress > 0:
 		return current.actions
 	case stopping:
-		return []Action{{Operation: CloseJob, CloseReason: p.stopReason(lost), Detail: p.closeDetail(lost)}}
+		return []Action{{Operation: CloseJob, CloseReason: p.stopReason(notResumed), Detail: p.closeDetail(notResumed)}}
 	case current.done == len(p.nodes):
 		return []Action{{Operation: CloseJob, CloseReason: p.doneReason(), Detail: p.closeDetail("")}}
 	}
-	actions := slices.Concat(current.actions, p.drainNext(current.fresh))
+	actions := slices.Concat(current.actions, p.drainNext(current.notStarted))
 	if len(actions) == 0 && len(p.unavailable) > 0 { // too few nodes, or too little capacity, are left to continue
 		names := strings.Join(slices.Sorted(maps.Keys(p.unavailable)), " ")
 		return []Action{{Operation: CloseJob, CloseReason: fleet.ClosedStopped, Detail: names + " did not come back"}}
@@ -219,15 +219,15 @@
 	return actions
 }
 
-// lostNode returns the last node that could not be resumed; empty if there is none. No other node may follow it.
-func (p *planner) lostNode() string {
-	lost := ""
+// nodeNotResumed returns the last node that could not be resumed; empty if there is none. No other node may follow it.
+func (p *planner) nodeNotResumed() string {
+	notResumed := ""
 	for _, node := range p.nodes {
 		if resume := p.step(node, p.sequence.resume); resume.FinishedAt != 0 && resume.Outcome != fleet.OutcomeOK {
-			lost = node
+			notResumed = node
 		}
 	}
-	return lost
+	return notResumed
 }
 
 func (p *planner) tooManyFailures() bool {
@@ -235,8 +235,8 @@
 	return p.job.Command != fleet.CommandRollBack && limit > 0 && p.job.Failures >= limit
 }
 
-func (p *planner) stopReason(lost string) fleet.CloseReason {
-	if p.job.Command == fleet.CommandAbort && lost == "" {
+func (p *planner) stopReason(notResumed string) fleet.CloseReason {
+	if p.job.Command == fleet.CommandAbort && notResumed == "" {
 		return fleet.ClosedAborted
 	}
 	return fleet.ClosedStopped
@@ -249,9 +249,9 @@
 	return fleet.ClosedDone
 }
 
-func (p *planner) closeDetail(lost string) string {
-	if lost != "" {
-		return fmt.Sprintf("%s did not come back: %s", lost, p.step(lost, p.sequence.resume).Detail)
+func (p *planner) closeDetail(notResumed string) string {
+	if notResumed != "" {
+		return fmt.Sprintf("%s did not come back: %s", notResumed, p.step(notResumed, p.sequence.resume).Detail)
 	}
 	if p.job.Failures > 0 {
 		return fmt.Sprintf("%d steps failed", p.job.Failures)
--- a/fleet/rollingupdate/plan_test.go
+++ b/fleet/rollingupdate/plan_test.go
@@ -80,7 +80,7 @@
 	dDone       = "d/out ok, d/patch ok, d/in ok"
 	aRolledBack = aDone + ", a/back-out ok, a/revert ok, a/back-in ok"
 	twoFailed   = "a/out ok, a/patch failed, a/in ok, b/out ok, b/patch failed"
-	aLost       = "a/out ok, a/patch ok, a/in failed"
+	aNotResumed = "a/out ok, a/patch ok, a/in failed"
 )
 
 func needThree(spec *fleet.JobSpec) { spec.MinCapacity = 3 }
@@ -127,7 +127,7 @@
 		"too many failures close the job", nil, fleet.CommandRun, 2,
 		twoFailed + ", b/in ok", viewOf("x"), "close stopped",
 	},
-	{"a node that does not come back stops", nil, fleet.CommandRun, 1, aLost, viewOf("x", "a"), "close stopped"},
+	{"a node that does not come back stops", nil, fleet.CommandRun, 1, aNotResumed, viewOf("x", "a"), "close stopped"},
 	{
 		"an unknown outcome stops at once", nil, fleet.CommandRun, 1,
 		"a/out ok, a/patch doubt, b/out", viewOf("x"), "close stopped",
@@ -146,7 +146,7 @@
 	},
 	{
 		"rollback takes a node that did not come back where it is", nil, fleet.CommandRollBack, 1,
-		aLost, viewOf("x", "a"), "begin a/back-out",
+		aNotResumed, viewOf("x", "a"), "begin a/back-out",
 	},
 	{
 		"rollback stops where a node that did not come back uses up the limit", oneAtOnce, fleet.CommandRollBack, 1,
--- a/fleet/rollout/rollout_test.go
+++ b/fleet/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 	return state
 }
 
-func acting(versions ...string) map[string]NodeStatus {
+func nodesActingOn(versions ...string) map[string]NodeStatus {
 	nodes := make(map[string]NodeStatus)
 	for i, version := range versions {
 		nodes[string(rune('a'+i))] = NodeStatus{Versions: VersionVector{testArtifact: version}}
@@ -50,14 +50,14 @@
 		"waits for the first stage",
 		fleet.Artifact{Next: &nextVersion, NextNodes: []string{"a"}},
 		"v2", fleet.CommandRun,
-		View{Nodes: acting("v1", "v1")},
+		View{Nodes: nodesActingOn("v1", "v1")},
 		fleet.Entry{},
 	},
 	{
 		"next stage",
 		fleet.Artifact{Next: &nextVersion, NextNodes: []string{"a"}},
 		"v2", fleet.CommandRun,
-		View{Nodes: acting("v2", "v1")},
+		View{Nodes: nodesActingOn("v2", "v1")},
 		fleet.Entry{Kind: fleet.KindPromoteVersion, Argument: 1},
 	},
 	{
@@ -71,7 +71,7 @@
 		"retires the former version",
 		fleet.Artifact{Next: &nextVersion, NextEverywhere: true},
 		"v2", fleet.CommandRun,
-		View{Nodes: acting("v2", "v2")},
+		View{Nodes: nodesActingOn("v2", "v2")},
 		fleet.Entry{Kind: fleet.KindRetireVersion, Digest: "v1"},
 	},
 	{
@@ -173,7 +173,7 @@
 func TestStragglers_NamesNodesBehind(t *testing.T) {
 	state := testState(fleet.Artifact{Next: &fleet.Version{Digest: "v2"}, NextNodes: []string{"a"}})
 	want := []string{"a: settings v1, should be v2", "b: has no valid version lease, and accepts no work"}
-	if got := Stragglers(state, acting("v1")); !slices.Equal(got, want) {
+	if got := Stragglers(state, nodesActingOn("v1")); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
