--- a/fleet/internal/jsontest/jsontest.go
+++ b/fleet/internal/jsontest/jsontest.go
@@ -1,5 +1,5 @@
-// Package jsontest holds checks of stored and transmitted JSON that tests of several packages of the fleet need. It
-// is linked by tests only.
+// Package jsontest has checks of stored and transmitted JSON for the tests of several fleet packages. Only tests may
+// import it.
 package jsontest
 
 import (
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// RoundTrip decodes raw into the value that to points at, encodes that value again, and fails the test unless the two
-// encodings are byte-identical. Fields of raw that the value lacks fail it, too; white space does not count.
+// RoundTrip decodes raw into the value that to points to, encodes that value again, and fails the test unless the two
+// encodings are byte-identical except for white space. It also fails the test if raw has fields that the value lacks.
 func RoundTrip(t testing.TB, raw []byte, to any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -31,7 +31,7 @@
 	}
 }
 
-// ReadMessages reads a file that holds messages by name.
+// ReadMessages reads a JSON file whose top-level object maps names to messages.
 func ReadMessages(t testing.TB, path string) map[string]json.RawMessage {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -9,25 +9,26 @@
 	"cobaltward/fleet/lease"
 )
 
-// stepDownLeaseDurations is for how many durations of its lease a controller that has stepped down leaves it to others.
+// stepDownLeaseDurations is for how many lease durations a controller that has stepped down does not request the lease
+// again.
 const stepDownLeaseDurations = 3
 
-// Controller is one process that wants the lease of a kind of job, and runs the job while it has it: the state in,
-// entries to propose and effects to request out. Times are of the process's own monotonic clock. It is not safe for
-// concurrent use.
+// Controller competes for the lease of a kind of job on behalf of one process, and runs the open job while it holds the
+// lease: from the state it decides which entries to propose and which effects to request. Times are of the process's
+// own monotonic clock. It is not safe for concurrent use.
 type Controller struct {
 	kind fleet.JobKind
-	node string // beside the process
+	node string // name of the node that runs beside the process
 
 	holder           lease.Holder
-	token            fleet.FencingToken // the newest one that it has had
-	lastOwnPosition  fleet.Position     // of its newest entry: it decides by no older state
-	steppedDownUntil time.Duration      // until then it leaves the lease to others
-	requested        map[string]bool    // idempotency keys of the effects of the open job that it has requested
+	token            fleet.FencingToken // newest token that the controller has had
+	lastOwnPosition  fleet.Position     // position of its newest entry: it makes no decisions on an older state
+	steppedDownUntil time.Duration      // time until which it does not request the lease
+	requested        map[string]bool    // idempotency keys of the open job's effects that it has requested
 }
 
-// NewController returns a controller. identity is that of this incarnation of the process (see fleet.Entry.Holder),
-// node the name of the node beside it, and duration that of the lease.
+// NewController returns a controller. identity identifies this incarnation of the process (see fleet.Entry.Holder),
+// node is the name of the node beside it, and duration that of the lease.
 func NewController(
 	kind fleet.JobKind, identity, node string, duration time.Duration, unsafe lease.UnsafeOptions,
 ) *Controller {
@@ -44,9 +45,9 @@
 	}
 }
 
-// NextProposal returns the entry to propose now for the sake of the lease; ok is false if there is none. A
-// controller that is asked to step down does, and competes for the lease again after a while. It proposes nothing
-// while the state names another holder: that the lease is free is seen by the state.
+// NextProposal returns the entry to propose now to get, renew or release the lease; ok is false if there is none. A
+// controller that is asked to step down releases the lease, and requests it again after stepDownLeaseDurations. It
+// proposes nothing while the state names another holder, since the state shows when the lease is free.
 func (c *Controller) NextProposal(now time.Duration, state *fleet.State) (entry fleet.Entry, ok bool) {
 	current, held := state.Leases[c.kind.Resource()]
 	mine := held && current.Holder == c.holder.Identity
@@ -60,8 +61,8 @@
 	return c.holder.NextProposal(now)
 }
 
-// HandleResult records the outcome of an entry of NextProposal that was proposed at requestedAt. known is false where
-// the outcome is unknown.
+// HandleResult records the outcome of an entry of NextProposal that was proposed at requestedAt. known is false if the
+// outcome is unknown.
 func (c *Controller) HandleResult(requestedAt, now time.Duration, entry fleet.Entry, result fleet.Result, known bool) {
 	c.holder.HandleResult(requestedAt, now, entry, result, known)
 	if entry.Kind == fleet.KindGrantLease && known && result.Err == nil {
@@ -70,30 +71,30 @@
 	}
 }
 
-// Resign has the controller release the lease, and never ask for it again.
+// Resign makes the controller release the lease and never request it again.
 func (c *Controller) Resign() { c.steppedDownUntil = math.MaxInt64 }
 
 func (c *Controller) stepDown(now time.Duration) {
 	c.steppedDownUntil = now + stepDownLeaseDurations*c.holder.Duration
 }
 
-// HoldsLease reports whether the process has the lease, as far as it knows, and the newest token that it has had.
+// HoldsLease reports whether the process holds the lease, as far as it knows, and the newest token that it has had.
 func (c *Controller) HoldsLease() (fleet.FencingToken, bool) { return c.token, c.holder.HoldsLease() }
 
-// FencingToken returns the token to act under now; ok is false where the process must not act. Callers ask again
-// right before each effect.
+// FencingToken returns the token under which to act now; ok is false if the process must not act. Callers must call it
+// again right before each effect.
 func (c *Controller) FencingToken(now time.Duration) (token fleet.FencingToken, ok bool) {
 	return c.holder.FencingToken(now)
 }
 
-// Task is one thing that a controller wants done. One of its fields is set.
+// Task is an entry to propose or an effect to request. Exactly one of its fields is set.
 type Task struct {
-	Entry   *fleet.Entry         // to propose
-	Request *lease.EffectRequest // to send to the node that its step names
+	Entry   *fleet.Entry         // entry to propose
+	Request *lease.EffectRequest // request to send to the node of its step
 }
 
-// Next returns what to do now, by a state and by what can be seen of the nodes. It is nothing while the process must
-// not act, or while the state lacks the process's own newest entry.
+// Next returns the tasks to do now, given a state and the observed nodes. There are none while the process must not
+// act, or while the state lacks the process's own newest entry.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
 	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
@@ -118,7 +119,7 @@
 
 func (c *Controller) task(job *fleet.Job, token fleet.FencingToken, action Action) Task {
 	entry := fleet.Entry{JobID: job.ID, FencingToken: token}
-	// A step begun by an earlier holder is taken over in the log first.
+	// A step begun under an earlier token is begun again under the current one before it is requested.
 	takeOver := action.Operation == RequestStep && job.Steps[action.Step].FencingToken != token
 	begin := action.Operation == StartStep && !c.holder.Unsafe.RecordIntentLate
 	switch {
@@ -140,7 +141,7 @@
 		JobID:          job.ID,
 		Step:           action.Step,
 		IdempotencyKey: key,
-		Retry:          action.Retry || c.requested[key], // the outcome of the first request may be unknown
+		Retry:          action.Retry || c.requested[key], // an earlier request may have been carried out
 		DrainTimeout:   job.Spec.DrainTimeout,
 		Reason:         job.ID + ": " + job.Reason,
 	}
@@ -148,13 +149,15 @@
 	return request
 }
 
-// HandleWrite records the outcome of an entry of Next or HandleResponse. It reports whether the lease is another's.
+// HandleWrite records the outcome of an entry of Next or HandleResponse. It reports whether the entry was rejected
+// because the lease is lost or the job is closed.
 func (c *Controller) HandleWrite(result fleet.Result) (leaseLost bool) {
 	c.lastOwnPosition = max(c.lastOwnPosition, result.Position)
 	return errors.Is(result.Err, fleet.ErrLeaseLost)
 }
 
-// HandleResponse returns the entries to propose after the response to a request: none while the effect has not ended.
+// HandleResponse returns the entries to propose after the response to a request. There are none until the effect has
+// ended.
 func (c *Controller) HandleResponse(request lease.EffectRequest, response lease.EffectResponse) []fleet.Entry {
 	if response.Running || response.Outcome == "" {
 		return nil
--- a/fleet/rollingupdate/controller_test.go
+++ b/fleet/rollingupdate/controller_test.go
@@ -10,7 +10,7 @@
 
 const leaseDuration = 10 * time.Second
 
-// controllerTest drives a controller by a state of the test.
+// controllerTest runs a controller against a state that the test changes.
 type controllerTest struct {
 	t          *testing.T
 	state      *fleet.State
@@ -32,7 +32,7 @@
 	return driver
 }
 
-// start starts another process, beside a node.
+// start replaces the controller with that of another process, which runs beside a node.
 func (c *controllerTest) start(identity, node string) {
 	c.controller = NewController(fleet.JobRollingUpdate, identity, node, leaseDuration, lease.UnsafeOptions{})
 }
@@ -47,29 +47,30 @@
 	return result
 }
 
-// proposeForLease proposes what the lease needs, which has to be of a kind; "": nothing.
+// proposeForLease applies the entry that the controller proposes for its lease. It fails the test unless the entry is
+// of the kind want; an empty kind means that there must be none.
 func (c *controllerTest) proposeForLease(want fleet.Kind) {
 	c.t.Helper()
 	entry, ok := c.controller.NextProposal(c.now, c.state)
 	if entry.Kind != want {
-		c.t.Fatalf("at %v: proposes %+v (%v), want kind %q", c.now, entry, ok, want)
+		c.t.Fatalf("at %v: the controller proposes %+v (%v), want kind %q", c.now, entry, ok, want)
 	}
 	if ok {
 		c.controller.HandleResult(c.now, c.now, entry, c.apply(entry), true)
 	}
 }
 
-// next returns the only task that there is.
+// next returns the controller's only task, and fails the test unless there is exactly one.
 func (c *controllerTest) next() Task {
 	c.t.Helper()
 	tasks := c.controller.Next(c.now, c.state, c.view)
 	if len(tasks) != 1 {
-		c.t.Fatalf("%d tasks, want one: %+v", len(tasks), tasks)
+		c.t.Fatalf("got %d tasks, want one: %+v", len(tasks), tasks)
 	}
 	return tasks[0]
 }
 
-// propose proposes the entry of the only task, which has to be of a kind.
+// propose applies the entry of the controller's only task, and fails the test unless the entry is of the kind want.
 func (c *controllerTest) propose(want fleet.Kind) {
 	c.t.Helper()
 	task := c.next()
@@ -79,17 +80,17 @@
 	c.controller.HandleWrite(c.apply(*task.Entry))
 }
 
-// request returns the request of the only task.
+// request returns the request of the controller's only task.
 func (c *controllerTest) request() lease.EffectRequest {
 	c.t.Helper()
 	task := c.next()
 	if task.Request == nil {
-		c.t.Fatalf("the task is %+v, want a request", task.Entry)
+		c.t.Fatalf("the task is the entry %+v, want a request", task.Entry)
 	}
 	return *task.Request
 }
 
-// completeSteps has a node go through all its steps, each with success. It has to be the next one.
+// completeSteps completes all steps of a node with success, and fails the test unless the node is the next one.
 func (c *controllerTest) completeSteps(node string) {
 	c.t.Helper()
 	for _, action := range []fleet.StepAction{fleet.ActionDrain, fleet.ActionPatch, fleet.ActionResume} {
@@ -102,17 +103,17 @@
 	}
 }
 
-func TestController_ClosesJobWhenAllAreThrough(t *testing.T) {
+func TestController_ClosesJobWhenAllNodesAreDone(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
 	driver.completeSteps("a")
 	driver.completeSteps("b")
 	driver.propose(fleet.KindCloseJob)
 	if job := driver.state.Jobs["j"]; job.CloseReason != fleet.ClosedDone {
-		t.Errorf("the job is %+v", job)
+		t.Errorf("the job is %+v, want it closed as done", job)
 	}
 	if tasks := driver.controller.Next(driver.now, driver.state, driver.view); len(tasks) != 0 {
-		t.Errorf("without an open job there is to do: %+v", tasks)
+		t.Errorf("without an open job the tasks are %+v, want none", tasks)
 	}
 }
 
@@ -125,42 +126,42 @@
 		t.Errorf("the request is %+v", request)
 	}
 	if entries := driver.controller.HandleResponse(request, lease.EffectResponse{Running: true}); len(entries) != 0 {
-		t.Errorf("an effect that is running is recorded: %+v", entries)
+		t.Errorf("an effect that is running is recorded as finished: %+v", entries)
 	}
 	if again := driver.request(); !again.Retry {
-		t.Error("the second request does not say that it is one")
+		t.Error("the second request is not marked as a retry")
 	}
 	ended := lease.EffectResponse{Outcome: fleet.OutcomeFailed, Detail: "why"}
 	entries := driver.controller.HandleResponse(request, ended)
 	if len(entries) != 1 || entries[0].Kind != fleet.KindFinishStep || entries[0].Detail != "why" {
-		t.Fatalf("the outcome is recorded by %+v", entries)
+		t.Fatalf("the outcome is recorded by %+v, want one entry that finishes the step", entries)
 	}
 	driver.apply(entries[0])
 	if step := driver.state.Jobs["j"].Steps[request.Step]; step.Outcome != fleet.OutcomeFailed {
-		t.Errorf("the step is %+v", step)
+		t.Errorf("the step is %+v, want outcome failed", step)
 	}
 }
 
-func TestController_DecidesByNoStateOlderThanItsEntries(t *testing.T) {
+func TestController_IgnoresStatesOlderThanItsEntries(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
 	older := driver.state
 	driver.propose(fleet.KindBeginStep)
 	if tasks := driver.controller.Next(driver.now, older, driver.view); len(tasks) != 0 {
-		t.Errorf("by the older state there is to do: %+v", tasks)
+		t.Errorf("for a state older than the controller's entry the tasks are %+v, want none", tasks)
 	}
 }
 
-func TestController_StopsWithItsLease(t *testing.T) {
+func TestController_StopsWhenLeaseExpires(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
 	driver.now = leaseDuration
 	if tasks := driver.controller.Next(driver.now, driver.state, driver.view); len(tasks) != 0 {
-		t.Errorf("without a lease there is to do: %+v", tasks)
+		t.Errorf("after the lease has expired the tasks are %+v, want none", tasks)
 	}
 }
 
-// A step that a former holder has begun is taken over in the log before it is requested again.
+// A step that a former holder has begun must be begun again under the new token before the new holder requests it.
 func TestController_TakesOverSteps(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
@@ -172,7 +173,7 @@
 	driver.propose(fleet.KindBeginStep)
 	request := driver.request()
 	if request.IdempotencyKey != former.IdempotencyKey || request.FencingToken <= former.FencingToken || !request.Retry {
-		t.Errorf("the request is %+v, after %+v", request, former)
+		t.Errorf("the request is %+v, want a retry of %+v under a higher token", request, former)
 	}
 }
 
@@ -193,19 +194,19 @@
 	driver.proposeForLease(fleet.KindGrantLease)
 }
 
-// The node beside the holder is drained by another one.
+// A holder does not drain its own node: it releases the lease, so that another holder does.
 func TestController_LeavesOwnNodeToOthers(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.start("a/1", "a")
 	driver.proposeForLease(fleet.KindGrantLease)
 	driver.completeSteps("b")
 	if tasks := driver.controller.Next(driver.now, driver.state, driver.view); len(tasks) != 0 {
-		t.Errorf("there is to do: %+v", tasks)
+		t.Errorf("when only the holder's own node is left the tasks are %+v, want none", tasks)
 	}
 	driver.proposeForLease(fleet.KindReleaseLease)
 }
 
-func TestController_ResignsForGood(t *testing.T) {
+func TestController_RequestsNoLeaseAfterResign(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
 	driver.controller.Resign()
@@ -217,7 +218,7 @@
 func TestController_HandleWriteReportsLostLease(t *testing.T) {
 	driver := newControllerTest(t)
 	if driver.controller.HandleWrite(fleet.Result{Err: fleet.ErrAlreadyExists}) {
-		t.Error("an entry that exists already means a lost lease")
+		t.Error("an entry rejected as existing already is reported as a lost lease")
 	}
 	if !driver.controller.HandleWrite(fleet.Result{Err: fleet.ErrLeaseLost}) {
 		t.Error("a lost lease is not reported")
--- a/fleet/rollingupdate/drain.go
+++ b/fleet/rollingupdate/drain.go
@@ -4,9 +4,10 @@
 	"slices"
 )
 
-// drainNext drains nodes that may be drained now, out of those not begun. At most as many nodes are unavailable at a
-// time than the job allows, and the serving ones keep the capacity that it asks for. Where it says so, one zone is
-// finished before the next. The holder's own node is the last, and is drained by another holder.
+// drainNext returns actions that drain those nodes of notStarted that may be drained now. No more nodes are unavailable
+// at a time than the job allows, and the serving nodes keep the job's minimum capacity. If the job is by zone, one zone
+// is finished before the next begins. The holder's own node is the last: if another node's agent can take the lease,
+// the holder releases it, and leaves its own node to the next holder.
 func (p *planner) drainNext(notStarted []string) []Action {
 	if p.job.Spec.ByZone {
 		zone := p.currentZone()
@@ -17,7 +18,7 @@
 	for _, node := range p.orderSelfLast(notStarted) {
 		status := p.view.Nodes[node]
 		switch {
-		case p.unavailable[node]: // it was not resumed before the rollback, and counts already
+		case p.unavailable[node]: // not resumed before the rollback, so it is already counted as unavailable
 		case len(p.unavailable)+len(actions) >= p.job.Spec.MaxUnavailable:
 			continue
 		case !status.Serving || capacity-status.Capacity < p.job.Spec.MinCapacity:
@@ -32,7 +33,7 @@
 	return actions
 }
 
-// currentZone returns the zone of the first node that is not through.
+// currentZone returns the zone of the first node that has not finished its steps.
 func (p *planner) currentZone() string {
 	for _, node := range p.nodes {
 		if _, _, pending := p.nextStep(node); pending {
@@ -42,7 +43,7 @@
 	return ""
 }
 
-// servingCapacity returns the capacity of the nodes that serve and that the job has not taken out of service.
+// servingCapacity returns the total capacity of the nodes that are serving and not made unavailable by the job.
 func (p *planner) servingCapacity() float64 {
 	capacity := 0.0
 	for name, node := range p.view.Nodes {
@@ -53,7 +54,7 @@
 	return capacity
 }
 
-// orderSelfLast returns nodes with the holder's own one at the end.
+// orderSelfLast moves the holder's own node, if it is among nodes, to the end.
 func (p *planner) orderSelfLast(nodes []string) []string {
 	isSelf := func(node string) bool { return node == p.view.Self }
 	if !slices.ContainsFunc(nodes, isSelf) {
@@ -62,7 +63,7 @@
 	return append(slices.DeleteFunc(nodes, isSelf), p.view.Self)
 }
 
-// otherCandidateServes reports whether another node's agent may hold the lease.
+// otherCandidateServes reports whether another node is serving whose agent may hold the lease.
 func (p *planner) otherCandidateServes() bool {
 	for name, node := range p.view.Nodes {
 		if name != p.view.Self && node.LeaseCandidate && node.Serving {
--- a/fleet/rollingupdate/plan_test.go
+++ b/fleet/rollingupdate/plan_test.go
@@ -11,11 +11,11 @@
 	"cobaltward/fleet"
 )
 
-// describe returns actions in short form: verb and step.
+// describe formats actions, each as an operation and its step or close reason.
 func describe(actions []Action) string {
 	var lines []string
 	for _, action := range actions {
-		line := [...]string{"begin", "ask", "close", "step-down"}[action.Operation]
+		line := [...]string{"begin", "request", "close", "step-down"}[action.Operation]
 		switch action.Operation {
 		case CloseJob:
 			line += " " + string(action.CloseReason)
@@ -30,8 +30,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// parseSteps reads a list of steps: "a/out ok" is one that has ended, "a/out" one under way; "2" says that two
-// holders have begun it.
+// parseSteps parses a list of steps: "a/out ok" is a finished step with its outcome, "a/out" is a step in progress, and
+// "a/out 2" is one that two holders have begun.
 func parseSteps(t *testing.T, list string) map[fleet.StepKey]fleet.Step {
 	t.Helper()
 	steps := make(map[fleet.StepKey]fleet.Step)
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// viewOf returns a view of the nodes a and b of one zone, and c and d of another, as the holder beside a node sees
-// it.
+// viewOf returns the view of the holder beside the node self: the nodes a and b are in one zone, c and d in another,
+// and those in down are not serving.
 func viewOf(self string, down ...string) ClusterView {
 	view := ClusterView{Self: self, Nodes: make(map[string]NodeStatus)}
 	for i, name := range []string{"a", "b", "c", "d"} {
@@ -72,7 +72,7 @@
 	return view
 }
 
-// The steps of nodes that are through, and of nodes whose resume or patch has failed.
+// The steps of nodes that are finished or rolled back, and of nodes whose patch or resume has failed.
 const (
 	aDone       = "a/out ok, a/patch ok, a/in ok"
 	bDone       = "b/out ok, b/patch ok, b/in ok"
@@ -87,10 +87,10 @@
 func oneAtOnce(spec *fleet.JobSpec) { spec.MaxUnavailable = 1 }
 func byZone(spec *fleet.JobSpec)    { spec.ByZone, spec.MinCapacity = true, 0 }
 
-// nextTests are jobs, views of the nodes, and what the holder of the lease does next.
+// nextTests are jobs and views of the nodes, with the actions that the holder of the lease takes next.
 var nextTests = []struct {
 	name     string
-	change   func(*fleet.JobSpec) // nil: the specification is that of the test
+	change   func(*fleet.JobSpec) // changes the specification of TestNext_OfJob; nil: no change
 	command  fleet.JobCommand
 	failures int
 	steps    string
@@ -100,22 +100,22 @@
 	{"the first two", nil, fleet.CommandRun, 0, "", viewOf("x"), "begin a/out, begin b/out"},
 	{"capacity allows one", needThree, fleet.CommandRun, 0, "", viewOf("x"), "begin a/out"},
 	{"capacity allows none while another is down", needThree, fleet.CommandRun, 0, "", viewOf("x", "d"), ""},
-	{"one that does not serve is not drained", nil, fleet.CommandRun, 0, "", viewOf("x", "a"), "begin b/out"},
-	{"a holder's own node is the last", nil, fleet.CommandRun, 0, "", viewOf("a"), "begin b/out, begin c/out"},
+	{"a node that does not serve is not drained", nil, fleet.CommandRun, 0, "", viewOf("x", "a"), "begin b/out"},
+	{"a holder's own node is drained last", nil, fleet.CommandRun, 0, "", viewOf("a"), "begin b/out, begin c/out"},
 	{
-		"a holder's own node is another holder's to drain", nil, fleet.CommandRun, 0,
+		"a holder's own node is left to another holder", nil, fleet.CommandRun, 0,
 		bDone + ", " + cDone + ", " + dDone, viewOf("a"), "step-down",
 	},
 	{
 		"each step follows the one before", nil, fleet.CommandRun, 0,
-		"a/out ok, b/out", viewOf("x"), "begin a/patch, ask b/out",
+		"a/out ok, b/out", viewOf("x"), "begin a/patch, request b/out",
 	},
 	{
 		"a step that another holder has begun is requested again", nil, fleet.CommandRun, 0,
-		"a/out ok, a/patch 2", viewOf("x"), "ask a/patch again, begin b/out",
+		"a/out ok, a/patch 2", viewOf("x"), "request a/patch again, begin b/out",
 	},
 	{
-		"what could not be drained is not patched", nil, fleet.CommandRun, 1,
+		"a node that could not be drained is not patched", nil, fleet.CommandRun, 1,
 		"a/out failed", viewOf("x"), "begin a/in, begin b/out",
 	},
 	{
@@ -127,13 +127,13 @@
 		"too many failures close the job", nil, fleet.CommandRun, 2,
 		twoFailed + ", b/in ok", viewOf("x"), "close stopped",
 	},
-	{"a node that does not come back stops", nil, fleet.CommandRun, 1, aNotResumed, viewOf("x", "a"), "close stopped"},
+	{"a node that is not resumed stops the job", nil, fleet.CommandRun, 1, aNotResumed, viewOf("x", "a"), "close stopped"},
 	{
-		"an unknown outcome stops at once", nil, fleet.CommandRun, 1,
+		"an unknown outcome stops the job at once", nil, fleet.CommandRun, 1,
 		"a/out ok, a/patch doubt, b/out", viewOf("x"), "close stopped",
 	},
-	{"pause begins nothing", nil, fleet.CommandPause, 0, "a/out ok, b/out", viewOf("x"), "ask b/out"},
-	{"abort finishes what is drained", nil, fleet.CommandAbort, 0, "a/out ok", viewOf("x"), "begin a/patch"},
+	{"pause begins nothing", nil, fleet.CommandPause, 0, "a/out ok, b/out", viewOf("x"), "request b/out"},
+	{"abort finishes drained nodes", nil, fleet.CommandAbort, 0, "a/out ok", viewOf("x"), "begin a/patch"},
 	{"abort closes the job", nil, fleet.CommandAbort, 0, aDone, viewOf("x"), "close aborted"},
 	{
 		"rollback takes the last node first", oneAtOnce, fleet.CommandRollBack, 0,
@@ -141,20 +141,20 @@
 	},
 	{"rollback closes the job", nil, fleet.CommandRollBack, 0, aRolledBack, viewOf("x"), "close back"},
 	{
-		"rollback first finishes what is under way", nil, fleet.CommandRollBack, 2,
-		"a/out ok, a/patch ok, b/out, c/out ok", viewOf("x"), "begin a/in, ask b/out, begin c/in",
+		"rollback first finishes steps in progress", nil, fleet.CommandRollBack, 2,
+		"a/out ok, a/patch ok, b/out, c/out ok", viewOf("x"), "begin a/in, request b/out, begin c/in",
 	},
 	{
-		"rollback takes a node that did not come back where it is", nil, fleet.CommandRollBack, 1,
+		"rollback starts on a node that was not resumed", nil, fleet.CommandRollBack, 1,
 		aNotResumed, viewOf("x", "a"), "begin a/back-out",
 	},
 	{
-		"rollback stops where a node that did not come back uses up the limit", oneAtOnce, fleet.CommandRollBack, 1,
+		"rollback stops if a node that was not resumed uses up the limit", oneAtOnce, fleet.CommandRollBack, 1,
 		"a/out ok, a/in failed, " + bDone, viewOf("x", "a"), "close stopped",
 	},
 	{"one zone after another", byZone, fleet.CommandRun, 0, aDone, viewOf("x"), "begin b/out"},
 	{
-		"all are through", nil, fleet.CommandRun, 0,
+		"all nodes are finished", nil, fleet.CommandRun, 0,
 		strings.Join([]string{aDone, bDone, cDone, dDone}, ", "), viewOf("x"), "close done",
 	},
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-// modelJob is a job in a state, driven by random outcomes.
+// modelJob is a state with one job, whose steps get random outcomes.
 type modelJob struct {
 	t     *rapid.T
 	state *fleet.State
@@ -219,7 +219,7 @@
 
 func (m *modelJob) job() *fleet.Job { return m.state.Jobs["j"] }
 
-// apply applies an entry of the job, which has to be accepted.
+// apply applies an entry of the job, and fails the test unless it is accepted.
 func (m *modelJob) apply(entry fleet.Entry) fleet.Result {
 	entry.JobID, entry.FencingToken = "j", m.token
 	next, result, err := m.state.Apply(m.state.Position+1, entry.Marshal())
@@ -230,7 +230,7 @@
 	return result
 }
 
-// perform carries out an action, with a random outcome where it is a step.
+// perform applies the entry of an action. A requested step gets a random outcome.
 func (m *modelJob) perform(action Action) {
 	switch action.Operation {
 	case StartStep:
@@ -244,16 +244,16 @@
 	}
 }
 
-// checkLimits fails the test if more nodes are unavailable than the job allows.
+// checkLimits fails the test if the job has too many nodes unavailable, or too little serving capacity.
 func (m *modelJob) checkLimits() {
 	unavailable := m.job().UnavailableNodes()
 	serving := float64(len(m.spec.Nodes) - len(unavailable))
 	if len(unavailable) > m.spec.MaxUnavailable || serving < m.spec.MinCapacity {
-		m.t.Fatalf("%v are unavailable", unavailable)
+		m.t.Fatalf("the unavailable nodes %v exceed the limits of the job", unavailable)
 	}
 }
 
-// However steps end, the limits of the job hold, and it is closed after a while.
+// Whatever the outcomes of steps, the limits of the job must hold, and the job must be closed eventually.
 func TestNext_LimitsHoldUntilClosed(t *testing.T) {
 	const maxTurns = 200
 	commands := []fleet.JobCommand{fleet.CommandAbort, fleet.CommandRollBack}
@@ -261,7 +261,7 @@
 		model := newModelJob(t)
 		for turn := 0; model.job().Open(); turn++ {
 			if turn > maxTurns {
-				t.Fatalf("the job is not closed: %+v", model.job())
+				t.Fatalf("the job is still open after the maximum number of turns: %+v", model.job())
 			}
 			if rapid.IntRange(0, 20).Draw(t, "order") == 0 && model.job().Command == fleet.CommandRun {
 				command := rapid.SampledFrom(commands).Draw(t, "which")
@@ -274,7 +274,7 @@
 		}
 		job := model.job()
 		if job.CloseReason == fleet.ClosedDone && len(job.UnavailableNodes()) > 0 {
-			t.Fatalf("the job is done, and %v are unavailable", job.UnavailableNodes())
+			t.Fatalf("the job is done, but the nodes %v are unavailable", job.UnavailableNodes())
 		}
 	})
 }
