--- a/fleet/rollout/doc.go
+++ b/fleet/rollout/doc.go
@@ -1,23 +1,23 @@
-// Package rollout decides which version of an artifact a process may act on, and when a rollout may put the next one
-// into force. It does no I/O and reads no clock: callers pass the time in.
+// Package rollout decides which versions of artifacts a process may act on, and when a rollout may introduce the next
+// version. It does no I/O and reads no clock: callers pass the time in.
 //
-// Failures: the package tolerates processes that are stopped, cut off, or started on an old disk, and a consensus
-// group that is unavailable. A process whose version lease is not renewed stops acting once it has expired.
+// Failures: the package tolerates processes that are stopped, partitioned, or restarted with old stored data, and a
+// consensus group that is unavailable. A process stops acting once its version lease has expired without a renewal.
 //
 // Clocks: while a version lease is valid, no monotonic clock may run more than lease.MaxClockDrift faster or slower
 // than another. Then at no time do processes act on more than two versions of an artifact.
 //
-// Missing answers: a process that got no answer to a request can conclude nothing. A version lease counts from
-// before it was asked for, so an answer that arrives late is worth less, never more.
+// Missing answers: a process that got no answer to a request can conclude nothing. The duration of a version lease
+// counts from a moment before it was requested, so a late answer shortens the time left to act and never extends it.
 package rollout
 
-// UnsafeOptions remove safeguards, one each, so that tests can show that each safeguard is needed. The zero value
-// keeps them all.
+// UnsafeOptions disable one safeguard each, so that tests can show that each safeguard is needed. The zero value keeps
+// all safeguards.
 type UnsafeOptions struct {
-	// CountFromResponse has processes count a version lease from the answer, and not from the request.
+	// CountFromResponse makes processes count a version lease from the response instead of the request.
 	CountFromResponse bool
-	// GrantAnyVersion has leases granted for whatever version a process asks for. Callers of Allows implement it.
+	// GrantAnyVersion grants leases for any version that a process requests. Callers of Allows implement it.
 	GrantAnyVersion bool
-	// SkipRetirementDelay has a retired version cleared at once.
+	// SkipRetirementDelay clears a retired version at once.
 	SkipRetirementDelay bool
 }
--- a/fleet/rollout/lease.go
+++ b/fleet/rollout/lease.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Parts of a version lease's duration, as divisors, by which a process times its requests.
+// Divisors of a version lease's duration that give the times at which a process makes requests.
 const (
-	responseTimeoutDivisor = 4 // a request without an answer is given up
-	renewalDivisor         = 3 // from one renewal to the next
+	responseTimeoutDivisor = 4 // time after which a request without an answer may be repeated
+	renewalDivisor         = 3 // time from one renewal to the next
 )
 
-// VersionLease lets one process act on versions for a limited time. Times are of the process's own monotonic clock.
-// It is not safe for concurrent use.
+// VersionLease is the time-limited right of one process to act on a version of each artifact. Times are of the
+// process's own monotonic clock. It is not safe for concurrent use.
 type VersionLease struct {
 	Duration time.Duration
 	Unsafe   UnsafeOptions
 
-	versions    VersionVector // nil: it has never had a lease
+	versions    VersionVector // nil: no lease was granted yet
 	expiresAt   time.Duration
-	requestedAt time.Duration // of the newest request
-	inFlight    bool          // the newest request has no answer yet
-	nextRequest time.Duration // no request for the same versions before this
+	requestedAt time.Duration // time of the newest request
+	inFlight    bool          // whether the newest request has no answer yet
+	nextRequest time.Duration // earliest time of the next request for the same versions
 }
 
-// NextRequest returns the versions to ask a lease of now; ok is false if nothing is to be asked. desired is what the
-// process should act on.
+// NextRequest returns the versions of which to request a lease now; ok is false if there is nothing to request. desired
+// are the versions that the process should act on.
 func (l *VersionLease) NextRequest(now time.Duration, desired VersionVector) (versions VersionVector, ok bool) {
 	if l.inFlight && now-l.requestedAt < l.Duration/responseTimeoutDivisor {
 		return nil, false
@@ -37,8 +37,8 @@
 	return desired.Clone(), true
 }
 
-// HandleResult records the answer to a request made at requestedAt. A lease of other versions ends the one before:
-// the process acts on the new versions from then on, and on nothing else.
+// HandleResult records the answer to a request made at requestedAt. A lease of other versions replaces the current one:
+// from then on the process acts on the new versions only.
 func (l *VersionLease) HandleResult(requestedAt, now time.Duration, versions VersionVector, granted bool) {
 	newest := requestedAt == l.requestedAt
 	if newest {
@@ -58,7 +58,8 @@
 	l.nextRequest = requestedAt + l.Duration/renewalDivisor
 }
 
-// Valid returns the versions that the process may act on; ok is false where it may not act, and must accept no work.
+// Valid returns the versions that the process may act on. ok is false if there is no valid lease: the process must not
+// act, and must accept no work.
 func (l *VersionLease) Valid(now time.Duration) (versions VersionVector, ok bool) {
 	return l.versions, l.versions != nil && now < l.expiresAt
 }
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -7,23 +7,23 @@
 	"cobaltward/fleet"
 )
 
-// NodeStatus is what the holder of the rollouts' lease sees of a node.
+// NodeStatus is the status of a node as the holder of the lease of rollouts observes it.
 type NodeStatus struct {
-	Versions VersionVector // that it acts on, as it says; nil: it has no valid version lease
-	// Straggler says that it has lagged behind, or has not answered, for longer than the operator's patience.
+	Versions VersionVector // versions that the node reports to act on; nil: it has no valid version lease
+	// Straggler reports whether the node has lagged behind, or has not answered, for longer than the rollout waits.
 	Straggler bool
 }
 
-// View is what the holder of the rollouts' lease sees of the fleet.
+// View is the view of the fleet that the holder of the lease of rollouts has.
 type View struct {
 	Nodes map[string]NodeStatus // by name
-	// Cleared is the retired version on which no node acts any more, as a member of the consensus group says.
+	// Cleared is the retired version on which no node acts any more, as reported by a member of the consensus group.
 	Cleared fleet.Version
-	// RollbackReason is why the rollout is to be rolled back by itself; empty: it is not.
+	// RollbackReason is the reason to roll back without a command of an operator; empty if there is none.
 	RollbackReason string
 }
 
-// Next returns the entry that the holder of the rollouts' lease proposes now; ok is false while it has to wait.
+// Next returns the entry that the holder of the lease of rollouts proposes now; ok is false while it has to wait.
 func Next(job *fleet.Job, state *fleet.State, token fleet.FencingToken, view View) (entry fleet.Entry, ok bool) {
 	artifact := state.Artifacts[job.Spec.Artifact]
 	if !job.Open() || artifact == nil {
@@ -59,8 +59,9 @@
 	return entry, true
 }
 
-// stageComplete reports whether the nodes that may act on the next version do, but for as many stragglers as the job
-// tolerates. A straggler is not waited for: its lease of the former version expires once that is retired.
+// stageComplete reports whether the nodes that may act on the next version do so, except for stragglers, of which the
+// job tolerates a limited number. The rollout does not wait for a straggler, because the node's lease of the former
+// version expires once that version is retired.
 func stageComplete(
 	job *fleet.Job, artifact *fleet.Artifact, state *fleet.State, nodes map[string]NodeStatus,
 ) bool {
@@ -80,7 +81,7 @@
 	return stragglers <= job.Spec.MaxStragglers
 }
 
-// stagesInForce returns how many stages of a rollout may act on the next version.
+// stagesInForce returns the number of stages of a rollout whose nodes may all act on the next version.
 func stagesInForce(job *fleet.Job, artifact *fleet.Artifact) int {
 	count := 0
 	for _, stage := range job.Spec.Stages {
@@ -92,7 +93,8 @@
 	return count
 }
 
-// Stragglers describes the nodes that do not act on the versions that they should, one line each, ordered by name.
+// Stragglers describes the nodes that do not act on their desired versions, in lines ordered by the nodes' names. A
+// node without a valid version lease has one line, another node one for each artifact whose version is wrong.
 func Stragglers(state *fleet.State, nodes map[string]NodeStatus) []string {
 	var lines []string
 	for name := range state.Nodes {
--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -7,16 +7,16 @@
 	"cobaltward/fleet/lease"
 )
 
-// RetirementTracker tells when the last lease of a retired version has expired. Each member of the consensus group has
-// one, as it has a lease.ExpiryTracker: a new leader need not wait again for versions that it has seen retired itself.
-// It is not safe for concurrent use.
+// RetirementTracker determines when the last lease of a retired version has expired. Like lease.ExpiryTracker, each
+// member of the consensus group has one, so that a new leader need not wait again for a version whose retirement it has
+// already observed. It is not safe for concurrent use.
 type RetirementTracker struct {
-	LeaseDuration time.Duration // of version leases
+	LeaseDuration time.Duration // duration of version leases
 	Unsafe        UnsafeOptions
 	observed      map[string]retirement // by artifact
 }
 
-// retirement is a retired version, and when the tracker first saw it retired.
+// retirement is a retired version, and the time at which the tracker first observed its retirement.
 type retirement struct {
 	version fleet.Version
 	seenAt  time.Duration
@@ -37,8 +37,8 @@
 	}
 }
 
-// Cleared returns the retired version of an artifact on which no process acts any more. It is the zero Version while
-// a process may.
+// Cleared returns the retired version of an artifact on which no process acts any more. It returns the zero Version
+// while a process may still act on it, or if no version is retired.
 func (t *RetirementTracker) Cleared(artifact string, now time.Duration) fleet.Version {
 	retired, ok := t.observed[artifact]
 	if !ok {
--- a/fleet/rollout/rollout_test.go
+++ b/fleet/rollout/rollout_test.go
@@ -35,14 +35,14 @@
 	retiringVersion = fleet.Version{Digest: "v0", Position: 4}
 )
 
-// nextTests are rollouts, and what the holder of their lease proposes next.
+// nextTests are rollouts, with the entry that the holder of their lease proposes next.
 var nextTests = []struct {
 	name     string
 	artifact fleet.Artifact
-	digest   string // of the job's version
+	digest   string // digest of the version that the job introduces
 	command  fleet.JobCommand
 	view     View
-	want     fleet.Entry // kind, digest, argument and outcome; zero: nothing is proposed
+	want     fleet.Entry // expected kind, digest, argument and outcome; zero: nothing is proposed
 }{
 	{"first stage", fleet.Artifact{}, "v2", fleet.CommandRun, View{}, fleet.Entry{Kind: fleet.KindPromoteVersion}},
 	{"paused", fleet.Artifact{}, "v2", fleet.CommandPause, View{}, fleet.Entry{}},
@@ -61,7 +61,7 @@
 		fleet.Entry{Kind: fleet.KindPromoteVersion, Argument: 1},
 	},
 	{
-		"a straggler is left behind",
+		"does not wait for a straggler",
 		fleet.Artifact{Next: &nextVersion, NextNodes: []string{"a"}},
 		"v2", fleet.CommandRun,
 		View{Nodes: map[string]NodeStatus{"a": {Straggler: true}}},
@@ -97,7 +97,7 @@
 		fleet.Entry{Kind: fleet.KindRetireVersion, Digest: "v2"},
 	},
 	{
-		"worse figures roll back",
+		"a rollback reason rolls back",
 		fleet.Artifact{Next: &nextVersion},
 		"v2", fleet.CommandRun,
 		View{RollbackReason: "worse"},
@@ -124,16 +124,16 @@
 			}}
 			got, ok := Next(job, testState(test.artifact), testToken, test.view)
 			if ok != (test.want.Kind != "") {
-				t.Fatalf("proposes %+v (%v), want %+v", got, ok, test.want)
+				t.Fatalf("the holder proposes %+v (%v), want %+v", got, ok, test.want)
 			}
 			if !ok {
 				return
 			}
 			if got.Kind != test.want.Kind || got.Digest != test.want.Digest || got.Argument != test.want.Argument {
-				t.Errorf("proposes %+v, want %+v", got, test.want)
+				t.Errorf("the holder proposes %+v, want %+v", got, test.want)
 			}
 			if got.Outcome != test.want.Outcome || got.FencingToken != testToken || got.JobID != "j" {
-				t.Errorf("proposes %+v, want %+v", got, test.want)
+				t.Errorf("the holder proposes %+v, want %+v with the token and ID of the test", got, test.want)
 			}
 		})
 	}
@@ -142,7 +142,7 @@
 func TestNext_OfClosedJob(t *testing.T) {
 	job := &fleet.Job{ID: "j", CloseReason: fleet.ClosedDone, Spec: fleet.JobSpec{Artifact: testArtifact, Digest: "v2"}}
 	if entry, ok := Next(job, testState(fleet.Artifact{}), testToken, View{}); ok {
-		t.Errorf("proposes %+v", entry)
+		t.Errorf("the holder proposes %+v for a closed job", entry)
 	}
 }
 
@@ -166,11 +166,11 @@
 		})
 	}
 	if desired := DesiredVersions(state, "a"); desired[testArtifact] != "v2" {
-		t.Errorf("node a should act on %v", desired)
+		t.Errorf("the desired versions of node a are %v, want v2 of the test artifact", desired)
 	}
 }
 
-func TestStragglers_NamesNodesBehind(t *testing.T) {
+func TestStragglers_DescribesNodesOnOtherVersions(t *testing.T) {
 	state := testState(fleet.Artifact{Next: &fleet.Version{Digest: "v2"}, NextNodes: []string{"a"}})
 	want := []string{"a: settings v1, should be v2", "b: has no valid version lease, and accepts no work"}
 	if got := Stragglers(state, nodesActingOn("v1")); !slices.Equal(got, want) {
@@ -186,33 +186,34 @@
 	}
 	versions, ok := lease.NextRequest(0, desired)
 	if !ok {
-		t.Fatal("nothing is requested")
+		t.Fatal("no lease is requested before any was granted")
 	}
 	lease.HandleResult(0, 2*time.Second, versions, true)
 	if got, ok := lease.Valid(3*time.Second - 1); !ok || got[testArtifact] != "v1" {
-		t.Errorf("just before its end the lease is of %v (%v)", got, ok)
+		t.Errorf("just before its end the lease is for %v (%v), want v1 of the test artifact", got, ok)
 	}
 	if _, ok := lease.Valid(3 * time.Second); ok {
-		t.Error("the lease counts from its answer")
+		t.Error("the lease is valid for longer than its duration after the request")
 	}
 }
 
-// A lease of other versions ends the one before, even if the answer leaves it less time.
+// A lease of other versions must replace the current one at once, even if a late answer leaves it less time. A repeated
+// answer to an earlier request must not bring back the former versions.
 func TestVersionLease_OfOtherVersionsReplacesFormer(t *testing.T) {
 	lease := VersionLease{Duration: 3 * time.Second}
 	first, _ := lease.NextRequest(0, VersionVector{testArtifact: "v1"})
 	lease.HandleResult(0, 0, first, true)
 	second, ok := lease.NextRequest(time.Second/2, VersionVector{testArtifact: "v2"})
 	if !ok {
-		t.Fatal("other versions are not requested at once")
+		t.Fatal("a lease of other versions is not requested at once")
 	}
 	lease.HandleResult(time.Second/2, time.Second, second, true)
 	if got, ok := lease.Valid(time.Second); !ok || got[testArtifact] != "v2" {
-		t.Errorf("the lease is of %v (%v)", got, ok)
+		t.Errorf("the lease is for %v (%v), want v2 of the test artifact", got, ok)
 	}
 	lease.HandleResult(0, time.Second, first, true) // a repeated answer
 	if got, _ := lease.Valid(time.Second); got[testArtifact] != "v2" {
-		t.Errorf("a late answer brings back %v", got)
+		t.Errorf("a repeated answer changes the versions of the lease to %v", got)
 	}
 }
 
@@ -221,7 +222,7 @@
 	retired := fleet.Version{Digest: "v0", Position: 4}
 	state := testState(fleet.Artifact{Retiring: &retired})
 	tracker.Observe(state, time.Second)
-	tracker.Observe(state, 2*time.Second) // the same again
+	tracker.Observe(state, 2*time.Second) // the same retirement, which must not restart the wait
 	if got := tracker.Cleared(testArtifact, 6*time.Second-1); got != (fleet.Version{}) {
 		t.Errorf("%v is cleared while a lease of it may be valid", got)
 	}
@@ -230,6 +231,6 @@
 	}
 	tracker.Observe(testState(fleet.Artifact{}), 7*time.Second)
 	if got := tracker.Cleared(testArtifact, time.Minute); got != (fleet.Version{}) {
-		t.Errorf("%v is cleared though none is retired", got)
+		t.Errorf("%v is cleared although no version is retired", got)
 	}
 }
--- a/fleet/rollout/vector.go
+++ b/fleet/rollout/vector.go
@@ -7,10 +7,10 @@
 	"cobaltward/fleet"
 )
 
-// VersionVector is what a process acts on: the digest of one version of each artifact, by the artifact's name.
+// VersionVector is a set of versions, one of each artifact: it maps the artifact's name to the version's digest.
 type VersionVector map[string]string
 
-// Clone returns a copy.
+// Clone returns a copy of the vector.
 func (v VersionVector) Clone() VersionVector { return maps.Clone(v) }
 
 // DesiredVersions returns the versions that a node should act on.
@@ -22,8 +22,8 @@
 	return desired
 }
 
-// Allows reports whether a node may get a lease of versions. The state has to be one that was the newest at some
-// moment after the lease was asked for (see consensus.Core.Read).
+// Allows reports whether a node may get a lease of versions. The state must include all entries that were committed
+// before the lease was requested (see consensus.Core.Read).
 func Allows(state *fleet.State, node string, versions VersionVector) bool {
 	for name, artifact := range state.Artifacts {
 		if !slices.Contains(artifact.AllowedVersions(node), versions[name]) {
