--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -130,7 +130,7 @@
 		t.Errorf("tokens of epoch %d are not above %d, a token of the epoch before", next.Epoch, result.FencingToken)
 	}
 	if len(next.Leases) != 0 || !next.NewerThan(state) {
-		t.Errorf("the state of the next epoch is %+v", next)
+		t.Errorf("the state of the next epoch is %+v, want a newer one without leases", next)
 	}
 }
 
@@ -174,7 +174,7 @@
 	})
 	job := state.Jobs["j"]
 	if job.Failures != 1 || job.Steps[StepKey{"a", ActionDrain}].Attempts != 1 || job.CloseReason != ClosedStopped {
-		t.Errorf("the job is %+v", job)
+		t.Errorf("the job is %+v, want one failure, one attempt to drain, and reason stopped", job)
 	}
 }
 
@@ -207,14 +207,14 @@
 	})
 	artifact := state.Artifacts["settings"]
 	if artifact.Current.Digest != "v2" || artifact.Retiring == nil || !artifact.InTransition() {
-		t.Fatalf("the artifact is %+v", artifact)
+		t.Fatalf("the artifact is %+v, want v2 as current and v1 as retiring", artifact)
 	}
 	state, _ = applySequence(t, state, []step{
 		{"clear", entryOf(KindClearVersion, uint64(artifact.Retiring.Position), "v1"), nil},
 		{"close", closeJob, nil},
 	})
 	if state.Artifacts["settings"].InTransition() {
-		t.Errorf("the artifact is %+v", state.Artifacts["settings"])
+		t.Errorf("the artifact is %+v, want no version in transition", state.Artifacts["settings"])
 	}
 }
 
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -20,7 +20,7 @@
 	Result     fleet.Result
 }
 
-// ApplyResult is what has changed in the state by a write batch.
+// ApplyResult is the result of a write batch: how it has changed the state, and the snapshot to store after it.
 type ApplyResult struct {
 	Applied  []AppliedEntry
 	Restored bool // whether the state was replaced by a snapshot, or the membership has changed
@@ -46,9 +46,9 @@
 	return batch
 }
 
-// Advance tells the core that a write batch is stored, and returns what has changed in the state by it. now is the time
-// of the replica's monotonic clock. The expiry of leases counts from it: a replica whose process was paused has not
-// seen an entry before it applies it. After an error the core must not be used any more.
+// Advance tells the core that a write batch is stored, and applies the committed entries. now is the time of the
+// replica's monotonic clock. The expiry of leases counts from it: a replica whose process was paused has not seen an
+// entry before it applies it. After an error the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
 	if err := c.updateMemoryStorage(batch, &result); err != nil {
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -109,7 +109,7 @@
 	return r.err
 }
 
-// run is the goroutine that owns the core.
+// run is the event loop of the goroutine that owns the core, the run goroutine.
 func (r *Replica) run() {
 	defer close(r.done)
 	defer r.shutDown()
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -51,7 +51,7 @@
 	replica := startReplica(t, func(persisted PersistentState) (PersistentState, error) {
 		return Bootstrap(fleet.Member{ID: persisted.ID, Name: "c1", Address: "127.0.0.1:1"}), nil
 	})
-	testkit.Await(t, "a leader", func() bool { return replica.Status().LeaderID != "" })
+	testkit.Await(t, "the replica to know of a leader", func() bool { return replica.Status().LeaderID != "" })
 	return replica
 }
 
@@ -280,7 +280,7 @@
 func TestHandler_WatchWaitsForChange(t *testing.T) {
 	replica := startLeader(t)
 	// The replica proposes the announcement of its format on its own. After that it proposes nothing more.
-	testkit.Await(t, "the format", func() bool {
+	testkit.Await(t, "the announcement of the format", func() bool {
 		return replica.View().State.Members[replica.ID()].SupportedFormat == fleet.FormatVersion
 	})
 	state := replica.View().State
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -10,7 +10,7 @@
 	"cobaltward/fleet"
 )
 
-// PersistentState is what the storage of a replica holds.
+// PersistentState is the contents of a replica's storage.
 type PersistentState struct {
 	ID        uint64 // random, chosen when the storage is created, and never changed
 	HardState *raftpb.HardState
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -68,12 +68,12 @@
 	}
 	hard := persisted.HardState
 	if hard.GetTerm() != 2 || hard.GetVote() != storedID || hard.GetCommit() != storedPosition {
-		t.Errorf("the hard state is %v", hard)
+		t.Errorf("the hard state is %v, want term 2, the replica's vote for itself and the last position", hard)
 	}
 	metadata := persisted.Snapshot.GetMetadata()
 	voters := metadata.GetConfState().GetVoters()
 	if metadata.GetIndex() != 49 || len(voters) != 1 || voters[0] != storedID {
-		t.Errorf("the snapshot is %v", metadata)
+		t.Errorf("the snapshot has the metadata %v, want index 49 and the replica as the only voter", metadata)
 	}
 	if want := readShared(t, "snapshot.json"); string(persisted.Snapshot.GetData()) != string(want) {
 		t.Errorf("the snapshot is %s, want %s", persisted.Snapshot.GetData(), want)
