--- a/internal/hotrestart/message_test.go
+++ b/internal/hotrestart/message_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestDecode_RejectsMalformed reads an order, and rejects one that is torn, empty, no object, too long or of another
-// version.
+// TestDecode_RejectsMalformed checks that a valid order is decoded, and that a message is rejected if it is truncated,
+// empty, not an object, too long or of another version.
 func TestDecode_RejectsMalformed(t *testing.T) {
 	whole, err := json.Marshal(Order{Version: Version, At: time.Unix(1, 0), Standby: true})
 	if err != nil {
@@ -17,21 +17,21 @@
 	}
 	order, err := Decode[Order](whole)
 	if err != nil || !order.Standby || !order.Supersedes(Order{}) || order.Supersedes(Order{At: time.Unix(1, 0)}) {
-		t.Errorf("%+v, %v", order, err)
+		t.Errorf("decoded order %+v, %v, want the order that was encoded", order, err)
 	}
 	for name, raw := range map[string]string{
-		"torn":      string(whole[:len(whole)/2]),
-		"empty":     "",
-		"no object": "7",
-		"long":      strings.Repeat(" ", MaxSize) + string(whole),
+		"truncated":     string(whole[:len(whole)/2]),
+		"empty":         "",
+		"not an object": "7",
+		"long":          strings.Repeat(" ", MaxSize) + string(whole),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode[Order]([]byte(raw)); err == nil {
-				t.Error("it is read")
+				t.Error("the malformed message was decoded without an error")
 			}
 		})
 	}
 	if _, err := Decode[Report]([]byte(`{"version":2}`)); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("message of another version: got %v, want ErrUnsupportedVersion", err)
 	}
 }
--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -1,34 +1,35 @@
-// Package hotrestart decides what each of two processes may use while they are one node, because one is replacing the
-// other under load: its share of the traffic, of the memory and of the connections, and whether the node is in
-// standby. It does no I/O and reads no clock; package rundir carries the messages.
+// Package hotrestart divides a node between two processes while one replaces the other under load. It determines which
+// share of the traffic, the memory and the connections each may use, and which order into or out of standby applies. It
+// does no I/O and reads no clock; package rundir exchanges the messages.
 package hotrestart
 
-// Limits bounds the connections of a node, or of one process of it.
+// Limits is the maximum number of connections of a node, or of one of its processes.
 type Limits struct {
 	ClientConns, ServerConns int
 }
 
-// Share is what one process may use of its node.
+// Share is the part of its node that a process may use.
 type Share struct {
-	Traffic float64 // of the tenants' rate limits, 0 to 1
-	Memory  float64 // of the node's memory, 0 to 1
+	Traffic float64 // share of the tenants' rate limits, 0 to 1
+	Memory  float64 // share of the node's memory, 0 to 1
 	Limits
 }
 
 const (
-	smoothing       = 0.5  // weight of the newest look at who accepts how much
-	minTrafficShare = 0.1  // so that a process can answer the first clients that reach it
-	minConnShare    = 0.25 // of the connections: the other process gives its own up as their clients leave
+	smoothingWeight = 0.5  // weight of the newest reports in the smoothed share of traffic
+	minTrafficShare = 0.1  // lets a process answer the first clients that reach it
+	minConnShare    = 0.25 // minimum share of connections: the other process closes its own as their clients leave
 )
 
-// Splitter follows the processes of one node. The zero value is that of a process that is alone.
+// Splitter calculates the share of one process from the reports of all processes of its node. The zero value is for a
+// process that is the only one.
 type Splitter struct {
-	traffic      float64           // smoothed share of the requests; 0: no look has been taken
-	lastAccepted map[string]uint64 // by process, as of the last look
+	traffic      float64           // smoothed share of the requests; 0: Split has not been called
+	lastAccepted map[string]uint64 // requests accepted by each other process at the last call of Split
 	ownAccepted  uint64
 }
 
-// Split returns this process's share. others are the newest reports of the other processes that serve, by name.
+// Split returns this process's share. others contains the latest report of each other process that serves, by its name.
 func (s *Splitter) Split(own Report, others map[string]Report, node Limits) Share {
 	ownRequests := own.Accepted - s.ownAccepted
 	s.ownAccepted = own.Accepted
@@ -37,7 +38,7 @@
 		return Share{Traffic: 1, Memory: 1, Limits: node}
 	}
 	evenShare := 1 / float64(1+len(others))
-	otherRequests, allKnown := s.requestsOf(others)
+	otherRequests, allKnown := s.countNewRequests(others)
 	switch {
 	case !allKnown:
 		if s.traffic == 0 || s.traffic == 1 {
@@ -45,7 +46,7 @@
 		}
 	case ownRequests+otherRequests > 0:
 		share := float64(ownRequests) / float64(ownRequests+otherRequests)
-		s.traffic += smoothing * (share - s.traffic)
+		s.traffic += smoothingWeight * (share - s.traffic)
 	}
 	return Share{
 		Traffic: max(minTrafficShare, s.traffic),
@@ -54,9 +55,9 @@
 	}
 }
 
-// requestsOf returns how many requests the other processes have accepted since the last look, and whether each of them
-// was there then.
-func (s *Splitter) requestsOf(others map[string]Report) (requests uint64, allKnown bool) {
+// countNewRequests returns how many requests the other processes have accepted since the last call, and whether all of
+// them were known then.
+func (s *Splitter) countNewRequests(others map[string]Report) (requests uint64, allKnown bool) {
 	accepted := make(map[string]uint64, len(others))
 	allKnown = true
 	for name, report := range others {
@@ -71,7 +72,8 @@
 	return requests, allKnown
 }
 
-// remainingConns returns the connections that the other processes leave, or a minimum where they leave fewer.
+// remainingConns returns how many connections the other processes leave for this one, but at least the share
+// minConnShare.
 func remainingConns(others map[string]Report, node Limits) Limits {
 	remaining := node
 	for _, report := range others {
