--- a/internal/pausedetector/detector.go
+++ b/internal/pausedetector/detector.go
@@ -1,5 +1,5 @@
-// Package pausedetector measures for how long this process was kept from running: it was stopped, its machine was
-// suspended, or no core was free for it. What a peer did not do in that time says nothing of the peer.
+// Package pausedetector measures how long this process could not run, because it was stopped, its machine was
+// suspended, or no core was free. That a peer did nothing in that time is no evidence that the peer is slow.
 package pausedetector
 
 import (
@@ -8,24 +8,24 @@
 )
 
 const (
-	// interval is the time between two looks at the clock.
+	// interval is the time between two checks of the clock.
 	interval = 20 * time.Millisecond
-	// maxTimerDelay is by how much a look is late in a process that runs.
+	// maxTimerDelay is how late a check may be without counting as a pause: timers also fire late in a running process.
 	maxTimerDelay = 5 * time.Millisecond
 )
 
-// Detector looks at the clock in fixed intervals while it is in use; the time by which a look is late is a pause, if it
-// is longer than maxTimerDelay. The zero value is ready for use. It is safe for concurrent use.
+// Detector checks the clock at fixed intervals while it is in use. If a check is late by more than maxTimerDelay, the
+// whole delay counts as a pause. The zero value is ready for use. It is safe for concurrent use.
 type Detector struct {
 	mu      sync.Mutex
-	uses    int
-	timer   *time.Timer // calls tick; nil: never used
-	running bool        // the timer will call tick
-	due     time.Time   // of the next look
-	paused  time.Duration
+	uses    int           // number of calls of Begin without a matching End
+	timer   *time.Timer   // calls tick; nil: Begin has not been called
+	running bool          // the timer is set and will call tick
+	due     time.Time     // time of the next check
+	paused  time.Duration // sum of all pauses so far
 }
 
-// Begin begins a use, which End ends.
+// Begin begins a use of the detector, which End ends. Uses may overlap.
 func (d *Detector) Begin() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,15 +42,15 @@
 	}
 }
 
-// End ends a use.
+// End ends a use that Begin has begun.
 func (d *Detector) End() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.uses--
 }
 
-// Paused returns the sum of all pauses so far: the difference of two calls within a use is the time for which the
-// process was paused between them.
+// Paused returns the sum of all pauses so far. The difference between two calls within a use is how long the process
+// was paused between them.
 func (d *Detector) Paused() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +58,7 @@
 	return d.paused
 }
 
-// tick looks at the clock. Without a use it is the last one.
+// tick checks the clock, and sets the timer again unless the detector is no longer in use.
 func (d *Detector) tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +70,7 @@
 	d.timer.Reset(time.Until(d.due))
 }
 
-// recordLocked counts a pause if a look is late, whoever takes it.
+// recordLocked checks the clock for tick or a caller of Paused, and counts a pause if the check is late.
 func (d *Detector) recordLocked(now time.Time) {
 	if !d.running || now.Before(d.due) {
 		return
--- a/internal/pausedetector/detector_test.go
+++ b/internal/pausedetector/detector_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A process that runs has no pauses, and looks at the clock only while somebody uses the detector.
+// A process that runs has no pauses, and the detector checks the clock only while it is in use.
 func TestDetector_NoPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var detector Detector
@@ -18,19 +18,19 @@
 			time.Sleep(time.Second)
 			detector.End()
 			if paused := detector.Paused(); paused != 0 {
-				t.Errorf("paused for %v", paused)
+				t.Errorf("paused for %v, want no pause", paused)
 			}
 			time.Sleep(interval)
 			synctest.Wait()
 			if detector.running {
-				t.Error("it looks at the clock for nobody")
+				t.Error("the timer still runs though the detector is not in use")
 			}
 			time.Sleep(time.Hour)
 		}
 	})
 }
 
-// A look that is late is counted once, whether the timer or a caller comes first after the pause.
+// A late check is counted as a pause once, whether the timer or a caller of Paused is first after the pause.
 func TestDetector_CountsLateLooks(t *testing.T) {
 	start := time.Now()
 	detector := Detector{running: true, due: start.Add(interval)}
@@ -44,7 +44,7 @@
 	} {
 		detector.recordLocked(start.Add(look.at))
 		if detector.paused != look.paused {
-			t.Errorf("at %v: paused for %v, want %v", look.at, detector.paused, look.paused)
+			t.Errorf("check at %v: paused for %v in all, want %v", look.at, detector.paused, look.paused)
 		}
 	}
 }
