--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,19 +12,19 @@
 	"cobaltward/router"
 )
 
-// eventInterval is the interval at which watchers of events are sent the status.
+// eventInterval is the interval at which clients of the event stream are sent the status.
 const eventInterval = 250 * time.Millisecond
 
 // adminAPI handles the calls of a node's admin API. Its methods are safe for concurrent use.
 type adminAPI struct {
-	name        string
-	engine      *router.Router
-	disabled    *disabled.Source
-	httpServer  *httpServer
-	announceFor time.Duration      // of a drain
-	nodeTLS     *nodeTLS           // nil: no TLS
-	drainMark   string             // path of the file that exists while a drain on request does; empty: none
-	onStandby   func(standby bool) // passes orders on to other processes of this node; nil: there are none
+	name            string
+	engine          *router.Router
+	disabled        *disabled.Source
+	httpServer      *httpServer
+	announceFor     time.Duration      // how long a drain announces itself before connections are closed
+	nodeTLS         *nodeTLS           // nil: no TLS
+	drainMarkerFile string             // path of the file that exists during a drain by request; empty: no file
+	onStandby       func(standby bool) // forwards the order to the other processes of this node; nil: there are none
 
 	mu         sync.Mutex
 	lastStatus Status
@@ -51,7 +51,7 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// watchEvents sends the events of drains, and the status at intervals, until the client disconnects.
+// watchEvents sends drain events, and the status every eventInterval, until the client disconnects.
 func (a *adminAPI) watchEvents(api *adminapi.Server, w http.ResponseWriter, r *http.Request) {
 	var last uint64 // number of the last event that was sent
 	api.StreamEvents(w, r, eventInterval, func() (events []adminapi.Event, more bool) {
@@ -68,7 +68,7 @@
 
 func (a *adminAPI) handleTLS(w http.ResponseWriter, _ *http.Request) {
 	if a.nodeTLS == nil {
-		adminapi.WriteError(w, http.StatusConflict, "TLS is not configured: the node's own file has no table [tls]")
+		adminapi.WriteError(w, http.StatusConflict, "TLS is not configured: the node's own file has no [tls] table")
 		return
 	}
 	adminapi.WriteJSON(w, http.StatusOK, a.nodeTLS.status())
@@ -77,7 +77,7 @@
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
 type LevelRequest struct {
 	Level       int    `json:"level"`
-	Duration    string `json:"for"` // as in "10m"; empty: until it is released
+	Duration    string `json:"for"` // such as "10m"; empty: until the level is released
 	RequestedBy string `json:"who"`
 	Reason      string `json:"reason"`
 }
@@ -120,7 +120,7 @@
 	a.replyLevel(w, r, a.engine.ReleaseLevel())
 }
 
-// replyLevel answers a change of the level: with the present level, or with the reason why it was not changed.
+// replyLevel answers a request to change the level: with the current level, or with err if the change failed.
 func (a *adminAPI) replyLevel(w http.ResponseWriter, r *http.Request, err error) {
 	if err != nil {
 		adminapi.WriteError(w, http.StatusConflict, err.Error())
@@ -141,7 +141,7 @@
 	a.replyDisabled(w, a.disabled.Enable(r.PathValue("id")))
 }
 
-// replyDisabled answers a change of the disabled servers, with all of them or an error.
+// replyDisabled answers a request to disable or enable a server: with all disabled servers, or with err if it failed.
 func (a *adminAPI) replyDisabled(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, disabled.ErrUnknownServer):
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	defaultDrainTimeout = 30 * time.Second // where the order has none
-	drainLeaveFor       = time.Second
+	defaultDrainTimeout = 30 * time.Second // used where an order names no timeout
+	drainLeaveFor       = time.Second      // after the announcement: connections are closed with their answers
 	maxOrderDuration    = 24 * time.Hour
-	// phaseDivisor bounds the first phases of a short drain by a part of its timeout, so that clients have left before its
-	// end.
+	// phaseDivisor limits each of the first two phases of a drain to a quarter of its timeout, so that clients have left
+	// before a short drain ends.
 	phaseDivisor = 4
 )
 
-// otherProcess is the originator of orders that came to another process of this node.
+// otherProcess is recorded as the requester of orders that another process of this node received.
 const otherProcess = "another process of this node"
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
 type DrainRequest struct {
-	Timeout     string `json:"deadline"` // as in "30s"
+	Timeout     string `json:"deadline"` // such as "30s"; empty: defaultDrainTimeout
 	Reason      string `json:"reason"`
 	RequestedBy string `json:"who"`
 	Force       bool   `json:"force"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// drainOrder returns the order that a request asks for.
+// drainOrder converts a request into an order with the default phases.
 func (a *adminAPI) drainOrder(request DrainRequest) (drain.Order, error) {
 	timeout := defaultDrainTimeout
 	if request.Timeout != "" {
@@ -73,7 +73,8 @@
 	}, nil
 }
 
-// parseOrderDuration parses a duration in an operator's order.
+// parseOrderDuration parses a duration in a request of an operator, which must be positive and at most
+// maxOrderDuration.
 func parseOrderDuration(text string) (time.Duration, error) {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration <= 0 || duration > maxOrderDuration {
@@ -82,9 +83,9 @@
 	return duration, nil
 }
 
-// replyDrainStarted writes the drain mark and answers the request that has started a drain.
+// replyDrainStarted writes the drain marker file and answers the request that started a drain.
 func (a *adminAPI) replyDrainStarted(w http.ResponseWriter, request DrainRequest) {
-	if err := a.writeDrainMark(request); err != nil {
+	if err := a.writeDrainMarker(request); err != nil {
 		adminapi.WriteJSON(w, http.StatusAccepted, adminapi.ErrorBody{
 			Message: "draining, but a restarted process will not drain: " + err.Error(),
 			Details: a.currentStatus(),
@@ -106,8 +107,8 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// startDrain starts a drain, ordered by the admin API or the operations endpoint, and has the other processes of the
-// node follow.
+// startDrain starts a drain requested over the admin API or the operations endpoint, and orders the other processes of
+// the node into standby.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
 	if err == nil && a.onStandby != nil {
@@ -116,12 +117,12 @@
 	return err
 }
 
-// cancelDrain cancels a drain, ordered by the admin API or the operations endpoint, and has the other processes of the
-// node follow.
+// cancelDrain cancels the drain, as requested over the admin API or the operations endpoint, and orders the other
+// processes of the node out of standby.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
-		a.removeDrainMark()
+		a.removeDrainMarker()
 	}
 	if a.onStandby != nil && (err == nil || errors.Is(err, drain.ErrNotDraining)) {
 		a.onStandby(false)
@@ -129,7 +130,7 @@
 	return err
 }
 
-// setStandby carries out an order on standby that came to another process of this node.
+// setStandby starts or cancels a drain as ordered by another process of this node.
 func (a *adminAPI) setStandby(standby bool) error {
 	if !standby {
 		err := a.engine.CancelDrain(otherProcess)
@@ -145,49 +146,49 @@
 		Reason:      "standby",
 		RequestedBy: otherProcess,
 	})
-	if drainsAlready(err) {
+	if isAlreadyDraining(err) {
 		return nil
 	}
 	return err
 }
 
-// drainsAlready reports whether a drain was not started because another is in progress or complete.
-func drainsAlready(err error) bool {
+// isAlreadyDraining reports whether a drain was not started because another is in progress or complete.
+func isAlreadyDraining(err error) bool {
 	var inProgress *drain.InProgressError
 	return errors.As(err, &inProgress) || errors.Is(err, drain.ErrDrained)
 }
 
-// writeDrainMark writes the file by which a restarted process drains again.
-func (a *adminAPI) writeDrainMark(request DrainRequest) error {
-	if a.drainMark == "" {
+// writeDrainMarker writes the drain marker file, which makes a restarted process drain again.
+func (a *adminAPI) writeDrainMarker(request DrainRequest) error {
+	if a.drainMarkerFile == "" {
 		return nil
 	}
 	raw, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(a.drainMark, raw, 0o600)
+	return os.WriteFile(a.drainMarkerFile, raw, 0o600)
 }
 
-// removeDrainMark removes the file, so that a restarted process serves.
-func (a *adminAPI) removeDrainMark() {
-	if a.drainMark != "" {
-		_ = os.Remove(a.drainMark) // usually it does not exist
+// removeDrainMarker removes the drain marker file, so that a restarted process serves.
+func (a *adminAPI) removeDrainMarker() {
+	if a.drainMarkerFile != "" {
+		_ = os.Remove(a.drainMarkerFile) // the file usually does not exist
 	}
 }
 
-// restoreDrain starts a drain if one was in progress when the former process ended.
+// restoreDrain starts a drain if the drain marker file shows that one was in progress when the previous process ended.
 func (a *adminAPI) restoreDrain() {
-	if a.drainMark == "" {
+	if a.drainMarkerFile == "" {
 		return
 	}
-	raw, err := os.ReadFile(a.drainMark)
+	raw, err := os.ReadFile(a.drainMarkerFile)
 	if err != nil {
 		return
 	}
 	var request DrainRequest
-	_ = json.Unmarshal(raw, &request)    // an incomplete file still shows that there was a drain
-	_ = a.engine.StartDrain(drain.Order{ // a new engine has no other drain
+	_ = json.Unmarshal(raw, &request)    // even an incomplete file shows that there was a drain
+	_ = a.engine.StartDrain(drain.Order{ // cannot fail: a new engine has no other drain
 		Timeout:     defaultDrainTimeout,
 		Reason:      "drained before the restart: " + request.Reason,
 		RequestedBy: request.RequestedBy,
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,10 +7,10 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is for how long a status is cached, so that many polling clients cost as much as one.
+// statusMaxAge is how long a status is cached, so that many polling clients cost no more than one.
 const statusMaxAge = 100 * time.Millisecond
 
-// statusVersion is the version of Status.
+// statusVersion is the format version that Status.Version reports.
 const statusVersion = 1
 
 // Status is the status of a node, as the admin API sends it.
@@ -22,21 +22,21 @@
 	Drain            drain.Status             `json:"drain"`
 	Requests         RequestCounts            `json:"requests"`
 	Connections      ConnectionCounts         `json:"connections"`
-	Servers          map[string]int           `json:"servers"` // by availability
+	Servers          map[string]int           `json:"servers"` // number of servers by availability
 	DisabledServers  []string                 `json:"servers_drained_by_hand"`
-	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // could not prove their identity
+	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers with unproven identity
 	EndpointList     router.EndpointListStats `json:"list"`
-	Answers          map[string]uint64        `json:"answers"` // by outcome
+	Answers          map[string]uint64        `json:"answers"` // number of answers by outcome
 	Attempts         uint64                   `json:"attempts"`
 }
 
-// RequestCounts counts the requests without their answer.
+// RequestCounts counts the requests that are not answered yet.
 type RequestCounts struct {
 	Open              int            `json:"open"`
 	ByClass           map[string]int `json:"by_class"`
-	OldestMs          int64          `json:"oldest_ms"`      // age of the oldest
-	OldestRemainingMs int64          `json:"oldest_left_ms"` // until its deadline
-	Queued            int            `json:"held"`           // wait for a server
+	OldestMs          int64          `json:"oldest_ms"`      // age of the oldest request
+	OldestRemainingMs int64          `json:"oldest_left_ms"` // time left until the deadline of the oldest request
+	Queued            int            `json:"held"`           // requests that wait for a server
 	Retrying          int            `json:"retrying"`
 	AttemptsInFlight  int            `json:"attempts_out"`
 }
@@ -46,11 +46,11 @@
 	Clients          int    `json:"clients"`
 	Busy             int    `json:"clients_with_a_request"`
 	Servers          int    `json:"servers"`
-	ClosedForDrain   uint64 `json:"parted"`  // client connections that were closed without a request
-	RetriedByClients uint64 `json:"crossed"` // requests that met such a close: their clients send them again
+	ClosedForDrain   uint64 `json:"parted"`  // client connections that a drain closed while they were idle
+	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; their clients send them again
 }
 
-// currentStatus returns the node's status, which is at most statusMaxAge old; that of a drain is never old.
+// currentStatus returns the node's status, at most statusMaxAge old. The status of its drain is always current.
 func (a *adminAPI) currentStatus() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,7 +105,7 @@
 	return counts
 }
 
-// availabilityNames are the names of policy.Availability in a status.
+// availabilityNames are the names of the values of policy.Availability in a status.
 var availabilityNames = [...]string{"running", "draining", "removed"}
 
 func serverCounts(stats router.Stats) map[string]int {
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -9,22 +9,22 @@
 	"cobaltward/internal/sockets"
 )
 
-// requestArrival is a sockets.Arrival that is safe for concurrent use. It has a mutex of its own, since it may ask the
-// kernel: the listener's is taken for each connection.
+// requestArrival is a sockets.Arrival that is safe for concurrent use. It has a mutex of its own because it makes
+// system calls, during which the listener's mutex would block all connections.
 type requestArrival struct {
 	mu      sync.Mutex
 	arrival sockets.Arrival
 }
 
-// reset begins a request that cannot have arrived, not even in part, before earliest.
+// reset starts tracking a request of which no byte can have arrived before earliest.
 func (a *requestArrival) reset(earliest time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.arrival.Reset(earliest)
 }
 
-// recordIdleRead records a read of an idle connection, which did not wait itself; waited says that it was called again
-// once bytes had come.
+// recordIdleRead records a non-blocking read of an idle connection that returned at now. waited says that the read was
+// repeated because there were no bytes at first; all says that it took all bytes that had arrived.
 func (a *requestArrival) recordIdleRead(now time.Time, waited, all bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -34,14 +34,14 @@
 	a.arrival.RecordRead(now, now, all)
 }
 
-// recordRead records a read that ended now.
+// recordRead records a read from began until now; all says that it took all bytes that had arrived.
 func (a *requestArrival) recordRead(tcp *net.TCPConn, began time.Time, all bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.arrival.RecordReadFrom(tcp, began, time.Now(), all)
 }
 
-// recordNextStart records that the first byte of the next request has arrived.
+// recordNextStart records that the first byte of the next request arrived now.
 func (a *requestArrival) recordNextStart() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,15 +55,16 @@
 	a.arrival.Advance()
 }
 
-// get returns a copy.
+// get returns a copy of the current state.
 func (a *requestArrival) get() sockets.Arrival {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.arrival
 }
 
-// arrivalAge returns an upper bound of the time since the last byte of a request came that was read just now. The
-// kernel's own figure is used, which says nothing of pipelined requests.
+// arrivalAge returns an upper bound of the time since the last byte of the request that was just read arrived; 0 if
+// the connection is unknown. The kernel's time of the last receipt is used where it is known, except for pipelined
+// requests: it may then belong to a later request.
 func arrivalAge(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -26,23 +26,23 @@
 
 const (
 	maxHeaderBytes    = 16 << 10
-	headerTimeout     = 2500 * time.Millisecond // for a request's head, from its first byte
-	bodyTimeout       = 5 * time.Second         // for a request's body, beyond what a slow line needs for it
-	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; shorter when slots are scarce
-	newConnTimeout    = 15 * time.Second        // from the connect to the first request
-	rpcIdleTimeout    = 15 * time.Second        // of MessagePack-RPC; docs/msgpack-rpc.md names it
-	writeTimeout      = 5 * time.Second         // for an answer to a client that does not read
+	headerTimeout     = 2500 * time.Millisecond // for reading a request's head, from its first byte
+	bodyTimeout       = 5 * time.Second         // for reading a request's body, beyond the time that a slow network needs
+	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; eviction may end them earlier
+	newConnTimeout    = 15 * time.Second        // from the accept or the TLS handshake to the first byte of a request
+	rpcIdleTimeout    = 15 * time.Second        // of MessagePack-RPC connections; documented in docs/msgpack-rpc.md
+	writeTimeout      = 5 * time.Second         // for writing an answer to a client that does not read
 	readyPath         = "/health/ready"
 )
 
 const (
-	bodyMemoryShare = 0.25     // of the node's memory, for buffered bodies
-	maxBodyBytes    = 32 << 20 // of one request
-	bodiesPerBudget = 4        // buffered bodies of the largest size that fit into the budget
+	bodyMemoryShare = 0.25     // share of the node's memory for buffered bodies
+	maxBodyBytes    = 32 << 20 // maximum length of the body of one request
+	bodiesPerBudget = 4        // number of buffered bodies of the largest size that fit into the budget
 )
 
-// build makes the parts of the node. It starts no goroutine of the node's own: the engine, the transport and TLS
-// towards servers start theirs. release closes what it has opened, also after an error.
+// build creates the parts of the node. It starts none of the node's background tasks; the engine, the transport and the
+// TLS layer towards servers start their own goroutines. release closes what build has opened, also after an error.
 func (n *node) build(listener net.Listener) error {
 	n.limits = n.config.connLimits()
 	n.registry = registry.New(registry.Config{
@@ -77,16 +77,16 @@
 		n.rpcServer.Server = n.newMsgpackServer()
 	}
 	n.admin = &adminAPI{
-		name:        n.config.Name,
-		engine:      n.engine,
-		disabled:    n.disabledServers,
-		nodeTLS:     n.tls,
-		httpServer:  n.httpServer,
-		announceFor: n.config.announceDuration(),
-		drainMark:   n.config.DrainMark,
+		name:            n.config.Name,
+		engine:          n.engine,
+		disabled:        n.disabledServers,
+		nodeTLS:         n.tls,
+		httpServer:      n.httpServer,
+		announceFor:     n.config.announceDuration(),
+		drainMarkerFile: n.config.DrainMark,
 	}
 	successorOnly := n.buildProcessGroup()
-	n.state = &stateKeeper{
+	n.state = &stateStore{
 		config:        n.config.State,
 		name:          n.config.Name,
 		engine:        n.engine,
@@ -106,10 +106,10 @@
 	return nil
 }
 
-// buildHTTPServer makes the server for HTTP clients; its handler is set later.
+// buildHTTPServer creates the server for HTTP clients; its handler is set later.
 func (n *node) buildHTTPServer(listener net.Listener) {
 	server := &http.Server{
-		MaxHeaderBytes:               maxHeaderBytes, // the listener's connections bound the times of heads and of idleness
+		MaxHeaderBytes:               maxHeaderBytes, // timeouts are not set: readDeadline enforces them
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 		ConnContext:                  withClientConn,
@@ -125,7 +125,8 @@
 	n.httpServer.listener.tlsLayer = n.tls.clientListenerLayer()
 }
 
-// newEndpointSource returns the source of endpoints: the registry, or what the configuration makes of it.
+// newEndpointSource returns the source of endpoints: the registry, or the source that the configuration derives from
+// it.
 func (n *node) newEndpointSource() (router.EndpointSource, error) {
 	if n.config.NewEndpointSource == nil {
 		return n.registry, nil
@@ -133,8 +134,8 @@
 	return n.config.NewEndpointSource(n.registry)
 }
 
-// wrapEndpointSource has a source show disabled and untrusted servers as draining, where there is an admin API to
-// disable them by, or TLS towards servers.
+// wrapEndpointSource makes a source report disabled and untrusted servers as draining. It returns the source itself if
+// there is neither an admin API, which disables servers, nor TLS towards servers, which finds untrusted ones.
 func (n *node) wrapEndpointSource(source router.EndpointSource) router.EndpointSource {
 	if n.adminServer == nil && n.tls.transportLayer() == nil {
 		return source
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// buildEngine makes the engine, which starts to follow the endpoint source, and connects it with the parts that
+// buildEngine creates the engine, which starts to follow the endpoint source, and connects it with the parts that
 // need it.
 func (n *node) buildEngine(endpoints router.EndpointSource) error {
 	options := []router.Option{
@@ -225,8 +226,8 @@
 	})
 }
 
-// buildProcessGroup has this process share the node with its predecessor and successor, if they can know of each
-// other. It reports whether the learned state is saved for a successor only.
+// buildProcessGroup makes this process share the node with its predecessor and successor if a shared listener and a
+// shared directory are configured. It reports whether the learned state is saved for a successor only.
 func (n *node) buildProcessGroup() (successorOnly bool) {
 	if !n.config.SharedListener || n.config.SharedDir == "" {
 		return false
@@ -250,15 +251,15 @@
 	return true
 }
 
-// bodyLimits returns the limits of buffered request bodies: a part of the memory for all together, and a part of
-// that for one.
+// bodyLimits returns the limits of buffered request bodies: a share of the node's memory for all bodies together, and
+// a part of that for each.
 func (c Config) bodyLimits() body.Limits {
 	budget := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
 	return body.Limits{MaxLength: maxBodyBytes, MaxBuffered: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
 }
 
-// newTransport returns a transport with at most maxConns connections, which speaks to each server in the protocol of
-// its kind.
+// newTransport returns a transport with at most maxConns connections, which uses the protocol that the kind of a server
+// implies.
 func newTransport(config Config, maxConns int, layer *secure.ClientTLS) router.Transport {
 	newHTTP := func(maxConns int) router.Transport {
 		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, TLS: layer})
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -13,46 +13,46 @@
 	"cobaltward/internal/sockets"
 )
 
-// closeHandshakeTimeout is how long a client may take to close its side of a connection whose other side the node
-// closed.
+// closeHandshakeTimeout is how long a client may take to close its side of a connection after the node has closed its
+// own side.
 const closeHandshakeTimeout = time.Second
 
-// clientConn is one connection of a client: what clientListener and net/http know of it. net/http reads it in one
-// goroutine at a time.
+// clientConn is a connection of a client, with the state that clientListener and net/http report for it. net/http reads
+// it in one goroutine at a time.
 type clientConn struct {
 	*net.TCPConn
 	listener *clientListener
-	stream   clientStream // tls, or plainStream
+	stream   clientStream // tls, or a plainStream if the connection is plain TCP
 	tls      *secure.Conn // nil: plain TCP
 
-	// For one reader at a time, without the mutex.
+	// Used by one reader at a time, without the mutex.
 	framing       framing.Guard
-	malformedSent int    // bytes of malformedHead that were returned
-	requestsDone  uint64 // requests that were answered; changes between reads
-
-	acceptedAt time.Time
-	idle       atomic.Bool // idleElement is set; for the reader, which does not hold the mutex
-	headLate   atomic.Bool // the rest of a head did not come in time
-	deadline   readDeadline
-	arrival    requestArrival // of the current request
-
-	// Under the listener's mutex.
-	idleElement   *linked.Element // in clientListener.idle; nil while there is a request
-	requestSeen   bool            // bytes of a request have come
+	malformedSent int    // number of bytes of malformedHead that were returned to net/http
+	requestsDone  uint64 // number of answered requests; changes only between reads
+
+	acceptedAt   time.Time
+	idle         atomic.Bool // whether idleElement is set, for the reader, which does not hold the mutex
+	headTimedOut atomic.Bool // the rest of a head did not arrive in time
+	deadline     readDeadline
+	arrival      requestArrival // of the current request
+
+	// Guarded by the listener's mutex.
+	idleElement   *linked.Element // its element in clientListener.idle; nil while there is a request
+	requestSeen   bool            // bytes of a request have been read
 	firstPending  bool            // counted in clientListener.firstPending
-	openedAt      time.Time       // since when a request can come: the accept, or the end of the TLS handshake
-	closed        bool            // it is out of clientListener.open
-	halfClosed    bool            // the node is closing its side: a request that comes now met the close
-	endCause      endCause        // why the node ended the connection; endNone: it did not
-	bytesAfterEnd bool            // bytes that came after that are counted
-	mustLinger    bool            // Close lingers
-	lingers       bool            // Close has been called, and lingers
-	lingerElement *linked.Element // in clientListener.lingering
-	overflow      bool            // accepted without a slot: its requests are rejected while that is so
-	lastPartialAt time.Time       // when bytes came last of a request that is not handed on
+	openedAt      time.Time       // earliest time of a request: the accept, or the end of the TLS handshake
+	closed        bool            // no longer counted in clientListener.open
+	halfClosed    bool            // the node closes its side; requests that arrive from now on are not served
+	endCause      endCause        // why the connection ends ahead of an answer; endNone: it does not
+	bytesAfterEnd bool            // bytes arrived after the end, and are counted
+	mustLinger    bool            // Close must linger, so that no unread bytes reset the connection
+	lingers       bool            // Close has been called, and the connection lingers
+	lingerElement *linked.Element // its element in clientListener.lingering
+	overflow      bool            // accepted without a slot; its requests are rejected until it has one
+	lastPartialAt time.Time       // last arrival of bytes of a request that is not handed on yet
 }
 
-// clientStream is how a client's connection is read and ended.
+// clientStream is the byte stream of a client's connection, with or without TLS.
 type clientStream interface {
 	io.ReadCloser
 	CloseWrite() error
@@ -74,7 +74,8 @@
 // clientConnKey is the context key of a request's *clientConn.
 type clientConnKey struct{}
 
-// withClientConn attaches the connection to the contexts of its requests, and the names in its client's certificate.
+// withClientConn attaches the connection, and for TLS the names in the client's certificate, to the contexts of its
+// requests.
 func withClientConn(ctx context.Context, c net.Conn) context.Context {
 	switch c := c.(type) {
 	case *tlsClientConn:
@@ -85,17 +86,17 @@
 	return ctx
 }
 
-// clientDisconnected reports whether the client of a request has closed its connection, also where bytes of it are
-// unread.
+// clientDisconnected reports whether the client of a request has closed its connection, even if some of its bytes are
+// still unread.
 func clientDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	return ok && sockets.PeerClosed(c.TCPConn)
 }
 
-// handshakeDone notes the end of the TLS handshake.
+// handshakeDone starts the idle timeout and the eviction grace at the end of the TLS handshake.
 func (c *clientConn) handshakeDone() {
 	c.deadline.beginIdle(min(newConnTimeout, c.listener.idleTimeout))
-	if c.tls.WithinRecord() { // with the end of the handshake
+	if c.tls.WithinRecord() { // bytes of a request came with the end of the handshake
 		c.deadline.beginHead(c.listener.headTimeout)
 	}
 	c.deadline.apply()
@@ -105,33 +106,34 @@
 	c.listener.slotFreed.Broadcast()
 }
 
-// isHandshaking reports whether the TLS handshake is not done.
+// isHandshaking reports whether the TLS handshake is still in progress.
 func (c *clientConn) isHandshaking() bool { return c.tls != nil && c.tls.Handshaking() }
 
-// hasUnread reports whether bytes have come that are not seen yet: they are unread, or their TLS record is not whole.
+// hasUnread reports whether bytes have arrived that net/http has not seen: they are unread, or part of an incomplete
+// TLS record.
 func (c *clientConn) hasUnread() bool {
 	return !sockets.IsIdle(c.TCPConn) || c.tls != nil && c.tls.WithinRecord()
 }
 
-// awaitsFirstRequestLocked reports whether no request has come yet, and the connection is younger than grace.
+// awaitsFirstRequestLocked reports whether the connection is younger than grace and has sent no byte of a request yet.
 func (c *clientConn) awaitsFirstRequestLocked(grace time.Duration) bool {
 	return !c.requestSeen && time.Since(c.openedAt) < grace
 }
 
 // closeWriteSide closes the node's side, and gives the client closeHandshakeTimeout to close its own.
 func (c *clientConn) closeWriteSide() {
-	_ = c.stream.CloseWrite() // fails where the client was first
+	_ = c.stream.CloseWrite() // fails if the client closed first
 	c.deadline.beginClose(time.Now().Add(closeHandshakeTimeout))
 }
 
-// Write writes to the client. After a head that did not come in time it drops what net/http answers to a part of a
-// request line, which it takes for malformed.
+// Write writes to the client. After the timeout of a head it discards what is written: net/http would answer an
+// incomplete request line as malformed.
 func (c *clientConn) Write(p []byte) (int, error) {
-	if c.headLate.Load() {
+	if c.headTimedOut.Load() {
 		return len(p), nil
 	}
 	return c.TCPConn.Write(p)
 }
 
-// SetReadDeadline sets the deadline that applies where readDeadline has no earlier one.
-func (c *clientConn) SetReadDeadline(t time.Time) error { return c.deadline.request(t) }
+// SetReadDeadline sets the deadline of reads. An earlier deadline of readDeadline takes precedence.
+func (c *clientConn) SetReadDeadline(t time.Time) error { return c.deadline.setRequested(t) }
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// silentHandshakeAge is the age from which a connection may be evicted that has sent nothing of its handshake.
+	// silentHandshakeAge is the age from which a connection that has sent no byte of its TLS handshake may be evicted.
 	silentHandshakeAge = 250 * time.Millisecond
-	// stalledHandshakeAge is the age from which a connection may be evicted whose handshake waits for its client.
+	// stalledHandshakeAge is the age from which a connection whose TLS handshake waits for the client may be evicted.
 	stalledHandshakeAge = time.Second
-	// stalledRequestAge is the pause within a request after which its connection may be evicted.
+	// stalledRequestAge is how long after the last byte of an incomplete request its connection may be evicted.
 	stalledRequestAge = time.Second
-	// overflowStallTimeout takes the place of stalledRequestAge for overflow connections.
+	// overflowStallTimeout replaces stalledRequestAge for overflow connections.
 	overflowStallTimeout = 2 * time.Millisecond
 	// firstRequestGrace protects a new connection from eviction: its first request is on its way, and its client has no
 	// reason to expect a close.
 	firstRequestGrace = 100 * time.Millisecond
-	// silentConnAge is the age from which a connection that has never sent a request is evicted ahead of those that have:
-	// clients that connect and send nothing would outlast idle clients.
+	// silentConnAge is the age from which a connection that has never sent a request is evicted before those that have:
+	// otherwise clients that connect and send nothing would keep their slots longer than idle clients.
 	silentConnAge = 2500 * time.Millisecond
-	// rejectionWriteTimeout bounds the write of a rejection ahead of an eviction. The socket buffer has room for it.
+	// rejectionWriteTimeout limits the write of a rejection before an eviction. A rejection fits into the socket buffer.
 	rejectionWriteTimeout = 100 * time.Millisecond
 )
 
-// evictIdleLocked ends an idle connection, if there is one; the mutex is released meanwhile. Connections of
-// silentConnAge that have never sent a request go first, then the one that has been idle for longest. One within
-// firstRequestGrace is ended only if includeNew: its client does not expect a close, and may not get an answer on its
-// next connection either.
+// evictIdleLocked evicts an idle connection and reports whether there was one; the mutex is released meanwhile.
+// Connections older than silentConnAge that have never sent a request are evicted first, then the one that has been
+// idle for longest. A connection within firstRequestGrace is evicted only if includeNew is set: its client does not
+// expect a close, and may not get an answer on its next connection either.
 func (l *clientListener) evictIdleLocked(includeNew bool) bool {
 	isSilent := func(c *clientConn) bool {
 		return !c.requestSeen && !c.awaitsFirstRequestLocked(silentConnAge)
@@ -46,8 +46,8 @@
 	return false
 }
 
-// longestIdleLocked returns the candidate that has been idle for longest; nil if there is none. Connections in a
-// handshake, or with a request that has arrived, are none.
+// longestIdleLocked returns the candidate that has been idle for longest; nil if there is none. Connections within a
+// handshake that has begun, or with a request that has arrived, are skipped.
 func (l *clientListener) longestIdleLocked(isCandidate func(*clientConn) bool) *clientConn {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -59,9 +59,9 @@
 	return nil
 }
 
-// evictStalledLocked closes the connection whose client has paused within a request for longest, and for longer than
-// it may; an overflow connection may for overflowStallTimeout only. It reports whether there was one; the mutex is
-// released meanwhile.
+// evictStalledLocked evicts the connection whose client has sent nothing within a request for the longest time, if that
+// exceeds stalledRequestAge, or overflowStallTimeout for an overflow connection. It reports whether there was one; the
+// mutex is released meanwhile.
 func (l *clientListener) evictStalledLocked() bool {
 	now := time.Now()
 	var longest *clientConn
@@ -81,8 +81,8 @@
 	return true
 }
 
-// evictHandshakeLocked closes the oldest connection whose handshake has waited for its client for too long, and reports
-// whether there was one.
+// evictHandshakeLocked closes the oldest connection whose TLS handshake has waited for the client beyond
+// stalledHandshakeAge or silentHandshakeAge, and reports whether there was one.
 func (l *clientListener) evictHandshakeLocked() bool {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -91,7 +91,7 @@
 		}
 		age := time.Since(c.acceptedAt)
 		if age > stalledHandshakeAge || c.tls.NothingReceived() && age > silentHandshakeAge {
-			c.forgetLocked()
+			c.untrackLocked()
 			_ = c.stream.Close()
 			return true
 		}
@@ -99,10 +99,10 @@
 	return false
 }
 
-// rejectEvictedLocked has a connection linger; the mutex is released meanwhile. If withRejection is set, a plain
-// connection is sent a 503 first, since the rest of its request may be on its way; a client that has an answer with
-// Connection: close would not read it. The rejection is written before the connection counts as closed, since its
-// reader closes it then.
+// rejectEvictedLocked ends an evicted connection, which then lingers; the mutex is released meanwhile. If withRejection
+// is set, a plain connection is sent a 503 first, since the rest of its request may be on its way. A half-closed
+// connection is sent none: a client that has had an answer with Connection: close would not read it. The rejection is
+// written before the connection counts as closed, since its reader closes it then.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
@@ -110,23 +110,23 @@
 		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout))
 		_, _ = io.WriteString(conn.TCPConn, l.rejectionResponse())
 	}
-	conn.forgetLocked()
-	if conn.isHandshaking() { // it has no request
+	conn.untrackLocked()
+	if conn.isHandshaking() { // no request can have arrived, so it need not linger
 		l.mu.Unlock()
 		_ = conn.stream.Close()
 		l.mu.Lock()
 		return
 	}
-	conn.endLocked(cause)
+	conn.recordEndLocked(cause)
 	l.lingering.add(conn)
 	l.mu.Unlock()
 	_ = conn.stream.CloseWrite()
-	conn.deadline.interrupt() // its reader returns, and net/http closes the connection
+	conn.deadline.interrupt() // the read returns, and net/http closes the connection
 	l.mu.Lock()
-	l.trimLingeringLocked(overflowConns + endingConns)
+	l.trimLingeringLocked(overflowConns + maxEvictedConns)
 }
 
-// rejectionResponse returns the response for the client of an evicted connection.
+// rejectionResponse returns the 503 response that is written to an evicted connection.
 func (l *clientListener) rejectionResponse() string {
 	head := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n"
 	if wait := l.retryAfter(); wait > 0 {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -140,7 +140,7 @@
 func noteRequest(conn *clientConn) {
 	conn.listener.mu.Lock()
 	defer conn.listener.mu.Unlock()
-	conn.noteRequestBytesLocked()
+	conn.recordRequestBytesLocked()
 }
 
 // stallRequest has the last bytes of the connection's request have come long ago.
--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -219,7 +219,7 @@
 		listener.mu.Lock()
 		open, lingering := listener.open, listener.lingering.len()
 		listener.mu.Unlock()
-		if open > maxConns || open+lingering > maxConns+overflowConns+endingConns {
+		if open > maxConns || open+lingering > maxConns+overflowConns+maxEvictedConns {
 			t.Fatalf("%d connections open, and %d that linger", open, lingering)
 		}
 	}
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -7,16 +7,17 @@
 	"cobaltward/internal/sockets"
 )
 
-// endingConns is how many evicted connections may exist beyond overflowConns until their readers have noticed.
-// Accepting waits for none of them below that.
-const endingConns = 6
-
-// lingeringConns are connections that the node ends ahead of their clients: a close while bytes of a request are
-// unread, or on their way, would reset them, and their clients could not tell whether the request was lost. They linger
-// instead: the node's side is closed, and what arrives is discarded until the client has closed its own side, or
-// closeHandshakeTimeout has passed. They hold descriptors that clientListener has to spare, and no more of them.
+// maxEvictedConns is how many evicted connections may be open in addition to overflowConns until their readers close
+// them. Below that number, accepting does not wait for the close.
+const maxEvictedConns = 6
+
+// lingeringConns are connections that the node ends before their clients do. A close while bytes of a request are
+// unread, or on their way, would reset the connection, and its client could not tell whether the request was lost.
+// Instead it lingers: the node's side is closed, and what arrives is discarded until the client has closed its own
+// side, or closeHandshakeTimeout has passed. Lingering connections use only descriptors that clientListener does not
+// need.
 type lingeringConns struct {
-	conns linked.List // of *clientConn, oldest first
+	conns linked.List // of *clientConn, longest lingering first
 }
 
 func (l *lingeringConns) add(c *clientConn) {
@@ -41,7 +42,7 @@
 	return c
 }
 
-// closeLingering closes all connections that linger.
+// closeLingering closes all lingering connections at once.
 func (l *clientListener) closeLingering() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,8 +51,8 @@
 	}
 }
 
-// trimLingeringLocked closes the connections that have lingered for longest while there are more than maxConns and
-// excess connections; the mutex is released meanwhile.
+// trimLingeringLocked closes lingering connections, longest lingering first, while the open and lingering ones together
+// exceed maxConns by more than excess; the mutex is released meanwhile.
 func (l *clientListener) trimLingeringLocked(excess int) {
 	for l.lingering.len() > 0 && l.open+l.lingering.len() > l.maxConns+excess {
 		l.closeOldestLingeringLocked()
@@ -66,8 +67,8 @@
 	l.mu.Lock()
 }
 
-// Close closes the connection. One that the node ends ahead of its client lingers, and one with unread bytes: a close
-// would reset it, and take an answer with it that the client has not read.
+// Close closes the connection. It lets the connection linger if the node ends it before its client, or if bytes are
+// unread: a close would reset it, and the client would lose an answer that it has not read.
 func (c *clientConn) Close() error {
 	if !c.beginLinger() {
 		return c.stream.Close()
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// beginLinger reports whether the connection is to linger now. It is no longer one of those that are open, and may be
-// evicted, in either case.
+// beginLinger reports whether the connection must linger, and adds it to the lingering ones then. In either case it no
+// longer counts as open.
 func (c *clientConn) beginLinger() bool {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !c.closed {
-		c.forgetLocked()
+		c.untrackLocked()
 		l.slotFreed.Signal()
 	}
 	if c.lingers || !c.mustLinger && sockets.Unread(c.TCPConn) == 0 {
@@ -97,13 +98,13 @@
 
 // linger closes the node's side, discards what arrives, and closes the connection.
 func (c *clientConn) linger() {
-	_ = c.stream.CloseWrite() // fails where the client was first
+	_ = c.stream.CloseWrite() // fails if the client closed first
 	c.deadline.setFinal(time.Now().Add(closeHandshakeTimeout))
 	var buf [discardBufferSize]byte
 	for discarded := 0; discarded < maxDiscarded; {
-		n, err := c.stream.Read(buf[:]) // of TLS no alerts: a client may answer the node's with its own
+		n, err := c.stream.Read(buf[:]) // returns no TLS alerts: a client may answer the node's alert with its own
 		if n > 0 {
-			c.noteBytesAfterEnd()
+			c.recordBytesAfterEnd()
 		}
 		if err != nil {
 			break
@@ -116,14 +117,14 @@
 	c.listener.lingering.remove(c)
 }
 
-// noteBytesAfterEnd is noteBytesAfterEndLocked.
-func (c *clientConn) noteBytesAfterEnd() {
+// recordBytesAfterEnd calls recordBytesAfterEndLocked with the mutex held.
+func (c *clientConn) recordBytesAfterEnd() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.noteBytesAfterEndLocked()
+	c.recordBytesAfterEndLocked()
 }
 
 const (
-	discardBufferSize = 4 << 10   // of a read of bytes that are discarded
-	maxDiscarded      = 512 << 10 // bytes that are discarded of a connection
+	discardBufferSize = 4 << 10   // buffer size of a read whose bytes are discarded
+	maxDiscarded      = 512 << 10 // number of bytes after which a lingering connection is closed
 )
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -14,51 +14,50 @@
 	"cobaltward/internal/sockets"
 )
 
-// overflowConns is the number of connections above maxConns whose requests are rejected at once. Their descriptors come
-// out of the node's own.
+// overflowConns is the number of connections above maxConns whose requests are rejected at once. Their file descriptors
+// are taken from those that the node reserves for itself.
 const overflowConns = 6
 
-// clientListener accepts the connections of clients and bounds their number. Above the bound it closes the connection
-// that has been without a request for longest, so that clients that connect and send nothing, or keep idle
-// connections, do not keep others out. Its methods are safe for concurrent use; the settings above mu are set before
-// the first Accept.
+// clientListener accepts the connections of clients and limits their number. Above the limit it evicts the connection
+// that has been without a request for longest, so that clients that connect and send nothing, or keep idle connections,
+// do not keep others out. Its methods are safe for concurrent use; the fields above mu are set before the first Accept.
 type clientListener struct {
 	net.Listener
 	// queueTimeout returns how long connections may wait in the accept queue.
 	queueTimeout func() time.Duration
-	// retryAfter returns the Retry-After of rejected clients; 0: they get none.
+	// retryAfter returns the value of the Retry-After header of rejections; 0: the header is left out.
 	retryAfter func() time.Duration
 	tlsLayer   *secure.Terminator // nil: connections are plain TCP
 
 	log         *slog.Logger
-	idleTimeout time.Duration // of connections without a request
-	headTimeout time.Duration // from the first byte of a request's head to its last
-	pauses      pauseCounter  // of the node
+	idleTimeout time.Duration // how long a connection may be without a request
+	headTimeout time.Duration // from the first byte of a request's head to the last
+	pauses      pauseCounter  // counts pauses of this process
 
 	mu        sync.Mutex
-	maxConns  int         // connections that are served
+	maxConns  int         // number of connections with a slot, which are served
 	slotFreed sync.Cond   // signalled when an accepted connection may get a slot
-	open      int         // connections, those in excess of maxConns included
+	open      int         // number of connections, including those in excess of maxConns
 	idle      linked.List // of *clientConn: the connections without a request, longest idle first
-	// partialRequests holds the connections that have sent a part of a request that is not handed on yet.
+	// partialRequests holds the connections that have sent bytes of a request that is not handed on yet.
 	partialRequests  map[*clientConn]bool
 	closed           bool
 	queue            sockets.AcceptQueue
 	queueDrained     chan struct{} // closed when drainAcceptQueue has emptied the accept queue
 	shuttingDown     bool          // connections are closed as they become idle
 	lingering        lingeringConns
-	recheckScheduled bool // recheckIdle will run
-	// firstPending is the number of open connections whose first request is not answered; those accepted during a
-	// shutdown, or half closed, are not counted.
+	recheckScheduled bool // a timer will call recheckIdle
+	// firstPending is the number of open connections whose first request is not answered yet. Connections that were
+	// accepted during a shutdown, or are half closed, are not counted.
 	firstPending int
 
-	requestsDuringClose uint64 // requests that met the close of their connection; their clients send them again
+	requestsDuringClose uint64 // requests that arrived while a drain closed their connection; clients retry them
 	closedIdle          uint64 // idle connections that were closed by a drain
 	unanswered          unansweredCounts
 }
 
 // newClientListener returns a listener that accepts from inner and serves at most maxConns connections. Until
-// queueTimeout and retryAfter are set, connections wait in no queue and rejections have no Retry-After.
+// queueTimeout and retryAfter are set, connections do not wait for a slot and rejections have no Retry-After.
 func newClientListener(inner net.Listener, maxConns int) *clientListener {
 	listener := &clientListener{
 		Listener: inner, queue: sockets.NewAcceptQueue(), queueDrained: make(chan struct{}),
@@ -73,7 +72,7 @@
 	return listener
 }
 
-// Accept returns the next connection once there is a slot for it.
+// Accept returns the next connection once it has a slot, or as an overflow connection.
 func (l *clientListener) Accept() (net.Conn, error) {
 	tcp, err := l.acceptQueued()
 	if err != nil {
@@ -84,7 +83,7 @@
 	defer l.mu.Unlock()
 	conn.arrival.reset(l.queue.EmptyAt())
 	l.open++
-	l.trimLingeringLocked(overflowConns + endingConns)
+	l.trimLingeringLocked(overflowConns + maxEvictedConns)
 	conn.setFirstPendingLocked(!l.shuttingDown)
 	if l.tlsLayer != nil {
 		l.awaitHandshakeSlotLocked()
@@ -116,13 +115,13 @@
 	}
 }
 
-// newConn returns a connection that was accepted now.
+// newConn returns the clientConn of a TCP connection that was just accepted.
 func (l *clientListener) newConn(tcp *net.TCPConn) *clientConn {
 	now := time.Now()
 	c := &clientConn{TCPConn: tcp, listener: l, acceptedAt: now, openedAt: now}
 	if l.tlsLayer != nil {
 		c.tls = l.tlsLayer.Wrap(tcp, c.handshakeDone)
-		c.tls.OnReceive(c.noteRecordBytes)
+		c.tls.OnReceive(c.recordTLSBytes)
 		c.stream = c.tls
 	} else {
 		c.stream = plainStream{tcp, sockets.NewDeadlineReader(tcp)}
@@ -133,13 +132,13 @@
 
 // Close closes the listener; further calls do nothing. Accepted connections stay open.
 func (l *clientListener) Close() error {
-	if !l.markClosed() { // net/http closes its listener once more
+	if !l.markClosed() { // net/http closes its listener a second time
 		return nil
 	}
 	return l.Listener.Close()
 }
 
-// markClosed releases connections that wait for a slot, and reports whether the listener was open.
+// markClosed makes Accept stop waiting for a slot, and reports whether the listener was open.
 func (l *clientListener) markClosed() (wasOpen bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,7 +154,7 @@
 	return l.closed
 }
 
-// setMaxConns changes the number of connections that are served, of at least 1.
+// setMaxConns changes the number of connections that are served; less than 1 counts as 1.
 func (l *clientListener) setMaxConns(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,7 +162,7 @@
 	l.slotFreed.Broadcast()
 }
 
-// connCounts returns the number of connections, and of those with a request.
+// connCounts returns the number of open connections, and of those with a request.
 func (l *clientListener) connCounts() (open, busy int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,7 +176,8 @@
 	return l.firstPending
 }
 
-// idleCloseCounts returns the connections that a drain has closed, and the requests that met such a close.
+// idleCloseCounts returns the number of idle connections that a drain has closed, and of requests that arrived during
+// such a close.
 func (l *clientListener) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/clientpauses_test.go
+++ b/internal/node/clientpauses_test.go
@@ -31,7 +31,7 @@
 	} {
 		limits := bodyReadLimits{timeout: timeout, deadline: began.Add(test.wholeBody)}
 		stall := clientTimeout{began: began, pausedBefore: time.Hour, timeout: timeout}
-		body := bodyReads{bodyReadLimits: limits, pausedBefore: time.Hour, stall: stall}
+		body := bodyReads{bodyReadLimits: limits, pausedBefore: time.Hour, stallTimeout: stall}
 		got := body.readDeadline(began.Add(test.elapsed), time.Hour+test.paused)
 		if got := got.Sub(began); got != test.want {
 			t.Errorf("%+v: deadline after %v", test, got)
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -11,34 +11,34 @@
 	"cobaltward/internal/sockets"
 )
 
-// malformedHead takes the place of a request's head with malformed framing: net/http, like any other reader, answers
-// it with 400.
+// malformedHead is passed to net/http in place of a request's head with malformed framing, so that net/http answers
+// with 400.
 const malformedHead = "\r\n:\r\n\r\n"
 
 var errMalformedFraming = errors.New("malformed framing of the request's body")
 
-// Read notes the beginning of a request, which net/http reports only once it has the whole head. Bytes with malformed
-// framing are kept from net/http, which would accept some of it.
+// Read reads for net/http. It records that a request begins, since net/http reports that only after the whole head.
+// Bytes with malformed framing are withheld from net/http, which would accept some of them.
 func (c *clientConn) Read(buf []byte) (int, error) {
 	if c.framing.Problem() != "" {
 		return c.readMalformed(buf)
 	}
 	n, closing, err := c.readStream(buf)
 	if err != nil {
-		c.noteReadError(err)
+		c.recordReadError(err)
 	}
 	if closing {
-		return 0, io.EOF // no answer could reach the client
+		return 0, io.EOF // the node is closing the connection, so no answer can reach the client
 	}
-	// net/http reads a single byte to notice that the client of the open request disconnects. A read of a head may be of a
-	// single byte, too, where net/http's buffer has no more space.
+	// While a request is open, net/http reads a single byte to detect that its client disconnects. A read of a head may
+	// also be of a single byte, if net/http's buffer has no more space.
 	oneByteRead := len(buf) == 1 && n == 1 && c.framing.Heads() > c.requestsDone
 	if oneByteRead {
 		c.arrival.recordNextStart()
 	}
 	wellFormed := c.framing.Check(buf[:n])
 	if n > 0 {
-		c.limitHead()
+		c.updateReadPhase()
 	}
 	if wellFormed < n {
 		if wellFormed == 0 {
@@ -46,7 +46,7 @@
 		}
 		return wellFormed, nil
 	}
-	// With a byte of the next request net/http would stop watching for a disconnect. The watch continues here until
+	// With a byte of the next request, net/http would stop detecting a disconnect. The detection continues here until
 	// net/http ends it with a read deadline in the past.
 	if oneByteRead && err == nil && sockets.AwaitPeerClose(c.TCPConn) == nil {
 		return n, io.EOF
@@ -54,9 +54,9 @@
 	return n, err
 }
 
-// readStream reads, and notes that a request begins; closing says that the node is closing the connection. On an idle
-// connection that is one step under the listener's mutex: bytes read but not yet noted would leave the socket quiet,
-// and the connection could be closed with a request in it.
+// readStream reads and records that a request begins; closing says that the node is closing the connection. On an idle
+// connection both happen under the listener's mutex: between the two, the socket would show no unread bytes, and the
+// connection could be closed although a request has arrived.
 func (c *clientConn) readStream(buf []byte) (n int, closing bool, err error) {
 	if c.tls == nil && c.idle.Load() {
 		return c.readIdle(buf)
@@ -64,18 +64,18 @@
 	began := time.Now()
 	c.deadline.beginRead()
 	n, err = c.stream.Read(buf)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.mayReadOn() {
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.shouldRetryRead() {
 		n, err = c.stream.Read(buf)
 	}
-	return n, n > 0 && !c.noteRequestBytes(began, n < len(buf)), err
+	return n, n > 0 && !c.recordRequestBytes(began, n < len(buf)), err
 }
 
-// mayReadOn reports whether a read that has timed out is to be tried again.
-func (c *clientConn) mayReadOn() bool {
+// shouldRetryRead reports whether a read that has timed out must be tried again. It ends an idle TLS connection.
+func (c *clientConn) shouldRetryRead() bool {
 	return c.tls != nil && !c.endIdleTLS() || c.deadline.extendRead()
 }
 
-// readIdle is readStream for idle TCP connections.
+// readIdle implements readStream for idle TCP connections without TLS.
 func (c *clientConn) readIdle(buf []byte) (n int, closing bool, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -83,13 +83,13 @@
 	}
 	waited, done := false, false
 	read := func(fd uintptr) bool {
-		n, err = readRetryingInterrupts(int(fd), buf)
+		n, err = readRetryingEINTR(int(fd), buf)
 		if errors.Is(err, syscall.EAGAIN) {
 			waited = true
 			return false
 		}
 		c.arrival.recordIdleRead(time.Now(), waited, n < len(buf))
-		closing = n > 0 && !c.noteRequestBytesLocked()
+		closing = n > 0 && !c.recordRequestBytesLocked()
 		return true
 	}
 	waitErr := raw.Read(func(fd uintptr) bool {
@@ -99,19 +99,19 @@
 	})
 	if errors.Is(waitErr, os.ErrDeadlineExceeded) {
 		waited = false
-		lookErr := raw.Control(func(fd uintptr) {
+		controlErr := raw.Control(func(fd uintptr) {
 			c.listener.mu.Lock()
 			defer c.listener.mu.Unlock()
 			if done = read(fd); !done {
 				c.endIdleLocked()
 			}
 		})
-		if done || lookErr != nil {
-			waitErr = lookErr
+		if done || controlErr != nil {
+			waitErr = controlErr
 		}
 	}
 	switch {
-	case waitErr != nil: // the read deadline, or a close
+	case waitErr != nil: // the read deadline has passed, or the connection was closed
 		return 0, false, waitErr
 	case err != nil:
 		err = os.NewSyscallError("read", err)
@@ -122,19 +122,19 @@
 	return n, closing, nil
 }
 
-// endIdleLocked ends a connection that is idle at its read deadline. It is one step with a look that found no bytes:
-// those that come later are discarded and counted.
+// endIdleLocked ends a connection that is idle at its read deadline. The caller holds the mutex since a check that
+// found no unread bytes; bytes that arrive later are discarded and counted.
 func (c *clientConn) endIdleLocked() {
 	if c.halfClosed || c.closed {
 		return
 	}
 	c.halfClosed = true
 	c.setFirstPendingLocked(false)
-	c.endLocked(endIdle)
+	c.recordEndLocked(endIdle)
 }
 
-// endIdleTLS is endIdleLocked for a TLS connection, if that is idle. It returns false if bytes have come since the last
-// read: the read is then to be tried again.
+// endIdleTLS ends a TLS connection that is idle at its read deadline. It returns false if bytes have arrived since the
+// last read, which must then be tried again.
 func (c *clientConn) endIdleTLS() (ended bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -149,8 +149,8 @@
 	return true
 }
 
-// readRetryingInterrupts reads from a non-blocking descriptor.
-func readRetryingInterrupts(fd int, buf []byte) (int, error) {
+// readRetryingEINTR reads from a non-blocking file descriptor and retries if a signal interrupts the read.
+func readRetryingEINTR(fd int, buf []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, buf)
 		if !errors.Is(err, syscall.EINTR) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// readMalformed has net/http answer malformed framing with 400 and close the connection: in a head it returns
-// malformedHead, in a body an error.
+// readMalformed makes net/http answer malformed framing with 400 and close the connection: within a head it returns
+// malformedHead, within a body an error.
 func (c *clientConn) readMalformed(buf []byte) (int, error) {
 	if !c.framing.InHead() {
 		return 0, errMalformedFraming
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// drainFirstRequestGrace is how long after its beginning a connection without any request is left open by a drain: the
-// first request may be on its way. A client that needs longer sees an orderly close.
+// drainFirstRequestGrace is the age up to which a drain leaves a connection without any request open: the first request
+// may be on its way. A client that needs longer sees an orderly close.
 const drainFirstRequestGrace = 2500 * time.Millisecond
 
-// drainRecheckInterval is the time between looks for connections that have been open for drainFirstRequestGrace.
+// drainRecheckInterval is the time between checks for connections that have reached drainFirstRequestGrace.
 const drainRecheckInterval = 100 * time.Millisecond
 
-// acceptQueueDrainTimeout is how long a listener that closes waits for another connection.
+// acceptQueueDrainTimeout is how long drainAcceptQueue waits for another connection before it closes the listener.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
-// drainAcceptQueue accepts the connections in the accept queue and closes the listener, which would reset them with the
-// requests that they have sent. They are accepted beyond maxConns. It ends once the queue is empty, or with ctx.
+// drainAcceptQueue waits until the connections in the accept queue are accepted, or ctx ends, and then closes the
+// listener. Connections left in the queue would be reset with the requests that they have sent. They are accepted
+// even beyond maxConns.
 func (l *clientListener) drainAcceptQueue(ctx context.Context) {
 	if !l.markClosed() {
 		return
@@ -25,13 +26,13 @@
 	if l.extendAcceptDeadline() == nil {
 		select {
 		case <-l.queueDrained:
-		case <-ctx.Done(): // no Accept may be running
+		case <-ctx.Done(): // needed in case no Accept is running
 		}
 	}
 	_ = l.Listener.Close()
 }
 
-// extendAcceptDeadline has Accept wait for acceptQueueDrainTimeout from now.
+// extendAcceptDeadline sets the deadline of Accept to acceptQueueDrainTimeout from now.
 func (l *clientListener) extendAcceptDeadline() error {
 	listener, ok := l.Listener.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -41,16 +42,16 @@
 }
 
 // closeIdle closes the node's side of the idle connections, and from now on of those that become idle. A connection
-// with bytes to read has a request and is not idle; requests that arrive behind the close are counted. The client's
-// own close ends the connection.
+// with unread bytes has a request and is not idle. Requests that arrive after the close are counted. A connection ends
+// when its client has closed its side.
 func (l *clientListener) closeIdle() {
 	l.mu.Lock()
 	l.shuttingDown = true
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the connections that were within drainFirstRequestGrace, unless cancelCloseIdle was called
-// meanwhile.
+// recheckIdle closes the idle connections that have reached drainFirstRequestGrace since closeIdle, unless
+// cancelCloseIdle was called meanwhile.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
@@ -61,7 +62,7 @@
 	l.closeIdleAndUnlock()
 }
 
-// closeIdleAndUnlock expects the mutex held, and releases it before it closes anything.
+// closeIdleAndUnlock closes the idle connections. The caller holds the mutex, which is released before the closes.
 func (l *clientListener) closeIdleAndUnlock() {
 	idle := l.halfCloseIdleLocked()
 	l.mu.Unlock()
@@ -77,8 +78,8 @@
 	l.shuttingDown = false
 }
 
-// halfCloseIdleLocked marks the idle connections as half closed and returns them. Those without a request within
-// drainFirstRequestGrace are left to recheckIdle.
+// halfCloseIdleLocked marks the idle connections as half closed and returns them. Connections in a TLS handshake, or
+// without any request within drainFirstRequestGrace, are left to recheckIdle.
 func (l *clientListener) halfCloseIdleLocked() (idle []*clientConn) {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -7,12 +7,13 @@
 	"cobaltward/handshakes"
 )
 
-// slotRecheckInterval is the time between checks for a slot while connections become old enough to be evicted.
+// slotRecheckInterval is the time between checks whether a connection has become old enough to be evicted.
 const slotRecheckInterval = 5 * time.Millisecond
 
-// awaitSlotLocked waits until there is a slot for an accepted connection. Where each open connection has a request,
-// one will end, but the requests of connections in the accept queue get old: after queueTimeout, connections are
-// accepted as overflow and their requests are rejected at once.
+// awaitSlotLocked waits until there is a slot for an accepted connection, and evicts another one if possible. If all
+// open connections have requests, a slot becomes free when one of them ends, but the requests in the accept queue get
+// older meanwhile: after queueTimeout the connection becomes an overflow connection, whose requests are rejected at
+// once.
 func (l *clientListener) awaitSlotLocked(conn *clientConn) {
 	for l.open > l.maxConns && !l.closed {
 		timeout := l.queueTimeout() - time.Since(l.queuedSinceLocked(conn))
@@ -21,7 +22,7 @@
 		}
 		switch {
 		case timeout > 0 && l.idle.Len() > 0:
-			timeout = slotRecheckInterval // the idle ones may be evicted after firstRequestGrace
+			timeout = slotRecheckInterval // idle connections may be evicted after firstRequestGrace
 		case timeout > 0:
 		case l.evictStalledLocked():
 			continue
@@ -31,13 +32,13 @@
 		}
 		l.waitForSlotLocked(max(timeout, overflowStallTimeout))
 	}
-	conn.overflow = !l.closed && l.open > l.maxConns // the evicted connection may have been an overflow one itself
+	conn.overflow = !l.closed && l.open > l.maxConns // the evicted connection may itself have been without a slot
 }
 
-// waitForSlotLocked waits for slotFreed, and no longer than timeout.
+// waitForSlotLocked waits for slotFreed, but no longer than timeout.
 func (l *clientListener) waitForSlotLocked(timeout time.Duration) {
 	timer := time.AfterFunc(timeout, func() {
-		l.mu.Lock() // held until Wait has begun, which would miss a broadcast ahead of it
+		l.mu.Lock() // blocks until Wait has begun: Wait would miss an earlier broadcast
 		defer l.mu.Unlock()
 		l.slotFreed.Broadcast()
 	})
@@ -45,20 +46,20 @@
 	l.slotFreed.Wait()
 }
 
-// awaitHandshakeSlotLocked waits until another TLS handshake may begin.
+// awaitHandshakeSlotLocked waits until another TLS handshake may begin, and evicts a stalled one if there are too many.
 func (l *clientListener) awaitHandshakeSlotLocked() {
 	for !l.closed {
-		admit, crowded := l.admitHandshakeLocked()
-		if admit || crowded && l.evictHandshakeLocked() {
+		admit, tooManyWaiting := l.admitHandshakeLocked()
+		if admit || tooManyWaiting && l.evictHandshakeLocked() {
 			return
 		}
 		l.waitForSlotLocked(slotRecheckInterval)
 	}
 }
 
-// admitHandshakeLocked reports whether another TLS handshake may begin; if not, crowded says that too many wait for
-// their clients.
-func (l *clientListener) admitHandshakeLocked() (admit, crowded bool) {
+// admitHandshakeLocked reports whether another TLS handshake may begin; if not, tooManyWaiting says that too many
+// handshakes wait for their clients.
+func (l *clientListener) admitHandshakeLocked() (admit, tooManyWaiting bool) {
 	active, waiting := 0, 0
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		switch c := e.Value.(*clientConn); {
@@ -73,8 +74,8 @@
 }
 
 // mustReject reports whether a request that is about to be handed on must be rejected: its connection is an overflow
-// one and still without a slot, or was evicted just now, so that its client has been sent a rejection. A connection
-// whose request is handed on is not evicted before its answer.
+// connection that still has no slot, or was just evicted, so that its client has been sent a rejection. A connection
+// whose request is handed on is not evicted before the answer.
 func mustReject(ctx context.Context) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
@@ -85,7 +86,7 @@
 	defer l.mu.Unlock()
 	c.overflow = c.overflow && l.open > l.maxConns
 	rejected := c.overflow || c.closed
-	if !rejected { // else the connection stays evictable while the rest of its body comes
+	if !rejected { // a rejected connection can still be evicted while the rest of its body arrives
 		delete(l.partialRequests, c)
 	}
 	return rejected
--- a/internal/node/clientstate.go
+++ b/internal/node/clientstate.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// limitHead has the time for a head begin with its first byte, and end with its last. It is called after each read.
-func (c *clientConn) limitHead() {
+// updateReadPhase starts the timeout of a head at its first byte and ends it at the last. It is called after each read.
+func (c *clientConn) updateReadPhase() {
 	if c.framing.InHead() && c.framing.Heads() == c.requestsDone {
 		c.deadline.beginHead(c.listener.headTimeout)
 	} else {
 		c.deadline.beginOpen(!c.framing.InHead())
-		c.deadline.noteBytes()
+		c.deadline.restartStallTimeout()
 	}
 }
 
-// setBodyDeadlines is the middleware.BodyDeadlineSetter of the node's own connections.
+// setBodyDeadlines is the middleware.BodyDeadlineSetter for connections of clientListener; it returns false for others.
 func setBodyDeadlines(ctx context.Context, timeout time.Duration, deadline time.Time) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if ok {
@@ -25,28 +25,29 @@
 	return ok
 }
 
-// noteRecordBytes notes that bytes came over TLS, of which no request may be seen until their record is whole.
-func (c *clientConn) noteRecordBytes() {
+// recordTLSBytes starts the timeout of a head when bytes arrive over TLS on an idle connection: the request becomes
+// visible only once their TLS record is complete.
+func (c *clientConn) recordTLSBytes() {
 	if c.idle.Load() {
 		c.deadline.beginHead(c.listener.headTimeout)
 	}
 }
 
-// noteRequestBytes notes that a read returned bytes of a request. readBegan is when the read began, readAll whether
-// it took all that had come. It returns false if the node is closing the connection.
-func (c *clientConn) noteRequestBytes(readBegan time.Time, readAll bool) bool {
+// recordRequestBytes records that a read returned bytes of a request. readBegan is when the read began, readAll whether
+// it took all bytes that had arrived. It returns false if the node is closing the connection.
+func (c *clientConn) recordRequestBytes(readBegan time.Time, readAll bool) bool {
 	c.arrival.recordRead(c.TCPConn, readBegan, readAll)
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	return c.noteRequestBytesLocked()
+	return c.recordRequestBytesLocked()
 }
 
-// noteRequestBytesLocked is noteRequestBytes for a read whose arrival is noted.
-func (c *clientConn) noteRequestBytesLocked() bool {
+// recordRequestBytesLocked is recordRequestBytes for a read whose arrival time is already recorded.
+func (c *clientConn) recordRequestBytesLocked() bool {
 	l := c.listener
 	if c.halfClosed || c.closed {
-		c.mustLinger = true // more of the request may come
-		c.noteBytesAfterEndLocked()
+		c.mustLinger = true // more bytes of the request may arrive
+		c.recordBytesAfterEndLocked()
 		return false
 	}
 	c.requestSeen = true
@@ -61,7 +62,7 @@
 	return true
 }
 
-// onStateChange follows net/http's state of the connection.
+// onStateChange handles a change of net/http's state of the connection.
 func (c *clientConn) onStateChange(state http.ConnState) {
 	mustClose := c.trackState(state)
 	c.deadline.apply()
@@ -70,7 +71,8 @@
 	}
 }
 
-// trackState reports whether the node's side is to be closed now: the connection became idle during a drain.
+// trackState updates the lists of connections. It reports whether the node's side must be closed now, because the
+// connection became idle during a drain.
 func (c *clientConn) trackState(state http.ConnState) (mustClose bool) {
 	l := c.listener
 	l.mu.Lock()
@@ -79,7 +81,7 @@
 	switch {
 	case c.closed || state == http.StateNew:
 	case state == http.StateClosed || state == http.StateHijacked:
-		c.forgetLocked()
+		c.untrackLocked()
 	case state == http.StateIdle && c.idleElement == nil:
 		return c.endRequestLocked()
 	case state == http.StateActive && c.idleElement != nil:
@@ -88,18 +90,18 @@
 	return false
 }
 
-// endRequestLocked notes that a request was answered, and reports whether the node's side is to be closed for a drain.
+// endRequestLocked records that a request was answered, and reports whether the node's side must be closed for a drain.
 func (c *clientConn) endRequestLocked() (mustClose bool) {
 	c.requestsDone++
 	c.setFirstPendingLocked(false)
-	if c.framing.Heads() > c.requestsDone { // the next request is in net/http's buffer, which the socket does not show
+	if c.framing.Heads() > c.requestsDone { // the next request is already in net/http's buffer, not in the socket
 		c.arrival.advance()
 		return false
 	}
 	c.arrival.reset(time.Now())
 	withinRecord := c.tls != nil && c.tls.WithinRecord()
-	if c.framing.WithinHead() || withinRecord { // the next request has begun, and the socket does not show it
-		c.limitHead()
+	if c.framing.WithinHead() || withinRecord { // part of the next request has already been read from the socket
+		c.updateReadPhase()
 		c.listener.partialRequests[c] = true
 		c.lastPartialAt = time.Now()
 		return false
@@ -114,7 +116,7 @@
 	return true
 }
 
-// setFirstPendingLocked includes the connection in listener.firstPending, or excludes it.
+// setFirstPendingLocked adds the connection to listener.firstPending, or removes it, if that changes anything.
 func (c *clientConn) setFirstPendingLocked(pending bool) {
 	if c.firstPending == pending {
 		return
@@ -143,9 +145,9 @@
 	c.idle.Store(false)
 }
 
-// forgetLocked takes the connection out of the listener's count. It does not change idle: a read of an idle
-// connection stays one step with the check of closed.
-func (c *clientConn) forgetLocked() {
+// untrackLocked removes the connection from the listener's lists and counts. It does not change c.idle, so that a read
+// of an idle connection still checks c.closed under the same lock as the read.
+func (c *clientConn) untrackLocked() {
 	if c.idleElement != nil {
 		c.listener.idle.Remove(c.idleElement)
 		c.idleElement = nil
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,6 @@
-// Package node is the daemon: it connects the engine with the servers for clients, the transports to servers, the
-// source of endpoints and the servers for operators, and runs them from start to graceful shutdown. It decides nothing
-// about requests.
+// Package node implements the daemon: it connects the engine with the listeners for clients, the transports to servers,
+// the source of endpoints and the listeners for operators, and runs them from start to graceful shutdown. It makes no
+// decisions about requests.
 package node
 
 import (
@@ -25,41 +25,41 @@
 	Cores          float64
 	MemoryMB       int64
 	MaxDescriptors int           // file descriptors that the node may use
-	InitialList    registry.List // the endpoints as this node last knew them, perhaps stale
+	InitialList    registry.List // the endpoint list at the start, which may be outdated
 	Settings       policy.Settings
 
-	// Figures of the settings that bind the node and not the policy.
-	MaxInFlight    int           // requests without an answer; 0: no limit
-	ConnectTimeout time.Duration // for a new connection to a server
+	// Values of the settings that apply to the node and not to the policy.
+	MaxInFlight    int           // maximum number of requests without an answer; 0: no limit
+	ConnectTimeout time.Duration // for connecting to a server
 
-	// AnnounceFor is for how long a node that shuts down serves on as before; nil: 0.6 of DrainTimeout, or else 0.6 of
-	// the longest deadline and at least 0.42 s.
+	// AnnounceFor is how long a node that shuts down is not ready but keeps serving as before. If it is nil, the time is
+	// 0.6 of DrainTimeout, or without DrainTimeout 0.6 of the longest deadline but at least 0.42 s.
 	AnnounceFor *time.Duration
-	// DrainTimeout bounds the whole shutdown; nil: the longest deadline of a class, at most 3 s, and 0.3 s more.
+	// DrainTimeout limits the whole shutdown; nil: the longest deadline of a class, at most 3 s, plus 0.3 s.
 	DrainTimeout *time.Duration
 
 	// OperationsListener is the listener of the operations endpoint; nil: there is none. The node closes it.
 	OperationsListener net.Listener
-	// SharedListener says that other processes hold the listening socket for clients, too: they accept the connections
+	// SharedListener says that other processes also hold the listening socket for clients, and accept the connections
 	// that this process does not.
 	SharedListener bool
 
-	// SharedDir is the directory by which processes of one node with a shared listener know of each other; empty: they
-	// do not.
+	// SharedDir is the directory through which the processes of a node with a shared listener coordinate; empty: they do
+	// not coordinate.
 	SharedDir string
-	// SetMemoryShare limits the process to a part of the node's memory; nil: that is not possible.
+	// SetMemoryShare limits the process to a part of the node's memory; nil: its memory can't be limited.
 	SetMemoryShare func(part float64)
 
-	// Msgpack enables MessagePack-RPC beside HTTP; the zero value is HTTP alone.
+	// Msgpack enables MessagePack-RPC in addition to HTTP; the zero value enables HTTP only.
 	Msgpack Msgpack
 
-	// AdminAPI says where the admin API listens; the zero value is nowhere.
+	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
-	// DrainMark is the path of a file that exists while a drain on request does, so that a restarted process drains
-	// again; empty: a restarted process serves.
+	// DrainMark is the path of a file that exists during a drain by request, so that a restarted process drains again;
+	// empty: a restarted process serves.
 	DrainMark string
 
-	// State says where the node saves its learned state; the zero value is nowhere.
+	// State says where the node saves its learned state; the zero value disables saving.
 	State StateConfig
 
 	// Levels are the levels of reduced service; nil: service is never reduced.
@@ -68,23 +68,23 @@
 	// TLS enables TLS; nil: none.
 	TLS *TLS
 
-	// WrapHandler returns a handler that brings requests from outside into the protocol's form for next; nil: they come
+	// WrapHandler returns a handler that converts requests from clients into the form that next expects; nil: they arrive
 	// in that form. Requests for the path ready must reach next unchanged.
 	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// NewEndpointSource makes the source of endpoints from the registry; nil: the registry itself is the source.
+	// NewEndpointSource derives the source of endpoints from that of the registry; nil: the registry itself is the source.
 	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
-// Msgpack configures MessagePack-RPC, towards clients and towards servers.
+// Msgpack configures MessagePack-RPC with clients and with servers.
 type Msgpack struct {
-	Listener        net.Listener // for clients; nil: none. The node closes it.
-	MaxConns        int          // of clients; 0: defaultMsgpackConns
-	MaxCallsPerConn int          // in flight; 0: the frontend's default
-	ServerKinds     []string     // kinds of the servers that speak it
+	Listener        net.Listener // for clients; nil: HTTP only. The node closes it.
+	MaxConns        int          // maximum number of client connections; 0: defaultMsgpackConns
+	MaxCallsPerConn int          // maximum number of calls in flight; 0: the frontend's default
+	ServerKinds     []string     // kinds of the servers that use MessagePack-RPC
 }
 
-// DefaultConnectTimeout is the timeout of connections to servers where the settings name none.
+// DefaultConnectTimeout is the timeout for connecting to servers if the settings contain none.
 const DefaultConnectTimeout = 250 * time.Millisecond
 
 // routerConfig returns the configuration of the engine.
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -15,11 +15,11 @@
 	"cobaltward/policy"
 )
 
-// maxCores bounds limits.cores, so that a mistake is noticed.
+// maxCores is the largest accepted limits.cores; a larger number is taken for a mistake.
 const maxCores = 1024
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, override the file. Errors name
-// the field.
+// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONSOLE
+// override the file if they are set. Errors name the field.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return config, nil
 }
 
-// ReloadConfig reads the file again. The registry's address in it and the settings take effect while a node runs, the
-// rest at the next start. ROUTER_DISCOVERY holds the address at the start of the process, so here the file overrides
-// it.
+// ReloadConfig reads the file again. Its registry address and its settings take effect while a node runs, the rest at
+// the next start. ROUTER_DISCOVERY holds the registry address from the start of the process, so it does not override
+// the file here.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
@@ -69,7 +69,7 @@
 		return fmt.Errorf("console: %w", err)
 	}
 	if c.OperationsAddr == c.Listen {
-		return fmt.Errorf("console: %s is the address of the clients, too", c.OperationsAddr)
+		return fmt.Errorf("console: %s is also the address of the listener for clients", c.OperationsAddr)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 	if config.Settings, err = simprotocol.ParseSettings(file.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings.%w", err)
 	}
-	if _, err := policy.New(config.Settings, 0, 0); err != nil { // the policy validates its settings
+	if _, err := policy.New(config.Settings, 0, 0); err != nil { // policy.New validates the settings
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	err = config.parseNodeSettings(file.Settings)
@@ -151,7 +151,7 @@
 func (l fileLimits) check() error {
 	switch {
 	case !(l.Cores > 0) || l.Cores > maxCores:
-		return fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
+		return fmt.Errorf("limits.cores: want more than 0 and at most 1024, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
 	case l.Sockets < minDescriptors:
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// parseNodeSettings reads the settings that bind the node and not the policy.
+// parseNodeSettings reads the settings that apply to the node and not to the policy.
 func (c *Config) parseNodeSettings(raw []byte) error {
 	var settings struct {
 		Limits struct {
--- a/internal/node/connlimits.go
+++ b/internal/node/connlimits.go
@@ -3,19 +3,19 @@
 import "cobaltward/internal/operations"
 
 const (
-	minDescriptors      = 64  // of a node: some for itself, and some for each side
-	reservedDescriptors = 24  // for the log, discovery, the runtime and the like
-	clientConnShare     = 0.4 // of the rest, for HTTP clients: a third for their requests, plus a reserve
-	// msgpackConnDivisor bounds the MessagePack-RPC connections of either side by a part of the connections, since
-	// each carries many calls.
+	minDescriptors      = 64  // minimum of a node: for itself, for clients and for servers
+	reservedDescriptors = 24  // for the node itself: the log, discovery, the Go runtime and so on
+	clientConnShare     = 0.4 // share of the rest for HTTP clients: a third of it for their requests, plus a reserve
+	// msgpackConnDivisor limits the MessagePack-RPC connections, to clients and to servers, to a quarter of the available
+	// connections, since each carries many calls.
 	msgpackConnDivisor = 4
-	// defaultMsgpackConns is the number of MessagePack-RPC clients where the configuration names none.
+	// defaultMsgpackConns is the maximum number of MessagePack-RPC clients if the configuration contains none.
 	defaultMsgpackConns = 64
 )
 
-// connLimits divides the node's file descriptors among its connections.
+// connLimits is the maximum number of connections of each kind, as the node's file descriptors allow.
 type connLimits struct {
-	clients        int // over HTTP
+	clients        int // HTTP clients
 	msgpackClients int
 	servers        int
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	coordinateInterval     = 100 * time.Millisecond // between exchanges with the other processes of this node
+	coordinateInterval     = 100 * time.Millisecond // between exchanges of reports with the other processes of this node
 	successorStateInterval = 250 * time.Millisecond // between snapshots of the learned state for the successor
 	successorStateFile     = "wayhold-knowledge"
 )
@@ -27,16 +27,16 @@
 var _ connLimiter = (*http1.Transport)(nil)
 
 // processGroup shares a node between this process, its predecessor and its successor during a hot restart. run and
-// coordinate are called by one goroutine at a time, publishOrder by any.
+// coordinate must be called by one goroutine at a time; publishOrder may be called by any goroutine.
 type processGroup struct {
 	process        *rundir.Process
 	engine         *router.Router
 	listener       *httpServer
-	conns          connLimiter // nil: the transport's limit is fixed
+	conns          connLimiter // nil: the transport's connection limit is fixed
 	budget         *body.Budget
-	budgetBytes    int64 // the budget of a process that is alone
+	budgetBytes    int64 // limit of budget while this is the only process of the node
 	limits         hotrestart.Limits
-	setMemoryShare func(share float64) // nil: the memory of the process is not limited
+	setMemoryShare func(share float64) // nil: the memory of the process can't be limited
 	setStandby     func(standby bool) error
 	log            *slog.Logger
 
@@ -44,27 +44,28 @@
 
 	splitter  hotrestart.Splitter
 	share     hotrestart.Share
-	lastError string // logged last, so that a lasting error is logged once
+	lastError string // the last error logged, so that a lasting error is logged once
 
-	// orderMu is held while an order is written, so that the last one given is the one in the file. It is held over I/O,
-	// for which coordinate does not wait.
+	// orderMu is held while an order is written, so that the file contains the last order given. It is held during I/O;
+	// coordinate does not take it, so that it does not wait for the I/O.
 	orderMu sync.Mutex
 
 	mu       sync.Mutex
-	followed hotrestart.Order // the last order that this process followed or gave
+	followed hotrestart.Order // the last order that this process has followed or given
 }
 
-// joinProcessGroup registers this process in the node's shared directory. It logs a failure and returns nil then.
+// joinProcessGroup registers this process in the node's shared directory. If that fails, it logs the error and returns
+// nil.
 func joinProcessGroup(dir string, log *slog.Logger) *processGroup {
 	process, err := rundir.Register(dir)
 	if err != nil {
-		log.Warn("hot restart: not registered, other processes of this node are unknown", "err", err)
+		log.Warn("hot restart: not registered, other processes of this node can't be seen", "err", err)
 		return nil
 	}
 	return &processGroup{process: process, log: log}
 }
 
-// run coordinates with the other processes until ctx ends.
+// run calls coordinate every coordinateInterval until ctx ends.
 func (g *processGroup) run(ctx context.Context) {
 	ticker := time.NewTicker(coordinateInterval)
 	defer ticker.Stop()
@@ -78,15 +79,15 @@
 	}
 }
 
-// coordinate exchanges reports with the other processes, applies this process's share, and follows the present order
-// on standby.
+// coordinate exchanges reports with the other processes, applies this process's share of the node, and follows the last
+// order into or out of standby.
 func (g *processGroup) coordinate() {
 	others, err := g.process.Others()
 	g.logOnce(err)
 	own := g.report()
 	g.logOnce(g.process.WriteReport(own))
 	g.applyShare(g.splitter.Split(own, others, g.limits))
-	if !g.draining.Load() { // a process that shuts down drains whatever the order says
+	if !g.draining.Load() { // a process that shuts down drains, whatever the order says
 		g.followOrder()
 	}
 }
@@ -108,7 +109,7 @@
 	}
 }
 
-// applyShare limits this process to its share of the node.
+// applyShare limits this process to its share of the node's traffic, memory and connections.
 func (g *processGroup) applyShare(share hotrestart.Share) {
 	if share == g.share {
 		return
@@ -127,7 +128,7 @@
 	g.share = share
 }
 
-// followOrder follows the present order on standby, if it is newer than the last one followed.
+// followOrder carries out the order in the shared directory if it is newer than the last one followed or given.
 func (g *processGroup) followOrder() {
 	order, err := g.process.Order()
 	g.logOnce(err)
@@ -142,11 +143,11 @@
 	}
 }
 
-// publishOrder writes an order that this process was given, for the other processes to follow.
+// publishOrder writes an order into or out of standby for the other processes to follow.
 func (g *processGroup) publishOrder(standby bool) {
 	g.orderMu.Lock()
 	defer g.orderMu.Unlock()
-	previous, err := g.process.Order() // the file is replaced below, whatever is wrong with it
+	previous, err := g.process.Order() // the file is replaced below, even if it is unreadable
 	if err != nil {
 		g.log.Warn("hot restart: previous order is unreadable", "err", err)
 	}
@@ -156,7 +157,7 @@
 	g.followed = order
 	g.mu.Unlock()
 	if err := g.process.WriteOrder(order); err != nil {
-		g.log.Error("hot restart: order not written, other processes of this node do not follow it",
+		g.log.Error("hot restart: order not written, other processes of this node will not follow it",
 			"standby", standby, "err", err)
 	}
 }
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -11,22 +11,22 @@
 	"cobaltward/router"
 )
 
-// idleCloseInterval is how often Shutdown looks for connections that have become idle.
+// idleCloseInterval is the time between checks of Shutdown for connections that have become idle.
 const idleCloseInterval = 20 * time.Millisecond
 
-// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain on request, so
-// that readiness checks are answered, and new requests rejected, rather than refused a connection.
+// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain by request, so
+// that readiness checks get an answer and new requests a rejection; both would otherwise be refused a connection.
 type httpServer struct {
 	server       *http.Server
 	listener     *clientListener
-	sharedSocket bool // another process has the listening socket as well, and accepts what this one does not
+	sharedSocket bool // another process also holds the listening socket, and accepts what this one does not
 
 	stopping  atomic.Bool // the listener was closed on purpose
 	closeOnce sync.Once
 	done      chan struct{} // closed when Serve may return
 
 	listenerCloseOnce sync.Once
-	listenerClosed    chan struct{} // closed by the first CloseListener, behind the accept queue
+	listenerClosed    chan struct{} // closed by the first CloseListener, once the accept queue is empty
 }
 
 var (
@@ -53,17 +53,18 @@
 	return err
 }
 
-// StopAccepting closes the connections without a request, and the others once they are answered. New ones are accepted.
+// StopAccepting closes idle connections, and others once their requests are answered. New connections are still
+// accepted.
 func (s *httpServer) StopAccepting() { s.listener.closeIdle() }
 
-// ResumeAccepting keeps connections open again.
+// ResumeAccepting cancels StopAccepting: idle connections are kept open again.
 func (s *httpServer) ResumeAccepting() error {
 	s.listener.cancelCloseIdle()
 	return nil
 }
 
-// CloseListener stops accepting; accepted connections are served on. The accept queue is emptied before, until ctx
-// ends. A shared listening socket stays open in the other process: it is closed here, and not drained or shut down.
+// CloseListener stops accepting; accepted connections are still served. First it empties the accept queue, until ctx
+// ends. A shared listening socket is closed at once: it stays open in the other process, which accepts from its queue.
 func (s *httpServer) CloseListener(ctx context.Context) {
 	s.stopping.Store(true)
 	if !s.sharedSocket {
@@ -81,19 +82,20 @@
 	}
 }
 
-// Connections returns the number of connections, and of those with a request.
+// Connections returns the number of open connections, and of those with a request.
 func (s *httpServer) Connections() (open, busy int) { return s.listener.connCounts() }
 
-// PendingFirstRequests returns the number of connections that were accepted before a drain and have no response yet.
+// PendingFirstRequests returns the number of open connections, accepted before a drain, that have had no response yet.
 func (s *httpServer) PendingFirstRequests() int { return s.listener.pendingFirstRequests() }
 
-// idleCloseCounts returns the connections that a drain has closed, and the requests that met such a close.
+// idleCloseCounts returns the number of idle connections that a drain has closed, and of requests that arrived during
+// such a close.
 func (s *httpServer) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	return s.listener.idleCloseCounts()
 }
 
-// Shutdown ends the service: it stops accepting, and closes connections as they become idle, until none is left or ctx
-// ends.
+// Shutdown stops accepting, and closes connections as they become idle until none is left or ctx ends. Serve returns
+// once none is left.
 func (s *httpServer) Shutdown(ctx context.Context) error {
 	s.CloseListener(ctx)
 	ticker := time.NewTicker(idleCloseInterval)
@@ -109,18 +111,18 @@
 		}
 		open, _ = s.listener.connCounts()
 	}
-	s.finish()
+	s.unblockServe()
 	return s.server.Shutdown(ctx)
 }
 
-// Close ends the service and closes all connections.
+// Close closes the listener and all connections, and makes Serve return.
 func (s *httpServer) Close() error {
 	s.stopping.Store(true)
-	s.finish()
+	s.unblockServe()
 	err := s.server.Close()
 	s.listener.closeLingering()
 	return err
 }
 
-// finish lets Serve return.
-func (s *httpServer) finish() { s.closeOnce.Do(func() { close(s.done) }) }
+// unblockServe lets Serve return.
+func (s *httpServer) unblockServe() { s.closeOnce.Do(func() { close(s.done) }) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,8 +17,8 @@
 )
 
 // Run serves clients on the listener until ctx ends or a listener fails. When ctx ends it shuts the node down
-// gracefully and returns. A configuration received from reloads takes effect at once, as far as ReloadConfig says;
-// one that is rejected is logged and changes nothing.
+// gracefully and returns. Of a configuration received from reloads, the parts that ReloadConfig lists take effect at
+// once. A configuration that is rejected is logged and changes nothing.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Config, log *slog.Logger) error {
 	n := &node{config: c, log: log, serveErrors: make(chan error, maxServers)}
 	defer n.release()
@@ -35,21 +35,21 @@
 	return n.shutdown()
 }
 
-// maxServers is the number of servers for clients: HTTP and MessagePack-RPC.
+// maxServers is the maximum number of servers for clients: one for HTTP and one for MessagePack-RPC.
 const maxServers = 2
 
-// node is one run of the daemon. Run calls build, start, shutdown, stopTasks and release in this order, from one
-// goroutine.
+// node is the state of one call of Run, which calls build, start, shutdown, stopTasks and release in this order, from
+// one goroutine.
 type node struct {
-	config  Config                 // as at the start, completed by build
-	current atomic.Pointer[Config] // the last one that took effect
+	config  Config                 // configuration at the start, completed by build
+	current atomic.Pointer[Config] // the last configuration that took effect
 	log     *slog.Logger
 
 	limits          connLimits
 	bodies          body.Limits
 	tls             *nodeTLS // nil: no TLS
 	registry        *registry.Source
-	disabledServers *disabled.Source // nil: servers can neither be disabled nor untrusted
+	disabledServers *disabled.Source // nil: servers can be neither disabled nor untrusted
 	transport       router.Transport
 	engine          *router.Router
 	httpServer      *httpServer
@@ -57,19 +57,19 @@
 	adminServer     *adminapi.Server // nil: no admin API
 	admin           *adminAPI
 	operations      *operations.Server // nil: no operations endpoint
-	processGroup    *processGroup      // nil: the node is one process
-	state           *stateKeeper
+	processGroup    *processGroup      // nil: this is the only process of the node
+	state           *stateStore
 
-	// handedOver says that another process accepts clients at the same socket, so the node stays ready.
+	// handedOver says that another process accepts clients at the same socket, so that readiness checks still succeed.
 	handedOver atomic.Bool
 
-	tasks       sync.WaitGroup // the goroutines that start has started
+	tasks       sync.WaitGroup // the goroutines that start and drain have started
 	cancelTasks context.CancelFunc
-	serveErrors chan error // from the servers for clients; buffered for all of them
+	serveErrors chan error // errors of the servers for clients; buffered for all of them
 }
 
-// stopTasks ends the goroutines that start has started, and waits for them. After shutdown the HTTP server is closed
-// already; after the failure of another server it is not.
+// stopTasks ends the goroutines in tasks and waits for them. It closes the HTTP server, which shutdown has already
+// closed unless Run ends because a server failed.
 func (n *node) stopTasks() {
 	_ = n.httpServer.Close()
 	if n.rpcServer != nil {
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -9,14 +9,14 @@
 	"cobaltward/router"
 )
 
-// Phases of a drain by the operations endpoint. Clients that poll for readiness stop opening connections 0.3 s after
-// the call; all connections must be closed 4 s after it.
+// Durations of the first two phases of a drain by the operations endpoint. Clients that poll for readiness stop opening
+// connections 0.3 s after the call; all connections must be closed 4 s after it.
 const (
 	standbyAnnounceFor = 300 * time.Millisecond
 	standbyLeaveFor    = time.Second
 )
 
-// operationsNode is the node as the operations endpoint shows and changes it. Its methods do not wait for requests.
+// operationsNode gives the operations endpoint access to the node. Its methods do not wait for requests to end.
 type operationsNode struct {
 	engine      *router.Router
 	startDrain  func(drain.Order) error
@@ -24,13 +24,14 @@
 	unanswered  func() unansweredCounts
 }
 
-// Serving reports whether this process can serve. In standby it can.
+// Serving reports whether this process can serve, which includes standby.
 func (o *operationsNode) Serving() bool {
 	phase := o.engine.Phase()
 	return phase != router.Starting && phase != router.Closed
 }
 
-// Standby starts to drain the node. It may be called again.
+// Standby starts to drain the node. If the node already drains or is drained, it does nothing, or returns
+// drain.ErrFinal if that drain is final.
 func (o *operationsNode) Standby() error {
 	err := o.startDrain(drain.Order{
 		AnnounceFor: standbyAnnounceFor,
@@ -39,7 +40,7 @@
 		Reason:      "standby",
 		RequestedBy: "console",
 	})
-	if !drainsAlready(err) {
+	if !isAlreadyDraining(err) {
 		return err
 	}
 	if o.engine.DrainStatus().Final {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// Active has the node serve again. It may be called again.
+// Active makes the node serve again. It does nothing if the node is not draining.
 func (o *operationsNode) Active() error {
 	err := o.cancelDrain("console")
 	if errors.Is(err, drain.ErrNotDraining) {
@@ -57,7 +58,7 @@
 	return err
 }
 
-// AppendMetrics appends the metrics to a page, one line each.
+// AppendMetrics appends the metrics to a page, one line for each.
 func (o *operationsNode) AppendMetrics(page []byte) []byte {
 	metrics := o.engine.Metrics()
 	for _, class := range metrics.Classes {
@@ -77,7 +78,7 @@
 	return appendMetric(page, "unanswered", "drain", unanswered.drains)
 }
 
-// appendMetric appends one line: name=value, or name.class=value.
+// appendMetric appends one line, which is name=value, or name.class=value if there is a class.
 func appendMetric(page []byte, name, class string, value uint64) []byte {
 	page = append(page, name...)
 	if class != "" {
--- a/internal/node/queueage.go
+++ b/internal/node/queueage.go
@@ -7,8 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// queuedSinceLocked returns since when an accepted connection has waited for a slot, as far as its client has lost
-// time. Clients behind it in the accept queue connected later.
+// queuedSinceLocked returns since when an accepted connection has waited for a slot, without the time that its client
+// itself took to send its request. Clients behind it in the accept queue connected later.
 func (l *clientListener) queuedSinceLocked(c *clientConn) time.Time {
 	isComplete := framing.IsCompleteRequest
 	if c.tls != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,7 +7,7 @@
 	"reflect"
 )
 
-// watchReloads applies each configuration that comes from reloads until ctx ends.
+// watchReloads applies each configuration received from reloads until ctx ends.
 func (n *node) watchReloads(ctx context.Context, reloads <-chan Config) {
 	for {
 		select {
@@ -24,8 +24,8 @@
 	}
 }
 
-// applyConfig applies the levels and the settings of next, both or neither: if the settings are rejected, the levels
-// of current are restored.
+// applyConfig applies both the levels and the settings of next, or neither: if the settings are rejected, it restores
+// the levels of current.
 func (n *node) applyConfig(current, next *Config) error {
 	if next.Settings.Subscribe != current.Settings.Subscribe {
 		return errors.New("settings.registryMode: takes effect at the next start only")
@@ -43,10 +43,10 @@
 			}
 			return err
 		}
-		n.log.Info("reload: new settings in force")
+		n.log.Info("reload: new settings applied")
 	}
 	if levelsChanged {
-		n.log.Info("reload: new levels in force")
+		n.log.Info("reload: new levels applied")
 	}
 	return nil
 }
--- a/internal/node/rpcserver.go
+++ b/internal/node/rpcserver.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// relistenTimeout bounds the wait for an address that is in use when its listener is opened again.
+	// relistenTimeout limits how long relisten waits for an address that is still in use.
 	relistenTimeout = 4 * time.Second
-	// relistenInterval is the pause between two attempts to listen.
+	// relistenInterval is the time between two attempts of relisten.
 	relistenInterval = 10 * time.Millisecond
 )
 
-// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set after the engine is made,
-// and before Serve.
+// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set once the engine exists,
+// before the first call of Serve.
 type rpcServer struct {
 	*msgpackfront.Server
-	wrapTLS func(net.Listener) net.Listener // returns the listener itself without TLS
+	wrapTLS func(net.Listener) net.Listener // adds TLS to a listener, or returns it unchanged
 
 	mu       sync.Mutex
-	listener net.Listener // nil while the server does not accept
+	listener net.Listener // nil while no connections are accepted
 	address  net.Addr
 	closed   bool
-	resumed  chan struct{} // closed, and replaced, when the listener is opened again
+	resumed  chan struct{} // closed and replaced when the listener is opened again
 }
 
 var (
@@ -86,21 +86,21 @@
 		return err
 	}
 	s.listener = s.wrapTLS(listener)
-	_ = s.Server.ResumeAccepting() // returns nil
+	_ = s.Server.ResumeAccepting() // always returns nil
 	close(s.resumed)
 	s.resumed = make(chan struct{})
 	return nil
 }
 
-// Shutdown stops accepting, and waits until all connections have ended, or ctx ends. The connections that are left then
-// stay open until Close, so that the last answers can be written.
+// Shutdown stops accepting, and waits until all connections have ended or ctx ends. Connections that are left when ctx
+// ends stay open until Close, so that the last answers can be written.
 func (s *rpcServer) Shutdown(ctx context.Context) error {
 	s.markClosed()
 	s.Server.StopAccepting()
 	return s.AwaitEnd(ctx)
 }
 
-// awaitAnswers waits until no call is open and no answer unwritten, or ctx ends.
+// awaitAnswers waits until all calls are answered and all answers are written, or ctx ends.
 func (s *rpcServer) awaitAnswers(ctx context.Context) {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
@@ -122,7 +122,7 @@
 	s.Server.Close()
 }
 
-// markClosed lets Serve return.
+// markClosed makes Serve return, also while it waits for the listener to be opened again.
 func (s *rpcServer) markClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// relisten opens a listener at an address that was listened on before, and may still be in use.
+// relisten opens a listener again at an address that may still be in use by the closed one.
 func relisten(address net.Addr) (net.Listener, error) {
 	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
 		listener, err := net.Listen(address.Network(), address.String())
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	announceFraction = 0.6             // of the longest deadline, during which the node serves on as before
-	maxDrainDeadline = 3 * time.Second // a shutdown waits for no longer deadline
+	announceFraction = 0.6             // part of the longest deadline for which the node keeps serving as before
+	maxDrainDeadline = 3 * time.Second // longer deadlines of classes are not waited for
 	// minAnnounce is the minimum time between the end of readiness and the close of the listener, however short the
-	// deadlines are: until clients are sent elsewhere, a closed listener would reset the connections of those that come.
+	// deadlines are: new clients keep coming until they are sent elsewhere, and a closed listener would reset their
+	// connections.
 	minAnnounce = 420 * time.Millisecond
-	// drainMargin is how much longer than the longest deadline a drain may take.
+	// drainMargin is how much longer than the longest deadline a drain may usually take.
 	drainMargin        = 300 * time.Millisecond
-	finalAnswerTimeout = 150 * time.Millisecond // for the answers to requests that the end of a drain fails
-	// killDelay is how long after SIGTERM and the longest deadline the platform sends SIGKILL, at the earliest.
+	finalAnswerTimeout = 150 * time.Millisecond // for writing the answers to requests that fail at the end of a drain
+	// killDelay is how much later than the longest deadline after SIGTERM the platform sends SIGKILL, at the earliest.
 	killDelay = 700 * time.Millisecond
-	// serveMargin is how long before SIGKILL the drain ends at the latest, which answers the requests that are open.
+	// serveMargin is how long before SIGKILL the drain ends at the latest. Its end answers the open requests.
 	serveMargin = 100 * time.Millisecond
-	// closeMargin is how long before SIGKILL the last connections are closed.
+	// closeMargin is how long before SIGKILL the last connections are closed at the latest.
 	closeMargin = 50 * time.Millisecond
-	// firstRequestPollInterval is how often a shutdown looks whether first requests are still to come.
+	// firstRequestPollInterval is the time between checks whether connections still wait for their first response.
 	firstRequestPollInterval = 10 * time.Millisecond
 )
 
-// shutdown drains the node and closes the server for HTTP clients. With a shared listening socket the node is
-// handed over to another process first.
+// shutdown drains the node and closes the server for HTTP clients. With a shared listening socket it first leaves new
+// clients to another process.
 func (n *node) shutdown() error {
 	n.log.Info("stopping")
 	current := n.current.Load()
@@ -40,27 +41,27 @@
 	return n.drain(current.shutdownTimes(), announceFor, leaveFor)
 }
 
-// handOver leaves new clients to the other process at the shared socket. Connections of this process are closed with
-// their answers.
+// handOver stops accepting, so that the other process at the shared socket gets all new clients. The drain closes the
+// connections of this process with their answers.
 func (n *node) handOver() {
 	n.handedOver.Store(n.engine.Phase() == router.Serving)
-	n.state.paused.Store(true)
+	n.state.savingHandedOver.Store(true)
 	if n.processGroup != nil {
 		n.processGroup.draining.Store(true)
 	}
-	n.httpServer.CloseListener(context.Background()) // the socket is shared: nothing is waited for
+	n.httpServer.CloseListener(context.Background()) // does not wait for the accept queue, since the socket is shared
 }
 
-// drain ends the service within the times. For announceFor the node only stops being ready and serves as before, since
-// clients may have no other node yet; for leaveFor it then closes each connection with its answer while it still
-// accepts others, early enough for the last accepted requests to be answered.
+// drain drains the node and closes its clients' connections within the given times. For announceFor the node is not
+// ready but serves as before, since clients may not know another node yet. For leaveFor it then closes each connection
+// with its answer but still accepts others, early enough for the last accepted requests to be answered.
 func (n *node) drain(times shutdownTimes, announceFor, leaveFor time.Duration) error {
 	began := time.Now()
 	drainCtx, cancelDrain := context.WithDeadline(context.Background(), began.Add(times.maxDrain))
 	defer cancelDrain()
 	n.tasks.Go(func() {
 		if sleep(drainCtx, times.drain) {
-			n.httpServer.awaitListenerClose(drainCtx) // the end of the drain would reset its accept queue
+			n.httpServer.awaitListenerClose(drainCtx) // the end of the drain would reset connections in its accept queue
 			n.awaitFirstRequests(drainCtx)
 			cancelDrain()
 		}
@@ -71,8 +72,8 @@
 	return n.closeClients(began.Add(times.close))
 }
 
-// closeClients closes the servers for clients, once the final answers are written. Connections whose first request may
-// be on its way stay open until the deadline: the engine rejects it.
+// closeClients closes the HTTP server once the final answers of all servers for clients are written. Connections whose
+// first request may be on its way stay open until the deadline; the engine rejects these requests.
 func (n *node) closeClients(deadline time.Time) error {
 	deadlineCtx, cancelWait := context.WithDeadline(context.Background(), deadline)
 	defer cancelWait()
@@ -89,8 +90,8 @@
 	return n.httpServer.Close()
 }
 
-// awaitFirstRequests waits until each connection that was accepted before the drain has had a response, or is idle for
-// too long for a first request to come, or ctx ends.
+// awaitFirstRequests waits until each connection that was accepted before the drain has had a response, or has been
+// open for too long without a request, or ctx ends.
 func (n *node) awaitFirstRequests(ctx context.Context) {
 	for n.pendingFirstRequests() > 0 && sleep(ctx, firstRequestPollInterval) {
 	}
@@ -104,7 +105,7 @@
 	return pending
 }
 
-// sleep waits, and reports whether the time has passed before ctx ended.
+// sleep waits for duration or until ctx ends, and reports whether the whole duration has passed.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -116,12 +117,12 @@
 	}
 }
 
-// isContextError reports whether an error says that a context has ended.
+// isContextError reports whether an error is due to the end of a context.
 func isContextError(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// announceDuration returns for how long a node that shuts down serves on as before while it is not ready.
+// announceDuration returns how long a node that shuts down is not ready but keeps serving as before.
 func (c Config) announceDuration() time.Duration {
 	if c.AnnounceFor != nil {
 		return *c.AnnounceFor
@@ -132,17 +133,17 @@
 	return max(minAnnounce, time.Duration(announceFraction*float64(c.longestDeadline())))
 }
 
-// shutdownTimes are bounds of the phases of a shutdown, from its beginning.
+// shutdownTimes are time limits, all counted from the beginning of a shutdown.
 type shutdownTimes struct {
-	// drain bounds the drain, unless the accept queue is not empty, or first requests of accepted connections are to
-	// come or to be answered.
+	// drain limits the drain, which may last longer only while the accept queue is not empty, or accepted connections
+	// wait for their first response.
 	drain    time.Duration
-	maxDrain time.Duration // the drain in any case
-	close    time.Duration // the close of the last connection
+	maxDrain time.Duration // limits the drain in any case
+	close    time.Duration // by when the last connection is closed
 }
 
-// shutdownTimes returns the bounds for a node that shuts down. Where the operator sets the time of the drain, it holds
-// for all of it: when the process is killed is not known then.
+// shutdownTimes returns the time limits for a node that shuts down. If the operator sets DrainTimeout, it limits the
+// drain in any case, since the time of SIGKILL is not known then.
 func (c Config) shutdownTimes() shutdownTimes {
 	if c.DrainTimeout != nil {
 		timeout := *c.DrainTimeout
@@ -157,7 +158,7 @@
 	}
 }
 
-// longestDeadline returns the longest deadline of a class, at most maxDrainDeadline.
+// longestDeadline returns the longest deadline of any class, but at most maxDrainDeadline.
 func (c Config) longestDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -6,8 +6,8 @@
 	"cobaltward/internal/operations"
 )
 
-// start starts the node: the servers for operators, the background tasks, and at last the servers for clients.
-// stopTasks ends the goroutines, release the servers for operators.
+// start starts the servers for operators, then the background tasks, and finally the servers for clients. stopTasks
+// ends the goroutines in tasks; release closes the servers for operators.
 func (n *node) start(reloads <-chan Config) {
 	if n.config.State.File != "" {
 		n.state.restore()
@@ -24,10 +24,10 @@
 		n.tasks.Go(func() { n.state.run(ctx) })
 	}
 
-	// Clients must find an engine that can serve. With a shared socket the predecessor accepts them until then.
+	// Clients are accepted only once the engine can serve. With a shared socket the predecessor accepts them until then.
 	<-n.engine.Started()
 	if n.processGroup != nil {
-		n.processGroup.coordinate() // before the first client: its share of the node, and whether it is in standby
+		n.processGroup.coordinate() // the share of the node and standby must be known before the first client
 		n.tasks.Go(func() { n.processGroup.run(ctx) })
 	}
 	n.tasks.Go(func() { n.serveErrors <- n.httpServer.Serve() })
@@ -36,7 +36,7 @@
 	}
 }
 
-// startAdminServer resumes a drain from before a restart, and then answers calls of the admin API.
+// startAdminServer restores a drain that was in progress before a restart, and then starts the admin API.
 func (n *node) startAdminServer() {
 	if n.adminServer == nil {
 		return
@@ -47,7 +47,7 @@
 	n.adminServer.Start()
 }
 
-// startOperations answers calls of the operations endpoint.
+// startOperations starts the operations endpoint, if it is configured.
 func (n *node) startOperations() {
 	if n.config.OperationsListener == nil {
 		return
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -16,50 +16,51 @@
 	frontsecure "cobaltward/internal/frontend/secure"
 )
 
-// TLS configures TLS towards servers, clients and operators. Changed certificate files take effect while the node runs.
+// TLS configures TLS with servers, clients and operators. Changed certificate files take effect while the node runs.
 type TLS struct {
-	ServerRules            []secure.Rule // which servers use TLS and how; the first rule that fits holds
+	ServerRules            []secure.Rule // which servers use TLS and how; the first rule that matches a server applies
 	HandshakeLimits        handshakes.Limits
 	ServerHandshakeTimeout time.Duration // 0: the transport's default
-	CPUShare               float64       // of a core, for handshakes while requests are in flight; 0: the default
+	CPUShare               float64       // share of a core for handshakes while requests are in flight; 0: the default
 	Clients                *TLSListener  // nil: clients use plain HTTP
-	AdminAPI               *TLSListener  // nil: plain HTTP
+	AdminAPI               *TLSListener  // nil: the admin API uses plain HTTP
 
-	// Stores are all certificate stores that the rules and listeners use, each once.
+	// Stores contains all certificate stores that the rules and listeners use, without duplicates.
 	Stores []*certificates.Store
-	// Secrets are those of Stores that a control plane fills, by the name of the secret. They are not read from files.
+	// Secrets contains those of Stores that a control plane fills, by the name of the secret. They are not read from
+	// files.
 	Secrets map[string]*certificates.Store
 
 	CheckInterval  time.Duration   // between checks of the files for changes
-	ExpiryWarnings []time.Duration // before the end of a certificate, when a warning is logged
+	ExpiryWarnings []time.Duration // how long before the expiry of a certificate warnings are logged
 }
 
-// TLSListener configures the TLS of a listener.
+// TLSListener configures TLS for the connections of a listener.
 type TLSListener struct {
 	Certificates      *certificates.Store
-	ClientCAs         *certificates.Store   // by which client certificates are verified; nil: none are asked for
+	ClientCAs         *certificates.Store   // verify client certificates; nil: no client certificates are requested
 	Tickets           *certificates.Tickets // nil: each process has its own session ticket keys
 	RequireClientCert bool
 	AllowTLS12        bool
 	HandshakeTimeout  time.Duration // 0: the default
 }
 
-// nodeTLS is the TLS of a running node. Its methods may be called on nil, which is a node without TLS, and are safe for
-// concurrent use.
+// nodeTLS is the TLS state of a running node; nil is a node without TLS, on which methods may be called, too. Its
+// methods are safe for concurrent use.
 type nodeTLS struct {
-	config       TLS
-	log          *slog.Logger
-	cpuBudget    *handshakes.CPUScheduler
-	engine       atomic.Pointer[router.Router] // nil until the engine is made
-	serverLayer  *secure.ClientTLS             // nil: no TLS towards servers
-	clientLayer  *frontsecure.Terminator       // nil: clients use plain HTTP
-	msgpackLayer *frontsecure.Terminator       // nil: MessagePack-RPC without TLS
-	adminLayer   *frontsecure.Terminator       // nil: the admin API uses plain HTTP
-	rejectedFile atomic.Pointer[string]        // why a file is rejected at present; nil: none is
+	config             TLS
+	log                *slog.Logger
+	cpuBudget          *handshakes.CPUScheduler
+	engine             atomic.Pointer[router.Router] // nil until the engine exists
+	serverLayer        *secure.ClientTLS             // nil: no TLS with servers
+	clientLayer        *frontsecure.Terminator       // nil: clients use plain HTTP
+	msgpackLayer       *frontsecure.Terminator       // nil: MessagePack-RPC without TLS
+	adminLayer         *frontsecure.Terminator       // nil: the admin API uses plain HTTP
+	rejectedFileReason atomic.Pointer[string]        // why a file is currently rejected; nil: no file is
 }
 
-// newNodeTLS returns the TLS that a configuration asks for; nil where it asks for none. setUntrusted is called when a
-// server fails to prove its identity, and when it succeeds again.
+// newNodeTLS returns the TLS state for a configuration; nil if the configuration has no TLS. setUntrusted is called
+// when a server fails to prove its identity, and when it succeeds again.
 func newNodeTLS(
 	config Config, setUntrusted func(id string, untrusted bool), log *slog.Logger,
 ) (*nodeTLS, error) {
@@ -92,7 +93,7 @@
 	return tls, err
 }
 
-// newListenerLayer returns the layer of a listener that offers the protocols alpn; nil where the listener has no TLS.
+// newListenerLayer returns the TLS layer of a listener, which offers the protocols alpn; nil if listener is nil.
 func (s *nodeTLS) newListenerLayer(listener *TLSListener, alpn ...string) (*frontsecure.Terminator, error) {
 	if listener == nil {
 		return nil, nil
@@ -110,13 +111,13 @@
 	})
 }
 
-// hasRequests reports whether requests are in flight, which handshakes must not slow down.
+// hasRequests reports whether requests are in flight. Handshakes use only a limited share of the CPU then.
 func (s *nodeTLS) hasRequests() bool {
 	engine := s.engine.Load()
 	return engine != nil && engine.InFlight() > 0
 }
 
-// transportLayer returns the layer of the transports; nil: they use no TLS.
+// transportLayer returns the TLS layer of the transports; nil if they use no TLS.
 func (s *nodeTLS) transportLayer() *secure.ClientTLS {
 	if s == nil {
 		return nil
@@ -124,7 +125,7 @@
 	return s.serverLayer
 }
 
-// clientListenerLayer returns the layer of the clients' listener; nil: plain HTTP.
+// clientListenerLayer returns the TLS layer of the listener for HTTP clients; nil if they use plain HTTP.
 func (s *nodeTLS) clientListenerLayer() *frontsecure.Terminator {
 	if s == nil {
 		return nil
@@ -132,7 +133,7 @@
 	return s.clientLayer
 }
 
-// wrapMsgpack adds TLS to a listener for MessagePack-RPC, if clients use TLS.
+// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS, and else returns it unchanged.
 func (s *nodeTLS) wrapMsgpack(listener net.Listener) net.Listener {
 	if s == nil || s.msgpackLayer == nil {
 		return listener
@@ -140,7 +141,7 @@
 	return s.msgpackLayer.Listener(listener)
 }
 
-// listenerLayers returns the layers of the listeners that use TLS.
+// listenerLayers returns the TLS layers of all listeners that use TLS.
 func (s *nodeTLS) listenerLayers() []*frontsecure.Terminator {
 	var layers []*frontsecure.Terminator
 	for _, layer := range []*frontsecure.Terminator{s.clientLayer, s.msgpackLayer, s.adminLayer} {
@@ -151,7 +152,7 @@
 	return layers
 }
 
-// close ends the goroutines of TLS towards servers, and waits for them. The transports must be closed already.
+// close ends the goroutines of the TLS layer to servers and waits for them. The transports must already be closed.
 func (s *nodeTLS) close() {
 	if s != nil && s.serverLayer != nil {
 		s.serverLayer.Close()
--- a/internal/node/tlsclient.go
+++ b/internal/node/tlsclient.go
@@ -9,28 +9,28 @@
 	"cobaltward/internal/frontend/secure"
 )
 
-// tlsClientConn is a TLS connection of a client. It does not embed its TCP connection, whose other methods would
-// bypass TLS.
+// tlsClientConn is a TLS connection of a client. It does not embed the TCP connection, because the promoted methods of
+// that would bypass TLS.
 type tlsClientConn struct {
 	conn *clientConn
 	tls  *secure.Conn
 }
 
-// Read reads decrypted bytes and follows the connection's requests.
+// Read reads decrypted bytes with clientConn.Read, which tracks the connection's requests.
 func (c *tlsClientConn) Read(p []byte) (int, error) { return c.conn.Read(p) }
 
-// Write encrypts and writes p, if clientConn would write it.
+// Write encrypts and writes p. Like clientConn.Write, it discards p after the timeout of a head.
 func (c *tlsClientConn) Write(p []byte) (int, error) {
-	if c.conn.headLate.Load() {
+	if c.conn.headTimedOut.Load() {
 		return len(p), nil
 	}
 	return c.tls.Write(p)
 }
 
-// Close closes the connection, as clientConn does.
+// Close closes the connection, which may linger as clientConn.Close describes.
 func (c *tlsClientConn) Close() error { return c.conn.Close() }
 
-// CloseWrite closes the node's side.
+// CloseWrite closes the node's side of the connection.
 func (c *tlsClientConn) CloseWrite() error { return c.tls.CloseWrite() }
 
 // LocalAddr returns the node's address.
@@ -39,12 +39,12 @@
 // RemoteAddr returns the client's address.
 func (c *tlsClientConn) RemoteAddr() net.Addr { return c.tls.RemoteAddr() }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the read and the write deadline.
 func (c *tlsClientConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline sets the read deadline, as clientConn bounds it.
+// SetReadDeadline sets the deadline of reads. As in clientConn, an earlier deadline of readDeadline takes precedence.
 func (c *tlsClientConn) SetReadDeadline(t time.Time) error { return c.conn.SetReadDeadline(t) }
 
 // SetWriteDeadline sets the write deadline.
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -7,17 +7,17 @@
 	"cobaltward/certificates"
 )
 
-// certificateWatch follows the certificates that a node uses: files, and the secrets that a control plane sends. It is
-// used by one goroutine.
+// certificateWatch detects changes of the certificates that a node uses: of files, and of secrets that a control plane
+// sends. It is used by one goroutine.
 type certificateWatch struct {
 	tls      *nodeTLS
 	files    []*certificates.FileWatcher
-	secrets  map[*certificates.Store]*certificates.Set // as seen last
-	rejected map[string]string                         // reasons, by the file's source
+	secrets  map[*certificates.Store]*certificates.Set // sets at the last check
+	rejected map[string]string                         // why files are rejected, by the file's source
 	warnings *certificates.ExpiryWarnings
 }
 
-// run applies changed certificates, and warns of those that end, until ctx ends.
+// run applies changed certificates, and logs a warning for those that expire soon, until ctx ends.
 func (s *nodeTLS) run(ctx context.Context) {
 	if s == nil {
 		return
@@ -61,7 +61,7 @@
 	return watch
 }
 
-// logExpiries logs the certificates that have ended, or are about to.
+// logExpiries logs the certificates that have expired or will expire soon.
 func (c *certificateWatch) logExpiries() {
 	log := c.tls.log
 	for _, warning := range c.warnings.Due(time.Now(), c.tls.certificates()) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// check reads what has changed, and reports whether new certificates, authorities or ticket keys are to be applied.
+// check reads changed files and secrets. It reports whether there are new certificates, authorities or ticket keys.
 func (c *certificateWatch) check() (changed bool) {
 	for store, before := range c.secrets {
 		if now := store.Set(); now != before {
@@ -88,14 +88,14 @@
 		}
 	}
 	var rejected *string
-	for _, reason := range c.rejected { // any one of them: the log has all
+	for _, reason := range c.rejected { // any one of the reasons: the log contains all of them
 		rejected = &reason
 	}
-	c.tls.rejectedFile.Store(rejected)
+	c.tls.rejectedFileReason.Store(rejected)
 	return changed
 }
 
-// checkFile reads a file again if it has changed. After an error the former content stays in force.
+// checkFile reads a file again if it has changed. After an error its previous content stays in use.
 func (c *certificateWatch) checkFile(file *certificates.FileWatcher) (changed bool) {
 	poll := file.Poll(time.Now())
 	if poll.Err != nil {
@@ -110,8 +110,8 @@
 	return poll.Changed
 }
 
-// applyCertificates makes the TLS layers forget what they have verified and use the present ticket keys. Certificates
-// are read from their stores at each handshake.
+// applyCertificates makes the TLS layers discard the results of earlier verifications and use the current ticket keys.
+// Certificates need not be applied: each handshake reads them from their stores.
 func (s *nodeTLS) applyCertificates() {
 	if s.serverLayer != nil {
 		s.serverLayer.InvalidateTrust()
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -11,17 +11,17 @@
 
 // TLSStatus is the status of a node's TLS, as the admin API sends it.
 type TLSStatus struct {
-	Certificates   []certificates.Summary `json:"keys"` // in force; those of a store in the order in which they end
+	Certificates   []certificates.Summary `json:"keys"` // in use; those of a store in the order of their expiry
 	RejectedFile   string                 `json:"refused_files,omitempty"`
-	HandshakeSteps uint64                 `json:"pieces"`  // computed, of all handshakes
-	HandshakeTime  time.Duration          `json:"work_ns"` // that the steps took, in nanoseconds
+	HandshakeSteps uint64                 `json:"pieces"`  // number of computation steps of all handshakes
+	HandshakeTime  time.Duration          `json:"work_ns"` // time that the steps took, in nanoseconds
 	Servers        *secure.Stats          `json:"servers,omitempty"`
 	Clients        *frontsecure.Stats     `json:"clients,omitempty"`
 	Msgpack        *frontsecure.Stats     `json:"msgpack,omitempty"`
 	AdminAPI       *frontsecure.Stats     `json:"door,omitempty"`
 }
 
-// status returns the present status; nil for a node without TLS.
+// status returns the current status; nil for a node without TLS.
 func (s *nodeTLS) status() *TLSStatus {
 	if s == nil {
 		return nil
@@ -32,7 +32,7 @@
 		Msgpack:      layerStats(s.msgpackLayer),
 		AdminAPI:     layerStats(s.adminLayer),
 	}
-	if reason := s.rejectedFile.Load(); reason != nil {
+	if reason := s.rejectedFileReason.Load(); reason != nil {
 		status.RejectedFile = *reason
 	}
 	status.HandshakeSteps, status.HandshakeTime = s.cpuBudget.Totals()
@@ -43,7 +43,7 @@
 	return status
 }
 
-// layerStats returns the statistics of a listener's layer; nil where there is no layer.
+// layerStats returns the statistics of a listener's TLS layer; nil if there is no layer.
 func layerStats(layer *frontsecure.Terminator) *frontsecure.Stats {
 	if layer == nil {
 		return nil
@@ -52,7 +52,7 @@
 	return &stats
 }
 
-// certificates returns the certificates of all stores.
+// certificates returns summaries of the certificates in all stores.
 func (s *nodeTLS) certificates() []certificates.Summary {
 	var all []certificates.Summary
 	for _, store := range s.config.Stores {
--- a/internal/node/unanswered.go
+++ b/internal/node/unanswered.go
@@ -10,31 +10,31 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is why a connection ended ahead of an answer.
+// endCause is the reason why a connection ended before a request was answered.
 type endCause string
 
 const (
 	endNone         endCause = ""
-	endHeadTimeout  endCause = "the rest of a head did not come in time"
-	endClientClosed endCause = "the client closed within a head"
-	endIdle         endCause = "it was idle for too long"
-	endEvicted      endCause = "its slot was needed"
-	endRejected     endCause = "its slot was needed, and a rejection was sent"
+	endHeadTimeout  endCause = "the rest of a request's head did not arrive in time"
+	endClientClosed endCause = "the client closed the connection within a request's head"
+	endIdle         endCause = "the connection was idle for too long"
+	endEvicted      endCause = "the connection was evicted to free its slot"
+	endRejected     endCause = "the connection was evicted to free its slot, after a rejection was sent"
 	endDrain        endCause = "the node is draining"
 )
 
-// unansweredCounts counts connections that ended without an answer after bytes of a request had come, by cause.
+// unansweredCounts counts connections that ended without an answer although bytes of a request had arrived, by cause.
 type unansweredCounts struct {
-	timeouts     uint64 // the rest of its head did not come in time
-	clientCloses uint64 // the client closed, or reset, the connection
+	timeouts     uint64 // the rest of the head did not arrive in time
+	clientCloses uint64 // the client closed or reset the connection
 
-	// The request came as the node ended the connection.
-	idleEnds  uint64 // which had been idle for too long
-	evictions uint64 // for another one
-	drains    uint64 // for a drain
+	// For these causes, bytes of the request arrived while the node ended the connection.
+	idleEnds  uint64 // ended because it had been idle for too long
+	evictions uint64 // evicted to free its slot
+	drains    uint64 // closed by a drain
 }
 
-// count counts a connection.
+// count counts a connection under its cause; a rejected client has had an answer.
 func (u *unansweredCounts) count(cause endCause) {
 	switch cause {
 	case endHeadTimeout:
@@ -51,7 +51,7 @@
 	}
 }
 
-// add adds the counts of another listener.
+// add adds the counts of another listener to u.
 func (u *unansweredCounts) add(other unansweredCounts) {
 	u.timeouts += other.timeouts
 	u.clientCloses += other.clientCloses
@@ -60,20 +60,21 @@
 	u.drains += other.drains
 }
 
-// endLocked notes why the node ends the connection, which lingers then.
-func (c *clientConn) endLocked(cause endCause) {
+// recordEndLocked records why the node ends the connection, and makes its Close linger.
+func (c *clientConn) recordEndLocked(cause endCause) {
 	c.endCause, c.mustLinger = cause, true
 }
 
-// noteReadError counts a connection whose request ends within its head. A request whose body ends early is answered.
-func (c *clientConn) noteReadError(err error) {
+// recordReadError counts a connection whose read fails within the head of a request. A request whose body ends early is
+// answered and not counted.
+func (c *clientConn) recordReadError(err error) {
 	if !c.deadline.withinHead() {
 		return
 	}
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if errors.Is(err, io.EOF) && !c.framing.WithinHead() { // what came over TLS was the client's end
+	if errors.Is(err, io.EOF) && !c.framing.WithinHead() { // the bytes that arrived over TLS were the client's close
 		return
 	}
 	cause := endClientClosed
@@ -81,24 +82,24 @@
 		cause = endHeadTimeout
 	}
 	switch {
-	case c.endCause == cause: // counted: net/http may read on after an error
+	case c.endCause == cause: // already counted: net/http may read again after an error
 		return
 	case c.closed || c.halfClosed:
-		c.mustLinger = true // more may come
-		c.noteBytesAfterEndLocked()
+		c.mustLinger = true // more bytes may arrive
+		c.recordBytesAfterEndLocked()
 		return
 	}
 	c.endCause, c.mustLinger = cause, cause == endHeadTimeout
-	c.headLate.Store(cause == endHeadTimeout)
+	c.headTimedOut.Store(cause == endHeadTimeout)
 	c.countUnansweredLocked(cause)
 }
 
-// noteBytesAfterEndLocked counts a connection on which bytes have come after the node ended it.
-func (c *clientConn) noteBytesAfterEndLocked() {
+// recordBytesAfterEndLocked counts a connection, once, on which bytes arrive after the node ended it.
+func (c *clientConn) recordBytesAfterEndLocked() {
 	switch {
 	case c.bytesAfterEnd:
 		return
-	case c.endCause == endNone || c.endCause == endHeadTimeout || c.endCause == endClientClosed: // answered, or counted
+	case c.endCause == endNone || c.endCause == endHeadTimeout || c.endCause == endClientClosed: // answered or counted
 		return
 	}
 	c.bytesAfterEnd = true
@@ -108,21 +109,21 @@
 	c.countUnansweredLocked(c.endCause)
 }
 
-// countUnansweredLocked counts the connection under a cause.
+// countUnansweredLocked counts the connection under a cause and logs it.
 func (c *clientConn) countUnansweredLocked(cause endCause) {
 	c.listener.unanswered.count(cause)
 	c.listener.log.Debug("client connection ended without an answer", slog.String("cause", string(cause)),
 		slog.Duration("age", time.Since(c.acceptedAt)), slog.Int("unread", sockets.Unread(c.TCPConn)))
 }
 
-// unansweredCounts returns the connections that ended without an answer, so far.
+// unansweredCounts returns how many connections have ended without an answer so far.
 func (l *clientListener) unansweredCounts() unansweredCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unanswered
 }
 
-// unansweredCounts returns those of all listeners for clients.
+// unansweredCounts returns the counts of all listeners for clients together.
 func (n *node) unansweredCounts() unansweredCounts {
 	counts := n.httpServer.listener.unansweredCounts()
 	if n.rpcServer != nil {
