--- a/middleware/answer.go
+++ b/middleware/answer.go
@@ -12,13 +12,13 @@
 	"cobaltward/router"
 )
 
-// answerStallTimeout is how long a client may read nothing of a streamed answer.
+// answerStallTimeout limits the write of each part of a streamed answer, and so how long a client may read nothing.
 const answerStallTimeout = 15 * time.Second
 
-// streamBuffers holds buffers of streamed answers.
+// streamBuffers holds the buffers through which streamed answers are copied.
 var streamBuffers = sync.Pool{New: func() any { return new([body.ChunkSize]byte) }}
 
-// Status returns the protocol's status of an answer.
+// Status returns the HTTP status of an answer.
 func Status(answer router.Answer) int {
 	switch answer.Outcome {
 	case router.Served:
@@ -38,7 +38,7 @@
 	return http.StatusBadGateway
 }
 
-// FormatRetryAfter returns the value of a Retry-After header: whole or decimal seconds.
+// FormatRetryAfter returns the value of a Retry-After header: seconds, with decimals if needed.
 func FormatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', -1, 64)
 }
@@ -54,8 +54,8 @@
 	header["Content-Length"] = []string{strconv.Itoa(len(answer.Body))}
 }
 
-// addCloseHeader has the answer close its connection if the router is closing. It is called just before the answer is
-// written, so that a drain begun since the request came need not wait for the connection.
+// addCloseHeader makes the answer close its connection if the router is closing. It is called just before the answer
+// is written, so that a drain that began during the request does not have to wait for the connection.
 func (f *Frontend) addCloseHeader(w http.ResponseWriter) {
 	if f.engine.Phase() >= router.Closing {
 		w.Header().Set("Connection", "close")
@@ -76,8 +76,8 @@
 	_, _ = w.Write(answer.Body) // the client may have disconnected; the request is over either way
 }
 
-// writeStream passes a long answer on as it arrives. Where it breaks off, the connection is aborted, so that the
-// client can tell that it is incomplete.
+// writeStream copies a long answer to the client as it arrives. If the answer breaks off, the connection is aborted,
+// so that the client can tell that the answer is incomplete.
 func (f *Frontend) writeStream(w http.ResponseWriter, answer router.Answer) {
 	stream := answer.Stream
 	defer func() { _ = stream.Close() }()
@@ -100,12 +100,12 @@
 			return
 		}
 		if err != nil {
-			panic(http.ErrAbortHandler) // net/http's way to abort a connection
+			panic(http.ErrAbortHandler) // makes net/http abort the connection
 		}
 	}
 }
 
-// writeAndFlush writes a part of an answer within answerStallTimeout.
+// writeAndFlush writes a part of an answer, with a write deadline of answerStallTimeout.
 func writeAndFlush(w http.ResponseWriter, conn *http.ResponseController, part []byte) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(answerStallTimeout))
 	if _, err := w.Write(part); err != nil {
--- a/middleware/body_test.go
+++ b/middleware/body_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/middleware"
 )
 
-// TestBody_ReadByEarlierHandler: a body that an earlier handler has read, in part or to its end, is not taken for a
-// shorter one. A handler that puts it back may read it.
+// TestBody_ReadByEarlierHandler checks that a body that an earlier handler has read, in part or to its end, is
+// rejected and not taken for a shorter one. A handler that replaces r.Body after reading it is accepted.
 func TestBody_ReadByEarlierHandler(t *testing.T) {
 	var served atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
@@ -28,7 +28,7 @@
 			frontend.ServeHTTP(w, r)
 		}))
 		if status, _ := send(t, request(t, url, "POST", "pay", "r1", "the sum")); status != 400 {
-			t.Errorf("after %d bytes: %d", part, status)
+			t.Errorf("body of which an earlier handler read up to %d bytes: status %d, want 400", part, status)
 		}
 	}
 	url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,12 +37,12 @@
 		frontend.ServeHTTP(w, r)
 	}))
 	if status, body := send(t, request(t, url, "POST", "pay", "r1", "the sum")); status != 200 || served.Load() != 1 {
-		t.Errorf("put back: %d %q, %d served", status, body, served.Load())
+		t.Errorf("body replaced after reading: status %d %q, %d served, want 200 and 1", status, body, served.Load())
 	}
 }
 
-// TestHostReadTimeout_BindsBodyOnly: the read timeout of the host's server does not cut off a client that waits for its
-// answer.
+// TestHostReadTimeout_BindsBodyOnly checks that the ReadTimeout of the host's server does not disconnect a client
+// that waits for its answer longer than that.
 func TestHostReadTimeout_BindsBodyOnly(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -51,12 +51,12 @@
 	frontend := middleware.New(newRouter(t, addr), middleware.WithBodyTimeout(0))
 	url := serve(t, frontend, func(s *httptest.Server) { s.Config.ReadTimeout = 300 * time.Millisecond })
 	if status, _ := send(t, request(t, url, "POST", "pay", "r1", "sum")); status != 200 {
-		t.Errorf("%d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 }
 
-// TestRejection_WhileSendingIsNotReset: a client that asks for the close itself, and is still sending when it is
-// rejected, reads the answer and an orderly end, not a reset.
+// TestRejection_WhileSendingIsNotReset checks that a client that sends Connection: close, and is still sending its
+// body when it is rejected, reads the answer and then EOF, not a connection reset.
 func TestRejection_WhileSendingIsNotReset(t *testing.T) {
 	var served atomic.Int32
 	url := serve(t, middleware.New(newRouter(t, newEchoServer(t, &served))))
@@ -78,18 +78,18 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("status %d, want 413", resp.StatusCode)
 	}
-	time.Sleep(50 * time.Millisecond) // a server that closes without reading has done so by now
+	time.Sleep(50 * time.Millisecond) // by now a server that does not read on has closed the connection
 	for sent := 0; sent < size; sent += 1 << 10 {
 		if _, err := conn.Write(make([]byte, min(1<<10, size-sent))); err != nil {
-			t.Fatalf("after %d bytes: %v", sent, err)
+			t.Fatalf("write failed after %d bytes: %v", sent, err)
 		}
 	}
 	if _, err := io.Copy(io.Discard, in); err != nil {
-		t.Errorf("the end: %v", err)
+		t.Errorf("reading to EOF after the answer: %v", err)
 	}
 	if served.Load() != 0 {
-		t.Error("it reached the server")
+		t.Error("the rejected request reached the server")
 	}
 }
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -12,13 +12,14 @@
 
 const (
 	maxDeadlineMs = 3_600_000
-	maxShortBody  = 64 << 10 // bytes of a body without WithBodyLimits
+	maxShortBody  = 64 << 10 // bytes; limit of a body without WithBodyLimits
 )
 
 // Extractor reads one field of a request. Its error goes to the client, with status 400.
 type Extractor func(*http.Request) (string, error)
 
-// Header extracts a header. A header that is given twice is an error: this side and a server might use different ones.
+// Header returns an Extractor of the header. A header that occurs twice is an error: the router and a server might
+// use different values.
 func Header(name string) Extractor {
 	name = http.CanonicalHeaderKey(name)
 	errTwice := errors.New(name + ": given twice")
@@ -33,17 +34,17 @@
 	}
 }
 
-// Fixed extracts the same value from every request.
+// Fixed returns an Extractor that yields the same value for every request.
 func Fixed(value string) Extractor { return func(*http.Request) (string, error) { return value, nil } }
 
-// Extractors names where the fields of a request are found. A nil one reads the protocol's header.
+// Extractors says where the fields of a request are found. A nil Extractor reads the header named beside it.
 type Extractors struct {
 	ID             Extractor // X-Request-Id
 	Class          Extractor // X-Class
 	Tenant         Extractor // X-Tenant
 	Key            Extractor // X-Key
 	IdempotencyKey Extractor // Idempotency-Key
-	Deadline       Extractor // X-Deadline-Ms: for how many milliseconds the client waits, above 0
+	Deadline       Extractor // X-Deadline-Ms: how many milliseconds the client waits, above 0
 }
 
 func (e Extractors) withDefaults() Extractors {
@@ -65,14 +66,14 @@
 	return e
 }
 
-// requestError is what is wrong with a request, and the status for it.
+// requestError describes why a request is malformed, and the status to answer it with.
 type requestError struct {
 	status int
 	text   string
-	allow  string // the method of the request's class, where the request has another one
+	allow  string // value of the Allow header if the request has the wrong method
 }
 
-// Texts of requestErrors.
+// Texts of requestErrors that several checks share.
 const (
 	bodyOfGet      = "a GET has no body"
 	bodyUnreadable = "the body can't be read"
@@ -110,7 +111,7 @@
 	if !router.ValidID(req.ID) {
 		return req, badRequest("X-Request-Id: missing or malformed")
 	}
-	if len(req.Tenant) > router.MaxNameLength { // the policy stores it
+	if len(req.Tenant) > router.MaxNameLength { // the policy keeps tenant names in memory
 		return req, badRequest("X-Tenant: too long")
 	}
 	class, ok := f.engine.Class(req.Class)
@@ -137,12 +138,13 @@
 	return req, nil
 }
 
-// allowsMethod reports whether a class with the method takes requests with the other one: HEAD is taken like GET.
+// allowsMethod reports whether a class with the method classMethod accepts a request with the other one. Where GET is
+// accepted, so is HEAD.
 func allowsMethod(classMethod, method string) bool {
 	return method == classMethod || method == http.MethodHead && classMethod == http.MethodGet
 }
 
-// costHint returns the client's estimate of the request's cost; 0: none, or one that can't be read.
+// costHint returns the client's estimate of the request's cost; 0 if there is none, or it is not a number.
 func costHint(r *http.Request) time.Duration {
 	values := r.Header["X-Cost-Hint"]
 	if len(values) == 0 {
--- a/middleware/ginmw/ginmw.go
+++ b/middleware/ginmw/ginmw.go
@@ -1,5 +1,5 @@
-// Package ginmw adapts package middleware to gin. It is a package of its own so that other applications do not link
-// gin.
+// Package ginmw adapts package middleware to gin. It is a separate package so that applications without gin do not
+// link it.
 package ginmw
 
 import (
@@ -8,9 +8,9 @@
 	"github.com/gin-gonic/gin"
 )
 
-// New returns a handler for gin's Use: it answers booking requests and aborts their chain, and leaves all others to the
-// handlers behind it. It runs only where gin runs its middleware: give it to an Engine with Use, which also covers
-// requests without a route.
+// New returns a handler for gin's Use: it answers booking requests and aborts their handler chain, and passes all
+// others to the next handlers. Register it with Engine.Use, which also covers requests without a route; handlers of a
+// route or group see only requests that match a route.
 func New(frontend *middleware.Frontend) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		if !frontend.Handles(c.Request) {
--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -23,23 +23,24 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// TestHandler_LeavesOtherRequestsToApplication: a request that is no booking request reaches the application unchanged,
-// with its body; a booking request does not reach it.
+// TestHandler_LeavesOtherRequestsToApplication checks that the application gets a request that is not a booking
+// request unchanged, with its body, and gets no booking request.
 func TestHandler_LeavesOtherRequestsToApplication(t *testing.T) {
-	var served, left atomic.Int32
+	var served, passedOn atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
 	url := serve(t, frontend.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		left.Add(1)
+		passedOn.Add(1)
 		_, _ = io.Copy(w, r.Body)
 	})))
 	expectServed(t, request(t, url+"/page", "PUT", "", "", "its body", "X-Class", ""), "its body")
 	expectServed(t, request(t, url+"/page", "GET", "read", "r1", ""), "served r1")
-	if left.Load() != 1 || served.Load() != 1 {
-		t.Errorf("%d to the application, %d to the server", left.Load(), served.Load())
+	if passedOn.Load() != 1 || served.Load() != 1 {
+		t.Errorf("%d requests reached the application and %d the server, want 1 each", passedOn.Load(), served.Load())
 	}
 }
 
-// TestHandler_PassesPanicsOn: a panic of the application is not recovered, and the next requests are served.
+// TestHandler_PassesPanicsOn checks that a panic of the application is not recovered, and that later requests are
+// served.
 func TestHandler_PassesPanicsOn(t *testing.T) {
 	var served, panics atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -56,18 +57,18 @@
 	}))
 	for i := range 5 {
 		if status, _ := send(t, request(t, url+"/page", "GET", "read", "x", "")); status != 500 {
-			t.Errorf("the page that panics: %d", status)
+			t.Errorf("page that panics: status %d, want 500", status)
 		}
 		if status, _ := send(t, request(t, url+"/api", "GET", "read", fmt.Sprint("r", i), "")); status != 200 {
-			t.Errorf("a booking request: %d", status)
+			t.Errorf("booking request: status %d, want 200", status)
 		}
 	}
 	if panics.Load() != 5 || served.Load() != 5 {
-		t.Errorf("%d panics, %d served", panics.Load(), served.Load())
+		t.Errorf("%d panics, %d requests served, want 5 each", panics.Load(), served.Load())
 	}
 }
 
-// TestHandler_Chi: the handler works as chi middleware without an adapter.
+// TestHandler_Chi checks that the handler works as chi middleware without an adapter.
 func TestHandler_Chi(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -82,40 +83,41 @@
 	expectServed(t, request(t, url+"/api/x", "GET", "read", "r1", ""), "served r1")
 }
 
-// TestServeHTTP_ResponseWriterFails: a ResponseWriter that fails ends its request once, and the next request is served.
+// TestServeHTTP_ResponseWriterFails checks that a request whose ResponseWriter fails is written once and ends, and
+// that the next request is served.
 func TestServeHTTP_ResponseWriterFails(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
 	frontend := middleware.New(engine, middleware.WithWriteTimeout(time.Second))
-	broken := &brokenWriter{header: make(http.Header)}
+	broken := &failingWriter{header: make(http.Header)}
 	frontend.ServeHTTP(broken, request(t, "http://app/api", "POST", "pay", "r1", "sum"))
 	if broken.status != 200 || broken.writes != 1 {
-		t.Errorf("status %d after %d writes", broken.status, broken.writes)
+		t.Errorf("status %d after %d writes, want 200 after 1", broken.status, broken.writes)
 	}
 	rec := httptest.NewRecorder()
 	frontend.ServeHTTP(rec, request(t, "http://app/api", "POST", "pay", "r2", "sum"))
 	if rec.Code != 200 || rec.Body.String() != "served r2" || served.Load() != 2 {
-		t.Errorf("the next: %d %q, %d served", rec.Code, rec.Body, served.Load())
+		t.Errorf("next request: status %d %q, %d requests served in all", rec.Code, rec.Body, served.Load())
 	}
 	if s := engine.Stats(); s.Retained != 0 || s.Answers[router.Served] != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("want no retained request and 2 served, got %+v", s)
 	}
 }
 
-// brokenWriter is a ResponseWriter that fails to write the body.
-type brokenWriter struct {
+// failingWriter is a ResponseWriter whose writes of the body fail.
+type failingWriter struct {
 	header         http.Header
 	status, writes int
 }
 
-func (w *brokenWriter) Header() http.Header { return w.header }
-func (w *brokenWriter) WriteHeader(s int)   { w.status = s }
-func (w *brokenWriter) Write([]byte) (int, error) {
+func (w *failingWriter) Header() http.Header { return w.header }
+func (w *failingWriter) WriteHeader(s int)   { w.status = s }
+func (w *failingWriter) Write([]byte) (int, error) {
 	w.writes++
 	return 0, errors.New("broken pipe")
 }
 
-// TestServeHTTP_RouterClosed: with a closed router requests are rejected.
+// TestServeHTTP_RouterClosed checks that requests and readiness checks get 503 once the router is closed.
 func TestServeHTTP_RouterClosed(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -128,27 +130,27 @@
 		req := request(t, "http://app"+path, "GET", "read", "r1", "")
 		req.Body, req.ContentLength = http.NoBody, 0
 		if frontend.ServeHTTP(rec, req); rec.Code != want {
-			t.Errorf("%s: %d", path, rec.Code)
+			t.Errorf("%s: status %d", path, rec.Code)
 		}
 	}
 }
 
-// lateEngine is the engine of a host that runs late: each answer comes after a pause.
-type lateEngine struct {
+// pausingEngine delays each answer, as on a host that is slow to schedule the handler.
+type pausingEngine struct {
 	*router.Router
 	pause time.Duration
 }
 
 // Do implements middleware.Engine.
-func (e lateEngine) Do(ctx context.Context, req router.Request) (router.Answer, error) {
+func (e pausingEngine) Do(ctx context.Context, req router.Request) (router.Answer, error) {
 	answer, err := e.Router.Do(ctx, req)
 	time.Sleep(e.pause)
 	return answer, err
 }
 
-// TestTimeoutHandler_NeverRejectsAcceptedRequest: http.TimeoutHandler answers 503 at its timeout, which would tell
-// the client of a request that may have run that a retry is harmless. However late the host runs, no request that must
-// not run twice reaches a server behind it, while an idempotent one does.
+// TestTimeoutHandler_NeverRejectsAcceptedRequest guards against a false rejection: http.TimeoutHandler answers 503 at
+// its timeout, which would tell the client that a retry is safe although the request may have run. However late the
+// host is, a request that must not run twice is not forwarded behind such a handler, while an idempotent one is.
 func TestTimeoutHandler_NeverRejectsAcceptedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	hosts := map[string]func(*middleware.Frontend) http.Handler{
@@ -167,7 +169,7 @@
 					t.Parallel()
 					addr, received := newHungServer(t)
 					engine := newRouter(t, addr)
-					frontend := middleware.New(lateEngine{engine, pause})
+					frontend := middleware.New(pausingEngine{engine, pause})
 					url := serve(t, http.TimeoutHandler(handler(frontend), timeout, "too late"))
 					method, body := "POST", "sum"
 					if class == "read" {
@@ -179,7 +181,7 @@
 						return
 					}
 					if attempts := engine.Stats().Attempts; attempts != 0 || status != http.StatusServiceUnavailable {
-						t.Errorf("%d %q after %d attempts, want 503 before any", status, text, attempts)
+						t.Errorf("status %d %q after %d attempts, want 503 without an attempt", status, text, attempts)
 					}
 				})
 			}
@@ -187,27 +189,27 @@
 	}
 }
 
-// TestWithTimeout_AnswersForwardedRequest: the timeout of the middleware itself answers a request that may have run
-// with a failure that promises nothing, also where the host runs late.
+// TestWithTimeout_AnswersForwardedRequest checks that WithTimeout answers a request that may have run with 502 or
+// 504, which do not call a retry safe, also if the host is late.
 func TestWithTimeout_AnswersForwardedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, pause := range []time.Duration{0, 2 * timeout} {
 		t.Run(fmt.Sprint("late by ", pause), func(t *testing.T) {
 			t.Parallel()
 			addr, received := newHungServer(t)
-			frontend := middleware.New(lateEngine{newRouter(t, addr), pause}, middleware.WithTimeout(timeout))
+			frontend := middleware.New(pausingEngine{newRouter(t, addr), pause}, middleware.WithTimeout(timeout))
 			url := serve(t, frontend.Handler(http.NotFoundHandler()))
 			status, body := send(t, request(t, url+"/api", "POST", "pay", "r1", "sum"))
 			testkit.Receive(t, "the request", received)
 			if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
-				t.Errorf("a request that may have run: %d %q, want a failure that promises nothing", status, body)
+				t.Errorf("request that may have run: status %d %q, want 502 or 504", status, body)
 			}
 		})
 	}
 }
 
-// TestHostDeadline_ForwardsWithoutTimeoutHandler: a deadline of the host's context alone rejects nothing, since no
-// handler answers in place of the middleware.
+// TestHostDeadline_ForwardsWithoutTimeoutHandler checks that a request whose context has a deadline is forwarded if
+// no timeout handler of the host can answer in place of the middleware.
 func TestHostDeadline_ForwardsWithoutTimeoutHandler(t *testing.T) {
 	addr, received := newHungServer(t)
 	handler := middleware.New(newRouter(t, addr)).Handler(http.NotFoundHandler())
@@ -223,13 +225,14 @@
 	}
 }
 
-// TestRoundTrip_ClientDeadline: a caller whose own deadline passes gets an error, never a rejection.
+// TestRoundTrip_ClientDeadline checks that a caller whose own timeout passes gets an error, never a rejection of a
+// request that may have run.
 func TestRoundTrip_ClientDeadline(t *testing.T) {
 	addr, received := newHungServer(t)
 	engine := newRouter(t, addr)
 	const timeout = 400 * time.Millisecond
 	for _, pause := range []time.Duration{0, 2 * timeout} {
-		client := http.Client{Transport: middleware.New(lateEngine{engine, pause}).RoundTripper(), Timeout: timeout}
+		client := http.Client{Transport: middleware.New(pausingEngine{engine, pause}).RoundTripper(), Timeout: timeout}
 		resp, err := client.Do(request(t, "http://app/api", "POST", "pay", fmt.Sprint("r-", pause), "sum"))
 		testkit.Receive(t, "the request", received)
 		if err != nil {
@@ -237,13 +240,13 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-			t.Errorf("late by %v: a request that may have run: %d", pause, resp.StatusCode)
+			t.Errorf("answer %v late: request that may have run was rejected with %d", pause, resp.StatusCode)
 		}
 	}
 }
 
-// TestHTTP2_BodyWithoutLengthAndReset: by HTTP/2 a body needs no length, and a stream that its client resets counts
-// as a disconnect.
+// TestHTTP2_BodyWithoutLengthAndReset checks that a body over HTTP/2 needs no length, and that a stream reset by its
+// client counts as a disconnect.
 func TestHTTP2_BodyWithoutLengthAndReset(t *testing.T) {
 	bodies, aborted := make(chan string, 10), make(chan struct{}, 10)
 	engine := newRouter(t, testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -268,9 +271,9 @@
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	body := testkit.Receive(t, "the body", bodies)
+	body := testkit.Receive(t, "the body at the server", bodies)
 	if resp.StatusCode != 200 || resp.ProtoMajor != 2 || body != "of no length" {
-		t.Errorf("%d over %s, body %q", resp.StatusCode, resp.Proto, body)
+		t.Errorf("status %d over %s, server received body %q", resp.StatusCode, resp.Proto, body)
 	}
 	ctx, disconnect := context.WithCancel(t.Context())
 	slow := request(t, app.URL, "POST", "pay", "slow", "x").WithContext(ctx)
@@ -279,19 +282,19 @@
 			_ = resp.Body.Close()
 		}
 	}()
-	testkit.Receive(t, "the slow request", bodies)
+	testkit.Receive(t, "the slow request at the server", bodies)
 	disconnect()
-	testkit.Receive(t, "its end at the server", aborted)
-	testkit.Await(t, "the disconnect to count", func() bool { return engine.Stats().ClientsGone == 1 })
+	testkit.Receive(t, "the cancellation at the server", aborted)
+	testkit.Await(t, "the disconnect to be counted", func() bool { return engine.Stats().ClientsGone == 1 })
 }
 
-// TestHostRetry_GetsConflict: a host's own retry middleware can't have a request run twice. Its second attempt under
-// the same ID gets the conflict that the daemon gives.
+// TestHostRetry_GetsConflict checks that retry middleware of the host can't make a request run twice: its second
+// attempt with the same ID gets 409, as from the daemon.
 func TestHostRetry_GetsConflict(t *testing.T) {
 	var served atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
 		if testkit.ReadFullRequest(r) {
-			served.Add(1) // and the connection breaks: the request may have run
+			served.Add(1) // the connection is then closed without an answer: the request may have run
 		}
 	})
 	frontend := middleware.New(newRouter(t, addr, addr))
@@ -302,11 +305,12 @@
 		codes = append(codes, rec.Code)
 	}
 	if codes[0] != 502 || codes[1] != 409 || codes[2] != 409 || served.Load() != 1 {
-		t.Errorf("codes %v, ran %d times", codes, served.Load())
+		t.Errorf("statuses %v after %d executions, want [502 409 409] after 1", codes, served.Load())
 	}
 }
 
-// TestExtractors_CustomFields: fields are read where the extractors say, and a field that is given twice is rejected.
+// TestExtractors_CustomFields checks that fields are read where the extractors say, and that a field given twice is
+// rejected.
 func TestExtractors_CustomFields(t *testing.T) {
 	var served atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)),
@@ -332,17 +336,17 @@
 	} {
 		headers := append([]string{"X-Request-Id", "", "X-Class", ""}, test.headers...)
 		if status, body := send(t, request(t, url+test.url, "POST", "", "", "x", headers...)); status != test.want {
-			t.Errorf("%s: %d %q", name, status, body)
+			t.Errorf("%s: status %d %q", name, status, body)
 		}
 	}
 	req := request(t, url+"/book?workspace=w", "POST", "", "", "x", "Booking", "b3")
 	req.Header.Add("Booking", "b4")
 	if status, body := send(t, req); status != 400 || !strings.Contains(body, "Booking: given twice") {
-		t.Errorf("two ids: %d %q", status, body)
+		t.Errorf("two IDs: status %d %q, want 400", status, body)
 	}
 }
 
-// TestDisconnectCheck_BeforeEngine: a request whose client has disconnected before it is handed on reaches no server.
+// TestDisconnectCheck_BeforeEngine checks that a request is not forwarded if its client has disconnected before.
 func TestDisconnectCheck_BeforeEngine(t *testing.T) {
 	var served atomic.Int32
 	var disconnected atomic.Bool
@@ -356,6 +360,6 @@
 		}
 	}
 	if n := served.Load(); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d requests reached the server, want 1", n)
 	}
 }
--- a/middleware/host_test.go
+++ b/middleware/host_test.go
@@ -19,8 +19,9 @@
 	"cobaltward/router"
 )
 
-// TestServeHTTP_HostOverloaded has goroutines of the host keep all threads busy, with garbage to collect: each
-// request has one answer that agrees with how often it ran, and the event loop's lag is measured.
+// TestServeHTTP_HostOverloaded keeps all threads busy with goroutines of the host that also cause garbage collection.
+// It checks that each request gets one answer that agrees with how often it ran, and that the event loop's lag is
+// measured.
 func TestServeHTTP_HostOverloaded(t *testing.T) {
 	var mu sync.Mutex
 	executions := make(map[string]int)
@@ -35,7 +36,7 @@
 	end := time.Now().Add(1200 * time.Millisecond)
 	var busy, clients sync.WaitGroup
 	for range 2 * runtime.GOMAXPROCS(0) {
-		busy.Go(func() { burnUntil(end) })
+		busy.Go(func() { keepBusyUntil(end) })
 	}
 	var codes [600]atomic.Int32
 	for i := range 8 {
@@ -48,7 +49,7 @@
 				ran := executions[id]
 				mu.Unlock()
 				if ran > 1 || status == 200 && ran != 1 || (status == 429 || status == 503) && ran != 0 {
-					t.Errorf("%s: %d, and it ran %d times", id, status, ran)
+					t.Errorf("%s: status %d does not agree with %d executions", id, status, ran)
 				}
 			}
 		})
@@ -56,29 +57,30 @@
 	clients.Wait()
 	busy.Wait()
 	if s := engine.Stats(); s.Lag.Max <= 0 || s.Retained != 0 || len(s.OpenByClass) != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("want a measured lag and no open or retained request, got %+v", s)
 	}
 	if codes[200].Load() == 0 {
-		t.Error("not one was served")
+		t.Error("no request was served")
 	}
 }
 
-// garbage keeps the last buffer of burnUntil, so that none stays on a stack.
-var garbage atomic.Pointer[[]byte]
+// lastBuffer holds the latest buffer of keepBusyUntil, which forces the buffers onto the heap.
+var lastBuffer atomic.Pointer[[]byte]
 
-// burnUntil uses a thread and makes garbage.
-func burnUntil(end time.Time) {
+// keepBusyUntil occupies a thread and allocates garbage.
+func keepBusyUntil(end time.Time) {
 	for n := 0; time.Now().Before(end); n++ {
 		buf := make([]byte, 32<<10)
 		for i := range buf {
 			buf[i] = byte(n * i)
 		}
-		garbage.Store(&buf)
+		lastBuffer.Store(&buf)
 	}
 }
 
-// TestReload_LeaksNothing reloads over real sockets, with servers that come and go: no descriptor and no goroutine is
-// left, and the newest list is in force. RELOADS in the environment sets the number of reloads.
+// TestReload_LeaksNothing reloads the settings and a changing set of servers over real sockets. It checks that no
+// descriptor and no goroutine leaks, and that the last endpoint list is in force. The environment variable RELOADS
+// sets the number of reloads.
 func TestReload_LeaksNothing(t *testing.T) {
 	reloads := 30
 	if n, err := strconv.Atoi(os.Getenv("RELOADS")); err == nil && n > 0 {
@@ -110,24 +112,24 @@
 	stats := engine.Stats()
 	running := stats.EndpointsByAvailability[policy.Running]
 	if stats.Reloads != uint64(reloads) || running != 2+reloads%3 || stats.Retained != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("statistics do not match the last reload: %+v", stats)
 	}
 	if err := engine.Close(); err != nil {
 		t.Error(err)
 	}
-	testkit.Await(t, "the descriptors", func() bool { return countDescriptors(t) <= before })
+	testkit.Await(t, "the descriptors to be closed", func() bool { return countDescriptors(t) <= before })
 }
 
 func countDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("descriptors can't be counted here")
+		t.Skip("/proc/self/fd is not readable")
 	}
 	return len(all)
 }
 
-// sendUntilStopped has four clients send requests, which have to be answered with 200 or 503.
+// sendUntilStopped sends requests from four clients, and requires a status of 200 or 503 for each.
 func sendUntilStopped(t *testing.T, handler http.Handler) (stop func()) {
 	t.Helper()
 	var clients sync.WaitGroup
@@ -143,7 +145,7 @@
 				rec := httptest.NewRecorder()
 				handler.ServeHTTP(rec, request(t, "http://app/api", "POST", "pay", fmt.Sprint(c, "-", i), "sum"))
 				if rec.Code != 200 && rec.Code != 503 {
-					t.Errorf("%d", rec.Code)
+					t.Errorf("status %d, want 200 or 503", rec.Code)
 				}
 			}
 		})
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	maxInlineBody = 16 << 10 // bytes of a body that is kept as one slice, outside of the budget
-	// minUploadRate is the rate of slow clients, in bytes a second: it extends the time in which a body has to arrive.
+	maxInlineBody = 16 << 10 // bytes; longest body that is kept as one slice and not counted against body.Limits
+	// minUploadRate is the lowest expected rate of a client, in bytes a second. The time in which a body must arrive
+	// is extended by its length at this rate.
 	minUploadRate      = 32 << 10
-	maxDiscardedUpload = 64 << 20 // bytes of a body that are read after the answer
+	maxDiscardedUpload = 64 << 20 // bytes of a body that are read and discarded after the answer
 )
 
 var errBodyUnreadable = errors.New(bodyUnreadable)
 
-// upload is a long body on its way in.
+// upload is a long body that is being received.
 type upload struct {
 	*body.Upload
 	request      *http.Request
@@ -28,12 +29,12 @@
 	body         timedBody
 	disconnected func(context.Context) bool
 	arrivedAt    func(context.Context) time.Time
-	ctx          context.Context // the request's; also cancelled when the body breaks off
+	ctx          context.Context // derived from the request's context; also cancelled when the body breaks off
 	cancel       context.CancelCauseFunc
 }
 
-// Read reads from the client. While a body waits unread net/http does not notice a disconnect, and what was received
-// before would be passed on all the same.
+// Read reads from the client, unless the client has disconnected. net/http does not notice a disconnect while a body
+// waits unread, and the part received before would be forwarded nevertheless.
 func (u *upload) Read(p []byte) (int, error) {
 	if u.disconnected(u.request.Context()) {
 		u.cancel(errBodyUnreadable)
@@ -46,11 +47,11 @@
 	return n, err
 }
 
-// LastByteAt implements body.Timestamped: the end of the body was read just now.
+// LastByteAt implements body.Timestamped. It is called when the end of the body was read just now.
 func (u *upload) LastByteAt() time.Time { return u.arrivedAt(u.request.Context()) }
 
-// startUpload reads a long body as far as it may be buffered. If that is all of it and short, it goes into req and no
-// upload is returned; the caller has to close one that is.
+// startUpload fills the buffer of a long body. A body that is complete then, and short, is stored in req, and no
+// upload is returned. A returned upload must be closed by the caller.
 func (f *Frontend) startUpload(w http.ResponseWriter, r *http.Request, req *router.Request) (*upload, *requestError) {
 	length := r.ContentLength
 	switch {
@@ -89,7 +90,7 @@
 	newUpload := &upload{
 		request: r, conn: conn, disconnected: f.disconnected, arrivedAt: f.arrivedAt,
 		body: timedBody{
-			Reader: r.Body, conn: conn, long: maxLength > maxShortBody, setDeadlines: f.bodyDeadlineSetter(r),
+			Reader: r.Body, conn: conn, isLong: maxLength > maxShortBody, setDeadlines: f.bodyDeadlineSetter(r),
 			deadline: time.Now().Add(f.bodyTimeout + time.Duration(maxLength)*time.Second/minUploadRate),
 		},
 	}
@@ -98,7 +99,7 @@
 	return newUpload
 }
 
-// bodyDeadlineSetter returns the BodyDeadlineSetter of a request's body; nil without one.
+// bodyDeadlineSetter binds the BodyDeadlineSetter to the request's context; nil if none is set.
 func (f *Frontend) bodyDeadlineSetter(r *http.Request) func(timeout time.Duration, deadline time.Time) bool {
 	if f.setBodyDeadlines == nil {
 		return nil
@@ -108,8 +109,8 @@
 	}
 }
 
-// close ends the upload. After an answer that came before the end of the body, the rest of the body is read: a close
-// with bytes unread would reset the connection before the client has read the answer.
+// close ends the upload. If the answer came before the end of the body, the rest of the body is read and discarded:
+// closing the connection while bytes are unread would reset it before the client has read the answer.
 func (u *upload) close() {
 	u.Close(func() { _ = u.conn.SetReadDeadline(time.Now()) })
 	brokeOff := u.ctx.Err() != nil
--- a/middleware/roundtrip.go
+++ b/middleware/roundtrip.go
@@ -14,9 +14,9 @@
 	"cobaltward/router"
 )
 
-// RoundTripper sends the application's own requests through the engine. The scheme of the URL is ignored; servers get
-// its host as theirs. A request without X-Request-Id gets a new one; one without X-Deadline-Ms waits until its
-// context's deadline, or for as long as its class allows.
+// RoundTripper returns an http.RoundTripper that sends the application's own requests through the engine. The scheme
+// of the URL is ignored, and its host becomes the Host header. A request without X-Request-Id gets a new ID; one
+// without X-Deadline-Ms waits until its context's deadline, or for as long as its class allows.
 //
 // The response is the one that a client of the middleware would get. An error is returned if the request is malformed
 // (*router.InvalidError, among others), the router is drained or closed, or the request's context has ended. The
@@ -29,7 +29,7 @@
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
 	defer func() {
 		if out.Body != nil {
-			_ = out.Body.Close() // the contract of http.RoundTripper
+			_ = out.Body.Close() // http.RoundTripper must close the body
 		}
 	}()
 	r, err := t.withDefaults(out)
@@ -57,7 +57,7 @@
 	return newResponse(out, answer), nil
 }
 
-// withDefaults returns a copy of the request with the fields that an application may leave out.
+// withDefaults returns a copy of the request in which the fields that an application may leave out are set.
 func (t roundTripper) withDefaults(out *http.Request) (*http.Request, error) {
 	r := *out
 	r.Header = out.Header.Clone()
@@ -78,12 +78,12 @@
 		r.Header.Set("X-Request-Id", t.frontend.newID())
 	}
 	if r.Header.Get("X-Deadline-Ms") == "" {
-		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxDeadlineMs)) // RoundTrip leaves the timeout to the class
+		r.Header.Set("X-Deadline-Ms", strconv.Itoa(maxDeadlineMs)) // RoundTrip resets the timeout
 	}
 	return &r, nil
 }
 
-// readOutgoingBody returns the body, nil where the request has none.
+// readOutgoingBody returns the body; nil if the request has none.
 func readOutgoingBody(out *http.Request, method string) ([]byte, error) {
 	if out.Body == nil || out.Body == http.NoBody {
 		return nil, nil
--- a/middleware/roundtrip_test.go
+++ b/middleware/roundtrip_test.go
@@ -15,8 +15,8 @@
 	"cobaltward/router"
 )
 
-// TestRoundTripper: the application's own client routes through the engine, and gets what a client of the middleware
-// gets.
+// TestRoundTripper checks that the application's own client is routed through the engine, and gets the same answers
+// as a client of the middleware.
 func TestRoundTripper(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -32,14 +32,14 @@
 	}
 	status, body, err := call("POST", "pay", "sum", "X-Request-Id", "mine")
 	if status != 200 || body != "served mine" || err != nil {
-		t.Errorf("%d %q %v", status, body, err)
+		t.Errorf("with an ID: status %d %q, error %v", status, body, err)
 	}
 	if status, _, err := call("POST", "pay", "sum", "X-Request-Id", "mine"); status != 409 || err != nil {
-		t.Errorf("the same id again: %d %v", status, err)
+		t.Errorf("same ID again: status %d, error %v, want 409", status, err)
 	}
 	status, body, err = call("GET", "read", "", "X-Deadline-Ms", "")
 	if status != 200 || len(body) < len("served ")+32 || err != nil {
-		t.Errorf("without an id or a deadline: %d %q %v", status, body, err)
+		t.Errorf("without an ID or a deadline: status %d %q, error %v", status, body, err)
 	}
 	for want, test := range map[string]struct{ method, class, body string }{
 		"X-Class: unknown":         {"GET", "other", ""},
@@ -49,21 +49,21 @@
 		"over 64 KiB":              {"POST", "pay", strings.Repeat("x", 64<<10+1)},
 	} {
 		if _, _, err := call(test.method, test.class, test.body); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 	if served.Load() != 2 {
-		t.Errorf("%d reached the server", served.Load())
+		t.Errorf("%d requests reached the server, want 2", served.Load())
 	}
 	if err := engine.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, _, err := call("GET", "read", ""); !errors.Is(err, router.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("after Close: error %v, want router.ErrClosed", err)
 	}
 }
 
-// TestRoundTripper_ContextEnds: a context that ends ends the call, and its attempt is cancelled.
+// TestRoundTripper_ContextEnds checks that a cancelled context ends the call and cancels its attempt.
 func TestRoundTripper_ContextEnds(t *testing.T) {
 	addr, received := newHungServer(t)
 	engine := newRouter(t, addr)
@@ -76,7 +76,7 @@
 			_ = resp.Body.Close()
 		}
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v, want context.Canceled", err)
 		}
 	})
 	testkit.Receive(t, "the request", received)
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -12,10 +12,10 @@
 	"cobaltward/router"
 )
 
-// maxDiscardedBody is the bytes of a body that are read after its request was rejected.
+// maxDiscardedBody limits the bytes of a body that are read and discarded after its request was rejected.
 const maxDiscardedBody = 256 << 10
 
-// ServeHTTP answers r, whatever the matcher says.
+// ServeHTTP answers r, even if the matcher does not match it.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !f.hasUnambiguousFraming(r) {
 		f.rejectMalformed(w, r, "", badRequest("want version 1.1, and Content-Length for a body"))
@@ -40,7 +40,7 @@
 	}
 	switch {
 	case f.disconnected(ctx):
-		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // not 200, in case a proxy still reads it
+		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // not 200: a proxy may still read it
 	case f.isOverflow(ctx):
 		w.Header().Set("Connection", "close")
 		f.writeAnswer(w, f.overloadAnswer(req.Class))
@@ -51,15 +51,15 @@
 	}
 }
 
-// hasUnambiguousFraming reports whether this side and a server find the end of the request's body at the same place.
-// net/http takes the length from a transfer coding and ignores Content-Length, and ignores the coding in HTTP/1.0.
-// With WithBodyLimits the host has checked the coding.
+// hasUnambiguousFraming reports whether the router and a server find the end of the request's body at the same place.
+// net/http ignores Content-Length if there is a Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0. With
+// WithBodyLimits the host has checked the Transfer-Encoding.
 func (f *Frontend) hasUnambiguousFraming(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && (len(r.TransferEncoding) == 0 || f.bodyLimits != nil)
 }
 
-// readRequest reads the request's head, and its body to the end unless it is a long one, which the returned upload
-// reads.
+// readRequest reads the request's head, and its body to the end if it is short. A long body is left to the returned
+// upload.
 func (f *Frontend) readRequest(w http.ResponseWriter, r *http.Request) (router.Request, *upload, *requestError) {
 	req, problem := f.parseHead(r)
 	if problem != nil {
@@ -73,7 +73,7 @@
 	return req, nil, f.readBody(w, r, &req)
 }
 
-// forward hands the request to the engine and writes the answer.
+// forward passes the request to the engine and writes the answer.
 func (f *Frontend) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, req router.Request) {
 	answer, err := f.engine.Do(ctx, req)
 	switch invalid := (*router.InvalidError)(nil); {
@@ -83,7 +83,7 @@
 		f.rejectMalformed(w, r, req.Class, badRequest(invalid.Field+": "+invalid.Problem))
 	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // the request was not accepted
 		f.writeAnswer(w, router.Answer{Outcome: router.Overloaded})
-	default: // the context has ended, mostly for a disconnected client: nothing must take this for served
+	default: // the context has ended, usually by a disconnect: the answer must not look like success
 		f.writeAnswer(w, router.Answer{Outcome: router.Expired})
 	}
 }
@@ -122,18 +122,18 @@
 		}
 		req.Body = content
 	}
-	// From now on net/http reads in the background to notice a disconnect, and lifts the read deadline itself.
+	// From now on net/http reads in the background to notice a disconnect, and removes the read deadline itself.
 	req.ReceivedAt = f.arrivedAt(r.Context())
 	return nil
 }
 
-// arrivedAt returns when the last byte of a request arrived that was read just now.
+// arrivedAt returns the arrival time of the last byte of a request that was read just now.
 func (f *Frontend) arrivedAt(ctx context.Context) time.Time {
 	return time.Now().Add(-f.arrivalAge(ctx))
 }
 
-// rejectMalformed answers a malformed request, and closes its connection: the end of its body is in doubt, so that what
-// follows can't be trusted.
+// rejectMalformed answers a malformed request, and closes its connection: the end of its body is in doubt, so bytes
+// that follow must not be taken for a request.
 func (f *Frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, class string, problem *requestError) {
 	if _, known := f.engine.Class(class); known {
 		if counter, ok := f.engine.(FailureCounter); ok {
@@ -148,32 +148,33 @@
 	if r.ContentLength == 0 {
 		return
 	}
-	// A close with bytes unread would reset the connection before the client has read the answer, and net/http reads no
-	// further where the client has asked for the close. Errors of the read mean that the connection is gone.
+	// Closing the connection while bytes are unread would reset it before the client has read the answer, and
+	// net/http discards no unread bytes if the client itself sent Connection: close. A read error means that the
+	// connection is gone.
 	conn := http.NewResponseController(w)
 	_ = conn.Flush()
 	_ = conn.SetReadDeadline(time.Now().Add(DefaultBodyTimeout))
 	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBody)
 }
 
-// writeError writes an error whose length is known ahead of its end, so that it is complete once it is flushed.
+// writeError writes an error with its Content-Length, so that the answer is complete once it is flushed.
 func writeError(w http.ResponseWriter, problem *requestError) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("X-Content-Type-Options", "nosniff")
 	header.Set("Content-Length", strconv.Itoa(len(problem.text)+len("\n")))
 	w.WriteHeader(problem.status)
-	_, _ = fmt.Fprintln(w, problem.text) // fails where the client has disconnected
+	_, _ = fmt.Fprintln(w, problem.text) // fails only if the client has disconnected
 }
 
 // answerReadiness answers a readiness check.
 func (f *Frontend) answerReadiness(w http.ResponseWriter, r *http.Request) {
-	if r.ContentLength != 0 { // net/http would wait for the body without a bound
+	if r.ContentLength != 0 { // net/http would wait for the body without a limit
 		f.rejectMalformed(w, r, "", badRequest("no body is wanted here"))
 		return
 	}
 	f.addCloseHeader(w)
-	status := http.StatusOK // written explicitly: a framework may have set 404
+	status := http.StatusOK // written explicitly: a framework such as gin may have preset 404
 	if !f.isServing() {
 		status = http.StatusServiceUnavailable
 	}
--- a/middleware/support_test.go
+++ b/middleware/support_test.go
@@ -25,7 +25,7 @@
 	}))
 }
 
-// settings has a class of each kind: read is idempotent, pay is not, undo has idempotency keys.
+// settings returns settings with a class of each kind: read is idempotent, pay is not, undo has idempotency keys.
 func settings() policy.Settings {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{
@@ -46,7 +46,7 @@
 	return http1.New(http1.Config{ConnectTimeout: 2 * time.Second})
 }
 
-// endpoints are servers in service at the addresses.
+// endpoints returns an endpoint for each address.
 func endpoints(addrs []string) []router.Endpoint {
 	var all []router.Endpoint
 	for i, addr := range addrs {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// newRouter returns a router to the servers at the addresses, which closes with the test.
+// newRouter returns a router for the servers at the addresses. It is closed when the test ends.
 func newRouter(t testing.TB, addrs ...string) *router.Router {
 	t.Helper()
 	config := router.Config{Settings: settings(), Endpoints: endpoints(addrs)}
@@ -67,7 +67,8 @@
 	return engine
 }
 
-// request returns a request as clients send it; headers are pairs, and an empty value removes one.
+// request returns a request with the headers that clients send. headers are pairs of names and values; an empty value
+// removes the header.
 func request(t testing.TB, url, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -87,7 +88,7 @@
 	return req
 }
 
-// serve runs an application, and returns its URL.
+// serve runs the application's HTTP server until the test ends, and returns its URL.
 func serve(t testing.TB, handler http.Handler, configure ...func(*httptest.Server)) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
@@ -124,7 +125,8 @@
 	}
 }
 
-// newEchoServer is an app server that answers with the request ID it gets, and counts requests.
+// newEchoServer starts an app server that answers with the request ID it gets and counts requests. It returns the
+// address.
 func newEchoServer(t testing.TB, served *atomic.Int32) string {
 	return testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -133,7 +135,7 @@
 	})
 }
 
-// newHungServer is an app server that never answers; received gets the ID of each request.
+// newHungServer starts an app server that never answers. received gets the ID of each request.
 func newHungServer(t testing.TB) (addr string, received chan string) {
 	received = make(chan string, 100)
 	return testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/middleware/timedbody.go
+++ b/middleware/timedbody.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// bodyStallTimeout is how long a client may send nothing within a body.
+	// bodyStallTimeout is how long a client may send nothing in the middle of a body.
 	bodyStallTimeout = 2500 * time.Millisecond
-	// longBodyStallTimeout bounds that time for a long body: slow clients send it in pieces of any size.
+	// longBodyStallTimeout is the upper limit of that time for a long body, which grows with the bytes received: slow
+	// clients send it in pieces of any size.
 	longBodyStallTimeout = 15 * time.Second
 )
 
-// BodyDeadlineSetter bounds the reads of a request's body: until the deadline, and no longer than the timeout after the
-// last byte that came. It may leave out the time for which the process was paused. It returns false if it cannot.
+// BodyDeadlineSetter limits the time of the next reads of a request's body: they end at the deadline, or earlier if
+// nothing arrives for the timeout. Time during which the process was paused may be left out. It returns false if it
+// cannot set such a limit for the connection.
 type BodyDeadlineSetter func(ctx context.Context, timeout time.Duration, deadline time.Time) bool
 
-// timedBody reads a request's body within a deadline for the whole and a timeout for each read. The time between reads
-// counts for the deadline alone.
+// timedBody reads a request's body with a deadline for the whole body and a timeout for each read. The time between
+// reads counts only towards the deadline.
 type timedBody struct {
 	io.Reader
 	conn         *http.ResponseController
-	setDeadlines func(timeout time.Duration, deadline time.Time) bool // nil: the timeout is that of a whole Read
+	setDeadlines func(timeout time.Duration, deadline time.Time) bool // nil: each Read gets a read deadline
 	deadline     time.Time
-	long         bool // over maxShortBody, or of unknown length
+	isLong       bool // the length is over maxShortBody, or unknown
 	received     int64
-	ended        bool // the end of the body was read
+	sawEOF       bool // Read has returned io.EOF
 }
 
-// Read reads from the client. Behind the end of the body it sets no deadline: net/http reads on by then, to notice that
-// the client disconnects, and a deadline would cancel the request.
+// Read reads from the client. After the end of the body it sets no deadline: net/http then reads in the background to
+// notice a disconnect, and a deadline there would cancel the request.
 func (b *timedBody) Read(p []byte) (int, error) {
-	if b.ended {
+	if b.sawEOF {
 		return 0, io.EOF
 	}
 	b.setReadDeadline()
 	n, err := b.Reader.Read(p)
 	b.received += int64(n)
-	b.ended = errors.Is(err, io.EOF)
+	b.sawEOF = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// setReadDeadline bounds the next Read. Of a body in chunks it may take many reads of the connection.
+// setReadDeadline limits the time of the next Read, which may take many reads of the connection for a chunked body.
 func (b *timedBody) setReadDeadline() {
 	timeout := b.stallTimeout()
 	if b.setDeadlines != nil && b.setDeadlines(timeout, b.deadline) {
@@ -54,13 +56,13 @@
 	if b.deadline.Before(readDeadline) {
 		readDeadline = b.deadline
 	}
-	_ = b.conn.SetReadDeadline(readDeadline) // fails only where there is no connection
+	_ = b.conn.SetReadDeadline(readDeadline) // fails only if the ResponseWriter has no connection
 }
 
-// stallTimeout returns the timeout of the next read. The client of a long body may pause for as long as it would have
-// taken at minUploadRate for what it has sent.
+// stallTimeout returns the timeout of the next read. A client that has sent part of a long body may pause for the
+// time that this part takes at minUploadRate, in addition to bodyStallTimeout.
 func (b *timedBody) stallTimeout() time.Duration {
-	if !b.long {
+	if !b.isLong {
 		return bodyStallTimeout
 	}
 	return min(longBodyStallTimeout, bodyStallTimeout+time.Duration(b.received)*time.Second/minUploadRate)
--- a/middleware/timedbody_test.go
+++ b/middleware/timedbody_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestTimedBody_StallTimeout: what has arrived of a long body extends the timeout of the next read, within a bound.
+// TestTimedBody_StallTimeout checks that the bytes received of a long body extend the timeout of the next read, up to
+// longBodyStallTimeout.
 func TestTimedBody_StallTimeout(t *testing.T) {
 	for received, want := range map[int64]time.Duration{
 		0:             bodyStallTimeout,
@@ -17,7 +18,7 @@
 		if got := body.stallTimeout(); got != bodyStallTimeout {
 			t.Errorf("short: %v after %d bytes, want %v", got, received, bodyStallTimeout)
 		}
-		body.long = true
+		body.isLong = true
 		if got := body.stallTimeout(); got != want {
 			t.Errorf("long: %v after %d bytes, want %v", got, received, want)
 		}
