--- a/internal/sockets/arrival_test.go
+++ b/internal/sockets/arrival_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Earliest is never later than the actual arrival of a request, in whichever way it arrives and is read.
-func TestArrivalBoundsTheAgeOfARequest(t *testing.T) {
+// TestArrival_EarliestNeverAfterArrival checks that Earliest is never later than the actual arrival of a request,
+// however it arrives and is read.
+func TestArrival_EarliestNeverAfterArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, test := range []struct {
-		name string
-		play func(a *Arrival)
-		want int // ms
+		name   string
+		record func(a *Arrival)
+		want   int // ms
 	}{
 		{"read as it arrives", func(a *Arrival) { a.RecordRead(at(10), at(40), true) }, 40},
 		{"arrived before the accept", func(a *Arrival) { a.RecordRead(at(400), at(400), true) }, 0},
@@ -37,11 +38,11 @@
 			a.RecordRead(at(10), at(40), true)
 			a.Advance()
 		}, 40},
-		{"waited for, then a pause of the process", func(a *Arrival) {
+		{"read waits, then the process is paused", func(a *Arrival) {
 			a.RecordRead(at(10), at(40), true)
 			a.recordSlowRead(at(40), at(300), at(100), true)
 		}, 100},
-		{"a pause of the process while it was unread", func(a *Arrival) {
+		{"process is paused while the request is unread", func(a *Arrival) {
 			a.RecordRead(at(10), at(40), true)
 			a.recordSlowRead(at(200), at(300), at(150), true)
 		}, 40},
@@ -54,9 +55,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			var arrival Arrival
 			arrival.Reset(at(0))
-			test.play(&arrival)
+			test.record(&arrival)
 			if got := arrival.Earliest(); !got.Equal(at(test.want)) {
-				t.Errorf("%v after the start, want %d ms", got.Sub(start), test.want)
+				t.Errorf("earliest arrival %v after the start, want %d ms", got.Sub(start), test.want)
 			}
 		})
 	}
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -12,32 +12,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// DeadlineReader reads a TCP connection, and serves at a read deadline what the kernel has received by then: package
-// net looks at the deadline before the socket, so that a process that was paused until the deadline loses bytes that
-// came in time. What comes after that last look is not read, so that a peer cannot extend a deadline by sending on. One
-// goroutine may read while others set the deadline.
+// DeadlineReader reads a TCP connection and, at a read deadline, still returns the bytes that the kernel has received
+// by then. Package net checks the deadline before the socket, so that a process that was paused until the deadline
+// would lose bytes that came in time. The number of these bytes is determined once for each deadline, so that a peer
+// cannot extend the deadline by sending more. One goroutine may read while others set the deadline.
 type DeadlineReader struct {
 	tcp      *net.TCPConn
 	openedAt time.Time
 
-	mu       sync.Mutex
-	deadline time.Time // zero: none
-	passed   bool      // the last look at this deadline was taken
-	received int       // bytes that it found, and that are not read yet
+	mu             sync.Mutex
+	deadline       time.Time // zero: none
+	checked        bool      // receivedInTime is determined for this deadline
+	receivedInTime int       // bytes that had arrived by the deadline and are unread
 }
 
-// NewDeadlineReader returns a reader of a connection that was opened before. The connection's read deadline must be set
-// by the reader's SetReadDeadline alone.
+// NewDeadlineReader returns a reader of an open connection. From then on the connection's read deadline must only be
+// set by SetReadDeadline of the reader.
 func NewDeadlineReader(tcp *net.TCPConn) *DeadlineReader {
 	return &DeadlineReader{tcp: tcp, openedAt: time.Now()}
 }
 
-// SetReadDeadline sets the deadline of Read; the zero time is none. A time before the connection was opened ends a Read
-// at once, without a last look, as net/http ends its reads in the background.
+// SetReadDeadline sets the deadline of Read; the zero time means none. A time before the reader was created ends a
+// Read at once, even if bytes have been received: net/http interrupts its background reads this way.
 func (r *DeadlineReader) SetReadDeadline(t time.Time) error {
 	r.mu.Lock()
 	if !r.deadline.Equal(t) {
-		r.deadline, r.passed, r.received = t, false, 0
+		r.deadline, r.checked, r.receivedInTime = t, false, 0
 	}
 	r.mu.Unlock()
 	return r.tcp.SetReadDeadline(t)
@@ -46,41 +46,41 @@
 // Read reads from the connection.
 func (r *DeadlineReader) Read(p []byte) (int, error) {
 	n, err := r.tcp.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.lastLook() {
-		return r.readReceived(p, err)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.hasReceivedInTime() {
+		return r.readReceivedInTime(p, err)
 	}
 	return n, err
 }
 
-// lastLook reports whether bytes are left to be read that the kernel had received when the read deadline was found to
-// have passed. It is called by the reading goroutine, after a read that failed at the deadline.
-func (r *DeadlineReader) lastLook() bool {
+// hasReceivedInTime reports whether there are unread bytes that the kernel had received when the read deadline was
+// first found to have passed. The reading goroutine calls it after a read that failed at the deadline.
+func (r *DeadlineReader) hasReceivedInTime() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.deadline.Before(r.openedAt) || r.deadline.After(time.Now()) { // the first is none, too; the second was set since
+	if r.deadline.Before(r.openedAt) || r.deadline.After(time.Now()) { // no deadline or an interrupt; a new deadline
 		return false
 	}
-	if !r.passed {
-		r.passed, r.received = true, Unread(r.tcp)
+	if !r.checked {
+		r.checked, r.receivedInTime = true, Unread(r.tcp)
 	}
-	return r.received > 0
+	return r.receivedInTime > 0
 }
 
-// recordRead says that n of the bytes of the last look were read.
+// recordRead records that n of the bytes that were received in time were read.
 func (r *DeadlineReader) recordRead(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.received -= min(n, r.received)
+	r.receivedInTime -= min(n, r.receivedInTime)
 }
 
-// readReceived reads what the last look found; it returns timeoutErr if there is nothing.
-func (r *DeadlineReader) readReceived(buf []byte, timeoutErr error) (n int, err error) {
+// readReceivedInTime reads bytes that were received in time. It returns timeoutErr if there are none.
+func (r *DeadlineReader) readReceivedInTime(buf []byte, timeoutErr error) (n int, err error) {
 	raw, err := r.tcp.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	r.mu.Lock()
-	buf = buf[:min(len(buf), r.received)]
+	buf = buf[:min(len(buf), r.receivedInTime)]
 	r.mu.Unlock()
 	var readErr error
 	err = raw.Control(func(fd uintptr) { n, _, readErr = syscall.Recvfrom(int(fd), buf, syscall.MSG_DONTWAIT) })
@@ -98,7 +98,8 @@
 	return n, nil
 }
 
-// Unread returns the number of bytes of a connection that have arrived and are unread; 0 if the kernel does not tell.
+// Unread returns the number of bytes of a connection that have arrived and are unread; 0 if the kernel does not
+// report it.
 func Unread(c syscall.Conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/sockets/deadlinereader_test.go
+++ b/internal/sockets/deadlinereader_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// tcpPair returns both ends of a connection.
-func tcpPair(t *testing.T) (own, peer *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,14 +28,14 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// send writes to the peer's end, and waits until the bytes have arrived.
-func send(t *testing.T, own, peer *net.TCPConn, text string) {
+// send writes text at the peer's end, and waits until all of it has arrived at the local end.
+func send(t *testing.T, local, peer *net.TCPConn, text string) {
 	t.Helper()
-	before := Unread(own)
+	before := Unread(local)
 	if _, err := peer.Write([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	for Unread(own) < before+len(text) {
+	for Unread(local) < before+len(text) {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -44,59 +44,61 @@
 func wantTimeout(t *testing.T, reader *DeadlineReader) {
 	t.Helper()
 	if n, err := reader.Read(make([]byte, 10)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %d bytes, %v, want a timeout", n, err)
+		t.Errorf("read %d bytes, error %v, want a timeout", n, err)
 	}
 }
 
-// Bytes that came by the read deadline are read after it, in pieces too, and bytes that came later are not: a peer that
-// sends on does not extend the deadline.
-func TestDeadlineReader_ServesWhatCameInTime(t *testing.T) {
-	own, peer := tcpPair(t)
-	reader := NewDeadlineReader(own)
+// TestDeadlineReader_ReadsBytesReceivedInTime checks that bytes that came by the read deadline are read after it,
+// also in pieces, and that bytes that came later are not: a peer must not extend the deadline by sending more.
+func TestDeadlineReader_ReadsBytesReceivedInTime(t *testing.T) {
+	local, peer := tcpPair(t)
+	reader := NewDeadlineReader(local)
 	deadline := time.Now().Add(time.Millisecond)
 	if err := reader.SetReadDeadline(deadline); err != nil {
 		t.Fatal(err)
 	}
-	send(t, own, peer, "in time")
+	send(t, local, peer, "in time")
 	time.Sleep(time.Until(deadline) + 5*time.Millisecond)
 	buf := make([]byte, 3)
 	for i, want := range []string{"in ", "tim", "e"} {
 		if n, err := reader.Read(buf); err != nil || string(buf[:n]) != want {
-			t.Errorf("read %d: %q, %v, want %q", i, buf[:n], err, want)
+			t.Errorf("read %d: %q, error %v, want %q", i, buf[:n], err, want)
 		}
 		if i == 0 {
-			send(t, own, peer, ", and later")
+			send(t, local, peer, ", and later")
 		}
-		_ = reader.SetReadDeadline(deadline) // as timedBody sets it, once more
+		_ = reader.SetReadDeadline(deadline) // setting the same deadline again must change nothing
 	}
 	wantTimeout(t, reader)
 	_ = reader.SetReadDeadline(time.Now().Add(time.Minute))
 	if n, err := reader.Read(buf); err != nil || string(buf[:n]) != ", a" {
-		t.Errorf("within the next deadline: %q, %v", buf[:n], err)
+		t.Errorf("before the next deadline: %q, error %v, want the bytes that came late", buf[:n], err)
 	}
 }
 
-// Without bytes the deadline is a timeout, and the end of the stream is its end.
-func TestDeadlineReader_NothingCame(t *testing.T) {
-	own, peer := tcpPair(t)
-	reader := NewDeadlineReader(own)
+// TestDeadlineReader_NothingReceivedInTime checks that a read at the deadline times out if no bytes came in time,
+// also after others come late.
+func TestDeadlineReader_NothingReceivedInTime(t *testing.T) {
+	local, peer := tcpPair(t)
+	reader := NewDeadlineReader(local)
 	_ = reader.SetReadDeadline(time.Now().Add(time.Millisecond))
 	wantTimeout(t, reader)
 	wantTimeout(t, reader)
-	send(t, own, peer, "late")
+	send(t, local, peer, "late")
 	wantTimeout(t, reader)
 }
 
-// A time long ago ends a read at once, as net/http ends its reads in the background: the bytes are left for the next.
-func TestDeadlineReader_Interrupt(t *testing.T) {
-	own, peer := tcpPair(t)
-	reader := NewDeadlineReader(own)
-	send(t, own, peer, "next")
+// TestDeadlineReader_PastDeadlineInterrupts checks that a deadline long ago ends a read at once, as net/http
+// interrupts its background reads, and leaves the bytes for the next read.
+func TestDeadlineReader_PastDeadlineInterrupts(t *testing.T) {
+	local, peer := tcpPair(t)
+	reader := NewDeadlineReader(local)
+	send(t, local, peer, "next")
 	_ = reader.SetReadDeadline(time.Unix(1, 0))
 	wantTimeout(t, reader)
 	_ = reader.SetReadDeadline(time.Time{})
 	buf := make([]byte, 10)
 	if n, err := reader.Read(buf); err != nil || string(buf[:n]) != "next" {
-		t.Errorf("%q, %v", buf[:n], err)
+		t.Errorf("read after the interrupted one: %q, error %v", buf[:n], err)
 	}
 }
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// maxConnectedDelay bounds the time from which the kernel has a connection until its dial returns.
-	maxConnectedDelay = time.Second
-	// maxTimerDelay is by how much a timer is late in a process that runs.
+	// maxDialReturnDelay limits the time from the establishment of a connection in the kernel until its dial returns.
+	maxDialReturnDelay = time.Second
+	// maxTimerDelay is by how much a timer may be late in a process that was not paused.
 	maxTimerDelay = time.Millisecond
-	// minExtension is what a connect gets at least after a timeout that came late.
+	// minExtension is the least additional time for a connect whose timeout came late.
 	minExtension = 20 * time.Millisecond
 )
 
-// DialTCP opens a TCP connection as dialer.DialContext does. At a timeout, that of the dialer or the deadline of ctx,
-// it looks at the socket once more: package net gives up a connection that was established in time where the process
-// was paused until the timeout. The error at a timeout wraps os.ErrDeadlineExceeded or ctx's error.
+// DialTCP opens a TCP connection as dialer.DialContext does. At a timeout, which is that of the dialer or the
+// deadline of ctx, it checks the socket once more: if the process was paused until the timeout, package net would
+// discard a connection that was established in time. The error at a timeout wraps os.ErrDeadlineExceeded or ctx's
+// error.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	dialCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	attempt := &connectAttempt{cancel: cancel}
-	own := *dialer
-	own.Timeout = 0
-	own.ControlContext = attempt.wrapControl(dialer)
-	own.Control = nil
+	ownDialer := *dialer
+	ownDialer.Timeout = 0
+	ownDialer.ControlContext = attempt.recordSockets(dialer)
+	ownDialer.Control = nil
 	if dialer.Timeout > 0 {
 		due := time.Now().Add(dialer.Timeout)
 		timer := time.AfterFunc(dialer.Timeout, func() { attempt.expire(os.ErrDeadlineExceeded, due) })
 		defer timer.Stop()
 	}
-	stop := context.AfterFunc(ctx, func() { attempt.end(ctx) })
+	stop := context.AfterFunc(ctx, func() { attempt.endWithContext(ctx) })
 	defer stop()
-	conn, err := own.DialContext(dialCtx, "tcp", addr)
-	defer attempt.stopBound()
+	conn, err := ownDialer.DialContext(dialCtx, "tcp", addr)
+	defer attempt.stopExtension()
 	if cause := context.Cause(dialCtx); err != nil && cause != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: cause}
 	}
@@ -56,19 +57,19 @@
 	return tcp, nil
 }
 
-// connectAttempt is a connect in progress. A host name may have several addresses, and so several sockets.
+// connectAttempt is a connect in progress. It has several sockets if the host name has several addresses.
 type connectAttempt struct {
 	cancel context.CancelCauseFunc
 
-	mu      sync.Mutex
-	sockets []syscall.RawConn
-	bound   *time.Timer // ends a connect that was given more time; nil: none was
+	mu        sync.Mutex
+	sockets   []syscall.RawConn
+	extension *time.Timer // ends a connect whose timeout was extended; nil: it was not
 }
 
 type controlFunc = func(ctx context.Context, network, address string, socket syscall.RawConn) error
 
-// wrapControl returns a ControlContext for the dialer that notes its sockets.
-func (a *connectAttempt) wrapControl(dialer *net.Dialer) controlFunc {
+// recordSockets returns a ControlContext that records the sockets of the attempt and then calls that of the dialer.
+func (a *connectAttempt) recordSockets(dialer *net.Dialer) controlFunc {
 	return func(ctx context.Context, network, address string, socket syscall.RawConn) error {
 		a.mu.Lock()
 		a.sockets = append(a.sockets, socket)
@@ -83,8 +84,8 @@
 	}
 }
 
-// end ends the attempt with ctx: at its deadline like a timeout, and at once where it was cancelled.
-func (a *connectAttempt) end(ctx context.Context) {
+// endWithContext ends the attempt when ctx ends: at its deadline as expire does, and at once if it was cancelled.
+func (a *connectAttempt) endWithContext(ctx context.Context) {
 	due, hasDeadline := ctx.Deadline()
 	if hasDeadline && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		a.expire(ctx.Err(), due)
@@ -93,25 +94,25 @@
 	a.cancel(ctx.Err())
 }
 
-// expire ends the attempt at a timeout that was due, unless a socket is connected: then the dial returns as soon as it
-// runs. For a timeout that comes late, as after a pause of the process, the attempt gets more time once: it may not
+// expire ends the attempt at a timeout that was due, unless a socket is connected, so that the dial is about to
+// return. If the timeout fires late, as after a pause of the process, the attempt gets more time once: it may not
 // have sent its SYN yet.
 func (a *connectAttempt) expire(cause error, due time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	late := time.Since(due)
 	switch {
-	case a.bound != nil: // another timeout has extended the attempt
+	case a.extension != nil: // another timeout has extended the attempt
 	case slices.ContainsFunc(a.sockets, isConnected):
-		a.bound = time.AfterFunc(maxConnectedDelay, func() { a.cancel(cause) })
+		a.extension = time.AfterFunc(maxDialReturnDelay, func() { a.cancel(cause) })
 	case late > maxTimerDelay:
-		a.bound = time.AfterFunc(max(late, minExtension), func() { a.expireExtended(cause) })
+		a.extension = time.AfterFunc(max(late, minExtension), func() { a.expireExtended(cause) })
 	default:
 		a.cancel(cause)
 	}
 }
 
-// expireExtended is expire at the end of an extension.
+// expireExtended ends the attempt at the end of its extension, unless a socket is connected.
 func (a *connectAttempt) expireExtended(cause error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,15 +120,15 @@
 		a.cancel(cause)
 		return
 	}
-	a.bound = time.AfterFunc(maxConnectedDelay, func() { a.cancel(cause) })
+	a.extension = time.AfterFunc(maxDialReturnDelay, func() { a.cancel(cause) })
 }
 
-// stopBound releases the timer of expire.
-func (a *connectAttempt) stopBound() {
+// stopExtension stops the timer of an extension.
+func (a *connectAttempt) stopExtension() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.bound != nil {
-		a.bound.Stop()
+	if a.extension != nil {
+		a.extension.Stop()
 	}
 }
 
--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	// dialHelperEnv names the address that the test binary dials as a helper process, in place of running tests.
+	// dialHelperEnv is the environment variable with which the test binary runs as a helper process: it dials the
+	// address in it instead of running tests.
 	dialHelperEnv = "SOCKETS_DIAL_HELPER"
-	// dialHelperTimeout is the timeout of its dial.
+	// dialHelperTimeout is the timeout of the helper process's dial.
 	dialHelperTimeout = 1200 * time.Millisecond
-	// synRetransmission is when the kernel sends a SYN again, with some slack.
+	// synRetransmission is the time after which the kernel has sent a SYN again: 1 s, with some slack.
 	synRetransmission = 1100 * time.Millisecond
 )
 
@@ -31,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// runDialHelper dials an address, and says when it begins.
+// runDialHelper prints that it starts, dials the address, and prints the result.
 func runDialHelper(addr string) (status int) {
 	fmt.Println("dialing")
 	conn, err := DialTCP(context.Background(), &net.Dialer{Timeout: dialHelperTimeout}, addr)
@@ -44,7 +45,7 @@
 	return 0
 }
 
-// fullListener listens with a full accept queue: the kernel drops further SYNs until accept has been called.
+// fullListener listens with a full accept queue: the kernel drops further SYNs until accept is called.
 func fullListener(t *testing.T) (addr string, accept func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestDialTCP_PausedUntilTimeout: a process is paused from before its connection is established until after the timeout
-// of the dial. The connection was established in time, and counts.
+// TestDialTCP_PausedUntilTimeout pauses a process before its connection is established, and until after the timeout
+// of the dial. The dial must succeed, since the connection was established in time.
 func TestDialTCP_PausedUntilTimeout(t *testing.T) {
 	addr, accept := fullListener(t)
 	helper := exec.Command(os.Args[0])
@@ -98,7 +99,7 @@
 	defer func() { _ = helper.Process.Kill() }()
 	lines := bufio.NewScanner(output)
 	lines.Scan()
-	time.Sleep(100 * time.Millisecond) // its SYN has been dropped
+	time.Sleep(100 * time.Millisecond) // by now its SYN has been sent and dropped
 	if err := helper.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -109,11 +110,12 @@
 	}
 	lines.Scan()
 	if err := helper.Wait(); err != nil {
-		t.Errorf("%v: %s", err, lines.Text())
+		t.Errorf("dial helper failed: %v: %s", err, lines.Text())
 	}
 }
 
-// A connection that does not come up in time fails at the timeout, at the deadline of the context, and at its cancel.
+// TestDialTCP_Timeout checks that a connection that is not established in time fails at the dialer's timeout, at the
+// context's deadline, and when the context is cancelled.
 func TestDialTCP_Timeout(t *testing.T) {
 	addr, _ := fullListener(t)
 	const timeout = 150 * time.Millisecond
@@ -134,13 +136,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			conn, err := DialTCP(test.ctx, &test.dialer, addr)
 			if !errors.Is(err, test.want) {
-				t.Errorf("%v, %v; want error %v", conn, err, test.want)
+				t.Errorf("connection %v, error %v; want error %v", conn, err, test.want)
 			}
 		})
 	}
 }
 
-// An address without a listener fails as with package net.
+// TestDialTCP_Refused checks that an address without a listener fails with the error of package net.
 func TestDialTCP_Refused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -149,24 +151,25 @@
 	_ = ln.Close()
 	_, err = DialTCP(t.Context(), &net.Dialer{Timeout: time.Second}, ln.Addr().String())
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("%v, want connection refused", err)
+		t.Errorf("error %v, want connection refused", err)
 	}
 }
 
-// A timeout that comes late gives an attempt that has not begun to connect more time, once; one in time ends it.
+// TestConnectAttempt_LateTimeout checks that a timeout that fires late extends an attempt that has not begun to
+// connect, once, and that a punctual timeout ends the attempt.
 func TestConnectAttempt_LateTimeout(t *testing.T) {
 	for _, late := range []time.Duration{0, 5 * time.Millisecond} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		attempt := &connectAttempt{cancel: cancel}
 		attempt.expire(os.ErrDeadlineExceeded, time.Now().Add(-late))
 		if ended := ctx.Err() != nil; ended != (late == 0) {
-			t.Errorf("late by %v: ended %v", late, ended)
+			t.Errorf("timeout late by %v: attempt ended %v", late, ended)
 		}
-		attempt.expire(context.DeadlineExceeded, time.Now()) // that of the context, at the same time
+		attempt.expire(context.DeadlineExceeded, time.Now()) // the context's deadline at the same time
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Minute):
-			t.Errorf("late by %v: no end", late)
+			t.Errorf("timeout late by %v: attempt did not end", late)
 		}
 	}
 }
--- a/internal/sockets/idle.go
+++ b/internal/sockets/idle.go
@@ -1,5 +1,5 @@
-// Package sockets has what package net does not offer for TCP: the state of connections in the kernel, inherited
-// listening sockets, and listeners that survive errors.
+// Package sockets provides what package net lacks for TCP: the kernel's state of connections, inherited listening
+// sockets, and listeners that continue after errors.
 package sockets
 
 import (
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Limits of the backoff between two calls of Accept that fail.
+// Limits of the backoff after a failed accept.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
 )
 
-// acceptLogInterval is the time without a failure after which the next failure is logged.
+// acceptLogInterval is the time without a failed accept after which the next failure is logged.
 const acceptLogInterval = 10 * time.Second
 
 // PersistentListener is a listener whose Accept fails only after Close, or at its deadline. Servers such as that of
-// net/http end at the first error of accept(2), although many are temporary: a lack of memory, or a network error of
-// the connection that was to be accepted.
+// net/http end at the first error of accept(2), although many errors are temporary: a lack of memory, or a network
+// error of the connection to be accepted.
 type PersistentListener struct {
 	net.Listener
 	log *slog.Logger
@@ -33,8 +33,8 @@
 	lastFailure time.Time // used by Accept only
 }
 
-// NewPersistentListener returns a listener that continues after errors of inner. Errors are logged if log is not nil,
-// but not those that follow another one within ten seconds. Accept must not be called concurrently.
+// NewPersistentListener returns a listener that retries after errors of inner. If log is not nil, an error is logged
+// unless another one occurred in the ten seconds before. Accept must not be called concurrently.
 func NewPersistentListener(inner net.Listener, log *slog.Logger) *PersistentListener {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Close implements net.Listener. Further calls return what the first one returned.
+// Close implements net.Listener. Later calls return the result of the first one.
 func (l *PersistentListener) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -72,7 +72,7 @@
 	return l.closeErr
 }
 
-// SetDeadline sets the deadline of Accept. It returns errors.ErrUnsupported if the inner listener has none.
+// SetDeadline sets the deadline of Accept. It returns errors.ErrUnsupported if the inner listener has no deadlines.
 func (l *PersistentListener) SetDeadline(t time.Time) error {
 	inner, ok := l.Listener.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -81,7 +81,7 @@
 	return inner.SetDeadline(t)
 }
 
-// SyscallConn implements syscall.Conn. It returns errors.ErrUnsupported if the inner listener does not.
+// SyscallConn implements syscall.Conn. It returns errors.ErrUnsupported if the inner listener does not implement it.
 func (l *PersistentListener) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -99,7 +99,7 @@
 	}
 }
 
-// logFailure logs an error, unless there was another one shortly before.
+// logFailure logs an error, unless the previous one was less than acceptLogInterval ago.
 func (l *PersistentListener) logFailure(err error) {
 	now := time.Now()
 	if l.lastFailure.IsZero() || now.Sub(l.lastFailure) > acceptLogInterval {
--- a/internal/sockets/peek.go
+++ b/internal/sockets/peek.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Peek returns the bytes of a connection that have arrived and are unread, up to the length of buf, in buf. It neither
-// blocks nor consumes them.
+// Peek copies the unread bytes of a connection into buf, as many as fit, and returns that part of buf. It neither
+// blocks nor consumes the bytes.
 func Peek(c *net.TCPConn, buf []byte) []byte {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/sockets/peerclosed.go
+++ b/internal/sockets/peerclosed.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// The kernel's numbers of the TCP states in which the peer has closed its side, or the connection.
+// The kernel's numbers of the TCP states in which the peer has closed its side, or the whole connection is closed.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -11,8 +11,8 @@
 	tcpTimeWait  = 6
 )
 
-// PeerClosed reports whether the peer has closed its side of a connection, or reset it, even if bytes before that are
-// still unread. It does not block. If the kernel does not tell, it returns false.
+// PeerClosed reports whether the peer has closed its side of a connection, or reset it, even if earlier bytes are
+// still unread. It does not block. If the kernel does not report the state, it returns false.
 func PeerClosed(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -20,11 +20,11 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) { closed = isClosedByPeer(fd) })
-	return closed || err != nil // an error: closed on this side
+	return closed || err != nil // Control fails if this side has closed the connection
 }
 
-// AwaitPeerClose waits until the peer has closed its side of a connection, and returns an error if the read deadline is
-// reached first. It reads nothing. There must be no concurrent Read.
+// AwaitPeerClose waits until the peer has closed its side of a connection. It returns an error if the read deadline
+// passes first. It reads no bytes. No Read may run at the same time.
 func AwaitPeerClose(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return raw.Read(isClosedByPeer)
 }
 
-// isClosedByPeer gets the state of a connection from the kernel. A read could not tell, because unread bytes precede
+// isClosedByPeer asks the kernel for the state of a connection. A read could not tell, because unread bytes precede
 // the end of the stream.
 func isClosedByPeer(fd uintptr) bool {
 	var info tcpInfo
--- a/internal/sockets/queue.go
+++ b/internal/sockets/queue.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxPeeked is the length up to which unread bytes are looked at: a request, or a TLS ClientHello.
-	maxPeeked = 4 << 10
-	// kernelClockTick is the longest tick of the clock by which the kernel keeps the times of a connection.
+	// maxPeekedBytes limits how many unread bytes are examined to find out whether a request or a TLS ClientHello is
+	// complete.
+	maxPeekedBytes = 4 << 10
+	// kernelClockTick is the longest tick of the clock with which the kernel records the times of a connection.
 	kernelClockTick = 10 * time.Millisecond
 )
 
-// HasQueuedConn reports whether a connection waits in a listener's accept queue; known is false if the kernel does not
-// tell, or the listener has no descriptor. It does not block.
+// HasQueuedConn reports whether a connection waits in a listener's accept queue. known is false if the kernel does
+// not report it, or the listener has no descriptor. It does not block.
 func HasQueuedConn(listener net.Listener) (queued, known bool) {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -36,21 +37,21 @@
 	return queued, known && err == nil
 }
 
-// AcceptQueue determines how old the connections in a listener's accept queue can be. It is not safe for concurrent
-// use.
+// AcceptQueue determines a bound for the age of the connections in a listener's accept queue. It is not safe for
+// concurrent use.
 type AcceptQueue struct {
 	emptyAt time.Time
 }
 
-// NewAcceptQueue returns an AcceptQueue for a listener that was opened now.
+// NewAcceptQueue returns an AcceptQueue for a listener that was opened just now.
 func NewAcceptQueue() AcceptQueue { return AcceptQueue{emptyAt: time.Now()} }
 
-// EmptyAt returns when the queue was last known to be empty: connections that were accepted later cannot have arrived
-// earlier.
+// EmptyAt returns when the queue was last known to be empty. Connections that are accepted later cannot have arrived
+// before that time.
 func (q *AcceptQueue) EmptyAt() time.Time { return q.emptyAt }
 
-// Accept accepts a connection. That the call took long says that the queue was empty only where the kernel had said so
-// before: the host may have paused this process.
+// Accept accepts a connection. A call that took long waited on an empty queue, unless the kernel had reported a
+// queued connection before it: then the process may have been paused during the call.
 func (q *AcceptQueue) Accept(listener net.Listener) (net.Conn, error) {
 	queued, known := HasQueuedConn(listener)
 	began := time.Now()
@@ -69,9 +70,9 @@
 	return conn, nil
 }
 
-// recordEstablished records when an accepted connection was established, if the kernel tells: those behind it in the
-// queue came later. A connection that was queued may have gone to another process that shares the socket, and this one
-// may have come long after.
+// recordEstablished records when an accepted connection was established, if the kernel reports it: connections behind
+// it in the queue came later. This also corrects the time if the connection seen in the queue went to another process
+// that shares the socket, and the accepted one came long after it.
 func (q *AcceptQueue) recordEstablished(conn net.Conn, now time.Time) {
 	tcp := underlyingTCP(conn)
 	if tcp == nil {
@@ -83,7 +84,7 @@
 	}
 }
 
-// underlyingTCP returns the TCP connection under a connection; nil if there is none.
+// underlyingTCP returns the TCP connection that conn is or wraps; nil if there is none.
 func underlyingTCP(conn net.Conn) *net.TCPConn {
 	switch conn := conn.(type) {
 	case *net.TCPConn:
@@ -94,14 +95,15 @@
 	return nil
 }
 
-// WaitingSince returns since when the client of a connection has waited for it to be read: since the connection was
-// established while nothing has come, and since the last byte of what has come if isComplete says that no more is on
-// its way. It returns queuedSince, the earliest time at which the connection can have come, where that is later or the
-// kernel does not tell, and for a client that may send byte by byte, which would stay young.
+// WaitingSince returns the time since which the client of a connection has waited for the connection to be read. If
+// nothing has come, that is when the connection was established. If isComplete reports that the received bytes are
+// all that is expected, it is when the last of them came. Otherwise it is queuedSince, the earliest time at which the
+// connection can have come: a client that sends byte by byte must not look as if it had just come. queuedSince is
+// also returned if it is later, or the kernel does not report the times.
 func WaitingSince(tcp *net.TCPConn, queuedSince time.Time, isComplete func(received []byte) bool) time.Time {
 	age, known := SinceConnect(tcp)
 	if !known {
-		var buf [maxPeeked]byte
+		var buf [maxPeekedBytes]byte
 		if !isComplete(Peek(tcp, buf[:])) {
 			return queuedSince
 		}
@@ -113,7 +115,7 @@
 	return queuedSince
 }
 
-// IsClientHello reports whether the bytes are exactly the first record of a TLS handshake, behind which a client waits
+// IsClientHello reports whether the bytes are exactly the first record of a TLS handshake, after which a client waits
 // for the server.
 func IsClientHello(received []byte) bool {
 	const headerSize, handshakeRecord, lengthAt = 5, 22, 3
--- a/internal/sockets/queue_test.go
+++ b/internal/sockets/queue_test.go
@@ -8,18 +8,19 @@
 	"cobaltward/internal/testkit"
 )
 
-// pausedListener pauses within Accept, as a busy host does.
+// pausedListener sleeps within Accept, as if the process had been paused on a busy host.
 type pausedListener struct {
 	*net.TCPListener
 }
 
 func (l pausedListener) Accept() (net.Conn, error) {
-	time.Sleep(5 * maxImmediate)
+	time.Sleep(5 * maxNonBlockingCall)
 	return l.TCPListener.Accept()
 }
 
-// A pause of the process within accept is not taken for an empty queue: connections behind it would count as new.
-func TestAcceptQueue_PauseIsNoEmptyQueue(t *testing.T) {
+// TestAcceptQueue_PauseNotTakenForEmptyQueue checks that a pause of the process within accept is not taken for a wait
+// on an empty queue: connections behind it would count as new.
+func TestAcceptQueue_PauseNotTakenForEmptyQueue(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,29 +45,30 @@
 		}
 		_ = conn.Close()
 		if late := queue.EmptyAt().Sub(arrivedAt); late > 0 {
-			t.Errorf("the queue is said to have been empty %v after a connection arrived", late)
+			t.Errorf("EmptyAt is %v after the arrival of a connection that was still queued", late)
 		}
 	}
 }
 
-// stealingListener has another process take the connection that was seen in the queue, and a client connect later.
-type stealingListener struct {
+// sharedSocketListener simulates another process that shares the socket and takes the connection seen in the queue.
+// Another client connects only after that.
+type sharedSocketListener struct {
 	*net.TCPListener
-	later func()
+	connectLater func()
 }
 
-func (l stealingListener) Accept() (net.Conn, error) {
-	stolen, err := l.TCPListener.Accept()
+func (l sharedSocketListener) Accept() (net.Conn, error) {
+	takenByOther, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	_ = stolen.Close()
-	l.later()
+	_ = takenByOther.Close()
+	l.connectLater()
 	return l.TCPListener.Accept()
 }
 
-// A connection that was seen in the queue went to another process that shares the socket: the one that came long after
-// does not count as old.
+// TestAcceptQueue_SharedSocket checks that the age of a connection that another process took from the shared queue is
+// not attributed to the connection that came long after it.
 func TestAcceptQueue_SharedSocket(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,7 +86,7 @@
 	}
 	connect()
 	queue := NewAcceptQueue()
-	listener := stealingListener{ln.(*net.TCPListener), func() {
+	listener := sharedSocketListener{ln.(*net.TCPListener), func() {
 		time.Sleep(wait)
 		connect()
 	}}
@@ -98,6 +100,6 @@
 	}
 	_ = conn.Close()
 	if age := time.Since(queue.EmptyAt()); age > wait/2 {
-		t.Errorf("the queue counts as %v old, though its only connection has just come", age)
+		t.Errorf("EmptyAt is %v ago, although the only queued connection has just come", age)
 	}
 }
