--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWrite_ReplacesWholeFile checks both writers: the file has the new content and mode 0600, nothing else is left in
-// its folder, and a write that fails leaves the former content.
+// TestWrite_ReplacesWholeFile checks for both functions that the file has the new content and mode 0600, that no
+// temporary file is left in its directory, and that a write to a missing directory fails.
 func TestWrite_ReplacesWholeFile(t *testing.T) {
 	for name, write := range map[string]func(string, []byte) error{"Write": Write, "WriteShared": WriteShared} {
 		t.Run(name, func(t *testing.T) {
@@ -19,25 +19,25 @@
 				}
 				raw, err := os.ReadFile(path)
 				if err != nil || string(raw) != content {
-					t.Fatalf("read %q, %v; want %q", raw, err, content)
+					t.Fatalf("read %q, error %v; want %q", raw, err, content)
 				}
 			}
 			info, err := os.Stat(path)
 			if err != nil || info.Mode().Perm() != 0o600 {
-				t.Errorf("mode %v, %v; want 0600", info.Mode(), err)
+				t.Errorf("mode %v, error %v; want 0600", info.Mode(), err)
 			}
 			entries, err := os.ReadDir(dir)
 			if err != nil || len(entries) != 1 {
-				t.Errorf("the folder holds %v, %v; want the file alone", entries, err)
+				t.Errorf("directory entries %v, error %v; want only the file", entries, err)
 			}
 			if err := write(filepath.Join(dir, "missing", "state"), nil); err == nil {
-				t.Error("written to a folder that does not exist")
+				t.Error("want an error for a directory that does not exist")
 			}
 		})
 	}
 }
 
-// TestWrite_AfterCrash checks that the temporary file of a crashed write does no harm.
+// TestWrite_AfterCrash checks that Write overwrites the longer temporary file of a crashed write.
 func TestWrite_AfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(path+".new", []byte("half of a much longer content"), 0o600); err != nil {
@@ -47,6 +47,6 @@
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "whole" {
-		t.Errorf("read %q, %v", raw, err)
+		t.Errorf("read %q, error %v; want only the new content", raw, err)
 	}
 }
--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock tells times that processes of one machine can compare while its wall clock is stepped: spans since
-// the machine was started, with the ID of that start.
+// Package bootclock provides times that the processes of one machine can compare even if its wall clock is stepped:
+// the time since the machine was started, with an ID of that start.
 package bootclock
 
 import (
@@ -11,32 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile names the start of the machine. It is drawn anew at each.
+// bootIDFile holds an ID that the kernel generates at each start of the machine.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Time is a time since the machine was started. The zero value is unknown.
+// Time is a time since the start of the machine. The zero value means unknown.
 type Time struct {
-	BootID string        `json:"boot,omitempty"`
-	Since  time.Duration `json:"ns,omitempty"`
+	BootID    string        `json:"boot,omitempty"`
+	SinceBoot time.Duration `json:"ns,omitempty"`
 }
 
-// Now returns the time; the zero value where the system does not tell it.
+// Now returns the current time; the zero value if the system does not provide it.
 func Now() Time {
 	id := bootID()
 	var now unix.Timespec
 	if id == "" || unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
 		return Time{}
 	}
-	return Time{BootID: id, Since: time.Duration(now.Nano())}
+	return Time{BootID: id, SinceBoot: time.Duration(now.Nano())}
 }
 
-// Sub returns how long t is after an earlier time; false where one of them is unknown or of another start of the
+// Sub returns the time from earlier to t; false if one of them is unknown, or they are of different starts of the
 // machine.
 func (t Time) Sub(earlier Time) (span time.Duration, ok bool) {
 	if t.BootID == "" || t.BootID != earlier.BootID {
 		return 0, false
 	}
-	return t.Since - earlier.Since, true
+	return t.SinceBoot - earlier.SinceBoot, true
 }
 
 var bootID = sync.OnceValue(func() string {
--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -17,9 +17,9 @@
 	DefaultMaxEjectedShare = 0.5
 )
 
-// Bounds of what Decay believes of a snapshot.
+// Limits of the values that Decay takes over from a snapshot.
 const (
-	maxClockSkew    = 2 * time.Second // between two nodes' views of when a process started
+	maxClockSkew    = 2 * time.Second // between two nodes' estimates of when a process started
 	maxThreshold    = 1e6
 	maxFaultScore   = 1e6
 	maxLatency      = 3600 // seconds
@@ -27,21 +27,21 @@
 	maxScale        = 100
 	maxEjections    = 10
 	maxBucketIdle   = 24 * time.Hour
-	otherNodeWeight = 0.5 // of what another node has learned
+	otherNodeWeight = 0.5 // factor for the weight of a snapshot of another node
 )
 
-// Config says how a snapshot loses weight.
+// Config says how a snapshot loses weight, and which parts of it are taken over.
 type Config struct {
-	HalfLife        time.Duration // after which learned values count half; 0: DefaultHalfLife
-	MaxAge          time.Duration // beyond which nothing is; 0: DefaultMaxAge
-	MaxEjectedShare float64       // of the servers that may start ejected; 0: DefaultMaxEjectedShare
-	// OtherNode marks a snapshot of another node: its buckets are left out, and its weight is halved.
+	HalfLife        time.Duration // time in which the weight of learned values halves; 0: DefaultHalfLife
+	MaxAge          time.Duration // age beyond which a snapshot is rejected; 0: DefaultMaxAge
+	MaxEjectedShare float64       // largest share of servers that start ejected; 0: DefaultMaxEjectedShare
+	// OtherNode says that the snapshot is of another node: its buckets are left out, and its weight is halved.
 	OtherNode bool
-	// SuccessorOnly takes over the ejections and the buckets alone. What a process has learned in the busy moments of
-	// its end would hold its successor down.
+	// SuccessorOnly takes over only the ejections and the buckets, for the successor in a hot restart. Thresholds and
+	// scales that a process learned while it was busy shutting down would limit its successor.
 	SuccessorOnly bool
-	// Boot is the moment of Decay as processes of one machine can compare it, so that the age of a snapshot does not
-	// hang on the wall clock; zero: unknown.
+	// Boot is the time of the call of Decay since the start of the machine. Within one machine, the age of a snapshot
+	// is computed from it, so that steps of the wall clock don't matter; zero: unknown.
 	Boot bootclock.Time
 }
 
@@ -58,26 +58,27 @@
 	return c
 }
 
-// Report says what became of a snapshot.
+// Report says what was taken over from a snapshot.
 type Report struct {
 	Age       time.Duration
-	Weight    float64 // of the learned state, 0 to 1
+	Weight    float64 // with which the learned values count, 0 to 1
 	Restored  int     // servers whose state was taken over
-	NotListed int     // servers that are no longer listed
-	Restarted int     // servers where another process runs by now
+	NotListed int     // servers that are no longer in service
+	Restarted int     // servers whose process is another one by now
 	Ejected   int     // servers that start ejected
-	Unejected int     // servers that were ejected and start in service, since too many were
-	Buckets   int     // taken over
-	Rejected  string  // why nothing was taken over; empty where something was
+	Unejected int     // ejected servers that start in service, since too many were ejected
+	Buckets   int     // quota buckets that were taken over
+	Rejected  string  // why the snapshot was rejected; empty if it was not
 }
 
-// InitialThreshold returns the threshold at which a node would start a server, and for how long the server's process
-// has been running (0: long ago); ok is false where the server is not in service.
+// InitialThreshold returns the threshold with which a node starts using a server, and for how long the server's
+// process has been running (0: since long ago). ok is false if the server is not in service.
 type InitialThreshold func(server string) (threshold float64, uptime time.Duration, ok bool)
 
-// Decay returns what a node may take over of a snapshot at a moment. Values that no node can have are replaced, and a
-// snapshot from the future is rejected. Thresholds move back towards the node's own initial ones as the snapshot ages.
-// A server that was ejected starts ejected for the rest of its time, and is health-checked before it is used.
+// Decay returns the part of a snapshot that a node may take over at the time now. Values that no node can have are
+// replaced by defaults, and a snapshot from the future is rejected. The older the snapshot, the closer a threshold is
+// to the node's own initial one. A server that was ejected starts ejected for the rest of its time, and is
+// health-checked before it is used.
 func Decay(
 	snapshot Snapshot, now time.Time, initial InitialThreshold, config Config,
 ) (policy.LearnedState, Report) {
@@ -85,9 +86,9 @@
 	report := Report{Age: snapshot.age(now, config.Boot)}
 	switch {
 	case report.Age < -maxClockSkew:
-		report.Rejected = "it is from the future"
+		report.Rejected = "the snapshot is from the future"
 	case report.Age > config.MaxAge:
-		report.Rejected = fmt.Sprintf("it is older than %v", config.MaxAge)
+		report.Rejected = fmt.Sprintf("the snapshot is older than %v", config.MaxAge)
 	}
 	if report.Rejected != "" {
 		return policy.LearnedState{}, report
@@ -115,7 +116,8 @@
 	return state, report
 }
 
-// age is how old a snapshot is at a moment.
+// age returns the age of a snapshot, from the boot clock if both times are of the same start of the machine, else
+// from the wall clock.
 func (s Snapshot) age(now time.Time, boot bootclock.Time) time.Duration {
 	if s.Boot != nil {
 		if age, ok := boot.Sub(*s.Boot); ok {
@@ -125,12 +127,12 @@
 	return now.Sub(s.At)
 }
 
-// decayScale moves a scale back towards 1.
-func (r *Report) decayScale(scale, least float64) float64 {
-	return 1 + r.Weight*(boundedOr(scale, least, maxScale, 1)-1)
+// decayScale returns a scale that is moved towards 1 according to the weight.
+func (r *Report) decayScale(scale, minimum float64) float64 {
+	return 1 + r.Weight*(boundedOr(scale, minimum, maxScale, 1)-1)
 }
 
-// decayServers returns the decayed states of the servers that still run the process that was learned of.
+// decayServers returns the decayed states of the servers that still run the process of the stored state.
 func (r *Report) decayServers(
 	stored []policy.ServerState, initial InitialThreshold, maxAge time.Duration,
 ) (servers []policy.ServerState) {
@@ -148,8 +150,8 @@
 	return servers
 }
 
-// sameProcess reports whether a process with an uptime, so long ago, may be the one whose uptime is current. An uptime
-// of 0 means that the process started long ago.
+// sameProcess reports whether a process whose uptime was stored, as long ago as age, may be the one whose uptime is
+// current. An uptime of 0 means that the process started long ago.
 func sameProcess(stored, age, current time.Duration) bool {
 	if stored <= 0 || current == 0 {
 		return (stored == 0) == (current == 0)
@@ -158,7 +160,7 @@
 	return (current - expected).Abs() <= maxClockSkew
 }
 
-// decayServer returns the decayed state of one server, whose initial threshold is given.
+// decayServer returns the decayed state of one server. threshold is its initial threshold.
 func (r *Report) decayServer(server policy.ServerState, threshold float64, maxAge time.Duration) policy.ServerState {
 	learned := boundedOr(server.Threshold, 0, maxThreshold, threshold)
 	server.Threshold = threshold + r.Weight*(learned-threshold)
@@ -176,7 +178,7 @@
 	return server
 }
 
-// decayBuckets returns the buckets that a node can have had, with the time that has passed since.
+// decayBuckets returns the buckets with plausible values, and adds the age of the snapshot to their idle time.
 func (r *Report) decayBuckets(stored []policy.BucketState) (buckets []policy.BucketState) {
 	for _, bucket := range stored {
 		if bucket.Tokens < 0 || bucket.Idle < 0 || bucket.Idle > maxBucketIdle {
@@ -188,8 +190,8 @@
 	return buckets
 }
 
-// limitEjected puts servers back in service where too many would start ejected, first those whose ejection ends
-// soonest: a node that starts with most of its servers ejected serves nobody.
+// limitEjected puts servers back in service if too many would start ejected, beginning with those whose ejection ends
+// soonest. A node that starts with most of its servers ejected could serve almost no requests.
 func (r *Report) limitEjected(servers []policy.ServerState, share float64) {
 	var ejected []int // indexes
 	for i := range servers {
@@ -209,10 +211,10 @@
 	}
 }
 
-// boundedOr returns a value that is within its bounds, or a default for one that is not, or is not a number.
-func boundedOr(value, least, most, otherwise float64) float64 {
-	if math.IsNaN(value) || value < least || value > most {
-		return otherwise
+// boundedOr returns the value if it is within the limits, and the fallback if it is outside or not a number.
+func boundedOr(value, minimum, maximum, fallback float64) float64 {
+	if math.IsNaN(value) || value < minimum || value > maximum {
+		return fallback
 	}
 	return value
 }
--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -12,40 +12,41 @@
 	"pgregory.net/rapid"
 )
 
-// listed is a node that lists every server, as one whose process started long ago.
-func listed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
+// allListed is the InitialThreshold of a node that has every server in service, with processes that started long ago.
+func allListed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
-// TestDecay_ByAge checks that thresholds move to the initial one by half each half-life, ejections run out and servers
-// stay ejected until they are checked, buckets fill, and a state too old or from the future is rejected.
+// TestDecay_ByAge checks that thresholds approach the initial one by half in each half-life, that the remaining time
+// of ejections shrinks to 0 while the servers stay ejected, that buckets get the age as idle time, and that a
+// snapshot that is too old or from the future is rejected.
 func TestDecay_ByAge(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, time.Minute: 5, 2 * time.Minute: 3.5} {
 		t.Run(age.String(), func(t *testing.T) {
-			state, report := Decay(newSnapshot(4), takenAt.Add(age), listed, Config{})
+			state, report := Decay(newSnapshot(4), takenAt.Add(age), allListed, Config{})
 			if got := state.Servers[1].Threshold; math.Abs(got-want) > 1e-9 {
 				t.Errorf("threshold %v, want %v", got, want)
 			}
 			if server := state.Servers[3]; !server.Ejected || server.EjectedFor != max(0, 3*time.Second-age) {
-				t.Errorf("%+v", server)
+				t.Errorf("want the server ejected for the rest of its time, got %+v", server)
 			}
 			if bucket := state.Buckets[0]; bucket.Tokens != 3 || bucket.Idle != age {
-				t.Errorf("%+v", bucket)
+				t.Errorf("want 3 tokens and the age as idle time, got %+v", bucket)
 			}
 			if report.Restored != 4 || report.Ejected != 2 || report.Rejected != "" {
-				t.Errorf("%+v", report)
+				t.Errorf("want 4 servers restored and 2 ejected, got %+v", report)
 			}
 		})
 	}
 	for age, want := range map[time.Duration]string{time.Hour: "older", -time.Minute: "future"} {
 		t.Run(want, func(t *testing.T) {
-			state, report := Decay(newSnapshot(4), takenAt.Add(age), listed, Config{})
+			state, report := Decay(newSnapshot(4), takenAt.Add(age), allListed, Config{})
 			if !strings.Contains(report.Rejected, want) || len(state.Servers) > 0 {
-				t.Errorf("%+v", report)
+				t.Errorf("want the snapshot rejected, got %+v", report)
 			}
 		})
 	}
 }
 
-// TestDecay_OtherProcess checks that the learned state of one process of a server does not count for the next one.
+// TestDecay_OtherProcess checks that the learned state of a server is dropped if another process runs there by now.
 func TestDecay_OtherProcess(t *testing.T) {
 	snapshot := newSnapshot(2)
 	snapshot.State.Servers[1].Uptime = time.Minute
@@ -59,21 +60,22 @@
 			}
 			_, report := Decay(snapshot, takenAt.Add(10*time.Second), initial, Config{})
 			if report.Restarted != restarted || report.NotListed != 1 {
-				t.Errorf("%+v", report)
+				t.Errorf("wrong number of restarted or unlisted servers: %+v", report)
 			}
 		})
 	}
 }
 
-// TestDecay_OtherNode checks that a snapshot of another node has half the weight, and none of its buckets.
+// TestDecay_OtherNode checks that a snapshot of another node counts with half the weight, and that its buckets are
+// left out.
 func TestDecay_OtherNode(t *testing.T) {
-	state, _ := Decay(newSnapshot(4), takenAt, listed, Config{OtherNode: true})
+	state, _ := Decay(newSnapshot(4), takenAt, allListed, Config{OtherNode: true})
 	if len(state.Buckets) > 0 || state.Servers[1].Threshold != 5 {
-		t.Errorf("%+v", state)
+		t.Errorf("want no buckets and a threshold of 5, got %+v", state)
 	}
 }
 
-// anySnapshot draws a snapshot with any values, also such that no node can have.
+// anySnapshot draws a snapshot with arbitrary values, including impossible ones.
 func anySnapshot(t *rapid.T, servers int) Snapshot {
 	value := rapid.Float64()
 	snapshot := Snapshot{At: takenAt}
@@ -82,15 +84,15 @@
 			Server:     fmt.Sprint(i),
 			Threshold:  value.Draw(t, "threshold"),
 			Latency:    value.Draw(t, "latency"),
-			FaultRate:  value.Draw(t, "faults"),
-			FaultScore: value.Draw(t, "score"),
-			Ejected:    rapid.Bool().Draw(t, "out"),
-			EjectedFor: time.Duration(rapid.Int64().Draw(t, "for")),
-			Ejections:  rapid.Int().Draw(t, "times"),
+			FaultRate:  value.Draw(t, "fault rate"),
+			FaultScore: value.Draw(t, "fault score"),
+			Ejected:    rapid.Bool().Draw(t, "ejected"),
+			EjectedFor: time.Duration(rapid.Int64().Draw(t, "ejected for")),
+			Ejections:  rapid.Int().Draw(t, "ejections"),
 		})
 	}
-	snapshot.State.RateScale = value.Draw(t, "pace")
-	snapshot.State.SharedThresholdScale = value.Draw(t, "trust")
+	snapshot.State.RateScale = value.Draw(t, "rate scale")
+	snapshot.State.SharedThresholdScale = value.Draw(t, "shared threshold scale")
 	snapshot.State.Buckets = []policy.BucketState{{
 		Tokens: rapid.Int64().Draw(t, "tokens"),
 		Idle:   time.Duration(rapid.Int64().Draw(t, "idle")),
@@ -98,8 +100,8 @@
 	return snapshot
 }
 
-// possible reports whether a server's state is one that a node can have.
-func possible(s policy.ServerState) bool {
+// isPlausible reports whether a node can have such a state of a server.
+func isPlausible(s policy.ServerState) bool {
 	return s.Threshold >= 0 && s.Threshold <= 1e6 &&
 		s.Latency >= 0 && s.Latency <= 3600 &&
 		s.FaultRate >= 0 && s.FaultRate <= 1 && s.FaultScore >= 0 &&
@@ -107,30 +109,30 @@
 		s.Ejections >= 0 && s.Ejections <= 10
 }
 
-// TestDecay_BoundsAnySnapshot checks that whatever a snapshot holds, the values that are taken over are ones that a
-// node can have, and that never are too many servers ejected.
+// TestDecay_BoundsAnySnapshot checks, for arbitrary snapshots, that all values taken over are ones that a node can
+// have, and that at most half of the servers start ejected.
 func TestDecay_BoundsAnySnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(0, 12).Draw(t, "servers")
 		snapshot := anySnapshot(t, servers)
 		age := time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "age"))
-		state, report := Decay(snapshot, takenAt.Add(age), listed, Config{})
+		state, report := Decay(snapshot, takenAt.Add(age), allListed, Config{})
 		ejected := 0
 		for _, server := range state.Servers {
 			if server.Ejected {
 				ejected++
 			}
-			if !possible(server) {
-				t.Fatalf("%+v", server)
+			if !isPlausible(server) {
+				t.Fatalf("implausible server state: %+v", server)
 			}
 		}
 		scalesPossible := state.RateScale > 0 && state.SharedThresholdScale >= 1
 		if ejected > servers/2 || report.Rejected == "" && !scalesPossible {
-			t.Fatalf("%d of %d ejected; %+v", ejected, servers, state)
+			t.Fatalf("%d of %d servers ejected, or an impossible scale; %+v", ejected, servers, state)
 		}
 		for _, bucket := range state.Buckets {
 			if bucket.Tokens < 0 || bucket.Idle < 0 {
-				t.Fatalf("%+v", bucket)
+				t.Fatalf("implausible bucket: %+v", bucket)
 			}
 		}
 	})
--- a/internal/learnedstate/snapshot.go
+++ b/internal/learnedstate/snapshot.go
@@ -1,6 +1,7 @@
-// Package learnedstate keeps what a node has learned about its servers and tenants beyond the node's own life: a
-// snapshot with a version and a checksum, and the rules by which a snapshot loses weight as it ages. It does no I/O
-// and reads no clock. A snapshot that is torn, or that something else has written, is rejected as a whole.
+// Package learnedstate encodes what a node has learned about its servers and tenants, so that it outlives the node:
+// in a snapshot with a version and a checksum, and with rules by which a snapshot loses weight as it ages. The
+// package does no I/O and reads no clock. A snapshot that is incomplete or altered, or is not of this format, is
+// rejected as a whole.
 package learnedstate
 
 import (
@@ -15,35 +16,36 @@
 	"cobaltward/policy"
 )
 
-// Version is the version of the stored form. Snapshots of other versions are rejected.
+// Version is the version of the stored format. Snapshots of other versions are rejected.
 const Version = 1
 
-// MaxSize bounds a stored snapshot, in bytes.
+// MaxSize is the largest accepted size of a stored snapshot, in bytes.
 const MaxSize = 64 << 20
 
-// headFormat is the first line of a stored snapshot: a mark, and the checksum of all that follows the line.
+// headFormat is the first line of a stored snapshot: an identifier of the format, and the checksum of everything
+// after the line.
 const headFormat = "wayhold-knowledge %08x"
 
 // Errors of Decode.
 var (
-	// ErrNotSnapshot says that the bytes are no snapshot of this version.
+	// ErrNotSnapshot means that the bytes are not a snapshot of this version.
 	ErrNotSnapshot = errors.New("not a snapshot of learned state")
-	// ErrChecksum says that the snapshot is incomplete or was altered.
-	ErrChecksum = errors.New("it is torn: its checksum does not fit")
+	// ErrChecksum means that the snapshot is incomplete or was altered.
+	ErrChecksum = errors.New("checksum mismatch: the snapshot is incomplete or was altered")
 )
 
-// Snapshot is what one node had learned at one moment.
+// Snapshot is what one node had learned at one time.
 type Snapshot struct {
 	Version int                 `json:"version"`
 	Node    string              `json:"node"`
 	At      time.Time           `json:"at"`
-	Boot    *bootclock.Time     `json:"boot,omitempty"` // the same, which counts where it can be compared
+	Boot    *bootclock.Time     `json:"boot,omitempty"` // At by the boot clock; preferred if comparable
 	State   policy.LearnedState `json:"knowledge"`
 }
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the stored form of a snapshot: a line with the checksum of what follows, and JSON.
+// Encode returns the stored form of a snapshot: a line with the checksum of what follows, and the snapshot in JSON.
 func Encode(snapshot Snapshot) ([]byte, error) {
 	snapshot.Version = Version
 	body, err := json.Marshal(snapshot)
@@ -54,7 +56,7 @@
 	return append(head, body...), nil
 }
 
-// Decode reads the stored form of a snapshot. Its errors are ErrNotSnapshot, perhaps wrapped, and ErrChecksum.
+// Decode decodes the stored form of a snapshot. Its errors are ErrNotSnapshot, possibly wrapped, and ErrChecksum.
 func Decode(raw []byte) (Snapshot, error) {
 	head, body, found := bytes.Cut(raw, []byte{'\n'})
 	var checksum uint32
--- a/internal/learnedstate/snapshot_test.go
+++ b/internal/learnedstate/snapshot_test.go
@@ -13,7 +13,7 @@
 
 var takenAt = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// newSnapshot returns a snapshot with so many servers, each third of them ejected.
+// newSnapshot returns a snapshot with the given number of servers, every third of them ejected.
 func newSnapshot(servers int) Snapshot {
 	snapshot := Snapshot{
 		Version: Version, Node: "n1", At: takenAt,
@@ -29,8 +29,8 @@
 	return snapshot
 }
 
-// TestEncode_RoundTripAndCorruption checks that an encoded snapshot is decoded, and that each byte which is changed and
-// each end which is missing is found.
+// TestEncode_RoundTripAndCorruption checks that an encoded snapshot can be decoded, and that any changed byte and any
+// truncation is detected.
 func TestEncode_RoundTripAndCorruption(t *testing.T) {
 	snapshot := newSnapshot(3)
 	raw, err := Encode(snapshot)
@@ -38,16 +38,16 @@
 		t.Fatal(err)
 	}
 	if decoded, err := Decode(raw); err != nil || !reflect.DeepEqual(decoded, snapshot) {
-		t.Fatalf("%+v, %v", decoded, err)
+		t.Fatalf("decoded %+v, error %v, want the encoded snapshot", decoded, err)
 	}
 	for i := range raw {
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Fatalf("the first %d of %d bytes are accepted", i, len(raw))
+			t.Fatalf("the first %d of %d bytes were accepted as a snapshot", i, len(raw))
 		}
 		corrupt := append([]byte(nil), raw...)
 		corrupt[i] ^= 0x20
 		if decoded, err := Decode(corrupt); err == nil && !reflect.DeepEqual(decoded, snapshot) {
-			t.Fatalf("byte %d is changed, and accepted", i)
+			t.Fatalf("the snapshot was accepted with byte %d changed", i)
 		}
 	}
 	_, err = Decode([]byte("wayhold-knowledge 00000000\n"))
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestEncode_Version checks that a snapshot is written with the version of its form.
+// TestEncode_Version checks that Encode writes the current version, whatever the snapshot says.
 func TestEncode_Version(t *testing.T) {
 	snapshot := newSnapshot(1)
 	snapshot.Version = 9
 	raw, err := Encode(snapshot)
 	if err != nil || !strings.Contains(string(raw), `"version":1`) {
-		t.Errorf("%s, %v", raw, err)
+		t.Errorf("encoded %s, error %v, want version 1", raw, err)
 	}
 }
--- a/internal/learnedstate/stored_test.go
+++ b/internal/learnedstate/stored_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/policy"
 )
 
-// TestDecode_FileOfEarlierVersion reads a state file that an earlier version has written, and writes it again: to the
-// byte the same.
+// TestDecode_FileOfEarlierVersion checks that a state file written by an earlier version of the program is decoded,
+// and that encoding it again yields the same bytes.
 func TestDecode_FileOfEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "node-state"))
 	if err != nil {
@@ -40,13 +40,13 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	again, err := Encode(got)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, raw) {
-		t.Errorf("written again: %s, want %s", again, raw)
+		t.Errorf("encoded again: %s, want %s", again, raw)
 	}
 }
--- a/internal/rundir/rundir.go
+++ b/internal/rundir/rundir.go
@@ -1,7 +1,7 @@
-// Package rundir is the directory through which the processes of one node exchange messages during a hot restart. Each
-// process holds a lock on a file of its own, which the system releases when the process ends; beside it is the
-// process's last report. One more file has the present order on standby. Files are replaced as a whole: a reader finds
-// the former content or the new one, never a part.
+// Package rundir implements the directory through which the processes of one node exchange messages during a hot
+// restart. Each process holds a lock on a file of its own, which the system releases when the process ends. Beside
+// that file is the process's latest report. Another file has the current order on standby. Files are replaced
+// atomically: a reader finds either the former content or the new one, never a part.
 package rundir
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	prefix       = "wayhold-"
+	filePrefix   = "wayhold-"
 	lockSuffix   = ".alive"
 	reportSuffix = ".report"
-	orderFile    = prefix + "order"
-	maxProcesses = 8 // others that are read; a hot restart needs one or two
+	orderFile    = filePrefix + "order"
+	maxProcesses = 8 // limit of other processes that are read; a hot restart has one or two
 )
 
 // Process is this process's entry in the directory. It is not safe for concurrent use.
@@ -35,14 +35,14 @@
 
 // Register adds this process to the directory.
 func Register(dir string) (*Process, error) {
-	// Process IDs and times of the wall clock may repeat, so the name has a random part.
-	name := fmt.Sprintf("%s%d-%s", prefix, os.Getpid(), rand.Text())
+	// Process IDs and times of the wall clock may repeat, so the name has a random part instead of a time.
+	name := fmt.Sprintf("%s%d-%s", filePrefix, os.Getpid(), rand.Text())
 	lock, err := os.OpenFile(filepath.Join(dir, name+lockSuffix), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // the first error is the one to return
+		_ = lock.Close() // err already says what failed
 		return nil, fmt.Errorf("rundir: %s: %w", lock.Name(), err)
 	}
 	return &Process{dir: dir, name: name, lock: lock}, nil
@@ -50,18 +50,18 @@
 
 // Unregister removes this process's files and releases its lock.
 func (p *Process) Unregister() {
-	_ = os.Remove(p.reportPath()) // it may not be there
+	_ = os.Remove(p.reportPath()) // there is none before the first WriteReport
 	_ = os.Remove(p.lock.Name())
 	_ = p.lock.Close()
 }
 
 func (p *Process) reportPath() string { return filepath.Join(p.dir, p.name+reportSuffix) }
 
-// Others returns the last reports of the other running processes, by name, and removes the files of processes that
-// have ended. If a report is unreadable, the process has a zero report in the map, and the error of one such report is
-// returned with the map.
+// Others returns the latest reports of the other running processes, by process name, and removes the files of
+// processes that have ended. A process whose report is unreadable has a zero report in the map, and the error of one
+// such report is returned beside the map.
 func (p *Process) Others() (reports map[string]hotrestart.Report, reportErr error) {
-	locks, err := filepath.Glob(filepath.Join(p.dir, prefix+"*"+lockSuffix))
+	locks, err := filepath.Glob(filepath.Join(p.dir, filePrefix+"*"+lockSuffix))
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 			continue
 		}
 		if !isAlive(lockPath) {
-			_ = os.Remove(base + reportSuffix) // it may not be there
+			_ = os.Remove(base + reportSuffix) // the process may have written none
 			_ = os.Remove(lockPath)
 			continue
 		}
@@ -86,13 +86,13 @@
 	return reports, reportErr
 }
 
-// isAlive reports whether the process that has created a lock file still holds the lock.
+// isAlive reports whether the process that created a lock file still holds the lock.
 func isAlive(lockPath string) bool {
 	file, err := os.OpenFile(lockPath, os.O_RDWR, 0)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // closing a file that was not written loses nothing
 	return errors.Is(syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB), syscall.EWOULDBLOCK)
 }
 
@@ -102,7 +102,7 @@
 	return replaceFile(p.reportPath(), report)
 }
 
-// Order returns the present order; the zero value where there is none.
+// Order returns the current order; the zero value if there is none.
 func (p *Process) Order() (hotrestart.Order, error) {
 	order, err := readFile[hotrestart.Order](filepath.Join(p.dir, orderFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -111,19 +111,19 @@
 	return order, err
 }
 
-// WriteOrder replaces the present order.
+// WriteOrder replaces the current order.
 func (p *Process) WriteOrder(order hotrestart.Order) error {
 	order.Version = hotrestart.Version
 	return replaceFile(filepath.Join(p.dir, orderFile), order)
 }
 
-// readFile reads a message from a file. Errors name the file.
+// readFile reads and decodes a message from a file. Its errors name the file.
 func readFile[T hotrestart.Report | hotrestart.Order](path string) (message T, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return message, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // closing a file that was not written loses nothing
 	raw, err := io.ReadAll(io.LimitReader(file, hotrestart.MaxSize+1))
 	if err != nil {
 		return message, err
@@ -135,13 +135,14 @@
 	return message, nil
 }
 
-// replaceFile replaces a file as a whole. It does not sync the file, which need not survive a crash of the machine.
+// replaceFile replaces a file atomically. It does not sync the file, which need not survive a crash of the machine.
 func replaceFile[T hotrestart.Report | hotrestart.Order](path string, message T) error {
 	raw, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	// The name has the process ID, so that a later process with the same ID overwrites what a killed one has left.
+	// The name contains the process ID, so that the leftover file of a killed process is overwritten by a later
+	// process with the same ID.
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
 		return err
--- a/internal/rundir/stored_test.go
+++ b/internal/rundir/stored_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/internal/hotrestart"
 )
 
-// TestReadFile_EarlierVersion reads the files that an earlier version has written for two processes of one node, and
-// encodes them again: every byte is the same.
+// TestReadFile_EarlierVersion checks that the files that an earlier version wrote for two processes of one node are
+// decoded, and that encoding them again yields the same bytes.
 func TestReadFile_EarlierVersion(t *testing.T) {
 	dir := filepath.Join("testdata", "node")
 	moment := time.Date(2026, 12, 1, 8, 30, 0, 0, time.UTC)
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestOthers_EarlierVersion removes the files of an earlier version's processes, which have ended, and reads its order.
+// TestOthers_EarlierVersion checks that the files of ended processes of an earlier version are removed, and that its
+// order is read.
 func TestOthers_EarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "node"))); err != nil {
@@ -67,13 +68,13 @@
 	defer process.Unregister()
 	others, err := process.Others()
 	if err != nil || len(others) != 0 {
-		t.Errorf("others %+v, %v; want none, since no process holds their locks", others, err)
+		t.Errorf("other processes %+v, error %v; want none, since no process holds their locks", others, err)
 	}
 	if order, err := process.Order(); err != nil || !order.Standby {
-		t.Errorf("order %+v, %v; want standby", order, err)
+		t.Errorf("order %+v, error %v; want standby", order, err)
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"+reportSuffix))
 	if err != nil || len(left) != 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+		t.Errorf("reports left behind: %v, error %v", left, err)
 	}
 }
