--- a/internal/ascii/ascii.go
+++ b/internal/ascii/ascii.go
@@ -1,8 +1,7 @@
-// Package ascii has what readers of HTTP/1.1 heads share: comparisons and numbers over bytes, without allocations.
+// Package ascii provides what the parsers of HTTP/1.1 heads share: comparing and parsing bytes without allocations.
 package ascii
 
-// EqualFold reports whether b equals a word in lower case, where letters of b may be in either case. Only ASCII letters
-// are folded.
+// EqualFold reports whether b equals the lower-case word, ignoring the case of ASCII letters in b.
 func EqualFold(b []byte, lower string) bool {
 	return len(b) == len(lower) && equalFoldSameLength(b, lower)
 }
@@ -19,8 +18,8 @@
 	return true
 }
 
-// ParseDecimal parses a number that consists of digits alone, at least one and at most maxDigits. With up to 18 digits
-// it cannot overflow.
+// ParseDecimal parses a number of at least one and at most maxDigits digits, without a sign. The number cannot
+// overflow if maxDigits is at most 18.
 func ParseDecimal(digits []byte, maxDigits int) (number uint64, ok bool) {
 	if len(digits) == 0 || len(digits) > maxDigits {
 		return 0, false
--- a/internal/cpuyield/yielder.go
+++ b/internal/cpuyield/yielder.go
@@ -4,16 +4,17 @@
 import "time"
 
 const (
-	maxBurst      = 200 * time.Microsecond // of computation without a sleep
-	sleepDuration = 50 * time.Microsecond  // at least; timers make it longer
+	maxBurst      = 200 * time.Microsecond // longest computation without a sleep
+	sleepDuration = 50 * time.Microsecond  // timers make the actual sleep longer
 )
 
-// Yielder interrupts a long computation by short sleeps. runtime.Gosched is not enough: while any goroutine can run,
-// the scheduler polls the network every 10 ms only, and by then the data that a request waits for is late. The zero
-// value is ready to use. It is not safe for concurrent use.
+// Yielder interrupts a long computation with short sleeps. runtime.Gosched is not enough: while any goroutine can
+// run, the scheduler polls the network only every 10 ms, which delays the data that requests wait for. The zero value
+// is ready to use. It is not safe for concurrent use.
 type Yielder struct{ burstStartedAt time.Time }
 
-// YieldIfDue sleeps if the current burst has reached its maximum. It is to be called every few steps of a computation.
+// YieldIfDue sleeps if the computation has run for maxBurst since the last sleep. Call it every few steps of the
+// computation.
 func (y *Yielder) YieldIfDue() {
 	now := time.Now()
 	switch {
--- a/internal/jsonconfig/jsonconfig.go
+++ b/internal/jsonconfig/jsonconfig.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// Unmarshal is json.Unmarshal, with type errors that name the field by its JSON path.
-func Unmarshal(raw []byte, to any) error {
-	err := json.Unmarshal(raw, to)
+// Unmarshal is json.Unmarshal, but its type errors name the field by its JSON path.
+func Unmarshal(raw []byte, target any) error {
+	err := json.Unmarshal(raw, target)
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
 		return fmt.Errorf("%s: want %s, got %s", mismatch.Field, mismatch.Type, mismatch.Value)
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki issues certificates for tests and benchmarks. No node links it. It panics where crypto/x509 rejects a
-// certificate, which is an error in the test.
+// Package pki issues certificates for tests and benchmarks. The daemon does not link it. It panics if crypto/x509
+// rejects a certificate, which is a mistake in the test.
 package pki
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Kinds of key.
+// Kinds of keys.
 const (
 	P256    = "P-256"
 	RSA2048 = "RSA-2048"
@@ -29,7 +29,7 @@
 
 var serial atomic.Int64
 
-// Authority is a certificate authority.
+// Authority is a certificate authority with its key.
 type Authority struct {
 	Cert *x509.Certificate
 	Key  crypto.Signer
@@ -42,7 +42,7 @@
 	return v
 }
 
-// NewKey returns a new key of the kind; an unknown one is P256.
+// NewKey returns a new key of the kind; of P256 if the kind is unknown.
 func NewKey(kind string) crypto.Signer {
 	switch kind {
 	case RSA2048:
@@ -54,9 +54,9 @@
 	return must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 }
 
-func sign(tmpl *x509.Certificate, public crypto.PublicKey, by *Authority) *x509.Certificate {
+func sign(tmpl *x509.Certificate, public crypto.PublicKey, issuer *Authority) *x509.Certificate {
 	tmpl.SerialNumber = big.NewInt(serial.Add(1))
-	raw := must(x509.CreateCertificate(rand.Reader, tmpl, by.Cert, public, by.Key))
+	raw := must(x509.CreateCertificate(rand.Reader, tmpl, issuer.Cert, public, issuer.Key))
 	return must(x509.ParseCertificate(raw))
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// NewAuthorityBetween returns a self-signed authority with the given validity.
+// NewAuthorityBetween returns a self-signed authority that is valid between the two times.
 func NewAuthorityBetween(name string, from, to time.Time) *Authority {
 	a := &Authority{Key: NewKey(P256)}
 	tmpl := authorityTemplate(name, from, to)
@@ -75,30 +75,31 @@
 	return a
 }
 
-// NewAuthority returns a self-signed authority that has been valid for a year and stays so for a year.
+// NewAuthority returns a self-signed authority that is valid from a year ago until a year from now.
 func NewAuthority(name string) *Authority {
 	return NewAuthorityBetween(name, time.Now().AddDate(-1, 0, 0), time.Now().AddDate(1, 0, 0))
 }
 
-// NewIntermediate returns an authority whose certificate a signs, with the validity of a.
+// NewIntermediate returns an intermediate authority whose certificate is signed by a and has the same validity as
+// that of a.
 func (a *Authority) NewIntermediate(name string) *Authority {
-	u := &Authority{Key: NewKey(P256)}
-	u.Cert = sign(authorityTemplate(name, a.Cert.NotBefore, a.Cert.NotAfter), u.Key.Public(), a)
-	return u
+	intermediate := &Authority{Key: NewKey(P256)}
+	intermediate.Cert = sign(authorityTemplate(name, a.Cert.NotBefore, a.Cert.NotAfter), intermediate.Key.Public(), a)
+	return intermediate
 }
 
-// CrossSign returns a certificate that a signs for the key of another authority.
+// CrossSign returns a certificate for the key of another authority, signed by a.
 func (a *Authority) CrossSign(other *Authority) *x509.Certificate {
 	return sign(authorityTemplate(other.Cert.Subject.CommonName, a.Cert.NotBefore, a.Cert.NotAfter), other.Key.Public(), a)
 }
 
-// Leaf describes an end entity's certificate, for clients and servers alike.
+// Leaf describes an end-entity certificate, for clients and servers alike.
 type Leaf struct {
-	From, To time.Time // validity; zero: from an hour ago, for 30 days from now
+	From, To time.Time // validity; zero: from an hour ago until 30 days from now
 	Names    []string  // subject alternative names: DNS names, IP addresses and URIs
 	KeyKind  string    // empty: P256
 	Subject  string    // common name
-	Padding  int       // bytes of an extension that makes the certificate longer
+	Padding  int       // bytes of an extension that makes the certificate larger
 }
 
 // Pair is a certificate with its key.
@@ -107,10 +108,11 @@
 	Key  crypto.Signer
 }
 
-// paddingExtension is an arc of private enterprises; no verifier reads it.
+// paddingExtension is the object identifier of the padding, in the range for private enterprises. Verifiers ignore
+// it.
 var paddingExtension = []int{1, 3, 6, 1, 4, 1, 99999, 1}
 
-// addName adds a subject alternative name of the type that the text has.
+// addName adds a subject alternative name of the type that fits the text: a URI, an IP address or a DNS name.
 func addName(tmpl *x509.Certificate, name string) {
 	if u, err := url.Parse(name); err == nil && u.Scheme != "" && u.Host != "" {
 		tmpl.URIs = append(tmpl.URIs, u)
@@ -121,7 +123,7 @@
 	}
 }
 
-// Issue returns a certificate with a new key.
+// Issue returns a certificate with a new key, signed by a.
 func (a *Authority) Issue(leaf Leaf) Pair {
 	if leaf.From.IsZero() {
 		leaf.From = time.Now().Add(-time.Hour)
@@ -143,7 +145,7 @@
 	return Pair{sign(tmpl, key.Public(), a), key}
 }
 
-// PEM returns certificates in PEM, in the given order.
+// PEM returns the certificates in PEM, in the given order.
 func PEM(certs ...*x509.Certificate) (text []byte) {
 	for _, c := range certs {
 		text = append(text, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
@@ -159,7 +161,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: must(x509.MarshalPKCS8PrivateKey(p.Key))})
 }
 
-// TLS returns the pair and the rest of its chain for crypto/tls.
+// TLS returns the pair, followed by the certificates of its chain, for crypto/tls.
 func (p Pair) TLS(chain ...*x509.Certificate) tls.Certificate {
 	cert := tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
 	for _, issuer := range chain {
--- a/internal/safeguards/safeguards.go
+++ b/internal/safeguards/safeguards.go
@@ -1,6 +1,6 @@
-// Package safeguards names the checks by which the engine enforces the rules towards clients and servers whatever the
-// policy decides, so that a rehearsal can disable one and show that its checker notices. The package is internal, so
-// that no outside program can disable any.
+// Package safeguards names the checks with which the engine enforces its guarantees to clients and servers, whatever
+// the policy decides. A rehearsal can disable one to show that the checker of that guarantee detects its violation.
+// The package is internal, so that other programs cannot disable any.
 package safeguards
 
 import "cobaltward/policy"
@@ -12,25 +12,25 @@
 const (
 	SingleAnswer         Guards = 1 << iota // an answered request is not answered again
 	NoAttemptAfterAnswer                    // no attempt starts for an answered request
-	UniqueID                                // an ID that is in use, or was recently, is rejected
-	BackstopAnswer                          // a request without an answer by the policy gets one before its deadline
-	AnswerDeadline                          // an answer is given early enough to reach the client in time
+	UniqueID                                // a request ID that is in use, or was recently, is rejected
+	BackstopAnswer                          // a request that the policy leaves unanswered is answered before its deadline
+	AnswerDeadline                          // an answer is sent early enough to reach the client by the deadline
 	DedupWindow                             // no retry is sent once servers may have forgotten the idempotency key
-	NoRejectionAfterRun                     // a request that may have been executed is not rejected
+	NoRejectionAfterRun                     // a request that may have run is not rejected
 	ClientGone                              // no attempt starts for a request whose client has disconnected
 )
 
-// Policy decides about requests, as policy.Balancer does.
+// Policy decides how requests are handled, as policy.Balancer does.
 type Policy interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 	Reconfigure(now policy.Time, set policy.Settings) ([]policy.Action, error)
 }
 
-// Overrides changes an engine for a rehearsal. The zero value changes nothing.
+// Overrides modifies an engine for a rehearsal. The zero value modifies nothing.
 type Overrides struct {
 	Disabled   Guards                                // safeguards that are not enforced
-	Settings   func(policy.Settings) policy.Settings // changes the settings that the policy gets; nil: unchanged
-	WrapPolicy func(Policy) Policy                   // changes the policy's events and actions; nil: unchanged
+	Settings   func(policy.Settings) policy.Settings // returns the settings that the policy gets; nil: unchanged
+	WrapPolicy func(Policy) Policy                   // may alter the policy's events and actions; nil: unchanged
 }
 
 // Enforces reports whether a safeguard is enforced.
--- a/internal/testkit/pauses.go
+++ b/internal/testkit/pauses.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// pauseProbeInterval is the time between two looks at the clock by MeasurePauses.
+// pauseProbeInterval is the interval at which MeasurePauses checks for delays.
 const pauseProbeInterval = time.Millisecond
 
-// MeasurePauses measures until the end of the test how late a goroutine of this process runs that is due. The returned
-// function returns the longest delay so far. A test whose premise is a moment, such as a client that sends at a given
-// time, uses it to tell a late host from a fault.
+// MeasurePauses measures until the end of the test how late goroutines of this process run after they are due. The
+// returned function returns the longest delay so far. A test that depends on timing, such as that of a client that
+// sends at a given time, uses it to tell a slow host from a fault.
 func MeasurePauses(t testing.TB) (longest func() time.Duration) {
 	t.Helper()
 	var (
@@ -21,13 +21,13 @@
 		stop    = make(chan struct{})
 	)
 	probe.Go(func() {
-		ticker := time.NewTimer(pauseProbeInterval)
-		defer ticker.Stop()
+		timer := time.NewTimer(pauseProbeInterval)
+		defer timer.Stop()
 		for {
 			due := time.Now().Add(pauseProbeInterval)
-			ticker.Reset(pauseProbeInterval)
+			timer.Reset(pauseProbeInterval)
 			select {
-			case <-ticker.C:
+			case <-timer.C:
 			case <-stop:
 				return
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-// LogPausesOnFailure has a test that fails log how late goroutines of this process ran during it.
+// LogPausesOnFailure makes a failing test log how late goroutines of this process ran during it.
 func LogPausesOnFailure(t testing.TB) {
 	t.Helper()
 	longest := MeasurePauses(t)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit has what tests of several packages need: servers at the level of connections, a listener that
-// fails, and waits with a limit. Only tests link it.
+// Package testkit provides what tests of several packages need: servers that work on raw connections, a listener that
+// fails on request, and waits with a time limit. Only tests link it.
 package testkit
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// MaxWait is longer than any step of a test takes. Only a failing test waits that long.
+// MaxWait is longer than any step of a test should take. Only a failing test waits that long.
 const MaxWait = 30 * time.Second
 
-// RawServer calls serve for each connection, in a goroutine of its own, and returns the address. It closes the
-// connections when the test ends, and waits for the calls.
+// RawServer starts a TCP server that calls serve for each connection in a separate goroutine, and returns its
+// address. When the test ends, it closes the connections and waits for the calls to return.
 func RawServer(t testing.TB, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,10 +25,10 @@
 		t.Fatal(err)
 	}
 	var (
-		mu     sync.Mutex
-		conns  = make(map[net.Conn]bool)
-		closed bool
-		ended  sync.WaitGroup
+		mu         sync.Mutex
+		conns      = make(map[net.Conn]bool)
+		closed     bool
+		goroutines sync.WaitGroup
 	)
 	t.Cleanup(func() {
 		_ = ln.Close()
@@ -38,9 +38,9 @@
 			_ = conn.Close()
 		}
 		mu.Unlock()
-		ended.Wait()
+		goroutines.Wait()
 	})
-	ended.Go(func() {
+	goroutines.Go(func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
@@ -52,7 +52,7 @@
 				_ = conn.Close()
 			}
 			mu.Unlock()
-			ended.Go(func() {
+			goroutines.Go(func() {
 				serve(conn, bufio.NewReader(conn))
 				_ = conn.Close()
 				mu.Lock()
@@ -64,7 +64,7 @@
 	return ln.Addr().String()
 }
 
-// ReadFullRequest reads a request and its body to the end, and reports whether both were readable.
+// ReadFullRequest reads an HTTP request including its body, and reports whether it was complete and well-formed.
 func ReadFullRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return err == nil
 }
 
-// HTTPServer serves by the handler until the test ends, and returns the address.
+// HTTPServer starts an HTTP server with the handler that runs until the test ends, and returns its address.
 func HTTPServer(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -85,7 +85,8 @@
 	return s.Listener.Addr().String()
 }
 
-// Await polls until ok returns true. The test fails after MaxWait; what names the awaited state.
+// Await polls until ok returns true. After MaxWait the test fails with a message that names the awaited state by
+// what.
 func Await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(MaxWait); !ok(); time.Sleep(2 * time.Millisecond) {
@@ -95,7 +96,8 @@
 	}
 }
 
-// Receive waits for a value. The test fails after MaxWait; what names the value.
+// Receive waits for a value from the channel. After MaxWait the test fails with a message that names the value by
+// what.
 func Receive[T any](t testing.TB, what string, from <-chan T) T {
 	t.Helper()
 	select {
