--- a/examples/app/firstrequest_test.go
+++ b/examples/app/firstrequest_test.go
@@ -13,10 +13,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// clientRest is less than idleTimeout, and more than servers usually give a head.
-const clientRest = 3500 * time.Millisecond
+// clientIdleTime is less than idleTimeout, but more than servers usually allow for a request head.
+const clientIdleTime = 3500 * time.Millisecond
 
-// A client connects, and rests before its first request as it may before the next one: the request is served.
+// TestRun_ServesLateFirstRequest checks that the first request on a connection is served even if the client sends it
+// late, within the idle timeout.
 func TestRun_ServesLateFirstRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,22 +31,22 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	time.Sleep(clientRest)
+	time.Sleep(clientIdleTime)
 	_ = conn.SetDeadline(time.Now().Add(testkit.MaxWait))
 	if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no answer to the late first request: %v", err)
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
-	_ = conn.Close() // the drain does not wait for it
+	_ = conn.Close() // so that the shutdown does not wait for this connection
 	stop()
-	if err := testkit.Receive(t, "the end", ended); err != nil {
+	if err := testkit.Receive(t, "run to return", ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -1,12 +1,12 @@
-// Command app is a small workspace application with the router inside it: pages of its own, booking
-// requests of its clients under /api, a request that it sends itself, and a graceful shutdown.
+// Command app is a small workspace application that embeds the router: it serves pages of its own, routes booking
+// requests of its clients under /api, sends a booking request itself, and shuts down gracefully.
 //
 //	go run ./examples/app                                    # on 127.0.0.1:8080
 //	curl -H 'X-Request-Id: 1' -H 'X-Class: hladanie' -H 'X-Deadline-Ms: 2000' 127.0.0.1:8080/api/rooms
 //	curl 127.0.0.1:8080/
 //
-// Its one app server runs in the same process. A real application would configure its servers, or take them
-// from discovery with discovery/registry.
+// Its only app server runs in the same process. A real application would configure its servers, or get them from a
+// registry with discovery/registry.
 package main
 
 import (
@@ -37,20 +37,20 @@
 		err = run(ctx, ln, log)
 	}
 	if err != nil {
-		log.Error("ended", "err", err)
+		log.Error("application failed", "err", err)
 		os.Exit(1)
 	}
 }
 
 const (
 	idleTimeout = 15 * time.Second
-	// readHeaderTimeout is not shorter: on a new connection net/http counts it from the accept, and a client that has
-	// connected may rest before its first request as it may before the next.
+	// readHeaderTimeout must not be shorter: on a new connection net/http counts it from the accept, and a client may
+	// wait as long before its first request as between later ones.
 	readHeaderTimeout = idleTimeout
-	drainTimeout      = 3 * time.Second // for requests in flight at the shutdown
+	drainTimeout      = 3 * time.Second // time at shutdown for requests in flight
 )
 
-// run serves on the listener until ctx ends, and shuts down gracefully.
+// run serves requests on the listener until ctx ends, and then shuts down gracefully.
 func run(ctx context.Context, ln net.Listener, log *slog.Logger) (err error) {
 	bookingServer, err := startBookingServer()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return server.Close()
 }
 
-// startBookingServer runs the one app server, on the address that it returns as the server's.
+// startBookingServer starts the only app server. The Addr field of the returned server is its address.
 func startBookingServer() (*http.Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,11 +95,11 @@
 			_, _ = io.WriteString(w, "two rooms are free\n")
 		}),
 	}
-	go func() { _ = server.Serve(ln) }() // until the server is closed
+	go func() { _ = server.Serve(ln) }() // returns when the server is closed
 	return server, nil
 }
 
-// newRouter returns a router to one server. Its Drain stops the application's listener, too.
+// newRouter returns a router with one server. Its Drain also stops the application's own listener.
 func newRouter(bookingServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
 	settings := policy.Settings{
 		Nodes: 1,
@@ -121,8 +121,8 @@
 		router.WithTransport(http1.New(http1.Config{})), router.WithLogger(log), router.WithListener(listener))
 }
 
-// newPages has the application's own pages. They show what the booking servers respond to a request of the
-// application.
+// newPages returns the handler of the application's own pages, which show the app server's response to a booking
+// request of the application.
 func newPages(client *http.Client) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://rooms.svc/api/rooms", nil)
@@ -137,7 +137,7 @@
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
-		_, _ = io.WriteString(w, "Welcome. Today: ") // errors: the client has disconnected
+		_, _ = io.WriteString(w, "Welcome. Today: ") // fails only if the client has disconnected
 		_, _ = io.Copy(w, resp.Body)
 	})
 }
--- a/examples/app/main_test.go
+++ b/examples/app/main_test.go
@@ -11,7 +11,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// The example serves its own pages and booking requests, and shuts down without an error.
+// TestRun_ServesPagesAndBookings checks that the example serves its own pages and booking requests, and shuts down
+// without an error.
 func TestRun_ServesPagesAndBookings(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,14 +43,14 @@
 	}
 	testkit.Await(t, "readiness", func() bool { status, _ := get("/health/ready"); return status == 200 })
 	if status, body := get("/"); status != 200 || body != "Welcome. Today: two rooms are free\n" {
-		t.Errorf("its page: %d %q", status, body)
+		t.Errorf("page of the application: status %d %q", status, body)
 	}
 	status, body := get("/api/rooms", "X-Request-Id", "1", "X-Class", "hladanie", "X-Deadline-Ms", "2000")
 	if status != 200 || body != "two rooms are free\n" {
-		t.Errorf("a booking request: %d %q", status, body)
+		t.Errorf("booking request: status %d %q", status, body)
 	}
 	stop()
-	if err := testkit.Receive(t, "the end", ended); err != nil {
+	if err := testkit.Receive(t, "run to return", ended); err != nil {
 		t.Error(err)
 	}
 }
