--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -43,7 +43,7 @@
 		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name()) // err already says what failed
+		_ = os.Remove(temporary.Name()) // the first error is the one returned
 	}
 	return err
 }
--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -15,9 +15,9 @@
 // allListed is the InitialThreshold of a node that has every server in service, with processes that started long ago.
 func allListed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
-// TestDecay_ByAge checks that thresholds approach the initial one by half in each half-life, that the remaining time
-// of ejections shrinks to 0 while the servers stay ejected, that buckets get the age as idle time, and that a
-// snapshot that is too old or from the future is rejected.
+// TestDecay_ByAge checks that thresholds halve their distance to the initial one in each half-life, that the
+// remaining time of ejections shrinks to 0 while the servers stay ejected, that buckets get the age as idle time, and
+// that a snapshot that is too old or from the future is rejected.
 func TestDecay_ByAge(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, time.Minute: 5, 2 * time.Minute: 3.5} {
 		t.Run(age.String(), func(t *testing.T) {
--- a/internal/rundir/rundir.go
+++ b/internal/rundir/rundir.go
@@ -42,7 +42,7 @@
 		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // err already says what failed
+		_ = lock.Close() // the first error is the one returned
 		return nil, fmt.Errorf("rundir: %s: %w", lock.Name(), err)
 	}
 	return &Process{dir: dir, name: name, lock: lock}, nil
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -57,7 +57,7 @@
 func (r *DeadlineReader) hasReceivedInTime() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.deadline.Before(r.openedAt) || r.deadline.After(time.Now()) { // no deadline or an interrupt; a new deadline
+	if r.deadline.Before(r.openedAt) || r.deadline.After(time.Now()) { // no deadline, an interrupt, or a new deadline
 		return false
 	}
 	if !r.checked {
--- a/middleware/frontend.go
+++ b/middleware/frontend.go
@@ -130,13 +130,13 @@
 	return func(f *Frontend) { f.setBodyDeadlines = set }
 }
 
-// Path matches requests at the path and below it.
+// Path returns a matcher of requests for the path and everything below it.
 func Path(path string) func(*http.Request) bool {
 	below := strings.TrimSuffix(path, "/") + "/"
 	return func(r *http.Request) bool { return r.URL.Path == path || strings.HasPrefix(r.URL.Path, below) }
 }
 
-// Any matches every request.
+// Any is a matcher of every request.
 func Any(*http.Request) bool { return true }
 
 // New returns a Frontend that forwards booking requests to the engine.
--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -221,7 +221,7 @@
 	status, body := send(t, request(t, url+"/api", "POST", "pay", "r1", "sum"))
 	testkit.Receive(t, "the request", received)
 	if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
-		t.Errorf("%d %q, want a failure that promises nothing", status, body)
+		t.Errorf("request that may have run: status %d %q, want 502 or 504", status, body)
 	}
 }
 
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxInlineBody = 16 << 10 // bytes; longest body that is kept as one slice and not counted against body.Limits
+	maxInlineBody = 16 << 10 // bytes; longest body that is kept as one slice, outside the Budget of body.Limits
 	// minUploadRate is the lowest expected rate of a client, in bytes a second. The time in which a body must arrive
 	// is extended by its length at this rate.
 	minUploadRate      = 32 << 10
--- a/middleware/support_test.go
+++ b/middleware/support_test.go
@@ -121,7 +121,7 @@
 func expectServed(t testing.TB, req *http.Request, wantBody string) {
 	t.Helper()
 	if status, body := send(t, req); status != 200 || body != wantBody {
-		t.Errorf("%s %s: %d %q, want 200 %q", req.Method, req.URL.Path, status, body, wantBody)
+		t.Errorf("%s %s: status %d %q, want 200 %q", req.Method, req.URL.Path, status, body, wantBody)
 	}
 }
 
--- a/middleware/timedbody_test.go
+++ b/middleware/timedbody_test.go
@@ -16,11 +16,11 @@
 	} {
 		body := timedBody{received: received}
 		if got := body.stallTimeout(); got != bodyStallTimeout {
-			t.Errorf("short: %v after %d bytes, want %v", got, received, bodyStallTimeout)
+			t.Errorf("stall timeout of a short body: %v after %d bytes, want %v", got, received, bodyStallTimeout)
 		}
 		body.isLong = true
 		if got := body.stallTimeout(); got != want {
-			t.Errorf("long: %v after %d bytes, want %v", got, received, want)
+			t.Errorf("stall timeout of a long body: %v after %d bytes, want %v", got, received, want)
 		}
 	}
 }
