--- a/certificates/expiry.go
+++ b/certificates/expiry.go
@@ -16,18 +16,18 @@
 // after it. It is not safe for concurrent use.
 type ExpiryWarnings struct {
 	leadTimes []time.Duration // descending
-	passed    map[string]int  // by certificate: how many lead times have been reported as passed
+	passed    map[string]int  // number of lead times that have passed, by certificate
 }
 
-// NewExpiryWarnings returns one that warns at these times before expiry.
+// NewExpiryWarnings returns ExpiryWarnings that warn when each of the lead times remains until expiry.
 func NewExpiryWarnings(leadTimes []time.Duration) *ExpiryWarnings {
 	leadTimes = slices.Clone(leadTimes)
 	slices.SortFunc(leadTimes, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	return &ExpiryWarnings{leadTimes: leadTimes, passed: make(map[string]int)}
 }
 
-// Due returns the warnings that have become due since the last call. current lists all certificates in use; those
-// that are missing from it are forgotten.
+// Due returns the warnings that have become due since the last call. current lists all certificates in use; the state
+// of certificates that are missing from it is dropped.
 func (w *ExpiryWarnings) Due(now time.Time, current []Summary) (due []ExpiryWarning) {
 	passed := make(map[string]int, len(current))
 	for _, cert := range current {
@@ -43,7 +43,7 @@
 	return due
 }
 
-// countPassed returns how many of the lead times have passed; expiry itself counts as one more.
+// countPassed returns the number of lead times that have passed. Expiry itself counts as one more.
 func (w *ExpiryWarnings) countPassed(remaining time.Duration) int {
 	if remaining <= 0 {
 		return len(w.leadTimes) + 1
--- a/certificates/file.go
+++ b/certificates/file.go
@@ -21,7 +21,7 @@
 	return raw, err
 }
 
-// checkOwnerOnly verifies that only its owner can access a file of secrets.
+// checkOwnerOnly verifies that a file with secrets is accessible only to its owner.
 func checkOwnerOnly(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// inode returns the inode number of a file, which tells apart two files written at the same time; 0 if unknown.
+// inode returns the inode number of a file, or 0 if that is unknown. It distinguishes files with the same path, size
+// and modification time.
 func inode(info os.FileInfo) uint64 {
 	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
 		return stat.Ino
--- a/certificates/load.go
+++ b/certificates/load.go
@@ -1,6 +1,6 @@
 // Package certificates loads and reloads TLS certificates with their private keys, trusted authorities, and session
-// ticket keys. Input is validated before it is used, and a Set is replaced as a whole: an error in one file changes
-// nothing.
+// ticket keys. Input is validated before it is used, and a Set is replaced as a whole, so that an error in one file
+// leaves the previous Set in use.
 package certificates
 
 import (
@@ -17,15 +17,15 @@
 
 const (
 	maxFileSize           = 1 << 20 // bytes
-	maxBundleCertificates = 500     // certificates in one file
-	maxDirPairs           = 256     // certificates in a directory
+	maxBundleCertificates = 500     // maximum number of certificates in one file
+	maxDirPairs           = 256     // maximum number of certificates with keys in a directory
 
 	certFile, keyFile = "cert.pem", "key.pem"
 )
 
 // Pair is a certificate with its chain and its private key.
 type Pair struct {
-	Source string // the file of the certificate, or another name of its source
+	Source string // the path of the certificate's file, or a name for another source
 	Cert   tls.Certificate
 	Leaf   *x509.Certificate
 }
@@ -41,8 +41,8 @@
 	return earliest
 }
 
-// LoadPair reads a certificate chain and its private key from files. Both have to be valid at now, and the key's file
-// must be accessible to its owner only. Errors name the file.
+// LoadPair reads a certificate chain and its private key from files. The chain has to be valid at now, the key has to
+// match it, and the key's file must be accessible to its owner only. Errors name the file.
 func LoadPair(certPath, keyPath string, now time.Time) (*Pair, error) {
 	rawChain, err := readFile(certPath)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return newPair(certPath, keyPath, rawChain, rawKey, now)
 }
 
-// ParsePair is LoadPair for PEM that does not come from files. Errors name the source.
+// ParsePair is like LoadPair for PEM that does not come from files. Errors contain source.
 func ParsePair(source string, cert, key []byte, now time.Time) (*Pair, error) {
 	return newPair(source, source, cert, key, now)
 }
@@ -89,7 +89,7 @@
 	return pair, nil
 }
 
-// dnsNames returns the DNS names of the certificate: in lower case, sorted, each once.
+// dnsNames returns the DNS names of the certificate in lower case, sorted and without duplicates.
 func (p *Pair) dnsNames() []string {
 	names := make([]string, 0, len(p.Leaf.DNSNames))
 	for _, name := range p.Leaf.DNSNames {
@@ -121,7 +121,7 @@
 	return ParseTrust(path, raw, now)
 }
 
-// ParseTrust is LoadTrust for PEM that does not come from a file. Errors name the source.
+// ParseTrust is like LoadTrust for PEM that does not come from a file. Errors contain source.
 func ParseTrust(source string, raw []byte, now time.Time) ([]*x509.Certificate, error) {
 	authorities, err := decodeAuthorities(raw, now)
 	if err != nil {
@@ -130,8 +130,8 @@
 	return authorities, nil
 }
 
-// LoadDir reads a directory that has, for each certificate, a subdirectory (or a link to one) with cert.pem and
-// key.pem. Names that begin with a dot are skipped.
+// LoadDir reads a directory that has, for each certificate, a subdirectory (or a symbolic link to one) with the files
+// cert.pem and key.pem. Names that begin with a dot are skipped.
 func LoadDir(dir string, now time.Time) ([]*Pair, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/certificates/set.go
+++ b/certificates/set.go
@@ -12,23 +12,23 @@
 
 // Sources says where certificates and authorities are read from. Empty fields are not used.
 type Sources struct {
-	Dir       string // a directory as LoadDir reads it
-	Cert, Key string // one certificate with its chain, and its key
-	Trust     string // a bundle of CA certificates
+	Dir       string // path of a directory in the format of LoadDir
+	Cert, Key string // paths of one certificate with its chain, and of its private key
+	Trust     string // path of a bundle of CA certificates
 }
 
 // Set is the certificates and authorities in use at one time. It is immutable.
 type Set struct {
 	Pairs       []*Pair
 	Trust       []*x509.Certificate
-	Pool        *x509.CertPool // holds Trust; nil if that is empty
-	TrustDigest string         // of Trust: a session verified under another digest must not be resumed
-	OwnDigest   string         // of Pairs: a session that presented another certificate must not be resumed
+	Pool        *x509.CertPool // contains Trust; nil if that is empty
+	TrustDigest string         // digest of Trust; a session verified under another digest must not be resumed
+	OwnDigest   string         // digest of Pairs; a session with another certificate of this node must not be resumed
 
 	byName map[string]*Pair
 }
 
-// Load reads all sources, which have to be valid at now.
+// Load reads all sources. What it reads has to be valid at now.
 func Load(from Sources, now time.Time) (*Set, error) {
 	if (from.Cert == "") != (from.Key == "") {
 		return nil, errors.New("a certificate and its key go together")
@@ -58,14 +58,14 @@
 	return NewSet(pairs, trust), nil
 }
 
-// NewSet returns a set of certificates and authorities that are already loaded.
+// NewSet returns a set of the given certificates and authorities.
 func NewSet(pairs []*Pair, trust []*x509.Certificate) *Set {
 	set := &Set{Pairs: pairs, Trust: trust, byName: make(map[string]*Pair)}
 	own := sha256.New()
 	for _, pair := range pairs {
 		own.Write(pair.Leaf.Raw)
 		for _, name := range pair.dnsNames() {
-			// Two certificates for one name occur during a rotation; the one that expires later is the new one.
+			// During a rotation, two certificates can have the same name; the one that expires later is the new one.
 			if other := set.byName[name]; other == nil || pair.ExpiresAt().After(other.ExpiresAt()) {
 				set.byName[name] = pair
 			}
@@ -84,8 +84,8 @@
 	return set
 }
 
-// PairFor returns the pair for a server name: an exact match, else a wildcard match, else nil. An empty name, which a
-// client without SNI sends, gets the first pair.
+// PairFor returns the pair for a server name: an exact match, else a wildcard match, else nil. For an empty name, as
+// from a client without SNI, it returns the first pair.
 func (s *Set) PairFor(serverName string) *Pair {
 	serverName = strings.ToLower(strings.TrimSuffix(serverName, "."))
 	if pair := s.byName[serverName]; pair != nil {
--- a/certificates/store.go
+++ b/certificates/store.go
@@ -13,7 +13,7 @@
 	set     atomic.Pointer[Set]
 }
 
-// Open returns a store with what it reads from the sources.
+// Open returns a store with the set that it loads from the sources.
 func Open(from Sources, now time.Time) (*Store, error) {
 	set, err := Load(from, now)
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // Reload reads the sources again and replaces the set; on an error the current set stays in use. trustChanged reports
-// whether the trusted authorities have changed, so that peers verified before have to be verified again.
+// whether the trusted authorities have changed; if so, peers that were verified before have to be verified again.
 func (s *Store) Reload(now time.Time) (trustChanged bool, err error) {
 	set, err := Load(s.sources, now)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s.set.Swap(set).TrustDigest != set.TrustDigest, nil
 }
 
-// Replace puts a set in use.
+// Replace makes set the one in use.
 func (s *Store) Replace(set *Set) { s.set.Store(set) }
 
 // Set returns the set in use.
--- a/certificates/ticketkeys.go
+++ b/certificates/ticketkeys.go
@@ -14,17 +14,17 @@
 
 const (
 	ticketKeySize = 32 // bytes
-	maxTicketKeys = 8  // keys in a file
+	maxTicketKeys = 8  // maximum number of keys in a file
 )
 
-// Tickets holds the keys for TLS session tickets, from a file that several nodes may share: one key a line, as 64
-// hexadecimal digits. The first key encrypts, all of them decrypt. It is safe for concurrent use.
+// Tickets holds the keys for TLS session tickets, from a file that several nodes may share. The file has one key per
+// line, as 64 hexadecimal digits. The first key encrypts, all keys decrypt. It is safe for concurrent use.
 type Tickets struct {
 	path string
 	keys atomic.Pointer[[][ticketKeySize]byte]
 }
 
-// OpenTickets reads the file for the first time.
+// OpenTickets reads the keys from a file.
 func OpenTickets(path string) (*Tickets, error) {
 	tickets := &Tickets{path: path}
 	return tickets, tickets.Reload()
@@ -74,10 +74,11 @@
 	return keys, nil
 }
 
-// NextTicketKeys returns the keys that follow current in a rotation: the last one, which all nodes have had time to
-// load, encrypts from now on; the others continue to decrypt; fresh is added for the next rotation.
+// NextTicketKeys returns the keys after a rotation. The last key of current, which all nodes have had time to load,
+// encrypts from now on. The other keys continue to decrypt, until there are too many. fresh is added as the last key,
+// which will encrypt after the next rotation.
 func NextTicketKeys(current [][ticketKeySize]byte, fresh [ticketKeySize]byte) [][ticketKeySize]byte {
-	if len(current) < 2 { // no other node has the fresh key yet, so it must not encrypt
+	if len(current) < 2 { // no other node has loaded the fresh key yet, so it must not encrypt
 		return append(current[:len(current):len(current)], fresh)
 	}
 	last := len(current) - 1
@@ -85,7 +86,7 @@
 	return append(next[:min(len(next), maxTicketKeys/2)], fresh)
 }
 
-// RotateTickets replaces the file atomically by one with the next keys, or creates it.
+// RotateTickets atomically replaces the file with one that has the next keys, or creates it.
 func RotateTickets(path string) error {
 	current, err := readTicketKeys(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -101,17 +102,17 @@
 }
 
 func newTicketKey() (key [ticketKeySize]byte) {
-	_, _ = rand.Read(key[:]) // documented never to fail
+	_, _ = rand.Read(key[:]) // never returns an error, by its documentation
 	return key
 }
 
-// writeSecret replaces a file atomically. Its mode is 0600, that of os.CreateTemp.
+// writeSecret replaces a file atomically. The new file has mode 0600, because os.CreateTemp creates files with it.
 func writeSecret(path string, content []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".tickets-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(tmp.Name()) }() // fails after the rename, when nothing is left to remove
+	defer func() { _ = os.Remove(tmp.Name()) }() // fails after a successful rename, because the file is gone then
 	_, err = tmp.Write(content)
 	if err := errors.Join(err, tmp.Sync(), tmp.Close()); err != nil {
 		return err
--- a/certificates/ticketkeys_test.go
+++ b/certificates/ticketkeys_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A key encrypts only after a rotation in which all nodes could load it, and decrypts for some rotations more.
+// TestRotateTickets checks that a key encrypts only if it was in the file before the rotation, so that all nodes could
+// load it, that it still decrypts after the next rotation, and that the file must be accessible to its owner only.
 func TestRotateTickets(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tickets")
 	firstEncrypts := make(map[[ticketKeySize]byte]int) // the rotation in which a key first encrypts
@@ -23,13 +24,13 @@
 		}
 		keys := current.Keys()
 		if previous != nil && !slices.Contains(previous.Keys(), keys[0]) {
-			t.Fatalf("rotation %d: a key encrypts that other nodes could not have loaded", n)
+			t.Fatalf("rotation %d: the key that encrypts was not in the file before, so other nodes cannot have it", n)
 		}
 		if previous != nil && !slices.Contains(keys, previous.Keys()[0]) {
-			t.Fatalf("rotation %d: a ticket issued just before can't be decrypted", n)
+			t.Fatalf("rotation %d: the key that encrypted before was dropped, so its tickets cannot be decrypted", n)
 		}
 		if _, again := firstEncrypts[keys[0]]; again || len(keys) > maxTicketKeys {
-			t.Fatalf("rotation %d: %d keys, the first of them has encrypted before: %v", n, len(keys), again)
+			t.Fatalf("rotation %d: %d keys; first key has encrypted in an earlier rotation: %v", n, len(keys), again)
 		}
 		firstEncrypts[keys[0]] = n
 		previous = current
@@ -38,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if err := RotateTickets(file); err == nil || !strings.Contains(err.Error(), "accessible to others") {
-		t.Errorf("got error %v", err)
+		t.Errorf("file readable by others: got error %v", err)
 	}
 }
--- a/certificates/watch.go
+++ b/certificates/watch.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// retryInterval is the time after which rejected files are read again although they have not changed: a certificate may
-// have become valid meanwhile.
+// retryInterval is the time after which rejected files are read again although they have not changed, since a
+// certificate may have become valid in the meantime.
 const retryInterval = 10 * time.Second
 
 // PollResult is the result of one FileWatcher.Poll.
 type PollResult struct {
 	Source       string
 	Changed      bool  // the new content is in use
-	TrustChanged bool  // Changed, and the trusted authorities are others
-	Err          error // the new content was rejected; reported once for each state of the files
+	TrustChanged bool  // Changed is set, and the trusted authorities are different
+	Err          error // why the new content was rejected; reported once for each state of the files
 }
 
 // FileWatcher reloads files that have changed. It is not safe for concurrent use.
@@ -28,16 +28,16 @@
 	files  func() []string
 	reload func(now time.Time) (trustChanged bool, err error)
 
-	loadedState   string // digests as fingerprint returns them: of the content in use
-	lastState     string // at the last Poll
-	rejectedState string // of the content rejected last; empty: none since the last success
-	rejectedAt    time.Time
+	loadedFingerprint   string // fingerprint of the files whose content is in use
+	lastFingerprint     string // fingerprint at the last Poll
+	rejectedFingerprint string // fingerprint of the files that were rejected last; empty: none since the last success
+	rejectedAt          time.Time
 }
 
 func newFileWatcher(source string, files func() []string, reload func(time.Time) (bool, error)) *FileWatcher {
 	watcher := &FileWatcher{source: source, files: files, reload: reload}
-	watcher.loadedState = watcher.fingerprint()
-	watcher.lastState = watcher.loadedState
+	watcher.loadedFingerprint = watcher.fingerprint()
+	watcher.lastFingerprint = watcher.loadedFingerprint
 	return watcher
 }
 
@@ -46,23 +46,23 @@
 	return newFileWatcher(s.sources.String(), s.sources.files, s.Reload)
 }
 
-// Poll reloads the files if they have changed, and are the same as at the previous Poll: a certificate and its key are
-// replaced one after the other.
+// Poll reloads the files if they have changed, but only once they are the same as at the previous Poll: a certificate
+// and its key are not replaced at the same instant.
 func (w *FileWatcher) Poll(now time.Time) PollResult {
 	result := PollResult{Source: w.source}
 	state := w.fingerprint()
-	settled := state == w.lastState
-	w.lastState = state
-	rejectedBefore := state == w.rejectedState
+	settled := state == w.lastFingerprint
+	w.lastFingerprint = state
+	rejectedBefore := state == w.rejectedFingerprint
 	tooSoon := rejectedBefore && now.Sub(w.rejectedAt) < retryInterval
-	if !settled || state == w.loadedState || tooSoon {
+	if !settled || state == w.loadedFingerprint || tooSoon {
 		return result
 	}
-	w.rejectedState, w.rejectedAt = state, now
+	w.rejectedFingerprint, w.rejectedAt = state, now
 	trustChanged, err := w.reload(now)
 	switch {
 	case err == nil:
-		w.loadedState, w.rejectedState = state, ""
+		w.loadedFingerprint, w.rejectedFingerprint = state, ""
 		result.Changed, result.TrustChanged = true, trustChanged
 	case !rejectedBefore:
 		result.Err = err
@@ -84,7 +84,7 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// files lists the paths that Load would read now.
+// files returns the paths of the files that Load would read now.
 func (s Sources) files() (paths []string) {
 	for _, path := range []string{s.Cert, s.Key, s.Trust} {
 		if path != "" {
@@ -101,7 +101,7 @@
 	return paths
 }
 
-// String returns a name for the sources, for logs.
+// String returns a name for the sources in logs.
 func (s Sources) String() string {
 	return cmp.Or(s.Dir, s.Cert, s.Trust)
 }
--- a/certificates/watch_test.go
+++ b/certificates/watch_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pollFixture is a store on files, watched by a watcher that is polled once a second.
+// pollFixture is a store that is loaded from files, and a watcher of these files that poll polls at a simulated time.
 type pollFixture struct {
 	ca      authority
 	from    Sources
@@ -19,14 +19,14 @@
 func newPollFixture(t *testing.T) *pollFixture {
 	t.Helper()
 	fixture := &pollFixture{
-		ca:   newAuthority(t, "one", day.AddDate(-1, 0, 0), day.AddDate(1, 0, 0)),
+		ca:   newAuthority(t, "one", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0)),
 		from: testSources(t),
 		now:  time.Now(),
 	}
-	put(t, fixture.from.Trust, 0o644, fixture.ca.pem())
-	cert, key := fixture.issue(day.Add(-time.Hour))
-	put(t, fixture.from.Cert, 0o644, cert)
-	put(t, fixture.from.Key, 0o600, key)
+	replaceFile(t, fixture.from.Trust, 0o644, fixture.ca.pem())
+	cert, key := fixture.issue(testNow.Add(-time.Hour))
+	replaceFile(t, fixture.from.Cert, 0o644, cert)
+	replaceFile(t, fixture.from.Key, 0o600, key)
 	store, err := Open(fixture.from, fixture.now)
 	if err != nil {
 		t.Fatal(err)
@@ -36,12 +36,13 @@
 }
 
 func (f *pollFixture) issue(notBefore time.Time) (cert, key []byte) {
-	return f.ca.issue(notBefore, day.AddDate(0, 0, 30), "a.example")
+	return f.ca.issue(notBefore, testNow.AddDate(0, 0, 30), "a.example")
 }
 
 func (f *pollFixture) serial() string { return f.store.Set().Pairs[0].Leaf.SerialNumber.String() }
 
-// poll polls a second later; of an error it compares only whether there is one.
+// poll advances the simulated time by a second, polls the watcher, and compares the result with want. It does not
+// compare the text of the error. condition describes the state of the files in error messages.
 func (f *pollFixture) poll(t *testing.T, condition string, want PollResult) {
 	t.Helper()
 	f.now = f.now.Add(time.Second)
@@ -55,44 +56,45 @@
 	fixture := newPollFixture(t)
 	before := fixture.serial()
 	fixture.poll(t, "no change", PollResult{})
-	cert, key := fixture.issue(day.Add(-time.Hour))
-	put(t, fixture.from.Cert, 0o644, cert)
+	cert, key := fixture.issue(testNow.Add(-time.Hour))
+	replaceFile(t, fixture.from.Cert, 0o644, cert)
 	fixture.poll(t, "a new certificate without its key", PollResult{})
-	put(t, fixture.from.Key, 0o600, key)
-	fixture.poll(t, "its key has just been written", PollResult{})
-	fixture.poll(t, "settled", PollResult{Changed: true})
+	replaceFile(t, fixture.from.Key, 0o600, key)
+	fixture.poll(t, "its key was written since the last poll", PollResult{})
+	fixture.poll(t, "no change since the last poll", PollResult{Changed: true})
 	if fixture.serial() == before {
 		t.Error("the previous certificate is still in use")
 	}
 }
 
-// A rejection is reported once, and the load is retried later although the files are the same.
+// TestFileWatcherPoll_RetriesRejectedFiles checks that rejected files are reported once, and that they are loaded again
+// after retryInterval although they have not changed.
 func TestFileWatcherPoll_RetriesRejectedFiles(t *testing.T) {
 	fixture := newPollFixture(t)
 	before := fixture.serial()
 	later := fixture.now.Add(8 * time.Second)
 	cert, key := fixture.issue(later)
-	put(t, fixture.from.Cert, 0o644, cert)
-	put(t, fixture.from.Key, 0o600, key)
-	fixture.poll(t, "not yet valid", PollResult{})
-	fixture.poll(t, "not yet valid, settled", PollResult{Err: os.ErrInvalid})
-	fixture.poll(t, "already reported", PollResult{})
+	replaceFile(t, fixture.from.Cert, 0o644, cert)
+	replaceFile(t, fixture.from.Key, 0o600, key)
+	fixture.poll(t, "certificate not yet valid", PollResult{})
+	fixture.poll(t, "certificate not yet valid, files unchanged since the last poll", PollResult{Err: os.ErrInvalid})
+	fixture.poll(t, "rejection already reported", PollResult{})
 	if fixture.serial() != before {
 		t.Error("a certificate that is not yet valid is in use")
 	}
 	fixture.now = fixture.now.Add(retryInterval)
-	fixture.poll(t, "valid meanwhile", PollResult{Changed: true})
+	fixture.poll(t, "certificate valid by now", PollResult{Changed: true})
 }
 
 func TestFileWatcherPoll_TrustChanged(t *testing.T) {
 	fixture := newPollFixture(t)
-	other := newAuthority(t, "two", day.AddDate(-1, 0, 0), day.AddDate(1, 0, 0))
-	put(t, fixture.from.Trust, 0o644, fixture.ca.pem(), other.pem())
+	other := newAuthority(t, "two", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
+	replaceFile(t, fixture.from.Trust, 0o644, fixture.ca.pem(), other.pem())
 	fixture.poll(t, "another authority", PollResult{})
-	fixture.poll(t, "another authority, settled", PollResult{Changed: true, TrustChanged: true})
+	fixture.poll(t, "another authority, file unchanged since the last poll", PollResult{Changed: true, TrustChanged: true})
 }
 
-// Each lead time is reported once, and so is expiry.
+// TestExpiryWarningsDue checks that there is one warning at each lead time, and one at expiry.
 func TestExpiryWarningsDue(t *testing.T) {
 	now := time.Now()
 	warnings := NewExpiryWarnings([]time.Duration{time.Hour, 24 * time.Hour})
@@ -108,6 +110,6 @@
 		}
 	}
 	if !slices.Equal(remaining, []time.Duration{24 * time.Hour, time.Hour, 0}) {
-		t.Errorf("warned with %v remaining", remaining)
+		t.Errorf("warnings with %v remaining, want 24h, 1h and 0", remaining)
 	}
 }
