--- a/transport/http1/conn.go
+++ b/transport/http1/conn.go
@@ -8,12 +8,13 @@
 	"cobaltward/transport/secure"
 )
 
-// conn is a connection to a server. It has none of net.TCPConn's other methods: some of them would bypass TLS.
+// conn is a connection to a server, in plaintext or with TLS. It does not embed net.TCPConn, because some of that
+// type's methods would bypass TLS.
 type conn struct {
 	tcp      *net.TCPConn
 	tls      *secure.Conn // nil: plaintext
 	server   *server
-	lastUsed time.Time // when it was opened, or its last response ended
+	lastUsed time.Time // when the connection was opened, or when its last response ended
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -51,7 +52,8 @@
 // isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
 func (c *conn) isTrusted(now time.Time) bool { return c.tls == nil || c.tls.IsTrusted(now) }
 
-// canReuse reports whether a response that comes late behind the last one would have arrived by now.
+// canReuse reports whether the reuse delay since the last response has passed. By then, a duplicate of that response
+// would have arrived.
 func (c *conn) canReuse(now time.Time) bool {
 	delay := reuseDelay
 	if c.tls != nil {
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -21,7 +21,7 @@
 	switch {
 	case err == nil:
 		return c, nil
-	case errors.Is(err, errClientGone):
+	case errors.Is(err, errAttemptEnded):
 		return nil, ctx.Err()
 	}
 	t.unreserve()
@@ -31,8 +31,9 @@
 	return nil, err
 }
 
-// openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, since the next request can
-// use its connection: errClientGone is returned then, and the goroutine of the handshake owns the reservation.
+// openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, so that the next request
+// can use the connection. In that case it returns errAttemptEnded, and a goroutine releases the connection to the pool
+// or gives up its reservation.
 func (t *Transport) openForRequest(ctx context.Context, srv *server) (*conn, error) {
 	if t.tls == nil {
 		return t.open(ctx, ctx, srv, true)
@@ -42,7 +43,7 @@
 		err  error
 	}
 	opened := make(chan result, 1)
-	t.preconnects.Go(func() {
+	t.dials.Go(func() {
 		c, err := t.open(ctx, t.ctx, srv, true)
 		opened <- result{c, err}
 	})
@@ -52,22 +53,22 @@
 	case <-ctx.Done():
 	}
 	select {
-	case r := <-opened: // both: the server is not at fault
+	case r := <-opened: // the result counts although ctx has ended as well, since the server is not at fault
 		return r.conn, r.err
 	default:
 	}
-	t.preconnects.Go(func() {
+	t.dials.Go(func() {
 		if r := <-opened; r.err != nil {
 			t.unreserve()
 		} else {
 			t.release(r.conn, srv.ID, true)
 		}
 	})
-	return nil, errClientGone
+	return nil, errAttemptEnded
 }
 
-// open opens a connection; forRequest says that a request waits for it. A handshake that is still queued ends with
-// queueCtx, and a running one with ctx.
+// open opens a connection. forRequest is set if a request waits for it. A queued handshake ends with queueCtx, and a
+// running handshake ends with ctx.
 func (t *Transport) open(queueCtx, ctx context.Context, srv *server, forRequest bool) (*conn, error) {
 	var idle *conn
 	dial := func() (*net.TCPConn, error) {
@@ -96,8 +97,8 @@
 	return opened, nil
 }
 
-// takeIdleInstead takes a connection that became idle while a request was queued for its handshake. It replaces the
-// connection that was counted for the request.
+// takeIdleInstead returns a connection that became idle while a request was queued for a handshake, or nil. The idle
+// connection is already counted in openConns, so it removes the count that was reserved for the request.
 func (t *Transport) takeIdleInstead(s *server, forRequest bool) *conn {
 	if t.tls == nil || !forRequest {
 		return nil
--- a/transport/http1/errors.go
+++ b/transport/http1/errors.go
@@ -12,7 +12,7 @@
 
 var (
 	errIdleConnAvailable = errors.New("an idle connection became available")
-	errClientGone        = errors.New("the attempt ended while its connection was being opened")
+	errAttemptEnded      = errors.New("the attempt ended while its connection was being opened")
 	errUnknownServer     = errors.New("server is not in the endpoint list")
 	errServerDraining    = errors.New("server is draining")
 	errNoConnection      = errors.New("connection limit reached")
@@ -20,7 +20,7 @@
 	errEarlyResponse     = errors.New("server responded or closed before the end of the request body")
 )
 
-// readError returns errMalformedResponse for a response that breaks the protocol or its bounds, and err itself where
+// readError returns errMalformedResponse if the response violates the protocol or its size limits, and err itself if
 // the connection failed.
 func readError(err error, limitReached bool) error {
 	var netErr net.Error
@@ -30,8 +30,8 @@
 	return errMalformedResponse
 }
 
-// failureCode returns the outcome of an attempt that got no response. mayRun says that the last byte of the request may
-// have been written.
+// failureCode returns the outcome of an attempt that got no response. mayRun is set if the last byte of the request may
+// have been written, so that the server may have run it.
 func failureCode(ctx context.Context, err error, mayRun bool) policy.Code {
 	code := outcome.FailureCode(ctx, mayRun)
 	if code == policy.Reset && errors.Is(err, errMalformedResponse) {
--- a/transport/http1/head.go
+++ b/transport/http1/head.go
@@ -12,26 +12,27 @@
 // responseHead is the part of a response's head that the transport uses.
 type responseHead struct {
 	status      int
-	length      int  // of the body; -1: unknown
-	closeAfter  bool // the connection serves no further request
+	length      int  // of the body, in bytes; -1: unknown
+	closeAfter  bool // the connection must be closed after this response
 	contentType string
-	loadReport  string // X-Load
-	notRun      bool   // X-Not-Run: 1
+	loadReport  string // value of the X-Load header
+	notRun      bool   // the head has X-Not-Run: 1
 }
 
 const (
 	protocolPrefix   = "HTTP/1.1 "
-	statusEnd        = len(protocolPrefix) + 3 // of the status in a status line
-	maxLengthDigits  = 7                       // of a Content-Length that readPlainHead accepts
+	statusEnd        = len(protocolPrefix) + 3 // index after the three-digit status in a status line
+	maxLengthDigits  = 7                       // digits of a Content-Length that readSimpleHead accepts
 	headEnd          = "\r\n\r\n"
 	lineEnd          = "\r\n"
 	headerWhitespace = " \t"
 )
 
-// readPlainHead reads a head of the plainest form: it is complete in what the first read returned, of HTTP/1.1, with a
-// final status that has a body, one Content-Length of digits, and no header that could change where the body ends. It
-// reports false, and consumes nothing, wherever net/http has to decide. Both agree on what they both accept (FuzzHead).
-func readPlainHead(in *bufio.Reader) (head responseHead, ok bool) {
+// readSimpleHead is the fast path for simple heads. A simple head is complete after the first read, has the version
+// HTTP/1.1, a final status that allows a body, and one Content-Length of digits only, and has no header that could
+// change where the body ends. For any other head it returns false and consumes nothing; the caller then uses net/http.
+// FuzzHead checks that net/http parses every simple head to the same result.
+func readSimpleHead(in *bufio.Reader) (head responseHead, ok bool) {
 	if _, err := in.Peek(1); err != nil {
 		return responseHead{}, false
 	}
@@ -41,11 +42,11 @@
 		return responseHead{}, false
 	}
 	line, rest, _ := bytes.Cut(raw[:end+len(lineEnd)], []byte(lineEnd))
-	status, ok := parsePlainStatusLine(line)
+	status, ok := parseSimpleStatusLine(line)
 	if !ok {
 		return responseHead{}, false
 	}
-	parsed := plainHead{responseHead: responseHead{status: status, length: -1}}
+	parsed := simpleHead{responseHead: responseHead{status: status, length: -1}}
 	for len(rest) > 0 {
 		line, rest, _ = bytes.Cut(rest, []byte(lineEnd))
 		if !parsed.addLine(line) {
@@ -59,12 +60,13 @@
 	return parsed.responseHead, err == nil
 }
 
-// parsePlainStatusLine returns a final status that has a body.
-func parsePlainStatusLine(line []byte) (status int, ok bool) {
+// parseSimpleStatusLine parses the status line of a simple head. It reports false unless the status is final and allows
+// a body.
+func parseSimpleStatusLine(line []byte) (status int, ok bool) {
 	if len(line) <= statusEnd || string(line[:len(protocolPrefix)]) != protocolPrefix {
 		return 0, false
 	}
-	if line[statusEnd] != ' ' || !isPlainText(line) {
+	if line[statusEnd] != ' ' || !isPrintableText(line) {
 		return 0, false
 	}
 	number, ok := ascii.ParseDecimal(line[len(protocolPrefix):statusEnd], 3)
@@ -75,13 +77,13 @@
 	return status, true
 }
 
-// plainHead collects the headers of a head of the plainest form.
-type plainHead struct {
+// simpleHead collects the headers of a simple head.
+type simpleHead struct {
 	responseHead
 	seen headerSet
 }
 
-// headerSet is a set of the headers that may occur once.
+// headerSet is a bit set of the headers that may occur at most once in a simple head.
 type headerSet uint8
 
 const (
@@ -92,10 +94,10 @@
 	headerContentLength
 )
 
-// addLine adds a header line. It reports false where the head is not of the plainest form.
-func (h *plainHead) addLine(line []byte) bool {
+// addLine parses a header line. It reports false if a simple head cannot have this line.
+func (h *simpleHead) addLine(line []byte) bool {
 	colon := bytes.IndexByte(line, ':')
-	if colon <= 0 || !isPlainText(line) || !isPlainName(line[:colon]) {
+	if colon <= 0 || !isPrintableText(line) || !isSimpleHeaderName(line[:colon]) {
 		return false
 	}
 	name, value := line[:colon], bytes.Trim(line[colon+1:], headerWhitespace)
@@ -122,8 +124,8 @@
 		!ascii.EqualFold(name, "upgrade")
 }
 
-// isFirst adds a header to those seen. It reports whether it was not among them.
-func (h *plainHead) isFirst(header headerSet) bool {
+// isFirst records a header as seen. It reports whether this is its first occurrence.
+func (h *simpleHead) isFirst(header headerSet) bool {
 	if h.seen&header != 0 {
 		return false
 	}
@@ -131,8 +133,8 @@
 	return true
 }
 
-// isPlainText reports whether a line has only printable ASCII and tabs.
-func isPlainText(line []byte) bool {
+// isPrintableText reports whether a line contains only printable ASCII characters and tabs.
+func isPrintableText(line []byte) bool {
 	for _, char := range line {
 		if char < ' ' && char != '\t' || char > '~' {
 			return false
@@ -141,8 +143,8 @@
 	return true
 }
 
-// isPlainName reports whether the name of a header has only letters, digits and dashes.
-func isPlainName(name []byte) bool {
+// isSimpleHeaderName reports whether a header name contains only letters, digits and dashes.
+func isSimpleHeaderName(name []byte) bool {
 	for _, char := range name {
 		if (char|0x20 < 'a' || char|0x20 > 'z') && (char < '0' || char > '9') && char != '-' {
 			return false
@@ -151,7 +153,7 @@
 	return true
 }
 
-// readHead reads a head by net/http, including the 1xx responses ahead of it.
+// readHead reads a head with net/http, and skips the 1xx responses before it.
 func readHead(in *bufio.Reader, limit *io.LimitedReader, method string) (responseHead, *http.Response, error) {
 	for interim := 0; ; interim++ {
 		resp, err := http.ReadResponse(in, &http.Request{Method: method})
@@ -180,10 +182,10 @@
 	}
 }
 
-// finalChunk ends a chunked body without trailers.
+// finalChunk is the end of a chunked body without trailers.
 var finalChunk = []byte("\r\n0\r\n\r\n")
 
-// hasFinalChunk reports whether the buffered bytes seem to include the end of a chunked body.
+// hasFinalChunk reports whether the buffered bytes end like a chunked body. Data within a chunk can look the same.
 func hasFinalChunk(in *bufio.Reader) bool {
 	buffered, _ := in.Peek(in.Buffered())
 	return bytes.HasSuffix(buffered, finalChunk)
--- a/transport/http1/head_test.go
+++ b/transport/http1/head_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// heads are heads of the plainest form, then heads that readPlainHead has to reject.
-var heads = []string{
+// headSeeds are responses: first five with a simple head, then those whose head readSimpleHead has to reject.
+var headSeeds = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	"HTTP/1.1 200 OK\r\ncontent-length:2\r\nConnection: close\r\n\r\nok",
 	"HTTP/1.1 503 F\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -42,49 +42,49 @@
 	"",
 }
 
-// checkAgreement compares readPlainHead with net/http.
-func checkAgreement(t *testing.T, raw []byte) {
+// compareWithNetHTTP checks that readSimpleHead either consumes nothing, or parses raw as net/http does.
+func compareWithNetHTTP(t *testing.T, raw []byte) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(raw))
-	head, ok := readPlainHead(in)
+	head, ok := readSimpleHead(in)
 	if !ok {
 		if rest, _ := in.Peek(len(raw)); len(raw) <= 4096 && !bytes.Equal(rest, raw) {
-			t.Errorf("%q: left alone, but some of it was consumed", raw)
+			t.Errorf("%q: head rejected, but some bytes were consumed", raw)
 		}
 		return
 	}
 	other := bufio.NewReader(bytes.NewReader(raw))
 	resp, err := http.ReadResponse(other, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		t.Fatalf("%q: taken as %+v, though net/http says %v", raw, head, err)
+		t.Fatalf("%q: parsed as %+v, but net/http fails: %v", raw, head, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != head.status || resp.ContentLength != int64(head.length) || resp.Close != head.closeAfter ||
 		len(resp.TransferEncoding) != 0 || resp.Header.Get("Content-Type") != head.contentType ||
 		resp.Header.Get("X-Load") != head.loadReport || (resp.Header.Get("X-Not-Run") == "1") != head.notRun {
-		t.Errorf("%q: taken as %+v, net/http has %d, length %d, close %v, header %v", raw, head, resp.StatusCode,
+		t.Errorf("%q: parsed as %+v, net/http has status %d, length %d, close %v, header %v", raw, head, resp.StatusCode,
 			resp.ContentLength, resp.Close, resp.Header)
 	}
 	gotBody, _ := in.Peek(in.Buffered())
 	wantBody, _ := other.Peek(other.Buffered())
 	if !bytes.Equal(gotBody, wantBody) {
-		t.Errorf("%q: the body begins at %q, with net/http at %q", raw, gotBody, wantBody)
+		t.Errorf("%q: bytes after the head are %q, with net/http %q", raw, gotBody, wantBody)
 	}
 }
 
 func FuzzHead(f *testing.F) {
-	for _, h := range heads {
+	for _, h := range headSeeds {
 		f.Add([]byte(h))
 	}
-	f.Fuzz(func(t *testing.T, raw []byte) { checkAgreement(t, raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { compareWithNetHTTP(t, raw) })
 }
 
-// TestReadPlainHead_AcceptsPlainFormOnly checks that only the first five seeds are of the plainest form.
-func TestReadPlainHead_AcceptsPlainFormOnly(t *testing.T) {
-	for i, raw := range heads {
-		_, ok := readPlainHead(bufio.NewReader(strings.NewReader(raw)))
+// TestReadSimpleHead_AcceptsOnlySimpleHeads checks that readSimpleHead accepts the first five seeds only.
+func TestReadSimpleHead_AcceptsOnlySimpleHeads(t *testing.T) {
+	for i, raw := range headSeeds {
+		_, ok := readSimpleHead(bufio.NewReader(strings.NewReader(raw)))
 		if want := i < 5; ok != want {
-			t.Errorf("%q: taken %v, want %v", raw, ok, want)
+			t.Errorf("%q: accepted %v, want %v", raw, ok, want)
 		}
 	}
 }
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -19,7 +19,7 @@
 	"cobaltward/router"
 )
 
-func TestConnectionsAreReusedUntilIdle(t *testing.T) {
+func TestPool_ReusesConnsUntilIdleTimeout(t *testing.T) {
 	var conns atomic.Int32
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
@@ -33,23 +33,23 @@
 		time.Sleep(2 * reuseDelay)
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("%d connections for three requests in turn", n)
+		t.Errorf("%d connections for three sequential requests, want 1", n)
 	}
 	transport.closeExpired(time.Now().Add(transport.idleTimeout - time.Second))
 	if _, idle := transport.counts(); idle != 1 {
-		t.Errorf("%d idle connections before their time is up, want 1", idle)
+		t.Errorf("%d idle connections before the idle timeout, want 1", idle)
 	}
 	transport.closeExpired(time.Now().Add(transport.idleTimeout + time.Second))
 	if open, idle := transport.counts(); open != 0 || idle != 0 {
-		t.Errorf("%d open, %d idle after the sweep", open, idle)
+		t.Errorf("%d open and %d idle connections after the idle timeout, want none", open, idle)
 	}
 	if transport.idleTimeout > 30*time.Second {
-		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", transport.idleTimeout)
+		t.Errorf("idle timeout is %v, want at most half of the 60 s in the settings", transport.idleTimeout)
 	}
 }
 
-// TestClosedIdleConnectionIsReplaced checks that a connection which the server closed while idle is not written to.
-func TestClosedIdleConnectionIsReplaced(t *testing.T) {
+// TestPool_ReplacesConnClosedByServer checks that a connection which the server closed while idle is not written to.
+func TestPool_ReplacesConnClosedByServer(t *testing.T) {
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		if testkit.ReadFullRequest(r) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -57,125 +57,126 @@
 	})
 	transport := testTransport(t, addr)
 	attempt(t, transport, testRequest(http.MethodGet, "r1", ""))
-	testkit.Await(t, "the close to be noticed", func() bool {
+	testkit.Await(t, "the close of the idle connection to be detected", func() bool {
 		transport.mu.Lock()
 		defer transport.mu.Unlock()
 		idle := transport.servers.Get("s0").State.idle
 		return len(idle) == 0 || !sockets.IsIdle(transport.servers.Get("s0").State.idle[0].tcp)
 	})
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
-		t.Errorf("code %v", r.Code)
+		t.Errorf("code %v, want OK", r.Code)
 	}
 }
 
-func TestMaxConnsLimitsConnections(t *testing.T) {
+func TestPool_MaxConns(t *testing.T) {
 	hold := make(chan struct{})
 	slow := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	transport := testTransport(t, fast, slow)
 	transport.maxConns = 1
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
-		t.Fatalf("code %v", r.Code)
+		t.Fatalf("first request: code %v, want OK", r.Code)
 	}
-	// The idle connection to the first server is closed in favour of one to the second.
+	// At the limit, the idle connection to the first server is closed for a new one to the second server.
 	done := make(chan router.Result, 1)
 	go func() { done <- transport.Attempt(t.Context(), "s1", testRequest(http.MethodGet, "r2", "")) }()
 	testkit.Await(t, "the eviction", func() bool { open, idle := transport.counts(); return open == 1 && idle == 0 })
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r3", "")); r.Code != policy.Superseded {
-		t.Errorf("code %v beyond the limit, want none that blames the server", r.Code)
+		t.Errorf("code %v beyond the connection limit, want Superseded", r.Code)
 	}
 	close(hold)
-	if r := testkit.Receive(t, "the slow answer", done); r.Code != policy.OK {
-		t.Errorf("code %v", r.Code)
+	if r := testkit.Receive(t, "the response of the slow server", done); r.Code != policy.OK {
+		t.Errorf("request to the slow server: code %v, want OK", r.Code)
 	}
 }
 
-// TestListChangesDropIdleConnections checks that connections to a former process of a server are closed.
-func TestListChangesDropIdleConnections(t *testing.T) {
+// TestUpdate_ClosesIdleConns checks that a change of the endpoint list closes the idle connections to a server that was
+// removed or restarted, and only those.
+func TestUpdate_ClosesIdleConns(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	base := members(addr)[0]
+	base := testEndpoints(addr)[0]
 	restarted, removed := base, base
 	restarted.Started = time.UnixMilli(5)
 	removed.Availability = policy.Removed
 	for name, test := range map[string]struct {
-		n    router.EndpointUpdate
-		want int
+		update router.EndpointUpdate
+		want   int
 	}{
 		"same":      {router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{base}}, 1},
 		"restarted": {router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{restarted}}, 0},
 		"removed":   {router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{removed}}, 0},
-		"no news":   {router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: nil}, 1},
+		"empty":     {router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: nil}, 1},
 		"missing":   {router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: nil}, 0},
 	} {
 		transport := testTransport(t, addr)
 		attempt(t, transport, testRequest(http.MethodGet, "r1", ""))
-		transport.Update(test.n)
+		transport.Update(test.update)
 		if open, _ := transport.counts(); open != test.want {
-			t.Errorf("%s: %d open, want %d", name, open, test.want)
+			t.Errorf("%s: %d open connections, want %d", name, open, test.want)
 		}
 	}
 }
 
-// TestUnsolicitedBytesCloseConnection checks that a connection is not reused if bytes follow a response, at once or
-// later.
-func TestUnsolicitedBytesCloseConnection(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-	for _, behind := range []string{answer + "x", "noise"} {
+// TestPool_UnsolicitedBytesCloseConn checks that a connection is not reused if the server sends bytes after a response
+// while the connection is idle.
+func TestPool_UnsolicitedBytesCloseConn(t *testing.T) {
+	const responseHead = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+	for _, trailing := range []string{responseHead + "x", "noise"} {
 		release, conns := make(chan struct{}), atomic.Int32{}
 		addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			n := conns.Add(1)
 			for testkit.ReadFullRequest(r) {
-				_, _ = fmt.Fprint(c, answer, n)
+				_, _ = fmt.Fprint(c, responseHead, n)
 				if n == 1 {
 					<-release
-					_, _ = io.WriteString(c, behind)
+					_, _ = io.WriteString(c, trailing)
 				}
 			}
 		})
 		transport := testTransport(t, addr)
 		if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); string(r.Answer.Body) != "1" {
-			t.Fatalf("first answer %q, code %v", r.Answer.Body, r.Code)
+			t.Fatalf("first request: body %q, code %v", r.Answer.Body, r.Code)
 		}
 		close(release)
-		testkit.Await(t, "what nobody asked for", func() bool {
+		testkit.Await(t, "the unsolicited bytes", func() bool {
 			transport.mu.Lock()
 			defer transport.mu.Unlock()
 			return !sockets.IsIdle(transport.servers.Get("s0").State.idle[0].tcp)
 		})
 		time.Sleep(2 * reuseDelay)
 		if r := attempt(t, transport, testRequest(http.MethodGet, "r2", "")); string(r.Answer.Body) != "2" {
-			t.Errorf("%q behind: answer %q, code %v", behind, r.Answer.Body, r.Code)
+			t.Errorf("after unsolicited %q: body %q, code %v", trailing, r.Answer.Body, r.Code)
 		}
 		if open, idle := transport.counts(); open != 1 || idle != 1 {
-			t.Errorf("%q behind: %d open, %d idle", behind, open, idle)
+			t.Errorf("after unsolicited %q: %d open and %d idle connections, want one of each", trailing, open, idle)
 		}
 	}
 }
 
-// TestAddressBelongsToNewestServer checks that a new server may have the address of a removed one before the list says
-// that it was removed.
-func TestAddressBelongsToNewestServer(t *testing.T) {
+// TestUpdate_AddressReusedByNewServer checks that requests at an address go to the server that started last, even if
+// the endpoint list still has an older server with the same address.
+func TestUpdate_AddressReusedByNewServer(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	transport := testTransport(t, addr)
-	next := members(addr)[0]
-	next.ID, next.Started = "s1", time.UnixMilli(5)
-	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{next}})
-	late := members(addr)[0]
-	late.Availability = policy.Draining
+	newServer := testEndpoints(addr)[0]
+	newServer.ID, newServer.Started = "s1", time.UnixMilli(5)
+	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{newServer}})
+	staleEntry := testEndpoints(addr)[0]
+	staleEntry.Availability = policy.Draining
 	transport.Update(
-		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{late}},
-	) // of the old one, and late
+		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{staleEntry}},
+	) // an outdated entry of the old server
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("to the old server: code %v", r.Code)
+		t.Errorf("attempt at the old server: code %v, want ConnectFailed", r.Code)
 	}
 	if r := transport.Attempt(t.Context(), "s1", testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
-		t.Errorf("to the new server: code %v", r.Code)
+		t.Errorf("attempt at the new server: code %v, want OK", r.Code)
 	}
 }
 
-// TestLocalShortageBlamesNoServer checks the outcome where connecting fails for lack of a local resource: the attempt
-// never ran, and the server is not at fault.
-func TestLocalShortageBlamesNoServer(t *testing.T) {
+// TestAttempt_LocalResourceExhaustion checks that an attempt whose connection fails for lack of a local resource is
+// Superseded: the server is not at fault, and cannot have run the request.
+func TestAttempt_LocalResourceExhaustion(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
 	} {
@@ -183,18 +184,18 @@
 			transport := testTransport(t, "127.0.0.1:9")
 			transport.dialer.Control = func(string, string, syscall.RawConn) error { return errno }
 			if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.Superseded {
-				t.Errorf("code %v, want that of an attempt that was not made", r.Code)
+				t.Errorf("code %v, want Superseded", r.Code)
 			}
 			if open, _ := transport.counts(); open != 0 {
-				t.Errorf("%d connections are still counted", open)
+				t.Errorf("%d connections are still counted as open", open)
 			}
 		})
 	}
 }
 
-// TestAbandonedAttemptKeepsIdleTime has attempts end again and again before they write anything: the server counts the
-// connection as idle all the while, and so does the pool.
-func TestAbandonedAttemptKeepsIdleTime(t *testing.T) {
+// TestPool_AbandonedAttemptKeepsIdleTime checks that attempts which write nothing do not extend the idle time of a
+// connection. Otherwise the pool would reuse a connection that the server closes as idle at that moment.
+func TestPool_AbandonedAttemptKeepsIdleTime(t *testing.T) {
 	const serverIdleTimeout = 600 * time.Millisecond
 	var conns atomic.Int32
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -212,26 +213,26 @@
 		time.Sleep(serverIdleTimeout / 10)
 		got := transport.Attempt(abandonedContext{t.Context()}, "s0", testRequest(http.MethodPost, "abandoned", ""))
 		if got.Code != policy.Superseded {
-			t.Fatalf("abandoned: code %v", got.Code)
+			t.Fatalf("abandoned attempt: code %v, want Superseded", got.Code)
 		}
 	}
 	time.Sleep(2 * reuseDelay)
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r2", "")); r.Code != policy.OK {
-		t.Errorf("code %v", r.Code)
+		t.Errorf("code %v, want OK", r.Code)
 	}
 	if conns.Load() == 1 {
-		t.Error("a request was written on a connection that was idle for longer than the server keeps one")
+		t.Error("a connection was reused although it was idle for longer than the server's idle timeout")
 	}
 }
 
-// abandonedContext is the context of an attempt whose request has its answer.
+// abandonedContext is the context of an attempt whose request already has its answer.
 type abandonedContext struct{ context.Context }
 
 func (abandonedContext) Abandoned() bool { return true }
 
-// TestReleaseKeepsOrder checks that the connections of a server stay in the order of their last use, whatever the order
-// in which they are released.
-func TestReleaseKeepsOrder(t *testing.T) {
+// TestRelease_KeepsLastUsedOrder checks that the idle connections of a server are sorted by their last use, whatever
+// the order in which they are released.
+func TestRelease_KeepsLastUsedOrder(t *testing.T) {
 	transport := testTransport(t, "127.0.0.1:9")
 	srv := transport.servers.Get("s0")
 	began := time.Now()
@@ -239,7 +240,7 @@
 		transport.release(&conn{server: srv, lastUsed: began.Add(time.Duration(i))}, "s0", true)
 	}
 	if !slices.IsSortedFunc(srv.State.idle, func(a, b *conn) int { return a.lastUsed.Compare(b.lastUsed) }) {
-		t.Error("not in order")
+		t.Error("idle connections are not sorted by their last use")
 	}
-	srv.State.idle = nil // they have no sockets
+	srv.State.idle = nil // the connections of this test have no sockets that could be closed
 }
--- a/transport/http1/preconnect.go
+++ b/transport/http1/preconnect.go
@@ -7,10 +7,10 @@
 	"cobaltward/policy"
 )
 
-// preconnectInterval is the interval at which connections are opened ahead of requests.
+// preconnectInterval is the interval between two rounds of preconnects.
 const preconnectInterval = 100 * time.Millisecond
 
-// preconnect opens connections to servers that will soon need them, where a request would have to wait for a handshake.
+// preconnect opens TLS connections to servers before requests need them, so that requests do not wait for handshakes.
 // It runs until the transport is closed.
 func (t *Transport) preconnect() {
 	startedAt := time.Now()
@@ -28,7 +28,7 @@
 	}
 }
 
-// preconnectTo starts to open a connection to a server, unless one has become idle meanwhile.
+// preconnectTo starts to open a connection to a server, unless one has become idle in the meantime.
 func (t *Transport) preconnectTo(id string) {
 	s, c, err := t.reserve(id, false)
 	if err != nil {
@@ -41,7 +41,7 @@
 	t.mu.Lock()
 	s.State.connecting++
 	t.mu.Unlock()
-	t.preconnects.Go(func() { t.openAhead(s, id) })
+	t.dials.Go(func() { t.openAhead(s, id) })
 }
 
 // openAhead opens a connection that no request waits for.
@@ -57,7 +57,8 @@
 	t.release(c, id, true)
 }
 
-// preconnectTargets returns the servers to which a connection is to be opened. Times are relative to startedAt.
+// preconnectTargets returns the IDs of the servers to which a connection should be opened now. The times in PoolState
+// are relative to startedAt.
 func (t *Transport) preconnectTargets(startedAt time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -6,31 +6,32 @@
 	"sync"
 )
 
-const readAheadChunk = 16 << 10 // bytes by which a body is read
+const readAheadChunk = 16 << 10 // bytes of one read from a body
 
-// readAhead reads a body of unknown length ahead of its reader, within a bound on the bytes held, so that its beginning
-// can be held back for a limited time. Its methods may be called concurrently.
+// readAhead buffers a body of unknown length ahead of its reader, up to maxBuffered bytes. The transport can thus wait
+// for a limited time whether the body ends soon, before it forwards the beginning. Its methods may be called
+// concurrently.
 type readAhead struct {
 	body io.Reader
 
-	mu       sync.Mutex
-	changed  sync.Cond // on mu
-	buffered []byte
-	err      error         // how the body ended; nil until then
-	filled   chan struct{} // closed when the body has ended, or the bound was reached
-	isFilled bool          // filled is closed
-	bound    int           // of buffered
-	closed   bool          // nothing reads it any more
+	mu          sync.Mutex
+	changed     sync.Cond // signals changes of the fields below; uses mu
+	buffered    []byte
+	err         error         // error that ended the body, io.EOF included; nil until then
+	ready       chan struct{} // closed when the body has ended, or maxBuffered was reached
+	isReady     bool          // ready is closed
+	maxBuffered int           // maximum length of buffered before run waits, in bytes
+	closed      bool          // the reader has gone: waiting goroutines return
 }
 
 func newReadAhead(body io.Reader) *readAhead {
-	a := &readAhead{body: body, filled: make(chan struct{}), bound: maxBodyBytes}
+	a := &readAhead{body: body, ready: make(chan struct{}), maxBuffered: maxBodyBytes}
 	a.changed.L = &a.mu
 	return a
 }
 
-// run reads until the body ends or, after close, until the next read returns. The creator has to make sure that the
-// body ends, or its connection.
+// run reads until the body ends or, after close, until the next read returns. The caller has to make sure that reads
+// end at some time: by the end of the body, a read deadline, or the close of the connection.
 func (a *readAhead) run() {
 	chunk := make([]byte, readAheadChunk)
 	for {
@@ -41,26 +42,27 @@
 	}
 }
 
-// add waits for space, and adds data.
+// add waits for space in the buffer, and appends data and the error that came with it. It reports whether run has to
+// stop.
 func (a *readAhead) add(data []byte, err error) (ended bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for len(a.buffered) >= a.bound && !a.closed {
+	for len(a.buffered) >= a.maxBuffered && !a.closed {
 		a.changed.Wait()
 	}
 	a.buffered = append(a.buffered, data...)
 	if err != nil {
 		a.err = err
 	}
-	if (err != nil || len(a.buffered) >= a.bound) && !a.isFilled {
-		a.isFilled = true
-		close(a.filled)
+	if (err != nil || len(a.buffered) >= a.maxBuffered) && !a.isReady {
+		a.isReady = true
+		close(a.ready)
 	}
 	a.changed.Broadcast()
 	return err != nil || a.closed
 }
 
-// Read returns buffered bytes, and waits for them.
+// Read returns buffered bytes, and waits while there are none.
 func (a *readAhead) Read(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,7 +84,8 @@
 	return 0, io.ErrClosedPipe
 }
 
-// result returns the body or its error if it has ended by now. A body above maxBodyBytes is not complete.
+// result returns the body or its error if the body has ended. complete is false if it has not ended, or if it is longer
+// than maxBodyBytes.
 func (a *readAhead) result() (body []byte, complete bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,16 +99,17 @@
 	return nil, true, a.err
 }
 
-// stopHolding lowers the bound, since nothing is held back from now on. It reports whether anything has been read.
+// stopHolding lowers maxBuffered to one chunk, since from now on the body is forwarded as it arrives. It reports
+// whether any bytes are buffered.
 func (a *readAhead) stopHolding() (hasData bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.bound = readAheadChunk
+	a.maxBuffered = readAheadChunk
 	return len(a.buffered) > 0
 }
 
-// awaitFirstByte waits for the first byte of the body, or the end of an empty one. Until then the attempt may still be
-// retried.
+// awaitFirstByte waits for the first byte of the body, or for the end of an empty body. An error before that allows the
+// router to retry the attempt.
 func (a *readAhead) awaitFirstByte() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +122,7 @@
 	return a.err
 }
 
-// close releases all goroutines that wait.
+// close makes all waiting goroutines return.
 func (a *readAhead) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/http1/request.go
+++ b/transport/http1/request.go
@@ -10,9 +10,9 @@
 	"cobaltward/router"
 )
 
-// writeRequest writes r in the form that a server gets into out, without a body that is uploaded. It adds nothing on
-// behalf of the client that the client did not send. It reports false where a field would break the framing of the
-// request: frontends of other protocols may pass any bytes.
+// writeRequest appends r to out as an HTTP/1.1 request. The body of an upload is written separately. It adds no headers
+// such as User-Agent that the client did not send. It reports false if a field would break the framing of the request,
+// because frontends of other protocols may pass any bytes.
 func writeRequest(ctx context.Context, out *bytes.Buffer, addr string, r *router.Request) bool {
 	target, host := r.Target, r.Authority
 	if target == "" {
@@ -21,8 +21,9 @@
 	if host == "" {
 		host = addr
 	}
-	if !isMethod(r.Method) || !isWord(target) || target[0] != '/' || !isWord(host) || !router.ValidID(r.ID) ||
-		!isHeaderValue(r.IdempotencyKey) || !isHeaderValue(r.ContentType) {
+	if !isValidMethod(r.Method) || !isValidTargetOrHost(target) || target[0] != '/' || !isValidTargetOrHost(host) ||
+		!router.ValidID(r.ID) ||
+		!isValidHeaderValue(r.IdempotencyKey) || !isValidHeaderValue(r.ContentType) {
 		return false
 	}
 	for _, part := range [...]string{
@@ -45,7 +46,7 @@
 	return true
 }
 
-// writeDeadline writes the time that is left to the request, at least 1 ms.
+// writeDeadline writes the time that remains for the request as X-Deadline-Ms, at least 1 ms.
 func writeDeadline(ctx context.Context, out *bytes.Buffer, r *router.Request) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -73,8 +74,8 @@
 	}
 }
 
-// isMethod reports whether s can be a method.
-func isMethod(s string) bool {
+// isValidMethod reports whether s consists of ASCII letters, at least one.
+func isValidMethod(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if (s[i] < 'A' || s[i] > 'Z') && (s[i] < 'a' || s[i] > 'z') {
 			return false
@@ -83,8 +84,9 @@
 	return s != ""
 }
 
-// isWord reports whether s can be a request target or a host: it is not empty, and has no blanks or control characters.
-func isWord(s string) bool {
+// isValidTargetOrHost reports whether s can be a request target or a host: it is not empty, and has no spaces or
+// control characters.
+func isValidTargetOrHost(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] == 0x7f {
 			return false
@@ -93,8 +95,8 @@
 	return s != ""
 }
 
-// isHeaderValue reports whether s can be the value of a header.
-func isHeaderValue(s string) bool {
+// isValidHeaderValue reports whether s can be the value of a header: it has no control characters except tabs.
+func isValidHeaderValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10 // of a response that is not streamed
-	maxHeadBytes        = 16 << 10 // of a response
-	maxInterimResponses = 8        // 1xx responses ahead of the final one
+	maxBodyBytes        = 64 << 10 // maximum body of a response that is not streamed
+	maxHeadBytes        = 16 << 10 // maximum head of a response
+	maxInterimResponses = 8        // 1xx responses before the final one
 )
 
-// statusLinePrefix is what every response begins with.
+// statusLinePrefix is the beginning of every response.
 const statusLinePrefix = "HTTP/1."
 
-// response is a response as far as its attempt needs it: it has a body or a stream.
+// response is a response of a server, with either a body or a stream.
 type response struct {
 	head   responseHead
 	body   []byte
-	stream router.Stream // of a long body; owns the connection and the reader
+	stream router.Stream // a long body; it owns the connection and the bufio.Reader
 }
 
 // responseReader reads one response.
 type responseReader struct {
 	transport *Transport
 	in        *bufio.Reader
-	limit     *io.LimitedReader // below in
+	limit     *io.LimitedReader // from which in reads
 	conn      *conn
 	serverID  string
 }
 
-// readResponse reads one response, within bounds on its head and on the body bytes that are held. A body that is
-// longer, or of unknown length and slow, becomes a stream where r accepts one. A response whose body does not fit its
-// framing is malformed, and so is one followed by bytes that do not begin another response: they may be of its body.
+// readResponse reads one response, within the limits maxHeadBytes and maxBodyBytes. If r accepts a stream, a body that
+// is longer, or that is slow and of unknown length, becomes one. A response is malformed if its body does not match its
+// framing, or if it is followed by bytes that do not begin another response: they may belong to its body.
 func (t *Transport) readResponse(in *bufio.Reader, c *conn, server string, r *router.Request) (response, error) {
 	limit := &io.LimitedReader{R: c, N: maxHeadBytes}
 	in.Reset(limit)
@@ -57,7 +57,7 @@
 
 func (rd *responseReader) read(r *router.Request) (response, error) {
 	if r.Method != http.MethodHead { // the Content-Length of a response to HEAD is not that of its body
-		if head, ok := readPlainHead(rd.in); ok {
+		if head, ok := readSimpleHead(rd.in); ok {
 			return rd.readFixedLength(head, r.AcceptsStream)
 		}
 	}
@@ -74,7 +74,7 @@
 	return response{head: head, body: body, stream: stream}, err
 }
 
-// readFixedLength reads a body whose length the head gives.
+// readFixedLength reads a body whose length is in the head, or returns a stream of it if it is too long to buffer.
 func (rd *responseReader) readFixedLength(head responseHead, acceptsStream bool) (response, error) {
 	if head.length > maxBodyBytes {
 		if !acceptsStream || head.status != http.StatusOK {
@@ -89,7 +89,7 @@
 	rd.limit.N = maxBodyBytes
 	body := make([]byte, head.length)
 	if _, err := io.ReadFull(rd.in, body); err != nil {
-		if errors.Is(err, io.EOF) { // the connection ended ahead of the body
+		if errors.Is(err, io.EOF) { // the connection ended before the first byte of the body
 			err = io.ErrUnexpectedEOF
 		}
 		return response{}, readError(err, rd.limit.N == 0)
@@ -97,12 +97,12 @@
 	return response{head: head, body: body}, nil
 }
 
-// readShortBody reads a body of at most maxBodyBytes by net/http.
+// readShortBody reads a body of at most maxBodyBytes with net/http.
 func readShortBody(limit *io.LimitedReader, resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodyBytes {
 		return nil, errMalformedResponse
 	}
-	limit.N = 2 * maxBodyBytes // the chunked coding adds the sizes of chunks
+	limit.N = 2 * maxBodyBytes // leaves space for the chunk sizes of the chunked coding
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, readError(err, limit.N == 0)
--- a/transport/http1/roundtrip.go
+++ b/transport/http1/roundtrip.go
@@ -16,7 +16,7 @@
 )
 
 // Attempt sends r to the server once, and waits for the complete response until ctx ends. The end of ctx closes the
-// connection, by which the server learns that the request was cancelled.
+// connection, which tells the server that the request was cancelled.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	connection, err := t.acquire(ctx, server)
 	switch {
@@ -33,14 +33,15 @@
 		if stop() {
 			return result
 		}
-		_ = stream.Close() // the attempt was cancelled as its response began
+		_ = stream.Close() // ctx ended while the beginning of the response was read
 		return router.Result{Code: failureCode(ctx, net.ErrClosed, true)}
 	}
 	t.release(connection, server, stop() && reusable)
 	return result
 }
 
-// afterFunc is context.AfterFunc, without its cost where the context has such a method itself, as the router's have.
+// afterFunc is context.AfterFunc. It avoids the cost of that function for a context that has an AfterFunc method
+// itself, as the router's contexts have.
 func afterFunc(ctx context.Context, f func()) (stop func() bool) {
 	if own, ok := ctx.(router.AfterFuncContext); ok {
 		return own.AfterFunc(f)
@@ -69,8 +70,8 @@
 	return t.resultOf(resp), !resp.head.closeAfter
 }
 
-// send writes r. Unless sent is set, its last byte was not written: the server cannot have run it, failure says how the
-// attempt ended, and reusable whether the connection can serve another request.
+// send writes r. If sent is false, the last byte was not written, so the server cannot have run the request. In that
+// case failure is the outcome of the attempt, and reusable reports whether the connection can serve another request.
 func (t *Transport) send(
 	ctx context.Context, connection *conn, r *router.Request,
 ) (failure router.Result, sent, reusable bool) {
@@ -78,19 +79,19 @@
 	defer t.writers.Put(out)
 	out.Reset()
 	if !writeRequest(ctx, out, connection.server.Addr, r) {
-		return router.Result{Code: policy.Superseded}, false, true // no server would accept it
+		return router.Result{Code: policy.Superseded}, false, true // invalid request: the server is not at fault
 	}
-	// This goroutine may not have run for some time since the attempt was decided on.
+	// Time may have passed since the router decided on this attempt, for example while the process was paused.
 	if err := t.beginWrite(ctx, connection.server); err != nil {
 		reusable = errors.Is(err, errServerDraining) || errors.Is(err, outcome.ErrAbandoned)
-		return router.Result{Code: outcome.NotBegunCode(ctx, err)}, false, reusable
+		return router.Result{Code: outcome.WriteNotStartedCode(ctx, err)}, false, reusable
 	}
 	if !connection.isTrusted(time.Now()) {
 		outcome.EndWrite(ctx)
 		return router.Result{Code: policy.Untrusted}, false, false
 	}
 	if r.Upload != nil {
-		outcome.EndWrite(ctx) // each part of a body has its own
+		outcome.EndWrite(ctx) // upload calls BeginWrite and EndWrite for each part that it writes
 		failure, sent = t.upload(ctx, connection, out, r)
 		return failure, sent, false
 	}
@@ -102,7 +103,8 @@
 	return router.Result{}, true, false
 }
 
-// beginWrite returns why nothing may be written to a server any more; if it may, outcome.EndWrite must follow.
+// beginWrite returns an error if nothing may be written to a server any more. If it returns nil, the caller has to call
+// outcome.EndWrite after the write.
 func (t *Transport) beginWrite(ctx context.Context, s *server) error {
 	if err := outcome.BeginWrite(ctx); err != nil {
 		return err
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// resultOf returns what a response says of the attempt.
+// resultOf returns the result of an attempt that got a response.
 func (t *Transport) resultOf(resp response) router.Result {
 	result := router.Result{Code: policy.ServerError}
 	if resp.head.loadReport != "" {
@@ -130,7 +132,7 @@
 		result.Code = policy.OK
 		result.Answer = router.Answer{Body: resp.body, ContentType: resp.head.contentType, Stream: resp.stream}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.head.notRun { // otherwise it may have run
+		if resp.head.notRun { // without it, the server may have run the request
 			result.Code = policy.Overloaded
 		}
 	}
--- a/transport/http1/roundtrip_test.go
+++ b/transport/http1/roundtrip_test.go
@@ -18,10 +18,11 @@
 	"cobaltward/router"
 )
 
-// TestOutcomeOfEachResponse checks that only a 503 or 504 with X-Not-Run proves that the request did not run.
-func TestOutcomeOfEachResponse(t *testing.T) {
-	big := strings.Repeat("x", maxBodyBytes+1)
-	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// TestAttempt_OutcomeByResponse checks the outcome for valid and malformed responses. Only a 503 or 504 with X-Not-Run
+// proves that the request did not run.
+func TestAttempt_OutcomeByResponse(t *testing.T) {
+	tooLongBody := strings.Repeat("x", maxBodyBytes+1)
+	const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for _, test := range []struct {
 		answer string
 		want   policy.Code
@@ -35,14 +36,14 @@
 		{"HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 302 F\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 204 N\r\n\r\n", policy.ServerError},
-		{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big), policy.ServerError},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset},     // ends early
-		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + good, policy.OK}, // a second copy behind
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses) + good, policy.OK},
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses+1) + good, policy.ServerError},
-		{"HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n" + good, policy.ServerError},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok, and more", policy.ServerError}, // the length is too small
-		{"HTTP/1.1 200 OK\r\n\r\nok", policy.OK},                                         // until the close
+		{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(tooLongBody), tooLongBody), policy.ServerError},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset},             // the connection ends early
+		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + goodResponse, policy.OK}, // followed by a duplicate
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses) + goodResponse, policy.OK},
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses+1) + goodResponse, policy.ServerError},
+		{"HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n" + goodResponse, policy.ServerError},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok, and more", policy.ServerError}, // Content-Length is too small
+		{"HTTP/1.1 200 OK\r\n\r\nok", policy.OK},                                         // the body ends with the connection
 		{"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), policy.ServerError},
@@ -52,16 +53,16 @@
 		{"nonsense\r\n\r\n", policy.ServerError},
 		{"", policy.Reset},
 	} {
-		var sent atomic.Int32
+		var received atomic.Int32
 		addr := testkit.RawServer(t, func(c2 net.Conn, r *bufio.Reader) {
 			if testkit.ReadFullRequest(r) {
-				sent.Add(1)
+				received.Add(1)
 				_, _ = io.WriteString(c2, test.answer)
 			}
 		})
 		r := attempt(t, testTransport(t, addr), testRequest(http.MethodGet, "r1", ""))
-		if r.Code != test.want || sent.Load() != 1 {
-			t.Errorf("%.60q: code %v after %d requests, want %v after 1", test.answer, r.Code, sent.Load(), test.want)
+		if r.Code != test.want || received.Load() != 1 {
+			t.Errorf("%.60q: code %v after %d requests, want %v after 1", test.answer, r.Code, received.Load(), test.want)
 		}
 		if test.want == policy.OK && string(r.Answer.Body) != "ok" {
 			t.Errorf("%.60q: body %q", test.answer, r.Answer.Body)
@@ -69,8 +70,8 @@
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	// A port that is bound and not listened on: one that is closed again may be another test's by then.
+func TestAttempt_ConnectionRefused(t *testing.T) {
+	// The port is bound but has no listener. A port that was closed again could already belong to another test.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -86,33 +87,34 @@
 	addr := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 	transport := testTransport(t, addr)
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v", r.Code)
+		t.Errorf("code %v, want ConnectFailed", r.Code)
 	}
 	if open, _ := transport.counts(); open != 0 {
-		t.Errorf("%d connections are still counted", open)
+		t.Errorf("%d connections are still counted as open", open)
 	}
 }
 
-// TestBrokenReusedConnectionIsNotRetried checks what http.Transport would retry by itself.
-func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
+// TestAttempt_BrokenReusedConnIsNotRetried checks that a request is not sent again after its reused connection broke.
+// http.Transport would retry it by itself.
+func TestAttempt_BrokenReusedConnIsNotRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		var requests, conns atomic.Int32
 		addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			conns.Add(1)
 			for testkit.ReadFullRequest(r) {
 				if requests.Add(1) > 1 {
-					return // breaks the connection under the second
+					return // closes the connection instead of responding to the second request
 				}
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
 		transport := testTransport(t, addr)
 		if r := attempt(t, transport, testRequest(method, "r1", "")); r.Code != policy.OK {
-			t.Fatalf("%s: first code %v", method, r.Code)
+			t.Fatalf("%s: first request: code %v, want OK", method, r.Code)
 		}
 		time.Sleep(2 * reuseDelay)
 		if r := attempt(t, transport, testRequest(method, "r2", "")); r.Code != policy.Reset {
-			t.Errorf("%s: code %v, want a reset", method, r.Code)
+			t.Errorf("%s: second request: code %v, want Reset", method, r.Code)
 		}
 		if conns.Load() != 1 || requests.Load() != 2 {
 			t.Errorf("%s: %d connections, %d requests; want 1 and 2", method, conns.Load(), requests.Load())
@@ -120,8 +122,8 @@
 	}
 }
 
-// TestUnwrittenLastByteNeverRan checks the outcome of a request that was written in part.
-func TestUnwrittenLastByteNeverRan(t *testing.T) {
+// TestAttempt_IncompleteWrite checks that the outcome of a request whose write fails says that it did not run.
+func TestAttempt_IncompleteWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Nothing can be written on it any more, though it looks quiet.
+	// Writes on the connection fail from now on, although it looks idle.
 	if err := tcp.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -141,15 +143,15 @@
 		{tcp: tcp.(*net.TCPConn), server: p, lastUsed: time.Now().Add(-time.Second)},
 	}, 1
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r1", "body")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v, want could not connect", r.Code)
+		t.Errorf("code %v, want ConnectFailed", r.Code)
 	}
 	if open, _ := transport.counts(); open != 0 {
-		t.Errorf("%d connections are still counted", open)
+		t.Errorf("%d connections are still counted as open", open)
 	}
 }
 
-func TestTimeoutAndCancelCloseConnection(t *testing.T) {
-	for want, end := range map[policy.Code]func() (context.Context, context.CancelFunc, func()){
+func TestAttempt_TimeoutAndCancelCloseConn(t *testing.T) {
+	for want, newContext := range map[policy.Code]func() (context.Context, context.CancelFunc, func()){
 		policy.TimedOut: func() (context.Context, context.CancelFunc, func()) {
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			return ctx, cancel, func() {}
@@ -163,29 +165,29 @@
 		addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
 			testkit.ReadFullRequest(r)
 			close(got)
-			_, _ = r.ReadByte() // returns when the node closes
+			_, _ = r.ReadByte() // returns when the transport closes the connection
 			close(closed)
 		})
 		transport := testTransport(t, addr)
-		ctx, cancel, act := end()
+		ctx, cancel, endAttempt := newContext()
 		defer cancel()
 		done := make(chan router.Result, 1)
 		go func() { done <- transport.Attempt(ctx, "s0", testRequest(http.MethodGet, "r1", "")) }()
 		testkit.Receive(t, "the request", got)
-		act()
+		endAttempt()
 		if r := testkit.Receive(t, "the outcome", done); r.Code != want {
 			t.Errorf("code %v, want %v", r.Code, want)
 		}
-		testkit.Receive(t, "the close", closed)
+		testkit.Receive(t, "the close of the connection", closed)
 		if open, idle := transport.counts(); open != 0 || idle != 0 {
-			t.Errorf("%d open, %d idle", open, idle)
+			t.Errorf("%d open and %d idle connections, want none", open, idle)
 		}
 	}
 }
 
-// TestRequestIsForwardedUnchanged checks that the server gets the client's request, and that the environment of the
-// process has no influence.
-func TestRequestIsForwardedUnchanged(t *testing.T) {
+// TestAttempt_ForwardsRequestUnchanged checks that the server receives the client's request without added headers, and
+// that proxy settings in the environment are ignored.
+func TestAttempt_ForwardsRequestUnchanged(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
 	got := make(chan *http.Request, 1)
 	var body atomic.Value
@@ -196,11 +198,11 @@
 	})
 	r := attempt(t, testTransport(t, addr), testRequest(http.MethodPost, "r1", "hello"))
 	if r.Code != policy.OK {
-		t.Fatalf("code %v", r.Code)
+		t.Fatalf("code %v, want OK", r.Code)
 	}
 	req := <-got
 	if req.Method != "POST" || req.RequestURI != "/api?q=a%20b" || req.Host != "origin.svc" || body.Load() != "hello" {
-		t.Errorf("got %s %s of %s with %q", req.Method, req.RequestURI, req.Host, body.Load())
+		t.Errorf("got %s %s for host %s with body %q", req.Method, req.RequestURI, req.Host, body.Load())
 	}
 	if req.Header.Get("X-Request-Id") != "r1" || req.Header.Get("Idempotency-Key") != "k-r1" ||
 		req.Header.Get("X-Deadline-Ms") == "" || req.Header.Get("Accept-Encoding") != "" || req.UserAgent() != "" {
@@ -208,8 +210,8 @@
 	}
 }
 
-// TestEndlessResponseIsCutOff checks that an endless response ends the attempt and its connection.
-func TestEndlessResponseIsCutOff(t *testing.T) {
+// TestAttempt_EndlessResponse checks that an endless response ends the attempt and its connection.
+func TestAttempt_EndlessResponse(t *testing.T) {
 	for _, head := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n", "HTTP/1.1 200 OK\r\nX: ", "",
@@ -225,82 +227,83 @@
 		})
 		transport := testTransport(t, addr)
 		if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ServerError {
-			t.Errorf("%q: code %v", head, r.Code)
+			t.Errorf("%q: code %v, want ServerError", head, r.Code)
 		}
 		testkit.Receive(t, "the end of the connection", closed)
 	}
 }
 
-// lateContext is a context whose deadline has passed though its timer has not fired, as on a stalled host.
-type lateContext struct{ context.Context }
+// expiredContext is a context whose deadline has passed although its timer has not fired yet, as on a stalled host.
+type expiredContext struct{ context.Context }
 
-func (lateContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
+func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
-// TestLateAttemptsAreNotWritten checks that nothing is written once the deadline has passed, or once the server has
-// been draining for half of the grace, also where the attempt was decided on before.
-func TestLateAttemptsAreNotWritten(t *testing.T) {
+// TestAttempt_LateRequestIsNotWritten checks that nothing is written once the deadline has passed, or once the server
+// has been draining for half of the grace, even if the router decided on the attempt before.
+func TestAttempt_LateRequestIsNotWritten(t *testing.T) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 	transport := testTransport(t, addr)
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
-		t.Fatalf("code %v", r.Code)
+		t.Fatalf("first request: code %v, want OK", r.Code)
 	}
-	time.Sleep(2 * reuseDelay) // so that a connection is there, and no dial notices the time
+	time.Sleep(2 * reuseDelay) // the connection can be reused, so that no dial fails because of the deadline
 	if r := transport.Attempt(
-		lateContext{t.Context()},
+		expiredContext{t.Context()},
 		"s0",
 		testRequest(http.MethodPost, "late", ""),
 	); r.Code != policy.Superseded {
-		t.Errorf("after its time: code %v, want one that proves it never ran and blames no server", r.Code)
+		t.Errorf("after the deadline: code %v, want Superseded", r.Code)
 	}
-	drains := members(addr)
-	drains[0].Availability = policy.Draining
-	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: drains})
+	draining := testEndpoints(addr)
+	draining[0].Availability = policy.Draining
+	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: draining})
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r2", "")); r.Code != policy.OK {
-		t.Errorf("within the grace: code %v", r.Code)
+		t.Errorf("within half of the grace: code %v, want OK", r.Code)
 	}
 	transport.mu.Lock()
 	transport.servers.Get("s0").DrainStartedAt = time.Now().Add(-transport.drainWriteTime)
 	transport.mu.Unlock()
 	transport.Update(
-		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: drains},
-	) // the same news again gives no new grace
+		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: draining},
+	) // a repeated entry must not restart the grace
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r3", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("after the grace: code %v, want one that proves it never ran", r.Code)
+		t.Errorf("after half of the grace: code %v, want ConnectFailed", r.Code)
 	}
 	if n := reached.Load(); n != 2 {
 		t.Errorf("%d requests reached the server, want 2", n)
 	}
-	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: members(addr)}) // it runs again
+	transport.Update(router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: testEndpoints(addr)}) // running again
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r4", "")); r.Code != policy.OK {
-		t.Errorf("once it runs again: code %v", r.Code)
+		t.Errorf("after the server is running again: code %v, want OK", r.Code)
 	}
 }
 
-// TestInvalidFieldsAreNotWritten checks that no field can add a header or a request, whatever a frontend passes.
-func TestInvalidFieldsAreNotWritten(t *testing.T) {
+// TestAttempt_InvalidFieldsAreNotWritten checks that no field of a request can inject a header or a second request,
+// whatever bytes a frontend passes.
+func TestAttempt_InvalidFieldsAreNotWritten(t *testing.T) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 	transport := testTransport(t, addr)
-	for name, spoil := range map[string]func(*router.Request){
-		"target with a blank":  func(r *router.Request) { r.Target = "/a HTTP/1.1\r\nX: y\r\n\r\n" },
+	for name, corrupt := range map[string]func(*router.Request){
+		"target with a space":  func(r *router.Request) { r.Target = "/a HTTP/1.1\r\nX: y\r\n\r\n" },
 		"target without slash": func(r *router.Request) { r.Target = "api" },
 		"key with a line":      func(r *router.Request) { r.IdempotencyKey = "k\r\nX-Request-Id: other" },
 		"type with a line":     func(r *router.Request) { r.ContentType = "a\nb" },
 		"host with a line":     func(r *router.Request) { r.Authority = "a\r\nb" },
-		"method with a blank":  func(r *router.Request) { r.Method = "GET /x" },
+		"method with a space":  func(r *router.Request) { r.Method = "GET /x" },
 		"id with a line":       func(r *router.Request) { r.ID = "a\r\nb" },
 	} {
 		r := testRequest(http.MethodPost, "r1", "body")
-		spoil(r)
+		corrupt(r)
 		if got := attempt(t, transport, r); got.Code != policy.Superseded {
-			t.Errorf("%s: code %v, want one that blames no server", name, got.Code)
+			t.Errorf("%s: code %v, want Superseded", name, got.Code)
 		}
 	}
 	if n := reached.Load(); n != 0 {
-		t.Errorf("%d requests reached the server", n)
+		t.Errorf("%d requests reached the server, want none", n)
 	}
 	if r := attempt(t, transport, testRequest(http.MethodPost, "r1", "body")); r.Code != policy.OK {
-		t.Errorf("a good one afterwards: code %v", r.Code)
+		t.Errorf("valid request afterwards: code %v, want OK", r.Code)
 	}
 }
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// holdTime is how long the beginning of a response of unknown length is held back: until it is forwarded, the
-	// attempt may still be retried if the response fails.
-	holdTime = 250 * time.Millisecond
-	// stallTimeout bounds the time without progress of a long body, in either direction.
+	// maxHoldTime is the longest time for which the beginning of a response of unknown length is held back. Until it is
+	// forwarded, the attempt can still be retried if the response fails.
+	maxHoldTime = 250 * time.Millisecond
+	// stallTimeout is the longest time without progress of a long body, in either direction.
 	stallTimeout = 15 * time.Second
-	// streamSocketBuffer bounds the bytes that the system holds of a stream that is read slowly.
+	// streamSocketBuffer is the socket's receive buffer in bytes. It limits the memory of the kernel for a stream that
+	// the client reads slowly.
 	streamSocketBuffer = 64 << 10
 )
 
-// stream is a long body that is read from its connection as its reader wants it, so that a slow client slows the
-// server down instead of taking memory.
+// stream is a long body that is read from its connection on demand. A slow client thus slows the server down, and its
+// body does not accumulate in memory.
 type stream struct {
 	transport  *Transport
 	conn       *conn
@@ -34,7 +35,7 @@
 	length     int64
 	closeAfter bool
 
-	complete  atomic.Bool // all of it was read
+	complete  atomic.Bool // the body was read to its end
 	closeOnce sync.Once
 }
 
@@ -43,7 +44,7 @@
 // Length returns the length of the body; -1 if the server did not give it.
 func (s *stream) Length() int64 { return s.length }
 
-// Read waits for the server, at most for stallTimeout.
+// Read reads from the server, and fails if no bytes arrive within stallTimeout.
 func (s *stream) Read(p []byte) (int, error) {
 	_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
 	n, err := s.body.Read(p)
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// newFixedLengthStream returns the stream of a body whose length the head gives, once its first byte has arrived: until
-// then the attempt may still be retried.
+// newFixedLengthStream returns the stream of a body whose length is in the head. It waits for the first byte of the
+// body, since an error before that allows the router to retry the attempt.
 func (rd *responseReader) newFixedLengthStream(head responseHead) (*stream, error) {
 	rd.limit.N = math.MaxInt64
 	if _, err := rd.in.Peek(1); err != nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// fixedLengthReader reads a body of a given length. An earlier end is io.ErrUnexpectedEOF.
+// fixedLengthReader reads a body of a given length. It returns io.ErrUnexpectedEOF if the connection ends earlier.
 type fixedLengthReader struct {
 	in        io.Reader
 	remaining int64
@@ -118,20 +119,20 @@
 	return n, err
 }
 
-// readUnknownLength reads a body whose length is unknown, or that net/http has to decode. It returns a body that ends
-// within holdTime, and a stream otherwise.
+// readUnknownLength reads a body whose length is unknown, or that net/http has to decode. It returns the body if that
+// ends within maxHoldTime, and a stream otherwise.
 func (rd *responseReader) readUnknownLength(resp *http.Response) ([]byte, router.Stream, error) {
 	rd.limit.N, rd.limit.R = math.MaxInt64, stallTimeoutReader{rd.conn}
 	ahead := newReadAhead(resp.Body)
 	ended := make(chan struct{})
-	go func() { // ends with the body or its connection
+	go func() { // ends when the body ends or its connection fails
 		defer close(ended)
 		ahead.run()
 	}()
-	timer := time.NewTimer(holdTime)
+	timer := time.NewTimer(maxHoldTime)
 	defer timer.Stop()
 	select {
-	case <-ahead.filled:
+	case <-ahead.ready:
 	case <-timer.C:
 	}
 	if body, complete, err := ahead.result(); complete {
@@ -152,7 +153,7 @@
 	}, nil
 }
 
-// stallTimeoutReader gives each read from a connection stallTimeout.
+// stallTimeoutReader reads from a connection. Each read fails after stallTimeout.
 type stallTimeoutReader struct{ conn *conn }
 
 func (r stallTimeoutReader) Read(p []byte) (int, error) {
@@ -167,8 +168,8 @@
 	ended chan struct{} // closed when the goroutine of ahead has ended
 }
 
-// Read returns bytes that were read ahead, and waits for them. Timeouts are those of the goroutine that reads the
-// connection.
+// Read returns bytes that were read ahead, and waits while there are none. It sets no timeout of its own: the goroutine
+// that reads from the connection has one.
 func (s *readAheadStream) Read(p []byte) (int, error) {
 	n, err := s.ahead.Read(p)
 	if errors.Is(err, io.EOF) {
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -24,46 +24,46 @@
 	// DefaultMaxConns is the default of Config.MaxConns.
 	DefaultMaxConns = 512
 
-	// reuseDelay is the time between a response and the next request on its connection. Responses carry no ID: a
-	// duplicate behind a response would be taken for the response to the next request.
+	// reuseDelay is the minimum time between a response and the next request on its connection. Responses carry no ID,
+	// so a duplicate of a response would be taken for the response to the next request.
 	reuseDelay = 15 * time.Millisecond
-	// tlsReuseDelay is shorter, since opening another connection costs a handshake.
+	// tlsReuseDelay replaces reuseDelay with TLS. It is shorter, since another connection costs a handshake.
 	tlsReuseDelay = 3 * time.Millisecond
 
-	defaultServerIdleTimeout = 60 * time.Second // after which servers close idle connections
-	sweepInterval            = time.Second      // at which expired idle connections are closed
+	defaultServerIdleTimeout = 60 * time.Second // servers close idle connections after this time, unless configured
+	sweepInterval            = time.Second      // time between two checks for expired idle connections
 )
 
 // Config configures a Transport.
 type Config struct {
-	MaxConns       int               // open connections to all servers, idle ones included; 0: DefaultMaxConns
-	ConnectTimeout time.Duration     // for a new connection; 0: DefaultConnectTimeout
+	MaxConns       int               // maximum of connections to all servers, idle ones included; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // timeout of opening a TCP connection; 0: DefaultConnectTimeout
 	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none. The transport does not close it
 }
 
 // Transport makes attempts over its own connections. It parses responses with the functions of net/http, but does not
-// use http.Transport, which retries some requests by itself and may take bytes behind one response for the next.
-// Its methods may be called concurrently.
+// use http.Transport, which retries some requests by itself and may take bytes after one response for the next
+// response. Its methods may be called concurrently.
 type Transport struct {
-	dialer      net.Dialer
-	tls         *secure.ClientTLS
-	readers     sync.Pool // of *bufio.Reader
-	writers     sync.Pool // of *bytes.Buffer
-	stop        chan struct{}
-	sweeper     sync.WaitGroup
-	preconnects sync.WaitGroup  // connections that are being opened with TLS
-	ctx         context.Context // ends with the transport
-	cancel      context.CancelFunc
-	written     atomic.Uint64 // attempts that were written completely
-	pauses      pauseCounter
+	dialer     net.Dialer
+	tls        *secure.ClientTLS
+	readers    sync.Pool // of *bufio.Reader
+	writers    sync.Pool // of *bytes.Buffer
+	stop       chan struct{}
+	background sync.WaitGroup
+	dials      sync.WaitGroup  // connections that are being opened with TLS
+	ctx        context.Context // cancelled by Close
+	cancel     context.CancelFunc
+	written    atomic.Uint64 // attempts that were written completely
+	pauses     pauseCounter
 
 	mu               sync.Mutex
 	servers          servers.Table[serverPool]
-	openConns        int // including those that are being opened
+	openConns        int // open connections, including those that are being opened
 	maxConns         int
 	idleTimeout      time.Duration
-	drainWriteTime   time.Duration // from a drain notification; after it nothing is written to the server
-	loadReportFields []string      // in order
+	drainWriteTime   time.Duration // time after the start of a drain in which requests may still be written
+	loadReportFields []string      // names of the values in a load report, in order
 	closed           bool
 }
 
@@ -73,7 +73,7 @@
 	_ router.WriteCounter      = (*Transport)(nil)
 )
 
-// New returns a transport without servers. The caller has to close it.
+// New returns a transport without servers; Update adds them. The caller has to close it.
 func New(config Config) *Transport {
 	if config.MaxConns <= 0 {
 		config.MaxConns = DefaultMaxConns
@@ -93,15 +93,15 @@
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.servers = servers.New(t.removeServer)
-	t.sweeper.Go(t.sweep)
+	t.background.Go(t.sweep)
 	if t.tls != nil {
-		t.sweeper.Go(t.preconnect)
+		t.background.Go(t.preconnect)
 	}
 	return t
 }
 
-// removeServer drops the connections and the TLS state of a server that left the endpoint list. The caller holds the
-// mutex.
+// removeServer closes the idle connections and drops the TLS state of a server that left the endpoint list. The caller
+// holds the mutex.
 func (t *Transport) removeServer(s *server) {
 	t.closeOldest(s, len(s.State.idle))
 	if t.tls != nil {
@@ -131,9 +131,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A request written just as the server closes the connection would end as a reset.
+	// A request that is written while the server closes the idle connection would end in a reset. Half of the server's
+	// timeout avoids that.
 	t.idleTimeout = serverIdleTimeout / 2
-	t.drainWriteTime = s.Rules.DrainGrace / 2 // bytes written may arrive later, and must within the grace
+	t.drainWriteTime = s.Rules.DrainGrace / 2 // written bytes arrive later, but have to arrive within the grace
 	t.loadReportFields = s.LoadReportFields
 }
 
@@ -168,8 +169,8 @@
 	return t.openConns
 }
 
-// SetMaxConns changes the maximum of open connections. It closes none: at the maximum or above it, a connection is
-// opened only in place of an idle one.
+// SetMaxConns changes the maximum of open connections. It closes none. At or above the maximum, a new connection is
+// opened only if an idle one can be closed for it.
 func (t *Transport) SetMaxConns(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +190,7 @@
 		close(t.stop)
 		t.cancel()
 	}
-	t.sweeper.Wait()
-	t.preconnects.Wait()
+	t.background.Wait()
+	t.dials.Wait()
 	t.Update(router.EndpointUpdate{Kind: policy.ListReplace})
 }
--- a/transport/http1/transport_test.go
+++ b/transport/http1/transport_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// long is the timeout of every step; only a failing test waits for it.
-const long = testkit.MaxWait
+// stepTimeout is the timeout of each attempt. Only a failing test waits that long.
+const stepTimeout = testkit.MaxWait
 
 func testSettings() policy.Settings {
 	return policy.Settings{
@@ -30,12 +30,12 @@
 	t.Helper()
 	transport := New(Config{MaxConns: 100, ConnectTimeout: 2 * time.Second})
 	transport.Configure(testSettings())
-	transport.Update(router.EndpointUpdate{Kind: policy.ListRestored, Endpoints: members(addrs...)})
+	transport.Update(router.EndpointUpdate{Kind: policy.ListRestored, Endpoints: testEndpoints(addrs...)})
 	t.Cleanup(transport.Close)
 	return transport
 }
 
-func members(addrs ...string) (all []router.Endpoint) {
+func testEndpoints(addrs ...string) (all []router.Endpoint) {
 	for i, a := range addrs {
 		all = append(all, router.Endpoint{ID: fmt.Sprint("s", i), Addr: a, Zone: "a", Kind: "k", Cell: 1, Weight: 1})
 	}
@@ -55,12 +55,12 @@
 
 func attempt(t *testing.T, transport *Transport, r *router.Request) router.Result {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), long)
+	ctx, cancel := context.WithTimeout(t.Context(), stepTimeout)
 	defer cancel()
 	return transport.Attempt(ctx, "s0", r)
 }
 
-// counts returns the open connections of the transport, and the idle ones to s0.
+// counts returns the number of all open connections of the transport, and of the idle connections to s0.
 func (t *Transport) counts() (open, idle int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// earlyResponseTimeout bounds the wait for the response of a server that no longer reads a request body.
+	// earlyResponseTimeout is the longest wait for the response of a server that no longer reads a request body.
 	earlyResponseTimeout = 200 * time.Millisecond
-	uploadChunkSize      = 32 << 10 // bytes
+	uploadChunkSize      = 32 << 10 // bytes of one read from the client's body
 )
 
 var uploadChunks = sync.Pool{New: func() any { return new([uploadChunkSize]byte) }}
 
-// upload writes a request head and a body that is still being received. Unless sent is set, the last byte was not
-// written: the server cannot have run the request, and failure says how the attempt ended.
+// upload writes a request head and a body that is still being received. If sent is false, the last byte was not
+// written, so the server cannot have run the request; in that case failure is the outcome of the attempt.
 func (t *Transport) upload(
 	ctx context.Context, connection *conn, head *bytes.Buffer, r *router.Request,
 ) (failure router.Result, sent bool) {
@@ -48,7 +48,7 @@
 	return uploadBody(ctx, connection, guard, body, r.Upload.Length())
 }
 
-// uploadBody writes a body of a length, or in the chunked coding where that is negative.
+// uploadBody writes a body of the given length. With a negative length, it uses the chunked coding.
 func uploadBody(
 	ctx context.Context, connection *conn, guard *writeStallGuard, body io.Reader, length int64,
 ) (failure router.Result, sent bool) {
@@ -59,14 +59,14 @@
 		n, err := body.Read(chunk[:])
 		remaining -= int64(n)
 		if remaining == 0 && n == 0 {
-			return router.Result{}, true // the last byte is written already, and the response may be there
+			return router.Result{}, true // the last byte was written before; the response may have arrived
 		}
 		if !connection.isIdle() {
 			return earlyResponse(ctx, connection, errEarlyResponse), false
 		}
 		isLast := errors.Is(err, io.EOF) || !chunked && remaining == 0
 		if err != nil && !isLast {
-			return router.Result{Code: policy.Superseded}, false // the client disconnected, or the body is lost
+			return router.Result{Code: policy.Superseded}, false // the client disconnected, or its body cannot be read
 		}
 		if err := outcome.BeginWrite(ctx); err != nil {
 			return router.Result{Code: failureCode(ctx, err, false)}, false
@@ -84,7 +84,7 @@
 	}
 }
 
-// writeBodyChunk writes a part of a body.
+// writeBodyChunk writes a part of a body. In the chunked coding, isLast adds the final chunk.
 func writeBodyChunk(w io.Writer, data []byte, chunked, isLast bool) error {
 	if !chunked {
 		_, err := w.Write(data)
@@ -103,8 +103,8 @@
 	return err
 }
 
-// earlyResponse returns the outcome of an attempt that was not written completely. The server may have responded
-// that it did not run the request.
+// earlyResponse returns the outcome of an attempt that was not written completely. It looks for a response, by which
+// the server may say that it did not run the request.
 func earlyResponse(ctx context.Context, c *conn, err error) router.Result {
 	_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	in := bufio.NewReader(io.LimitReader(c, maxHeadBytes))
--- a/transport/http1/writestall.go
+++ b/transport/http1/writestall.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// pauseCounter measures for how long this process was paused, as pausedetector.Detector does.
+// pauseCounter measures for how long this process was paused. pausedetector.Detector implements it.
 type pauseCounter interface {
-	// Begin begins a use, which End ends.
+	// Begin starts the measurement of pauses. Calls may nest; each needs a call of End.
 	Begin()
 	End()
-	// Paused returns the sum of all pauses so far that were within a use.
+	// Paused returns the total of all pauses so far that fell between a Begin and its End.
 	Paused() time.Duration
 }
 
-// writeStallGuard ends a write to a server that makes no progress for a time. A write deadline would count the time for
-// which this process was paused, in which a server can take nothing that is not written, and package net looks at it
-// before the socket. All methods are safe for concurrent use.
+// writeStallGuard aborts a write to a server that makes no progress for a time. A plain write deadline would include
+// the time for which this process was paused, in which it wrote nothing that the server could have read; and package
+// net checks the deadline before it tries the socket. All methods are safe for concurrent use.
 type writeStallGuard struct {
 	timeout          time.Duration
 	pauses           pauseCounter
-	setWriteDeadline func(t time.Time) error // of the connection
+	setWriteDeadline func(t time.Time) error // method of the connection
 
-	mu           sync.Mutex
-	timer        *time.Timer // calls check
-	writing      bool
-	began        time.Time     // the write
-	pausedBefore time.Duration // pauses before began
-	stopped      bool
+	mu                 sync.Mutex
+	timer              *time.Timer   // calls check
+	writing            bool          // a write is in progress
+	writeStartedAt     time.Time     // when the write in progress began
+	pausedAtWriteStart time.Duration // pauses.Paused() when the write in progress began
+	stopped            bool
 }
 
-// newWriteStallGuard returns a guard, which stop ends.
+// newWriteStallGuard returns a guard for the writes to a connection. The caller has to call stop.
 func newWriteStallGuard(c *conn, timeout time.Duration, pauses pauseCounter) *writeStallGuard {
 	guard := &writeStallGuard{timeout: timeout, pauses: pauses, setWriteDeadline: c.SetWriteDeadline}
 	pauses.Begin()
@@ -40,23 +40,23 @@
 	return guard
 }
 
-// beginWrite begins a write.
+// beginWrite has to be called before each write.
 func (g *writeStallGuard) beginWrite() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.writing = true
-	g.pausedBefore = g.pauses.Paused() // ahead of began: a pause between the two is not the server's
-	g.began = time.Now()
+	g.pausedAtWriteStart = g.pauses.Paused() // read before the clock: a pause between the two lines extends the timeout
+	g.writeStartedAt = time.Now()
 }
 
-// endWrite ends a write.
+// endWrite has to be called after each write.
 func (g *writeStallGuard) endWrite() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.writing = false
 }
 
-// check ends the write in progress if its time is over.
+// check aborts the write in progress if it has exceeded the timeout, and otherwise sets the timer again.
 func (g *writeStallGuard) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,7 +66,7 @@
 	left := g.timeout
 	if g.writing {
 		now := time.Now()
-		left = g.began.Add(g.timeout + g.pauses.Paused() - g.pausedBefore).Sub(now)
+		left = g.writeStartedAt.Add(g.timeout + g.pauses.Paused() - g.pausedAtWriteStart).Sub(now)
 	}
 	if left > 0 {
 		g.timer.Reset(left)
@@ -75,7 +75,7 @@
 	_ = g.setWriteDeadline(time.Now()) // fails only after a close
 }
 
-// stop ends the guard, and leaves the connection without a write deadline.
+// stop ends the guard, and removes the write deadline of the connection.
 func (g *writeStallGuard) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/transport/http1/writestall_test.go
+++ b/transport/http1/writestall_test.go
@@ -12,29 +12,30 @@
 	"cobaltward/internal/testkit"
 )
 
-// partlyPaused is the pauseCounter of a process that is paused for a part of the time.
-type partlyPaused struct {
-	part  float64
-	since time.Time
-	uses  int
+// fakePauseCounter is the pauseCounter of a process that is paused for a constant fraction of the time.
+type fakePauseCounter struct {
+	pausedFraction float64
+	startedAt      time.Time
+	openUses       int
 }
 
 // Begin implements pauseCounter.
-func (p *partlyPaused) Begin() { p.uses++ }
+func (p *fakePauseCounter) Begin() { p.openUses++ }
 
 // End implements pauseCounter.
-func (p *partlyPaused) End() { p.uses-- }
+func (p *fakePauseCounter) End() { p.openUses-- }
 
 // Paused implements pauseCounter.
-func (p *partlyPaused) Paused() time.Duration {
-	return time.Duration(p.part * float64(time.Since(p.since)))
+func (p *fakePauseCounter) Paused() time.Duration {
+	return time.Duration(p.pausedFraction * float64(time.Since(p.startedAt)))
 }
 
-// TestWriteStallGuard has a server read nothing for longer than a write may make no progress. While the process is
-// mostly paused the write goes on, and ends well once the server reads; where it runs, the write is ended in time.
-func TestWriteStallGuard(t *testing.T) {
-	const timeout, silence = 50 * time.Millisecond, 500 * time.Millisecond
-	const size = 32 << 20 // more than the sockets' buffers hold
+// TestWriteStallGuard_IgnoresPausesOfProcess checks a write to a server that reads nothing for longer than the stall
+// timeout. If the process was paused for most of that time, the write succeeds once the server reads; otherwise it is
+// aborted after the timeout.
+func TestWriteStallGuard_IgnoresPausesOfProcess(t *testing.T) {
+	const timeout, readDelay = 50 * time.Millisecond, 500 * time.Millisecond
+	const size = 32 << 20 // bytes, more than the socket buffers hold
 	for _, test := range []struct {
 		name    string
 		paused  float64
@@ -51,11 +52,11 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = dialed.Close() }()
-			time.AfterFunc(silence, func() { close(mayRead) })
-			pauses := &partlyPaused{part: test.paused, since: time.Now()}
+			time.AfterFunc(readDelay, func() { close(mayRead) })
+			pauses := &fakePauseCounter{pausedFraction: test.paused, startedAt: time.Now()}
 			connection := &conn{tcp: dialed.(*net.TCPConn)}
 			guard := newWriteStallGuard(connection, timeout, pauses)
-			time.Sleep(2 * timeout) // no write is in progress, and none is late
+			time.Sleep(2 * timeout) // must have no effect, since no write is in progress
 			guard.beginWrite()
 			_, err = connection.Write(make([]byte, size))
 			guard.endWrite()
@@ -64,10 +65,10 @@
 				t.Errorf("write: %v, want %v", err, test.wantErr)
 			}
 			if _, err := connection.Write([]byte("next")); err != nil && test.wantErr == nil {
-				t.Errorf("behind the guard: %v", err)
+				t.Errorf("write after stop: %v", err)
 			}
-			if pauses.uses != 0 {
-				t.Errorf("%d uses of the pauses have no end", pauses.uses)
+			if pauses.openUses != 0 {
+				t.Errorf("%d calls of Begin without End", pauses.openUses)
 			}
 		})
 	}
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome has what transports of all protocols share about attempts: whether an attempt may still be written,
-// the outcome of one that got no response, and the parser of load reports.
+// Package outcome has the functions that the transports of all protocols share: they check whether an attempt may still
+// be written, determine the outcome of an attempt that got no response, and parse load reports.
 package outcome
 
 import (
@@ -17,12 +17,12 @@
 // could run it a second time.
 var ErrIdempotencyExpired = errors.New("dedup window of the idempotency key has passed")
 
-// ErrAbandoned means that the request has its answer, or that its client has disconnected.
+// ErrAbandoned means that the request already has its answer, or that its client has disconnected.
 var ErrAbandoned = errors.New("attempt is abandoned")
 
-// CheckSendable returns why an attempt may not be written any more; nil if it may.
+// CheckSendable returns an error if an attempt may not be written any more.
 func CheckSendable(ctx context.Context) error {
-	// An attempt may have waited for its connection since it was decided on.
+	// The attempt may have waited for its connection, so the time to send it may be over.
 	if sendCtx, ok := ctx.(router.SendDeadlineContext); ok {
 		if sendBy := sendCtx.SendBy(); !sendBy.IsZero() && !time.Now().Before(sendBy) {
 			return ErrIdempotencyExpired
@@ -34,15 +34,15 @@
 	if abandonable, ok := ctx.(router.AbandonableContext); ok && abandonable.Abandoned() {
 		return ErrAbandoned
 	}
-	// The timer of ctx may be late.
+	// The timer that ends ctx may fire late, so the deadline is compared with the clock too.
 	if deadline, ok := ctx.Deadline(); ok && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-// BeginWrite returns why an attempt may not be written; if it may, EndWrite must follow. Between the two the router
-// withholds a rejection of the request.
+// BeginWrite returns an error if an attempt may not be written. If it returns nil, the caller has to call EndWrite
+// after the write. Between the two calls the router delays a rejection of the request.
 func BeginWrite(ctx context.Context) error {
 	guard, ok := ctx.(router.WriteGuardContext)
 	if ok && !guard.BeginWrite() {
@@ -55,15 +55,15 @@
 	return err
 }
 
-// EndWrite follows a BeginWrite that returned no error.
+// EndWrite has to be called after a BeginWrite that returned no error, once the write has ended.
 func EndWrite(ctx context.Context) {
 	if guard, ok := ctx.(router.WriteGuardContext); ok {
 		guard.EndWrite()
 	}
 }
 
-// FailureCode returns the outcome of an attempt that got no response. mayRun says that its last byte may have been
-// written: without that, the server cannot have run it, even if its deadline has passed.
+// FailureCode returns the outcome of an attempt that got no response. mayRun is set if the last byte of the attempt may
+// have been written. Otherwise the server cannot have run the request, even if the deadline has passed.
 func FailureCode(ctx context.Context, mayRun bool) policy.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -76,9 +76,10 @@
 	return policy.Reset
 }
 
-// NotBegunCode returns the outcome of an attempt that had its connection, and for which BeginWrite or a check after it
-// returned err. Its server is not at fault where its time passed before the write: this process was late.
-func NotBegunCode(ctx context.Context, err error) policy.Code {
+// WriteNotStartedCode returns the outcome of an attempt that had a connection, but for which BeginWrite or a check
+// after it returned err. If the deadline passed before the write, this process was late and the server is not at
+// fault.
+func WriteNotStartedCode(ctx context.Context, err error) policy.Code {
 	code := FailureCode(ctx, false)
 	if code == policy.ConnectFailed && errors.Is(err, context.DeadlineExceeded) {
 		return policy.Superseded
@@ -95,11 +96,11 @@
 	return policy.ConnectFailed
 }
 
-// maxLoadValue bounds the values of a load report; larger ones are invalid.
+// maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e9
 
-// ParseLoadReport parses `name=value,name=value` and returns the values of the given names, in their order. It returns
-// nil for a report that lacks one of them, or that is invalid in any part.
+// ParseLoadReport parses `name=value,name=value` and returns the values of the given names, in the order of names. It
+// returns nil if the report lacks one of the names, or if any part of it is invalid.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
