--- a/transport/msgpack/attempt.go
+++ b/transport/msgpack/attempt.go
@@ -14,7 +14,7 @@
 	"cobaltward/transport/secure"
 )
 
-// maxBodyBytes bounds the body of a request, which is part of one message.
+// maxBodyBytes is the maximum body of a request. The whole body is part of one message.
 const maxBodyBytes = 64 << 10
 
 var errUntrusted = errors.New("server certificate is no longer trusted")
@@ -33,7 +33,7 @@
 	if r.Upload != nil {
 		var ok bool
 		if call.Body, ok = readUpload(r.Upload); !ok {
-			return router.Result{Code: policy.Superseded} // a message cannot hold it: the server is not at fault
+			return router.Result{Code: policy.Superseded} // the body does not fit a message: the server is not at fault
 		}
 	}
 	for {
@@ -56,7 +56,7 @@
 			t.written.Add(1)
 		}
 		if errors.Is(err, mux.ErrRetired) && !isSent && ctx.Err() == nil {
-			continue // the connection was retired just now: another may have a free slot
+			continue // the connection was retired after it was acquired: another one may have a free slot
 		}
 		return router.Result{Code: callFailure(ctx, err, isSent)}
 	}
@@ -66,7 +66,7 @@
 func acquireFailure(ctx context.Context, err error) policy.Code {
 	switch {
 	case errors.Is(err, errServerDraining):
-		return policy.Overloaded // as if the server had rejected it
+		return policy.Overloaded // the same outcome as if the draining server had rejected the attempt
 	case errors.As(err, new(*secure.UntrustedError)) && ctx.Err() == nil:
 		return policy.Untrusted
 	case errors.Is(err, errNoConnection) || errors.Is(err, secure.ErrTooManyHandshakes):
@@ -89,10 +89,11 @@
 	return outcome.FailureCode(ctx, isSent)
 }
 
-// attemptGuard is the mux.WriteGuard of an attempt.
+// attemptGuard is the mux.WriteGuard of an attempt. It prevents the write once the attempt is abandoned, or the server
+// is draining or untrusted.
 type attemptGuard struct {
 	transport *Transport
-	ctx       context.Context // of the call that the guard belongs to
+	ctx       context.Context // of the attempt
 	server    *server
 	conn      *pooledConn
 }
@@ -112,7 +113,7 @@
 // EndWrite implements mux.WriteGuard.
 func (g attemptGuard) EndWrite() { outcome.EndWrite(g.ctx) }
 
-// checkServer returns why nothing may be written to a server any more; nil if it may.
+// checkServer returns an error if nothing may be written to a server any more.
 func (t *Transport) checkServer(srv *server, conn *pooledConn) error {
 	if !conn.isTrusted() {
 		return errUntrusted
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// readUpload reads a body of a known length that fits a message.
+// readUpload reads the body of an upload. It reports false if the length of the body is unknown or exceeds
+// maxBodyBytes, or if the body cannot be read.
 func readUpload(upload router.Upload) (body []byte, ok bool) {
 	if upload.Length() < 0 || upload.Length() > maxBodyBytes {
 		return nil, false
@@ -138,7 +140,7 @@
 	return body, err == nil
 }
 
-// resultOf returns what a reply says of the attempt.
+// resultOf returns the result of an attempt that got a reply.
 func (t *Transport) resultOf(reply *msgpackrpc.Reply) router.Result {
 	switch reply.Code {
 	case "":
--- a/transport/msgpack/connect.go
+++ b/transport/msgpack/connect.go
@@ -12,17 +12,18 @@
 	"cobaltward/transport/secure"
 )
 
-// connect opens a connection. It continues after the attempts that wait for it have ended, since later ones can use it.
+// connect opens a connection and adds it to the pool. It continues after the attempts that wait for the connection have
+// ended, since later attempts can use it.
 func (t *Transport) connect(srv *server, endpoint router.Endpoint, dial *pendingDial) {
 	conn, netConn, err := t.open(&endpoint)
 	if sockets.IsResourceExhaustion(err) {
-		err = errNoConnection // a local shortage: the server is not at fault
+		err = errNoConnection // this node lacks a local resource: the server is not at fault
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer close(dial.done)
 	pool := srv.State
-	pool.dial = nil
+	pool.pendingDial = nil
 	if err != nil {
 		t.openConns--
 		dial.err = err
@@ -36,8 +37,8 @@
 	t.tasks.Go(func() { t.awaitEnd(pool, conn) })
 }
 
-// open opens a connection, at most for the timeouts of connecting and of the TLS handshake. Closing the transport ends
-// it.
+// open opens a connection. It fails after the connect timeout, with TLS after the sum of connect and handshake timeout,
+// or when the transport is closed.
 func (t *Transport) open(endpoint *router.Endpoint) (*pooledConn, net.Conn, error) {
 	timeout := t.config.ConnectTimeout
 	usesTLS := t.config.TLS != nil && t.config.TLS.UsesTLS(endpoint)
@@ -66,7 +67,7 @@
 	return &pooledConn{tls: tlsConn}, tlsConn, err
 }
 
-// awaitEnd removes a connection from its pool when it has ended.
+// awaitEnd waits until a connection has ended, and removes it from its pool.
 func (t *Transport) awaitEnd(pool *pool, conn *pooledConn) {
 	<-conn.Done()
 	conn.Close()
@@ -78,7 +79,7 @@
 	}
 }
 
-// handleDrainNotice records that a server says itself that it is draining.
+// handleDrainNotice handles a server's own notice that it is draining: the connections to it accept no further calls.
 func (t *Transport) handleDrainNotice(pool *pool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/msgpack/pool.go
+++ b/transport/msgpack/pool.go
@@ -16,32 +16,33 @@
 	errNoConnection   = errors.New("all connections are full and the connection limit is reached")
 )
 
-// server is one process of one server with its connection pool; State is nil until the first attempt.
+// server is one process of a server, with its connection pool in State, which is nil until the first attempt.
 type server = servers.Server[*pool]
 
 // pool is the connection pool of one server, guarded by the mutex of the transport.
 type pool struct {
 	conns           []*pooledConn
-	dial            *pendingDial // nil: none
+	pendingDial     *pendingDial // connection that is being opened; nil: none
 	drainNotifiedAt time.Time    // when the server last sent a drain notice
 	removed         bool         // the server left the endpoint list
 }
 
-// pooledConn is a connection with the number of its open calls.
+// pooledConn is a connection with the number of calls in flight on it.
 type pooledConn struct {
 	*mux.Conn
 	tls   *secure.Conn // nil: plaintext
-	calls int          // guarded by the mutex of the transport
+	calls int          // calls in flight; guarded by the mutex of the transport
 }
 
-// pendingDial is a connection that is being opened. All attempts that need one wait for the same.
+// pendingDial is a connection that is being opened. A server has at most one, and all attempts that need a connection
+// to it wait for that one.
 type pendingDial struct {
-	done chan struct{} // closed at the end, when err is set
-	err  error
+	done chan struct{} // closed when the connection is open or has failed
+	err  error         // why the connection failed; set before done is closed
 }
 
-// await waits until the connection is open, or ctx ends. Where both are so, as after a pause of this process, the
-// connection counts: the server is not at fault.
+// await waits until the connection is open or ctx ends. If both have happened, for example during a pause of this
+// process, the result of the connection counts, since the server is not at fault.
 func (d *pendingDial) await(ctx context.Context) error {
 	select {
 	case <-d.done:
@@ -59,19 +60,19 @@
 // isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
 func (c *pooledConn) isTrusted() bool { return c.tls == nil || c.tls.IsTrusted(time.Now()) }
 
-// isDraining reports whether the server itself says that it is draining.
-func (p *pool) isDraining() bool {
+// hasDrainNotice reports whether a drain notice of the server itself is in effect.
+func (p *pool) hasDrainNotice() bool {
 	return !p.drainNotifiedAt.IsZero() && time.Since(p.drainNotifiedAt) < drainNoticeTTL
 }
 
-// retireAll makes all connections accept no further calls.
+// retireAll retires all connections: they accept no further calls.
 func (p *pool) retireAll() {
 	for _, conn := range p.conns {
 		conn.Retire()
 	}
 }
 
-// acquire returns a connection with a free slot for a call, and opens one where there is none.
+// acquire returns a connection with a free slot for a call, and opens one if there is none.
 func (t *Transport) acquire(ctx context.Context, id string) (*server, *pooledConn, error) {
 	for {
 		srv, conn, dial, err := t.acquireOrDial(id)
@@ -84,7 +85,7 @@
 	}
 }
 
-// acquireOrDial returns a connection with a free slot, or a pending one to wait for.
+// acquireOrDial returns a connection with a free slot or, if there is none, a pending connection to wait for.
 func (t *Transport) acquireOrDial(id string) (*server, *pooledConn, *pendingDial, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,13 +107,14 @@
 	return srv, nil, dial, err
 }
 
-// isDraining reports whether no new calls may be sent to a server, by the endpoint list or by its own notice.
+// isDraining reports whether no new calls may be sent to a server, because the endpoint list or its own drain notice
+// says that it is draining.
 func (t *Transport) isDraining(srv *server) bool {
-	return srv.WritesForbidden(t.drainGrace) || srv.State.isDraining()
+	return srv.WritesForbidden(t.drainWriteTime) || srv.State.hasDrainNotice()
 }
 
-// leastLoaded returns the connection with the fewest calls that has a free slot; nil where there is none. Connections
-// that are no longer trusted are retired.
+// leastLoaded returns the connection with the fewest calls, if that has a free slot; nil if there is none. It retires
+// connections that are no longer trusted.
 func (p *pool) leastLoaded(maxCalls int) (best *pooledConn) {
 	for _, conn := range p.conns {
 		if !conn.isTrusted() {
@@ -126,25 +128,25 @@
 	return best
 }
 
-// dialLocked returns the pending connection to a server, and starts to open one where there is none. The caller holds
-// the mutex.
+// dialLocked returns the pending connection to a server, and starts to open one if there is none. The caller holds the
+// mutex.
 func (t *Transport) dialLocked(srv *server) (*pendingDial, error) {
 	pool := srv.State
-	if pool.dial != nil {
-		return pool.dial, nil
+	if pool.pendingDial != nil {
+		return pool.pendingDial, nil
 	}
 	if len(pool.conns) >= t.config.ConnsPerServer || t.openConns >= t.config.MaxConns {
 		return nil, errNoConnection
 	}
 	dial := &pendingDial{done: make(chan struct{})}
-	pool.dial = dial
+	pool.pendingDial = dial
 	t.openConns++
 	endpoint := srv.Endpoint
 	t.tasks.Go(func() { t.connect(srv, endpoint, dial) })
 	return dial, nil
 }
 
-// release ends a call.
+// release frees the slot of a call that has ended.
 func (t *Transport) release(conn *pooledConn) {
 	t.mu.Lock()
 	conn.calls--
--- a/transport/msgpack/transport.go
+++ b/transport/msgpack/transport.go
@@ -23,19 +23,20 @@
 )
 
 const (
-	defaultServerIdleTimeout = 60 * time.Second // after which servers close idle connections
-	sweepInterval            = time.Second      // at which expired idle connections are closed
-	// drainNoticeTTL bounds the effect of a server's own drain notice, unless the endpoint list names another process
-	// before. After it, a connection is opened again, on which a server that is still draining repeats the notice.
+	defaultServerIdleTimeout = 60 * time.Second // servers close idle connections after this time, unless configured
+	sweepInterval            = time.Second      // time between two checks for expired idle connections
+	// drainNoticeTTL is how long a server's own drain notice is in effect, unless the endpoint list names another
+	// process before that. Afterwards a connection is opened again; a server that is still draining repeats its
+	// notice on it.
 	drainNoticeTTL = 10 * time.Second
 )
 
 // Config configures a Transport.
 type Config struct {
-	Streams        int               // concurrent calls on a connection; 0: DefaultStreams
-	ConnsPerServer int               // 0: DefaultConnsPerServer
-	MaxConns       int               // open connections to all servers; 0: DefaultMaxConns
-	ConnectTimeout time.Duration     // for a new connection; 0: DefaultConnectTimeout
+	Streams        int               // maximum of concurrent calls on a connection; 0: DefaultStreams
+	ConnsPerServer int               // maximum of connections to one server; 0: DefaultConnsPerServer
+	MaxConns       int               // maximum of connections to all servers; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // timeout of opening a TCP connection; 0: DefaultConnectTimeout
 	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none. The transport does not close it
 }
 
@@ -60,14 +61,14 @@
 	dialer  net.Dialer
 	stop    chan struct{}
 	tasks   sync.WaitGroup
-	written atomic.Uint64 // attempts written completely, counted at their end
+	written atomic.Uint64 // attempts that were written completely, counted when they end
 
 	mu               sync.Mutex
 	servers          servers.Table[*pool]
-	openConns        int // including those that are being opened
+	openConns        int // open connections, including those that are being opened
 	idleTimeout      time.Duration
-	drainGrace       time.Duration // after it, nothing is written to a draining server
-	loadReportFields []string      // in order
+	drainWriteTime   time.Duration // time after the start of a drain in which calls may still be written
+	loadReportFields []string      // names of the values in a load report, in order
 	closed           bool
 }
 
@@ -76,7 +77,7 @@
 	_ router.WriteCounter = (*Transport)(nil)
 )
 
-// New returns a transport without servers. The caller has to close it.
+// New returns a transport without servers; Update adds them. The caller has to close it.
 func New(config Config) *Transport {
 	config = config.withDefaults()
 	t := &Transport{
@@ -98,7 +99,7 @@
 	if t.idleTimeout == 0 {
 		t.idleTimeout = defaultServerIdleTimeout / 2
 	}
-	t.drainGrace = s.Rules.DrainGrace / 2
+	t.drainWriteTime = s.Rules.DrainGrace / 2
 	t.loadReportFields = s.LoadReportFields
 }
 
@@ -117,8 +118,8 @@
 	}
 }
 
-// removeServer retires the connections to a server that left the endpoint list. Their open calls may still be answered.
-// The caller holds the mutex.
+// removeServer retires the connections to a server that left the endpoint list. Calls in flight on them may still be
+// answered. The caller holds the mutex.
 func (t *Transport) removeServer(srv *server) {
 	if t.config.TLS != nil {
 		t.config.TLS.RemoveServer(srv.ID)
@@ -159,7 +160,7 @@
 	}
 }
 
-// closeExpired closes connections that were idle for too long or are no longer trusted.
+// closeExpired closes idle connections that have exceeded the idle timeout or are no longer trusted.
 func (t *Transport) closeExpired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
