--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -1,4 +1,4 @@
-// Package mixed is a router.Transport over several transports, for servers of different protocols.
+// Package mixed combines several transports into one router.Transport, for servers that use different protocols.
 package mixed
 
 import (
@@ -15,7 +15,7 @@
 	transports      []router.Transport
 
 	mu       sync.RWMutex
-	byServer map[string]int // index of the transport
+	byServer map[string]int // index into transports by server ID
 }
 
 var (
@@ -24,7 +24,8 @@
 	_ router.WriteCounter      = (*Transport)(nil)
 )
 
-// New returns a transport that assigns an endpoint to transports[selectTransport(endpoint)]. It owns them all.
+// New returns a transport that assigns each endpoint to transports[selectTransport(endpoint)]. Its Close closes all of
+// them.
 func New(selectTransport func(router.Endpoint) int, transports ...router.Transport) *Transport {
 	return &Transport{
 		selectTransport: selectTransport,
@@ -33,7 +34,7 @@
 	}
 }
 
-// Attempt makes the attempt by the server's transport.
+// Attempt makes the attempt with the transport of the server.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	transport := t.transportOf(server)
 	if transport == nil {
@@ -60,8 +61,8 @@
 	}
 }
 
-// Update passes each transport the changes of its servers. A server that changes its protocol is removed from its
-// former transport.
+// Update passes each transport the changes of its own servers. A server that is now assigned to another transport is
+// removed from its former one.
 func (t *Transport) Update(update router.EndpointUpdate) {
 	for i, endpoints := range t.assign(update) {
 		if len(endpoints) > 0 || update.Kind != policy.ListUpdate {
@@ -70,7 +71,7 @@
 	}
 }
 
-// assign returns the endpoints of an update by transport.
+// assign groups the endpoints of an update by the index of their transport.
 func (t *Transport) assign(update router.EndpointUpdate) [][]router.Endpoint {
 	assigned := make([][]router.Endpoint, len(t.transports))
 	t.mu.Lock()
--- a/transport/servers/servers.go
+++ b/transport/servers/servers.go
@@ -1,5 +1,5 @@
-// Package servers holds what a transport keeps for each server of the endpoint list. Moves, restarts and drains of
-// servers thus follow the same rules for every protocol.
+// Package servers has the table in which a transport keeps its state for each server of the endpoint list. All
+// transports use it, so that moves, restarts and drains of servers follow the same rules for every protocol.
 package servers
 
 import (
@@ -9,16 +9,16 @@
 	"cobaltward/router"
 )
 
-// Server is one process of one server, with the state that a transport keeps for it.
+// Server is one process of a server, with the state that a transport keeps for it.
 type Server[S any] struct {
 	ID, Addr string
 	Started  time.Time
 
-	Endpoint       router.Endpoint // the current entry of the list; the fields above do not change
-	DrainStartedAt time.Time       // when the list reported it as draining or removed; zero while it is running
-	State          S
+	Endpoint       router.Endpoint // the current entry of the endpoint list; the fields above never change
+	DrainStartedAt time.Time       // when the list first had the server as draining or removed; zero: it is running
+	State          S               // state of the transport
 
-	removed bool // it was removed from the list without having been draining
+	removed bool // the server was removed from the list without having been draining before
 }
 
 // Table holds the servers of an endpoint list. It is not safe for concurrent use.
@@ -33,14 +33,14 @@
 	return Table[S]{onRemove: onRemove, byID: make(map[string]*Server[S]), idByAddr: make(map[string]string)}
 }
 
-// Get returns a server, or nil.
+// Get returns the server with an ID; nil if it is not in the table.
 func (t *Table[S]) Get(id string) *Server[S] { return t.byID[id] }
 
 // All returns the servers by ID. The caller must not change the map.
 func (t *Table[S]) All() map[string]*Server[S] { return t.byID }
 
-// Update applies a change of the list. A server that moved or restarted is removed and added, since the connections to
-// its former process are of no use.
+// Update applies a change of the endpoint list. A server that moved or restarted is removed and added again, since the
+// connections to its former process cannot be used any more.
 func (t *Table[S]) Update(update router.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
 		known := t.byID[endpoint.ID]
@@ -58,7 +58,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that a complete list does not name.
+// removeUnlisted removes the servers that are missing from a complete endpoint list.
 func (t *Table[S]) removeUnlisted(endpoints []router.Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for i := range endpoints {
@@ -71,8 +71,8 @@
 	}
 }
 
-// add adds a server, unless one that started later has its address: only the last process at an address can be reached
-// there, and it must not get requests for the other one.
+// add adds a server, unless a server that started later has the same address. Only the last process at an address can
+// be reached there, and it must not receive requests for an earlier one.
 func (t *Table[S]) add(endpoint router.Endpoint) {
 	if id, taken := t.idByAddr[endpoint.Addr]; taken {
 		if t.byID[id].Started.After(endpoint.Started) {
@@ -84,7 +84,7 @@
 	t.idByAddr[endpoint.Addr] = endpoint.ID
 }
 
-// updateEndpoint stores an entry of the list, and when its server began to drain.
+// updateEndpoint stores an entry of the endpoint list, and records when its server began to drain.
 func (t *Table[S]) updateEndpoint(endpoint router.Endpoint) {
 	server := t.byID[endpoint.ID]
 	if server == nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// remove removes a server. For attempts that are still connecting to it, it is like one that is draining.
+// remove removes a server. Attempts that still hold the Server see it as draining from now on.
 func (t *Table[S]) remove(id string) {
 	server := t.byID[id]
 	if server == nil {
@@ -113,8 +113,9 @@
 	delete(t.idByAddr, server.Addr) // addresses are unique within the table
 }
 
-// WritesForbidden reports whether nothing may be written to the server any more: it has been draining or removed for
-// the grace. A grace of 0 does not apply to a server that was removed without having been draining.
+// WritesForbidden reports whether nothing may be written to the server any more, because it has been draining or
+// removed for at least the grace. With a grace of 0, writes to a server that was removed without draining remain
+// allowed.
 func (s *Server[S]) WritesForbidden(grace time.Duration) bool {
 	if s.DrainStartedAt.IsZero() || s.removed && grace == 0 {
 		return false
