--- a/transport/secure/client.go
+++ b/transport/secure/client.go
@@ -1,6 +1,6 @@
-// Package secure is TLS on connections to servers. It decides which servers use TLS and how each is verified, limits
-// handshakes, resumes sessions, and rechecks servers that failed verification. Transports pass it the connections that
-// they open.
+// Package secure implements TLS on connections to servers. It decides which servers use TLS and how each is verified,
+// limits handshakes, resumes sessions, and rechecks servers that failed verification. Transports run their handshakes
+// through it.
 package secure
 
 import (
@@ -17,17 +17,17 @@
 // DefaultHandshakeTimeout is the default of Config.HandshakeTimeout.
 const DefaultHandshakeTimeout = time.Second
 
-// ErrTooManyHandshakes is the error of a handshake that found the queue full. Nothing was sent, and the
-// server is not at fault.
+// ErrTooManyHandshakes is the error of a handshake that found the queue full. Nothing was sent, and the server is not
+// at fault.
 var ErrTooManyHandshakes = errors.New("handshake queue is full")
 
 // Config configures a ClientTLS.
 type Config struct {
 	Rules            []Rule // the first rule that matches a server applies; servers without a rule use no TLS
 	Limits           handshakes.Limits
-	SlowStart        time.Duration // the time that a server process is warming up
+	SlowStart        time.Duration // how long a server process warms up after its start; 0: not at all
 	HandshakeTimeout time.Duration // 0: DefaultHandshakeTimeout
-	ConnectTimeout   time.Duration // of a connection that is opened to recheck a server; 0: HandshakeTimeout
+	ConnectTimeout   time.Duration // timeout of the TCP connection of a recheck; 0: HandshakeTimeout
 	CPU              *handshakes.CPUScheduler
 	// OnTrustChange is called when a server becomes untrusted or trusted. It must not block, nor call the ClientTLS.
 	OnTrustChange func(server string, untrusted bool)
@@ -41,10 +41,10 @@
 	stop      chan struct{}
 	tasks     sync.WaitGroup
 
-	notifyMu sync.Mutex // serializes calls of OnTrustChange, so that the last one is right
+	notifyMu sync.Mutex // serializes calls of OnTrustChange, so that the last call reports the current state
 
 	mu        sync.Mutex
-	servers   map[string]*server // as UpdateServer named them
+	servers   map[string]*server // servers of the endpoint list that use TLS, by ID
 	limiter   *handshakes.Limiter
 	admitted  map[*handshakes.Reservation]chan struct{} // of queued handshakes; closed when the handshake may start
 	untrusted *handshakes.UntrustedBackoff
@@ -53,19 +53,19 @@
 	closed    bool
 }
 
-// server is one process of one server.
+// server is the TLS state of one process of a server.
 type server struct {
-	endpoint                router.Endpoint
-	rule                    *Rule
-	tickets                 sessionTickets
-	certificateSerial       string // of the certificate that the server presented last, in hexadecimal
-	certificateExpiry       time.Time
-	listedAt                time.Time // when the endpoint list first named the process
-	ownCertificate          string    // digest of the certificate of this node that was last seen
-	ownCertificateChangedAt time.Time
+	endpoint           router.Endpoint
+	rule               *Rule
+	sessions           sessionStore
+	certificateSerial  string // of the certificate in the last successful handshake, in hexadecimal
+	certificateExpiry  time.Time
+	listedAt           time.Time // when the endpoint list first named the process
+	ownDigest          string    // last known digest of this node's certificate
+	ownDigestChangedAt time.Time // when ownDigest last changed
 }
 
-// New returns a ClientTLS. The caller has to close it. Errors name a rule by its index.
+// New returns a ClientTLS. The caller has to close it. An error about a rule contains the index of the rule.
 func New(config Config) (*ClientTLS, error) {
 	for i := range config.Rules {
 		if err := config.Rules[i].Validate(); err != nil {
@@ -99,7 +99,7 @@
 	return client, nil
 }
 
-// Close ends rechecks. Open connections remain open.
+// Close stops the rechecks of untrusted servers. Open connections remain open.
 func (l *ClientTLS) Close() {
 	l.mu.Lock()
 	first := !l.closed
@@ -111,10 +111,10 @@
 	l.tasks.Wait()
 }
 
-// now returns the time since the start, by the monotonic clock.
+// now returns the time since New, by the monotonic clock.
 func (l *ClientTLS) now() time.Duration { return time.Since(l.startedAt) }
 
-// ruleFor returns the rule of a server that uses TLS; nil for others.
+// ruleFor returns the first rule that applies to a server; nil if the server uses no TLS.
 func (l *ClientTLS) ruleFor(endpoint *router.Endpoint) *Rule {
 	for i := range l.config.Rules {
 		rule := &l.config.Rules[i]
@@ -132,17 +132,17 @@
 // UsesTLS reports whether a server uses TLS.
 func (l *ClientTLS) UsesTLS(endpoint *router.Endpoint) bool { return l.ruleFor(endpoint) != nil }
 
-// CheckTrusted returns an *UntrustedError if the server failed verification and was not verified since.
+// CheckTrusted returns an *UntrustedError if the server failed verification, and has not passed it since.
 func (l *ClientTLS) CheckTrusted(endpoint *router.Endpoint) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if reason, untrusted := l.untrusted.Reason(endpoint.ID); untrusted {
-		return &UntrustedError{reason, "not verified since"}
+		return &UntrustedError{reason, "the server has not passed verification since"}
 	}
 	return nil
 }
 
-// UpdateServer applies an entry of the endpoint list. State is kept for each server until RemoveServer.
+// UpdateServer applies an entry of the endpoint list. The state of a server that uses TLS is kept until RemoveServer.
 func (l *ClientTLS) UpdateServer(endpoint router.Endpoint) {
 	rule := l.ruleFor(&endpoint)
 	l.mu.Lock()
@@ -160,8 +160,8 @@
 }
 
 func newServer(endpoint *router.Endpoint, rule *Rule) *server {
-	_, ownCertificate := rule.digests()
-	return &server{endpoint: *endpoint, rule: rule, listedAt: time.Now(), ownCertificate: ownCertificate}
+	_, ownDigest := rule.digests()
+	return &server{endpoint: *endpoint, rule: rule, listedAt: time.Now(), ownDigest: ownDigest}
 }
 
 // RemoveServer drops the state of a server that was removed from the endpoint list, or replaced by another process.
@@ -176,8 +176,8 @@
 	}
 }
 
-// isWarmingUp reports whether the process of an endpoint may still be warming up, counted from when the list first
-// named it: its start by the wall clock is of no use where the clock was stepped.
+// isWarmingUp reports whether the process of an endpoint may still be warming up. The time counts from when the
+// endpoint list first named the process, because its start time would be wrong after a step of the wall clock.
 func (l *ClientTLS) isWarmingUp(endpoint *router.Endpoint) bool {
 	if l.config.SlowStart <= 0 || endpoint.Started.IsZero() {
 		return false
@@ -189,7 +189,8 @@
 	return !isListed || time.Since(known.listedAt) < l.config.SlowStart
 }
 
-// serverFor returns the process of an endpoint, or a temporary one where the list names another process by now.
+// serverFor returns the state of the process of an endpoint. If the endpoint list names another process by now, it
+// returns a temporary state.
 func (l *ClientTLS) serverFor(endpoint *router.Endpoint, rule *Rule) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,8 +212,8 @@
 	l.config.OnTrustChange(id, untrusted)
 }
 
-// InvalidateTrust drops cached verifications and rechecks all untrusted servers soon. It has to be called when
-// certificates or authorities of a rule were reloaded.
+// InvalidateTrust drops the cached verifications and makes rechecks of all untrusted servers due. It has to be called
+// after the certificates or authorities of a rule were reloaded.
 func (l *ClientTLS) InvalidateTrust() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/secure/conn.go
+++ b/transport/secure/conn.go
@@ -21,10 +21,10 @@
 	server   *server
 	state    tls.ConnectionState
 
-	mu             sync.Mutex
-	validity       validity // of the server's certificate chain
-	trustDigest    string   // of the authorities by which it was verified
-	ownCertificate string   // digest of the certificate of this node on the connection
+	mu          sync.Mutex
+	validity    validity // of the server's certificate chain
+	trustDigest string   // digest of the authorities that verified the chain
+	ownDigest   string   // digest of the certificate that this node presented
 }
 
 var _ net.Conn = (*Conn)(nil)
@@ -32,7 +32,7 @@
 func (c *Conn) Read(p []byte) (int, error)  { return c.tls.Read(p) }
 func (c *Conn) Write(p []byte) (int, error) { return c.tls.Write(p) }
 
-// LocalAddr returns the address of this side.
+// LocalAddr returns the address of this node.
 func (c *Conn) LocalAddr() net.Addr { return c.raw.TCP.LocalAddr() }
 
 // RemoteAddr returns the address of the server.
@@ -47,7 +47,7 @@
 // SetWriteDeadline sets the write deadline of the TCP connection.
 func (c *Conn) SetWriteDeadline(t time.Time) error { return c.raw.TCP.SetWriteDeadline(t) }
 
-// TCP returns the TCP connection below.
+// TCP returns the underlying TCP connection.
 func (c *Conn) TCP() *net.TCPConn { return c.raw.TCP }
 
 // Resumed reports whether the handshake resumed a session.
@@ -58,14 +58,14 @@
 	return tls.VersionName(c.state.Version), c.state.NegotiatedProtocol, c.state.PeerCertificates
 }
 
-// Close closes the connection. It does not block: the closing alert is dropped if it cannot be written at once.
+// Close closes the connection without blocking: the close_notify alert is dropped if it cannot be written at once.
 func (c *Conn) Close() error {
 	c.raw.DropBlockingWrites()
 	return c.tls.Close()
 }
 
-// IsIdle reports whether the connection is open and has no unread data of the server. Messages of TLS itself, as new
-// session tickets, are processed. No other goroutine may be reading.
+// IsIdle reports whether the connection is open and has no unread data of the server. It processes messages of TLS
+// itself, such as new session tickets. No other goroutine may be reading.
 func (c *Conn) IsIdle() bool {
 	var data [1]byte
 	return c.raw.ReadAvailable(func() error {
@@ -75,10 +75,10 @@
 }
 
 // IsTrusted reports whether the server's certificate is valid and trusted now, by the wall clock. A request may be
-// written only then. It reports false, too, once the connection is to be replaced because this node has another
-// certificate.
+// written only if it is. IsTrusted also returns false once the connection should be replaced because the certificate of
+// this node has changed.
 func (c *Conn) IsTrusted(now time.Time) bool {
-	trustDigest, ownCertificate := c.rule.digests()
+	trustDigest, ownDigest := c.rule.digests()
 	c.mu.Lock()
 	valid, isSameTrust := c.validity.contains(now), trustDigest == c.trustDigest
 	c.mu.Unlock()
@@ -94,19 +94,19 @@
 		c.trustDigest, c.validity = trustDigest, verified
 		c.mu.Unlock()
 	}
-	return ownCertificate == c.ownCertificate || !c.client.shouldReplace(c, ownCertificate, now)
+	return ownDigest == c.ownDigest || !c.client.shouldReplace(c, ownDigest, now)
 }
 
-// shouldReplace reports whether a connection on which this node presented a former certificate is to be replaced now.
-func (l *ClientTLS) shouldReplace(conn *Conn, ownCertificate string, now time.Time) bool {
+// shouldReplace reports whether a connection on which this node presented a former certificate should be replaced now.
+func (l *ClientTLS) shouldReplace(conn *Conn, ownDigest string, now time.Time) bool {
 	if conn.rule.ClientCertificate == nil {
 		return false
 	}
 	srv := conn.server
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if srv.ownCertificate != ownCertificate {
-		srv.ownCertificate, srv.ownCertificateChangedAt = ownCertificate, now
+	if srv.ownDigest != ownDigest {
+		srv.ownDigest, srv.ownDigestChangedAt = ownDigest, now
 	}
-	return handshakes.ShouldReplace(conn.endpoint.ID, now.Sub(srv.ownCertificateChangedAt))
+	return handshakes.ShouldReplace(conn.endpoint.ID, now.Sub(srv.ownDigestChangedAt))
 }
--- a/transport/secure/conn_test.go
+++ b/transport/secure/conn_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestSessionResumption checks that a session is resumed as long as the server process, the authorities and the
-// certificate of this node are the same, and that a server which does not resume it serves all the same.
-func TestSessionResumption(t *testing.T) {
+// TestHandshake_SessionResumption checks that a session is resumed as long as the server process, the authorities and
+// the certificate of this node are the same, and that a handshake succeeds if the server does not accept the ticket.
+func TestHandshake_SessionResumption(t *testing.T) {
 	ca, other := pki.NewAuthority("ours"), pki.NewAuthority("others")
 	trust, trustFile := openTrust(t, ca)
 	sources := pairFiles(t)
@@ -55,16 +55,16 @@
 	addr := tlsServer(t, func() *tls.Config { return config }, echo)
 	client := newClient(t, Config{Rules: []Rule{{Trust: trust, ClientCertificate: clientCertificate}}})
 	endpoint := router.Endpoint{ID: "s1", Addr: addr}
-	var last *Conn
+	var lastConn *Conn
 	for i, step := range []struct {
-		what    string
+		name    string
 		change  func()
 		resumed bool
 	}{
-		{"the first", func() {}, false},
-		{"the second", func() {}, true},
-		{"a ticket that is not accepted", func() { setTicketKey(2) }, false},
-		{"after that", func() {}, true},
+		{"first connection", func() {}, false},
+		{"second connection", func() {}, true},
+		{"the server rejects the ticket", func() { setTicketKey(2) }, false},
+		{"after the rejected ticket", func() {}, true},
 		{"other authorities", func() {
 			writeTrust(t, trustFile, ca, other)
 			if changed, err := trust.Reload(time.Now()); err != nil || !changed {
@@ -72,39 +72,39 @@
 			}
 			client.InvalidateTrust()
 		}, false},
-		{"after that", func() {}, true},
+		{"after the other authorities", func() {}, true},
 		{"another certificate of this node", func() {
 			writePair(t, ca, sources)
 			if _, err := clientCertificate.Reload(time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}, false},
-		{"another process", func() { endpoint.Started = time.Now(); client.RemoveServer("s1") }, false},
+		{"another process of the server", func() { endpoint.Started = time.Now(); client.RemoveServer("s1") }, false},
 	} {
 		step.change()
 		conn, err := connect(t, client, endpoint)
 		if err != nil {
-			t.Fatalf("%s: %v", step.what, err)
+			t.Fatalf("%s: %v", step.name, err)
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 		if conn.Resumed() != step.resumed {
-			t.Errorf("%d, %s: resumed %v", i, step.what, conn.Resumed())
+			t.Errorf("step %d, %s: resumed %v", i, step.name, conn.Resumed())
 		}
-		last = conn
+		lastConn = conn
 	}
 	stats := client.Stats()
 	if stats.Sessions != 1 || stats.Resumed.Count != 3 || stats.Full.Count != 5 || len(stats.Failures) != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("stats %+v, want 1 session, 3 resumed and 5 full handshakes, and no failures", stats)
 	}
 	now := time.Now()
-	if !last.IsTrusted(now) || last.IsTrusted(now.AddDate(1, 0, 0)) || last.IsTrusted(now.AddDate(-1, 0, 0)) {
-		t.Error("the validity of a connection does not follow the wall clock")
+	if !lastConn.IsTrusted(now) || lastConn.IsTrusted(now.AddDate(1, 0, 0)) || lastConn.IsTrusted(now.AddDate(-1, 0, 0)) {
+		t.Error("IsTrusted does not follow the validity period of the certificate")
 	}
 }
 
-// TestConnIsIdle checks that a connection with unread messages of TLS itself is idle, and that one with data of the
-// server or its closing alert is not.
-func TestConnIsIdle(t *testing.T) {
+// TestConn_IsIdle checks that a connection is idle if it has only unread messages of TLS itself, and not idle if it has
+// unread data or the close_notify alert of the server.
+func TestConn_IsIdle(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	config := serverConfig(ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS())
@@ -116,9 +116,9 @@
 	})
 	client := newClient(t, Config{Rules: []Rule{{Trust: trust}}})
 	endpoint := router.Endpoint{ID: "s1", Addr: addr}
-	for what, action := range map[string]func(*tls.Conn){
-		"data":          func(conn *tls.Conn) { _, _ = conn.Write([]byte("x")) },
-		"closing alert": func(conn *tls.Conn) { _ = conn.Close() },
+	for name, action := range map[string]func(*tls.Conn){
+		"the arrival of data":         func(conn *tls.Conn) { _, _ = conn.Write([]byte("x")) },
+		"the arrival of close_notify": func(conn *tls.Conn) { _ = conn.Close() },
 	} {
 		client.UpdateServer(endpoint)
 		conn, err := client.Handshake(t.Context(), t.Context(), &endpoint, true, dialer(addr))
@@ -128,17 +128,17 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		testkit.Await(t, "the session ticket", func() bool {
 			if !conn.IsIdle() {
-				t.Fatal("a new connection on which a session ticket arrives is not idle")
+				t.Fatal("a connection without unread data is not idle")
 			}
 			return client.Stats().Sessions == 1
 		})
 		actions <- action
-		testkit.Await(t, what, func() bool { return !conn.IsIdle() })
+		testkit.Await(t, name, func() bool { return !conn.IsIdle() })
 		client.RemoveServer(endpoint.ID)
 	}
 }
 
-// trustModel is a server whose certificate changes, and a client whose authorities change.
+// trustModel has a server whose certificate changes, and a client whose authorities change.
 type trustModel struct {
 	client      *ClientTLS
 	trust       *certificates.Store
@@ -148,8 +148,8 @@
 	addr        string
 	conns       []modelConn
 
-	mu        *sync.Mutex
-	presented *int // the authority of the server's certificate; guarded by mu
+	mu          *sync.Mutex
+	presentedBy *int // index of the authority that issued the server's certificate; guarded by mu
 }
 
 type modelConn struct {
@@ -157,9 +157,9 @@
 	authority int
 }
 
-// TestConnectionsFollowTrust checks that a connection may be used exactly as long as the certificate on it is trusted,
-// and that a handshake succeeds exactly if the certificate presented is trusted, whatever the order of changes.
-func TestConnectionsFollowTrust(t *testing.T) {
+// TestConn_FollowsTrustChanges checks that a connection is trusted as long as the authority of its certificate is, and
+// that a handshake succeeds if and only if the server's certificate is trusted, whatever the order of changes.
+func TestConn_FollowsTrustChanges(t *testing.T) {
 	authorities := []*pki.Authority{pki.NewAuthority("a"), pki.NewAuthority("b"), pki.NewAuthority("c")}
 	configs := make([]*tls.Config, len(authorities))
 	for i, authority := range authorities {
@@ -177,7 +177,7 @@
 		defer client.Close()
 		model := &trustModel{
 			client: client, trust: trust, trustFile: trustFile, authorities: authorities,
-			trusted: []bool{true, false, false}, addr: addr, mu: &mu, presented: &presented,
+			trusted: []bool{true, false, false}, addr: addr, mu: &mu, presentedBy: &presented,
 		}
 		mu.Lock()
 		presented = 0
@@ -189,7 +189,7 @@
 				model.changeTrust(t, rt)
 			case 1:
 				mu.Lock()
-				presented = rapid.IntRange(0, len(authorities)-1).Draw(rt, "shows")
+				presented = rapid.IntRange(0, len(authorities)-1).Draw(rt, "presented")
 				mu.Unlock()
 			case 2:
 				model.connect(t, rt)
@@ -205,7 +205,7 @@
 	}
 }
 
-// changeTrust trusts some of the authorities, at least one.
+// changeTrust makes the client trust a random subset of the authorities, with at least one of them.
 func (m *trustModel) changeTrust(t *testing.T, rt *rapid.T) {
 	t.Helper()
 	var trusted []*pki.Authority
@@ -227,12 +227,12 @@
 func (m *trustModel) connect(t *testing.T, rt *rapid.T) {
 	t.Helper()
 	m.mu.Lock()
-	authority := *m.presented
+	authority := *m.presentedBy
 	m.mu.Unlock()
 	conn, err := connect(t, m.client, router.Endpoint{ID: "s1", Addr: m.addr})
 	var untrusted *UntrustedError
 	if (err == nil) != m.trusted[authority] || err != nil && !errors.As(err, &untrusted) {
-		rt.Fatalf("the server presents %d, trusted are %v: %v", authority, m.trusted, err)
+		rt.Fatalf("the server's certificate is from authority %d, trusted %v, got error %v", authority, m.trusted, err)
 	}
 	if err == nil {
 		m.conns = append(m.conns, modelConn{conn, authority})
@@ -242,7 +242,8 @@
 func (m *trustModel) checkConns(rt *rapid.T) {
 	for _, open := range m.conns {
 		if trusted := open.conn.IsTrusted(time.Now()); trusted != m.trusted[open.authority] {
-			rt.Fatalf("a connection by %d is trusted: %v; trusted are %v", open.authority, trusted, m.trusted)
+			rt.Fatalf("connection verified by authority %d: IsTrusted %v; trusted authorities %v",
+				open.authority, trusted, m.trusted)
 		}
 	}
 }
--- a/transport/secure/errors.go
+++ b/transport/secure/errors.go
@@ -11,7 +11,7 @@
 	"cobaltward/handshakes"
 )
 
-// Reasons of an UntrustedError, by which failures are counted. Status pages show them.
+// Reasons of an UntrustedError. Failures are counted by reason, and status pages show the reasons.
 const (
 	reasonExpired          = "expired"
 	reasonNotYetValid      = "not yet valid"
@@ -26,7 +26,7 @@
 	reasonAlert            = "will not agree"
 )
 
-// Reasons of failures that say nothing about the server's identity.
+// Reasons of failures of the connection, which say nothing about the server's identity.
 const (
 	reasonCancelled = "called off"
 	reasonTimeout   = "no answer in time"
@@ -36,29 +36,30 @@
 
 // UntrustedError is the error of a server that failed verification. No request was sent to it.
 type UntrustedError struct {
-	Reason string // one of a small set, for counting
-	Detail string
+	Reason string // one of the reason constants above
+	Detail string // for people; it may differ for each failure
 }
 
 func (e *UntrustedError) Error() string { return e.Reason + ": " + e.Detail }
 
-// chainError returns the error of a chain that crypto/x509 rejected.
+// chainError returns the UntrustedError for an error with which crypto/x509 rejected a chain.
 func chainError(err error) *UntrustedError {
 	var unknown x509.UnknownAuthorityError
 	var invalid x509.CertificateInvalidError
 	switch {
 	case errors.As(err, &unknown):
 		return &UntrustedError{reasonUnknownAuthority, err.Error()}
-	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // of an intermediate: the leaf was checked before
+	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // an intermediate: the leaf was checked before
 		return &UntrustedError{reasonExpired, "in its chain: " + err.Error()}
 	}
 	return &UntrustedError{reasonInvalidChain, err.Error()}
 }
 
-// alertInternalError is an alert about a fault of the server, not about its identity.
+// alertInternalError is the text of an alert about a fault of the server, which says nothing about its identity.
 const alertInternalError = "tls: internal error"
 
-// classifyError returns an *UntrustedError for the errors of a server that failed verification, and others unchanged.
+// classifyError returns an *UntrustedError for an error which means that the server failed verification. It returns
+// other errors unchanged.
 func classifyError(err error) error {
 	var untrusted *UntrustedError
 	var header tls.RecordHeaderError
@@ -76,8 +77,9 @@
 	return err
 }
 
-// connectionFailure returns the reason by which a failure is counted that says nothing about the server's identity.
-func connectionFailure(err error) string {
+// connectionFailureReason returns the reason by which a failure is counted that says nothing about the server's
+// identity.
+func connectionFailureReason(err error) string {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed):
--- a/transport/secure/handshake.go
+++ b/transport/secure/handshake.go
@@ -12,8 +12,8 @@
 	"cobaltward/router"
 )
 
-// Handshake opens a TLS connection to a server over a TCP connection that dial opens. While the handshake is queued it
-// ends with queueCtx, and afterwards with ctx. urgent says that a request waits for it. An *UntrustedError means that
+// Handshake opens a TLS connection to a server over a TCP connection that dial opens. It ends with queueCtx while it is
+// queued, and with ctx afterwards. urgent is set if a request waits for the connection. An *UntrustedError means that
 // the server failed verification.
 func (l *ClientTLS) Handshake(
 	queueCtx, ctx context.Context, endpoint *router.Endpoint, urgent bool, dial func() (*net.TCPConn, error),
@@ -67,7 +67,7 @@
 	}
 }
 
-// releaseSlot ends a reservation, and admits queued handshakes in its place.
+// releaseSlot ends a reservation, and admits queued handshakes that may now start.
 func (l *ClientTLS) releaseSlot(slot *handshakes.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 	c.raw = handshakes.NewConn(tcp, c.client.config.CPU, urgent, deadline, ctx.Done())
 	_ = c.raw.SetDeadline(deadline)
-	c.trustDigest, c.ownCertificate = c.rule.digests()
+	c.trustDigest, c.ownDigest = c.rule.digests()
 	if err := c.raw.BeginCompute(); err != nil {
 		return err
 	}
@@ -110,23 +110,24 @@
 		ServerName: c.rule.serverName(&c.endpoint),
 		NextProtos: c.rule.ALPN,
 		MinVersion: tls.VersionTLS13,
-		// crypto/tls verifies names and authorities alone, and does not verify resumed sessions: VerifyConnection does.
+		// VerifyConnection replaces the verification of crypto/tls, which covers only names and authorities, and does
+		// not verify resumed sessions.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) (err error) {
 			c.validity, err = c.client.verify(c.rule, &c.endpoint, state.PeerCertificates)
 			return err
 		},
 		ClientSessionCache: &sessionCache{
-			tickets:        &c.server.tickets,
-			trustDigest:    c.trustDigest,
-			ownCertificate: c.ownCertificate,
+			sessions:    &c.server.sessions,
+			trustDigest: c.trustDigest,
+			ownDigest:   c.ownDigest,
 		},
 	}
 	if c.rule.AllowTLS12 {
 		config.MinVersion = tls.VersionTLS12
 	}
 	if c.rule.ClientCertificate != nil {
-		certificate := new(tls.Certificate) // none, if the store has none yet
+		certificate := new(tls.Certificate) // empty while the store has none: no certificate is sent
 		if pair := c.rule.ClientCertificate.Set().PairFor(""); pair != nil {
 			certificate = &pair.Cert
 		}
@@ -137,11 +138,11 @@
 	return config
 }
 
-// recordSuccess records that the server of a connection passed verification.
+// recordSuccess records that the server of a connection passed verification, and makes it trusted again.
 func (l *ClientTLS) recordSuccess(conn *Conn) {
 	id, srv := conn.endpoint.ID, conn.server
 	l.mu.Lock()
-	// A process that is no longer listed proves nothing about its successor.
+	// The success of a process that is no longer listed says nothing about the process that replaced it.
 	recovered := l.servers[id] == srv && l.untrusted.RecordSuccess(id)
 	srv.certificateSerial = conn.state.PeerCertificates[0].SerialNumber.Text(16)
 	srv.certificateExpiry = conn.validity.notAfter
@@ -152,23 +153,23 @@
 	}
 }
 
-// recordFailure counts a failed handshake, and makes its server untrusted if that failed verification. It returns the
-// error with its type.
+// recordFailure counts a failed handshake. If the server failed verification, it makes the server untrusted. It returns
+// the error as classifyError does.
 func (l *ClientTLS) recordFailure(endpoint *router.Endpoint, srv *server, err error) error {
 	err = classifyError(err)
 	var untrusted *UntrustedError
-	first := false
+	becameUntrusted := false
 	l.mu.Lock()
 	if errors.As(err, &untrusted) {
 		l.counters.countFailure(untrusted.Reason)
-		if l.servers[endpoint.ID] == srv { // else it was removed, or replaced by another process
-			first = l.untrusted.RecordFailure(l.now(), endpoint.ID, untrusted.Reason)
+		if l.servers[endpoint.ID] == srv { // otherwise the server was removed, or replaced by another process
+			becameUntrusted = l.untrusted.RecordFailure(l.now(), endpoint.ID, untrusted.Reason)
 		}
 	} else {
-		l.counters.countFailure(connectionFailure(err))
+		l.counters.countFailure(connectionFailureReason(err))
 	}
 	l.mu.Unlock()
-	if first {
+	if becameUntrusted {
 		l.config.Log.Warn("tls: server failed verification, sending it no requests",
 			"server", endpoint.ID, "why", untrusted)
 		l.notifyTrust(endpoint.ID)
@@ -176,8 +177,8 @@
 	return err
 }
 
-// DialTCP opens a TCP connection, as Handshake needs it. A timeout fails it only where the connection is not
-// established by then, however late this process runs.
+// DialTCP opens a TCP connection, for use in the dial function of Handshake. It fails with a timeout only if the
+// connection was not established in time, even if this process was paused and sees the timeout late.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	return sockets.DialTCP(ctx, dialer, addr)
 }
--- a/transport/secure/handshake_test.go
+++ b/transport/secure/handshake_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/router"
 )
 
-// TestHandshake_FailureReasons checks by which reason the failures of servers that break the protocol or the connection
-// are counted, and that each handshake ends in time.
+// TestHandshake_FailureReasons checks the reason by which a failed handshake is counted if the server violates the
+// protocol or breaks the connection. A server that sends nothing must not hold up the handshake beyond its timeout.
 func TestHandshake_FailureReasons(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
@@ -28,17 +28,17 @@
 		serve func(net.Conn)
 		want  string
 	}{
-		"says nothing": {func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, "no answer in time"},
-		"closes":       {func(c net.Conn) { _, _ = c.Read(make([]byte, 64<<10)) }, "closed"},
+		"sends nothing": {func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, "no answer in time"},
+		"closes":        {func(c net.Conn) { _, _ = c.Read(make([]byte, 64<<10)) }, "closed"},
 		"resets": {func(c net.Conn) {
 			_, _ = c.Read(make([]byte, 100))
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, "broken off"},
-		"speaks plain HTTP": {func(c net.Conn) {
+		"answers in plain HTTP": {func(c net.Conn) {
 			_, _ = c.Read(make([]byte, 64<<10))
 			_, _ = fmt.Fprint(c, "HTTP/1.1 400 Bad Request\r\n\r\n")
 		}, reasonNoTLS},
-		"closes within the handshake": {func(c net.Conn) {
+		"closes during the handshake": {func(c net.Conn) {
 			handshake(&truncatedConn{Conn: c, remaining: 200}, certificate)
 		}, "closed"},
 		"sends 100 KB": {func(c net.Conn) {
@@ -53,13 +53,13 @@
 				t.Fatal("the handshake succeeded")
 			}
 			if stats := client.Stats(); stats.Failures[test.want] != 1 {
-				t.Errorf("failures are %v, want one of %q", stats.Failures, test.want)
+				t.Errorf("failures %v, want one with the reason %q", stats.Failures, test.want)
 			}
 		})
 	}
 }
 
-// truncatedConn closes after a number of bytes was written.
+// truncatedConn closes the connection once a number of bytes has been written.
 type truncatedConn struct {
 	net.Conn
 	remaining int
@@ -74,9 +74,10 @@
 	return c.Conn.Write(p)
 }
 
-// TestHandshakesAreBounded checks that however many requests want a connection at once, a server has few handshakes at
-// a time, and fewer while it is warming up. Handshakes beyond the queue are rejected at once.
-func TestHandshakesAreBounded(t *testing.T) {
+// TestHandshake_ConcurrencyLimits checks that a server has at most MaxPerServer concurrent handshakes, or
+// MaxPerWarmingServer while it is warming up, even if more are requested at once. Handshakes that find the queue full
+// are rejected.
+func TestHandshake_ConcurrencyLimits(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
 	certificate := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}}).TLS()
@@ -110,21 +111,22 @@
 			}
 			client.UpdateServer(endpoint)
 			succeeded, rejected := handshakeConcurrently(t, client, endpoint, 40)
-			if counter.highest() > test.maxConcurrent {
-				t.Errorf("%d handshakes at once, want %d at most", counter.highest(), test.maxConcurrent)
+			if counter.highestConcurrency() > test.maxConcurrent {
+				t.Errorf("%d concurrent handshakes, want %d at most", counter.highestConcurrency(), test.maxConcurrent)
 			}
 			if succeeded < 20 || succeeded+rejected != 40 {
-				t.Errorf("%d succeeded and %d were rejected of 40", succeeded, rejected)
+				t.Errorf("%d handshakes succeeded and %d were rejected, want 40 in all, at least 20 successful",
+					succeeded, rejected)
 			}
 			running, queued := client.limiter.Usage()
 			if running != 0 || queued != 0 || len(client.admitted) != 0 {
-				t.Errorf("%d run and %d are queued in the end", running, queued)
+				t.Errorf("%d handshakes run and %d are queued after all have ended", running, queued)
 			}
 		})
 	}
 }
 
-// concurrencyCounter counts the handshakes of a server that run at once.
+// concurrencyCounter counts the concurrent handshakes of a server.
 type concurrencyCounter struct {
 	certificate tls.Certificate
 
@@ -145,13 +147,13 @@
 	return &c.certificate, nil
 }
 
-func (c *concurrencyCounter) highest() int {
+func (c *concurrencyCounter) highestConcurrency() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.maximum
 }
 
-// handshakeConcurrently runs n handshakes, and returns how many succeeded and how many were rejected.
+// handshakeConcurrently runs n handshakes at once, and returns how many succeeded and how many were rejected.
 func handshakeConcurrently(t *testing.T, client *ClientTLS, endpoint router.Endpoint, n int) (succeeded, rejected int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -176,8 +178,8 @@
 	return succeeded, rejected
 }
 
-// TestUntrustedServer_IsRechecked checks that an untrusted server is rechecked without a request, and trusted once it
-// passes verification.
+// TestUntrustedServer_IsRechecked checks that an untrusted server is rechecked although no request asks for it, and
+// that it is trusted once it passes verification.
 func TestUntrustedServer_IsRechecked(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
@@ -195,8 +197,8 @@
 	if _, err := connect(t, client, endpoint); err == nil {
 		t.Fatal("the handshake succeeded")
 	}
-	if !testkit.Receive(t, "the loss of trust", changes) {
-		t.Error("the first change is one to trust")
+	if !testkit.Receive(t, "the notification that the server is untrusted", changes) {
+		t.Error("the first notification says that the server is trusted")
 	}
 	testkit.Await(t, "a failed recheck", func() bool {
 		stats := client.Stats()
@@ -206,11 +208,12 @@
 	mu.Lock()
 	config = good
 	mu.Unlock()
-	if testkit.Receive(t, "the return of trust", changes) || client.CheckTrusted(&endpoint) != nil {
+	if testkit.Receive(t, "the notification that the server is trusted", changes) ||
+		client.CheckTrusted(&endpoint) != nil {
 		t.Error("the server is still untrusted")
 	}
 	client.RemoveServer(endpoint.ID)
 	if len(changes) != 0 || len(client.servers) != 0 {
-		t.Errorf("%d more changes of trust, %d servers kept", len(changes), len(client.servers))
+		t.Errorf("%d unexpected notifications, %d servers kept after removal", len(changes), len(client.servers))
 	}
 }
--- a/transport/secure/helpers_test.go
+++ b/transport/secure/helpers_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// tlsServer starts a server that runs a handshake by config on each connection, and then serve.
+// tlsServer starts a server that runs a TLS handshake with config on each connection, and then calls serve.
 func tlsServer(t testing.TB, config func() *tls.Config, serve func(*tls.Conn)) (addr string) {
 	t.Helper()
 	return testkit.RawServer(t, func(netConn net.Conn, _ *bufio.Reader) {
@@ -35,7 +35,7 @@
 
 func echo(conn *tls.Conn) { _, _ = io.Copy(conn, conn) }
 
-// serverConfig returns the configuration of a server with a certificate.
+// serverConfig returns the TLS configuration of a server that presents a certificate.
 func serverConfig(certificate tls.Certificate) *tls.Config {
 	return &tls.Config{Certificates: []tls.Certificate{certificate}}
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// connect opens a connection and exchanges a byte on it, by which session tickets have arrived.
+// connect opens a connection and exchanges a byte on it. By then, the session tickets of the server have arrived too.
 func connect(t testing.TB, client *ClientTLS, endpoint router.Endpoint) (*Conn, error) {
 	t.Helper()
 	client.UpdateServer(endpoint)
--- a/transport/secure/recheck.go
+++ b/transport/secure/recheck.go
@@ -8,7 +8,7 @@
 	"cobaltward/router"
 )
 
-// recheckInterval is the interval at which untrusted servers are looked up that are due for a recheck.
+// recheckInterval is the time between two checks for untrusted servers that are due for a recheck.
 const recheckInterval = 50 * time.Millisecond
 
 // recheckUntrusted rechecks untrusted servers when they are due, until Close.
@@ -45,7 +45,7 @@
 	defer cancel()
 	ended := make(chan struct{})
 	defer close(ended)
-	l.tasks.Go(func() { // so that Close does not wait for the timeout
+	l.tasks.Go(func() { // cancels the recheck when Close is called, so that Close does not wait for the timeout
 		select {
 		case <-l.stop:
 			cancel()
@@ -61,5 +61,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.untrusted.RecordInconclusive(l.now(), endpoint.ID) // no effect if the handshake had a result
+	l.untrusted.RecordInconclusive(l.now(), endpoint.ID) // no effect if Handshake recorded a success or a failure
 }
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -13,26 +13,27 @@
 	"cobaltward/router"
 )
 
-// Rule says whether some servers use TLS, and how they are verified.
+// Rule says whether the servers that it applies to use TLS, and how they are verified.
 type Rule struct {
 	// The servers to which the rule applies, by ID, zone, pool and kind. An empty list matches all.
 	Servers, Zones, Pools, Kinds []string
 
 	Plaintext bool // the servers use no TLS
-	// ServerName is the name in the server's certificate, where {id} and {zone} stand for the server's. Empty means the
-	// host of its address.
+	// ServerName is the expected name in the server's certificate; {id} and {zone} are replaced by the server's ID and
+	// zone. Empty means the host of the server's address.
 	ServerName string
-	// URIs replaces ServerName: the server's certificate has one of them. A * at the end stands for any suffix.
+	// URIs replaces ServerName: the server's certificate must have one of these URIs. A * at the end matches any
+	// suffix.
 	URIs          []string
-	PublicKeyPins []string // SHA-256 of public keys in hexadecimal; the server has one of them
+	PublicKeyPins []string // SHA-256 in hexadecimal; the server's public key must match one of them; empty: not checked
 	AllowTLS12    bool
 	ALPN          []string
 
-	Trust             *certificates.Store // authorities; nil if the pins suffice
+	Trust             *certificates.Store // authorities that verify the server; may be nil if there are pins
 	ClientCertificate *certificates.Store // the certificate of this node; nil: none
 }
 
-// Validate returns the first error of a rule.
+// Validate returns an error if the fields of the rule contradict each other or are malformed.
 func (r *Rule) Validate() error {
 	if r.Plaintext {
 		if r.Trust != nil || r.ClientCertificate != nil || len(r.PublicKeyPins) > 0 || len(r.URIs) > 0 ||
@@ -49,7 +50,7 @@
 	}
 	for _, uri := range r.URIs {
 		if !isURIPattern(uri) {
-			return fmt.Errorf("uris: want a URI as in spiffe://domain/path, with a * at its end at most, got %q", uri)
+			return fmt.Errorf("uris: want a URI such as spiffe://domain/path, with * only at its end, got %q", uri)
 		}
 	}
 	for _, pin := range r.PublicKeyPins {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// isURIPattern reports whether a URI has a scheme and more behind it than wildcards, and no * but at its end.
+// isURIPattern reports whether a URI has a scheme, something else than wildcards after it, and a * at most at its end.
 func isURIPattern(uri string) bool {
 	scheme, path, ok := strings.Cut(uri, "://")
 	hasInnerWildcard := strings.Contains(strings.TrimSuffix(uri, "*"), "*")
@@ -85,7 +86,7 @@
 		(len(r.Pools) == 0 || slices.ContainsFunc(endpoint.Pools, inPools))
 }
 
-// serverName returns the name in a server's certificate.
+// serverName returns the name that a server's certificate has to have.
 func (r *Rule) serverName(endpoint *router.Endpoint) string {
 	if r.ServerName != "" {
 		return strings.NewReplacer("{id}", endpoint.ID, "{zone}", endpoint.Zone).Replace(r.ServerName)
@@ -97,14 +98,14 @@
 	return host
 }
 
-// digests returns the digests of the authorities and of the certificate of this node. Sessions are resumed only under
-// the same digests.
-func (r *Rule) digests() (trust, ownCertificate string) {
+// digests returns the digests of the authorities and of this node's certificate. A session is resumed only while both
+// are the same as when it was established.
+func (r *Rule) digests() (trustDigest, ownDigest string) {
 	if r.Trust != nil {
-		trust = r.Trust.Set().TrustDigest
+		trustDigest = r.Trust.Set().TrustDigest
 	}
 	if r.ClientCertificate != nil {
-		ownCertificate = r.ClientCertificate.Set().OwnDigest
+		ownDigest = r.ClientCertificate.Set().OwnDigest
 	}
-	return trust, ownCertificate
+	return trustDigest, ownDigest
 }
--- a/transport/secure/rule_test.go
+++ b/transport/secure/rule_test.go
@@ -12,10 +12,10 @@
 	"cobaltward/router"
 )
 
-// TestRuleVerification checks that a server is trusted exactly if it proves what its rule asks for, and that it is
-// untrusted from then on otherwise.
-func TestRuleVerification(t *testing.T) {
-	for name, test := range verificationTests(t) {
+// TestRule_Verification checks that a handshake succeeds if and only if the server meets its rule, and that a server
+// which fails verification is untrusted from then on.
+func TestRule_Verification(t *testing.T) {
+	for name, test := range newVerificationTests(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr := tlsServer(t, func() *tls.Config { return test.server }, echo)
@@ -27,9 +27,9 @@
 			var untrusted *UntrustedError
 			switch {
 			case test.want == "" && err != nil:
-				t.Errorf("%v", err)
+				t.Errorf("got %v, want no error", err)
 			case test.want != "" && (!errors.As(err, &untrusted) || untrusted.Reason != test.want):
-				t.Errorf("got %v, want %s", err, test.want)
+				t.Errorf("got %v, want an UntrustedError with the reason %q", err, test.want)
 			case test.want != "" && client.CheckTrusted(&router.Endpoint{ID: "s1"}) == nil:
 				t.Error("the server is still trusted")
 			}
@@ -40,61 +40,65 @@
 type verificationTest struct {
 	rule   Rule
 	server *tls.Config
-	want   string // reason of the error; empty: none
+	want   string // reason of the UntrustedError; empty: the server is trusted
 }
 
-func verificationTests(t *testing.T) map[string]verificationTest {
+func newVerificationTests(t *testing.T) map[string]verificationTest {
 	t.Helper()
 	ca, other := pki.NewAuthority("ours"), pki.NewAuthority("others")
-	middle := ca.NewIntermediate("middle")
+	intermediate := ca.NewIntermediate("middle")
 	trust, _ := openTrust(t, ca)
 	pin := func(p pki.Pair) string {
 		sum := sha256.Sum256(p.Cert.RawSubjectPublicKeyInfo)
 		return hex.EncodeToString(sum[:])
 	}
-	plain := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1", "s1.a.example", "spiffe://site/app/rooms"}})
-	self := other.Issue(pki.Leaf{Names: []string{"other.example"}})
-	under := middle.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
-	ofPlain := func(change func(*tls.Config)) *tls.Config {
-		config := serverConfig(plain.TLS())
+	serverPair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1", "s1.a.example", "spiffe://site/app/rooms"}})
+	otherPair := other.Issue(pki.Leaf{Names: []string{"other.example"}})
+	intermediatePair := intermediate.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
+	configWith := func(change func(*tls.Config)) *tls.Config {
+		config := serverConfig(serverPair.TLS())
 		change(config)
 		return config
 	}
-	asIs := ofPlain(func(*tls.Config) {})
-	only12 := ofPlain(func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })
+	defaultConfig := configWith(func(*tls.Config) {})
+	tls12Config := configWith(func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })
 	uris := func(uris ...string) Rule { return Rule{Trust: trust, URIs: uris} }
 	return map[string]verificationTest{
-		"address":           {Rule{Trust: trust}, asIs, ""},
-		"name by id, zone":  {Rule{Trust: trust, ServerName: "{id}.{zone}.example"}, asIs, ""},
-		"another name":      {Rule{Trust: trust, ServerName: "s2.a.example"}, asIs, reasonWrongName},
-		"uri":               {uris("spiffe://x/y", "spiffe://site/app/rooms"), asIs, ""},
-		"uri with a suffix": {uris("spiffe://site/app/*"), asIs, ""},
-		"another uri":       {uris("spiffe://site/app/roomsX", "spiffe://site/app/rooms/*"), asIs, reasonWrongURI},
-		"pin alone":         {Rule{PublicKeyPins: []string{pin(plain), pin(self)}}, serverConfig(self.TLS()), ""},
-		"another key":       {Rule{PublicKeyPins: []string{pin(plain)}}, serverConfig(self.TLS()), reasonWrongKey},
+		"address":           {Rule{Trust: trust}, defaultConfig, ""},
+		"name by id, zone":  {Rule{Trust: trust, ServerName: "{id}.{zone}.example"}, defaultConfig, ""},
+		"another name":      {Rule{Trust: trust, ServerName: "s2.a.example"}, defaultConfig, reasonWrongName},
+		"uri":               {uris("spiffe://x/y", "spiffe://site/app/rooms"), defaultConfig, ""},
+		"uri with a suffix": {uris("spiffe://site/app/*"), defaultConfig, ""},
+		"another uri":       {uris("spiffe://site/app/roomsX", "spiffe://site/app/rooms/*"), defaultConfig, reasonWrongURI},
+		"only pins": {
+			Rule{PublicKeyPins: []string{pin(serverPair), pin(otherPair)}},
+			serverConfig(otherPair.TLS()),
+			"",
+		},
+		"another key": {Rule{PublicKeyPins: []string{pin(serverPair)}}, serverConfig(otherPair.TLS()), reasonWrongKey},
 		"pin, not authority": {
-			Rule{Trust: trust, PublicKeyPins: []string{pin(self)}},
-			serverConfig(self.TLS()),
+			Rule{Trust: trust, PublicKeyPins: []string{pin(otherPair)}},
+			serverConfig(otherPair.TLS()),
 			reasonUnknownAuthority,
 		},
-		"chain":            {Rule{Trust: trust}, serverConfig(under.TLS(middle.Cert)), ""},
-		"gap in the chain": {Rule{Trust: trust}, serverConfig(under.TLS()), reasonUnknownAuthority},
-		"TLS 1.2":          {Rule{Trust: trust, AllowTLS12: true}, only12, ""},
-		"TLS 1.2 rejected": {Rule{Trust: trust}, only12, reasonAlert},
+		"chain":            {Rule{Trust: trust}, serverConfig(intermediatePair.TLS(intermediate.Cert)), ""},
+		"gap in the chain": {Rule{Trust: trust}, serverConfig(intermediatePair.TLS()), reasonUnknownAuthority},
+		"TLS 1.2":          {Rule{Trust: trust, AllowTLS12: true}, tls12Config, ""},
+		"TLS 1.2 rejected": {Rule{Trust: trust}, tls12Config, reasonAlert},
 		"ALPN": {
 			Rule{Trust: trust, ALPN: []string{"http/1.1"}},
-			ofPlain(func(c *tls.Config) { c.NextProtos = []string{"http/1.1"} }),
+			configWith(func(c *tls.Config) { c.NextProtos = []string{"http/1.1"} }),
 			"",
 		},
 		"another ALPN": {
 			Rule{Trust: trust, ALPN: []string{"http/1.1"}},
-			ofPlain(func(c *tls.Config) { c.NextProtos = []string{"other/1"} }),
+			configWith(func(c *tls.Config) { c.NextProtos = []string{"other/1"} }),
 			reasonAlert,
 		},
 	}
 }
 
-func TestRuleValidate(t *testing.T) {
+func TestRule_Validate(t *testing.T) {
 	trust, _ := openTrust(t, pki.NewAuthority("ours"))
 	for want, rule := range map[string]Rule{
 		"trust: missing":           {},
@@ -110,7 +114,7 @@
 	}
 }
 
-// TestUsesTLS_FirstMatchingRule checks which rule applies to a server.
+// TestUsesTLS_FirstMatchingRule checks that the first rule which matches a server decides whether it uses TLS.
 func TestUsesTLS_FirstMatchingRule(t *testing.T) {
 	trust, _ := openTrust(t, pki.NewAuthority("ours"))
 	client := newClient(t, Config{Rules: []Rule{
@@ -126,7 +130,7 @@
 		{ID: "s9", Kind: "old", Zone: "a", Pools: []string{"p", "q"}}: false,
 	} {
 		if client.UsesTLS(endpoint) != want {
-			t.Errorf("%+v: TLS %v", endpoint, !want)
+			t.Errorf("%+v: UsesTLS is %v", endpoint, !want)
 		}
 	}
 }
--- a/transport/secure/session.go
+++ b/transport/secure/session.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// sessionTickets holds the last session of a server process. One suffices: each connection brings a new one.
-type sessionTickets struct {
-	mu             sync.Mutex
-	session        *tls.ClientSessionState // nil: none
-	trustDigest    string                  // under which the session was established
-	ownCertificate string                  // under which the session was established
+// sessionStore holds the last session of a server process. One is enough, since each connection provides a new one.
+type sessionStore struct {
+	mu          sync.Mutex
+	session     *tls.ClientSessionState // nil: none
+	trustDigest string                  // digest of the authorities when the session was established
+	ownDigest   string                  // digest of this node's certificate when the session was established
 }
 
-func (s *sessionTickets) hasSession() bool {
+func (s *sessionStore) hasSession() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.session != nil
@@ -22,26 +22,26 @@
 // sessionCache is the tls.ClientSessionCache of one handshake. It offers only a session that was established under the
 // same authorities and the same certificate of this node.
 type sessionCache struct {
-	tickets        *sessionTickets
-	trustDigest    string
-	ownCertificate string
+	sessions    *sessionStore
+	trustDigest string
+	ownDigest   string
 }
 
-// Get returns the session to resume.
+// Get returns the session to resume, and drops one that was established under other digests.
 func (c *sessionCache) Get(string) (*tls.ClientSessionState, bool) {
-	c.tickets.mu.Lock()
-	defer c.tickets.mu.Unlock()
-	if c.tickets.trustDigest != c.trustDigest || c.tickets.ownCertificate != c.ownCertificate {
-		c.tickets.session = nil
+	c.sessions.mu.Lock()
+	defer c.sessions.mu.Unlock()
+	if c.sessions.trustDigest != c.trustDigest || c.sessions.ownDigest != c.ownDigest {
+		c.sessions.session = nil
 	}
-	return c.tickets.session, c.tickets.session != nil
+	return c.sessions.session, c.sessions.session != nil
 }
 
-// Put stores a session; nil drops the stored one.
+// Put stores a session. A nil session removes the stored one.
 func (c *sessionCache) Put(_ string, session *tls.ClientSessionState) {
-	c.tickets.mu.Lock()
-	defer c.tickets.mu.Unlock()
-	c.tickets.session = session
-	c.tickets.trustDigest = c.trustDigest
-	c.tickets.ownCertificate = c.ownCertificate
+	c.sessions.mu.Lock()
+	defer c.sessions.mu.Unlock()
+	c.sessions.session = session
+	c.sessions.trustDigest = c.trustDigest
+	c.sessions.ownDigest = c.ownDigest
 }
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -9,11 +9,11 @@
 	"cobaltward/handshakes"
 )
 
-// counters are guarded by the mutex of their ClientTLS.
+// counters counts handshakes by result. It is guarded by the mutex of its ClientTLS.
 type counters struct {
 	full, resumed    handshakes.Histogram
 	rejected, queued uint64
-	failures         map[string]uint64 // by reason
+	failures         map[string]uint64 // failed handshakes by reason
 }
 
 func newCounters() counters { return counters{failures: make(map[string]uint64)} }
@@ -28,13 +28,13 @@
 	}
 }
 
-// ServerStatus is the state of one server.
+// ServerStatus is the certificate and the trust state of one server.
 type ServerStatus struct {
 	Server            string    `json:"server"`
-	CertificateSerial string    `json:"serial,omitempty"` // of the last handshake, in hexadecimal
+	CertificateSerial string    `json:"serial,omitempty"` // certificate of the last successful handshake, hexadecimal
 	CertificateExpiry time.Time `json:"ends,omitzero"`
 	UntrustedReason   string    `json:"refused,omitempty"` // empty: trusted
-	Rechecks          int       `json:"looks,omitempty"`   // that failed since
+	Rechecks          int       `json:"looks,omitempty"`   // rechecks that failed since the server became untrusted
 	UntrustedMs       int64     `json:"refused_for_ms,omitempty"`
 }
 
@@ -42,14 +42,14 @@
 type Stats struct {
 	Full        handshakes.Histogram `json:"full"`
 	Resumed     handshakes.Histogram `json:"resumed"`
-	Failures    map[string]uint64    `json:"failures,omitempty"` // handshakes by reason
-	Running     int                  `json:"going"`              // handshakes
-	Queued      int                  `json:"waiting"`            // handshakes
-	TotalQueued uint64               `json:"waited"`             // handshakes that were queued so far
-	Rejected    uint64               `json:"turned_away"`        // handshakes
-	Sessions    int                  `json:"sessions"`           // that can be resumed
-	Untrusted   int                  `json:"refused"`            // servers
-	Servers     []ServerStatus       `json:"peers,omitempty"`    // by name
+	Failures    map[string]uint64    `json:"failures,omitempty"` // failed handshakes by reason
+	Running     int                  `json:"going"`              // handshakes that are running now
+	Queued      int                  `json:"waiting"`            // handshakes that are queued now
+	TotalQueued uint64               `json:"waited"`             // handshakes that were queued since the start
+	Rejected    uint64               `json:"turned_away"`        // handshakes that found the queue full
+	Sessions    int                  `json:"sessions"`           // servers with a session that can be resumed
+	Untrusted   int                  `json:"refused"`            // untrusted servers
+	Servers     []ServerStatus       `json:"peers,omitempty"`    // sorted by server ID
 }
 
 // ResumptionRate returns the fraction of handshakes that resumed a session.
@@ -89,7 +89,7 @@
 			status.Rechecks = entry.Rechecks
 			status.UntrustedMs = (l.now() - entry.Since).Milliseconds()
 		}
-		if srv.tickets.hasSession() {
+		if srv.sessions.hasSession() {
 			stats.Sessions++
 		}
 		stats.Servers = append(stats.Servers, status)
--- a/transport/secure/verify.go
+++ b/transport/secure/verify.go
@@ -13,10 +13,10 @@
 	"cobaltward/router"
 )
 
-// maxVerified bounds the cached verifications.
+// maxVerified is the maximum number of cached verifications.
 const maxVerified = 2048
 
-// verificationKey identifies the verification of a certificate chain.
+// verificationKey is the key of a cached verification: everything that its result depends on, apart from the time.
 type verificationKey struct {
 	chainHash   [sha256.Size]byte
 	rule        *Rule
@@ -24,10 +24,10 @@
 	serverName  string
 }
 
-// validity is the time in which a certificate chain is valid.
+// validity is the period in which a certificate chain is valid.
 type validity struct{ notBefore, notAfter time.Time }
 
-// contains compares by the wall clock, even if that was stepped.
+// contains reports whether now is within the period. It compares by the wall clock, so that steps of the clock count.
 func (v validity) contains(now time.Time) bool {
 	return !now.Before(v.notBefore) && !now.After(v.notAfter)
 }
@@ -62,8 +62,8 @@
 	return verified, nil
 }
 
-// verify checks that a certificate chain proves the identity of a server. It returns the time in which the chain is
-// valid. Errors are *UntrustedError.
+// verify checks that a certificate chain proves the identity of a server. It returns the period in which the chain is
+// valid. Its errors are of the type *UntrustedError.
 func (r *Rule) verify(endpoint *router.Endpoint, chain []*x509.Certificate, now time.Time) (validity, error) {
 	if len(chain) == 0 {
 		return validity{}, &UntrustedError{reasonNoCertificate, "the server presented none"}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// checkPin checks the public key where the rule has pins.
+// checkPin checks that the public key matches one of the rule's pins, if the rule has any.
 func (r *Rule) checkPin(leaf *x509.Certificate) error {
 	if len(r.PublicKeyPins) == 0 {
 		return nil
@@ -111,10 +111,10 @@
 	return nil
 }
 
-// verifyChain verifies a chain by the rule's authorities, and returns its validity.
+// verifyChain verifies a chain against the rule's authorities, and returns its validity.
 func (r *Rule) verifyChain(chain []*x509.Certificate, now time.Time) (validity, error) {
 	roots := r.Trust.Set().Pool
-	if roots == nil { // crypto/x509 would use the authorities of the system
+	if roots == nil { // with nil roots, crypto/x509 would trust the authorities of the operating system
 		return validity{}, &UntrustedError{reasonUnknownAuthority, "no authorities are loaded yet"}
 	}
 	options := x509.VerifyOptions{
@@ -152,7 +152,8 @@
 	return longest
 }
 
-// checkIdentity checks the URIs or the name in a certificate. A pinned key needs no name.
+// checkIdentity checks the URIs or the name in a certificate. If the rule pins the key and sets neither URIs nor a
+// name, the pin is enough.
 func (r *Rule) checkIdentity(endpoint *router.Endpoint, leaf *x509.Certificate) error {
 	if len(r.URIs) > 0 {
 		if !slices.ContainsFunc(leaf.URIs, r.matchesAnyURI) {
