--- a/internal/frontend/framing/chunked.go
+++ b/internal/frontend/framing/chunked.go
@@ -1,17 +1,17 @@
 package framing
 
-// stepChunkSize takes a byte of a line with the size of a chunk, in hexadecimal.
+// stepChunkSize processes one byte of a chunk-size line. The size is hexadecimal, and an extension may follow it.
 func (g *Guard) stepChunkSize(char byte) {
 	value, isDigit := hexDigit(char)
 	switch {
 	case char == '\r':
 		g.state = stateChunkSizeCR
 	case char == '\n':
-		g.problem = "bare line feed behind a chunk size"
+		g.problem = "bare line feed after a chunk size"
 	case g.sizeEnded:
-	case isDigit && g.digits < maxSizeDigits:
-		g.number, g.digits = g.number<<4|uint64(value), g.digits+1
-	case g.digits > 0 && (char == ';' || char == ' ' || char == '\t'):
+	case isDigit && g.sizeDigits < maxSizeDigits:
+		g.parsedNumber, g.sizeDigits = g.parsedNumber<<4|uint64(value), g.sizeDigits+1
+	case g.sizeDigits > 0 && (char == ';' || char == ' ' || char == '\t'):
 		g.sizeEnded = true
 	default:
 		g.problem = "chunk size is not a number"
@@ -21,17 +21,17 @@
 func (g *Guard) endChunkSize(char byte) {
 	switch {
 	case char != '\n':
-		g.problem = "bare carriage return behind a chunk size"
-	case g.digits == 0:
+		g.problem = "bare carriage return after a chunk size"
+	case g.sizeDigits == 0:
 		g.problem = "chunk has no size"
-	case g.number == 0:
+	case g.parsedNumber == 0:
 		g.state, g.line, g.trailerBytes = stateTrailer, g.line[:0], 0
 	default:
-		g.state, g.remaining = stateChunk, g.number
+		g.state, g.remaining = stateChunk, g.parsedNumber
 	}
 }
 
-// stepTrailer takes a byte of a line of the trailers.
+// stepTrailer processes one byte of a trailer line.
 func (g *Guard) stepTrailer(char byte) {
 	g.trailerBytes++
 	switch {
--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -1,36 +1,36 @@
-// Package framing checks the framing of a client's HTTP/1.1 requests. It finds those whose end two parsers could see in
-// different places, by which requests are smuggled: what one parser takes for a body, the other takes for a request. It
-// does no I/O, and holds no more of a head than a line.
+// Package framing checks the framing of a client's HTTP/1.1 requests. It rejects requests whose end two parsers could
+// place differently, because that allows request smuggling: one parser treats bytes as a body that the other treats as
+// the next request. It does no I/O, and buffers at most one line of a head.
 package framing
 
 const (
-	maxLineBytes    = 128     // that are kept of a line; no header that matters is longer
-	maxTrailerBytes = 8 << 10 // of all trailers of a request
+	maxLineBytes    = 128     // bytes buffered of a line; valid headers that affect the framing are shorter
+	maxTrailerBytes = 8 << 10 // limit for all trailers of a request together
 	maxSizeDigits   = 15      // hexadecimal digits of a chunk size
-	maxLengthDigits = 18      // of a Content-Length
+	maxLengthDigits = 18      // decimal digits of a Content-Length
 )
 
-// Guard checks the bytes of one connection, from its first byte on. The zero value is at the start of a request. It is
-// not safe for concurrent use.
+// Guard checks the bytes of one connection, starting with its first byte. The zero value expects the start of a
+// request. It is not safe for concurrent use.
 type Guard struct {
-	state     state
-	remaining uint64 // bytes of a body or chunk
-	heads     uint64 // complete heads
-	line      []byte // of the head: the name of a header, and the value of one that matters
-	problem   string
-
-	hasRequestLine bool
-	inValue        bool       // line is behind the colon
-	header         headerKind // of the current line
-	hasLength      bool       // there is a Content-Length
-	hasCoding      bool       // there is a Transfer-Encoding
-	number         uint64     // Content-Length or chunk size
-	digits         int        // of a chunk size
-	sizeEnded      bool       // no further digit may follow: an extension or the end of the line
-	trailerBytes   int
+	state         state
+	remaining     uint64 // bytes of the current body or chunk that are still to come
+	completeHeads uint64 // number of heads that were complete and well-formed so far
+	line          []byte // buffered part of the current line: a header's name, then its value if it affects the framing
+	problem       string
+
+	hasRequestLine      bool
+	inValue             bool       // the colon of the current header line has been read
+	header              headerKind // kind of the header on the current line
+	hasContentLength    bool       // the head has a Content-Length header
+	hasTransferEncoding bool       // the head has a Transfer-Encoding header
+	parsedNumber        uint64     // value of Content-Length, or of the current chunk size
+	sizeDigits          int        // digits read of the current chunk size
+	sizeEnded           bool       // the chunk size is complete; the rest of its line is an extension
+	trailerBytes        int
 }
 
-// headerKind tells the headers that matter to the framing from others.
+// headerKind distinguishes the headers that affect the framing from all others.
 type headerKind uint8
 
 const (
@@ -44,7 +44,7 @@
 const (
 	stateHead state = iota
 	stateHeadCR
-	stateBody // of a given length
+	stateBody // body with a Content-Length
 	stateChunkSize
 	stateChunkSizeCR
 	stateChunk
@@ -54,8 +54,8 @@
 	stateTrailerCR
 )
 
-// Check checks the next bytes, and returns how many of them are well-formed. It returns fewer than len(data) if nothing
-// further may be read from the connection; Problem says why.
+// Check checks the next bytes of the connection, and returns how many of them are well-formed. If it returns fewer than
+// len(data), nothing more may be read from the connection; Problem says why.
 func (g *Guard) Check(data []byte) int {
 	for i := 0; i < len(data); {
 		if g.problem != "" {
@@ -80,7 +80,7 @@
 	return len(data)
 }
 
-// skipBody passes over the available bytes of a body or chunk, and returns their number.
+// skipBody skips the available bytes of a body or chunk, and returns their number.
 func (g *Guard) skipBody(available int) int {
 	n := min(g.remaining, uint64(available))
 	g.remaining -= n
@@ -95,11 +95,11 @@
 	return int(n)
 }
 
-// skipLine passes over the part of a line that need not be checked byte by byte, and returns its length. It is small
-// enough to be inlined.
+// skipLine skips the part of a line that need not be checked byte by byte, and returns its length. It is kept small
+// enough for the compiler to inline it.
 func (g *Guard) skipLine(p []byte) (n int) {
 	switch {
-	case g.inValue && g.header == headerOther, !g.hasRequestLine && len(g.line) > 0: // a value, or the request line
+	case g.inValue && g.header == headerOther, !g.hasRequestLine && len(g.line) > 0: // header value or request line
 		for n < len(p) && p[n] > '\r' {
 			n++
 		}
@@ -112,13 +112,13 @@
 	return n
 }
 
-// Problem describes the error of the framing; empty if there is none.
+// Problem describes the framing error that Check found; it is empty if there is none.
 func (g *Guard) Problem() string { return g.problem }
 
-// InHead reports whether the next byte belongs to a head, or begins one.
+// InHead reports whether the next byte belongs to a request's head or starts one.
 func (g *Guard) InHead() bool { return g.state == stateHead || g.state == stateHeadCR }
 
-// WithinHead reports whether a part of a head has come, but not the rest.
+// WithinHead reports whether a head has been received in part.
 func (g *Guard) WithinHead() bool {
 	return g.state == stateHeadCR || g.state == stateHead && (g.hasRequestLine || len(g.line) > 0)
 }
@@ -126,14 +126,14 @@
 // IsCompleteRequest reports whether the bytes are exactly one well-formed request with its body.
 func IsCompleteRequest(data []byte) bool {
 	var guard Guard
-	return guard.Check(data) == len(data) && guard.heads == 1 && guard.InHead() && !guard.WithinHead()
+	return guard.Check(data) == len(data) && guard.completeHeads == 1 && guard.InHead() && !guard.WithinHead()
 }
 
-// Heads returns the number of complete heads.
-func (g *Guard) Heads() uint64 { return g.heads }
+// Heads returns the number of complete heads that were received.
+func (g *Guard) Heads() uint64 { return g.completeHeads }
 
-// reset expects the next request.
-func (g *Guard) reset() { *g = Guard{line: g.line[:0], heads: g.heads} }
+// reset prepares the guard for the next request on the connection.
+func (g *Guard) reset() { *g = Guard{line: g.line[:0], completeHeads: g.completeHeads} }
 
 func (g *Guard) step(char byte) {
 	switch g.state {
@@ -146,10 +146,10 @@
 	case stateChunkSizeCR:
 		g.endChunkSize(char)
 	case stateChunkCR:
-		g.expect(char, '\r', stateChunkLF)
+		g.expectChunkEnd(char, '\r', stateChunkLF)
 	case stateChunkLF:
-		g.expect(char, '\n', stateChunkSize)
-		g.number, g.digits, g.sizeEnded = 0, 0, false
+		g.expectChunkEnd(char, '\n', stateChunkSize)
+		g.parsedNumber, g.sizeDigits, g.sizeEnded = 0, 0, false
 	case stateTrailer:
 		g.stepTrailer(char)
 	case stateTrailerCR:
@@ -157,8 +157,8 @@
 	}
 }
 
-// expect checks the end of a chunk.
-func (g *Guard) expect(char, want byte, next state) {
+// expectChunkEnd checks one byte of the line break that must follow a chunk's data.
+func (g *Guard) expectChunkEnd(char, want byte, next state) {
 	if char != want {
 		g.problem = "chunk does not end where its size says"
 		return
--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// checkInSteps passes text to the guard in steps of n bytes, and returns how many bytes are well-formed.
+// checkInSteps passes text to the guard, n bytes at a time, and returns how many bytes are well-formed.
 func checkInSteps(guard *Guard, text string, n int) int {
 	done := 0
 	for done < len(text) {
@@ -30,7 +30,7 @@
 
 var guardTests = map[string]struct {
 	text    string
-	problem string // a part of it; empty: well-formed, and at the start of the next request
+	problem string // substring of the expected problem; empty: well-formed, and the guard expects the next request
 }{
 	"no body":      {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
 	"length":       {requestStart + "Content-Length: 3\r\n\r\nabc", ""},
@@ -48,10 +48,10 @@
 	"chunked and length": {requestStart + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", "both"},
 	"two codings":        {requestStart + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", "twice"},
 	"another coding":     {requestStart + "Transfer-Encoding: gzip, chunked\r\n\r\n", "not chunked"},
-	"coding with a tail": {
+	"coding with a suffix": {
 		requestStart + "Transfer-Encoding: chunked" + strings.Repeat(" ", 200) + "x\r\n\r\n", "too long",
 	},
-	"blank ahead of colon": {requestStart + "Content-Length : 3\r\n\r\nabc", "colon"},
+	"space before colon":   {requestStart + "Content-Length : 3\r\n\r\nabc", "colon"},
 	"second line":          {requestStart + "X: y\r\n Content-Length: 3\r\n\r\nabc", "second line"},
 	"no colon":             {requestStart + "Content-Length\r\n\r\n", "no colon"},
 	"bare LF":              {"POST /api HTTP/1.1\nHost: x\r\n\r\n", "line feed"},
@@ -62,8 +62,8 @@
 	"bad chunk size":       {chunkedStart + "0x3\r\nabc\r\n", "not a number"},
 	"negative chunk size":  {chunkedStart + "-1\r\n", "not a number"},
 	"huge chunk size":      {chunkedStart + "10000000000000003\r\n", "not a number"},
-	"size behind a blank":  {chunkedStart + " 3\r\nabc\r\n", "not a number"},
-	"LF behind a size":     {chunkedStart + "3\nabc\r\n", "line feed"},
+	"space before a size":  {chunkedStart + " 3\r\nabc\r\n", "not a number"},
+	"bare LF after a size": {chunkedStart + "3\nabc\r\n", "line feed"},
 	"chunk too long":       {chunkedStart + "3\r\nabcd\r\n", "chunk"},
 	"bare LF in trailers":  {chunkedStart + "0\r\nX: y\n\r\n", "line feed"},
 	"endless trailers":     {chunkedStart + "0\r\n" + strings.Repeat("X: y\r\n", 4<<10), "too long"},
@@ -78,16 +78,16 @@
 			isComplete := done == len(test.text) && problem == "" && guard.state == stateHead && !guard.hasRequestLine
 			switch {
 			case test.problem == "" && !isComplete:
-				t.Errorf("%s, in steps of %d: stopped after %d of %d: %q, %+v", name, n, done, len(test.text), problem, guard)
+				t.Errorf("%s, in steps of %d: stopped after byte %d of %d: problem %q, guard %+v",
+					name, n, done, len(test.text), problem, guard)
 			case test.problem != "" && (done == len(test.text) || !strings.Contains(problem, test.problem)):
-				t.Errorf("%s, in steps of %d: passed %d of %d: %q", name, n, done, len(test.text), problem)
+				t.Errorf("%s, in steps of %d: accepted %d of %d bytes, problem %q", name, n, done, len(test.text), problem)
 			}
 		}
 	}
 }
 
-// FuzzFraming checks that net/http reads as many requests as the guard finds well-formed, whose bodies end where the
-// guard says.
+// FuzzFraming checks that net/http and the guard agree on where each well-formed request ends.
 func FuzzFraming(f *testing.F) {
 	f.Add([]byte(requestStart + "Content-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Add([]byte(chunkedStart + "3;x\r\nabc\r\n0\r\nX: y\r\n\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n"))
@@ -99,23 +99,23 @@
 		for i, end := range ends {
 			req, err := http.ReadRequest(in)
 			if err != nil {
-				return // net/http is stricter, and ends the connection
+				return // net/http is stricter than the guard, and closes the connection
 			}
 			if !req.ProtoAtLeast(1, 1) {
-				return // the frontend rejects it, and ends the connection
+				return // the frontend rejects older versions, and closes the connection
 			}
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
 			}
 			if at := len(text) - source.Len() - in.Buffered(); at != end {
-				t.Fatalf("request %d of %q ends at %d for net/http, and at %d for the guard", i, text, at, end)
+				t.Fatalf("request %d of %q ends at byte %d for net/http, but at %d for the guard", i, text, at, end)
 			}
 		}
 	})
 }
 
-// requestEnds returns where the requests end that the guard finds well-formed. It checks that the guard finds the same
-// byte by byte and at once.
+// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard comes to the same
+// result whether it gets the text byte by byte or all at once.
 func requestEnds(t *testing.T, text []byte) (ends []int) {
 	t.Helper()
 	var guard, atOnce Guard
@@ -130,7 +130,8 @@
 		}
 	}
 	if n := atOnce.Check(text); n != passed || atOnce.Problem() != guard.Problem() {
-		t.Fatalf("%q: %d and %q at once, %d and %q byte by byte", text, n, atOnce.Problem(), passed, guard.Problem())
+		t.Fatalf("%q: accepted %d bytes with problem %q at once, but %d with %q byte by byte",
+			text, n, atOnce.Problem(), passed, guard.Problem())
 	}
 	return ends
 }
--- a/internal/frontend/framing/head.go
+++ b/internal/frontend/framing/head.go
@@ -6,7 +6,7 @@
 	"cobaltward/internal/ascii"
 )
 
-// stepHead takes a byte of a line of the head.
+// stepHead processes one byte of a line of the head.
 func (g *Guard) stepHead(char byte) {
 	isBlank := char == ' ' || char == '\t'
 	switch {
@@ -16,16 +16,16 @@
 		g.problem = "bare line feed in the head"
 	case char == 0:
 		g.problem = "zero byte in the head"
-	case !g.hasRequestLine: // its content does not matter to the framing
+	case !g.hasRequestLine: // the content of the request line does not affect the framing
 		if len(g.line) < maxLineBytes {
 			g.line = append(g.line, char)
 		}
 	case !g.inValue && char == ':':
 		g.endHeaderName()
 	case !g.inValue && len(g.line) == 0 && isBlank:
-		g.problem = "header continued in a second line"
+		g.problem = "header continued on a second line"
 	case !g.inValue && isBlank:
-		g.problem = "blank before the colon of a header"
+		g.problem = "space or tab before the colon of a header"
 	case g.inValue && g.header == headerOther:
 	case len(g.line) < maxLineBytes:
 		g.line = append(g.line, char)
@@ -43,30 +43,30 @@
 	g.endHeadLine()
 }
 
-// endHeaderName takes the colon behind the name of a header.
+// endHeaderName processes the colon after a header's name.
 func (g *Guard) endHeaderName() {
 	switch {
 	case ascii.EqualFold(g.line, "content-length"):
 		g.header = headerContentLength
-		if g.hasLength {
+		if g.hasContentLength {
 			g.problem = "Content-Length is given twice"
 		}
-		g.hasLength = true
+		g.hasContentLength = true
 	case ascii.EqualFold(g.line, "transfer-encoding"):
 		g.header = headerTransferEncoding
-		if g.hasCoding {
+		if g.hasTransferEncoding {
 			g.problem = "Transfer-Encoding is given twice"
 		}
-		g.hasCoding = true
+		g.hasTransferEncoding = true
 	}
 	g.inValue, g.line = true, g.line[:0]
 }
 
-// endHeadLine takes the end of a line of the head.
+// endHeadLine processes the line break at the end of a line of the head.
 func (g *Guard) endHeadLine() {
 	switch {
-	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines ahead of the first request alone
-		g.problem = "empty line ahead of the request"
+	case !g.hasRequestLine && len(g.line) == 0: // net/http skips them only before the first request
+		g.problem = "empty line before the request"
 	case !g.hasRequestLine:
 		g.hasRequestLine = true
 	case !g.inValue && len(g.line) == 0:
@@ -77,32 +77,32 @@
 	case g.header == headerTransferEncoding && !ascii.EqualFold(g.trimmedValue(), "chunked"):
 		g.problem = "transfer coding is not chunked"
 	case g.header == headerContentLength:
-		g.parseLength()
+		g.parseContentLength()
 	}
 	g.line, g.inValue, g.header = g.line[:0], false, headerOther
 }
 
 func (g *Guard) trimmedValue() []byte { return bytes.Trim(g.line, " \t") }
 
-func (g *Guard) parseLength() {
+func (g *Guard) parseContentLength() {
 	length, ok := ascii.ParseDecimal(g.trimmedValue(), maxLengthDigits)
 	if !ok {
 		g.problem = "Content-Length is not a number"
 		return
 	}
-	g.number = length
+	g.parsedNumber = length
 }
 
-// endHead takes the empty line behind a head.
+// endHead processes the empty line at the end of a head.
 func (g *Guard) endHead() {
-	g.heads++
+	g.completeHeads++
 	switch {
-	case g.hasLength && g.hasCoding:
+	case g.hasContentLength && g.hasTransferEncoding:
 		g.problem = "body has both a length and a transfer coding"
-	case g.hasCoding:
-		g.state, g.number, g.digits, g.sizeEnded = stateChunkSize, 0, 0, false
-	case g.number > 0:
-		g.state, g.remaining = stateBody, g.number
+	case g.hasTransferEncoding:
+		g.state, g.parsedNumber, g.sizeDigits, g.sizeEnded = stateChunkSize, 0, 0, false
+	case g.parsedNumber > 0:
+		g.state, g.remaining = stateBody, g.parsedNumber
 	default:
 		g.reset()
 	}
