--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxBodySize = 64 << 10 // bytes
+	maxBodySize = 64 << 10 // bytes of a call's body
 	maxTimeout  = time.Hour
 )
 
-// parseRequest converts a call to a request of the router, or returns a reply that says what is wrong with it.
+// parseRequest converts a call to a router request. If the call is invalid, it returns a reply that names the problem.
 func (c *conn) parseRequest(message msgpackrpc.Message, receivedAt time.Time) (router.Request, msgpackrpc.Reply) {
 	malformed := func(text string) (router.Request, msgpackrpc.Reply) {
 		return router.Request{}, msgpackrpc.Reply{Code: msgpackrpc.Malformed, Text: text}
@@ -47,7 +47,7 @@
 	}, msgpackrpc.Reply{}
 }
 
-// ReplyFromAnswer converts what Engine.Do returned to a reply.
+// ReplyFromAnswer converts the answer and the error of Engine.Do to a reply.
 func ReplyFromAnswer(answer router.Answer, err error) msgpackrpc.Reply {
 	var invalid *router.InvalidError
 	switch {
@@ -60,10 +60,10 @@
 	case answer.Outcome == router.Served:
 		return msgpackrpc.Reply{Body: answer.Body, ContentType: answer.ContentType}
 	}
-	return msgpackrpc.Reply{Code: codeOf(answer.Outcome), RetryAfter: answer.RetryAfter}
+	return msgpackrpc.Reply{Code: replyCode(answer.Outcome), RetryAfter: answer.RetryAfter}
 }
 
-func codeOf(outcome router.Outcome) msgpackrpc.Code {
+func replyCode(outcome router.Outcome) msgpackrpc.Code {
 	switch outcome {
 	case router.Rejected:
 		return msgpackrpc.Rejected
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -14,57 +14,58 @@
 )
 
 const (
-	// lingerTimeout is how long a connection is read after its write side was closed: closing it with unread bytes would
-	// reset it, and the client could lose the last answers.
+	// lingerTimeout limits how long the server reads from a connection after closing its write side. Closing the
+	// connection with unread bytes would reset it, and the client could lose the last answers.
 	lingerTimeout = time.Second
-	// lateCallTimeout is how long calls that cross the drain notification are still answered.
+	// lateCallTimeout is how long after the drain notification the server still answers calls, because the client may
+	// have sent them before it received the notification.
 	lateCallTimeout = 200 * time.Millisecond
-	// drainFirstCallGrace is how long after its beginning a connection without any call is left open by a drain: the
-	// first call may be on its way.
+	// drainFirstCallGrace is how long after it was accepted a connection without any call stays open during a drain,
+	// because its first call may be on its way.
 	drainFirstCallGrace = 2500 * time.Millisecond
-	// drainRecheckInterval is the time between looks whether a connection can be ended by a drain.
+	// drainRecheckInterval is how often a drain checks again whether such a connection can be closed.
 	drainRecheckInterval = 100 * time.Millisecond
 )
 
-// conn is one client's connection. One goroutine reads, one writes, and each open call has one that waits for its
+// conn is a connection of one client. One goroutine reads, one writes, and one per open call waits for the engine's
 // answer.
 type conn struct {
 	server      *Server
 	nc          net.Conn
-	reader      deadlineReader // reads nc
-	callSlots   chan struct{}  // holds one element for each open call and each unwritten answer
+	reader      deadlineReader // reads from nc
+	callSlots   chan struct{}  // semaphore: one element per open call and per unwritten answer
 	writeSignal stream.Signal
 	writerDone  chan struct{}
 	calls       sync.WaitGroup
 
-	arrival sockets.Arrival // used by the reader only
-
-	overflow bool // guarded by server.mu: accepted without a slot
-
-	mu               sync.Mutex
-	open             map[uint32]context.CancelFunc // by msgid
-	queue            []answer                      // bounded by callSlots
-	unwritten        int                           // answers, queued or being written
-	idleSince        time.Time                     // when the connection last had an open call
-	messageStartedAt time.Time                     // of an incomplete message; zero: there is none
-	openedAt         time.Time                     // the connection was accepted
-	callSeen         bool                          // a call has been received
-	answerWritten    bool                          // an answer has been written
-	lastReadAt       time.Time
-	notifications    []byte // not yet written
-	draining         bool
-	drainNotifiedAt  time.Time
-	closing          bool // nothing more is read; the writer closes the write side once no call is open
-	writeClosed      bool // nothing more is answered; what still arrives is discarded
-	evicted          bool // the reader ends the connection as soon as it is idle
-	endCause         endCause
-	lingerUntil      time.Time // the end of reading, once the write side is closed
-	closedOverUnread bool      // bytes had arrived as the server closed the connection
-	answersLost      bool      // a write of answers has failed
-	lossCounted      bool      // a call that met the end of the connection is counted
+	arrivalTimes sockets.Arrival // when the bytes read last can have arrived; used only by the reading goroutine
+
+	overflow bool // the connection was accepted beyond MaxConns; guarded by server.mu
+
+	mu                sync.Mutex
+	cancelFuncs       map[uint32]context.CancelFunc // of the open calls, by msgid
+	queuedAnswers     []answer                      // answers to be written; callSlots limits their number
+	unwrittenAnswers  int                           // number of answers that are queued or being written
+	idleSince         time.Time                     // when the connection last had an open call, or was accepted
+	messageStartedAt  time.Time                     // when the current, incomplete message began; zero: there is none
+	openedAt          time.Time                     // when the connection was accepted
+	callSeen          bool                          // at least one call has been received
+	answerWritten     bool                          // at least one answer has been written
+	lastReadAt        time.Time
+	notifications     []byte // encoded, not yet written
+	draining          bool
+	drainNotifiedAt   time.Time
+	closing           bool // no further message is handled; the writer closes the write side once no call is open
+	writeClosed       bool // no further call is answered; whatever still arrives is discarded
+	evicted           bool // the reader closes the write side as soon as the connection is idle
+	endCause          endCause
+	lingerUntil       time.Time // when reading ends after the write side was closed
+	closedWithUnread  bool      // the server closed the connection although bytes were unread
+	answerWriteFailed bool      // writing one or more answers failed
+	lostCallCounted   bool      // a call lost to the end of the connection has been counted
 }
 
-// deadlineReader reads a connection.
+// deadlineReader reads from a connection with a read deadline.
 type deadlineReader interface {
 	Read(p []byte) (int, error)
 	SetReadDeadline(t time.Time) error
@@ -82,51 +83,51 @@
 		callSlots:   make(chan struct{}, server.config.MaxCalls),
 		writeSignal: stream.NewSignal(),
 		writerDone:  make(chan struct{}),
-		open:        make(map[uint32]context.CancelFunc),
+		cancelFuncs: make(map[uint32]context.CancelFunc),
 		idleSince:   time.Now(),
 		openedAt:    time.Now(),
 	}
-	client.reader = nc // with TLS it serves itself what has been received by a deadline
+	client.reader = nc // a TLS connection itself returns bytes that were received before the deadline
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		client.reader = sockets.NewDeadlineReader(tcp)
 	}
-	client.arrival.Reset(earliest)
+	client.arrivalTimes.Reset(earliest)
 	return client
 }
 
 func (c *conn) closeSocket() { _ = c.nc.Close() }
 
-// idle reports whether no call is open and no answer unwritten. c.mu is held.
-func (c *conn) idle() bool { return len(c.open)+c.unwritten == 0 }
+// isIdle reports whether the connection has no open call and no unwritten answer. c.mu is held.
+func (c *conn) isIdle() bool { return len(c.cancelFuncs)+c.unwrittenAnswers == 0 }
 
 func (c *conn) openCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open)
+	return len(c.cancelFuncs)
 }
 
-// isBusy reports whether a call is open or an answer unwritten.
+// isBusy reports whether the connection has an open call or an unwritten answer.
 func (c *conn) isBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.idle()
+	return !c.isIdle()
 }
 
-// firstCallPending reports whether the first call is not answered, and may be on its way.
+// firstCallPending reports whether no call has been answered yet and the first one is open or may be on its way.
 func (c *conn) firstCallPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.answerWritten && (!c.idle() || c.awaitsFirstCall())
+	return !c.answerWritten && (!c.isIdle() || c.awaitsFirstCall())
 }
 
-// awaitsFirstCall reports whether no call has come yet, and the first may be on its way. c.mu is held.
+// awaitsFirstCall reports whether no call has been received yet, but one may be on its way. c.mu is held.
 func (c *conn) awaitsFirstCall() bool {
 	return !c.callSeen && !c.closing && !c.writeClosed && time.Since(c.openedAt) < drainFirstCallGrace
 }
 
-// evictableSince returns the time since which the connection has been idle, zero if it has ended; false if it may not
-// be evicted. An overflow connection may be evicted within a message that has stalled, but not while its first call may
-// be arriving.
+// evictableSince returns the time since which the connection has been idle, and whether it may be evicted. The time is
+// zero if the write side is closed already. An overflow connection may also be evicted if the client has stalled in the
+// middle of a message, but not while its first call may be arriving.
 func (c *conn) evictableSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,10 +139,10 @@
 	}
 	stalled := c.overflow && time.Since(c.lastReadAt) >= firstCallGrace
 	withinMessage := !c.messageStartedAt.IsZero()
-	return c.idleSince, c.idle() && (!withinMessage || stalled)
+	return c.idleSince, c.isIdle() && (!withinMessage || stalled)
 }
 
-// serve runs the connection until it has ended.
+// serve handles the connection until it is closed.
 func (c *conn) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.write()
@@ -151,8 +152,8 @@
 		c.server.count(&c.server.stats.ProtocolErrors)
 		c.finish(msgpackrpc.AppendError(nil, violation.Problem))
 		<-c.writerDone
-	} else { // the client has disconnected, which cancels its calls
-		c.countUnanswered(err)
+	} else { // the client has disconnected, or timed out: its open calls are cancelled
+		c.countIncompleteMessage(err)
 		c.closeSocket()
 		c.finish(nil)
 	}
@@ -164,11 +165,12 @@
 	c.server.release(c)
 }
 
-// countUnanswered counts the connection if its reading ended, by err, within a message.
-func (c *conn) countUnanswered(err error) {
+// countIncompleteMessage counts the connection in the server's statistics if reading ended with err in the middle of a
+// message.
+func (c *conn) countIncompleteMessage(err error) {
 	c.mu.Lock()
 	ended := c.writeClosed
-	withinMessage := !c.messageStartedAt.IsZero() || c.closedOverUnread || ended && c.hasUnread()
+	withinMessage := !c.messageStartedAt.IsZero() || c.closedWithUnread || ended && c.hasUnread()
 	c.mu.Unlock()
 	switch {
 	case !withinMessage:
@@ -181,17 +183,18 @@
 	}
 }
 
-// countLostAnswers counts the connection if the server closed it before its last answers were written.
+// countLostAnswers counts the connection if its write side was closed before the last answers were written.
 func (c *conn) countLostAnswers() {
 	c.mu.Lock()
-	lost := c.writeClosed && (c.answersLost || len(c.queue) > 0)
+	lost := c.writeClosed && (c.answerWriteFailed || len(c.queuedAnswers) > 0)
 	c.mu.Unlock()
 	if lost {
 		c.countLostCall()
 	}
 }
 
-// finish has the writer send a last notification, which may be empty, and end once no call is open.
+// finish tells the writer to send a last notification, which may be empty, and to close the write side once no call is
+// open.
 func (c *conn) finish(notification []byte) {
 	c.mu.Lock()
 	c.notifications = append(c.notifications, notification...)
@@ -200,7 +203,7 @@
 	c.writeSignal.Notify()
 }
 
-// drain notifies the client that no new calls are accepted.
+// drain notifies the client that the connection accepts no new calls.
 func (c *conn) drain() {
 	c.mu.Lock()
 	if !c.draining {
@@ -212,7 +215,8 @@
 	c.writeSignal.Notify()
 }
 
-// recheckDrain has the writer look whether the connection is finished, again later while its first call may come.
+// recheckDrain wakes the writer, so that it checks whether a drain can close the connection. It repeats the check later
+// as long as the first call may still arrive.
 func (c *conn) recheckDrain() {
 	c.mu.Lock()
 	awaiting := c.awaitsFirstCall()
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -7,25 +7,25 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is why the server ends a connection on which a client may still call.
+// endCause is the reason why the server closed a connection on which the client may still have sent calls.
 type endCause uint8
 
 const (
 	notEnded endCause = iota
-	endedIdle
+	endedByIdleTimeout
 	endedByDrain
 	endedByEviction
 )
 
-// passDeadline is called by the reader at a read deadline. It reports whether the reader reads on: it does where the
-// deadline ended the idle time, for what is on its way, and where the deadline no longer holds.
-func (c *conn) passDeadline() bool {
-	readsOn := c.endIfIdle()
+// handleReadDeadline handles an expired read deadline, and reports whether the reader continues. It continues after the
+// idle timeout, to receive bytes that are on their way, and if the deadline no longer applies.
+func (c *conn) handleReadDeadline() bool {
+	keepReading := c.endIfIdle()
 	if c.hasEnded() {
 		c.server.linger(c)
-		c.writeSignal.Notify() // the writer ends
+		c.writeSignal.Notify() // the writer returns
 	}
-	return readsOn
+	return keepReading
 }
 
 func (c *conn) hasEnded() bool {
@@ -34,9 +34,9 @@
 	return c.writeClosed
 }
 
-// endIfIdle closes the write side if nothing has arrived by now: the look at the socket and the close are one step for
-// all that read or write. It reports whether the reader reads on.
-func (c *conn) endIfIdle() (readsOn bool) {
+// endIfIdle closes the write side if the connection is idle and no bytes have arrived. It holds c.mu from the check of
+// the socket to the close, so that no other goroutine acts in between. It reports whether the reader continues.
+func (c *conn) endIfIdle() (keepReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -44,19 +44,19 @@
 		return time.Now().Before(c.lingerUntil)
 	case c.messageTimedOut():
 		return false
-	case c.draining || !c.idle(): // the writer ends the connection, or sets the deadline
+	case c.draining || !c.isIdle(): // the writer closes the connection or sets the next deadline
 		_ = c.reader.SetReadDeadline(time.Time{})
-	case c.hasUnread(): // since the read's last look; with TLS it may be a part of a record
+	case c.hasUnread(): // bytes arrived since the read failed; with TLS they may be part of a record
 		_ = c.reader.SetReadDeadline(c.messageDeadline())
-	case c.evicted: // a message within which the client has paused is lost
+	case c.evicted: // a message that the client has not completed is lost
 		c.closeWriteSide(endedByEviction)
 	default:
-		c.closeWriteSide(endedIdle)
+		c.closeWriteSide(endedByIdleTimeout)
 	}
 	return true
 }
 
-// idleDeadline is the end of an idle time that begins now. c.mu is held.
+// idleDeadline returns the read deadline of a connection that becomes idle now. c.mu is held.
 func (c *conn) idleDeadline() time.Time {
 	if c.evicted {
 		return time.Now()
@@ -64,7 +64,8 @@
 	return time.Now().Add(c.server.config.IdleTimeout)
 }
 
-// messageDeadline is when the message must be complete that is being read, or begins now. c.mu is held.
+// messageDeadline returns the time by which the current message must be complete. If none has begun, it assumes that
+// one begins now. c.mu is held.
 func (c *conn) messageDeadline() time.Time {
 	startedAt := c.messageStartedAt
 	if startedAt.IsZero() {
@@ -73,13 +74,13 @@
 	return startedAt.Add(c.server.config.MessageTimeout)
 }
 
-// messageTimedOut reports whether a read deadline was that of a message. c.mu is held.
+// messageTimedOut reports whether an expired read deadline was that of a message. c.mu is held.
 func (c *conn) messageTimedOut() bool {
 	return !c.messageStartedAt.IsZero() && (!c.evicted || !time.Now().Before(c.messageDeadline()))
 }
 
-// evict has the reader end the connection as soon as it is idle: a call that has arrived is answered before. It returns
-// false if the connection has ended already.
+// evict makes the reader close the connection as soon as it is idle; a call that has arrived already is answered first.
+// It returns false if the write side is closed already.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +90,7 @@
 	c.evicted, c.endCause = true, endedByEviction
 	handshake, ok := c.nc.(interface{ Handshaking() bool })
 	switch {
-	case ok && handshake.Handshaking(): // no call can have arrived
+	case ok && handshake.Handshaking(): // no call can have arrived before the handshake is done
 		c.closeSocket()
 	case c.hasUnread():
 		_ = c.reader.SetReadDeadline(c.messageDeadline())
@@ -99,7 +100,7 @@
 	return true
 }
 
-// hasUnread reports whether bytes have arrived that are not read.
+// hasUnread reports whether the socket has received bytes that have not been read.
 func (c *conn) hasUnread() bool {
 	if tcp := tcpConn(c.nc); tcp != nil {
 		return sockets.Unread(tcp) > 0
@@ -108,8 +109,8 @@
 	return ok && sockets.Unread(socket) > 0
 }
 
-// closeWriteSide ends the sending, and gives the client some time to close its side. Nothing may be left to write. c.mu
-// is held.
+// closeWriteSide closes the write side, and gives the client lingerTimeout to close its own. All answers must have been
+// written. c.mu is held.
 func (c *conn) closeWriteSide(cause endCause) {
 	c.writeClosed, c.endCause = true, cause
 	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
@@ -120,19 +121,21 @@
 	c.closeSocket()
 }
 
-// closeLingering closes a connection that has ended or is evicted, before the client has closed its side.
+// closeLingering closes a connection that the server has ended or evicted, without waiting for the client to close its
+// side.
 func (c *conn) closeLingering() {
 	c.mu.Lock()
-	c.writeClosed, c.closedOverUnread = true, c.hasUnread()
+	c.writeClosed, c.closedWithUnread = true, c.hasUnread()
 	c.mu.Unlock()
 	c.closeSocket()
 }
 
-// countLostCall counts, once, that a call or a part of one came after the server had ended the connection.
+// countLostCall counts the connection, at most once, because a call or part of one arrived that the server cannot
+// answer after it has ended the connection.
 func (c *conn) countLostCall() {
 	c.mu.Lock()
-	counted := c.lossCounted
-	c.lossCounted = true
+	counted := c.lostCallCounted
+	c.lostCallCounted = true
 	cause := c.endCause
 	c.mu.Unlock()
 	if !counted {
@@ -140,10 +143,10 @@
 	}
 }
 
-// endCounter returns the counter of connections whose calls met an end by cause.
+// endCounter returns the counter of connections that lost a call after they were ended for the given cause.
 func (s *Stats) endCounter(cause endCause) *uint64 {
 	switch cause {
-	case endedIdle:
+	case endedByIdleTimeout:
 		return &s.IdleEnds
 	case endedByEviction:
 		return &s.EvictionEnds
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -13,17 +13,17 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// clientCheckInterval is how often a connection that has too many open calls is checked for a disconnect.
+// clientCheckInterval is how often a connection with the maximum of open calls is checked for a disconnect.
 const clientCheckInterval = 50 * time.Millisecond
 
-// read handles messages until the client disconnects or violates the protocol, or the connection has ended.
+// read handles messages until the client disconnects, violates the protocol or times out, or the connection is closed.
 func (c *conn) read(ctx context.Context) error {
 	in := msgpackrpc.NewReader(c)
 	in.BeforeRead = c.setReadDeadline
 	return stream.ReadMessages(in, func(message msgpackrpc.Message) error { return c.handle(ctx, message) })
 }
 
-// setReadDeadline is called before each read. partial reports whether a part of a message has been read.
+// setReadDeadline sets the deadline of the next read. partial says whether a message has been read in part.
 func (c *conn) setReadDeadline(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,34 +40,34 @@
 	switch {
 	case partial:
 		deadline = c.messageStartedAt.Add(c.server.config.MessageTimeout)
-	case c.idle():
+	case c.isIdle():
 		deadline = c.idleDeadline()
 	}
 	_ = c.reader.SetReadDeadline(deadline) // fails only after a close
 }
 
-// Read reads from the client. At a read deadline that does not end the connection it reads on.
+// Read reads from the client. It retries after a read deadline that does not end the connection.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.readOnce(p)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.passDeadline() {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.handleReadDeadline() {
 			return n, err
 		}
 	}
 }
 
-// readOnce reads from the client, and records when what it returns can have arrived at the earliest.
+// readOnce reads from the client once, and records the earliest time at which the returned bytes can have arrived.
 func (c *conn) readOnce(p []byte) (int, error) {
 	began := time.Now()
 	n, err := c.reader.Read(p)
 	now := time.Now()
 	if tcp := tcpConn(c.nc); tcp != nil {
-		c.arrival.RecordReadFrom(tcp, began, now, n < len(p))
+		c.arrivalTimes.RecordReadFrom(tcp, began, now, n < len(p))
 	} else {
-		c.arrival.RecordRead(began, now, n < len(p))
+		c.arrivalTimes.RecordRead(began, now, n < len(p))
 	}
 	c.mu.Lock()
-	c.lastReadAt = now // before these bytes can be taken for a stalled message
+	c.lastReadAt = now // set before evictableSince can regard these bytes as a stalled message
 	c.mu.Unlock()
 	return n, err
 }
@@ -76,7 +76,7 @@
 	switch message.Kind {
 	case msgpackrpc.Response:
 		return &msgpackrpc.ProtocolError{Problem: "unexpected response"}
-	case msgpackrpc.Notification: // unknown methods may be of a later version
+	case msgpackrpc.Notification: // unknown methods are ignored: they may belong to a later version
 		if id, ok := msgpackrpc.CancelledID(message); ok && message.Method == msgpackrpc.MethodCancel {
 			c.cancel(id)
 		}
@@ -89,32 +89,32 @@
 func (c *conn) cancel(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cancel := c.open[id]; cancel != nil {
+	if cancel := c.cancelFuncs[id]; cancel != nil {
 		cancel()
 	}
 }
 
-// startCall passes a call to the engine, or answers it. If the client has too many open calls it waits, and nothing
-// more is read meanwhile.
+// startCall passes a call to the engine, or answers it directly. If the client has the maximum of open calls, it waits,
+// and nothing more is read from the connection meanwhile.
 func (c *conn) startCall(ctx context.Context, message msgpackrpc.Message) error {
-	receivedAt := c.arrival.Earliest()
+	receivedAt := c.arrivalTimes.Earliest()
 	if err := c.acquireCallSlot(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	admission := c.register(message.ID, cancel)
-	if admission == callDuplicate || admission == callLost {
+	if admission == callDuplicate || admission == callTooLate {
 		cancel()
 		<-c.callSlots
-		return c.refuse(admission)
+		return c.handleUnansweredCall(admission)
 	}
 	c.server.count(&c.server.stats.Calls)
 	req, reply := c.parseRequest(message, receivedAt)
 	switch {
 	case reply.Code != "":
-	case admission == callEvicted:
+	case admission == callRejectedByEviction:
 		reply = c.server.overloadedReply(req.Class)
-	case admission == callRejected: // the call crossed the notification, and is not forwarded
+	case admission == callRejectedByDrain: // the call arrived after the drain notification was sent: it is not forwarded
 		reply = msgpackrpc.Reply{Code: msgpackrpc.Overloaded, Text: "the node is draining"}
 	case c.server.rejectsOverflow(c):
 		reply = c.server.overloadedReply(req.Class)
@@ -133,43 +133,43 @@
 	return nil
 }
 
-// callAdmission is what becomes of a call that has arrived.
+// callAdmission says how the server treats a call that has arrived.
 type callAdmission uint8
 
 const (
-	callAdmitted  callAdmission = iota
-	callRejected                // it came after a drain had begun, and is answered
-	callEvicted                 // it crossed the eviction of its connection, and is answered
-	callDuplicate               // its id is in use
-	callLost                    // it came after the write side was closed: it cannot be answered, and is not run
+	callAdmitted           callAdmission = iota
+	callRejectedByDrain                  // a drain had begun: the answer is Overloaded
+	callRejectedByEviction               // its connection was being evicted: the answer is Overloaded
+	callDuplicate                        // its msgid is in use: this violates the protocol
+	callTooLate                          // the write side is closed: the call is neither run nor answered
 )
 
-// register adds an open call that is run or answered. The first call of a connection is taken even after a drain
-// has begun.
+// register decides how a call is treated, and adds it to the open calls if it will be run or answered. The first call
+// of a connection is admitted even during a drain, because its client could not know of the drain.
 func (c *conn) register(id uint32, cancel context.CancelFunc) callAdmission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.writeClosed:
-		return callLost
-	case c.open[id] != nil:
+		return callTooLate
+	case c.cancelFuncs[id] != nil:
 		return callDuplicate
 	}
-	c.open[id] = cancel
+	c.cancelFuncs[id] = cancel
 	first := !c.callSeen
 	c.callSeen = true
 	switch {
 	case c.evicted:
-		return callEvicted
+		return callRejectedByEviction
 	case c.draining && !first:
-		return callRejected
+		return callRejectedByDrain
 	}
 	return callAdmitted
 }
 
-// refuse handles a call that is neither admitted nor answered. It returns an error if the client has violated the
-// protocol.
-func (c *conn) refuse(admission callAdmission) error {
+// handleUnansweredCall handles a call that is neither run nor answered. It returns an error if the client has violated
+// the protocol.
+func (c *conn) handleUnansweredCall(admission callAdmission) error {
 	if admission == callDuplicate {
 		return &msgpackrpc.ProtocolError{Problem: "duplicate msgid"}
 	}
@@ -177,21 +177,21 @@
 	return nil
 }
 
-// finishCall queues the answer to an open call.
+// finishCall ends an open call and queues its answer.
 func (c *conn) finishCall(id uint32, reply msgpackrpc.Reply) {
 	c.mu.Lock()
-	cancel := c.remove(id)
-	c.unwritten++
-	c.queue = append(c.queue, answer{id, reply})
+	cancel := c.removeCall(id)
+	c.unwrittenAnswers++
+	c.queuedAnswers = append(c.queuedAnswers, answer{id, reply})
 	c.mu.Unlock()
 	cancel()
 	c.writeSignal.Notify()
 }
 
-// finishCancelled ends an open call that the client no longer waits for.
+// finishCancelled ends an open call without an answer, because the client no longer waits for one.
 func (c *conn) finishCancelled(id uint32) {
 	c.mu.Lock()
-	cancel := c.remove(id)
+	cancel := c.removeCall(id)
 	c.mu.Unlock()
 	cancel()
 	c.writeSignal.Notify() // the writer may be waiting for the last call to end
@@ -199,16 +199,16 @@
 	c.server.connIdle()
 }
 
-// remove removes an open call. c.mu is held.
-func (c *conn) remove(id uint32) context.CancelFunc {
-	cancel := c.open[id]
-	delete(c.open, id)
+// removeCall removes an open call, and returns its cancel function. c.mu is held.
+func (c *conn) removeCall(id uint32) context.CancelFunc {
+	cancel := c.cancelFuncs[id]
+	delete(c.cancelFuncs, id)
 	c.idleSince = time.Now()
 	return cancel
 }
 
-// acquireCallSlot waits until the client may have another open call. Because nothing is read meanwhile, a disconnect is
-// detected by asking the kernel: a call of a client that is gone must not be forwarded.
+// acquireCallSlot waits until the client may have another open call. Nothing is read meanwhile, so it asks the kernel
+// whether the client has disconnected: a call of a disconnected client must not be forwarded.
 func (c *conn) acquireCallSlot() error {
 	select {
 	case c.callSlots <- struct{}{}:
@@ -221,7 +221,7 @@
 		select {
 		case c.callSlots <- struct{}{}:
 			return nil
-		case <-c.writerDone: // no answer can be written any more
+		case <-c.writerDone: // no further answer can be written
 			return io.ErrClosedPipe
 		case <-check.C:
 			if tcp := tcpConn(c.nc); tcp != nil && sockets.PeerClosed(tcp) {
--- a/internal/frontend/msgpack/connread_test.go
+++ b/internal/frontend/msgpack/connread_test.go
@@ -13,9 +13,9 @@
 	"cobaltward/msgpackrpc"
 )
 
-// TestRead_DeadlineAheadOfBytes has bytes of a message come in time and the read begin after the deadline, as where the
-// process was paused: they are served, and later ones are not.
-func TestRead_DeadlineAheadOfBytes(t *testing.T) {
+// TestRead_BytesReceivedBeforeDeadline starts a read after its deadline, as happens if the process was paused. Bytes
+// that arrived before the deadline are returned, later ones are not.
+func TestRead_BytesReceivedBeforeDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,19 +34,20 @@
 	time.Sleep(40 * time.Millisecond)
 	buf := make([]byte, 100)
 	if n, err := c.Read(buf); string(buf[:n]) != "in time" || err != nil {
-		t.Errorf("read %q, %v", buf[:n], err)
+		t.Errorf("read %q, %v, want the bytes received in time", buf[:n], err)
 	}
 	_, _ = client.Write([]byte("late"))
 	testkit.Await(t, "more bytes", func() bool { return sockets.Unread(accepted.(*net.TCPConn)) == 4 })
 	c.setReadDeadline(true)
 	if n, err := c.Read(buf); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("then read %q, %v, want a timeout", buf[:n], err)
+		t.Errorf("second read: got %q, %v, want a timeout", buf[:n], err)
 	}
 }
 
-// TestWaitingSince_CountsClientsOwnTime: a client whose call has just come complete has lost no time, though the accept
-// queue is old; one that may send byte by byte, or call after call, counts as old as the queue.
-func TestWaitingSince_CountsClientsOwnTime(t *testing.T) {
+// TestWaitingSince_ExcludesTimeUntilCallArrived checks since when a client counts as waiting. If nothing or exactly one
+// complete call has arrived, the age of the accept queue does not count, because the client can have just connected. It
+// counts if part of a call or several calls have arrived, because those may have arrived at any time since.
+func TestWaitingSince_ExcludesTimeUntilCallArrived(t *testing.T) {
 	const queueAge = 300 * time.Millisecond
 	call := msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "r1", Class: "read", Timeout: time.Minute})
 	for _, test := range []struct {
@@ -77,7 +78,7 @@
 			earliest := time.Now().Add(-queueAge)
 			age := time.Since(newConn(New(nil, Config{}), accepted, earliest).waitingSince(earliest))
 			if isOld := age >= queueAge; isOld != test.wantOld {
-				t.Errorf("waits since %v ago, want old: %v", age, test.wantOld)
+				t.Errorf("the client has been waiting for %v, want the age of the accept queue: %v", age, test.wantOld)
 			}
 		})
 	}
--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -7,17 +7,17 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// write writes notifications and answers, in batches, until the connection ends.
+// write writes notifications and answers, in batches, until the write side is closed or a write fails.
 func (c *conn) write() {
 	defer close(c.writerDone)
 	var buf []byte
 	var batch []answer
 	for range c.writeSignal {
 		buf, batch = c.takeQueued(buf, batch)
-		answers := 0 // in buf
+		answers := 0 // number of answers in buf
 		for i := range batch {
 			buf = msgpackrpc.AppendReply(buf, batch[i].msgid, &batch[i].reply)
-			batch[i] = answer{} // releases the body
+			batch[i] = answer{} // release the body for garbage collection
 			answers++
 			if len(buf) >= stream.MaxBatch {
 				if !c.flush(buf, answers) {
@@ -36,17 +36,17 @@
 	}
 }
 
-// takeQueued returns the notifications, encoded, and the answers that are to be written. It reuses the given buffers.
+// takeQueued removes and returns the queued notifications, encoded, and the queued answers. It reuses the given buffers.
 func (c *conn) takeQueued(buf []byte, batch []answer) ([]byte, []answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	buf = append(buf[:0], c.notifications...)
 	c.notifications = nil
-	batch, c.queue = c.queue, batch[:0]
+	batch, c.queuedAnswers = c.queuedAnswers, batch[:0]
 	return buf, batch
 }
 
-// flush writes a batch, and frees the call slots of its answers. It returns false if the write fails.
+// flush writes buf, and frees the call slots of the answers in it. It returns false if the write fails.
 func (c *conn) flush(buf []byte, answers int) bool {
 	if len(buf) == 0 {
 		return true
@@ -56,11 +56,11 @@
 		<-c.callSlots
 	}
 	c.mu.Lock()
-	c.unwritten -= answers
+	c.unwrittenAnswers -= answers
 	c.answerWritten = c.answerWritten || answers > 0
-	c.answersLost = c.answersLost || answers > 0 && err != nil
-	idle := c.idle()
-	if idle && c.messageStartedAt.IsZero() && !c.writeClosed { // the reader may be waiting without a deadline
+	c.answerWriteFailed = c.answerWriteFailed || answers > 0 && err != nil
+	idle := c.isIdle()
+	if idle && c.messageStartedAt.IsZero() && !c.writeClosed { // the reader may be blocked without a deadline
 		_ = c.reader.SetReadDeadline(c.idleDeadline())
 	}
 	c.mu.Unlock()
@@ -68,13 +68,12 @@
 		c.server.connIdle()
 	}
 	if err != nil {
-		c.closeSocket() // which ends the reader
+		c.closeSocket() // makes the reader return
 	}
 	return err == nil
 }
 
-// endIfFinished closes the write side if nothing is left to write and the connection is to be closed. It reports
-// whether the write side is closed.
+// endIfFinished closes the write side if the connection is finished. It reports whether the write side is closed.
 func (c *conn) endIfFinished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,9 +83,9 @@
 	return c.writeClosed
 }
 
-// isFinished reports whether nothing is left to write and the connection is to be closed. c.mu is held.
+// isFinished reports whether the connection is to be closed and has nothing left to write. c.mu is held.
 func (c *conn) isFinished() bool {
-	if !c.idle() || len(c.notifications) > 0 {
+	if !c.isIdle() || len(c.notifications) > 0 {
 		return false
 	}
 	if c.closing {
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -8,8 +8,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// awaitIdle waits until all connections are idle, of which there are as many as given.
-func (s *seamServer) awaitIdle(t *testing.T, conns int) {
+// awaitIdle waits until the server has the given number of connections, and all are idle.
+func (s *hookedServer) awaitIdle(t *testing.T, conns int) {
 	t.Helper()
 	testkit.Await(t, "the idle connections", func() bool {
 		open, busy := s.Connections()
@@ -17,24 +17,24 @@
 	})
 }
 
-// prepareFirst returns a function that prepares the first connection, and no other.
-func prepareFirst(prepare func(c *seamConn)) func(c *seamConn) {
+// prepareFirst returns a function that calls prepare for the first connection only.
+func prepareFirst(prepare func(c *hookedConn)) func(c *hookedConn) {
 	var accepted atomic.Int32
-	return func(c *seamConn) {
+	return func(c *hookedConn) {
 		if accepted.Add(1) == 1 {
 			prepare(c)
 		}
 	}
 }
 
-// TestEvict_ConnectionWithoutCall has a call arrive on the connection that has been idle for longest, whose reader is
-// late: another one is evicted.
-func TestEvict_ConnectionWithoutCall(t *testing.T) {
+// TestEvict_PrefersConnectionWithoutCall sends a call on the connection that has been idle for longest, and delays the
+// read of it. Another connection is evicted instead.
+func TestEvict_PrefersConnectionWithoutCall(t *testing.T) {
 	for _, withTLS := range []bool{false, true} {
 		for _, bodySize := range []int{0, 60 << 10} {
 			t.Run(fmt.Sprintf("TLS %v/%d bytes", withTLS, bodySize), func(t *testing.T) {
 				clients, sent, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
-				prepare := prepareFirst(func(c *seamConn) {
+				prepare := prepareFirst(func(c *hookedConn) {
 					c.beforeIdleRead = func() {
 						sendCall(t, <-clients, bodySize)
 						c.awaitUnread(t)
@@ -42,7 +42,7 @@
 						<-release
 					}
 				})
-				server := startSeamServer(t, withTLS, &stubEngine{}, Config{MaxConns: 2}, prepare)
+				server := startHookedServer(t, withTLS, &stubEngine{}, Config{MaxConns: 2}, prepare)
 				calling := server.dial(t)
 				server.awaitIdle(t, 1)
 				idle := server.dial(t)
@@ -54,21 +54,22 @@
 				close(release)
 				calling.expect(t, "2 r2")
 				if stats := server.Stats(); stats.Evicted != 1 || stats.EvictionEnds != 0 {
-					t.Errorf("%+v, want one eviction that no call met", stats)
+					t.Errorf("%+v, want one eviction that lost no call", stats)
 				}
 			})
 		}
 	}
 }
 
-// TestEvict_CallsThatCrossIt has a call meet the eviction of its connection. One that has arrived before is rejected as
-// overloaded; one that arrives later meets an orderly end, never a reset, and is counted. The slot is free meanwhile.
-func TestEvict_CallsThatCrossIt(t *testing.T) {
+// TestEvict_ConcurrentCall sends a call while its connection is evicted. If the call arrived before the connection is
+// closed, it is rejected as overloaded. If it arrives later, the client sees an orderly end, never a reset, and the
+// loss is counted. In both cases the slot is free at once.
+func TestEvict_ConcurrentCall(t *testing.T) {
 	for _, test := range []evictionCase{
-		{name: "ahead of a late reader", seam: func(c *seamConn) *func() { return &c.beforeIdleRead }, held: true},
-		{name: "read and not handled", seam: func(c *seamConn) *func() { return &c.afterIdleRead }, held: true, sent: true},
-		{name: "between the last look and the close", seam: func(c *seamConn) *func() { return &c.beforeEnd }},
-		{name: "after the close", seam: func(c *seamConn) *func() { return &c.afterEnd }, closed: true},
+		{name: "before a delayed read", hook: func(c *hookedConn) *func() { return &c.beforeIdleRead }, readerHeld: true},
+		{name: "read, not handled", hook: func(c *hookedConn) *func() { return &c.afterIdleRead }, readerHeld: true, callSent: true},
+		{name: "between the last check and the close", hook: func(c *hookedConn) *func() { return &c.beforeEnd }},
+		{name: "after the close", hook: func(c *hookedConn) *func() { return &c.afterEnd }, afterClose: true},
 	} {
 		for _, withTLS := range []bool{false, true} {
 			for _, bodySize := range []int{0, 60 << 10} {
@@ -80,50 +81,50 @@
 	}
 }
 
-// evictionCase is a moment at which a call meets the eviction of its connection.
+// evictionCase is a moment, during the eviction of a connection, at which a call is sent.
 type evictionCase struct {
-	name   string
-	seam   func(c *seamConn) *func()
-	held   bool // the reader is held in the seam until the connection has been evicted; the call is answered then
-	sent   bool // the call is sent ahead of the seam
-	closed bool // the seam is after the close
+	name       string
+	hook       func(c *hookedConn) *func()
+	readerHeld bool // the hook blocks the reader until the eviction has begun; the call is answered then
+	callSent   bool // the call is sent before the hook runs
+	afterClose bool // the hook runs after the close
 }
 
 func (e evictionCase) run(t *testing.T, withTLS bool, bodySize int) {
 	clients, arrived, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
-	server := startSeamServer(t, withTLS, &stubEngine{}, Config{MaxConns: 1}, prepareFirst(func(c *seamConn) {
-		*e.seam(c) = func() {
+	server := startHookedServer(t, withTLS, &stubEngine{}, Config{MaxConns: 1}, prepareFirst(func(c *hookedConn) {
+		*e.hook(c) = func() {
 			client := <-clients
-			if !e.sent {
+			if !e.callSent {
 				sendCall(t, client, bodySize)
 			}
-			if !e.sent && !e.closed {
+			if !e.callSent && !e.afterClose {
 				c.awaitUnread(t)
 			}
 			close(arrived)
-			if e.held {
+			if e.readerHeld {
 				<-release
 			}
 		}
 	}))
 	evicted := server.dial(t)
 	server.awaitIdle(t, 1)
-	if e.sent {
+	if e.callSent {
 		sendCall(t, evicted, bodySize)
 	}
 	clients <- evicted
-	if e.held {
+	if e.readerHeld {
 		testkit.Receive(t, "the call", arrived)
 	}
-	server.dial(t) // is answered while the evicted connection is held
+	server.dial(t) // gets its answer while the reader of the evicted connection is blocked
 	close(release)
 	testkit.Receive(t, "the call", arrived)
-	server.checkEviction(t, evicted, e.held)
+	server.checkEviction(t, evicted, e.readerHeld)
 }
 
-// checkEviction checks that a client's second call is answered as overloaded, or counted, and that the connection then
-// ends without a reset.
-func (s *seamServer) checkEviction(t *testing.T, client rawClient, answered bool) {
+// checkEviction checks that a client's second call is rejected as overloaded if answered is set, and counted as lost
+// otherwise, and that the connection then ends without a reset.
+func (s *hookedServer) checkEviction(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	wantCount := uint64(1)
 	if answered {
@@ -131,21 +132,21 @@
 		client.expect(t, "2 overloaded")
 	}
 	if got := client.next(); got != "EOF" {
-		t.Errorf("got %q, want the end", got)
+		t.Errorf("got %q, want the end of the connection", got)
 	}
 	_ = client.Close()
-	testkit.Await(t, "the end", func() bool { return s.Stats().Conns == 1 })
+	testkit.Await(t, "the end of the connection", func() bool { return s.Stats().Conns == 1 })
 	if stats := s.Stats(); stats.Evicted != 1 || stats.EvictionEnds != wantCount || stats.Incomplete > 0 {
-		t.Errorf("%+v, want an eviction and %d calls that met it", stats, wantCount)
+		t.Errorf("%+v, want one eviction that lost %d calls", stats, wantCount)
 	}
 }
 
-// TestEvict_ClosedBeforeAnswer closes an evicted connection, in favour of another one, before the answer to a call that
-// crossed the eviction is written: the loss is counted.
+// TestEvict_ClosedBeforeAnswer closes an evicted connection, to make room for another one, before the answer to a call
+// that arrived during the eviction is written. The lost call is counted.
 func TestEvict_ClosedBeforeAnswer(t *testing.T) {
 	clients, arrived, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
-	var server *seamServer
-	prepare := prepareFirst(func(c *seamConn) {
+	var server *hookedServer
+	prepare := prepareFirst(func(c *hookedConn) {
 		c.beforeIdleRead = func() {
 			sendCall(t, <-clients, 0)
 			c.awaitUnread(t)
@@ -158,44 +159,44 @@
 			server.lingering[0].closeLingering()
 		}
 	})
-	server = startSeamServer(t, false, &stubEngine{}, Config{MaxConns: 1}, prepare)
+	server = startHookedServer(t, false, &stubEngine{}, Config{MaxConns: 1}, prepare)
 	evicted := server.dial(t)
 	server.awaitIdle(t, 1)
 	clients <- evicted
 	testkit.Receive(t, "the call", arrived)
 	server.dial(t)
 	close(release)
-	testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 1 })
+	testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 1 })
 	if stats := server.Stats(); stats.EvictionEnds != 1 {
-		t.Errorf("%+v, want a call that met the eviction", stats)
+		t.Errorf("%+v, want one call lost to the eviction", stats)
 	}
 }
 
-// TestEvict_Descriptors evicts connections whose clients do not close them: they never hold more descriptors than busy
-// connections do.
-func TestEvict_Descriptors(t *testing.T) {
+// TestEvict_LimitsDescriptors evicts connections whose clients do not close them. There are never more open connections
+// than with all slots and overflow connections in use.
+func TestEvict_LimitsDescriptors(t *testing.T) {
 	const maxConns, clientCount = 1, 3 * (1 + overflowConns)
-	server := startSeamServer(t, false, &stubEngine{}, Config{MaxConns: maxConns}, func(*seamConn) {})
+	server := startHookedServer(t, false, &stubEngine{}, Config{MaxConns: maxConns}, func(*hookedConn) {})
 	var clients []rawClient
 	for range clientCount {
 		clients = append(clients, server.dial(t))
 		if got := server.Stats().Conns; got > maxConns+overflowConns {
-			t.Fatalf("%d connections", got)
+			t.Fatalf("%d connections, over the limit", got)
 		}
 	}
 	if stats := server.Stats(); stats.Evicted != clientCount-1 || stats.EvictionEnds > 0 {
-		t.Errorf("%+v, want %d evictions that no call met", stats, clientCount-1)
+		t.Errorf("%+v, want %d evictions that lost no call", stats, clientCount-1)
 	}
 	for _, client := range clients[:clientCount-1] {
 		client.expect(t, "EOF")
 	}
 }
 
-// TestEvict_StalledMessage evicts an overflow connection whose client has paused within its first message: its end is
-// orderly, and counted by its cause.
-func TestEvict_StalledMessage(t *testing.T) {
+// TestEvict_OverflowConnectionWithStalledMessage evicts an overflow connection whose client has stalled in the middle of
+// its first message. The client sees an orderly end, and the loss is counted as one of an eviction.
+func TestEvict_OverflowConnectionWithStalledMessage(t *testing.T) {
 	held := make(chan struct{})
-	server := startSeamServer(t, false, &stubEngine{do: engineHeldUntil(held)}, Config{MaxConns: 1}, func(*seamConn) {})
+	server := startHookedServer(t, false, &stubEngine{do: answerAfter(held)}, Config{MaxConns: 1}, func(*hookedConn) {})
 	busy := dial(t, server.addr)
 	busy.call(t, 1)
 	testkit.Await(t, "the call", func() bool { return server.Stats().Open == 1 })
@@ -203,14 +204,14 @@
 	if _, err := stalled.Write([]byte{0x94}); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Await(t, "the pause within the message", func() bool {
+	testkit.Await(t, "the stalled message", func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		for conn := range server.conns {
 			conn.mu.Lock()
 			withinMessage := !conn.messageStartedAt.IsZero()
 			conn.mu.Unlock()
-			if withinMessage && server.longestIdle(false) == conn { // in this order: evictable for its pause
+			if withinMessage && server.longestIdle(false) == conn { // evictable because its message stalled
 				return true
 			}
 		}
@@ -220,12 +221,12 @@
 	last.call(t, 2)
 	last.expect(t, "2 overloaded")
 	if got := stalled.next(); got != "EOF" {
-		t.Errorf("got %q, want the end", got)
+		t.Errorf("got %q, want the end of the connection", got)
 	}
 	_ = stalled.Close()
-	testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 2 })
+	testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 2 })
 	if stats := server.Stats(); stats.EvictionEnds != 1 || stats.Evicted != 1 || stats.Incomplete+stats.Timeouts > 0 {
-		t.Errorf("%+v, want one eviction, within a message", stats)
+		t.Errorf("%+v, want one eviction, in the middle of a message", stats)
 	}
 	close(held)
 }
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -23,9 +23,9 @@
 	"cobaltward/policy"
 )
 
-// seamConn is a server's side of a connection with seams: the functions are called at most once, on the goroutine that
-// reads or ends the connection.
-type seamConn struct {
+// hookedConn is the server's side of a connection, with hooks: functions that are called at most once each, on the
+// goroutine that reads, writes or closes the connection.
+type hookedConn struct {
 	net.Conn // a *net.TCPConn or *secure.Conn
 	tcp      *net.TCPConn
 	reader   deadlineReader
@@ -34,22 +34,22 @@
 	deadline atomic.Pointer[time.Time]
 	ending   sync.Once
 
-	beforeIdleRead func() // ahead of the read that follows the first call
-	afterIdleRead  func() // that read has returned, and what it has read is not handled
-	afterTimeout   func() // the read has failed at its deadline
-	beforeEnd      func() // ahead of the close, of the write side or of all
-	afterEnd       func()
+	beforeIdleRead func() // before the read that follows the first call
+	afterIdleRead  func() // after that read has returned, before its result is handled
+	afterTimeout   func() // after a read has failed at its deadline
+	beforeEnd      func() // before the write side or the connection is closed
+	afterEnd       func() // after the write side or the connection was closed
 
-	beforeSecondWrite func() // ahead of the write of the second answer
-	beforeLingerRead  func() // ahead of the first read after the end of the write side
+	beforeSecondWrite func() // before the second answer is written
+	beforeLingerRead  func() // before the first read after the write side was closed
 	ended             atomic.Bool
 }
 
-func (c *seamConn) TCP() *net.TCPConn { return c.tcp }
+func (c *hookedConn) TCP() *net.TCPConn { return c.tcp }
 
-// SetReadDeadline implements net.Conn. The idle time begins with the first call, which may be slow to come on a busy
-// machine.
-func (c *seamConn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline implements net.Conn. It ignores deadlines before the first read, so that the idle timeout does not
+// expire before the first call on a busy machine.
+func (c *hookedConn) SetReadDeadline(t time.Time) error {
 	if c.reads.Load() == 0 {
 		return nil
 	}
@@ -57,77 +57,77 @@
 	return c.reader.SetReadDeadline(t)
 }
 
-// awaitDeadline waits until the read deadline has passed.
-func (c *seamConn) awaitDeadline(t testing.TB) {
+// awaitDeadline waits until the read deadline has expired.
+func (c *hookedConn) awaitDeadline(t testing.TB) {
 	testkit.Await(t, "the deadline", func() bool {
 		deadline := c.deadline.Load()
 		return deadline != nil && !deadline.IsZero() && time.Now().After(*deadline)
 	})
 }
 
-func (c *seamConn) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	isIdleRead := c.reads.Add(1) == 2
 	if isIdleRead {
-		callSeam(&c.beforeIdleRead)
+		runHook(&c.beforeIdleRead)
 	}
 	if c.ended.Load() {
-		callSeam(&c.beforeLingerRead)
+		runHook(&c.beforeLingerRead)
 	}
 	n, err := c.reader.Read(p)
 	if isIdleRead {
-		callSeam(&c.afterIdleRead)
+		runHook(&c.afterIdleRead)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		callSeam(&c.afterTimeout)
+		runHook(&c.afterTimeout)
 	}
 	return n, err
 }
 
-func (c *seamConn) Write(p []byte) (int, error) {
+func (c *hookedConn) Write(p []byte) (int, error) {
 	if c.writes.Add(1) == 2 {
-		callSeam(&c.beforeSecondWrite)
+		runHook(&c.beforeSecondWrite)
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *seamConn) CloseWrite() error {
+func (c *hookedConn) CloseWrite() error {
 	return c.end(c.Conn.(interface{ CloseWrite() error }).CloseWrite)
 }
 
-func (c *seamConn) Close() error { return c.end(c.Conn.Close) }
+func (c *hookedConn) Close() error { return c.end(c.Conn.Close) }
 
-func (c *seamConn) end(end func() error) (err error) {
+func (c *hookedConn) end(end func() error) (err error) {
 	c.ending.Do(func() {
-		callSeam(&c.beforeEnd)
+		runHook(&c.beforeEnd)
 		err = end()
 		c.ended.Store(true)
-		callSeam(&c.afterEnd)
+		runHook(&c.afterEnd)
 		end = func() error { return err }
 	})
 	return end()
 }
 
-func callSeam(seam *func()) {
-	if call := *seam; call != nil {
-		*seam = nil
+func runHook(hook *func()) {
+	if call := *hook; call != nil {
+		*hook = nil
 		call()
 	}
 }
 
-// seamListener returns connections with seams.
-type seamListener struct {
+// hookedListener accepts connections and wraps them in hookedConn.
+type hookedListener struct {
 	net.Listener
-	terminator *secure.Terminator // nil: without TLS
-	prepare    func(c *seamConn)  // called for each connection
+	terminator *secure.Terminator  // nil: without TLS
+	prepare    func(c *hookedConn) // sets the hooks of each accepted connection
 }
 
-func (l *seamListener) Accept() (net.Conn, error) {
+func (l *hookedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	tcp := accepted.(*net.TCPConn)
-	conn := &seamConn{Conn: tcp, tcp: tcp, reader: sockets.NewDeadlineReader(tcp)}
+	conn := &hookedConn{Conn: tcp, tcp: tcp, reader: sockets.NewDeadlineReader(tcp)}
 	if l.terminator != nil {
 		wrapped := l.terminator.Wrap(tcp, nil)
 		conn.Conn, conn.reader = wrapped, wrapped
@@ -136,21 +136,23 @@
 	return conn, nil
 }
 
-// seamServer is a server whose connections have seams, with or without TLS.
-type seamServer struct {
+// hookedServer is a server whose connections have hooks, with or without TLS.
+type hookedServer struct {
 	*Server
 	addr  string
 	roots *x509.CertPool // nil: without TLS
 }
 
-func startSeamServer(t *testing.T, withTLS bool, stub *stubEngine, config Config, prepare func(*seamConn)) *seamServer {
+func startHookedServer(
+	t *testing.T, withTLS bool, stub *stubEngine, config Config, prepare func(*hookedConn),
+) *hookedServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &seamServer{Server: New(writeEngine{stub}, config), addr: ln.Addr().String()}
-	listener := &seamListener{Listener: ln, prepare: prepare}
+	server := &hookedServer{Server: New(writeEngine{stub}, config), addr: ln.Addr().String()}
+	listener := &hookedListener{Listener: ln, prepare: prepare}
 	if withTLS {
 		listener.terminator, server.roots = newTerminator(t)
 	}
@@ -158,14 +160,14 @@
 	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
 		server.Close()
-		if err := testkit.Receive(t, "the end", served); !errors.Is(err, ErrClosed) {
+		if err := testkit.Receive(t, "the return of Serve", served); !errors.Is(err, ErrClosed) {
 			t.Error(err)
 		}
 	})
 	return server
 }
 
-// writeEngine also has a class whose calls may have bodies.
+// writeEngine is a stubEngine that also has a class "write", whose calls may have bodies.
 type writeEngine struct{ *stubEngine }
 
 func (e writeEngine) Class(name string) (policy.Class, bool) {
@@ -175,7 +177,7 @@
 	return e.stubEngine.Class(name)
 }
 
-// newTerminator returns a terminator of TLS, and what its clients trust.
+// newTerminator returns a TLS terminator, and the root certificates by which clients can verify it.
 func newTerminator(t *testing.T) (*secure.Terminator, *x509.CertPool) {
 	t.Helper()
 	authority := pki.NewAuthority("ours")
@@ -202,8 +204,8 @@
 	return terminator, roots
 }
 
-// dial connects a client, and has its first call answered.
-func (s *seamServer) dial(t *testing.T) rawClient {
+// dial connects a client, and waits for the answer to its first call.
+func (s *hookedServer) dial(t *testing.T) rawClient {
 	t.Helper()
 	client := dial(t, s.addr)
 	if s.roots != nil {
@@ -215,7 +217,7 @@
 	return client
 }
 
-// sendCall sends a call from the goroutine of a seam.
+// sendCall sends a call. It may be called on the goroutine of a hook, so it reports errors without ending the test.
 func sendCall(t testing.TB, client rawClient, bodySize int) {
 	frame := msgpackrpc.AppendCall(nil, 2, &msgpackrpc.Call{
 		ID: "r2", Class: "write", Timeout: time.Minute, Body: make([]byte, bodySize),
@@ -225,32 +227,33 @@
 	}
 }
 
-// awaitUnread waits until a part of a call has arrived.
-func (c *seamConn) awaitUnread(t testing.TB) {
+// awaitUnread waits until the socket has received bytes that have not been read.
+func (c *hookedConn) awaitUnread(t testing.TB) {
 	testkit.Await(t, "the call", func() bool { return sockets.Unread(c.tcp) > 0 })
 }
 
-// TestIdleEnd_CallsThatCrossIt has a call meet the end of its connection's idle time. One that has arrived before the
-// end is decided is answered; one that arrives later meets an orderly end, never a reset, and is counted.
-func TestIdleEnd_CallsThatCrossIt(t *testing.T) {
+// TestIdleEnd_ConcurrentCall sends a call while its connection reaches the idle timeout. If the call arrived before the
+// server decided to close the connection, it is answered. If it arrives later, the client sees an orderly end, never a
+// reset, and the loss is counted.
+func TestIdleEnd_ConcurrentCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		seam     func(c *seamConn) *func()
+		hook     func(c *hookedConn) *func()
 		isClosed bool
 		answered bool
 	}{
-		{"ahead of a late reader", func(c *seamConn) *func() { return &c.beforeIdleRead }, false, true},
-		{"after the read's deadline", func(c *seamConn) *func() { return &c.afterTimeout }, false, true},
-		{"between the last look and the close", func(c *seamConn) *func() { return &c.beforeEnd }, false, false},
-		{"after the close", func(c *seamConn) *func() { return &c.afterEnd }, true, false},
+		{"before a delayed read", func(c *hookedConn) *func() { return &c.beforeIdleRead }, false, true},
+		{"after the read's deadline", func(c *hookedConn) *func() { return &c.afterTimeout }, false, true},
+		{"between the last check and the close", func(c *hookedConn) *func() { return &c.beforeEnd }, false, false},
+		{"after the close", func(c *hookedConn) *func() { return &c.afterEnd }, true, false},
 	} {
 		for _, withTLS := range []bool{false, true} {
 			for _, bodySize := range []int{0, 60 << 10} {
 				t.Run(fmt.Sprintf("%s/TLS %v/%d bytes", test.name, withTLS, bodySize), func(t *testing.T) {
 					clients, sent := make(chan rawClient, 1), make(chan struct{})
 					config := Config{IdleTimeout: 50 * time.Millisecond}
-					server := startSeamServer(t, withTLS, &stubEngine{}, config, func(c *seamConn) {
-						*test.seam(c) = func() {
+					server := startHookedServer(t, withTLS, &stubEngine{}, config, func(c *hookedConn) {
+						*test.hook(c) = func() {
 							sendCall(t, <-clients, bodySize)
 							close(sent)
 							if !test.isClosed {
@@ -269,9 +272,9 @@
 	}
 }
 
-// checkIdleEnd checks that a client's second call is answered, or else that the connection ends without a reset and the
-// call is counted.
-func (s *seamServer) checkIdleEnd(t *testing.T, client rawClient, answered bool) {
+// checkIdleEnd checks that a client's second call is answered if answered is set, and otherwise that the connection ends
+// without a reset and the call is counted as lost.
+func (s *hookedServer) checkIdleEnd(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	want, wantCount := "EOF", uint64(1)
 	if answered {
@@ -281,19 +284,19 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	_ = client.Close()
-	testkit.Await(t, "the end", func() bool { return s.Stats().Conns == 0 })
+	testkit.Await(t, "the end of the connection", func() bool { return s.Stats().Conns == 0 })
 	if stats := s.Stats(); stats.IdleEnds != wantCount || stats.Incomplete+stats.Timeouts > 0 {
-		t.Errorf("%+v, want %d calls that met the end", stats, wantCount)
+		t.Errorf("%+v, want %d calls lost after the idle timeout", stats, wantCount)
 	}
 }
 
-// TestIdleEnd_MessageTimeout has the first bytes of a call arrive at the end of the idle time, and the client then send
-// byte by byte: the call has MessageTimeout from its first byte, and no more.
-func TestIdleEnd_MessageTimeout(t *testing.T) {
+// TestIdleEnd_MessageTimeoutOfLastCall sends the first byte of a call as the idle timeout expires, and the rest byte by
+// byte. The call has MessageTimeout from its first byte, and no longer.
+func TestIdleEnd_MessageTimeoutOfLastCall(t *testing.T) {
 	clients, sent := make(chan rawClient, 1), make(chan struct{})
 	config := Config{IdleTimeout: 50 * time.Millisecond, MessageTimeout: 300 * time.Millisecond}
 	var began time.Time
-	server := startSeamServer(t, false, &stubEngine{}, config, func(c *seamConn) {
+	server := startHookedServer(t, false, &stubEngine{}, config, func(c *hookedConn) {
 		c.afterTimeout = func() {
 			began = time.Now()
 			_, _ = (<-clients).Write([]byte{0x94})
@@ -304,12 +307,12 @@
 	client := server.dial(t)
 	clients <- client
 	testkit.Receive(t, "the first byte", sent)
-	if _, err := client.Write([]byte{0x00, 0x01, 0xdb, 0x00, 0x00, 0xff, 0xff}); err != nil { // a text of 65,535 bytes
+	if _, err := client.Write([]byte{0x00, 0x01, 0xdb, 0x00, 0x00, 0xff, 0xff}); err != nil { // a string of 65,535 bytes
 		t.Error(err)
 	}
-	dribbled := make(chan struct{})
+	clientDone := make(chan struct{})
 	go func() {
-		defer close(dribbled)
+		defer close(clientDone)
 		for {
 			if _, err := client.Write([]byte{'a'}); err != nil {
 				return
@@ -318,17 +321,18 @@
 		}
 	}()
 	if got := client.next(); strings.HasPrefix(got, "2 ") || time.Since(began) < config.MessageTimeout {
-		t.Errorf("got %q after %v, want the end after %v", got, time.Since(began), config.MessageTimeout)
+		t.Errorf("got %q after %v, want the end of the connection after %v", got, time.Since(began), config.MessageTimeout)
 	}
-	testkit.Receive(t, "the end of the client", dribbled)
-	testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 0 })
+	testkit.Receive(t, "the end of the client", clientDone)
+	testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 0 })
 	if stats := server.Stats(); stats.Timeouts != 1 || stats.IdleEnds > 0 {
 		t.Errorf("%+v, want a timeout", stats)
 	}
 }
 
-// TestIdleEnd_UnixSocket has a call arrive on a Unix socket before its reader, which is late, looks.
-func TestIdleEnd_UnixSocket(t *testing.T) {
+// TestIdleEnd_ReadsCallOnUnixSocket sends a call on a Unix socket, and starts the read only after the idle timeout: the
+// call is still read.
+func TestIdleEnd_ReadsCallOnUnixSocket(t *testing.T) {
 	address := filepath.Join(t.TempDir(), "socket")
 	ln, err := net.Listen("unix", address)
 	if err != nil {
@@ -357,19 +361,19 @@
 	c.closeSocket()
 }
 
-// TestIdleEnd_Descriptors ends connections whose clients do not close them. They hold no slots, and never more
-// descriptors than busy connections do.
-func TestIdleEnd_Descriptors(t *testing.T) {
+// TestIdleEnd_LimitsDescriptors lets connections reach the idle timeout whose clients do not close them. They hold no
+// slots, and there are never more open connections than with all slots and overflow connections in use.
+func TestIdleEnd_LimitsDescriptors(t *testing.T) {
 	const maxConns = 1
 	config := Config{MaxConns: maxConns, IdleTimeout: 20 * time.Millisecond}
-	server := startSeamServer(t, false, &stubEngine{}, config, func(*seamConn) {})
+	server := startHookedServer(t, false, &stubEngine{}, config, func(*hookedConn) {})
 	var clients []rawClient
 	for range 3 * (maxConns + overflowConns) {
 		clients = append(clients, server.dial(t))
 		if got := server.Stats().Conns; got > maxConns+overflowConns {
-			t.Fatalf("%d connections", got)
+			t.Fatalf("%d connections, over the limit", got)
 		}
-		testkit.Await(t, "the end of the idle time", func() bool {
+		testkit.Await(t, "the idle timeout", func() bool {
 			server.mu.Lock()
 			defer server.mu.Unlock()
 			return len(server.conns) == 0
@@ -379,18 +383,18 @@
 	for _, client := range clients {
 		_ = client.Close()
 	}
-	testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 0 })
+	testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 0 })
 	if stats := server.Stats(); stats.IdleEnds+stats.Evicted > 0 {
-		t.Errorf("%+v, want no calls that met an end", stats)
+		t.Errorf("%+v, want no evictions and no lost calls", stats)
 	}
 }
 
-// TestIdleEnd_ClosedOverUnreadCall closes a connection that lingers, in favour of another one, while a call that has
-// arrived is unread: the loss is counted.
-func TestIdleEnd_ClosedOverUnreadCall(t *testing.T) {
+// TestIdleEnd_CountsUnreadCallAtClose closes a lingering connection, as the server does to make room for another one,
+// while a call on it is unread. The lost call is counted.
+func TestIdleEnd_CountsUnreadCallAtClose(t *testing.T) {
 	clients, closed := make(chan rawClient, 1), make(chan struct{})
-	var server *seamServer
-	prepare := func(c *seamConn) {
+	var server *hookedServer
+	prepare := func(c *hookedConn) {
 		c.afterEnd = func() {
 			sendCall(t, <-clients, 0)
 			c.awaitUnread(t)
@@ -402,21 +406,22 @@
 			close(closed)
 		}
 	}
-	server = startSeamServer(t, false, &stubEngine{}, Config{IdleTimeout: 50 * time.Millisecond}, prepare)
+	server = startHookedServer(t, false, &stubEngine{}, Config{IdleTimeout: 50 * time.Millisecond}, prepare)
 	client := server.dial(t)
 	clients <- client
 	testkit.Receive(t, "the close", closed)
-	testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 0 })
+	testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 0 })
 	if stats := server.Stats(); stats.IdleEnds != 1 {
-		t.Errorf("%+v, want a call that met the end", stats)
+		t.Errorf("%+v, want one call lost after the idle timeout", stats)
 	}
 }
 
-// TestDrainLinger_DiscardsCalls has a call come after a drain has closed the write side: it is not run, and counted.
+// TestDrainLinger_DiscardsCalls sends a call after a drain has closed the write side of its connection. The call is not
+// run, and counted as lost.
 func TestDrainLinger_DiscardsCalls(t *testing.T) {
 	for _, bodySize := range []int{0, 60 << 10} {
 		clients, sent := make(chan rawClient, 1), make(chan struct{})
-		server := startSeamServer(t, false, &stubEngine{}, Config{}, func(c *seamConn) {
+		server := startHookedServer(t, false, &stubEngine{}, Config{}, func(c *hookedConn) {
 			c.afterEnd = func() {
 				sendCall(t, <-clients, bodySize)
 				close(sent)
@@ -428,9 +433,9 @@
 		testkit.Receive(t, "the call", sent)
 		client.expect(t, "drain", "EOF")
 		_ = client.Close()
-		testkit.Await(t, "the end", func() bool { return server.Stats().Conns == 0 })
+		testkit.Await(t, "the end of the connection", func() bool { return server.Stats().Conns == 0 })
 		if stats := server.Stats(); stats.DrainEnds != 1 || stats.Calls != 1 {
-			t.Errorf("%+v, want one call, and one that met the end", stats)
+			t.Errorf("%+v, want one received call, and one lost to the drain", stats)
 		}
 	}
 }
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -1,4 +1,4 @@
-// Package msgpack accepts requests over the protocol of docs/msgpack-rpc.md. Its Server is a router.Listener.
+// Package msgpack accepts requests over the protocol that docs/msgpack-rpc.md specifies. Its Server is a router.Listener.
 package msgpack
 
 import (
@@ -16,20 +16,20 @@
 	"cobaltward/router"
 )
 
-// Engine is what a server needs of a *router.Router. If it also has QueueTimeout or RejectOverloaded, as
-// *router.Router has, they are used.
+// Engine is the part of *router.Router that a server requires. If it also has the methods QueueTimeout and
+// RejectOverloaded of *router.Router, the server uses them.
 type Engine interface {
 	Do(ctx context.Context, req router.Request) (router.Answer, error)
 	Class(name string) (policy.Class, bool)
 }
 
-// Config limits what clients may use. Zero fields have the defaults.
+// Config limits the resources that clients may use. Fields that are zero have the stated defaults.
 type Config struct {
-	MaxConns       int           // connections; default 256
-	MaxCalls       int           // open calls on a connection, beyond which it is not read; default 64
-	IdleTimeout    time.Duration // of a connection without an open call; default 15s
+	MaxConns       int           // maximum of connections; default 256
+	MaxCalls       int           // open calls on a connection at which reading from it stops; default 64
+	IdleTimeout    time.Duration // limit for a connection without an open call; default 15s
 	MessageTimeout time.Duration // from the first byte of a message to its last; default 2.5s
-	WriteTimeout   time.Duration // of a write to a client that does not read; default 5s
+	WriteTimeout   time.Duration // limit for a write to a client that does not read; default 5s
 	Log            *slog.Logger  // nil: nothing is logged
 }
 
@@ -57,40 +57,40 @@
 	return value
 }
 
-// ErrClosed is what Serve returns after Shutdown, StopAccepting or Close.
+// ErrClosed is the error that Serve returns after Shutdown, StopAccepting or Close.
 var ErrClosed = errors.New("msgpack server: closed")
 
-// Server accepts calls. It is safe for concurrent use.
+// Server accepts connections and answers the calls that arrive on them. It is safe for concurrent use.
 type Server struct {
 	engine Engine
 	config Config
 
 	mu             sync.Mutex
-	slotFreed      sync.Cond              // a connection has ended or become idle, or accepting has stopped
-	waitingForSlot atomic.Int32           // connections
-	listeners      map[*net.Listener]bool // by pointer, because a listener's type need not be comparable
+	slotFreed      sync.Cond              // signals that a connection has ended or become idle, or that accepting has stopped
+	waitingForSlot atomic.Int32           // number of accepted connections that wait for a slot
+	listeners      map[*net.Listener]bool // keyed by pointer, because a listener's type need not be comparable
 	conns          map[*conn]bool
-	lingering      []*conn // evicted, or ended by the server and read for lingerTimeout; without a slot, oldest first
+	lingering      []*conn // evicted or ended by the server, not yet closed; they hold no slots; oldest first
 	draining       bool
 	closed         bool
-	serving        sync.WaitGroup // of the listeners and the connections
+	serving        sync.WaitGroup // counts the listeners and the connections that are served
 	stats          Stats
 }
 
-// Stats is what a server counts.
+// Stats holds the counters of a server.
 type Stats struct {
-	Conns, Open    int    // connections, also those that the server has ended, and open calls at present
-	Calls          uint64 // received
+	Conns, Open    int    // current connections, including those that linger, and current open calls
+	Calls          uint64 // calls received
 	ProtocolErrors uint64 // connections closed because the client violated the protocol
-	Timeouts       uint64 // connections closed because the rest of a message did not come in time
-	Incomplete     uint64 // connections that their clients closed within a message
-	Evicted        uint64 // connections ended in favour of others: idle ones, and stalled ones beyond the limit
+	Timeouts       uint64 // connections closed because a message was not complete in time
+	Incomplete     uint64 // connections that the client closed in the middle of a message
+	Evicted        uint64 // connections ended to free a slot: idle ones, and stalled overflow connections
 
-	// Connections on which a call, or a part of one, arrived without an answer after they had been ended, by cause. A
-	// connection that is counted here is not counted in Timeouts or Incomplete.
-	IdleEnds     uint64 // after the idle timeout
-	EvictionEnds uint64 // after the eviction, or as it began where the client had paused within a message
-	DrainEnds    uint64 // after the notification of a drain, and the time for calls that cross it
+	// The following fields count connections on which a call, or part of one, arrived after the server had ended them and
+	// was not answered, by the cause of the end. These connections are not counted in Timeouts or Incomplete.
+	IdleEnds     uint64 // ended after the idle timeout
+	EvictionEnds uint64 // ended by an eviction, possibly in the middle of a message on which the client had stalled
+	DrainEnds    uint64 // ended by a drain, after the time for late calls had passed
 }
 
 // New returns a server that passes calls to an engine.
@@ -105,10 +105,10 @@
 	return server
 }
 
-// acceptQueueDrainTimeout is how long a listener that closes waits for another connection.
+// acceptQueueDrainTimeout is how long a listener waits for a further queued connection before it closes.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
-// extendAcceptDeadline has Accept wait for acceptQueueDrainTimeout from now.
+// extendAcceptDeadline lets Accept wait for at most acceptQueueDrainTimeout from now.
 func extendAcceptDeadline(ln net.Listener) error {
 	listener, ok := ln.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -117,8 +117,8 @@
 	return listener.SetDeadline(time.Now().Add(acceptQueueDrainTimeout))
 }
 
-// Serve accepts connections until Shutdown, StopAccepting or Close, and then returns ErrClosed. It closes the listener.
-// After StopAccepting it still serves the connections in the accept queue.
+// Serve accepts connections until Shutdown, StopAccepting or Close is called, and then returns ErrClosed. It closes the
+// listener. After StopAccepting it first accepts the connections that are in the accept queue.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = sockets.NewPersistentListener(ln, s.config.Log)
 	defer func() { _ = ln.Close() }()
@@ -132,7 +132,7 @@
 		if err != nil {
 			queued, _ := sockets.HasQueuedConn(ln)
 			if errors.Is(err, os.ErrDeadlineExceeded) && queued && extendAcceptDeadline(ln) == nil {
-				continue // the system has accepted connections that a close would reset
+				continue // the kernel has accepted connections that closing the listener would reset
 			}
 			if s.isStopped() {
 				return ErrClosed
@@ -146,7 +146,7 @@
 	}
 }
 
-// addListener reports whether the listener may accept.
+// addListener registers a listener. It returns false if the server no longer accepts connections.
 func (s *Server) addListener(ln *net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	return true
 }
 
-// removeListener closes a listener. With the last one of a drain the clients are notified.
+// removeListener closes and removes a listener. During a drain, clients are notified once the last one is removed.
 func (s *Server) removeListener(ln *net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +168,7 @@
 	s.serving.Done()
 }
 
-// notifyDrainLocked notifies clients of a drain once no listener is open.
+// notifyDrainLocked notifies all clients of a drain if no listener is open. s.mu is held.
 func (s *Server) notifyDrainLocked() {
 	if !s.draining || len(s.listeners) > 0 {
 		return
@@ -184,7 +184,7 @@
 	return s.draining || s.closed
 }
 
-// Stats returns what the server has counted.
+// Stats returns the counters of the server.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +203,7 @@
 	*counter++
 }
 
-// Connections returns the number of connections, and of those that have an open call or an unwritten answer.
+// Connections returns the number of connections, and how many of them have an open call or an unwritten answer.
 func (s *Server) Connections() (open, busy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,8 +217,8 @@
 	return open, busy
 }
 
-// PendingFirstRequests returns the number of connections that have no answer yet, and whose first call is open or may
-// be on its way. During a drain a listener counts as one while its accept queue may not be empty.
+// PendingFirstRequests returns the number of connections on which no call has been answered and the first one is open
+// or may be on its way. During a drain it also counts each listener whose accept queue may not be empty.
 func (s *Server) PendingFirstRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,8 +234,8 @@
 	return pending
 }
 
-// Shutdown stops accepting, as StopAccepting does, and returns when all connections have ended. When ctx ends first, it
-// closes the others, and returns ctx's error.
+// Shutdown stops accepting, as StopAccepting does, and returns when all connections have ended. If ctx ends first, it
+// closes the remaining connections, and returns ctx's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StopAccepting()
 	err := s.AwaitEnd(ctx)
@@ -245,10 +245,10 @@
 	return err
 }
 
-// AwaitEnd returns when all connections have ended, or with ctx's error. The server must have stopped accepting.
+// AwaitEnd waits until all connections have ended or ctx ends. StopAccepting must have been called before.
 func (s *Server) AwaitEnd(ctx context.Context) error {
 	ended := make(chan struct{})
-	go func() { // ends at the latest with Close
+	go func() { // returns at the latest after Close
 		s.serving.Wait()
 		close(ended)
 	}()
@@ -260,9 +260,9 @@
 	}
 }
 
-// StopAccepting has the listeners close, once their accept queues are empty, and then clients be notified of the drain.
-// It does not wait. Calls that are open are answered, and each connection ends with its last answer. Calls that arrive
-// later are rejected, except for the first of a connection that had none: its client could not know of the drain.
+// StopAccepting starts a drain: the listeners close once their accept queues are empty, and then clients are notified.
+// It does not wait. Open calls are answered, and each connection ends with its last answer. Calls that arrive later are
+// rejected, except for the first call of a connection, because its client could not know of the drain.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,8 +276,8 @@
 	s.slotFreed.Broadcast()
 }
 
-// ResumeAccepting allows Serve to be called again, with another listener. Connections that were notified of the drain
-// still end with their last answer.
+// ResumeAccepting ends a drain, so that Serve can be called again with another listener. Connections that were notified
+// of the drain still end with their last answer.
 func (s *Server) ResumeAccepting() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +285,7 @@
 	return nil
 }
 
-// Close closes all listeners and connections, which cancels open calls, and waits for their end.
+// Close closes all listeners and connections, which cancels open calls, and waits until they have ended.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stubEngine answers calls by its function, and counts the open ones.
+// stubEngine answers each call with the result of do, or with the call's ID if do is nil. It counts the open calls.
 type stubEngine struct {
 	do   func(ctx context.Context, r router.Request) (router.Answer, error)
 	open atomic.Int64
@@ -44,8 +44,8 @@
 	return policy.Class{Name: name, Idempotency: policy.Idempotent}, name == "read"
 }
 
-// engineHeldUntil answers once until is closed, or the call is cancelled.
-func engineHeldUntil(until chan struct{}) func(context.Context, router.Request) (router.Answer, error) {
+// answerAfter returns a function for stubEngine.do that answers a call once until is closed or the call is cancelled.
+func answerAfter(until chan struct{}) func(context.Context, router.Request) (router.Answer, error) {
 	return func(ctx context.Context, r router.Request) (router.Answer, error) {
 		select {
 		case <-until:
@@ -67,14 +67,14 @@
 	go func() { served <- server.Serve(ln) }()
 	t.Cleanup(func() {
 		server.Close()
-		if err := testkit.Receive(t, "the end", served); !errors.Is(err, ErrClosed) {
+		if err := testkit.Receive(t, "the return of Serve", served); !errors.Is(err, ErrClosed) {
 			t.Error(err)
 		}
 	})
 	return server, ln.Addr().String()
 }
 
-// rawClient sends and receives single messages.
+// rawClient is a client that sends and receives single messages.
 type rawClient struct {
 	net.Conn
 	in *msgpackrpc.Reader
@@ -102,7 +102,7 @@
 	}
 }
 
-// next describes the next message, or the error in its place.
+// next returns a description of the next message, or the text of the error if there is none.
 func (r rawClient) next() string {
 	frame, err := r.in.Next()
 	if err != nil {
@@ -131,22 +131,22 @@
 	}
 }
 
-// A protocol violation is answered with an error notification and ends the connection, once its open calls have been
+// A protocol violation is answered with an error notification, and the connection ends once its open calls have been
 // answered. Other connections are not affected.
-func TestBadClients(t *testing.T) {
+func TestServe_ProtocolViolations(t *testing.T) {
 	until := make(chan struct{})
-	stub := &stubEngine{do: engineHeldUntil(until)}
+	stub := &stubEngine{do: answerAfter(until)}
 	_, addr := startServer(t, stub, Config{MessageTimeout: 300 * time.Millisecond})
 	good := dial(t, addr)
 	good.call(t, 1)
 	cases := map[string]struct{ send, want string }{
-		"4 billion elements":    {"\xdd\xff\xff\xff\xff", "error"},
-		"10,000 levels":         {strings.Repeat("\x91", 10_000), "error"},
-		"a text without an end": {"\x94\x00\x01\xdb\xff\xff\xff\xff", "error"},
-		"no array":              {"\x07", "error"},
-		"a response":            {"\x94\x01\x01\xc0\x80", "error"},
-		"a msgid in use":        {"", "error"},
-		"half a message":        {"\x94\x00\x01", ""},
+		"4 billion elements":   {"\xdd\xff\xff\xff\xff", "error"},
+		"10,000 levels":        {strings.Repeat("\x91", 10_000), "error"},
+		"an unfinished string": {"\x94\x00\x01\xdb\xff\xff\xff\xff", "error"},
+		"not an array":         {"\x07", "error"},
+		"a response":           {"\x94\x01\x01\xc0\x80", "error"},
+		"a msgid in use":       {"", "error"},
+		"half a message":       {"\x94\x00\x01", ""},
 	}
 	var ended sync.WaitGroup
 	for name, test := range cases {
@@ -162,9 +162,9 @@
 			got := []string{bad.next(), bad.next(), bad.next()}
 			switch {
 			case test.want == "" && (got[0] != "7 r7" || got[1] != "EOF"):
-				t.Errorf("%s: %q", name, got)
+				t.Errorf("%s: got %q, want the open call's answer and the end of the connection", name, got)
 			case test.want == "error" && (!strings.HasPrefix(got[0], "error ") || got[1] != "7 r7" || got[2] != "EOF"):
-				t.Errorf("%s: %q, want the reason, the open call's answer, and the end", name, got)
+				t.Errorf("%s: %q, want the reason, the open call's answer and the end of the connection", name, got)
 			}
 		})
 	}
@@ -177,10 +177,10 @@
 	good.expect(t, "2 r2")
 }
 
-// A connection without an open call is closed after the idle timeout, one with an open call is not.
-func TestIdleConnections(t *testing.T) {
+// A connection without an open call is closed after the idle timeout; a connection with one is not.
+func TestIdleTimeout_SparesOpenCalls(t *testing.T) {
 	until := make(chan struct{})
-	stub := &stubEngine{do: engineHeldUntil(until)}
+	stub := &stubEngine{do: answerAfter(until)}
 	_, addr := startServer(t, stub, Config{IdleTimeout: 100 * time.Millisecond})
 	idle, busy := dial(t, addr), dial(t, addr)
 	busy.call(t, 1)
@@ -190,14 +190,14 @@
 	busy.expect(t, "1 r1", "EOF")
 }
 
-// At the maximum of open calls nothing more is read, and a cancelled call frees its slot. Answers arrive in any order.
-func TestBackPressureAndCancel(t *testing.T) {
+// A connection with the maximum of open calls is not read, and a cancelled call is ended. Answers arrive in any order.
+func TestMaxCalls_BackpressureAndCancel(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: func(ctx context.Context, r router.Request) (router.Answer, error) {
 		if r.ID == "r3" {
 			return router.Answer{Body: []byte("quick")}, nil
 		}
-		return engineHeldUntil(until)(ctx, r)
+		return answerAfter(until)(ctx, r)
 	}}
 	server, addr := startServer(t, stub, Config{MaxCalls: 3})
 	client := dial(t, addr)
@@ -208,19 +208,19 @@
 		many = append(many, 100+id)
 	}
 	client.call(t, many...)
-	testkit.Await(t, "as many as may be open", func() bool { return stub.open.Load() == 3 })
+	testkit.Await(t, "the maximum of open calls", func() bool { return stub.open.Load() == 3 })
 	time.Sleep(20 * time.Millisecond)
 	if n := stub.open.Load(); n != 3 || server.Stats().Open > 4 {
-		t.Errorf("%d open, %+v", n, server.Stats())
+		t.Errorf("%d calls are open, want 3; %+v", n, server.Stats())
 	}
 	close(until)
 	for range 502 {
 		client.expect(t, " r")
 	}
-	if _, err := client.Write(msgpackrpc.AppendCancel(nil, 9)); err != nil { // of no open call: ignored
+	if _, err := client.Write(msgpackrpc.AppendCancel(nil, 9)); err != nil { // a cancel without an open call is ignored
 		t.Fatal(err)
 	}
-	stub.do = engineHeldUntil(make(chan struct{}))
+	stub.do = answerAfter(make(chan struct{}))
 	client.call(t, 10)
 	testkit.Await(t, "the call", func() bool { return stub.open.Load() == 1 })
 	if _, err := client.Write(msgpackrpc.AppendCancel(nil, 10)); err != nil {
@@ -230,16 +230,16 @@
 }
 
 func TestClientDisconnect_CancelsItsCalls(t *testing.T) {
-	stub := &stubEngine{do: engineHeldUntil(make(chan struct{}))}
+	stub := &stubEngine{do: answerAfter(make(chan struct{}))}
 	server, addr := startServer(t, stub, Config{})
 	client := dial(t, addr)
 	client.call(t, 1, 2, 3)
 	testkit.Await(t, "the calls", func() bool { return stub.open.Load() == 3 })
 	_ = client.Close()
-	testkit.Await(t, "their end", func() bool { return stub.open.Load() == 0 && server.Stats().Conns == 0 })
+	testkit.Await(t, "the end of the calls", func() bool { return stub.open.Load() == 0 && server.Stats().Conns == 0 })
 }
 
-// A client that does not read is disconnected after the write timeout; other clients are served meanwhile.
+// A client that does not read its answers is disconnected after the write timeout. Others are served meanwhile.
 func TestSlowReader_IsDisconnected(t *testing.T) {
 	stub := &stubEngine{do: func(context.Context, router.Request) (router.Answer, error) {
 		return router.Answer{Body: make([]byte, 60<<10)}, nil
@@ -262,10 +262,10 @@
 	testkit.Await(t, "the disconnect of the slow client", func() bool { return server.Stats().Conns == 1 })
 }
 
-// A connection beyond the maximum replaces the one that has been idle for longest, and waits if none is idle.
+// If all slots are in use, a new connection replaces the one that has been idle for longest, or waits if none is idle.
 func TestServe_EvictsIdleConnections(t *testing.T) {
 	until := make(chan struct{})
-	stub := &stubEngine{do: engineHeldUntil(until)}
+	stub := &stubEngine{do: answerAfter(until)}
 	server, addr := startServer(t, stub, Config{MaxConns: 2})
 	busy, quiet := dial(t, addr), dial(t, addr)
 	busy.call(t, 1)
@@ -278,18 +278,18 @@
 	fourth.call(t, 4)
 	time.Sleep(20 * time.Millisecond)
 	if stub.open.Load() != 2 {
-		t.Error("a connection beyond the bound was accepted beside two that are busy")
+		t.Error("a third connection was accepted while both slots were in use by busy ones")
 	}
 	close(until)
 	busy.expect(t, "1 r1")
 	fourth.expect(t, "4 r4")
 }
 
-// In a drain clients are notified, open calls are answered, calls that cross the notification are rejected, and each
-// connection ends with its last answer.
+// During a drain clients are notified, open calls are answered, and calls that arrive after the notification was sent
+// are rejected. Each connection ends with its last answer.
 func TestShutdown_AnswersOpenCalls(t *testing.T) {
 	until := make(chan struct{})
-	stub := &stubEngine{do: engineHeldUntil(until)}
+	stub := &stubEngine{do: answerAfter(until)}
 	server, addr := startServer(t, stub, Config{})
 	client, idle := dial(t, addr), dial(t, addr)
 	client.call(t, 1)
@@ -314,74 +314,74 @@
 	}
 }
 
-// A client waits in the accept queue as the server stops accepting: its first call is answered.
+// The first call is answered on a connection that is in the accept queue when the server stops accepting.
 func TestStopAccepting_ServesQueuedConnections(t *testing.T) {
 	stub := &stubEngine{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &heldListener{TCPListener: ln.(*net.TCPListener), proceed: make(chan struct{})}
+	held := &blockedListener{TCPListener: ln.(*net.TCPListener), proceed: make(chan struct{})}
 	server := New(stub, Config{})
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(held) }()
 	client := dial(t, ln.Addr().String())
 	testkit.Await(t, "Serve to accept", held.called.Load)
 	server.StopAccepting()
-	time.Sleep(2 * acceptQueueDrainTimeout) // the accept loop does not run
+	time.Sleep(2 * acceptQueueDrainTimeout) // the accept loop is blocked meanwhile
 	close(held.proceed)
 	client.call(t, 1)
-	received := []string{client.next(), client.next()} // the notification may come before the answer or after it
+	received := []string{client.next(), client.next()} // the drain notification may come before or after the answer
 	if !slices.Contains(received, "1 r1") || !slices.Contains(received, "drain ") {
 		t.Errorf("got %q, want an answer and the notification of the drain", received)
 	}
 	client.expect(t, "EOF")
 	_ = client.Close()
-	if err := testkit.Receive(t, "the end", served); !errors.Is(err, ErrClosed) {
+	if err := testkit.Receive(t, "the return of Serve", served); !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
 	server.Close()
 }
 
-// heldListener accepts nothing until it may proceed.
-type heldListener struct {
+// blockedListener is a listener whose Accept blocks until proceed is closed.
+type blockedListener struct {
 	*net.TCPListener
 	called  atomic.Bool
 	proceed chan struct{}
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockedListener) Accept() (net.Conn, error) {
 	l.called.Store(true)
 	<-l.proceed
 	return l.TCPListener.Accept()
 }
 
-// When the context of a shutdown ends first, open connections are closed, and their calls cancelled.
+// If the context of a shutdown ends first, open connections are closed and their calls cancelled.
 func TestShutdown_ClosesAtDeadline(t *testing.T) {
-	stub := &stubEngine{do: engineHeldUntil(make(chan struct{}))}
+	stub := &stubEngine{do: answerAfter(make(chan struct{}))}
 	server, addr := startServer(t, stub, Config{})
 	dial(t, addr).call(t, 1)
 	testkit.Await(t, "the call", func() bool { return stub.open.Load() == 1 })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) || stub.open.Load() != 0 {
-		t.Errorf("%v, %d open", err, stub.open.Load())
+		t.Errorf("got error %v and %d open calls, want a deadline error and none", err, stub.open.Load())
 	}
 }
 
-// Clients beside others that violate the protocol are served, and as quickly. NEIGHBOURS in the environment is a number
-// of rounds, in which the median ratio of the 99th percentiles may be 1.2 at most. Without it one round is run, and its
-// time is not checked.
+// Clients that violate the protocol do not slow down the others. The environment variable NEIGHBOURS sets a number of
+// rounds. The test then compares the 99th percentile of the latency with and without such clients; the median ratio must
+// not exceed 1.2. Without the variable it runs one round, and checks only that calls are answered.
 func TestNeighbours(t *testing.T) {
 	rounds, err := strconv.Atoi(os.Getenv("NEIGHBOURS"))
-	judged := err == nil && rounds > 0
-	if !judged {
+	limitChecked := err == nil && rounds > 0
+	if !limitChecked {
 		rounds = 1
 	}
 	stub := &stubEngine{}
 	_, addr := startServer(t, stub, Config{MaxConns: 64})
 	calls := uint32(200)
-	if judged {
+	if limitChecked {
 		calls = 3000
 	}
 	p99 := func() time.Duration {
@@ -421,25 +421,25 @@
 		cancel()
 		bad.Wait()
 		ratios = append(ratios, float64(busy)/float64(calm))
-		t.Logf("p99 %v alone, %v beside bad clients", calm, busy)
+		t.Logf("p99 latency: %v without bad clients, %v with them", calm, busy)
 	}
-	if slices.Sort(ratios); judged && ratios[rounds/2] > 1.2 {
-		t.Errorf("ratios %.2f", ratios)
+	if slices.Sort(ratios); limitChecked && ratios[rounds/2] > 1.2 {
+		t.Errorf("p99 ratios %.2f, want a median of 1.2 at most", ratios)
 	}
 }
 
-// The server is full of connections whose calls hang, or are incomplete. Calls of further clients are rejected as
-// overloaded in time.
-func TestCrowdOfBusyCallersDelaysNoAnswer(t *testing.T) {
+// All slots are in use by connections with open calls, and further connections are idle or have sent part of a message.
+// Calls of other clients are still rejected as overloaded in time.
+func TestServe_RejectsCallsInTimeWhenFull(t *testing.T) {
 	const busy, soon = 2, 600 * time.Millisecond
 	for _, partial := range []bool{false, true} {
 		release := make(chan struct{})
-		stub := &stubEngine{do: engineHeldUntil(release)}
+		stub := &stubEngine{do: answerAfter(release)}
 		_, addr := startServer(t, stub, Config{MaxConns: busy})
 		for i := range uint32(busy) {
 			dial(t, addr).call(t, i)
 		}
-		testkit.Await(t, "the crowd", func() bool { return stub.open.Load() == busy })
+		testkit.Await(t, "the open calls", func() bool { return stub.open.Load() == busy })
 		for range 2 * busy {
 			if client := dial(t, addr); partial {
 				_, _ = client.Write([]byte{0x94}) // the first byte of a message
@@ -450,7 +450,7 @@
 			client.call(t, i)
 			_ = client.SetDeadline(time.Now().Add(soon))
 			if got := client.next(); !strings.Contains(got, string(msgpackrpc.Overloaded)) {
-				t.Errorf("partial %v: client %d got %q, want overloaded", partial, i, got)
+				t.Errorf("partial messages %v: client %d got %q, want overloaded", partial, i, got)
 			}
 		}
 		close(release)
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// overflowConns is how many connections are accepted beyond MaxConns for their calls to be rejected.
+	// overflowConns is how many connections are accepted beyond MaxConns, in order to reject their calls with an answer.
 	overflowConns = 4
-	// firstCallGrace is how long an overflow connection is not evicted before its first call has arrived.
+	// firstCallGrace is how long an overflow connection without a call, or in the middle of one, is protected from
+	// eviction.
 	firstCallGrace = 100 * time.Millisecond
-	// slotRecheckInterval is the shortest time between two checks whether an overflow connection may be accepted.
+	// slotRecheckInterval is the shortest interval between checks whether an overflow connection may be accepted.
 	slotRecheckInterval = 5 * time.Millisecond
-	// defaultQueueTimeout is how long connections wait for a slot if the engine has no QueueTimeout.
+	// defaultQueueTimeout is how long a connection waits for a slot if the engine has no method QueueTimeout.
 	defaultQueueTimeout = 300 * time.Millisecond
 )
 
-// admit starts serving a connection that did not arrive before earliest. If there are too many, it waits until one of
-// them ends or can be evicted. It returns false if the server stops meanwhile.
+// admit starts serving a connection that arrived at earliest or later. If all slots are in use, it waits until a
+// connection ends or can be evicted, or until overflow connections are accepted. It returns false if the server is
+// closed meanwhile.
 func (s *Server) admit(nc net.Conn, earliest time.Time) bool {
 	conn := newConn(s, nc, earliest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waitingForSlot.Add(1) // before evict looks for idle connections, so that none becomes idle unnoticed
+	s.waitingForSlot.Add(1) // before evict searches, so that connIdle reports a connection that becomes idle afterwards
 	s.awaitSlot(conn, earliest)
 	s.waitingForSlot.Add(-1)
 	if s.closed {
 		return false
 	}
 	s.conns[conn] = true
-	s.boundLingering()
+	s.limitLingering()
 	s.serving.Go(conn.serve)
 	return true
 }
 
 // awaitSlot waits until there is a slot for a connection. After the engine's queue timeout, up to overflowConns
-// connections are accepted without a slot, and their calls rejected: clients in the listen backlog get an answer in
-// time.
+// connections are accepted without a slot and their calls rejected, so that clients in the listen backlog get an answer
+// in time.
 func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
 	for len(s.conns) >= s.config.MaxConns && !s.draining && !s.closed {
 		if s.evict() {
@@ -58,8 +60,8 @@
 	}
 }
 
-// waitingSince returns since when the client of an accepted connection has lost time. The connection did not arrive
-// before earliest.
+// waitingSince returns the time since which an accepted connection's client has been waiting for the server. The
+// connection arrived at earliest or later.
 func (c *conn) waitingSince(earliest time.Time) time.Time {
 	switch nc := c.nc.(type) {
 	case *net.TCPConn:
@@ -77,7 +79,8 @@
 	return defaultQueueTimeout
 }
 
-// rejectsOverflow reports whether a connection is an overflow connection, and still has no slot.
+// rejectsOverflow reports whether a connection is an overflow connection and must reject calls. If a slot has become
+// free since, the connection stops being an overflow connection.
 func (s *Server) rejectsOverflow(conn *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +88,7 @@
 	return conn.overflow
 }
 
-// overloadedReply is the answer to a call on an overflow connection.
+// overloadedReply returns the reply that rejects a call because the server has no slot for its connection.
 func (s *Server) overloadedReply(class string) msgpackrpc.Reply {
 	answer := router.Answer{Outcome: router.Overloaded}
 	if engine, ok := s.engine.(interface {
@@ -96,22 +99,22 @@
 	return ReplyFromAnswer(answer, nil)
 }
 
-// recheckSlots has awaitSlot check its conditions again.
+// recheckSlots wakes awaitSlot, so that it checks its conditions again.
 func (s *Server) recheckSlots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slotFreed.Broadcast()
 }
 
-// connIdle is called when a connection has become idle, and may be evicted.
+// connIdle is called when a connection has become idle, so that it may be evicted for a waiting one.
 func (s *Server) connIdle() {
 	if s.waitingForSlot.Load() > 0 {
 		s.recheckSlots()
 	}
 }
 
-// evict frees the slot of the connection that has been idle for longest. One on which something has arrived is evicted
-// only if there is no other. It returns false if none is idle. s.mu is held.
+// evict frees the slot of the connection that has been idle for longest. It selects a connection with unread bytes only
+// if all idle connections have some. It returns false if no connection may be evicted. s.mu is held.
 func (s *Server) evict() bool {
 	oldest := s.longestIdle(false)
 	if oldest == nil {
@@ -127,8 +130,8 @@
 	return true
 }
 
-// longestIdle returns the connection that may be evicted and has been idle for longest; nil if there is none.
-// includeUnread includes those on which something has arrived that is not read. s.mu is held.
+// longestIdle returns, of the connections that may be evicted, the one that has been idle for longest; nil if there is
+// none. includeUnread includes connections with unread bytes. s.mu is held.
 func (s *Server) longestIdle(includeUnread bool) *conn {
 	var oldest *conn
 	var oldestIdleSince time.Time
@@ -141,7 +144,7 @@
 	return oldest
 }
 
-// linger frees the slot of a connection that the server has ended, and that is still read, if it has one.
+// linger frees the slot, if any, of a connection whose write side the server has closed but which it still reads.
 func (s *Server) linger(conn *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,23 +154,23 @@
 	}
 }
 
-// freeSlot makes a connection that has ended, or is evicted, a lingering one. s.mu is held.
+// freeSlot moves a connection that the server has ended or evicted to the lingering ones. s.mu is held.
 func (s *Server) freeSlot(conn *conn) {
 	delete(s.conns, conn)
 	s.lingering = append(s.lingering, conn)
-	s.boundLingering()
+	s.limitLingering()
 }
 
-// boundLingering closes the lingering connections that ended first, so that there are never more connections than with
-// all slots and overflowConns in use. s.mu is held.
-func (s *Server) boundLingering() {
+// limitLingering closes the oldest lingering connections, so that there are never more than MaxConns+overflowConns
+// connections in total. s.mu is held.
+func (s *Server) limitLingering() {
 	for len(s.lingering) > 0 && len(s.conns)+len(s.lingering) > s.config.MaxConns+overflowConns {
 		s.lingering[0].closeLingering()
 		s.lingering = slices.Delete(s.lingering, 0, 1)
 	}
 }
 
-// release frees the slot of a connection that has ended.
+// release removes a connection that has ended, and wakes awaitSlot.
 func (s *Server) release(conn *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
