--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// takeQueued removes and returns the queued notifications, encoded, and the queued answers. It reuses the given buffers.
+// takeQueued removes and returns the queued notifications, encoded, and the queued answers. It reuses both buffers.
 func (c *conn) takeQueued(buf []byte, batch []answer) ([]byte, []answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -67,7 +67,10 @@
 func TestEvict_ConcurrentCall(t *testing.T) {
 	for _, test := range []evictionCase{
 		{name: "before a delayed read", hook: func(c *hookedConn) *func() { return &c.beforeIdleRead }, readerHeld: true},
-		{name: "read, not handled", hook: func(c *hookedConn) *func() { return &c.afterIdleRead }, readerHeld: true, callSent: true},
+		{
+			name: "read, not handled", hook: func(c *hookedConn) *func() { return &c.afterIdleRead },
+			readerHeld: true, callSent: true,
+		},
 		{name: "between the last check and the close", hook: func(c *hookedConn) *func() { return &c.beforeEnd }},
 		{name: "after the close", hook: func(c *hookedConn) *func() { return &c.afterEnd }, afterClose: true},
 	} {
@@ -192,8 +195,8 @@
 	}
 }
 
-// TestEvict_OverflowConnectionWithStalledMessage evicts an overflow connection whose client has stalled in the middle of
-// its first message. The client sees an orderly end, and the loss is counted as one of an eviction.
+// TestEvict_OverflowConnectionWithStalledMessage evicts an overflow connection whose client has stalled in the middle
+// of its first message. The client sees an orderly end, and the loss is counted as one of an eviction.
 func TestEvict_OverflowConnectionWithStalledMessage(t *testing.T) {
 	held := make(chan struct{})
 	server := startHookedServer(t, false, &stubEngine{do: answerAfter(held)}, Config{MaxConns: 1}, func(*hookedConn) {})
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// checkIdleEnd checks that a client's second call is answered if answered is set, and otherwise that the connection ends
-// without a reset and the call is counted as lost.
+// checkIdleEnd checks that a client's second call is answered if answered is set, and otherwise that the connection
+// ends without a reset and the call is counted as lost.
 func (s *hookedServer) checkIdleEnd(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	want, wantCount := "EOF", uint64(1)
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -1,4 +1,4 @@
-// Package msgpack accepts requests over the protocol that docs/msgpack-rpc.md specifies. Its Server is a router.Listener.
+// Package msgpack accepts requests over the protocol specified in docs/msgpack-rpc.md. Its Server is a router.Listener.
 package msgpack
 
 import (
@@ -66,7 +66,7 @@
 	config Config
 
 	mu             sync.Mutex
-	slotFreed      sync.Cond              // signals that a connection has ended or become idle, or that accepting has stopped
+	slotFreed      sync.Cond              // signaled when a connection ends or becomes idle, and when accepting stops
 	waitingForSlot atomic.Int32           // number of accepted connections that wait for a slot
 	listeners      map[*net.Listener]bool // keyed by pointer, because a listener's type need not be comparable
 	conns          map[*conn]bool
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -370,8 +370,8 @@
 }
 
 // Clients that violate the protocol do not slow down the others. The environment variable NEIGHBOURS sets a number of
-// rounds. The test then compares the 99th percentile of the latency with and without such clients; the median ratio must
-// not exceed 1.2. Without the variable it runs one round, and checks only that calls are answered.
+// rounds, in each of which the test compares the 99th percentile of the latency with and without such clients; the
+// median ratio must not exceed 1.2. Without the variable it runs one round, and checks only that calls are answered.
 func TestNeighbours(t *testing.T) {
 	rounds, err := strconv.Atoi(os.Getenv("NEIGHBOURS"))
 	limitChecked := err == nil && rounds > 0
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -12,55 +12,55 @@
 	"cobaltward/handshakes"
 )
 
-// Conn is a TLS connection of a client. One goroutine may read while another writes; all other methods are safe for
-// concurrent use.
+// Conn is the server's side of a client's TLS connection. One goroutine may read while another writes; all other
+// methods are safe for concurrent use.
 type Conn struct {
 	terminator      *Terminator
 	tcp             *net.TCPConn
 	onHandshakeDone func()                          // may be nil
 	onReceive       func()                          // may be nil
-	transport       atomic.Pointer[handshakes.Conn] // between tls and tcp; nil before the handshake
+	transport       atomic.Pointer[handshakes.Conn] // wraps tcp and carries tls; nil before the handshake
 
 	handshakeMu sync.Mutex  // held during the handshake
-	done        atomic.Bool // the handshake has succeeded or failed; the next three are constant from then on
+	done        atomic.Bool // the handshake has succeeded or failed; tls, err and peerNames do not change any more
 	tls         *tls.Conn
-	err         error // of a failed handshake
+	err         error // error of a failed handshake; nil otherwise
 	peerNames   []string
 
 	deadlineMu   sync.Mutex
-	readDeadline time.Time // as set by SetReadDeadline, shifted by the duration of the handshake
+	readDeadline time.Time // set by SetReadDeadline; the end of the handshake adds the handshake's duration
 }
 
 var _ net.Conn = (*Conn)(nil)
 
-// OnReceive has f called after each read beyond the handshake that returned bytes, whether or not they can be decrypted
-// yet. It must be called before the first Read.
+// OnReceive registers f to be called after each read that returned bytes after the handshake, whether or not they can
+// be decrypted yet. It must be called before the first Read.
 func (c *Conn) OnReceive(f func()) { c.onReceive = f }
 
-// Handshaking reports whether the handshake has neither succeeded nor failed, or has not begun.
+// Handshaking reports whether the handshake has not yet succeeded or failed; it may not even have begun.
 func (c *Conn) Handshaking() bool { return !c.done.Load() }
 
-// HandshakeOnCPU reports whether the handshake is waiting for the CPU, using it, or has just used it. If not, it waits
-// for the client.
+// HandshakeOnCPU reports whether the handshake is waiting for the CPU, using it, or has just used it. Otherwise an
+// unfinished handshake waits for the client.
 func (c *Conn) HandshakeOnCPU() bool {
 	transport := c.transport.Load()
 	return c.Handshaking() && transport != nil && transport.IsComputing()
 }
 
-// NothingReceived reports whether the handshake is not done, and the client has sent nothing yet.
+// NothingReceived reports whether the handshake is not done and no byte has been received from the client.
 func (c *Conn) NothingReceived() bool {
 	transport := c.transport.Load()
 	return c.Handshaking() && (transport == nil || !transport.HasReceived())
 }
 
-// WithinRecord reports whether a part of a record has been read, but not the rest.
+// WithinRecord reports whether a TLS record has been read in part.
 func (c *Conn) WithinRecord() bool {
 	transport := c.transport.Load()
 	return transport != nil && transport.WithinRecord()
 }
 
-// PeerNames returns the names of the client's certificate: URIs, DNS names, then the common name. It returns nil if the
-// client has presented none, or the handshake is not done.
+// PeerNames returns the names in the client's certificate: URIs, DNS names, then the common name. It returns nil if the
+// client has presented no certificate, or the handshake is not done.
 func (c *Conn) PeerNames() []string {
 	if c.Handshaking() {
 		return nil
@@ -71,7 +71,7 @@
 // isEstablished reports whether the handshake has succeeded.
 func (c *Conn) isEstablished() bool { return c.done.Load() && c.err == nil }
 
-// Read implements net.Conn. The first Read or Write makes the handshake; a failed handshake reads as io.EOF.
+// Read implements net.Conn. The first Read or Write performs the handshake. After a failed one Read returns io.EOF.
 func (c *Conn) Read(p []byte) (int, error) {
 	if err := c.ensureHandshake(); err != nil {
 		return 0, err
@@ -121,8 +121,8 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline implements net.Conn. During the handshake the handshake's own deadline applies, and t later, shifted
-// by the duration of the handshake.
+// SetReadDeadline implements net.Conn. The handshake has its own deadline. A deadline that is set before the handshake
+// is done applies afterwards, later by the duration of the handshake.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -146,12 +146,12 @@
 
 type connKey struct{}
 
-// WithConn attaches the connection to the context of its requests, for http.Server.ConnContext.
+// WithConn adds the connection to the context of its requests, for use in http.Server.ConnContext.
 func WithConn(ctx context.Context, c *Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// PeerNames returns what Conn.PeerNames does for the connection of a request; nil if its context has none.
+// PeerNames returns Conn.PeerNames of the connection that WithConn added to the context; nil if there is none.
 func PeerNames(ctx context.Context) []string {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		return c.PeerNames()
--- a/internal/frontend/secure/handshake.go
+++ b/internal/frontend/secure/handshake.go
@@ -13,7 +13,7 @@
 	"cobaltward/handshakes"
 )
 
-// ensureHandshake makes the handshake if that has not been done, and returns its error.
+// ensureHandshake performs the handshake if it has not been performed yet, and returns its error.
 func (c *Conn) ensureHandshake() error {
 	if c.done.Load() {
 		return c.err
@@ -36,13 +36,14 @@
 	return err
 }
 
-// handshake makes the handshake. A failure is counted, and returned as io.EOF: no request can be read or answered.
+// handshake performs the handshake and counts its outcome. It returns any failure as io.EOF, because no request can be
+// read or answered.
 func (c *Conn) handshake() error {
 	term := c.terminator
 	began := time.Now()
 	deadline := began.Add(term.config.Timeout)
 	transport := handshakes.NewConn(c.tcp, term.config.CPU, false, deadline, nil)
-	_ = transport.SetDeadline(deadline) // fails only after a close
+	_ = transport.SetDeadline(deadline) // fails only if the connection is closed
 	transport.AbortIfPeerCloses, transport.TrackRecords = true, true
 	c.transport.Store(transport)
 	conn := tls.Server(transport, term.tlsConfig)
@@ -61,20 +62,20 @@
 	return nil
 }
 
-// endHandshake replaces the handshake's deadline by those of the caller, and sets done.
+// endHandshake replaces the handshake's deadlines by the read deadline that the caller has set, and sets done.
 func (c *Conn) endHandshake(elapsed time.Duration) {
 	_ = c.tcp.SetWriteDeadline(time.Time{})
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
-	if !c.readDeadline.IsZero() { // the time for a request's head begins when the connection is established
+	if !c.readDeadline.IsZero() { // the time limit for a request's head starts after the handshake
 		c.readDeadline = c.readDeadline.Add(elapsed)
 	}
 	_ = c.transport.Load().SetReadDeadline(c.readDeadline)
 	c.done.Store(true)
 }
 
-// failureReason returns the key under which Stats.Failures counts a failed handshake. A client that sends plain HTTP is
-// answered.
+// failureReason returns the key under which Stats.Failures counts a failed handshake. To a client that sent plain HTTP
+// it also sends an error response.
 func (c *Conn) failureReason(err error) string {
 	var header tls.RecordHeaderError
 	var netErr net.Error
@@ -99,7 +100,7 @@
 	return "no agreement"
 }
 
-// rejectPlainHTTP answers a request that was sent without TLS, unless that would block.
+// rejectPlainHTTP answers a request without TLS with status 400, unless the write would block.
 func (c *Conn) rejectPlainHTTP() {
 	const body = "this port takes TLS alone\n"
 	response := fmt.Sprintf("HTTP/1.1 400 Bad Request\r\n"+
@@ -109,7 +110,7 @@
 	_, _ = transport.Write([]byte(response))
 }
 
-// isHTTP reports whether the first bytes of a connection begin an HTTP request.
+// isHTTP reports whether the first bytes of a connection are the start of an HTTP request.
 func isHTTP(head [5]byte) bool {
 	switch string(head[:]) {
 	case "GET /", "HEAD ", "POST ", "PUT /", "OPTIO", "DELET", "PATCH":
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -1,6 +1,6 @@
-// Package secure terminates TLS towards clients. It selects the certificate by server name, resumes sessions, and
-// verifies client certificates, whose names identify the client. The first Read or Write of a connection makes its
-// handshake; package handshakes limits the CPU time that handshakes use.
+// Package secure terminates the TLS connections of clients. It selects the certificate by server name, resumes
+// sessions, and verifies client certificates, whose names identify the client. The first Read or Write of a connection
+// performs its handshake; package handshakes limits the CPU time that handshakes use.
 package secure
 
 import (
@@ -24,14 +24,14 @@
 
 // Config configures a Terminator.
 type Config struct {
-	Certificates *certificates.Store   // of the listener; required
-	Trust        *certificates.Store   // CAs of client certificates; nil: clients are not asked for one
-	Require      bool                  // reject clients without a certificate; needs Trust
-	Tickets      *certificates.Tickets // nil: keys of the process
-	TLS12        bool                  // accept TLS 1.2 as well as 1.3
-	ALPN         []string
-	Timeout      time.Duration            // of a handshake; 0: DefaultTimeout
-	CPU          *handshakes.CPUScheduler // runs the computations of handshakes
+	Certificates *certificates.Store      // certificates of the listener; required
+	Trust        *certificates.Store      // authorities of client certificates; nil: no client certificate is requested
+	Require      bool                     // reject clients without a certificate; needs Trust
+	Tickets      *certificates.Tickets    // keys of session tickets; nil: keys that only this process has
+	TLS12        bool                     // accept TLS 1.2 as well as 1.3
+	ALPN         []string                 // application protocols, in order of preference
+	Timeout      time.Duration            // limit for a handshake; 0: DefaultTimeout
+	CPU          *handshakes.CPUScheduler // schedules the computations of handshakes
 	Log          *slog.Logger             // nil: nothing is logged
 }
 
@@ -43,8 +43,8 @@
 	mu         sync.Mutex
 	full       handshakes.Histogram
 	resumed    handshakes.Histogram
-	failures   map[string]uint64 // by reason
-	inProgress atomic.Int64      // handshakes
+	failures   map[string]uint64 // failed handshakes, by reason
+	inProgress atomic.Int64      // number of handshakes in progress
 }
 
 // New returns a terminator, or an error if the configuration is incomplete.
@@ -71,7 +71,7 @@
 	if config.TLS12 {
 		term.tlsConfig.MinVersion = tls.VersionTLS12
 	}
-	switch { // verifyClient verifies, in resumed sessions too, by the authorities that are trusted at that time
+	switch { // verifyClient verifies the certificate, also in resumed sessions, by the authorities trusted at that time
 	case config.Require:
 		term.tlsConfig.ClientAuth = tls.RequireAnyClientCert
 	case config.Trust != nil:
@@ -81,22 +81,22 @@
 	return term, nil
 }
 
-// ReloadTicketKeys uses the current keys of Config.Tickets for session tickets from now on.
+// ReloadTicketKeys switches to the current keys of Config.Tickets.
 func (t *Terminator) ReloadTicketKeys() {
 	if t.config.Tickets != nil {
 		t.tlsConfig.SetSessionTicketKeys(t.config.Tickets.Keys())
 	}
 }
 
-// errUntrustedClient says that a client certificate could not be verified.
+// errUntrustedClient is the reason for rejecting a client certificate that could not be verified.
 var errUntrustedClient = errors.New("client certificate is not trusted")
 
 func (t *Terminator) verifyClient(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return nil // crypto/tls has rejected this if a certificate is required
+		return nil // allowed: if a certificate were required, crypto/tls would have rejected the client
 	}
-	pool := t.config.Trust.Set().Pool // Trust is not nil, because a certificate was requested
-	if pool == nil {                  // no authority is known yet; a nil pool would mean the system's authorities
+	pool := t.config.Trust.Set().Pool // Trust is not nil if a certificate was requested
+	if pool == nil {                  // no authority is known yet; Verify would use the system's pool instead of nil
 		return errUntrustedClient
 	}
 	options := x509.VerifyOptions{
@@ -113,14 +113,13 @@
 	return nil
 }
 
-// Wrap returns a connection that uses TLS over tcp. Nothing is read before its first Read or Write. onHandshakeDone, if
-// it is not nil, is called once, when the handshake has succeeded or failed.
+// Wrap returns a connection that uses TLS over tcp. It reads nothing before the first Read or Write. onHandshakeDone,
+// if not nil, is called once, when the handshake has succeeded or failed.
 func (t *Terminator) Wrap(tcp *net.TCPConn, onHandshakeDone func()) *Conn {
 	return &Conn{terminator: t, tcp: tcp, onHandshakeDone: onHandshakeDone}
 }
 
-// Listener returns a listener that wraps the TCP connections it accepts. Others, of Unix sockets, it returns as they
-// are.
+// Listener returns a listener that wraps each accepted TCP connection. Connections of Unix sockets are not wrapped.
 func (t *Terminator) Listener(ln net.Listener) net.Listener { return &listener{ln, t} }
 
 type listener struct {
@@ -157,15 +156,15 @@
 	return inner.SyscallConn()
 }
 
-// Stats counts handshakes.
+// Stats counts the handshakes of a Terminator by outcome.
 type Stats struct {
 	Full       handshakes.Histogram `json:"full"`
 	Resumed    handshakes.Histogram `json:"resumed"`
-	Failures   map[string]uint64    `json:"failures,omitempty"` // by reason
+	Failures   map[string]uint64    `json:"failures,omitempty"` // failed handshakes, by reason
 	InProgress int64                `json:"going"`
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (t *Terminator) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is a directory with the files of a listener.
+// fixture is a directory with the certificate files of a listener, and the authority that issues them.
 type fixture struct {
 	t   testing.TB
 	dir string
@@ -52,7 +52,7 @@
 	f.write(dir+"/key.pem", p.KeyPEM())
 }
 
-// certificates reads the certificates issued so far.
+// certificates opens a store of the certificates issued so far.
 func (f *fixture) certificates() *certificates.Store {
 	return f.store(certificates.Sources{Dir: f.path("certs")})
 }
@@ -66,7 +66,7 @@
 	return s
 }
 
-func (f *fixture) writeTrust(clients ...*pki.Authority) {
+func (f *fixture) writeTrustedCAs(clients ...*pki.Authority) {
 	var all []*x509.Certificate
 	for _, a := range clients {
 		all = append(all, a.Cert)
@@ -74,7 +74,7 @@
 	f.write("clients.pem", pki.PEM(all...))
 }
 
-// startServer answers each line with the names of the client's certificate, until the test ends.
+// startServer starts a TLS server that answers each line with the names in the client's certificate.
 func startServer(t testing.TB, c Config) (*Terminator, string) {
 	t.Helper()
 	l, err := New(c)
@@ -95,8 +95,8 @@
 	})
 }
 
-// request opens a connection, sends a line and returns the answer.
-func request(addr string, conf *tls.Config) (answer string, state tls.ConnectionState, err error) {
+// exchangeLine opens a connection, sends one line and returns the answer.
+func exchangeLine(addr string, conf *tls.Config) (answer string, state tls.ConnectionState, err error) {
 	c, err := tls.DialWithDialer(&net.Dialer{Timeout: testkit.MaxWait}, "tcp", addr, conf)
 	if err != nil {
 		return "", state, err
@@ -110,8 +110,8 @@
 	return strings.TrimSpace(answer), c.ConnectionState(), err
 }
 
-// The certificate is selected by server name. An unknown name, protocol or version fails the handshake.
-func TestCertificateSelection(t *testing.T) {
+// The certificate is selected by server name. An unknown server name, protocol or TLS version fails the handshake.
+func TestHandshake_SelectsCertificateByServerName(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
 	fixture.issue("certs/b", "*.b.example")
@@ -119,7 +119,7 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(fixture.ca.Cert)
 	for name, want := range map[string]string{"a.example": "a.example", "x.b.example": "*.b.example"} {
-		_, state, err := request(addr, &tls.Config{RootCAs: pool, ServerName: name})
+		_, state, err := exchangeLine(addr, &tls.Config{RootCAs: pool, ServerName: name})
 		if err != nil || !slices.Contains(state.PeerCertificates[0].DNSNames, want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -129,14 +129,14 @@
 		{RootCAs: pool, ServerName: "a.example", NextProtos: []string{"h9"}},
 		{RootCAs: pool, ServerName: "a.example", MaxVersion: tls.VersionTLS12},
 	} {
-		if _, _, err := request(addr, conf); err == nil {
+		if _, _, err := exchangeLine(addr, conf); err == nil {
 			t.Errorf("%+v: accepted", conf)
 		}
 	}
-	testkit.Await(t, "the count of all three", func() bool { return terminator.Stats().Failures["no agreement"] == 3 })
+	testkit.Await(t, "the three failures", func() bool { return terminator.Stats().Failures["no agreement"] == 3 })
 }
 
-// A client that sends plain HTTP gets a 400. Other bytes, and silence, end the connection.
+// A client that sends plain HTTP gets status 400. One that sends other bytes, or nothing, is disconnected.
 func TestHandshake_ClientWithoutTLS(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -153,18 +153,18 @@
 		}
 		_ = nc.SetDeadline(time.Now().Add(testkit.MaxWait))
 		_, _ = io.WriteString(nc, test.send)
-		got, _ := io.ReadAll(nc) // it ends
+		got, _ := io.ReadAll(nc) // returns when the server closes the connection
 		_ = nc.Close()
 		if !strings.HasPrefix(string(got), test.want) {
-			t.Errorf("%q: got %q", test.send, got)
+			t.Errorf("sent %q: got %q", test.send, got)
 		}
 		testkit.Await(t, test.why, func() bool { return terminator.Stats().Failures[test.why] > 0 })
 	}
 	testkit.Await(t, "the end of all handshakes", func() bool { return terminator.Stats().InProgress == 0 })
 }
 
-// A session can be resumed at another node that shares the file of ticket keys, also after a rotation, until its key
-// has been removed.
+// A session can be resumed at another node that shares the file of ticket keys, also after a rotation, as long as the
+// key of its ticket is known there.
 func TestSessionTickets_SharedByNodes(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -204,15 +204,15 @@
 	}{
 		{func() {}, 0, false},
 		{func() {}, 1, true},
-		{func() { rotate(); read(1) }, 1, true}, // encrypted by the previous key
-		{func() {}, 0, true},                    // encrypted by the next key, which this node has had from the start
+		{func() { rotate(); read(1) }, 1, true}, // encrypted with the previous key
+		{func() {}, 0, true},                    // encrypted with the next key, which this node has known from the start
 		{func() { read(0) }, 1, true},
 		{func() { terminators[0].tlsConfig.SetSessionTicketKeys([][32]byte{{1}}) }, 0, false},
 	} {
 		step.do()
-		_, state, err := request(nodes[step.node], conf)
+		_, state, err := exchangeLine(nodes[step.node], conf)
 		if err != nil || state.DidResume != step.resumed {
-			t.Errorf("%d: resumed %v, %v", i, state.DidResume, err)
+			t.Errorf("step %d: resumed %v, %v", i, state.DidResume, err)
 		}
 	}
 	fixture.write("tickets", []byte("abc\n"))
@@ -228,7 +228,7 @@
 	const uri = "spiffe://site/tenant/desk"
 	partners, others := pki.NewAuthority("partners"), pki.NewAuthority("others")
 	for _, require := range []bool{false, true} {
-		fixture.writeTrust(partners)
+		fixture.writeTrustedCAs(partners)
 		store := fixture.store(certificates.Sources{Trust: fixture.path("clients.pem")})
 		terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), Trust: store, Require: require})
 		pool := x509.NewCertPool()
@@ -242,18 +242,18 @@
 		}
 		known := conf(partners.Issue(pki.Leaf{Names: []string{uri}, Subject: "desk"}))
 		for range 2 {
-			if names, _, err := request(addr, known); err != nil || names != uri+" desk" {
+			if names, _, err := exchangeLine(addr, known); err != nil || names != uri+" desk" {
 				t.Errorf("require %v: %q, %v", require, names, err)
 			}
 		}
-		if names, _, err := request(addr, conf()); require != (err != nil) || names != "" {
-			t.Errorf("require %v, no certificate: %q, %v", require, names, err)
+		if names, _, err := exchangeLine(addr, conf()); require != (err != nil) || names != "" {
+			t.Errorf("require %v, without a certificate: %q, %v", require, names, err)
 		}
 		for what, p := range map[string]pki.Pair{
 			"of an unknown CA": others.Issue(pki.Leaf{Names: []string{uri}}),
 			"an expired one":   partners.Issue(pki.Leaf{Names: []string{uri}, To: time.Now().Add(-time.Minute)}),
 		} {
-			if names, _, err := request(addr, conf(p)); err == nil {
+			if names, _, err := exchangeLine(addr, conf(p)); err == nil {
 				t.Errorf("require %v, %s: accepted as %q", require, what, names)
 			}
 		}
@@ -261,21 +261,21 @@
 			return terminator.Stats().Failures["client's certificate"] == 2
 		})
 		if n := terminator.Stats().Resumed.Count; n != 1 {
-			t.Errorf("require %v: %d resumed", require, n)
+			t.Errorf("require %v: %d sessions resumed, want 1", require, n)
 		}
-		fixture.writeTrust(others)
+		fixture.writeTrustedCAs(others)
 		if _, err := store.Reload(time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if names, state, err := request(addr, known); err == nil {
-			t.Errorf("require %v: an authority is no longer trusted, but accepted as %q, resumed %v",
+		if names, state, err := exchangeLine(addr, known); err == nil {
+			t.Errorf("require %v: the authority is no longer trusted, but the client was accepted as %q, resumed %v",
 				require, names, state.DidResume)
 		}
 	}
 }
 
-// Many handshakes at the same time share the CPU: each succeeds, and those of clients that have disconnected are
-// counted as failed.
+// Many concurrent handshakes share the CPU. All succeed except those of clients that disconnect, which are counted as
+// failed.
 func TestHandshakes_ShareTheCPU(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -294,10 +294,10 @@
 				}
 				defer func() { _ = nc.Close() }()
 				_ = nc.SetDeadline(time.Now().Add(testkit.MaxWait))
-				_ = tls.Client(&closedAfterWrite{Conn: nc}, &tls.Config{RootCAs: pool, ServerName: "a.example"}).Handshake()
+				_ = tls.Client(&eofConn{Conn: nc}, &tls.Config{RootCAs: pool, ServerName: "a.example"}).Handshake()
 				return
 			}
-			if _, _, err := request(addr, &tls.Config{RootCAs: pool, ServerName: "a.example"}); err != nil {
+			if _, _, err := exchangeLine(addr, &tls.Config{RootCAs: pool, ServerName: "a.example"}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -308,20 +308,20 @@
 		return st.Full.Count == 40 && st.Failures["left"] == 20 && st.InProgress == 0
 	})
 	if pieces, worked := cpu.Totals(); pieces < 80 || worked <= 0 {
-		t.Errorf("%d pieces in %v", pieces, worked)
+		t.Errorf("the CPU scheduler ran %d computations in %v, want 80 or more", pieces, worked)
 	}
 }
 
-// closedAfterWrite sends, and then reads as closed.
-type closedAfterWrite struct{ net.Conn }
+// eofConn is a connection that writes normally, but whose reads return io.EOF.
+type eofConn struct{ net.Conn }
 
-func (o *closedAfterWrite) Read([]byte) (int, error) { return 0, io.EOF }
+func (o *eofConn) Read([]byte) (int, error) { return 0, io.EOF }
 
 func TestNew_InvalidConfig(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
 	if _, err := New(Config{}); err == nil || errors.Is(err, io.EOF) {
-		t.Error("a listener without a certificate")
+		t.Error("a configuration without certificates was accepted")
 	}
 	_, err := New(Config{Certificates: fixture.certificates(), Require: true})
 	if err == nil || !strings.Contains(err.Error(), "needs trusted authorities") {
@@ -329,7 +329,7 @@
 	}
 }
 
-// Accept returns connections without waiting for their handshakes.
+// Accept returns a connection without waiting for its handshake, so a silent client does not block the others.
 func TestListener_AcceptsBeforeHandshake(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -364,11 +364,11 @@
 	}()
 	pool := x509.NewCertPool()
 	pool.AddCert(fixture.ca.Cert)
-	got, _, err := request(raw.Addr().String(), &tls.Config{RootCAs: pool, ServerName: "a.example"})
+	got, _, err := exchangeLine(raw.Addr().String(), &tls.Config{RootCAs: pool, ServerName: "a.example"})
 	if err != nil || got != "who am I" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if err := testkit.Receive(t, "the end", served); err != nil || !first.(*Conn).NothingReceived() {
+	if err := testkit.Receive(t, "the served connection", served); err != nil || !first.(*Conn).NothingReceived() {
 		t.Errorf("%v; nothing received from the silent client: %v", err, first.(*Conn).NothingReceived())
 	}
 }
