--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -1,6 +1,6 @@
 // Package framing checks the framing of a client's HTTP/1.1 requests. It rejects requests whose end two parsers could
-// place differently, because that allows request smuggling: one parser treats bytes as a body that the other treats as
-// the next request. It does no I/O, and buffers at most one line of a head.
+// place differently, because that allows request smuggling: one parser treats bytes as a body that the other treats
+// as the next request. It does no I/O, and buffers at most one line of a head.
 package framing
 
 const (
@@ -54,8 +54,8 @@
 	stateTrailerCR
 )
 
-// Check checks the next bytes of the connection, and returns how many of them are well-formed. If it returns fewer than
-// len(data), nothing more may be read from the connection; Problem says why.
+// Check checks the next bytes of the connection, and returns how many of them are well-formed. If it returns fewer
+// than len(data), nothing more may be read from the connection; Problem says why.
 func (g *Guard) Check(data []byte) int {
 	for i := 0; i < len(data); {
 		if g.problem != "" {
--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard comes to the same
-// result whether it gets the text byte by byte or all at once.
+// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard comes to the
+// same result whether it gets the text byte by byte or all at once.
 func requestEnds(t *testing.T, text []byte) (ends []int) {
 	t.Helper()
 	var guard, atOnce Guard
--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -13,7 +13,8 @@
 	maxTimeout  = time.Hour
 )
 
-// parseRequest converts a call to a router request. If the call is invalid, it returns a reply that names the problem.
+// parseRequest converts a call to a router request. If the call is invalid, it returns a reply that names the
+// problem.
 func (c *conn) parseRequest(message msgpackrpc.Message, receivedAt time.Time) (router.Request, msgpackrpc.Reply) {
 	malformed := func(text string) (router.Request, msgpackrpc.Reply) {
 		return router.Request{}, msgpackrpc.Reply{Code: msgpackrpc.Malformed, Text: text}
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -125,9 +125,9 @@
 	return !c.callSeen && !c.closing && !c.writeClosed && time.Since(c.openedAt) < drainFirstCallGrace
 }
 
-// evictableSince returns the time since which the connection has been idle, and whether it may be evicted. The time is
-// zero if the write side is closed already. An overflow connection may also be evicted if the client has stalled in the
-// middle of a message, but not while its first call may be arriving.
+// evictableSince returns the time since which the connection has been idle, and whether it may be evicted. The time
+// is zero if the write side is closed already. An overflow connection may also be evicted if the client has stalled
+// in the middle of a message, but not while its first call may be arriving.
 func (c *conn) evictableSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,8 +165,8 @@
 	c.server.release(c)
 }
 
-// countIncompleteMessage counts the connection in the server's statistics if reading ended with err in the middle of a
-// message.
+// countIncompleteMessage counts the connection in the server's statistics if reading ended with err in the middle of
+// a message.
 func (c *conn) countIncompleteMessage(err error) {
 	c.mu.Lock()
 	ended := c.writeClosed
@@ -193,8 +193,8 @@
 	}
 }
 
-// finish tells the writer to send a last notification, which may be empty, and to close the write side once no call is
-// open.
+// finish tells the writer to send a last notification, which may be empty, and to close the write side once no call
+// is open.
 func (c *conn) finish(notification []byte) {
 	c.mu.Lock()
 	c.notifications = append(c.notifications, notification...)
@@ -215,8 +215,8 @@
 	c.writeSignal.Notify()
 }
 
-// recheckDrain wakes the writer, so that it checks whether a drain can close the connection. It repeats the check later
-// as long as the first call may still arrive.
+// recheckDrain wakes the writer, so that it checks whether a drain can close the connection. It repeats the check
+// later as long as the first call may still arrive.
 func (c *conn) recheckDrain() {
 	c.mu.Lock()
 	awaiting := c.awaitsFirstCall()
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -17,8 +17,8 @@
 	endedByEviction
 )
 
-// handleReadDeadline handles an expired read deadline, and reports whether the reader continues. It continues after the
-// idle timeout, to receive bytes that are on their way, and if the deadline no longer applies.
+// handleReadDeadline handles an expired read deadline, and reports whether the reader continues. It continues after
+// the idle timeout, to receive bytes that are on their way, and if the deadline no longer applies.
 func (c *conn) handleReadDeadline() bool {
 	keepReading := c.endIfIdle()
 	if c.hasEnded() {
@@ -34,8 +34,8 @@
 	return c.writeClosed
 }
 
-// endIfIdle closes the write side if the connection is idle and no bytes have arrived. It holds c.mu from the check of
-// the socket to the close, so that no other goroutine acts in between. It reports whether the reader continues.
+// endIfIdle closes the write side if the connection is idle and no bytes have arrived. It holds c.mu from the check
+// of the socket to the close, so that no other goroutine acts in between. It reports whether the reader continues.
 func (c *conn) endIfIdle() (keepReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	return !c.messageStartedAt.IsZero() && (!c.evicted || !time.Now().Before(c.messageDeadline()))
 }
 
-// evict makes the reader close the connection as soon as it is idle; a call that has arrived already is answered first.
-// It returns false if the write side is closed already.
+// evict makes the reader close the connection as soon as it is idle; a call that has arrived already is answered
+// first. It returns false if the write side is closed already.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +109,8 @@
 	return ok && sockets.Unread(socket) > 0
 }
 
-// closeWriteSide closes the write side, and gives the client lingerTimeout to close its own. All answers must have been
-// written. c.mu is held.
+// closeWriteSide closes the write side, and gives the client lingerTimeout to close its own. All answers must have
+// been written. c.mu is held.
 func (c *conn) closeWriteSide(cause endCause) {
 	c.writeClosed, c.endCause = true, cause
 	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
@@ -121,8 +121,8 @@
 	c.closeSocket()
 }
 
-// closeLingering closes a connection that the server has ended or evicted, without waiting for the client to close its
-// side.
+// closeLingering closes a connection that the server has ended or evicted, without waiting for the client to close
+// its side.
 func (c *conn) closeLingering() {
 	c.mu.Lock()
 	c.writeClosed, c.closedWithUnread = true, c.hasUnread()
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -16,7 +16,8 @@
 // clientCheckInterval is how often a connection with the maximum of open calls is checked for a disconnect.
 const clientCheckInterval = 50 * time.Millisecond
 
-// read handles messages until the client disconnects, violates the protocol or times out, or the connection is closed.
+// read handles messages until the client disconnects, violates the protocol or times out, or the connection is
+// closed.
 func (c *conn) read(ctx context.Context) error {
 	in := msgpackrpc.NewReader(c)
 	in.BeforeRead = c.setReadDeadline
@@ -94,8 +95,8 @@
 	}
 }
 
-// startCall passes a call to the engine, or answers it directly. If the client has the maximum of open calls, it waits,
-// and nothing more is read from the connection meanwhile.
+// startCall passes a call to the engine, or answers it directly. If the client has the maximum of open calls, it
+// waits, and nothing more is read from the connection meanwhile.
 func (c *conn) startCall(ctx context.Context, message msgpackrpc.Message) error {
 	receivedAt := c.arrivalTimes.Earliest()
 	if err := c.acquireCallSlot(); err != nil {
@@ -167,8 +168,8 @@
 	return callAdmitted
 }
 
-// handleUnansweredCall handles a call that is neither run nor answered. It returns an error if the client has violated
-// the protocol.
+// handleUnansweredCall handles a call that is neither run nor answered. It returns an error if the client has
+// violated the protocol.
 func (c *conn) handleUnansweredCall(admission callAdmission) error {
 	if admission == callDuplicate {
 		return &msgpackrpc.ProtocolError{Problem: "duplicate msgid"}
--- a/internal/frontend/msgpack/connread_test.go
+++ b/internal/frontend/msgpack/connread_test.go
@@ -44,9 +44,10 @@
 	}
 }
 
-// TestWaitingSince_ExcludesTimeUntilCallArrived checks since when a client counts as waiting. If nothing or exactly one
-// complete call has arrived, the age of the accept queue does not count, because the client can have just connected. It
-// counts if part of a call or several calls have arrived, because those may have arrived at any time since.
+// TestWaitingSince_ExcludesTimeUntilCallArrived checks since when a client counts as waiting. If nothing or exactly
+// one complete call has arrived, the age of the accept queue does not count, because the client can have just
+// connected. It counts if part of a call or several calls have arrived, because those may have arrived at any time
+// since.
 func TestWaitingSince_ExcludesTimeUntilCallArrived(t *testing.T) {
 	const queueAge = 300 * time.Millisecond
 	call := msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "r1", Class: "read", Timeout: time.Minute})
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestEvict_PrefersConnectionWithoutCall sends a call on the connection that has been idle for longest, and delays the
-// read of it. Another connection is evicted instead.
+// TestEvict_PrefersConnectionWithoutCall sends a call on the connection that has been idle for longest, and delays
+// the read of it. Another connection is evicted instead.
 func TestEvict_PrefersConnectionWithoutCall(t *testing.T) {
 	for _, withTLS := range []bool{false, true} {
 		for _, bodySize := range []int{0, 60 << 10} {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestEvict_ClosedBeforeAnswer closes an evicted connection, to make room for another one, before the answer to a call
-// that arrived during the eviction is written. The lost call is counted.
+// TestEvict_ClosedBeforeAnswer closes an evicted connection, to make room for another one, before the answer to a
+// call that arrived during the eviction is written. The lost call is counted.
 func TestEvict_ClosedBeforeAnswer(t *testing.T) {
 	clients, arrived, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
 	var server *hookedServer
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestEvict_LimitsDescriptors evicts connections whose clients do not close them. There are never more open connections
-// than with all slots and overflow connections in use.
+// TestEvict_LimitsDescriptors evicts connections whose clients do not close them. There are never more open
+// connections than with all slots and overflow connections in use.
 func TestEvict_LimitsDescriptors(t *testing.T) {
 	const maxConns, clientCount = 1, 3 * (1 + overflowConns)
 	server := startHookedServer(t, false, &stubEngine{}, Config{MaxConns: maxConns}, func(*hookedConn) {})
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -232,9 +232,9 @@
 	testkit.Await(t, "the call", func() bool { return sockets.Unread(c.tcp) > 0 })
 }
 
-// TestIdleEnd_ConcurrentCall sends a call while its connection reaches the idle timeout. If the call arrived before the
-// server decided to close the connection, it is answered. If it arrives later, the client sees an orderly end, never a
-// reset, and the loss is counted.
+// TestIdleEnd_ConcurrentCall sends a call while its connection reaches the idle timeout. If the call arrived before
+// the server decided to close the connection, it is answered. If it arrives later, the client sees an orderly end,
+// never a reset, and the loss is counted.
 func TestIdleEnd_ConcurrentCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -290,8 +290,8 @@
 	}
 }
 
-// TestIdleEnd_MessageTimeoutOfLastCall sends the first byte of a call as the idle timeout expires, and the rest byte by
-// byte. The call has MessageTimeout from its first byte, and no longer.
+// TestIdleEnd_MessageTimeoutOfLastCall sends the first byte of a call as the idle timeout expires, and the rest byte
+// by byte. The call has MessageTimeout from its first byte, and no longer.
 func TestIdleEnd_MessageTimeoutOfLastCall(t *testing.T) {
 	clients, sent := make(chan rawClient, 1), make(chan struct{})
 	config := Config{IdleTimeout: 50 * time.Millisecond, MessageTimeout: 300 * time.Millisecond}
@@ -330,8 +330,8 @@
 	}
 }
 
-// TestIdleEnd_ReadsCallOnUnixSocket sends a call on a Unix socket, and starts the read only after the idle timeout: the
-// call is still read.
+// TestIdleEnd_ReadsCallOnUnixSocket sends a call on a Unix socket, and starts the read only after the idle timeout:
+// the call is still read.
 func TestIdleEnd_ReadsCallOnUnixSocket(t *testing.T) {
 	address := filepath.Join(t.TempDir(), "socket")
 	ln, err := net.Listen("unix", address)
@@ -416,8 +416,8 @@
 	}
 }
 
-// TestDrainLinger_DiscardsCalls sends a call after a drain has closed the write side of its connection. The call is not
-// run, and counted as lost.
+// TestDrainLinger_DiscardsCalls sends a call after a drain has closed the write side of its connection. The call is
+// not run, and counted as lost.
 func TestDrainLinger_DiscardsCalls(t *testing.T) {
 	for _, bodySize := range []int{0, 60 << 10} {
 		clients, sent := make(chan rawClient, 1), make(chan struct{})
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -1,4 +1,5 @@
-// Package msgpack accepts requests over the protocol specified in docs/msgpack-rpc.md. Its Server is a router.Listener.
+// Package msgpack accepts requests over the protocol specified in docs/msgpack-rpc.md. Its Server is a
+// router.Listener.
 package msgpack
 
 import (
@@ -86,8 +87,8 @@
 	Incomplete     uint64 // connections that the client closed in the middle of a message
 	Evicted        uint64 // connections ended to free a slot: idle ones, and stalled overflow connections
 
-	// The following fields count connections on which a call, or part of one, arrived after the server had ended them and
-	// was not answered, by the cause of the end. These connections are not counted in Timeouts or Incomplete.
+	// The following fields count connections on which a call, or part of one, arrived after the server had ended them
+	// and was not answered, by the cause of the end. These connections are not counted in Timeouts or Incomplete.
 	IdleEnds     uint64 // ended after the idle timeout
 	EvictionEnds uint64 // ended by an eviction, possibly in the middle of a message on which the client had stalled
 	DrainEnds    uint64 // ended by a drain, after the time for late calls had passed
@@ -117,8 +118,8 @@
 	return listener.SetDeadline(time.Now().Add(acceptQueueDrainTimeout))
 }
 
-// Serve accepts connections until Shutdown, StopAccepting or Close is called, and then returns ErrClosed. It closes the
-// listener. After StopAccepting it first accepts the connections that are in the accept queue.
+// Serve accepts connections until Shutdown, StopAccepting or Close is called, and then returns ErrClosed. It closes
+// the listener. After StopAccepting it first accepts the connections that are in the accept queue.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = sockets.NewPersistentListener(ln, s.config.Log)
 	defer func() { _ = ln.Close() }()
@@ -260,9 +261,10 @@
 	}
 }
 
-// StopAccepting starts a drain: the listeners close once their accept queues are empty, and then clients are notified.
-// It does not wait. Open calls are answered, and each connection ends with its last answer. Calls that arrive later are
-// rejected, except for the first call of a connection, because its client could not know of the drain.
+// StopAccepting starts a drain: the listeners close once their accept queues are empty, and then clients are
+// notified. It does not wait. Open calls are answered, and each connection ends with its last answer. Calls that
+// arrive later are rejected, except for the first call of a connection, because its client could not know of the
+// drain.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,8 +278,8 @@
 	s.slotFreed.Broadcast()
 }
 
-// ResumeAccepting ends a drain, so that Serve can be called again with another listener. Connections that were notified
-// of the drain still end with their last answer.
+// ResumeAccepting ends a drain, so that Serve can be called again with another listener. Connections that were
+// notified of the drain still end with their last answer.
 func (s *Server) ResumeAccepting() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -190,7 +190,8 @@
 	busy.expect(t, "1 r1", "EOF")
 }
 
-// A connection with the maximum of open calls is not read, and a cancelled call is ended. Answers arrive in any order.
+// A connection with the maximum of open calls is not read, and a cancelled call is ended. Answers arrive in any
+// order.
 func TestMaxCalls_BackpressureAndCancel(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: func(ctx context.Context, r router.Request) (router.Answer, error) {
@@ -262,7 +263,8 @@
 	testkit.Await(t, "the disconnect of the slow client", func() bool { return server.Stats().Conns == 1 })
 }
 
-// If all slots are in use, a new connection replaces the one that has been idle for longest, or waits if none is idle.
+// If all slots are in use, a new connection replaces the one that has been idle for longest, or waits if none is
+// idle.
 func TestServe_EvictsIdleConnections(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: answerAfter(until)}
@@ -428,8 +430,8 @@
 	}
 }
 
-// All slots are in use by connections with open calls, and further connections are idle or have sent part of a message.
-// Calls of other clients are still rejected as overloaded in time.
+// All slots are in use by connections with open calls, and further connections are idle or have sent part of a
+// message. Calls of other clients are still rejected as overloaded in time.
 func TestServe_RejectsCallsInTimeWhenFull(t *testing.T) {
 	const busy, soon = 2, 600 * time.Millisecond
 	for _, partial := range []bool{false, true} {
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// overflowConns is how many connections are accepted beyond MaxConns, in order to reject their calls with an answer.
+	// overflowConns is how many connections are accepted beyond MaxConns, in order to reject their calls with an
+	// answer.
 	overflowConns = 4
 	// firstCallGrace is how long an overflow connection without a call, or in the middle of one, is protected from
 	// eviction.
@@ -42,8 +43,8 @@
 }
 
 // awaitSlot waits until there is a slot for a connection. After the engine's queue timeout, up to overflowConns
-// connections are accepted without a slot and their calls rejected, so that clients in the listen backlog get an answer
-// in time.
+// connections are accepted without a slot and their calls rejected, so that clients in the listen backlog get an
+// answer in time.
 func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
 	for len(s.conns) >= s.config.MaxConns && !s.draining && !s.closed {
 		if s.evict() {
@@ -113,8 +114,8 @@
 	}
 }
 
-// evict frees the slot of the connection that has been idle for longest. It selects a connection with unread bytes only
-// if all idle connections have some. It returns false if no connection may be evicted. s.mu is held.
+// evict frees the slot of the connection that has been idle for longest. It selects a connection with unread bytes
+// only if all idle connections have some. It returns false if no connection may be evicted. s.mu is held.
 func (s *Server) evict() bool {
 	oldest := s.longestIdle(false)
 	if oldest == nil {
@@ -130,8 +131,8 @@
 	return true
 }
 
-// longestIdle returns, of the connections that may be evicted, the one that has been idle for longest; nil if there is
-// none. includeUnread includes connections with unread bytes. s.mu is held.
+// longestIdle returns, of the connections that may be evicted, the one that has been idle for longest; nil if there
+// is none. includeUnread includes connections with unread bytes. s.mu is held.
 func (s *Server) longestIdle(includeUnread bool) *conn {
 	var oldest *conn
 	var oldestIdleSince time.Time
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -59,8 +59,8 @@
 	return transport != nil && transport.WithinRecord()
 }
 
-// PeerNames returns the names in the client's certificate: URIs, DNS names, then the common name. It returns nil if the
-// client has presented no certificate, or the handshake is not done.
+// PeerNames returns the names in the client's certificate: URIs, DNS names, then the common name. It returns nil if
+// the client has presented no certificate, or the handshake is not done.
 func (c *Conn) PeerNames() []string {
 	if c.Handshaking() {
 		return nil
@@ -121,8 +121,8 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline implements net.Conn. The handshake has its own deadline. A deadline that is set before the handshake
-// is done applies afterwards, later by the duration of the handshake.
+// SetReadDeadline implements net.Conn. The handshake has its own deadline. A deadline that is set before the
+// handshake is done applies afterwards, later by the duration of the handshake.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
--- a/internal/frontend/secure/handshake.go
+++ b/internal/frontend/secure/handshake.go
@@ -36,8 +36,8 @@
 	return err
 }
 
-// handshake performs the handshake and counts its outcome. It returns any failure as io.EOF, because no request can be
-// read or answered.
+// handshake performs the handshake and counts its outcome. It returns any failure as io.EOF, because no request can
+// be read or answered.
 func (c *Conn) handshake() error {
 	term := c.terminator
 	began := time.Now()
@@ -74,8 +74,8 @@
 	c.done.Store(true)
 }
 
-// failureReason returns the key under which Stats.Failures counts a failed handshake. To a client that sent plain HTTP
-// it also sends an error response.
+// failureReason returns the key under which Stats.Failures counts a failed handshake. To a client that sent plain
+// HTTP it also sends an error response.
 func (c *Conn) failureReason(err error) string {
 	var header tls.RecordHeaderError
 	var netErr net.Error
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -1,6 +1,6 @@
 // Package secure terminates the TLS connections of clients. It selects the certificate by server name, resumes
-// sessions, and verifies client certificates, whose names identify the client. The first Read or Write of a connection
-// performs its handshake; package handshakes limits the CPU time that handshakes use.
+// sessions, and verifies client certificates, whose names identify the client. The first Read or Write of a
+// connection performs its handshake; package handshakes limits the CPU time that handshakes use.
 package secure
 
 import (
--- a/msgpackrpc/call.go
+++ b/msgpackrpc/call.go
@@ -6,24 +6,24 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Call holds the parameters of a call. Zero fields are not on the wire.
+// Call holds the parameters of a call. Fields with a zero value are not encoded.
 type Call struct {
-	ID             string        // unique for each request
-	Class          string        // towards a node
-	Tenant         string        // towards a node
-	Key            string        // towards a node: what the request is about
-	IdempotencyKey string        // by which servers drop duplicates
-	Timeout        time.Duration // for the reply; whole milliseconds
-	CostHint       time.Duration // estimated work; whole microseconds
-	IsRetry        bool          // the client has sent the request before
-	Method         string        // of HTTP, where it matters: GET, POST
-	Target         string        // path and query
-	Authority      string
+	ID             string        // identifies the request; unique
+	Class          string        // class of the request; only in calls to a node
+	Tenant         string        // tenant that sends the request; only in calls to a node
+	Key            string        // the object that the request is about; only in calls to a node
+	IdempotencyKey string        // servers use it to recognize duplicates
+	Timeout        time.Duration // time until the reply is due; encoded in whole milliseconds
+	CostHint       time.Duration // estimated work of the server; encoded in whole microseconds
+	IsRetry        bool          // the client has sent this request before
+	Method         string        // HTTP method, such as GET or POST; may be empty
+	Target         string        // path and query of the URL
+	Authority      string        // host, and port if any, of the URL
 	ContentType    string
 	Body           []byte
 }
 
-// fields returns the fields of a call in the order of the wire.
+// fields returns the fields of a call in the order in which they are encoded.
 func (c *Call) fields() [13]field {
 	return [...]field{
 		{name: "id", text: &c.ID},
@@ -42,7 +42,7 @@
 	}
 }
 
-// AppendCall appends the request of a call.
+// AppendCall appends a call, encoded as a request message, to b.
 func AppendCall(b []byte, msgid uint32, c *Call) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Request])
 	b = msgp.AppendUint8(b, uint8(Request))
@@ -53,7 +53,7 @@
 	return appendFields(b, fields[:])
 }
 
-// ParseCall decodes the parameters of a call. Its errors are of type *ProtocolError and name the field.
+// ParseCall decodes the parameters of a call. Its errors are of type *ProtocolError and name the invalid part.
 func ParseCall(params []byte) (c Call, err error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(params)
 	if err != nil || count != 1 {
--- a/msgpackrpc/client/client.go
+++ b/msgpackrpc/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls a node over the protocol of docs/msgpack-rpc.md. It never retries a call that was sent: whether
-// that is safe is for the caller to decide, from what the error or the code proves.
+// Package client calls a node over the protocol specified in docs/msgpack-rpc.md. It never retries a call that was
+// sent: the caller must decide from the error or the code whether a retry is safe.
 package client
 
 import (
@@ -14,34 +14,34 @@
 )
 
 const (
-	minBackoff = 50 * time.Millisecond // after the first failure to connect; doubles with each further one
-	maxBackoff = 5 * time.Second
+	minBackoff = 50 * time.Millisecond // wait after the first failure to connect; doubles with each further one
+	maxBackoff = 5 * time.Second       // longest wait after a failure to connect
 	// dialTimeout limits an attempt to connect.
 	dialTimeout = 5 * time.Second
-	// DefaultTimeout is the timeout of a call if neither Call.Timeout nor its context has one.
+	// DefaultTimeout is the timeout of a call without Call.Timeout; its context may end earlier.
 	DefaultTimeout = 30 * time.Second
 )
 
-// ErrClosed is the cause of a *mux.NotSentError after Close.
+// ErrClosed is the cause of the *mux.NotSentError that Call returns after Close.
 var ErrClosed = errors.New("client: closed")
 
-// Client calls one node, over one connection. It connects when a call needs it, and again when the connection is lost.
-// It is safe for concurrent use.
+// Client calls one node over one connection. It connects when the first call is made, and reconnects for a later call
+// if the connection was lost. It is safe for concurrent use.
 type Client struct {
 	network, addr string
 
 	mu       sync.Mutex
 	conn     *mux.Conn
-	retired  []*mux.Conn   // accept no calls, and may have open ones
-	dialing  chan struct{} // closed at the end of the attempt to connect; nil: there is none
-	failures int           // to connect, consecutive
-	retryAt  time.Time     // no attempt to connect before
-	dialErr  error         // of the last failure
+	retired  []*mux.Conn   // connections that accept no new calls, but may have open ones
+	dialing  chan struct{} // closed when the current attempt to connect ends; nil: there is none
+	failures int           // number of consecutive failures to connect
+	retryAt  time.Time     // earliest time of the next attempt to connect
+	dialErr  error         // error of the last failure to connect
 	closed   bool
 }
 
 // New returns a client of the node at an address: host:port for the network "tcp", a path for "unix". It does not
-// connect.
+// connect yet.
 func New(network, addr string) *Client { return &Client{network: network, addr: addr} }
 
 // Call sends one call and waits for its reply, until ctx ends or call.Timeout has passed. A Reply with a Code says
@@ -53,26 +53,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	deadline, _ := ctx.Deadline() // the earlier one of the context's and the call's
+	deadline, _ := ctx.Deadline() // the earlier of the caller's deadline and the call's timeout
 	for {
 		conn, err := c.connect(ctx)
 		if err != nil {
 			return msgpackrpc.Reply{}, &mux.NotSentError{Err: err}
 		}
-		call.Timeout = time.Until(deadline) // connecting has taken some of it
+		call.Timeout = time.Until(deadline) // connecting has used part of it
 		if call.Timeout < time.Millisecond {
 			return msgpackrpc.Reply{}, &mux.NotSentError{Err: context.DeadlineExceeded}
 		}
 		reply, err := conn.Call(ctx, &call, nil)
 		var notSent *mux.NotSentError
 		if errors.As(err, &notSent) && errors.Is(err, mux.ErrRetired) && ctx.Err() == nil {
-			continue // the node has begun to drain; another one may accept at the address
+			continue // the node is draining; another one may accept connections at the same address
 		}
 		return reply, err
 	}
 }
 
-// connect returns a connection that accepts calls. During the backoff after a failure it returns that failure's error.
+// connect returns a connection that accepts calls. During the backoff after a failure it returns the failure's error.
 func (c *Client) connect(ctx context.Context) (*mux.Conn, error) {
 	for {
 		c.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// retireConn moves the current connection to the retired ones, and removes those that have ended. c.mu is held.
+// retireConn moves the current connection to the retired ones, and removes closed ones. c.mu is held.
 func (c *Client) retireConn() {
 	var retired []*mux.Conn
 	for _, conn := range append(c.retired, c.conn) {
@@ -120,7 +120,7 @@
 	c.retired, c.conn = retired, nil
 }
 
-// dial attempts to connect once, and then closes dialing. Close waits for it.
+// dial attempts to connect once, and then closes dialing, for which connect and Close wait.
 func (c *Client) dial(dialing chan struct{}) {
 	nc, err := net.DialTimeout(c.network, c.addr, dialTimeout)
 	c.mu.Lock()
--- a/msgpackrpc/client/client_test.go
+++ b/msgpackrpc/client/client_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/msgpackrpc/mux"
 )
 
-// Connecting takes a part of a call's time: the node is told what is left of it.
-func TestCall_TimeoutWithoutTimeToConnect(t *testing.T) {
+// The time to connect counts toward a call's timeout: the node receives only the remaining time.
+func TestCall_TimeoutExcludesTimeToConnect(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 200 * time.Millisecond
 	received := make(chan time.Duration, 1)
 	addr := testkit.RawServer(t, func(conn net.Conn, in *bufio.Reader) {
@@ -52,6 +52,6 @@
 		t.Fatal(err)
 	}
 	if got := testkit.Receive(t, "the call", received); got > timeout-connecting {
-		t.Errorf("the node is told %v, and %v are left", got, timeout-connecting)
+		t.Errorf("the node received the timeout %v, want %v at most", got, timeout-connecting)
 	}
 }
--- a/msgpackrpc/field.go
+++ b/msgpackrpc/field.go
@@ -8,17 +8,18 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// field is one entry of a map on the wire. It points to its value by one of text, duration, flag and bytes.
+// field is one entry of an encoded map. Exactly one of text, duration, flag and bytes is set, and points to its
+// value.
 type field struct {
 	name     string
 	text     *string
 	duration *time.Duration
-	unit     time.Duration // of duration on the wire
+	unit     time.Duration // unit in which duration is encoded
 	flag     *bool
 	bytes    *[]byte
 }
 
-// appendFields appends a map of the fields that are not zero; there must be fewer than 16.
+// appendFields appends a map of the fields that are not zero. There must be fewer than 16 of them.
 func appendFields(b []byte, fields []field) []byte {
 	b = msgp.AppendMapHeader(b, 0)
 	header := len(b) - 1
@@ -26,14 +27,14 @@
 		if fields[i].isZero() {
 			continue
 		}
-		b[header]++ // the low four bits of a fixmap's header are its length
+		b[header]++ // the low four bits of a fixmap's header are the number of entries
 		b = msgp.AppendString(b, fields[i].name)
 		b = fields[i].appendValue(b)
 	}
 	return b
 }
 
-// isZero reports whether a field is left out. A duration below its unit counts as zero.
+// isZero reports whether a field is zero and therefore not encoded. A duration below its unit counts as zero.
 func (f *field) isZero() bool {
 	switch {
 	case f.text != nil:
@@ -58,14 +59,15 @@
 	return msgp.AppendBytes(b, *f.bytes)
 }
 
-// parseFields decodes a map, and returns the bytes after it. Unknown names are skipped, because a later version may add
-// some. A duplicate name is an error: two readers could use different values. what names the map in errors.
+// parseFields decodes a map into fields, and returns the bytes after the map. Unknown names are skipped, because a
+// later version may add some. A duplicate name is an error, because two readers could use different values. what
+// names the map in error messages.
 func parseFields(raw []byte, what string, fields []field) ([]byte, error) {
 	count, raw, err := msgp.ReadMapHeaderBytes(raw)
 	if err != nil {
 		return nil, protocolErrorf("%s: want a map", what)
 	}
-	seen := uint32(0) // bit i: fields[i] has been read
+	seen := uint32(0) // bit i is set if fields[i] has been read
 	for range count {
 		var name []byte
 		if name, raw, err = msgp.ReadStringZC(raw); err != nil {
@@ -89,7 +91,7 @@
 	return raw, nil
 }
 
-// indexOf returns the index of the field with a name; -1 if there is none.
+// indexOf returns the index of the field with the given name; -1 if there is none.
 func indexOf(fields []field, name []byte) int {
 	for i := range fields {
 		if fields[i].name == string(name) {
--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -1,12 +1,12 @@
-// Package msgpackrpc implements the messages of docs/msgpack-rpc.md: MessagePack-RPC with one method, its parameters
-// and its replies. It encodes and decodes messages within bounds, and has no connections.
+// Package msgpackrpc implements the messages specified in docs/msgpack-rpc.md: MessagePack-RPC with one method, its
+// parameters and its replies. It encodes and decodes messages of limited size, and does not handle connections.
 package msgpackrpc
 
 import (
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Kind is the type of a message, with the numbers of the MessagePack-RPC specification.
+// Kind is the type of a message. Its values are those of the MessagePack-RPC specification.
 type Kind uint8
 
 // The kinds of message.
@@ -16,25 +16,25 @@
 	Notification             // [2, method, params]
 )
 
-// elementCounts is the length of the array that a message is, by kind.
+// elementCounts is the length of the array that encodes a message, by kind.
 var elementCounts = [...]uint32{Request: 4, Response: 4, Notification: 3}
 
 // The methods of the protocol.
 const (
 	MethodCall   = "call"   // request [params]
 	MethodCancel = "cancel" // notification [msgid]: the client no longer waits for the reply
-	MethodDrain  = "drain"  // notification []: no new calls are accepted on this connection
-	MethodError  = "error"  // notification [text]: the reason for which the connection is about to be closed
+	MethodDrain  = "drain"  // notification []: the node accepts no new calls on this connection
+	MethodError  = "error"  // notification [text]: why the connection is about to be closed
 )
 
-// Message is one message. Its slices are parts of the parsed bytes.
+// Message is one decoded message. Its slices refer to the bytes that were passed to Parse.
 type Message struct {
 	Kind   Kind
 	ID     uint32 // msgid of a Request or Response
 	Method string // of a Request or Notification
-	Params []byte // of a Request or Notification: an array
-	Error  []byte // of a Response; nil if the value is nil
-	Result []byte // of a Response; nil if the value is nil
+	Params []byte // encoded array of a Request or Notification
+	Error  []byte // encoded error of a Response; nil if it is nil on the wire
+	Result []byte // encoded result of a Response; nil if it is nil on the wire
 }
 
 // Parse decodes a message. Its errors are of type *ProtocolError.
@@ -64,7 +64,7 @@
 	return m, err
 }
 
-// parseResponse decodes error and result.
+// parseResponse decodes the error and the result of a response.
 func (m *Message) parseResponse(raw []byte) (err error) {
 	if m.Error, raw, err = readValue(raw); err == nil {
 		m.Result, raw, err = readValue(raw)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// parseMethod decodes method and params.
+// parseMethod decodes the method and the params of a request or notification.
 func (m *Message) parseMethod(raw []byte) error {
 	method, raw, err := msgp.ReadStringZC(raw)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// readValue returns the encoding of the next value, or nil if the value is nil.
+// readValue returns the encoding of the next value, or nil if that is MessagePack's nil, and the bytes after it.
 func readValue(raw []byte) (value, rest []byte, err error) {
 	rest, err = msgp.Skip(raw)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return msgp.AppendString(appendNotification(b, MethodError, 1), text)
 }
 
-// appendNotification appends a notification up to the header of its params.
+// appendNotification appends a notification up to and including the array header of its params.
 func appendNotification(b []byte, method string, params uint32) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Notification])
 	b = msgp.AppendUint8(b, uint8(Notification))
@@ -124,7 +124,7 @@
 	return msgp.AppendArrayHeader(b, params)
 }
 
-// CancelledID returns the msgid in the params of a MethodCancel notification; false if there is none.
+// CancelledID returns the msgid in the params of a MethodCancel notification. ok is false if they are malformed.
 func CancelledID(m Message) (msgid uint32, ok bool) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(m.Params)
 	if err != nil || count != 1 {
--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -18,8 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// The examples in docs/msgpack-rpc.md are what is encoded, byte for byte, and are decoded.
-func TestExamplesOfDocumentation(t *testing.T) {
+// The encoded examples in docs/msgpack-rpc.md match the encoder byte for byte, and can be decoded.
+func TestEncoding_MatchesDocumentedExamples(t *testing.T) {
 	page, err := os.ReadFile("../docs/msgpack-rpc.md")
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +44,11 @@
 		"refused": AppendReply(nil, 1, &refused), "cancel": AppendCancel(nil, 1), "drain": AppendDrain(nil),
 	} {
 		if !bytes.Equal(dumps[name], want) {
-			t.Errorf("%s: the page has %x, want %x", name, dumps[name], want)
+			t.Errorf("%s: the documentation has %x, want %x", name, dumps[name], want)
 		}
 	}
 	if len(dumps) != 5 {
-		t.Errorf("%d dumps on the page", len(dumps))
+		t.Errorf("the documentation has %d dumps, want 5", len(dumps))
 	}
 	m, err := Parse(dumps["call"])
 	if err != nil || m.Kind != Request || m.ID != 1 || m.Method != MethodCall {
@@ -69,11 +69,11 @@
 	if m, err := Parse(dumps["cancel"]); err != nil || m.Method != MethodCancel {
 		t.Errorf("%+v, %v", m, err)
 	} else if id, ok := CancelledID(m); !ok || id != 1 {
-		t.Errorf("cancels %d, %v", id, ok)
+		t.Errorf("the cancel is of msgid %d, %v, want 1", id, ok)
 	}
 }
 
-// An encoded call is decoded to the same call, in whatever pieces it arrives. Another library decodes the same.
+// A call is decoded to what was encoded, in whatever pieces it arrives, also by another MessagePack library.
 func TestCall_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
@@ -93,10 +93,10 @@
 			}
 			m := other[3].([]any)[0].(map[string]any)
 			if got, _ := m["id"].(string); got != call.ID {
-				t.Fatalf("the other library reads %q, want %q", got, call.ID)
+				t.Fatalf("the other library decodes ID %q, want %q", got, call.ID)
 			}
 			if got, _ := m["body"].([]byte); !bytes.Equal(got, call.Body) {
-				t.Fatal("the other library reads another body")
+				t.Fatal("the other library decodes a different body")
 			}
 			stream, calls = append(stream, raw...), append(calls, call)
 		}
@@ -119,7 +119,7 @@
 			}
 		}
 		if _, err := r.Next(); !errors.Is(err, io.EOF) {
-			t.Fatalf("after the last: %v", err)
+			t.Fatalf("after the last message: got %v, want EOF", err)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		"a text of 4 GB":          {[]byte{0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff}, "bytes"},
 		"bytes that never end":    {append([]byte{0x94, 0, 1, 0xc6, 0, 1, 0x7f, 0xff}, make([]byte, 200_000)...), "bytes"},
 		"many texts":              {append([]byte{0xdc, 0, 200}, bytes.Repeat(longText, 200)...), "bytes"},
-		"a byte without a use":    {[]byte{0xc1}, "0xc1"},
+		"the reserved byte":       {[]byte{0xc1}, "0xc1"},
 		"an extension of 4 GB":    {[]byte{0xc9, 0xff, 0xff, 0xff, 0xff, 1}, "bytes"},
 		"the end within a text":   {[]byte{0x94, 0, 1, 0xa4, 'c'}, "unexpected EOF"},
 		"the end within a length": {[]byte{0xdd, 0}, "unexpected EOF"},
@@ -156,7 +156,7 @@
 	}
 }
 
-// The error for an invalid message names the part that is invalid.
+// The error for an invalid message names the invalid part.
 func TestParse_InvalidMessages(t *testing.T) {
 	enc := func(value any) []byte {
 		raw, err := msgpack.Marshal(value)
@@ -211,7 +211,7 @@
 	}
 }
 
-// No input makes the decoders panic, and a message ends where it does for another library.
+// No input makes the decoders panic, and each message ends where another MessagePack library finds its end.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendCall(nil, 1, &Call{ID: "a", Body: []byte("b")}))
 	f.Add(AppendReply(nil, 1, &Reply{Code: Rejected}))
@@ -225,7 +225,7 @@
 				return
 			}
 			if want, err := other.DecodeRaw(); err == nil && !bytes.Equal(got, want) {
-				t.Fatalf("a message of %x, the other library's is %x", got, want)
+				t.Fatalf("got the message %x, the other library decodes %x", got, want)
 			}
 			message, err := Parse(got)
 			if err != nil {
@@ -238,7 +238,7 @@
 						t.Fatal(err)
 					}
 					if d, err := ParseCall(again.Params); err != nil || d.ID != c.ID || !bytes.Equal(d.Body, c.Body) {
-						t.Fatalf("%+v, written and read again %+v, %v", c, d, err)
+						t.Fatalf("%+v is %+v after encoding and decoding, %v", c, d, err)
 					}
 				}
 			}
@@ -248,7 +248,7 @@
 	})
 }
 
-// The scanner, the library in use, and another library.
+// BenchmarkDecode compares the scanner, the decoder with the library in use (msgp), and another library.
 func BenchmarkDecode(b *testing.B) {
 	raw := AppendCall(nil, 7, &Call{
 		ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second,
--- a/msgpackrpc/mux/errors.go
+++ b/msgpackrpc/mux/errors.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// ErrRetired is the reason for which a connection accepts no new calls, although it may still answer open ones.
+// ErrRetired says that a connection accepts no new calls. Replies to open calls are still received.
 var ErrRetired = errors.New("the connection accepts no new calls")
 
-// NotSentError says that a call was not completely written, so it cannot have run.
+// NotSentError says that a call was not written completely, so it cannot have run.
 type NotSentError struct{ Err error }
 
 // Error implements error.
@@ -14,7 +14,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// NoReplyError says that a call was written, and no reply received, so it may have run.
+// NoReplyError says that a call was written but no reply was received, so it may have run.
 type NoReplyError struct{ Err error }
 
 // Error implements error.
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -1,5 +1,5 @@
-// Package mux sends many concurrent calls over one connection to a server. For each call without a reply it reports
-// whether the call may have run.
+// Package mux sends concurrent calls over one connection to a server. For each call without a valid reply the error
+// says whether the call may have run.
 package mux
 
 import (
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxAbandoned is how many abandoned calls may lack a reply before the connection accepts no new calls.
+	// maxAbandoned is the number of abandoned calls without a reply at which the connection stops accepting calls.
 	maxAbandoned = 1024
-	// writeTimeout limits a write to a server that does not read.
+	// writeTimeout limits each write, in case the server does not read.
 	writeTimeout = 5 * time.Second
 )
 
-// Conn is one connection. It is safe for concurrent use.
+// Conn is a connection to a server that carries concurrent calls. It is safe for concurrent use.
 type Conn struct {
 	nc          net.Conn
 	onDrain     func()
@@ -30,30 +30,30 @@
 
 	mu            sync.Mutex
 	lastID        uint32
-	calls         map[uint32]*pendingCall // without a reply
-	abandoned     map[uint32]struct{}     // ids that a late reply may still have, and that are not reused
-	queue         []*pendingCall
-	notifications []byte // not yet written
-	retired       bool
-	err           error // why the connection is closed
-	idleSince     time.Time
+	calls         map[uint32]*pendingCall // open calls, by msgid
+	abandoned     map[uint32]struct{}     // msgids that a late reply may still have; they are not reused
+	queue         []*pendingCall          // calls to be written
+	notifications []byte                  // encoded, not yet written
+	retired       bool                    // no new calls are accepted
+	err           error                   // why the connection is closed; nil: it is open
+	idleSince     time.Time               // since when no call is open; only meaningful if calls is empty
 }
 
 type callState uint8
 
 const (
-	queued  callState = iota // or in a batch that is being assembled
-	writing                  // the outcome is determined by the writer
-	sent
+	queued  callState = iota // in the queue, or in a batch that is being assembled
+	writing                  // in a batch that is being written; only the writer may decide the outcome on failure
+	sent                     // written completely; the call waits for its reply
 )
 
-// pendingCall is a call without an outcome.
+// pendingCall is a call that has no outcome yet.
 type pendingCall struct {
 	id       uint32
 	frame    []byte
 	guard    WriteGuard // nil: the call may always be written
 	state    callState
-	finished chan outcome // has capacity for one
+	finished chan outcome // receives the outcome; has a capacity of 1, so that sending never blocks
 }
 
 type outcome struct {
@@ -61,8 +61,8 @@
 	err   error
 }
 
-// New takes ownership of a connection, and serves it until it fails or Close is called. onDrain, if not nil, is called
-// when the server notifies that it accepts no new calls; it must not block.
+// New takes ownership of a connection, and reads and writes it until it fails or Close is called. onDrain, if not
+// nil, is called when the server sends a drain notification; it must not block.
 func New(nc net.Conn, onDrain func()) *Conn {
 	c := &Conn{
 		nc:          nc,
@@ -78,9 +78,9 @@
 	return c
 }
 
-// Call sends a request and waits for the reply until ctx ends, in which case the server is notified. It never retries.
-// maySend, if not nil, is called just before the call is written, and prevents that by returning an error. The errors
-// are of type *NotSentError, *NoReplyError and *MalformedReplyError.
+// Call sends a request, and waits for the reply or until ctx ends, in which case it notifies the server. It never
+// retries. maySend, if not nil, is called just before the call is written; if it returns an error, the call is not
+// written. The errors of Call are of type *NotSentError, *NoReplyError or *MalformedReplyError.
 func (c *Conn) Call(ctx context.Context, req *msgpackrpc.Call, maySend func() error) (msgpackrpc.Reply, error) {
 	if maySend == nil {
 		return c.CallGuarded(ctx, req, nil)
@@ -88,21 +88,21 @@
 	return c.CallGuarded(ctx, req, sendCheck(maySend))
 }
 
-// WriteGuard is told of the write of a call. Its methods are called from the goroutine that writes.
+// WriteGuard is notified of the write of a call, and may prevent it. Its methods are called by the writing goroutine.
 type WriteGuard interface {
-	// BeginWrite returns an error if the call must not be written. If it returns none, EndWrite follows once the call is
-	// written, or is not going to be.
+	// BeginWrite returns an error if the call must not be written. Otherwise EndWrite is called after the call was
+	// written or its write was given up.
 	BeginWrite() error
 	EndWrite()
 }
 
-// sendCheck is a WriteGuard that needs no EndWrite.
+// sendCheck is a WriteGuard that consists of BeginWrite only.
 type sendCheck func() error
 
 func (check sendCheck) BeginWrite() error { return check() }
 func (check sendCheck) EndWrite()         {}
 
-// CallGuarded is Call with a guard of the write; nil for none.
+// CallGuarded is like Call, but takes a WriteGuard, which may be nil.
 func (c *Conn) CallGuarded(ctx context.Context, req *msgpackrpc.Call, guard WriteGuard) (msgpackrpc.Reply, error) {
 	call := &pendingCall{guard: guard, finished: make(chan outcome, 1)}
 	if err := c.enqueue(call, req); err != nil {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// nextID returns an id that no open or abandoned call has; ids wrap around after 2^32 calls. c.mu is held.
+// nextID returns a msgid that no open or abandoned call has. IDs wrap around after 2^32 calls. c.mu is held.
 func (c *Conn) nextID() uint32 {
 	for {
 		c.lastID++
@@ -145,7 +145,7 @@
 	}
 }
 
-// abandon gives up a call whose context has ended, unless its outcome is known by now.
+// abandon gives up a call whose context has ended, unless it has an outcome by now.
 func (c *Conn) abandon(ctx context.Context, call *pendingCall) (msgpackrpc.Reply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +168,7 @@
 	return msgpackrpc.Reply{}, &NoReplyError{context.Cause(ctx)}
 }
 
-// checkIdle is called when a call has ended. A retired connection closes after its last call. c.mu is held.
+// checkIdle is called after a call has ended. It closes a retired connection after its last call. c.mu is held.
 func (c *Conn) checkIdle() {
 	if len(c.calls) > 0 {
 		return
@@ -179,7 +179,7 @@
 	}
 }
 
-// finish ends a call with its outcome, unless it was abandoned. c.mu is held.
+// finish ends a call with the given outcome, unless the call was abandoned. c.mu is held.
 func (c *Conn) finish(call *pendingCall, result outcome) {
 	if c.calls[call.id] == call {
 		delete(c.calls, call.id)
@@ -188,8 +188,8 @@
 	}
 }
 
-// fail closes the connection. Calls that were sent may have run, queued ones cannot have. The outcome of calls that are
-// being written is left to the writer. c.mu is held.
+// fail closes the connection because of err. Calls that were sent may have run; queued ones cannot have run. The
+// writer decides the outcome of calls that are being written. c.mu is held.
 func (c *Conn) fail(err error) {
 	if c.err != nil {
 		return
@@ -208,7 +208,7 @@
 	c.queue = nil
 }
 
-// Retire stops the connection from accepting calls. It closes after its last open call.
+// Retire makes the connection reject new calls. The connection closes after its last open call.
 func (c *Conn) Retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +216,7 @@
 	c.checkIdle()
 }
 
-// IdleSince returns the time since which the connection has had no call; ok is false if it has one, or accepts none.
+// IdleSince returns since when no call is open. ok is false if a call is open or the connection accepts none.
 func (c *Conn) IdleSince() (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,10 +230,10 @@
 	return c.err == nil && !c.retired
 }
 
-// Done returns a channel that is closed when the connection is.
+// Done returns a channel that is closed when the connection closes.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Close closes the connection, and waits for its goroutines.
+// Close closes the connection, and waits until its goroutines have returned.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	c.fail(net.ErrClosed)
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -21,14 +21,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is the server's end of a connection. It sends and receives single messages.
+// peer is the server's end of a connection. Tests use it to send and receive single messages.
 type peer struct {
 	net.Conn
 	in *msgpackrpc.Reader
 }
 
-// pair returns a connection and its server's end, which writes nothing by itself. wrap may replace the client's end.
-func pair(t testing.TB, wrap func(net.Conn) net.Conn, onDrain func()) (*Conn, peer) {
+// connect returns a connection and the server's end of it, which sends only what the test writes. wrap, if not nil,
+// replaces the client's end.
+func connect(t testing.TB, wrap func(net.Conn) net.Conn, onDrain func()) (*Conn, peer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,8 +84,8 @@
 	return msgpackrpc.AppendReply(nil, id, &msgpackrpc.Reply{Body: []byte(text)})
 }
 
-// end describes the outcome of a call.
-func end(r msgpackrpc.Reply, err error) string {
+// result describes the outcome of a call in a few words.
+func result(r msgpackrpc.Reply, err error) string {
 	var notSent *NotSentError
 	var noReply *NoReplyError
 	var malformed *MalformedReplyError
@@ -101,21 +102,21 @@
 	return err.Error()
 }
 
-// calls starts n calls, each after the peer has received the one before. It returns a channel for each outcome.
-func calls(t testing.TB, c *Conn, p peer, n int) []chan string {
+// startCalls starts n calls, each after the peer has received the previous one. It returns a channel per outcome.
+func startCalls(t testing.TB, c *Conn, p peer, n int) []chan string {
 	t.Helper()
 	ends := make([]chan string, n)
 	for i := range ends {
 		ends[i] = make(chan string, 1)
-		go func() { ends[i] <- end(c.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
+		go func() { ends[i] <- result(c.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
 		if id, method := p.next(t); id != uint32(i+1) || method != msgpackrpc.MethodCall {
-			t.Fatalf("call %d was received as %s %d", i, method, id)
+			t.Fatalf("call %d was received as method %s, msgid %d", i, method, id)
 		}
 	}
 	return ends
 }
 
-// A server answers three calls, or fails to: the outcome of each call says what may have run.
+// A server answers three calls, or commits a fault. The outcome of each call says whether it may have run.
 func TestCall_OutcomeOfServerFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		serve func(t testing.TB, server peer)
@@ -145,7 +146,7 @@
 		"a request": {func(t testing.TB, server peer) {
 			server.write(t, append(answer(1, "a"), msgpackrpc.AppendCall(nil, 9, &msgpackrpc.Call{})...))
 		}, "ok a, no reply, no reply"},
-		"no MessagePack-RPC": {func(t testing.TB, server peer) {
+		"not MessagePack-RPC": {func(t testing.TB, server peer) {
 			server.write(t, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
 		}, "no reply, no reply, no reply"},
 		"an unknown notification": {func(t testing.TB, server peer) {
@@ -163,8 +164,8 @@
 		}, "ok a, no reply, no reply"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, server := pair(t, nil, nil)
-			ends := calls(t, conn, server, 3)
+			conn, server := connect(t, nil, nil)
+			ends := startCalls(t, conn, server, 3)
 			test.serve(t, server)
 			var got []string
 			for _, e := range ends {
@@ -177,48 +178,48 @@
 	}
 }
 
-// limitedConn fails, and closes, after a number of written bytes.
+// limitedConn is a connection that closes, and fails the write, after a number of written bytes.
 type limitedConn struct {
 	net.Conn
-	left atomic.Int64
-	gate chan struct{} // closed: writes may begin
+	remaining     atomic.Int64
+	writesAllowed chan struct{} // closed when writes may begin
 }
 
 func (s *limitedConn) Write(p []byte) (int, error) {
-	<-s.gate
-	if left := int(s.left.Load()); len(p) > left {
+	<-s.writesAllowed
+	if left := int(s.remaining.Load()); len(p) > left {
 		n, _ := s.Conn.Write(p[:left])
 		_ = s.Close()
 		return n, io.ErrClosedPipe
 	}
-	s.left.Add(int64(-len(p)))
+	s.remaining.Add(int64(-len(p)))
 	return s.Conn.Write(p)
 }
 
-// A connection fails after each possible number of bytes of a batch: the calls whose last byte was written may have
-// run, the others cannot have.
+// A connection fails after each possible number of written bytes of a batch. The calls whose last byte was written
+// may have run; the others cannot have run.
 func TestCall_OutcomeOfPartialWrite(t *testing.T) {
 	frame := len(msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "0"}))
 	const n = 3
 	for cut := range n*frame + 1 {
-		gate := make(chan struct{})
-		conn, _ := pair(t, func(nc net.Conn) net.Conn {
-			s := &limitedConn{Conn: nc, gate: gate}
-			s.left.Store(int64(cut))
+		writesAllowed := make(chan struct{})
+		conn, _ := connect(t, func(nc net.Conn) net.Conn {
+			s := &limitedConn{Conn: nc, writesAllowed: writesAllowed}
+			s.remaining.Store(int64(cut))
 			return s
 		}, nil)
 		var ends [n]chan string
 		for i := range ends {
 			ends[i] = make(chan string, 1)
-			go func() { ends[i] <- end(conn.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
+			go func() { ends[i] <- result(conn.Call(context.Background(), &msgpackrpc.Call{ID: fmt.Sprint(i)}, nil)) }()
 			testkit.Await(t, "the call", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
 				return int(conn.lastID) == i+1
 			})
 		}
-		close(gate)
-		if cut == n*frame { // all were written, and then the connection is closed
+		close(writesAllowed)
+		if cut == n*frame { // the connection is closed after all calls were written
 			testkit.Await(t, "the writes", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
@@ -243,50 +244,50 @@
 	}
 }
 
-// The server is notified of an abandoned call. Its late reply is ignored, its id is not reused, and other calls are not
-// affected. A call that maySend prevents was not sent.
+// The server is notified of an abandoned call. The late reply to it is ignored, its msgid is not reused, and other
+// calls are not affected. A call that maySend prevents is not sent.
 func TestCall_Abandoned(t *testing.T) {
-	conn, server := pair(t, nil, nil)
+	conn, server := connect(t, nil, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	abandoned := make(chan string, 1)
-	go func() { abandoned <- end(conn.Call(ctx, &msgpackrpc.Call{}, nil)) }()
+	go func() { abandoned <- result(conn.Call(ctx, &msgpackrpc.Call{}, nil)) }()
 	server.next(t)
 	cancel()
-	if got := testkit.Receive(t, "the end", abandoned); got != "no reply" {
-		t.Errorf("abandoned: %s", got)
+	if got := testkit.Receive(t, "the outcome of the abandoned call", abandoned); got != "no reply" {
+		t.Errorf("the abandoned call: %s, want no reply", got)
 	}
 	if id, method := server.next(t); id != 1 || method != msgpackrpc.MethodCancel {
 		t.Errorf("the server was notified of %s %d", method, id)
 	}
 	conn.mu.Lock()
-	conn.lastID = 0 // 2^32 calls later
+	conn.lastID = 0 // as after 2^32 calls
 	conn.mu.Unlock()
 	other := make(chan string, 1)
-	go func() { other <- end(conn.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
+	go func() { other <- result(conn.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
 	id, _ := server.next(t)
 	if id != 2 {
 		t.Errorf("the next call has the id %d of an abandoned one", id)
 	}
 	server.write(t, append(answer(1, "late"), answer(id, "mine")...))
-	if got := testkit.Receive(t, "the other's end", other); got != "ok mine" {
-		t.Errorf("the other: %s", got)
+	if got := testkit.Receive(t, "the outcome of the other call", other); got != "ok mine" {
+		t.Errorf("the other call: %s", got)
 	}
 	prevent := func() error { return errors.New("draining") }
-	if got := end(conn.Call(t.Context(), &msgpackrpc.Call{}, prevent)); got != "not sent" {
-		t.Errorf("prevented by maySend: %s", got)
+	if got := result(conn.Call(t.Context(), &msgpackrpc.Call{}, prevent)); got != "not sent" {
+		t.Errorf("a call prevented by maySend: %s, want not sent", got)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := end(conn.Call(ended, &msgpackrpc.Call{}, ended.Err)); got != "not sent" {
-		t.Errorf("with a context that had ended: %s", got)
+	if got := result(conn.Call(ended, &msgpackrpc.Call{}, ended.Err)); got != "not sent" {
+		t.Errorf("a call whose context had ended: %s, want not sent", got)
 	}
 }
 
 // After a drain notification no new calls are sent, and the connection closes after its last reply.
 func TestDrain_AnswersOpenCalls(t *testing.T) {
 	drained := make(chan struct{})
-	conn, server := pair(t, nil, sync.OnceFunc(func() { close(drained) }))
-	ends := calls(t, conn, server, 2)
+	conn, server := connect(t, nil, sync.OnceFunc(func() { close(drained) }))
+	ends := startCalls(t, conn, server, 2)
 	server.write(t, msgpackrpc.AppendDrain(nil))
 	testkit.Receive(t, "the drain notification", drained)
 	if _, err := conn.Call(t.Context(), &msgpackrpc.Call{}, nil); !errors.Is(err, ErrRetired) || conn.Usable() {
@@ -296,11 +297,11 @@
 	server.write(t, answer(1, "a"))
 	for i, want := range []string{"ok a", "ok b"} {
 		if got := testkit.Receive(t, "a call's end", ends[i]); got != want {
-			t.Errorf("call %d: %s", i, got)
+			t.Errorf("call %d: got %s", i, got)
 		}
 	}
 	testkit.Receive(t, "the connection's end", conn.Done())
 	if _, err := server.in.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("the server sees %v", err)
+		t.Errorf("the server received %v, want EOF", err)
 	}
 }
--- a/msgpackrpc/mux/read.go
+++ b/msgpackrpc/mux/read.go
@@ -5,7 +5,7 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// read handles messages until the connection is closed or the server violates the protocol, which closes it.
+// read handles messages until reading fails or the server violates the protocol. It then closes the connection.
 func (c *Conn) read() {
 	err := stream.ReadMessages(msgpackrpc.NewReader(c.nc), c.handle)
 	c.mu.Lock()
@@ -17,7 +17,7 @@
 	switch message.Kind {
 	case msgpackrpc.Request:
 		return &msgpackrpc.ProtocolError{Problem: "unexpected request"}
-	case msgpackrpc.Notification: // unknown methods may be of a later version
+	case msgpackrpc.Notification: // unknown methods are ignored: they may belong to a later version
 		if message.Method == msgpackrpc.MethodDrain {
 			c.Retire()
 			if c.onDrain != nil {
--- a/msgpackrpc/mux/write.go
+++ b/msgpackrpc/mux/write.go
@@ -6,21 +6,21 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// batch is a number of calls that are written together.
+// batch holds calls and notifications that are written together.
 type batch struct {
-	buf   []byte
-	calls []*pendingCall
-	ends  []int        // of each call, in buf
-	begun []WriteGuard // whose EndWrite is due
+	buf         []byte // encoded notifications, then calls
+	calls       []*pendingCall
+	ends        []int        // end of each call in buf
+	begunWrites []WriteGuard // guards whose EndWrite must still be called
 }
 
-// endWrites tells the guards that the write is over.
+// endWrites calls EndWrite of the guards whose BeginWrite succeeded.
 func (b *batch) endWrites() {
-	for i, guard := range b.begun {
+	for i, guard := range b.begunWrites {
 		guard.EndWrite()
-		b.begun[i] = nil
+		b.begunWrites[i] = nil
 	}
-	b.begun = b.begun[:0]
+	b.begunWrites = b.begunWrites[:0]
 }
 
 // write writes queued calls and notifications, in batches, until the connection is closed.
@@ -36,7 +36,7 @@
 			c.assemble(&next)
 			if len(next.buf) == 0 {
 				next.endWrites()
-				if c.hasQueued() { // no call of the batch may be sent
+				if c.hasQueued() { // the guards prevented all calls of this batch
 					continue
 				}
 				break
@@ -58,7 +58,8 @@
 	return len(c.queue) > 0
 }
 
-// assemble replaces the contents of a batch by what is queued. Calls that may not be sent any more are finished.
+// assemble replaces the contents of a batch by queued notifications and calls. It finishes calls whose guards prevent
+// the write.
 func (c *Conn) assemble(next *batch) {
 	taken := c.dequeue(next.calls[:0])
 	forbidden := next.beginWrites(taken)
@@ -72,7 +73,7 @@
 	c.notifications = c.notifications[:0]
 	for _, call := range taken {
 		switch err := forbidden[call]; {
-		case c.calls[call.id] != call: // abandoned meanwhile
+		case c.calls[call.id] != call: // the call was abandoned meanwhile
 		case err != nil:
 			c.finish(call, outcome{err: &NotSentError{err}})
 		default:
@@ -84,7 +85,7 @@
 	}
 }
 
-// dequeue appends queued calls to taken, until their frames reach the size of a batch.
+// dequeue moves queued calls to taken, until their frames reach the size of a batch.
 func (c *Conn) dequeue(taken []*pendingCall) []*pendingCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +99,8 @@
 	return taken
 }
 
-// beginWrites returns the errors of the calls that may not be sent. Conn.mu must not be held, because guards are code
-// of the caller.
+// beginWrites calls BeginWrite of the calls' guards, and returns the errors by call. Conn.mu must not be held,
+// because guards are code of the caller.
 func (b *batch) beginWrites(calls []*pendingCall) (forbidden map[*pendingCall]error) {
 	for _, call := range calls {
 		if call.guard == nil {
@@ -107,7 +108,7 @@
 		}
 		err := call.guard.BeginWrite()
 		if err == nil {
-			b.begun = append(b.begun, call.guard)
+			b.begunWrites = append(b.begunWrites, call.guard)
 			continue
 		}
 		if forbidden == nil {
@@ -118,8 +119,7 @@
 	return forbidden
 }
 
-// finishWrite records that n bytes of a batch were written: a call whose last byte is among them may have run, and no
-// other one.
+// finishWrite records that n bytes of a batch were written. Only calls whose last byte was written may have run.
 func (c *Conn) finishWrite(written *batch, n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/msgpackrpc/reader.go
+++ b/msgpackrpc/reader.go
@@ -7,11 +7,11 @@
 	"io"
 )
 
-// readSize is the initial size of a Reader's buffer, in bytes, and the capacity beyond a message of the largest size.
+// readSize is the initial size of a Reader's buffer, and how much larger than MaxMessageSize it may grow, in bytes.
 const readSize = 4 << 10
 
-// ProtocolError describes how a stream or a message violates the protocol. After one, nothing that follows on the
-// stream can be trusted.
+// ProtocolError describes how a stream or a message violates the protocol. The rest of the stream must not be read
+// after it, because message boundaries are unknown.
 type ProtocolError struct{ Problem string }
 
 // Error implements error.
@@ -21,24 +21,24 @@
 	return &ProtocolError{fmt.Sprintf(format, args...)}
 }
 
-// Reader reads messages within the bounds from a stream. It is not safe for concurrent use.
+// Reader splits a stream into messages, and rejects those beyond the limits. It is not safe for concurrent use.
 type Reader struct {
-	// BeforeRead, if not nil, is called before each read of the stream, to set deadlines. partial reports whether part of
-	// a message has been read.
+	// BeforeRead, if not nil, is called before each read of the stream, for example to set a deadline. partial says
+	// whether a message has been read in part.
 	BeforeRead func(partial bool)
 
 	stream     io.Reader
 	buf        []byte
-	begin, end int // buf[begin:end] has been read, and not returned
+	begin, end int // buf[begin:end] has been read but not returned
 	scanner    scanner
 }
 
-// NewReader returns a reader of a stream.
+// NewReader returns a Reader that reads messages from a stream.
 func NewReader(stream io.Reader) *Reader { return &Reader{stream: stream} }
 
-// Next returns the next message, which is valid until the next call. It returns io.EOF if the stream ends between two
-// messages, io.ErrUnexpectedEOF if it ends within one, *ProtocolError for what is not a message, and else the
-// stream's own error.
+// Next returns the next message, encoded. The slice is valid until the next call. Next returns io.EOF if the stream
+// ends between two messages, io.ErrUnexpectedEOF if it ends within one, a *ProtocolError if the stream is not a valid
+// message within the limits, and otherwise the error of the stream.
 func (r *Reader) Next() ([]byte, error) {
 	scanned := r.begin
 	for {
@@ -59,8 +59,8 @@
 	}
 }
 
-// discardReturned moves the message that is being read to the start of the buffer, and returns by how many bytes. An
-// empty large buffer is released.
+// discardReturned moves unreturned bytes to the start of the buffer, and returns by how many bytes they moved. It
+// releases a large buffer if that is empty.
 func (r *Reader) discardReturned() (shift int) {
 	shift = r.begin
 	if shift == 0 {
@@ -76,7 +76,7 @@
 	return shift
 }
 
-// fill reads more of the stream into the buffer, which it grows to hold one message of the largest size at most.
+// fill reads more bytes into the buffer. It grows a full buffer, up to the size of the largest message plus readSize.
 func (r *Reader) fill() error {
 	if r.end == len(r.buf) {
 		larger := make([]byte, min(max(readSize, 2*len(r.buf)), MaxMessageSize+readSize))
--- a/msgpackrpc/reply.go
+++ b/msgpackrpc/reply.go
@@ -6,29 +6,29 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Code says why a call was not served.
+// Code is the reason why a call was not served.
 type Code string
 
-// The codes. docs/msgpack-rpc.md says what each one proves.
+// The codes. docs/msgpack-rpc.md specifies what a client may conclude from each of them.
 const (
 	Rejected    Code = "refused"    // not forwarded; safe to retry
 	Overloaded  Code = "overloaded" // not forwarded; safe to retry
-	NotRun      Code = "not_run"    // of a server: it has not run the call, and will not
-	Malformed   Code = "malformed"  // not accepted
-	Conflict    Code = "conflict"   // the ID is in use, or was lately
+	NotRun      Code = "not_run"    // sent by servers: the call has not run, and will not
+	Malformed   Code = "malformed"  // not forwarded: the call is invalid
+	Conflict    Code = "conflict"   // the call's ID is in use, or was until recently
 	Failed      Code = "failed"     // the call may have run
 	Expired     Code = "expired"    // the call may have run, and its deadline has passed
-	ServerError Code = "error"      // of a server: the call may have run
+	ServerError Code = "error"      // sent by servers: the call may have run
 )
 
 // Reply is the answer to a call.
 type Reply struct {
 	Code        Code          // empty if the call was served
-	Text        string        // for people: why the call was not served
-	RetryAfter  time.Duration // when to retry, in whole milliseconds; 0: unknown
-	Body        []byte        // of a call that was served
-	ContentType string
-	Load        string // a server's load report, in the format of X-Load
+	Text        string        // human-readable reason why the call was not served
+	RetryAfter  time.Duration // how long to wait before a retry, encoded in whole milliseconds; 0: unknown
+	Body        []byte        // result of a call that was served
+	ContentType string        // media type of Body
+	Load        string        // load report of a server, in the format of the X-Load header
 }
 
 func (r *Reply) errorFields() [3]field {
@@ -47,7 +47,7 @@
 	}
 }
 
-// AppendReply appends the response to a call.
+// AppendReply appends a reply, encoded as the response to the call msgid, to b.
 func AppendReply(b []byte, msgid uint32, r *Reply) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Response])
 	b = msgp.AppendUint8(b, uint8(Response))
@@ -60,7 +60,7 @@
 	return msgp.AppendNil(appendFields(b, fields[:]))
 }
 
-// ParseReply decodes a response to a call. A response must have either an error or a result. Errors are of type
+// ParseReply decodes the response to a call, which must have either an error or a result. Its errors are of type
 // *ProtocolError.
 func ParseReply(m Message) (r Reply, err error) {
 	switch {
--- a/msgpackrpc/scanner.go
+++ b/msgpackrpc/scanner.go
@@ -8,7 +8,7 @@
 // Limits of a message.
 const (
 	MaxMessageSize = 96 << 10 // bytes: a body of 64 KiB and the other fields
-	MaxDepth       = 8        // levels of nested arrays and maps
+	MaxDepth       = 8        // levels of nesting of arrays and maps
 	MaxElements    = 256      // in all arrays and maps together; a map entry counts as two
 )
 
@@ -19,24 +19,24 @@
 	errReservedByte    = errors.New("the byte 0xc1, which MessagePack never uses")
 )
 
-// scanner finds the end of a message that arrives in pieces. It allocates nothing, and rejects a declared length beyond
-// the limits before memory is allocated for it. The zero value is ready to use.
+// scanner finds the end of a message that may arrive in pieces. It allocates nothing, and rejects a declared length
+// beyond the limits before memory is allocated for it. The zero value is ready to use.
 type scanner struct {
-	head      [9]byte // of the value that is being read: its type, and its length
-	headLen   int
-	skip      int           // bytes of the payload that have not arrived
-	remaining [MaxDepth]int // values missing, of each open array or map
-	depth     int
-	size      int // bytes of the message so far, including payload that is declared
-	elements  int
+	head             [9]byte       // first bytes of the current value: its type and its length
+	headLen          int           // bytes of head that have been read; 0 between values
+	payloadRemaining int           // bytes of the current value's payload that have not been scanned
+	valuesRemaining  [MaxDepth]int // number of values still to come, per open array or map
+	depth            int           // number of open arrays and maps
+	size             int           // bytes of the message so far, including the whole of declared payloads
+	elements         int           // declared elements of all arrays and maps of the message
 }
 
-// scan consumes the next bytes of a message. It returns how many of them belong to the message, and whether it ends.
+// scan consumes the next bytes of a message. It returns how many belong to it, and whether it is complete.
 func (s *scanner) scan(p []byte) (n int, done bool, err error) {
 	for n < len(p) {
-		if s.skip > 0 {
-			skipped := min(s.skip, len(p)-n)
-			n, s.skip = n+skipped, s.skip-skipped
+		if s.payloadRemaining > 0 {
+			skipped := min(s.payloadRemaining, len(p)-n)
+			n, s.payloadRemaining = n+skipped, s.payloadRemaining-skipped
 		} else {
 			if s.headLen == 0 {
 				if s.size++; s.size > MaxMessageSize {
@@ -49,11 +49,11 @@
 			if s.headLen < 1+lengthBytes(s.head[0]) {
 				continue
 			}
-			if err := s.value(); err != nil {
+			if err := s.handleValueHead(); err != nil {
 				return n, false, err
 			}
 		}
-		if s.skip > 0 || s.headLen > 0 {
+		if s.payloadRemaining > 0 || s.headLen > 0 {
 			continue
 		}
 		if s.depth == 0 {
@@ -71,14 +71,14 @@
 		return 1
 	case 0xc5, 0xc8, 0xda, 0xdc, 0xde: // bin 16, ext 16, str 16, array 16, map 16
 		return 2
-	case 0xc6, 0xc9, 0xdb, 0xdd, 0xdf: // the same in 32
+	case 0xc6, 0xc9, 0xdb, 0xdd, 0xdf: // bin 32, ext 32, str 32, array 32, map 32
 		return 4
 	}
 	return 0
 }
 
-// value handles the complete head of a value.
-func (s *scanner) value() error {
+// handleValueHead processes the complete head of a value, and checks the declared length against the limits.
+func (s *scanner) handleValueHead() error {
 	first, length := s.head[0], uint64(0)
 	for _, b := range s.head[1:s.headLen] {
 		length = length<<8 | uint64(b)
@@ -90,42 +90,42 @@
 	switch {
 	case first <= 0x7f || first >= 0xe0 || first == 0xc0 || first == 0xc2 || first == 0xc3: // numbers, nil, booleans
 	case first <= 0x8f:
-		return s.open(2 * uint64(first&0x0f))
+		return s.openContainer(2 * uint64(first&0x0f))
 	case first <= 0x9f:
-		return s.open(uint64(first & 0x0f))
+		return s.openContainer(uint64(first & 0x0f))
 	case first <= 0xbf:
-		s.skip = int(first & 0x1f)
+		s.payloadRemaining = int(first & 0x1f)
 	case first == 0xc1:
 		return errReservedByte
 	case first <= 0xc6 || first >= 0xd9 && first <= 0xdb: // bin, str
 		if length > MaxMessageSize {
 			return errTooLarge
 		}
-		s.skip = int(length)
-	case first <= 0xc9: // ext, with its type
+		s.payloadRemaining = int(length)
+	case first <= 0xc9: // ext: the payload begins with a type byte
 		if length > MaxMessageSize {
 			return errTooLarge
 		}
-		s.skip = int(length) + 1
+		s.payloadRemaining = int(length) + 1
 	case first <= 0xcb: // float
-		s.skip = 4 << (first - 0xca)
+		s.payloadRemaining = 4 << (first - 0xca)
 	case first <= 0xd3: // integers
-		s.skip = 1 << (first & 3)
+		s.payloadRemaining = 1 << (first & 3)
 	case first <= 0xd8: // fixext
-		s.skip = 1 + 1<<(first-0xd4)
+		s.payloadRemaining = 1 + 1<<(first-0xd4)
 	case first <= 0xdd:
-		return s.open(length)
+		return s.openContainer(length)
 	default:
-		return s.open(2 * length)
+		return s.openContainer(2 * length)
 	}
-	if err := s.addSize(s.skip); err != nil {
+	if err := s.addSize(s.payloadRemaining); err != nil {
 		return err
 	}
-	s.close()
+	s.closeValue()
 	return nil
 }
 
-// addSize adds declared bytes to the size of the message.
+// addSize adds declared bytes to the size of the message, and checks the limit.
 func (s *scanner) addSize(bytes int) error {
 	if s.size += bytes; s.size > MaxMessageSize {
 		return errTooLarge
@@ -133,28 +133,29 @@
 	return nil
 }
 
-// open begins an array or map of a number of values.
-func (s *scanner) open(values uint64) error {
+// openContainer starts an array or map of the given number of values.
+func (s *scanner) openContainer(values uint64) error {
 	if values > MaxElements || s.elements+int(values) > MaxElements {
 		return errTooManyElements
 	}
 	if values == 0 {
-		s.close()
+		s.closeValue()
 		return nil
 	}
 	if s.depth == MaxDepth {
 		return errTooDeep
 	}
 	s.elements += int(values)
-	s.remaining[s.depth] = int(values)
+	s.valuesRemaining[s.depth] = int(values)
 	s.depth++
 	return nil
 }
 
-// close ends a value, and the arrays and maps whose last value it is. Its payload may not have arrived.
-func (s *scanner) close() {
+// closeValue ends a value, and each array or map whose last value it is. The payload of the value may still be on its
+// way.
+func (s *scanner) closeValue() {
 	for s.depth > 0 {
-		if s.remaining[s.depth-1]--; s.remaining[s.depth-1] > 0 {
+		if s.valuesRemaining[s.depth-1]--; s.valuesRemaining[s.depth-1] > 0 {
 			return
 		}
 		s.depth--
--- a/msgpackrpc/stream/stream.go
+++ b/msgpackrpc/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream has what both ends of a MessagePack-RPC connection share: the loop that reads messages, the signal
-// that wakes the writer, and the bounds of what is written together.
+// Package stream contains what both ends of a MessagePack-RPC connection share: the loop that reads messages, the
+// signal that wakes the writer, and the size limits of batched writes.
 package stream
 
 import (
@@ -9,13 +9,13 @@
 	"cobaltward/msgpackrpc"
 )
 
-// MaxBatch is the size, in bytes, from which no further message is added to a batch.
+// MaxBatch is the size, in bytes, at which no further message is added to a batch.
 const MaxBatch = 64 << 10
 
-// Signal wakes one goroutine. Signals that are sent before it is received are merged into one.
+// Signal wakes one goroutine. Several notifications before the goroutine receives are merged into one.
 type Signal chan struct{}
 
-// NewSignal returns a signal that has not been sent.
+// NewSignal returns a signal without a pending notification.
 func NewSignal() Signal { return make(Signal, 1) }
 
 // Notify sends the signal without blocking.
@@ -45,11 +45,11 @@
 
 // WriteBatch writes a batch within timeout, and returns how many bytes were written.
 func WriteBatch(conn net.Conn, batch []byte, timeout time.Duration) (int, error) {
-	_ = conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only after a close, and then so does Write
+	_ = conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only after a close, and then Write fails too
 	return conn.Write(batch)
 }
 
-// Recycle returns the buffer of a batch, emptied, for the next batch; nil if it has grown beyond twice MaxBatch.
+// Recycle returns the emptied buffer of a batch for reuse, or nil if its capacity is more than twice MaxBatch.
 func Recycle(buf []byte) []byte {
 	if cap(buf) > 2*MaxBatch {
 		return nil
--- a/msgpackrpc/stream/stream_test.go
+++ b/msgpackrpc/stream/stream_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestReadMessages(t *testing.T) {
+func TestReadMessages_StopsAtError(t *testing.T) {
 	drain := msgpackrpc.AppendDrain(nil)
 	errStop := errors.New("stop")
 	for name, test := range map[string]struct {
@@ -46,12 +46,12 @@
 			return nil
 		})
 		if !test.want(err) || handled != test.handled {
-			t.Errorf("%s: %d messages, then %v; want %d", name, handled, err, test.handled)
+			t.Errorf("%s: handled %d messages, then got %v; want %d messages", name, handled, err, test.handled)
 		}
 	}
 }
 
-func TestRecycle(t *testing.T) {
+func TestRecycle_DropsLargeBuffers(t *testing.T) {
 	if buf := Recycle(make([]byte, 10, 2*MaxBatch)); len(buf) != 0 || cap(buf) != 2*MaxBatch {
 		t.Errorf("got %d of %d bytes, want the buffer, emptied", len(buf), cap(buf))
 	}
