--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -65,7 +65,7 @@
 	lostCallCounted   bool      // a call lost to the end of the connection has been counted
 }
 
-// deadlineReader reads from a connection with a read deadline.
+// deadlineReader is the part of net.Conn that reads.
 type deadlineReader interface {
 	Read(p []byte) (int, error)
 	SetReadDeadline(t time.Time) error
--- a/internal/frontend/msgpack/connread_test.go
+++ b/internal/frontend/msgpack/connread_test.go
@@ -34,7 +34,7 @@
 	time.Sleep(40 * time.Millisecond)
 	buf := make([]byte, 100)
 	if n, err := c.Read(buf); string(buf[:n]) != "in time" || err != nil {
-		t.Errorf("read %q, %v, want the bytes received in time", buf[:n], err)
+		t.Errorf("first read: got %q, %v, want the bytes received in time", buf[:n], err)
 	}
 	_, _ = client.Write([]byte("late"))
 	testkit.Await(t, "more bytes", func() bool { return sockets.Unread(accepted.(*net.TCPConn)) == 4 })
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -29,7 +29,7 @@
 	MaxConns       int           // maximum of connections; default 256
 	MaxCalls       int           // open calls on a connection at which reading from it stops; default 64
 	IdleTimeout    time.Duration // limit for a connection without an open call; default 15s
-	MessageTimeout time.Duration // from the first byte of a message to its last; default 2.5s
+	MessageTimeout time.Duration // limit from the first byte of a message to its last; default 2.5s
 	WriteTimeout   time.Duration // limit for a write to a client that does not read; default 5s
 	Log            *slog.Logger  // nil: nothing is logged
 }
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -190,8 +190,8 @@
 	busy.expect(t, "1 r1", "EOF")
 }
 
-// A connection with the maximum of open calls is not read, and a cancelled call is ended. Answers arrive in any
-// order.
+// While a connection has the maximum of open calls, it is not read. Answers arrive in any order. A cancelled call is
+// no longer open.
 func TestMaxCalls_BackpressureAndCancel(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: func(ctx context.Context, r router.Request) (router.Answer, error) {
@@ -388,22 +388,22 @@
 	}
 	p99 := func() time.Duration {
 		c := dial(t, addr)
-		var took []time.Duration
+		var latencies []time.Duration
 		for id := range calls {
 			began := time.Now()
 			c.call(t, id)
 			c.expect(t, fmt.Sprint(id, " "))
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
-		slices.Sort(took)
-		return took[len(took)*99/100]
+		slices.Sort(latencies)
+		return latencies[len(latencies)*99/100]
 	}
 	violations := []string{
 		"\xdd\xff\xff\xff\xff", "\x94\x00", strings.Repeat("\x91", 1000), "\x94\x01\x01\xc0\x80",
 	}
 	var ratios []float64
 	for range rounds {
-		calm := p99()
+		p99Alone := p99()
 		ctx, cancel := context.WithCancel(t.Context())
 		var bad sync.WaitGroup
 		for i := range 8 {
@@ -419,11 +419,11 @@
 				}
 			})
 		}
-		busy := p99()
+		p99WithBadClients := p99()
 		cancel()
 		bad.Wait()
-		ratios = append(ratios, float64(busy)/float64(calm))
-		t.Logf("p99 latency: %v without bad clients, %v with them", calm, busy)
+		ratios = append(ratios, float64(p99WithBadClients)/float64(p99Alone))
+		t.Logf("p99 latency: %v without bad clients, %v with them", p99Alone, p99WithBadClients)
 	}
 	if slices.Sort(ratios); limitChecked && ratios[rounds/2] > 1.2 {
 		t.Errorf("p99 ratios %.2f, want a median of 1.2 at most", ratios)
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -17,8 +17,8 @@
 type Conn struct {
 	terminator      *Terminator
 	tcp             *net.TCPConn
-	onHandshakeDone func()                          // may be nil
-	onReceive       func()                          // may be nil
+	onHandshakeDone func()                          // called once when the handshake is done; may be nil
+	onReceive       func()                          // called after reads that returned bytes; may be nil
 	transport       atomic.Pointer[handshakes.Conn] // wraps tcp and carries tls; nil before the handshake
 
 	handshakeMu sync.Mutex  // held during the handshake
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -77,12 +77,12 @@
 // startServer starts a TLS server that answers each line with the names in the client's certificate.
 func startServer(t testing.TB, c Config) (*Terminator, string) {
 	t.Helper()
-	l, err := New(c)
+	terminator, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l, testkit.RawServer(t, func(nc net.Conn, _ *bufio.Reader) {
-		c := l.Wrap(nc.(*net.TCPConn), nil)
+	return terminator, testkit.RawServer(t, func(nc net.Conn, _ *bufio.Reader) {
+		c := terminator.Wrap(nc.(*net.TCPConn), nil)
 		defer func() { _ = c.Close() }()
 		for in := bufio.NewReader(c); ; {
 			if _, err := in.ReadString('\n'); err != nil {
@@ -121,7 +121,7 @@
 	for name, want := range map[string]string{"a.example": "a.example", "x.b.example": "*.b.example"} {
 		_, state, err := exchangeLine(addr, &tls.Config{RootCAs: pool, ServerName: name})
 		if err != nil || !slices.Contains(state.PeerCertificates[0].DNSNames, want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("server name %s: another certificate than expected, or error %v", name, err)
 		}
 	}
 	for _, conf := range []*tls.Config{
@@ -130,7 +130,7 @@
 		{RootCAs: pool, ServerName: "a.example", MaxVersion: tls.VersionTLS12},
 	} {
 		if _, _, err := exchangeLine(addr, conf); err == nil {
-			t.Errorf("%+v: accepted", conf)
+			t.Errorf("the handshake of a client with %+v succeeded, want a failure", conf)
 		}
 	}
 	testkit.Await(t, "the three failures", func() bool { return terminator.Stats().Failures["no agreement"] == 3 })
@@ -156,7 +156,7 @@
 		got, _ := io.ReadAll(nc) // returns when the server closes the connection
 		_ = nc.Close()
 		if !strings.HasPrefix(string(got), test.want) {
-			t.Errorf("sent %q: got %q", test.send, got)
+			t.Errorf("sent %q: got the response %q", test.send, got)
 		}
 		testkit.Await(t, test.why, func() bool { return terminator.Stats().Failures[test.why] > 0 })
 	}
@@ -176,17 +176,17 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		k, err := certificates.OpenTickets(file)
+		tickets, err := certificates.OpenTickets(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, addr := startServer(t, Config{Certificates: fixture.certificates(), Tickets: k})
-		nodes, terminators, files = append(nodes, addr), append(terminators, l), append(files, k)
+		terminator, addr := startServer(t, Config{Certificates: fixture.certificates(), Tickets: tickets})
+		nodes, terminators, files = append(nodes, addr), append(terminators, terminator), append(files, tickets)
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(fixture.ca.Cert)
 	conf := &tls.Config{RootCAs: pool, ServerName: "a.example", ClientSessionCache: tls.NewLRUClientSessionCache(4)}
-	read := func(node int) {
+	reload := func(node int) {
 		if err := files[node].Reload(); err != nil {
 			t.Fatal(err)
 		}
@@ -204,20 +204,20 @@
 	}{
 		{func() {}, 0, false},
 		{func() {}, 1, true},
-		{func() { rotate(); read(1) }, 1, true}, // encrypted with the previous key
-		{func() {}, 0, true},                    // encrypted with the next key, which this node has known from the start
-		{func() { read(0) }, 1, true},
+		{func() { rotate(); reload(1) }, 1, true}, // encrypted with the previous key
+		{func() {}, 0, true},                      // encrypted with the next key, which this node has known from the start
+		{func() { reload(0) }, 1, true},
 		{func() { terminators[0].tlsConfig.SetSessionTicketKeys([][32]byte{{1}}) }, 0, false},
 	} {
 		step.do()
 		_, state, err := exchangeLine(nodes[step.node], conf)
 		if err != nil || state.DidResume != step.resumed {
-			t.Errorf("step %d: resumed %v, %v", i, state.DidResume, err)
+			t.Errorf("step %d: resumed %v, error %v", i, state.DidResume, err)
 		}
 	}
 	fixture.write("tickets", []byte("abc\n"))
 	if err := files[0].Reload(); err == nil || !strings.Contains(err.Error(), "tickets:1: want 64 hexadecimal digits") {
-		t.Errorf("got %v", err)
+		t.Errorf("reload of a malformed file: got %v, want an error that names its line", err)
 	}
 }
 
@@ -243,11 +243,11 @@
 		known := conf(partners.Issue(pki.Leaf{Names: []string{uri}, Subject: "desk"}))
 		for range 2 {
 			if names, _, err := exchangeLine(addr, known); err != nil || names != uri+" desk" {
-				t.Errorf("require %v: %q, %v", require, names, err)
+				t.Errorf("require %v, trusted client: got names %q, error %v", require, names, err)
 			}
 		}
 		if names, _, err := exchangeLine(addr, conf()); require != (err != nil) || names != "" {
-			t.Errorf("require %v, without a certificate: %q, %v", require, names, err)
+			t.Errorf("require %v, client without a certificate: got names %q, error %v", require, names, err)
 		}
 		for what, p := range map[string]pki.Pair{
 			"of an unknown CA": others.Issue(pki.Leaf{Names: []string{uri}}),
@@ -325,7 +325,7 @@
 	}
 	_, err := New(Config{Certificates: fixture.certificates(), Require: true})
 	if err == nil || !strings.Contains(err.Error(), "needs trusted authorities") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error about trusted authorities", err)
 	}
 }
 
@@ -366,9 +366,10 @@
 	pool.AddCert(fixture.ca.Cert)
 	got, _, err := exchangeLine(raw.Addr().String(), &tls.Config{RootCAs: pool, ServerName: "a.example"})
 	if err != nil || got != "who am I" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got the answer %q, error %v", got, err)
 	}
 	if err := testkit.Receive(t, "the served connection", served); err != nil || !first.(*Conn).NothingReceived() {
-		t.Errorf("%v; nothing received from the silent client: %v", err, first.(*Conn).NothingReceived())
+		t.Errorf("serving the second client: %v; the silent client has sent nothing: %v",
+			err, first.(*Conn).NothingReceived())
 	}
 }
--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -23,7 +23,7 @@
 const (
 	MethodCall   = "call"   // request [params]
 	MethodCancel = "cancel" // notification [msgid]: the client no longer waits for the reply
-	MethodDrain  = "drain"  // notification []: the node accepts no new calls on this connection
+	MethodDrain  = "drain"  // notification []: no new calls are accepted on this connection
 	MethodError  = "error"  // notification [text]: why the connection is about to be closed
 )
 
@@ -31,7 +31,7 @@
 type Message struct {
 	Kind   Kind
 	ID     uint32 // msgid of a Request or Response
-	Method string // of a Request or Notification
+	Method string // method of a Request or Notification
 	Params []byte // encoded array of a Request or Notification
 	Error  []byte // encoded error of a Response; nil if it is nil on the wire
 	Result []byte // encoded result of a Response; nil if it is nil on the wire
--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -29,7 +29,7 @@
 		digits := regexp.MustCompile(`\|[^\n]*`).ReplaceAllString(string(m[2]), "")
 		raw, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 		if err != nil {
-			t.Fatalf("%s: %v", m[1], err)
+			t.Fatalf("dump %s of the documentation: %v", m[1], err)
 		}
 		dumps[string(m[1])] = raw
 	}
@@ -52,10 +52,10 @@
 	}
 	m, err := Parse(dumps["call"])
 	if err != nil || m.Kind != Request || m.ID != 1 || m.Method != MethodCall {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("the documented call is parsed as %+v, error %v", m, err)
 	}
 	if got, err := ParseCall(m.Params); err != nil || !reflect.DeepEqual(got, call) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("the parameters of the documented call are decoded as %+v, error %v", got, err)
 	}
 	for name, want := range map[string]Reply{"served": served, "refused": refused} {
 		m, err := Parse(dumps[name])
@@ -63,11 +63,11 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseReply(m); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("the documented reply %s is decoded as %+v, error %v", name, got, err)
 		}
 	}
 	if m, err := Parse(dumps["cancel"]); err != nil || m.Method != MethodCancel {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("the documented cancel is parsed as %+v, error %v", m, err)
 	} else if id, ok := CancelledID(m); !ok || id != 1 {
 		t.Errorf("the cancel is of msgid %d, %v, want 1", id, ok)
 	}
@@ -112,10 +112,10 @@
 			}
 			m, err := Parse(raw)
 			if err != nil || m.ID != uint32(i) {
-				t.Fatalf("%+v, %v", m, err)
+				t.Fatalf("the message is parsed as %+v, error %v", m, err)
 			}
 			if got, err := ParseCall(m.Params); err != nil || !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v, %v", got, err)
+				t.Fatalf("the call is decoded as %+v, error %v", got, err)
 			}
 		}
 		if _, err := r.Next(); !errors.Is(err, io.EOF) {
@@ -158,7 +158,7 @@
 
 // The error for an invalid message names the invalid part.
 func TestParse_InvalidMessages(t *testing.T) {
-	enc := func(value any) []byte {
+	encode := func(value any) []byte {
 		raw, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
@@ -187,7 +187,7 @@
 		"error: want a map":              []any{1, 1, "bad", nil},
 		"result.content_type: want a te": []any{1, 1, nil, map[string]any{"content_type": 7}},
 	} {
-		m, err := Parse(enc(value))
+		m, err := Parse(encode(value))
 		if err == nil && m.Kind == Request {
 			_, err = ParseCall(m.Params)
 		} else if err == nil {
@@ -201,13 +201,13 @@
 	if m, err := Parse(twice); err != nil {
 		t.Error(err)
 	} else if _, err := ParseCall(m.Params); err == nil || !strings.Contains(err.Error(), "params.id: given twice") {
-		t.Errorf("got %v", err)
+		t.Errorf("a name that is given twice: got %v", err)
 	}
-	later := enc([]any{0, 1, "call", []any{map[string]any{"id": "a", "of_a_later_version": []any{1, 2}}}})
+	later := encode([]any{0, 1, "call", []any{map[string]any{"id": "a", "of_a_later_version": []any{1, 2}}}})
 	if m, err := Parse(later); err != nil {
 		t.Error(err)
 	} else if c, err := ParseCall(m.Params); err != nil || c.ID != "a" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("a call with an unknown field is decoded as %+v, error %v", c, err)
 	}
 }
 
--- a/msgpackrpc/mux/errors.go
+++ b/msgpackrpc/mux/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// ErrRetired says that a connection accepts no new calls. Replies to open calls are still received.
+// ErrRetired says that a connection accepts no new calls. Replies to open calls may still arrive.
 var ErrRetired = errors.New("the connection accepts no new calls")
 
 // NotSentError says that a call was not written completely, so it cannot have run.
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -223,8 +223,8 @@
 			testkit.Await(t, "the writes", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
-				for _, k := range conn.calls {
-					if k.state != sent {
+				for _, call := range conn.calls {
+					if call.state != sent {
 						return false
 					}
 				}
@@ -257,7 +257,7 @@
 		t.Errorf("the abandoned call: %s, want no reply", got)
 	}
 	if id, method := server.next(t); id != 1 || method != msgpackrpc.MethodCancel {
-		t.Errorf("the server was notified of %s %d", method, id)
+		t.Errorf("the server was notified with method %s, msgid %d, want a cancel of msgid 1", method, id)
 	}
 	conn.mu.Lock()
 	conn.lastID = 0 // as after 2^32 calls
@@ -266,11 +266,11 @@
 	go func() { other <- result(conn.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
 	id, _ := server.next(t)
 	if id != 2 {
-		t.Errorf("the next call has the id %d of an abandoned one", id)
+		t.Errorf("the next call has the msgid %d, want 2", id)
 	}
 	server.write(t, append(answer(1, "late"), answer(id, "mine")...))
 	if got := testkit.Receive(t, "the outcome of the other call", other); got != "ok mine" {
-		t.Errorf("the other call: %s", got)
+		t.Errorf("the other call: got %s, want ok mine", got)
 	}
 	prevent := func() error { return errors.New("draining") }
 	if got := result(conn.Call(t.Context(), &msgpackrpc.Call{}, prevent)); got != "not sent" {
@@ -291,7 +291,7 @@
 	server.write(t, msgpackrpc.AppendDrain(nil))
 	testkit.Receive(t, "the drain notification", drained)
 	if _, err := conn.Call(t.Context(), &msgpackrpc.Call{}, nil); !errors.Is(err, ErrRetired) || conn.Usable() {
-		t.Errorf("a call after the notification: %v", err)
+		t.Errorf("a call after the notification: got %v, want ErrRetired", err)
 	}
 	server.write(t, answer(2, "b"))
 	server.write(t, answer(1, "a"))
--- a/msgpackrpc/scanner.go
+++ b/msgpackrpc/scanner.go
@@ -7,9 +7,9 @@
 
 // Limits of a message.
 const (
-	MaxMessageSize = 96 << 10 // bytes: a body of 64 KiB and the other fields
+	MaxMessageSize = 96 << 10 // bytes; enough for a body of 64 KiB and the other fields
 	MaxDepth       = 8        // levels of nesting of arrays and maps
-	MaxElements    = 256      // in all arrays and maps together; a map entry counts as two
+	MaxElements    = 256      // elements of all arrays and maps together; a map entry counts as two
 )
 
 var (
