--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -18,8 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// The examples in docs/msgpack-rpc.md are what is encoded, byte for byte, and are decoded.
-func TestExamplesOfDocumentation(t *testing.T) {
+// The encoded examples in docs/msgpack-rpc.md match the encoder byte for byte, and can be decoded.
+func TestEncoding_MatchesDocumentedExamples(t *testing.T) {
 	page, err := os.ReadFile("../docs/msgpack-rpc.md")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		digits := regexp.MustCompile(`\|[^\n]*`).ReplaceAllString(string(m[2]), "")
 		raw, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 		if err != nil {
-			t.Fatalf("%s: %v", m[1], err)
+			t.Fatalf("dump %s of the documentation: %v", m[1], err)
 		}
 		dumps[string(m[1])] = raw
 	}
@@ -44,18 +44,18 @@
 		"refused": AppendReply(nil, 1, &refused), "cancel": AppendCancel(nil, 1), "drain": AppendDrain(nil),
 	} {
 		if !bytes.Equal(dumps[name], want) {
-			t.Errorf("%s: the page has %x, want %x", name, dumps[name], want)
+			t.Errorf("%s: the documentation has %x, want %x", name, dumps[name], want)
 		}
 	}
 	if len(dumps) != 5 {
-		t.Errorf("%d dumps on the page", len(dumps))
+		t.Errorf("the documentation has %d dumps, want 5", len(dumps))
 	}
 	m, err := Parse(dumps["call"])
 	if err != nil || m.Kind != Request || m.ID != 1 || m.Method != MethodCall {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("the documented call is parsed as %+v, error %v", m, err)
 	}
 	if got, err := ParseCall(m.Params); err != nil || !reflect.DeepEqual(got, call) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("the parameters of the documented call are decoded as %+v, error %v", got, err)
 	}
 	for name, want := range map[string]Reply{"served": served, "refused": refused} {
 		m, err := Parse(dumps[name])
@@ -63,17 +63,17 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseReply(m); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("the documented reply %s is decoded as %+v, error %v", name, got, err)
 		}
 	}
 	if m, err := Parse(dumps["cancel"]); err != nil || m.Method != MethodCancel {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("the documented cancel is parsed as %+v, error %v", m, err)
 	} else if id, ok := CancelledID(m); !ok || id != 1 {
-		t.Errorf("cancels %d, %v", id, ok)
+		t.Errorf("the cancel is of msgid %d, %v, want 1", id, ok)
 	}
 }
 
-// An encoded call is decoded to the same call, in whatever pieces it arrives. Another library decodes the same.
+// A call is decoded to what was encoded, in whatever pieces it arrives, also by another MessagePack library.
 func TestCall_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
@@ -93,10 +93,10 @@
 			}
 			m := other[3].([]any)[0].(map[string]any)
 			if got, _ := m["id"].(string); got != call.ID {
-				t.Fatalf("the other library reads %q, want %q", got, call.ID)
+				t.Fatalf("the other library decodes ID %q, want %q", got, call.ID)
 			}
 			if got, _ := m["body"].([]byte); !bytes.Equal(got, call.Body) {
-				t.Fatal("the other library reads another body")
+				t.Fatal("the other library decodes a different body")
 			}
 			stream, calls = append(stream, raw...), append(calls, call)
 		}
@@ -112,14 +112,14 @@
 			}
 			m, err := Parse(raw)
 			if err != nil || m.ID != uint32(i) {
-				t.Fatalf("%+v, %v", m, err)
+				t.Fatalf("the message is parsed as %+v, error %v", m, err)
 			}
 			if got, err := ParseCall(m.Params); err != nil || !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v, %v", got, err)
+				t.Fatalf("the call is decoded as %+v, error %v", got, err)
 			}
 		}
 		if _, err := r.Next(); !errors.Is(err, io.EOF) {
-			t.Fatalf("after the last: %v", err)
+			t.Fatalf("after the last message: got %v, want EOF", err)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		"a text of 4 GB":          {[]byte{0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff}, "bytes"},
 		"bytes that never end":    {append([]byte{0x94, 0, 1, 0xc6, 0, 1, 0x7f, 0xff}, make([]byte, 200_000)...), "bytes"},
 		"many texts":              {append([]byte{0xdc, 0, 200}, bytes.Repeat(longText, 200)...), "bytes"},
-		"a byte without a use":    {[]byte{0xc1}, "0xc1"},
+		"the reserved byte":       {[]byte{0xc1}, "0xc1"},
 		"an extension of 4 GB":    {[]byte{0xc9, 0xff, 0xff, 0xff, 0xff, 1}, "bytes"},
 		"the end within a text":   {[]byte{0x94, 0, 1, 0xa4, 'c'}, "unexpected EOF"},
 		"the end within a length": {[]byte{0xdd, 0}, "unexpected EOF"},
@@ -156,9 +156,9 @@
 	}
 }
 
-// The error for an invalid message names the part that is invalid.
+// The error for an invalid message names the invalid part.
 func TestParse_InvalidMessages(t *testing.T) {
-	enc := func(value any) []byte {
+	encode := func(value any) []byte {
 		raw, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
@@ -187,7 +187,7 @@
 		"error: want a map":              []any{1, 1, "bad", nil},
 		"result.content_type: want a te": []any{1, 1, nil, map[string]any{"content_type": 7}},
 	} {
-		m, err := Parse(enc(value))
+		m, err := Parse(encode(value))
 		if err == nil && m.Kind == Request {
 			_, err = ParseCall(m.Params)
 		} else if err == nil {
@@ -201,17 +201,17 @@
 	if m, err := Parse(twice); err != nil {
 		t.Error(err)
 	} else if _, err := ParseCall(m.Params); err == nil || !strings.Contains(err.Error(), "params.id: given twice") {
-		t.Errorf("got %v", err)
+		t.Errorf("a name that is given twice: got %v", err)
 	}
-	later := enc([]any{0, 1, "call", []any{map[string]any{"id": "a", "of_a_later_version": []any{1, 2}}}})
+	later := encode([]any{0, 1, "call", []any{map[string]any{"id": "a", "of_a_later_version": []any{1, 2}}}})
 	if m, err := Parse(later); err != nil {
 		t.Error(err)
 	} else if c, err := ParseCall(m.Params); err != nil || c.ID != "a" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("a call with an unknown field is decoded as %+v, error %v", c, err)
 	}
 }
 
-// No input makes the decoders panic, and a message ends where it does for another library.
+// No input makes the decoders panic, and each message ends where another MessagePack library finds its end.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendCall(nil, 1, &Call{ID: "a", Body: []byte("b")}))
 	f.Add(AppendReply(nil, 1, &Reply{Code: Rejected}))
@@ -225,7 +225,7 @@
 				return
 			}
 			if want, err := other.DecodeRaw(); err == nil && !bytes.Equal(got, want) {
-				t.Fatalf("a message of %x, the other library's is %x", got, want)
+				t.Fatalf("got the message %x, the other library decodes %x", got, want)
 			}
 			message, err := Parse(got)
 			if err != nil {
@@ -238,7 +238,7 @@
 						t.Fatal(err)
 					}
 					if d, err := ParseCall(again.Params); err != nil || d.ID != c.ID || !bytes.Equal(d.Body, c.Body) {
-						t.Fatalf("%+v, written and read again %+v, %v", c, d, err)
+						t.Fatalf("%+v is %+v after encoding and decoding, %v", c, d, err)
 					}
 				}
 			}
@@ -248,7 +248,7 @@
 	})
 }
 
-// The scanner, the library in use, and another library.
+// BenchmarkDecode compares the scanner, the decoder with the library in use (msgp), and another library.
 func BenchmarkDecode(b *testing.B) {
 	raw := AppendCall(nil, 7, &Call{
 		ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second,
