--- a/levels/controller.go
+++ b/levels/controller.go
@@ -117,7 +117,7 @@
 	if duration > 0 {
 		c.manualUntil = now + duration
 	}
-	c.changeTo(now, level, fmt.Sprintf("by hand, set by %s: %s", requestedBy, reason))
+	c.changeTo(now, level, fmt.Sprintf("by hand of %s: %s", requestedBy, reason))
 	return nil
 }
 
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -28,7 +28,7 @@
 		next.changedAt, next.hasChanged = now, true
 		next.record(Event{
 			At: now, From: c.level, To: next.level, Name: config.levelName(next.level),
-			Reason: fmt.Sprintf("reload: level %q no longer exists", formerName),
+			Reason: fmt.Sprintf("a reload: there is no level %q any more", formerName),
 		})
 	}
 	*c = *next
