--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -1,6 +1,6 @@
-// Package disabled takes servers out of service at one node alone, whatever the endpoint list says of them. A server
-// that an operator has disabled stays out until it is enabled; one that could not prove its identity stays out until
-// it can. Source wraps another endpoint source.
+// Package disabled takes servers out of service at a single node, regardless of their state in the endpoint list. A
+// server that an operator has disabled stays out of service until it is enabled again; a server that could not prove
+// its identity stays out until it can. Source wraps another endpoint source.
 package disabled
 
 import (
@@ -15,33 +15,33 @@
 	"cobaltward/router"
 )
 
-// MaxDisabled is how many servers may be disabled at once.
+// MaxDisabled is the maximum number of servers that may be disabled at the same time.
 const MaxDisabled = 1000
 
-// Errors of Disable and Enable, which change nothing then.
+// Errors of Disable and Enable. A call that returns one of them has changed nothing.
 var (
-	// ErrUnknownServer says that the endpoint list has no such server.
+	// ErrUnknownServer is returned if the endpoint list does not contain the server.
 	ErrUnknownServer = errors.New("no such server in the list")
-	// ErrTooManyDisabled says that MaxDisabled servers are disabled already.
+	// ErrTooManyDisabled is returned if MaxDisabled servers are already disabled.
 	ErrTooManyDisabled = fmt.Errorf("cannot disable more than %d servers", MaxDisabled)
-	// ErrNotDisabled says that the server to be enabled is not disabled.
+	// ErrNotDisabled is returned if the server to enable is not disabled.
 	ErrNotDisabled = errors.New("the server is not drained by hand")
 )
 
-// Source publishes what the wrapped source does, with disabled and untrusted servers shown as draining. Its methods
-// are safe for concurrent use.
+// Source publishes the updates of the wrapped source, with disabled and untrusted servers marked as draining. Its
+// methods are safe for concurrent use.
 type Source struct {
 	router.EndpointSource
 
 	mu            sync.Mutex
-	disabled      map[string]bool            // by an operator
-	untrusted     map[string]bool            // could not prove their identity
-	endpoints     map[string]router.Endpoint // as the wrapped source has published them
-	pending       []string                   // ids whose state was changed here and is not published; each once
+	disabled      map[string]bool            // ids of servers that an operator has disabled
+	untrusted     map[string]bool            // ids of servers that could not prove their identity
+	endpoints     map[string]router.Endpoint // by id, as last published by the wrapped source
+	pending       []string                   // ids whose state changed here but is not published yet, without duplicates
 	pendingSignal chan struct{}              // holds a token while pending is not empty
 }
 
-// New returns a source that wraps another.
+// New returns a source that wraps another source, with no servers disabled.
 func New(wrapped router.EndpointSource) *Source {
 	return &Source{
 		EndpointSource: wrapped,
@@ -52,7 +52,7 @@
 	}
 }
 
-// SetInitial says which endpoints the router knows before the wrapped source has published any.
+// SetInitial sets the endpoints that the router knows before the wrapped source has published any.
 func (s *Source) SetInitial(endpoints []router.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +61,9 @@
 	}
 }
 
-// Run publishes the wrapped source's updates and changes made here until ctx ends. All of them are published by this
-// goroutine, in order; the goroutine that runs the wrapped source has ended when Run returns.
+// Run publishes the updates of the wrapped source, and the changes made by Disable, Enable and SetUntrusted, until ctx
+// ends. All updates are published by the calling goroutine, in order. The goroutine that runs the wrapped source has
+// ended when Run returns.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	updates := make(chan router.EndpointUpdate)
 	var wrapped sync.WaitGroup
@@ -89,7 +90,7 @@
 	}
 }
 
-// applyUpdate remembers what the wrapped source says and returns it with the states set here laid over it.
+// applyUpdate stores an update of the wrapped source and returns it with disabled and untrusted servers as draining.
 func (s *Source) applyUpdate(update router.EndpointUpdate) router.EndpointUpdate {
 	if update.Kind == policy.ListUnavailable {
 		return update
@@ -109,14 +110,14 @@
 	if len(s.disabled)+len(s.untrusted) == 0 {
 		return update
 	}
-	update.Endpoints = slices.Clone(update.Endpoints) // others may hold the slice
+	update.Endpoints = slices.Clone(update.Endpoints) // the wrapped source may still use the slice
 	for i := range update.Endpoints {
 		update.Endpoints[i] = s.override(update.Endpoints[i])
 	}
 	return update
 }
 
-// override returns an endpoint in the state that the router shall see.
+// override returns the endpoint with the availability to publish: a disabled or untrusted server is draining.
 func (s *Source) override(endpoint router.Endpoint) router.Endpoint {
 	if (s.disabled[endpoint.ID] || s.untrusted[endpoint.ID]) && endpoint.Availability == policy.Running {
 		endpoint.Availability = policy.Draining
@@ -124,7 +125,7 @@
 	return endpoint
 }
 
-// pendingUpdate is the update for the endpoints whose state was changed here since the last one.
+// pendingUpdate returns the update for all pending ids, and clears them.
 func (s *Source) pendingUpdate() router.EndpointUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	return update
 }
 
-// Disable takes a server out of service until Enable. Disabling it again changes nothing.
+// Disable takes a server out of service until Enable is called. Disabling a disabled server changes nothing.
 func (s *Source) Disable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// Enable takes Disable back: the server is in the state that the endpoint list says.
+// Enable reverses Disable: the server gets the availability from the endpoint list again.
 func (s *Source) Enable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// SetUntrusted takes a server that could not prove its identity out of service, or takes that back. It does not
-// block.
+// SetUntrusted takes a server that could not prove its identity out of service, or puts it back into service once it
+// could. It does not block.
 func (s *Source) SetUntrusted(id string, untrusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,25 +182,25 @@
 	s.enqueue(id)
 }
 
-// enqueue has Run publish the state of an endpoint. The caller holds mu.
+// enqueue makes Run publish the current state of an endpoint. The caller holds mu.
 func (s *Source) enqueue(id string) {
 	if !slices.Contains(s.pending, id) {
 		s.pending = append(s.pending, id)
 	}
 	select {
 	case s.pendingSignal <- struct{}{}:
-	default: // Run has not taken the last token yet
+	default: // Run has not received the previous token yet
 	}
 }
 
-// Untrusted is the ids of the servers that could not prove their identity, sorted.
+// Untrusted returns the sorted ids of the servers that could not prove their identity.
 func (s *Source) Untrusted() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.untrusted))
 }
 
-// Disabled is the ids of the servers that operators have disabled, sorted; never nil.
+// Disabled returns the sorted ids of the servers that operators have disabled. The result is never nil.
 func (s *Source) Disabled() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +212,7 @@
 	return ids
 }
 
-// ServersByZone is the ids of all listed servers by zone, each zone's sorted.
+// ServersByZone returns the sorted ids of all listed servers, by zone.
 func (s *Source) ServersByZone() map[string][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/disabled/disabled_test.go
+++ b/discovery/disabled/disabled_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// listSource publishes what the test hands it.
+// listSource publishes the updates that the test sends on its channel.
 type listSource struct{ updates chan router.EndpointUpdate }
 
 func (s *listSource) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
@@ -31,7 +31,7 @@
 
 func (s *listSource) SetPolling(bool) {}
 
-// routerView keeps the state of each endpoint as the router would.
+// routerView tracks the availability of each endpoint as the router would.
 type routerView struct {
 	mu     sync.Mutex
 	states map[string]policy.Availability
@@ -58,25 +58,25 @@
 	return maps.Equal(v.states, want)
 }
 
-// await waits until the router's view is as wanted.
+// await waits until the router's view equals want.
 func (v *routerView) await(t *rapid.T, want map[string]policy.Availability) {
-	const patience = 10 * time.Second
-	for end := time.Now().Add(patience); !v.equal(want); time.Sleep(50 * time.Microsecond) {
+	const timeout = 10 * time.Second
+	for end := time.Now().Add(timeout); !v.equal(want); time.Sleep(50 * time.Microsecond) {
 		if time.Now().After(end) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
-			t.Fatalf("the router holds %v, want %v", v.states, want)
+			t.Fatalf("the router sees %v, want %v", v.states, want)
 		}
 	}
 }
 
-// model is the expected behaviour of a source: the list, and the disabled servers.
+// model is the expected state of a source: the endpoint list and the disabled servers.
 type model struct {
 	list     map[string]policy.Availability
 	disabled map[string]bool
 }
 
-// published is what the router has to see.
+// published returns the availability of each endpoint that the router must see.
 func (m *model) published() map[string]policy.Availability {
 	want := maps.Clone(m.list)
 	for id := range want {
@@ -104,7 +104,7 @@
 	delete(m.disabled, id)
 }
 
-// publish has the list say something of an endpoint.
+// publish makes the wrapped source publish a random state of an endpoint, as a change or as a complete list.
 func (m *model) publish(t *rapid.T, list *listSource, id string) {
 	state := policy.Availability(rapid.IntRange(0, 2).Draw(t, "state"))
 	kind := policy.ListUpdate
@@ -120,12 +120,13 @@
 	if state == policy.Removed {
 		delete(m.list, id)
 	}
-	// The source takes its updates in turn: once it has this one, it has applied the one before.
+	// The source handles updates one by one: once it has received this one, it has applied the previous one.
 	list.updates <- router.EndpointUpdate{Kind: policy.ListUpdate}
 }
 
-// TestSource_MatchesModel holds a source against a model: whatever the list says and operators ask for, in any order,
-// the router sees each endpoint in the state of the list, except for disabled ones, which it sees draining.
+// TestSource_MatchesModel compares a source with a model under random list updates and operator commands, in any
+// order: the router must see each endpoint with its availability from the list, except that disabled endpoints are
+// draining.
 func TestSource_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,6 +1,7 @@
-// Package discovery holds what the endpoint sources in the packages below it share. Each of them is a
-// router.EndpointSource: registry polls wayhold's own registry over HTTP, file watches a file, xds follows an Envoy
-// control plane; merge makes one source of several, and disabled lets operators take servers out at one node.
+// Package discovery contains the code that the endpoint sources in its subpackages share. Each of them implements
+// router.EndpointSource: registry polls wayhold's own registry over HTTP, file watches a file, and xds subscribes to
+// an Envoy control plane. merge combines several sources into one, and disabled lets operators take servers out of
+// service at a single node.
 package discovery
 
 import (
@@ -9,8 +10,8 @@
 	"cobaltward/router"
 )
 
-// Equal tells whether two endpoints are alike in every field, so that publishing the second after the first would
-// change nothing. Start times are compared as instants, whatever their time zones.
+// Equal reports whether two endpoints are equal in every field, so that publishing the second after the first would
+// change nothing. Start times are compared as instants, regardless of their time zones.
 func Equal(a, b router.Endpoint) bool {
 	return a.ID == b.ID &&
 		a.Addr == b.Addr &&
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/router"
 )
 
-// TestEqual_EveryField changes each field of an endpoint in turn.
+// TestEqual_EveryField changes each field of an endpoint in turn and expects Equal to notice each change.
 func TestEqual_EveryField(t *testing.T) {
 	started := time.UnixMilli(5000)
 	base := func() router.Endpoint {
@@ -20,7 +20,7 @@
 	same := base()
 	same.Started = started.UTC()
 	if !Equal(base(), same) {
-		t.Error("the same instant in another time zone makes a difference")
+		t.Error("endpoints that start at the same instant in different time zones are not equal")
 	}
 	for name, change := range map[string]func(*router.Endpoint){
 		"id":           func(e *router.Endpoint) { e.ID = "s2" },
@@ -37,7 +37,7 @@
 			other := base()
 			change(&other)
 			if Equal(base(), other) {
-				t.Error("a changed field makes no difference")
+				t.Error("endpoints that differ in this field are equal")
 			}
 		})
 	}
--- a/discovery/file/file.go
+++ b/discovery/file/file.go
@@ -1,4 +1,4 @@
-// Package file is an endpoint source that reads its list from a file and reads it again whenever the file changes.
+// Package file provides an endpoint source that reads its list from a file, and again whenever the file changes.
 package file
 
 import (
@@ -12,17 +12,18 @@
 	"cobaltward/router"
 )
 
-// ReadFunc reads the whole list of endpoints. An error keeps the list that is in force.
+// ReadFunc reads the complete list of endpoints. If it returns an error, the source keeps its current list.
 type ReadFunc func() ([]router.Endpoint, error)
 
-// pollInterval is how often the file is checked. A drain written to the file takes effect that much later.
+// pollInterval is how often the file is checked for changes. A drain written to the file takes effect up to this much
+// later.
 const pollInterval = 200 * time.Millisecond
 
 // Source publishes the list of a file. Its methods are safe for concurrent use.
 type Source struct {
-	path   string // empty: no file is watched
+	path   string // of the file to watch; empty: no file is watched
 	log    *slog.Logger
-	reload chan struct{} // holds one pending Reload
+	reload chan struct{} // buffers one request of Reload
 
 	mu   sync.Mutex
 	read ReadFunc
@@ -30,14 +31,14 @@
 
 var _ router.EndpointSource = (*Source)(nil)
 
-// New returns a source with an empty list. What read returns first takes effect once Run is called. path is the file
-// to watch; where it is empty, the list is read again by Reload alone.
+// New returns a source with an empty list; the list is first read when Run is called. path is the file to watch. If
+// path is empty, the list is read again only on Reload.
 func New(path string, read ReadFunc, log *slog.Logger) *Source {
 	return &Source{path: path, read: read, log: log, reload: make(chan struct{}, 1)}
 }
 
-// Reload reads the list again, whether or not the file has changed. A read that is not nil replaces the function
-// that reads it. Reload does not wait for the list to be read.
+// Reload makes the source read the list again, even if the file has not changed. A non-nil read replaces the function
+// that reads the list. Reload does not wait for the list to be read.
 func (s *Source) Reload(read ReadFunc) {
 	s.mu.Lock()
 	if read != nil {
@@ -46,15 +47,15 @@
 	s.mu.Unlock()
 	select {
 	case s.reload <- struct{}{}:
-	default: // one is pending already, and will use the new function
+	default: // a reload is already pending and will use the new function
 	}
 }
 
-// SetPolling does nothing: changes of a file are published without being asked for.
+// SetPolling does nothing: file changes are published without a request from the router.
 func (s *Source) SetPolling(bool) {}
 
-// Run publishes the list, and each change of it, until ctx ends. A file that can't be read keeps the last list; the
-// failure is reported once for each state of the file.
+// Run publishes the list, and each change to it, until ctx ends. If the file can't be read, the last list stays in
+// effect and the failure is reported once for each state of the file.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -76,14 +77,14 @@
 	}
 }
 
-// publish reads the list and passes it on.
+// publish reads the list and publishes it, or reports that it is unavailable.
 func (s *Source) publish(publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	read := s.read
 	s.mu.Unlock()
 	endpoints, err := read()
 	if err != nil {
-		s.log.Error("servers: keeping the last list", "err", err)
+		s.log.Error("servers: reading the list failed, keeping the last one", "err", err)
 		publish(router.EndpointUpdate{Kind: policy.ListUnavailable})
 		return
 	}
@@ -93,15 +94,15 @@
 	publish(router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: endpoints})
 }
 
-// fileStamp distinguishes one state of the file from another.
+// fileStamp identifies a state of the file: it differs after the file has changed.
 type fileStamp struct {
 	exists   bool
 	size     int64 // bytes
 	modified time.Time
-	inode    any // a file that was renamed into place has another one
+	inode    any // differs after another file was renamed into place
 }
 
-// currentStamp is the state of the watched file.
+// currentStamp returns the current state of the watched file.
 func (s *Source) currentStamp() fileStamp {
 	if s.path == "" {
 		return fileStamp{exists: true}
--- a/discovery/file/file_test.go
+++ b/discovery/file/file_test.go
@@ -18,11 +18,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The list is published at the start, at each change, and at Reload; a file that is missing or malformed changes
-// nothing, and what follows it is published.
+// The list is published at the start, after each change of the file, and on Reload. A missing or malformed file is
+// reported as unavailable, and the next valid list is published.
 func TestSource_PublishesChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers")
-	put := func(text string) {
+	writeList := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 	}
-	put("a b")
+	writeList("a b")
 	source := New(path, func() (all []router.Endpoint, err error) {
 		raw, err := os.ReadFile(path)
 		for _, id := range strings.Fields(string(raw)) {
@@ -52,13 +52,13 @@
 		want string
 	}{
 		{func() {}, "ab"},
-		{func() { put("a c") }, "ac"},
-		{func() { put("a !") }, "unavailable"},
-		{func() { put("c") }, "c"},
+		{func() { writeList("a c") }, "ac"},
+		{func() { writeList("a !") }, "unavailable"},
+		{func() { writeList("c") }, "c"},
 		{remove, "unavailable"},
-		{func() { put("c") }, "c"},
+		{func() { writeList("c") }, "c"},
 		{func() { source.Reload(nil) }, "c"},
-		{func() { put("") }, ""},
+		{func() { writeList("") }, ""},
 		{func() { source.Reload(func() ([]router.Endpoint, error) { return []router.Endpoint{{ID: "z"}}, nil }) }, "z"},
 	} {
 		step.do()
@@ -68,8 +68,8 @@
 	}
 }
 
-// run runs a source until the test's end, and returns its updates: the ids of the list put together, or
-// "unavailable".
+// run runs a source until the test ends. The returned channel receives each update as the concatenated ids of its
+// endpoints, or as "unavailable".
 func run(t *testing.T, source *Source) <-chan string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/discovery/file/inode.go
+++ b/discovery/file/inode.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// inodeOf is the file's inode number, or nil on systems without one.
+// inodeOf returns the inode number of a file, or nil on systems without inodes.
 func inodeOf(info os.FileInfo) any {
 	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
 		return stat.Ino
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,7 @@
-// Package merge makes one endpoint source of several. A server is identified by its address: where two sources list
-// it, it is one server under the id that the first of them gives it. A server that any source drains, or has listed
-// and removed, gets no new work, since the source that is ahead of the others is right about that. What a source says
-// of a later process at the same address replaces the data of the earlier one.
+// Package merge combines several endpoint sources into one. A server is identified by its address: if several sources
+// list the same address, they describe one server, whose id is taken from the first of these sources. A server gets no
+// new work once any source drains it or removes it from its list, because that source is assumed to be more up to date
+// than the others. Data about a later process at the same address replaces the data of the earlier process.
 package merge
 
 import (
@@ -22,13 +22,13 @@
 
 	mu        sync.Mutex
 	servers   map[string]*mergedServer // by address
-	addresses []map[string]string      // by source: the address of each id that it lists
-	drops     []dropoverload.Fractions // by source
+	addresses []map[string]string      // per source: the address of each endpoint id that it lists
+	drops     []dropoverload.Fractions // the last drop fractions of each source
 }
 
 var _ router.EndpointSource = (*Source)(nil)
 
-// New merges sources. The first of them that lists a server names it.
+// New merges sources. If several sources list a server, the first of them in this order determines its id.
 func New(sources ...router.EndpointSource) *Source {
 	s := &Source{
 		sources: sources,
@@ -41,20 +41,20 @@
 	return s
 }
 
-// SetPolling passes the router's wish on to every source.
+// SetPolling forwards the router's request to every source.
 func (s *Source) SetPolling(on bool) {
 	for _, source := range s.sources {
 		source.SetPolling(on)
 	}
 }
 
-// SetInitial takes the list that the router starts with as one that the source with this index has published.
+// SetInitial treats the list that the router starts with as already published by the source with this index.
 func (s *Source) SetInitial(source int, endpoints []router.Endpoint) {
 	update := router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: endpoints}
 	s.apply(source, update, func(router.EndpointUpdate) {})
 }
 
-// Run runs all sources, each in a goroutine of its own, and returns when ctx has ended and all of them have.
+// Run runs every source in a goroutine of its own. It returns once ctx has ended and all sources have returned.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	var running sync.WaitGroup
 	for i, source := range s.sources {
@@ -65,8 +65,8 @@
 	running.Wait()
 }
 
-// apply takes over an update of one source and publishes what follows from it. Updates are published in the order in
-// which they were applied, so the lock is held meanwhile; it guards nothing else.
+// apply stores an update from one source and publishes the resulting changes. The lock is held while publishing, so
+// that updates are published in the order in which they were applied.
 func (s *Source) apply(source int, update router.EndpointUpdate, publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 		publish(update)
 		return
 	}
-	touched := make(map[string]bool) // addresses
+	touched := make(map[string]bool) // addresses whose servers may have changed
 	if update.Kind != policy.ListUpdate {
 		s.removeUnlisted(source, update.Endpoints, touched)
 	}
@@ -91,7 +91,8 @@
 	}
 }
 
-// removeUnlisted removes what a source has listed so far and its new whole list lacks.
+// removeUnlisted marks the servers as removed that a source has listed before and that are missing from its new
+// complete list.
 func (s *Source) removeUnlisted(source int, endpoints []router.Endpoint, touched map[string]bool) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -105,11 +106,11 @@
 	}
 }
 
-// applyEndpoint applies a source's data on one endpoint.
+// applyEndpoint stores what a source reports about one endpoint.
 func (s *Source) applyEndpoint(source int, endpoint router.Endpoint, touched map[string]bool) {
 	removed := endpoint.Availability == policy.Removed
 	former, had := s.addresses[source][endpoint.ID]
-	if had && (removed || former != endpoint.Addr) { // gone, or at another address now
+	if had && (removed || former != endpoint.Addr) { // the server was removed or has moved to another address
 		s.markRemoved(source, former, touched)
 	}
 	if removed {
@@ -125,7 +126,7 @@
 	touched[endpoint.Addr] = true
 }
 
-// markRemoved notes that a source no longer lists the server at an address.
+// markRemoved records that a source no longer lists the server at an address.
 func (s *Source) markRemoved(source int, addr string, touched map[string]bool) {
 	endpoint := &s.servers[addr].reports[source].endpoint
 	endpoint.Availability = policy.Removed
@@ -135,8 +136,8 @@
 	touched[addr] = true
 }
 
-// changes returns the updates to publish for the servers at the touched addresses. Removals come first, since another
-// server may have taken over an id.
+// changes returns the endpoints to publish for the touched addresses. Removals come first, because a removed server's
+// id may now belong to another server.
 func (s *Source) changes(touched map[string]bool) []router.Endpoint {
 	var removals, others []router.Endpoint
 	for addr := range touched {
--- a/discovery/merge/server.go
+++ b/discovery/merge/server.go
@@ -8,27 +8,27 @@
 	"cobaltward/router"
 )
 
-// mergedServer is what the sources say of the server at one address.
+// mergedServer collects what the sources report about the server at one address.
 type mergedServer struct {
-	reports     []sourceReport  // by source
-	published   router.Endpoint // as the router knows it
-	isPublished bool
+	reports     []sourceReport  // one per source
+	published   router.Endpoint // the endpoint as last published to the router
+	isPublished bool            // the router knows the server
 }
 
-// sourceReport is what one source says of a server. Once a source has removed it, its endpoint is kept with
-// Availability Removed.
+// sourceReport is what one source reports about a server. After the source has removed the server, the endpoint is
+// kept with Availability Removed.
 type sourceReport struct {
-	known    bool // the source has listed the server at some time
+	known    bool // the source has listed the server at least once
 	endpoint router.Endpoint
 }
 
-// merge is what the sources together say of the server; false where none of them lists it any more.
+// merge combines the reports of all sources into one endpoint. listed is false if no source lists the server anymore.
 func (m *mergedServer) merge() (merged router.Endpoint, listed bool) {
 	latest := m.latestStart()
 	draining := false
 	var pools []string
 	for _, report := range m.reports {
-		if !report.known || report.endpoint.Started.Before(latest) { // it speaks of an earlier process
+		if !report.known || report.endpoint.Started.Before(latest) { // the report describes an earlier process
 			continue
 		}
 		if report.endpoint.Availability != policy.Running {
@@ -55,7 +55,7 @@
 	return merged, true
 }
 
-// latestStart is when the newest process at the address started, of those that are listed.
+// latestStart returns the start time of the newest process that the sources list at the address.
 func (m *mergedServer) latestStart() (latest time.Time) {
 	for _, report := range m.reports {
 		if report.known && report.endpoint.Availability != policy.Removed && report.endpoint.Started.After(latest) {
