--- a/discovery/registry/backoff.go
+++ b/discovery/registry/backoff.go
@@ -7,18 +7,19 @@
 
 const (
 	backoffMin = 25 * time.Millisecond
-	// backoffMax and drainGraceDivisor keep a pause after a failed call short: what the registry's agent has counts as
-	// known to the node, also while the node pauses.
+	// backoffMax and drainGraceDivisor keep the pause after a failed call short: a drain that the registry's agent has
+	// counts as known to the node, even while the node pauses.
 	backoffMax        = 200 * time.Millisecond
 	drainGraceDivisor = 4
 )
 
-// nextBackoff is how long to pause after one more failure in a row.
+// nextBackoff returns the pause after one more consecutive failure, given the previous pause.
 func nextBackoff(last, limit time.Duration) time.Duration {
 	return min(limit, max(backoffMin, 2*last))
 }
 
-// backoffLimit is the longest pause, for the time in which a draining server may still get work; 0: not told.
+// backoffLimit returns the longest pause between calls. drainGrace is how long a draining server may still get work; 0
+// means that it is unknown.
 func backoffLimit(drainGrace time.Duration) time.Duration {
 	if drainGrace <= 0 {
 		return backoffMax
--- a/discovery/registry/list.go
+++ b/discovery/registry/list.go
@@ -10,21 +10,21 @@
 	"cobaltward/router"
 )
 
-// List is the registry's complete list of endpoints, or its changes since an earlier revision.
+// List is the registry's complete list of endpoints, or the changes to it since an earlier revision.
 type List struct {
 	Revision  int64
-	Full      bool // Endpoints is the whole list
+	Full      bool // Endpoints is the complete list, not only the changes
 	Endpoints []router.Endpoint
 }
 
-// listJSON is a list as the registry sends it.
+// listJSON is the JSON form of List that the registry sends.
 type listJSON struct {
 	Revision *int64         `json:"revision"`
 	Complete bool           `json:"complete"`
 	Members  []endpointJSON `json:"members"`
 }
 
-// endpointJSON is an entry of a list as the registry sends it.
+// endpointJSON is the JSON form of one endpoint in a list.
 type endpointJSON struct {
 	ID       string   `json:"id"`
 	HostPort string   `json:"host_port"`
@@ -36,18 +36,19 @@
 	UpSince  float64  `json:"up_since_ms"`
 }
 
-// availabilities are the registry's phases.
+// availabilities maps the phases of the registry to availabilities.
 var availabilities = map[string]policy.Availability{
 	"up":       policy.Running,
 	"draining": policy.Draining,
 	"removed":  policy.Removed,
 }
 
-// maxUpSince bounds a start time, in milliseconds since 1970: larger numbers are not exact in JSON.
+// maxUpSince is the exclusive upper bound of a start time, in milliseconds since 1970: larger numbers are not exact as
+// JSON numbers.
 const maxUpSince = 1 << 53
 
-// ParseList reads a list in the registry's JSON form. One invalid entry makes the whole list invalid, since the entry
-// that would be left out might be a drain. Errors name the field.
+// ParseList parses a list in the registry's JSON form. One invalid entry makes the whole list invalid, because a
+// skipped entry might be a drain. Errors name the invalid field.
 func ParseList(raw []byte) (List, error) {
 	var parsed listJSON
 	if err := jsonconfig.Unmarshal(raw, &parsed); err != nil {
@@ -67,15 +68,15 @@
 	return list, nil
 }
 
-// endpoint checks and converts an entry.
+// endpoint validates an entry and converts it to an endpoint.
 func (e *endpointJSON) endpoint() (router.Endpoint, error) {
 	availability, known := availabilities[e.Phase]
 	switch {
 	case e.ID == "":
 		return router.Endpoint{}, errors.New("id: missing")
 	case !known:
-		return router.Endpoint{}, fmt.Errorf("phase: unknown word %q", e.Phase)
-	case !(e.UpSince >= 0 && e.UpSince < maxUpSince): // not a number is out of range, too
+		return router.Endpoint{}, fmt.Errorf("phase: unknown value %q", e.Phase)
+	case !(e.UpSince >= 0 && e.UpSince < maxUpSince): // written so that NaN is out of range too
 		return router.Endpoint{}, errors.New("up_since_ms: out of range")
 	}
 	if availability != policy.Removed {
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry is the endpoint source for wayhold's own registry: it watches the list of endpoints over HTTP by
-// calls that the registry holds until something changes.
+// Package registry provides the endpoint source for wayhold's own registry. It watches the list of endpoints by HTTP
+// long polling: the registry holds each call until something changes.
 //
-// Two kinds of registry are told apart by Config.Subscribe. Without it an agent on the node's machine pushes the list:
-// the source watches all the time and rides out failures by itself. With it one registry serves all nodes: the source
-// watches only while the router has asked for it (SetPolling), and reports each failure, after which the router
-// decides when to ask again.
+// Config.Subscribe distinguishes two kinds of registry. If it is false, an agent on the node's machine pushes the
+// list: the source watches all the time and retries failed calls by itself. If it is true, one registry serves all
+// nodes: the source watches only while the router has requested it with SetPolling, and reports each failure; the
+// router then decides when to ask again.
 package registry
 
 import (
@@ -20,15 +20,15 @@
 	"cobaltward/router"
 )
 
-const dialTimeout = 2 * time.Second
+const dialTimeout = 2 * time.Second // for a connection to the registry
 
-// Config is what a Source needs.
+// Config configures a Source.
 type Config struct {
 	Addr      string // host:port of the registry
-	Revision  int64  // of the list that the router starts with
-	Subscribe bool   // watch only while the router asks for it, and report failures to it
-	// DrainGrace is for how long after a drain is known a server may still get work; 0: not told. It bounds the pauses
-	// after failures.
+	Revision  int64  // revision of the list that the router starts with
+	Subscribe bool   // watch only while the router requests it, and report failures to the router
+	// DrainGrace is how long a server may still get work after its drain is known; 0: unknown. It bounds the pauses
+	// after failed calls.
 	DrainGrace time.Duration
 	Log        *slog.Logger // nil: nothing is logged
 }
@@ -39,24 +39,24 @@
 	log          *slog.Logger
 	subscribe    bool
 	maxBackoff   time.Duration
-	pollRequests chan bool // holds the newest value of SetPolling
+	pollRequests chan bool // buffers the newest value passed to SetPolling
 	publish      func(router.EndpointUpdate)
 
 	// Only the goroutine of Run uses these.
 	addr          string
 	revision      int64
-	fullRequested bool // the next call asks for the whole list
-	polling       bool // the last value of SetPolling that was seen
+	fullRequested bool // the next call asks for the complete list
+	polling       bool // the last value received from pollRequests
 	outage        outage
 
 	mu         sync.Mutex
-	newAddr    string             // of SetAddress, until Run has taken it up
-	cancelCall context.CancelFunc // ends the call in flight, or the pause between two
+	newAddr    string             // set by SetAddress; empty once Run uses it
+	cancelCall context.CancelFunc // cancels the call in flight or the pause between two calls
 }
 
 var _ router.EndpointSource = (*Source)(nil)
 
-// New returns a source that makes no call before Run.
+// New returns a source that makes no calls until Run is called.
 func New(config Config) *Source {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -73,7 +73,7 @@
 	}
 }
 
-// newClient returns a client whose transport is used for nothing else: neither a proxy nor other requests share its
+// newClient returns a client with a transport of its own: no proxy is used, and no other requests share its
 // connection.
 func newClient() *http.Client {
 	return &http.Client{
@@ -86,8 +86,8 @@
 	}
 }
 
-// SetPolling tells whether the router wants to be notified of changes. A newer call replaces one not handled yet.
-// Only the router calls it; it does not block.
+// SetPolling tells the source whether the router wants to be notified of changes. A newer call replaces one that Run
+// has not handled yet. Only the router calls it; it does not block.
 func (s *Source) SetPolling(on bool) {
 	select {
 	case <-s.pollRequests:
@@ -96,8 +96,8 @@
 	s.pollRequests <- on
 }
 
-// SetAddress makes the source continue at another registry at once. A call in flight is cancelled: the former registry
-// may never answer it.
+// SetAddress makes the source switch to another registry immediately. A call in flight is cancelled, because the
+// former registry may never answer it.
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	backoff := time.Duration(0)
 	for ctx.Err() == nil {
 		roundCtx, cancel, moved := s.beginRound(ctx)
-		if moved { // a failure at the former address says nothing of the new one
+		if moved { // a failure at the former address says nothing about the new one
 			backoff = 0
 			watching = watching || s.polling
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-// beginRound takes up a new address, if one was set, and returns the context of the next call or pause.
+// beginRound switches to a new address if SetAddress has set one, and returns the context of the next call or pause.
 func (s *Source) beginRound(ctx context.Context) (roundCtx context.Context, cancel context.CancelFunc, moved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,19 +143,20 @@
 	return roundCtx, s.cancelCall, moved
 }
 
-// poll makes one call, and pauses after one that failed. It returns whether to continue watching, and the backoff.
+// poll makes one call and, if it fails, pauses. It returns whether to continue watching, and the length of the pause
+// if the call failed.
 func (s *Source) poll(ctx context.Context, backoff time.Duration) (watching bool, nextPause time.Duration) {
 	list, err := s.watch(ctx)
 	switch {
 	case err == nil:
 		s.apply(list)
 		return true, 0
-	case ctx.Err() != nil: // another address, or the end
+	case ctx.Err() != nil: // SetAddress was called, or the source is stopping
 		return true, 0
 	}
 	s.outage.inProgress = true
 	switch {
-	case errors.Is(err, errWatchSilent): // the registry has not failed, and no time is to be lost
+	case errors.Is(err, errWatchSilent): // the registry may still be up, so the call is repeated without a pause
 		s.log.Warn("discovery: registry watch idle, reopening")
 		return true, 0
 	case s.subscribe: // the router decides when to try again
@@ -163,7 +164,7 @@
 		s.publish(router.EndpointUpdate{Kind: policy.ListUnavailable})
 		return false, 0
 	}
-	// A pushed list: the last one stays in force, and the router need not know.
+	// The list is pushed: the last one stays in effect, and the failure is not reported to the router.
 	if backoff == 0 {
 		s.log.Warn("discovery: registry unreachable, keeping the last endpoint list", "err", err)
 	}
@@ -172,13 +173,13 @@
 	return true, backoff
 }
 
-// outage is a time without an answer because calls failed or fell silent.
+// outage tracks the time without an answer while calls fail or time out.
 type outage struct {
-	lastAnswer time.Time // or the start of Run
-	inProgress bool
+	lastAnswer time.Time // initially the start of Run
+	inProgress bool      // a call has failed since the last answer
 }
 
-// end takes in an answer and returns how long the outage was that it ends; 0 where there was none.
+// end records an answer and returns the length of the outage that it ended, or 0 if there was none.
 func (o *outage) end(answered time.Time) time.Duration {
 	length := answered.Sub(o.lastAnswer)
 	if !o.inProgress {
@@ -188,7 +189,8 @@
 	return length
 }
 
-// pollingRequested is the router's newest wish. It waits for one only where there is nothing to watch.
+// pollingRequested returns whether the router wants to watch. It waits for the router's next request only if the
+// source is not watching.
 func (s *Source) pollingRequested(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
@@ -207,12 +209,12 @@
 	}
 }
 
-// apply publishes a list. An empty change is published only where the router waits for an answer. A change whose
-// revision is below the present one means that the registry's revisions have started over: whatever the change
-// builds on is not known here, so the whole list is asked for.
+// apply publishes a list. An empty change is published only if the router waits for an answer. A change with a
+// revision below the current one means that the registry has restarted its revisions: the list that the change
+// applies to is unknown, so the complete list is requested.
 func (s *Source) apply(list List) {
 	if !list.Full && list.Revision < s.revision {
-		s.log.Warn("discovery: its revisions have begun again", "held", s.revision, "told", list.Revision)
+		s.log.Warn("discovery: registry restarted its revisions, requesting the complete list", "held", s.revision, "told", list.Revision)
 		s.fullRequested = true
 		return
 	}
--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -25,9 +25,10 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, strings.Join(entries, ","))
 }
 
-// watched plays answers to the calls in turn, then holds the rest, and returns what discovery published
-// and the queries that it made. An answer that is no JSON object is sent with status 503.
-func watched(
+// runWithAnswers runs a source against a registry that returns answers to the first calls, one each, and holds all
+// further calls. It returns the published updates and the "index" parameter of each call. An answer that is not a JSON
+// object is sent with status 503.
+func runWithAnswers(
 	t *testing.T, subscribe bool, answers ...string,
 ) (d *Source, published chan router.EndpointUpdate, queries chan string) {
 	t.Helper()
@@ -52,21 +53,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx, func(c router.EndpointUpdate) { published <- c }); close(ended) }()
-	t.Cleanup(func() { cancel(); testkit.Receive(t, "the end of discovery", ended) })
+	t.Cleanup(func() { cancel(); testkit.Receive(t, "the end of the source", ended) })
 	return d, published, queries
 }
 
-func indexes(t *testing.T, queries chan string, want ...string) {
+func assertIndexes(t *testing.T, queries chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		if got := testkit.Receive(t, "a call", queries); got != w {
-			t.Errorf("call %d asked for changes after %s, want %s", i, got, w)
+			t.Errorf("call %d requested changes after revision %s, want %s", i, got, w)
 		}
 	}
 }
 
 func TestSource_DeltasInOrder(t *testing.T) {
-	_, published, queries := watched(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
+	_, published, queries := runWithAnswers(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
 		`{"revision":11,"complete":true,"members":[`+entry("s2", "up")+`]}`)
 	for i, want := range []struct {
 		kind   policy.ListKind
@@ -83,74 +84,76 @@
 			t.Errorf("update %d: %+v", i, n)
 		}
 	}
-	indexes(t, queries, "7", "8", "9", "10", "11")
+	assertIndexes(t, queries, "7", "8", "9", "10", "11")
 }
 
-// A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
+// Without Subscribe, a failed call or an invalid list leaves the last list in effect and publishes nothing.
 func TestSource_FailuresKeepLastList(t *testing.T) {
-	_, published, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
+	_, published, queries := runWithAnswers(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 		delta(8, entry("s1", "up")))
 	if n := testkit.Receive(t, "an update", published); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
 		t.Errorf("update %+v", n)
 	}
-	indexes(t, queries, "7", "7", "7", "7", "7", "8")
+	assertIndexes(t, queries, "7", "7", "7", "7", "7", "8")
 	if len(published) != 0 {
-		t.Errorf("published also %+v", <-published)
+		t.Errorf("also published %+v", <-published)
 	}
 }
 
-// TestSource_OutageIsMeasured has calls fail between two answers: the next update says for how long there was none.
+// TestSource_OutageIsMeasured lets calls fail between two answers: the update after the failures must report the
+// length of the outage.
 func TestSource_OutageIsMeasured(t *testing.T) {
-	_, published, _ := watched(t, false, delta(8, entry("s1", "up")), "down", "down", delta(9, entry("s2", "up")),
+	_, published, _ := runWithAnswers(t, false, delta(8, entry("s1", "up")), "down", "down", delta(9, entry("s2", "up")),
 		delta(10, entry("s3", "up")))
-	begun := time.Now()
+	start := time.Now()
 	for i, outage := range []bool{false, true, false} {
 		got := testkit.Receive(t, "an update", published).Outage
-		if (got > 0) != outage || got > time.Since(begun) {
-			t.Errorf("update %d names an outage of %v, %v after the start", i, got, time.Since(begun))
+		if (got > 0) != outage || got > time.Since(start) {
+			t.Errorf("update %d reports an outage of %v, %v after the start", i, got, time.Since(start))
 		}
 	}
 }
 
-// Where lists are asked for, the module says when, and hears of each failure once.
+// With Subscribe, the source calls only after the router requests it, and reports each failure once.
 func TestSource_SubscribeReportsFailures(t *testing.T) {
-	d, published, queries := watched(t, true, "down", delta(8, entry("s1", "up")), delta(8))
+	d, published, queries := runWithAnswers(t, true, "down", delta(8, entry("s1", "up")), delta(8))
 	d.SetPolling(true)
 	if n := testkit.Receive(t, "the failure", published); n.Kind != policy.ListUnavailable {
 		t.Errorf("update %+v", n)
 	}
-	indexes(t, queries, "7")
+	assertIndexes(t, queries, "7")
 	if len(queries) != 0 {
-		t.Error("called again before the module asked")
+		t.Error("called again before the router requested it")
 	}
 	d.SetPolling(true)
 	if n := testkit.Receive(t, "the change", published); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
 		t.Errorf("update %+v", n)
 	}
-	indexes(t, queries, "7", "8", "8")
+	assertIndexes(t, queries, "7", "8", "8")
 }
 
-// A new address ends the backoff after a failure: its list counts as known 4 s later, and the policy, which
-// rests for the old one's sake, knows of no move.
+// After a failure, a new address makes the source call again without a request from the router. The policy does not
+// know of the move and would still wait because of the failure, but the new registry's list counts as known 4 s after
+// the move.
 func TestSetAddress_WhileNotPolling(t *testing.T) {
-	d, published, queries := watched(t, true, "down")
+	d, published, queries := runWithAnswers(t, true, "down")
 	d.SetPolling(true)
 	if n := testkit.Receive(t, "the failure", published); n.Kind != policy.ListUnavailable {
 		t.Errorf("update %+v", n)
 	}
-	indexes(t, queries, "7")
+	assertIndexes(t, queries, "7")
 	next := make(chan string, 1)
 	d.SetAddress(testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		next <- r.URL.Query().Get("index")
 		<-r.Context().Done()
 	}))
 	if index := testkit.Receive(t, "a call at the new address", next); index != "" {
-		t.Errorf("asked for changes after %s", index)
+		t.Errorf("requested changes after revision %s, want the complete list", index)
 	}
 }
 
-// Nodes that start together and call one service must not keep calling together: each watch waits for a
-// time of its own. An agent on the node's own machine may be asked by the clock.
+// Nodes that start together must not keep calling a shared registry at the same moments, so each watch uses a random
+// wait. The wait at an agent on the node's own machine is constant.
 func TestSharedRegistry_WatchTimeoutsAreSpread(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		waits := make(chan time.Duration, 8)
@@ -171,19 +174,19 @@
 			go func() { d.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
 			wait := testkit.Receive(t, "a call", waits)
 			if seen[wait] = true; subscribe && (wait < sharedWatchTimeout/2 || wait > sharedWatchTimeout) {
-				t.Errorf("a watch waits %v", wait)
+				t.Errorf("a watch of a shared registry waits %v, out of range", wait)
 			}
 			cancel()
-			testkit.Receive(t, "the end", ended)
+			testkit.Receive(t, "the end of the source", ended)
 		}
-		if apart := len(seen) > 4; apart != subscribe {
-			t.Errorf("subscribe %v: %d watches wait %d different times", subscribe, cap(waits), len(seen))
+		if spread := len(seen) > 4; spread != subscribe {
+			t.Errorf("subscribe %v: %d watches use %d different waits", subscribe, cap(waits), len(seen))
 		}
 	}
 }
 
-// The agent of a pushed list may hold a drain as soon as it is back; a node that pauses past the
-// rule's grace would keep sending to that server.
+// An agent that is back after a failure may already hold a drain. A node that pauses for longer than the drain grace
+// would keep sending requests to the draining server.
 func TestBackoff_WithinDrainGrace(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
@@ -198,26 +201,27 @@
 		200 * time.Millisecond: 50 * time.Millisecond, time.Millisecond: backoffMin,
 	} {
 		if got := backoffLimit(grace); got != want {
-			t.Errorf("a grace of %v: pauses up to %v, want %v", grace, got, want)
+			t.Errorf("drain grace %v: the longest pause is %v, want %v", grace, got, want)
 		}
 	}
 }
 
-// Revisions that begin again say nothing of what changed before: the whole list is asked for.
+// A change with a lower revision is not applied, since the registry has restarted its revisions; the source requests
+// the complete list instead.
 func TestSource_RevisionsStartOver(t *testing.T) {
-	_, published, queries := watched(t, false, delta(8, entry("s1", "up")), delta(3, entry("s2", "up")),
+	_, published, queries := runWithAnswers(t, false, delta(8, entry("s1", "up")), delta(3, entry("s2", "up")),
 		`{"revision":3,"complete":true,"members":[`+entry("s3", "up")+`]}`)
 	for i, want := range []string{"s1", "s3"} {
 		if n := testkit.Receive(t, "an update", published); len(n.Endpoints) != 1 || n.Endpoints[0].ID != want {
 			t.Errorf("update %d: %+v, want %s", i, n, want)
 		}
 	}
-	indexes(t, queries, "7", "8", "", "3")
+	assertIndexes(t, queries, "7", "8", "", "3")
 }
 
-// An idle watch is reopened before the changes that it misses count as known to the node: 2 s after its wait is
-// over, and 6 s after it fell silent where it asked for the whole list, as after a new address. The router hears of no
-// failure, and need not ask. The connection stays open on the other side.
+// A watch that gets no answer is reopened before the changes that it misses count as known to the node: 2 s after the
+// end of its wait, or 6 s after the call if it asked for the complete list, as after SetAddress. No failure is
+// reported, and the router need not request the new call. The registry keeps the connection open.
 func TestSource_SilentWatchIsReopened(t *testing.T) {
 	for name, test := range map[string]struct{ subscribe, moved bool }{
 		"pushed":                    {},
@@ -239,26 +243,26 @@
 				}
 				ms, _ := strconv.Atoi(req.URL.Query().Get("wait"))
 				calls <- call{time.Now(), time.Duration(ms) * time.Millisecond}
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{") // half of it at most
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{") // an incomplete response: 1 byte of 100
 				_, _ = io.Copy(io.Discard, r)
 			})
 			d := New(Config{Addr: addr, Revision: 7, Subscribe: test.subscribe})
-			most := 1800 * time.Millisecond // past the wait, 2 s after which the update counts as known
+			maxDelay := 1800 * time.Millisecond // after the wait; below the 2 s after which missed changes count as known
 			if test.moved {
 				d.SetAddress(addr)
-				most = 5800 * time.Millisecond // it can't wait: 6 s
+				maxDelay = 5800 * time.Millisecond // a call for the complete list has no wait; missed changes count as known after 6 s
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			d.SetPolling(true)
 			go func() { d.Run(ctx, func(c router.EndpointUpdate) { t.Errorf("published %+v", c) }); close(ended) }()
 			first := testkit.Receive(t, "a call", calls)
-			second := testkit.Receive(t, "the next call", calls)
-			if late := second.at.Sub(first.at.Add(first.wait)); late < 0 || late > most {
-				t.Errorf("reopened %v after its wait of %v", late, first.wait)
+			second := testkit.Receive(t, "the repeated call", calls)
+			if delay := second.at.Sub(first.at.Add(first.wait)); delay < 0 || delay > maxDelay {
+				t.Errorf("the watch was reopened %v after its wait of %v", delay, first.wait)
 			}
 			cancel()
-			testkit.Receive(t, "the end", ended)
+			testkit.Receive(t, "the end of the source", ended)
 		})
 	}
 }
@@ -275,13 +279,13 @@
 		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", raw, err, want)
 		}
 	}
 }
 
-// A move ends the call in flight and its connection, and asks the new address for everything: its
-// revisions need not compare with those of the old one. Two in a row end on the newest.
+// SetAddress ends the call in flight and its connection, and requests the complete list from the new address, because
+// revisions of two registries can't be compared. After two calls of SetAddress in a row the last address is used.
 func TestSetAddress_RequestsFullList(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		closed := make(chan struct{}, 10)
@@ -298,7 +302,7 @@
 			}
 			_, _ = io.WriteString(w, `{"revision":2,"complete":true,"members":[`+entry("s9", "up")+`]}`)
 		})
-		d, published, first := watched(t, subscribe)
+		d, published, first := runWithAnswers(t, subscribe)
 		if subscribe {
 			d.SetPolling(true)
 		}
@@ -310,18 +314,18 @@
 			t.Errorf("subscribe %v: update %+v", subscribe, n)
 		}
 		if q := testkit.Receive(t, "the first call", queries); q != "" {
-			t.Errorf("subscribe %v: the first call asks for %q, not for the whole list", subscribe, q)
+			t.Errorf("subscribe %v: the first call has query %q, want none, for the complete list", subscribe, q)
 		}
 		if q := testkit.Receive(t, "the second call", queries); !strings.HasPrefix(q, "index=2&wait=") {
-			t.Errorf("subscribe %v: the second call asks for %q", subscribe, q)
+			t.Errorf("subscribe %v: the second call has query %q, want changes after revision 2", subscribe, q)
 		}
 		if len(published) != 0 {
-			t.Errorf("subscribe %v: published also %+v", subscribe, <-published)
+			t.Errorf("subscribe %v: also published %+v", subscribe, <-published)
 		}
 	}
 }
 
-// The old address may be silent for good: the call there is ended, not waited for.
+// The registry at the old address may never answer, so SetAddress cancels the call in flight.
 func TestSetAddress_CancelsCallInFlight(t *testing.T) {
 	called, closed := make(chan struct{}), make(chan struct{})
 	old := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -334,12 +338,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
-	defer func() { cancel(); testkit.Receive(t, "the end of discovery", ended) }()
+	defer func() { cancel(); testkit.Receive(t, "the end of the source", ended) }()
 	testkit.Receive(t, "the call", called)
 	d.SetAddress(testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		next <- struct{}{}
 		<-r.Context().Done()
 	}))
-	testkit.Receive(t, "the end of the old call", closed)
-	testkit.Receive(t, "the new call", next)
+	testkit.Receive(t, "the end of the call at the old address", closed)
+	testkit.Receive(t, "the call at the new address", next)
 }
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// watchTimeout is how long a registry that runs on the node's own machine may hold a call while nothing changes. It
-	// is short, so that one which has fallen silent is noticed soon.
+	// watchTimeout is how long a registry on the node's own machine may hold a call while nothing changes. It is
+	// short so that a registry that no longer answers is noticed soon.
 	watchTimeout = 5 * time.Second
-	// silenceTimeout is how long after watchTimeout a call counts as silent and is repeated. The site holds a node to a
-	// drain from 2 s after its watch should have ended, whether or not the node heard of it, and the next call needs
-	// part of that.
+	// silenceTimeout is how long after watchTimeout an unanswered call is given up and repeated. The site expects a
+	// node to respect a drain from 2 s after its watch should have ended, even if the node has not received it, and
+	// the repeated call needs part of these 2 s.
 	silenceTimeout = time.Second
-	// sharedWatchTimeout is the longest wait at a registry that serves all nodes; each call draws its own from half of
-	// it on. Nodes that start together would otherwise call together for ever, and overload the registry.
+	// sharedWatchTimeout is the longest time for which a registry that serves all nodes may hold a call. Each call
+	// uses a random time between half of it and all of it. Otherwise nodes that start together would keep calling at
+	// the same moments and overload the registry.
 	sharedWatchTimeout = 20 * time.Second
-	// sharedSilenceTimeout is how long the whole list is waited for there. The registry works through calls in turn,
-	// and one that is given up early has cost it as much. The site holds a node to what such a call misses from 6 s
-	// after it fell silent, so that the next one follows at once.
+	// sharedSilenceTimeout is how long to wait for the complete list from a registry that serves all nodes. Such a
+	// registry handles calls one after the other, and a call that is given up early costs it as much as an answered
+	// one. The site expects a node to know the changes that an unanswered call missed 6 s after it began, so the next
+	// call follows without a pause.
 	sharedSilenceTimeout = 5 * time.Second
 
-	maxListSize = 8 << 20 // bytes of one answer
+	maxListSize = 8 << 20 // of one response, in bytes
 	watchPath   = "/registry/instances"
 )
 
-// errWatchSilent says that a call brought neither an answer nor its end.
-var errWatchSilent = errors.New("the watch fell silent")
+// errWatchSilent is returned for a call that timed out without an answer or an error.
+var errWatchSilent = errors.New("the watch timed out without an answer")
 
-// call is one call of the registry.
+// call describes one call to the registry.
 type call struct {
-	wait  time.Duration // that the registry may hold it; 0: it is to answer at once
-	grace time.Duration // after wait
+	wait  time.Duration // how long the registry may hold the call; 0: it must answer immediately
+	grace time.Duration // how long to wait for the answer after wait has passed
 	query url.Values
 }
 
-// nextCall asks for the complete list, or for the changes after the present revision.
+// nextCall returns a call for the complete list, or for the changes since the current revision.
 func (s *Source) nextCall() call {
 	next := call{wait: watchTimeout, grace: silenceTimeout, query: url.Values{}}
 	if s.subscribe {
@@ -60,8 +62,8 @@
 	return next
 }
 
-// watch makes one call. Its error is errWatchSilent where the registry may still be there and only this call has got
-// no answer in time.
+// watch makes one call and returns its list. The error is errWatchSilent if the call got no answer in time although
+// the registry may still be up.
 func (s *Source) watch(ctx context.Context) (List, error) {
 	next := s.nextCall()
 	callCtx, cancel := context.WithTimeout(ctx, next.wait+next.grace)
@@ -74,7 +76,7 @@
 	return list, err
 }
 
-// get makes one HTTP request and reads the list that it brings.
+// get makes one HTTP request and parses the list in its response.
 func (s *Source) get(ctx context.Context, query url.Values) (List, error) {
 	target := url.URL{Scheme: "http", Host: s.addr, Path: watchPath, RawQuery: query.Encode()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
@@ -85,23 +87,23 @@
 	if err != nil {
 		return List{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // a failure to close a response that was only read is harmless
 	if response.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("answered %s", response.Status)
+		return List{}, fmt.Errorf("registry answered %s", response.Status)
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxListSize+1))
 	if err != nil {
 		return List{}, err
 	}
 	if len(raw) > maxListSize {
-		return List{}, fmt.Errorf("the list is over %d bytes", maxListSize)
+		return List{}, fmt.Errorf("the list is larger than %d bytes", maxListSize)
 	}
 	list, err := ParseList(raw)
 	if err != nil {
-		return List{}, fmt.Errorf("malformed list skipped: %w", err)
+		return List{}, fmt.Errorf("malformed list: %w", err)
 	}
 	if s.fullRequested && !list.Full {
-		return List{}, errors.New("asked for the whole list, got a part")
+		return List{}, errors.New("requested the complete list, got only changes")
 	}
 	return list, nil
 }
