--- a/discovery/xds/standin/record.go
+++ b/discovery/xds/standin/record.go
@@ -9,46 +9,46 @@
 	"google.golang.org/grpc"
 )
 
-// maxRecorded bounds the requests and the NACKs that are remembered.
+// maxRecorded is the maximum number of requests, and of NACKs, that are kept.
 const maxRecorded = 10_000
 
-// RecordedRequest is a request of a client. The names of its fields are keys of the JSON that xds-standin writes.
+// RecordedRequest is a request of a client. The names of its fields are keys in the JSON that xds-standin writes.
 type RecordedRequest struct {
 	At          time.Time
-	Stream      int64 // number of the stream, from 1
+	Stream      int64 // number of the stream, starting with 1
 	Type        string
 	Nonce       string            `json:",omitempty"`
 	Version     string            `json:",omitempty"` // state of the world
 	Names       []string          `json:",omitempty"` // state of the world
-	Subscribe   []string          `json:",omitempty"` // incremental, as the next two
+	Subscribe   []string          `json:",omitempty"` // incremental, like the next two
 	Unsubscribe []string          `json:",omitempty"`
 	Initial     map[string]string `json:",omitempty"`
-	Node        string            `json:",omitempty"` // id of the node, where it is sent
+	Node        string            `json:",omitempty"` // id of the node, if the request contains it
 	Error       string            `json:",omitempty"` // reason of a NACK
 }
 
-// Nacks is the reasons of the NACKs so far, oldest first.
+// Nacks returns the reasons of the NACKs received so far, oldest first.
 func (p *ControlPlane) Nacks() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.nacks)
 }
 
-// Requests is the requests so far, oldest first.
+// Requests returns the requests received so far, oldest first.
 func (p *ControlPlane) Requests() []RecordedRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.requests)
 }
 
-// OnRequest has every request from now on passed to f, one after the other. f must not call the control plane.
+// OnRequest makes the control plane pass every future request to f, one at a time. f must not call the control plane.
 func (p *ControlPlane) OnRequest(f func(RecordedRequest)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onRequest = f
 }
 
-// record remembers a request.
+// record stores a request and counts its ACK or NACK.
 func (p *ControlPlane) record(request RecordedRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,12 +63,13 @@
 	}
 }
 
-// appendRecorded appends to a list that holds at most maxRecorded, the newest.
+// appendRecorded appends to a list, and drops the oldest entry if there are more than maxRecorded.
 func appendRecorded[T any](recorded []T, next T) []T {
 	return append(recorded[max(0, len(recorded)+1-maxRecorded):], next)
 }
 
-// receiveRequests passes on the requests of a stream. Its goroutine closes the channel and ends with the stream.
+// receiveRequests returns a channel with the requests of a stream. Its goroutine ends, and closes the channel, when
+// the stream ends.
 func receiveRequests(stream grpc.ServerStream, delta bool) <-chan RecordedRequest {
 	receive := receiveSotW
 	if delta {
--- a/discovery/xds/standin/script.go
+++ b/discovery/xds/standin/script.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxLineLength = 16 << 20       // bytes of a script's line
+	maxLineLength = 16 << 20       // of a script, in bytes
 	logTimeFormat = "15:04:05.000" // of the lines that Run writes
 )
 
-// Script is what a control plane is to do, step by step. docs/xds.md has the steps.
+// Script is a sequence of steps for a control plane. docs/xds.md describes the steps.
 type Script struct{ steps []step }
 
 // step is one line of a script.
@@ -26,17 +26,17 @@
 	do   action
 }
 
-// action carries a step out.
+// action executes a step.
 type action func(ctx context.Context, run *scriptRun) error
 
 // scriptRun is one run of a script.
 type scriptRun struct {
 	controlPlane *ControlPlane
 	out          io.Writer
-	staged       []proto.Message // for the next push
+	staged       []proto.Message // resources that the next push sets
 }
 
-// ParseScript reads a script: one step a line; # begins a comment. Errors name the line.
+// ParseScript parses a script with one step per line. # starts a comment. Errors name the line.
 func ParseScript(in io.Reader) (*Script, error) {
 	script := &Script{}
 	lines := bufio.NewScanner(in)
@@ -61,8 +61,8 @@
 	return script, lines.Err()
 }
 
-// Run makes a control plane do what the script says, and writes each step to out as it comes. An expectation that is
-// not met ends it with an error that names the line.
+// Run executes the script on a control plane, and writes each step to out before executing it. If an expectation is
+// not met, Run ends with an error that names the line.
 func (s *Script) Run(ctx context.Context, controlPlane *ControlPlane, out io.Writer) error {
 	run := &scriptRun{controlPlane: controlPlane, out: out}
 	for _, step := range s.steps {
--- a/discovery/xds/standin/standin.go
+++ b/discovery/xds/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a control plane for tests and rehearsals, written from the public specification: both variants of
-// the Aggregated Discovery Service over gRPC, with the faults that real control planes have. Only tests and tools link
-// it.
+// Package standin provides a control plane for tests and rehearsals, implemented from the public specification. It
+// serves both variants of the Aggregated Discovery Service (ADS) over gRPC, and can simulate faults of real control
+// planes. Only tests and tools use it.
 package standin
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	maxResponseSize = 256 << 20 // bytes
+	maxResponseSize = 256 << 20 // in bytes
 	awaitInterval   = 2 * time.Millisecond
-	// versionsPerInstance keeps the versions of control planes of one process apart. In the incremental variant a
-	// client names the versions that it holds, and one that restarts and counts from 1 again would take other content
-	// for its own.
+	// versionsPerInstance gives each control plane of a process a range of versions of its own. In the incremental
+	// variant a client reports the versions that it holds. A control plane that is restarted and counts from 1 again
+	// could mistake other content with the same version for its own.
 	versionsPerInstance = 1_000_000
 )
 
-// instances counts the control planes of the process.
+// instances is the number of control planes started in the process.
 var instances atomic.Int64
 
-// ControlPlane holds resources and serves them. Its methods are safe for concurrent use.
+// ControlPlane stores resources and serves them over ADS. Its methods are safe for concurrent use.
 type ControlPlane struct {
 	Addr string // IP:port on which it listens
 
@@ -41,13 +41,13 @@
 	version   int
 	resources map[string]map[string]versionedResource // by type URL and name
 	changed   chan struct{}                           // closed and replaced at each change
-	nacks     []string                                // reasons, the last maxRecorded
-	requests  []RecordedRequest                       // the last maxRecorded
+	nacks     []string                                // the last maxRecorded reasons
+	requests  []RecordedRequest                       // the last maxRecorded requests
 	onRequest func(RecordedRequest)
 	faults    faults
 
-	Streams atomic.Int64 // opened so far
-	Acks    atomic.Int64 // received so far
+	Streams atomic.Int64 // number of streams opened so far
+	Acks    atomic.Int64 // number of ACKs received so far
 }
 
 type versionedResource struct {
@@ -55,7 +55,8 @@
 	body    *anypb.Any
 }
 
-// Start serves on addr, or on a free port of the loopback interface where it is empty, until Stop.
+// Start starts a control plane on addr, or on a free port of the loopback interface if addr is empty. It serves until
+// Stop is called.
 func Start(addr string, options ...grpc.ServerOption) (*ControlPlane, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -76,7 +77,7 @@
 	}
 	controlPlane.server.RegisterService(controlPlane.serviceDesc(), controlPlane)
 	go func() {
-		_ = controlPlane.server.Serve(listener) // ends with Stop
+		_ = controlPlane.server.Serve(listener) // returns after Stop
 		close(controlPlane.served)
 	}()
 	return controlPlane, nil
@@ -99,19 +100,19 @@
 	}
 }
 
-// Stop ends the server and all streams.
+// Stop stops the server and ends all streams.
 func (p *ControlPlane) Stop() {
 	p.server.Stop()
 	<-p.served
 }
 
-// Set puts clusters, assignments and secrets in force, all at once. It panics on other messages.
+// Set adds or replaces clusters, assignments and secrets in one atomic change. It panics on other messages.
 func (p *ControlPlane) Set(messages ...proto.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
 	for _, message := range messages {
-		url, name := identify(message)
+		url, name := resourceKey(message)
 		body, err := proto.Marshal(message)
 		if err != nil {
 			panic(err)
@@ -121,8 +122,8 @@
 	p.notify()
 }
 
-// identify is the type URL and the name of a resource.
-func identify(message proto.Message) (url, name string) {
+// resourceKey returns the type URL and the name of a resource.
+func resourceKey(message proto.Message) (url, name string) {
 	switch m := message.(type) {
 	case *xdspb.Cluster:
 		return resource.ClusterURL, m.GetName()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Remove takes a resource out of force.
+// Remove removes a resource.
 func (p *ControlPlane) Remove(url, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,13 +145,13 @@
 	p.notify()
 }
 
-// notify tells the streams of a change. The lock is held.
+// notify wakes the streams after a change. The caller holds the lock.
 func (p *ControlPlane) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Await waits until a condition holds, and reports whether it did within the time.
+// Await waits until a condition holds, and reports whether it did so within the given time.
 func (p *ControlPlane) Await(within time.Duration, condition func(*ControlPlane) bool) bool {
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		if condition(p) {
--- a/discovery/xds/standin/steps.go
+++ b/discovery/xds/standin/steps.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	unlimited     = math.MaxInt // of arguments
-	maxMany       = 1 << 20     // endpoints of the step "many"
-	maxFloodRate  = 1000        // updates a second
-	maxDuration   = time.Hour
-	noArguments   = "nothing behind it"
-	dropPrecision = 1e4 // millionths in a percent
+	unlimited            = math.MaxInt // number of arguments
+	maxManyEndpoints     = 1 << 20     // of the step "many"
+	maxFloodRate         = 1000        // updates per second
+	maxDuration          = time.Hour
+	wantNoArguments      = "no arguments"
+	millionthsPerPercent = 1e4 // converts a percentage to a numerator with denominator MILLION
 )
 
-// stepArgs is the arguments of a step.
+// stepArgs contains the arguments of a step.
 type stepArgs struct {
 	words []string
-	text  string // all of them as written
+	text  string // all arguments as written in the script
 }
 
-// checkCount checks the number of arguments; form describes them.
-func (a stepArgs) checkCount(least, most int, form string) error {
-	if len(a.words) < least || len(a.words) > most {
-		return fmt.Errorf("want %s", form)
+// checkCount checks the number of arguments. usage describes them in the error.
+func (a stepArgs) checkCount(minCount, maxCount int, usage string) error {
+	if len(a.words) < minCount || len(a.words) > maxCount {
+		return fmt.Errorf("want %s", usage)
 	}
 	return nil
 }
 
-// stepParsers makes the actions of steps, by their first word.
+// stepParsers contains the parser of each step, by the first word of the step.
 var stepParsers = map[string]func(stepArgs) (action, error){
 	"cluster":   parseCluster,
 	"endpoints": parseEndpoints,
@@ -62,16 +62,16 @@
 	"expect":    parseExpect,
 }
 
-// stage is the action that stages a resource for the next push.
-func stage(message proto.Message) action {
+// stageResource returns an action that stages a resource for the next push.
+func stageResource(message proto.Message) action {
 	return func(_ context.Context, run *scriptRun) error {
 		run.staged = append(run.staged, proto.Clone(message))
 		return nil
 	}
 }
 
-// perform is an action that can't fail.
-func perform(do func(*ControlPlane)) action {
+// controlPlaneAction returns an action that changes the control plane and can't fail.
+func controlPlaneAction(do func(*ControlPlane)) action {
 	return func(_ context.Context, run *scriptRun) error {
 		do(run.controlPlane)
 		return nil
@@ -89,19 +89,19 @@
 	if len(args.words) == 2 {
 		cluster.EdsClusterConfig = &xdspb.Cluster_EdsClusterConfig{ServiceName: args.words[1]}
 	}
-	return stage(cluster), nil
+	return stageResource(cluster), nil
 }
 
 func parseEndpoints(args stepArgs) (action, error) {
-	const form = "CLUSTER [ADDRESS[/zone=Z,priority=N,weight=N,health=H,kind=K,cell=N,started=MS]] ..."
-	if err := args.checkCount(1, unlimited, form); err != nil {
+	const usage = "CLUSTER [ADDRESS[/zone=Z,priority=N,weight=N,health=H,kind=K,cell=N,started=MS]] ..."
+	if err := args.checkCount(1, unlimited, usage); err != nil {
 		return nil, err
 	}
 	assignment, err := ParseAssignment(args.words[0], args.words[1:])
 	if err != nil {
 		return nil, err
 	}
-	return stage(assignment), nil
+	return stageResource(assignment), nil
 }
 
 func parseMany(args stepArgs) (action, error) {
@@ -109,17 +109,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return stage(assignment), nil
+	return stageResource(assignment), nil
 }
 
-// parseManyAssignment makes an assignment of as many addresses as are asked for, from 10.0.0.0 on.
+// parseManyAssignment returns an assignment with the requested number of addresses, starting with 10.0.0.0.
 func parseManyAssignment(args stepArgs) (*xdspb.ClusterLoadAssignment, error) {
 	if err := args.checkCount(3, 4, "CLUSTER COUNT PORT [HEALTH]"); err != nil {
 		return nil, err
 	}
 	count, err := strconv.Atoi(args.words[1])
-	if err != nil || count < 0 || count > maxMany {
-		return nil, fmt.Errorf("want a count of at most %d, got %q", maxMany, args.words[1])
+	if err != nil || count < 0 || count > maxManyEndpoints {
+		return nil, fmt.Errorf("want a count of at most %d, got %q", maxManyEndpoints, args.words[1])
 	}
 	health := ""
 	if len(args.words) == 4 {
@@ -132,7 +132,7 @@
 	return ParseAssignment(args.words[0], texts)
 }
 
-// parseDrop reads the drop overload of the endpoints that were staged last.
+// parseDrop parses the drop overload for the assignment that was staged last.
 func parseDrop(args stepArgs) (action, error) {
 	if err := args.checkCount(1, 1, "PERCENT%"); err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 		DropOverloads: []*xdspb.ClusterLoadAssignment_Policy_DropOverload{{
 			Category: "script",
 			DropPercentage: &xdspb.FractionalPercent{
-				Numerator:   uint32(percent * dropPrecision),
+				Numerator:   uint32(percent * millionthsPerPercent),
 				Denominator: xdspb.FractionalPercent_MILLION,
 			},
 		}},
@@ -168,7 +168,7 @@
 		run.staged = nil
 		_, err := fmt.Fprintln(run.out, "pushed", now.UnixNano())
 		return err
-	}, args.checkCount(0, 0, noArguments)
+	}, args.checkCount(0, 0, wantNoArguments)
 }
 
 func parseWithdraw(args stepArgs) (action, error) {
@@ -176,7 +176,7 @@
 	if len(args.words) != 2 || urls[args.words[0]] == "" {
 		return nil, errors.New("want cluster NAME or endpoints NAME")
 	}
-	return perform(func(p *ControlPlane) { p.Remove(urls[args.words[0]], args.words[1]) }), nil
+	return controlPlaneAction(func(p *ControlPlane) { p.Remove(urls[args.words[0]], args.words[1]) }), nil
 }
 
 func parseMute(args stepArgs, on bool) (action, error) {
@@ -188,26 +188,26 @@
 		}
 		muted = append(muted, urls[word])
 	}
-	return perform(func(p *ControlPlane) { p.SetMuted(on, muted...) }), nil
+	return controlPlaneAction(func(p *ControlPlane) { p.SetMuted(on, muted...) }), nil
 }
 
 func parseClose(args stepArgs) (action, error) {
 	code, err := parseCode(args)
-	return perform(func(p *ControlPlane) { p.CloseStreams(code) }), err
+	return controlPlaneAction(func(p *ControlPlane) { p.CloseStreams(code) }), err
 }
 
 func parseRefuse(args stepArgs) (action, error) {
 	code, err := parseCode(args)
-	return perform(func(p *ControlPlane) { p.RejectStreams(code) }), err
+	return controlPlaneAction(func(p *ControlPlane) { p.RejectStreams(code) }), err
 }
 
 func parseAccept(args stepArgs) (action, error) {
-	accept := perform(func(p *ControlPlane) { p.RejectStreams(codes.OK) })
-	return accept, args.checkCount(0, 0, noArguments)
+	accept := controlPlaneAction(func(p *ControlPlane) { p.RejectStreams(codes.OK) })
+	return accept, args.checkCount(0, 0, wantNoArguments)
 }
 
 func parseAgain(args stepArgs) (action, error) {
-	return perform((*ControlPlane).ResendLast), args.checkCount(0, 0, noArguments)
+	return controlPlaneAction((*ControlPlane).ResendLast), args.checkCount(0, 0, wantNoArguments)
 }
 
 func parseOrder(args stepArgs) (action, error) {
@@ -215,39 +215,39 @@
 	if len(args.words) != 1 || args.words[0] != clustersFirst && args.words[0] != endpointsFirst {
 		return nil, fmt.Errorf("want %s or %s", clustersFirst, endpointsFirst)
 	}
-	return perform(func(p *ControlPlane) {
+	return controlPlaneAction(func(p *ControlPlane) {
 		p.changeFaults(func(f *faults) { f.endpointsFirst = args.words[0] == endpointsFirst })
 	}), nil
 }
 
 func parseVersion(args stepArgs) (action, error) {
-	return perform(func(p *ControlPlane) {
-		p.changeFaults(func(f *faults) { f.shownVersion = args.text })
-	}), args.checkCount(0, 1, "a VERSION, or none for its own")
+	return controlPlaneAction(func(p *ControlPlane) {
+		p.changeFaults(func(f *faults) { f.versionOverride = args.text })
+	}), args.checkCount(0, 1, "a VERSION, or nothing for the real one")
 }
 
 func parseNonce(args stepArgs) (action, error) {
-	return perform(func(p *ControlPlane) {
-		p.changeFaults(func(f *faults) { f.nextNonce = args.text })
+	return controlPlaneAction(func(p *ControlPlane) {
+		p.changeFaults(func(f *faults) { f.nonceOverride = args.text })
 	}), args.checkCount(1, 1, "a NONCE")
 }
 
 func parseWait(args stepArgs) (action, error) {
-	if err := args.checkCount(1, 1, "a time, as 2s"); err != nil {
+	if err := args.checkCount(1, 1, "a duration, e.g. 2s"); err != nil {
 		return nil, err
 	}
 	d, err := parseDuration(args.words[0])
 	return func(ctx context.Context, _ *scriptRun) error { return sleep(ctx, d) }, err
 }
 
-// parseCode reads a code of gRPC, UNAVAILABLE where none is given.
+// parseCode parses a gRPC status code. The default is UNAVAILABLE.
 func parseCode(args stepArgs) (codes.Code, error) {
 	if len(args.words) == 0 {
 		return codes.Unavailable, nil
 	}
 	var code codes.Code
 	if err := code.UnmarshalJSON([]byte(strconv.Quote(args.words[0]))); err != nil || len(args.words) > 1 {
-		return code, fmt.Errorf("want a code of gRPC, as RESOURCE_EXHAUSTED, got %q", args.text)
+		return code, fmt.Errorf("want a gRPC status code, e.g. RESOURCE_EXHAUSTED, got %q", args.text)
 	}
 	return code, nil
 }
@@ -255,12 +255,12 @@
 func parseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 || d > maxDuration {
-		return 0, fmt.Errorf("want a time of at most 1h, as 2s, got %q", text)
+		return 0, fmt.Errorf("want a duration of at most 1h, e.g. 2s, got %q", text)
 	}
 	return d, nil
 }
 
-// parseFlood reads a flood of updates: the endpoints of a cluster are replaced by others at every turn.
+// parseFlood parses a flood of updates, in which each update replaces all endpoints of a cluster.
 func parseFlood(args stepArgs) (action, error) {
 	if err := args.checkCount(4, 5, "CLUSTER COUNT TIMES_A_SECOND FOR [HEALTH]"); err != nil {
 		return nil, err
@@ -273,10 +273,10 @@
 	if err != nil {
 		return nil, err
 	}
-	var turns [2]proto.Message // made once, so that the flood itself costs little
+	var versions [2]proto.Message // created once, so that an update costs little
 	for i, port := range []string{"1000", "1001"} {
 		words := append([]string{args.words[0], args.words[1], port}, args.words[4:]...)
-		if turns[i], err = parseManyAssignment(stepArgs{words: words}); err != nil {
+		if versions[i], err = parseManyAssignment(stepArgs{words: words}); err != nil {
 			return nil, err
 		}
 	}
@@ -284,16 +284,16 @@
 		if len(run.staged) > 0 {
 			return errors.New("staged resources are not pushed yet: push first")
 		}
-		return flood(ctx, run.controlPlane, turns, rate, length)
+		return flood(ctx, run.controlPlane, versions, rate, length)
 	}, nil
 }
 
-// flood puts two versions of a resource in force in turns, rate times a second.
-func flood(ctx context.Context, p *ControlPlane, turns [2]proto.Message, rate int, length time.Duration) error {
+// flood alternately sets two versions of a resource, rate times per second.
+func flood(ctx context.Context, p *ControlPlane, versions [2]proto.Message, rate int, length time.Duration) error {
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
-		p.Set(turns[i%2])
+		p.Set(versions[i%2])
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -303,32 +303,32 @@
 	return nil
 }
 
-// parseExpect reads an expectation: a condition of what clients have done, and the time within which it must hold.
+// parseExpect parses an expectation: a condition on what clients have done, and the time within which it must hold.
 func parseExpect(args stepArgs) (action, error) {
-	const form = `acks N, streams N, or nack TEXT, then "within TIME"`
-	what, within, ok := strings.Cut(args.text, " within ")
+	const usage = `acks N, streams N, or nack TEXT, then "within TIME"`
+	conditionText, within, ok := strings.Cut(args.text, " within ")
 	if !ok {
-		return nil, fmt.Errorf("want %s", form)
+		return nil, fmt.Errorf("want %s", usage)
 	}
 	limit, err := parseDuration(strings.TrimSpace(within))
 	if err != nil {
 		return nil, err
 	}
-	kind, value, _ := strings.Cut(strings.TrimSpace(what), " ")
+	kind, value, _ := strings.Cut(strings.TrimSpace(conditionText), " ")
 	condition := parseCondition(kind, strings.TrimSpace(value))
 	if condition == nil {
-		return nil, fmt.Errorf("want %s", form)
+		return nil, fmt.Errorf("want %s", usage)
 	}
 	return func(_ context.Context, run *scriptRun) error {
 		if p := run.controlPlane; !p.Await(limit, condition) {
-			return fmt.Errorf("not so: %d streams, %d acknowledged, refused for %q",
+			return fmt.Errorf("not met: %d streams, %d ACKs, NACKs %q",
 				p.Streams.Load(), p.Acks.Load(), p.Nacks())
 		}
 		return nil
 	}, nil
 }
 
-// parseCondition is a condition of what clients have done; nil for one that is not known.
+// parseCondition returns a condition on what clients have done, or nil if its kind or value is invalid.
 func parseCondition(kind, value string) func(*ControlPlane) bool {
 	n, err := strconv.ParseInt(value, 10, 64)
 	switch {
--- a/discovery/xds/standin/stream.go
+++ b/discovery/xds/standin/stream.go
@@ -13,26 +13,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// scriptedEnd is the message with which streams end that a fault ends.
-const scriptedEnd = "as the script has it"
+// scriptedEndMessage is the status message of streams that end because of a fault.
+const scriptedEndMessage = "as the script has it"
 
-// typeOrder is the order in which the types should be sent.
+// typeOrder is the order in which the specification recommends to send the types.
 var typeOrder = []string{resource.ClusterURL, resource.AssignmentURL, resource.SecretURL}
 
-// clientStream is one stream of either variant. Only the goroutine of serve uses it.
+// clientStream is one stream of either variant of the protocol. Only the goroutine of serve uses it.
 type clientStream struct {
 	grpc.ServerStream
 	controlPlane  *ControlPlane
 	delta         bool
 	subscriptions map[string]*subscription // by type URL
-	responses     int                      // sent so far
-	lastNonces    map[string]string        // of the last response, by type URL
+	responses     int                      // number of responses sent so far
+	lastNonces    map[string]string        // nonce of the last response, by type URL
 	lastResponse  proto.Message
-	closeCount    int // of the faults when the stream began
-	resendCount   int // of the faults as last obeyed
+	closeCount    int // faults.closeCount when the stream was opened
+	resendCount   int // faults.resendCount when the last response was last sent again
 }
 
-// serve serves one stream until the client or a fault ends it.
+// serve handles one stream until the client or a fault ends it.
 func (p *ControlPlane) serve(stream grpc.ServerStream, delta bool) error {
 	id := p.Streams.Add(1)
 	requests := receiveRequests(stream, delta)
@@ -63,13 +63,14 @@
 	}
 }
 
-// respond sends what the client lacks, under the faults. An error ends the stream.
+// respond sends the responses that the client has not received yet, subject to the current faults. An error ends the
+// stream.
 func (s *clientStream) respond(current faults) error {
 	if current.rejectCode != codes.OK {
-		return status.Error(current.rejectCode, scriptedEnd)
+		return status.Error(current.rejectCode, scriptedEndMessage)
 	}
 	if current.closeCount != s.closeCount {
-		return status.Error(current.closeCode, scriptedEnd)
+		return status.Error(current.closeCode, scriptedEndMessage)
 	}
 	if current.resendCount != s.resendCount && s.lastResponse != nil {
 		if err := s.SendMsg(s.lastResponse); err != nil {
@@ -82,7 +83,7 @@
 		slices.Reverse(order)
 	}
 	for _, url := range order {
-		if current.muted[url] { // sent once the type is unmuted
+		if current.muted[url] { // the response is sent once the type is no longer muted
 			continue
 		}
 		if err := s.sendType(url); err != nil {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// sendType sends the response of a type that the client lacks, if any.
+// sendType sends the next response of a type, if there is something that the client has not received yet.
 func (s *clientStream) sendType(url string) error {
 	response := s.controlPlane.nextResponse(url, s.subscriptions[url], s.delta)
 	if response == nil {
@@ -104,7 +105,8 @@
 	return s.SendMsg(response)
 }
 
-// handleRequest applies the subscriptions of a request. An answer to a response before the last is ignored.
+// handleRequest applies the subscriptions of a request. In the state-of-the-world variant, a request for clusters that
+// answers an earlier response than the last one is ignored.
 func (s *clientStream) handleRequest(request RecordedRequest) {
 	subscribed := s.subscriptions[request.Type]
 	if subscribed == nil {
@@ -117,23 +119,23 @@
 	subscribed.update(request, s.delta)
 }
 
-// stampResponse sets the nonce of a response, and the version that a fault shows, and returns the nonce.
+// stampResponse sets the nonce of a response, overrides its version if a fault requires it, and returns the nonce.
 func (p *ControlPlane) stampResponse(response proto.Message, nonce string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.faults.nextNonce != "" {
-		nonce, p.faults.nextNonce = p.faults.nextNonce, ""
+	if p.faults.nonceOverride != "" {
+		nonce, p.faults.nonceOverride = p.faults.nonceOverride, ""
 	}
 	switch r := response.(type) {
 	case *xdspb.DiscoveryResponse:
 		r.Nonce = nonce
-		if p.faults.shownVersion != "" {
-			r.VersionInfo = p.faults.shownVersion
+		if p.faults.versionOverride != "" {
+			r.VersionInfo = p.faults.versionOverride
 		}
 	case *xdspb.DeltaDiscoveryResponse:
 		r.Nonce = nonce
-		if p.faults.shownVersion != "" {
-			r.SystemVersionInfo = p.faults.shownVersion
+		if p.faults.versionOverride != "" {
+			r.SystemVersionInfo = p.faults.versionOverride
 		}
 	}
 	return nonce
--- a/discovery/xds/standin/subscription.go
+++ b/discovery/xds/standin/subscription.go
@@ -11,12 +11,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// subscription is a stream's subscription to one type, with the versions sent to it.
+// subscription is the subscription of a stream to one type, with the versions that were sent on the stream.
 type subscription struct {
 	requested bool
-	names     map[string]bool // nil: all
-	sent      map[string]int  // versions, by name
-	responses int             // of the state of the world, so far
+	names     map[string]bool // names subscribed to; nil: all
+	sent      map[string]int  // versions sent, by name
+	responses int             // number of state-of-the-world responses sent so far
 }
 
 // update applies the subscriptions of a request.
@@ -47,7 +47,7 @@
 // includes reports whether a name is subscribed to.
 func (s *subscription) includes(name string) bool { return s.names == nil || s.names[name] }
 
-// nextResponse is the response that a subscription lacks; nil for none.
+// nextResponse returns a response with the changes that a subscription has not received yet, or nil if there are none.
 func (p *ControlPlane) nextResponse(url string, s *subscription, delta bool) proto.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// sotwResponse is the state-of-the-world response that a subscription lacks; nil for none. It has all clusters, and of
-// the other types the changes. The lock is held.
+// sotwResponse returns the next state-of-the-world response, or nil if the subscription is up to date. It contains all
+// clusters, but only the changed resources of other types. The caller holds the lock.
 func (p *ControlPlane) sotwResponse(url string, sub *subscription) *xdspb.DiscoveryResponse {
 	response := &xdspb.DiscoveryResponse{VersionInfo: strconv.Itoa(p.version), TypeUrl: url}
 	stale := url == resource.ClusterURL && sub.responses == 0
@@ -90,7 +90,8 @@
 	return response
 }
 
-// deltaResponse is the incremental response that a subscription lacks; nil for none. The lock is held.
+// deltaResponse returns the next incremental response, or nil if the subscription is up to date. The caller holds the
+// lock.
 func (p *ControlPlane) deltaResponse(url string, s *subscription) *xdspb.DeltaDiscoveryResponse {
 	response := &xdspb.DeltaDiscoveryResponse{SystemVersionInfo: strconv.Itoa(p.version), TypeUrl: url}
 	for _, name := range slices.Sorted(maps.Keys(p.resources[url])) {
@@ -108,7 +109,7 @@
 	return response
 }
 
-// forgetRemoved forgets that resources have been sent that are no longer there, and returns their names.
+// forgetRemoved deletes resources that no longer exist from the sent versions, and returns their names.
 func (p *ControlPlane) forgetRemoved(url string, s *subscription) []string {
 	var removed []string
 	for name := range s.sent {
--- a/discovery/xds/status.go
+++ b/discovery/xds/status.go
@@ -13,37 +13,37 @@
 	"cobaltward/router"
 )
 
-// Status is the state of a Source.
+// Status describes the state of a Source.
 type Status struct {
 	Server    string    // address of the control plane in use, or last tried
 	Connected bool      // a stream is open
 	Since     time.Time // when Connected last changed
-	LastError error     // why the last stream ended; nil: none has
-	Complete  bool      // everything that the newest list of clusters names has come
+	LastError error     // why the last stream ended; nil: no stream has ended yet
+	Complete  bool      // all endpoints of the newest list of clusters have been received
 	Types     [ads.NumTypes]ads.Status
-	Endpoints []router.Endpoint      // as published, in order of id
-	Drops     dropoverload.Fractions // of the requests of classes bound to a cluster, by cluster
-	// EndpointStatuses has the endpoints of all clusters, in order of cluster and address.
+	Endpoints []router.Endpoint      // as last published, in order of id
+	Drops     dropoverload.Fractions // fraction of the requests bound to a cluster to drop, by cluster
+	// EndpointStatuses contains the endpoints of all clusters, in order of cluster and address.
 	EndpointStatuses []EndpointStatus
 }
 
-// EndpointStatus is an endpoint of a cluster and whether it takes new work.
+// EndpointStatus is an endpoint of a cluster, and whether it gets new work.
 type EndpointStatus struct {
 	Cluster string
 	resource.Endpoint
 	Use string // "yes", or "no: " and the reason
 }
 
-// Values of EndpointStatus.Use. A rejection by health has the state of health in place of the rest.
+// Values of EndpointStatus.Use. If an endpoint is excluded by its health, useNoPrefix is followed by its health state.
 const (
 	useYes                = "yes"
 	useNoPrefix           = "no: "
-	useNoOtherCluster     = useNoPrefix + "another cluster bars it"
+	useNoOtherCluster     = useNoPrefix + "another cluster excludes it"
 	useNoDegradedUnneeded = useNoPrefix + "enough others are healthy"
 	useNoPriorityUnneeded = useNoPrefix + "a higher priority has enough"
 )
 
-// Status is the source's state. It is safe for concurrent use.
+// Status returns the current state of the source. It is safe for concurrent use.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,13 +63,13 @@
 	return status
 }
 
-// String is a summary on one line.
+// String returns a one-line summary.
 func (s Status) String() string {
 	return fmt.Sprintf("%s, connected %v since %v, %d servers",
 		s.Server, s.Connected, s.Since.Format(time.RFC3339), len(s.Endpoints))
 }
 
-// endpointStatuses is the status of each endpoint of each cluster, in order of cluster and address.
+// endpointStatuses returns the status of each endpoint of each cluster, in order of cluster and address.
 func (s *snapshot) endpointStatuses() []EndpointStatus {
 	var statuses []EndpointStatus
 	for _, listings := range s.listings {
@@ -83,7 +83,7 @@
 	return statuses
 }
 
-// useOf tells whether an endpoint takes new work, or why not.
+// useOf returns whether an endpoint gets new work, or why not, as for EndpointStatus.Use.
 func (s *snapshot) useOf(listing clusterListing) string {
 	switch {
 	case listing.excluded():
--- a/discovery/xds/stored_test.go
+++ b/discovery/xds/stored_test.go
@@ -11,12 +11,11 @@
 	"cobaltward/discovery/xds/resource"
 )
 
-// TestReadCache_FileOfEarlierVersion reads a list that an earlier version has kept, and writes it again: to the byte
-// the
-// same.
+// TestReadCache_FileOfEarlierVersion reads a list that an earlier version has cached, and writes it again. The two
+// files must be identical.
 func TestReadCache_FileOfEarlierVersion(t *testing.T) {
-	stored := filepath.Join("testdata", "kept")
-	got, err := readCache(stored)
+	storedDir := filepath.Join("testdata", "kept")
+	got, err := readCache(storedDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,15 +45,15 @@
 	if err := writeCache(dir, got); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(filepath.Join(stored, cacheFileName))
+	raw, err := os.ReadFile(filepath.Join(storedDir, cacheFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := os.ReadFile(filepath.Join(dir, cacheFileName))
+	rewritten, err := os.ReadFile(filepath.Join(dir, cacheFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again, raw) {
-		t.Errorf("written again: %s, want %s", again, raw)
+	if !bytes.Equal(rewritten, raw) {
+		t.Errorf("the rewritten file contains %s, want %s", rewritten, raw)
 	}
 }
--- a/discovery/xds/stream.go
+++ b/discovery/xds/stream.go
@@ -18,25 +18,25 @@
 	sotwMethod  = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 	deltaMethod = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
 
-	// sendTimeout is how long a control plane that reads nothing may block requests.
+	// sendTimeout is how long a control plane that reads no requests may block the sender.
 	sendTimeout = 15 * time.Second
 )
 
-// Reasons for which this side ends a stream.
+// Reasons for which the client ends a stream.
 var (
 	errPreferredAvailable = errors.New("a preferred control plane is available again")
 	errNoResponse         = errors.New("no response to the first request in time")
-	errSendTimeout        = errors.New("requests are not read in time")
+	errSendTimeout        = errors.New("the control plane did not read requests in time")
 )
 
-// stream is one call of either variant of the protocol.
+// stream is one gRPC call of either variant of the protocol.
 type stream struct {
 	grpc.ClientStream
 	delta bool
 	node  *xdspb.Node
 }
 
-// openStream calls the control plane. The stream ends with ctx.
+// openStream opens a stream to the control plane. The stream ends when ctx ends.
 func openStream(ctx context.Context, conn *grpc.ClientConn, delta bool, node *xdspb.Node) (stream, error) {
 	method := sotwMethod
 	if delta {
@@ -53,7 +53,7 @@
 	return s.SendMsg(encodeSotW(request, s.node))
 }
 
-// receive returns the next response, passing over those of types that are never subscribed to.
+// receive returns the next response. It skips responses of types that are never subscribed to.
 func (s stream) receive() (ads.Response, error) {
 	for {
 		response, known, err := s.receiveAny()
@@ -63,7 +63,7 @@
 	}
 }
 
-// receiveAny returns the next response, and whether its type is known.
+// receiveAny returns the next response, and reports whether its type is known.
 func (s stream) receiveAny() (response ads.Response, known bool, err error) {
 	if s.delta {
 		var message xdspb.DeltaDiscoveryResponse
@@ -81,7 +81,8 @@
 	return response, known, nil
 }
 
-// receiveAll passes responses on until the stream fails, which is reported on failed, or ctx ends.
+// receiveAll sends each response on responses until ctx ends or the stream fails. The error of the stream is sent on
+// failed.
 func (s stream) receiveAll(ctx context.Context, responses chan<- ads.Response, failed chan<- error) {
 	for {
 		response, err := s.receive()
@@ -97,7 +98,8 @@
 	}
 }
 
-// streamError prefers the reason for which this side ended the stream to the error that followed from it.
+// streamError returns the reason for which the client ended the stream, if there is one, instead of err, which would
+// only be its consequence.
 func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -105,27 +107,27 @@
 	return err
 }
 
-// streamRun is one stream of a source from its opening to its end. Only the goroutine of Source.Run uses it.
+// streamRun is one stream of a source, from its opening to its end. Only the goroutine of Source.Run uses it.
 type streamRun struct {
 	source        *Source
 	stream        stream
 	cancel        context.CancelCauseFunc // ends the stream
 	serverIndex   int
-	preferred     *grpc.ClientConn // to the preferred server; nil where that is in use
+	preferred     *grpc.ClientConn // to the preferred control plane; nil if the stream uses that one
 	publish       func(router.EndpointUpdate)
-	responseTimer *time.Timer // for the first response
-	expiryTimer   *time.Timer // for the next TTL
-	answered      bool        // a response has come
+	responseTimer *time.Timer // ends the stream if the first response is late
+	expiryTimer   *time.Timer // fires when the next TTL ends
+	answered      bool        // a response has been received
 }
 
-// runStream runs one stream to its end, and reports whether any response came on it. preferred is the connection to
-// the preferred control plane, nil where that is the one in use.
+// runStream runs one stream until it ends, and reports whether any response was received on it. preferred is the
+// connection to the preferred control plane, or nil if conn is that connection.
 func (s *Source) runStream(
 	ctx context.Context, conn, preferred *grpc.ClientConn, index int, publish func(router.EndpointUpdate),
 ) (answered bool, _ error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A control plane that accepts streams and never answers must not hold the source: there may be another.
+	// A control plane that accepts streams and never answers must not block the source: another one may be available.
 	responseTimer := time.AfterFunc(s.config.responseTimeout, func() { cancel(errNoResponse) })
 	defer responseTimer.Stop()
 	opened, err := openStream(ctx, conn, s.config.Delta, s.config.Node)
@@ -166,8 +168,8 @@
 		case <-r.expiryTimer.C:
 			r.expire()
 		case <-failback:
-			// A working stream is not left for a server that may not come up: until the preferred one is connected,
-			// drains would be learned of from neither.
+			// A working stream is kept until the connection to the preferred control plane is ready. Otherwise drains
+			// would be received from neither of the two while the connection is being established.
 			if r.preferred.GetState() == connectivity.Ready {
 				return errPreferredAvailable
 			}
@@ -180,7 +182,7 @@
 	}
 }
 
-// handle puts a response in force and answers it.
+// handle applies a response, publishes the changes and answers it.
 func (r *streamRun) handle(response ads.Response) error {
 	r.responseTimer.Stop()
 	if !r.answered {
@@ -202,7 +204,7 @@
 	return nil
 }
 
-// expire removes resources past their TTL, and sets the timer for the next.
+// expire removes resources whose TTL has passed, and sets the timer for the next TTL.
 func (r *streamRun) expire() {
 	update, next := r.source.expireResources()
 	if update != nil {
@@ -214,7 +216,7 @@
 	}
 }
 
-// send sends requests. The stream is ended if the control plane does not read them within sendTimeout.
+// send sends requests. It ends the stream if the control plane does not read them within sendTimeout.
 func (r *streamRun) send(requests []ads.Request) error {
 	timer := time.AfterFunc(sendTimeout, func() { r.cancel(errSendTimeout) })
 	defer timer.Stop()
--- a/discovery/xds/xds.go
+++ b/discovery/xds/xds.go
@@ -1,6 +1,7 @@
 // Package xds provides endpoint sources for Envoy's xDS v3: Source subscribes to clusters, endpoints and secrets at a
-// control plane over the Aggregated Discovery Service, and FileSource reads them from DiscoveryResponse files.
+// control plane over the Aggregated Discovery Service (ADS), and FileSource reads clusters and endpoints from
+// DiscoveryResponse files.
 //
-// The protocol itself is in package ads, the validation of resources in package resource, and the choice of priority
-// levels in package priority; none of them does I/O. docs/xds.md is the page for operators.
+// Package ads implements the protocol, package resource validates resources, and package priority selects priority
+// levels; none of them does I/O. docs/xds.md describes the sources for operators.
 package xds
--- a/discovery/xds/xds_test.go
+++ b/discovery/xds/xds_test.go
@@ -73,35 +73,35 @@
 	return p
 }
 
-// publishedList is the list that a source has published, as a router would hold it.
+// publishedList tracks the list that a source has published, as a router would.
 type publishedList struct {
-	mu      sync.Mutex
-	members map[string]router.Endpoint
-	changes int
+	mu        sync.Mutex
+	endpoints map[string]router.Endpoint
+	updates   int
 }
 
 func (l *publishedList) publish(c router.EndpointUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes++
+	l.updates++
 	if c.Kind == policy.ListReplace {
-		clear(l.members)
+		clear(l.endpoints)
 	}
 	for _, m := range c.Endpoints {
 		if m.Availability == policy.Removed {
-			delete(l.members, m.ID)
+			delete(l.endpoints, m.ID)
 		} else {
-			l.members[m.ID] = m
+			l.endpoints[m.ID] = m
 		}
 	}
 }
 
-// running lists the addresses that are open to new work.
+// running returns the addresses of the running servers.
 func (l *publishedList) running() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []string
-	for id, m := range l.members {
+	for id, m := range l.endpoints {
 		if m.Availability == policy.Running {
 			all = append(all, id)
 		}
@@ -115,7 +115,7 @@
 	testkit.Await(t, "the servers "+want, func() bool { return l.running() == want })
 }
 
-// runSource runs a source until the test ends.
+// runSource runs a source until the test ends, and returns it with the list that it publishes.
 func runSource(t testing.TB, c Config) (*Source, *publishedList) {
 	t.Helper()
 	if c.backoffBase == 0 {
@@ -126,15 +126,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &publishedList{members: make(map[string]router.Endpoint)}
+	l := &publishedList{endpoints: make(map[string]router.Endpoint)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { s.Run(ctx, l.publish); close(ended) }()
-	t.Cleanup(func() { cancel(); testkit.Receive(t, "the source's end", ended) })
+	t.Cleanup(func() { cancel(); testkit.Receive(t, "the end of the source", ended) })
 	return s, l
 }
 
-// forEachVariant runs a test in either variant.
+// forEachVariant runs a test in both variants of the protocol.
 func forEachVariant(t *testing.T, f func(t *testing.T, delta bool)) {
 	for _, delta := range []bool{false, true} {
 		t.Run(map[bool]string{false: "sotw", true: "delta"}[delta], func(t *testing.T) { f(t, delta) })
@@ -152,8 +152,8 @@
 		controlPlane.Set(cluster("more"), assignment("more", "10.0.0.3:1", "10.0.0.4:1"))
 		published.await(t, "10.0.0.2:1 10.0.0.3:1 10.0.0.4:1")
 		published.mu.Lock()
-		if m := published.members["10.0.0.3:1"]; !slices.Equal(m.Pools, []string{"more", "rooms"}) || m.Zone != "a" {
-			t.Errorf("a server of two clusters: %+v", m)
+		if m := published.endpoints["10.0.0.3:1"]; !slices.Equal(m.Pools, []string{"more", "rooms"}) || m.Zone != "a" {
+			t.Errorf("unexpected pools or zone of a server in two clusters: %+v", m)
 		}
 		published.mu.Unlock()
 		controlPlane.Remove(resource.ClusterURL, "rooms")
@@ -163,7 +163,7 @@
 			controlPlane.Acks.Load() == 0 ||
 			len(controlPlane.Nacks()) != 0 {
 			t.Errorf(
-				"%v, whole %v, %d acknowledged, refused %v",
+				"%v, complete %v, %d responses acknowledged, NACKs %v",
 				st,
 				st.Complete,
 				controlPlane.Acks.Load(),
@@ -171,11 +171,11 @@
 			)
 		}
 		controlPlane.Set(assignment("more"))
-		published.await(t, "") // an empty list may be a drain, and is obeyed
+		published.await(t, "") // an empty list may be a drain, so it is applied
 	})
 }
 
-// Draining, unhealthy and low-priority endpoints get nothing new, whichever cluster says so.
+// Draining, unhealthy and low-priority endpoints get no new work. An endpoint that any cluster drains is draining.
 func TestSource_HealthAndPriorityDecideAvailability(t *testing.T) {
 	controlPlane := startControlPlane(t)
 	rooms := assignment("rooms", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1")
@@ -185,8 +185,8 @@
 	} {
 		rooms.Endpoints[0].LbEndpoints[i].HealthStatus = h
 	}
-	spare := &xdspb.LocalityLbEndpoints{Priority: 1, LbEndpoints: []*xdspb.LbEndpoint{lbEndpoint("10.0.1.1:1")}}
-	rooms.Endpoints = append(rooms.Endpoints, spare)
+	fallback := &xdspb.LocalityLbEndpoints{Priority: 1, LbEndpoints: []*xdspb.LbEndpoint{lbEndpoint("10.0.1.1:1")}}
+	rooms.Endpoints = append(rooms.Endpoints, fallback)
 	controlPlane.Set(cluster("rooms"), rooms)
 	_, published := runSource(t, Config{Servers: []Server{{Addr: controlPlane.Addr}}})
 	published.await(t, "10.0.0.1:1 10.0.0.2:1 10.0.0.3:1 10.0.0.4:1")
@@ -195,15 +195,15 @@
 	}
 	controlPlane.Set(rooms)
 	published.await(t, "10.0.0.1:1 10.0.1.1:1")
-	// Another cluster drains the remaining one: a drain by any source holds.
+	// Another cluster drains the remaining endpoint: a drain by any cluster takes effect.
 	drained := assignment("other", "10.0.0.1:1")
 	drained.Endpoints[0].LbEndpoints[0].HealthStatus = xdspb.HealthStatus_DRAINING
 	controlPlane.Set(cluster("other"), drained)
 	published.await(t, "10.0.1.1:1")
 }
 
-// One bad endpoint among many: the resource is refused whole, with its endpoint and field, the old one
-// serves, and the stream continues.
+// One invalid endpoint among many rejects the whole assignment with a NACK that names the endpoint and the field. The
+// old assignment stays in effect, and the stream continues.
 func TestSource_InvalidEndpointRejectsAssignment(t *testing.T) {
 	forEachVariant(t, func(t *testing.T, delta bool) {
 		controlPlane := startControlPlane(t)
@@ -223,20 +223,20 @@
 			testkit.MaxWait,
 			func(controlPlane *standin.ControlPlane) bool { return slices.Contains(controlPlane.Nacks(), want) },
 		) {
-			t.Errorf("refused for %q", controlPlane.Nacks())
+			t.Errorf("NACKs %q, want one for the invalid port", controlPlane.Nacks())
 		}
 		if published.running() != "10.0.0.1:1" || source.Status().Types[1].Rejected["rooms"] != want {
-			t.Errorf("in force %q, status %+v", published.running(), source.Status().Types[1])
+			t.Errorf("running servers %q, status %+v", published.running(), source.Status().Types[1])
 		}
 		controlPlane.Set(assignment("rooms", "10.0.0.2:1"))
 		published.await(t, "10.0.0.2:1")
 		if controlPlane.Streams.Load() != 1 {
-			t.Errorf("%d streams", controlPlane.Streams.Load())
+			t.Errorf("%d streams, want 1", controlPlane.Streams.Load())
 		}
 	})
 }
 
-// Whatever the control plane does, the last list serves; once it is back, the changes are published.
+// While the control plane is unavailable, the last list stays in effect. Once it is back, its changes are published.
 func TestSource_KeepsLastListWithoutControlPlane(t *testing.T) {
 	forEachVariant(t, func(t *testing.T, delta bool) {
 		controlPlane, err := standin.Start("")
@@ -250,23 +250,23 @@
 		)
 		published.await(t, "10.0.0.1:1 10.0.0.2:1")
 		controlPlane.RejectStreams(codes.ResourceExhausted)
-		testkit.Await(t, "several tries", func() bool { return controlPlane.Streams.Load() > 3 })
+		testkit.Await(t, "several connection attempts", func() bool { return controlPlane.Streams.Load() > 3 })
 		controlPlane.RejectStreams(codes.OK)
 		testkit.Await(t, "the stream", func() bool { return source.Status().Connected })
-		controlPlane.Stop() // and its connections end
-		testkit.Await(t, "the stream's end", func() bool { return !source.Status().Connected })
+		controlPlane.Stop() // also closes its connections
+		testkit.Await(t, "the end of the stream", func() bool { return !source.Status().Connected })
 		if got := published.running(); got != "10.0.0.1:1 10.0.0.2:1" || source.Status().LastError == nil {
-			t.Errorf("without a control plane: %q, last %v", got, source.Status().LastError)
+			t.Errorf("without a control plane: running servers %q, last error %v", got, source.Status().LastError)
 		}
 		next, err := standin.Start(controlPlane.Addr)
 		if err != nil {
-			t.Skipf("the port is taken by now: %v", err)
+			t.Skipf("the port is in use by now: %v", err)
 		}
 		defer next.Stop()
-		next.SetMuted(true) // it accepts, and answers nothing
-		testkit.Await(t, "tries at the one that is mute", func() bool { return next.Streams.Load() >= 2 })
+		next.SetMuted(true) // it accepts streams and sends no responses
+		testkit.Await(t, "connection attempts to the muted control plane", func() bool { return next.Streams.Load() >= 2 })
 		if got := published.running(); got != "10.0.0.1:1 10.0.0.2:1" {
-			t.Errorf("with a mute one: %q", got)
+			t.Errorf("with a muted control plane: running servers %q", got)
 		}
 		next.Set(cluster("rooms"), assignment("rooms", "10.0.0.2:1"))
 		next.SetMuted(false)
@@ -274,7 +274,7 @@
 	})
 }
 
-// The second control plane serves while the first is away, and the first again once it is back.
+// The second control plane is used while the first is unavailable, and the first again once it is back.
 func TestSource_FailoverAndFailback(t *testing.T) {
 	first, second := startControlPlane(t), startControlPlane(t)
 	first.RejectStreams(codes.Unavailable)
@@ -285,17 +285,17 @@
 		Config{Servers: []Server{{Addr: first.Addr}, {Addr: second.Addr}}, failbackInterval: 100 * time.Millisecond},
 	)
 	published.await(t, "10.0.0.2:1")
-	testkit.Await(t, "another try at the first", func() bool { return first.Streams.Load() > 1 })
+	testkit.Await(t, "another attempt at the first control plane", func() bool { return first.Streams.Load() > 1 })
 	published.await(t, "10.0.0.2:1")
 	first.RejectStreams(codes.OK)
 	published.await(t, "10.0.0.1:1")
 	if st := source.Status(); st.Server != first.Addr {
-		t.Errorf("in use: %s", st.Server)
+		t.Errorf("the control plane in use is %s, want the first", st.Server)
 	}
 }
 
-// A stream that works is not left for a preferred control plane that accepts connections and says
-// nothing: meanwhile a drain would be heard of from neither.
+// A working stream is not replaced by one to a preferred control plane that accepts connections but sends nothing:
+// drains would then be received from neither of the two.
 func TestSource_NoFailbackToSilentServer(t *testing.T) {
 	silent := testkit.RawServer(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	second := startControlPlane(t)
@@ -305,37 +305,37 @@
 		responseTimeout: 300 * time.Millisecond, failbackInterval: 20 * time.Millisecond,
 	})
 	published.await(t, "10.0.0.2:1")
-	time.Sleep(500 * time.Millisecond) // many times the wait before the preferred one is thought of again
+	time.Sleep(500 * time.Millisecond) // many times the failback interval
 	if n := second.Streams.Load(); n != 1 {
-		t.Errorf("%d streams to the working control plane, want the first to stay", n)
+		t.Errorf("%d streams to the working control plane, want 1", n)
 	}
 }
 
-// Two hundred clients that lose a control plane together do not come back together, and none of them
-// tries in a busy loop.
+// Two hundred clients that lose a control plane at the same moment must reconnect at different moments, and none of
+// them may retry in a busy loop.
 func TestBackoff_SpreadsReconnections(t *testing.T) {
 	const clients, buckets = 200, 10
-	for failures, due := range map[int]time.Duration{
+	for failures, pause := range map[int]time.Duration{
 		1: defaultBackoffBase, 4: 8 * defaultBackoffBase, 50: defaultBackoffMax,
 	} {
-		var hist [buckets]int
+		var histogram [buckets]int
 		for i := range clients {
 			d := backoff(defaultBackoffBase, defaultBackoffMax, failures, float64(i)/clients)
-			if d < due/2 || d > due*3/2 {
-				t.Fatalf("after %d failures: %v, want around %v", failures, d, due)
+			if d < pause/2 || d > pause*3/2 {
+				t.Fatalf("after %d failures, the pause is %v, want around %v", failures, d, pause)
 			}
-			hist[min(buckets-1, int(float64(d-due/2)/float64(due)*buckets))]++
+			histogram[min(buckets-1, int(float64(d-pause/2)/float64(pause)*buckets))]++
 		}
-		for i, n := range hist {
+		for i, n := range histogram {
 			if n > clients/buckets+2 {
-				t.Errorf("after %d failures, %d of %d clients in tenth %d: %v", failures, n, clients, i, hist)
+				t.Errorf("after %d failures, %d of %d clients reconnect in bucket %d: %v", failures, n, clients, i, histogram)
 			}
 		}
 	}
 }
 
-// A new process at an address is known by its start time, an address that moves between clusters and
-// zones stays the same server, and the order of a list is nothing.
+// A server keeps its id when its address moves to another cluster and zone. The start time distinguishes a new process
+// at the address. A different order of the endpoints is not a change.
 func TestSource_ServersKeepTheirIDs(t *testing.T) {
 	controlPlane := startControlPlane(t)
 	controlPlane.Set(
@@ -347,18 +347,18 @@
 	_, published := runSource(t, Config{Servers: []Server{{Addr: controlPlane.Addr}}, Delta: true})
 	published.await(t, "10.0.0.1:1 [fd00::1]:1")
 	published.mu.Lock()
-	changes := published.changes
+	changes := published.updates
 	published.mu.Unlock()
 	controlPlane.Set(assignment("rooms", "[fd00::1]:1", "10.0.0.1:1"))
 	if !controlPlane.Await(
 		testkit.MaxWait,
 		func(controlPlane *standin.ControlPlane) bool { return controlPlane.Acks.Load() >= 3 },
 	) {
-		t.Fatal("not acknowledged")
+		t.Fatal("the reordered assignment was not acknowledged")
 	}
 	published.mu.Lock()
-	if published.changes != changes {
-		t.Error("another order was published as a change")
+	if published.updates != changes {
+		t.Error("an update was published although only the order of the endpoints changed")
 	}
 	published.mu.Unlock()
 	moved := assignment("more", "10.0.0.1:1")
@@ -371,15 +371,15 @@
 		FilterMetadata: map[string]*structpb.Struct{resource.MetadataNamespace: own},
 	}
 	controlPlane.Set(assignment("rooms", "[fd00::1]:1"), moved)
-	testkit.Await(t, "the move", func() bool {
+	testkit.Await(t, "the move of the server", func() bool {
 		published.mu.Lock()
 		defer published.mu.Unlock()
-		m := published.members["10.0.0.1:1"]
+		m := published.endpoints["10.0.0.1:1"]
 		return m.Zone == "b" && slices.Equal(m.Pools, []string{"more"}) && m.Started.Equal(time.UnixMilli(1700000000000))
 	})
 }
 
-// The list that a router begins with serves until the control plane has told its own, and is gone then.
+// The initial list of a router is used until the control plane has sent its own list, which replaces it.
 func TestSource_FirstListReplacesInitial(t *testing.T) {
 	controlPlane := startControlPlane(t)
 	controlPlane.SetMuted(true)
@@ -399,20 +399,20 @@
 	t.Cleanup(func() { _ = r.Close() })
 	testkit.Await(t, "the stream", func() bool { return source.Status().Connected })
 	if n := r.Stats().EndpointsByAvailability[policy.Running]; n != 1 {
-		t.Errorf("%d servers before the control plane has told its own", n)
+		t.Errorf("%d servers before the first list of the control plane, want the initial one", n)
 	}
 	controlPlane.SetMuted(false)
 	testkit.Await(t, "the list", func() bool { return r.Stats().EndpointsByPool["rooms"] == 2 })
 	if n := r.Stats().EndpointsByAvailability[policy.Running]; n != 2 {
-		t.Errorf("%d servers, want those of the control plane alone", n)
+		t.Errorf("%d servers, want only the two of the control plane", n)
 	}
 }
 
-// appServers is app servers on loopback that note every request they get.
+// appServers are HTTP servers on loopback that record the time of their last request.
 type appServers struct {
 	addrs []string
 	mu    sync.Mutex
-	last  map[string]time.Time // by address
+	last  map[string]time.Time // time of the last request, by address
 }
 
 func newAppServers(t testing.TB, n int) *appServers {
@@ -429,8 +429,9 @@
 	return s
 }
 
-// Removals under load: what the list has lost gets nothing new later than the grace allows. The count
-// is small here; REMOVALS in the environment asks for more, and docs/xds.md has the figures.
+// A server that is removed from the list under load must get no new requests after the drain grace. The environment
+// variable REMOVALS sets the number of removals, which is small by default; docs/xds.md has results for larger
+// numbers.
 func TestRemovalsUnderLoad(t *testing.T) {
 	n := 30
 	if more, err := strconv.Atoi(os.Getenv("REMOVALS")); err == nil && more > 0 {
@@ -450,7 +451,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		removals(t, source, app, func(addrs []string) { controlPlane.Set(assignment("rooms", addrs...)) }, n)
+		measureRemovals(t, source, app, func(addrs []string) { controlPlane.Set(assignment("rooms", addrs...)) }, n)
 	})
 	t.Run("file", func(t *testing.T) {
 		app, path := newAppServers(t, 4), filepath.Join(t.TempDir(), "eds.json")
@@ -459,7 +460,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		removals(
+		measureRemovals(
 			t,
 			source,
 			app,
@@ -469,9 +470,9 @@
 	})
 }
 
-// removals takes servers away and puts them back, n times, under load, and compares the time of the last request to
-// each with the moment at which it was taken away.
-func removals(t *testing.T, source router.EndpointSource, app *appServers, set func([]string), n int) {
+// measureRemovals removes a server from the list and adds it again, n times, under load. It compares the time of the
+// last request to the server with the time of its removal.
+func measureRemovals(t *testing.T, source router.EndpointSource, app *appServers, set func([]string), n int) {
 	t.Helper()
 	r := newLoadRouter(t, source)
 	awaitRunning := func(what string, want int) {
@@ -481,29 +482,29 @@
 	awaitRunning("the servers", len(app.addrs))
 	defer startLoad(t, r)()
 	var worst time.Duration
-	hist := make(map[time.Duration]int) // of the last request after a removal, by whole milliseconds
+	histogram := make(map[time.Duration]int) // by the delay of the last request after a removal, in whole ms
 	for i := range n {
-		gone := app.addrs[i%len(app.addrs)]
-		left := slices.DeleteFunc(slices.Clone(app.addrs), func(a string) bool { return a == gone })
+		removedAddr := app.addrs[i%len(app.addrs)]
+		remaining := slices.DeleteFunc(slices.Clone(app.addrs), func(a string) bool { return a == removedAddr })
 		removed := time.Now()
-		set(left)
-		awaitRunning("the removal", len(left))
+		set(remaining)
+		awaitRunning("the removal", len(remaining))
 		time.Sleep(10 * time.Millisecond)
 		app.mu.Lock()
-		late := max(0, app.last[gone].Sub(removed))
-		worst = max(worst, late)
-		hist[late.Truncate(time.Millisecond)]++
+		delay := max(0, app.last[removedAddr].Sub(removed))
+		worst = max(worst, delay)
+		histogram[delay.Truncate(time.Millisecond)]++
 		app.mu.Unlock()
 		set(app.addrs)
-		awaitRunning("its return", len(app.addrs))
+		awaitRunning("the return of the server", len(app.addrs))
 	}
 	if worst > 500*time.Millisecond {
 		t.Errorf("a server got a request %v after its removal was set", worst)
 	}
-	t.Logf("of %d removals, the latest request after one came %v after; by milliseconds: %v", n, worst, hist)
+	t.Logf("%d removals; the latest request came %v after a removal; removals by delay: %v", n, worst, histogram)
 }
 
-// newLoadRouter is a router with the endpoints of a source.
+// newLoadRouter returns a router that gets its endpoints from a source.
 func newLoadRouter(t *testing.T, source router.EndpointSource) *router.Router {
 	t.Helper()
 	r, err := router.New(router.Config{Settings: policy.Settings{
@@ -522,7 +523,7 @@
 	return r
 }
 
-// startLoad sends requests from eight clients until stop is called; none may fail.
+// startLoad sends requests from eight clients until stop is called. A failed request fails the test.
 func startLoad(t *testing.T, r *router.Router) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
