--- a/discovery/disabled/disabled_test.go
+++ b/discovery/disabled/disabled_test.go
@@ -91,7 +91,7 @@
 	err := source.Disable(id)
 	_, known := m.list[id]
 	if !known && !m.disabled[id] != errors.Is(err, ErrUnknownServer) || known && err != nil {
-		t.Fatalf("disable %s: %v", id, err)
+		t.Fatalf("unexpected result of disabling %s: %v", id, err)
 	}
 	m.disabled[id] = m.disabled[id] || err == nil
 }
@@ -99,7 +99,7 @@
 func (m *model) enable(t *rapid.T, source *Source, id string) {
 	err := source.Enable(id)
 	if m.disabled[id] != (err == nil) {
-		t.Fatalf("enable %s: %v", id, err)
+		t.Fatalf("unexpected result of enabling %s: %v", id, err)
 	}
 	delete(m.disabled, id)
 }
--- a/discovery/merge/merge_test.go
+++ b/discovery/merge/merge_test.go
@@ -137,7 +137,7 @@
 	view.apply(0, replace, a)
 	view.apply(1, update, b)
 	if got := view.endpoints["s1"].Pools; !slices.Equal(got, []string{"one", "two"}) {
-		t.Errorf("pools %v", got)
+		t.Errorf("pools %v, want the pools of both sources", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -156,7 +156,7 @@
 	}
 	s.outage.inProgress = true
 	switch {
-	case errors.Is(err, errWatchSilent): // the registry may still be up, so the call is repeated without a pause
+	case errors.Is(err, errWatchTimeout): // the registry may still be up, so the call is repeated without a pause
 		s.log.Warn("discovery: registry watch idle, reopening")
 		return true, 0
 	case s.subscribe: // the router decides when to try again
--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -30,7 +30,7 @@
 // object is sent with status 503.
 func runWithAnswers(
 	t *testing.T, subscribe bool, answers ...string,
-) (d *Source, published chan router.EndpointUpdate, queries chan string) {
+) (source *Source, published chan router.EndpointUpdate, queries chan string) {
 	t.Helper()
 	queries, published = make(chan string, 100), make(chan router.EndpointUpdate, 100)
 	calls := make(chan string, len(answers))
@@ -49,12 +49,12 @@
 			<-r.Context().Done()
 		}
 	})
-	d = New(Config{Addr: addr, Revision: 7, Subscribe: subscribe})
+	source = New(Config{Addr: addr, Revision: 7, Subscribe: subscribe})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { d.Run(ctx, func(c router.EndpointUpdate) { published <- c }); close(ended) }()
+	go func() { source.Run(ctx, func(c router.EndpointUpdate) { published <- c }); close(ended) }()
 	t.Cleanup(func() { cancel(); testkit.Receive(t, "the end of the source", ended) })
-	return d, published, queries
+	return source, published, queries
 }
 
 func assertIndexes(t *testing.T, queries chan string, want ...string) {
@@ -82,7 +82,7 @@
 		n := testkit.Receive(t, "an update", published)
 		if n.Kind != want.kind || len(n.Endpoints) != 1 || n.Endpoints[0].ID != want.server ||
 			n.Endpoints[0].Availability != want.phase {
-			t.Errorf("update %d: %+v", i, n)
+			t.Errorf("unexpected update %d: %+v", i, n)
 		}
 	}
 	assertIndexes(t, queries, "7", "8", "9", "10", "11")
@@ -94,7 +94,7 @@
 		"down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 		delta(8, entry("s1", "up")))
 	if n := testkit.Receive(t, "an update", published); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
-		t.Errorf("update %+v", n)
+		t.Errorf("unexpected update %+v", n)
 	}
 	assertIndexes(t, queries, "7", "7", "7", "7", "7", "8")
 	if len(published) != 0 {
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestSource_OutageIsMeasured lets calls fail between two answers: the update after the failures must report the
+// TestSource_ReportsOutageLength lets calls fail between two answers: the update after the failures must report the
 // length of the outage.
-func TestSource_OutageIsMeasured(t *testing.T) {
+func TestSource_ReportsOutageLength(t *testing.T) {
 	_, published, _ := runWithAnswers(t, false, delta(8, entry("s1", "up")), "down", "down", delta(9, entry("s2", "up")),
 		delta(10, entry("s3", "up")))
 	start := time.Now()
@@ -118,18 +118,18 @@
 
 // With Subscribe, the source calls only after the router requests it, and reports each failure once.
 func TestSource_SubscribeReportsFailures(t *testing.T) {
-	d, published, queries := runWithAnswers(t, true, "down", delta(8, entry("s1", "up")), delta(8))
-	d.SetPolling(true)
+	source, published, queries := runWithAnswers(t, true, "down", delta(8, entry("s1", "up")), delta(8))
+	source.SetPolling(true)
 	if n := testkit.Receive(t, "the failure", published); n.Kind != policy.ListUnavailable {
-		t.Errorf("update %+v", n)
+		t.Errorf("unexpected update %+v", n)
 	}
 	assertIndexes(t, queries, "7")
 	if len(queries) != 0 {
 		t.Error("called again before the router requested it")
 	}
-	d.SetPolling(true)
+	source.SetPolling(true)
 	if n := testkit.Receive(t, "the change", published); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
-		t.Errorf("update %+v", n)
+		t.Errorf("unexpected update %+v", n)
 	}
 	assertIndexes(t, queries, "7", "8", "8")
 }
@@ -138,14 +138,14 @@
 // know of the move and would still wait because of the failure, but the new registry's list counts as known 4 s after
 // the move.
 func TestSetAddress_WhileNotPolling(t *testing.T) {
-	d, published, queries := runWithAnswers(t, true, "down")
-	d.SetPolling(true)
+	source, published, queries := runWithAnswers(t, true, "down")
+	source.SetPolling(true)
 	if n := testkit.Receive(t, "the failure", published); n.Kind != policy.ListUnavailable {
-		t.Errorf("update %+v", n)
+		t.Errorf("unexpected update %+v", n)
 	}
 	assertIndexes(t, queries, "7")
 	next := make(chan string, 1)
-	d.SetAddress(testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	source.SetAddress(testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		next <- r.URL.Query().Get("index")
 		<-r.Context().Done()
 	}))
@@ -169,11 +169,11 @@
 		})
 		seen := make(map[time.Duration]bool)
 		for range cap(waits) {
-			d := New(Config{Addr: addr, Revision: 7, Subscribe: subscribe})
+			source := New(Config{Addr: addr, Revision: 7, Subscribe: subscribe})
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
-			d.SetPolling(true)
-			go func() { d.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
+			source.SetPolling(true)
+			go func() { source.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
 			wait := testkit.Receive(t, "a call", waits)
 			if seen[wait] = true; subscribe && (wait < sharedWatchTimeout/2 || wait > sharedWatchTimeout) {
 				t.Errorf("a watch of a shared registry waits %v, out of range", wait)
@@ -194,7 +194,7 @@
 	for i := range 20 {
 		next := nextBackoff(last, backoffLimit(0))
 		if next < last || next <= 0 || next > 200*time.Millisecond {
-			t.Fatalf("pause %d: %v after %v", i, next, last)
+			t.Fatalf("pause %d is %v, after a pause of %v", i, next, last)
 		}
 		last = next
 	}
@@ -215,7 +215,7 @@
 		`{"revision":3,"complete":true,"members":[`+entry("s3", "up")+`]}`)
 	for i, want := range []string{"s1", "s3"} {
 		if n := testkit.Receive(t, "an update", published); len(n.Endpoints) != 1 || n.Endpoints[0].ID != want {
-			t.Errorf("update %d: %+v, want %s", i, n, want)
+			t.Errorf("update %d is %+v, want one of server %s", i, n, want)
 		}
 	}
 	assertIndexes(t, queries, "7", "8", "", "3")
@@ -224,7 +224,7 @@
 // A watch that gets no answer is reopened before the changes that it misses count as known to the node: 2 s after the
 // end of its wait, or 6 s after the call if it asked for the complete list, as after SetAddress. No failure is
 // reported, and the router need not request the new call. The registry keeps the connection open.
-func TestSource_SilentWatchIsReopened(t *testing.T) {
+func TestSource_UnansweredWatchIsReopened(t *testing.T) {
 	for name, test := range map[string]struct{ subscribe, moved bool }{
 		"pushed":                    {},
 		"asked for":                 {subscribe: true},
@@ -245,19 +245,19 @@
 				}
 				ms, _ := strconv.Atoi(req.URL.Query().Get("wait"))
 				calls <- call{time.Now(), time.Duration(ms) * time.Millisecond}
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{") // an incomplete response: 1 byte of 100
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{") // 1 byte of 100
 				_, _ = io.Copy(io.Discard, r)
 			})
-			d := New(Config{Addr: addr, Revision: 7, Subscribe: test.subscribe})
+			source := New(Config{Addr: addr, Revision: 7, Subscribe: test.subscribe})
 			maxDelay := 1800 * time.Millisecond // after the wait; below the 2 s after which missed changes count as known
 			if test.moved {
-				d.SetAddress(addr)
+				source.SetAddress(addr)
 				maxDelay = 5800 * time.Millisecond // no wait; missed changes count as known after 6 s
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
-			d.SetPolling(true)
-			go func() { d.Run(ctx, func(c router.EndpointUpdate) { t.Errorf("published %+v", c) }); close(ended) }()
+			source.SetPolling(true)
+			go func() { source.Run(ctx, func(c router.EndpointUpdate) { t.Errorf("published %+v", c) }); close(ended) }()
 			first := testkit.Receive(t, "a call", calls)
 			second := testkit.Receive(t, "the repeated call", calls)
 			if delay := second.at.Sub(first.at.Add(first.wait)); delay < 0 || delay > maxDelay {
@@ -304,21 +304,21 @@
 			}
 			_, _ = io.WriteString(w, `{"revision":2,"complete":true,"members":[`+entry("s9", "up")+`]}`)
 		})
-		d, published, first := runWithAnswers(t, subscribe)
+		source, published, first := runWithAnswers(t, subscribe)
 		if subscribe {
-			d.SetPolling(true)
+			source.SetPolling(true)
 		}
 		testkit.Receive(t, "the call at the old address", first)
-		d.SetAddress(silent)
-		d.SetAddress(next)
+		source.SetAddress(silent)
+		source.SetAddress(next)
 		n := testkit.Receive(t, "the list of the new address", published)
 		if n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
-			t.Errorf("subscribe %v: update %+v", subscribe, n)
+			t.Errorf("subscribe %v: unexpected update %+v", subscribe, n)
 		}
-		if q := testkit.Receive(t, "the first call", queries); q != "" {
+		if q := testkit.Receive(t, "the first call at the new address", queries); q != "" {
 			t.Errorf("subscribe %v: the first call has query %q, want none, for the complete list", subscribe, q)
 		}
-		if q := testkit.Receive(t, "the second call", queries); !strings.HasPrefix(q, "index=2&wait=") {
+		if q := testkit.Receive(t, "the second call at the new address", queries); !strings.HasPrefix(q, "index=2&wait=") {
 			t.Errorf("subscribe %v: the second call has query %q, want changes after revision 2", subscribe, q)
 		}
 		if len(published) != 0 {
@@ -336,13 +336,13 @@
 		close(closed)
 	})
 	next := make(chan struct{}, 10)
-	d := New(Config{Addr: old, Revision: 7})
+	source := New(Config{Addr: old, Revision: 7})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { d.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
+	go func() { source.Run(ctx, func(router.EndpointUpdate) {}); close(ended) }()
 	defer func() { cancel(); testkit.Receive(t, "the end of the source", ended) }()
-	testkit.Receive(t, "the call", called)
-	d.SetAddress(testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	testkit.Receive(t, "the call at the old address", called)
+	source.SetAddress(testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		next <- struct{}{}
 		<-r.Context().Done()
 	}))
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -16,26 +16,26 @@
 	// watchTimeout is how long a registry on the node's own machine may hold a call while nothing changes. It is
 	// short so that a registry that no longer answers is noticed soon.
 	watchTimeout = 5 * time.Second
-	// silenceTimeout is how long after watchTimeout an unanswered call is given up and repeated. The site expects a
+	// responseGrace is how long after watchTimeout an unanswered call is given up and repeated. The site expects a
 	// node to respect a drain from 2 s after its watch should have ended, even if the node has not received it, and
 	// the repeated call needs part of these 2 s.
-	silenceTimeout = time.Second
+	responseGrace = time.Second
 	// sharedWatchTimeout is the longest time for which a registry that serves all nodes may hold a call. Each call
 	// uses a random time between half of it and all of it. Otherwise nodes that start together would keep calling at
 	// the same moments and overload the registry.
 	sharedWatchTimeout = 20 * time.Second
-	// sharedSilenceTimeout is how long to wait for the complete list from a registry that serves all nodes. Such a
+	// sharedResponseGrace is how long to wait for the complete list from a registry that serves all nodes. Such a
 	// registry handles calls one after the other, and a call that is given up early costs it as much as an answered
 	// one. The site expects a node to know the changes that an unanswered call missed 6 s after it began, so the next
 	// call follows without a pause.
-	sharedSilenceTimeout = 5 * time.Second
+	sharedResponseGrace = 5 * time.Second
 
 	maxListSize = 8 << 20 // of one response, in bytes
 	watchPath   = "/registry/instances"
 )
 
-// errWatchSilent is returned for a call that timed out without an answer or an error.
-var errWatchSilent = errors.New("the watch timed out without an answer")
+// errWatchTimeout is returned for a call that timed out without an answer or an error.
+var errWatchTimeout = errors.New("the watch timed out without an answer")
 
 // call describes one call to the registry.
 type call struct {
@@ -46,14 +46,14 @@
 
 // nextCall returns a call for the complete list, or for the changes since the current revision.
 func (s *Source) nextCall() call {
-	next := call{wait: watchTimeout, grace: silenceTimeout, query: url.Values{}}
+	next := call{wait: watchTimeout, grace: responseGrace, query: url.Values{}}
 	if s.subscribe {
 		next.wait = sharedWatchTimeout/2 + rand.N(sharedWatchTimeout/2)
 	}
 	if s.fullRequested {
 		next.wait = 0
 		if s.subscribe {
-			next.grace = sharedSilenceTimeout
+			next.grace = sharedResponseGrace
 		}
 		return next
 	}
@@ -62,7 +62,7 @@
 	return next
 }
 
-// watch makes one call and returns its list. The error is errWatchSilent if the call got no answer in time although
+// watch makes one call and returns its list. The error is errWatchTimeout if the call got no answer in time although
 // the registry may still be up.
 func (s *Source) watch(ctx context.Context) (List, error) {
 	next := s.nextCall()
@@ -71,7 +71,7 @@
 	list, err := s.get(callCtx, next.query)
 	timedOut := err != nil && callCtx.Err() != nil && ctx.Err() == nil
 	if timedOut && (next.wait > 0 || s.subscribe) {
-		return List{}, errWatchSilent
+		return List{}, errWatchTimeout
 	}
 	return list, err
 }
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -54,7 +54,7 @@
 func singleRequest(t *testing.T, rs []Request) Request {
 	t.Helper()
 	if len(rs) != 1 {
-		t.Fatalf("%d requests: %+v, want one", len(rs), rs)
+		t.Fatalf("got %d requests: %+v, want one", len(rs), rs)
 	}
 	return rs[0]
 }
@@ -66,7 +66,7 @@
 		machine.Connected(),
 	); r.Type != Clusters || !r.IncludeNode || r.Version != "" || r.Nonce != "" ||
 		len(r.ResourceNames) != 0 {
-		t.Errorf("first request %+v", r)
+		t.Errorf("unexpected first request %+v", r)
 	}
 	rs := machine.HandleResponse(
 		t0,
@@ -74,7 +74,7 @@
 	)
 	if len(rs) != 2 || rs[0].Version != "1" || rs[0].Nonce != "a" || rs[0].ErrorDetail != "" || rs[0].IncludeNode ||
 		rs[1].Type != Endpoints || rs[1].Nonce != "" || !slices.Equal(rs[1].ResourceNames, []string{"s"}) {
-		t.Errorf("requests after the clusters: %+v", rs)
+		t.Errorf("unexpected requests in answer to the clusters: %+v", rs)
 	}
 	assertApplied(t, machine, map[string]string{"c": "none yet"})
 	if machine.Complete() {
@@ -103,7 +103,7 @@
 	if len(rs) != 2 || rs[0].Version != "1" || rs[0].Nonce != "" || !rs[0].IncludeNode || rs[1].Version != "7" ||
 		rs[1].Nonce != "" ||
 		rs[1].IncludeNode {
-		t.Errorf("on reconnection: %+v", rs)
+		t.Errorf("unexpected requests on reconnection: %+v", rs)
 	}
 }
 
@@ -114,7 +114,7 @@
 	c1.Version, c2.Version = "v1", "v2"
 	rs := machine.HandleResponse(t0, Response{Type: Clusters, Nonce: "a", Resources: []Resource{c1, c2}})
 	if len(rs) != 2 || rs[0].Nonce != "a" || !slices.Equal(rs[1].Subscribe, []string{"s1", "s2"}) {
-		t.Errorf("after the clusters: %+v", rs)
+		t.Errorf("unexpected requests in answer to the clusters: %+v", rs)
 	}
 	e1, e2 := assignmentResource("s1", "1"), assignmentResource("s2", "2")
 	e1.Version = "w1"
@@ -125,7 +125,7 @@
 	)
 	if len(rs) != 2 || !slices.Equal(rs[1].Subscribe, []string{"s3"}) ||
 		!slices.Equal(rs[1].Unsubscribe, []string{"s2"}) {
-		t.Errorf("requests after a change of the clusters: %+v", rs)
+		t.Errorf("unexpected requests after a change of the clusters: %+v", rs)
 	}
 	assertApplied(t, machine, map[string]string{"c1": "1", "c3": "none yet"})
 	machine.HandleResponse(t0, Response{Type: Endpoints, Nonce: "d", Removed: []string{"s1"}})
@@ -136,7 +136,7 @@
 	if len(rs) != 2 || rs[0].InitialVersions["c1"] != "v1" || len(rs[0].InitialVersions) != 2 ||
 		rs[1].InitialVersions["s1"] != "w1" ||
 		!slices.Equal(rs[1].Subscribe, []string{"s1", "s3"}) {
-		t.Errorf("on reconnection: %+v", rs)
+		t.Errorf("unexpected requests on reconnection: %+v", rs)
 	}
 }
 
@@ -172,7 +172,7 @@
 		}
 		assertApplied(t, machine, map[string]string{"c": "1", "d": "3"})
 		if st := machine.Status(Endpoints); st.Rejected["s"] != "port 0" || st.NACKReason != "port 0" {
-			t.Errorf("status %+v", st)
+			t.Errorf("the status lacks the rejection: %+v", st)
 		}
 		r = singleRequest(
 			t,
@@ -190,7 +190,7 @@
 			),
 		)
 		if st := machine.Status(Endpoints); r.ErrorDetail != "" || len(st.Rejected) != 0 || st.NACKReason != "" {
-			t.Errorf("variant %d: after a valid version: request %+v, status %+v", variant, r, st)
+			t.Errorf("variant %d: the valid version was not acknowledged: request %+v, status %+v", variant, r, st)
 		}
 	}
 }
@@ -279,7 +279,7 @@
 		t0.Add(5 * time.Second),
 	); changed ||
 		!next.Equal(t0.Add(10*time.Second)) {
-		t.Errorf("changed %v, next %v", changed, next)
+		t.Errorf("unexpected result of ExpireResources: changed %v, next %v", changed, next)
 	}
 	machine.HandleResponse(
 		t0.Add(6*time.Second),
@@ -290,7 +290,7 @@
 	}
 	assertApplied(t, machine, map[string]string{"c": "1"})
 	if changed, next := machine.ExpireResources(t0.Add(16 * time.Second)); !changed || !next.IsZero() {
-		t.Errorf("changed %v, next %v", changed, next)
+		t.Errorf("unexpected result of ExpireResources: changed %v, next %v", changed, next)
 	}
 	assertApplied(t, machine, map[string]string{"c": ""})
 }
@@ -315,7 +315,7 @@
 		Resources: []Resource{edsCluster("c", "s2")},
 	})
 	if len(rs) != 2 || rs[1].Nonce != "" || rs[1].Version != "1" {
-		t.Errorf("requests on the new stream: %+v", rs)
+		t.Errorf("unexpected requests on the new stream: %+v", rs)
 	}
 }
 
@@ -345,9 +345,9 @@
 type modelControlPlane struct {
 	variant        Variant
 	version        int
-	clusters       map[string]string          // name to service
-	addresses      map[string][]string        // by service
-	versions       map[string]int             // of an assignment
+	clusters       map[string]string          // service name of each cluster, by cluster name
+	addresses      map[string][]string        // by service name
+	versions       map[string]int             // version of each assignment, by service name
 	addressHistory map[string]map[string]bool // every list of addresses that a service has ever had
 
 	// State of the client's stream.
--- a/discovery/xds/backoff.go
+++ b/discovery/xds/backoff.go
@@ -9,8 +9,8 @@
 // maxBackoffDoublings keeps the shift in backoff within range. The limit is reached after far fewer doublings.
 const maxBackoffDoublings = 20
 
-// backoff returns the pause after a number of consecutive failures. It doubles from base up to limit. jitter, in [0,
-// 1), scales the result to between half and one and a half times that, so that clients that lose a control plane at
+// backoff returns the pause after a number of consecutive failures. It doubles from base up to limit. A jitter from 0
+// to 1 scales the result to between half and one and a half times that, so that clients that lose a control plane at
 // the same moment do not all reconnect at the same moment.
 func backoff(base, limit time.Duration, failures int, jitter float64) time.Duration {
 	pause := base << min(max(0, failures-1), maxBackoffDoublings)
--- a/discovery/xds/priority/priority.go
+++ b/discovery/xds/priority/priority.go
@@ -48,7 +48,7 @@
 	return eligible
 }
 
-// countLevels counts all and the healthy endpoints of each level.
+// countLevels counts the endpoints of each level, and how many of them are healthy.
 func countLevels(endpoints []resource.Endpoint) []level {
 	var levels []level
 	for i := range endpoints {
--- a/discovery/xds/priority/priority_test.go
+++ b/discovery/xds/priority/priority_test.go
@@ -61,7 +61,7 @@
 				i++
 			}
 			if got.String() != test.want {
-				t.Errorf("%q at %v: %q, want %q", test.text, test.factor, got.String(), test.want)
+				t.Errorf("levels %q, factor %v: eligible endpoints %q, want %q", test.text, test.factor, got.String(), test.want)
 			}
 		})
 	}
--- a/discovery/xds/resource/decode.go
+++ b/discovery/xds/resource/decode.go
@@ -22,8 +22,8 @@
 
 // rawLocality is a locality of an assignment whose endpoints are not decoded yet.
 type rawLocality struct {
-	message   xdspb.LocalityLbEndpoints // without lb_endpoints
-	endpoints [][]byte
+	message   xdspb.LocalityLbEndpoints // with empty lb_endpoints
+	endpoints [][]byte                  // encoded LbEndpoint messages
 }
 
 // DecodeAssignment decodes and validates the endpoints of a cluster, as ParseAssignment does. Endpoints of the
--- a/discovery/xds/resource/metadata.go
+++ b/discovery/xds/resource/metadata.go
@@ -39,7 +39,7 @@
 			return time.Time{}, fmt.Errorf("want Unix milliseconds, got %q", text)
 		}
 	}
-	if !(number >= 0 && number < maxMetadataInt) { // also for NaN
+	if !(number >= 0 && number < maxMetadataInt) { // written so that NaN is rejected too
 		return time.Time{}, fmt.Errorf("want Unix milliseconds, got %v", value.AsInterface())
 	}
 	if number == 0 {
--- a/discovery/xds/resource/resource.go
+++ b/discovery/xds/resource/resource.go
@@ -12,7 +12,7 @@
 	SecretURL     = "type.googleapis.com/envoy.extensions.transport_sockets.tls.v3.Secret"
 )
 
-const maxNameLength = 512 // of clusters and assignments, in bytes
+const maxNameLength = 512 // of the names of clusters and assignments, in bytes
 
 // checkName rejects names that are empty or too long. field is the field of the name, for errors.
 func checkName(field, name string) error {
--- a/discovery/xds/scale_test.go
+++ b/discovery/xds/scale_test.go
@@ -119,7 +119,7 @@
 // compares them. Since it is a measurement, it runs only if the environment variable FLOOD is set.
 func TestSource_LatencyDuringFlood(t *testing.T) {
 	if os.Getenv("FLOOD") == "" {
-		t.Skip("a measurement: set FLOOD to run it")
+		t.Skip("this test is a measurement: set FLOOD to run it")
 	}
 	controlPlane, app := startControlPlane(t), newAppServers(t, 4)
 	// The endpoints of the flood are draining, so that requests go only to the real servers.
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// startCacheWriter starts the goroutine that writes the cache, if there is a cache. The function that it returns ends
-// the goroutine, after a pending write.
+// startCacheWriter starts the goroutine that writes the cache, if there is a cache. The returned function finishes a
+// pending write and ends the goroutine.
 func (s *Source) startCacheWriter() (stop func()) {
 	if s.cacheWriter == nil {
 		return func() {}
--- a/discovery/xds/standin/record.go
+++ b/discovery/xds/standin/record.go
@@ -18,9 +18,9 @@
 	Stream      int64 // number of the stream, starting with 1
 	Type        string
 	Nonce       string            `json:",omitempty"`
-	Version     string            `json:",omitempty"` // state of the world
-	Names       []string          `json:",omitempty"` // state of the world
-	Subscribe   []string          `json:",omitempty"` // incremental, like the next two
+	Version     string            `json:",omitempty"` // state-of-the-world variant only
+	Names       []string          `json:",omitempty"` // state-of-the-world variant only
+	Subscribe   []string          `json:",omitempty"` // incremental variant only, like the next two fields
 	Unsubscribe []string          `json:",omitempty"`
 	Initial     map[string]string `json:",omitempty"`
 	Node        string            `json:",omitempty"` // id of the node, if the request contains it
--- a/discovery/xds/standin/script.go
+++ b/discovery/xds/standin/script.go
@@ -13,7 +13,7 @@
 
 const (
 	maxLineLength = 16 << 20       // of a script, in bytes
-	logTimeFormat = "15:04:05.000" // of the lines that Run writes
+	logTimeFormat = "15:04:05.000" // of the times in the output of Run
 )
 
 // Script is a sequence of steps for a control plane. docs/xds.md describes the steps.
@@ -29,7 +29,7 @@
 // action executes a step.
 type action func(ctx context.Context, run *scriptRun) error
 
-// scriptRun is one run of a script.
+// scriptRun is the state of one run of a script.
 type scriptRun struct {
 	controlPlane *ControlPlane
 	out          io.Writer
--- a/discovery/xds/standin/subscription.go
+++ b/discovery/xds/standin/subscription.go
@@ -81,7 +81,7 @@
 		stale = stale || changed
 		sub.sent[name] = current.version
 	}
-	removed := p.forgetRemoved(url, sub)
+	removed := p.pruneRemoved(url, sub)
 	stale = stale || len(removed) > 0 && url == resource.ClusterURL
 	if !stale {
 		return nil
@@ -102,15 +102,15 @@
 			s.sent[name] = current.version
 		}
 	}
-	response.RemovedResources = p.forgetRemoved(url, s)
+	response.RemovedResources = p.pruneRemoved(url, s)
 	if len(response.Resources)+len(response.RemovedResources) == 0 {
 		return nil
 	}
 	return response
 }
 
-// forgetRemoved deletes resources that no longer exist from the sent versions, and returns their names.
-func (p *ControlPlane) forgetRemoved(url string, s *subscription) []string {
+// pruneRemoved deletes resources that no longer exist from the sent versions, and returns their names.
+func (p *ControlPlane) pruneRemoved(url string, s *subscription) []string {
 	var removed []string
 	for name := range s.sent {
 		if _, ok := p.resources[url][name]; !ok {
--- a/discovery/xds/status.go
+++ b/discovery/xds/status.go
@@ -15,7 +15,7 @@
 
 // Status describes the state of a Source.
 type Status struct {
-	Server    string    // address of the control plane in use, or last tried
+	Server    string    // address of the control plane in use, or of the last one
 	Connected bool      // a stream is open
 	Since     time.Time // when Connected last changed
 	LastError error     // why the last stream ended; nil: no stream has ended yet
--- a/discovery/xds/xds_test.go
+++ b/discovery/xds/xds_test.go
@@ -402,7 +402,7 @@
 		t.Errorf("%d servers before the first list of the control plane, want the initial one", n)
 	}
 	controlPlane.SetMuted(false)
-	testkit.Await(t, "the list", func() bool { return r.Stats().EndpointsByPool["rooms"] == 2 })
+	testkit.Await(t, "the list of the control plane", func() bool { return r.Stats().EndpointsByPool["rooms"] == 2 })
 	if n := r.Stats().EndpointsByAvailability[policy.Running]; n != 2 {
 		t.Errorf("%d servers, want only the two of the control plane", n)
 	}
