--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -15,11 +15,12 @@
 	"cobaltward/internal/testkit"
 )
 
-// failuresInSeries is how often accepting fails in a row before a connection comes through.
-const failuresInSeries = 5
+// consecutiveFailures is the number of accept errors in a row before a connection is accepted.
+const consecutiveFailures = 5
 
-// TestListenersSurviveAcceptErrors has each listener of the node fail to accept with every error that Linux documents,
-// several times in a row. The client whose connection was in the accept queue gets its answer, and so does the next.
+// TestListenersSurviveAcceptErrors guards against a listener that stops serving after an accept error. On each
+// listener of the node, Accept fails with every error that Linux documents, several times in a row. The client whose
+// connection is in the accept queue meanwhile gets its response, and so does the next one.
 func TestListenersSurviveAcceptErrors(t *testing.T) {
 	const readyRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\nConnection: close\r\n\r\n"
@@ -59,16 +60,16 @@
 		want     string
 	}{
 		{"HTTP", http, readyRequest, "HTTP/1.1 200"},
-		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // no message begins so: the answer is a notification of the error
+		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // invalid first byte: the node sends an error notification
 		{"admin API", admin, statusRequest, "HTTP/1.1 200"},
 		{"operations endpoint", operations, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for _, errno := range testkit.AcceptErrors {
-				test.listener.FailNext(errno, failuresInSeries)
+				test.listener.FailNext(errno, consecutiveFailures)
 				for range 2 {
 					if got := exchange(test.listener, test.request); !strings.HasPrefix(got, test.want) {
-						t.Fatalf("%v: answered with %q", errno, got)
+						t.Fatalf("after %v: got response %q", errno, got)
 					}
 				}
 				if n := test.listener.Pending(); n != 0 {
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestRun_ListenerFailsForGood has each listener for clients fail for good: Run returns its error.
-func TestRun_ListenerFailsForGood(t *testing.T) {
+// TestRun_ListenerFailsPermanently checks that Run returns the error of a client listener that can no longer accept.
+func TestRun_ListenerFailsPermanently(t *testing.T) {
 	for _, failing := range []string{"HTTP", "MessagePack-RPC"} {
 		t.Run(failing, func(t *testing.T) {
 			http, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,10 +107,10 @@
 	}
 }
 
-// exchange sends a request over a new connection and returns the start of the answer, or the error's text.
-func exchange(to net.Listener, request string) string {
+// exchange sends a request over a new connection and returns the start of the response, or the text of an error.
+func exchange(listener net.Listener, request string) string {
 	const timeout = 5 * time.Second
-	conn, err := net.DialTimeout("tcp", to.Addr().String(), timeout)
+	conn, err := net.DialTimeout("tcp", listener.Addr().String(), timeout)
 	if err != nil {
 		return err.Error()
 	}
@@ -126,14 +127,15 @@
 	return string(answer[:n])
 }
 
-// TestRelisten_AddressComesFree has the address of a listener be in use for 2 s as it is opened again.
+// TestRelisten_AddressComesFree checks that relisten retries while its address is in use: another listener releases
+// the address after 2 s.
 func TestRelisten_AddressComesFree(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(2*time.Second, func() { _ = taken.Close() })
-	listener, err := relisten(taken.Addr())
+	time.AfterFunc(2*time.Second, func() { _ = occupied.Close() })
+	listener, err := relisten(occupied.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -9,10 +9,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// deadlineSlack is by how much the deadline sent to a server may exceed the time that the client has left.
+// deadlineSlack is the tolerance by which the deadline sent to a server may exceed the time that the client has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// delayedListener returns each connection a while after it was accepted: its request waits in the socket's buffer.
+// delayedListener returns each connection some time after it was accepted; its request waits in the socket buffer
+// meanwhile.
 type delayedListener struct {
 	net.Listener
 	delay time.Duration
@@ -30,8 +31,9 @@
 	return l.Listener.(*net.TCPListener).SetDeadline(t)
 }
 
-// TestDeadline_CountsFromArrival has requests wait unread in the socket's buffer or behind another request: the
-// deadline that the server gets is the time that the client has left.
+// TestDeadline_CountsFromArrival guards against a deadline that counts from when the node reads a request, and so
+// exceeds the time that the client has left. Requests wait unread in the socket buffer, or behind another request on
+// the same connection.
 func TestDeadline_CountsFromArrival(t *testing.T) {
 	const wait, clientDeadline = 500 * time.Millisecond, 1200 * time.Millisecond
 	check := func(t *testing.T, server *holdingServer, id string, sent time.Time) {
@@ -42,7 +44,7 @@
 			return ok
 		})
 		if left := clientDeadline - got.at.Sub(sent); got.deadline > left+deadlineSlack {
-			t.Errorf("the server's deadline is %v, and the client had %v left", got.deadline, left)
+			t.Errorf("the server was given %v, but the client had only %v left", got.deadline, left)
 		}
 	}
 	t.Run("accepted late", func(t *testing.T) {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -14,17 +14,18 @@
 	"cobaltward/internal/testkit"
 )
 
-// rejectionStart begins each answer of an evicted connection.
+// rejectionStart is the start of the response that the node writes before it closes an evicted connection.
 const rejectionStart = "HTTP/1.1 503"
 
-// TestEviction_SparesNewConnection has a client connect to a node that is full. Its connection sends a request a moment
-// later, and is not evicted for the next one while an older connection becomes idle.
+// TestEviction_SparesNewConnection guards against closing a connection whose first request is on its way. A client
+// connects to a full node and sends its request a moment later. Meanwhile another client connects: it must get the
+// slot of the older connection, which becomes idle, and not the slot of the new one.
 func TestEviction_SparesNewConnection(t *testing.T) {
 	listener, _, older := newClientPair(t)
 	listener.setMaxConns(2)
 	listener.queueTimeout = func() time.Duration { return testkit.MaxWait }
 	client, conn := connectClient(t, listener)
-	noteRequest(older) // it is answered below
+	recordRequestStart(older) // the request ends below
 	dialClient(t, listener.Addr().String())
 	time.AfterFunc(firstRequestGrace/4, func() { // well before conn may be evicted
 		older.onStateChange(http.StateActive)
@@ -40,8 +41,9 @@
 	}
 }
 
-// TestEviction_SendsRejection has more clients pause within a head than the node has connections. Each client whose
-// connection is evicted reads a rejection with Retry-After first: the rest of its request may meet the close.
+// TestEviction_SendsRejection has more clients stop within a head than the node has connections. A client whose
+// connection is evicted may still be sending the rest of its request, so it must read a rejection with Retry-After
+// before the close.
 func TestEviction_SendsRejection(t *testing.T) {
 	const clients = 2 * minDescriptors
 	_, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
@@ -52,7 +54,7 @@
 		conn := dialClient(t, addr)
 		_, _ = io.WriteString(conn, "GET /api HT")
 		readers.Go(func() {
-			_ = conn.SetReadDeadline(time.Now().Add(time.Second)) // before the timeout of a head
+			_ = conn.SetReadDeadline(time.Now().Add(time.Second)) // shorter than the timeout for a head
 			answer, err := io.ReadAll(conn)
 			summary, _, _ := strings.Cut(string(answer), "\r\n")
 			switch {
@@ -73,8 +75,9 @@
 	}
 }
 
-// TestEviction_RequestArrivesMeanwhile has bytes of a request be read just as their connection is evicted, and the
-// reader close it on that: the rejection is sent ahead of either close.
+// TestEviction_RequestArrivesMeanwhile guards against a close without a rejection. Bytes of a request are read while
+// their connection is being evicted, and the reader closes the connection as soon as it sees the eviction: the
+// rejection must be written first.
 func TestEviction_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	for range 300 {
@@ -86,7 +89,7 @@
 		}()
 		listener.mu.Lock()
 		_, _ = io.WriteString(client, "GET / HT")
-		time.Sleep(200 * time.Microsecond) // lets the reader come to wait for the mutex, as it mostly does
+		time.Sleep(200 * time.Microsecond) // usually enough for the reader to block on the mutex
 		listener.rejectEvictedLocked(conn, true)
 		listener.mu.Unlock()
 		expectRejection(t, client)
@@ -97,37 +100,37 @@
 	}
 }
 
-// TestEviction_RequestIsNotHandedOn evicts a connection just before or just after its request is handed on: a client
-// that was sent a rejection may send its request again, so that this one must not run.
+// TestEviction_RequestIsNotHandedOn evicts a connection just before or just after its request is handed on to the
+// router. A client that was sent a rejection may send its request again, so the first one must not run.
 func TestEviction_RequestIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
 		listener, _, conn := newClientPair(t)
 		ctx := withClientConn(t.Context(), conn)
-		noteRequest(conn)
+		recordRequestStart(conn)
 		stallRequest(conn)
 		if handedOnFirst && mustReject(ctx) {
-			t.Error("a request that there is a slot for is rejected")
+			t.Error("a request on a connection with a slot is rejected")
 		}
 		evicted := evictStalled(listener)
 		if evicted == handedOnFirst {
-			t.Errorf("handed on first: %v, and evicted: %v", handedOnFirst, evicted)
+			t.Errorf("handed on first: %v, evicted: %v", handedOnFirst, evicted)
 		}
 		if evicted && !mustReject(ctx) {
-			t.Error("a request is handed on whose client was sent a rejection")
+			t.Error("a request is handed on although its client was sent a rejection")
 		}
 	}
 }
 
-// TestEviction_RequestIsBeingRejected evicts an overflow connection whose request is to be rejected, before that
-// answer is written.
+// TestEviction_RequestIsBeingRejected evicts an overflow connection after the decision to reject its request, but
+// before that response is written: the client must still read a rejection.
 func TestEviction_RequestIsBeingRejected(t *testing.T) {
 	listener, client, conn := newClientPair(t)
-	noteRequest(conn)
+	recordRequestStart(conn)
 	listener.mu.Lock()
 	conn.overflow, listener.maxConns = true, 0
 	listener.mu.Unlock()
 	if !mustReject(withClientConn(t.Context(), conn)) {
-		t.Fatal("a request that there is no slot for is handed on")
+		t.Fatal("a request on a connection without a slot is handed on")
 	}
 	stallRequest(conn)
 	if !evictStalled(listener) {
@@ -136,14 +139,14 @@
 	expectRejection(t, client)
 }
 
-// noteRequest notes that bytes of a request have come.
-func noteRequest(conn *clientConn) {
+// recordRequestStart records that bytes of a request have arrived on the connection.
+func recordRequestStart(conn *clientConn) {
 	conn.listener.mu.Lock()
 	defer conn.listener.mu.Unlock()
 	conn.recordRequestBytesLocked()
 }
 
-// stallRequest has the last bytes of the connection's request have come long ago.
+// stallRequest makes the last bytes of a request so old that the connection counts as stalled.
 func stallRequest(conn *clientConn) {
 	conn.listener.mu.Lock()
 	defer conn.listener.mu.Unlock()
@@ -156,7 +159,7 @@
 	return listener.evictStalledLocked()
 }
 
-// expectRejection reads the start of an answer, and requires it to be complete.
+// expectRejection reads the start of a response, and fails the test unless it is a rejection.
 func expectRejection(t *testing.T, client net.Conn) {
 	t.Helper()
 	_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -13,12 +13,12 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestFirstRequest_LongAfterConnect guards against a new connection getting less time to begin than one that has
-// carried a request: its first request comes after the time for a head.
+// TestFirstRequest_LongAfterConnect guards against a new connection getting less time for its first request than an
+// idle connection has for its next one: the request arrives later after the connect than headerTimeout.
 func TestFirstRequest_LongAfterConnect(t *testing.T) {
-	w := newTestNode(t, 1)
-	w.startWithClient()
-	client, err := net.Dial("tcp", w.addr)
+	node := newTestNode(t, 1)
+	node.startWithClient()
+	client, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,13 +32,13 @@
 	}
 	status := make([]byte, len("HTTP/1.1 200"))
 	if _, err := io.ReadFull(client, status); err != nil || string(status) != "HTTP/1.1 200" {
-		t.Errorf("got %q, %v", status, err)
+		t.Errorf("status line %q, %v", status, err)
 	}
 }
 
-// TestHead_TimeRunsFromFirstByte guards against a client extending the time for a head by sending on, or by resting
-// before it.
-func TestHead_TimeRunsFromFirstByte(t *testing.T) {
+// TestHead_TimeoutRunsFromFirstByte guards against a head timeout that restarts with each byte, so that a slow client
+// could extend it, and against one that counts the idle time before the first byte.
+func TestHead_TimeoutRunsFromFirstByte(t *testing.T) {
 	const headTimeout = 200 * ms
 	for _, test := range []struct {
 		name   string
@@ -68,10 +68,10 @@
 					t.Fatal(err)
 				}
 			}
-			time.Sleep(2 * headTimeout) // rests, ahead of the first byte
+			time.Sleep(2 * headTimeout) // idle before the first byte
 			began := time.Now()
 			go func() {
-				for { // a head whose time began anew with each byte would never end
+				for { // if each byte restarted the timeout, the head would never end
 					if _, err := client.Write([]byte("G")); err != nil {
 						return
 					}
@@ -80,18 +80,18 @@
 			}()
 			err := testkit.Receive(t, "the end of the head", readEnded)
 			if elapsed := time.Since(began); !errors.Is(err, os.ErrDeadlineExceeded) || elapsed < headTimeout/2 {
-				t.Errorf("ended by %v after %v", err, elapsed)
+				t.Errorf("the head ended with %v after %v", err, elapsed)
 			}
 			if got := listener.unansweredCounts(); got.timeouts != 1 {
-				t.Errorf("counted %+v", got)
+				t.Errorf("unanswered counts %+v", got)
 			}
 		})
 	}
 }
 
-// TestIdleEnd_RequestArrives has a request arrive about the end of a connection's idle time. What comes ahead of the
-// end is read. What comes after it is counted, and the client sees an orderly close: a reset could destroy an answer
-// that it has not read.
+// TestIdleEnd_RequestArrives has a request arrive around the end of a connection's idle timeout. Bytes that arrive
+// before the end are read. Bytes that arrive after it are counted, and the client sees an orderly close: a reset could
+// destroy a response that it has not read yet.
 func TestIdleEnd_RequestArrives(t *testing.T) {
 	const idleTimeout = 50 * ms
 	body := make([]byte, 256<<10)
@@ -99,7 +99,7 @@
 		name         string
 		listen       func(t *testing.T, maxConns int) *clientListener
 		beforeEnd    bool
-		pause        time.Duration // of the node, between the end of the idle time and the close
+		pause        time.Duration // how long the node does not run between the idle timeout and the close
 		wantIdleEnds uint64
 	}{
 		{"ahead of the end", newTestListener, true, 0, 0},
@@ -120,8 +120,8 @@
 			}
 			if test.beforeEnd {
 				sendRequestLine(t, client)
-				testkit.Await(t, "the bytes", func() bool { return sockets.Unread(tcp) > 0 })
-				time.Sleep(2 * idleTimeout) // the node reads late
+				testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(tcp) > 0 })
+				time.Sleep(2 * idleTimeout) // the node reads only after the idle timeout
 			}
 			n, err := conn.Read(make([]byte, 64))
 			if read := n > 0 && err == nil; read != test.beforeEnd {
@@ -134,9 +134,9 @@
 			go func() {
 				defer close(sent)
 				sendRequestLine(t, client)
-				_, _ = client.Write(body) // may fail once the client's system has the close
+				_, _ = client.Write(body) // fails if the close has already reached the client
 			}()
-			testkit.Await(t, "the bytes", func() bool { return sockets.Unread(tcp) > 0 })
+			testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(tcp) > 0 })
 			time.Sleep(test.pause)
 			_ = conn.Close() // as net/http does
 			_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
@@ -147,17 +147,17 @@
 			_ = client.Close()
 			testkit.Await(t, "the end of the connection", func() bool { return listener.lingeringCount() == 0 })
 			if got := listener.unansweredCounts(); got != (unansweredCounts{idleEnds: test.wantIdleEnds}) {
-				t.Errorf("counted %+v", got)
+				t.Errorf("unanswered counts %+v", got)
 			}
 		})
 	}
 }
 
 // TestEviction_RequestArrivesAfterwards has a long request arrive after its idle connection was evicted: the client
-// sees an orderly close, and the connection is counted.
+// must see an orderly close and not a reset, and the connection must be counted as evicted.
 func TestEviction_RequestArrivesAfterwards(t *testing.T) {
 	listener, client, conn := newClientPair(t)
-	conn.requestSeen = true // it has carried a request, and is sent no rejection
+	conn.requestSeen = true // a connection that has carried a request is sent no rejection
 	listener.mu.Lock()
 	evicted := listener.evictIdleLocked(true)
 	listener.mu.Unlock()
@@ -169,9 +169,9 @@
 		defer close(sent)
 		_, _ = client.Write(make([]byte, 256<<10))
 	}()
-	testkit.Await(t, "the bytes", func() bool { return sockets.Unread(conn.TCPConn) > 0 })
+	testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(conn.TCPConn) > 0 })
 	if n, err := conn.Read(make([]byte, 64)); n != 0 || err == nil {
-		t.Errorf("the request is read all the same: %d bytes, %v", n, err)
+		t.Errorf("the request is read after the eviction: %d bytes, %v", n, err)
 	}
 	_ = conn.Close()
 	if n, err := client.Read(make([]byte, 64)); n != 0 || !errors.Is(err, io.EOF) {
@@ -179,17 +179,18 @@
 	}
 	<-sent
 	if got := listener.unansweredCounts(); got != (unansweredCounts{evictions: 1}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("unanswered counts %+v", got)
 	}
 }
 
-// TestEviction_SilentConnectionsFirst has a slot be needed while one connection rests that has carried a request, and a
-// newer one that never did: the latter is evicted, once it is old.
+// TestEviction_SilentConnectionsFirst needs a slot while two connections are idle: one that has carried a request, and
+// a newer one that never sent any. The newer one is evicted if it is older than silentConnAge, otherwise the one that
+// has carried a request.
 func TestEviction_SilentConnectionsFirst(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		silentFor  time.Duration
-		wantSilent bool // is evicted
+		wantSilent bool // the silent connection is evicted
 	}{
 		{"old", silentConnAge, true},
 		{"new", silentConnAge / 2, false},
@@ -203,45 +204,46 @@
 			used.requestSeen = true
 			silent.openedAt = silent.openedAt.Add(-test.silentFor)
 			if !listener.evictIdleLocked(false) || silent.closed != test.wantSilent || used.closed == test.wantSilent {
-				t.Errorf("evicted: the silent one %v, the other %v", silent.closed, used.closed)
+				t.Errorf("evicted: silent connection %v, other connection %v", silent.closed, used.closed)
 			}
 		})
 	}
 }
 
-// TestLinger_Descriptors has more connections be evicted than may linger: they take no descriptor that the node lacks.
+// TestLinger_Descriptors evicts more connections than may linger: open and lingering connections together must not use
+// more descriptors than the node has reserved for them.
 func TestLinger_Descriptors(t *testing.T) {
 	const maxConns = 4
 	listener := newTestListener(t, maxConns)
 	listener.queueTimeout = func() time.Duration { return 0 }
 	for range 4 * (maxConns + overflowConns) {
-		connectClient(t, listener) // evicts one that has sent nothing, and whose client does not close it
+		connectClient(t, listener) // evicts a silent connection, which its client leaves open
 		listener.mu.Lock()
 		open, lingering := listener.open, listener.lingering.len()
 		listener.mu.Unlock()
 		if open > maxConns || open+lingering > maxConns+overflowConns+maxEvictedConns {
-			t.Fatalf("%d connections open, and %d that linger", open, lingering)
+			t.Fatalf("%d connections open, %d lingering", open, lingering)
 		}
 	}
 }
 
-// TestUnanswered_ServedRequestsAreNotCounted has net/http end its reads in the background, by a deadline in the past,
-// while requests are answered.
+// TestUnanswered_ServedRequestsAreNotCounted guards against counting answered requests as unanswered: while a request
+// is answered, net/http ends its background read with a read deadline in the past, which looks like a timeout.
 func TestUnanswered_ServedRequestsAreNotCounted(t *testing.T) {
-	w := newTestNode(t, 1)
-	client := w.startWithClient()
+	node := newTestNode(t, 1)
+	client := node.startWithClient()
 	for range 20 {
-		resp, err := w.get(t.Context(), client, "r")
+		resp, err := node.get(t.Context(), client, "r")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	metrics := w.metrics()
+	metrics := node.metrics()
 	for _, cause := range []string{"timeout", "client_closed", "idle_end", "evicted", "drain"} {
 		if n, ok := metrics["unanswered."+cause]; n != 0 || !ok {
-			t.Errorf("unanswered.%s is %v, given: %v", cause, n, ok)
+			t.Errorf("metric unanswered.%s is %v, present: %v", cause, n, ok)
 		}
 	}
 }
@@ -253,7 +255,7 @@
 	return l.lingering.len()
 }
 
-// tcpOf returns the TCP connection of an accepted one.
+// tcpOf returns the TCP connection beneath an accepted connection.
 func tcpOf(conn net.Conn) *net.TCPConn {
 	if secured, ok := conn.(*tlsClientConn); ok {
 		return secured.conn.TCPConn
@@ -261,7 +263,8 @@
 	return conn.(*clientConn).TCPConn
 }
 
-// handshakeOver makes the handshake on both ends of a connection, without a byte of a request.
+// handshakeOver performs the TLS handshake between the two ends of a connection, sends no byte of a request, and
+// returns the client's TLS connection.
 func handshakeOver(t *testing.T, plain, conn net.Conn) net.Conn {
 	t.Helper()
 	client := tls.Client(plain, &tls.Config{InsecureSkipVerify: true})
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/pki"
 )
 
-// newClientPair returns a listener for up to 4 clients and the two ends of one connection.
+// newClientPair returns a listener with 4 slots, and both ends of a connection that it has accepted.
 func newClientPair(t *testing.T) (*clientListener, net.Conn, *clientConn) {
 	t.Helper()
 	listener := newTestListener(t, 4)
@@ -60,7 +60,7 @@
 	return accepted.(*clientConn)
 }
 
-// connectClient has a client connect, and returns the two ends.
+// connectClient connects a client and returns both ends of the connection.
 func connectClient(t *testing.T, listener *clientListener) (client, conn net.Conn) {
 	t.Helper()
 	client = dialClient(t, listener.Addr().String())
@@ -72,8 +72,8 @@
 	return client, conn
 }
 
-// TestAccept_SparesSlowHandshakeWhileCoreIsBusy has clients connect by TLS while the core works on handshakes.
-// Closing a handshake that waits for its client would not let them in sooner, so none is closed.
+// TestAccept_SparesSlowHandshakeWhileCoreIsBusy guards against closing a handshake that waits for its client while
+// other handshakes keep the CPU core busy: the close would not let new clients connect any sooner.
 func TestAccept_SparesSlowHandshakeWhileCoreIsBusy(t *testing.T) {
 	listener := newTLSTestListener(t, 100)
 	accept := func() *clientConn {
@@ -82,7 +82,7 @@
 	}
 	slow := accept()
 	slow.acceptedAt = slow.acceptedAt.Add(-time.Minute)
-	for range 8 { // in its first moments each counts as one that the core works on
+	for range 8 { // each new handshake counts as one that needs the core
 		accept()
 	}
 	listener.mu.Lock()
@@ -91,7 +91,7 @@
 		t.Error("the slow client was evicted")
 	}
 	if listener.open != 9 {
-		t.Errorf("%d connections, want 9", listener.open)
+		t.Errorf("%d open connections, want 9", listener.open)
 	}
 }
 
--- a/internal/node/clientorder_test.go
+++ b/internal/node/clientorder_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// lateBy is by how much a party of these tests is later than a time of the node.
-	lateBy = 200 * time.Millisecond
-	// shortTimeout is the time for a head, and of idle connections, of serveShortTimeouts.
+	// timeoutMargin is added to a timeout of the node to act safely after its end.
+	timeoutMargin = 200 * time.Millisecond
+	// shortTimeout is the head timeout and the idle timeout of serveShortTimeouts.
 	shortTimeout = 300 * time.Millisecond
-	// smallRequest is a request that serveShortTimeouts answers.
+	// smallRequest is a complete request without a body.
 	smallRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 )
 
-// readStatus returns the status of the next answer.
+// readStatus reads a response and returns its status.
 func readStatus(conn net.Conn) (int, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -34,7 +34,7 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// serveShortTimeouts has net/http serve a listener, with shortTimeout, until the test's end.
+// serveShortTimeouts serves a listener with net/http until the test ends. Its head and idle timeouts are shortTimeout.
 func serveShortTimeouts(t *testing.T) *clientListener {
 	t.Helper()
 	listener := newTestListener(t, 4)
@@ -53,9 +53,10 @@
 	return listener
 }
 
-// TestIdleEnd_RequestAheadOfLastLook has a request come after a read deadline was found to have passed, while the
-// reader waits to take its last look, on a new connection and on one that was idle: it is served.
-func TestIdleEnd_RequestAheadOfLastLook(t *testing.T) {
+// TestIdleEnd_RequestBeforeFinalRead has a request arrive after the read deadline of an idle connection has passed,
+// while the reader waits for the mutex to read one final time before it ends the connection. The request must be
+// served, on a new connection and on one that has carried a request.
+func TestIdleEnd_RequestBeforeFinalRead(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprintf("kept %v", kept), func(t *testing.T) {
 			listener := serveShortTimeouts(t)
@@ -70,47 +71,49 @@
 				open, busy := listener.connCounts()
 				return open == 1 && busy == 0
 			})
-			listener.mu.Lock() // which the reader takes for its last look
-			time.Sleep(shortTimeout + lateBy)
+			listener.mu.Lock() // the final read waits for it
+			time.Sleep(shortTimeout + timeoutMargin)
 			_, _ = io.WriteString(client, smallRequest)
-			time.Sleep(lateBy / 10) // for the bytes to arrive
+			time.Sleep(timeoutMargin / 10) // for the bytes to arrive
 			listener.mu.Unlock()
 			if status, err := readStatus(client); status != http.StatusOK {
 				t.Errorf("status %d, %v", status, err)
 			}
 			if got := listener.unansweredCounts(); got != (unansweredCounts{}) {
-				t.Errorf("counted %+v", got)
+				t.Errorf("unanswered counts %+v", got)
 			}
 		})
 	}
 }
 
-// isConnectionEnd reports whether err is the end of a connection, and no timeout.
+// isConnectionEnd reports whether err is the end of a connection, and not a timeout.
 func isConnectionEnd(err error) bool { return err != nil && !errors.Is(err, os.ErrDeadlineExceeded) }
 
-// TestUnanswered_AnsweredIsNotCounted: readiness checks and malformed requests are answered.
+// TestUnanswered_AnsweredIsNotCounted checks that readiness checks and malformed requests, which the node answers
+// itself, are not counted as unanswered.
 func TestUnanswered_AnsweredIsNotCounted(t *testing.T) {
-	w := newTestNode(t, 0)
-	w.serveBy(func(http.ResponseWriter, *http.Request) {})
-	client := w.startWithClient()
+	node := newTestNode(t, 0)
+	node.addServers(func(http.ResponseWriter, *http.Request) {})
+	client := node.startWithClient()
 	for _, path := range []string{readyPath, "/api"} {
-		before := w.metrics()
+		before := node.metrics()
 		const requests = 3
 		for range requests {
-			resp, err := client.Get("http://" + w.addr + path)
+			resp, err := client.Get("http://" + node.addr + path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_ = resp.Body.Close()
 		}
-		if after := w.metrics(); after["unanswered.timeout"] != before["unanswered.timeout"] {
+		if after := node.metrics(); after["unanswered.timeout"] != before["unanswered.timeout"] {
 			t.Errorf("%s: unanswered.timeout %d, then %d after %d answered requests",
 				path, before["unanswered.timeout"], after["unanswered.timeout"], requests)
 		}
 	}
 }
 
-// TestUnanswered_CountsConnectionOnce has one connection end within a head, of which net/http reads more than once.
+// TestUnanswered_CountsConnectionOnce guards against counting a connection twice that times out within a head, because
+// net/http reads from it more than once.
 func TestUnanswered_CountsConnectionOnce(t *testing.T) {
 	listener := serveShortTimeouts(t)
 	client := dialClient(t, listener.Addr().String())
@@ -123,6 +126,6 @@
 		return open == 0
 	})
 	if got := listener.unansweredCounts(); got != (unansweredCounts{timeouts: 1}) {
-		t.Errorf("%+v, want one timeout", got)
+		t.Errorf("unanswered counts %+v, want one timeout", got)
 	}
 }
--- a/internal/node/clientpauses_test.go
+++ b/internal/node/clientpauses_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestBodyReads_ReadDeadline: pauses of the node extend a read by as much, and by maxPauseCredit at most while the node
-// runs for half of the time or more.
+// TestBodyReads_ReadDeadline checks that pauses of the node extend the deadline of a read by as much, but by at most
+// maxPauseCredit if the node ran for at least half of the time.
 func TestBodyReads_ReadDeadline(t *testing.T) {
 	const timeout = 2500 * ms
 	began := time.Now()
@@ -27,7 +27,7 @@
 		{timeout, timeout / 2, time.Minute, timeout + maxPauseCredit},
 		{timeout, 2000 * ms, time.Minute, timeout + 2000*ms},
 		{time.Minute, 59 * time.Second, 2 * time.Minute, timeout + 59*time.Second},
-		{timeout, 100 * ms, timeout / 2, timeout/2 + 100*ms}, // the whole body has a deadline of its own
+		{timeout, 100 * ms, timeout / 2, timeout/2 + 100*ms}, // the deadline of the whole body comes first
 	} {
 		limits := bodyReadLimits{timeout: timeout, deadline: began.Add(test.wholeBody)}
 		stall := clientTimeout{began: began, pausedBefore: time.Hour, timeout: timeout}
@@ -39,13 +39,14 @@
 	}
 }
 
-// fakePauses is the pauseCounter of a node that is paused for a part of the time. It counts while it is in use.
+// fakePauses is the pauseCounter of a node that is paused for a fixed share of the time. It counts only between Begin
+// and End.
 type fakePauses struct {
-	part float64
+	share float64
 
 	mu    sync.Mutex
 	uses  int
-	began time.Time // of the first of the present uses
+	began time.Time // when uses last rose from 0
 	used  time.Duration
 }
 
@@ -77,66 +78,67 @@
 	if p.uses > 0 {
 		used += time.Since(p.began)
 	}
-	return time.Duration(p.part * float64(used))
+	return time.Duration(p.share * float64(used))
 }
 
-// requireUnused checks that all uses have ended.
+// requireUnused checks that each Begin was followed by an End.
 func (p *fakePauses) requireUnused(t *testing.T) {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.uses != 0 {
-		t.Errorf("%d uses of the pauses have no end", p.uses)
+		t.Errorf("%d calls of Begin without an End", p.uses)
 	}
 }
 
-// haltingConn calls halt within each write.
-type haltingConn struct {
+// stallingConn calls stall in the middle of each write.
+type stallingConn struct {
 	net.Conn
-	halt func()
+	stall func()
 }
 
 // Write implements net.Conn.
-func (c *haltingConn) Write(p []byte) (int, error) {
+func (c *stallingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p[:len(p)/2])
 	if err != nil {
 		return n, err
 	}
-	c.halt()
+	c.stall()
 	rest, err := c.Conn.Write(p[len(p)/2:])
 	return n + rest, err
 }
 
-// TestRead_NodePaused has a client halt within a head or a body, for longer than it may, while the node is mostly
-// paused: what it sends then is read, also where it halts within a TLS record. Where the node runs, the read fails.
+// TestRead_NodePaused has a client stall within a head or a body for longer than the timeout while the node is paused
+// most of the time: the rest must be read, even if the client stalls within a TLS record. If the node is not paused,
+// the read must fail.
 func TestRead_NodePaused(t *testing.T) {
-	const mostly = 0.99
+	const mostOfTheTime = 0.99
 	for _, test := range []struct {
-		name       string
-		listen     func(t *testing.T, maxConns int) *clientListener
-		open       func(client net.Conn) net.Conn
-		withinBody bool
-		paused     float64 // the part of the time for which the node is paused
+		name        string
+		listen      func(t *testing.T, maxConns int) *clientListener
+		open        func(client net.Conn) net.Conn
+		withinBody  bool
+		pausedShare float64 // share of the time for which the node is paused
 	}{
-		{"head", newTestListener, plainClient, false, mostly},
-		{"head, TLS", newTLSTestListener, tlsClient, false, mostly},
+		{"head", newTestListener, plainClient, false, mostOfTheTime},
+		{"head, TLS", newTLSTestListener, tlsClient, false, mostOfTheTime},
 		{"head, node runs", newTestListener, plainClient, false, 0},
 		{"head, TLS, node runs", newTLSTestListener, tlsClient, false, 0},
-		{"body", newTestListener, plainClient, true, mostly},
-		{"body, TLS", newTLSTestListener, tlsClient, true, mostly},
+		{"body", newTestListener, plainClient, true, mostOfTheTime},
+		{"body, TLS", newTLSTestListener, tlsClient, true, mostOfTheTime},
 		{"body, node runs", newTestListener, plainClient, true, 0},
 		{"body, TLS, node runs", newTLSTestListener, tlsClient, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			listener := test.listen(t, 4)
-			pauses := &fakePauses{part: test.paused}
+			pauses := &fakePauses{share: test.pausedShare}
 			listener.pauses = pauses
 			client, conn := connectClient(t, listener)
-			halting := &haltingConn{client, func() {}}
-			err := readFromHalting(t, listener, conn, halting, test.open(halting), test.withinBody)
-			if wantErr := test.paused == 0; (err != nil) != wantErr {
-				t.Errorf("read: %v", err)
+			stalling := &stallingConn{client, func() {}}
+			err := readFromStallingClient(t, listener, conn, stalling, test.open(stalling), test.withinBody)
+			if wantErr := test.pausedShare == 0; (err != nil) != wantErr {
+				t.Errorf("read error: %v", err)
 			}
 			_ = conn.Close()
 			pauses.requireUnused(t)
@@ -144,13 +146,13 @@
 	}
 }
 
-// readFromHalting reads a request whose client halts within its head or body for longer than it may. Its write within
-// halting is cut in two.
-func readFromHalting(
-	t *testing.T, listener *clientListener, conn net.Conn, halting *haltingConn, client net.Conn, withinBody bool,
+// readFromStallingClient reads a request whose client stalls within its head or body for longer than the timeout:
+// stalling splits the write and sleeps between the halves.
+func readFromStallingClient(
+	t *testing.T, listener *clientListener, conn net.Conn, stalling *stallingConn, client net.Conn, withinBody bool,
 ) error {
 	t.Helper()
-	const timeout, halt = 50 * ms, 500 * ms
+	const timeout, stall = 50 * ms, 500 * ms
 	const bodySize = 1000
 	listener.headTimeout = timeout
 	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", bodySize)
@@ -163,13 +165,13 @@
 		if withinBody {
 			_, _ = io.WriteString(client, head)
 		}
-		halting.halt = func() { time.Sleep(halt) }
+		stalling.stall = func() { time.Sleep(stall) }
 		if !withinBody {
 			_, _ = io.WriteString(client, head)
 		}
 		_, _ = client.Write(make([]byte, bodySize))
 	}()
-	defer testkit.Receive(t, "the client's end", sent)
+	defer testkit.Receive(t, "the client to finish", sent)
 	if _, err := io.ReadFull(conn, make([]byte, len(head))); err != nil {
 		return err
 	}
@@ -182,13 +184,13 @@
 	return err
 }
 
-// TestRead_NodePausedBetweenReads has the node read no more of a body until its whole time is over by the clock, for
-// most of which the node is paused: the rest is read.
+// TestRead_NodePausedBetweenReads has the node pause for most of the time between two reads of a body, until the
+// deadline of the whole body has passed on the clock: the rest of the body must still be read.
 func TestRead_NodePausedBetweenReads(t *testing.T) {
 	const deadline, wait = 200 * ms, 500 * ms
 	const bodySize = 1000
 	listener := newTestListener(t, 4)
-	pauses := &fakePauses{part: 0.99}
+	pauses := &fakePauses{share: 0.99}
 	listener.pauses = pauses
 	client, conn := connectClient(t, listener)
 	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", bodySize)
@@ -200,7 +202,7 @@
 	for range 2 {
 		clientConnOf(conn).deadline.limitBody(limits)
 		sent := make(chan struct{})
-		time.AfterFunc(deadline/2, func() { // behind the read's last look
+		time.AfterFunc(deadline/2, func() { // after the read has found no bytes
 			defer close(sent)
 			_, _ = client.Write(make([]byte, bodySize/2))
 		})
@@ -231,12 +233,13 @@
 	return p.paused
 }
 
-// TestBeginClientTimeout_PauseAsItBegins has the node paused as a time begins, for longer than that: it is not over.
+// TestBeginClientTimeout_PauseAsItBegins guards against a timeout that has ended before it begins: the node is paused
+// for longer than the timeout while the timeout is set up.
 func TestBeginClientTimeout_PauseAsItBegins(t *testing.T) {
 	var pauses pausingCounter
 	timeout := beginClientTimeout(50*ms, &pauses)
 	if deadline := timeout.deadline(time.Now(), pauses.paused); !deadline.After(time.Now()) {
-		t.Errorf("over %v ago as it began", time.Since(deadline))
+		t.Errorf("the new timeout ended %v ago", time.Since(deadline))
 	}
 }
 
--- a/internal/node/clientread_test.go
+++ b/internal/node/clientread_test.go
@@ -12,9 +12,10 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestRead_DeadlineAheadOfBytes has bytes of a request come in time and the read begin after the deadline, as where the
-// process was paused: they are served. On an idle connection, within a request, and with TLS.
-func TestRead_DeadlineAheadOfBytes(t *testing.T) {
+// TestRead_DeadlinePassesBeforeRead has bytes of a request arrive before the read deadline, and the read begin after
+// it, as happens when the process is paused. The bytes must be read: on an idle connection, within a request, and with
+// TLS.
+func TestRead_DeadlinePassesBeforeRead(t *testing.T) {
 	const text = "GET / HTTP/1.1\r\n"
 	for _, test := range []struct {
 		name string
@@ -39,7 +40,7 @@
 			deadline := time.Now().Add(20 * time.Millisecond)
 			_ = conn.SetReadDeadline(deadline)
 			_, _ = client.Write([]byte(text))
-			testkit.Await(t, "the bytes", func() bool { return sockets.Unread(tcp) >= len(text) })
+			testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(tcp) >= len(text) })
 			time.Sleep(time.Until(deadline) + time.Millisecond)
 			buf := make([]byte, 100)
 			if n, err := conn.Read(buf); string(buf[:n]) != text || err != nil {
@@ -52,7 +53,7 @@
 	}
 }
 
-// openTLSClient returns a connection whose handshake is done.
+// openTLSClient returns both ends of a TLS connection after the handshake, and the TCP connection beneath it.
 func openTLSClient(t *testing.T) (client, conn net.Conn, tcp *net.TCPConn) {
 	t.Helper()
 	plain, conn := connectClient(t, newTLSTestListener(t, 4))
@@ -70,7 +71,8 @@
 	return secured, conn, conn.(*tlsClientConn).conn.TCPConn
 }
 
-// TestUnanswered_CountsByCause: a request that ends within its head gets no answer, and is counted.
+// TestUnanswered_CountsByCause checks that requests that end within their head are counted as unanswered by cause: a
+// timeout, or a close by the client.
 func TestUnanswered_CountsByCause(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	_, _ = client.Write([]byte("GET / HT"))
@@ -85,7 +87,7 @@
 	_ = conn.SetReadDeadline(time.Time{})
 	_ = client.Close()
 	if _, err := conn.Read(buf); err == nil {
-		t.Error("no end of the stream")
+		t.Error("the read succeeded after the client closed its connection")
 	}
 	if got := listener.unansweredCounts(); got != (unansweredCounts{timeouts: 1, clientCloses: 1}) {
 		t.Errorf("after a close: %+v", got)
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -19,13 +19,13 @@
 	"cobaltward/internal/testkit"
 )
 
-// serveListener has net/http serve a listener until the test's end.
+// serveListener serves a listener with net/http until the test ends. The handler discards the request body.
 func serveListener(t *testing.T, listener *clientListener) {
 	t.Helper()
 	serveHandler(t, listener, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 }
 
-// serveHandler is serveListener with a handler.
+// serveHandler is serveListener with another handler.
 func serveHandler(t *testing.T, listener *clientListener, handler http.HandlerFunc) {
 	t.Helper()
 	server := &http.Server{
@@ -45,13 +45,13 @@
 	})
 }
 
-// transports are the two ways in which clients connect.
+// transports are the two kinds of listeners that clients connect to.
 var transports = []struct {
 	name   string
 	listen func(t *testing.T, maxConns int) *clientListener
 }{{"plain", newTestListener}, {"TLS", newTLSTestListener}}
 
-// dialServed connects to a listener that is served, with a handshake where it takes TLS.
+// dialServed connects to a listener that is being served, and completes the handshake if it uses TLS.
 func dialServed(t *testing.T, listener *clientListener) net.Conn {
 	t.Helper()
 	conn := dialClient(t, listener.Addr().String())
@@ -65,7 +65,7 @@
 	return client
 }
 
-// exchangeSmall sends smallRequest and requires its answer.
+// exchangeSmall sends smallRequest and requires a response with status 200.
 func exchangeSmall(t *testing.T, client net.Conn) {
 	t.Helper()
 	_, _ = io.WriteString(client, smallRequest)
@@ -74,14 +74,14 @@
 	}
 }
 
-// awaitIdle waits until there is one connection, without a request.
+// awaitIdle waits until the listener has exactly one connection, and that one is idle.
 func awaitIdle(t *testing.T, listener *clientListener) {
 	t.Helper()
 	testkit.Await(t, "the idle connection", func() bool {
 		open, busy := listener.connCounts()
 		return open == 1 && busy == 0
 	})
-	time.Sleep(20 * ms) // until net/http reads
+	time.Sleep(20 * ms) // lets net/http start its next read
 }
 
 func awaitNoConns(t *testing.T, listener *clientListener) {
@@ -92,7 +92,8 @@
 	})
 }
 
-// TestUnanswered_ClientClosesIdleConnection has clients close connections whose requests were all answered.
+// TestUnanswered_ClientClosesIdleConnection checks that nothing is counted as unanswered when a client closes a
+// connection whose requests were all answered.
 func TestUnanswered_ClientClosesIdleConnection(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
@@ -104,13 +105,14 @@
 			_ = client.Close()
 			awaitNoConns(t, listener)
 			if got := listener.unansweredCounts(); got != (unansweredCounts{}) {
-				t.Errorf("counted %+v", got)
+				t.Errorf("unanswered counts %+v", got)
 			}
 		})
 	}
 }
 
-// TestUnanswered_ClientClosesAfterIdleEnd has a client close its side after the node did, without another request.
+// TestUnanswered_ClientClosesAfterIdleEnd checks that nothing is counted as unanswered when the node closes an idle
+// connection and its client then closes its own side without another request.
 func TestUnanswered_ClientClosesAfterIdleEnd(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
@@ -125,13 +127,14 @@
 			_ = client.Close()
 			awaitNoConns(t, listener)
 			if got := listener.unansweredCounts(); got != (unansweredCounts{}) {
-				t.Errorf("counted %+v", got)
+				t.Errorf("unanswered counts %+v", got)
 			}
 		})
 	}
 }
 
-// TestUnanswered_CountedUnderOneCause has the client close after the time for its head, and net/http read on.
+// TestUnanswered_CountedUnderOneCause guards against counting a request twice: its head times out, then its client
+// closes the connection while net/http reads on.
 func TestUnanswered_CountedUnderOneCause(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.headTimeout = 50 * ms
@@ -140,39 +143,40 @@
 		_, _ = conn.Read(make([]byte, 64))
 	}
 	_ = client.Close()
-	testkit.Await(t, "the close", func() bool { return sockets.PeerClosed(conn.TCPConn) })
+	testkit.Await(t, "the client's close to arrive", func() bool { return sockets.PeerClosed(conn.TCPConn) })
 	_, _ = conn.Read(make([]byte, 64))
 	_, _ = conn.Read(make([]byte, 64))
 	if got := listener.unansweredCounts(); got != (unansweredCounts{timeouts: 1}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("unanswered counts %+v", got)
 	}
 }
 
-// TestEviction_DuringSilentHandshake has a connection be evicted that has sent nothing of its handshake: it lingers no
-// longer than others.
+// TestEviction_DuringSilentHandshake checks that a connection lingers no longer than others if it is evicted before it
+// has sent a byte of its TLS handshake.
 func TestEviction_DuringSilentHandshake(t *testing.T) {
 	listener := newTLSTestListener(t, 4)
 	serveListener(t, listener)
 	dialClient(t, listener.Addr().String())
-	testkit.Await(t, "the connection", func() bool {
+	testkit.Await(t, "the connection to be accepted", func() bool {
 		open, _ := listener.connCounts()
 		return open == 1
 	})
 	time.Sleep(50 * ms)
 	listener.mu.Lock()
 	if !listener.evictIdleLocked(true) {
-		t.Error("not evicted")
+		t.Error("the connection was not evicted")
 	}
 	listener.mu.Unlock()
 	began := time.Now()
 	awaitNoConns(t, listener)
 	if elapsed := time.Since(began); elapsed > closeHandshakeTimeout+500*ms {
-		t.Errorf("it lingered for %v", elapsed)
+		t.Errorf("the connection lingered for %v", elapsed)
 	}
 }
 
-// TestEviction_MeetsClose has a connection be evicted after net/http closed it, and before net/http has said so.
-func TestEviction_MeetsClose(t *testing.T) {
+// TestEviction_AfterClose guards against a connection that lingers forever: it is evicted after net/http has closed
+// it, but before net/http has reported the close through ConnState.
+func TestEviction_AfterClose(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	_, _ = io.WriteString(client, "GET")
 	_, _ = conn.Read(make([]byte, 64))
@@ -188,12 +192,13 @@
 	conn.onStateChange(http.StateClosed)
 	time.Sleep(closeHandshakeTimeout + 500*ms)
 	if n := listener.lingeringCount(); n != 0 {
-		t.Errorf("%d connections linger for ever", n)
+		t.Errorf("%d connections still linger", n)
 	}
 }
 
-// TestAnswerOfNetHTTP_BytesUnread has net/http close connections after an answer while more bytes come: the client
-// reads the answer.
+// TestAnswerOfNetHTTP_BytesUnread guards against a lost response: net/http closes a connection after its response
+// while more bytes arrive, and a close with unread bytes resets the connection. The client must read the response and
+// an orderly close.
 func TestAnswerOfNetHTTP_BytesUnread(t *testing.T) {
 	rest := bytes.Repeat([]byte("x"), 256<<10)
 	for _, test := range []struct {
@@ -215,19 +220,20 @@
 				client := dialServed(t, listener)
 				_, _ = io.WriteString(client, test.head)
 				_, _ = client.Write(rest)
-				time.Sleep(100 * ms) // the client is late
+				time.Sleep(100 * ms) // the client reads late
 				if status, err := readStatus(client); status != test.wantStatus {
 					t.Errorf("status %d, %v", status, err)
 				}
 				if _, err := io.Copy(io.Discard, client); err != nil {
-					t.Errorf("behind the answer: %v", err)
+					t.Errorf("reading after the response: %v", err)
 				}
 			})
 		}
 	}
 }
 
-// TestExpectation_BodyNeverComes has a client send a head that net/http itself answers, and nothing of the body.
+// TestExpectation_BodyNeverComes has a client send a head that net/http itself answers with 417, and nothing of the
+// body: the connection must still end.
 func TestExpectation_BodyNeverComes(t *testing.T) {
 	t.Parallel()
 	listener := newTestListener(t, 4)
@@ -236,26 +242,26 @@
 	_, _ = io.WriteString(client, "POST / HTTP/1.1\r\nHost: a\r\nExpect: x\r\nContent-Length: 100\r\n\r\n")
 	_ = client.SetReadDeadline(time.Now().Add(2 * bodyTimeout))
 	if _, err := io.ReadAll(client); err != nil {
-		t.Errorf("no end of the connection: %v", err)
+		t.Errorf("the connection did not end: %v", err)
 	}
 }
 
-// recordSplitter holds back what is written behind the first bytes.
+// recordSplitter passes on the first bytes that are written, and holds back the rest.
 type recordSplitter struct {
 	net.Conn
-	mu   sync.Mutex
-	left int // bytes to pass on; negative: all
-	held []byte
+	mu        sync.Mutex
+	remaining int // number of bytes to pass on; negative: no limit
+	held      []byte
 }
 
 func (s *recordSplitter) Write(data []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left < 0 {
+	if s.remaining < 0 {
 		return s.Conn.Write(data)
 	}
-	n := min(s.left, len(data))
-	s.left -= n
+	n := min(s.remaining, len(data))
+	s.remaining -= n
 	s.held = append(s.held, data[n:]...)
 	if n > 0 {
 		if _, err := s.Conn.Write(data[:n]); err != nil {
@@ -268,12 +274,12 @@
 func (s *recordSplitter) limit(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = n
+	s.remaining = n
 }
 
 func dialSplit(t *testing.T, listener *clientListener) (*recordSplitter, *tls.Conn) {
 	t.Helper()
-	splitter := &recordSplitter{Conn: dialClient(t, listener.Addr().String()), left: -1}
+	splitter := &recordSplitter{Conn: dialClient(t, listener.Addr().String()), remaining: -1}
 	client := tls.Client(splitter, &tls.Config{InsecureSkipVerify: true})
 	if err := client.Handshake(); err != nil {
 		t.Fatal(err)
@@ -281,7 +287,8 @@
 	return splitter, client
 }
 
-// TestTLSRecord_Partial has a part of a record come, and then nothing: it is a part of a head.
+// TestTLSRecord_Partial has only a part of a TLS record arrive on an idle connection. It counts as the start of a
+// request, which stays unanswered: because of the head timeout, or of a drain that has closed the connection.
 func TestTLSRecord_Partial(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -309,14 +316,15 @@
 			_ = splitter.Close()
 			awaitNoConns(t, listener)
 			if got := listener.unansweredCounts(); got != test.want || time.Since(began) > 3*time.Second {
-				t.Errorf("counted %+v after %v", got, time.Since(began))
+				t.Errorf("unanswered counts %+v after %v", got, time.Since(began))
 			}
 		})
 	}
 }
 
-// TestTLSRecord_PartialBehindRequest has a part of the next request's record come with a request: after its answer the
-// connection is within a head, and a drain doesn't close it.
+// TestTLSRecord_PartialBehindRequest has a part of the next request's record arrive together with a request. After the
+// response the connection must count as within a head: the head timeout applies, and a drain does not close the
+// connection.
 func TestTLSRecord_PartialBehindRequest(t *testing.T) {
 	for _, drain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("drain %v", drain), func(t *testing.T) {
@@ -350,19 +358,20 @@
 			_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
 			_, err := io.ReadAll(reader)
 			if got := listener.unansweredCounts(); err != nil || got != (unansweredCounts{timeouts: 1}) {
-				t.Errorf("after %v: %v, counted %+v", time.Since(began), err, got)
+				t.Errorf("after %v: %v, unanswered counts %+v", time.Since(began), err, got)
 			}
 		})
 	}
 }
 
-// TestTLSRecord_PartialWithHandshake has a part of the first request's record come with the end of the handshake.
+// TestTLSRecord_PartialWithHandshake has a part of the first request's record arrive together with the end of the
+// handshake: the head timeout must apply.
 func TestTLSRecord_PartialWithHandshake(t *testing.T) {
 	t.Parallel()
 	listener := newTLSTestListener(t, 4)
 	listener.headTimeout = shortTimeout
 	serveListener(t, listener)
-	splitter := &recordSplitter{Conn: dialClient(t, listener.Addr().String()), left: -1}
+	splitter := &recordSplitter{Conn: dialClient(t, listener.Addr().String()), remaining: -1}
 	holder := &finishedHolder{recordSplitter: splitter}
 	client := tls.Client(holder, &tls.Config{InsecureSkipVerify: true})
 	if err := client.Handshake(); err != nil {
@@ -374,11 +383,12 @@
 	_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err := io.ReadAll(client)
 	if got := listener.unansweredCounts(); err != nil || got != (unansweredCounts{timeouts: 1}) {
-		t.Errorf("%v, counted %+v", err, got)
+		t.Errorf("read error %v, unanswered counts %+v", err, got)
 	}
 }
 
-// finishedHolder passes on the ClientHello alone.
+// finishedHolder passes on the ClientHello, which is the first write, and holds back the client's Finished message and
+// everything after it.
 type finishedHolder struct {
 	*recordSplitter
 	writes int
@@ -392,7 +402,7 @@
 	return h.recordSplitter.Write(p)
 }
 
-// readNextStatus is readStatus for a reader that holds bytes of further answers.
+// readNextStatus is readStatus for a reader that may hold bytes of further responses.
 func readNextStatus(reader *bufio.Reader) (int, error) {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -401,13 +411,14 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// outcomes counts what clients saw.
+// outcomes counts what clients saw: a status, an orderly close, or an error.
 type outcomes struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (o *outcomes) record(t *testing.T, client net.Conn, about string) {
+// record reads a response and counts the outcome. A reset, or any other error but an orderly close, fails the test.
+func (o *outcomes) record(t *testing.T, client net.Conn, label string) {
 	_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	status, err := readNextStatus(bufio.NewReader(client))
 	outcome := ""
@@ -418,10 +429,10 @@
 		outcome = "orderly close"
 	case errors.Is(err, syscall.ECONNRESET):
 		outcome = "reset"
-		t.Errorf("reset: %s", about)
+		t.Errorf("connection reset: %s", label)
 	default:
 		outcome = err.Error()
-		t.Errorf("%s: %v", about, err)
+		t.Errorf("%s: %v", label, err)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -432,14 +443,15 @@
 var bigRequest = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 262144\r\n\r\n" + strings.Repeat("x", 256<<10)
 
 const (
-	sweepStep  = 100 * time.Microsecond
+	sweepStep  = 100 * time.Microsecond // between two offsets from the close
 	sweepSteps = 100
-	sweepIdle  = 60 * ms // from the last answer, or the connect, to the close
+	sweepIdle  = 60 * ms // from the last response, or the connect, to the close
 )
 
-// TestSweep_FirstByteAboutClose has the first byte of a request come in steps about the close of its idle connection:
-// the client sees an answer or an orderly close.
-func TestSweep_FirstByteAboutClose(t *testing.T) {
+// TestClose_FirstByteArrivesNearClose guards against a reset instead of an orderly close. The first byte of a request
+// arrives shortly before or after its idle connection is closed, in steps of sweepStep: the client must always see a
+// response or an orderly close.
+func TestClose_FirstByteArrivesNearClose(t *testing.T) {
 	for _, transport := range transports {
 		for size, request := range map[string]string{"small": smallRequest, "256 KiB": bigRequest} {
 			for _, event := range []string{"idle", "idle, new", "eviction", "drain"} {
@@ -462,7 +474,7 @@
 	}
 }
 
-// sweepOnce has a request come offset after the close of its connection by an event.
+// sweepOnce sends a request at the given offset from the time at which an event closes its connection.
 func sweepOnce(
 	t *testing.T, listener *clientListener, event, request string, offset time.Duration, seen *outcomes,
 ) {
@@ -489,23 +501,24 @@
 	}
 	sendAt := closeAt.Add(offset)
 	time.Sleep(time.Until(sendAt) - ms)
-	for time.Now().Before(sendAt) { // a sleep is not exact enough
+	for time.Now().Before(sendAt) { // busy loop, since time.Sleep is not precise enough
 	}
 	go func() { _, _ = io.WriteString(client, request) }()
 	seen.record(t, client, fmt.Sprint(offset))
 	_ = client.Close()
-	awaitNoneButSecond(t, listener)
+	awaitAtMostOneConn(t, listener)
 }
 
-// awaitNoneButSecond waits until no connection is left but the one that evicted another.
-func awaitNoneButSecond(t *testing.T, listener *clientListener) {
-	testkit.Await(t, "the end", func() bool {
+// awaitAtMostOneConn waits until no connection lingers, and none is open but the one for which another was evicted.
+func awaitAtMostOneConn(t *testing.T, listener *clientListener) {
+	testkit.Await(t, "all other connections to end", func() bool {
 		open, _ := listener.connCounts()
 		return open <= 1 && listener.lingeringCount() == 0
 	})
 }
 
-// TestIdleEnd_PausedReader has the reader wait for the mutex at the idle deadline while the request comes, over TLS.
+// TestIdleEnd_PausedReader has a request arrive while the reader waits for the mutex at the idle deadline, with and
+// without TLS: the request must be served.
 func TestIdleEnd_PausedReader(t *testing.T) {
 	for _, transport := range transports {
 		for size, request := range map[string]string{"small": smallRequest, "256 KiB": bigRequest} {
@@ -518,7 +531,7 @@
 				exchangeSmall(t, client)
 				time.Sleep(20 * ms)
 				listener.mu.Lock()
-				time.Sleep(shortTimeout + lateBy)
+				time.Sleep(shortTimeout + timeoutMargin)
 				go func() { _, _ = io.WriteString(client, request) }()
 				time.Sleep(20 * ms)
 				listener.mu.Unlock()
@@ -530,33 +543,35 @@
 	}
 }
 
-// TestHead_SlowClients has clients send one byte and then nothing, or a byte every second, with the times of the node.
+// TestHead_SlowClients checks the head timeout that the node uses by default: clients send one byte and then nothing,
+// or one byte a second.
 func TestHead_SlowClients(t *testing.T) {
 	for _, transport := range transports {
-		for _, later := range []bool{false, true} {
-			for _, drip := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, later %v, drip %v", transport.name, later, drip), func(t *testing.T) {
+		for _, reused := range []bool{false, true} {
+			for _, keepsSending := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, reused %v, keeps sending %v", transport.name, reused, keepsSending), func(t *testing.T) {
 					t.Parallel()
-					testSlowHead(t, transport.listen(t, 4), later, drip)
+					testSlowHead(t, transport.listen(t, 4), reused, keepsSending)
 				})
 			}
 		}
 	}
 }
 
-// testSlowHead has a client send a byte, or one every second, on a new connection or a later one.
-func testSlowHead(t *testing.T, listener *clientListener, later, drip bool) {
+// testSlowHead has a client send one byte, or one byte a second if keepsSending is set, on a new connection, or on one
+// that has carried a request if reused is set.
+func testSlowHead(t *testing.T, listener *clientListener, reused, keepsSending bool) {
 	t.Helper()
 	serveListener(t, listener)
 	client := dialServed(t, listener)
-	if later {
+	if reused {
 		exchangeSmall(t, client)
 	}
 	time.Sleep(time.Second)
 	began := time.Now()
 	go func() {
 		for range 10 {
-			if _, err := client.Write([]byte("G")); err != nil || !drip {
+			if _, err := client.Write([]byte("G")); err != nil || !keepsSending {
 				return
 			}
 			time.Sleep(time.Second)
@@ -571,15 +586,15 @@
 	awaitNoConns(t, listener)
 	want := unansweredCounts{timeouts: 1}
 	if status != 0 {
-		want = unansweredCounts{} // it was answered
+		want = unansweredCounts{} // the request was answered
 	}
 	if got := listener.unansweredCounts(); got != want {
-		t.Errorf("counted %+v", got)
+		t.Errorf("unanswered counts %+v", got)
 	}
 }
 
-// TestLinger_SilentHandshakesAreBounded has many clients connect and send nothing of a handshake: the goroutines and
-// descriptors of the evicted ones end with them.
+// TestLinger_SilentHandshakesAreBounded guards against evicted connections that keep their goroutines and descriptors:
+// many clients connect and send nothing of a TLS handshake.
 func TestLinger_SilentHandshakesAreBounded(t *testing.T) {
 	const maxConns, clients = 20, 120
 	listener := newTLSTestListener(t, maxConns)
@@ -594,13 +609,14 @@
 		listener.mu.Unlock()
 	}
 	t.Logf("at most %d open or lingering, %d lingering", highest, highestLingering)
-	if highest > maxConns+overflowConns+1 { // one is accepted and not yet placed
-		t.Errorf("%d connections", highest)
+	if highest > maxConns+overflowConns+1 { // one more is accepted and waits for its slot
+		t.Errorf("%d connections open or lingering", highest)
 	}
 }
 
-// TestConns_EndTogether has readers, evictions, a drain, closes by the clients and the server's Close meet.
-func TestConns_EndTogether(t *testing.T) {
+// TestConns_ConcurrentCloses guards against connections that are never released: reads, timeouts, evictions, drains
+// and closes by the clients happen at the same time.
+func TestConns_ConcurrentCloses(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
 			listener := transport.listen(t, 8)
@@ -648,9 +664,10 @@
 	}
 }
 
-// TestHead_TimeEndsWithIt has a request whose head comes in two parts take longer, for its body and its answer, than
-// the times for a head and of idle connections, as the first one and as a later one.
-func TestHead_TimeEndsWithIt(t *testing.T) {
+// TestHead_TimeoutEndsWithHead guards against the head and idle timeouts ending an open request. Its body and its
+// response take longer than both timeouts, for the first request of a connection and for a later one, and also if the
+// head arrives in two parts.
+func TestHead_TimeoutEndsWithHead(t *testing.T) {
 	for _, transport := range transports {
 		for _, parts := range [][]string{
 			{"POST / HTTP/1.1\r\n", "Host: a\r\nContent-Length: 2\r\n\r\n", "b", "b"},
@@ -666,7 +683,7 @@
 	}
 }
 
-// testSlowParts sends two requests, each in parts of which the first may be a part of the head.
+// testSlowParts sends two requests, each in the given parts; the first part may be a part of the head.
 func testSlowParts(t *testing.T, listener *clientListener, parts []string) {
 	t.Helper()
 	const timeout = 150 * ms
@@ -697,6 +714,6 @@
 		}
 	}
 	if got := listener.unansweredCounts(); got != (unansweredCounts{}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("unanswered counts %+v", got)
 	}
 }
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -13,12 +13,13 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestCloseIdle_RequestArrivesMeanwhile has a request arrive as a drain closes idle connections. Reading and noting
-// are one step, so while the drain looks the bytes are still in the socket, and the connection stays open.
+// TestCloseIdle_RequestArrivesMeanwhile has a request arrive while a drain closes idle connections. Reading bytes and
+// recording that a request begins is one step under the mutex, so the bytes are still in the socket when the drain
+// checks it, and the connection must stay open.
 func TestCloseIdle_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	sendRequestLine(t, client)
-	testkit.Await(t, "the bytes", func() bool { return !sockets.IsIdle(conn.TCPConn) })
+	testkit.Await(t, "the bytes to arrive", func() bool { return !sockets.IsIdle(conn.TCPConn) })
 	listener.mu.Lock()
 	read := make(chan error, 1)
 	go func() {
@@ -26,7 +27,7 @@
 		read <- err
 	}()
 	if n := len(listener.halfCloseIdleLocked()); n != 0 {
-		t.Errorf("%d connections closed, with a request there", n)
+		t.Errorf("%d connections closed despite an unread request", n)
 	}
 	listener.mu.Unlock()
 	if err := testkit.Receive(t, "the read", read); err != nil {
@@ -34,7 +35,8 @@
 	}
 }
 
-// TestCloseIdle_RequestArrivesAfterwards has a request arrive behind the close: it is counted, and not served.
+// TestCloseIdle_RequestArrivesAfterwards has a request arrive after a drain has closed its idle connection: the
+// request must be counted, and not served.
 func TestCloseIdle_RequestArrivesAfterwards(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.mu.Lock()
@@ -45,15 +47,16 @@
 	listener.mu.Unlock()
 	sendRequestLine(t, client)
 	if _, err := conn.Read(make([]byte, 64)); !errors.Is(err, io.EOF) {
-		t.Errorf("the request is read all the same: %v", err)
+		t.Errorf("the request is read after the close: %v", err)
 	}
 	if listener.requestsDuringClose != 1 {
-		t.Errorf("%d requests met the close, want 1", listener.requestsDuringClose)
+		t.Errorf("%d requests counted during the close, want 1", listener.requestsDuringClose)
 	}
 }
 
-// TestCloseIdle_ClientKeepsItsSideOpen has a connection become idle during a drain whose client does not close its
-// side: it ends after closeHandshakeTimeout, whatever read deadline net/http sets for the next request.
+// TestCloseIdle_ClientKeepsItsSideOpen has a connection become idle during a drain while its client does not close its
+// side: the connection must end after closeHandshakeTimeout, whatever read deadline net/http sets for the next
+// request.
 func TestCloseIdle_ClientKeepsItsSideOpen(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	conn.onStateChange(http.StateActive)
@@ -70,17 +73,18 @@
 	}()
 	netErr := net.Error(nil)
 	if !errors.As(testkit.Receive(t, "the end of the wait", ended), &netErr) || !netErr.Timeout() {
-		t.Error("the wait ended otherwise")
+		t.Error("the read did not end with a timeout")
 	}
 }
 
-// TestCloseIdle_SparesNewConnection has a drain close idle connections just after a client has connected.
+// TestCloseIdle_SparesNewConnection guards against a drain closing a connection whose first request is on its way: the
+// drain begins just after a client has connected.
 func TestCloseIdle_SparesNewConnection(t *testing.T) {
 	t.Run("which sends its first request", func(t *testing.T) {
 		listener, client, conn := newClientPair(t)
 		listener.closeIdle()
 		if conn.halfClosed {
-			t.Error("closed without drainFirstRequestGrace")
+			t.Error("closed before drainFirstRequestGrace was over")
 		}
 		sendRequestLine(t, client)
 		if n, err := conn.Read(make([]byte, 64)); n == 0 || err != nil {
@@ -95,7 +99,7 @@
 			t.Errorf("not closed after drainFirstRequestGrace: %v", err)
 		}
 		if open, busy := listener.connCounts(); open != 1 || busy != 0 {
-			t.Errorf("%d connections, %d busy", open, busy)
+			t.Errorf("%d open connections, %d busy", open, busy)
 		}
 	})
 	t.Run("until the drain is cancelled", func(t *testing.T) {
@@ -111,7 +115,8 @@
 	})
 }
 
-// TestCloseIdle_PipelinedRequest has two requests be read at once: after the first answer the connection is not idle.
+// TestCloseIdle_PipelinedRequest has two requests be read at once: after the first response the connection is not
+// idle, and a drain must not close it.
 func TestCloseIdle_PipelinedRequest(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	const request = "GET / HTTP/1.1\r\n\r\n"
@@ -133,12 +138,12 @@
 	}
 }
 
-// TestDrainAcceptQueue_AcceptsBeyondBound has a client wait in the accept queue as a full listener closes: it is
-// accepted beyond the bound, and its request is not rejected for that.
+// TestDrainAcceptQueue_AcceptsBeyondBound has a client wait in the accept queue when a full listener closes: it must
+// be accepted beyond the limit, and its request must not be rejected for lack of a slot.
 func TestDrainAcceptQueue_AcceptsBeyondBound(t *testing.T) {
 	listener, _, busy := newClientPair(t)
 	listener.setMaxConns(1)
-	noteRequest(busy)
+	recordRequestStart(busy)
 	dialClient(t, listener.Addr().String())
 	drained := make(chan struct{})
 	go func() {
@@ -151,7 +156,7 @@
 		t.Fatal(err)
 	}
 	if mustReject(withClientConn(t.Context(), conn)) {
-		t.Error("its requests are rejected as if there were no slot")
+		t.Error("its requests are rejected for lack of a slot")
 	}
 	if _, err := listener.Accept(); err == nil {
 		t.Error("another connection is accepted")
@@ -159,8 +164,8 @@
 	<-drained
 }
 
-// TestDrainAcceptQueue_AcceptLoopIsLate has clients wait in the accept queue as the listener closes, while nobody calls
-// Accept for a long time: none of them is reset.
+// TestDrainAcceptQueue_AcceptLoopIsLate guards against resetting the clients in the accept queue: the listener closes
+// while Accept is not called for a long time.
 func TestDrainAcceptQueue_AcceptLoopIsLate(t *testing.T) {
 	const queued = 3
 	listener := newTestListener(t, 4)
@@ -180,7 +185,7 @@
 		}
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("another accept ends with %v", err)
+		t.Errorf("accepting from the empty queue: got error %v", err)
 	}
 	<-drained
 }
@@ -192,8 +197,9 @@
 	}
 }
 
-// TestCloseIdle_PartOfNextHead has a request come with the beginning of the next one's head: after the first answer the
-// connection is not idle, and the rest of that head has the time for a head.
+// TestCloseIdle_PartOfNextHead has a request arrive together with the start of the next one's head. After the first
+// response the connection is not idle, so a drain must not close it, and the rest of that head must arrive within the
+// head timeout.
 func TestCloseIdle_PartOfNextHead(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.headTimeout = 50 * ms
@@ -213,9 +219,9 @@
 		t.Errorf("%d busy, half closed: %v", busy, conn.halfClosed)
 	}
 	if _, err := conn.Read(make([]byte, 64)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the rest of the head is waited for until %v", err)
+		t.Errorf("the read of the rest of the head ended with %v", err)
 	}
 	if got := listener.unansweredCounts(); got != (unansweredCounts{timeouts: 1}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("unanswered counts %+v", got)
 	}
 }
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -13,14 +13,15 @@
 	"cobaltward/internal/testkit"
 )
 
-// maxAnswerDelay is the time after a client's deadline from which on its answer counts as lost.
+// maxAnswerDelay is how long after the client's deadline a response may arrive; a later one counts as lost.
 const maxAnswerDelay = 500 * time.Millisecond
 
-// TestBusyConnections_DelayNoAnswer fills the node's connections with requests that wait for a hung server. A client
-// with a short deadline that connects then still gets a final answer within maxAnswerDelay.
+// TestBusyConnections_DelayNoAnswer occupies the node's connections with requests that wait for a hung server. A
+// client with a short deadline that connects then must still get a final response within maxAnswerDelay.
 func TestBusyConnections_DelayNoAnswer(t *testing.T) { testBusyConnections(t, 1) }
 
-// TestBusyConnections_LongDeadlinesDelayNoAnswer is the same where all classes have long deadlines.
+// TestBusyConnections_LongDeadlinesDelayNoAnswer is TestBusyConnections_DelayNoAnswer with long deadlines for all
+// classes.
 func TestBusyConnections_LongDeadlinesDelayNoAnswer(t *testing.T) { testBusyConnections(t, 8) }
 
 // testBusyConnections multiplies the deadlines of all classes by scale.
@@ -37,16 +38,16 @@
 		defer server.mu.Unlock()
 		return len(server.received) > 0
 	})
-	time.Sleep(50 * time.Millisecond) // nothing shows from outside that the other connections are accepted
+	time.Sleep(50 * time.Millisecond) // no metric shows when the other connections have been accepted
 	for i := range 3 {
 		expectAnswer(t, addr, fmt.Sprint("short", i), 100*time.Millisecond)
 	}
 }
 
-// TestWaitForSlot_TimeoutAheadOfWait has the timer of a wait fire before the wait has begun, as on a busy host: it
-// ends all the same.
-func TestWaitForSlot_TimeoutAheadOfWait(t *testing.T) {
-	const rounds = 400_000 // in some of them the timer is first
+// TestWaitForSlot_TimeoutBeforeWait guards against a lost wakeup: on a busy host the timer of a wait may fire before
+// the wait has begun, and the wait must still end.
+func TestWaitForSlot_TimeoutBeforeWait(t *testing.T) {
+	const rounds = 400_000 // enough that the timer fires first in some of them
 	listener := newTestListener(t, 1)
 	ended := make(chan struct{})
 	go func() {
@@ -60,13 +61,14 @@
 	testkit.Receive(t, "the end of the waits", ended)
 }
 
-// TestPartialHeads_DelayNoAnswer fills the node's connections with clients that stop within a head. A client that
-// connects then gets its final answer in time.
+// TestPartialHeads_DelayNoAnswer occupies the node's connections with clients that stop within a head. A client that
+// connects then must get its final response in time.
 func TestPartialHeads_DelayNoAnswer(t *testing.T) {
 	testPartialRequests(t, "GET /api HT")
 }
 
-// TestPartialBodies_DelayNoAnswer has them stop within a short or a long body, or within one behind a rejected head.
+// TestPartialBodies_DelayNoAnswer is TestPartialHeads_DelayNoAnswer with clients that stop within a short or a long
+// body, or within the body of a request that is rejected because of its head.
 func TestPartialBodies_DelayNoAnswer(t *testing.T) {
 	for name, head := range map[string]string{
 		"short": nonIdempotentRequest("half", time.Minute), "long": nonIdempotentRequest("half", time.Minute),
@@ -82,7 +84,7 @@
 	}
 }
 
-// testPartialRequests has clients send a part of a request and nothing else.
+// testPartialRequests has clients send only a part of a request, and requires that other clients are answered.
 func testPartialRequests(t *testing.T, part string) {
 	t.Helper()
 	server, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
@@ -95,7 +97,7 @@
 	}
 }
 
-// expectAnswer sends a request on a new connection and requires some answer within its deadline and maxAnswerDelay.
+// expectAnswer sends a request on a new connection, and requires any response within its deadline plus maxAnswerDelay.
 func expectAnswer(t *testing.T, addr, id string, deadline time.Duration) {
 	t.Helper()
 	conn := dialClient(t, addr)
@@ -104,7 +106,7 @@
 	_ = conn.SetReadDeadline(sent.Add(deadline + maxAnswerDelay))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer %v after the request was sent: %v", time.Since(sent), err)
+		t.Fatalf("no response %v after the request was sent: %v", time.Since(sent), err)
 	}
 	_ = response.Body.Close()
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -12,16 +12,17 @@
 	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"}],
 	"limits":{"connectTimeout":2000,"maxAttempts":3,"maxOpen":100}}`
 
-const testKnown = `{"revision":7,"complete":true,"members":[{"id":"s0","host_port":"127.0.0.1:9","phase":"up"}]}`
+const testInitialList = `{"revision":7,"complete":true,"members":[{"id":"s0","host_port":"127.0.0.1:9","phase":"up"}]}`
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
-// writeConfigFile writes a configuration, with KNOWN and SETTINGS replaced, and returns an environment that names it.
+// writeConfigFile writes a configuration with KNOWN and SETTINGS replaced. It returns the lookup function of an
+// environment whose ROUTER_CONFIG names the file.
 func writeConfigFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text = strings.NewReplacer("KNOWN", testKnown, "SETTINGS", testSettings).Replace(text)
+	text = strings.NewReplacer("KNOWN", testInitialList, "SETTINGS", testSettings).Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +32,7 @@
 }
 
 func TestLoadConfig(t *testing.T) {
-	config, err := LoadConfig(writeConfigFile(t, goodConfig))
+	config, err := LoadConfig(writeConfigFile(t, validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +61,7 @@
 func TestLoadConfig_ErrorNamesField(t *testing.T) {
 	_, err := LoadConfig(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("without a file: got error %v", err)
 	}
 	for _, test := range []struct{ old, new, want string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
@@ -80,9 +81,9 @@
 		{`SETTINGS`, strings.Replace(testSettings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(writeConfigFile(t, strings.Replace(goodConfig, test.old, test.new, 1)))
+		_, err := LoadConfig(writeConfigFile(t, strings.Replace(validConfig, test.old, test.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: got %v, want one line that names %q", test.new, test.old, err, test.want)
+			t.Errorf("%s instead of %s: got error %v, want one line that names %q", test.new, test.old, err, test.want)
 		}
 	}
 }
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -13,7 +13,7 @@
 	"cobaltward/drain"
 )
 
-// drainScript is a seeded script of drains of a node under load.
+// drainScript drains a node under load again and again, in ways that a seeded random generator decides.
 type drainScript struct {
 	*testNode
 	rng      *rand.Rand
@@ -22,16 +22,16 @@
 	outcomes map[string]int
 }
 
-// pause waits for a random time between two numbers of milliseconds.
-func (s *drainScript) pause(least, below int) {
-	time.Sleep(time.Duration(least+s.rng.IntN(below-least)) * ms)
+// sleep sleeps for a random time of at least minMillis and less than endMillis milliseconds.
+func (s *drainScript) sleep(minMillis, endMillis int) {
+	time.Sleep(time.Duration(minMillis+s.rng.IntN(endMillis-minMillis)) * ms)
 }
 
-// run makes one drain, and what else is drawn.
+// run performs one drain, or a standby in its place, and may disable a server before.
 func (s *drainScript) run(number int) {
 	s.t.Helper()
-	s.pause(20, 200)
-	s.failingServer.Store(int64(s.rng.IntN(8))) // from 5 on: none
+	s.sleep(20, 200)
+	s.failingServer.Store(int64(s.rng.IntN(8))) // 0 and from 5 on: no server fails
 	if s.rng.IntN(3) == 0 {
 		s.disableServer()
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	s.startDrain(number)
-	s.pause(0, 700)
+	s.sleep(0, 700)
 	s.checkOpenRequests()
 	outcome := s.intervene()
 	if outcome != "cancelled" {
@@ -49,7 +49,7 @@
 	s.outcomes[outcome]++
 }
 
-// disableServer disables a server, and may enable it again.
+// disableServer disables a random server, and may enable it again at once.
 func (s *drainScript) disableServer() {
 	s.t.Helper()
 	path := "/servers/" + s.initialList.Endpoints[s.rng.IntN(4)].ID + "/drain"
@@ -60,21 +60,22 @@
 	}
 }
 
-// standbyAndBack drains by the operations endpoint, and cancels that in whatever state the drain is.
+// standbyAndBack starts a drain by the operations endpoint and cancels it at a random moment, whatever its state is
+// then.
 func (s *drainScript) standbyAndBack() {
 	s.t.Helper()
 	if code := s.callOperations("/standby"); code != http.StatusOK {
-		s.t.Errorf("standby: %d", code)
+		s.t.Errorf("standby: got status %d", code)
 	}
-	s.pause(0, 2000)
+	s.sleep(0, 2000)
 	outcome := "standby and back from " + s.drainState()
 	if code := s.callOperations("/active"); code != http.StatusOK || !s.isReady() {
-		s.t.Errorf("%s: %d, or not ready", outcome, code)
+		s.t.Errorf("%s: status %d, or the node is not ready", outcome, code)
 	}
 	s.outcomes[outcome]++
 }
 
-// startDrain starts a drain by the admin API, where a second order is rejected then.
+// startDrain starts a drain by the admin API, and checks that a second order is rejected.
 func (s *drainScript) startDrain(number int) {
 	s.t.Helper()
 	request := DrainRequest{
@@ -82,29 +83,29 @@
 	}
 	code, status := s.callAdmin(http.MethodPost, "/drain", request)
 	if code != http.StatusAccepted || status.Drain.State == drain.Serving {
-		s.t.Fatalf("drain %d: %d %+v", number, code, status)
+		s.t.Fatalf("drain %d: got status %d, %+v", number, code, status)
 	}
 	code, _ = s.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "300ms", RequestedBy: "b"})
 	if code != http.StatusConflict {
-		s.t.Errorf("a second order during a drain is answered with %d", code)
+		s.t.Errorf("a second order during a drain: got status %d", code)
 	}
 }
 
-// checkOpenRequests compares the open requests that the node counts with those that the clients do.
+// checkOpenRequests checks that the node does not count more open requests than the clients may have sent.
 func (s *drainScript) checkOpenRequests() {
 	s.t.Helper()
-	const clients = 24 // each may have begun another request
+	const clients = 24 // each may have sent another request meanwhile
 	before := s.inFlight.Load()
 	code, status := s.callAdmin(http.MethodGet, "/status", nil)
 	if code != http.StatusOK {
 		return
 	}
 	if limit := max(before, s.inFlight.Load()) + clients; int64(status.Requests.Open) > limit {
-		s.t.Errorf("%d requests open, %d at the clients", status.Requests.Open, limit)
+		s.t.Errorf("the node counts %d open requests, the clients have sent at most %d", status.Requests.Open, limit)
 	}
 }
 
-// intervene cancels the drain, shortens it, ends the process, or leaves the drain alone.
+// intervene cancels the drain, shortens it, stops the node as SIGTERM does, or does nothing.
 func (s *drainScript) intervene() (outcome string) {
 	s.t.Helper()
 	switch s.rng.IntN(4) {
@@ -128,7 +129,7 @@
 		return "too late to cancel"
 	}
 	if code != http.StatusOK || status.Drain.State != drain.Serving {
-		s.t.Errorf("cancel: %d %+v", code, status.Drain)
+		s.t.Errorf("cancel: got status %d, %+v", code, status.Drain)
 		return "cancelled"
 	}
 	resp, err := http.Get("http://" + s.addr + readyPath)
@@ -143,7 +144,7 @@
 	return "cancelled"
 }
 
-// restart waits for the end of the drain, unless the process is shutting down already, and starts the node again.
+// restart waits for the end of the drain, unless the node is already shutting down, and starts the node again.
 func (s *drainScript) restart(number int, outcome string) string {
 	s.t.Helper()
 	if outcome != "SIGTERM" {
@@ -167,9 +168,9 @@
 	}
 }
 
-// TestDrainsUnderLoad drains a node under load by a seeded script: drains, cancellations, shorter deadlines and SIGTERM
-// at random moments, while servers fail or are disabled. No request is lost, answered twice or executed twice, and what
-// the admin API counts lies between what the clients count before and after. DRAINS=300 gives the long form.
+// TestDrainsUnderLoad runs a seeded script on a node under load: drains, cancellations, shortened deadlines and
+// SIGTERM at random moments, while servers fail or are disabled. No request may be lost, answered twice or executed
+// twice, and the admin API must not count more open requests than the clients. DRAINS=300 gives the long run.
 func TestDrainsUnderLoad(t *testing.T) {
 	drains := 12
 	if n, err := strconv.Atoi(os.Getenv("DRAINS")); err == nil {
@@ -187,7 +188,7 @@
 	for number := range drains {
 		script.run(number)
 	}
-	script.pause(200, 400)
+	script.sleep(200, 400)
 	stopClients()
 	clients.Wait()
 	script.stop()
@@ -202,11 +203,11 @@
 	s.mu.Lock()
 	verdict := s.checker.Finish()
 	s.mu.Unlock()
-	s.t.Logf("%d drains: %v; %d served, %d rejected, %d failed, %d retried after a close, %d unanswered; facts %v",
+	s.t.Logf("%d drains: %v; %d served, %d rejected, %d failed, %d retried after a close, %d unanswered; checks %v",
 		drains, s.outcomes, s.served.Load(), s.rejected.Load(), s.failed.Load(), s.retriedAfterClose.Load(),
 		s.unanswered.Load(), verdict.Checked)
 	if !verdict.Passed() {
-		s.t.Errorf("broken: %v %+v", verdict.Count, verdict.Violations[:min(5, len(verdict.Violations))])
+		s.t.Errorf("violations: %v %+v", verdict.Count, verdict.Violations[:min(5, len(verdict.Violations))])
 	}
 	if s.served.Load() == 0 || s.conflicts.Load() > 0 {
 		s.t.Errorf("%d served, %d conflicts", s.served.Load(), s.conflicts.Load())
--- a/internal/node/drainstatus_test.go
+++ b/internal/node/drainstatus_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainStatus_CountsOpenRequestsExactly answers requests one by one during a drain: the status counts exactly those
-// that the server still has, to the last one, and the drain is complete then.
+// TestDrainStatus_CountsOpenRequestsExactly answers requests one by one during a drain: the status must always count
+// exactly those that the server still holds, and the drain must be complete after the last one.
 func TestDrainStatus_CountsOpenRequestsExactly(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
@@ -30,7 +30,7 @@
 	for i := range requests {
 		clients.Go(func() {
 			if status, _, err := node.send(client, class, fmt.Sprint("r", i)); err != nil || status != http.StatusOK {
-				t.Errorf("request %d: %d, %v", i, status, err)
+				t.Errorf("request %d: status %d, %v", i, status, err)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestDrainCancel_WhileClosing cancels a drain while a request is open: clients are accepted at once, at the same
+// TestDrainCancel_WhileClosing cancels a drain while a request is open: the node must serve at once at the same
 // address, over connections that are still open and over new ones.
 func TestDrainCancel_WhileClosing(t *testing.T) {
 	node, server := newGatedNode(t)
@@ -70,7 +70,7 @@
 	send := func(id string) <-chan int {
 		answered := make(chan int, 1)
 		go func() {
-			status, _, _ := node.send(client, node.settings.Classes[0], id) // 0 after an error
+			status, _, _ := node.send(client, node.settings.Classes[0], id) // the status is 0 after an error
 			answered <- status
 		}()
 		testkit.Await(t, "request "+id+" at the server", func() bool { return server.waitingCount() == 1 })
@@ -78,22 +78,22 @@
 	}
 	for round := range 3 {
 		open := send(fmt.Sprint("long", round))
-		node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // 150 ms announced, 1 s leaving
+		node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, then leaving for 1 s
 		testkit.Await(t, "connections to be closed", func() bool {
 			return node.status().Drain.State == drain.Closing
 		})
 		code, status := node.callAdmin(http.MethodDelete, "/drain", DrainRequest{RequestedBy: "x"})
 		if code != http.StatusOK || status.Drain.State != drain.Serving {
-			t.Fatalf("round %d: %d %+v", round, code, status.Drain)
+			t.Fatalf("round %d, cancel: got status %d, %+v", round, code, status.Drain)
 		}
 		server.releaseOldest()
 		if status := <-open; status != http.StatusOK {
-			t.Errorf("round %d: the open request: %d", round, status)
+			t.Errorf("round %d, the open request: status %d", round, status)
 		}
 		next := send(fmt.Sprint("new", round))
 		server.releaseOldest()
 		if status := <-next; status != http.StatusOK {
-			t.Errorf("round %d: a new request: %d", round, status)
+			t.Errorf("round %d, a new request: status %d", round, status)
 		}
 	}
 	stop()
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestDrainFigures logs figures and checks none: DRAIN_FIGURES=1 go test -run DrainFigures -v ./internal/node
+// TestDrainFigures logs durations and latencies, and checks none. To run it:
+// DRAIN_FIGURES=1 go test -run DrainFigures -v ./internal/node
 func TestDrainFigures(t *testing.T) {
 	if os.Getenv("DRAIN_FIGURES") == "" {
 		t.Skip("DRAIN_FIGURES is not set")
@@ -113,7 +114,7 @@
 	logWatcherCost(t)
 }
 
-// logDrainDuration drains a node under load.
+// logDrainDuration logs how long a drain under load takes.
 func logDrainDuration(t *testing.T, clients int) {
 	t.Helper()
 	node := newTestNode(t, 4)
@@ -128,8 +129,8 @@
 		status = node.status()
 		time.Sleep(5 * ms)
 	}
-	t.Logf("%d clients: drained %v after the order (150 ms announced, 1 s leaving); "+
-		"%d idle connections closed, %d requests crossed a close",
+	t.Logf("%d clients: drained %v after the order (announced for 150 ms, then leaving for 1 s); "+
+		"%d idle connections closed, %d requests arrived during a close",
 		clients, time.Since(startedAt).Round(ms), status.Connections.ClosedForDrain, status.Connections.RetriedByClients)
 	stopClients()
 	load.Wait()
@@ -139,7 +140,7 @@
 	}
 }
 
-// logWatcherCost compares the latency of requests with and without watchers of events.
+// logWatcherCost logs the latency of requests with watchers of drain events, relative to the latency without watchers.
 func logWatcherCost(t *testing.T) {
 	t.Helper()
 	node := newTestNode(t, 4)
@@ -153,7 +154,7 @@
 		for range 400 {
 			requests++
 			sentAt := time.Now()
-			_, _, _ = node.send(client, drainSettings().Classes[0], fmt.Sprint("p", requests)) // the time alone counts
+			_, _, _ = node.send(client, drainSettings().Classes[0], fmt.Sprint("p", requests)) // only the latency is of interest
 			latencies = append(latencies, time.Since(sentAt))
 			time.Sleep(time.Duration(rng.IntN(2)) * ms)
 		}
@@ -175,7 +176,7 @@
 	}
 }
 
-// startWatchers has clients watch the events of the admin API until stop is called.
+// startWatchers starts clients that watch the events of the admin API until stop is called.
 func (n *testNode) startWatchers(watchers int) (stop func()) {
 	n.t.Helper()
 	ctx, cancel := context.WithCancel(n.t.Context())
--- a/internal/node/holdingserver_test.go
+++ b/internal/node/holdingserver_test.go
@@ -15,11 +15,12 @@
 	"cobaltward/router"
 )
 
-// holdingServer is an app server that records the X-Deadline-Ms of each request, and answers once it is released.
+// holdingServer is an app server that records the X-Deadline-Ms header of each request, and answers once release is
+// closed.
 type holdingServer struct {
 	mu       sync.Mutex
 	received map[string]receivedRequest
-	release  chan struct{} // closed by the test when requests are to be answered
+	release  chan struct{} // closed by the test to let requests be answered
 }
 
 type receivedRequest struct {
@@ -60,7 +61,7 @@
 	t.Helper()
 	server := &holdingServer{received: make(map[string]receivedRequest), release: make(chan struct{})}
 	config := Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: sockets, Settings: drainSettings()}
-	for i := range config.Settings.Classes { // attempts end with the deadline, and not with the latency objective
+	for i := range config.Settings.Classes { // attempts may last until the deadline
 		config.Settings.Classes[i].Deadline *= scale
 		config.Settings.Classes[i].LatencyObjective = config.Settings.Classes[i].Deadline
 	}
@@ -84,14 +85,15 @@
 	return server, listener.Addr().String()
 }
 
-// nonIdempotentRequest returns a request that must not be retried: its one attempt has all the time that is left.
+// nonIdempotentRequest returns a request that must not be retried, so that its only attempt may take all the time
+// left.
 func nonIdempotentRequest(id string, deadline time.Duration) string {
 	const form = "POST /x HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: rezervacia\r\n" +
 		"X-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n"
 	return fmt.Sprintf(form, id, deadline.Milliseconds())
 }
 
-// dialClient connects, and closes the connection at the test's end.
+// dialClient connects to addr. The end of the test closes the connection.
 func dialClient(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestStandbyOrder_SurvivesWallClockStep gives two processes of one node orders on standby while the wall clock is
-// stepped back between them: the last one holds.
+// TestStandbyOrder_SurvivesWallClockStep guards against processes that follow an outdated standby order because its
+// time is later. Two processes of one node give orders, and the wall clock is stepped back between them: the last
+// order must apply.
 func TestStandbyOrder_SurvivesWallClockStep(t *testing.T) {
 	dir := t.TempDir()
 	join := func(followed *[]bool) *processGroup {
@@ -28,7 +29,7 @@
 	first, second := join(&firstFollowed), join(&secondFollowed)
 
 	first.publishOrder(true)
-	stepOrder(t, dir, time.Hour) // the clock was an hour ahead then, and is stepped back now
+	stepOrder(t, dir, time.Hour) // as if the clock had been an hour ahead and were stepped back now
 	first.followed.At = first.followed.At.Add(time.Hour)
 	second.followOrder()
 	second.publishOrder(false)
@@ -36,14 +37,14 @@
 	second.followOrder()
 
 	if len(secondFollowed) != 1 || !secondFollowed[0] {
-		t.Errorf("the second process followed %v, want the order into standby", secondFollowed)
+		t.Errorf("the second process followed %v, want only the order into standby", secondFollowed)
 	}
 	if len(firstFollowed) != 1 || firstFollowed[0] {
-		t.Errorf("the first process followed %v, want the order out of standby", firstFollowed)
+		t.Errorf("the first process followed %v, want only the order out of standby", firstFollowed)
 	}
 }
 
-// stepOrder moves the time of the present order.
+// stepOrder changes the time of the current order.
 func stepOrder(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	group := joinProcessGroup(dir, slog.New(slog.DiscardHandler))
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -22,7 +22,7 @@
 	"pgregory.net/rapid"
 )
 
-// blockEventLoop has the engine's event loop block until release is called.
+// blockEventLoop blocks the router's event loop until release is called.
 func blockEventLoop(engine *router.Router, goroutines *sync.WaitGroup) (release func()) {
 	released, blocked := make(chan struct{}), make(chan struct{})
 	goroutines.Go(func() {
@@ -36,8 +36,9 @@
 	return func() { close(released) }
 }
 
-// TestOperations_BlockedEventLoop calls the operations endpoint while the engine's event loop is blocked, with more
-// events waiting than its queue holds, and while other callers stall: every call is answered.
+// TestOperations_BlockedEventLoop guards against an operations endpoint that depends on the router's event loop. The
+// loop is blocked, more events wait than its queue holds, and other callers stop within their requests: every call
+// must be answered.
 func TestOperations_BlockedEventLoop(t *testing.T) {
 	node := newTestNode(t, 2)
 	engine, err := router.New(
@@ -85,17 +86,18 @@
 			t.Errorf("metrics %v", metrics)
 		}
 		if node.callOperations("/standby") != http.StatusOK || engine.Phase() == router.Serving {
-			t.Error("standby waits for the event loop")
+			t.Error("standby did not take effect while the event loop was blocked")
 		}
 		if node.callOperations("/active") != http.StatusOK || engine.Phase() != router.Serving {
-			t.Error("active waits for the event loop")
+			t.Error("active did not take effect while the event loop was blocked")
 		}
 	}
 	release()
 	goroutines.Wait()
 }
 
-// drainOrders gives an engine orders by the admin API and the operations endpoint, and has the state that is expected.
+// drainOrders gives orders to a router by the admin API and the operations endpoint, and tracks the state that they
+// should lead to.
 type drainOrders struct {
 	rt         *rapid.T
 	engine     *router.Router
@@ -126,10 +128,10 @@
 	}
 }
 
-// step gives an order that is drawn, and checks whether it is rejected as it must be.
+// step gives a random order, and checks that it is rejected only when it must be.
 func (o *drainOrders) step() {
 	before := o.engine.DrainStatus()
-	switch rapid.IntRange(0, 5).Draw(o.rt, "what") {
+	switch rapid.IntRange(0, 5).Draw(o.rt, "order") {
 	case 0:
 		if err := o.operations.Standby(); (err != nil) != o.final {
 			o.rt.Fatalf("standby in %+v: %v", before, err)
@@ -140,27 +142,27 @@
 			o.rt.Fatalf("active in %+v: %v", before, err)
 		}
 		o.draining = o.final
-	case 2: // without the first phases
+	case 2: // with no time for Announced and Leaving
 		err := o.admin.startDrain(drain.Order{Timeout: time.Minute, RequestedBy: "door"})
 		if (err != nil) != o.draining {
-			o.rt.Fatalf("a drain by the admin API in %+v: %v", before, err)
+			o.rt.Fatalf("drain by the admin API in %+v: %v", before, err)
 		}
 		o.draining = true
 	case 3:
 		if err := o.admin.cancelDrain("door"); (err == nil) != (o.draining && !o.final) {
-			o.rt.Fatalf("cancelling by the admin API in %+v: %v", before, err)
+			o.rt.Fatalf("cancel by the admin API in %+v: %v", before, err)
 		}
 		o.draining = o.final
 	case 4:
 		o.awaitClosed(before.State)
 	case 5:
-		if rapid.IntRange(0, 9).Draw(o.rt, "end") == 0 {
+		if rapid.IntRange(0, 9).Draw(o.rt, "final") == 0 {
 			o.startFinalDrain(before)
 		}
 	}
 }
 
-// awaitClosed waits while a drain that was closing connections does so, for a second at most.
+// awaitClosed waits until a drain has left the state Closing, but for at most a second.
 func (o *drainOrders) awaitClosed(state drain.State) {
 	if state != drain.Closing {
 		return
@@ -176,12 +178,12 @@
 	// A drain in progress may become complete at any moment: then there is nothing left to drain.
 	complete := o.draining && errors.Is(err, drain.ErrDrained)
 	if (err == nil) == o.final && !complete {
-		o.rt.Fatalf("a final drain in %+v: %v", before, err)
+		o.rt.Fatalf("final drain in %+v: %v", before, err)
 	}
 	o.draining, o.final = true, true
 }
 
-// check compares the engine with the state that is expected.
+// check compares the router's state with the state that is expected.
 func (o *drainOrders) check() {
 	if ready := o.engine.Phase() == router.Serving; ready == o.draining {
 		o.rt.Fatalf("ready %v while draining %v: %+v", ready, o.draining, o.engine.DrainStatus())
@@ -191,9 +193,9 @@
 	}
 }
 
-// TestDrainOrders_AdminAPIAndOperations gives orders by both endpoints in any order, however far a drain has come: both
-// act on one drain, calls of the operations endpoint may be repeated, the node is ready exactly while there is no
-// drain, and a final drain stays.
+// TestDrainOrders_AdminAPIAndOperations gives random orders by both endpoints, at any stage of a drain. Both must act
+// on the same drain, calls of the operations endpoint may be repeated, the node must be ready exactly while there is
+// no drain, and a final drain must not be cancelled.
 func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		orders := newDrainOrders(rt)
@@ -205,7 +207,7 @@
 	})
 }
 
-// connRecorder is a client that keeps the connection it has made last.
+// connRecorder is a client that records the connection that it opened last.
 type connRecorder struct {
 	*http.Client
 	conn net.Conn
@@ -228,7 +230,7 @@
 func (n *testNode) sendAndAwaitClose(id string) (status int, closed bool) {
 	client := newConnRecorder()
 	defer client.CloseIdleConnections()
-	status, _, _ = n.send(client.Client, n.settings.Classes[0], id) // 0 after an error
+	status, _, _ = n.send(client.Client, n.settings.Classes[0], id) // the status is 0 after an error
 	err := client.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for err == nil {
 		_, err = client.conn.Read(make([]byte, 1))
@@ -236,8 +238,9 @@
 	return status, !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// TestStandby puts a node into standby and back while a request is open: the request is answered, and its connection
-// closed. The node stays, is not ready, and serves again at once after /active, however often.
+// TestStandby puts a node into standby and back while a request is open. The request must be answered and its
+// connection closed. The node must keep running without being ready, and serve again at once after /active, also the
+// second time.
 func TestStandby(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
@@ -255,7 +258,7 @@
 			t.Errorf("class %s has no metric", class.Name)
 		}
 	}
-	// A shutdown after a standby that is complete has nothing to wait for.
+	// After a completed standby, a shutdown has nothing to wait for.
 	if node.callOperations("/standby") != http.StatusOK {
 		t.Error("standby is rejected")
 	}
@@ -267,7 +270,7 @@
 	}
 }
 
-// standbyRound puts the node into standby and back.
+// standbyRound puts the node into standby and back once.
 func standbyRound(t *testing.T, node *testNode, server *gatedServer, round int) {
 	t.Helper()
 	type result struct {
@@ -294,7 +297,7 @@
 	}
 	server.releaseOldest()
 	if got := <-first; got.status != http.StatusOK || !got.closed {
-		t.Errorf("round %d: the open request: %d, connection closed: %v", round, got.status, got.closed)
+		t.Errorf("round %d, the open request: status %d, connection closed: %v", round, got.status, got.closed)
 	}
 	testkit.Await(t, "the node to be drained", func() bool { return node.drainState() == "drained" })
 	for range 2 {
@@ -313,7 +316,7 @@
 	testkit.Await(t, "a new request at the server", func() bool { return server.waitingCount() == 1 })
 	server.releaseOldest()
 	if status := <-second; status != http.StatusOK {
-		t.Errorf("after standby: %d", status)
+		t.Errorf("request after standby: status %d", status)
 	}
 }
 
--- a/internal/node/pausednode_test.go
+++ b/internal/node/pausednode_test.go
@@ -20,8 +20,8 @@
 	"cobaltward/router"
 )
 
-// pausableNodeEnv names the app server of the node that the test binary runs in place of tests, in a process that a
-// test can pause.
+// pausableNodeEnv is the environment variable that makes the test binary run a node instead of tests, in a process
+// that a test can pause. Its value is the address of the app server.
 const pausableNodeEnv = "NODE_TEST_PAUSABLE_NODE"
 
 func TestMain(m *testing.M) {
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// runPausableNode runs a node until the standard input ends. It prints the node's address.
+// runPausableNode prints the address of a node, and runs the node until standard input ends.
 func runPausableNode(server string) error {
 	config := Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, MemoryMB: 32}
 	config.Settings = drainSettings()
@@ -61,7 +61,7 @@
 	process *os.Process
 }
 
-// startPausableNode starts a node until the end of the test. Its server answers requests whose body has come.
+// startPausableNode starts a node that runs until the test ends. Its server answers a request after reading the body.
 func startPausableNode(t *testing.T) *pausableNode {
 	t.Helper()
 	server := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
@@ -82,10 +82,10 @@
 	t.Cleanup(func() {
 		_ = command.Process.Signal(syscall.SIGCONT)
 		_ = input.Close()
-		killer := time.AfterFunc(testkit.MaxWait, func() { _ = command.Process.Kill() })
-		defer killer.Stop()
+		killTimer := time.AfterFunc(testkit.MaxWait, func() { _ = command.Process.Kill() })
+		defer killTimer.Stop()
 		if err := command.Wait(); err != nil {
-			t.Errorf("the node: %v", err)
+			t.Errorf("the node process: %v", err)
 		}
 	})
 	lines := bufio.NewScanner(output)
@@ -106,7 +106,7 @@
 	}
 }
 
-// awaitRunning waits until the node has answered a request, and so has looked at what was due during a pause.
+// awaitRunning waits until the node has answered a request, and so has handled the timers that expired during a pause.
 func (n *pausableNode) awaitRunning() {
 	n.t.Helper()
 	testkit.Await(n.t, "the node to run", func() bool {
@@ -119,7 +119,7 @@
 	})
 }
 
-// beginUpload sends the head of a request, and waits until the node reads its body.
+// beginUpload sends the head of a request, and waits until the node asks for the body with 100 Continue.
 func (n *pausableNode) beginUpload(id, framing string) *uploadClient {
 	n.t.Helper()
 	conn := dialClient(n.t, n.addr)
@@ -139,13 +139,13 @@
 	answers *bufio.Reader
 }
 
-// finish sends the body, and returns the answer's status.
+// finish sends the body, and returns the status of the response.
 func (c *uploadClient) finish(body string) (status int, err error) {
-	_, _ = io.WriteString(c, body) // fails where the node has ended the connection
+	_, _ = io.WriteString(c, body) // fails if the node has closed the connection
 	return c.readStatus()
 }
 
-// readStatus reads an answer.
+// readStatus reads a response and returns its status.
 func (c *uploadClient) readStatus() (status int, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	resp, err := http.ReadResponse(c.answers, nil)
@@ -155,10 +155,11 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// TestPausedNode_BodyAfterPause pauses a node for longer than a client may send nothing within a body. Its clients, as
-// if paused with it, send their bodies once it runs again: none of them has stopped.
+// TestPausedNode_BodyAfterPause guards against counting a pause of the node as a stall of its clients. The node is
+// paused for longer than a client may stall within a body, and the clients send their bodies once it runs again: all
+// must be served.
 func TestPausedNode_BodyAfterPause(t *testing.T) {
-	const pause = 2600 * time.Millisecond // over middleware's bodyStallTimeout
+	const pause = 2600 * time.Millisecond // longer than middleware's bodyStallTimeout
 	const clients = 16
 	const size = 20 << 10
 	content := strings.Repeat("b", size)
@@ -191,7 +192,7 @@
 
 // TestPausedNode_HeadAfterPause is TestPausedNode_BodyAfterPause for clients within the head of a request.
 func TestPausedNode_HeadAfterPause(t *testing.T) {
-	const pause = 2600 * time.Millisecond // over headerTimeout
+	const pause = 2600 * time.Millisecond // longer than headerTimeout
 	const clients = 16
 	nextRequest := func(client int) string { return nonIdempotentRequest(fmt.Sprint("b", client), time.Second) }
 	t.Parallel()
@@ -200,7 +201,7 @@
 	for i := range conns {
 		conn := dialClient(t, node.addr)
 		conns[i] = &uploadClient{conn, bufio.NewReader(conn)}
-		// The part of a head is read with the request ahead of it.
+		// The node reads the first half of the next head together with the first request.
 		first, next := nonIdempotentRequest(fmt.Sprint("a", i), time.Second), nextRequest(i)
 		if status, err := conns[i].finish(first + next[:len(next)/2]); status != http.StatusOK {
 			t.Fatalf("client %d, first request: status %d, %v", i, status, err)
@@ -216,8 +217,9 @@
 	}
 }
 
-// stalledClient sends a part of a body and stays. The returned channel gets the status of the answer.
-func (n *pausableNode) stalledClient() (answered chan int) {
+// startStalledClient starts a client that sends a part of a body and keeps its connection open. The returned channel
+// receives the status of the response.
+func (n *pausableNode) startStalledClient() (answered chan int) {
 	n.t.Helper()
 	client := n.beginUpload("stalled", "Content-Length: 9")
 	answered = make(chan int, 1)
@@ -228,17 +230,17 @@
 	return answered
 }
 
-// maxStallDelay is how long a client that stops within a body may wait for its error.
+// maxStallDelay is the longest time after which a client that stalls within a body must get its error.
 const maxStallDelay = 3 * time.Second
 
-// TestPausedNode_StalledClientWhileHeldUp holds a node up again and again for as long as deadlines have to allow for.
-// A client that stops within a body gets its error in time all the same.
-func TestPausedNode_StalledClientWhileHeldUp(t *testing.T) {
-	const hold, run = 150 * time.Millisecond, 500 * time.Millisecond
+// TestPausedNode_StalledClientDuringShortPauses pauses a node repeatedly, each time for as long as deadlines must
+// allow for. A client that stalls within a body must still get its error in time.
+func TestPausedNode_StalledClientDuringShortPauses(t *testing.T) {
+	const pause, interval = 150 * time.Millisecond, 500 * time.Millisecond
 	t.Parallel()
 	node := startPausableNode(t)
 	began := time.Now()
-	answered := node.stalledClient()
+	answered := node.startStalledClient()
 	for {
 		select {
 		case status := <-answered:
@@ -246,21 +248,21 @@
 				t.Errorf("status %d after %v, want 400 within %v", status, delay, maxStallDelay)
 			}
 			return
-		case <-time.After(run):
-			node.pause(hold)
+		case <-time.After(interval):
+			node.pause(pause)
 		}
 	}
 }
 
-// TestPausedNode_StalledClientAfterPause pauses a node for so long that it runs when a client that has stopped within a
-// body is owed its error. The client gets it as soon after the pause as it would have without one.
+// TestPausedNode_StalledClientAfterPause pauses a node until a client has stalled within a body for longer than it
+// may. The client must get its error as soon after the pause as it would without one.
 func TestPausedNode_StalledClientAfterPause(t *testing.T) {
 	t.Parallel()
 	node := startPausableNode(t)
-	answered := node.stalledClient()
+	answered := node.startStalledClient()
 	node.pause(2600 * time.Millisecond)
 	resumed := time.Now()
-	status := testkit.Receive(t, "the error", answered)
+	status := testkit.Receive(t, "the stalled client's error", answered)
 	if delay := time.Since(resumed); status != http.StatusBadRequest || delay > maxStallDelay {
 		t.Errorf("status %d after %v, want 400 within %v", status, delay, maxStallDelay)
 	}
--- a/internal/node/queueage_test.go
+++ b/internal/node/queueage_test.go
@@ -10,19 +10,19 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestQueuedSince_CountsClientsOwnTime has clients wait in an accept queue that is never empty. A client whose request
-// has just come complete, or that has just connected, has lost no time yet; one that may send byte by byte counts as
-// old as the queue, so that it holds up nobody behind it.
+// TestQueuedSince_CountsClientsOwnTime has clients wait in an accept queue that is never empty. A client whose
+// complete request has just arrived, or that has just connected, has not waited yet. A client that may be sending byte
+// by byte counts as old as the queue, so that it does not delay the clients behind it.
 func TestQueuedSince_CountsClientsOwnTime(t *testing.T) {
 	const (
 		queueAge   = 300 * time.Millisecond
-		resolution = 30 * time.Millisecond // of the kernel's clock
+		resolution = 30 * time.Millisecond // of the kernel's timestamps
 		request    = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody"
 	)
 	clientHello := "\x16\x03\x01\x00\xc8" + strings.Repeat("h", 200)
 	for _, test := range []struct {
 		name, sent string
-		connected  bool // just before it is accepted
+		connected  bool // connects just before it is accepted
 		wantOld    bool
 		tls        bool
 	}{
@@ -61,13 +61,13 @@
 			}
 			conn := acceptClientConn(t, listener)
 			if test.sent != "" {
-				testkit.Await(t, "the bytes", func() bool { return !sockets.IsIdle(conn.TCPConn) })
+				testkit.Await(t, "the bytes to arrive", func() bool { return !sockets.IsIdle(conn.TCPConn) })
 			}
 			listener.mu.Lock()
 			age := time.Since(listener.queuedSinceLocked(conn))
 			listener.mu.Unlock()
 			if isOld := age > queueAge-resolution; isOld != test.wantOld {
-				t.Errorf("waits since %v ago, want old: %v", age, test.wantOld)
+				t.Errorf("queued for %v, want old: %v", age, test.wantOld)
 			}
 		})
 	}
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -14,14 +14,14 @@
 
 const unknownAuthority = "unknown authority"
 
-// rotation is a sequence of changes to the certificates of a harness.
+// rotation makes a sequence of changes to the certificates of a harness.
 type rotation struct {
 	*rotationHarness
 	interval time.Duration // between changes
 	changes  int
 }
 
-// step makes a change, with a new certificate of the node's own listener.
+// step makes a change, renews the certificate of the node's own listener, and waits for the interval.
 func (r *rotation) step(change func()) {
 	r.t.Helper()
 	change()
@@ -30,7 +30,7 @@
 	time.Sleep(r.interval)
 }
 
-// present has servers present new certificates of an authority.
+// present has servers present new certificates that an authority has issued.
 func (r *rotation) present(servers []*rotationServer, issuer *pki.Authority) {
 	for _, server := range servers {
 		server.present(r.newLeaf(issuer))
@@ -44,17 +44,17 @@
 	return r.servers[:half], r.servers[half:]
 }
 
-// run replaces the authority four times, in different orders.
+// run replaces the authority four times, each time with another order of the steps.
 func (r *rotation) run() {
 	r.t.Helper()
-	r.step(func() { r.present(r.servers, r.oldCA) }) // new leaves alone
+	r.step(func() { r.present(r.servers, r.oldCA) }) // new certificates of the same authority
 	r.trustBothFirst()
 	r.replaceServersFirst()
 	r.withdrawOldFirst()
 	r.crossSign()
 }
 
-// trustBothFirst trusts both authorities while the servers change, one half after the other.
+// trustBothFirst has the node trust both authorities while the certificates of the servers are replaced in two halves.
 func (r *rotation) trustBothFirst() {
 	r.t.Helper()
 	first, second := r.halves()
@@ -79,7 +79,8 @@
 	r.swapCAs()
 }
 
-// withdrawOldFirst ends the trust in an authority while half of the servers still present its certificates.
+// withdrawOldFirst has the node stop trusting the old authority while half of the servers still present its
+// certificates.
 func (r *rotation) withdrawOldFirst() {
 	r.t.Helper()
 	first, second := r.halves()
@@ -92,7 +93,8 @@
 	r.swapCAs()
 }
 
-// crossSign has the old authority sign for the new one, so that the servers' certificates are valid by both.
+// crossSign has the old authority sign the certificate of the new one, so that the servers' certificates are valid
+// with either.
 func (r *rotation) crossSign() {
 	r.t.Helper()
 	cross := r.oldCA.CrossSign(r.newCA)
@@ -107,9 +109,9 @@
 	r.swapCAs()
 }
 
-// TestRotationsUnderLoad changes certificates and authorities under load, in different orders: no request is lost or
-// executed twice, and none goes to a server that is not trusted. WAYHOLD_ROTATE gives a duration for a long run, with a
-// change a second and 72 servers.
+// TestRotationsUnderLoad replaces certificates and authorities under load, in different orders. No request may be lost
+// or executed twice, and none may go to a server that is not trusted. WAYHOLD_ROTATE sets the duration of a long run,
+// with one change a second and 72 servers.
 func TestRotationsUnderLoad(t *testing.T) {
 	interval, duration, servers := 250*time.Millisecond, time.Duration(0), 12
 	if text := os.Getenv("WAYHOLD_ROTATE"); text != "" {
@@ -147,22 +149,22 @@
 }
 
 // TestRotation_CertificatesExpire lets certificates expire while connections are open. Requests to servers that have
-// replaced theirs in time are not affected; the other servers get no requests from then on, over open connections
-// either.
+// replaced theirs in time are not affected. The other servers must get no requests from then on, not even over open
+// connections.
 func TestRotation_CertificatesExpire(t *testing.T) {
 	harness := newRotationHarness(t, 6)
 	end := time.Now().Add(2500 * time.Millisecond).Truncate(time.Second).Add(time.Second)
 	for _, server := range harness.servers {
 		leaf := harness.oldCA.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, To: end})
 		cert := harness.newServedCert([]*pki.Authority{harness.oldCA}, leaf.TLS())
-		cert.validUntil = end.Add(time.Second) // X.509 counts whole seconds
+		cert.validUntil = end.Add(time.Second) // X.509 times have a resolution of one second
 		server.present(cert)
 	}
 	harness.start()
 	ctx, stop := context.WithCancel(context.Background())
 	load := harness.load(ctx, 8)
 	time.Sleep(time.Until(end.Add(-time.Second)))
-	for _, server := range harness.servers[:3] { // in time
+	for _, server := range harness.servers[:3] { // replaced before they expire
 		server.present(harness.newLeaf(harness.oldCA))
 	}
 	late := harness.servers[3]
@@ -170,7 +172,7 @@
 		if harness.untrustedReason(late.id) == "expired" {
 			return true
 		}
-		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // it was never needed
+		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // no requests: expiry goes unnoticed
 	})
 	time.Sleep(500 * time.Millisecond)
 	stop()
@@ -178,8 +180,8 @@
 	harness.checkResults()
 }
 
-// invalidCerts returns certificates with which no server can prove its identity, by the reason that the node gives.
-// A part in parentheses tells two with the same reason apart.
+// invalidCerts returns certificates that do not prove a server's identity, by the reason that the node reports. A
+// suffix in parentheses distinguishes two certificates with the same reason.
 func (h *rotationHarness) invalidCerts() map[string]servedCert {
 	name := []string{"127.0.0.1"}
 	intermediate := h.oldCA.NewIntermediate("middle")
@@ -197,19 +199,20 @@
 	return certs
 }
 
-// TestRotation_InvalidCertificateOnOneServer has one server present invalid certificates: that server alone becomes
-// untrusted, it is not tried in a storm, and it serves again within seconds of a valid certificate.
+// TestRotation_InvalidCertificateOnOneServer has one server present invalid certificates. Only that server may become
+// untrusted, the node must not retry handshakes with it in rapid succession, and the server must get requests within
+// seconds after it presents a valid certificate.
 func TestRotation_InvalidCertificateOnOneServer(t *testing.T) {
 	harness := newRotationHarness(t, 4)
 	harness.start()
 	ctx, stop := context.WithCancel(context.Background())
 	load := harness.load(ctx, 8)
-	server := harness.servers[0] // the first that the node fills
+	server := harness.servers[0] // the node sends requests to the first server first
 	var longestReturn time.Duration
 	for name, cert := range harness.invalidCerts() {
 		server.present(cert)
 		reason, _, _ := strings.Cut(name, " (")
-		// Connections made before stay trusted, by the certificate of their handshake, until they end.
+		// Open connections stay trusted, by the certificate of their handshake, until they end.
 		testkit.Await(t, name, func() bool { return harness.untrustedReason(server.id) == reason })
 		time.Sleep(200 * time.Millisecond) // for handshakes in progress
 		before := harness.tlsStatus().Servers.Failures[reason]
@@ -219,22 +222,22 @@
 		}
 		server.present(harness.newLeaf(harness.oldCA))
 		repairedAt := time.Now()
-		testkit.Await(t, "the server's return", func() bool {
+		testkit.Await(t, "the server to get requests again", func() bool {
 			return server.lastRequestAt.Load() > repairedAt.UnixNano()
 		})
 		longestReturn = max(longestReturn, time.Since(repairedAt))
 	}
 	stop()
 	load.Wait()
-	t.Logf("back after %v at most", longestReturn.Round(time.Millisecond))
+	t.Logf("the server got requests again after %v at most", longestReturn.Round(time.Millisecond))
 	if longestReturn > 8*time.Second {
-		t.Errorf("back after %v, want a matter of seconds", longestReturn)
+		t.Errorf("the server got requests again after %v, want at most 8 s", longestReturn)
 	}
 	harness.checkResults()
 }
 
-// TestHandshakes_StalledOnesDelayNoRequest has clients stop within a handshake: these need no CPU time, and a request
-// of another client is served meanwhile.
+// TestHandshakes_StalledOnesDelayNoRequest has clients stop within a handshake: these handshakes need no CPU time, so
+// a request of another client must be served meanwhile.
 func TestHandshakes_StalledOnesDelayNoRequest(t *testing.T) {
 	harness := newRotationHarness(t, 1)
 	harness.start()
@@ -245,11 +248,11 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = conn.Close() }()
-		if _, err := conn.Write([]byte("\x16\x03\x01\x02\x00\x01")); err != nil { // of a ClientHello of 512 bytes
+		if _, err := conn.Write([]byte("\x16\x03\x01\x02\x00\x01")); err != nil { // start of a ClientHello of 512 bytes
 			t.Fatal(err)
 		}
 	}
-	testkit.Await(t, "the handshakes", func() bool { return harness.tlsStatus().Clients.InProgress >= stalled })
+	testkit.Await(t, "the stalled handshakes", func() bool { return harness.tlsStatus().Clients.InProgress >= stalled })
 	harness.request(harness.client(), "c0", true, drainSettings().Classes[0])
 	if status := harness.tlsStatus(); status.Clients.InProgress < stalled {
 		t.Errorf("%d of %d stalled handshakes in progress: the request was served only after others had ended",
--- a/internal/node/rotationharness_test.go
+++ b/internal/node/rotationharness_test.go
@@ -27,30 +27,30 @@
 	"cobaltward/transport/secure"
 )
 
-// servedCert is a certificate that a server presents. It is valid where one of the authorities is trusted.
+// servedCert is a certificate that a server presents. It is valid while one of its authorities is trusted.
 type servedCert struct {
 	authorities []*pki.Authority
 	config      *tls.Config
-	validUntil  time.Time // zero: beyond the test
+	validUntil  time.Time // zero: it does not expire during the test
 }
 
-// rotationHarness is a node, and servers whose certificates change under load. It records what it sees.
+// rotationHarness runs a node, and servers whose certificates change under load. It records the outcomes of requests.
 type rotationHarness struct {
 	t            testing.TB
 	dir          string
 	servers      []*rotationServer
 	oldCA, newCA *pki.Authority
-	listenerCA   *pki.Authority // of the node's own listener
+	listenerCA   *pki.Authority // issues the certificates of the node's own listener
 	addr         string
 	adminSocket  string
 
 	mu           sync.Mutex
 	trustChanges []trustChange   // in order of time
-	executions   map[string]int  // by request ID
+	executions   map[string]int  // number of executions by request ID
 	violations   []string        // requests over connections that were no longer trusted, or answered wrongly
-	served       int             // requests
+	served       int             // number of requests answered with 200
 	idempotent   map[string]bool // request IDs that may be executed more than once
-	notServed    map[string]int  // answers other than 200, and errors
+	notServed    map[string]int  // number of responses other than 200, and of errors, by text
 }
 
 // trustChange is a change of the authorities that the node trusts.
@@ -60,10 +60,10 @@
 }
 
 const (
-	// trustChangeDelay is the time that the node may take to apply new files: it checks them twice, and requests in
-	// transit arrive.
+	// trustChangeDelay is how long after a change of trust requests may still arrive over connections that it makes
+	// invalid: the node checks its files twice before it applies them, and requests may be in transit.
 	trustChangeDelay = 400 * time.Millisecond
-	// maxTransitTime is the time that a request sent before a certificate's end may be in transit.
+	// maxTransitTime is how long a request that was sent before a certificate expired may be in transit.
 	maxTransitTime = 200 * time.Millisecond
 	// rotationCheckInterval is the interval at which the node checks its files.
 	rotationCheckInterval = 20 * time.Millisecond
@@ -97,7 +97,7 @@
 
 func (h *rotationHarness) newServedCert(authorities []*pki.Authority, cert tls.Certificate) servedCert {
 	h.t.Helper()
-	// With the listener's ticket keys a session would be resumed whatever certificate the server presents now.
+	// With ticket keys shared by all certificates, a session would be resumed whatever certificate is served now.
 	var ticketKey [32]byte
 	if _, err := rand.Read(ticketKey[:]); err != nil {
 		h.t.Fatal(err)
@@ -107,7 +107,7 @@
 	return servedCert{authorities: authorities, config: config}
 }
 
-// replaceFiles replaces each file as a whole, one after the other.
+// replaceFiles replaces each file atomically, one after the other.
 func (h *rotationHarness) replaceFiles(files map[string][]byte) {
 	h.t.Helper()
 	for name, text := range files {
@@ -121,7 +121,7 @@
 	}
 }
 
-// setTrust has the node trust these authorities from now on.
+// setTrust has the node trust exactly these authorities from now on.
 func (h *rotationHarness) setTrust(authorities ...*pki.Authority) {
 	h.t.Helper()
 	var certs []*x509.Certificate
@@ -163,7 +163,7 @@
 	})
 	client := h.client()
 	defer client.CloseIdleConnections()
-	testkit.Await(h.t, "the node", func() bool {
+	testkit.Await(h.t, "the node to be ready", func() bool {
 		resp, err := client.Get("https://" + h.addr + readyPath)
 		if err != nil {
 			return false
@@ -213,9 +213,9 @@
 	}
 }
 
-// rotationSettings has deadlines for a slow machine: past its latency objective a request is rejected rather than
-// attempted, so a handshake that fails late would count as a request that was not served. Requests that find a server
-// untrusted are retried elsewhere as often as there are such servers.
+// rotationSettings has long deadlines, for slow machines: past its latency objective a request is rejected rather than
+// attempted, so a handshake that fails late would make it a request that was not served. A request that finds its
+// server untrusted is retried at another one, and the limit on attempts allows for many such servers.
 func rotationSettings() policy.Settings {
 	settings := drainSettings()
 	for i := range settings.Classes {
@@ -235,7 +235,7 @@
 	}}
 }
 
-// load has clients send requests until ctx ends. One connection in ten is closed after its request.
+// load starts clients that send requests until ctx ends. They close their connection after every tenth request.
 func (h *rotationHarness) load(ctx context.Context, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := h.client()
@@ -251,7 +251,7 @@
 	return &all
 }
 
-// request sends a request and records the answer.
+// request sends a request and records the outcome.
 func (h *rotationHarness) request(client *http.Client, id string, closeConn bool, class policy.Class) {
 	answer, err := h.send(client, id, closeConn, class)
 	if err != nil {
@@ -270,7 +270,7 @@
 	}
 }
 
-// send sends a request, and returns the answer where it is not 200.
+// send sends a request. If its status is not 200, it returns the response as text.
 func (h *rotationHarness) send(
 	client *http.Client, id string, closeConn bool, class policy.Class,
 ) (answer string, err error) {
@@ -299,7 +299,7 @@
 	return fmt.Sprint(resp.StatusCode, " ", string(body)), nil
 }
 
-// checkResults reports the requests that were executed twice, over untrusted connections, or not served.
+// checkResults reports requests that were executed twice, sent over untrusted connections, or not served.
 func (h *rotationHarness) checkResults() {
 	h.t.Helper()
 	h.mu.Lock()
@@ -319,7 +319,7 @@
 	h.t.Logf("%d requests served, each once", h.served)
 }
 
-// tlsStatus asks the admin API.
+// tlsStatus returns the TLS status from the admin API.
 func (h *rotationHarness) tlsStatus() TLSStatus {
 	h.t.Helper()
 	client, base := adminapi.NewClient(h.adminSocket, "", nil)
@@ -336,7 +336,7 @@
 	return status
 }
 
-// untrustedReason returns why the node does not trust a server; empty where it does.
+// untrustedReason returns why the node does not trust a server, or an empty string if it does.
 func (h *rotationHarness) untrustedReason(id string) string {
 	h.t.Helper()
 	for _, server := range h.tlsStatus().Servers.Servers {
--- a/internal/node/rotationserver_test.go
+++ b/internal/node/rotationserver_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// rotationServer is a server that can present another certificate to each new connection.
+// rotationServer is a server whose certificate for new connections can be replaced at any time.
 type rotationServer struct {
 	harness       *rotationHarness
 	id            string
@@ -65,7 +65,7 @@
 func (s *rotationServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	s.lastRequestAt.Store(now.UnixNano())
-	if s.requests.Add(1)%10 == 0 { // so that there are new connections
+	if s.requests.Add(1)%10 == 0 { // makes the node open new connections
 		w.Header().Set("Connection", "close")
 	}
 	value, _ := s.certByConn.Load(r.Context().Value(rotationConnKey{}))
@@ -74,23 +74,23 @@
 	harness := s.harness
 	harness.mu.Lock()
 	defer harness.mu.Unlock()
-	if key := r.Header.Get("Idempotency-Key"); key == "" || harness.executions[id] == 0 { // servers drop repeats of a key
+	if key := r.Header.Get("Idempotency-Key"); key == "" || harness.executions[id] == 0 { // a repeated key is not executed
 		harness.executions[id]++
 	}
 	if late := now.Sub(cert.validUntil); !cert.validUntil.IsZero() && late > maxTransitTime {
 		harness.violations = append(harness.violations,
-			fmt.Sprintf("%s at %s, %v after its certificate's end", id, s.id, late))
+			fmt.Sprintf("%s at %s, %v after its certificate expired", id, s.id, late))
 		return
 	}
 	if !harness.wasTrusted(cert, now) {
 		last := harness.trustChanges[len(harness.trustChanges)-1]
-		harness.violations = append(harness.violations, fmt.Sprintf("%s at %s, %v after change %d of trust",
+		harness.violations = append(harness.violations, fmt.Sprintf("%s at %s, %v after trust change %d",
 			id, s.id, now.Sub(last.at).Round(time.Millisecond), len(harness.trustChanges)))
 	}
 }
 
-// wasTrusted reports whether an authority of the certificate is trusted, or was until trustChangeDelay ago. The caller
-// holds mu.
+// wasTrusted reports whether an authority of the certificate is trusted, or was within the last trustChangeDelay. The
+// caller holds mu.
 func (h *rotationHarness) wasTrusted(cert *servedCert, now time.Time) bool {
 	for _, change := range slices.Backward(h.trustChanges) {
 		for _, authority := range change.authorities {
@@ -98,7 +98,7 @@
 				return true
 			}
 		}
-		if now.Sub(change.at) > trustChangeDelay { // earlier changes are over
+		if now.Sub(change.at) > trustChangeDelay { // what was trusted before this change no longer counts
 			break
 		}
 	}
--- a/internal/node/rpcdrain_test.go
+++ b/internal/node/rpcdrain_test.go
@@ -15,8 +15,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainOnRequest_MessagePackClients drains a node on request while a MessagePack-RPC client is connected: the
-// client is counted, its idle connection is closed, and no client can connect until the drain is cancelled.
+// TestDrainOnRequest_MessagePackClients drains a node by the admin API while a MessagePack-RPC client is connected:
+// the client must be counted, its idle connection closed, and no client may connect until the drain is cancelled.
 func TestDrainOnRequest_MessagePackClients(t *testing.T) {
 	const timeout = 20 * time.Second
 	node := &testNode{t: t, adminSocket: filepath.Join(t.TempDir(), "door.sock")}
@@ -50,7 +50,7 @@
 	testkit.Await(t, "the client to be counted", func() bool { return node.status().Connections.Clients == 1 })
 
 	if code, _ := node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "4s"}); code != http.StatusAccepted {
-		t.Fatalf("the drain is answered with %d", code)
+		t.Fatalf("drain order: got status %d", code)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 		return err != nil
 	})
 	if code, _ := node.callAdmin(http.MethodDelete, "/drain", DrainRequest{}); code != http.StatusOK {
-		t.Fatalf("cancelling is answered with %d", code)
+		t.Fatalf("cancelling the drain: got status %d", code)
 	}
 	testkit.Await(t, "the listener to be open again", func() bool {
 		again, err := dial()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// heldListener accepts nothing until it is released, as in a process that has no CPU.
+// heldListener accepts nothing until it is released, like a listener of a process that gets no CPU time.
 type heldListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -32,11 +32,12 @@
 	return l.TCPListener.Accept()
 }
 
-// The time of a drain is over while the accept loops have not run since clients connected, before the listeners close
-// and while they do: the requests that wait in the accept queues are answered, since there is time until SIGKILL.
-func TestDrain_AnswersAcceptQueueAfterItsTime(t *testing.T) {
-	const notAcceptedFor = 200 * time.Millisecond // since the time of the drain was over
-	for _, announceFor := range []time.Duration{0, notAcceptedFor / 4} {
+// TestDrain_AnswersAcceptQueueAfterTimeout guards against losing the requests in the accept queues when a drain times
+// out before the accept loops have run, with the listeners closed before or after the timeout. The requests must be
+// answered, since there is still time until SIGKILL.
+func TestDrain_AnswersAcceptQueueAfterTimeout(t *testing.T) {
+	const acceptDelay = 200 * time.Millisecond // how long the listener accepts nothing after the drain has timed out
+	for _, announceFor := range []time.Duration{0, acceptDelay / 4} {
 		for _, front := range []string{"HTTP", "MessagePack-RPC"} {
 			t.Run(fmt.Sprint(front, ", listeners close after ", announceFor), func(t *testing.T) {
 				t.Parallel()
@@ -49,7 +50,7 @@
 				}
 				request, want := "GET "+readyPath+" HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 "
 				if front == "MessagePack-RPC" {
-					request, want = "\xc1", "\x93" // no message begins so: the answer is a notification of the error
+					request, want = "\xc1", "\x93" // invalid first byte: the node sends an error notification
 				}
 				answer := make(chan string, 1)
 				client := dialClient(t, listeners[front].Addr().String())
@@ -60,7 +61,7 @@
 				times := shutdownTimes{drain: 1, maxDrain: testkit.MaxWait, close: testkit.MaxWait}
 				drained := make(chan error, 1)
 				go func() { drained <- n.drain(times, announceFor, 0) }()
-				time.Sleep(notAcceptedFor)
+				time.Sleep(acceptDelay)
 				close(listeners[front].released)
 				if got := testkit.Receive(t, "the answer", answer); !strings.HasPrefix(got, want) {
 					t.Errorf("read %q, want %q", got, want)
@@ -74,7 +75,7 @@
 	}
 }
 
-// startNodeWithListeners runs a node without servers until the end of the test, which has to drain it.
+// startNodeWithListeners runs a node without servers until the test ends. The test must drain the node.
 func startNodeWithListeners(t *testing.T, http, rpc net.Listener) *node {
 	t.Helper()
 	n := &node{
@@ -93,7 +94,7 @@
 	return n
 }
 
-// readPrefix reads n bytes, and returns them, or the error's text.
+// readPrefix reads n bytes and returns them, or the text of an error.
 func readPrefix(conn net.Conn, n int) string {
 	prefix := make([]byte, n)
 	if _, err := io.ReadFull(conn, prefix); err != nil {
--- a/internal/node/testclients_test.go
+++ b/internal/node/testclients_test.go
@@ -17,21 +17,22 @@
 	"cobaltward/policy"
 )
 
-// clientCounts counts the requests of the clients of a testNode.
+// clientCounts counts the requests that the clients of a testNode have sent.
 type clientCounts struct {
 	inFlight atomic.Int64
 
-	// By their outcome.
-	served     atomic.Int64 // 200
-	rejected   atomic.Int64 // 429 or 503
-	conflicts  atomic.Int64 // 409
+	// Number of requests by outcome.
+	served     atomic.Int64 // status 200
+	rejected   atomic.Int64 // status 429 or 503
+	conflicts  atomic.Int64 // status 409
 	failed     atomic.Int64 // other status codes
 	unanswered atomic.Int64
 
 	retriedAfterClose atomic.Int64
 }
 
-// startClients has clients send requests until ctx ends. They keep connections, and open more while all are in use.
+// startClients starts clients that send requests until ctx ends. They reuse idle connections, and open new ones while
+// all are in use.
 func (n *testNode) startClients(ctx context.Context, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
@@ -53,17 +54,17 @@
 	return &all
 }
 
-// request sends a request, once more if its connection was closed meanwhile, and records the outcome.
+// request sends a request, retries it once if a reused connection was closed, and records the outcome.
 func (n *testNode) request(client *http.Client, class policy.Class, id string) {
 	n.locked(func(now time.Duration) { n.checker.RequestReceived(now, "n", id, class.Name, now+class.Deadline) })
 	status, reused, err := n.send(client, class, id)
 	if err != nil && reused && !errors.Is(err, context.DeadlineExceeded) {
-		// A close of the connection crossed the request, so a client retries it. If the node had accepted it, the node
-		// answers with a conflict now, and the first answer was lost.
+		// The node closed the connection while the request was on its way, so the client retries it. If the node had
+		// accepted the request, it answers the retry with a conflict, and the first response was lost.
 		n.retriedAfterClose.Add(1)
 		if status, _, err = n.send(client, class, id); status == http.StatusConflict {
 			n.locked(func(now time.Duration) {
-				n.t.Errorf("%v: %s was accepted, and its connection closed without its answer", now, id)
+				n.t.Errorf("%v: %s was accepted, and its connection closed without a response", now, id)
 			})
 		}
 	}
@@ -88,18 +89,18 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// recordUnanswered records a request without an answer, which the node must not have accepted.
+// recordUnanswered records a request without a response, and checks that the node had not accepted it.
 func (n *testNode) recordUnanswered(id string, reused bool, err error) {
 	n.unanswered.Add(1)
 	n.locked(func(now time.Duration) {
 		if n.executed[id] && (reused || !errors.Is(err, syscall.ECONNREFUSED)) {
-			n.t.Errorf("%v: %s was executed, and has no answer: %v", now, id, err)
+			n.t.Errorf("%v: %s was executed, but got no response: %v", now, id, err)
 		}
 		n.checker.ClientLeft("n", id, 0)
 	})
 }
 
-// send sends a request. reused reports whether its connection had served another one before.
+// send sends a request. reused reports whether its connection had carried an earlier request.
 func (n *testNode) send(
 	client *http.Client, class policy.Class, id string,
 ) (status int, reused bool, err error) {
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -29,8 +29,8 @@
 	"cobaltward/router"
 )
 
-// testNode is a node with its admin API and operations endpoint, ahead of emulated servers. What clients and servers
-// see is recorded in checker.
+// testNode is a node with its admin API and operations endpoint in front of emulated servers. checker is given what
+// the clients and the servers see.
 type testNode struct {
 	t              *testing.T
 	addr           string
@@ -45,7 +45,7 @@
 	checker       *checker.Checker
 	executed      map[string]bool // by request ID
 	startedAt     time.Time
-	failingServer atomic.Int64 // number of the server that fails requests, from 1; others: none
+	failingServer atomic.Int64 // number of the server, from 1, that fails some requests; no such server: none
 
 	clientCounts
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// newTestNode starts the servers of a node, until the end of the test. start starts the node.
+// newTestNode starts emulated servers, which run until the test ends, and returns their node. start starts the node.
 func newTestNode(t *testing.T, servers int) *testNode {
 	t.Helper()
 	settings := drainSettings()
@@ -154,7 +154,7 @@
 	return router.Endpoint{ID: serverID, Addr: server.Addr, Zone: "a", Kind: "k", Weight: 1}
 }
 
-// locked calls f with the time since the start, under the mutex of checker and executed.
+// locked calls f with the time since newTestNode, and holds the mutex of checker and executed meanwhile.
 func (n *testNode) locked(f func(now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,8 +170,8 @@
 	n.settings.Capabilities.Hedge = false
 }
 
-// start runs a node until stop is called, and waits until it is ready. Run's error is sent to ended. Each start uses
-// the same address for clients.
+// start runs a node until stop is called, and waits until it is ready. The error of Run is sent to ended. The address
+// for clients is the same at each start.
 func (n *testNode) start() (stop context.CancelFunc, ended chan error) {
 	n.t.Helper()
 	addr := n.addr
@@ -182,7 +182,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	if n.addr == "" { // clients read it later on
+	if n.addr == "" { // written once, since clients read it concurrently later
 		n.addr = listener.Addr().String()
 	}
 	operationsListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -223,7 +223,7 @@
 	return nil, nil
 }
 
-// connectTimeout is longer for tests with large bodies, whose machine is busy.
+// connectTimeout returns a longer timeout for tests with large bodies, which keep the machine busy.
 func (n *testNode) connectTimeout() time.Duration {
 	if n.memoryMB > 0 {
 		return 10 * time.Second
@@ -231,7 +231,7 @@
 	return 250 * ms
 }
 
-// isReady asks for the node's readiness over a connection of its own.
+// isReady queries the node's readiness over a new connection.
 func (n *testNode) isReady() bool {
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -249,8 +249,8 @@
 	return status == http.StatusOK
 }
 
-// callAdmin calls the admin API, and returns the status code with the node's status, if the answer has one. The code is
-// 0 if there is no answer.
+// callAdmin calls the admin API. It returns the status code, or 0 if there is no response, and the node's status if
+// the response contains one.
 func (n *testNode) callAdmin(method, path string, body any) (int, Status) {
 	n.t.Helper()
 	client, base := adminapi.NewClient(n.adminSocket, "", nil)
@@ -269,24 +269,24 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var status Status
-	_ = json.NewDecoder(resp.Body).Decode(&status) // errors have another form
+	_ = json.NewDecoder(resp.Body).Decode(&status) // error responses have another format
 	return resp.StatusCode, status
 }
 
-// status asks the admin API.
+// status returns the node's status from the admin API.
 func (n *testNode) status() Status {
 	n.t.Helper()
 	_, status := n.callAdmin(http.MethodGet, "/status", nil)
 	return status
 }
 
-// drainState asks the admin API.
+// drainState returns the name of the drain state from the admin API.
 func (n *testNode) drainState() string {
 	n.t.Helper()
 	return n.status().Drain.State.String()
 }
 
-// learnedState asks the admin API.
+// learnedState returns the learned state from the admin API.
 func (n *testNode) learnedState() learnedstate.Snapshot {
 	n.t.Helper()
 	client, base := adminapi.NewClient(n.adminSocket, "", nil)
@@ -307,7 +307,7 @@
 	return snapshot
 }
 
-// callOperations makes one PUT call to the operations endpoint, and returns the status code.
+// callOperations sends a PUT request to the operations endpoint, and returns the status code.
 func (n *testNode) callOperations(path string) int {
 	n.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+n.operationsAddr+path, nil)
@@ -346,13 +346,13 @@
 	return metrics
 }
 
-// gatedServer is a server whose answers wait for the test.
+// gatedServer is a server that holds each response until the test releases it.
 type gatedServer struct {
 	mu      sync.Mutex
 	waiting []chan struct{} // one for each request, the oldest first
 }
 
-// newGatedNode returns a node ahead of a gated server, with long deadlines.
+// newGatedNode returns a node in front of a gated server, with long deadlines.
 func newGatedNode(t *testing.T) (*testNode, *gatedServer) {
 	t.Helper()
 	server := new(gatedServer)
@@ -371,7 +371,7 @@
 	g.mu.Unlock()
 	select {
 	case <-released:
-		_, _ = io.WriteString(w, "done") // the client sees what is missing
+		_, _ = io.WriteString(w, "done") // the client detects an incomplete response
 	case <-r.Context().Done():
 	}
 }
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -13,8 +13,8 @@
 	"cobaltward/router"
 )
 
-// TestAdminAPI_JSONOfEarlierVersion compares what the admin API sends and takes, every field set, to what an earlier
-// version sent: names and order of the keys are the same to the byte.
+// TestAdminAPI_JSONOfEarlierVersion compares the JSON of the admin API, with every field set, with the JSON of an
+// earlier version: names and order of the keys must be the same, byte for byte.
 func TestAdminAPI_JSONOfEarlierVersion(t *testing.T) {
 	at := time.Date(2026, 12, 1, 8, 30, 0, 0, time.UTC)
 	for name, value := range map[string]any{
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if got = append(got, '\n'); !bytes.Equal(got, want) {
-				t.Errorf("sent %s, want %s", got, want)
+				t.Errorf("got %s, want %s", got, want)
 			}
 		})
 	}
