--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Match returns the index of the route for a request; -1 if there is none.
+// Match returns the index of the first route that matches a request, or -1 if none does.
 func (t *Table) Match(req *Request) int {
 	search := search{table: t, req: req, best: int32(len(t.routes))}
 	if index := t.hosts[req.Host]; index != nil {
@@ -21,14 +21,14 @@
 	return int(search.best)
 }
 
-// search is a search for the first route whose conditions all hold.
+// search is the state of one Match call, which looks for the first route whose conditions all hold.
 type search struct {
 	table *Table
 	req   *Request
-	best  int32 // index of the first one so far
+	best  int32 // lowest index of a matching route found so far; len(table.routes) if none
 }
 
-// searchWildcards searches the routes of all wildcards that match the host.
+// searchWildcards searches the routes of every wildcard host that matches the request's host.
 func (s *search) searchWildcards() {
 	for rest := s.req.Host; ; {
 		dot := strings.IndexByte(rest, '.')
@@ -50,8 +50,8 @@
 	}
 }
 
-// searchNode searches the routes of a node, and of all nodes below it that match the rest of the path. done says that
-// the whole path has been matched.
+// searchNode searches the routes of a trie node and of the nodes below it that match the rest of the path. done reports
+// whether the whole path has been consumed.
 func (s *search) searchNode(n *node, rest string, done bool) {
 	s.matchFirst(n.prefixes)
 	if done {
@@ -59,16 +59,16 @@
 		return
 	}
 	segment, rest, more := strings.Cut(rest, "/")
-	if next := n.next[segment]; next != nil {
+	if next := n.children[segment]; next != nil {
 		s.searchNode(next, rest, !more)
 	}
-	if n.param != nil && segment != "" {
-		s.searchNode(n.param, rest, !more)
+	if n.parameter != nil && segment != "" {
+		s.searchNode(n.parameter, rest, !more)
 	}
 }
 
-// matchFirst finds the first route whose remaining conditions hold, in a list whose host and path match, except for
-// regular expressions.
+// matchFirst looks for the first route whose remaining conditions hold. The host and the path of the listed routes
+// already match, except for regular expressions.
 func (s *search) matchFirst(indexes []int32) {
 	for _, i := range indexes {
 		if i >= s.best {
@@ -81,7 +81,7 @@
 	}
 }
 
-// conditionsHold reports whether the conditions of a route hold that the index does not check.
+// conditionsHold reports whether a route's conditions hold that the index does not check.
 func (t *Table) conditionsHold(i int, req *Request) bool {
 	route := &t.routes[i]
 	if route.Listener != "" && route.Listener != req.Listener {
@@ -106,8 +106,8 @@
 	return t.regexps[i] == nil || t.regexps[i].MatchString(req.Path)
 }
 
-// matchesHeader reports whether a condition holds for a header. One with several values matches no Value, because
-// another server might use another one of them.
+// matchesHeader reports whether a condition holds for a request's headers. A header with several values matches no
+// Value, because the server behind the router might use another of the values.
 func (c *Condition) matchesHeader(header map[string][]string) bool {
 	values, present := header[c.Name]
 	switch {
@@ -119,7 +119,8 @@
 	return len(values) == 1 && values[0] == c.Value
 }
 
-// matchesQuery reports whether a condition holds for a query. As with headers, a repeated parameter matches no Value.
+// matchesQuery reports whether a condition holds for a query string. As with headers, a repeated parameter matches no
+// Value.
 func (c *Condition) matchesQuery(query string) bool {
 	count, equal := 0, false
 	for query != "" {
@@ -140,7 +141,7 @@
 	return count == 1 && equal
 }
 
-// decodesTo reports whether want is the decoded form of a part of a query, without allocating.
+// decodesTo reports whether a URL-encoded name or value decodes to want. It does not allocate.
 func decodesTo(encoded, want string) bool {
 	for encoded != "" {
 		char := encoded[0]
@@ -159,7 +160,7 @@
 	return want == ""
 }
 
-// inFraction reports whether a request belongs to the route's fraction.
+// inFraction reports whether a request belongs to the fraction of requests that the route matches.
 func (r *Route) inFraction(req *Request) bool {
 	input := req.Tenant
 	switch {
@@ -171,7 +172,8 @@
 	return hashFraction(r.HashSalt, input) < r.Fraction
 }
 
-// hashFraction returns a number from 0 up to 1, the same at every node: FNV-1a, with the finalizer of MurmurHash3.
+// hashFraction hashes an input to a number in [0, 1), which is the same on every node. It uses FNV-1a with the
+// finalizer of MurmurHash3.
 func hashFraction(salt, input string) float64 {
 	const (
 		fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
--- a/internal/routes/path.go
+++ b/internal/routes/path.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// ErrAmbiguousPath says that servers may interpret a path in different ways, depending on whether they clean or
+// ErrAmbiguousPath is the error for a path that servers may interpret differently, depending on whether they clean or
 // decode it.
 var ErrAmbiguousPath = errors.New("the path can be read in two ways")
 
-// CheckPath rejects paths that another server may interpret differently than Table does: with empty segments, dot
-// segments (encoded ones too), encoded slashes or backslashes, or bytes that are not allowed in a path. A path that
-// passes is matched and forwarded unchanged. Errors wrap ErrAmbiguousPath, unless the path does not begin with a
-// slash.
+// CheckPath rejects paths that a server may interpret differently from Table: paths with empty segments, plain or
+// encoded dot segments, encoded slashes, backslashes, NULs or percent signs, or bytes that are not allowed in a path. A
+// path that passes is matched and forwarded unchanged. Errors wrap ErrAmbiguousPath, except for a path that does not
+// begin with a slash.
 func CheckPath(path string) error {
 	if path == "" || path[0] != '/' {
 		return fmt.Errorf("want a path from /, got %q", path)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// isDotSegment reports whether a segment is . or .., each dot encoded or not.
+// isDotSegment reports whether a segment is "." or "..", with each dot plain or percent-encoded.
 func isDotSegment(segment string) bool {
 	dots := 0
 	for segment != "" {
@@ -67,7 +67,7 @@
 	return dots == 1 || dots == 2
 }
 
-// checkSegments checks the names in braces of Route.Segments.
+// checkSegments checks the syntax of Route.Segments: names in braces must be unique and not empty.
 func checkSegments(path string) error {
 	names := make(map[string]bool)
 	for _, segment := range strings.Split(path[1:], "/") {
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -1,6 +1,6 @@
-// Package routes assigns requests a class, a pool and a timeout, by an ordered table: the first route decides of
-// which all conditions hold. It does no I/O and reads no clock. A table is compiled once; matching a request
-// allocates nothing, and its cost hardly grows with the number of routes.
+// Package routes matches requests against an ordered table of routes. The first route whose conditions all hold
+// determines the request's class, pool and timeout. The package does no I/O and reads no clock. A table is compiled
+// once; matching a request allocates nothing, and its cost hardly grows with the number of routes.
 package routes
 
 import (
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// Route is one entry of a table. Empty conditions hold for every request.
+// Route is one entry of a table. A condition that is not set holds for every request.
 type Route struct {
-	Line int // in the configuration, for errors and explanations
+	Line int // line in the configuration, for error messages and explanations
 
 	Listener string
-	Host     string   // rooms.example, or *.example for all names below; without a port
-	Methods  []string // any of them
-	// At most one of Path, Prefix, Segments and Regexp is set. They are compared to the path as it was received, byte for
-	// byte, without decoding or cleaning.
-	Path     string // the whole path
-	Prefix   string // the path or one below it: /a matches /a and /a/b, not /ab
-	Segments string // /rooms/{id}/book: a name in braces stands for one segment that is not empty
-	Regexp   string // RE2, of the whole path
+	Host     string   // exact, as in rooms.example, or *.example for all its subdomains; without a port
+	Methods  []string // the method is one of these
+	// At most one of Path, Prefix, Segments and Regexp is set. Each is compared byte by byte with the path as received,
+	// which is neither decoded nor cleaned.
+	Path     string // equals the whole path
+	Prefix   string // of whole segments: /a matches /a and /a/b, but not /ab
+	Segments string // as in /rooms/{id}/book, where a name in braces matches one segment that is not empty
+	Regexp   string // in RE2 syntax; matches the whole path
 	Headers  []Condition
 	Query    []Condition
-	// Fraction is the part of requests, 0 to 1, that the route takes, by a hash of the tenant, the key or the ID, so that
-	// a client always gets the same route; 0 counts as 1. Routes with different HashSalt take independent fractions.
+	// Fraction is the fraction of requests, from 0 to 1, that the route matches; 0 means 1. Requests are selected by a
+	// hash of the tenant, the key or the ID, so that a client always gets the same route. Routes with different values
+	// of HashSalt select independently of one another.
 	Fraction float64
 	HashBy   HashInput
 	HashSalt string
 
 	Class   string
 	Pool    string
-	Timeout time.Duration // of the request; 0: that of its class
+	Timeout time.Duration // of the request; 0: the deadline of its class
 }
 
-// HashInput is the attribute of a request by which Route.Fraction selects it.
+// HashInput is the attribute of a request that is hashed for Route.Fraction.
 type HashInput uint8
 
-// The hash inputs. The tenant replaces a missing key, and the ID a missing tenant.
+// The hash inputs. A request without a key is hashed by its tenant, and one without a tenant by its ID.
 const (
 	HashByTenant HashInput = iota
 	HashByKey
@@ -49,12 +50,12 @@
 // Condition is a condition on a header or a query parameter.
 type Condition struct {
 	Name    string
-	Value   string // want this value, if neither Present nor Missing is set
-	Present bool   // want any value
-	Missing bool   // want none
+	Value   string // required value, if neither Present nor Missing is set
+	Present bool   // any value is accepted
+	Missing bool   // the header or parameter must be absent
 }
 
-// Request holds what a Table reads of a request.
+// Request holds the attributes of a request that routes match.
 type Request struct {
 	Listener string
 	Host     string // without a port, in lower case
@@ -67,14 +68,14 @@
 	ID       string
 }
 
-// Error says what is wrong with a route, and with which other one it conflicts.
+// Error describes an invalid route, or two routes that conflict.
 type Error struct {
 	RouteIndex, OtherIndex int // OtherIndex is -1 if there is no conflict
-	Line, OtherLine        int // in the configuration
+	Line, OtherLine        int // lines of the two routes in the configuration
 	Problem                string
 }
 
-// Error implements error.
+// Error returns the problem with the lines of the routes.
 func (e *Error) Error() string {
 	if e.OtherIndex < 0 {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Problem)
@@ -82,7 +83,8 @@
 	return fmt.Sprintf("line %d: %s line %d", e.Line, e.Problem, e.OtherLine)
 }
 
-// check returns what is wrong with a route on its own, except for its patterns.
+// check validates a route by itself. The syntax of Segments and Regexp is checked when the route is added to an
+// index.
 func (r *Route) check() error {
 	if err := r.checkPaths(); err != nil {
 		return err
@@ -107,8 +109,8 @@
 	return nil
 }
 
-// checkPaths checks that at most one path condition is set, and that it is unambiguous unless it is a regular
-// expression.
+// checkPaths checks that at most one path condition is set. Unless it is a regular expression, it must be a path that
+// CheckPath accepts.
 func (r *Route) checkPaths() error {
 	count := 0
 	for _, condition := range [...]struct{ key, value string }{
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -15,19 +15,19 @@
 	"pgregory.net/rapid"
 )
 
-// plainMatch is a matcher that goes through the routes one by one.
-func plainMatch(all []Route, req *Request) int {
+// linearMatch is the reference implementation of Table.Match: it checks the routes one by one.
+func linearMatch(all []Route, req *Request) int {
 	return slices.IndexFunc(all, func(route Route) bool {
-		return plainHostMatches(route.Host, req.Host) &&
+		return linearHostMatches(route.Host, req.Host) &&
 			(route.Listener == "" || route.Listener == req.Listener) &&
 			(len(route.Methods) == 0 || slices.Contains(route.Methods, req.Method)) &&
-			plainPathMatches(&route, req.Path) &&
-			plainConditionsHold(&route, req) &&
-			plainInFraction(&route, req)
+			linearPathMatches(&route, req.Path) &&
+			linearConditionsHold(&route, req) &&
+			linearInFraction(&route, req)
 	})
 }
 
-func plainHostMatches(host, got string) bool {
+func linearHostMatches(host, got string) bool {
 	suffix, wildcard := strings.CutPrefix(host, "*")
 	if wildcard {
 		return strings.HasSuffix(got, suffix) && len(got) > len(suffix)
@@ -35,7 +35,7 @@
 	return host == "" || host == got
 }
 
-func plainPathMatches(route *Route, path string) bool {
+func linearPathMatches(route *Route, path string) bool {
 	var pattern string
 	switch {
 	case route.Path != "":
@@ -52,12 +52,12 @@
 	return regexp.MustCompile(`(?s)\A(?:` + pattern + `)\z`).MatchString(path)
 }
 
-func plainConditionsHold(route *Route, req *Request) bool {
-	query, _ := url.ParseQuery(req.Query) // an error leaves the parameters that could be read
-	return plainAllHold(route.Headers, req.Header) && plainAllHold(route.Query, query)
+func linearConditionsHold(route *Route, req *Request) bool {
+	query, _ := url.ParseQuery(req.Query) // despite an error, the result has the parameters that could be parsed
+	return linearAllHold(route.Headers, req.Header) && linearAllHold(route.Query, query)
 }
 
-func plainAllHold(conditions []Condition, got map[string][]string) bool {
+func linearAllHold(conditions []Condition, got map[string][]string) bool {
 	for _, condition := range conditions {
 		values, present := got[condition.Name]
 		if condition.Missing == present {
@@ -70,7 +70,7 @@
 	return true
 }
 
-func plainInFraction(route *Route, req *Request) bool {
+func linearInFraction(route *Route, req *Request) bool {
 	input := req.Tenant
 	if route.HashBy == HashByKey && req.Key != "" {
 		input = req.Key
@@ -87,7 +87,7 @@
 	requestHosts = []string{"h.example", "b.example", "c.b.example", "example", "other"}
 )
 
-func drawPath(rng *rand.Rand, params bool) string {
+func randomPath(rng *rand.Rand, params bool) string {
 	var path strings.Builder
 	for n := range 1 + rng.IntN(3) {
 		if params && rng.IntN(3) == 0 {
@@ -99,15 +99,15 @@
 	return path.String()
 }
 
-func drawRoute(rng *rand.Rand, line int) Route {
+func randomRoute(rng *rand.Rand, line int) Route {
 	route := Route{Line: line, Class: fmt.Sprint("c", line), Host: hosts[rng.IntN(len(hosts))]}
 	switch rng.IntN(6) {
 	case 0, 1:
-		route.Path = drawPath(rng, false)
+		route.Path = randomPath(rng, false)
 	case 2:
-		route.Prefix = drawPath(rng, false)
+		route.Prefix = randomPath(rng, false)
 	case 3:
-		route.Segments = drawPath(rng, true)
+		route.Segments = randomPath(rng, true)
 	case 4:
 		route.Regexp = []string{"/a/.*", "/rooms/[a-z]+", ".*x1", "/(a|b)(/.*)?", "/a|/b/a"}[rng.IntN(5)]
 	}
@@ -115,10 +115,10 @@
 		route.Methods = []string{"GET", "POST"}[rng.IntN(2):][:1]
 	}
 	if rng.IntN(3) == 0 {
-		route.Headers = drawConditions(rng, "X-A", "X-B")
+		route.Headers = randomConditions(rng, "X-A", "X-B")
 	}
 	if rng.IntN(4) == 0 {
-		route.Query = drawConditions(rng, "q", "p")
+		route.Query = randomConditions(rng, "q", "p")
 	}
 	if rng.IntN(4) == 0 {
 		route.Fraction = []float64{0.1, 0.5, 0.9}[rng.IntN(3)]
@@ -128,7 +128,7 @@
 	return route
 }
 
-func drawConditions(rng *rand.Rand, names ...string) []Condition {
+func randomConditions(rng *rand.Rand, names ...string) []Condition {
 	condition := Condition{Name: names[rng.IntN(len(names))]}
 	switch rng.IntN(3) {
 	case 0:
@@ -141,11 +141,11 @@
 	return []Condition{condition}
 }
 
-func drawRequest(rng *rand.Rand) *Request {
+func randomRequest(rng *rand.Rand) *Request {
 	req := &Request{
 		Host:   requestHosts[rng.IntN(len(requestHosts))],
 		Method: []string{"GET", "POST", "PUT"}[rng.IntN(3)],
-		Path:   drawPath(rng, false),
+		Path:   randomPath(rng, false),
 		Query:  []string{"", "q=1", "q=a+b&p", "q=%31", "p=1&p=1", "q=a%20b", "q"}[rng.IntN(7)],
 		Tenant: fmt.Sprint(rng.IntN(9)),
 		ID:     fmt.Sprint(rng.IntN(99)),
@@ -162,8 +162,9 @@
 	return req
 }
 
-// A compiled table matches as the plain matcher does. REQUESTS in the environment is the number of requests.
-func TestMatch_EqualsPlainMatcher(t *testing.T) {
+// A compiled table finds the same routes as a linear search. The environment variable REQUESTS sets the number of
+// requests.
+func TestMatch_EqualsLinearSearch(t *testing.T) {
 	want := 20_000
 	if n, err := strconv.Atoi(os.Getenv("REQUESTS")); err == nil {
 		want = n
@@ -172,8 +173,8 @@
 	for seed, n := uint64(0), 0; n < want; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var all []Route
-		for line := range 1 + rng.IntN(25) { // routes that cannot be reached are left out
-			if next := append(all, drawRoute(rng, line)); reachable(t, next) {
+		for line := range 1 + rng.IntN(25) { // shadowed routes are left out
+			if next := append(all, randomRoute(rng, line)); reachable(t, next) {
 				all = next
 			}
 		}
@@ -186,10 +187,10 @@
 		}
 		for range 200 {
 			n++
-			req := drawRequest(rng)
-			got, want := table.Match(req), plainMatch(all, req)
+			req := randomRequest(rng)
+			got, want := table.Match(req), linearMatch(all, req)
 			if got != want {
-				t.Fatalf("seed %d: %+v is matched by %d, want %d of %+v", seed, req, got, want, all)
+				t.Fatalf("seed %d: request %+v matched route %d, want %d of %+v", seed, req, got, want, all)
 			}
 			if got >= 0 {
 				matched++
@@ -201,7 +202,7 @@
 	}
 }
 
-// reachable reports whether all routes can be reached. They must be valid.
+// reachable reports whether no route is shadowed by an earlier one. All routes must be valid.
 func reachable(t *testing.T, all []Route) bool {
 	t.Helper()
 	_, err := New(all)
@@ -212,18 +213,18 @@
 	return err == nil
 }
 
-// No request reaches a route that New rejects as unreachable.
+// If New rejects a route as unreachable, no request may match it.
 func TestNew_UnreachableRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-		all := []Route{drawRoute(rng, 1), drawRoute(rng, 2)}
+		all := []Route{randomRoute(rng, 1), randomRoute(rng, 2)}
 		_, err := New(all)
 		if err == nil {
 			return
 		}
 		for range 300 {
-			if req := drawRequest(rng); plainMatch(all, req) == 1 {
-				t.Fatalf("%v, but %+v reaches it", err, req)
+			if req := randomRequest(rng); linearMatch(all, req) == 1 {
+				t.Fatalf("%v, but request %+v reaches it", err, req)
 			}
 		}
 	})
@@ -263,7 +264,7 @@
 		"/a%00", "/%252e", "/%", "/%zz", "/a?b", "/a b", "/\x7f", "/é",
 	} {
 		if CheckPath(bad) == nil {
-			t.Errorf("%q passes", bad)
+			t.Errorf("%q: no error", bad)
 		}
 	}
 	for _, good := range []string{"/", "/a/", "/a/b.c", "/...", "/a%20b", "/.well-known/x", "/%7euser"} {
@@ -273,7 +274,7 @@
 	}
 }
 
-// A route takes its fraction of the tenants, and keeps them when the fraction grows.
+// A route matches its fraction of the tenants, and still matches the same tenants when the fraction grows.
 func TestMatch_Fraction(t *testing.T) {
 	matchedTenants := func(fraction float64) (tenants map[string]bool) {
 		tenants = make(map[string]bool)
@@ -292,18 +293,18 @@
 	for _, fraction := range []float64{0.1, 0.25, 0.5, 0.9} {
 		now := matchedTenants(fraction)
 		if got := float64(len(now)) / 20000; got < fraction-0.015 || got > fraction+0.015 {
-			t.Errorf("a fraction of %v takes %v", fraction, got)
+			t.Errorf("a fraction of %v matches %v of the tenants", fraction, got)
 		}
 		for tenant := range before {
 			if !now[tenant] {
-				t.Fatalf("%s is not matched any more with a fraction of %v", tenant, fraction)
+				t.Fatalf("tenant %s is no longer matched with a fraction of %v", tenant, fraction)
 			}
 		}
 		before = now
 	}
 }
 
-// largeTable returns a table of n routes over several hosts and services, and a request for each.
+// largeTable returns a table of n routes on several hosts, and a request for each route.
 func largeTable(tb testing.TB, n int) (*Table, []*Request) {
 	tb.Helper()
 	var all []Route
@@ -341,7 +342,7 @@
 		}
 	})
 	if allocs > 0 {
-		t.Errorf("%v allocations a request", allocs)
+		t.Errorf("%v allocations per call of three matches", allocs)
 	}
 }
 
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// checkShadowed returns an *Error for the first route that no request can reach because of an earlier one. Routes of
-// which the first segments differ cannot shadow one another, so each is compared only to earlier ones with the same
-// first segment, or with any.
+// checkShadowed returns an *Error for the first shadowed route, which no request can reach because an earlier route
+// matches all its requests. Routes with different fixed first segments cannot shadow one another, so each route is
+// compared only with earlier ones that have the same first segment or a variable one.
 func (t *Table) checkShadowed() error {
-	bySegment := make(map[string][]int32) // routes by a fixed first segment
-	var anySegment []int32                // routes whose first segment varies
+	bySegment := make(map[string][]int32) // routes by their fixed first segment
+	var anySegment []int32                // routes without a fixed first segment
 	for later := range t.routes {
 		route := &t.routes[later]
 		candidates := anySegment
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// shadowedError describes a route that is covered by an earlier one.
+// shadowedError returns the error for a route that an earlier one covers.
 func (t *Table) shadowedError(later, earlier int) error {
 	route, other := &t.routes[later], &t.routes[earlier]
 	problem := "unreachable: all its requests match the route of"
@@ -40,14 +40,15 @@
 	return &Error{RouteIndex: later, OtherIndex: earlier, Line: route.Line, OtherLine: other.Line, Problem: problem}
 }
 
-// mergeSorted returns two ascending lists as one.
+// mergeSorted merges two ascending lists into a new one.
 func mergeSorted(a, b []int32) []int32 {
 	merged := append(slices.Clone(a), b...)
 	slices.Sort(merged)
 	return merged
 }
 
-// firstSegment returns the first segment of the paths that a route matches; fixed is false if they differ in it.
+// firstSegment returns the first segment of the paths that a route matches. fixed is false if the route matches paths
+// with different first segments.
 func (r *Route) firstSegment() (segment string, fixed bool) {
 	path := r.Path + r.Prefix + r.Segments
 	if len(path) < 2 {
@@ -57,8 +58,8 @@
 	return segment, segment[0] != '{'
 }
 
-// covers reports whether r matches every request that other matches. It may return false although r does: different
-// regular expressions are not compared.
+// covers reports whether r matches every request that other matches. It may return false for a route that does, because
+// it does not compare different regular expressions.
 func (r *Route) covers(other *Route) bool {
 	if r.Fraction < 1 && (r.Fraction < other.Fraction || r.HashBy != other.HashBy || r.HashSalt != other.HashSalt) {
 		return false
@@ -86,7 +87,7 @@
 	return len(other) > 0 && !slices.ContainsFunc(other, isMissing)
 }
 
-// conditionsCover reports whether each condition holds whenever all other ones do.
+// conditionsCover reports whether each of the conditions holds for every request for which all of other hold.
 func conditionsCover(conditions, other []Condition) bool {
 	for _, condition := range conditions {
 		implied := func(o Condition) bool {
@@ -114,8 +115,8 @@
 	return segmentsCover(r.Segments, other.Path+other.Segments)
 }
 
-// segmentsCover reports whether a pattern of segments matches a path, or all paths of another pattern. An empty path,
-// of a route with a prefix, is not covered: it matches paths of any length.
+// segmentsCover reports whether a pattern of segments matches a path, or every path that another pattern matches. The
+// path is empty for a route with Prefix or Regexp, which is not covered because it may match paths of any length.
 func segmentsCover(pattern, path string) bool {
 	if path == "" {
 		return false
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -7,32 +7,32 @@
 	"strings"
 )
 
-// Table is a compiled table of routes. It is immutable, and safe for concurrent use.
+// Table is a compiled table of routes. It is immutable and safe for concurrent use.
 type Table struct {
 	routes    []Route
-	regexps   []*regexp.Regexp  // by index of the route; nil for routes without one
+	regexps   []*regexp.Regexp  // by index of the route; nil if it has no Regexp
 	hosts     map[string]*index // by exact host
-	wildcards map[string]*index // by the part of the host after *.
+	wildcards map[string]*index // by the part of the wildcard after "*."
 	anyHost   index
 }
 
-// index finds the routes for a path. Each list is in ascending order.
+// index finds the routes that may match a path. Each list holds indexes of routes in ascending order.
 type index struct {
 	exact map[string][]int32
 	trie  node
-	other []int32 // routes for any path, and regular expressions without a literal prefix of whole segments
+	other []int32 // routes without a path condition, and those whose Regexp has no literal prefix of whole segments
 }
 
-// node is a segment of paths in a trie.
+// node is a node of a trie whose edges are path segments.
 type node struct {
-	next     map[string]*node
-	param    *node   // any segment that is not empty
-	segments []int32 // routes whose Segments end here
-	prefixes []int32 // routes whose Prefix, or literal prefix, ends here
+	children  map[string]*node
+	parameter *node   // child for any segment that is not empty
+	segments  []int32 // routes whose Segments end here
+	prefixes  []int32 // routes whose Prefix, or the literal prefix of whose Regexp, ends here
 }
 
-// New compiles a table. Errors are of type *Error: an invalid route, a route that no request can reach because of an
-// earlier one, or two with the same conditions and different results.
+// New compiles a table. It returns an *Error for an invalid route, for a route that no request can reach because an
+// earlier route matches all its requests, and for two routes with the same conditions but different results.
 func New(all []Route) (*Table, error) {
 	table := &Table{
 		routes:    slices.Clone(all),
@@ -51,13 +51,13 @@
 	return table, nil
 }
 
-// Route returns a route by its index.
+// Route returns the route at an index that Match has returned.
 func (t *Table) Route(n int) *Route { return &t.routes[n] }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// add checks and normalizes a route, and adds it to the index of its host.
+// add validates and normalizes a route, and adds it to the index of its host.
 func (t *Table) add(i int) error {
 	route := &t.routes[i]
 	if err := route.check(); err != nil {
@@ -72,7 +72,7 @@
 	return t.addPath(t.hostIndex(route.Host), route, i)
 }
 
-// hostIndex returns the index of a host, and creates it if there is none.
+// hostIndex returns the index of a host, and creates it if it does not exist.
 func (t *Table) hostIndex(host string) *index {
 	if host == "" {
 		return &t.anyHost
@@ -88,7 +88,7 @@
 	return byName[name]
 }
 
-// addPath adds a route to an index by its path condition.
+// addPath adds a route to the lists of an index that fit its path condition.
 func (t *Table) addPath(index *index, route *Route, i int) error {
 	number := int32(i)
 	switch {
@@ -115,14 +115,15 @@
 	return nil
 }
 
-// addRegexp compiles a regular expression. If it begins with literal whole segments, these select it.
+// addRegexp compiles a route's regular expression. If it begins with whole literal segments, the route is added to
+// their node, so that only paths below it are matched against the expression.
 func (t *Table) addRegexp(index *index, text string, number int32) error {
 	anchored, err := regexp.Compile(`\A(?:` + text + `)\z`)
 	if err != nil {
 		return fmt.Errorf("regexp: %s", strings.TrimPrefix(err.Error(), "error parsing regexp: "))
 	}
 	t.regexps[number] = anchored
-	plain, err := regexp.Compile(text) // an anchored expression has no LiteralPrefix
+	plain, err := regexp.Compile(text) // LiteralPrefix returns nothing for an anchored expression
 	if err != nil {
 		return fmt.Errorf("regexp: %w", err)
 	}
@@ -140,23 +141,23 @@
 	end.prefixes = append(end.prefixes, number)
 }
 
-// descend returns the node of a path, and creates the nodes on the way to it.
+// descend returns the node of a path. It creates the nodes on the way that do not exist.
 func (n *node) descend(path string) *node {
 	for _, segment := range strings.Split(path[1:], "/") {
 		if strings.HasPrefix(segment, "{") {
-			if n.param == nil {
-				n.param = &node{}
+			if n.parameter == nil {
+				n.parameter = &node{}
 			}
-			n = n.param
+			n = n.parameter
 			continue
 		}
-		if n.next == nil {
-			n.next = make(map[string]*node)
+		if n.children == nil {
+			n.children = make(map[string]*node)
 		}
-		if n.next[segment] == nil {
-			n.next[segment] = &node{}
+		if n.children[segment] == nil {
+			n.children[segment] = &node{}
 		}
-		n = n.next[segment]
+		n = n.children[segment]
 	}
 	return n
 }
