--- a/internal/identity/anonymous_test.go
+++ b/internal/identity/anonymous_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A client keeps its name while it is active, two clients never have the same one except the shared one, and the number
-// of names is bounded.
+// A client keeps its name while it is active, no two clients have the same name except SharedTenant, and the number of
+// names is bounded.
 func TestAnonymousTenants_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxNames := rapid.IntRange(16, 200).Draw(t, "maxNames")
@@ -29,25 +29,25 @@
 			name := tenants.Tenant(network, now)
 			was, ok := names[network]
 			if ok && was.name != SharedTenant && now-was.last < time.Minute && name != was.name {
-				t.Fatalf("%v was %s %v ago, and is %s", network, was.name, now-was.last, name)
+				t.Fatalf("%v had the name %s %v ago, and now has %s", network, was.name, now-was.last, name)
 			}
 			if name != SharedTenant {
 				for other, assigned := range names {
 					if other != network && assigned.name == name && now-assigned.last < time.Minute {
-						t.Fatalf("%v and %v are both %s", network, other, name)
+						t.Fatalf("%v and %v both have the name %s", network, other, name)
 					}
 				}
 			}
 			names[network] = assignment{name, now}
-			if n := tenants.Len(); n > max(maxNames, shards) {
-				t.Fatalf("%d names, want %d at most", n, maxNames)
+			if n := tenants.Len(); n > max(maxNames, shardCount) {
+				t.Fatalf("%d names, want at most %d", n, maxNames)
 			}
 		}
 	})
 }
 
-// With a million distinct clients, the names kept and their memory stay within their bounds, and are released after the
-// clients have become silent.
+// With a million distinct clients, the number of names and their memory stay within bounds, and the names are released
+// once the clients send no more requests.
 func TestAnonymousTenants_MemoryIsBounded(t *testing.T) {
 	tenants := NewAnonymousTenants(10_000, time.Minute)
 	heap := func() float64 {
@@ -59,26 +59,26 @@
 	before, shared := heap(), 0
 	for i := range 1_000_000 {
 		network := netip.PrefixFrom(netip.AddrFrom16([16]byte{0x20, 1, byte(i >> 16), byte(i >> 8), byte(i)}), 64)
-		if tenants.Tenant(network, time.Duration(i)*100*time.Microsecond) == SharedTenant { // ten thousand a second
+		if tenants.Tenant(network, time.Duration(i)*100*time.Microsecond) == SharedTenant { // 10,000 clients a second
 			shared++
 		}
 	}
 	if tenants.Len() > 10_000 {
-		t.Errorf("%d names", tenants.Len())
+		t.Errorf("%d names are kept, want at most 10,000", tenants.Len())
 	}
 	grown := heap() - before
-	t.Logf("%d names kept, %.1f MB; %d of 1,000,000 shared one", tenants.Len(), grown, shared)
+	t.Logf("%d names kept, %.1f MB; %d of 1,000,000 clients shared a name", tenants.Len(), grown, shared)
 	if grown > 16 {
-		t.Errorf("%.1f MB are kept", grown)
+		t.Errorf("the names occupy %.1f MB, want at most 16", grown)
 	}
 	last := netip.MustParsePrefix("2001:db8::/64")
 	tenants.Tenant(last, time.Hour)
-	for i := range tenants.shards { // a shard expires names when it is used
+	for i := range tenants.shards { // a shard expires its names only when it is used
 		for k := 0; tenants.shards[i].startedAt < time.Hour; k++ {
 			tenants.Tenant(netip.MustParsePrefix(fmt.Sprintf("2001:db8:%x::/64", k&0xffff)), time.Hour)
 		}
 	}
 	if n := tenants.Len(); n > 1000 {
-		t.Errorf("%d names an hour later", n)
+		t.Errorf("%d names are kept an hour later, want at most 1000", n)
 	}
 }
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -1,9 +1,9 @@
-// Package identity determines which tenant a request belongs to, by layers in the operator's order: a header, a
-// session cookie, a bearer token, an API key, the client's address, a client certificate. The result is a configured
+// Package identity determines which tenant a request belongs to. It tries layers in the operator's order: a header, a
+// session cookie, a bearer token, an API key, the client's address, or a client certificate. The result is a configured
 // tenant, or an anonymous one. The package does no I/O and reads no clock.
 //
 // Secrets are stored as SHA-256 hashes only. A header that names the tenant is accepted from trusted proxies only. A
-// client's address is the one that the last trusted hop has seen, read from the right of the forwarding header.
+// client's address is the one that the last trusted hop has seen; the forwarding header is read from right to left.
 package identity
 
 import (
@@ -16,54 +16,54 @@
 	"strings"
 )
 
-// Kind is what a layer looks at.
+// Kind is the attribute of a request that a layer examines.
 type Kind uint8
 
 // The kinds of layer.
 const (
-	Header      Kind = iota // a header whose value is the tenant's name, from trusted proxies only
+	Header      Kind = iota // a header whose value is the tenant's name; accepted from trusted proxies only
 	Cookie                  // a session cookie, listed by its hash
-	Bearer                  // the token of Authorization: Bearer, listed by its hash
-	APIKey                  // a header that holds a key, listed by its hash
-	Address                 // the client's address, listed by prefix
-	Certificate             // a name of the client's certificate
+	Bearer                  // the bearer token in the Authorization header, listed by its hash
+	APIKey                  // a header whose value is a key, listed by its hash
+	Address                 // the client's address, listed by network prefix
+	Certificate             // a name in the client's certificate
 )
 
 var kindNames = [...]string{"header", "cookie", "bearer", "api key", "address", "certificate"}
 
-// String returns the name of the kind.
+// String returns the name of the kind for error messages.
 func (k Kind) String() string { return kindNames[k] }
 
 // Layer is one way to identify a tenant.
 type Layer struct {
 	Kind     Kind
-	Name     string            // of the header or cookie, for Header, Cookie and APIKey
-	Secrets  map[string]string // hexadecimal SHA-256 to tenant, for Cookie, Bearer and APIKey
-	Networks map[string]string // prefix or address to tenant, for Address
-	Names    map[string]string // name in a certificate to tenant, for Certificate
+	Name     string            // name of the header or cookie, for Header, Cookie and APIKey
+	Secrets  map[string]string // tenant by hexadecimal SHA-256, for Cookie, Bearer and APIKey
+	Networks map[string]string // tenant by prefix or address, for Address
+	Names    map[string]string // tenant by name in the certificate, for Certificate
 }
 
 // Config configures a Resolver.
 type Config struct {
-	Layers  []Layer  // the first one that finds a tenant decides
-	Tenants []string // all tenants
-	Trusted []string // prefixes and addresses of the proxies that may set headers for others
-	// Forwarded is the header with the hops: "X-Forwarded-For", "Forwarded", or empty for none. Other headers are ignored,
-	// because a proxy passes on those that it does not set itself.
+	Layers  []Layer  // in order; the first layer that finds a tenant determines it
+	Tenants []string // names of all tenants
+	Trusted []string // prefixes and addresses of proxies whose tenant and forwarding headers are believed
+	// Forwarded is the header that lists the hops: "X-Forwarded-For", "Forwarded", or empty for none. Only one is read,
+	// because a proxy passes on the headers that it does not set itself, which a client may have forged.
 	Forwarded string
-	Bits4     int // how many bits of an IPv4 address identify an anonymous client; 0: 32
-	Bits6     int // of an IPv6 address; 0: 64, the usual prefix of one subscriber
+	IPv4Bits  int // bits of an IPv4 address that identify an anonymous client; 0: 32
+	IPv6Bits  int // bits of an IPv6 address that do so; 0: 64, the usual prefix of one subscriber
 }
 
 const (
-	defaultBits4, defaultBits6 = 32, 64
-	minBits4, minBits6         = 8, 16
+	defaultIPv4Bits, defaultIPv6Bits = 32, 64
+	minIPv4Bits, minIPv6Bits         = 8, 16
 )
 
-// layer is a Layer with its lists compiled.
+// layer is a Layer with its lists compiled for lookups.
 type layer struct {
 	Layer
-	secrets  map[[sha256.Size]byte]string // hash to tenant
+	secrets  map[[sha256.Size]byte]string // tenant by hash
 	networks []networkTenant              // longest prefix first
 }
 
@@ -72,10 +72,10 @@
 	tenant string
 }
 
-// New compiles a configuration. Errors name the field, and the layer by its index.
+// New compiles a configuration. Errors name the field, and the layer by its index if one is concerned.
 func New(config Config) (*Resolver, error) {
 	resolver := &Resolver{tenants: make(map[string]bool)}
-	if err := resolver.setBits(config.Bits4, config.Bits6); err != nil {
+	if err := resolver.setPrefixBits(config.IPv4Bits, config.IPv6Bits); err != nil {
 		return nil, err
 	}
 	switch config.Forwarded {
@@ -104,21 +104,21 @@
 	return resolver, nil
 }
 
-func (r *Resolver) setBits(bits4, bits6 int) error {
-	if bits4 == 0 {
-		bits4 = defaultBits4
+func (r *Resolver) setPrefixBits(ipv4Bits, ipv6Bits int) error {
+	if ipv4Bits == 0 {
+		ipv4Bits = defaultIPv4Bits
 	}
-	if bits6 == 0 {
-		bits6 = defaultBits6
+	if ipv6Bits == 0 {
+		ipv6Bits = defaultIPv6Bits
 	}
-	if bits4 < minBits4 || bits4 > 32 || bits6 < minBits6 || bits6 > 128 {
-		return fmt.Errorf("bits: want 8 to 32 and 16 to 128, got %d and %d", bits4, bits6)
+	if ipv4Bits < minIPv4Bits || ipv4Bits > 32 || ipv6Bits < minIPv6Bits || ipv6Bits > 128 {
+		return fmt.Errorf("bits: want 8 to 32 for IPv4 and 16 to 128 for IPv6, got %d and %d", ipv4Bits, ipv6Bits)
 	}
-	r.bits4, r.bits6 = bits4, bits6
+	r.ipv4Bits, r.ipv6Bits = ipv4Bits, ipv6Bits
 	return nil
 }
 
-// compileLayer checks a layer and compiles its lists. Errors begin with the field.
+// compileLayer validates a layer and compiles its lists. Errors begin with the name of the key.
 func (r *Resolver) compileLayer(source Layer) (layer, error) {
 	compiled := layer{Layer: source, secrets: make(map[[sha256.Size]byte]string)}
 	needsName := source.Kind == Header || source.Kind == Cookie || source.Kind == APIKey
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// parsePrefix parses a prefix whose host bits are zero, or an address as the prefix of its full length.
+// parsePrefix parses a prefix whose host bits are zero, or an address as a prefix of full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if !strings.Contains(text, "/") {
 		addr, err := netip.ParseAddr(text)
--- a/internal/identity/forwarded.go
+++ b/internal/identity/forwarded.go
@@ -5,11 +5,12 @@
 	"strings"
 )
 
-// maxHops is how many hops of a forwarding header are read.
+// maxHops is the number of hops of a forwarding header that are read. It bounds the work for a request.
 const maxHops = 32
 
-// clientAddress returns the address that the last trusted hop has seen. Hops are read from the right, each one believed
-// if the one that reports it is trusted. A hop that cannot be parsed ends that, and the one before it is the result.
+// clientAddress returns the address that the last trusted hop has seen. Hops are read from right to left, and a hop is
+// accepted if the one that reports it is trusted. Reading stops at a hop that cannot be parsed, and the last accepted
+// address is the result.
 func (r *Resolver) clientAddress(peer netip.Addr, header map[string][]string) netip.Addr {
 	if r.forwarded == "" {
 		return peer
@@ -33,7 +34,7 @@
 	return client
 }
 
-// cutLast splits s at the last separator; found is false if there is none, and after is all of s.
+// cutLast splits s at the last separator. If there is none, found is false and after is all of s.
 func cutLast(s string, separator byte) (before, after string, found bool) {
 	at := strings.LastIndexByte(s, separator)
 	if at < 0 {
@@ -51,11 +52,11 @@
 			return netip.Addr{}, false
 		}
 	}
-	if rest, ok := strings.CutPrefix(text, "["); ok { // IPv6, maybe with a port
+	if rest, ok := strings.CutPrefix(text, "["); ok { // IPv6 address, possibly with a port
 		if text, _, ok = strings.Cut(rest, "]"); !ok {
 			return netip.Addr{}, false
 		}
-	} else if strings.Count(text, ":") == 1 { // IPv4 with a port
+	} else if strings.Count(text, ":") == 1 { // IPv4 address with a port
 		text, _, _ = strings.Cut(text, ":")
 	}
 	addr, err := netip.ParseAddr(text)
@@ -65,8 +66,8 @@
 	return addr.Unmap(), true
 }
 
-// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), empty if there is none;
-// false if there are several.
+// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), which is empty if there is
+// none. ok is false if there are several.
 func forwardedNode(element string) (node string, ok bool) {
 	for _, pair := range strings.Split(element, ";") {
 		key, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/identity/resolve.go
+++ b/internal/identity/resolve.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// maxSecretSize is the size beyond which a secret is not hashed, in bytes.
+// maxSecretSize is the size in bytes beyond which a secret is not hashed, and so never matches.
 const maxSecretSize = 16 << 10
 
-// Resolver determines the tenants of requests. It is immutable, and safe for concurrent use.
+// Resolver determines the tenants of requests. It is immutable and safe for concurrent use.
 type Resolver struct {
 	layers    []layer
 	tenants   map[string]bool
 	trusted   []netip.Prefix
-	forwarded string // header; empty: none
-	bits4     int
-	bits6     int
+	forwarded string // name of the forwarding header; empty: none is read
+	ipv4Bits  int
+	ipv6Bits  int
 }
 
-// Request holds what a Resolver reads of a request.
+// Request holds the attributes of a request that a Resolver reads.
 type Request struct {
-	Peer   netip.Addr          // address of the connection
+	Peer   netip.Addr          // remote address of the connection
 	Header map[string][]string // by canonical name
-	Names  []string            // in the verified certificate of the client's connection
+	Names  []string            // names in the client's certificate, if it was verified
 }
 
-// Identity says to which tenant a request belongs.
+// Identity is the result of Resolve: the tenant of a request, or the network of an anonymous client.
 type Identity struct {
 	Tenant  string       // empty for an anonymous client
 	Layer   int          // index of the layer that found Tenant; -1 for an anonymous client
-	Kind    Kind         // of that layer
-	Client  netip.Addr   // as seen by the last trusted hop
-	Network netip.Prefix // of an anonymous client: the part of its address that identifies it
+	Kind    Kind         // kind of that layer
+	Client  netip.Addr   // address that the last trusted hop has seen
+	Network netip.Prefix // prefix of Client that identifies an anonymous client
 }
 
 // Resolve returns the identity of a request.
@@ -49,15 +49,15 @@
 			return found
 		}
 	}
-	bits := r.bits4
+	bits := r.ipv4Bits
 	if found.Client.Is6() {
-		bits = r.bits6
+		bits = r.ipv6Bits
 	}
-	found.Network, _ = found.Client.Prefix(bits) // fails only for the zero address, with the zero prefix
+	found.Network, _ = found.Client.Prefix(bits) // fails only for the zero address, and then returns the zero prefix
 	return found
 }
 
-// tenantByLayer returns the tenant that one layer finds; empty if it finds none.
+// tenantByLayer returns the tenant that one layer finds, or an empty string.
 func (r *Resolver) tenantByLayer(by *layer, req *Request, trusted bool, client netip.Addr) string {
 	switch by.Kind {
 	case Header:
@@ -78,7 +78,8 @@
 	return ""
 }
 
-// tenantBySecret finds a secret by its hash, so that the time taken reveals nothing about the listed ones.
+// tenantBySecret looks a secret up by its hash, so that the time that the lookup takes reveals nothing about the listed
+// secrets.
 func (l *layer) tenantBySecret(secret string) string {
 	if secret == "" || len(secret) > maxSecretSize {
 		return ""
@@ -86,8 +87,8 @@
 	return l.secrets[sha256.Sum256([]byte(secret))]
 }
 
-// tenantByCertificate returns the tenant of a certificate's names. Names of different tenants are ambiguous, and find
-// none.
+// tenantByCertificate returns the tenant to which the names in a certificate belong. If they belong to different
+// tenants, it returns an empty string.
 func (l *layer) tenantByCertificate(names []string) string {
 	found := ""
 	for _, name := range names {
@@ -112,7 +113,8 @@
 	return ""
 }
 
-// singleValue returns the value of a header that occurs once. Of two, another server might use the other one.
+// singleValue returns the value of a header that occurs once. If it occurs several times, the result is empty, because
+// the server behind the router might use another of the values.
 func singleValue(header map[string][]string, name string) string {
 	if values := header[name]; len(values) == 1 {
 		return values[0]
@@ -129,7 +131,8 @@
 	return strings.TrimSpace(value[len(scheme):])
 }
 
-// singleCookie returns the value of a cookie that occurs once in all Cookie headers together.
+// singleCookie returns the value of a cookie that occurs exactly once in all Cookie headers together, or an empty
+// string.
 func singleCookie(header map[string][]string, name string) (value string) {
 	count := 0
 	for _, line := range header["Cookie"] {
--- a/internal/identity/resolve_test.go
+++ b/internal/identity/resolve_test.go
@@ -37,7 +37,7 @@
 
 type header = map[string][]string
 
-// Addresses of peers, and the networks that identify them if they are anonymous.
+// Addresses of peers, and the networks that identify them as anonymous clients.
 const (
 	client, proxy                   = "203.0.113.5", "10.1.2.3"
 	clientNet, proxyNet, anotherNet = client + "/32", proxy + "/32", "203.0.113.9/32"
@@ -46,7 +46,7 @@
 type resolveTest struct {
 	forwarded, peer string
 	header          header
-	want            string // tenant, or the network of an anonymous client
+	want            string // the tenant, or the network of an anonymous client
 }
 
 func runResolveTests(t *testing.T, tests map[string]resolveTest) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// Clients are identified by each kind of layer, and cannot pass as others.
+// Each kind of layer identifies clients, and a client cannot impersonate another tenant.
 func TestResolve_Layers(t *testing.T) {
 	longSecret := strings.Repeat("x", 16<<10+1)
 	bearer := []string{"Bearer token-stol"}
@@ -95,7 +95,7 @@
 	})
 }
 
-// The client's address is read from the forwarding header that is configured, as far as hops are trusted.
+// The client's address is read from the configured forwarding header, as far as its hops are trusted.
 func TestResolve_ForwardingHeaders(t *testing.T) {
 	const xffName = "X-Forwarded-For"
 	manyHops := "198.51.100.1" + strings.Repeat(", 10.0.0.1", 10000)
@@ -133,7 +133,7 @@
 		`unknown tenant "b"`:         {Layers: []Layer{{Kind: Address, Networks: map[string]string{"10.0.0.1": "b"}}}},
 		"prefix without host bits":   {Trusted: []string{"10.0.0.1/8"}},
 		"X-Forwarded-For, Forwarded": {Forwarded: "X-Real-Ip"},
-		"bits":                       {Bits6: 200},
+		"bits":                       {IPv6Bits: 200},
 	} {
 		if _, err := New(config); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
@@ -158,7 +158,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if resolver.Resolve(req).Tenant != "a" {
-			b.Fatal("not found")
+			b.Fatal("the tenant was not found")
 		}
 	}
 }
