--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// searchNode searches the routes of a trie node and of the nodes below it that match the rest of the path. done reports
-// whether the whole path has been consumed.
+// searchNode searches the routes of a trie node and of the nodes below it that match the rest of the path. done
+// reports whether the whole path has been consumed.
 func (s *search) searchNode(n *node, rest string, done bool) {
 	s.matchFirst(n.prefixes)
 	if done {
--- a/internal/routes/path.go
+++ b/internal/routes/path.go
@@ -11,9 +11,9 @@
 var ErrAmbiguousPath = errors.New("the path can be read in two ways")
 
 // CheckPath rejects paths that a server may interpret differently from Table: paths with empty segments, plain or
-// encoded dot segments, encoded slashes, backslashes, NULs or percent signs, or bytes that are not allowed in a path. A
-// path that passes is matched and forwarded unchanged. Errors wrap ErrAmbiguousPath, except for a path that does not
-// begin with a slash.
+// encoded dot segments, encoded slashes, backslashes, NULs or percent signs, or bytes that are not allowed in a path.
+// A path that passes is matched and forwarded unchanged. Errors wrap ErrAmbiguousPath, except for a path that does
+// not begin with a slash.
 func CheckPath(path string) error {
 	if path == "" || path[0] != '/' {
 		return fmt.Errorf("want a path from /, got %q", path)
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -58,8 +58,8 @@
 	return segment, segment[0] != '{'
 }
 
-// covers reports whether r matches every request that other matches. It may return false for a route that does, because
-// it does not compare different regular expressions.
+// covers reports whether r matches every request that other matches. It may return false for a route that does,
+// because it does not compare different regular expressions.
 func (r *Route) covers(other *Route) bool {
 	if r.Fraction < 1 && (r.Fraction < other.Fraction || r.HashBy != other.HashBy || r.HashSalt != other.HashSalt) {
 		return false
