--- a/internal/identity/anonymous.go
+++ b/internal/identity/anonymous.go
@@ -73,8 +73,8 @@
 	s.startedAt = now
 }
 
-// id returns the ID of a network. It moves an ID of the previous generation to the current one, and assigns a new ID if
-// there is space. The caller holds s.mu.
+// id returns the ID of a network. It moves an ID of the previous generation to the current one, and assigns a new ID
+// if there is space. The caller holds s.mu.
 func (s *shard) id(network netip.Prefix) (id uint32, ok bool) {
 	if id, ok := s.current[network]; ok {
 		return id, true
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -1,6 +1,6 @@
 // Package identity determines which tenant a request belongs to. It tries layers in the operator's order: a header, a
-// session cookie, a bearer token, an API key, the client's address, or a client certificate. The result is a configured
-// tenant, or an anonymous one. The package does no I/O and reads no clock.
+// session cookie, a bearer token, an API key, the client's address, or a client certificate. The result is a
+// configured tenant, or an anonymous one. The package does no I/O and reads no clock.
 //
 // Secrets are stored as SHA-256 hashes only. A header that names the tenant is accepted from trusted proxies only. A
 // client's address is the one that the last trusted hop has seen; the forwarding header is read from right to left.
--- a/internal/identity/forwarded.go
+++ b/internal/identity/forwarded.go
@@ -66,8 +66,8 @@
 	return addr.Unmap(), true
 }
 
-// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), which is empty if there is
-// none. ok is false if there are several.
+// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), which is empty if there
+// is none. ok is false if there are several.
 func forwardedNode(element string) (node string, ok bool) {
 	for _, pair := range strings.Split(element, ";") {
 		key, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/identity/resolve.go
+++ b/internal/identity/resolve.go
@@ -78,8 +78,8 @@
 	return ""
 }
 
-// tenantBySecret looks a secret up by its hash, so that the time that the lookup takes reveals nothing about the listed
-// secrets.
+// tenantBySecret looks a secret up by its hash, so that the time that the lookup takes reveals nothing about the
+// listed secrets.
 func (l *layer) tenantBySecret(secret string) string {
 	if secret == "" || len(secret) > maxSecretSize {
 		return ""
