--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -1,18 +1,18 @@
-// Package nodeconfig reads the operator's own file, deploy/wayhold.toml, as far as it has what the platform's
-// configuration does not say. All of it is optional, and an empty file changes nothing. The tables of a node that
-// stands alone are read by package standalone.
+// Package nodeconfig reads the settings in the operator's own file, deploy/wayhold.toml, that the platform's
+// configuration does not have. All of them are optional, and an empty file changes nothing. Package standalone reads
+// the tables of a standalone node, which has no platform.
 package nodeconfig
 
 import "reflect"
 
-// File is the content of the file.
+// File holds the settings that this package reads from the operator's own file.
 type File struct {
 	Log      Log
 	Drain    Drain
 	XDS      XDS
 	Msgpack  Msgpack
-	AdminAPI AdminAPI // table [door]
-	TLS      any      // as decoded, to tell whether it has changed; read by package standalone
+	AdminAPI AdminAPI // the table [door]
+	TLS      any      // the decoded table, to detect changes; package standalone interprets it
 }
 
 // Log configures logging.
@@ -21,22 +21,22 @@
 	Format Format // text if not set
 }
 
-// Drain configures the shutdown after SIGTERM, and drains by the admin API.
+// Drain configures the drain after SIGTERM and drains requested over the admin API.
 type Drain struct {
-	AnnounceFor Duration // how long the node serves while it reports that it is not ready; not set: the node's default
-	Timeout     Duration // of the whole drain; not set: the node's default
-	StateFile   string   // exists during a drain by the admin API, so that a restarted node continues it
+	AnnounceFor Duration // how long a draining node still serves as before; not set: the node's default
+	Timeout     Duration // limit for the whole drain; not set: the node's default
+	StateFile   string   // exists during a drain requested over the admin API, so that a restarted node continues it
 }
 
-// XDS configures the discovery of servers by xDS. The source is either a control plane, or files.
+// XDS configures the discovery of servers by xDS, either from a control plane or from files.
 type XDS struct {
-	Bootstrap       string            // path of the standard bootstrap JSON, for a control plane
-	CAFile          string            // PEM, for control planes with channel_creds tls; empty: the system's authorities
-	Delta           bool              // use the incremental variant of the protocol
-	CacheDir        string            // where the last list is stored; empty: nowhere
-	Files           []string          // DiscoveryResponse files, in place of a control plane
-	WithoutPlatform bool              // servers come from xDS only, and not from the platform's registry as well
-	ClusterByClass  map[string]string // the cluster to which a class is bound
+	Bootstrap       string            // path of the xDS bootstrap file (JSON) of a control plane
+	CAFile          string            // PEM, for channel_creds tls; empty: the system's authorities
+	Delta           bool              // use incremental (delta) xDS
+	CacheDir        string            // directory where the last endpoint list is stored; empty: it is not stored
+	Files           []string          // DiscoveryResponse files, instead of a control plane
+	WithoutPlatform bool              // servers come from xDS only, not from the platform's registry as well
+	ClusterByClass  map[string]string // name of the cluster that serves a class, by class
 }
 
 // Enabled reports whether servers are discovered by xDS.
@@ -44,24 +44,24 @@
 
 // Msgpack configures MessagePack-RPC.
 type Msgpack struct {
-	Listen          string   // IP:port, or the absolute path of a Unix socket; empty: no clients
+	Listen          string   // IP:port, or the absolute path of a Unix socket; empty: no listener for clients
 	MaxConns        int      // open client connections; 0: the node's default
-	MaxCallsPerConn int      // open calls on a client connection; 0: the node's default
-	ServerKinds     []string // kinds of app servers that are called by MessagePack-RPC
+	MaxCallsPerConn int      // concurrent calls on one client connection; 0: the node's default
+	ServerKinds     []string // kinds of app servers that are called over MessagePack-RPC
 }
 
 // Enabled reports whether clients or servers use MessagePack-RPC.
 func (m Msgpack) Enabled() bool { return m.Listen != "" || len(m.ServerKinds) > 0 }
 
-// AdminAPI says where the admin API listens.
+// AdminAPI configures where the admin API listens.
 type AdminAPI struct {
 	Socket    string // absolute path of a Unix socket
 	Listen    string // IP:port on loopback; requires TokenFile
-	TokenFile string // its first line is the bearer token of requests over Listen
+	TokenFile string // its first line is the bearer token that requests over Listen need
 }
 
-// RestartKeys returns the keys that differ between the file of the start and one that was read again, and that take
-// effect at a start only.
+// RestartKeys returns the keys that take effect only at a restart and whose values differ between the running
+// configuration and a reloaded file.
 func RestartKeys(running, reloaded File) (keys []string) {
 	for _, setting := range []struct {
 		key          string
--- a/internal/nodeconfig/file_test.go
+++ b/internal/nodeconfig/file_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// TestParse_EmptyFile checks that an empty file, or none, sets nothing, and that a duration of 0 differs from none.
+// TestParse_EmptyFile checks that an empty file, or no file, sets nothing, and that a duration of 0 differs from a
+// duration that is not set.
 func TestParse_EmptyFile(t *testing.T) {
 	for _, text := range []string{"", "# only words\n", "[log]\n[drain]\n"} {
 		if file, err := Parse([]byte(text)); err != nil || !reflect.DeepEqual(file, File{}) {
@@ -34,11 +35,12 @@
 		t.Errorf("no file: %+v, %v", file, err)
 	}
 	if file, err := Parse([]byte("[drain]\nleave = \"0s\"")); err != nil || !file.Drain.AnnounceFor.Set {
-		t.Errorf("a leave of 0: %+v, %v; want it set", file.Drain.AnnounceFor, err)
+		t.Errorf("leave = 0s: %+v, %v; want it marked as set", file.Drain.AnnounceFor, err)
 	}
 }
 
-// TestParse_ErrorsNameLineAndKey checks that errors are one line, which names the file, the line and the key.
+// TestParse_ErrorsNameLineAndKey checks that errors are one line, which names the line and the key. Errors of Load
+// name the file, too.
 func TestParse_ErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                           "2: log.level: ",
@@ -68,7 +70,7 @@
 	} {
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, want one line with %q", text, err, want)
+			t.Errorf("%q: got error %v, want one line that contains %q", text, err, want)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "own.toml")
@@ -76,14 +78,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.HasPrefix(err.Error(), path+":2: ") {
-		t.Errorf("got %v, want it to begin with the file and the line", err)
+		t.Errorf("got error %v, want it to begin with the path and the line number", err)
 	}
 	if _, err := Load(path + "x"); err == nil {
 		t.Error("no error for a file that does not exist")
 	}
 }
 
-// TestLoad_ShippedFileSetsNothing checks that the file of the repository has comments only.
+// TestLoad_ShippedFileSetsNothing checks that deploy/wayhold.toml has comments only.
 func TestLoad_ShippedFileSetsNothing(t *testing.T) {
 	file, err := Load(filepath.Join("..", "..", "deploy", "wayhold.toml"))
 	if err != nil || !reflect.DeepEqual(file, File{}) {
--- a/internal/nodeconfig/lines.go
+++ b/internal/nodeconfig/lines.go
@@ -6,21 +6,22 @@
 	"strings"
 )
 
-// lineFinder finds the lines of keys in the text of a file.
+// lineFinder finds the line numbers of keys in the text of a file.
 type lineFinder struct{ text []byte }
 
-// errorf returns an error of one line about a key of a table, which begins with the line number.
+// errorf returns an error about a key of a table. The error begins with the line number and the key, and is cut after
+// its first line.
 func (l lineFinder) errorf(table, key, format string, args ...any) error {
-	err := fmt.Errorf("%d: %s.%s: %w", l.of(table, key), table, key, fmt.Errorf(format, args...))
+	err := fmt.Errorf("%d: %s.%s: %w", l.lineOf(table, key), table, key, fmt.Errorf(format, args...))
 	if message := err.Error(); strings.Contains(message, "\n") {
 		return errors.New(firstLine(message))
 	}
 	return err
 }
 
-// of returns the line on which a key of a table is set, or, without a key, the line of the table's header. It returns
-// 1 if there is none, as for dotted keys.
-func (l lineFinder) of(table, key string) int {
+// lineOf returns the number of the line on which a key of a table is set, or that of the table's header if the key is
+// empty. It returns 1 if no such line is found, as for dotted keys.
+func (l lineFinder) lineOf(table, key string) int {
 	current := ""
 	for i, line := range strings.Split(string(l.text), "\n") {
 		line = strings.TrimSpace(line)
--- a/internal/nodeconfig/msgpack.go
+++ b/internal/nodeconfig/msgpack.go
@@ -1,8 +1,8 @@
 package nodeconfig
 
-const maxMsgpackLimit = 10_000 // of client connections, and of calls on one
+const maxMsgpackLimit = 10_000 // highest value of the keys connections and calls
 
-// read reads the keys of the table [msgpack] that are not texts. readTexts has read the others.
+// read reads the keys of the table [msgpack] that are not strings. readStrings must have been called before.
 func (m *Msgpack) read(lines lineFinder, doc *document) error {
 	table := doc.Msgpack
 	for _, number := range []struct {
@@ -20,11 +20,11 @@
 		*number.to = int(value)
 	}
 	var err error
-	if m.ServerKinds, err = readTextList(table.Servers); err != nil {
+	if m.ServerKinds, err = readStringList(table.Servers); err != nil {
 		return lines.errorf("msgpack", "servers", "%w", err)
 	}
 	if m.Listen == "" && m.MaxConns+m.MaxCallsPerConn > 0 {
-		return lines.errorf("msgpack", "listen", "missing: connections and calls are a listener's")
+		return lines.errorf("msgpack", "listen", "missing: connections and calls limit a listener")
 	}
 	return nil
 }
--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// document is the file as TOML. Its values are decoded as any, and converted afterwards: the decoder gives no line
-// for errors of the types that they are converted to.
+// document is the decoded TOML document. Its values are decoded as any and converted afterwards, because the decoder
+// reports no line number for errors of an UnmarshalText method.
 type document struct {
-	// Tables of a node that stands alone, which package standalone reads.
+	// Tables that package standalone reads. They are decoded here only so that they are not unknown keys.
 	Node     any `toml:"node"`
 	Listen   any `toml:"listen"`
 	Limits   any `toml:"limits"`
@@ -66,8 +66,8 @@
 	Servers     any `toml:"servers"`
 }
 
-// Load reads the file at path; an empty path is an empty file. Errors are one line, which names the file, the line
-// and the key.
+// Load reads the file at a path. An empty path means an empty file. Errors are one line, which names the file, the
+// line and the key.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
@@ -83,7 +83,7 @@
 	return file, nil
 }
 
-// Parse reads the text of a file. Errors are one line, which begins with the line number.
+// Parse parses the text of a file. Errors are one line, which begins with the line number.
 func Parse(text []byte) (File, error) {
 	doc, err := decode(text)
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 	file := File{TLS: doc.TLS}
 	for _, read := range []func(lines lineFinder, doc *document) error{
-		file.readTexts, file.XDS.read, file.Msgpack.read, file.check,
+		file.readStrings, file.XDS.read, file.Msgpack.read, file.check,
 	} {
 		if err := read(lineFinder{text}, doc); err != nil {
 			return File{}, err
@@ -100,7 +100,7 @@
 	return file, nil
 }
 
-// decode decodes a text as TOML.
+// decode decodes a text as TOML and rejects unknown keys.
 func decode(text []byte) (*document, error) {
 	var doc document
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&doc)
@@ -124,8 +124,8 @@
 	return nil, fmt.Errorf("%d: %s", row, firstLine(message))
 }
 
-// readTexts reads the keys whose values are texts.
-func (f *File) readTexts(lines lineFinder, doc *document) error {
+// readStrings reads the keys whose values are strings.
+func (f *File) readStrings(lines lineFinder, doc *document) error {
 	for _, field := range []struct {
 		table, key string
 		from       any
@@ -158,16 +158,16 @@
 	return nil
 }
 
-// check checks what concerns several keys.
+// check validates combinations of keys.
 func (f *File) check(lines lineFinder, _ *document) error {
 	admin, drain := f.AdminAPI, f.Drain
 	switch {
 	case admin.Listen != "" && admin.TokenFile == "":
-		return lines.errorf("door", "listen", "want token_file beside it")
+		return lines.errorf("door", "listen", "requires token_file")
 	case admin.Listen == "" && admin.TokenFile != "":
-		return lines.errorf("door", "token_file", "without listen it does nothing")
+		return lines.errorf("door", "token_file", "has no effect without listen")
 	case drain.StateFile != "" && admin == (AdminAPI{}):
-		return lines.errorf("drain", "remember", "without [door] there are no drains on request")
+		return lines.errorf("drain", "remember", "has no effect without [door], which serves requests to drain")
 	case drain.AnnounceFor.Set && drain.Timeout.Set && drain.AnnounceFor.Duration > drain.Timeout.Duration:
 		return lines.errorf("drain", "leave", "want at most drain.deadline, %v, got %v",
 			drain.Timeout.Duration, drain.AnnounceFor.Duration)
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// readTextList reads a list of texts; nil if the key is not set.
-func readTextList(from any) (texts []string, err error) {
+// readStringList reads a list of strings; it returns nil if the key is not set.
+func readStringList(from any) (texts []string, err error) {
 	if from == nil {
 		return nil, nil
 	}
--- a/internal/nodeconfig/token.go
+++ b/internal/nodeconfig/token.go
@@ -8,10 +8,10 @@
 
 const (
 	minTokenLength = 16    // characters
-	otherUsersMode = 0o077 // permissions of all but the file's owner
+	otherUsersMode = 0o077 // permission bits of all users except the file's owner
 )
 
-// ReadToken returns the first line of a file, which is a bearer token. It is an error if the file's mode gives other
+// ReadToken reads a bearer token from the first line of a file. It returns an error if the file's mode gives other
 // users any access, or if the token is shorter than 16 characters.
 func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
@@ -19,7 +19,7 @@
 		return "", err
 	}
 	if info.Mode().Perm()&otherUsersMode != 0 {
-		return "", fmt.Errorf("%s: others may read it: want mode 0600, got %04o", path, info.Mode().Perm())
+		return "", fmt.Errorf("%s: accessible to other users: want mode 0600, got %04o", path, info.Mode().Perm())
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/nodeconfig/values.go
+++ b/internal/nodeconfig/values.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-const maxDuration = 24 * time.Hour
+const maxDuration = 24 * time.Hour // upper bound of every duration in the file
 
-// Duration is a time with its unit, as in "1.5s".
+// Duration is a duration that is written with its unit, as in "1.5s".
 type Duration struct {
 	time.Duration
-	Set bool // the file has a value, which may be 0
+	Set bool // the file sets the key; the value may be 0
 }
 
-// UnmarshalText reads a duration of 0 to 24 h.
+// UnmarshalText parses a duration of 0 to 24 h.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -33,7 +33,7 @@
 // Level is a log level.
 type Level struct{ slog.Level }
 
-// UnmarshalText reads debug, info, warn or error.
+// UnmarshalText accepts debug, info, warn or error.
 func (l *Level) UnmarshalText(text []byte) error {
 	levels := map[string]slog.Level{
 		"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError,
@@ -49,7 +49,7 @@
 // Format is the format of log lines: text or json.
 type Format string
 
-// UnmarshalText reads text or json.
+// UnmarshalText accepts text or json.
 func (f *Format) UnmarshalText(text []byte) error {
 	if s := string(text); s != "text" && s != "json" {
 		return fmt.Errorf("want text or json, got %q", text)
@@ -61,7 +61,7 @@
 // filePath is the path of a file or directory.
 type filePath string
 
-// UnmarshalText reads a path, which must not be empty.
+// UnmarshalText accepts any path that is not empty.
 func (p *filePath) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		return errors.New("want a path, got none")
@@ -73,19 +73,19 @@
 // absolutePath is a path that begins at the root.
 type absolutePath string
 
-// UnmarshalText reads an absolute path.
+// UnmarshalText accepts a path that begins with a slash.
 func (p *absolutePath) UnmarshalText(text []byte) error {
 	if !strings.HasPrefix(string(text), "/") {
-		return fmt.Errorf("want a path from /, got %q", text)
+		return fmt.Errorf("want an absolute path, got %q", text)
 	}
 	*p = absolutePath(text)
 	return nil
 }
 
-// loopbackAddress is an address that only this machine reaches.
+// loopbackAddress is IP:port on a loopback interface, which only this machine can reach.
 type loopbackAddress string
 
-// UnmarshalText reads IP:port on loopback.
+// UnmarshalText accepts IP:port with a loopback IP.
 func (a *loopbackAddress) UnmarshalText(text []byte) error {
 	address, err := netip.ParseAddrPort(string(text))
 	if err != nil || !address.Addr().IsLoopback() {
@@ -95,15 +95,15 @@
 	return nil
 }
 
-// listenAddress is IP:port, or the absolute path of a Unix socket.
+// listenAddress is the address of a listener: IP:port, or the absolute path of a Unix socket.
 type listenAddress string
 
-// UnmarshalText reads IP:port, or an absolute path.
+// UnmarshalText accepts IP:port or an absolute path.
 func (a *listenAddress) UnmarshalText(text []byte) error {
 	s := string(text)
 	if !strings.HasPrefix(s, "/") {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			return fmt.Errorf("want IP:port, or a path from /, got %q", s)
+			return fmt.Errorf("want IP:port or an absolute path, got %q", s)
 		}
 	}
 	*a = listenAddress(s)
--- a/internal/nodeconfig/xds.go
+++ b/internal/nodeconfig/xds.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// read reads the keys of the table [xds] that are not texts, and checks the table. readTexts has read the others.
+// read reads the keys of the table [xds] that are not strings, and validates the whole table. readStrings must have
+// been called before.
 func (x *XDS) read(lines lineFinder, doc *document) error {
 	table := doc.XDS
 	for _, flag := range []struct {
@@ -17,7 +18,7 @@
 		}
 	}
 	var err error
-	if x.Files, err = readTextList(table.Files); err != nil {
+	if x.Files, err = readStringList(table.Files); err != nil {
 		return lines.errorf("xds", "files", "%w", err)
 	}
 	for class, value := range table.Pools {
@@ -39,8 +40,8 @@
 	case x.Bootstrap != "" && len(x.Files) > 0:
 		return lines.errorf("xds", "files", "want either files or bootstrap, got both")
 	case !x.Enabled() && (forControlPlane || x.WithoutPlatform || len(x.ClusterByClass) > 0):
-		return fmt.Errorf("%d: xds: neither bootstrap nor files is named, so the rest of the table does nothing",
-			lines.of("xds", ""))
+		return fmt.Errorf("%d: xds: neither bootstrap nor files is set, so the rest of the table has no effect",
+			lines.lineOf("xds", ""))
 	case len(x.Files) > 0 && forControlPlane:
 		return lines.errorf("xds", "files", "ca_file, delta and dir are for a control plane")
 	}
