--- a/internal/standalone/check.go
+++ b/internal/standalone/check.go
@@ -8,7 +8,7 @@
 	"cobaltward/policy"
 )
 
-// check checks what concerns several keys. Errors name the line.
+// check validates combinations of keys and references between tables. Errors name the line.
 func (f *File) check() error {
 	if err := f.Fleet.check(f); err != nil {
 		return err
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// checkPlatform checks that a node with a platform has no tables of a standalone node.
+// checkPlatform checks that the file of a node with a platform has no tables for standalone nodes.
 func (f *File) checkPlatform() error {
 	for _, table := range []struct {
 		key   string
@@ -59,7 +59,7 @@
 
 func (f *File) checkClasses() error {
 	if len(f.Classes) == 0 {
-		return f.lines.Errorf("class", "missing: a node that stands alone needs one [[class]] or more")
+		return f.lines.Errorf("class", "missing: a standalone node needs one [[class]] or more")
 	}
 	for i, class := range f.Classes {
 		key := fmt.Sprintf("class[%d]", i)
@@ -79,12 +79,12 @@
 
 func (f *File) checkServers() error {
 	if len(f.Servers) == 0 && f.ServerSource.File == "" && f.XDS == nil {
-		return f.lines.Errorf("server", "missing: name servers by [[server]], by servers.file or by [xds]")
+		return f.lines.Errorf("server", "missing: define servers by [[server]], servers.file or [xds]")
 	}
 	return nil
 }
 
-// checkClassReferences checks the names of classes in routes and buckets.
+// checkClassReferences checks that the classes that routes and buckets refer to exist.
 func (f *File) checkClassReferences() error {
 	names := make([]string, 0, len(f.Classes))
 	for _, class := range f.Classes {
--- a/internal/standalone/example.go
+++ b/internal/standalone/example.go
@@ -2,7 +2,7 @@
 
 import _ "embed" // for Example
 
-// Example is a commented configuration of a node with two servers on loopback. It works unchanged.
+// Example is a commented configuration of a standalone node with two servers on loopback. It is valid as it is.
 //
 //go:embed example.toml
 var Example string
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -1,6 +1,6 @@
-// Package standalone reads what a node without a platform needs from the operator's own file: where it listens, its
-// classes, tenants and servers, the routes that assign classes to requests, and the layers that identify tenants. Its
-// Frontend turns requests of clients into requests of the protocol.
+// Package standalone reads the configuration of a standalone node, which has no platform, from the operator's own
+// file: the listener, classes, tenants and servers, the routes that assign classes to requests, and the layers that
+// identify tenants. Its Frontend converts clients' requests to the router's protocol.
 package standalone
 
 import (
@@ -15,8 +15,8 @@
 	"cobaltward/policy"
 )
 
-// File is the part of the operator's own file that this package reads. Tables of type any are read by package
-// nodeconfig.
+// File is the operator's own file. Package nodeconfig reads the tables of type any; the others are read by this
+// package.
 type File struct {
 	Node         Node         `toml:"node"`
 	Listen       []Listen     `toml:"listen"`
@@ -28,7 +28,7 @@
 	ServerSource ServerSource `toml:"servers"`
 	Routes       []Route      `toml:"route"`
 	Identity     Identity     `toml:"identity"`
-	Service      Service      `toml:"service"` // of nodes with a platform as well, like Levels, State, TLS and Fleet
+	Service      Service      `toml:"service"` // this table and the next four also apply to nodes with a platform
 	Levels       []Level      `toml:"level"`
 	State        State        `toml:"state"`
 	TLS          *TLS         `toml:"tls"`
@@ -44,47 +44,47 @@
 	path  string
 }
 
-// Node identifies this node among others.
+// Node identifies this node among all nodes that share the tenants' quotas.
 type Node struct {
 	Name  string `toml:"name"`
 	Zone  string `toml:"zone"`
-	Index int    `toml:"place" min:"0"`          // among the nodes, from 0
-	Count int    `toml:"of" min:"1" max:"10000"` // of nodes; 0: 1
+	Index int    `toml:"place" min:"0"`          // index of this node, from 0
+	Count int    `toml:"of" min:"1" max:"10000"` // number of nodes; 0: 1
 }
 
-// Listen is a listener for HTTP/1.1.
+// Listen configures a listener for HTTP/1.1.
 type Listen struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address" need:"1"`
 }
 
-// Limits bound the resources of the process and the attempts for a request.
+// Limits bounds the resources of the process and the attempts for a request.
 type Limits struct {
-	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // descriptors; 0: 1024
-	MemoryMB        int           `toml:"memory_mb" min:"16"`             // 0: 192
-	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // 0: 1
-	MaxOpen         int           `toml:"open" min:"1"`                   // unanswered requests
-	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // for a new connection to a server; 0: 250 ms
-	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // for one request; 0: 4
-	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // upper bound of the header; 0: 10 s
+	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // file descriptors; 0: 1024
+	MemoryMB        int           `toml:"memory_mb" min:"16"`             // memory of the process; 0: 192
+	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // CPU cores of the process; 0: 1
+	MaxOpen         int           `toml:"open" min:"1"`                   // limit of unanswered requests
+	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // timeout for connecting to a server; 0: 250 ms
+	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // attempts for one request; 0: 4
+	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // upper bound of the header Retry-After; 0: 10 s
 	Hedging         bool          `toml:"second_copies"`
-	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // after which servers close connections; 0: 60 s
+	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers' idle timeout; 0: 60 s
 	DrainGrace      time.Duration `toml:"drain_grace" min:"0s" max:"1m"`
 }
 
-// State says where a node stores its learned state for the next start.
+// State configures where a node stores its learned state for the next start.
 type State struct {
 	File         string        `toml:"file"`
 	SaveInterval time.Duration `toml:"every" min:"100ms" max:"1h"` // 0: 2 s
-	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age that halves its weight; 0: 1 min
-	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // age from which it is ignored; 0: 10 min
+	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age at which its weight has halved; 0: 1 min
+	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // age from which the state is ignored; 0: 10 min
 }
 
-// Rules of a node without a platform, which the file does not set.
+// Rules of the policy on a standalone node that the file cannot set.
 const (
 	answerGrace       = 50 * time.Millisecond
 	defaultDrainGrace = 500 * time.Millisecond
-	slowStartShare    = 1 // servers start at full capacity
+	slowStartShare    = 1 // a server that has just started gets its full share at once
 	overloadFactor    = 3
 	overloadDuration  = time.Second
 )
@@ -96,8 +96,8 @@
 	defaultConnIdleTimeout = time.Minute
 )
 
-// Load reads the file at path; an empty path is an empty file. Errors are one line, which names the file, the line
-// and the key.
+// Load reads the file at a path. An empty path means an empty file. Errors are one line, which names the file, the
+// line and the key.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
@@ -119,17 +119,17 @@
 // Path returns the path from which the file was read.
 func (f *File) Path() string { return f.path }
 
-// Standalone reports whether the file configures a node without a platform.
+// Standalone reports whether the file configures a standalone node.
 func (f *File) Standalone() bool { return len(f.Listen) > 0 }
 
-// Equal reports whether two files have the same content, apart from its layout.
+// Equal reports whether two files have the same settings, whatever their paths and layout.
 func (f *File) Equal(other *File) bool {
 	a, b := *f, *other
 	a.lines, a.path, b.lines, b.path = nil, "", nil, ""
 	return reflect.DeepEqual(a, b)
 }
 
-// resolvePath returns the path of a file that this file names: relative paths begin at its directory.
+// resolvePath resolves a path in the file. Relative paths are relative to the file's directory.
 func (f *File) resolvePath(name string) string {
 	if name == "" || filepath.IsAbs(name) {
 		return name
@@ -137,7 +137,7 @@
 	return filepath.Join(filepath.Dir(f.path), name)
 }
 
-// Settings returns the settings of the policy.
+// Settings returns the settings of the policy that the file configures.
 func (f *File) Settings() policy.Settings {
 	settings := policy.Settings{
 		Node:  f.Node.Index,
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Fleet is the table [fleet]: a process of the fleet, which is a replica of its log, or an agent beside a node. This
-// package only checks it; wayhold-fleet uses it.
+// Fleet is the table [fleet]. It configures a process of the fleet: a replica of its log, or an agent that runs beside
+// a node. This package only validates it; wayhold-fleet uses it.
 type Fleet struct {
 	Name             string            `toml:"name" need:"1"`
 	Zone             string            `toml:"zone"`
-	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls of the fleet only
+	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls between processes of the fleet
 	Address          string            `toml:"address"`             // at which other processes connect; empty: Listen
-	TokenFile        string            `toml:"token_file" need:"1"` // its first line is the bearer token of all calls
-	Cert             string            `toml:"cert"`                // of this process, with its chain; empty: no TLS
+	TokenFile        string            `toml:"token_file" need:"1"` // its first line is the bearer token for all calls
+	Cert             string            `toml:"cert"`                // certificate chain of this process; empty: no TLS
 	Key              string            `toml:"key"`
-	Trust            string            `toml:"trust"`                      // authorities of the fleet's processes
+	Trust            string            `toml:"trust"`                      // authorities of the processes' certificates
 	TLSName          string            `toml:"tls_name"`                   // in all certificates; empty: wayhold-fleet
-	Dir              string            `toml:"dir" need:"1"`               // durable data
-	Replicas         []string          `toml:"council"`                    // addresses: 1, 3 or 5
-	AddressOverrides map[string]string `toml:"via"`                        // used in place of an address, by address
-	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"` // 0: 5 s
-	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after ten; 0: 100 ms
-	Capacity         float64           `toml:"capacity" min:"0"`           // of the node beside the agent; 0: 1
-	LeaseKinds       []string          `toml:"owns" one:"round"`           // of leases that this process may hold
-	PatchCommand     []string          `toml:"patch"`                      // words; run by a rolling update
-	CheckCommand     []string          `toml:"look"`                       // status 0: the node is patched; 1: it is not
+	Dir              string            `toml:"dir" need:"1"`               // directory of durable data
+	Replicas         []string          `toml:"council"`                    // addresses of 1, 3 or 5 replicas
+	AddressOverrides map[string]string `toml:"via"`                        // address to dial instead, by address
+	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"` // duration of a lease; 0: 5 s
+	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after ten ticks; 0: 100 ms
+	Capacity         float64           `toml:"capacity" min:"0"`           // capacity of the agent's node; 0: 1
+	LeaseKinds       []string          `toml:"owns" one:"round"`           // kinds of leases that this process may hold
+	PatchCommand     []string          `toml:"patch"`                      // command line; run by a rolling update
+	CheckCommand     []string          `toml:"look"`                       // exit status 0: patched; 1: not patched
 	RevertCommand    []string          `toml:"revert"`                     // undoes PatchCommand
-	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // of a command, and of a drain; 0: 10 min
+	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // of each command and of a drain; 0: 10 min
 }
 
 // Defaults of the table [fleet].
@@ -42,17 +42,17 @@
 	defaultFleetTLSName  = "wayhold-fleet"
 	defaultFleetCapacity = 1
 
-	minLeaseTicks   = 20 // an election takes up to that many, and no lease can be renewed meanwhile
+	minLeaseTicks   = 20 // an election takes up to 20 ticks, during which no lease can be renewed
 	maxFleetNameLen = 64 // bytes
 )
 
-// check checks the table, and sets the defaults. A nil table is valid.
+// check validates the table and sets the defaults. A nil table is valid.
 func (t *Fleet) check(file *File) error {
 	if t == nil {
 		return nil
 	}
 	for _, check := range []func(file *File) error{
-		t.checkAddresses, t.checkReplicas, t.checkOverrides, t.checkTLS, t.checkCommands, t.checkTimes,
+		t.checkAddresses, t.checkReplicas, t.checkAddressOverrides, t.checkTLS, t.checkCommands, t.checkTimes,
 	} {
 		if err := check(file); err != nil {
 			return err
@@ -73,8 +73,8 @@
 	return checkFleetAddress(file, "address", t.Address)
 }
 
-// checkFleetAddress checks that an address is IP:port, and not that of a listener of the node. Only the key listen
-// may have the port 0.
+// checkFleetAddress checks that an address is IP:port, and that it is not the address of the node's listener. Port 0
+// is allowed for the key listen only.
 func checkFleetAddress(file *File, key, value string) error {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || (address.Port() == 0 && key != "listen") {
@@ -82,7 +82,7 @@
 	}
 	for _, listener := range file.Listen {
 		if listener.Address == value && address.Port() != 0 {
-			return file.lines.Errorf("fleet."+key, "%s is the address of a node's front ([[listen]])", value)
+			return file.lines.Errorf("fleet."+key, "%s is the address of the node's listener ([[listen]])", value)
 		}
 	}
 	return nil
@@ -93,7 +93,7 @@
 	case 0, 1, 3, 5:
 	default:
 		return file.lines.Errorf("fleet.council",
-			"want 1, 3 or 5 members, got %d: an even number tolerates no more failures than one less", count)
+			"want 1, 3 or 5 replicas, got %d: an even number tolerates no more failures than one less", count)
 	}
 	for i, address := range t.Replicas {
 		if err := checkFleetAddress(file, "council", address); err != nil {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (t *Fleet) checkOverrides(file *File) error {
+func (t *Fleet) checkAddressOverrides(file *File) error {
 	for from, to := range t.AddressOverrides {
 		if err := checkFleetAddress(file, "via", from); err != nil {
 			return err
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// checkFleetName checks that a name can stand in paths and logs.
+// checkFleetName checks that a name is safe to use in paths and logs.
 func checkFleetName(name string) error {
 	if name == "" || len(name) > maxFleetNameLen || strings.ContainsFunc(name, notAllowedInFleetName) {
 		return fmt.Errorf("want 1 to %d letters, digits, dots, dashes and underscores, got %q", maxFleetNameLen, name)
--- a/internal/standalone/fleet_test.go
+++ b/internal/standalone/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestLoad_FleetErrors checks the whole line of errors in the table [fleet].
+// TestLoad_FleetErrors checks the complete text of errors in the table [fleet].
 func TestLoad_FleetErrors(t *testing.T) {
 	const valid = `[fleet]
 name = "n1"
@@ -19,7 +19,7 @@
 		{"", ""},
 		{
 			`council = ["10.0.0.1:1", "10.0.0.2:1"]`,
-			`6: fleet.council: want 1, 3 or 5 members, got 2: an even number tolerates no more failures than one less`,
+			`6: fleet.council: want 1, 3 or 5 replicas, got 2: an even number tolerates no more failures than one less`,
 		},
 		{
 			`council = ["10.0.0.1:1", "10.0.0.1:1", "10.0.0.2:1"]`,
@@ -40,7 +40,7 @@
 		{"via = {\"10.0.0.1:1\" = \"x\"}", `6: fleet.via: want IP:port, got "x"`},
 		{
 			"[[listen]]\naddress = \"127.0.0.1:7600\"",
-			`3: fleet.listen: 127.0.0.1:7600 is the address of a node's front ([[listen]])`,
+			`3: fleet.listen: 127.0.0.1:7600 is the address of the node's listener ([[listen]])`,
 		},
 		{"zones = 3", `6: fleet.zones: unknown key; allowed are name, zone, `},
 	} {
@@ -55,7 +55,7 @@
 		}
 		isPrefix := strings.HasSuffix(test.want, ", ")
 		if got != test.want && (!isPrefix || !strings.HasPrefix(got, test.want)) {
-			t.Errorf("%s:\n%s\nwant\n%s", test.add, got, test.want)
+			t.Errorf("%s:\ngot\n%s\nwant\n%s", test.add, got, test.want)
 		}
 	}
 }
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -16,7 +16,7 @@
 	"cobaltward/router"
 )
 
-// Headers of the protocol. Frontend sets them; class and tenant of a client's request are overwritten.
+// Headers of the router's protocol. Frontend overwrites the class and the tenant that a client sends.
 const (
 	headerClass    = "X-Class"
 	headerTenant   = "X-Tenant"
@@ -25,25 +25,25 @@
 	headerKey      = "X-Key"
 )
 
-// anonymousNameTTL is how long an anonymous client keeps its name after its last request, at least.
+// anonymousNameTTL is the minimum time for which an anonymous client keeps its tenant name after its last request.
 const anonymousNameTTL = 10 * time.Minute
 
-// Frontend turns requests of clients into requests of the protocol: the class comes from the routes, the tenant from
-// the identities, and deadline and request ID are added. Its methods may be called from several goroutines at once.
+// Frontend converts clients' requests to the router's protocol: it sets the class by the routes, the tenant by the
+// identity layers, and the deadline and the request ID. Its methods may be called from several goroutines at once.
 type Frontend struct {
 	tables    atomic.Pointer[tables]
 	anonymous *identity.AnonymousTenants
 	startedAt time.Time
 }
 
-// tables are what one request is looked up in; Reload replaces them together.
+// tables are the compiled settings that apply to a request. Reload replaces all of them at once.
 type tables struct {
 	routes     *routes.Table
 	identities *identity.Resolver
 	deadlines  map[string]time.Duration // by class
 }
 
-// NewFrontend returns a frontend by a file that Load has returned.
+// NewFrontend returns a frontend for a file that Load has returned.
 func NewFrontend(file *File) (*Frontend, error) {
 	frontend := &Frontend{
 		anonymous: identity.NewAnonymousTenants(file.AnonymousNames(), anonymousNameTTL),
@@ -52,7 +52,8 @@
 	return frontend, frontend.Reload(file)
 }
 
-// Reload puts another file in force for further requests. After an error the last file stays in force.
+// Reload applies another file to all requests that arrive afterwards. If it returns an error, the previous file still
+// applies.
 func (f *Frontend) Reload(file *File) error {
 	loaded := &tables{deadlines: make(map[string]time.Duration)}
 	var err error
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// Handler returns a handler that passes requests to next in the form of the protocol. A GET of readyPath is passed
-// unchanged.
+// Handler returns a handler that converts requests to the router's protocol and passes them to next. A GET of
+// readyPath is passed unchanged.
 func (f *Frontend) Handler(next http.Handler, readyPath string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == readyPath && r.Method == http.MethodGet {
@@ -78,7 +79,7 @@
 			return
 		}
 		path, query, _ := strings.Cut(r.RequestURI, "?")
-		if err := routes.CheckPath(path); err != nil { // this includes targets in absolute form
+		if err := routes.CheckPath(path); err != nil { // also rejects request targets in absolute form
 			reject(w, http.StatusBadRequest, err.Error())
 			return
 		}
@@ -108,9 +109,9 @@
 	})
 }
 
-// tenant returns the tenant of a request, or an anonymous name.
+// tenant returns the tenant of a request, or the tenant name of an anonymous client.
 func (f *Frontend) tenant(current *tables, r *http.Request) string {
-	peer, _ := netip.ParseAddrPort(r.RemoteAddr) // the zero value for a Unix socket
+	peer, _ := netip.ParseAddrPort(r.RemoteAddr) // the zero value for a client on a Unix socket
 	names := secure.PeerNames(r.Context())
 	found := current.identities.Resolve(&identity.Request{Peer: peer.Addr(), Header: r.Header, Names: names})
 	if found.Tenant != "" {
@@ -119,7 +120,7 @@
 	return f.anonymous.Tenant(found.Network, time.Since(f.startedAt))
 }
 
-// requestID returns the ID of a request if it is valid, else a new one.
+// requestID returns the ID that the client has set if it is valid, or a new one.
 func requestID(r *http.Request) string {
 	if id := singleHeader(r, headerID); router.ValidID(id) {
 		return id
@@ -127,7 +128,8 @@
 	return rand.Text()
 }
 
-// requestTimeout returns the deadline of the request's class, shortened by the route and by the client.
+// requestTimeout returns the shortest of three timeouts: the deadline of the request's class, the timeout of the
+// route, and the deadline in the client's header.
 func requestTimeout(r *http.Request, route *routes.Route, timeout time.Duration) time.Duration {
 	if route.Timeout > 0 {
 		timeout = min(timeout, route.Timeout)
@@ -139,7 +141,7 @@
 	return timeout
 }
 
-// hostname returns the host of a request in lower case, without a port.
+// hostname returns the host of a request in lower case and without a port.
 func hostname(r *http.Request) string {
 	host := strings.ToLower(r.Host)
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -148,7 +150,7 @@
 	return host
 }
 
-// singleHeader returns the value of a header that occurs once, else an empty text.
+// singleHeader returns the value of a header that occurs exactly once, or an empty string.
 func singleHeader(r *http.Request, name string) string {
 	if values := r.Header[name]; len(values) == 1 {
 		return values[0]
@@ -156,7 +158,7 @@
 	return ""
 }
 
-// reject answers a request that is not routed, and closes its connection, since its body is not read.
+// reject responds to a request that is not routed. It closes the connection, because the request's body is not read.
 func reject(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, message, status)
--- a/internal/standalone/identity.go
+++ b/internal/standalone/identity.go
@@ -8,12 +8,12 @@
 
 const defaultAnonymousNames = 10_000
 
-// Identity says how the tenants of requests are identified.
+// Identity configures how the tenants of requests are identified.
 type Identity struct {
-	Trusted   []string `toml:"trusted"` // networks of proxies whose header Forwarded is believed
+	Trusted   []string `toml:"trusted"` // networks of proxies whose tenant and forwarding headers are believed
 	Forwarded string   `toml:"forwarded" one:"X-Forwarded-For|Forwarded"`
 	Layers    []Layer  `toml:"layer"`
-	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // names for clients that no layer knows; 0: 10000
+	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // names for clients that no layer identifies; 0: 10000
 }
 
 // Layer is one way to identify a tenant.
@@ -21,13 +21,13 @@
 	By      string            `toml:"by" need:"1" one:"header|cookie|bearer|api_key|address|certificate"`
 	Name    string            `toml:"name"`
 	Secrets map[string]string `toml:"secrets"` // tenant by SHA-256 of the secret, in hexadecimal
-	Nets    map[string]string `toml:"nets"`    // tenant by network
+	Nets    map[string]string `toml:"nets"`    // tenant by network prefix or address
 	Names   map[string]string `toml:"names"`   // tenant by name in the client's certificate
 }
 
 const byCertificate = "certificate"
 
-// layerKinds has the values of the key by.
+// layerKinds maps the values of the key by.
 var layerKinds = map[string]identity.Kind{
 	"header":      identity.Header,
 	"cookie":      identity.Cookie,
@@ -37,7 +37,7 @@
 	byCertificate: identity.Certificate,
 }
 
-// IdentityFinder returns the compiled layers.
+// IdentityFinder compiles the layers to a resolver of tenants.
 func (f *File) IdentityFinder() (*identity.Resolver, error) {
 	config := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
 	for _, tenant := range f.Tenants {
@@ -55,5 +55,5 @@
 	return identity.New(config)
 }
 
-// AnonymousNames returns the number of names for clients that no layer knows.
+// AnonymousNames returns the number of tenant names for clients that no layer identifies.
 func (f *File) AnonymousNames() int { return cmp.Or(f.Identity.Anonymous, defaultAnonymousNames) }
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -10,14 +10,14 @@
 	"cobaltward/policy"
 )
 
-// Service has what all levels of reduced service have in common.
+// Service has the settings that all levels of reduced service share.
 type Service struct {
-	ShedLast    []string      `toml:"guarded"`                 // classes
-	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // between changes of the level; 0: 30 s
-	DryRun      bool          `toml:"dry_run"`                 // levels are decided and counted, but not applied
+	ShedLast    []string      `toml:"guarded"`                 // classes of which no level may shed more than of others
+	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // time between changes of the level; 0: 30 s
+	DryRun      bool          `toml:"dry_run"`                 // levels are computed and counted, but not applied
 }
 
-// Level is a level of reduced service.
+// Level is a level of reduced service, with the conditions to enter and to leave it.
 type Level struct {
 	Name     string      `toml:"name" need:"1"`
 	Enter    []Condition `toml:"enter" need:"1"`
@@ -25,7 +25,7 @@
 	Measures []Measure   `toml:"measure" need:"1"`
 }
 
-// Condition is a condition on a signal.
+// Condition compares a signal with a threshold. It holds once the comparison has been true for some time.
 type Condition struct {
 	Signal    string        `toml:"signal" need:"1" one:"demand|slow|held"`
 	Class     string        `toml:"class"`
@@ -33,7 +33,7 @@
 	For       time.Duration `toml:"for" min:"0s" max:"1h"`
 }
 
-// Measure is what a level does to a class.
+// Measure is a restriction that a level applies to a class.
 type Measure struct {
 	Class       string   `toml:"class" need:"1"`
 	Tenants     []string `toml:"tenants"` // empty: all
@@ -44,17 +44,17 @@
 
 	MaxQueueTime time.Duration `toml:"hold" min:"1ms" max:"1h"`
 	ZoneLocal    bool          `toml:"own_zone"`
-	FollowDemand bool          `toml:"follow"` // shed what demand exceeds capacity by, and at most Shed
+	FollowDemand bool          `toml:"follow"` // shed the excess of demand over capacity, and at most Shed
 }
 
-// signals has the values of the key signal.
+// signals maps the values of the key signal.
 var signals = map[string]levels.Signal{
 	"demand": levels.Demand,
 	"slow":   levels.SlowAnswers,
 	"held":   levels.Queued,
 }
 
-// LevelsConfig returns the configuration of the levels for a node's classes; nil if the file has no levels. Errors
+// LevelsConfig returns the configuration of the levels for a node's classes, or nil if the file has no levels. Errors
 // name the line.
 func (f *File) LevelsConfig(classes []policy.Class) (*levels.Config, error) {
 	if len(f.Levels) == 0 {
@@ -83,7 +83,7 @@
 	return config, nil
 }
 
-// config returns the level as package levels has it.
+// config converts the level to the type of package levels.
 func (l *Level) config() levels.Level {
 	level := levels.Level{Name: l.Name, Enter: toConditions(l.Enter), Exit: toConditions(l.Exit)}
 	for _, measure := range l.Measures {
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -12,17 +12,17 @@
 	"cobaltward/router"
 )
 
-// Route is a route: it assigns a class to the requests that it matches.
+// Route is a table [[route]]. It assigns a class to the requests that it matches.
 type Route struct {
 	Listener string            `toml:"listener"`
 	Host     string            `toml:"host"`
-	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: that of the class
+	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the class's method
 	Path     string            `toml:"path"`
 	Prefix   string            `toml:"prefix"`
 	Segments string            `toml:"segments"`
 	Regexp   string            `toml:"regexp"`
 	Headers  map[string]string `toml:"headers"` // "*": present with any value; "!": not present
-	Query    map[string]string `toml:"query"`   // as Headers
+	Query    map[string]string `toml:"query"`   // values as in Headers
 	Fraction float64           `toml:"share" min:"0" max:"1"`
 	HashBy   string            `toml:"by" one:"tenant|key|id"` // empty: tenant
 	HashSalt string            `toml:"salt"`
@@ -30,13 +30,14 @@
 	Timeout  time.Duration     `toml:"budget" min:"0s" max:"1h"` // 0: the deadline of the class
 }
 
-// Values of routes' headers and query parameters with a meaning of their own.
+// Special values of headers and query parameters in routes.
 const (
-	fieldPresent = "*"
-	fieldMissing = "!"
+	valuePresent = "*"
+	valueMissing = "!"
 )
 
-// RouteTable returns the compiled table of routes. Without routes all requests have the first class.
+// RouteTable returns the compiled table of routes. If the file has no routes, a single route assigns the first class
+// to all requests.
 func (f *File) RouteTable() (*routes.Table, error) {
 	all := make([]routes.Route, 0, len(f.Routes))
 	for i := range f.Routes {
@@ -65,7 +66,7 @@
 	return nil, &stricttoml.Error{Line: invalid.Line, Key: key, Message: message}
 }
 
-// compileRoute returns a route as package routes has it.
+// compileRoute converts a route to the type of package routes. It checks that the class allows the route's methods.
 func (f *File) compileRoute(index int) (routes.Route, error) {
 	route, key := f.Routes[index], fmt.Sprintf("route[%d]", index)
 	allowed, methods := f.classMethod(route.Class), route.Methods
@@ -74,7 +75,7 @@
 	}
 	for _, method := range methods {
 		if method != allowed {
-			return routes.Route{}, f.lines.Errorf(key+".methods", "class %s allows %s only, since its repeat is %q; got %s",
+			return routes.Route{}, f.lines.Errorf(key+".methods", "class %s allows %s only, because its repeat is %q; got %s",
 				route.Class, allowed, f.class(route.Class).Idempotency, method)
 		}
 	}
@@ -87,8 +88,8 @@
 		Prefix:   route.Prefix,
 		Segments: route.Segments,
 		Regexp:   route.Regexp,
-		Headers:  toFields(route.Headers),
-		Query:    toFields(route.Query),
+		Headers:  toRouteConditions(route.Headers),
+		Query:    toRouteConditions(route.Query),
 		Fraction: route.Fraction,
 		HashSalt: route.HashSalt,
 		HashBy:   map[string]routes.HashInput{"key": routes.HashByKey, "id": routes.HashByID}[route.HashBy],
@@ -97,14 +98,14 @@
 	}, nil
 }
 
-// toFields returns conditions on headers or query parameters, sorted by name.
-func toFields(values map[string]string) (fields []routes.Condition) {
+// toRouteConditions returns the conditions on headers or query parameters, sorted by name.
+func toRouteConditions(values map[string]string) (fields []routes.Condition) {
 	for name, value := range values {
 		field := routes.Condition{Name: name, Value: value}
 		switch value {
-		case fieldPresent:
+		case valuePresent:
 			field = routes.Condition{Name: name, Present: true}
-		case fieldMissing:
+		case valueMissing:
 			field = routes.Condition{Name: name, Missing: true}
 		}
 		fields = append(fields, field)
@@ -113,7 +114,7 @@
 	return fields
 }
 
-// class returns the class with a name, or the zero value.
+// class returns the class with a name, or the zero value if there is none.
 func (f *File) class(name string) Class {
 	for _, class := range f.Classes {
 		if class.Name == name {
@@ -123,7 +124,7 @@
 	return Class{}
 }
 
-// classMethod returns the HTTP method of a class.
+// classMethod returns the HTTP method that requests of a class have.
 func (f *File) classMethod(name string) string {
 	class := f.class(name)
 	return router.Method(class.settings())
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -11,7 +11,7 @@
 	"cobaltward/router"
 )
 
-// Server is an app server.
+// Server is a table [[server]], an app server.
 type Server struct {
 	ID       string   `toml:"id"` // empty: its address
 	Address  string   `toml:"address" need:"1"`
@@ -23,12 +23,13 @@
 	Draining bool     `toml:"drain"`
 }
 
-// ServerSource names a further source of servers.
+// ServerSource configures a further source of servers.
 type ServerSource struct {
 	File string `toml:"file"` // TOML with [[server]]; read again when it changes
 }
 
-// Endpoints returns the servers of the file, and of the file of servers that it names. Their IDs are unique.
+// Endpoints returns the servers in the file and those in the file of servers that it names. It returns an error if two
+// of them have the same ID.
 func (f *File) Endpoints() ([]router.Endpoint, error) {
 	endpoints, err := toEndpoints(f.lines, f.Servers)
 	if err != nil || f.ServerSource.File == "" {
@@ -46,7 +47,7 @@
 	return append(endpoints, further...), nil
 }
 
-// ServersPath returns the path of the file of servers; empty if there is none.
+// ServersPath returns the path of the file of servers, or an empty string if there is none.
 func (f *File) ServersPath() string { return f.resolvePath(f.ServerSource.File) }
 
 // ReadServers reads a file of [[server]] tables. Errors are one line, which names the file, the line and the key.
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -12,22 +12,22 @@
 	"cobaltward/transport/secure"
 )
 
-// TLS is the table [tls]: which connections use TLS, and with which certificates. Zero values of limits mean the
-// defaults of package handshakes.
+// TLS is the table [tls]. It configures which connections use TLS, and with which certificates. Limits that are zero
+// take the defaults of package handshakes.
 type TLS struct {
-	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // between checks of the files; 0: 1 s
-	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // expiry; empty: 30 days, 7 days, 1 day
-	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // of a core for handshakes, under load
+	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // interval between checks of the files; 0: 1 s
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // before expiry; empty: 30 days, 7 days, 1 day
+	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // fraction of a core for handshakes under load
 	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
-	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // handshakes with all servers
+	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // concurrent handshakes with all servers
 	MaxPerServer        int             `toml:"per_server" min:"1" max:"1000"`
-	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // with a server that has just started
+	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // for a server that has just started
 	Servers             []TLSServers    `toml:"servers"`
 	Clients             *TLSListener    `toml:"clients"`
 	AdminAPI            *TLSListener    `toml:"door"`
 }
 
-// TLSServers says how to connect to the servers that it matches. The first match applies.
+// TLSServers configures connections to the servers that it matches. The first matching table applies.
 type TLSServers struct {
 	IDs   []string `toml:"ids"`
 	Zones []string `toml:"zones"`
@@ -40,15 +40,15 @@
 	Trust string   `toml:"trust"`
 	Cert  string   `toml:"cert"`
 	Key   string   `toml:"key"`
-	// Secrets of the control plane, in place of files.
+	// Names of secrets that the control plane sends, instead of files.
 	TrustSDS string `toml:"trust_sds"`
 	CertSDS  string `toml:"cert_sds"`
 
 	ALPN  []string `toml:"alpn"`
-	TLS12 bool     `toml:"tls12"` // allowed
+	TLS12 bool     `toml:"tls12"` // allow TLS 1.2
 }
 
-// TLSListener says how a listener uses TLS.
+// TLSListener configures how a listener uses TLS.
 type TLSListener struct {
 	Dir               string        `toml:"dir"`
 	Cert              string        `toml:"cert"`
@@ -57,21 +57,21 @@
 	TrustSDS          string        `toml:"trust_sds"`
 	CertSDS           string        `toml:"cert_sds"`
 	RequireClientCert bool          `toml:"require"`
-	Tickets           string        `toml:"tickets"` // file of session ticket keys, for nodes that share it
-	TLS12             bool          `toml:"tls12"`   // allowed
+	Tickets           string        `toml:"tickets"` // file of session ticket keys that several nodes share
+	TLS12             bool          `toml:"tls12"`   // allow TLS 1.2
 	HandshakeTimeout  time.Duration `toml:"timeout" min:"100ms" max:"1m"`
 }
 
 const defaultTLSPollInterval = time.Second
 
-// defaultExpiryWarnings returns how long before a certificate's expiry the node warns.
+// defaultExpiryWarnings returns the times before a certificate's expiry at which the node warns.
 func defaultExpiryWarnings() []time.Duration {
 	const day = 24 * time.Hour
 	return []time.Duration{30 * day, 7 * day, day}
 }
 
-// NodeTLS reads the files that the table [tls] names, and returns the node's configuration of TLS. Without the table it
-// is nil. Errors name the line.
+// NodeTLS reads the files that the table [tls] names, and returns the node's TLS configuration. It is nil if the file
+// has no such table. Errors name the line.
 func (f *File) NodeTLS(now time.Time) (*node.TLS, error) {
 	table := f.TLS
 	if table == nil {
@@ -113,13 +113,13 @@
 		}
 	}
 	if len(config.ServerRules) == 0 && config.Clients == nil && config.AdminAPI == nil {
-		return nil, f.lines.Errorf("tls", "neither servers, nor clients, nor the door: the table does nothing")
+		return nil, f.lines.Errorf("tls", "neither servers, nor clients, nor door is set: the table has no effect")
 	}
 	config.Stores, config.Secrets = stores.all, stores.bySecret
 	return config, nil
 }
 
-// serverRule returns the rule for connections to servers.
+// serverRule converts a table [[tls.servers]] to a rule, and opens the certificate files that it names.
 func (f *File) serverRule(stores *storeSet, key string, servers TLSServers) (secure.Rule, error) {
 	rule := secure.Rule{
 		Servers:       servers.IDs,
@@ -147,9 +147,9 @@
 	return rule, nil
 }
 
-// storeSet opens each source of certificates once.
+// storeSet holds the certificate stores that are open, so that each source is opened once.
 type storeSet struct {
-	file      *File // relative paths begin at its directory
+	file      *File // resolves relative paths
 	now       time.Time
 	all       []*certificates.Store
 	bySources map[certificates.Sources]*certificates.Store
@@ -165,7 +165,7 @@
 	}
 }
 
-// open returns the store of files, or of a secret of the control plane; nil if neither is named.
+// open returns the store of files or of a secret of the control plane, or nil if neither is named.
 func (s *storeSet) open(sources certificates.Sources, secret string) (*certificates.Store, error) {
 	if secret != "" {
 		if sources != (certificates.Sources{}) {
@@ -194,7 +194,7 @@
 	return store, nil
 }
 
-// openSecret returns the store of a secret, which is empty until the control plane sends it.
+// openSecret returns the store of a secret. It is empty until the control plane sends the secret.
 func (s *storeSet) openSecret(secret string) *certificates.Store {
 	if s.bySecret[secret] == nil {
 		s.bySecret[secret] = certificates.NewEmptyStore()
@@ -203,7 +203,7 @@
 	return s.bySecret[secret]
 }
 
-// openListener returns the configuration of a listener.
+// openListener converts the configuration of a listener, and opens the files that it names.
 func (s *storeSet) openListener(from *TLSListener) (*node.TLSListener, error) {
 	own, err := s.open(certificates.Sources{Dir: from.Dir, Cert: from.Cert, Key: from.Key}, from.CertSDS)
 	if err != nil {
@@ -214,9 +214,9 @@
 	case err != nil:
 		return nil, err
 	case own == nil:
-		return nil, errors.New("no certificate: name cert and key, dir, or cert_sds")
+		return nil, errors.New("no certificate: set cert and key, dir, or cert_sds")
 	case from.RequireClientCert && clientCAs == nil:
-		return nil, errors.New("require: want trust, the authorities of client certificates")
+		return nil, errors.New("require: needs trust, the authorities of client certificates")
 	}
 	listener := &node.TLSListener{
 		Certificates:      own,
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/internal/pki"
 )
 
-// writeCertificates writes a CA, a certificate with its key, and an invalid file to a directory.
+// writeCertificates writes a CA, a certificate with its key, and a file that is not PEM to a directory.
 func writeCertificates(t *testing.T, dir string) {
 	t.Helper()
 	ca := pki.NewAuthority("ours")
@@ -40,9 +40,9 @@
 	const servers, clients = "[[tls.servers]]\n", "[tls.clients]\ncert = \"cert.pem\"\nkey = \"key.pem\"\n"
 	const identity = "[[tenant]]\nname = \"t\"\n[[identity.layer]]\nby = \"certificate\"\nnames = {a = \"t\"}\n"
 	const plainCannotBeVerified = "9: tls.servers[0]: plain: servers without TLS cannot be verified"
-	const noCertificate = "tls.clients: no certificate: name cert and key, dir, or cert_sds"
+	const noCertificate = "tls.clients: no certificate: set cert and key, dir, or cert_sds"
 	for text, want := range map[string]string{
-		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor the door",
+		"[tls]\n":                                           "9: tls: neither servers, nor clients, nor door is set",
 		servers:                                             "9: tls.servers[0]: trust: missing",
 		servers + "trust = \"none.pem\"\n":                  "10: tls.servers[0].trust: open ",
 		servers + "trust = \"bad.pem\"\n":                   "bad.pem: incomplete PEM block",
@@ -50,7 +50,7 @@
 		servers + "plain = true\npins = [\"a\"]\n":          plainCannotBeVerified,
 		servers + "trust = \"ca.pem\"\ntrust_sds = \"x\"\n": `want either files or the secret "x", got both`,
 		servers + "trust = \"ca.pem\"\ncolour = 1\n":        "11: tls.servers[0].colour: unknown key",
-		clients + "require = true\n":                        "tls.clients: require: want trust",
+		clients + "require = true\n":                        "tls.clients: require: needs trust",
 		"[tls.clients]\nrequire = false\n":                  noCertificate,
 		"[tls]\nshare = 2.0\n" + clients:                    "10: tls.share: want 0.01 to 1",
 		clients + identity:                                  "client certificates are not verified",
@@ -65,7 +65,7 @@
 			_, err = file.NodeTLS(time.Now())
 		}
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: got %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
