--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,9 +1,9 @@
-// Package stricttoml decodes TOML into structs. An error is one line, which names the line, the key and the values
-// that are allowed.
+// Package stricttoml decodes TOML into structs. It rejects unknown keys and values that are not allowed. An error is
+// one line, which names the line number, the key and the allowed values.
 //
-// The tag toml names a field's key. Further tags restrict the values: min and max bound numbers and durations, one
-// lists the allowed texts, separated by |, and need requires the key unless the field has a default. The tags of a
-// list or a map apply to its elements.
+// The struct tag toml names a field's key. Further tags restrict its values: min and max are bounds of numbers and
+// durations, one lists the allowed strings, separated by |, and need makes the key mandatory unless the field has a
+// default. The tags of a list or a map apply to its elements.
 package stricttoml
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a text into the struct that to points at. Fields whose keys are not in the text keep their values.
-// It returns the lines of the keys, for further checks by the caller; errors in the text are of type *Error.
+// Decode decodes a text into the struct that to points to. Fields whose keys are not in the text keep their values.
+// Decode returns the lines of the keys, for further checks by the caller. Errors in the text are of type *Error.
 func Decode(text []byte, to any) (Lines, error) {
 	var table map[string]any
 	if err := toml.Unmarshal(text, &table); err != nil {
@@ -26,7 +26,7 @@
 	return lines, decoder{lines}.decodeStruct("", table, reflect.ValueOf(to).Elem())
 }
 
-// syntaxError returns the first line of an error of the TOML parser.
+// syntaxError converts an error of the TOML parser to an *Error with the first line of its message.
 func syntaxError(err error) error {
 	line := 1
 	var syntax *toml.DecodeError
@@ -41,8 +41,8 @@
 
 // decodeStruct sets the fields of a struct from a table.
 func (d decoder) decodeStruct(key string, table map[string]any, to reflect.Value) error {
-	fields := make(map[string]reflect.StructField) // by name of the key
-	var names []string                             // in the order of the struct
+	fields := make(map[string]reflect.StructField) // by key
+	var names []string                             // keys in the order of the struct's fields
 	for i := range to.NumField() {
 		field := to.Type().Field(i)
 		if name := field.Tag.Get("toml"); name != "" {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// checkUnknown returns an error for the first key of a table, by line, that is not among the names.
+// checkUnknown returns an error for the first line of a table whose key is not among the names.
 func (d decoder) checkUnknown(key string, table map[string]any, names []string) error {
 	var unknown []string
 	for name := range table {
@@ -87,22 +87,22 @@
 
 // decodeMap sets a map from a table.
 func (d decoder) decodeMap(val value) error {
-	table, ok := val.from.(map[string]any)
+	table, ok := val.parsed.(map[string]any)
 	if !ok {
-		return d.wantError(val, "a table")
+		return d.mismatchError(val, "a table")
 	}
-	val.to.Set(reflect.MakeMap(val.to.Type()))
+	val.target.Set(reflect.MakeMap(val.target.Type()))
 	names := make([]string, 0, len(table))
 	for name := range table {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int { return d.lines.compare(join(val.key, a), join(val.key, b)) })
 	for _, name := range names {
-		element := reflect.New(val.to.Type().Elem()).Elem()
+		element := reflect.New(val.target.Type().Elem()).Elem()
 		if err := d.decodeValue(value{join(val.key, name), table[name], element, val.tag}); err != nil {
 			return err
 		}
-		val.to.SetMapIndex(reflect.ValueOf(name), element)
+		val.target.SetMapIndex(reflect.ValueOf(name), element)
 	}
 	return nil
 }
--- a/internal/stricttoml/decode_test.go
+++ b/internal/stricttoml/decode_test.go
@@ -29,7 +29,7 @@
 	Size int    `toml:"size"`
 }
 
-// TestDecode_SetsFields checks the decoded values, the defaults and the lines of a text with every type.
+// TestDecode_SetsFields checks the decoded values, the defaults and the lines of a text with a value of each type.
 func TestDecode_SetsFields(t *testing.T) {
 	const text = `text = "green"
 flag = true
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestDecode_Errors checks the whole text of each error.
+// TestDecode_Errors checks the complete message of each error.
 func TestDecode_Errors(t *testing.T) {
 	const twoNumbers = "want a number, or two as in [1, 2]"
 	const allKeys = "text, flag, count, unsigned, ratio, time, draw, any, texts, weights, optional, element"
@@ -111,7 +111,7 @@
 		_, err := Decode([]byte(text), new(document))
 		var typed *Error
 		if !errors.As(err, &typed) || err.Error() != want {
-			t.Errorf("%q:\n%v\nwant\n%s", text, err, want)
+			t.Errorf("%q: got error\n%v\nwant\n%s", text, err, want)
 		}
 	}
 }
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is an error in a text.
+// Error is an error in a TOML text.
 type Error struct {
 	Line    int    // from 1
-	Key     string // dotted; empty if the error concerns no key
+	Key     string // dotted key; empty if the error concerns no key
 	Message string
 }
 
-// Error returns the message behind the line and the key, so that the file's name can stand before it.
+// Error returns the line, the key and the message, so that a caller can put the file's name and a colon in front.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%d: %s", e.Line, e.Message)
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("%d: %s: %s", e.Line, e.Key, e.Message)
 }
 
-// Lines has the line of each key and of each table, by dotted key, as in "fault[2].at".
+// Lines maps the dotted keys of values and tables, as in "fault[2].at", to line numbers.
 type Lines map[string]int
 
-// At returns the line of a key, or that of the innermost table around it that is known, or 1.
+// At returns the line of a key. If it is unknown, At returns the line of the innermost known table around it, or 1.
 func (l Lines) At(key string) int {
 	for key != "" {
 		if line, ok := l[key]; ok {
@@ -41,7 +41,7 @@
 	return 1
 }
 
-// Errorf returns an *Error at a key.
+// Errorf returns an *Error for a key, with its line.
 func (l Lines) Errorf(key, format string, args ...any) error {
 	return &Error{Line: l.At(key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
@@ -49,7 +49,7 @@
 // compare orders keys by line.
 func (l Lines) compare(a, b string) int { return l.At(a) - l.At(b) }
 
-// indexLines returns the lines of a text, which must be valid TOML.
+// indexLines returns the lines of the keys in a text, which must be valid TOML.
 func indexLines(text []byte) Lines {
 	x := &indexer{text: text, lines: make(Lines), counts: make(map[string]int), current: make(map[string]string)}
 	var parser unstable.Parser
@@ -60,13 +60,13 @@
 	return x.lines
 }
 
-// indexer collects the lines of a text.
+// indexer collects the lines of the keys in a text.
 type indexer struct {
 	text    []byte
 	lines   Lines
-	counts  map[string]int    // elements of each array of tables so far
-	current map[string]string // the last element of each array of tables, by the array's key
-	table   string            // to which the keys that follow belong
+	counts  map[string]int    // number of elements so far, by the array of tables
+	current map[string]string // key of the last element, by the array of tables
+	table   string            // key of the table to which the following keys belong
 }
 
 func (x *indexer) addExpression(expression *unstable.Node) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// resolve returns the dotted key that parts make within a table, and the first part's node. A part that names an
-// array of tables means its last element, unless it is the last part.
+// resolve joins the parts of a key to a dotted key within a table, and also returns the node of the first part. A part
+// that names an array of tables refers to the array's last element, unless it is the last part.
 func (x *indexer) resolve(parts unstable.Iterator, table string) (key string, first *unstable.Node) {
 	key = table
 	for parts.Next() {
--- a/internal/stricttoml/value.go
+++ b/internal/stricttoml/value.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Range is a number, or the bounds of a random number: 3 or [2, 4].
+// Range is a fixed number, as in 3, or the bounds of a random number, as in [2, 4].
 type Range struct{ Lo, Hi float64 }
 
-// Interpolate returns the number at a fraction of the way from the lower bound to the upper one.
+// Interpolate returns the number at a fraction, 0 to 1, of the way from the lower bound to the upper one.
 func (r Range) Interpolate(fraction float64) float64 { return r.Lo + (r.Hi-r.Lo)*fraction }
 
 var (
@@ -21,31 +21,31 @@
 	rangeType    = reflect.TypeFor[Range]()
 )
 
-// value is a value of the text, with the Go value that it sets.
+// value is a value in the text, together with the Go value to which it is decoded.
 type value struct {
-	key  string // dotted
-	from any    // as the TOML parser returns it
-	to   reflect.Value
-	tag  reflect.StructTag
+	key    string // dotted
+	parsed any    // as returned by the TOML parser
+	target reflect.Value
+	tag    reflect.StructTag
 }
 
-// decodeValue decodes one value. It panics if the field's type is not supported.
+// decodeValue decodes one value. It panics if the type of its Go value is not supported.
 func (d decoder) decodeValue(val value) error {
-	switch val.to.Type() {
+	switch val.target.Type() {
 	case durationType:
 		return d.decodeDuration(val)
 	case rangeType:
 		return d.decodeRange(val)
 	}
-	switch val.to.Kind() {
-	case reflect.Interface: // another package decodes it
-		val.to.Set(reflect.ValueOf(val.from))
+	switch val.target.Kind() {
+	case reflect.Interface: // stores the parsed value as it is
+		val.target.Set(reflect.ValueOf(val.parsed))
 		return nil
 	case reflect.Pointer:
-		val.to.Set(reflect.New(val.to.Type().Elem()))
-		return d.decodeValue(value{val.key, val.from, val.to.Elem(), val.tag})
+		val.target.Set(reflect.New(val.target.Type().Elem()))
+		return d.decodeValue(value{val.key, val.parsed, val.target.Elem(), val.tag})
 	case reflect.String:
-		return d.decodeText(val)
+		return d.decodeString(val)
 	case reflect.Bool:
 		return d.decodeBool(val)
 	case reflect.Int, reflect.Int64:
@@ -55,125 +55,125 @@
 	case reflect.Float64:
 		return d.decodeFloat(val)
 	case reflect.Struct:
-		table, ok := val.from.(map[string]any)
+		table, ok := val.parsed.(map[string]any)
 		if !ok {
-			return d.wantError(val, "a table")
+			return d.mismatchError(val, "a table")
 		}
-		return d.decodeStruct(val.key, table, val.to)
+		return d.decodeStruct(val.key, table, val.target)
 	case reflect.Map:
 		return d.decodeMap(val)
 	case reflect.Slice:
 		return d.decodeSlice(val)
 	}
-	panic("stricttoml: unsupported field type " + val.to.Type().String())
+	panic("stricttoml: unsupported field type " + val.target.Type().String())
 }
 
-// wantError returns the error for a value of the wrong kind.
-func (d decoder) wantError(val value, want string) error {
-	return d.lines.Errorf(val.key, "want %s, got %s", want, format(val.from))
+// mismatchError returns the error for a value of the wrong type, or one that is not allowed.
+func (d decoder) mismatchError(val value, want string) error {
+	return d.lines.Errorf(val.key, "want %s, got %s", want, format(val.parsed))
 }
 
 func (d decoder) decodeDuration(val value) error {
-	text, ok := val.from.(string)
+	text, ok := val.parsed.(string)
 	duration, err := time.ParseDuration(text)
 	if !ok || err != nil {
-		return d.wantError(val, `a time with its unit, as in "1.5s"`)
+		return d.mismatchError(val, `a time with its unit, as in "1.5s"`)
 	}
-	val.to.SetInt(int64(duration))
+	val.target.SetInt(int64(duration))
 	return d.checkBounds(val, duration.Seconds(), func(bound string) float64 {
-		parsed, _ := time.ParseDuration(bound) // a tag of this program
+		parsed, _ := time.ParseDuration(bound) // tags are constants of this program and valid
 		return parsed.Seconds()
 	})
 }
 
 func (d decoder) decodeRange(val value) error {
 	var decoded Range
-	if number, ok := toFloat(val.from); ok {
+	if number, ok := toFloat(val.parsed); ok {
 		decoded = Range{number, number}
 	} else {
-		list, ok := val.from.([]any)
+		list, ok := val.parsed.([]any)
 		if !ok || len(list) != 2 {
-			return d.wantError(val, "a number, or two as in [1, 2]")
+			return d.mismatchError(val, "a number, or two as in [1, 2]")
 		}
 		lower, ok1 := toFloat(list[0])
 		upper, ok2 := toFloat(list[1])
 		if !ok1 || !ok2 || lower > upper {
-			return d.wantError(val, "a number, or two as in [1, 2], the lower one first")
+			return d.mismatchError(val, "a number, or two as in [1, 2], the lower one first")
 		}
 		decoded = Range{lower, upper}
 	}
-	val.to.Set(reflect.ValueOf(decoded))
+	val.target.Set(reflect.ValueOf(decoded))
 	if err := d.checkBounds(val, decoded.Lo, parseBound); err != nil {
 		return err
 	}
 	return d.checkBounds(val, decoded.Hi, parseBound)
 }
 
-func (d decoder) decodeText(val value) error {
-	text, ok := val.from.(string)
+func (d decoder) decodeString(val value) error {
+	text, ok := val.parsed.(string)
 	if !ok {
-		return d.wantError(val, "a text in quotes")
+		return d.mismatchError(val, "a text in quotes")
 	}
 	if allowed := val.tag.Get("one"); allowed != "" && !slices.Contains(strings.Split(allowed, "|"), text) {
-		return d.wantError(val, "one of "+strings.ReplaceAll(allowed, "|", ", "))
+		return d.mismatchError(val, "one of "+strings.ReplaceAll(allowed, "|", ", "))
 	}
-	val.to.SetString(text)
+	val.target.SetString(text)
 	return nil
 }
 
 func (d decoder) decodeBool(val value) error {
-	flag, ok := val.from.(bool)
+	flag, ok := val.parsed.(bool)
 	if !ok {
-		return d.wantError(val, "true or false")
+		return d.mismatchError(val, "true or false")
 	}
-	val.to.SetBool(flag)
+	val.target.SetBool(flag)
 	return nil
 }
 
 func (d decoder) decodeInt(val value) error {
-	number, ok := val.from.(int64)
+	number, ok := val.parsed.(int64)
 	if !ok {
-		return d.wantError(val, "a whole number")
+		return d.mismatchError(val, "a whole number")
 	}
-	val.to.SetInt(number)
+	val.target.SetInt(number)
 	return d.checkBounds(val, float64(number), parseBound)
 }
 
 func (d decoder) decodeUint(val value) error {
-	number, ok := val.from.(int64)
+	number, ok := val.parsed.(int64)
 	if !ok || number < 0 {
-		return d.wantError(val, "a whole number of 0 or more")
+		return d.mismatchError(val, "a whole number of 0 or more")
 	}
-	val.to.SetUint(uint64(number))
+	val.target.SetUint(uint64(number))
 	return nil
 }
 
 func (d decoder) decodeFloat(val value) error {
-	number, ok := toFloat(val.from)
+	number, ok := toFloat(val.parsed)
 	if !ok || math.IsNaN(number) || math.IsInf(number, 0) {
-		return d.wantError(val, "a number")
+		return d.mismatchError(val, "a number")
 	}
-	val.to.SetFloat(number)
+	val.target.SetFloat(number)
 	return d.checkBounds(val, number, parseBound)
 }
 
 func (d decoder) decodeSlice(val value) error {
-	list, ok := val.from.([]any)
+	list, ok := val.parsed.([]any)
 	if !ok {
-		return d.wantError(val, "a list")
+		return d.mismatchError(val, "a list")
 	}
-	elements := reflect.MakeSlice(val.to.Type(), len(list), len(list))
+	elements := reflect.MakeSlice(val.target.Type(), len(list), len(list))
 	for i, from := range list {
 		key := fmt.Sprintf("%s[%d]", val.key, i)
 		if err := d.decodeValue(value{key, from, elements.Index(i), val.tag}); err != nil {
 			return err
 		}
 	}
-	val.to.Set(elements)
+	val.target.Set(elements)
 	return nil
 }
 
-// checkBounds checks a number against the tags min and max, which parse reads.
+// checkBounds checks a number against the tags min and max. parse converts the text of a tag to a number.
 func (d decoder) checkBounds(val value, number float64, parse func(bound string) float64) error {
 	lower, upper := val.tag.Get("min"), val.tag.Get("max")
 	if (lower == "" || number >= parse(lower)) && (upper == "" || number <= parse(upper)) {
@@ -181,15 +181,15 @@
 	}
 	switch {
 	case upper == "":
-		return d.wantError(val, lower+" or more")
+		return d.mismatchError(val, lower+" or more")
 	case lower == "":
-		return d.wantError(val, upper+" or less")
+		return d.mismatchError(val, upper+" or less")
 	}
-	return d.wantError(val, lower+" to "+upper)
+	return d.mismatchError(val, lower+" to "+upper)
 }
 
 func parseBound(bound string) float64 {
-	number, _ := strconv.ParseFloat(bound, 64) // a tag of this program
+	number, _ := strconv.ParseFloat(bound, 64) // tags are constants of this program and valid
 	return number
 }
 
@@ -203,7 +203,7 @@
 	return 0, false
 }
 
-// format returns a value roughly as the text has it.
+// format formats a value for an error message, roughly as TOML does.
 func format(from any) string {
 	switch from := from.(type) {
 	case string:
