--- a/internal/simprotocol/args.go
+++ b/internal/simprotocol/args.go
@@ -8,10 +8,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxInterned limits the interned strings. Servers come and go, so their names accumulate.
+// maxInterned limits the number of interned strings. Without a limit, names of servers that no longer exist would
+// accumulate.
 const maxInterned = 1 << 14
 
-// args reads the values of a message by index, and keeps the first error.
+// args reads the values of a message by index and records the first error.
 type args struct {
 	values  []*fastjson.Value
 	decoder *Decoder
@@ -24,7 +25,8 @@
 	}
 }
 
-// optional returns the value at index i; nil if it is absent or null.
+// optional returns the value at index i, or nil if it is absent or null. A value of another type is an error and also
+// returns nil.
 func (a *args) optional(i int, field string, want fastjson.Type) *fastjson.Value {
 	if i >= len(a.values) || a.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -45,11 +47,11 @@
 	return v
 }
 
-func (a *args) text(i int, field string) string {
+func (a *args) str(i int, field string) string {
 	return stringOf(a.required(i, field, fastjson.TypeString))
 }
 
-func (a *args) optText(i int, field string) string {
+func (a *args) optStr(i int, field string) string {
 	return stringOf(a.optional(i, field, fastjson.TypeString))
 }
 
@@ -60,12 +62,12 @@
 	return string(v.GetStringBytes())
 }
 
-// name reads a string that occurs often, and is interned.
-func (a *args) name(i int, field string) string {
+// internedStr reads a string that occurs often, and interns it.
+func (a *args) internedStr(i int, field string) string {
 	return a.decoder.intern(a.required(i, field, fastjson.TypeString))
 }
 
-func (a *args) optName(i int, field string) string {
+func (a *args) optInternedStr(i int, field string) string {
 	return a.decoder.intern(a.optional(i, field, fastjson.TypeString))
 }
 
@@ -109,11 +111,11 @@
 	return n
 }
 
-func (a *args) ms(i int, field string) time.Duration {
+func (a *args) millis(i int, field string) time.Duration {
 	return a.duration(a.required(i, field, fastjson.TypeNumber), field)
 }
 
-func (a *args) optMs(i int, field string) time.Duration {
+func (a *args) optMillis(i int, field string) time.Duration {
 	return a.duration(a.optional(i, field, fastjson.TypeNumber), field)
 }
 
@@ -122,15 +124,16 @@
 		return 0
 	}
 	ms := v.GetFloat64()
-	if ms != ms || math.Abs(ms) > maxMs {
+	if ms != ms || math.Abs(ms) > maxMillis {
 		a.fail(field, "out of range: %s", v)
 		return 0
 	}
 	return fromMillis(ms)
 }
 
-// maxMs is the longest time that is accepted, in milliseconds: half of the range of time.Duration, about 146 years.
-const maxMs = math.MaxInt64 / 2e6
+// maxMillis is the longest time that is accepted, in milliseconds: half of the range of time.Duration, about 146
+// years.
+const maxMillis = math.MaxInt64 / 2e6
 
 // fromMillis converts milliseconds to a duration, rounded to the protocol's resolution of a microsecond.
 func fromMillis(ms float64) time.Duration {
@@ -158,7 +161,7 @@
 	}
 	report := make([]float64, 0, len(v.GetArray()))
 	for _, element := range v.GetArray() {
-		n := math.NaN() // an absent value
+		n := math.NaN() // null means that the value is absent
 		if element.Type() == fastjson.TypeNumber {
 			n = element.GetFloat64()
 		} else if element.Type() != fastjson.TypeNull {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,5 +1,5 @@
 // Package simprotocol translates between the simulator's line protocol and the types of package policy, and parses the
-// settings. It decides nothing. The protocol's own words occur in this package only.
+// protocol's settings. It makes no decisions about requests. The protocol's names occur in this package only.
 package simprotocol
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// Kind is the type of a line.
+// Kind is the type of a line of the protocol.
 type Kind uint8
 
 // The kinds of line.
 const (
-	BatchStart Kind = iota // begins a batch: Now is set
+	BatchStart Kind = iota // begins a batch; Now is set
 	BatchEnd               // ends a batch
-	ListStored             // an endpoint list was stored under its number; no instance is concerned
+	ListStored             // the line contained an endpoint list, which the decoder has stored
 	Configure              // Node, Seed and Settings are set
 	Shutdown               // Node is set
 	Event                  // Node and Event are set
@@ -30,18 +30,18 @@
 type Line struct {
 	Kind     Kind
 	Now      policy.Time
-	Node     int // the instance concerned
+	Node     int // number of the instance that the line is for
 	Seed     uint64
 	Settings policy.Settings
 	Event    policy.Event
 }
 
-// Decoder decodes lines, and stores the endpoint lists that are sent once for all instances. The zero value is ready to
-// use. It is not safe for concurrent use.
+// Decoder decodes lines. It stores endpoint lists, because the simulator sends each list once for all instances. The
+// zero value is ready to use. A Decoder is not safe for concurrent use.
 type Decoder struct {
 	parser        fastjson.Parser
 	endpointLists [maxLists][]policy.Endpoint
-	received      [maxLists]bool // endpoint lists
+	received      [maxLists]bool // whether the list at an index was received
 	interned      map[string]string
 }
 
@@ -65,7 +65,7 @@
 		err = args.err
 	}
 	if err != nil {
-		return Line{}, fmt.Errorf("%s: %w", printable(name), err)
+		return Line{}, fmt.Errorf("%s: %w", printableName(name), err)
 	}
 	return decoded, nil
 }
@@ -73,7 +73,7 @@
 func (d *Decoder) decodeMessage(name string, args *args) (Line, error) {
 	switch name {
 	case "mark":
-		return Line{Kind: BatchStart, Now: args.ms(0, "clock")}, nil
+		return Line{Kind: BatchStart, Now: args.millis(0, "clock")}, nil
 	case "eob":
 		return Line{Kind: BatchEnd}, nil
 	case "list":
@@ -93,7 +93,7 @@
 func decodeConfigure(node int, args *args) (Line, error) {
 	line := Line{Kind: Configure, Node: node, Seed: args.uint(1, "randomSeed")}
 	conf := args.required(2, "conf", fastjson.TypeObject)
-	if conf == nil { // args has the error
+	if conf == nil { // args has recorded the error
 		return line, nil
 	}
 	settings, err := parseSettings(conf)
@@ -104,16 +104,16 @@
 	return line, nil
 }
 
-// printable returns a message's name as one line of printable characters, of bounded length.
-func printable(name string) string {
-	const maxLength = 60 // bytes; longer than any name of the protocol
+// printableName returns a message's name as printable characters on one line, cut to a maximum length.
+func printableName(name string) string {
+	const maxLength = 60 // bytes; more than any name of the protocol has
 	quoted := strings.Trim(strconv.Quote(name), `"`)
 	return quoted[:min(len(quoted), maxLength)]
 }
 
-// firstLine shortens a parser's error to one line of bounded length.
+// firstLine cuts a parser's error to its first line and a maximum length.
 func firstLine(err error) error {
-	const maxLength = 200 // bytes; the parser may quote a whole line
+	const maxLength = 200 // bytes; the parser may quote a whole line of input
 	text := err.Error()
 	for i := range len(text) {
 		if text[i] == '\n' || i == maxLength {
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -8,14 +8,14 @@
 	"cobaltward/policy"
 )
 
-// actionNames has the names of actions on the wire, by kind.
+// actionNames are the protocol's names of actions, by kind.
 var actionNames = [...]string{
 	policy.Send: "handOff", policy.Reject: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
 	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendToPeer: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchEndpoints: "listen", policy.FetchEndpoints: "readList",
 }
 
-// AppendAction appends the line of an action of an instance.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(b []byte, node int, action policy.Action) []byte {
 	b = append(b, `["`...)
 	b = append(b, actionNames[action.Kind]...)
@@ -25,19 +25,19 @@
 	case policy.Send:
 		b = appendString(appendString(b, action.ID), action.Server)
 		if action.Until > 0 {
-			b = appendMs(b, action.Until)
+			b = appendMillis(b, action.Until)
 		}
 	case policy.Reject:
 		b = appendString(b, action.ID)
 		if action.Wait > 0 {
-			b = appendMs(b, action.Wait)
+			b = appendMillis(b, action.Wait)
 		}
 	case policy.Fail:
 		b = appendString(b, action.ID)
 	case policy.Cancel:
 		b = strconv.AppendInt(append(appendString(b, action.ID), ','), int64(action.Attempt), 10)
 	case policy.SetTimer:
-		b = strconv.AppendUint(append(appendMs(b, action.Wait), ','), action.Token, 10)
+		b = strconv.AppendUint(append(appendMillis(b, action.Wait), ','), action.Token, 10)
 	case policy.Probe, policy.CloseIdle:
 		b = appendString(b, action.Server)
 	case policy.SendToPeer:
@@ -59,7 +59,7 @@
 // AppendReplyEnd appends the line that ends a reply.
 func AppendReplyEnd(b []byte) []byte { return append(b, "[\"yield\"]\n"...) }
 
-func appendMs(b []byte, d time.Duration) []byte {
+func appendMillis(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(append(b, ','), float64(d/time.Microsecond)/1e3, 'f', -1, 64)
 }
 
@@ -67,7 +67,7 @@
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(s) // does not fail for a string
+			quoted, _ := json.Marshal(s) // cannot fail for a string
 			return append(b, quoted...)
 		}
 	}
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -8,10 +8,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxLists is how many numbers the protocol has for endpoint lists.
+// maxLists is the number of endpoint lists that the protocol can store; it numbers them from 0.
 const maxLists = 16
 
-func (d *Decoder) listNumber(args *args, i int) int {
+func (d *Decoder) listIndex(args *args, i int) int {
 	n := args.int(i, "buffer")
 	if args.err == nil && (n < 0 || n >= maxLists) {
 		args.fail("buffer", "want 0 to %d, got %d", maxLists-1, n)
@@ -21,12 +21,12 @@
 }
 
 func (d *Decoder) storeList(args *args) error {
-	n := d.listNumber(args, 0)
+	n := d.listIndex(args, 0)
 	records := args.required(1, "records", fastjson.TypeArray)
 	if args.err != nil {
 		return args.err
 	}
-	// A new slice each time, because instances still read the previous one.
+	// Always allocates a new slice, because instances may still read the previous one.
 	endpoints := make([]policy.Endpoint, 0, len(records.GetArray()))
 	for i, record := range records.GetArray() {
 		endpoint, err := d.parseEndpoint(record)
@@ -45,10 +45,10 @@
 	}
 	args := args{values: value.GetArray(), decoder: d}
 	endpoint := policy.Endpoint{
-		OnlineSince: args.optMs(0, "onlineSince"), Weight: 1, Kind: args.optName(3, "classOfHost"),
-		Zone: args.optName(4, "campus"), Server: args.name(6, "server"),
+		OnlineSince: args.optMillis(0, "onlineSince"), Weight: 1, Kind: args.optInternedStr(3, "classOfHost"),
+		Zone: args.optInternedStr(4, "campus"), Server: args.internedStr(6, "server"),
 	}
-	switch state := args.name(1, "availability"); state {
+	switch state := args.internedStr(1, "availability"); state {
 	case "Running":
 	case "Stopping":
 		endpoint.Availability = policy.Draining
@@ -72,7 +72,7 @@
 }
 
 func (d *Decoder) endpointListEvent(args *args) (policy.EndpointList, error) {
-	how := args.name(1, "how")
+	how := args.internedStr(1, "how")
 	kind, ok := listKinds[how]
 	if args.err == nil && !ok {
 		args.fail("how", "unknown kind %q", how)
@@ -80,7 +80,7 @@
 	if args.err != nil || kind == policy.ListUnavailable {
 		return policy.EndpointList{Kind: kind}, args.err
 	}
-	n := d.listNumber(args, 3)
+	n := d.listIndex(args, 3)
 	if args.err == nil && !d.received[n] {
 		args.fail("buffer", "list %d was never sent", n)
 	}
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -6,7 +6,7 @@
 	"cobaltward/policy"
 )
 
-// decodeEvent decodes the messages that are events of package policy.
+// decodeEvent decodes a message to an event of package policy.
 func (d *Decoder) decodeEvent(name string, args *args) (policy.Event, error) {
 	switch name {
 	case "ingress":
@@ -16,19 +16,19 @@
 	case "reminder":
 		return policy.Timer{Token: args.uint(1, "token")}, nil
 	case "lapsed":
-		return policy.ClientGone{ID: args.text(1, "ticket")}, nil
+		return policy.ClientGone{ID: args.str(1, "ticket")}, nil
 	case "headers":
 		return policy.FirstByte{
-			ID: args.text(1, "ticket"), Attempt: args.int(2, "roundNo"),
-			Latency: args.ms(3, "waitTime"), Server: args.name(4, "server"),
+			ID: args.str(1, "ticket"), Attempt: args.int(2, "roundNo"),
+			Latency: args.millis(3, "waitTime"), Server: args.internedStr(4, "server"),
 		}, nil
 	case "healthResult":
 		return policy.ProbeResult{
-			Latency: args.ms(1, "waitTime"), Code: args.code(2),
-			Server: args.name(3, "server"), LoadReport: args.loadReport(4),
+			Latency: args.millis(1, "waitTime"), Code: args.code(2),
+			Server: args.internedStr(3, "server"), LoadReport: args.loadReport(4),
 		}, nil
 	case "neighbourSays":
-		return policy.PeerMessage{From: args.int(1, "from"), Body: args.text(2, "body")}, nil
+		return policy.PeerMessage{From: args.int(1, "from"), Body: args.str(2, "body")}, nil
 	case "peersKnown":
 		return d.endpointListEvent(args)
 	}
@@ -37,16 +37,16 @@
 
 func (a *args) requestEvent() policy.Request {
 	return policy.Request{
-		ID: a.text(1, "ticket"), Class: a.name(2, "cls"), Tenant: a.optName(3, "team"),
-		Key: a.optText(4, "object"), ExpiresIn: a.ms(5, "expiresIn"), CostHint: a.optMs(6, "effort"),
+		ID: a.str(1, "ticket"), Class: a.internedStr(2, "cls"), Tenant: a.optInternedStr(3, "team"),
+		Key: a.optStr(4, "object"), ExpiresIn: a.millis(5, "expiresIn"), CostHint: a.optMillis(6, "effort"),
 		Retry: a.optBool(7, "isRetry"), Write: a.optBool(8, "update"),
 	}
 }
 
 func (a *args) outcomeEvent() policy.Outcome {
 	return policy.Outcome{
-		ID: a.text(1, "ticket"), Attempt: a.int(2, "roundNo"), Server: a.name(3, "server"),
-		Code: a.code(4), Latency: a.ms(5, "waitTime"), Answered: a.optBool(6, "doneFlag"), LoadReport: a.loadReport(7),
+		ID: a.str(1, "ticket"), Attempt: a.int(2, "roundNo"), Server: a.internedStr(3, "server"),
+		Code: a.code(4), Latency: a.millis(5, "waitTime"), Answered: a.optBool(6, "doneFlag"), LoadReport: a.loadReport(7),
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 func (a *args) code(i int) policy.Code {
-	s := a.name(i, "rc")
+	s := a.internedStr(i, "rc")
 	c, ok := outcomeCodes[s]
 	if !ok {
 		a.fail("rc", "unknown outcome code %q", s)
--- a/internal/simprotocol/object.go
+++ b/internal/simprotocol/object.go
@@ -8,12 +8,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// object reads the values of a JSON object by key, and keeps the first error. Other keys are ignored, and an absent key
-// reads as the zero value.
+// object reads the values of a JSON object by key and records the first error. Unknown keys are ignored, and an absent
+// key reads as the zero value.
 type object struct {
 	value *fastjson.Value
-	path  string
-	err   *error
+	path  string // prefix of keys in errors
+	err   *error // the first error, shared by all objects of a message
 }
 
 func (o object) get(key string, want ...fastjson.Type) *fastjson.Value {
@@ -40,7 +40,7 @@
 	return object{value: o.get(key, fastjson.TypeObject), path: o.path + key + ".", err: o.err}
 }
 
-func (o object) each(key string, do func(object)) {
+func (o object) forEach(key string, do func(object)) {
 	v := o.get(key, fastjson.TypeArray)
 	if v == nil {
 		return
@@ -71,16 +71,16 @@
 	return int(n)
 }
 
-func (o object) ms(key string) time.Duration {
+func (o object) millis(key string) time.Duration {
 	n := o.number(key)
-	if math.Abs(n) > maxMs {
+	if math.Abs(n) > maxMillis {
 		o.fail(key, "out of range")
 		return 0
 	}
 	return fromMillis(n)
 }
 
-func (o object) texts(key string) []string {
+func (o object) strs(key string) []string {
 	v := o.get(key, fastjson.TypeArray)
 	if v == nil {
 		return nil
@@ -96,19 +96,19 @@
 	return all
 }
 
-func (o object) text(key string) string { return stringOf(o.get(key, fastjson.TypeString)) }
+func (o object) str(key string) string { return stringOf(o.get(key, fastjson.TypeString)) }
 
-func (o object) flag(key string) bool {
+func (o object) boolean(key string) bool {
 	v := o.get(key, fastjson.TypeTrue, fastjson.TypeFalse)
 	return v != nil && v.Type() == fastjson.TypeTrue
 }
 
-// enum returns the value that a table has for a string; an absent key has the one for "".
-func enum[T any](o object, key string, table map[string]T) T {
-	s := o.text(key)
+// enumValue looks the string at a key up in a table. An absent key reads as the empty string.
+func enumValue[T any](o object, key string, table map[string]T) T {
+	s := o.str(key)
 	t, ok := table[s]
 	if !ok {
-		o.fail(key, fmt.Sprintf("unknown word %q", s))
+		o.fail(key, fmt.Sprintf("unknown value %q", s))
 	}
 	return t
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// The protocol's words for values of enumerations.
+// The protocol's names for values of enumerations.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"": policy.NonIdempotent, "single_shot": policy.NonIdempotent,
@@ -22,7 +22,7 @@
 	weightings    = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ParseSettings parses a settings object, as the configuration of a node contains it.
+// ParseSettings parses the JSON of a settings object, as contained in the configuration of a node.
 func ParseSettings(raw []byte) (policy.Settings, error) {
 	conf, err := fastjson.ParseBytes(raw)
 	if err != nil {
@@ -34,71 +34,71 @@
 	return parseSettings(conf)
 }
 
-// parseSettings parses the object of a configure message.
+// parseSettings parses a settings object, as contained in a configure message.
 func parseSettings(conf *fastjson.Value) (policy.Settings, error) {
 	var err error
 	root := object{value: conf, err: &err}
 	settings := policy.Settings{
-		Node: root.integer("position"), Nodes: root.integer("groupSize"), Zone: root.text("zone"),
-		Subscribe:   enum(root, "registryMode", registryModes),
-		KeyAffinity: root.object("familyInfo").flag("warmKeys"), WeightByWork: enum(root, "worthBy", weightings),
+		Node: root.integer("position"), Nodes: root.integer("groupSize"), Zone: root.str("zone"),
+		Subscribe:   enumValue(root, "registryMode", registryModes),
+		KeyAffinity: root.object("familyInfo").boolean("warmKeys"), WeightByWork: enumValue(root, "worthBy", weightings),
 	}
-	root.each("services", func(class object) { settings.Classes = append(settings.Classes, parseClass(class)) })
-	root.each("tenants", func(tenant object) {
+	root.forEach("services", func(class object) { settings.Classes = append(settings.Classes, parseClass(class)) })
+	root.forEach("tenants", func(tenant object) {
 		settings.Tenants = append(settings.Tenants, policy.Tenant{
-			Name: tenant.text("name"), Quota: tenant.number("quotaRps"), Share: tenant.number("fraction"),
+			Name: tenant.str("name"), Quota: tenant.number("quotaRps"), Share: tenant.number("fraction"),
 		})
 	})
 	settings.Capabilities = parseCapabilities(root.object("limits"))
 	settings.Rules = parseRules(root.object("guarantees"))
-	settings.LoadReportFields = root.object("report").texts("fields")
+	settings.LoadReportFields = root.object("report").strs("fields")
 	return settings, err
 }
 
 func parseClass(class object) policy.Class {
 	return policy.Class{
-		Name:                class.text("name"),
-		LatencyObjective:    class.ms("aim"),
+		Name:                class.str("name"),
+		LatencyObjective:    class.millis("aim"),
 		ObjectiveWorkFactor: class.number("aimStretch"),
-		Deadline:            class.ms("deadline"),
-		Idempotency:         enum(class, "repeat", idempotencies),
-		DedupScope:          enum(class, "group", dedupScopes),
-		DedupWindow:         class.ms("window"),
+		Deadline:            class.millis("deadline"),
+		Idempotency:         enumValue(class, "repeat", idempotencies),
+		DedupScope:          enumValue(class, "group", dedupScopes),
+		DedupWindow:         class.millis("window"),
 		LateWeightFraction:  class.number("lateWorth"),
 		PriorityWeight:      class.number("value"),
-		Stream:              class.flag("stream"),
-		Kinds:               class.texts("servedOn"),
-		Zones:               class.texts("localitiesOnly"),
+		Stream:              class.boolean("stream"),
+		Kinds:               class.strs("servedOn"),
+		Zones:               class.strs("localitiesOnly"),
 	}
 }
 
 func parseCapabilities(limits object) policy.Capabilities {
 	return policy.Capabilities{
-		Cancel:          limits.flag("cancelling"),
-		Hedge:           limits.flag("secondCopies"),
-		Probe:           limits.flag("probes"),
-		Peers:           limits.flag("peerMessages"),
-		RetryAfter:      limits.flag("retryAfter"),
+		Cancel:          limits.boolean("cancelling"),
+		Hedge:           limits.boolean("secondCopies"),
+		Probe:           limits.boolean("probes"),
+		Peers:           limits.boolean("peerMessages"),
+		RetryAfter:      limits.boolean("retryAfter"),
 		MaxAttempts:     limits.integer("maxAttempts"),
-		MaxRetryAfter:   limits.ms("maxRetryAfter"),
-		ConnIdleTimeout: limits.ms("connIdle"),
+		MaxRetryAfter:   limits.millis("maxRetryAfter"),
+		ConnIdleTimeout: limits.millis("connIdle"),
 	}
 }
 
 func parseRules(guarantees object) policy.Rules {
 	return policy.Rules{
-		AnswerGrace:      guarantees.ms("graceToAnswer"),
-		DrainGrace:       guarantees.ms("drainGrace"),
+		AnswerGrace:      guarantees.millis("graceToAnswer"),
+		DrainGrace:       guarantees.millis("drainGrace"),
 		SlowStartShare:   guarantees.number("coldShare"),
-		SlowStartWindow:  guarantees.ms("cold"),
+		SlowStartWindow:  guarantees.millis("cold"),
 		OverloadFactor:   guarantees.number("fallMultiple"),
-		OverloadDuration: guarantees.ms("overloadFor"),
-		MaxPollInterval:  guarantees.ms("mustAskIn"),
+		OverloadDuration: guarantees.millis("overloadFor"),
+		MaxPollInterval:  guarantees.millis("mustAskIn"),
 		RetryBudget:      parseRetryBudget(guarantees),
 	}
 }
 
-// parseRetryBudget returns the limit of retries; nil if none of its figures is present.
+// parseRetryBudget returns the retry budget, or nil if none of its fields is present.
 func parseRetryBudget(guarantees object) *policy.RetryBudget {
 	isPresent := func(key string) bool { return guarantees.get(key, fastjson.TypeNumber) != nil }
 	if !isPresent("minExtra") && !isPresent("budgetShare") && !isPresent("ratioSpan") {
@@ -107,6 +107,6 @@
 	return &policy.RetryBudget{
 		MinRetries: guarantees.number("minExtra"),
 		RetryRatio: guarantees.number("budgetShare"),
-		Window:     guarantees.ms("ratioSpan"),
+		Window:     guarantees.millis("ratioSpan"),
 	}
 }
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -99,12 +99,12 @@
 }
 
 func TestDecode_OutcomeCodes(t *testing.T) {
-	notRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
+	notExecuted := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
 	var decoder Decoder
-	for word := range outcomeCodes {
-		decoded := decode(t, &decoder, `["completed",1,"id",0,"s","`+word+`",1,false]`)
-		if got := decoded.Event.(policy.Outcome).Code.NotExecuted(); got != notRun[word] {
-			t.Errorf("%s: NotRun %v", word, got)
+	for name := range outcomeCodes {
+		decoded := decode(t, &decoder, `["completed",1,"id",0,"s","`+name+`",1,false]`)
+		if got := decoded.Event.(policy.Outcome).Code.NotExecuted(); got != notExecuted[name] {
+			t.Errorf("%s: NotExecuted is %v", name, got)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	}
 }
 
-// Settings in the configuration of a node are parsed as those in a configure message.
+// ParseSettings returns the same settings as the decoder does for a configure message.
 func TestParseSettings(t *testing.T) {
 	const conf = `{"position":1,"groupSize":4,"services":[{"name":"x","deadline":600,"repeat":"free"}]}`
 	got, err := ParseSettings([]byte(conf))
@@ -152,7 +152,7 @@
 	}
 	for raw, want := range map[string]string{`{`: "not JSON", `[]`: "want an object", `{"zone":1}`: "zone"} {
 		if _, err := ParseSettings([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", raw, err, want)
 		}
 	}
 }
@@ -185,19 +185,19 @@
 		var d Decoder
 		_, err := d.Decode([]byte(line))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", line, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", line, err, want)
 		}
 	}
 }
 
-// A list that reuses a number must not change the list that instances already have.
+// A list that reuses a number must not change the previous list, which instances may still read.
 func TestDecode_ListNumberReused(t *testing.T) {
 	var decoder Decoder
 	decode(t, &decoder, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
 	first := decode(t, &decoder, `["peersKnown",3,"replace",1,0]`).Event.(policy.EndpointList)
 	decode(t, &decoder, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
 	if first.Endpoints[0].Server != "s1" {
-		t.Error("the older list changed")
+		t.Error("the previous list has changed")
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 }
 
-// For any input the decoder returns a line, or an error of one line.
+// For any input, the decoder returns a line of the protocol or an error that is a single line of text.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`["mark",1]`, `["ingress",3,"id","c","t","k",240.0,12.0,true,true]`,
