--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -8,15 +8,16 @@
 	"strings"
 )
 
-// socketHost is the Host header of requests over a Unix socket. Servers ignore it.
+// socketHost is the Host header of requests over a Unix socket. The server ignores it.
 const socketHost = "door"
 
-// clientIdleTimeout is how long a client keeps an idle connection: well below the server's idleTimeout, whose end could
-// cross a POST, which http.Transport does not send again.
+// clientIdleTimeout is how long a client keeps an idle connection. It is well below the server's idleTimeout, because
+// the server might otherwise close a connection on which a POST is being sent, and http.Transport does not retry a
+// POST.
 const clientIdleTimeout = idleTimeout / 2
 
-// NewClient returns a client for the server at an address, and the URL with which paths begin. The address is the
-// path of a Unix socket, or IP:port with a token; over IP, tlsConfig is nil for plain HTTP.
+// NewClient returns a client for the server at an address, and the base URL of all paths. The address is the path of a
+// Unix socket, or IP:port with a token. tlsConfig applies to IP:port only; if it is nil, the client uses plain HTTP.
 func NewClient(address, token string, tlsConfig *tls.Config) (client *http.Client, baseURL string) {
 	transport := &http.Transport{
 		DisableCompression: true, TLSClientConfig: tlsConfig, IdleConnTimeout: clientIdleTimeout,
@@ -41,7 +42,7 @@
 	token string
 }
 
-// RoundTrip sends a copy of the request, with the token if there is one.
+// RoundTrip adds the token, if there is one, to a copy of the request and sends it.
 func (t tokenTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if t.token != "" {
 		r = r.Clone(r.Context())
--- a/internal/adminapi/events.go
+++ b/internal/adminapi/events.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Event is one event of a stream.
+// Event is one server-sent event of a stream.
 type Event struct {
 	Name string
 	Data any // encoded as JSON
 }
 
-// StreamEvents answers a request with server-sent events. It calls next at once and then every interval; next returns
-// the events since its last call without blocking, and whether more may follow. The stream ends when next returns no
-// more, the client disconnects or does not read for ioTimeout, or the server is closed.
+// StreamEvents responds to a request with a stream of server-sent events. It calls next at once and then once per
+// interval. next must not block; it returns the events since its last call, and whether more may follow. The stream
+// ends when more is false, when the client disconnects or does not read for ioTimeout, or when the server is closed.
 func (s *Server) StreamEvents(
 	w http.ResponseWriter, r *http.Request, interval time.Duration, next func() (events []Event, more bool),
 ) {
@@ -28,14 +28,14 @@
 		return
 	}
 	conn := http.NewResponseController(w)
-	_ = conn.SetReadDeadline(time.Time{}) // clients of a stream send nothing; an error shows at the next write
+	_ = conn.SetReadDeadline(time.Time{}) // clients send nothing during a stream; an error recurs at the next write
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		events, more := next()
-		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // an error shows at the write
+		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // an error recurs at the write
 		if writeEvents(w, events) != nil || conn.Flush() != nil || !more {
 			return
 		}
--- a/internal/adminapi/json.go
+++ b/internal/adminapi/json.go
@@ -7,26 +7,27 @@
 	"net/http"
 )
 
-// ErrorBody is the body of an answer with an error status.
+// ErrorBody is the body of a response with an error status.
 type ErrorBody struct {
 	Message string `json:"error"`
 	Details any    `json:"more,omitempty"`
 }
 
-// WriteJSON answers a request with a status and a JSON body.
+// WriteJSON writes a response with a status and a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 }
 
-// WriteError answers a request with an error status and an ErrorBody.
+// WriteError writes a response with an error status and an ErrorBody.
 func WriteError(w http.ResponseWriter, status int, message string) {
 	WriteJSON(w, status, ErrorBody{Message: message})
 }
 
-// ReadJSON decodes the body of a request into the value that to points at, and reports whether it could. Unknown
-// fields and further values are errors; an empty body is an empty object. After an error it has answered the request.
+// ReadJSON decodes the body of a request into the value that to points to, and reports whether it succeeded. Unknown
+// fields and further values are errors; an empty body counts as an empty object. If it returns false, it has already
+// written an error response.
 func ReadJSON(w http.ResponseWriter, r *http.Request, to any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
--- a/internal/adminapi/limit.go
+++ b/internal/adminapi/limit.go
@@ -5,11 +5,12 @@
 	"sync"
 )
 
-// limitedListener accepts at most cap(slots) connections at once. Further ones wait in the accept queue.
+// limitedListener limits the number of open connections to cap(slots). Further connections wait in the kernel's accept
+// queue.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{} // one element for each open connection
-	done  chan struct{} // closed when the server is
+	done  chan struct{} // closed when the server is closed
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,5 +1,5 @@
 // Package adminapi serves the admin API of a process: a versioned JSON interface over HTTP, on a Unix socket or on a
-// loopback address with a bearer token. Other packages register the paths. The package also has a client for it.
+// loopback address with a bearer token. Other packages register the handlers. The package also provides a client.
 package adminapi
 
 import (
@@ -17,43 +17,43 @@
 	"cobaltward/internal/sockets"
 )
 
-// Version is the version of the interface, and the first part of every path.
+// Version is the version of the admin API. Every path begins with it.
 const Version = "v1"
 
 const (
-	maxConns        = 96       // open at once, for each listener
+	maxConns        = 96       // maximum of open connections per listener
 	maxRequestBody  = 64 << 10 // bytes
 	ioTimeout       = 5 * time.Second
 	idleTimeout     = time.Minute
-	maxEventStreams = 64 // open at once, for each server
+	maxEventStreams = 64 // maximum of open event streams per server
 )
 
-// Config says where a server listens.
+// Config configures where a server listens.
 type Config struct {
 	Socket string // path of a Unix socket
 	Listen string // IP:port on loopback; requires Token
-	Token  string // bearer token of the requests over Listen
-	// WrapListener adds TLS to the listener at Listen; nil: it serves plain HTTP.
+	Token  string // bearer token that requests over Listen need
+	// WrapListener adds TLS to the listener at Listen. If it is nil, the listener serves plain HTTP.
 	WrapListener func(net.Listener) net.Listener
 }
 
-// Enabled reports whether there is an address to listen at.
+// Enabled reports whether an address to listen on is configured.
 func (c Config) Enabled() bool { return c.Socket != "" || c.Listen != "" }
 
-// Server serves the admin API. Handle must not be called after Start; all other methods may be called from several
+// Server serves the admin API. Handle must not be called after Start. All other methods may be called from several
 // goroutines at once.
 type Server struct {
 	mux       *http.ServeMux
 	methods   map[string][]string // allowed methods, by path
 	listeners []net.Listener
-	servers   []*http.Server // the one at an index serves the listener at it
+	servers   []*http.Server // servers[i] serves listeners[i]
 	tasks     sync.WaitGroup
 	done      chan struct{} // closed by Close
 	streams   chan struct{} // one element for each open event stream
 	log       *slog.Logger
 }
 
-// Listen opens the listeners that the configuration names. Its errors name the key of the configuration.
+// Listen opens the configured listeners. Errors begin with the key of the setting.
 func Listen(config Config, log *slog.Logger) (*Server, error) {
 	server := &Server{
 		mux:     http.NewServeMux(),
@@ -84,14 +84,14 @@
 	return server, nil
 }
 
-// listenLoopback listens at config.Listen.
+// listenLoopback listens on config.Listen.
 func listenLoopback(config Config) (net.Listener, error) {
 	address, err := netip.ParseAddrPort(config.Listen)
 	if err != nil || !address.Addr().IsLoopback() {
 		return nil, fmt.Errorf("want IP:port on loopback, got %q", config.Listen)
 	}
 	if config.Token == "" {
-		return nil, errors.New("want a token beside it")
+		return nil, errors.New("want a token for its requests")
 	}
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return listener, nil
 }
 
-// addListener adds an HTTP server for a listener.
+// addListener adds a listener and an HTTP server for it.
 func (s *Server) addListener(listener net.Listener, handler http.Handler) {
 	s.listeners = append(s.listeners, listener)
 	s.servers = append(s.servers, &http.Server{
@@ -115,14 +115,14 @@
 	})
 }
 
-// Start begins to serve. All paths must have been registered.
+// Start begins to serve. All handlers must have been registered before.
 func (s *Server) Start() {
 	for i, listener := range s.listeners {
 		s.tasks.Go(func() { s.serve(s.servers[i], listener) })
 	}
 }
 
-// serve serves a listener until Close.
+// serve serves a listener until Close is called.
 func (s *Server) serve(server *http.Server, listener net.Listener) {
 	err := server.Serve(&limitedListener{
 		Listener: sockets.NewPersistentListener(listener, s.log),
@@ -134,8 +134,8 @@
 	}
 }
 
-// Handle registers a handler for one method of a path, which is given without the version. Other methods get the
-// status 405 and the list of those that are allowed.
+// Handle registers a handler for one method of a path. The path is given without the version. Requests with a method
+// that is not registered get the status 405 and the list of allowed methods.
 func (s *Server) Handle(method, path string, handler http.HandlerFunc) {
 	path = "/" + Version + path
 	s.mux.HandleFunc(method+" "+path, handler)
@@ -150,20 +150,20 @@
 	})
 }
 
-// Close closes the listeners and all connections, and waits for the goroutines that serve. It must be called once,
-// also for a server that was never started.
+// Close closes the listeners and all connections, and waits until the goroutines of the server have ended. It must be
+// called exactly once, even for a server that was never started.
 func (s *Server) Close() {
 	close(s.done)
 	for _, server := range s.servers {
-		_ = server.Close() // its listeners are closed below
+		_ = server.Close() // the listeners are closed below
 	}
 	for _, listener := range s.listeners {
-		_ = listener.Close() // closed already if the server was started
+		_ = listener.Close() // already closed if the server was started
 	}
 	s.tasks.Wait()
 }
 
-// RequireToken wraps a handler so that only requests with the bearer token reach it.
+// RequireToken wraps a handler so that only requests with the bearer token reach it. Others get the status 401.
 func RequireToken(next http.Handler, token string) http.Handler {
 	want := []byte("Bearer " + token)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 	})
 }
 
-// limitBody wraps a handler so that it reads at most maxRequestBody of a request's body.
+// limitBody wraps a handler so that it can read at most maxRequestBody bytes of a request's body.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -21,7 +21,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// startServer starts a server with a path that echoes a POST and streams large events to a GET.
+// startServer starts a server with a path that echoes the body of a POST and streams large events to a GET.
 func startServer(t *testing.T, config Config) *Server {
 	t.Helper()
 	server, err := Listen(config, discardLog())
@@ -44,7 +44,7 @@
 	return server
 }
 
-// readAll returns the body of an answer, and closes it.
+// readAll reads and closes the body of a response.
 func readAll(t *testing.T, response *http.Response) string {
 	t.Helper()
 	raw, err := io.ReadAll(response.Body)
@@ -57,19 +57,20 @@
 	return string(raw)
 }
 
-// TestServer_AnswersErrorsAsJSON checks status and body of valid and invalid requests over a Unix socket.
+// TestServer_AnswersErrorsAsJSON checks that responses to valid and invalid requests over a Unix socket have the right
+// status and a JSON body.
 func TestServer_AnswersErrorsAsJSON(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	startServer(t, Config{Socket: socket, Listen: "127.0.0.1:0", Token: "correct horse battery"})
 	client, baseURL := NewClient(socket, "", nil)
 	defer client.CloseIdleConnections()
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v: want mode 0600", info.Mode(), err)
+		t.Errorf("mode %v, %v: want mode 0600", info.Mode(), err)
 	}
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
-		want               string // in the body
+		want               string // contained in the response's body
 	}{
 		"good":     {"POST", "/thing", `{"Name":"x"}`, 200, `"Name":"x"`},
 		"no body":  {"POST", "/thing", "", 200, `"Name":""`},
@@ -92,12 +93,12 @@
 		body := readAll(t, response)
 		if response.StatusCode != test.status || !strings.Contains(body, test.want) ||
 			response.Header.Get("Content-Type") != "application/json" {
-			t.Errorf("%s: %d %s", name, response.StatusCode, body)
+			t.Errorf("%s: got status %d, body %s", name, response.StatusCode, body)
 		}
 	}
 }
 
-// TestServer_RequiresTokenOverTCP checks that only the complete token is accepted on loopback.
+// TestServer_RequiresTokenOverTCP checks that the loopback listener accepts only the complete token.
 func TestServer_RequiresTokenOverTCP(t *testing.T) {
 	server := startServer(t, Config{Listen: "127.0.0.1:0", Token: "correct horse battery"})
 	address := server.listeners[0].Addr().String()
@@ -110,14 +111,14 @@
 		_ = response.Body.Close()
 		client.CloseIdleConnections()
 		if response.StatusCode != want {
-			t.Errorf("%q: %d, want %d", token, response.StatusCode, want)
+			t.Errorf("token %q: status %d, want %d", token, response.StatusCode, want)
 		}
 	}
 }
 
-// TestListen_NamesWhatPreventsIt checks the errors for addresses that cannot be used, that files and sockets of others
-// are kept, and that a socket without a listener is replaced.
-func TestListen_NamesWhatPreventsIt(t *testing.T) {
+// TestListen_Errors checks the errors for addresses that cannot be used. Listen must not remove files that are not
+// sockets, or sockets on which another process listens, but it replaces a socket without a listener.
+func TestListen_Errors(t *testing.T) {
 	dir := t.TempDir()
 	file, stale, used := filepath.Join(dir, "file"), filepath.Join(dir, "stale"), filepath.Join(dir, "used")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
@@ -145,19 +146,19 @@
 		server, err := Listen(test.Config, discardLog())
 		if err == nil {
 			server.Close()
-			t.Errorf("%s: opened", name)
+			t.Errorf("%s: Listen returned no error", name)
 		} else if !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one line that contains the expected text", name, err)
 		}
 	}
 	startServer(t, Config{Socket: stale})
 	if raw, err := os.ReadFile(file); err != nil || string(raw) != "x" {
-		t.Error("the file at the path of the socket is gone")
+		t.Error("Listen removed or changed the file at the socket's path")
 	}
 }
 
-// TestStreamEvents_SlowReaders checks that clients that do not read block no other request, that the number of streams
-// is limited, and that no goroutine outlives the server (TestMain).
+// TestStreamEvents_SlowReaders checks that clients that do not read their event streams block no other requests, that
+// the number of streams is limited, and that no goroutine outlives the server (TestMain detects leaks).
 func TestStreamEvents_SlowReaders(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	server := startServer(t, Config{Socket: socket})
@@ -172,7 +173,7 @@
 		}
 		line, err := bufio.NewReaderSize(conn, 16).ReadString('\n')
 		if err != nil || !strings.Contains(line, "200") {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("opening an event stream: status line %q, %v", line, err)
 		}
 	}
 	client, baseURL := NewClient(socket, "", nil)
@@ -183,7 +184,7 @@
 	}
 	body := readAll(t, response)
 	if response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "are open already") {
-		t.Errorf("%d %s", response.StatusCode, body)
+		t.Errorf("one stream too many: status %d, body %s", response.StatusCode, body)
 	}
 	response, err = client.Post(baseURL+"/thing", "", nil)
 	if err != nil {
@@ -191,9 +192,9 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("blocked by event streams: status %d", response.StatusCode)
+		t.Errorf("POST while event streams are open: status %d", response.StatusCode)
 	}
 	if len(server.streams) != maxEventStreams {
-		t.Errorf("%d streams are open", len(server.streams))
+		t.Errorf("%d event streams are open, want the maximum", len(server.streams))
 	}
 }
--- a/internal/adminapi/unixsocket.go
+++ b/internal/adminapi/unixsocket.go
@@ -13,13 +13,13 @@
 
 const socketDialTimeout = time.Second
 
-// listenUnix listens on a Unix socket that only its owner may use. It replaces a socket without a listener, and fails
-// if there is any other file at the path.
+// listenUnix listens on a Unix socket that only its owner may use. It replaces a socket on which no process listens,
+// and returns an error if there is any other file at the path.
 func listenUnix(path string) (net.Listener, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
 	}
-	// The socket gets its final name once its mode is set, so that no other user can connect before.
+	// The socket gets its final name only after its mode is set, so that no other user can connect before that.
 	temporary := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
 	listener, err := net.Listen("unix", temporary)
 	if err != nil {
@@ -28,14 +28,14 @@
 	listener.(*net.UnixListener).SetUnlinkOnClose(false)
 	file, err := publishSocket(temporary, path)
 	if err != nil {
-		_ = listener.Close() // the first error is returned
+		_ = listener.Close() // the error of publishSocket is returned
 		_ = os.Remove(temporary)
 		return nil, err
 	}
 	return &unlinkingListener{Listener: listener, path: path, file: file}, nil
 }
 
-// publishSocket sets the mode of a socket, gives it its final name, and returns its file.
+// publishSocket sets the mode of a socket, renames it to its final name, and returns the identity of its file.
 func publishSocket(temporary, path string) (os.FileInfo, error) {
 	if err := os.Chmod(temporary, 0o600); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // no such file; any other error recurs when listening
+		return nil // the file does not exist; any other error recurs in net.Listen
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s exists and is not a socket", path)
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// unlinkingListener removes its socket's file when it is closed.
+// unlinkingListener removes the file of its socket when it is closed.
 type unlinkingListener struct {
 	net.Listener
 	path   string
-	file   os.FileInfo // of the socket
+	file   os.FileInfo // identity of the socket's file
 	unlink sync.Once
 }
 
@@ -80,7 +80,7 @@
 	return l.Listener.Close()
 }
 
-// removeFile removes the socket's file, unless it is another process's by now.
+// removeFile removes the socket's file, unless another process has replaced it.
 func (l *unlinkingListener) removeFile() {
 	if file, err := os.Lstat(l.path); err == nil && os.SameFile(file, l.file) {
 		_ = os.Remove(l.path)
--- a/internal/adminapi/unixsocket_test.go
+++ b/internal/adminapi/unixsocket_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestUnixSocket_SparesSuccessorsFile has another process replace the socket before the first one closes its own: the
-// file of the other stays, and its own is removed.
-func TestUnixSocket_SparesSuccessorsFile(t *testing.T) {
+// TestUnixSocket_KeepsFileOfSuccessor replaces a socket by that of another listener before the first listener is
+// closed. The first one must not remove the other's file, and the second one must remove its own.
+func TestUnixSocket_KeepsFileOfSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "socket")
 	first, err := listenUnix(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(path); err != nil { // an operator has removed it, and started another process
+	if err := os.Remove(path); err != nil { // as if an operator removed the socket and started another process
 		t.Fatal(err)
 	}
 	second, err := listenUnix(path)
@@ -34,6 +34,6 @@
 		t.Error(err)
 	}
 	if _, err := os.Lstat(path); !os.IsNotExist(err) {
-		t.Errorf("its own file is left: %v", err)
+		t.Errorf("the second listener did not remove its file: %v", err)
 	}
 }
