--- a/internal/operations/handler.go
+++ b/internal/operations/handler.go
@@ -5,19 +5,19 @@
 	"strconv"
 )
 
-// endpoint is one path of the interface.
+// endpoint is the handler of one path, with the only method that it accepts.
 type endpoint struct {
 	method string
 	handle func(w http.ResponseWriter)
 }
 
-// newHandler returns the handler of all paths. Paths match exactly.
+// newHandler returns the HTTP handler of the operations endpoint. Paths match exactly.
 func newHandler(node Node) http.Handler {
 	endpoints := map[string]endpoint{
 		"/status":         {http.MethodGet, statusHandler(node)},
 		"/status/metrics": {http.MethodGet, metricsHandler(node)},
-		"/standby":        {http.MethodPut, orderHandler(node.Standby, "emptying the node")},
-		"/active":         {http.MethodPut, orderHandler(node.Active, "back to work")},
+		"/standby":        {http.MethodPut, commandHandler(node.Standby, "emptying the node")},
+		"/active":         {http.MethodPut, commandHandler(node.Active, "back to work")},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		found, ok := endpoints[r.URL.Path]
@@ -50,10 +50,10 @@
 	}
 }
 
-// orderHandler returns a handler that carries out an order, and answers with done if it was accepted.
-func orderHandler(carryOut func() error, done string) func(http.ResponseWriter) {
+// commandHandler returns a handler that executes a command, and responds with the text done if it was accepted.
+func commandHandler(execute func() error, done string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
-		if err := carryOut(); err != nil {
+		if err := execute(); err != nil {
 			writeLine(w, http.StatusConflict, err.Error())
 			return
 		}
@@ -61,12 +61,12 @@
 	}
 }
 
-// writeLine answers with a status and one line of text.
+// writeLine writes a response with a status and one line of text.
 func writeLine(w http.ResponseWriter, status int, line string) {
 	writeText(w, status, []byte(line+"\n"))
 }
 
-// writeText answers with a status and a text.
+// writeText writes a response with a status and a text.
 func writeText(w http.ResponseWriter, status int, text []byte) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
--- a/internal/operations/listener.go
+++ b/internal/operations/listener.go
@@ -7,18 +7,18 @@
 	"sync"
 )
 
-// evictingListener limits the connections that are open at once. If all are in use, a new connection replaces the one
-// that has waited longest without sending a complete call, so that clients that never complete a call keep nobody
-// from calling. If all calls are complete, Accept waits until one is answered.
+// evictingListener limits the number of open connections. At the limit, a new connection replaces the oldest one
+// whose request is still incomplete, so that clients that never complete a request cannot lock out others. If all
+// requests are complete, Accept waits until one has been answered.
 type evictingListener struct {
 	net.Listener
 	maxConns int
 
-	mu         sync.Mutex
-	slotFreed  sync.Cond
-	open       map[net.Conn]*list.Element // element of incomplete; nil once the call is complete
-	incomplete list.List                  // of net.Conn whose call is incomplete, oldest first
-	closed     bool
+	mu              sync.Mutex
+	slotFreed       sync.Cond
+	open            map[net.Conn]*list.Element // element of incompleteConns; nil once the request is complete
+	incompleteConns list.List                  // connections (net.Conn) whose request is incomplete, oldest first
+	closed          bool
 }
 
 func newEvictingListener(inner net.Listener, maxConns int) *evictingListener {
@@ -39,14 +39,14 @@
 			l.slotFreed.Wait()
 		}
 	}
-	l.open[conn] = l.incomplete.PushBack(conn)
+	l.open[conn] = l.incompleteConns.PushBack(conn)
 	return conn, nil
 }
 
-// evictOldest closes the oldest connection without a complete call, and reports whether there was one. The caller
-// holds the mutex.
+// evictOldest closes the oldest connection whose request is incomplete, and reports whether there was one. The caller
+// holds l.mu.
 func (l *evictingListener) evictOldest() bool {
-	oldest := l.incomplete.Front()
+	oldest := l.incompleteConns.Front()
 	if oldest == nil {
 		return false
 	}
@@ -64,14 +64,14 @@
 	return l.Listener.Close()
 }
 
-// handleStateChange is the ConnState hook of the HTTP server.
+// handleStateChange is the ConnState callback of the HTTP server.
 func (l *evictingListener) handleStateChange(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive:
 		if element := l.open[conn]; element != nil {
-			l.incomplete.Remove(element)
+			l.incompleteConns.Remove(element)
 			l.open[conn] = nil
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -79,14 +79,14 @@
 	}
 }
 
-// release frees the slot of a connection. The caller holds the mutex.
+// release removes a connection from the open ones. The caller holds l.mu.
 func (l *evictingListener) release(conn net.Conn) {
 	element, ok := l.open[conn]
 	if !ok {
 		return
 	}
 	if element != nil {
-		l.incomplete.Remove(element)
+		l.incompleteConns.Remove(element)
 	}
 	delete(l.open, conn)
 	l.slotFreed.Signal()
--- a/internal/operations/server.go
+++ b/internal/operations/server.go
@@ -1,6 +1,6 @@
-// Package operations serves the operations endpoint: a second address of a node on which operators ask whether the
-// process can serve, read its metrics, and take the node out of service and back. It decides nothing, and no handler
-// waits for requests in flight: metrics are published in advance, and the node carries out drains.
+// Package operations serves the operations endpoint, a second address of a node. There operators query whether the
+// process can serve, read its metrics, and drain the node or cancel the drain. No handler waits for clients' requests
+// in flight: the node prepares the metrics in advance and drains in the background.
 package operations
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	readTimeout     = time.Second // bounds how long a stalled client keeps its connection
+	readTimeout     = time.Second // bounds how long a stalled client can keep its connection
 	writeTimeout    = time.Second
-	shutdownTimeout = 100 * time.Millisecond // for calls that are being answered at Close
+	shutdownTimeout = 100 * time.Millisecond // for requests that are being answered when Close is called
 	maxHeaderBytes  = 4 << 10
-	maxConns        = 12 // open at once
+	maxConns        = 12 // maximum of open connections
 )
 
-// MaxDescriptors is the number of descriptors that a server uses at most: its connections, its listener and a
+// MaxDescriptors is the maximum number of file descriptors that a server uses: its connections, its listener, and a
 // connection that is being accepted.
 const MaxDescriptors = maxConns + 2
 
-// Node is what the endpoint shows and changes. Its methods must not block, and may be called from several goroutines
-// at once.
+// Node is the node that the endpoint reports on and controls. Its methods must not block, and may be called from
+// several goroutines at once.
 type Node interface {
 	Serving() bool                    // reports whether this process can serve
 	AppendMetrics(page []byte) []byte // appends the metrics, one line each
@@ -36,14 +36,14 @@
 	Active() error                    // cancels the drain
 }
 
-// Server serves the operations endpoint. Serve returns one.
+// Server serves the operations endpoint. Serve starts one.
 type Server struct {
 	listener *evictingListener
 	http     *http.Server
-	stopped  chan struct{} // closed when the goroutine that serves has ended
+	stopped  chan struct{} // closed when the serving goroutine has ended
 }
 
-// Listen listens at an address. Connections wait in the accept queue until Serve is called.
+// Listen listens on an address. Connections wait in the accept queue until Serve is called.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return listener, nil
 }
 
-// Serve starts to serve a listener. The caller has to close the server, which closes the listener.
+// Serve starts to serve a listener. The caller must close the server, which also closes the listener.
 func Serve(listener net.Listener, node Node, log *slog.Logger) *Server {
 	evicting := newEvictingListener(sockets.NewPersistentListener(listener, log), maxConns)
 	server := &Server{
@@ -61,14 +61,14 @@
 			Handler:           newHandler(node),
 			ReadTimeout:       readTimeout,
 			ReadHeaderTimeout: readTimeout,
-			WriteTimeout:      readTimeout + writeTimeout, // counted from the header on
+			WriteTimeout:      readTimeout + writeTimeout, // the server counts it from the end of the header
 			MaxHeaderBytes:    maxHeaderBytes,
 			ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 			ConnState:         evicting.handleStateChange,
 		},
 		stopped: make(chan struct{}),
 	}
-	server.http.SetKeepAlivesEnabled(false) // a connection takes one call
+	server.http.SetKeepAlivesEnabled(false) // each connection serves one request
 	go func() {
 		defer close(server.stopped)
 		if err := server.http.Serve(evicting); !errors.Is(err, http.ErrServerClosed) {
@@ -78,7 +78,7 @@
 	return server
 }
 
-// Close stops the server. Calls that are being answered have shutdownTimeout to end.
+// Close stops the server. It waits up to shutdownTimeout for requests that are being answered.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/operations/server_test.go
+++ b/internal/operations/server_test.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// startServer serves a node until the test ends, and returns the address.
+// startServer starts a server for a node and returns its address. The server is closed when the test ends.
 func startServer(t *testing.T, node Node) string {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return listener.Addr().String()
 }
 
-// dial connects to an address until the test ends.
+// dial connects to an address. The connection is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -65,29 +65,29 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// exchange sends bytes, and returns all that is received until the server closes the connection.
-func exchange(t *testing.T, address, call string) string {
+// exchange sends a request, and returns everything that it receives until the server closes the connection.
+func exchange(t *testing.T, address, request string) string {
 	t.Helper()
 	conn := dial(t, address)
 	defer func() { _ = conn.Close() }()
-	_, _ = io.WriteString(conn, call) // the server may have closed the connection already
+	_, _ = io.WriteString(conn, request) // the server may have closed the connection already
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	received, err := io.ReadAll(conn)
 	if isTimeout(err) {
-		t.Fatalf("%q: the connection stays open", call)
+		t.Fatalf("%q: the server did not close the connection", request)
 	}
 	return string(received)
 }
 
-const statusCall = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"
+const statusRequest = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// TestServer_Calls checks the answers to valid, unknown and malformed calls, one after another.
-func TestServer_Calls(t *testing.T) {
+// TestServer_Requests checks the responses to valid, unknown and malformed requests, sent one after another.
+func TestServer_Requests(t *testing.T) {
 	node := new(fakeNode)
 	address := startServer(t, node)
-	for _, test := range []struct{ call, status, contains string }{
+	for _, test := range []struct{ request, status, contains string }{
 		{"GET /status", "503 ", ""},
 		{"PUT /standby", "200 ", ""},
 		{"PUT /standby", "409 ", "is ending"},
@@ -100,28 +100,28 @@
 		{"PUT /status", "405 ", "Allow: GET"},
 		{"HEAD /status/metrics", "405 ", "Allow: GET"},
 	} {
-		answer := exchange(t, address, test.call+" HTTP/1.1\r\nHost: x\r\n\r\n")
+		answer := exchange(t, address, test.request+" HTTP/1.1\r\nHost: x\r\n\r\n")
 		if !strings.HasPrefix(answer, "HTTP/1.1 "+test.status) || !strings.Contains(answer, test.contains) ||
 			!strings.Contains(answer, "Connection: close") {
-			t.Errorf("%s: %q", test.call, answer)
+			t.Errorf("%s: unexpected response %q", test.request, answer)
 		}
 	}
 	node.serving.Store(true)
-	if answer := exchange(t, address, statusCall+statusCall); strings.Count(answer, "HTTP/1.1 200") != 1 {
-		t.Errorf("two calls on one connection: %q", answer)
+	if answer := exchange(t, address, statusRequest+statusRequest); strings.Count(answer, "HTTP/1.1 200") != 1 {
+		t.Errorf("two requests on one connection: got %q, want one response", answer)
 	}
-	for name, call := range map[string]string{
+	for name, request := range map[string]string{
 		"broken":   "GET /status\r\n\r\n",
 		"too long": "GET /status HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 16<<10) + "\r\n\r\n",
 	} {
-		if answer := exchange(t, address, call); !strings.HasPrefix(answer, "HTTP/1.1 4") {
-			t.Errorf("%s: %q", name, answer)
+		if answer := exchange(t, address, request); !strings.HasPrefix(answer, "HTTP/1.1 4") {
+			t.Errorf("%s: got %q, want a status of 400 to 499", name, answer)
 		}
 	}
 }
 
-// TestServer_StalledClients opens three times as many connections as there may be, none with a complete call. It
-// checks that complete calls are still answered, and that the server closes all stalled connections in the end.
+// TestServer_StalledClients opens three times as many connections as the limit allows, none with a complete request.
+// It checks that complete requests are still answered, and that the server eventually closes all stalled connections.
 func TestServer_StalledClients(t *testing.T) {
 	node := new(fakeNode)
 	node.serving.Store(true)
@@ -134,7 +134,7 @@
 		}
 		stalled = append(stalled, conn)
 		if i%maxConns == maxConns-1 {
-			if answer := exchange(t, address, statusCall); !strings.HasPrefix(answer, "HTTP/1.1 200") {
+			if answer := exchange(t, address, statusRequest); !strings.HasPrefix(answer, "HTTP/1.1 200") {
 				t.Fatalf("after %d stalled connections: %q", i+1, answer)
 			}
 		}
@@ -144,14 +144,14 @@
 			t.Fatal(err)
 		}
 		if _, err := io.ReadAll(conn); isTimeout(err) {
-			t.Fatalf("stalled connection %d stays open", i)
+			t.Fatalf("the server did not close stalled connection %d", i)
 		}
 	}
 }
 
-// TestEvictingListener_KeepsCompleteCalls checks that a new connection replaces the oldest without a complete call,
-// and waits if all calls are complete.
-func TestEvictingListener_KeepsCompleteCalls(t *testing.T) {
+// TestEvictingListener_KeepsCompleteRequests checks that a new connection replaces the oldest one whose request is
+// incomplete, and that it waits if all requests are complete.
+func TestEvictingListener_KeepsCompleteRequests(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -172,10 +172,10 @@
 	listener.handleStateChange(first, http.StateActive)
 	third := connect()
 	if _, isOpen := listener.open[first]; !isOpen || len(listener.open) != 2 {
-		t.Errorf("%d connections are open; the one with a complete call among them: %v", len(listener.open), isOpen)
+		t.Errorf("%d connections are open, want 2; the one with a complete request is open: %v", len(listener.open), isOpen)
 	}
 	if _, err := second.Write([]byte("x")); err == nil {
-		t.Error("the connection without a call was not closed")
+		t.Error("the connection without a complete request was not closed")
 	}
 	listener.handleStateChange(third, http.StateActive)
 	accepted := make(chan net.Conn)
@@ -190,7 +190,7 @@
 	testkit.Await(t, "the fourth connection to wait", func() bool {
 		select {
 		case <-accepted:
-			t.Fatal("a fourth connection was accepted while all calls are being answered")
+			t.Fatal("a fourth connection was accepted while all requests are being answered")
 		default:
 		}
 		listener.mu.Lock()
