--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts instances of the policy module for the simulator: it reads batches of its protocol from
-// standard input, delivers events to instances, and writes their actions to standard output.
+// Command simhost runs instances of package policy for the simulator. It reads batches of messages of the simulator's
+// protocol from standard input, delivers their events to the instances, and writes the resulting actions to standard
+// output.
 package main
 
 import (
@@ -16,10 +17,10 @@
 	"cobaltward/policy"
 )
 
-// bufferSize of standard input and output, in bytes; batches can run to megabytes.
+// bufferSize is the size in bytes of the buffers of standard input and output. A batch can have several megabytes.
 const bufferSize = 1 << 20
 
-// gcPercent trades memory for CPU: the live heap is small and CPU per request is tight.
+// gcPercent trades memory for CPU time: the live heap is small, and CPU time per request is scarce.
 const gcPercent = 800
 
 func main() {
@@ -30,23 +31,23 @@
 	}
 }
 
-// host holds the instances of one process.
+// host holds the policy instances of this process.
 type host struct {
 	decoder simprotocol.Decoder
 	nodes   map[int]*policy.Balancer
 	now     policy.Time
 	inBatch bool
-	reply   []byte // to the current batch, so far
+	reply   []byte // reply to the current batch so far
 }
 
-// serve runs until the end of input. Errors name the line.
+// serve handles messages until the input ends. Errors name the number of the input line.
 func serve(in io.Reader, out io.Writer) error {
 	instances := host{nodes: make(map[int]*policy.Balancer)}
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
-	var long []byte
+	var longLine []byte
 	for n := 1; ; n++ {
-		line, err := readLine(r, &long)
+		line, err := readLine(r, &longLine)
 		if errors.Is(err, io.EOF) {
 			if len(line) == 0 && !instances.inBatch {
 				return nil
@@ -77,21 +78,21 @@
 	return w.Flush()
 }
 
-// readLine returns the next line without its end; long holds lines that outgrow the buffer.
-func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
+// readLine returns the next line without its line ending. longLine holds lines that exceed the reader's buffer.
+func readLine(r *bufio.Reader, longLine *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		*long = append((*long)[:0], line...)
+		*longLine = append((*longLine)[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.ReadSlice('\n')
-			*long = append(*long, line...)
+			*longLine = append(*longLine, line...)
 		}
-		line = *long
+		line = *longLine
 	}
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// handleLine executes one line and reports whether it ended a batch.
+// handleLine handles one line, and reports whether it ended a batch.
 func (h *host) handleLine(raw []byte) (batchEnded bool, err error) {
 	message, err := h.decoder.Decode(raw)
 	if err != nil {
@@ -115,7 +116,7 @@
 	case simprotocol.Shutdown:
 		delete(h.nodes, message.Node)
 	case simprotocol.Event:
-		// Events of a node that was shut down are dropped.
+		// Events for a node that was shut down are dropped.
 		if balancer := h.nodes[message.Node]; balancer != nil {
 			h.deliver(message.Node, balancer, message.Event)
 		}
@@ -123,8 +124,8 @@
 	return false, nil
 }
 
-// deliver passes one event to an instance. An instance that panics is reported and removed, without effect on the
-// others.
+// deliver passes one event to an instance and appends its actions to the reply. An instance that panics is reported
+// and removed, without effect on the others.
 func (h *host) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, want := range []string{"[\"yield\"]\n[\"handOff\",3,\"r1\",\"s1\",255]\n", "[\"wakeMe\",3,"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("the reply does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
@@ -55,12 +55,12 @@
 	} {
 		err := serve(strings.NewReader(in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want it to name %q", in, err, want)
+			t.Errorf("%q: got error %v, want one that contains %q", in, err, want)
 		}
 	}
 }
 
-// Instances decide the same whether they share a process or not.
+// Instances that share a process make the same decisions as instances in processes of their own.
 func TestServe_InstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, list}
@@ -77,7 +77,7 @@
 		return strings.TrimSuffix(out.String(), "[\"yield\"]\n")
 	}
 	if got, want := run("1", "2"), run("1")+run("2"); got != want {
-		t.Errorf("together\n%sapart\n%s", got, want)
+		t.Errorf("in one process:\n%sin separate processes:\n%s", got, want)
 	}
 }
 
@@ -90,11 +90,11 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("%d sends, want 1: the reconfigured node knows no r1\n%s", n, out.String())
+		t.Errorf("request r1 was sent %d times, want 1: the reconfigured node must not know it\n%s", n, out.String())
 	}
 }
 
-// A panic in one instance is reported with its text, and only that instance is removed.
+// A panic of an instance is reported with its message, and the instance is removed.
 func TestDeliver_ReportsPanic(t *testing.T) {
 	h := host{nodes: map[int]*policy.Balancer{3: nil}}
 	h.deliver(3, nil, policy.Timer{})
@@ -102,6 +102,6 @@
 		t.Errorf("got %s", got)
 	}
 	if _, kept := h.nodes[3]; kept {
-		t.Error("the crashed instance is still there")
+		t.Error("the crashed instance was not removed")
 	}
 }
