--- a/cmd/wayhold-fleet/main.go
+++ b/cmd/wayhold-fleet/main.go
@@ -1,5 +1,6 @@
-// Command wayhold-fleet has what serves a fleet of nodes as a whole: replicas of its replicated state, the agents
-// beside nodes, and the operators' commands. "wayhold fleet" runs it. None of it is linked into wayhold.
+// Command wayhold-fleet runs the processes that manage a fleet of nodes: the replicas of the fleet's state and the
+// agents beside the nodes. It also has the operators' commands. "wayhold fleet" executes this program, so that its
+// code is not linked into wayhold.
 package main
 
 import (
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -1,4 +1,4 @@
-// Command wayhold is one request-routing node on real sockets, together with the tools of its operators.
+// Command wayhold runs a node that routes requests, and has the tools for operating it.
 package main
 
 import (
