--- a/internal/cli/adminclient.go
+++ b/internal/cli/adminclient.go
@@ -19,18 +19,18 @@
 	"github.com/spf13/cobra"
 )
 
-const adminTimeout = 10 * time.Second // for an answer; event streams have no end
+const adminTimeout = 10 * time.Second // for a complete response; event streams have no time limit
 
 // adminClient calls the admin API of a running node.
 type adminClient struct {
-	configPath *string // of the operator's own file, which names the address if no flag does
-	address    string  // path of a Unix socket, or IP:port
-	tokenFile  string
-	caFile     string // empty: no TLS
-	serverName string // in the certificate; empty: the address
+	configPath *string // operator's configuration file, which gives the address if no flag does
+	address    string  // path of a Unix socket, or IP:port; empty: as in the file
+	tokenFile  string  // file with the bearer token; empty: no token
+	caFile     string  // PEM file of trusted certificate authorities; empty: no TLS
+	serverName string  // expected in the node's certificate; empty: the host of the address
 }
 
-// addFlags adds the flags that say how to reach the node.
+// addFlags adds the flags that configure how to reach the admin API.
 func (a *adminClient) addFlags(command *cobra.Command) {
 	flags := command.PersistentFlags()
 	flags.StringVar(&a.address, "door", os.Getenv("WAYHOLD_DOOR"),
@@ -40,7 +40,7 @@
 	flags.StringVar(&a.serverName, "name", "", "name in its certificate; else its address")
 }
 
-// connect returns a client for the node, and the URL with which paths begin.
+// connect returns an HTTP client for the node's admin API, and the base URL to which paths are appended.
 func (a *adminClient) connect() (client *http.Client, baseURL string, err error) {
 	address, tokenFile := a.address, a.tokenFile
 	if address == "" && *a.configPath != "" {
@@ -55,7 +55,7 @@
 	}
 	if address == "" {
 		return nil, "", errors.New(
-			"ctl: which node? Name its admin API by --door or WAYHOLD_DOOR, or its own file by --config")
+			"ctl: no node given: name its admin API by --door or WAYHOLD_DOOR, or its configuration file by --config")
 	}
 	token := ""
 	if tokenFile != "" {
@@ -71,7 +71,7 @@
 	return client, baseURL, nil
 }
 
-// tlsConfig returns the configuration of TLS; nil for plain HTTP.
+// tlsConfig returns the TLS configuration for the admin API, or nil for plain HTTP.
 func (a *adminClient) tlsConfig() (*tls.Config, error) {
 	if a.caFile == "" {
 		return nil, nil
@@ -83,9 +83,9 @@
 	return &tls.Config{RootCAs: set.Pool, ServerName: a.serverName, MinVersion: tls.VersionTLS13}, nil
 }
 
-// call sends a request with a JSON body; nil means an empty one. It returns the body of the answer, and decodes it
-// into the value that to points at, unless that is nil.
-func (a *adminClient) call(method, path string, body, to any) ([]byte, error) {
+// call sends a request with a JSON body; nil means an empty body. It returns the body of the response, and decodes it
+// into the value that result points to, unless result is nil.
+func (a *adminClient) call(method, path string, body, result any) ([]byte, error) {
 	client, baseURL, err := a.connect()
 	if err != nil {
 		return nil, err
@@ -106,24 +106,24 @@
 	if err != nil {
 		return nil, unreachableError(err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read completely
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, statusError{fmt.Errorf("ctl: reading the answer: %w", err), errUnreachable}
+		return nil, statusError{fmt.Errorf("ctl: reading the response: %w", err), errUnreachable}
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return nil, rejectionError(response, answer)
 	}
-	if to == nil {
+	if result == nil {
 		return answer, nil
 	}
-	if err := json.Unmarshal(answer, to); err != nil {
-		return nil, fmt.Errorf("ctl: decoding the answer, which may be of another version: %w", err)
+	if err := json.Unmarshal(answer, result); err != nil {
+		return nil, fmt.Errorf("ctl: decoding the response, which may come from a node of another version: %w", err)
 	}
 	return answer, nil
 }
 
-// stream opens the node's stream of events. The caller has to close the body of the answer; the stream ends with ctx.
+// stream opens the node's event stream, which ends when ctx is done. The caller must close the returned body.
 func (a *adminClient) stream(ctx context.Context) (io.ReadCloser, error) {
 	client, baseURL, err := a.connect()
 	if err != nil {
@@ -144,7 +144,7 @@
 	return statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), errUnreachable}
 }
 
-// rejectionError returns the error of an answer with an error status.
+// rejectionError returns the error for a response with an error status.
 func rejectionError(response *http.Response, answer []byte) error {
 	var body adminapi.ErrorBody
 	if json.Unmarshal(answer, &body) != nil || body.Message == "" {
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -17,9 +17,9 @@
 	"github.com/spf13/cobra"
 )
 
-const defaultCallTimeout = 5 * time.Second
+const defaultCallTimeout = 5 * time.Second // default of --wait
 
-// callCommand returns the command that calls a node by MessagePack-RPC.
+// callCommand returns the command that makes one MessagePack-RPC call to a node.
 func callCommand() *cobra.Command {
 	var call msgpackrpc.Call
 	var body string
@@ -51,11 +51,11 @@
 	flags.StringVar(&call.ContentType, "content-type", "", "of the body")
 	flags.StringVar(&body, "body", "", "the body, or @FILE")
 	flags.DurationVar(&call.Timeout, "wait", defaultCallTimeout, "how long to wait")
-	_ = command.MarkFlagRequired("class") // fails only for an unknown flag
+	_ = command.MarkFlagRequired("class") // fails only if the flag is not defined
 	return command
 }
 
-// readBody returns a text, or the content of the file that it names behind an @.
+// readBody returns the text itself, or for "@FILE" the content of FILE.
 func readBody(text string) ([]byte, error) {
 	if path, ok := strings.CutPrefix(text, "@"); ok {
 		return os.ReadFile(path)
@@ -63,7 +63,8 @@
 	return []byte(text), nil
 }
 
-// makeCall makes a call, and prints the body of the answer. Its errors have an exit status.
+// makeCall makes a call, and prints the body of the reply. Errors wrap the exit status that says whether a retry is
+// safe.
 func makeCall(ctx context.Context, out io.Writer, address string, call msgpackrpc.Call) error {
 	rpc := client.New(networkOf(address), address)
 	defer rpc.Close()
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// certsCommand returns the command about certificates.
+// certsCommand returns the parent of the commands that check, show, probe and rotate certificates and keys.
 func certsCommand(configPath *string) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "certs",
@@ -24,11 +24,11 @@
 	return command
 }
 
-// certificateCheck has the flags of certs check.
+// certificateCheck holds the flags of certs check.
 type certificateCheck struct {
 	sources certificates.Sources
-	asOf    string // a date; empty: now
-	within  time.Duration
+	asOf    string        // date at which validity is checked, as 2027-01-31; empty: now
+	within  time.Duration // certificates that expire within it are reported; 0: none are
 }
 
 func certsCheckCommand(configPath *string) *cobra.Command {
@@ -86,8 +86,8 @@
 	return errors.Join(errExpiring, out.err, errOut.err)
 }
 
-// loadSummaries reads the certificates of the sources or, if there are none, of the table [tls] of the operator's own
-// file, the first to expire in front.
+// loadSummaries reads the certificates of the sources or, if no source is given, of the table [tls] of the operator's
+// configuration file. It returns them in order of expiry.
 func loadSummaries(sources certificates.Sources, configPath string, now time.Time) ([]certificates.Summary, error) {
 	if sources != (certificates.Sources{}) {
 		set, err := certificates.Load(sources, now)
--- a/internal/cli/certs_test.go
+++ b/internal/cli/certs_test.go
@@ -18,13 +18,13 @@
 		"none/ca.pem: no such file":    {"certs", "check", "--trust", "none/ca.pem"},
 	} {
 		if _, err := run(t, args...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("%v: error %v", args, err)
 		}
 	}
 }
 
-// Certificates that expire within the time end the command with its exit status and a text of its own, not with that of
-// a request that was not served.
+// Certificates that expire within the --within duration give the error errExpiring with its own text, not the text of
+// an unserved request.
 func TestCertsCheck_Expiring(t *testing.T) {
 	dir := t.TempDir()
 	leaf := pki.NewAuthority("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
@@ -36,6 +36,6 @@
 	}
 	_, err := run(t, "certs", "check", "--cert", cert, "--key", key, "--within", "876000h")
 	if !errors.Is(err, errExpiring) || strings.Contains(err.Error(), "served") {
-		t.Errorf("%v", err)
+		t.Errorf("wrong error: %v", err)
 	}
 }
--- a/internal/cli/certsprobe.go
+++ b/internal/cli/certsprobe.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	probeTimeout       = 5 * time.Second        // for a connection and its handshake
-	ticketTimeout      = 100 * time.Millisecond // servers send session tickets after the handshake
-	ticketPollInterval = 5 * time.Millisecond
+	probeTimeout       = 5 * time.Second        // for connecting and the TLS handshake
+	ticketTimeout      = 100 * time.Millisecond // for the session ticket, which follows the handshake
+	ticketPollInterval = 5 * time.Millisecond   // time between checks for a session ticket
 )
 
-// certificateProbe has the flags of certs probe.
+// certificateProbe holds the flags of certs probe.
 type certificateProbe struct {
-	rule   secure.Rule
-	trust  string // path of a bundle
-	own    certificates.Sources
-	server router.Endpoint
+	rule       secure.Rule
+	trust      string // path of a PEM bundle of trusted authorities; empty: the pins alone decide
+	clientCert certificates.Sources
+	server     router.Endpoint
 }
 
 // certsProbeCommand returns the command that makes handshakes with a server.
@@ -50,8 +50,8 @@
 	flags.StringSliceVar(&probe.rule.PublicKeyPins, "pin", nil, "SHA-256 of the server's public key, in hexadecimal")
 	flags.StringSliceVar(&probe.rule.ALPN, "alpn", nil, "protocols to offer")
 	flags.BoolVar(&probe.rule.AllowTLS12, "tls12", false, "allow TLS 1.2 as well")
-	flags.StringVar(&probe.own.Cert, "cert", "", "a client certificate")
-	flags.StringVar(&probe.own.Key, "key", "", "its key")
+	flags.StringVar(&probe.clientCert.Cert, "cert", "", "a client certificate")
+	flags.StringVar(&probe.clientCert.Key, "key", "", "its key")
 	flags.StringVar(&probe.server.ID, "id", "", "of the server, if the name has {id}")
 	flags.StringVar(&probe.server.Zone, "zone", "", "of the server, if the name has {zone}")
 	return command
@@ -65,8 +65,8 @@
 			return err
 		}
 	}
-	if p.own.Cert != "" || p.own.Key != "" {
-		if p.rule.ClientCertificate, err = certificates.Open(p.own, now); err != nil {
+	if p.clientCert.Cert != "" || p.clientCert.Key != "" {
+		if p.rule.ClientCertificate, err = certificates.Open(p.clientCert, now); err != nil {
 			return err
 		}
 	}
@@ -101,11 +101,11 @@
 	var untrusted *secure.UntrustedError
 	switch {
 	case errors.As(err, &untrusted):
-		return statusError{fmt.Errorf("a node would reject it: %w", err), errServerRejected}
+		return statusError{fmt.Errorf("a node would reject the server: %w", err), errServerRejected}
 	case err != nil:
 		return err
 	}
-	defer func() { _ = conn.Close() }() // nothing is sent on it
+	defer func() { _ = conn.Close() }() // no data was sent, so the error does not matter
 	duration := time.Since(startedAt).Round(durationPrecision)
 	for end := time.Now().Add(ticketTimeout); time.Now().Before(end) && conn.IsIdle(); {
 		time.Sleep(ticketPollInterval)
@@ -122,11 +122,11 @@
 	if protocol == "" {
 		protocol = "none"
 	}
-	to := &printer{out: out}
-	to.printf("%s in %v: %s, ALPN %s\n", kind, duration, version, protocol)
+	output := &printer{out: out}
+	output.printf("%s in %v: %s, ALPN %s\n", kind, duration, version, protocol)
 	for i, certificate := range chain {
-		to.printf("  %d  %s  serial %s  %s\n", i+1, remaining(time.Until(certificate.NotAfter)),
+		output.printf("  %d  %s  serial %s  %s\n", i+1, formatRemaining(time.Until(certificate.NotAfter)),
 			certificate.SerialNumber.Text(16), certificate.Subject)
 	}
-	return to.err
+	return output.err
 }
--- a/internal/cli/certsshow.go
+++ b/internal/cli/certsshow.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// durationPrecision is the precision of handshake times that are printed.
+// durationPrecision is the precision to which printed handshake times are rounded.
 const durationPrecision = 10 * time.Microsecond
 
 // certsShowCommand returns the command that shows a running node's certificates and handshakes.
@@ -54,7 +54,7 @@
 	table := newTable(out)
 	for _, entry := range status.Certificates {
 		table.printf("%s\t%s\tserial %s\t%s\t%s\n",
-			entry.ExpiresAt.UTC().Format(time.RFC3339), remaining(entry.ExpiresAt.Sub(now)), entry.Serial,
+			entry.ExpiresAt.UTC().Format(time.RFC3339), formatRemaining(entry.ExpiresAt.Sub(now)), entry.Serial,
 			strings.Join(entry.Names, ","), entry.Source)
 	}
 	table.printf("\nside\tfull\tresumed\tmean\tresumed mean\tof it work\tfailures\n")
@@ -76,7 +76,7 @@
 	return table.flush()
 }
 
-// printHandshakes prints a row about the handshakes of one side.
+// printHandshakes prints a row with the handshake counts and mean times of one side (servers, clients, and so on).
 func printHandshakes(table *table, side string, full, resumed handshakes.Histogram, failures map[string]uint64) {
 	compute := handshakes.Histogram{Count: full.Count + resumed.Count, TotalTime: full.ComputeTime + resumed.ComputeTime}
 	table.printf("%s\t%d\t%d\t%v\t%v\t%v\t%s\n", side, full.Count, resumed.Count,
@@ -90,7 +90,7 @@
 	return (histogram.TotalTime / time.Duration(histogram.Count)).Round(durationPrecision)
 }
 
-// printServers prints a row about the certificate of each server.
+// printServers prints a row for each server with its certificate and, if it is untrusted, the reason.
 func printServers(table *table, servers *secure.Stats, now time.Time) {
 	table.printf("\nserver\tserial\tends\t\n")
 	for _, server := range servers.Servers {
@@ -102,14 +102,14 @@
 		}
 		expiry := "-"
 		if !server.CertificateExpiry.IsZero() {
-			expiry = remaining(server.CertificateExpiry.Sub(now))
+			expiry = formatRemaining(server.CertificateExpiry.Sub(now))
 		}
 		table.printf("%s\t%s\t%s\t%s\n", server.Server, server.CertificateSerial, expiry, reason)
 	}
 }
 
-// remaining returns how long a certificate is valid, in words.
-func remaining(validity time.Duration) string {
+// formatRemaining formats the remaining validity of a certificate.
+func formatRemaining(validity time.Duration) string {
 	switch {
 	case validity <= 0:
 		return "over"
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%d days left", int(validity.Hours()/24))
 }
 
-// formatCounts returns counts by name, sorted; a dash if there are none.
+// formatCounts formats counts by name, sorted by name; it returns a dash if there are none.
 func formatCounts(counts map[string]uint64) string {
 	if len(counts) == 0 {
 		return "-"
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// checkCommand returns the command that checks configurations without serving.
+// checkCommand returns the command that validates configuration files without starting a node.
 func checkCommand(configPath *string, extensions Extensions) *cobra.Command {
 	var platformPath string
 	command := &cobra.Command{
@@ -43,14 +43,14 @@
 	return command
 }
 
-// check checks the operator's own file and the platform's configuration, if they are named, and prints their
-// content. For a node that stands alone it ignores the platform's.
+// check validates the operator's configuration file and the platform's configuration, if they are named, and prints
+// their content. For a standalone node it ignores the platform's configuration.
 func check(out io.Writer, path, platformPath string, extensions Extensions) error {
 	var options nodeconfig.File
 	file := &standalone.File{}
 	if path != "" {
 		var err error
-		if options, file, err = loadOwnFile(path, extensions); err != nil {
+		if options, file, err = loadOperatorFile(path, extensions); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintf(out, "%s: good\n", path); err != nil {
@@ -66,8 +66,8 @@
 	return checkPlatform(out, platformPath, options, file)
 }
 
-// loadOwnFile reads the operator's own file, with the certificates that it names.
-func loadOwnFile(path string, extensions Extensions) (nodeconfig.File, *standalone.File, error) {
+// loadOperatorFile reads the operator's configuration file and the certificates that it names.
+func loadOperatorFile(path string, extensions Extensions) (nodeconfig.File, *standalone.File, error) {
 	options, err := nodeconfig.Load(path)
 	if err != nil {
 		return options, nil, err
@@ -85,7 +85,7 @@
 	return options, file, nil
 }
 
-// checkPlatform checks the platform's configuration, together with the operator's own file.
+// checkPlatform validates the platform's configuration together with the options of the operator's file, and prints it.
 func checkPlatform(out io.Writer, path string, options nodeconfig.File, file *standalone.File) error {
 	config, err := node.LoadConfig(func(name string) string {
 		if name == configVariable {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of wayhold, and of wayhold-xds, which links in addition what needs more memory than
-// some nodes have.
+// Package cli implements the command line of wayhold and of wayhold-xds. Features that need more memory than some nodes
+// have, such as xDS and HTML reports, are linked into wayhold-xds only, which passes them as Extensions.
 package cli
 
 import (
@@ -22,21 +22,22 @@
 	"github.com/spf13/cobra"
 )
 
-// NewEndpointSource returns the source of servers that the operator's own file asks for. The source may include that of
-// the platform, its registry; a nil result means the registry alone.
+// NewEndpointSource returns the endpoint source that the operator's configuration file asks for. The source may
+// combine its endpoints with those of the parameter platform, the source for the platform's registry; a nil result
+// means the registry alone.
 type NewEndpointSource func(
 	options nodeconfig.File, config node.Config, platform router.EndpointSource, log *slog.Logger,
 ) (router.EndpointSource, error)
 
-// Extensions are what a program has in addition to wayhold. All are optional.
+// Extensions are optional features that a program adds to those of wayhold.
 type Extensions struct {
 	NewXDSSource    NewEndpointSource
-	WriteHTML       func(out io.Writer, measured *result.Result) error // writes the result of a rehearsal with plots
-	NewControlPlane realtime.NewAgent                                  // for rehearsals
-	Commands        []*cobra.Command
+	WriteHTML       func(out io.Writer, measured *result.Result) error // writes a rehearsal's result with plots
+	NewControlPlane realtime.NewAgent                                  // starts a node's control plane for rehearsals
+	Commands        []*cobra.Command                                   // further subcommands
 }
 
-// Main runs a program with the arguments of the process, and returns its exit status.
+// Main runs the command line with the arguments of the process, and returns the exit status.
 func Main(extensions Extensions) int {
 	err := rootCommand(extensions).Execute()
 	if err == nil {
@@ -50,7 +51,8 @@
 	return 1
 }
 
-// rootCommand returns the whole command line. Without a subcommand it serves, as the platform starts it.
+// rootCommand returns the root of all commands. Without a subcommand it serves, because the platform starts the program
+// without one.
 func rootCommand(extensions Extensions) *cobra.Command {
 	var configPath string
 	runServe := func(c *cobra.Command, _ []string) error { return serve(configPath, c.ErrOrStderr(), extensions) }
@@ -95,7 +97,7 @@
 	return root
 }
 
-// signalContext returns a context that ends with SIGTERM or SIGINT.
+// signalContext returns a context that is canceled on SIGTERM or SIGINT.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
@@ -112,7 +114,7 @@
 	}
 }
 
-// version returns the version of the module or, for a build from a checkout, its commit.
+// version returns the module version and the Go version. A build from a checkout has a pseudo-version with its commit.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,15 +15,15 @@
 	"cobaltward/internal/testkit"
 )
 
-// platformText is a configuration of the platform, as a format for the address of the registry.
+// platformText is a format string for a platform configuration; its argument is the address of the registry.
 const platformText = `{"name":"n","listen":"127.0.0.1:0","discovery":"%s","seed":"1",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 	"settings":{"position":0,"groupSize":1,"services":[{"name":"pay","deadline":600}]}}`
 
-// noRegistry is an address at which nothing listens.
+// noRegistry is an address that refuses connections: nothing listens on it.
 const noRegistry = "127.0.0.1:9"
 
-// startRegistry starts a registry without servers. The channel gets the query of each request.
+// startRegistry starts a registry with an empty server list. The channel receives the query string of each request.
 func startRegistry(t *testing.T) (address string, queries chan string) {
 	t.Helper()
 	queries = make(chan string, 100)
@@ -33,13 +33,13 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = fmt.Fprint(w, `{"revision":3,"complete":true,"members":[]}`) // the node may have disconnected
+		_, _ = fmt.Fprint(w, `{"revision":3,"complete":true,"members":[]}`) // fails if the node has disconnected
 	}))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String(), queries
 }
 
-// TestServe_Reload checks that SIGHUP moves the node to the registry that the file names then, although
+// TestServe_Reload checks that SIGHUP switches the node to the registry that the changed file names, although
 // ROUTER_DISCOVERY named another at the start; that an invalid file changes nothing; and that SIGTERM ends the program.
 func TestServe_Reload(t *testing.T) {
 	first, firstQueries := startRegistry(t)
@@ -54,38 +54,38 @@
 	write := func(text string) string { return writeFile(t, dir, "config.json", text) }
 	t.Setenv("ROUTER_CONFIG", write(config(first)))
 	t.Setenv("ROUTER_DISCOVERY", first)
-	ended, logs := startInProcess() // as the platform starts it
-	if query := testkit.Receive(t, "the first call", firstQueries); query != "index=1&wait=5000" {
-		t.Errorf("first call: %q", query)
+	ended, logs := startInProcess() // without arguments, as the platform starts it
+	if query := testkit.Receive(t, "the first request to the registry", firstQueries); query != "index=1&wait=5000" {
+		t.Errorf("the query of the first request is %q", query)
 	}
 	write(config(second))
 	signalSelf(t, syscall.SIGHUP)
-	if query := testkit.Receive(t, "the call at the second address", secondQueries); query != "" {
-		t.Errorf("asks for %q, not for the whole list", query)
+	if query := testkit.Receive(t, "a request at the second address", secondQueries); query != "" {
+		t.Errorf("the query at the new address is %q, want none, for the whole list", query)
 	}
 	write(`{"discovery":`)
 	signalSelf(t, syscall.SIGHUP)
 	write(config(third))
 	signalSelf(t, syscall.SIGHUP)
 	signalSelf(t, syscall.SIGHUP)
-	testkit.Receive(t, "the call at the third address", thirdQueries)
+	testkit.Receive(t, "a request at the third address", thirdQueries)
 	status, err := get("http://" + logs.address() + "/health/ready")
 	if err != nil || status != http.StatusOK {
-		t.Errorf("after the reloads: %v, %v", status, err)
+		t.Errorf("readiness after the reloads: status %v, error %v", status, err)
 	}
 	signalSelf(t, syscall.SIGTERM)
-	signalSelf(t, syscall.SIGHUP) // harmless during a drain
-	if err := testkit.Receive(t, "the end", ended); err != nil {
+	signalSelf(t, syscall.SIGHUP) // must be harmless during a drain
+	if err := testkit.Receive(t, "the end of the program", ended); err != nil {
 		t.Error(err)
 	}
 	select {
 	case query := <-firstQueries:
-		t.Errorf("the first address was called again: %q", query)
+		t.Errorf("the first registry got another request after the reload: %q", query)
 	default:
 	}
 }
 
-// TestCheck checks that valid files are described, and that an error is one line that names the file.
+// TestCheck checks that the check command describes valid files, and reports an error as one line that names the file.
 func TestCheck(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	dir := t.TempDir()
@@ -94,7 +94,7 @@
 	platform := fmt.Sprintf(platformText, noRegistry)
 	out, err := run(t, "check", own, "--platform", write("good.json", platform))
 	if err != nil || !strings.Contains(out, "own.toml: good") || !strings.Contains(out, "only if it never ran") {
-		t.Errorf("good files: %v\n%s", err, out)
+		t.Errorf("valid files: error %v, output\n%s", err, out)
 	}
 	badPlatform := write("bad.json", strings.Replace(platform, "600", `"x"`, 1))
 	for want, args := range map[string][]string{
@@ -110,7 +110,7 @@
 	} {
 		_, err := run(t, args...)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: got %v, want one line with %q", args, err, want)
+			t.Errorf("%v: got error %v, want one line with %q", args, err, want)
 		}
 	}
 }
@@ -122,15 +122,15 @@
 	}
 	for _, want := range []string{"demo", "check", "--config"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %s in\n%s", want, out)
+			t.Errorf("the help has no %s:\n%s", want, out)
 		}
 	}
 	if out, err := run(t, "version"); err != nil || !strings.HasPrefix(out, "wayhold ") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("version: error %v, output\n%s", err, out)
 	}
 }
 
-// levelsTable is a level of reduced service for the class of platformText.
+// levelsTable is TOML that defines one level of reduced service, for the class of platformText.
 const levelsTable = `
 [[level]]
 name = "less"
@@ -139,8 +139,8 @@
 measure = [{class = "pay", shed = 0.5}]
 `
 
-// TestReloader_ReadsOwnFile checks that SIGHUP applies the keys of the operator's own file that can change at once,
-// names those that can't, and changes nothing, in the platform's configuration either, if the file is invalid.
+// TestReloader_ReadsOwnFile checks that a reload applies those keys of the operator's configuration file that can
+// change in a running node, logs those that need a restart, and changes nothing at all if the file is invalid.
 func TestReloader_ReadsOwnFile(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("ROUTER_CONFIG", writeFile(t, dir, "config.json", fmt.Sprintf(platformText, noRegistry)))
@@ -178,21 +178,21 @@
 		config, err := reload.read()
 		if test.err != "" {
 			if err == nil || !strings.Contains(err.Error(), test.err) || level.Level() != previousLevel {
-				t.Errorf("%s: got %v, level %v", test.own, err, level.Level())
+				t.Errorf("%s: got error %v, log level %v", test.own, err, level.Level())
 			}
 			continue
 		}
 		if (config.Levels != nil) != strings.Contains(test.own, "[[level]]") {
-			t.Errorf("%s: levels %v", test.own, config.Levels)
+			t.Errorf("%s: got levels of service %v", test.own, config.Levels)
 		}
 		hasTimeout := config.DrainTimeout != nil
 		if err != nil || config.Settings.Classes[0].Pool != test.pool ||
 			hasTimeout != strings.Contains(test.own, "deadline") || level.Level() == previousLevel {
-			t.Errorf("%s: %+v, %v, level %v", test.own, config, err, level.Level())
+			t.Errorf("%s: got %+v, error %v, log level %v", test.own, config, err, level.Level())
 		}
 		for _, key := range strings.Fields(test.restartKeys) {
 			if !strings.Contains(logs.String(), "key="+key) {
-				t.Errorf("%s is not named in %s", key, logs.String())
+				t.Errorf("the log does not name the key %s, which needs a restart: %s", key, logs.String())
 			}
 		}
 	}
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -18,41 +18,41 @@
 	"cobaltward/router"
 )
 
-// Defaults of a node that stands alone.
+// Defaults of a standalone node.
 const (
 	defaultCores       = 1
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
-	noDiscovery        = "127.0.0.1:9" // node.Config requires an address; it is not used
+	noDiscovery        = "127.0.0.1:9" // node.Config requires an address, but a standalone node never calls it
 )
 
 var errNoListener = errors.New(
-	"listen: the file has no listener any more; a node that stands alone cannot change that before its next start")
+	"listen: the file no longer has a listener; a standalone node cannot change that without a restart")
 
-// configuration is where a node's configuration comes from: the platform or, for a node that stands alone, the
-// operator's own file. A nil pointer means the platform.
-type configuration struct {
-	ownFile    *standalone.File
-	standalone *standalone.File // nil: the platform's configuration applies
-	frontend   *standalone.Frontend
-	serverList *file.Source
+// configSource is where a node's configuration comes from: the platform or, for a standalone node, the operator's
+// configuration file. A nil pointer means the platform.
+type configSource struct {
+	operatorFile *standalone.File // as read at the start
+	standalone   *standalone.File // operatorFile, if the node is standalone; nil: the platform's configuration applies
+	frontend     *standalone.Frontend
+	serverList   *file.Source
 }
 
-// loadConfiguration reads the operator's own file.
-func loadConfiguration(path string) (*configuration, error) {
-	ownFile, err := standalone.Load(path)
+// loadConfigSource reads the operator's configuration file, which decides whether the node is standalone.
+func loadConfigSource(path string) (*configSource, error) {
+	operatorFile, err := standalone.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	if !ownFile.Standalone() {
-		return &configuration{ownFile: ownFile}, nil
+	if !operatorFile.Standalone() {
+		return &configSource{operatorFile: operatorFile}, nil
 	}
-	frontend, err := standalone.NewFrontend(ownFile)
-	return &configuration{ownFile: ownFile, standalone: ownFile, frontend: frontend}, err
+	frontend, err := standalone.NewFrontend(operatorFile)
+	return &configSource{operatorFile: operatorFile, standalone: operatorFile, frontend: frontend}, err
 }
 
-// nodeConfig returns the node's configuration.
-func (c *configuration) nodeConfig() (config node.Config, err error) {
+// nodeConfig returns the node's configuration at the start, with its state file and levels of reduced service.
+func (c *configSource) nodeConfig() (config node.Config, err error) {
 	if c.standalone == nil {
 		config, err = node.LoadConfig(os.Getenv)
 	} else {
@@ -61,18 +61,18 @@
 	if err != nil {
 		return config, err
 	}
-	state := c.ownFile.State
+	state := c.operatorFile.State
 	config.State = node.StateConfig{
 		File:         state.File,
 		SaveInterval: state.SaveInterval,
 		HalfLife:     state.HalfLife,
 		MaxAge:       state.MaxAge,
 	}
-	config.Levels, err = levelsConfig(c.ownFile, config.Settings.Classes)
+	config.Levels, err = levelsConfig(c.operatorFile, config.Settings.Classes)
 	return config, err
 }
 
-// levelsConfig returns the levels of reduced service that a file has for a node's classes.
+// levelsConfig returns the levels of reduced service that a file defines for a node's classes.
 func levelsConfig(file *standalone.File, classes []policy.Class) (*levels.Config, error) {
 	config, err := file.LevelsConfig(classes)
 	if err != nil {
@@ -81,34 +81,34 @@
 	return config, nil
 }
 
-// standaloneConfig returns the configuration of a node that stands alone.
-func standaloneConfig(own *standalone.File) (node.Config, error) {
-	endpoints, err := own.Endpoints()
+// standaloneConfig returns the configuration of a standalone node.
+func standaloneConfig(operatorFile *standalone.File) (node.Config, error) {
+	endpoints, err := operatorFile.Endpoints()
 	if err != nil {
 		return node.Config{}, err
 	}
 	config := node.Config{
-		Name:           own.Node.Name,
-		Listen:         own.Listen[0].Address,
+		Name:           operatorFile.Node.Name,
+		Listen:         operatorFile.Listen[0].Address,
 		Discovery:      noDiscovery,
 		Seed:           uint64(os.Getpid()),
-		Cores:          cmp.Or(own.Limits.Cores, defaultCores),
-		MemoryMB:       cmp.Or(int64(own.Limits.MemoryMB), defaultMemoryMB),
-		MaxDescriptors: cmp.Or(own.Limits.Sockets, defaultDescriptors),
-		MaxInFlight:    own.Limits.MaxOpen,
-		ConnectTimeout: cmp.Or(own.Limits.ConnectTimeout, node.DefaultConnectTimeout),
-		Settings:       own.Settings(),
+		Cores:          cmp.Or(operatorFile.Limits.Cores, defaultCores),
+		MemoryMB:       cmp.Or(int64(operatorFile.Limits.MemoryMB), defaultMemoryMB),
+		MaxDescriptors: cmp.Or(operatorFile.Limits.Sockets, defaultDescriptors),
+		MaxInFlight:    operatorFile.Limits.MaxOpen,
+		ConnectTimeout: cmp.Or(operatorFile.Limits.ConnectTimeout, node.DefaultConnectTimeout),
+		Settings:       operatorFile.Settings(),
 		InitialList:    registry.List{Full: true, Endpoints: endpoints},
 	}
 	if config.Name == "" {
-		config.Name, _ = os.Hostname() // after an error the node has no name
+		config.Name, _ = os.Hostname() // on an error the name stays empty
 	}
 	_, _, err = net.SplitHostPort(config.Listen)
 	return config, err
 }
 
-// install adds the frontend and the list of servers of a node that stands alone to its configuration.
-func (c *configuration) install(config *node.Config, log *slog.Logger) {
+// applyStandalone adds the HTTP frontend and the server list of a standalone node to its configuration.
+func (c *configSource) applyStandalone(config *node.Config, log *slog.Logger) {
 	if c.standalone == nil {
 		return
 	}
@@ -119,30 +119,31 @@
 	config.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return c.serverList, nil }
 }
 
-// reload reads the configuration again. The caller calls adopt once nothing else is rejected: it puts the routes,
-// identities and servers of a node that stands alone in force. A running node keeps the platform, or stays without.
-func (c *configuration) reload(path string) (config node.Config, adopt func() error, err error) {
-	own, err := standalone.Load(path)
+// reload reads the configuration again. The caller must call apply once all other checks have passed: it activates the
+// new routes, identities and servers of a standalone node. A running node cannot switch between the platform's
+// configuration and a standalone one.
+func (c *configSource) reload(path string) (config node.Config, apply func() error, err error) {
+	operatorFile, err := standalone.Load(path)
 	if err != nil {
 		return node.Config{}, nil, err
 	}
 	if c == nil || c.standalone == nil {
 		if config, err = node.ReloadConfig(os.Getenv); err == nil {
-			config.Levels, err = levelsConfig(own, config.Settings.Classes)
+			config.Levels, err = levelsConfig(operatorFile, config.Settings.Classes)
 		}
 		return config, func() error { return nil }, err
 	}
-	if !own.Standalone() {
+	if !operatorFile.Standalone() {
 		return node.Config{}, nil, errNoListener
 	}
-	if config, err = standaloneConfig(own); err == nil {
-		config.Levels, err = levelsConfig(own, config.Settings.Classes)
+	if config, err = standaloneConfig(operatorFile); err == nil {
+		config.Levels, err = levelsConfig(operatorFile, config.Settings.Classes)
 	}
 	return config, func() error {
-		if err := c.frontend.Reload(own); err != nil {
+		if err := c.frontend.Reload(operatorFile); err != nil {
 			return err
 		}
-		c.serverList.Reload(own.Endpoints)
+		c.serverList.Reload(operatorFile.Endpoints)
 		return nil
 	}, err
 }
--- a/internal/cli/ctl.go
+++ b/internal/cli/ctl.go
@@ -13,7 +13,7 @@
 
 const defaultDrainDeadline = 30 * time.Second
 
-// ctlCommand returns the command that inspects and controls a running node.
+// ctlCommand returns the parent of the commands that inspect and control a running node through its admin API.
 func ctlCommand(configPath *string) *cobra.Command {
 	client := &adminClient{configPath: configPath}
 	command := &cobra.Command{
--- a/internal/cli/ctllevel.go
+++ b/internal/cli/ctllevel.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 )
 
-const noMaxLevel = -1 // allows all levels
+const noMaxLevel = -1 // value of the maximum level that allows all levels
 
 // levelCommand returns the command that shows and sets the level of reduced service.
 func (a *adminClient) levelCommand() *cobra.Command {
@@ -78,7 +78,7 @@
 	return command
 }
 
-// callLevel sends a request about the level, and prints the level that is in force after it.
+// callLevel sends a request to a level endpoint of the admin API, and prints the level status that it returns.
 func (a *adminClient) callLevel(out io.Writer, method, path string, body any) error {
 	var status router.LevelStatus
 	if _, err := a.call(method, path, body, &status); err != nil {
@@ -88,35 +88,35 @@
 }
 
 func printLevel(out io.Writer, status router.LevelStatus) error {
-	to := &printer{out: out}
-	to.printf("level %d, %s: %s\n", status.Level, status.Name, status.Reason)
-	to.printf("demand %.2f, slow %.3f, held %.3f\n", status.Demand, status.Slow, status.Queued)
+	output := &printer{out: out}
+	output.printf("level %d, %s: %s\n", status.Level, status.Name, status.Reason)
+	output.printf("demand %.2f, slow %.3f, held %.3f\n", status.Demand, status.Slow, status.Queued)
 	if status.DryRun {
-		to.printf("a dry run: nothing is shed; what is counted would be\n")
+		output.printf("a dry run: nothing is shed; what is counted would be\n")
 	}
 	if status.MaxLevel >= 0 {
-		to.printf("levels beyond %d are forbidden\n", status.MaxLevel)
+		output.printf("levels beyond %d are forbidden\n", status.MaxLevel)
 	}
 	if status.ExitProbing {
-		to.printf("its end is being tried: half of what it sheds is let in\n")
+		output.printf("its end is being tried: half of what it sheds is let in\n")
 	}
 	for _, condition := range status.ExitConditions {
-		to.printf("ends with %s\n", condition)
+		output.printf("ends with %s\n", condition)
 	}
-	printShed(to, "class", status.ShedByClass)
-	printShed(to, "tenant", status.ShedByTenant)
+	printShed(output, "class", status.ShedByClass)
+	printShed(output, "tenant", status.ShedByTenant)
 	if status.ShedWeight > 0 {
-		to.printf("worth shed: %.1f\n", status.ShedWeight)
+		output.printf("worth shed: %.1f\n", status.ShedWeight)
 	}
 	for _, event := range status.Events {
-		to.printf("  from %d to %d, %s: %s\n", event.From, event.To, event.Name, event.Reason)
+		output.printf("  from %d to %d, %s: %s\n", event.From, event.To, event.Name, event.Reason)
 	}
-	return to.err
+	return output.err
 }
 
-// printShed prints how many requests were shed, by name of the class or tenant.
-func printShed(to *printer, kind string, shed map[string]uint64) {
+// printShed prints the number of shed requests for each class or tenant.
+func printShed(output *printer, kind string, shed map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(shed)) {
-		to.printf("shed of %s %s: %d\n", kind, cmp.Or(name, "(others)"), shed[name])
+		output.printf("shed of %s %s: %d\n", kind, cmp.Or(name, "(others)"), shed[name])
 	}
 }
--- a/internal/cli/ctlwatch.go
+++ b/internal/cli/ctlwatch.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	maxEventLine  = 1 << 20 // bytes
-	eraseLine     = "\r\x1b[K"
-	eventPrefix   = "event: "
-	payloadPrefix = "data: "
+	maxEventLine  = 1 << 20    // maximum length of a line of the event stream, in bytes
+	eraseLine     = "\r\x1b[K" // terminal control sequence that clears the current line
+	eventPrefix   = "event: "  // starts the line with an event's name
+	payloadPrefix = "data: "   // starts the line with an event's JSON payload
 )
 
-// watch prints events until interrupted: a line that changes on a terminal, else a line of JSON for each. With
-// untilDrained it returns when the drain has ended, and the error says how.
+// watch prints the node's events until interrupted: on a terminal as text with a status line that is updated in
+// place, otherwise as a line of JSON for each event. With untilDrained it returns when the drain has ended, with the
+// error of drainOutcome.
 func (a *adminClient) watch(out io.Writer, untilDrained bool) error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -31,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // nothing more is read
+	defer func() { _ = stream.Close() }() // the stream is only read, so the error does not matter
 	view := &eventView{
 		printer:      printer{out: out},
 		isTerminal:   demo.IsTerminal(os.Stdout),
@@ -59,14 +60,14 @@
 	return statusError{errors.New("ctl: the connection to the node ended"), errUnreachable}
 }
 
-// eventView prints events.
+// eventView prints the events of a node to a terminal or a file.
 type eventView struct {
 	printer
 	isTerminal   bool
 	untilDrained bool
 }
 
-// show prints an event, and reports whether it is the last one to print.
+// show prints one event. done means that the drain has ended and no more events are to be printed.
 func (v *eventView) show(event, payload string) (done bool, err error) {
 	if !v.isTerminal {
 		v.printf("{\"event\":%q,\"data\":%s}\n", event, payload)
@@ -110,7 +111,8 @@
 	return done, err
 }
 
-// drainOutcome reports whether a drain has ended, and how: the error is nil if no request was open at the deadline.
+// drainOutcome reports whether a drain has ended. The error is nil if no request was open at the deadline; otherwise
+// it carries the exit status of a passed deadline or a canceled drain.
 func drainOutcome(status node.Status) (done bool, err error) {
 	switch status.Drain.State {
 	case drain.Drained:
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -11,10 +11,10 @@
 
 const (
 	defaultDemoDuration = 6 * time.Second
-	defaultDemoRate     = 300 // requests a second
+	defaultDemoRate     = 300 // requests per second
 )
 
-// demoCommand returns the command that shows a node among emulated servers.
+// demoCommand returns the command that runs a node among emulated servers and prints a summary.
 func demoCommand() *cobra.Command {
 	var config demo.Config
 	command := &cobra.Command{
--- a/internal/cli/describe.go
+++ b/internal/cli/describe.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// describeStandalone prints the configuration of a node without a platform as tables.
+// describeStandalone prints the configuration of a standalone node as tables.
 func describeStandalone(out io.Writer, file *standalone.File) error {
 	endpoints, err := file.Endpoints()
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// describeRetries says when a request of a class may be retried.
+// describeRetries describes when a request of a class may be retried.
 func describeRetries(class policy.Class) string {
 	switch class.Idempotency {
 	case policy.Idempotent:
--- a/internal/cli/exitstatus.go
+++ b/internal/cli/exitstatus.go
@@ -2,16 +2,16 @@
 
 import "strconv"
 
-// exitStatusError is the exit status of a program whose scripts tell outcomes apart.
+// exitStatusError is an error that sets the exit status of the program, so that scripts can tell outcomes apart.
 type exitStatusError int
 
-// Exit statuses, beside 0 and 1.
+// Exit statuses other than 0 (success) and 1 (any other error).
 const (
-	errNotRun         exitStatusError = 2 // call: the request was not executed, a retry is harmless
+	errNotRun         exitStatusError = 2 // call: the request was not executed, so a retry is safe
 	errMayHaveRun     exitStatusError = 3 // call: the request may have been executed
 	errUnreachable    exitStatusError = 4 // ctl: no node answers
 	errDeadlinePassed exitStatusError = 5 // ctl drain: requests were answered because the deadline passed
-	errDrainCancelled exitStatusError = 6 // ctl drain
+	errDrainCancelled exitStatusError = 6 // ctl drain: the drain was canceled
 	errConflict       exitStatusError = 7 // ctl: the node rejects the request in its present state
 	errExpiring       exitStatusError = 8 // certs check: a certificate expires soon
 	errServerRejected exitStatusError = 9 // certs probe: a node would not use the server
@@ -20,24 +20,24 @@
 func (s exitStatusError) Error() string {
 	switch s {
 	case errNotRun:
-		return "not served; it has not run"
+		return "not served: the request was not executed"
 	case errMayHaveRun:
-		return "not served; it may have run"
+		return "not served: the request may have been executed"
 	case errExpiring:
 		return "certificates expire soon"
 	}
 	return "exit status " + strconv.Itoa(int(s))
 }
 
-// statusError is an error with an exit status.
+// statusError adds an exit status to an error, without changing its text.
 type statusError struct {
 	error
 	status exitStatusError
 }
 
-// As lets errors.As find the exit status.
-func (e statusError) As(to any) bool {
-	status, ok := to.(*exitStatusError)
+// As implements the interface of errors.As for targets of type *exitStatusError.
+func (e statusError) As(target any) bool {
+	status, ok := target.(*exitStatusError)
 	if ok {
 		*status = e.status
 	}
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -15,7 +15,7 @@
 
 var errExpectationsNotMet = errors.New("expect: expectations are not met")
 
-// expectCommand returns the command that checks a configuration against expectations.
+// expectCommand returns the command that checks a configuration against the expectations in files, without traffic.
 func expectCommand(configPath *string) *cobra.Command {
 	var format string
 	command := &cobra.Command{
@@ -37,26 +37,26 @@
 	return command
 }
 
-// expectation is the result of one expectation of a file.
-type expectation struct {
+// expectationResult is the result of one expectation, with the path of the file that has it.
+type expectationResult struct {
 	path string
 	expect.Result
 }
 
-func (e *expectation) title() string { return fmt.Sprintf("%s:%d: %s", e.path, e.Line, e.Name) }
+func (e *expectationResult) title() string { return fmt.Sprintf("%s:%d: %s", e.path, e.Line, e.Name) }
 
-func (e *expectation) failed() bool { return len(e.Failures) > 0 }
+func (e *expectationResult) failed() bool { return len(e.Failures) > 0 }
 
-// runExpectations checks a configuration against the expectations of files.
-func runExpectations(configPath string, paths []string) ([]expectation, error) {
+// runExpectations checks a standalone configuration against all expectations of the files.
+func runExpectations(configPath string, paths []string) ([]expectationResult, error) {
 	config, err := standalone.Load(configPath)
 	if err != nil {
 		return nil, err
 	}
 	if !config.Standalone() {
-		return nil, errors.New("expect: name a configuration with a listener by --config")
+		return nil, errors.New("expect: --config must name a configuration with a listener")
 	}
-	var expectations []expectation
+	var expectations []expectationResult
 	for _, path := range paths {
 		file, err := expect.Load(path)
 		if err != nil {
@@ -67,14 +67,14 @@
 			return nil, err
 		}
 		for _, result := range results {
-			expectations = append(expectations, expectation{path, result})
+			expectations = append(expectations, expectationResult{path, result})
 		}
 	}
 	return expectations, nil
 }
 
-// printExpectations prints the results in a format. It returns an error if an expectation is not met.
-func printExpectations(out io.Writer, format string, expectations []expectation) error {
+// printExpectations prints the results as text, TAP or JUnit XML. It returns an error if an expectation is not met.
+func printExpectations(out io.Writer, format string, expectations []expectationResult) error {
 	failed := 0
 	for i := range expectations {
 		if expectations[i].failed() {
@@ -98,33 +98,33 @@
 	return err
 }
 
-func printText(out io.Writer, expectations []expectation, failed int) error {
-	to := &printer{out: out}
+func printText(out io.Writer, expectations []expectationResult, failed int) error {
+	output := &printer{out: out}
 	for i := range expectations {
 		for _, failure := range expectations[i].Failures {
-			to.printf("%s\n    %s\n", expectations[i].title(), failure)
+			output.printf("%s\n    %s\n", expectations[i].title(), failure)
 		}
 	}
-	to.printf("%d of %d expectations are met\n", len(expectations)-failed, len(expectations))
-	return to.err
+	output.printf("%d of %d expectations are met\n", len(expectations)-failed, len(expectations))
+	return output.err
 }
 
 // printTAP prints the results in the Test Anything Protocol.
-func printTAP(out io.Writer, expectations []expectation) error {
-	to := &printer{out: out}
-	to.printf("TAP version 14\n1..%d\n", len(expectations))
+func printTAP(out io.Writer, expectations []expectationResult) error {
+	output := &printer{out: out}
+	output.printf("TAP version 14\n1..%d\n", len(expectations))
 	for i := range expectations {
 		not := ""
 		if expectations[i].failed() {
 			not = "not "
 		}
-		title := strings.ReplaceAll(expectations[i].title(), "#", "\\#") // a # would begin a directive
-		to.printf("%sok %d - %s\n", not, i+1, title)
+		title := strings.ReplaceAll(expectations[i].title(), "#", "\\#") // an unescaped # would begin a directive
+		output.printf("%sok %d - %s\n", not, i+1, title)
 		for _, failure := range expectations[i].Failures {
-			to.printf("  # %s\n", failure)
+			output.printf("  # %s\n", failure)
 		}
 	}
-	return to.err
+	return output.err
 }
 
 type junitSuite struct {
@@ -146,8 +146,8 @@
 	Text    string `xml:",chardata"`
 }
 
-// printJUnit prints the results as JUnit's XML, with the elements that all its readers know.
-func printJUnit(out io.Writer, expectations []expectation, failed int) error {
+// printJUnit prints the results as JUnit XML, with only the elements that all readers of the format support.
+func printJUnit(out io.Writer, expectations []expectationResult, failed int) error {
 	suite := junitSuite{Name: "expectations", Tests: len(expectations), Failures: failed}
 	for i := range expectations {
 		result := &expectations[i]
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -9,10 +9,10 @@
 	"github.com/spf13/cobra"
 )
 
-const fleetProgram = "wayhold-fleet" // in the directory of this program
+const fleetProgram = "wayhold-fleet" // file name, in the directory of the running program
 
-// fleetCommand returns the command that replaces this process by the fleet's program, which is not linked into this
-// one.
+// fleetCommand returns the command that replaces this process with the separate program wayhold-fleet, whose code is
+// not linked into this one.
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "fleet",
--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -21,23 +21,23 @@
 	"cobaltward/internal/testkit"
 )
 
-// process is a process of the node under test, which has the clients' listening socket as descriptor 3.
+// process is a process of the node under test. It inherits the listening socket for clients as file descriptor 3.
 type process struct {
 	command    *exec.Cmd
 	operations string       // address of the operations endpoint
-	logs       bytes.Buffer // to be read once the process has ended
+	logs       bytes.Buffer // must not be read before the process has ended
 }
 
-// nodeUnderTest is a node whose processes share a listening socket and a directory.
+// nodeUnderTest is a node whose successive processes share a listening socket and a directory for coordination.
 type nodeUnderTest struct {
 	t      *testing.T
-	dir    string // TMPDIR
-	config string // path of the platform's configuration
-	socket *os.File
+	dir    string   // TMPDIR of the processes, in which they coordinate
+	config string   // path of the platform's configuration file
+	socket *os.File // listening socket for clients
 }
 
-// freeAddress returns an address at which nothing listens. Its IP address is one of this process alone: other tests
-// could be given a port of 127.0.0.1 between its choice and its use.
+// freeAddress returns an address at which nothing listens. Its IP address is derived from the process ID, so that no
+// test in another process is given the same port before it is used, as could happen on 127.0.0.1.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -49,7 +49,7 @@
 	return listener.Addr().String()
 }
 
-// start starts a process, and waits until it can serve.
+// start starts a process, and waits until its operations endpoint responds with 200.
 func (n *nodeUnderTest) start() *process {
 	n.t.Helper()
 	operations := freeAddress(n.t)
@@ -66,7 +66,7 @@
 	for started.call(http.MethodGet, "/status") != http.StatusOK {
 		if time.Now().After(deadline) {
 			started.kill()
-			n.t.Errorf("the new process never said yes: %s", started.logs.String())
+			n.t.Errorf("the new process did not become ready within 10 s: %s", started.logs.String())
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -74,7 +74,7 @@
 	return started
 }
 
-// call sends a request to the operations endpoint, and returns the status; 0 without an answer.
+// call sends a request to the operations endpoint, and returns the status of the response; 0 if there is none.
 func (p *process) call(method, path string) int {
 	request, err := http.NewRequest(method, "http://"+p.operations+path, nil)
 	if err != nil {
@@ -88,14 +88,14 @@
 	return response.StatusCode
 }
 
-// end ends the process by SIGTERM. If that takes long, SIGQUIT has it print its goroutines.
-func (p *process) end(t *testing.T) {
+// terminate ends the process with SIGTERM. If it is still running after 10 s, SIGQUIT makes it print its goroutines.
+func (p *process) terminate(t *testing.T) {
 	t.Helper()
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	stuck := time.AfterFunc(10*time.Second, func() { _ = p.command.Process.Signal(syscall.SIGQUIT) })
 	defer stuck.Stop()
 	if err := p.command.Wait(); err != nil {
-		t.Errorf("ended with %v: %s", err, p.logs.String())
+		t.Errorf("the process ended with error %v: %s", err, p.logs.String())
 	}
 }
 
@@ -104,11 +104,11 @@
 	_ = p.command.Wait()
 }
 
-// newNodeUnderTest returns a node with one server, and the address for its clients.
+// newNodeUnderTest returns a node with one server, and its address for clients. No process runs yet.
 func newNodeUnderTest(t *testing.T, server string) (node *nodeUnderTest, address string) {
 	t.Helper()
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // as the platform's socket: accept on a multipath one ignores time-outs
+	config.SetMultipathTCP(false) // as the platform's socket: accept on a multipath socket ignores timeouts
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	return &nodeUnderTest{t: t, dir: t.TempDir(), socket: socket, config: configPath}, listener.Addr().String()
 }
 
-// isReady asks for readiness on a connection of its own.
+// isReady requests the readiness path on a new connection, and reports whether the response is 200.
 func isReady(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -142,15 +142,15 @@
 	return string(line) == "HTTP/1.1 200 OK"
 }
 
-// outcomes counts the outcomes of requests.
+// outcomes counts the requests of all clients by outcome.
 type outcomes struct {
-	served, rejected, failed atomic.Int64 // answered
-	retried                  atomic.Int64 // sent again, because the node closed the idle connection
-	unconnected, lost        atomic.Int64 // without a connection, without an answer
+	served, rejected, failed atomic.Int64 // requests that got a response
+	retried                  atomic.Int64 // requests sent again, because the node had closed the idle connection
+	unconnected, lost        atomic.Int64 // requests without a connection, and without a response
 }
 
-// requestSender sends one request after the other that is not idempotent, on a connection that it keeps. As the
-// protocol has it, it sends a request again if the connection was used before and closes before a byte of an answer.
+// requestSender sends non-idempotent requests one after another on a persistent connection. As HTTP allows, it sends a
+// request again if a connection that was used before is closed before the first byte of the response.
 type requestSender struct {
 	address string
 	conn    net.Conn
@@ -177,10 +177,11 @@
 	}
 }
 
-// exchange sends a request and reads the answer. It reports false if the request is to be sent again.
+// exchange sends a request and reads the response. done is false if the request must be sent again, which is never the
+// case on a fresh connection.
 func (s *requestSender) exchange(id string, fresh bool) (done bool) {
 	_ = s.conn.SetDeadline(time.Now().Add(20 * time.Second))
-	// An error of the write shows at the read.
+	// A write error also makes the following read fail.
 	_, _ = fmt.Fprintf(s.conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 		"X-Deadline-Ms: 400\r\nContent-Length: 1\r\n\r\nx", id)
 	response, err := http.ReadResponse(s.reader, nil)
@@ -216,7 +217,7 @@
 	}
 }
 
-// executions counts how often a server executed each request.
+// executions is the handler of a server, which counts how often it executes each request.
 type executions struct {
 	mu   sync.Mutex
 	byID map[string]int
@@ -229,7 +230,7 @@
 	time.Sleep(2 * time.Millisecond)
 }
 
-// repeated returns how many requests were executed more than once.
+// repeated returns the number of requests that were executed more than once.
 func (e *executions) repeated() (count int) {
 	for _, times := range e.byID {
 		if times > 1 {
@@ -239,9 +240,9 @@
 	return count
 }
 
-// TestHotRestart_UnderLoad replaces the process twenty times under load. It checks that every request gets one answer,
-// that none is executed twice, and that every connection is accepted. A request that meets the close of an idle
-// connection is sent again.
+// TestHotRestart_UnderLoad replaces the process twenty times under load. It checks that every request gets one
+// response, that none is executed twice, and that every connection is accepted. A client sends a request again if the
+// node closed the idle connection before it arrived.
 func TestHotRestart_UnderLoad(t *testing.T) {
 	executed := &executions{byID: make(map[string]int)}
 	node, address := newNodeUnderTest(t, testkit.HTTPServer(t, executed.ServeHTTP))
@@ -255,7 +256,7 @@
 			defer sender.close()
 			for i := 0; !stop.Load(); i++ {
 				sender.send(fmt.Sprintf("r%d-%d", k, i))
-				if k%3 == 0 { // some connections are idle for longer
+				if k%3 == 0 { // a third of the connections are idle for longer
 					time.Sleep(time.Duration(100+37*k) * time.Millisecond)
 				} else {
 					time.Sleep(3 * time.Millisecond)
@@ -268,29 +269,29 @@
 			break
 		}
 		next := node.start()
-		current.end(t)
+		current.terminate(t)
 		current = next
 		if !isReady(address) {
-			t.Error("not ready behind a replacement")
+			t.Error("the node is not ready after a replacement of its process")
 		}
 	}
 	stop.Store(true)
 	clients.Wait()
-	current.end(t)
+	current.terminate(t)
 	twice := executed.repeated()
 	served, lost, unconnected := counts.served.Load(), counts.lost.Load(), counts.unconnected.Load()
-	t.Logf("%d served, %d rejected, %d failed, %d met a close and were sent again, %d without a connection, %d lost, "+
+	t.Logf("%d served, %d rejected, %d failed, %d sent again after a close, %d without a connection, %d lost, "+
 		"%d ran twice", served, counts.rejected.Load(), counts.failed.Load(), counts.retried.Load(), unconnected, lost, twice)
 	if lost+unconnected > 0 || twice > 0 || served == 0 || int64(len(executed.byID)) < served {
-		t.Errorf("%d lost, %d without a connection, %d ran twice", lost, unconnected, twice)
+		t.Errorf("%d requests lost, %d without a connection, %d executed twice", lost, unconnected, twice)
 	}
 	if left, _ := filepath.Glob(filepath.Join(node.dir, "*.alive")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files of ended processes were left behind: %v", left)
 	}
 }
 
-// awaitReadiness waits until readiness has been the same for longer than a process takes to learn of an order,
-// whichever process accepts the connection.
+// awaitReadiness waits until the node's readiness has been as wanted for 500 ms without interruption. That is longer
+// than a process takes to learn of an order, so the result holds whichever process accepts the connection.
 func awaitReadiness(t *testing.T, address string, want bool) {
 	t.Helper()
 	since := time.Now()
@@ -302,8 +303,9 @@
 	})
 }
 
-// TestHotRestart_Failures checks that an order of standby reaches both processes, whichever got it, and the next one;
-// and that a successor that is killed before it serves, torn files and a predecessor that is killed do no harm.
+// TestHotRestart_Failures checks that a standby order that one process receives reaches the other one and the next
+// successor. It also checks that the node keeps working after truncated coordination files, a successor that is killed
+// before it takes over, and a predecessor that is killed.
 func TestHotRestart_Failures(t *testing.T) {
 	server := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, address := newNodeUnderTest(t, server)
@@ -315,37 +317,37 @@
 	}
 	second := node.start()
 	if !isReady(address) {
-		t.Error("torn files keep a node from serving")
+		t.Error("the node does not serve after it found truncated files")
 	}
 	if code := second.call(http.MethodPut, "/standby"); code != http.StatusOK {
-		t.Fatalf("standby: %d", code)
+		t.Fatalf("PUT /standby: status %d", code)
 	}
-	awaitReadiness(t, address, false) // both processes accept connections
-	second.kill()                     // before the first was asked to end
+	awaitReadiness(t, address, false) // both processes accept connections, so both must report it
+	second.kill()                     // before it has made the first process end
 	third := node.start()
 	for range 10 {
 		if isReady(address) {
-			t.Error("the successor of a node in standby says yes")
+			t.Error("the successor of a node in standby reports that it is ready")
 		}
 	}
 	if code := first.call(http.MethodPut, "/active"); code != http.StatusOK {
-		t.Fatalf("active: %d", code)
+		t.Fatalf("PUT /active: status %d", code)
 	}
 	awaitReadiness(t, address, true)
 	first.kill()
-	// The remaining process may have looked for orders just before.
+	// The remaining process may not have read the order yet.
 	testkit.Await(t, "the remaining process to serve", func() bool { return isReady(address) })
 	testkit.Await(t, "the files of killed processes to be removed", func() bool {
 		left, _ := filepath.Glob(filepath.Join(node.dir, "*.alive"))
 		return len(left) == 1
 	})
-	third.end(t)
+	third.terminate(t)
 	if count := strings.Count(second.logs.String(), "level=WARN"); count == 0 || count > 4 {
-		t.Errorf("%d warnings of torn files: %s", count, second.logs.String())
+		t.Errorf("%d warnings about truncated files, want 1 to 4: %s", count, second.logs.String())
 	}
 }
 
-// writeSameAddresses writes a copy of a configuration whose addresses for clients and operations are the same.
+// writeSameAddresses writes a copy of a configuration, in which the addresses for clients and operations are the same.
 func writeSameAddresses(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -363,8 +365,8 @@
 	return writeFile(t, t.TempDir(), "same.json", string(raw))
 }
 
-// TestServe_InvalidAddresses checks that an error in the operations address or in the inherited descriptor is one line
-// that names it, and that the program ends.
+// TestServe_InvalidAddresses checks that the program ends on an invalid operations address or inherited descriptor,
+// with an error of one line that names it.
 func TestServe_InvalidAddresses(t *testing.T) {
 	notASocket, err := os.Open(os.DevNull)
 	if err != nil {
@@ -398,7 +400,7 @@
 		out, err := command.CombinedOutput()
 		lines := strings.Count(strings.TrimSpace(string(out)), "\n")
 		if err == nil || !strings.Contains(string(out), test.want) || lines > 0 {
-			t.Errorf("%s: %v: %s", name, err, out)
+			t.Errorf("%s: wrong error %v, or wrong output: %s", name, err, out)
 		}
 	}
 }
--- a/internal/cli/init.go
+++ b/internal/cli/init.go
@@ -12,7 +12,7 @@
 
 const defaultConfigName = "wayhold.toml"
 
-// initCommand returns the command that writes a first configuration.
+// initCommand returns the command that writes the example configuration of a standalone node.
 func initCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "init [FILE]",
--- a/internal/cli/listeners.go
+++ b/internal/cli/listeners.go
@@ -16,11 +16,12 @@
 
 // Environment variables that the platform sets.
 const (
-	configVariable            = "ROUTER_CONFIG"
-	inheritedListenerVariable = "ROUTER_ACCEPT_FD" // descriptor of the clients' listening socket
+	configVariable            = "ROUTER_CONFIG"    // path of the platform's configuration
+	inheritedListenerVariable = "ROUTER_ACCEPT_FD" // file descriptor of the listening socket for clients
 )
 
-// listenForClients listens at the address for clients, or uses the listening socket that the platform holds.
+// listenForClients returns the listener for clients: the listening socket that the platform passes to the process, if
+// any, else a new one at the configured address.
 func listenForClients(config *node.Config, getenv func(string) string) (net.Listener, error) {
 	descriptor := getenv(inheritedListenerVariable)
 	if descriptor == "" {
@@ -38,7 +39,7 @@
 	return listener, nil
 }
 
-// adminAPIConfig returns the configuration of the admin API, with the token read from its file.
+// adminAPIConfig returns the configuration of the admin API, with the bearer token read from its file.
 func adminAPIConfig(options nodeconfig.AdminAPI) (adminapi.Config, error) {
 	config := adminapi.Config{Socket: options.Socket, Listen: options.Listen}
 	if options.TokenFile == "" {
@@ -51,7 +52,7 @@
 	return config, nil
 }
 
-// openMsgpack returns the configuration of MessagePack-RPC, with its listener opened.
+// openMsgpack returns the configuration of MessagePack-RPC, with an open listener if an address is configured.
 func openMsgpack(options nodeconfig.Msgpack) (node.Msgpack, error) {
 	config := node.Msgpack{
 		MaxConns:        options.MaxConns,
@@ -75,7 +76,8 @@
 	return config, nil
 }
 
-// networkOf returns the network of an address: unix for an absolute path, else tcp.
+// networkOf returns the network name that net.Listen and net.Dial need for an address: unix for an absolute path, else
+// tcp.
 func networkOf(address string) string {
 	if strings.HasPrefix(address, "/") {
 		return "unix"
@@ -83,7 +85,7 @@
 	return "tcp"
 }
 
-// removeStaleSocket removes a Unix socket on which no process listens.
+// removeStaleSocket removes the file of a Unix socket on which no process listens. It returns an error if one does.
 func removeStaleSocket(path string) error {
 	conn, err := net.Dial("unix", path)
 	if err == nil {
@@ -91,7 +93,7 @@
 		return fmt.Errorf("%s: another process listens there", path)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		_ = os.Remove(path) // if it fails, listening fails as well
+		_ = os.Remove(path) // on an error, listening fails and reports it
 	}
 	return nil
 }
--- a/internal/cli/msgpack_test.go
+++ b/internal/cli/msgpack_test.go
@@ -16,7 +16,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// startMsgpackServer starts an app server that is called by MessagePack-RPC, and returns its address.
+// startMsgpackServer starts an emulated app server that serves MessagePack-RPC, and returns its address.
 func startMsgpackServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return server.Addr
 }
 
-// leaveStaleSocket leaves a Unix socket without a listener at a path.
+// leaveStaleSocket creates a Unix socket file at a path and closes its listener, as a killed process leaves it.
 func leaveStaleSocket(t *testing.T, path string) {
 	t.Helper()
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestServe_MessagePack checks a node with the table [msgpack]: it serves calls on a Unix socket, where a stale socket
-// was, from app servers that are called by MessagePack-RPC; it serves HTTP as well; and SIGTERM ends both.
+// TestServe_MessagePack checks a node with the table [msgpack]: it replaces a stale Unix socket and serves calls on it,
+// forwards calls to app servers by MessagePack-RPC, serves HTTP as well, and stops serving both on SIGTERM.
 func TestServe_MessagePack(t *testing.T) {
 	server, dir := startMsgpackServer(t), t.TempDir()
 	socket := filepath.Join(dir, "calls.sock")
@@ -60,14 +60,14 @@
 	call := func(args ...string) (string, error) {
 		return run(t, append([]string{"call", socket, "--id"}, args...)...)
 	}
-	testkit.Await(t, "a call", func() bool {
+	testkit.Await(t, "a call to be served", func() bool {
 		out, err := call("r1", "--class", "read")
 		return err == nil && out == "done r1\n"
 	})
 	checkCalls(t, call)
 	_, err := run(t, "serve", "--config", own)
 	if err == nil || !strings.Contains(err.Error(), "another process listens there") {
-		t.Errorf("a second daemon on the socket: %v", err)
+		t.Errorf("a second daemon on the same socket: got error %v", err)
 	}
 	request, err := http.NewRequest(http.MethodGet, "http://"+logs.address()+"/api", nil)
 	if err != nil {
@@ -79,32 +79,32 @@
 		request.Header.Set(name, value)
 	}
 	if status, _, err := do(request); err != nil || status != http.StatusOK {
-		t.Errorf("over HTTP: %v, %v", status, err)
+		t.Errorf("a request over HTTP: status %v, error %v", status, err)
 	}
 	signalSelf(t, syscall.SIGTERM)
-	if err := testkit.Receive(t, "the end", ended); err != nil {
+	if err := testkit.Receive(t, "the end of the program", ended); err != nil {
 		t.Error(err)
 	}
 	var status exitStatusError
 	if _, err := call("r4", "--class", "read"); !errors.As(err, &status) || status != errNotRun {
-		t.Errorf("a call after the end: %v", err)
+		t.Errorf("a call after the end of the program: got error %v", err)
 	}
 }
 
-// checkCalls checks the results of a valid call, of a repeated ID and of an unknown class.
+// checkCalls checks the results of a valid call, of one with a repeated ID and of one with an unknown class.
 func checkCalls(t *testing.T, call func(args ...string) (string, error)) {
 	t.Helper()
 	out, err := call("r2", "--class", "read", "--tenant", "t", "--target", "/x")
 	if err != nil || out != "done r2\n" {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("a valid call: output %q, error %v", out, err)
 	}
 	var status exitStatusError
 	_, err = call("r2", "--class", "read")
 	if !errors.As(err, &status) || status != errMayHaveRun || !strings.Contains(err.Error(), "conflict") {
-		t.Errorf("an id that was used: %v", err)
+		t.Errorf("a call with a repeated ID: got error %v", err)
 	}
 	_, err = call("r3", "--class", "none")
 	if err == nil || errors.As(err, new(exitStatusError)) || !strings.Contains(err.Error(), "class: unknown") {
-		t.Errorf("an unknown class: %v", err)
+		t.Errorf("a call with an unknown class: got error %v", err)
 	}
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// printer writes formatted text, and keeps the first error.
+// printer writes formatted text. After the first error it writes nothing more, and keeps that error.
 type printer struct {
 	out io.Writer
 	err error
@@ -20,7 +20,7 @@
 	}
 }
 
-// table writes rows of columns, which tabs separate in the format.
+// table writes rows in aligned columns. Tabs in the format separate the columns.
 type table struct {
 	printer
 	columns *tabwriter.Writer
@@ -31,10 +31,10 @@
 	return &table{printer{out: columns}, columns}
 }
 
-// flush aligns the columns and writes the table. It returns the first error of all that was written.
+// flush aligns the columns and writes the table. It also returns an error of an earlier printf.
 func (t *table) flush() error { return errors.Join(t.err, t.columns.Flush()) }
 
-// createFile creates a file and has write fill it. Without a path it does nothing.
+// createFile creates a file and calls write to fill it. With an empty path it does nothing.
 func createFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -16,7 +16,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// programVariable has the test binary run the program.
+// programVariable is an environment variable. If it is set, the test binary runs the program instead of the tests.
 const programVariable = "WAYHOLD_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// logBuffer keeps what a program logs. Its methods may be called from several goroutines at once.
+// logBuffer stores the log output of a program. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -38,7 +38,7 @@
 	return l.text.Write(p)
 }
 
-// address returns the address that the program listens on, or an empty text.
+// address returns the address at which the program listens, from its log; empty until it is logged.
 func (l *logBuffer) address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	return string(match[1])
 }
 
-// programCommand returns a command that runs the program in a process of its own.
+// programCommand returns a command that runs the program in a new process, by means of the test binary.
 func programCommand(environment []string, args ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0], args...)
 	command.Env = append(append(os.Environ(), programVariable+"=1"), environment...)
 	return command
 }
 
-// startProgram runs the program until the test ends, and returns the address that it listens on once it is ready.
+// startProgram runs the program until the test ends. It returns once the node is ready, with its address.
 func startProgram(t *testing.T, args ...string) (address string, command *exec.Cmd) {
 	t.Helper()
 	command = programCommand([]string{"ROUTER_CONFIG="}, args...)
@@ -68,7 +68,7 @@
 	t.Cleanup(func() {
 		_ = command.Process.Signal(syscall.SIGTERM)
 		if err := command.Wait(); err != nil {
-			t.Errorf("the node ended: %v", err)
+			t.Errorf("the node ended with an error: %v", err)
 		}
 	})
 	testkit.Await(t, "the node's address", func() bool { address = logs.address(); return address != "" })
@@ -79,10 +79,10 @@
 	return address, command
 }
 
-// startInProcess runs the command line in this process. The channel gets its error when it has ended.
+// startInProcess runs the command line in this process. The channel receives its error when it has ended.
 func startInProcess(args ...string) (ended <-chan error, logs *logBuffer) {
 	result, logs := make(chan error, 1), &logBuffer{}
-	go func() { // ends with the program
+	go func() { // ends when the command returns
 		command := rootCommand(Extensions{})
 		command.SetArgs(args)
 		command.SetErr(logs)
@@ -91,7 +91,7 @@
 	return result, logs
 }
 
-// run executes the command line, and returns its output.
+// run executes the command line in this process, and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -103,7 +103,7 @@
 	return out.String(), err
 }
 
-// get sends a GET, and returns the status of the answer.
+// get sends a GET request, and returns the status code of the response.
 func get(url string) (status int, err error) {
 	request, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return status, err
 }
 
-// do sends a request, and returns the status and the body of the answer.
+// do sends a request, and returns the status code and the body of the response.
 func do(request *http.Request) (status int, body string, err error) {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return response.StatusCode, string(raw), err
 }
 
-// writeFile writes a file to a directory, and returns its path.
+// writeFile writes a file into a directory, and returns its path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -24,19 +24,19 @@
 	"github.com/spf13/cobra"
 )
 
-var errNoHTML = errors.New("rehearse: --html: pages with plots are made by the full build, wayhold-xds")
+var errNoHTML = errors.New("rehearse: --html: this program writes no HTML; run wayhold-xds instead")
 
-// rehearsal has the flags of rehearse.
+// rehearsal holds the flags of rehearse.
 type rehearsal struct {
-	seed         uint64 // 0: the script's own
-	jsonPath     string
-	htmlPath     string
-	outcomesPath string
-	levelsPath   string
-	mutant       string
-	realTime     bool
-	compare      bool
-	quiet        bool
+	seed         uint64 // of the random numbers; 0: the script's seed
+	jsonPath     string // output file for the result as JSON; empty: none
+	htmlPath     string // output file for the result as HTML; empty: none
+	outcomesPath string // output file with a line for each request; empty: none
+	levelsPath   string // file with the levels of reduced service; empty: none
+	mutant       string // name of the safeguard-disabling variant of the engine; empty: the real engine
+	realTime     bool   // on real sockets in real time, instead of virtual time
+	compare      bool   // compare two stored results instead of running a script
+	quiet        bool   // show no progress
 }
 
 func rehearseCommand(extensions Extensions) *cobra.Command {
@@ -90,19 +90,19 @@
 	return report.Compare(command.OutOrStdout(), resultA, resultB)
 }
 
-// run plays a script, and writes the results.
+// run executes the script at a path, and writes the results.
 func (r *rehearsal) run(command *cobra.Command, path string, extensions Extensions) error {
 	if r.htmlPath != "" && extensions.WriteHTML == nil {
 		return errNoHTML
 	}
 	if r.realTime && r.mutant != "" {
-		return errors.New("rehearse: --mutant: with virtual time only")
+		return errors.New("rehearse: --mutant: not supported with --real")
 	}
 	site, err := script.Load(path)
 	if err != nil {
 		return err
 	}
-	played, err := plan.New(site, r.seed)
+	runPlan, err := plan.New(site, r.seed)
 	if err != nil {
 		return err
 	}
@@ -111,10 +111,10 @@
 		return err
 	}
 	levelsText := ""
-	if options.Levels, levelsText, err = r.loadLevels(played); err != nil {
+	if options.Levels, levelsText, err = r.loadLevels(runPlan); err != nil {
 		return err
 	}
-	outcomes, err := newOutcomeWriter(r.outcomesPath, played)
+	outcomes, err := newOutcomeWriter(r.outcomesPath, runPlan)
 	if err != nil {
 		return err
 	}
@@ -124,31 +124,31 @@
 	if !r.quiet && demo.IsTerminal(os.Stderr) {
 		bar := newProgressBar(site)
 		options.OnProgress = func(at time.Duration) {
-			_ = bar.Set64(min(int64(at/time.Second), int64(site.Duration/time.Second))) // only shown
+			_ = bar.Set64(min(int64(at/time.Second), int64(site.Duration/time.Second))) // only affects the display
 		}
-		defer func() { _ = bar.Finish() }() // only shown
+		defer func() { _ = bar.Finish() }() // errors only affect the display
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	measured, err := r.play(ctx, played, options, levelsText, extensions)
+	measured, err := r.play(ctx, runPlan, options, levelsText, extensions)
 	if err := errors.Join(err, outcomes.close()); err != nil {
 		return err
 	}
 	return r.writeResults(command, measured, extensions)
 }
 
-// play plays a plan in virtual time, or in real time with processes of this program.
+// play executes a plan in virtual time, or in real time with nodes as processes of this program.
 func (r *rehearsal) play(
-	ctx context.Context, played *plan.Plan, options sim.Options, levelsText string, extensions Extensions,
+	ctx context.Context, runPlan *plan.Plan, options sim.Options, levelsText string, extensions Extensions,
 ) (*result.Result, error) {
 	if !r.realTime {
-		return sim.Run(ctx, played, options)
+		return sim.Run(ctx, runPlan, options)
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	return realtime.Run(ctx, played, realtime.Options{
+	return realtime.Run(ctx, runPlan, realtime.Options{
 		Command:         []string{self, "serve"},
 		NewControlPlane: extensions.NewControlPlane,
 		AdminClient:     func(socket string) (*http.Client, string) { return adminapi.NewClient(socket, "", nil) },
@@ -167,8 +167,8 @@
 }
 
 // loadLevels reads the file with the levels of reduced service, and returns them as a configuration for the script's
-// classes and as TOML. Without a file it returns nil and an empty text.
-func (r *rehearsal) loadLevels(played *plan.Plan) (*levels.Config, string, error) {
+// classes and as TOML text. Without a file it returns nil and an empty string.
+func (r *rehearsal) loadLevels(runPlan *plan.Plan) (*levels.Config, string, error) {
 	if r.levelsPath == "" {
 		return nil, "", nil
 	}
@@ -185,17 +185,17 @@
 	case len(file.Levels) == 0:
 		return nil, "", fmt.Errorf("rehearse: --levels: %s has no [[level]]", r.levelsPath)
 	case !file.Equal(&levelsOnly):
-		return nil, "", fmt.Errorf("rehearse: --levels: %s has more than [service] and [[level]]: the script says the rest",
+		return nil, "", fmt.Errorf("rehearse: --levels: %s may only have [service] and [[level]]: the script has the rest",
 			r.levelsPath)
 	}
-	config, err := levelsConfig(file, played.Settings.Classes)
+	config, err := levelsConfig(file, runPlan.Settings.Classes)
 	if err != nil {
 		return nil, "", err
 	}
 	return config, "\n" + string(text), nil
 }
 
-// findMutant returns the options that take a safeguard away; none for an empty name.
+// findMutant returns the simulation options that disable the safeguard of a mutant; an empty name disables none.
 func findMutant(name string) (sim.Options, error) {
 	if name == "" {
 		return sim.Options{}, nil
@@ -207,6 +207,6 @@
 		}
 		known = append(known, fmt.Sprintf("%q (%s)", mutant.Name, mutant.Scenario))
 	}
-	return sim.Options{}, fmt.Errorf("rehearse: --mutant: there are, with the scenarios that show them, %s",
+	return sim.Options{}, fmt.Errorf("rehearse: --mutant: want one of these (each with a scenario that detects it): %s",
 		strings.Join(known, ", "))
 }
--- a/internal/cli/rehearseoutput.go
+++ b/internal/cli/rehearseoutput.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 )
 
-// writeResults prints a result, writes it to the files that flags name, and returns an error if it is void or a rule
-// was broken.
+// writeResults prints a result and writes it to the files that flags name. It returns an error if the result is invalid
+// or a rule was broken.
 func (r *rehearsal) writeResults(command *cobra.Command, measured *result.Result, extensions Extensions) error {
 	if err := report.Text(command.OutOrStdout(), measured); err != nil {
 		return err
@@ -39,16 +39,16 @@
 	return nil
 }
 
-// outcomeWriter writes a line for each request to a file. A nil pointer writes nothing.
+// outcomeWriter writes a CSV file with a line for each request. close does nothing on a nil pointer.
 type outcomeWriter struct {
 	printer
-	played *plan.Plan
+	plan   *plan.Plan
 	file   *os.File
 	buffer *bufio.Writer
 }
 
-// newOutcomeWriter creates the file; without a path it returns nil.
-func newOutcomeWriter(path string, played *plan.Plan) (*outcomeWriter, error) {
+// newOutcomeWriter creates the file and writes the header line; with an empty path it returns nil.
+func newOutcomeWriter(path string, runPlan *plan.Plan) (*outcomeWriter, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -57,25 +57,25 @@
 		return nil, err
 	}
 	buffer := bufio.NewWriter(file)
-	writer := &outcomeWriter{printer: printer{out: buffer}, played: played, file: file, buffer: buffer}
+	writer := &outcomeWriter{printer: printer{out: buffer}, plan: runPlan, file: file, buffer: buffer}
 	writer.printf("id,at_s,class,workspace,zone,end,took_ms,tries,attempts,faults\n")
 	return writer, nil
 }
 
-// add writes the line of a request.
+// add writes the line of one request.
 func (w *outcomeWriter) add(request *plan.Request, outcome result.Outcome) {
 	var faults []string
 	for _, fault := range outcome.Faults {
-		faults = append(faults, w.played.Faults[fault].Label())
+		faults = append(faults, w.plan.Faults[fault].Label())
 	}
-	site := w.played.Script
+	site := w.plan.Script
 	latencyMS := float64(outcome.Latency) / float64(time.Millisecond)
 	w.printf("%s,%.6f,%s,%s,%s,%v,%.3f,%d,%d,%s\n", request.ID, request.At.Seconds(),
 		site.Classes[request.Class].Name, site.Tenants[request.Tenant].Name, request.Zone, outcome.Status,
 		latencyMS, outcome.ClientAttempts, outcome.ServerAttempts, strings.Join(faults, "; "))
 }
 
-// close completes the file, and returns the first error.
+// close flushes and closes the file. It also returns an error of an earlier write.
 func (w *outcomeWriter) close() error {
 	if w == nil {
 		return nil
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -16,9 +16,9 @@
 	"github.com/spf13/cobra"
 )
 
-const defaultPeer = "192.0.2.1" // reserved for documentation
+const defaultPeer = "192.0.2.1" // address of a range that is reserved for documentation
 
-// routeCommand returns the command about routes.
+// routeCommand returns the parent of the commands that inspect routes.
 func routeCommand(configPath *string) *cobra.Command {
 	command := &cobra.Command{Use: "route", Short: "Inspect the routes of a configuration"}
 	command.AddCommand(explainCommand(configPath))
@@ -42,7 +42,7 @@
 				return err
 			}
 			if !file.Standalone() {
-				return errors.New("route explain: name a configuration with a listener by --config")
+				return errors.New("route explain: --config or --file must name a configuration with a listener")
 			}
 			request, err := parseRequest(args[0], args[1], peer, headers)
 			if err != nil {
@@ -59,7 +59,7 @@
 	return command
 }
 
-// explainedRequest is a request to explain.
+// explainedRequest is the request, given on the command line, whose routing is explained.
 type explainedRequest struct {
 	method string
 	url    *url.URL
@@ -86,7 +86,7 @@
 	return request, nil
 }
 
-// explainRequest prints how a request is routed.
+// explainRequest prints the tenant, client and route of a request, or why it would be rejected.
 func explainRequest(out io.Writer, file *standalone.File, request explainedRequest) error {
 	routeTable, err := file.RouteTable()
 	if err != nil {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -17,12 +17,12 @@
 	"cobaltward/internal/operations"
 )
 
-// heapFraction of the memory limit is for Go's heap; the rest is for thread stacks and sockets.
+// heapFraction is the part of the memory limit that is given to Go's heap; the rest is for thread stacks and sockets.
 const heapFraction = 0.6
 
-// serve runs the node with the operator's own file at a path, until a signal ends it.
+// serve runs the node with the operator's configuration file at a path, until a signal ends it.
 func serve(path string, logs io.Writer, extensions Extensions) error {
-	// One buffered signal is enough: the files are read after it is received.
+	// A buffer of one is enough: the files are read after the signal is received, so one signal covers several changes.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -30,21 +30,21 @@
 	if err != nil {
 		return err
 	}
-	configuration, err := loadConfiguration(path)
+	source, err := loadConfigSource(path)
 	if err != nil {
 		return err
 	}
-	config, err := configuration.nodeConfig()
+	config, err := source.nodeConfig()
 	if err != nil {
 		return err
 	}
 	level := new(slog.LevelVar)
 	log := newLogger(options.Log, level, logs)
-	configuration.install(&config, log)
+	source.applyStandalone(&config, log)
 	if err := applyOptions(options, &config, extensions, log); err != nil {
 		return err
 	}
-	if config.TLS, err = loadTLS(path, configuration, options); err != nil {
+	if config.TLS, err = loadTLS(path, source, options); err != nil {
 		return err
 	}
 	setRuntimeLimits(&config)
@@ -62,12 +62,13 @@
 	log.Info("listening", "name", config.Name, "address", listener.Addr(), "servers", len(config.InitialList.Endpoints))
 	reloads, done := make(chan node.Config, 1), make(chan struct{})
 	defer close(done)
-	reload := reloader{path: path, running: options, level: level, log: log, configuration: configuration}
+	reload := reloader{path: path, running: options, level: level, log: log, source: source}
 	go reload.run(hangups, reloads, done)
 	return node.Run(ctx, config, listener, reloads, log)
 }
 
-// applyOptions adds the operator's options to the node's configuration, and opens the listener for MessagePack-RPC.
+// applyOptions adds the options of the operator's file to the node's configuration, and opens the listener for
+// MessagePack-RPC.
 func applyOptions(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
 	applyDrain(options, config)
 	config.DrainMark = options.Drain.StateFile
@@ -92,19 +93,20 @@
 	}
 }
 
-// loadTLS reads the table [tls] with its files.
-func loadTLS(path string, configuration *configuration, options nodeconfig.File) (*node.TLS, error) {
-	config, err := configuration.ownFile.NodeTLS(time.Now())
+// loadTLS returns the TLS configuration from the table [tls] of the operator's file, with the certificates read.
+func loadTLS(path string, source *configSource, options nodeconfig.File) (*node.TLS, error) {
+	config, err := source.operatorFile.NodeTLS(time.Now())
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
 	if config != nil && len(config.Secrets) > 0 && options.XDS.Bootstrap == "" {
-		return nil, fmt.Errorf("%s: tls: a secret is named, but no control plane that sends it: xds.bootstrap", path)
+		return nil, fmt.Errorf("%s: tls: a secret is named, but xds.bootstrap names no control plane to send it", path)
 	}
 	return config, nil
 }
 
-// setRuntimeLimits sets the memory limit and the number of threads of this process, which a library must not do.
+// setRuntimeLimits sets the memory limit and GOMAXPROCS of this process. It is not done in package node, because a
+// library must not change them.
 func setRuntimeLimits(config *node.Config) {
 	heapLimit := heapFraction * float64(config.MemoryMB) * (1 << 20)
 	debug.SetMemoryLimit(int64(heapLimit))
@@ -113,7 +115,7 @@
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(config.Cores))))
 }
 
-// newLogger returns a logger, and sets its level.
+// newLogger returns a logger in the configured format, and sets level, which the logger follows, to the configured one.
 func newLogger(config nodeconfig.Log, level *slog.LevelVar, logs io.Writer) *slog.Logger {
 	level.Set(config.Level.Level)
 	options := &slog.HandlerOptions{Level: level}
--- a/internal/cli/standalone_test.go
+++ b/internal/cli/standalone_test.go
@@ -13,7 +13,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// startNamedServer starts an app server that answers with its name and the request.
+// startNamedServer starts an app server whose responses contain its name and the request. It returns its address.
 func startNamedServer(t *testing.T, name string) string {
 	t.Helper()
 	return testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -22,7 +22,7 @@
 	})
 }
 
-// sendTarget sends a request with a target that is not normalized, and pairs of names and values of headers.
+// sendTarget sends a request whose target is not normalized by the client. header holds pairs of a name and a value.
 func sendTarget(t *testing.T, address, method, target string, header ...string) (status int, body string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address, nil)
@@ -40,8 +40,8 @@
 	return status, body
 }
 
-// TestServe_Standalone checks the first steps of an operator: init, serve, and requests, with no other file. Headers of
-// the protocol that clients send are not believed. SIGHUP applies other routes and another list of servers.
+// TestServe_Standalone checks the first steps of an operator: init, serve, and requests, with no other file. The node
+// ignores routing headers that clients send, such as X-Class. SIGHUP applies changed routes and a changed server list.
 func TestServe_Standalone(t *testing.T) {
 	t.Parallel()
 	one, two := startNamedServer(t, "one"), startNamedServer(t, "two")
@@ -51,7 +51,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || string(text) != standalone.Example {
-		t.Fatalf("init wrote something else, %v", err)
+		t.Fatalf("init did not write the example configuration, error %v", err)
 	}
 	write := func(changes ...string) {
 		t.Helper()
@@ -79,7 +79,7 @@
 	})
 }
 
-// checkAnswers checks the answers of a node with the example's routes.
+// checkAnswers checks the responses of a node with the routes of the example configuration.
 func checkAnswers(t *testing.T, address string) {
 	t.Helper()
 	forged := []string{"X-Class", "write", "X-Tenant", "somebody", "X-Deadline-Ms", "0"}
@@ -87,7 +87,7 @@
 		method, target string
 		header         []string
 		status         int
-		want           string // in the body
+		want           string // text that the body must contain
 	}{
 		{"GET", "/rooms?q=1", nil, 200, "GET /rooms?q=1 class= tenant="},
 		{"POST", "/book", nil, 200, "POST /book"},
@@ -100,12 +100,13 @@
 	} {
 		status, body := sendTarget(t, address, test.method, test.target, test.header...)
 		if status != test.status || !strings.Contains(body, test.want) {
-			t.Errorf("%s %s: %d %q, want %d %q", test.method, test.target, status, body, test.status, test.want)
+			t.Errorf("%s %s: status %d, body %q, want %d, %q", test.method, test.target, status, body, test.status, test.want)
 		}
 	}
 }
 
-// TestLoad_StandaloneErrors checks that an error is one line with file, line and key. Each case changes the example.
+// TestLoad_StandaloneErrors checks that an error is one line with the file, the line and the key. Each case changes the
+// example configuration in one place.
 func TestLoad_StandaloneErrors(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ old, replacement, want string }{
@@ -138,20 +139,20 @@
 	} {
 		text := strings.Replace(standalone.Example, test.old, test.replacement, 1)
 		if text == standalone.Example {
-			t.Errorf("%s: the change changes nothing", name)
+			t.Errorf("%s: the example does not have the text to replace", name)
 			continue
 		}
 		path := writeFile(t, t.TempDir(), "x.toml", text)
 		_, err := standalone.Load(path)
 		if err == nil || !strings.HasPrefix(err.Error(), path+":") || strings.Contains(err.Error(), "\n") ||
 			!strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %q", name, err, test.want)
+			t.Errorf("%s: got error %v, want %q", name, err, test.want)
 		}
 	}
 }
 
-// TestLevels checks levels of reduced service in the operator's own file: check prints them, ctl sets them, and
-// levels that contradict each other are rejected with their line.
+// TestLevels checks levels of reduced service in the operator's configuration file: check prints them, ctl sets them,
+// and a level whose exit threshold is above its enter threshold is rejected with an error of one line.
 func TestLevels(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -192,7 +193,7 @@
 		t.Error(out)
 	}
 	if status := read(); status != http.StatusTooManyRequests {
-		t.Errorf("a read at level 1: %d", status)
+		t.Errorf("a read at level 1: got status %d, want 429", status)
 	}
 	if out := execute("ctl", "level", "set", "7"); !strings.Contains(out, "want a level from 0 to 1") {
 		t.Error(out)
--- a/internal/cli/xds.go
+++ b/internal/cli/xds.go
@@ -12,10 +12,10 @@
 	"cobaltward/router"
 )
 
-// errNoXDS reports that the file asks for xDS, which the program does not link.
-var errNoXDS = errors.New("xds: this program has none; run wayhold-xds in its place")
+// errNoXDS reports that the configuration file asks for xDS, but this program is built without it.
+var errNoXDS = errors.New("xds: this program is built without xDS; run wayhold-xds instead")
 
-// applyXDS has the node's servers come from xDS, if the file asks for it.
+// applyXDS makes xDS the node's endpoint source, if the operator's file asks for it.
 func applyXDS(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
 	if !options.XDS.Enabled() {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// bindClusters sets the pools of classes to the clusters that the file names.
+// bindClusters sets the server pool of each class to the xDS cluster that the operator's file names for it.
 func bindClusters(options nodeconfig.File, config *node.Config) error {
 	classes := config.Settings.Classes
 	for name, cluster := range options.XDS.ClusterByClass {
