--- a/internal/fleetcli/agent.go
+++ b/internal/fleetcli/agent.go
@@ -13,17 +13,18 @@
 	"cobaltward/internal/nodeconfig"
 )
 
-// incarnationSize is the length, in bytes, of what tells one run of a process from another.
+// incarnationSize is the length, in bytes, of the random ID that identifies one run of a process.
 const incarnationSize = 8
 
-// runAgent runs the agent beside a node until SIGTERM. It holds leases where its file says that it may.
-func runAgent(loaded *settings, hooks TestHooks) error {
-	if len(loaded.Replicas) == 0 {
-		return errors.New("fleet.council: missing: an agent follows the state of its replicas")
+// runAgent runs the agent of a node until SIGTERM. For each kind of lease that its file allows it to hold, it also
+// runs a controller that competes for the lease.
+func runAgent(cfg *settings, hooks TestHooks) error {
+	if len(cfg.Replicas) == 0 {
+		return errors.New("fleet.council: missing: an agent needs the addresses of the replicas")
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	node, err := loaded.nodeClient()
+	node, err := cfg.nodeClient()
 	if err != nil {
 		return err
 	}
@@ -31,26 +32,26 @@
 	if err != nil {
 		return err
 	}
-	client := agent.NewClient(loaded.Replicas, loaded.AddressOverrides, loaded.token, loaded.clientTLS())
+	client := agent.NewClient(cfg.Replicas, cfg.AddressOverrides, cfg.token, cfg.clientTLS())
 	defer client.HTTP.CloseIdleConnections()
-	self, err := agent.New(loaded.agentConfig(incarnation, hooks), node, client)
+	nodeAgent, err := agent.New(cfg.agentConfig(incarnation, hooks), node, client)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	self.Mount(mux)
-	endServing, err := serveHTTP(ctx, loaded, mux)
+	nodeAgent.Mount(mux)
+	stopServing, err := serveHTTP(ctx, cfg, mux)
 	if err != nil {
 		return err
 	}
-	defer endServing()
+	defer stopServing()
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	tasks.Go(func() { self.Run(ctx) })
+	tasks.Go(func() { nodeAgent.Run(ctx) })
 	var runners sync.WaitGroup
-	for _, kind := range loaded.LeaseKinds {
-		config := loaded.controllerConfig(fleet.JobKind(kind), incarnation, hooks)
-		runner := agent.NewControllerRunner(config, client, self.Watcher())
+	for _, kind := range cfg.LeaseKinds {
+		config := cfg.controllerConfig(fleet.JobKind(kind), incarnation, hooks)
+		runner := agent.NewControllerRunner(config, client, nodeAgent.Watcher())
 		runners.Go(func() { runner.Run(ctx) })
 	}
 	<-ctx.Done()
@@ -58,23 +59,23 @@
 	return nil
 }
 
-// newIncarnation returns a name that no other run of a process has.
+// newIncarnation returns a random ID for this run of the process.
 func newIncarnation() (string, error) {
 	raw := make([]byte, incarnationSize)
 	_, err := rand.Read(raw)
 	return hex.EncodeToString(raw), err
 }
 
-// identity returns the holder's identity of one incarnation of the process.
+// identity returns the identity under which an incarnation of this process holds leases.
 func (s *settings) identity(incarnation string) string { return s.Name + "/" + incarnation }
 
-// nodeClient returns the client of the node beside the agent.
+// nodeClient returns a client for the admin API of the agent's node.
 func (s *settings) nodeClient() (*agent.NodeClient, error) {
 	if s.nodeAdmin.Socket != "" {
 		return agent.NewNodeClient(s.nodeAdmin.Socket, ""), nil
 	}
 	if s.nodeAdmin.Listen == "" {
-		return nil, errors.New("door: missing: an agent drives its node by its admin API")
+		return nil, errors.New("door: missing: an agent controls its node through the admin API")
 	}
 	token, err := nodeconfig.ReadToken(s.nodeAdmin.TokenFile)
 	if err != nil {
--- a/internal/fleetcli/calls.go
+++ b/internal/fleetcli/calls.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	callTimeout   = 8 * time.Second // of a call that proposes something
-	statusTimeout = 4 * time.Second // of the calls for the status of all replicas
-	pollInterval  = 200 * time.Millisecond
+	callTimeout   = 8 * time.Second        // of a call that proposes an entry or changes the membership
+	statusTimeout = 4 * time.Second        // of requesting the status of all replicas
+	pollInterval  = 200 * time.Millisecond // between two requests of a command that waits
 )
 
-// propose proposes an entry, and prints the outcome.
+// propose proposes an entry, and prints the position at which it was committed.
 func (c *operatorCommands) propose(client *agent.Client, entry fleet.Entry) error {
 	result, err := c.commit(client, entry)
 	if err != nil {
@@ -41,13 +41,14 @@
 	return c.println(fmt.Sprintf("agreed on at position %d", result.Position))
 }
 
-// println prints a line of a command's output.
+// println writes one line to the command's output.
 func (c *operatorCommands) println(line string) error {
 	_, err := fmt.Fprintln(c.out, line)
 	return err
 }
 
-// commit proposes an entry to one replica after another, until one reports the outcome.
+// commit proposes an entry to one replica after another, until one reports the outcome. It adds the operator and the
+// reason to the entry.
 func (c *operatorCommands) commit(client *agent.Client, entry fleet.Entry) (fleet.Result, error) {
 	entry.RequestedBy, entry.Reason = c.requestedBy, c.reason
 	var lastErr error
@@ -74,7 +75,7 @@
 	return client.Propose(ctx, entry)
 }
 
-// newestState returns the status of the replicas that answer, by address, and the newest state that they know.
+// newestState returns the status of each replica that responds, by address, and the newest state among them.
 func newestState(client *agent.Client) (map[string]consensus.Status, *fleet.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -87,13 +88,13 @@
 		}
 	}
 	if newest == nil {
-		err := fmt.Errorf("none of %d replicas answers", len(client.Replicas))
+		err := fmt.Errorf("none of %d replicas responded", len(client.Replicas))
 		return nil, nil, exitError{err, exitUnavailable}
 	}
 	return statuses, newest, nil
 }
 
-// newestReports returns the newest report of each agent, whichever replica has it, by the agent's name.
+// newestReports returns the newest report of each agent, from whichever replica has it, by the agent's name.
 func newestReports(statuses map[string]consensus.Status) map[string]consensus.AgentReport {
 	newest := make(map[string]consensus.AgentReport)
 	for _, status := range statuses {
@@ -106,19 +107,21 @@
 	return newest
 }
 
-// condition reports whether the state that a command waits for is reached, and the progress in one line.
+// condition reports whether the state that a command waits for has been reached, and describes the progress in one
+// line.
 type condition func(statuses map[string]consensus.Status, state *fleet.State) (met bool, progress string)
 
-// newID returns an ID that is unique even among commands of the same instant, and after the wall clock is stepped back.
+// newID returns a random ID. It does not depend on the clock, so it is unique even among commands of the same instant,
+// and after the wall clock was set back.
 func newID(kind string) string { return kind + "-" + strings.ToLower(rand.Text()) }
 
 // pollUntil polls the state until a condition is met or a timeout has passed, and prints the progress when it changes.
-// what names the condition in the error.
-func (c *operatorCommands) pollUntil(client *agent.Client, what string, timeout time.Duration, met condition) error {
+// goal names the condition in the error text.
+func (c *operatorCommands) pollUntil(client *agent.Client, goal string, timeout time.Duration, isMet condition) error {
 	lastProgress := ""
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if statuses, state, err := newestState(client); err == nil {
-			done, progress := met(statuses, state)
+			done, progress := isMet(statuses, state)
 			if progress != lastProgress {
 				if err := c.println(progress); err != nil {
 					return err
@@ -130,7 +133,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			return exitError{fmt.Errorf("timeout: %s not reached within %v", what, timeout), exitTimeout}
+			return exitError{fmt.Errorf("timeout: %s not reached within %v", goal, timeout), exitTimeout}
 		}
 	}
 }
--- a/internal/fleetcli/disable.go
+++ b/internal/fleetcli/disable.go
@@ -21,7 +21,7 @@
 	id       string
 	zones    []string
 	duration time.Duration
-	timeout  time.Duration // for the order to be in force at all nodes; 0: the command does not wait
+	timeout  time.Duration // how long to wait until the order is in force at all nodes; 0: do not wait
 }
 
 func (c *operatorCommands) disableCommand() *cobra.Command {
@@ -42,7 +42,7 @@
 		return errors.New("hold: want a SERVER, or a --zone")
 	}
 	if c.reason == "" {
-		return errors.New("hold: want a --reason, for those who find the servers disabled")
+		return errors.New("hold: --reason is missing: it is shown to operators who find the servers disabled")
 	}
 	id := options.id
 	if id == "" {
@@ -62,9 +62,9 @@
 	}
 	met := func(statuses map[string]consensus.Status, state *fleet.State) (bool, string) {
 		inForce := func(report consensus.AgentReport) bool { return slices.Contains(report.ActiveDisableOrders, id) }
-		without := nodesWithout(statuses, state, inForce)
-		return len(without) == 0, fmt.Sprintf("%s: in force at %d of %d nodes; not at: %s",
-			id, len(state.Nodes)-len(without), len(state.Nodes), listOrNothing(without))
+		missing := nodesNotSatisfying(statuses, state, inForce)
+		return len(missing) == 0, fmt.Sprintf("%s: in force at %d of %d nodes; not at: %s",
+			id, len(state.Nodes)-len(missing), len(state.Nodes), listOrNothing(missing))
 	}
 	return c.pollUntil(client, "the disable order at all nodes", options.timeout, met)
 }
--- a/internal/fleetcli/doc.go
+++ b/internal/fleetcli/doc.go
@@ -1,3 +1,3 @@
-// Package fleetcli is the program wayhold-fleet: the replicas of the consensus group, the agents beside nodes, and
-// the operators' commands.
+// Package fleetcli implements the program wayhold-fleet, which runs the replicas of the consensus group and the
+// agents of nodes, and has the operators' commands for the fleet.
 package fleetcli
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -12,33 +12,33 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Bounds of the backoff between attempts to restart a replica whose storage has failed.
+// Bounds of the backoff between attempts to restart a replica after a storage failure.
 const (
 	minRestartBackoff = 50 * time.Millisecond
 	maxRestartBackoff = 2 * time.Second
 )
 
 // runReplica runs a replica of the consensus group until SIGTERM.
-func runReplica(loaded *settings, hooks TestHooks) error {
+func runReplica(cfg *settings, hooks TestHooks) error {
 	ctx, stop := signalContext()
 	defer stop()
-	return serveReplica(ctx, loaded, hooks)
+	return serveReplica(ctx, cfg, hooks)
 }
 
-// serveReplica runs a replica until ctx ends. After a failure of its storage it is restarted on the stored state, as
-// often as necessary: a disk may be full, or fail, for a while.
-func serveReplica(ctx context.Context, loaded *settings, hooks TestHooks) error {
-	replica, err := startReplica(loaded, hooks, consensus.OpenStorage)
+// serveReplica runs a replica until ctx is done. After each storage failure it restarts the replica from the stored
+// state, because a disk may be full or fail only for a while.
+func serveReplica(ctx context.Context, cfg *settings, hooks TestHooks) error {
+	replica, err := startReplica(cfg, hooks, consensus.OpenStorage)
 	if err != nil {
 		return err
 	}
 	var handler replicaHandler
 	handler.replace(replica)
-	endServing, err := serveHTTP(ctx, loaded, &handler)
+	stopServing, err := serveHTTP(ctx, cfg, &handler)
 	if err != nil {
 		return errors.Join(err, replica.Close())
 	}
-	defer endServing()
+	defer stopServing()
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,35 +50,35 @@
 		if failed := (*consensus.StorageError)(nil); !errors.As(err, &failed) {
 			return err
 		}
-		loaded.log.Error("fleet: storage failed, restarting the replica", "error", err)
-		if replica, err = restartReplica(ctx, loaded, hooks); err != nil {
-			return nil // ctx has ended
+		cfg.log.Error("fleet: storage failed, restarting the replica", "error", err)
+		if replica, err = restartReplica(ctx, cfg, hooks); err != nil {
+			return nil // the only error is that ctx is done
 		}
 		handler.replace(replica)
 	}
 }
 
-// startReplica starts a replica on the storage of this process.
+// startReplica opens the storage of this process with open, and starts a replica on it.
 func startReplica(
-	loaded *settings, hooks TestHooks, open func(dir string) (consensus.Storage, error),
+	cfg *settings, hooks TestHooks, open func(dir string) (consensus.Storage, error),
 ) (*consensus.Replica, error) {
-	storage, err := open(loaded.storagePath())
+	storage, err := open(cfg.storagePath())
 	if err != nil {
 		return nil, err
 	}
 	if hooks.Storage != nil {
 		storage = hooks.Storage(storage)
 	}
-	replica, err := consensus.Start(loaded.replicaConfig(hooks), storage)
+	replica, err := consensus.Start(cfg.replicaConfig(hooks), storage)
 	if err != nil {
 		return nil, errors.Join(err, storage.Close())
 	}
-	logStart(loaded, replica)
+	logStart(cfg, replica)
 	return replica, nil
 }
 
-// restartReplica starts a replica on recovered storage, and retries with backoff until that succeeds or ctx ends.
-func restartReplica(ctx context.Context, loaded *settings, hooks TestHooks) (*consensus.Replica, error) {
+// restartReplica starts a replica on recovered storage, and retries with backoff until that succeeds or ctx is done.
+func restartReplica(ctx context.Context, cfg *settings, hooks TestHooks) (*consensus.Replica, error) {
 	lastProblem := ""
 	for backoff := minRestartBackoff; ; backoff = min(2*backoff, maxRestartBackoff) {
 		select {
@@ -86,21 +86,22 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		replica, err := startReplica(loaded, hooks, consensus.RecoverStorage)
+		replica, err := startReplica(cfg, hooks, consensus.RecoverStorage)
 		if err == nil {
 			return replica, nil
 		}
-		if problem := err.Error(); problem != lastProblem { // a lasting problem is logged once
+		if problem := err.Error(); problem != lastProblem { // log each distinct error once, not at every retry
 			lastProblem = problem
-			loaded.log.Error("fleet: replica restart failed, retrying", "error", err)
+			cfg.log.Error("fleet: replica restart failed, retrying", "error", err)
 		}
 	}
 }
 
-// replicaHandler passes calls to the replica that is running.
+// replicaHandler forwards HTTP requests to the running replica, which changes when the replica is restarted.
 type replicaHandler struct{ current atomic.Pointer[http.Handler] }
 
-// replace passes further calls to another replica; with nil they are rejected until the next one is set.
+// replace sets the replica that gets further requests. After replace(nil), requests are rejected with 503 until the
+// next replica is set.
 func (h *replicaHandler) replace(replica *consensus.Replica) {
 	if replica == nil {
 		h.current.Store(nil)
@@ -114,7 +115,7 @@
 func (h *replicaHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	handler := h.current.Load()
 	if handler == nil {
-		adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica's storage failed, and it is restarting")
+		adminapi.WriteError(w, http.StatusServiceUnavailable, "the replica's storage failed; the replica is restarting")
 		return
 	}
 	(*handler).ServeHTTP(w, r)
@@ -134,12 +135,12 @@
 	}
 }
 
-func logStart(loaded *settings, replica *consensus.Replica) {
+func logStart(cfg *settings, replica *consensus.Replica) {
 	state := replica.View().State
-	loaded.log.Info("fleet: replica started", "name", loaded.Name, "id", fmt.Sprintf("%x", replica.ID()),
+	cfg.log.Info("fleet: replica started", "name", cfg.Name, "id", fmt.Sprintf("%x", replica.ID()),
 		"position", state.Position)
 	if len(state.Members) == 0 {
-		loaded.log.Warn("fleet: storage is empty; the replica takes part once it is added by wayhold fleet member add",
-			"name", loaded.Name, "address", loaded.Address)
+		cfg.log.Warn("fleet: storage is empty; the replica joins once it is added with wayhold fleet member add",
+			"name", cfg.Name, "address", cfg.Address)
 	}
 }
--- a/internal/fleetcli/replica_test.go
+++ b/internal/fleetcli/replica_test.go
@@ -20,18 +20,18 @@
 	"cobaltward/internal/testkit"
 )
 
-// failingStorage fails to save while its faults are on. Half of the failed writes are stored nevertheless, as by a disk
-// that reports an error after the write.
+// failingStorage returns errors from Save while an error is set in faults. Every second failed save is stored
+// nevertheless, as by a disk that reports an error after the write.
 type failingStorage struct {
 	consensus.Storage
 	faults *storageFaults
 }
 
-// storageFaults are shared by all storages that one process opens in turn.
+// storageFaults controls the errors of all failingStorages that one process opens in turn.
 type storageFaults struct {
 	mu     sync.Mutex
-	err    error
-	failed int
+	err    error // of each Save; nil: saves succeed
+	failed int   // number of saves that returned err
 }
 
 func (f *storageFaults) set(err error) {
@@ -66,11 +66,11 @@
 	return err
 }
 
-// TestReplicaOutlivesStorageErrors has the disk of a replica fail for a while, twice: the replica restarts by itself
-// with all acknowledged entries, and accepts further ones.
-func TestReplicaOutlivesStorageErrors(t *testing.T) {
+// TestReplica_SurvivesStorageErrors makes the storage of a replica fail for a while, twice. It checks that the replica
+// acknowledges nothing meanwhile, then restarts by itself with all acknowledged entries and accepts further ones.
+func TestReplica_SurvivesStorageErrors(t *testing.T) {
 	addresses := make(chan string, 1)
-	loaded := bootstrapped(t, slog.New(addressHandler{slog.DiscardHandler, addresses}))
+	loaded := bootstrapSettings(t, slog.New(addressHandler{slog.DiscardHandler, addresses}))
 	faults := new(storageFaults)
 	hooks := TestHooks{Storage: func(s consensus.Storage) consensus.Storage { return &failingStorage{s, faults} }}
 	ctx, stop := context.WithCancel(context.Background())
@@ -82,7 +82,7 @@
 			t.Error(err)
 		}
 	}()
-	address := testkit.Receive(t, "the address", addresses)
+	address := testkit.Receive(t, "the address of the replica", addresses)
 
 	var acknowledged []string
 	propose := func(node string) bool {
@@ -96,14 +96,14 @@
 	for i, fault := range []error{syscall.EIO, syscall.ENOSPC} {
 		failed := faults.count()
 		faults.set(fault)
-		testkit.Await(t, "the disk to have failed", func() bool {
+		testkit.Await(t, "two failed saves", func() bool {
 			select {
 			case err := <-ended:
-				t.Fatalf("the replica has ended: %v", err)
+				t.Fatalf("serveReplica returned during the storage failure: %v", err)
 			default:
 			}
 			if registerNode(t, address, "unacknowledged") {
-				t.Fatal("acknowledged while the disk fails")
+				t.Fatal("an entry was acknowledged while the storage failed")
 			}
 			return faults.count() >= failed+2
 		})
@@ -117,30 +117,30 @@
 	}
 	for _, node := range acknowledged {
 		if !strings.Contains(string(state), strconv.Quote(node)) {
-			t.Errorf("%q was acknowledged, and is not there: %s", node, state)
+			t.Errorf("node %q was acknowledged, but is missing in the state: %s", node, state)
 		}
 	}
 }
 
-// bootstrapped returns the settings of the only replica of a new cluster.
-func bootstrapped(t *testing.T, log *slog.Logger) *settings {
+// bootstrapSettings creates the storage of a new cluster with one replica, and returns the settings of the replica.
+func bootstrapSettings(t *testing.T, log *slog.Logger) *settings {
 	t.Helper()
-	loaded := &settings{
+	cfg := &settings{
 		Fleet: &standalone.Fleet{
 			Name: "a", Address: "127.0.0.1:1", Listen: "127.0.0.1:0", Dir: t.TempDir(), Tick: 10 * time.Millisecond,
 		},
 		token: testToken, log: log,
 	}
 	bootstrap := func(persisted consensus.PersistentState) (consensus.PersistentState, error) {
-		return consensus.Bootstrap(loaded.member(persisted.ID)), nil
+		return consensus.Bootstrap(cfg.member(persisted.ID)), nil
 	}
-	if err := consensus.RewriteStorage(loaded.storagePath(), bootstrap); err != nil {
+	if err := consensus.RewriteStorage(cfg.storagePath(), bootstrap); err != nil {
 		t.Fatal(err)
 	}
-	return loaded
+	return cfg
 }
 
-// registerNode proposes a node, and reports whether that was acknowledged.
+// registerNode proposes to register a node, and reports whether the replica acknowledged the entry.
 func registerNode(t *testing.T, address, name string) bool {
 	client := agent.NewClient([]string{address}, nil, testToken, nil)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/fleetcli/rollingupdate_test.go
+++ b/internal/fleetcli/rollingupdate_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// startUpdatingReplica serves a replica that accepts every proposal, and whose job "r" is closed after some requests
-// for the status.
+// startUpdatingReplica serves a fake replica that accepts every proposal. Its job "r" is open for the first openFor
+// requests for the status, and closed afterwards.
 func startUpdatingReplica(t *testing.T, openFor int64) string {
 	t.Helper()
 	var requests atomic.Int64
@@ -34,15 +34,15 @@
 	return testkit.HTTPServer(t, mux.ServeHTTP)
 }
 
-// With --wait and without --for the command waits for the default that its help names.
-func TestStartCommand_WaitsByDefault(t *testing.T) {
+// With --wait and without --for, the timeout of the command must be the default, not zero.
+func TestStartCommand_WaitsWithDefaultTimeout(t *testing.T) {
 	out, err := execute(t, startUpdatingReplica(t, 3), "round", "start", "--id", "r", "--wait")
 	if err != nil {
-		t.Errorf("error %v", err)
+		t.Errorf("the command failed: %v", err)
 	}
 	for _, want := range []string{"agreed on at position 5", "r: 2 nodes", "round go: 0 of 0", "round done: 0 of 0"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("printed %q, want %q in it", out, want)
+			t.Errorf("the output is %q, want it to contain %q", out, want)
 		}
 	}
 }
@@ -60,20 +60,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := execute(t, address, append([]string{"round", "start"}, test.nodes...)...)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want %q in it", err, test.want)
+				t.Errorf("got error %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
 }
 
-// Revoking a lease and disabling servers want a reason.
-func TestCommands_WantReason(t *testing.T) {
+// Revoking a lease, disabling servers and forcing a new cluster require a --reason.
+func TestCommands_RequireReason(t *testing.T) {
 	address := startUpdatingReplica(t, 0)
 	for _, words := range [][]string{{"push", "round"}, {"hold", "s1"}, {"recover"}} {
 		t.Run(words[0], func(t *testing.T) {
 			_, err := execute(t, address, words...)
 			if err == nil || !strings.Contains(err.Error(), "--reason") {
-				t.Errorf("error %v, want one that asks for --reason", err)
+				t.Errorf("got error %v, want one that names --reason", err)
 			}
 		})
 	}
--- a/internal/fleetcli/root.go
+++ b/internal/fleetcli/root.go
@@ -12,23 +12,23 @@
 	"cobaltward/fleet/agent"
 )
 
-// Exit statuses beside 0 and 1, as of wayhold ctl.
+// Exit statuses other than 0 and 1. They have the same meaning as those of wayhold ctl.
 const (
-	exitUnavailable = 4 // no replica answers
+	exitUnavailable = 4 // no replica responds
 	exitTimeout     = 5 // the state that a command waits for was not reached in time
 	exitRejected    = 7 // the fleet rejects the change
 )
 
-// exitError is an error with the exit status of the program.
+// exitError adds an exit status of the program to an error.
 type exitError struct {
 	error
 	status int
 }
 
-// Unwrap returns the error without its status.
+// Unwrap returns the error without its exit status, for errors.Is and errors.As.
 func (e exitError) Unwrap() error { return e.error }
 
-// Main runs the program, and returns its exit status.
+// Main runs the program with the arguments of the process, and returns the exit status.
 func Main(hooks TestHooks) int {
 	err := rootCommand(hooks).Execute()
 	if err == nil {
@@ -42,7 +42,7 @@
 	return 1
 }
 
-// operatorCommands has the flags that the operators' commands share, and their output.
+// operatorCommands holds the flags that all commands share, and the writer for their output.
 type operatorCommands struct {
 	configPath  string
 	asJSON      bool
@@ -80,39 +80,39 @@
 	return root
 }
 
-// withAliases gives a command further names. Documentation and scripts use the name in Use.
+// withAliases adds aliases to a command. Documentation and scripts use the primary name, which is in Use.
 func withAliases(command *cobra.Command, aliases ...string) *cobra.Command {
 	command.Aliases = aliases
 	return command
 }
 
-// processCommands are the commands that run a process, or write the storage of one.
+// processCommands returns the commands that run a replica or an agent, or that write the storage of a replica.
 func (c *operatorCommands) processCommands(hooks TestHooks) []*cobra.Command {
 	process := func(use, short string, run func(*settings, TestHooks) error) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			loaded, err := load(c.configPath, os.Stderr)
+			cfg, err := load(c.configPath, os.Stderr)
 			if err != nil {
 				return err
 			}
-			return run(loaded, hooks)
+			return run(cfg, hooks)
 		}}
 	}
-	replica := process("council", "Run a replica of the consensus group until SIGTERM", runReplica)
-	agentBeside := process("agent", "Run the agent beside a node until SIGTERM", runAgent)
-	bootstrap := process("init",
+	replicaCommand := process("council", "Run a replica of the consensus group until SIGTERM", runReplica)
+	agentCommand := process("agent", "Run the agent beside a node until SIGTERM", runAgent)
+	bootstrapCommand := process("init",
 		"Initialize this process's storage as that of the first member of a new cluster", c.bootstrap)
-	force := process("recover",
+	forceCommand := process("recover",
 		"Force a new cluster on this member's storage, once most others are lost for good; wants --reason",
 		c.forceNewCluster)
 	return []*cobra.Command{
-		withAliases(replica, "replica"),
-		agentBeside,
-		withAliases(bootstrap, "bootstrap"),
-		withAliases(force, "force-new-cluster"),
+		withAliases(replicaCommand, "replica"),
+		agentCommand,
+		withAliases(bootstrapCommand, "bootstrap"),
+		withAliases(forceCommand, "force-new-cluster"),
 	}
 }
 
-// leaseCommands are the commands about leases.
+// leaseCommands returns the commands that list leases and end them.
 func (c *operatorCommands) leaseCommands() []*cobra.Command {
 	list := c.clientCommand("owners", "Print the leases and their holders", cobra.NoArgs, c.leases)
 	stepDown := c.clientCommand("step-down WORK", "Ask the holder of a lease to release it",
@@ -122,25 +122,25 @@
 	return []*cobra.Command{withAliases(list, "leases"), stepDown, withAliases(revoke, "revoke")}
 }
 
-// clientCommand is a command that calls the replicas.
+// clientCommand returns a command that calls the replicas. run gets a client for them, and the arguments.
 func (c *operatorCommands) clientCommand(
 	use, short string, args cobra.PositionalArgs, run func(*agent.Client, []string) error,
 ) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(_ *cobra.Command, args []string) error {
-		loaded, err := load(c.configPath, os.Stderr)
+		cfg, err := load(c.configPath, os.Stderr)
 		if err != nil {
 			return err
 		}
-		if len(loaded.Replicas) == 0 {
+		if len(cfg.Replicas) == 0 {
 			return errors.New("fleet.council: missing: no replica to call")
 		}
-		client := agent.NewClient(loaded.Replicas, loaded.AddressOverrides, loaded.token, loaded.clientTLS())
+		client := agent.NewClient(cfg.Replicas, cfg.AddressOverrides, cfg.token, cfg.clientTLS())
 		defer client.HTTP.CloseIdleConnections()
 		return run(client, args)
 	}}
 }
 
-// removeNodeCommand removes a node from the state.
+// removeNodeCommand returns the command that removes a node from the state.
 func (c *operatorCommands) removeNodeCommand() *cobra.Command {
 	run := func(client *agent.Client, args []string) error {
 		return c.propose(client, fleet.Entry{Kind: fleet.KindRemoveNode, Node: &fleet.Node{Name: args[0]}})
@@ -155,7 +155,7 @@
 
 func (c *operatorCommands) revokeLease(client *agent.Client, args []string) error {
 	if c.reason == "" {
-		return errors.New("push: want a --reason, for those who find the lease revoked")
+		return errors.New("push: --reason is missing: it is shown to operators who find the lease revoked")
 	}
 	return c.propose(client, fleet.Entry{Kind: fleet.KindRevokeLease, Resource: args[0]})
 }
--- a/internal/fleetcli/root_test.go
+++ b/internal/fleetcli/root_test.go
@@ -7,7 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// commandPaths returns the words that lead to each command below one, with the flags of that command.
+// commandPaths returns all descendants of a command by path, which is the names of the commands that lead to it, joined
+// with spaces.
 func commandPaths(command *cobra.Command) map[string]*cobra.Command {
 	paths := make(map[string]*cobra.Command)
 	for _, child := range command.Commands() {
@@ -19,7 +20,7 @@
 	return paths
 }
 
-// The commands and flags that documentation and scripts name exist.
+// The commands and flags that documentation and scripts use must keep their names.
 func TestRootCommand_KeepsDocumentedCommands(t *testing.T) {
 	paths := commandPaths(rootCommand(TestHooks{}))
 	for path, flags := range map[string][]string{
@@ -32,18 +33,18 @@
 		t.Run(path, func(t *testing.T) {
 			command, ok := paths[path]
 			if !ok {
-				t.Fatal("the command is missing")
+				t.Fatal("the command does not exist")
 			}
 			for _, flag := range slices.Concat(flags, []string{"config", "json", "who", "reason"}) {
 				if command.Flag(flag) == nil {
-					t.Errorf("flag --%s is missing", flag)
+					t.Errorf("the command has no flag --%s", flag)
 				}
 			}
 		})
 	}
 }
 
-// Each alias leads to the command with the documented name.
+// Each alias must find the same command as the documented name.
 func TestRootCommand_AliasesReachDocumentedCommands(t *testing.T) {
 	root := rootCommand(TestHooks{})
 	for _, test := range []struct{ alias, documented []string }{
@@ -69,7 +70,7 @@
 				t.Fatal(err)
 			}
 			if got != want || got == root {
-				t.Errorf("%v leads to %q, want %q", test.alias, got.CommandPath(), want.CommandPath())
+				t.Errorf("alias %v finds the command %q, want %q", test.alias, got.CommandPath(), want.CommandPath())
 			}
 		})
 	}
--- a/internal/fleetcli/serve.go
+++ b/internal/fleetcli/serve.go
@@ -21,17 +21,17 @@
 	"cobaltward/internal/sockets"
 )
 
-// TestHooks replace parts of a process in tests. The zero value replaces nothing.
+// TestHooks replaces parts of a process in tests. The zero value replaces nothing.
 type TestHooks struct {
-	Clock     consensus.Clock // zero: that of the system
+	Clock     consensus.Clock // zero: the system clock
 	Storage   func(consensus.Storage) consensus.Storage
 	Unsafe    lease.UnsafeOptions
-	FailPoint func(point string)
+	FailPoint func(point string) // see agent.Config and agent.ControllerConfig
 	// ObserveProposal is called for each proposal about a lease; see agent.ControllerConfig.
 	ObserveProposal func(entry fleet.Entry, holder string) func(result fleet.Result, known bool)
 }
 
-// clock returns the clock of the process.
+// clock returns the clock that the process uses: the one of the hooks, or the system clock.
 func (h TestHooks) clock() consensus.Clock {
 	if h.Clock.Monotonic == nil {
 		return consensus.SystemClock()
@@ -45,39 +45,39 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// serveHTTP answers calls on the process's address until stop is called, which waits for the goroutines. The contexts
-// of requests end with ctx.
-func serveHTTP(ctx context.Context, loaded *settings, handler http.Handler) (stop func(), err error) {
-	listener, err := net.Listen("tcp", loaded.Listen)
+// serveHTTP serves HTTP on the process's listen address until stop is called. stop returns once all goroutines have
+// ended. Request contexts are derived from ctx.
+func serveHTTP(ctx context.Context, cfg *settings, handler http.Handler) (stop func(), err error) {
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	return serveOn(ctx, listener, loaded, handler), nil
+	return serveOn(ctx, listener, cfg, handler), nil
 }
 
-// serveOn answers calls on a listener, as serveHTTP does.
-func serveOn(ctx context.Context, listener net.Listener, loaded *settings, handler http.Handler) (stop func()) {
-	listener = sockets.NewPersistentListener(listener, loaded.log)
+// serveOn serves HTTP on a listener, as serveHTTP does on the configured address.
+func serveOn(ctx context.Context, listener net.Listener, cfg *settings, handler http.Handler) (stop func()) {
+	listener = sockets.NewPersistentListener(listener, cfg.log)
 	ctx, cancel := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
-	if loaded.mutualTLS != nil {
-		listener = tls.NewListener(listener, loaded.mutualTLS.server())
-		tasks.Go(func() { loaded.mutualTLS.watch(ctx) })
+	if cfg.mutualTLS != nil {
+		listener = tls.NewListener(listener, cfg.mutualTLS.server())
+		tasks.Go(func() { cfg.mutualTLS.watch(ctx) })
 	}
 	server := &http.Server{
-		Handler:           adminapi.RequireToken(handler, loaded.token),
+		Handler:           adminapi.RequireToken(handler, cfg.token),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          slog.NewLogLogger(loaded.log.Handler(), slog.LevelDebug),
+		ErrorLog:          slog.NewLogLogger(cfg.log.Handler(), slog.LevelDebug),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 	tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			loaded.log.Error("fleet: server stopped", "error", err)
+			cfg.log.Error("fleet: server stopped", "error", err)
 		}
 	})
-	loaded.log.Info("listening", "name", loaded.Name, "address", listener.Addr())
+	cfg.log.Info("listening", "name", cfg.Name, "address", listener.Addr())
 	return func() {
 		_ = server.Close()
 		cancel()
@@ -85,7 +85,7 @@
 	}
 }
 
-// signalContext returns a context that ends with SIGTERM or SIGINT.
+// signalContext returns a context that is canceled on SIGTERM or SIGINT.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/internal/fleetcli/serve_test.go
+++ b/internal/fleetcli/serve_test.go
@@ -12,17 +12,17 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestFleetListenerSurvivesAcceptErrors has a fleet process fail to accept with every error that Linux documents: the
-// call whose connection was in the queue is answered.
-func TestFleetListenerSurvivesAcceptErrors(t *testing.T) {
+// TestServeOn_SurvivesAcceptErrors makes accept of a fleet process fail with every error that Linux documents for it.
+// The server must keep accepting, so that the next request is served.
+func TestServeOn_SurvivesAcceptErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	listener := &testkit.FailingListener{Listener: inner}
-	loaded := &settings{Fleet: &standalone.Fleet{Name: "a"}, token: "t", log: slog.New(slog.DiscardHandler)}
+	cfg := &settings{Fleet: &standalone.Fleet{Name: "a"}, token: "t", log: slog.New(slog.DiscardHandler)}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	stop := serveOn(t.Context(), listener, loaded, handler)
+	stop := serveOn(t.Context(), listener, cfg, handler)
 	t.Cleanup(stop)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for _, errno := range testkit.AcceptErrors {
@@ -34,12 +34,12 @@
 		request.Header.Set("Authorization", "Bearer t")
 		response, err := client.Do(request)
 		if err != nil {
-			t.Fatalf("%v: %v", errno, err)
+			t.Fatalf("after accept failed with %v: request error %v", errno, err)
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusNoContent || listener.Pending() != 0 {
-			t.Fatalf("%v: answered with %s, %d failures did not occur", errno, response.Status, listener.Pending())
+			t.Fatalf("%v: got status %s, and %d of the accept errors did not occur", errno, response.Status, listener.Pending())
 		}
 	}
 }
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -13,19 +13,19 @@
 	"cobaltward/internal/standalone"
 )
 
-// settings are those of a process's own file.
+// settings holds what a process of the fleet reads from its configuration file.
 type settings struct {
 	*standalone.Fleet
-	token     string     // bearer token of all calls of the fleet
-	mutualTLS *mutualTLS // nil: calls are not encrypted
-	nodeAdmin nodeconfig.AdminAPI
+	token     string              // bearer token of all calls within the fleet
+	mutualTLS *mutualTLS          // nil: calls are not encrypted
+	nodeAdmin nodeconfig.AdminAPI // how an agent reaches the admin API of its node
 	log       *slog.Logger
 }
 
-// load reads a process's own file. Its log is written to logs.
+// load reads the configuration file of a process. The logger that it returns in the settings writes to logs.
 func load(path string, logs io.Writer) (*settings, error) {
 	if path == "" {
-		return nil, errors.New("want the process's own file, by --config or WAYHOLD_CONFIG")
+		return nil, errors.New("no configuration file: name it with --config or WAYHOLD_CONFIG")
 	}
 	file, err := standalone.Load(path)
 	if err != nil {
@@ -38,20 +38,20 @@
 	if err != nil {
 		return nil, err
 	}
-	loaded := &settings{Fleet: file.Fleet, nodeAdmin: options.AdminAPI, log: newLogger(options.Log, logs)}
-	if loaded.token, err = nodeconfig.ReadToken(file.Fleet.TokenFile); err != nil {
+	cfg := &settings{Fleet: file.Fleet, nodeAdmin: options.AdminAPI, log: newLogger(options.Log, logs)}
+	if cfg.token, err = nodeconfig.ReadToken(file.Fleet.TokenFile); err != nil {
 		return nil, fmt.Errorf("%s: fleet.token_file: %w", path, err)
 	}
-	if loaded.Cert == "" {
-		return loaded, nil
+	if cfg.Cert == "" {
+		return cfg, nil
 	}
-	sources := certificates.Sources{Cert: loaded.Cert, Key: loaded.Key, Trust: loaded.Trust}
+	sources := certificates.Sources{Cert: cfg.Cert, Key: cfg.Key, Trust: cfg.Trust}
 	store, err := certificates.Open(sources, time.Now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: fleet: %w", path, err)
 	}
-	loaded.mutualTLS = &mutualTLS{store: store, serverName: loaded.TLSName, log: loaded.log}
-	return loaded, nil
+	cfg.mutualTLS = &mutualTLS{store: store, serverName: cfg.TLSName, log: cfg.log}
+	return cfg, nil
 }
 
 func newLogger(config nodeconfig.Log, logs io.Writer) *slog.Logger {
@@ -62,7 +62,7 @@
 	return slog.New(slog.NewTextHandler(logs, options))
 }
 
-// clientTLS returns the TLS configuration of this process's calls; nil: they are not encrypted.
+// clientTLS returns the TLS configuration for calls of this process; nil if calls are not encrypted.
 func (s *settings) clientTLS() *tls.Config {
 	if s.mutualTLS == nil {
 		return nil
--- a/internal/fleetcli/status.go
+++ b/internal/fleetcli/status.go
@@ -18,27 +18,27 @@
 	"cobaltward/fleet/consensus"
 )
 
-// columnPadding is the space between two columns of a table.
+// columnPadding is the number of spaces between two columns of a table.
 const columnPadding = 2
 
 // table prints rows of cells in aligned columns.
 type table struct {
 	writer *tabwriter.Writer
-	err    error // the first one
+	err    error // the first write error
 }
 
 func newTable(out io.Writer) *table {
 	return &table{writer: tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)}
 }
 
-// row adds a row.
+// row adds a row. After an error it does nothing.
 func (t *table) row(cells ...string) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintln(t.writer, strings.Join(cells, "\t"))
 	}
 }
 
-// flush prints the rows, and returns the first error.
+// flush prints the rows. It also returns an error of an earlier row.
 func (t *table) flush() error { return errors.Join(t.err, t.writer.Flush()) }
 
 func (c *operatorCommands) statusCommand() *cobra.Command {
@@ -81,7 +81,7 @@
 	return status.IsMember && status.LeaderID != "" && status.LeaderID == status.ID
 }
 
-// replicaLine describes one replica.
+// replicaLine describes the state of one replica in one line.
 func replicaLine(status consensus.Status, answered bool) string {
 	switch {
 	case !answered:
@@ -165,7 +165,7 @@
 	return rows.flush()
 }
 
-// jobLine describes the progress of a job.
+// jobLine describes the progress of a job in one line.
 func jobLine(job *fleet.Job) string {
 	done := 0
 	for _, node := range job.Spec.Nodes {
--- a/internal/fleetcli/tls.go
+++ b/internal/fleetcli/tls.go
@@ -11,34 +11,34 @@
 	"cobaltward/certificates"
 )
 
-// reloadInterval is the time between checks of the files of keys and certificates.
+// reloadInterval is the time between checks whether the files with keys and certificates have changed.
 const reloadInterval = time.Second
 
 // mutualTLS authenticates the processes of the fleet to one another: each presents a certificate for a name that all
-// share, from an authority that all trust. Keys and authorities may change while processes run.
+// processes share, issued by an authority that all trust. Keys and authorities may be replaced while processes run.
 type mutualTLS struct {
 	store      *certificates.Store
-	serverName string
+	serverName string // the name that all certificates of the fleet have
 	log        *slog.Logger
 }
 
-// server returns the configuration of a listener, which accepts processes of the fleet only.
+// server returns the TLS configuration of a listener that only accepts processes of the fleet.
 func (m *mutualTLS) server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		GetCertificate:   m.store.GetCertificate,
-		ClientAuth:       tls.RequireAnyClientCert, // VerifyConnection verifies it
+		ClientAuth:       tls.RequireAnyClientCert, // VerifyConnection verifies the certificate
 		VerifyConnection: m.verify(x509.ExtKeyUsageClientAuth),
 		NextProtos:       []string{"http/1.1"},
 	}
 }
 
-// client returns the configuration of calls.
+// client returns the TLS configuration for calls to other processes of the fleet.
 func (m *mutualTLS) client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ServerName:         m.serverName,
-		InsecureSkipVerify: true, // VerifyConnection verifies the certificate by the authorities of that moment
+		InsecureSkipVerify: true, // VerifyConnection verifies the certificate, with the current authorities
 		VerifyConnection:   m.verify(x509.ExtKeyUsageServerAuth),
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &m.store.Set().Pairs[0].Cert, nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// verify returns a function that verifies the certificate of a peer by the authorities at the time of the handshake.
+// verify returns a function that verifies a peer's certificate against the authorities at the time of the handshake.
 func (m *mutualTLS) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(connection tls.ConnectionState) error {
 		if len(connection.PeerCertificates) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// watch reads the files again when they change, until ctx ends.
+// watch reloads the files when they change, until ctx is done.
 func (m *mutualTLS) watch(ctx context.Context) {
 	watcher := m.store.Watch()
 	ticker := time.NewTicker(reloadInterval)
@@ -76,7 +76,7 @@
 		case now := <-ticker.C:
 			switch change := watcher.Poll(now); {
 			case change.Err != nil:
-				m.log.Error("fleet: keys not reloaded; the former ones stay in use", "error", change.Err)
+				m.log.Error("fleet: reloading the keys failed, keeping the current ones", "error", change.Err)
 			case change.Changed:
 				m.log.Info("fleet: keys reloaded", "source", change.Source)
 			}
--- a/internal/fleetcli/tls_test.go
+++ b/internal/fleetcli/tls_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	fleetName = "wayhold-fleet" // that certificates of the fleet are for
-	testToken = "a token of the test"
+	fleetName = "wayhold-fleet"       // DNS name in the certificates of the fleet
+	testToken = "a token of the test" // bearer token of the fleet
 )
 
-// keyFiles writes keys, certificates and trust into a directory.
+// keyFiles writes keys, certificates and trusted authorities into a directory.
 type keyFiles struct {
 	t   *testing.T
 	dir string
@@ -37,7 +37,7 @@
 	return path
 }
 
-// issue returns a process whose certificate is by an authority for a host, and that trusts another authority.
+// issue returns the TLS of a process with a certificate for host from authority, which trusts the authority trusted.
 func (f keyFiles) issue(name string, authority, trusted *pki.Authority, host string) *mutualTLS {
 	f.t.Helper()
 	pair := authority.Issue(pki.Leaf{Names: []string{host}})
@@ -52,18 +52,18 @@
 	return &mutualTLS{store: store, serverName: fleetName, log: slog.New(slog.DiscardHandler)}
 }
 
-// startTLSServer serves calls over TLS until the test ends, and returns its address.
+// startTLSServer serves HTTP over TLS until the test ends, and returns its address.
 func startTLSServer(t *testing.T, server *mutualTLS) string {
 	t.Helper()
 	addresses := make(chan string, 1)
-	loaded := &settings{
+	cfg := &settings{
 		Fleet:     &standalone.Fleet{Listen: "127.0.0.1:0"},
 		token:     testToken,
 		log:       slog.New(addressHandler{slog.DiscardHandler, addresses}),
 		mutualTLS: server,
 	}
 	handler := func(w http.ResponseWriter, _ *http.Request) { adminapi.WriteJSON(w, http.StatusOK, map[string]int{}) }
-	stop, err := serveHTTP(t.Context(), loaded, http.HandlerFunc(handler))
+	stop, err := serveHTTP(t.Context(), cfg, http.HandlerFunc(handler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	return <-addresses
 }
 
-// call makes one call of its own connection.
+// call makes one call on a new connection.
 func call(t *testing.T, address string, config *tls.Config) error {
 	t.Helper()
 	client := agent.NewClient(nil, nil, testToken, config)
@@ -81,8 +81,8 @@
 	return client.Call(ctx, http.MethodGet, address, "/x", struct{}{}, new(map[string]int))
 }
 
-// Clients without a certificate, with one of another authority, or with one for another name are rejected, and a server
-// that is not trusted is not called.
+// The server must reject clients without a certificate, with one of another authority, or with one for another name. A
+// client must not call a server whose authority it does not trust.
 func TestMutualTLS_RejectsPeersOutsideTheFleet(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
 	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
@@ -101,14 +101,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := call(t, address, test.config); (err == nil) != test.accepted {
-				t.Errorf("error %v, accepted should be %v", err, test.accepted)
+				t.Errorf("got error %v, want accepted = %v", err, test.accepted)
 			}
 		})
 	}
 }
 
-// Authorities that change while the server runs apply from the next handshake on: a client that was accepted is
-// rejected, and the other way round.
+// Trusted authorities that are reloaded while the server runs apply from the next handshake on: clients of the removed
+// authority are rejected, and clients of the added one are accepted.
 func TestMutualTLS_FollowsReloadedTrust(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
 	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
@@ -116,21 +116,21 @@
 	address := startTLSServer(t, server)
 	good := files.issue("good", ours, ours, fleetName)
 	if err := call(t, address, good.client()); err != nil {
-		t.Errorf("before the reload: %v", err)
+		t.Errorf("a client was rejected before the reload: %v", err)
 	}
 	files.write("server.ca", theirs.PEM())
 	if _, err := server.store.Reload(time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	if call(t, address, good.client()) == nil {
-		t.Error("an authority that was removed is still accepted")
+		t.Error("a client of the removed authority is still accepted")
 	}
 	if err := call(t, address, files.issue("other", theirs, ours, fleetName).client()); err != nil {
-		t.Errorf("the newly trusted authority: %v", err)
+		t.Errorf("a client of the newly trusted authority is rejected: %v", err)
 	}
 }
 
-// addressHandler sends the address that is logged to a channel.
+// addressHandler is a log handler that sends each logged attribute "address" to a channel.
 type addressHandler struct {
 	slog.Handler
 	addresses chan string
--- a/internal/fleetcli/wait.go
+++ b/internal/fleetcli/wait.go
@@ -27,7 +27,7 @@
 	return command
 }
 
-// waitForPosition waits until all agents know the state of a position: the one named, or the newest one.
+// waitForPosition waits until all agents have the state of a log position: the named one, or the newest at the start.
 func (c *operatorCommands) waitForPosition(client *agent.Client, args []string, timeout time.Duration) error {
 	var position fleet.Position
 	if len(args) > 0 {
@@ -42,23 +42,24 @@
 			position = state.Position
 		}
 		caughtUp := func(report consensus.AgentReport) bool { return report.Position >= position }
-		behind := nodesWithout(statuses, state, caughtUp)
+		behind := nodesNotSatisfying(statuses, state, caughtUp)
 		return len(behind) == 0, fmt.Sprintf("position %d: %d of %d nodes; behind: %s",
 			position, len(state.Nodes)-len(behind), len(state.Nodes), listOrNothing(behind))
 	}
 	return c.pollUntil(client, "all nodes at the position", timeout, met)
 }
 
-// nodesWithout returns the nodes, ordered by name, whose agent's newest report does not fulfil a condition.
-func nodesWithout(
-	statuses map[string]consensus.Status, state *fleet.State, fulfils func(consensus.AgentReport) bool,
+// nodesNotSatisfying returns the nodes, ordered by name, whose agent's newest report does not satisfy a condition. A
+// node without a report is checked as one with an empty report.
+func nodesNotSatisfying(
+	statuses map[string]consensus.Status, state *fleet.State, satisfies func(consensus.AgentReport) bool,
 ) []string {
-	var without []string
+	var nodes []string
 	reports := newestReports(statuses)
 	for _, name := range slices.Sorted(maps.Keys(state.Nodes)) {
-		if !fulfils(reports[name]) {
-			without = append(without, name)
+		if !satisfies(reports[name]) {
+			nodes = append(nodes, name)
 		}
 	}
-	return without
+	return nodes
 }
--- a/internal/fleetcli/wait_test.go
+++ b/internal/fleetcli/wait_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// execute runs an operator's command against a replica at an address, and returns its output.
-func execute(t *testing.T, address string, words ...string) (string, error) {
+// execute runs an operator's command with the replica at an address, and returns the command's output.
+func execute(t *testing.T, address string, args ...string) (string, error) {
 	t.Helper()
 	files := keyFiles{t, t.TempDir()}
 	token := files.write("token", []byte(testToken+"\n"))
@@ -34,13 +34,13 @@
 	var out bytes.Buffer
 	root := rootCommand(TestHooks{})
 	root.SetOut(&out)
-	root.SetArgs(append(words, "--config", files.write("own.toml", []byte(config))))
+	root.SetArgs(append(args, "--config", files.write("own.toml", []byte(config))))
 	err := root.Execute()
 	return out.String(), err
 }
 
-// startLaggingReplica serves the status of a replica at position 7, of whose only node the agent is behind until some
-// requests have been answered.
+// startLaggingReplica serves the status of a fake replica at position 7 with one node. The node's agent reports
+// position 6 in the first behindFor responses, and position 7 afterwards.
 func startLaggingReplica(t *testing.T, behindFor int64) string {
 	t.Helper()
 	var requests atomic.Int64
@@ -56,41 +56,41 @@
 	})
 }
 
-// Without --for the command waits for the default that its help names.
-func TestWaitCommand_WaitsByDefault(t *testing.T) {
+// Without --for, the timeout of the command must be the default, not zero.
+func TestWaitCommand_WaitsWithDefaultTimeout(t *testing.T) {
 	out, err := execute(t, startLaggingReplica(t, 2), "wait")
 	if err != nil {
-		t.Errorf("error %v", err)
+		t.Errorf("the command failed: %v", err)
 	}
 	for _, want := range []string{"position 7: 0 of 1 nodes; behind: n1", "position 7: 1 of 1 nodes; behind: nothing"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("printed %q, want %q in it", out, want)
+			t.Errorf("the output is %q, want it to contain %q", out, want)
 		}
 	}
 }
 
-func TestWaitCommand_TimesOutWithItsExitStatus(t *testing.T) {
+func TestWaitCommand_TimeoutExitStatus(t *testing.T) {
 	_, err := execute(t, startLaggingReplica(t, 1<<32), "wait", "9", "--for", "10ms")
 	var exit exitError
 	if !errors.As(err, &exit) || exit.status != exitTimeout {
-		t.Errorf("error %v, want one of status %d", err, exitTimeout)
+		t.Errorf("got error %v, want one with exit status %d", err, exitTimeout)
 	}
 }
 
-func TestWaitCommand_RejectsWhatIsNoPosition(t *testing.T) {
+func TestWaitCommand_RejectsInvalidPosition(t *testing.T) {
 	_, err := execute(t, startLaggingReplica(t, 0), "wait", "soon")
 	if err == nil || !strings.Contains(err.Error(), `"soon"`) {
-		t.Errorf("error %v, want one that names the argument", err)
+		t.Errorf("got error %v, want one that names the argument", err)
 	}
 }
 
-// TestNewID_OfOneMoment draws IDs faster than any clock advances.
-func TestNewID_OfOneMoment(t *testing.T) {
+// TestNewID_UniqueFasterThanClock creates IDs faster than the clock advances, and checks that they are unique.
+func TestNewID_UniqueFasterThanClock(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 1000 {
 		id := newID("hold")
 		if seen[id] {
-			t.Fatalf("%s was drawn twice", id)
+			t.Fatalf("the ID %s was returned twice", id)
 		}
 		seen[id] = true
 	}
