--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -17,28 +17,29 @@
 	"cobaltward/internal/atomicfile"
 )
 
-// Commands are the operator's commands. They get WAYHOLD_NODE, WAYHOLD_KEY, WAYHOLD_TOKEN and WAYHOLD_STEP, and are
-// killed when the process ends that has started them.
+// Commands holds the command lines that the operator has configured for rolling updates. The commands get the
+// environment variables WAYHOLD_NODE, WAYHOLD_KEY, WAYHOLD_TOKEN and WAYHOLD_STEP, and are killed when the agent's
+// process ends.
 type Commands struct {
-	Patch  []string
-	Verify []string // status 0: the patch is in; 1: it is not; else nobody can tell
-	Revert []string
+	Patch  []string // applies the patch
+	Verify []string // exit status 0: the patch is applied; 1: it is not; any other: unknown
+	Revert []string // removes the patch
 }
 
 // Config configures an agent.
 type Config struct {
 	Self     fleet.Node
-	Dir      string // where the agent stores what must outlive the process
+	Dir      string // directory of the state that must survive a restart of the process
 	Commands Commands
-	Timeout  time.Duration // of a command, of a drain, and of a node to come back
+	Timeout  time.Duration // of a command, of a drain, and of waiting for a node to serve again
 	Clock    consensus.Clock
 	Unsafe   lease.UnsafeOptions
 	Log      *slog.Logger
-	// FailPoint is called at points where tests may end or stop the process; nil: it is not.
+	// FailPoint is called at points where tests may kill or pause the process; nil: there are no such points.
 	FailPoint func(point string)
 }
 
-// Agent is the agent of one node. Its methods may be called from several goroutines at once.
+// Agent connects one node to the fleet. It is safe for concurrent use.
 type Agent struct {
 	config  Config
 	node    Node
@@ -46,28 +47,29 @@
 	watcher *StateWatcher
 	tasks   sync.WaitGroup
 
-	mu           sync.Mutex
-	ctx          context.Context // of Run; nil before
-	receiver     *lease.FencedReceiver
-	activeOrders []string // IDs of the disable orders in force at the node
-	rejected     uint64   // effects with a stale token
+	mu              sync.Mutex
+	ctx             context.Context // of Run; nil before Run is called
+	receiver        *lease.FencedReceiver
+	activeOrders    []string // IDs of the disable orders in force at the node
+	rejectedEffects uint64   // number of effects rejected because of a stale token
 }
 
 const (
-	// stateFile is the name of the file that stores the receiver's state.
+	// stateFile is the name of the file with the receiver's state, in Config.Dir.
 	stateFile = "receiver.json"
-	// reconcileInterval is the time between two looks at the disable orders, beside those at a new state.
+	// reconcileInterval is the time between checks of the disable orders and of the registration, in addition to a
+	// check at each new state.
 	reconcileInterval = time.Second
-	// registerInterval is the time between two registrations where another process registers the same name, or where
-	// an old registration came late.
+	// registerInterval is the time between two registrations while another process registers the same name, or after
+	// a delayed earlier registration has replaced the current one.
 	registerInterval = 5 * time.Second
-	// nodeTimeout bounds calls to the node.
+	// nodeTimeout limits the calls to the node of one reconciliation, and the status call for a request.
 	nodeTimeout = 2 * time.Second
-	// proposeTimeout bounds calls to the consensus group.
+	// proposeTimeout limits a proposal to the consensus group.
 	proposeTimeout = 2 * time.Second
 )
 
-// New returns an agent that continues from the stored state of an earlier process.
+// New returns an agent that continues from the state that an earlier process stored in Config.Dir, if any.
 func New(config Config, node Node, client *Client) (*Agent, error) {
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
@@ -75,15 +77,15 @@
 	agent := &Agent{config: config, node: node, client: client}
 	stored, err := readState(agent.stateFile())
 	if err != nil {
-		// Without it a former holder's effect could not be distinguished from a newer one's.
-		return nil, fmt.Errorf("%s: %w: restore it before this agent receives anything", agent.stateFile(), err)
+		// Without the stored state, an effect of a former lease holder could not be distinguished from a newer one.
+		return nil, fmt.Errorf("%s: %w: restore the file before starting this agent", agent.stateFile(), err)
 	}
 	agent.receiver = lease.Restore(stored, config.Self.Name, config.Self.Incarnation, config.Unsafe)
 	agent.watcher = NewStateWatcher(client, agent.report, config.Log)
 	return agent, nil
 }
 
-// readState reads the stored state of a receiver; it is empty where there is none.
+// readState reads the stored state of a receiver; without a file the state is empty.
 func readState(path string) (stored lease.ReceiverState, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -98,7 +100,7 @@
 
 func (a *Agent) stateFile() string { return filepath.Join(a.config.Dir, stateFile) }
 
-// save stores the receiver's state. The caller has the mutex, so that nothing is decided meanwhile.
+// save stores the receiver's state. The caller must hold the mutex, so that no effect is decided on meanwhile.
 func (a *Agent) save() error {
 	raw, err := json.Marshal(a.receiver.ReceiverState)
 	if err != nil {
@@ -107,10 +109,11 @@
 	return atomicfile.Write(a.stateFile(), raw)
 }
 
-// Watcher returns the watcher by which the agent follows the state.
+// Watcher returns the watcher through which the agent follows the state of the fleet.
 func (a *Agent) Watcher() *StateWatcher { return a.watcher }
 
-// Run follows the state, registers the node and disables servers until ctx ends, and waits for effects in progress.
+// Run follows the state, keeps the node registered and reconciles disabled servers until ctx is done. Then it waits for
+// effects in progress.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
 	a.mu.Lock()
@@ -132,7 +135,7 @@
 	}
 }
 
-// register keeps the node registered until ctx ends.
+// register keeps the node registered until ctx is done.
 func (a *Agent) register(ctx context.Context) {
 	var lastProposal time.Time
 	for ctx.Err() == nil {
@@ -140,7 +143,7 @@
 			lastProposal = time.Now()
 			a.proposeRegistration(ctx)
 		}
-		updates := a.watcher.Updates() // after the proposal, whose outcome may be a while in coming
+		updates := a.watcher.Updates() // after the proposal, because its outcome may arrive late
 		select {
 		case <-updates:
 		case <-time.After(reconcileInterval):
@@ -149,8 +152,8 @@
 	}
 }
 
-// registrationDue reports whether the state lacks the registration of this process. Another process that goes by its
-// name is logged, and left alone.
+// registrationDue reports whether the state lacks the registration of this process. If another process has registered
+// the same name, it logs an error and allows a new registration every registerInterval only.
 func (a *Agent) registrationDue(lastProposal time.Time) bool {
 	state, lastResponse := a.watcher.State()
 	a.mu.Lock()
@@ -181,7 +184,7 @@
 	}
 }
 
-// report returns what the agent says of itself with each watch request.
+// report returns the report on this agent that each watch request carries.
 func (a *Agent) report() consensus.AgentReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +195,7 @@
 	}
 }
 
-// failPoint names a point where tests may end or stop the process.
+// failPoint calls the FailPoint hook, if any, for the named point.
 func (a *Agent) failPoint(point string) {
 	if a.config.FailPoint != nil {
 		a.config.FailPoint(point)
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -17,13 +17,13 @@
 	"cobaltward/internal/testkit"
 )
 
-// fakeNode is a node in memory.
+// fakeNode is an in-memory implementation of Node.
 type fakeNode struct {
-	mu       sync.Mutex
-	drains   int
-	disabled []string
-	zones    map[string][]string
-	failing  error // of all calls that change something
+	mu        sync.Mutex
+	drains    int
+	disabled  []string
+	zones     map[string][]string
+	changeErr error // returned by all calls that change the node
 }
 
 // Serving implements Node.
@@ -34,31 +34,31 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.drains++
-	return n.failing
+	return n.changeErr
 }
 
 // Resume implements Node.
-func (n *fakeNode) Resume(context.Context, string) error { return n.failing }
+func (n *fakeNode) Resume(context.Context, string) error { return n.changeErr }
 
 // DisableServer implements Node.
 func (n *fakeNode) DisableServer(_ context.Context, server string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.failing == nil {
+	if n.changeErr == nil {
 		n.disabled = append(n.disabled, server)
 		slices.Sort(n.disabled)
 	}
-	return n.failing
+	return n.changeErr
 }
 
 // EnableServer implements Node.
 func (n *fakeNode) EnableServer(_ context.Context, server string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.failing == nil {
+	if n.changeErr == nil {
 		n.disabled = slices.DeleteFunc(n.disabled, func(name string) bool { return name == server })
 	}
-	return n.failing
+	return n.changeErr
 }
 
 // DisabledServers implements Node.
@@ -71,7 +71,7 @@
 // ServersByZone implements Node.
 func (n *fakeNode) ServersByZone(context.Context) (map[string][]string, error) { return n.zones, nil }
 
-// newTestAgent returns an agent of node n1 that is not run; its state is set by the test.
+// newTestAgent returns an agent of node n1. The agent does not run; the test sets the state that it knows.
 func newTestAgent(t *testing.T, node Node, dir string) *Agent {
 	t.Helper()
 	client := NewClient([]string{"127.0.0.1:1"}, nil, "", nil)
@@ -89,7 +89,8 @@
 	return agent
 }
 
-// applyAll applies entries that have to be accepted to the state that an agent knows, and returns the last result.
+// applyAll applies entries to the state that an agent knows, and returns the result of the last one. All entries must
+// be accepted.
 func applyAll(t *testing.T, agent *Agent, entries ...fleet.Entry) fleet.Result {
 	t.Helper()
 	var result fleet.Result
@@ -107,7 +108,7 @@
 	return result
 }
 
-func disable(id string, until time.Time, servers, zones []string) fleet.Entry {
+func disableEntry(id string, until time.Time, servers, zones []string) fleet.Entry {
 	order := &fleet.DisableOrder{ID: id, Servers: servers, Zones: zones, Until: until}
 	return fleet.Entry{Kind: fleet.KindDisableServers, DisableOrder: order}
 }
@@ -116,7 +117,7 @@
 	t.Helper()
 	got, _ := node.DisabledServers(t.Context())
 	if !slices.Equal(got, want) {
-		t.Errorf("%v are disabled, want %v", got, want)
+		t.Errorf("the disabled servers are %v, want %v", got, want)
 	}
 }
 
@@ -125,8 +126,8 @@
 	agent := newTestAgent(t, node, t.TempDir())
 	until := time.Now().Add(time.Hour)
 	applyAll(t, agent,
-		disable("first", until, []string{"s1", "by-hand"}, nil),
-		disable("second", until, nil, []string{"z1"}))
+		disableEntry("first", until, []string{"s1", "by-hand"}, nil),
+		disableEntry("second", until, nil, []string{"z1"}))
 	agent.reconcileDisabled(t.Context())
 	checkDisabled(t, node, "by-hand", "s1", "s2", "s3")
 	if got := agent.report().ActiveDisableOrders; !slices.Equal(got, []string{"first", "second"}) {
@@ -135,43 +136,43 @@
 	order := &fleet.DisableOrder{ID: "first"}
 	applyAll(t, agent, fleet.Entry{Kind: fleet.KindEnableServers, DisableOrder: order})
 	agent.reconcileDisabled(t.Context())
-	checkDisabled(t, node, "by-hand", "s2", "s3") // what an operator has disabled stays
+	checkDisabled(t, node, "by-hand", "s2", "s3") // a server that an operator disabled stays disabled
 }
 
-// A later process enables what an earlier one has disabled.
-func TestReconcileDisabled_OutlivesProcess(t *testing.T) {
+// An agent must enable servers that an earlier process has disabled for an order that has ended.
+func TestReconcileDisabled_ContinuesAfterRestart(t *testing.T) {
 	node, dir := &fakeNode{}, t.TempDir()
 	agent := newTestAgent(t, node, dir)
-	applyAll(t, agent, disable("first", time.Now().Add(time.Hour), []string{"s1"}, nil))
+	applyAll(t, agent, disableEntry("first", time.Now().Add(time.Hour), []string{"s1"}, nil))
 	agent.reconcileDisabled(t.Context())
 	checkDisabled(t, node, "s1")
 	newTestAgent(t, node, dir).reconcileDisabled(t.Context())
 	checkDisabled(t, node)
 }
 
-func TestReconcileDisabled_ReportsNoOrderThatFailed(t *testing.T) {
-	node := &fakeNode{failing: errors.New("no answer")}
+func TestReconcileDisabled_DoesNotReportFailedOrder(t *testing.T) {
+	node := &fakeNode{changeErr: errors.New("no answer")}
 	agent := newTestAgent(t, node, t.TempDir())
-	applyAll(t, agent, disable("first", time.Now().Add(time.Hour), []string{"s1"}, nil))
+	applyAll(t, agent, disableEntry("first", time.Now().Add(time.Hour), []string{"s1"}, nil))
 	agent.reconcileDisabled(t.Context())
 	if got := agent.report().ActiveDisableOrders; len(got) != 0 {
 		t.Errorf("the orders in force are %v", got)
 	}
-	node.failing = nil
+	node.changeErr = nil
 	agent.reconcileDisabled(t.Context())
 	checkDisabled(t, node, "s1")
 }
 
-func TestReconcileDisabled_IgnoresOrdersThatHaveEnded(t *testing.T) {
+func TestReconcileDisabled_IgnoresExpiredOrders(t *testing.T) {
 	node := &fakeNode{}
 	agent := newTestAgent(t, node, t.TempDir())
-	applyAll(t, agent, disable("first", time.Now().Add(-time.Second), []string{"s1"}, nil))
+	applyAll(t, agent, disableEntry("first", time.Now().Add(-time.Second), []string{"s1"}, nil))
 	agent.reconcileDisabled(t.Context())
 	checkDisabled(t, node)
 }
 
-// startEffect has an agent know of a step of an open job, and returns the request for its effect.
-func startEffect(t *testing.T, agent *Agent, action fleet.StepAction) lease.EffectRequest {
+// prepareEffect makes an agent know of a step that was begun in an open job, and returns the request for its effect.
+func prepareEffect(t *testing.T, agent *Agent, action fleet.StepAction) lease.EffectRequest {
 	t.Helper()
 	spec := &fleet.JobSpec{Kind: fleet.JobRollingUpdate, Nodes: []string{"n1"}, MaxUnavailable: 1}
 	resource, key := fleet.ResourceRollingUpdate, fleet.StepKey{Node: "n1", Action: action}
@@ -180,7 +181,7 @@
 		fleet.Entry{Kind: fleet.KindStartJob, JobID: "j", Spec: spec},
 		fleet.Entry{Kind: fleet.KindGrantLease, Resource: resource, Holder: "h/1", LeaseDuration: time.Second})
 	state, _ := agent.watcher.State()
-	agent.receiver.Registered(state) // before the step is begun
+	agent.receiver.Registered(state) // must happen before the step is begun
 	token := granted.FencingToken
 	applyAll(t, agent, fleet.Entry{Kind: fleet.KindBeginStep, JobID: "j", Step: key, FencingToken: token})
 	return lease.EffectRequest{
@@ -192,8 +193,8 @@
 	}
 }
 
-// start has an agent accept effects until the test ends, without following any replica.
-func start(t *testing.T, agent *Agent) {
+// startAccepting makes an agent accept effects until the test ends, without following the state of a replica.
+func startAccepting(t *testing.T, agent *Agent) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	agent.mu.Lock()
@@ -205,11 +206,11 @@
 	})
 }
 
-// awaitOutcome repeats a request until its effect has ended.
+// awaitOutcome repeats a request until its effect has ended, and returns the last response.
 func awaitOutcome(t *testing.T, agent *Agent, request lease.EffectRequest) lease.EffectResponse {
 	t.Helper()
 	var response lease.EffectResponse
-	testkit.Await(t, "the outcome", func() bool {
+	testkit.Await(t, "the outcome of the effect", func() bool {
 		var err error
 		response, err = agent.HandleEffect(request)
 		return err == nil && !response.Running
@@ -217,28 +218,28 @@
 	return response
 }
 
-func TestHandleEffect_CarriesOutOnce(t *testing.T) {
+func TestHandleEffect_ExecutesOnce(t *testing.T) {
 	node := &fakeNode{}
 	agent := newTestAgent(t, node, t.TempDir())
-	request := startEffect(t, agent, fleet.ActionDrain)
+	request := prepareEffect(t, agent, fleet.ActionDrain)
 	if _, err := agent.HandleEffect(request); !errors.Is(err, ErrNotReady) {
-		t.Errorf("before the agent runs: %v, want %v", err, ErrNotReady)
+		t.Errorf("before the agent runs: got %v, want %v", err, ErrNotReady)
 	}
-	start(t, agent)
+	startAccepting(t, agent)
 	for range 2 {
 		if response := awaitOutcome(t, agent, request); response.Outcome != fleet.OutcomeOK {
 			t.Errorf("the response is %+v", response)
 		}
 	}
 	if node.drains != 1 {
-		t.Errorf("the node was drained %d times", node.drains)
+		t.Errorf("the node was drained %d times, want once", node.drains)
 	}
 }
 
 func TestHandleEffect_RejectsStaleToken(t *testing.T) {
 	agent := newTestAgent(t, &fakeNode{}, t.TempDir())
-	request := startEffect(t, agent, fleet.ActionDrain)
-	start(t, agent)
+	request := prepareEffect(t, agent, fleet.ActionDrain)
+	startAccepting(t, agent)
 	request.FencingToken--
 	if _, err := agent.HandleEffect(request); !errors.Is(err, ErrStaleToken) {
 		t.Errorf("got %v, want %v", err, ErrStaleToken)
@@ -250,7 +251,7 @@
 	for _, test := range []struct {
 		name          string
 		patch, verify []string
-		retry         bool // the effect may have been carried out before
+		retry         bool // whether the effect may have been carried out before
 		want          fleet.StepOutcome
 	}{
 		{"succeeds", shell("exit 0"), shell("exit 9"), false, fleet.OutcomeOK},
@@ -264,9 +265,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			agent := newTestAgent(t, &fakeNode{}, t.TempDir())
 			agent.config.Commands = Commands{Patch: test.patch, Verify: test.verify}
-			request := startEffect(t, agent, fleet.ActionPatch)
+			request := prepareEffect(t, agent, fleet.ActionPatch)
 			request.Retry = test.retry
-			start(t, agent)
+			startAccepting(t, agent)
 			if response := awaitOutcome(t, agent, request); response.Outcome != test.want {
 				t.Errorf("the response is %+v, want outcome %q", response, test.want)
 			}
@@ -274,11 +275,11 @@
 	}
 }
 
-func TestClient_ErrorsOfAnswers(t *testing.T) {
+func TestClient_ErrorByStatus(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		status int
-		want   error // nil: none
+		want   error // nil: no error
 	}{
 		{"accepted", http.StatusOK, nil},
 		{"rejected", http.StatusConflict, ErrRejected},
@@ -298,7 +299,7 @@
 	}
 }
 
-// Rejections keep their identity on the way from a replica to a client.
+// A client must return the same rejection error that the replica had, so that errors.Is works.
 func TestClient_ProposeReturnsRejectionErrors(t *testing.T) {
 	for _, want := range fleet.RejectionErrors() {
 		t.Run(want.Error(), func(t *testing.T) {
@@ -309,7 +310,7 @@
 			defer client.HTTP.CloseIdleConnections()
 			result, err := client.Propose(t.Context(), fleet.Entry{})
 			if err != nil || !errors.Is(result.Err, want) || result.Position != 3 {
-				t.Errorf("got %+v, %v", result, err)
+				t.Errorf("got %+v, error %v", result, err)
 			}
 		})
 	}
@@ -322,9 +323,9 @@
 	client := NewClient([]string{"127.0.0.1:1", address}, nil, "", nil)
 	defer client.HTTP.CloseIdleConnections()
 	if _, err := client.Propose(t.Context(), fleet.Entry{}); !errors.Is(err, ErrNoResponse) {
-		t.Errorf("the first replica: %v, want %v", err, ErrNoResponse)
+		t.Errorf("proposing to the first replica: got %v, want %v", err, ErrNoResponse)
 	}
 	if result, err := client.Propose(t.Context(), fleet.Entry{}); err != nil || result.Position != 3 {
-		t.Errorf("the next replica: %+v, %v", result, err)
+		t.Errorf("proposing to the next replica: got %+v, error %v", result, err)
 	}
 }
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -18,37 +18,36 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Errors of calls.
+// Errors that the methods of Client wrap.
 var (
-	// ErrNoResponse reports that no answer came. The request may have been carried out or not.
+	// ErrNoResponse reports that there was no valid response. The request may or may not have been carried out.
 	ErrNoResponse = errors.New("no answer")
-	// ErrRejected reports that the request is rejected, and was not carried out.
+	// ErrRejected reports that the request was rejected, and not carried out.
 	ErrRejected = errors.New("call rejected")
 )
 
 const (
-	maxResponseBody    = 64 << 20 // bytes
-	maxIdleConns       = 4        // to one host
-	maxConns           = 32       // to one host
+	maxResponseBody    = 64 << 20 // bytes that are read of a response
+	maxIdleConns       = 4        // per host
+	maxConns           = 32       // per host
 	idleConnTimeout    = 30 * time.Second
-	firstErrorStatus   = 300 // of HTTP: the request was not carried out
-	firstUnknownStatus = 500 // of HTTP: the request may have been carried out
+	firstErrorStatus   = 300 // HTTP status from which on the request was not carried out
+	firstUnknownStatus = 500 // HTTP status from which on the request may have been carried out
 )
 
-// Client calls the replicas of the consensus group, and agents. Its methods may be called from several goroutines at
-// once.
+// Client calls the replicas of the consensus group, and agents. It is safe for concurrent use.
 type Client struct {
-	Replicas []string // addresses
-	// AddressOverrides are the addresses under which this process reaches others, where they differ, by address.
+	Replicas []string // addresses of the replicas
+	// AddressOverrides maps an address to the one under which this process reaches it, if that differs.
 	AddressOverrides map[string]string
 	AuthToken        string // bearer token of all calls
 	HTTP             *http.Client
-	UseTLS           bool // calls are encrypted, as HTTP is configured
+	UseTLS           bool // whether calls use TLS, with the configuration of HTTP
 
-	lastResponder atomic.Int64 // the index of the replica that proposals go to
+	lastResponder atomic.Int64 // index of the replica that gets the next proposal
 }
 
-// NewClient returns a client with connections of its own; tlsConfig is nil for calls that are not encrypted.
+// NewClient returns a client with its own connection pool. If tlsConfig is nil, calls are not encrypted.
 func NewClient(replicas []string, addressOverrides map[string]string, authToken string, tlsConfig *tls.Config) *Client {
 	return &Client{
 		Replicas:         replicas,
@@ -65,9 +64,9 @@
 	}
 }
 
-// Call sends body, as JSON, to a path of an address, and decodes the answer into the value that to points at. Its
-// errors wrap ErrNoResponse or ErrRejected, but for those of a request that could not be made.
-func (c *Client) Call(ctx context.Context, method, address, path string, body, to any) error {
+// Call sends body as JSON to a path at an address, and decodes the response into the value that result points to.
+// Errors wrap ErrNoResponse or ErrRejected, except those from creating the request.
+func (c *Client) Call(ctx context.Context, method, address, path string, body, result any) error {
 	if override := c.AddressOverrides[address]; override != "" {
 		address = override
 	}
@@ -79,16 +78,16 @@
 	if err != nil {
 		return fmt.Errorf("%w from %s: %w", ErrNoResponse, address, err)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing more is read
+	defer func() { _ = response.Body.Close() }() // the body was only read, so the error does not matter
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBody))
 	if err != nil {
-		return fmt.Errorf("%w from %s: reading it: %w", ErrNoResponse, address, err)
+		return fmt.Errorf("%w from %s: reading the response: %w", ErrNoResponse, address, err)
 	}
 	if response.StatusCode >= firstErrorStatus {
 		return statusError(address, response, raw)
 	}
-	if err := json.Unmarshal(raw, to); err != nil {
-		return fmt.Errorf("%w from %s: decoding it: %w", ErrNoResponse, address, err)
+	if err := json.Unmarshal(raw, result); err != nil {
+		return fmt.Errorf("%w from %s: decoding the response: %w", ErrNoResponse, address, err)
 	}
 	return nil
 }
@@ -111,18 +110,18 @@
 	return request, nil
 }
 
-// statusError returns the error of an answer that reports one.
+// statusError returns the error for a response with an error status.
 func statusError(address string, response *http.Response, raw []byte) error {
 	if response.StatusCode >= firstUnknownStatus {
-		return fmt.Errorf("%w: %s says %s: %s", ErrNoResponse, address, response.Status, bytes.TrimSpace(raw))
+		return fmt.Errorf("%w: %s returned %s: %s", ErrNoResponse, address, response.Status, bytes.TrimSpace(raw))
 	}
 	var body adminapi.ErrorBody
-	_ = json.Unmarshal(raw, &body) // the status tells as much
+	_ = json.Unmarshal(raw, &body) // without a decodable body, the error has the HTTP status only
 	return fmt.Errorf("%w by %s: %s", ErrRejected, address, cmp.Or(body.Message, response.Status))
 }
 
-// Propose proposes an entry to the replica that answered last. An error reports that the outcome is unknown, or that
-// the entry was not proposed; the next call goes to another replica then.
+// Propose proposes an entry to the replica that responded last. An error means that the outcome is unknown, or that the
+// entry was not proposed; the next call then goes to another replica.
 func (c *Client) Propose(ctx context.Context, entry fleet.Entry) (fleet.Result, error) {
 	index := c.lastResponder.Load()
 	address := c.Replicas[int(index)%len(c.Replicas)]
@@ -138,7 +137,7 @@
 	return result, nil
 }
 
-// Statuses asks all replicas for their status. The result has those that answered, by address.
+// Statuses requests the status of all replicas. The result has the status of those that responded, by address.
 func (c *Client) Statuses(ctx context.Context) map[string]consensus.Status {
 	type answer struct {
 		address string
@@ -147,7 +146,7 @@
 	}
 	answers := make(chan answer, len(c.Replicas))
 	for _, address := range c.Replicas {
-		go func() { // ends with ctx at the latest, and is waited for below
+		go func() { // ends when ctx is done at the latest; its result is received below
 			result := answer{address: address}
 			result.err = c.Call(ctx, http.MethodGet, address, "/status", nil, &result.status)
 			answers <- result
--- a/fleet/agent/command.go
+++ b/fleet/agent/command.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxOutput = 4 << 10         // bytes of a command's output that are kept
+	maxOutput = 4 << 10         // number of bytes kept from the end of a command's output
 	killDelay = 5 * time.Second // from SIGTERM to SIGKILL
 )
 
@@ -28,11 +28,12 @@
 	return len(p), nil
 }
 
-// runCommand runs a command to its end, and returns its exit status and the end of its output. If ctx ends first,
-// the command gets SIGTERM, and SIGKILL after killDelay. It gets SIGKILL when this process dies, so that no orphan
-// continues while the next process verifies the outcome.
+// runCommand runs a command, and returns its exit status and the end of its output. If ctx is done first, the command
+// gets SIGTERM, and SIGKILL after killDelay. It also gets SIGKILL when this process dies, so that it does not continue
+// as an orphan while the next process verifies the outcome.
 func runCommand(ctx context.Context, words, env []string) (status int, output string, err error) {
-	// Pdeathsig is sent when the thread dies that has started the command, so that thread is kept until it has ended.
+	// Pdeathsig is sent when the thread that started the command dies, so this goroutine keeps its thread until the
+	// command has ended.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, words[0], words[1:]...)
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -7,15 +7,15 @@
 	"cobaltward/fleet"
 )
 
-// reconcileDisabled has the node disable what the active disable orders ask for, and enables what the agent has
-// disabled for the fleet before, and only that.
+// reconcileDisabled disables the servers at the node that active disable orders name. It enables a server that no order
+// names any more only if the agent itself has disabled it before.
 func (a *Agent) reconcileDisabled(ctx context.Context) {
 	state, _ := a.watcher.State()
 	orders := state.ActiveDisableOrders(a.config.Clock.Wall())
 	a.mu.Lock()
-	mine := slices.Clone(a.receiver.DisabledServers)
+	ownDisabled := slices.Clone(a.receiver.DisabledServers)
 	a.mu.Unlock()
-	if len(orders) == 0 && len(mine) == 0 {
+	if len(orders) == 0 && len(ownDisabled) == 0 {
 		a.setActiveOrders(nil)
 		return
 	}
@@ -24,13 +24,13 @@
 	zones, err := a.zonesOf(ctx, orders)
 	disabledNow, statusErr := a.node.DisabledServers(ctx)
 	if err != nil || statusErr != nil {
-		a.setActiveOrders(nil) // the orders in force are unknown
+		a.setActiveOrders(nil) // which orders are in force is unknown
 		return
 	}
 	disabled := setOf(disabledNow)
 	desired := desiredServers(orders, zones)
-	failed := a.enableSurplus(ctx, mine, desired, disabled)
-	if err := a.rememberDisabled(failed, mine, desired, disabled); err != nil {
+	failed := a.enableSurplus(ctx, ownDisabled, desired, disabled)
+	if err := a.rememberDisabled(failed, ownDisabled, desired, disabled); err != nil {
 		a.config.Log.Error("fleet: disabled servers not stored; orders not carried out", "error", err)
 		return
 	}
@@ -38,7 +38,7 @@
 	a.setActiveOrders(ordersInForce(orders, zones, disabled))
 }
 
-// zonesOf returns the servers of the node's endpoint list by zone; nil if no order names a zone.
+// zonesOf returns the servers of the node's endpoint list by zone. It returns nil if no order names a zone.
 func (a *Agent) zonesOf(ctx context.Context, orders []*fleet.DisableOrder) (map[string][]string, error) {
 	namesZone := func(order *fleet.DisableOrder) bool { return len(order.Zones) > 0 }
 	if !slices.ContainsFunc(orders, namesZone) {
@@ -47,7 +47,7 @@
 	return a.node.ServersByZone(ctx)
 }
 
-// desiredServers returns the servers that orders ask for, with those of their zones.
+// desiredServers returns the servers that the orders disable, including all servers of the zones that they name.
 func desiredServers(orders []*fleet.DisableOrder, zones map[string][]string) map[string]bool {
 	desired := make(map[string]bool)
 	for _, order := range orders {
@@ -63,11 +63,11 @@
 	return desired
 }
 
-// enableSurplus enables the servers that the agent has disabled and that no order asks for any more. It returns those
-// that could not be enabled: they are tried again.
-func (a *Agent) enableSurplus(ctx context.Context, mine []string, desired, disabled map[string]bool) []string {
+// enableSurplus enables the servers that the agent has disabled and that no order names any more. It returns those that
+// could not be enabled, so that the next reconciliation retries them.
+func (a *Agent) enableSurplus(ctx context.Context, ownDisabled []string, desired, disabled map[string]bool) []string {
 	var failed []string
-	for _, server := range mine {
+	for _, server := range ownDisabled {
 		if !desired[server] && disabled[server] && a.node.EnableServer(ctx, server) != nil {
 			failed = append(failed, server)
 		}
@@ -75,17 +75,17 @@
 	return failed
 }
 
-// rememberDisabled stores which servers the agent disables, before it does: a later process must enable them, too.
-// What an operator has disabled by hand is not the agent's to enable.
-func (a *Agent) rememberDisabled(failed, mine []string, desired, disabled map[string]bool) error {
+// rememberDisabled stores which servers the agent disables, before it disables them, so that a later process can enable
+// them again. Servers that an operator has disabled by hand are left out, because the agent must not enable them.
+func (a *Agent) rememberDisabled(failed, ownDisabled []string, desired, disabled map[string]bool) error {
 	next := failed
 	for server := range desired {
-		if slices.Contains(mine, server) || !disabled[server] {
+		if slices.Contains(ownDisabled, server) || !disabled[server] {
 			next = append(next, server)
 		}
 	}
 	slices.Sort(next)
-	if slices.Equal(next, mine) {
+	if slices.Equal(next, ownDisabled) {
 		return nil
 	}
 	a.mu.Lock()
@@ -94,7 +94,7 @@
 	return a.save()
 }
 
-// disableMissing disables the servers that orders ask for, and adds them to those that are disabled.
+// disableMissing disables the desired servers that are not disabled yet, and adds them to disabled.
 func (a *Agent) disableMissing(ctx context.Context, desired, disabled map[string]bool) {
 	for server := range desired {
 		if disabled[server] {
@@ -108,7 +108,7 @@
 	}
 }
 
-// ordersInForce returns the IDs of the orders all of whose servers are disabled.
+// ordersInForce returns the IDs of the orders whose servers are all disabled.
 func ordersInForce(orders []*fleet.DisableOrder, zones map[string][]string, disabled map[string]bool) []string {
 	var inForce []string
 	for _, order := range orders {
@@ -123,7 +123,7 @@
 	return inForce
 }
 
-// setActiveOrders records the disable orders in force, and reports them where they have changed.
+// setActiveOrders records the disable orders in force, and sends a new report if they have changed.
 func (a *Agent) setActiveOrders(ids []string) {
 	a.mu.Lock()
 	changed := !slices.Equal(a.activeOrders, ids)
--- a/fleet/agent/doc.go
+++ b/fleet/agent/doc.go
@@ -1,13 +1,13 @@
-// Package agent is the process beside a node that connects it to the fleet. It follows the state that the consensus
-// group agrees on, disables servers at its node, carries out the effects that holders of leases ask for, and may hold
-// leases itself.
+// Package agent implements the agent, a process that runs beside a node and connects it to the fleet. An agent
+// follows the state that the consensus group agrees on, disables servers at its node, carries out the effects that
+// lease holders request, and may hold leases itself.
 //
-// Failures: an agent tolerates a consensus group that is unavailable: it continues with the last state it knows. It
-// tolerates its own death: the state that it must remember is stored before it acts.
+// Failures: while the consensus group is unavailable, an agent continues with the last known state. An agent may
+// crash at any time: it stores the state that it needs after a restart before it acts.
 //
-// Clocks: its own monotonic clock is trusted for its leases, as package lease says, and its wall clock for the end of
-// disable orders.
+// Clocks: an agent relies on its monotonic clock for its leases, as package lease explains, and on its wall clock for
+// the end of disable orders.
 //
-// Missing answers: from a proposal without an answer an agent concludes nothing. It proposes again, which is harmless
-// twice.
+// Missing responses: after a proposal without a response an agent assumes nothing about the outcome. It proposes again,
+// because applying the same entry twice is harmless.
 package agent
--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -9,25 +9,26 @@
 	"cobaltward/fleet/lease"
 )
 
-// Errors of requests for effects.
+// Errors that HandleEffect returns.
 var (
-	// ErrStaleToken reports that an effect is rejected: its token is stale, or its job is closed.
+	// ErrStaleToken reports that an effect was rejected because its fencing token is stale or its job is closed.
 	ErrStaleToken = errors.New("effect rejected")
-	// ErrNotReady reports that the agent does not know of the step yet, or is not running. The request may be repeated.
+	// ErrNotReady reports that the agent does not know the step yet, or is not running. The request may be repeated
+	// later.
 	ErrNotReady = errors.New("the agent is not ready for the effect, try again later")
 )
 
-// maxDetail bounds the detail of an outcome, in bytes.
+// maxDetail is the maximum length of the detail text of an outcome, in bytes.
 const maxDetail = 512
 
-// Exit statuses of the operator's Verify command.
+// Exit statuses of the operator's Verify command. Any other status means that the result is unknown.
 const (
-	verifyPatched    = 0 // the patch is in
-	verifyNotPatched = 1
+	verifyPatched    = 0 // the patch is applied
+	verifyNotPatched = 1 // the patch is not applied
 )
 
-// HandleEffect accepts or rejects an effect. An accepted one is carried out in the background, and is asked for
-// again to learn its outcome. Errors wrap ErrStaleToken, ErrNotReady, or the reason why the state could not be
+// HandleEffect accepts or rejects an effect. An accepted effect is carried out in the background; the caller repeats
+// the request to get its outcome. Errors wrap ErrStaleToken, ErrNotReady, or the reason why the state could not be
 // stored.
 func (a *Agent) HandleEffect(request lease.EffectRequest) (lease.EffectResponse, error) {
 	a.mu.Lock()
@@ -50,7 +51,7 @@
 		return response, a.reject(request, response)
 	case lease.Defer:
 		return response, ErrNotReady
-	case lease.Report: // the response has it
+	case lease.Report: // the response already has the outcome
 	case lease.Execute, lease.VerifyFirst:
 		ctx := a.ctx
 		a.tasks.Go(func() { a.execute(ctx, request, decision == lease.VerifyFirst) })
@@ -58,17 +59,17 @@
 	return response, nil
 }
 
-// reject logs and counts an effect that is rejected. The caller has the mutex.
+// reject logs and counts a rejected effect, and returns its error. The caller must hold the mutex.
 func (a *Agent) reject(request lease.EffectRequest, response lease.EffectResponse) error {
-	a.rejected++
+	a.rejectedEffects++
 	a.config.Log.Warn("fleet: effect with a stale token rejected", "work", request.Resource,
 		"key", request.IdempotencyKey, "token", request.FencingToken, "newest", response.HighestToken)
 	return fmt.Errorf("%w: fencing token %d is stale (highest seen: %d), or the job is closed",
 		ErrStaleToken, request.FencingToken, response.HighestToken)
 }
 
-// execute carries out an effect, and stores its outcome. If ctx ends meanwhile it stores none: the next process
-// verifies.
+// execute carries out an effect, and stores its outcome. If ctx is done meanwhile, it stores no outcome: the next
+// process verifies whether the effect took place.
 func (a *Agent) execute(ctx context.Context, request lease.EffectRequest, verifyFirst bool) {
 	action := string(request.Step.Action)
 	a.failPoint("before " + action)
@@ -89,7 +90,7 @@
 		"outcome", outcome, "detail", detail)
 }
 
-// perform carries out the action of a request's step.
+// perform carries out the action of a request's step, and returns its outcome.
 func (a *Agent) perform(
 	ctx context.Context, request lease.EffectRequest, verifyFirst bool,
 ) (outcome fleet.StepOutcome, detail string) {
@@ -105,16 +106,17 @@
 	case fleet.ActionRevert:
 		return a.performCommand(ctx, request, a.config.Commands.Revert, verifyFirst, verifyNotPatched)
 	default:
-		return fleet.OutcomeFailed, "this program knows no step " + string(request.Step.Action)
+		return fleet.OutcomeFailed, "this version of the program does not support the step " + string(request.Step.Action)
 	}
 	if err != nil {
-		return fleet.OutcomeFailed, clip(err.Error())
+		return fleet.OutcomeFailed, truncate(err.Error())
 	}
 	return fleet.OutcomeOK, ""
 }
 
-// performCommand runs an operator's command, which knows no fencing tokens. Where it may have run already, the Verify
-// command reports it: doneStatus is its exit status where it has. Otherwise the outcome stays unknown.
+// performCommand runs an operator's command, which does not check fencing tokens. If the command may have run
+// already, the Verify command runs first: if it exits with doneStatus, the command has run and is not repeated; if it
+// can't tell, the outcome is unknown.
 func (a *Agent) performCommand(
 	ctx context.Context, request lease.EffectRequest, words []string, verifyFirst bool, doneStatus int,
 ) (outcome fleet.StepOutcome, detail string) {
@@ -130,25 +132,25 @@
 	if verifyFirst {
 		status, output, err := runCommand(ctx, a.config.Commands.Verify, env)
 		if err != nil || status > verifyNotPatched {
-			detail := fmt.Sprintf("whether it has run can't be told: status %d, %v, %s", status, err, output)
-			return fleet.OutcomeUnknown, clip(detail)
+			detail := fmt.Sprintf("can't tell whether the command has run: status %d, %v, %s", status, err, output)
+			return fleet.OutcomeUnknown, truncate(detail)
 		}
 		if status == doneStatus {
-			return fleet.OutcomeOK, "it had run before it was asked for again"
+			return fleet.OutcomeOK, "the command had already run before this request"
 		}
 	}
 	status, output, err := runCommand(ctx, words, env)
 	if err != nil {
-		return fleet.OutcomeFailed, clip(err.Error() + ": " + output)
+		return fleet.OutcomeFailed, truncate(err.Error() + ": " + output)
 	}
 	if status != 0 {
-		return fleet.OutcomeFailed, clip(fmt.Sprintf("status %d: %s", status, output))
+		return fleet.OutcomeFailed, truncate(fmt.Sprintf("status %d: %s", status, output))
 	}
 	return fleet.OutcomeOK, ""
 }
 
-// clip shortens a text to maxDetail.
-func clip(text string) string {
+// truncate limits a text to maxDetail bytes.
+func truncate(text string) string {
 	if len(text) > maxDetail {
 		return text[:maxDetail] + "…"
 	}
--- a/fleet/agent/handler.go
+++ b/fleet/agent/handler.go
@@ -10,16 +10,16 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Status is what an agent shows of its node.
+// Status is the status of an agent and its node, for lease holders.
 type Status struct {
 	Name           string         `json:"name"`
 	Serving        bool           `json:"serving"`
-	Position       fleet.Position `json:"at"` // of the state that the agent knows
+	Position       fleet.Position `json:"at"` // log position of the state that the agent knows
 	LeaseCandidate bool           `json:"owns"`
-	Rejected       uint64         `json:"refused"` // effects with a stale token, since the agent was started
+	Rejected       uint64         `json:"refused"` // number of effects with a stale token, since the agent started
 }
 
-// Mount adds the HTTP interface for holders of leases to a mux.
+// Mount adds the HTTP handlers that lease holders call to a mux.
 func (a *Agent) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/effect", a.handleEffect)
 	mux.HandleFunc("GET /v1/node", a.handleStatus)
@@ -52,7 +52,7 @@
 		LeaseCandidate: a.config.Self.LeaseCandidate,
 	}
 	a.mu.Lock()
-	status.Rejected = a.rejected
+	status.Rejected = a.rejectedEffects
 	a.mu.Unlock()
 	adminapi.WriteJSON(w, http.StatusOK, status)
 }
--- a/fleet/agent/nodeclient.go
+++ b/fleet/agent/nodeclient.go
@@ -15,36 +15,36 @@
 	"cobaltward/internal/node"
 )
 
-// Node is the node that an agent drives. It knows nothing of the fleet.
+// Node is the node that an agent controls. The node itself does not know about the fleet.
 type Node interface {
 	// Serving reports whether the node answers and accepts requests.
 	Serving(ctx context.Context) bool
-	// Drain takes the node out of service. It returns once no request is open, or an error if that cannot be.
+	// Drain takes the node out of service. It returns nil once no request is open, or an error if that is not reached.
 	Drain(ctx context.Context, deadline time.Duration, reason string) error
-	// Resume has the node serve again. It returns once it does, or with the end of ctx.
+	// Resume puts the node back in service. It returns once the node serves, or when ctx is done.
 	Resume(ctx context.Context, who string) error
 	// DisableServer disables one server at the node.
 	DisableServer(ctx context.Context, server string) error
-	// EnableServer reverts DisableServer. It is no error if the server is enabled already.
+	// EnableServer reverts DisableServer. It returns nil if the server is enabled already.
 	EnableServer(ctx context.Context, server string) error
-	// DisabledServers returns the servers that are disabled at the node, by whomever.
+	// DisabledServers returns the servers that are disabled at the node, by the agent or by an operator.
 	DisabledServers(ctx context.Context) ([]string, error)
-	// ServersByZone returns the servers of the node's endpoint list.
+	// ServersByZone returns the servers of the node's endpoint list, by zone.
 	ServersByZone(ctx context.Context) (map[string][]string, error)
 }
 
-// NodeClient implements Node by the admin API of a node.
+// NodeClient implements Node through the admin API of a node.
 type NodeClient struct {
 	client *Client
-	base   string // host of the requests
+	base   string // host part of request URLs
 }
 
 const (
-	// pollInterval is the time between two looks at the progress of a node.
+	// pollInterval is the time between two status requests while waiting for a node.
 	pollInterval = 50 * time.Millisecond
-	// socketHost is the host of requests over a Unix socket, where none is needed.
+	// socketHost is a placeholder for the host part of request URLs over a Unix socket.
 	socketHost = "door"
-	// requester is the name under which the agent requests drains of the node.
+	// requester is the name of the operator that the agent gives when it drains the node.
 	requester = "fleet"
 )
 
@@ -58,8 +58,8 @@
 	return &NodeClient{client: &Client{AuthToken: authToken, HTTP: httpClient}, base: base}
 }
 
-func (c *NodeClient) call(ctx context.Context, method, path string, body, to any) error {
-	return c.client.Call(ctx, method, c.base, path, body, to)
+func (c *NodeClient) call(ctx context.Context, method, path string, body, result any) error {
+	return c.client.Call(ctx, method, c.base, path, body, result)
 }
 
 func (c *NodeClient) status(ctx context.Context) (status node.Status, err error) {
@@ -73,13 +73,14 @@
 	return err == nil && status.Drain.State == drain.Serving
 }
 
-// Drain implements Node. A drain that is under way already, of an earlier request or of an operator, is waited for.
+// Drain implements Node. If a drain is already in progress, from an earlier request or an operator, it waits for that
+// one.
 func (c *NodeClient) Drain(ctx context.Context, deadline time.Duration, reason string) error {
 	order := node.DrainRequest{Timeout: deadline.String(), RequestedBy: requester, Reason: reason}
 	for ctx.Err() == nil {
 		status, err := c.status(ctx)
 		switch {
-		case err != nil: // asked again
+		case err != nil: // retry after pollInterval
 		case status.Drain.State == drain.Forced:
 			return fmt.Errorf("the drain deadline passed with %d requests open; they were answered", status.Drain.OpenAtDeadline)
 		case status.Drain.State.Done():
@@ -90,12 +91,12 @@
 				return err
 			}
 		}
-		pause(ctx)
+		waitPollInterval(ctx)
 	}
 	return fmt.Errorf("draining the node: %w", ctx.Err())
 }
 
-// Resume implements Node. A node that has been replaced meanwhile serves by itself.
+// Resume implements Node. If the node was restarted meanwhile, it serves already, and there is no drain to cancel.
 func (c *NodeClient) Resume(ctx context.Context, who string) error {
 	for ctx.Err() == nil {
 		status, err := c.status(ctx)
@@ -103,15 +104,15 @@
 			if status.Drain.State == drain.Serving {
 				return nil
 			}
-			// The next status shows the outcome.
+			// An error needs no handling: the next status shows whether the node serves.
 			_ = c.call(ctx, http.MethodDelete, "/drain", node.DrainRequest{RequestedBy: who}, new(node.Status))
 		}
-		pause(ctx)
+		waitPollInterval(ctx)
 	}
 	return fmt.Errorf("resuming the node: %w", ctx.Err())
 }
 
-func pause(ctx context.Context) {
+func waitPollInterval(ctx context.Context) {
 	select {
 	case <-time.After(pollInterval):
 	case <-ctx.Done():
--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -17,18 +17,18 @@
 	"cobaltward/internal/testkit"
 )
 
-const nodeToken = "a token of the node"
+const nodeToken = "a token of the node" // bearer token of the admin API
 
-// adminAPI is the admin API of a node whose drain goes through states.
-type adminAPI struct {
+// fakeAdminAPI is the admin API of a fake node, whose drain goes through a list of states.
+type fakeAdminAPI struct {
 	mu       sync.Mutex
-	states   []string // of the drain, one per look at the status; the last one stays
+	states   []string // drain states, one for each status request; the last one is repeated
 	disabled []string
-	calls    []string // that change something, with their bodies
-	reject   bool     // calls that change something
+	calls    []string // requests that change the node, with their bodies
+	reject   bool     // whether requests that change the node are rejected
 }
 
-func (a *adminAPI) status(w http.ResponseWriter, _ *http.Request) {
+func (a *fakeAdminAPI) status(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state := a.states[0]
@@ -39,7 +39,7 @@
 	adminapi.WriteJSON(w, http.StatusOK, map[string]any{"drain": drain, "servers_drained_by_hand": a.disabled})
 }
 
-func (a *adminAPI) change(w http.ResponseWriter, r *http.Request) {
+func (a *fakeAdminAPI) change(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	body, err := io.ReadAll(r.Body)
@@ -55,8 +55,8 @@
 	adminapi.WriteJSON(w, http.StatusOK, map[string]any{})
 }
 
-// serve returns a client of the API.
-func (a *adminAPI) serve(t *testing.T) *NodeClient {
+// serve serves the API until the test ends, and returns a client for it.
+func (a *fakeAdminAPI) serve(t *testing.T) *NodeClient {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", a.status)
@@ -72,8 +72,8 @@
 	return client
 }
 
-// checkCalls fails the test unless the API got calls, in order, that begin so.
-func (a *adminAPI) checkCalls(t *testing.T, want ...string) {
+// checkCalls checks that the calls that changed the node begin, in order, with the wanted texts.
+func (a *fakeAdminAPI) checkCalls(t *testing.T, want ...string) {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +88,7 @@
 		states []string
 		reject bool
 		calls  []string
-		want   string // in the error; empty: none
+		want   string // text that the error must contain; empty: no error
 	}{
 		{"drains", []string{"serving", "closing", "drained"}, false, []string{"POST /v1/drain"}, ""},
 		{"is closing already", []string{"closing", "drained"}, false, nil, ""},
@@ -96,18 +96,18 @@
 		{"is rejected", []string{"serving"}, true, []string{"POST /v1/drain"}, "not now"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			api := &adminAPI{states: test.states, reject: test.reject}
+			api := &fakeAdminAPI{states: test.states, reject: test.reject}
 			err := api.serve(t).Drain(t.Context(), time.Second, "patch")
 			if test.want == "" && err != nil || test.want != "" && !strings.Contains(fmt.Sprint(err), test.want) {
-				t.Errorf("error %v, want %q", err, test.want)
+				t.Errorf("got error %v, want one that contains %q", err, test.want)
 			}
 			api.checkCalls(t, test.calls...)
 		})
 	}
 }
 
-func TestNodeClient_DrainSaysWhy(t *testing.T) {
-	api := &adminAPI{states: []string{"serving", "drained"}}
+func TestNodeClient_DrainSendsReason(t *testing.T) {
+	api := &fakeAdminAPI{states: []string{"serving", "drained"}}
 	if err := api.serve(t).Drain(t.Context(), 90*time.Second, "round-1: kernel"); err != nil {
 		t.Fatal(err)
 	}
@@ -116,33 +116,33 @@
 		t.Fatal(err)
 	}
 	if body["deadline"] != "1m30s" || body["who"] != "fleet" || body["reason"] != "round-1: kernel" {
-		t.Errorf("the request is %v", body)
+		t.Errorf("the body of the drain request is %v", body)
 	}
 }
 
 func TestNodeClient_DrainEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*pollInterval)
 	defer cancel()
-	api := &adminAPI{states: []string{"closing"}}
+	api := &fakeAdminAPI{states: []string{"closing"}}
 	if err := api.serve(t).Drain(ctx, time.Second, "patch"); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("error %v, want %v", err, context.DeadlineExceeded)
 	}
 }
 
 func TestNodeClient_ResumeWaitsUntilServing(t *testing.T) {
-	api := &adminAPI{states: []string{"drained", "serving"}}
+	api := &fakeAdminAPI{states: []string{"drained", "serving"}}
 	client := api.serve(t)
 	if err := client.Resume(t.Context(), "fleet"); err != nil {
 		t.Fatal(err)
 	}
 	api.checkCalls(t, "DELETE /v1/drain")
 	if !client.Serving(t.Context()) {
-		t.Error("the node does not serve")
+		t.Error("the node does not serve after Resume returned")
 	}
 }
 
 func TestNodeClient_DisablesAndEnablesServers(t *testing.T) {
-	api := &adminAPI{states: []string{"serving"}}
+	api := &fakeAdminAPI{states: []string{"serving"}}
 	client := api.serve(t)
 	if err := client.DisableServer(t.Context(), "s/1"); err != nil {
 		t.Error(err)
@@ -153,12 +153,13 @@
 	api.checkCalls(t, "POST /v1/servers/s/1/drain", "DELETE /v1/servers/s/1/drain")
 	servers, err := client.ServersByZone(t.Context())
 	if err != nil || !slices.Equal(servers["z1"], []string{"s1", "s2"}) {
-		t.Errorf("the servers are %v, %v", servers, err)
+		t.Errorf("the servers by zone are %v, error %v", servers, err)
 	}
 }
 
-// A server that is enabled already is no error; a server that stays disabled is one.
-func TestNodeClient_EnableServerThatIsRejected(t *testing.T) {
+// If the node rejects the request, EnableServer returns nil if the server is enabled already, and an error if it is
+// still disabled.
+func TestNodeClient_EnableServerRejected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		disabled []string
@@ -168,7 +169,7 @@
 		{"still disabled", []string{"s1"}, ErrRejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			api := &adminAPI{states: []string{"serving"}, disabled: test.disabled, reject: true}
+			api := &fakeAdminAPI{states: []string{"serving"}, disabled: test.disabled, reject: true}
 			if err := api.serve(t).EnableServer(t.Context(), "s1"); !errors.Is(err, test.want) {
 				t.Errorf("error %v, want %v", err, test.want)
 			}
@@ -176,9 +177,9 @@
 	}
 }
 
-func TestNodeClient_WithoutAnswerIsNotServing(t *testing.T) {
+func TestNodeClient_NotServingWithoutAnswer(t *testing.T) {
 	client := NewNodeClient("127.0.0.1:1", nodeToken)
 	if client.Serving(t.Context()) {
-		t.Error("a node that does not answer serves")
+		t.Error("a node that does not respond is reported as serving")
 	}
 }
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	agentTimeout   = 2 * time.Second        // of calls to agents
-	releaseTimeout = time.Second            // of the release of the lease when the runner ends
-	viewInterval   = 500 * time.Millisecond // for which a view of the nodes is used
-	maxStatusCalls = 32                     // calls for the status of nodes at a time
+	agentTimeout   = 2 * time.Second        // of a call to an agent
+	releaseTimeout = time.Second            // of releasing the lease when the runner ends
+	viewInterval   = 500 * time.Millisecond // how long a view of the nodes is used before it is requested again
+	maxStatusCalls = 32                     // maximum number of concurrent status calls to agents
 
-	leaseChecksPerDuration = 40 // how often a runner looks after its lease
-	reconcilesPerDuration  = 50 // how often a runner looks after its job
+	leaseChecksPerDuration = 40 // how often a runner checks its lease in one lease duration
+	reconcilesPerDuration  = 50 // how often a runner reconciles its job in one lease duration
 	minReconcileInterval   = 20 * time.Millisecond
 )
 
 // ControllerConfig configures a ControllerRunner.
 type ControllerConfig struct {
 	Kind          fleet.JobKind
-	Identity      string // of this incarnation of the process; see fleet.Entry.Holder
-	Node          string // beside the process
+	Identity      string // under which this incarnation of the process holds leases; see fleet.Entry.Holder
+	Node          string // name of the node beside which the process runs
 	LeaseDuration time.Duration
 	Clock         consensus.Clock
 	Unsafe        lease.UnsafeOptions
 	Log           *slog.Logger
-	// FailPoint is called at points where tests may end or stop the process; nil: it is not.
+	// FailPoint is called at points where tests may kill or pause the process; nil: there are no such points.
 	FailPoint func(point string)
-	// ObserveProposal is called with each proposal about the lease before it is sent; the function that it returns gets
-	// the outcome. nil: nothing is observed.
+	// ObserveProposal is called with each proposal about the lease before it is sent. The function that it returns is
+	// called with the result; known is false if the outcome is unknown. nil: proposals are not observed.
 	ObserveProposal func(entry fleet.Entry) func(result fleet.Result, known bool)
 }
 
-// ControllerRunner carries out what a rollingupdate.Controller wants.
+// ControllerRunner drives a rollingupdate.Controller: it proposes its entries and requests its effects from agents.
 type ControllerRunner struct {
 	config     ControllerConfig
 	client     *Client
@@ -52,11 +52,11 @@
 	mu         sync.Mutex
 	controller *rollingupdate.Controller
 
-	viewedAt time.Time // of reconcileLoop
-	view     rollingupdate.ClusterView
+	viewedAt time.Time                 // when view was requested; used by reconcileLoop only
+	view     rollingupdate.ClusterView // used by reconcileLoop only
 }
 
-// NewControllerRunner returns a runner that follows the state by a watcher.
+// NewControllerRunner returns a runner that follows the state through a watcher.
 func NewControllerRunner(config ControllerConfig, client *Client, watcher *StateWatcher) *ControllerRunner {
 	return &ControllerRunner{
 		config:  config,
@@ -67,10 +67,10 @@
 	}
 }
 
-// HoldsLease reports whether the process has the lease, as far as it knows.
+// HoldsLease reports whether the process holds the lease, as of its last proposal.
 func (r *ControllerRunner) HoldsLease() bool { return r.holdsLease.Load() }
 
-// Run competes for the lease, and runs the job while it has it, until ctx ends. Then it releases the lease.
+// Run competes for the lease, and runs the job while it holds the lease, until ctx is done. Then it releases the lease.
 func (r *ControllerRunner) Run(ctx context.Context) {
 	var reconciler sync.WaitGroup
 	defer reconciler.Wait()
@@ -88,7 +88,7 @@
 	}
 }
 
-// release gives the lease back, once ctx has ended.
+// release gives up the lease after ctx is done, with a timeout of its own.
 func (r *ControllerRunner) release(ctx context.Context) {
 	r.mu.Lock()
 	r.controller.Resign()
@@ -98,7 +98,7 @@
 	r.maintainLease(ctx)
 }
 
-// maintainLease proposes what the lease needs, one proposal at a time.
+// maintainLease makes the next proposal about the lease, if one is due, and waits for its outcome.
 func (r *ControllerRunner) maintainLease(ctx context.Context) {
 	state, _ := r.watcher.State()
 	r.mu.Lock()
@@ -125,20 +125,20 @@
 	r.controller.HandleResult(requestedAt, r.config.Clock.Monotonic(), entry, result, known)
 	token, holds := r.controller.HoldsLease()
 	r.mu.Unlock()
-	if held := r.holdsLease.Swap(holds); holds != held { // it may have ended between two proposals
+	if held := r.holdsLease.Swap(holds); holds != held { // the lease may have expired between two proposals
 		r.config.Log.Info("fleet: lease changed", "work", r.config.Kind, "holder", r.config.Identity, "owns", holds,
 			"token", token, "position", result.Position)
 	}
 }
 
-// fencingToken returns the token to act under now; ok is false where the process must not act.
+// fencingToken returns the fencing token to act under now. If ok is false, the process must not act.
 func (r *ControllerRunner) fencingToken() (token fleet.FencingToken, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controller.FencingToken(r.config.Clock.Monotonic())
 }
 
-// reconcileLoop does what the job asks for, while the process has the lease, until ctx ends.
+// reconcileLoop carries out the open job while the process holds the lease, until ctx is done.
 func (r *ControllerRunner) reconcileLoop(ctx context.Context) {
 	ticker := time.NewTicker(max(r.config.LeaseDuration/reconcilesPerDuration, minReconcileInterval))
 	defer ticker.Stop()
@@ -152,7 +152,7 @@
 	}
 }
 
-// reconcile reads the job once and takes the next steps.
+// reconcile executes the next steps of the open job, if the process holds the lease, and waits for them.
 func (r *ControllerRunner) reconcile(ctx context.Context) {
 	state, _ := r.watcher.State()
 	if _, ok := r.fencingToken(); !ok || state.OpenJob(r.config.Kind) == nil {
@@ -175,7 +175,7 @@
 	running.Wait()
 }
 
-// observe returns a view of the nodes, which is asked of their agents now and then.
+// observe returns a view of the nodes, which it requests from their agents at most once per viewInterval.
 func (r *ControllerRunner) observe(ctx context.Context, state *fleet.State) rollingupdate.ClusterView {
 	if time.Since(r.viewedAt) < viewInterval {
 		return r.view
@@ -201,7 +201,7 @@
 	return view
 }
 
-// nodeStatus asks the agent of a node for its status.
+// nodeStatus requests the status of a node from its agent. A node without a valid response counts as not serving.
 func (r *ControllerRunner) nodeStatus(ctx context.Context, node fleet.Node) rollingupdate.NodeStatus {
 	var status Status
 	err := r.client.Call(ctx, http.MethodGet, node.Address, "/node", struct{}{}, &status)
@@ -213,8 +213,8 @@
 	}
 }
 
-// requestEffect asks the agent of a node for an effect, and proposes its outcome. A node that is not registered is
-// waited for; an operator may abort the job.
+// requestEffect requests an effect from the agent of a node, and proposes its outcome. If the node is not registered,
+// the job waits until it is, or until an operator aborts the job.
 func (r *ControllerRunner) requestEffect(ctx context.Context, state *fleet.State, request lease.EffectRequest) {
 	node, ok := state.Nodes[request.Step.Node]
 	if !ok {
@@ -234,7 +234,7 @@
 			r.config.Log.Warn("fleet: effect rejected", "key", request.IdempotencyKey, "token", request.FencingToken,
 				"error", err)
 		}
-		return // requested again
+		return // the next reconciliation requests the effect again
 	}
 	r.mu.Lock()
 	entries := r.controller.HandleResponse(request, response)
@@ -244,7 +244,7 @@
 	}
 }
 
-// propose proposes an entry of the job. One whose outcome is unknown may be applied, or may yet be.
+// propose proposes an entry of the job. After an error the outcome is unknown: the entry may be applied now or later.
 func (r *ControllerRunner) propose(ctx context.Context, entry fleet.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/fleet/agent/runner_test.go
+++ b/fleet/agent/runner_test.go
@@ -16,14 +16,14 @@
 	"cobaltward/internal/testkit"
 )
 
-// cluster is a consensus group of one replica, and agents beside nodes in memory, all in this process.
+// cluster is a consensus group of one replica and the agents of fake nodes, all in this process.
 type cluster struct {
 	t       *testing.T
 	replica *consensus.Replica
 	address string // of the replica
 	nodes   map[string]*fakeNode
-	runners map[string]*ControllerRunner // by node
-	ended   sync.WaitGroup
+	runners map[string]*ControllerRunner // by name of the node
+	tasks   sync.WaitGroup
 	ctx     context.Context
 }
 
@@ -56,7 +56,7 @@
 	}
 	t.Cleanup(func() {
 		cancel()
-		group.ended.Wait()
+		group.tasks.Wait()
 		if err := replica.Close(); err != nil {
 			t.Error(err)
 		}
@@ -68,7 +68,7 @@
 	return group
 }
 
-// startAgent starts the agent of a node, which may hold the lease of rolling updates.
+// startAgent starts the agent of a node, and a runner that competes for the lease of rolling updates.
 func (c *cluster) startAgent(name string) {
 	c.t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -104,8 +104,8 @@
 		Log:           log,
 	}, client, agent.Watcher())
 	c.runners[name] = runner
-	c.ended.Go(func() { agent.Run(c.ctx) })
-	c.ended.Go(func() { runner.Run(c.ctx) })
+	c.tasks.Go(func() { agent.Run(c.ctx) })
+	c.tasks.Go(func() { runner.Run(c.ctx) })
 }
 
 func (c *cluster) await(what string, met func(*fleet.State) bool) {
@@ -113,12 +113,12 @@
 	testkit.Await(c.t, what, func() bool { return met(c.replica.View().State) })
 }
 
-// propose proposes an entry that has to be accepted, once there is a leader.
+// propose proposes an entry, which must be accepted. It retries until there is a leader.
 func (c *cluster) propose(entry fleet.Entry) {
 	c.t.Helper()
 	var result fleet.Result
 	var err error
-	testkit.Await(c.t, "a proposal", func() bool {
+	testkit.Await(c.t, "a proposal to be committed", func() bool {
 		result, err = c.replica.Propose(c.ctx, entry)
 		return err == nil
 	})
@@ -127,7 +127,7 @@
 	}
 }
 
-// A rolling update goes over all nodes, each once. The holder of the lease steps down before its own node.
+// A rolling update must drain, patch and resume each node once. The lease holder steps down before its own node's turn.
 func TestControllerRunner_RunsRollingUpdate(t *testing.T) {
 	names := []string{"n1", "n2", "n3"}
 	group := startCluster(t, names...)
@@ -139,35 +139,35 @@
 		MaxFailures:    1,
 		DrainTimeout:   time.Second,
 	}})
-	group.await("the job's end", func(state *fleet.State) bool { return !state.Jobs["j"].Open() })
+	group.await("the end of the job", func(state *fleet.State) bool { return !state.Jobs["j"].Open() })
 	job := group.replica.View().State.Jobs["j"]
 	if job.CloseReason != fleet.ClosedDone || job.Failures != 0 {
 		t.Errorf("the job is %+v", job)
 	}
 	for _, name := range names {
 		if drains := group.nodes[name].drains; drains != 1 {
-			t.Errorf("%s was drained %d times", name, drains)
+			t.Errorf("%s was drained %d times, want once", name, drains)
 		}
 		for _, action := range []fleet.StepAction{fleet.ActionDrain, fleet.ActionPatch, fleet.ActionResume} {
 			key := fleet.StepKey{Node: name, Action: action}
 			if outcome := job.Steps[key].Outcome; outcome != fleet.OutcomeOK {
-				t.Errorf("%v ended with %q", key, outcome)
+				t.Errorf("step %v ended with outcome %q", key, outcome)
 			}
 		}
 	}
 }
 
-// A lease that is revoked passes to another process.
+// After a lease is revoked, it is granted again with a newer fencing token, and its holder knows.
 func TestControllerRunner_LosesRevokedLease(t *testing.T) {
 	group := startCluster(t, "n1", "n2")
 	held := func(state *fleet.State) bool { return state.Leases[fleet.ResourceRollingUpdate].Holder != "" }
-	group.await("a holder", held)
+	group.await("a holder of the lease", held)
 	former := group.replica.View().State.Leases[fleet.ResourceRollingUpdate]
 	group.propose(fleet.Entry{Kind: fleet.KindRevokeLease, Resource: fleet.ResourceRollingUpdate, RequestedBy: "ann"})
 	group.await("a newer lease", func(state *fleet.State) bool {
 		return held(state) && state.Leases[fleet.ResourceRollingUpdate].FencingToken > former.FencingToken
 	})
-	group.await("its holder to know", func(state *fleet.State) bool {
+	group.await("the new holder to know that it holds the lease", func(state *fleet.State) bool {
 		for name, runner := range group.runners {
 			if state.Leases[fleet.ResourceRollingUpdate].Holder == fmt.Sprintf("%s/run-1", name) {
 				return runner.HoldsLease()
@@ -177,10 +177,10 @@
 	})
 }
 
-// Disable orders reach the nodes, and the replica hears where they are in force.
+// Disable orders take effect at the nodes, and the replica gets reports on where they are in force.
 func TestAgent_DisablesServersForTheFleet(t *testing.T) {
 	group := startCluster(t, "n1", "n2")
-	group.propose(disable("order", time.Now().Add(time.Hour), []string{"s1"}, nil))
+	group.propose(disableEntry("order", time.Now().Add(time.Hour), []string{"s1"}, nil))
 	testkit.Await(t, "the order to be in force", func() bool {
 		inForce := 0
 		for _, report := range group.replica.Status().Reports {
@@ -203,7 +203,7 @@
 	})
 }
 
-// TestControllerRunner_LogsLossOfLease lets a lease end between two proposals: the log says so.
+// TestControllerRunner_LogsLossOfLease lets a lease expire between two proposals, and checks that this is logged.
 func TestControllerRunner_LogsLossOfLease(t *testing.T) {
 	var log bytes.Buffer
 	var now time.Duration
@@ -216,15 +216,15 @@
 	propose := func() fleet.Entry {
 		entry, ok := runner.controller.NextProposal(now, state)
 		if !ok {
-			t.Fatal("nothing is proposed")
+			t.Fatal("the controller proposes nothing")
 		}
 		return entry
 	}
 	runner.handleResult(now, propose(), fleet.Result{Position: 1, FencingToken: 7}, true)
 	if !strings.Contains(log.String(), "owns=true") {
-		t.Fatalf("the lease is not logged: %s", &log)
+		t.Fatalf("acquiring the lease is not logged: %s", &log)
 	}
-	now = 10 * time.Second // no proposal came through meanwhile
+	now = 10 * time.Second // the lease has expired, because no proposal was committed meanwhile
 	runner.handleResult(now, propose(), fleet.Result{Position: 2, Err: fleet.ErrConflict}, true)
 	if runner.HoldsLease() || !strings.Contains(log.String(), "owns=false") {
 		t.Errorf("the loss of the lease is not logged: %s", &log)
--- a/fleet/agent/stored_test.go
+++ b/fleet/agent/stored_test.go
@@ -13,10 +13,10 @@
 	"cobaltward/fleet/lease"
 )
 
-// storedToken is the fencing token in the stored file.
+// storedToken is the fencing token in testdata/receiver.json.
 const storedToken = 562949953421315
 
-// The state of a receiver that an earlier program stored is read as it was meant, and written as it was stored.
+// The state of a receiver that an earlier version stored must be decoded correctly, and encoded to the same bytes.
 func TestStoredReceiver_LoadsAndSavesUnchanged(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", stateFile))
 	if err != nil {
@@ -54,7 +54,7 @@
 		DisabledServers: []string{"s1", "s7"},
 	}
 	if !reflect.DeepEqual(agent.receiver.ReceiverState, want) {
-		t.Errorf("the state reads as %+v, want %+v", agent.receiver.ReceiverState, want)
+		t.Errorf("the stored state was decoded as %+v, want %+v", agent.receiver.ReceiverState, want)
 	}
 	if err := agent.save(); err != nil {
 		t.Fatal(err)
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	if string(saved) != string(raw) {
-		t.Errorf("stored %s, written again %s", raw, saved)
+		t.Errorf("the state file has %s, and was saved again as %s", raw, saved)
 	}
 }
 
-// Messages as an earlier program wrote them are read, and written as they were.
+// Messages of an earlier version must be decoded, and encoded again unchanged.
 func TestStoredMessages_DecodeAndEncodeUnchanged(t *testing.T) {
 	messages := jsontest.ReadMessages(t, filepath.Join("testdata", "wire.json"))
 	for name, to := range map[string]any{
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	watchTimeout = 10 * time.Second // that a replica may wait for news
-	watchSlack   = 3 * time.Second  // beyond watchTimeout, after which a request has failed
-	minBackoff   = 200 * time.Millisecond
-	maxBackoff   = 10 * time.Second
+	watchTimeout = 10 * time.Second       // how long a replica may wait for a newer state before it responds
+	watchSlack   = 3 * time.Second        // how long after watchTimeout a request without a response fails
+	minBackoff   = 200 * time.Millisecond // before jitter
+	maxBackoff   = 10 * time.Second       // before jitter
 )
 
-// errReportChanged ends a request whose report is out of date.
+// errReportChanged is the cause of canceling a request whose report is outdated.
 var errReportChanged = errors.New("the report has changed")
 
-// StateWatcher keeps the newest state that any replica has shown. Its methods may be called from several goroutines
-// at once.
+// StateWatcher follows the state of the fleet with watch requests to the replicas, and keeps the newest state that any
+// of them has returned. It is safe for concurrent use.
 type StateWatcher struct {
 	client        *Client
-	report        func() consensus.AgentReport // the report on this process in each request
+	report        func() consensus.AgentReport // returns the report on this process for each request
 	log           *slog.Logger
 	watchTimeout  time.Duration
-	reportChanged chan struct{} // holds one if the report has changed
+	reportChanged chan struct{} // has a buffer of one, which is full if the report has changed
 
 	mu           sync.Mutex
 	state        *fleet.State
 	lastResponse time.Time
-	updated      chan struct{} // closed, and replaced, when the state is a newer one
+	updated      chan struct{} // closed and replaced when there is a newer state
 }
 
-// NewStateWatcher returns a watcher that knows the empty state. report returns what each request says of this
-// process.
+// NewStateWatcher returns a watcher that starts with the empty state. report returns the report on this process that
+// each request carries.
 func NewStateWatcher(client *Client, report func() consensus.AgentReport, log *slog.Logger) *StateWatcher {
 	return &StateWatcher{
 		client:        client,
@@ -52,21 +52,21 @@
 	}
 }
 
-// State returns the newest state, and when a replica last answered; the zero time if none has.
+// State returns the newest state, and when a replica last responded; the zero time if none has.
 func (w *StateWatcher) State() (state *fleet.State, lastResponse time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state, w.lastResponse
 }
 
-// Updates returns a channel that is closed when there is a newer state than that of now.
+// Updates returns a channel that is closed when there is a newer state than the current one.
 func (w *StateWatcher) Updates() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.updated
 }
 
-// WaitFor returns once the state is at a position or beyond, or with the error of ctx.
+// WaitFor waits until the state is at a position or beyond it. It returns the error of ctx if ctx is done first.
 func (w *StateWatcher) WaitFor(ctx context.Context, position fleet.Position) error {
 	for {
 		updates := w.Updates()
@@ -81,7 +81,7 @@
 	}
 }
 
-// ReportChanged has the next request sent at once: the waiting one carries an outdated report.
+// ReportChanged cancels the waiting request, which carries an outdated report, and sends the next one at once.
 func (w *StateWatcher) ReportChanged() {
 	select {
 	case w.reportChanged <- struct{}{}:
@@ -89,8 +89,9 @@
 	}
 }
 
-// Run watches until ctx ends. Replicas are asked in turn, beginning with any. After a failure it backs off, the
-// longer the more have failed, with jitter, so that replicas that are back do not meet all watchers at once.
+// Run follows the state until ctx is done. It begins with a random replica, and changes to the next one after a
+// failure. Failures are followed by exponential backoff with jitter, so that recovered replicas do not get the
+// requests of all watchers at once.
 func (w *StateWatcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	next := rand.IntN(max(1, len(w.client.Replicas)))
@@ -108,7 +109,7 @@
 	}
 }
 
-// poll asks a replica once; ok reports that it is worth asking again without backing off.
+// poll sends one watch request to a replica. ok means that the next request may follow without backoff.
 func (w *StateWatcher) poll(ctx context.Context, address string) (ok bool) {
 	select {
 	case <-w.reportChanged: // this request carries the new report
@@ -121,7 +122,7 @@
 	defer cancel()
 	ctx, cancelCause := context.WithCancelCause(ctx)
 	defer cancelCause(nil)
-	go func() { // ends with ctx
+	go func() { // ends when ctx is done
 		select {
 		case <-w.reportChanged:
 			cancelCause(errReportChanged)
@@ -137,16 +138,16 @@
 		w.log.Debug("fleet: watch request failed", "replica", address, "error", err)
 		return false
 	}
-	// A replica that is cut off knows nothing new. One that answers at once with nothing that leads on, of a former
-	// epoch or of a newer program, would be asked again and again without backing off.
-	advanced := w.advance(state, response)
+	// A replica without a leader has no newer state. A replica may also respond at once without a newer state,
+	// because it has an older epoch or runs a newer program; without backoff it would get requests in a busy loop.
+	advanced := w.updateState(state, response)
 	return response.HasLeader && (advanced || time.Since(start) >= w.watchTimeout/2)
 }
 
-// advance takes over the state to which a response leads from an earlier state, and reports whether it is a newer
-// one.
-func (w *StateWatcher) advance(from *fleet.State, response consensus.WatchResponse) bool {
-	next, err := successor(from, response)
+// updateState applies a response to the state from which it was requested, and adopts the result if it is newer than
+// the current state. It reports whether it is.
+func (w *StateWatcher) updateState(from *fleet.State, response consensus.WatchResponse) bool {
+	next, err := applyResponse(from, response)
 	if err != nil {
 		w.log.Error("fleet: state not applied; continuing with the last one known", "error", err)
 		return false
@@ -163,8 +164,9 @@
 	return true
 }
 
-// successor returns the state to which a response leads; from if it leads nowhere.
-func successor(from *fleet.State, response consensus.WatchResponse) (*fleet.State, error) {
+// applyResponse returns the state after a response: the state or the entries that it has, applied to from. It returns
+// from if the response has nothing newer.
+func applyResponse(from *fleet.State, response consensus.WatchResponse) (*fleet.State, error) {
 	if response.State != nil {
 		if response.State.NewerThan(from) {
 			return response.State, nil
--- a/fleet/agent/watcher_test.go
+++ b/fleet/agent/watcher_test.go
@@ -14,14 +14,14 @@
 	"cobaltward/internal/testkit"
 )
 
-// A replica that answers at once with nothing that leads on is not asked again without backing off, and never takes a
-// watcher back.
+// If a replica responds at once without a newer state, the watcher must back off before the next request. The watcher
+// must never return to a state of an older epoch.
 func TestStateWatcher_BacksOffWithoutNews(t *testing.T) {
 	var requests atomic.Int64
 	address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		state := fleet.NewState(2).WithMembers(7, nil)
 		if requests.Add(1) > 1 {
-			state = fleet.NewState(1).WithMembers(9, nil) // of a new cluster forced without it
+			state = fleet.NewState(1).WithMembers(9, nil) // of a replica that is not in the new cluster
 		}
 		adminapi.WriteJSON(w, http.StatusOK, consensus.WatchResponse{State: state, HasLeader: true})
 	})
@@ -33,9 +33,9 @@
 	defer cancel()
 	watcher.Run(ctx)
 	if state, _ := watcher.State(); state.Epoch != 2 || state.Position != 7 {
-		t.Errorf("it went back to epoch %d, position %d", state.Epoch, state.Position)
+		t.Errorf("the state is of epoch %d, position %d, want epoch 2, position 7", state.Epoch, state.Position)
 	}
 	if count := requests.Load(); count < 2 || count > 20 {
-		t.Errorf("%d requests were sent in half a second", count)
+		t.Errorf("%d requests were sent in half a second, want 2 to 20", count)
 	}
 }
