--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -106,7 +106,7 @@
 	case fleet.ActionRevert:
 		return a.performCommand(ctx, request, a.config.Commands.Revert, verifyFirst, verifyNotPatched)
 	default:
-		return fleet.OutcomeFailed, "this version of the program does not support the step " + string(request.Step.Action)
+		return fleet.OutcomeFailed, "this program knows no step " + string(request.Step.Action)
 	}
 	if err != nil {
 		return fleet.OutcomeFailed, truncate(err.Error())
@@ -132,11 +132,11 @@
 	if verifyFirst {
 		status, output, err := runCommand(ctx, a.config.Commands.Verify, env)
 		if err != nil || status > verifyNotPatched {
-			detail := fmt.Sprintf("can't tell whether the command has run: status %d, %v, %s", status, err, output)
+			detail := fmt.Sprintf("whether it has run can't be told: status %d, %v, %s", status, err, output)
 			return fleet.OutcomeUnknown, truncate(detail)
 		}
 		if status == doneStatus {
-			return fleet.OutcomeOK, "the command had already run before this request"
+			return fleet.OutcomeOK, "it had run before it was asked for again"
 		}
 	}
 	status, output, err := runCommand(ctx, words, env)
