--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -387,7 +387,7 @@
 	}{
 		"console":             {[]string{"ROUTER_CONSOLE=here"}, `console: want host:port, got "here"`},
 		"taken":               {[]string{"ROUTER_CONSOLE=" + inUse, "ROUTER_ACCEPT_FD=3"}, "console: listen tcp " + inUse},
-		"the clients'":        {[]string{same}, "console: 127.0.0.1:18 is the address of the clients, too"},
+		"the clients'":        {[]string{same}, "console: 127.0.0.1:18 is also the address of the listener for clients"},
 		"no number":           {[]string{"ROUTER_ACCEPT_FD=x"}, `ROUTER_ACCEPT_FD: want a descriptor number, got "x"`},
 		"not open":            {[]string{"ROUTER_ACCEPT_FD=99"}, "ROUTER_ACCEPT_FD: descriptor 99 is not open"},
 		"no socket":           {[]string{"ROUTER_ACCEPT_FD=4"}, "ROUTER_ACCEPT_FD: descriptor 4 is not a listening socket"},
