--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxViolations = 200              // recorded with their evidence; further ones are only counted
-	lateAttempts  = 10 * time.Second // after a request's deadline, within which its attempts may still reach servers
+	maxViolations     = 200              // recorded with their evidence; further ones are only counted
+	lateAttemptWindow = 10 * time.Second // after a request's deadline, within which its attempts may still reach servers
 )
 
 // Class holds the properties of a request class that the rules depend on.
@@ -30,8 +30,8 @@
 	DrainGrace  time.Duration
 	// Slack is the uncertainty of observed times: zero in virtual time.
 	Slack time.Duration
-	// Place returns the zone and the cell of a server, which are scopes of idempotency keys. It may be nil.
-	Place func(server string) (zone string, cell int64)
+	// Locate returns the zone and the cell of a server, which are scopes of idempotency keys. It may be nil.
+	Locate func(server string) (zone string, cell int64)
 }
 
 // Checker checks one run. It isn't safe for concurrent use. Times must not decrease by more than the slack.
@@ -69,7 +69,7 @@
 	c.expire(at)
 	r := &request{
 		node: node, id: id, class: class, deadline: deadline, firstMayRun: -1,
-		forgetAt: deadline + lateAttempts + c.config.Classes[class].DedupWindow,
+		forgetAt: deadline + lateAttemptWindow + c.config.Classes[class].DedupWindow,
 	}
 	key := requestKey{node: node, id: id}
 	for c.open[key] != nil {
@@ -94,12 +94,12 @@
 	switch {
 	case r.answered:
 		c.report(Violation{RuleOneAnswer, at, id, node, "", "answered twice"})
-	case r.gone:
+	case r.answerNotDue:
 	case at > r.deadline+c.config.AnswerGrace+c.config.Slack:
 		c.report(Violation{RuleOneAnswer, at, id, node, "", fmt.Sprintf("answered %v after the deadline", at-r.deadline)})
 	}
 	r.answered = true
-	r.rejected = r.rejected || rejected && !r.gone
+	r.rejected = r.rejected || rejected && !r.answerNotDue
 	if rejected && n == 0 && c.config.Classes[r.class].Idempotency == policy.NonIdempotent {
 		c.verdict.Checked[RuleAtMostOnce]++
 		if r.executions > 0 || r.firstMayRun >= 0 {
@@ -111,7 +111,7 @@
 // ClientLeft records that the client of the n-th request with the ID at the node has disconnected.
 func (c *Checker) ClientLeft(node, id string, n int) {
 	if r := c.open[requestKey{node, id, n}]; r != nil {
-		r.gone = true
+		r.answerNotDue = true
 	}
 }
 
@@ -119,7 +119,7 @@
 func (c *Checker) NodeDown(node string) {
 	for _, r := range c.expiry {
 		if r.node == node {
-			r.gone = true
+			r.answerNotDue = true
 		}
 	}
 	for key := range c.unavailableSince {
@@ -194,11 +194,11 @@
 
 // sameScope reports whether two servers share a table of idempotency keys.
 func (c *Checker) sameScope(scope policy.DedupScope, a, b string) bool {
-	if scope == policy.DedupAll || c.config.Place == nil {
+	if scope == policy.DedupAll || c.config.Locate == nil {
 		return true
 	}
-	zoneA, cellA := c.config.Place(a)
-	zoneB, cellB := c.config.Place(b)
+	zoneA, cellA := c.config.Locate(a)
+	zoneB, cellB := c.config.Locate(b)
 	return zoneA == zoneB && (scope == policy.DedupZone || cellA == cellB)
 }
 
@@ -258,15 +258,15 @@
 // expire settles and forgets the requests that are due for it.
 func (c *Checker) expire(now time.Duration) {
 	for len(c.expiry) > 0 && c.expiry[0].forgetAt < now {
-		c.settle(c.expiry[0])
+		c.finalize(c.expiry[0])
 		c.expiry[0] = nil
 		c.expiry = c.expiry[1:]
 	}
 }
 
-// settle reports a request that was never answered, and removes it.
-func (c *Checker) settle(r *request) {
-	if !r.answered && !r.gone {
+// finalize reports a request that was never answered, and removes it.
+func (c *Checker) finalize(r *request) {
+	if !r.answered && !r.answerNotDue {
 		c.verdict.Checked[RuleOneAnswer]++
 		c.report(Violation{RuleOneAnswer, r.deadline, r.id, r.node, "", "never answered"})
 	}
@@ -291,7 +291,7 @@
 // Finish settles the remaining requests and returns the verdict.
 func (c *Checker) Finish() *Verdict {
 	for _, r := range c.expiry {
-		c.settle(r)
+		c.finalize(r)
 	}
 	c.expiry = nil
 	slices.SortStableFunc(c.verdict.Violations, func(a, b Violation) int { return int(a.At - b.At) })
--- a/emulator/checker/request.go
+++ b/emulator/checker/request.go
@@ -17,7 +17,7 @@
 	deadline        time.Duration
 	forgetAt        time.Duration
 	answered        bool
-	gone            bool // the client has disconnected or the node was killed: no answer is due
+	answerNotDue    bool // the client has disconnected or the node was killed: no answer is due
 	rejected        bool
 	attempts        []attempt
 	executions      int // with an effect
--- a/emulator/plan/client.go
+++ b/emulator/plan/client.go
@@ -21,13 +21,13 @@
 
 // ClientBehavior returns whether the client of a request obeys Retry-After, and the fraction of the attempt's timeout
 // after which the client disconnects; 0: it stays.
-func (p *Plan) ClientBehavior(r *Request) (honorsRetryAfter bool, leavesAfter float64) {
+func (p *Plan) ClientBehavior(r *Request) (honorsRetryAfter bool, disconnectAfter float64) {
 	clients := &p.Script.Clients
 	honorsRetryAfter = p.Chance("honour", r.ID) < clients.HonorFraction
 	if p.Chance("impatient", r.ID) < clients.EarlyLeaveFraction {
-		leavesAfter = p.Chance("leaves", r.ID)
+		disconnectAfter = p.Chance("leaves", r.ID)
 	}
-	return honorsRetryAfter, leavesAfter
+	return honorsRetryAfter, disconnectAfter
 }
 
 // Backoff returns the time that a client waits before its n-th retry.
--- a/emulator/sim/attempt.go
+++ b/emulator/sim/attempt.go
@@ -11,30 +11,31 @@
 	"cobaltward/router"
 )
 
-// processFaultAftermath is the time after a fault within which it is still taken as the cause of broken connections.
-const processFaultAftermath = time.Second
+// faultAttributionWindow is how long after its end a fault of a server process still counts as the cause of broken
+// connections.
+const faultAttributionWindow = time.Second
 
-// doneBody is the body of all successful answers.
-var doneBody = []byte("done")
+// responseBody is the body of every successful response.
+var responseBody = []byte("done")
 
-// attempt is one attempt of a node at a server.
+// attempt is one attempt of a node to send a request to a server.
 type attempt struct {
 	node          *node
 	engineAttempt router.Attempt
-	request       *request // nil if its client has been forgotten
-	server        *server  // nil if it is unknown
+	request       *request // the client's request; nil once it is deleted from simulation.requestsByAttempt
+	server        *server  // nil if no server has the ID that the engine chose
 	conn          *conn
-	id            string // of the attempt, at the server
+	id            string // request ID, "/", last digit of the attempt number, and "+" if it has several digits
 	key           string
 	class         string
 	work          float64
 	deadline      time.Duration
-	delay         time.Duration // one way
-	countsConn    bool          // counts among the node's connections while it connects
-	sent          bool          // its last byte is written
-	cancelled     bool          // by the engine
+	delay         time.Duration // one-way network delay
+	countsConn    bool          // the connection being opened is already part of node.connCount
+	sent          bool          // the request has been written completely
+	cancelled     bool          // the engine called Cancel
 	finished      bool
-	stuck         bool // blocked by a fault, after whose end its connection is reset
+	stuck         bool // blocked by a fault; the connection is reset when the fault ends
 	fails         bool
 	truncated     bool
 	malformed     bool
@@ -53,45 +54,45 @@
 	}
 }
 
-// addFault records at the request that a fault affected it.
+// addFault records in the request that a fault affected it.
 func (a *attempt) addFault(fault *plan.Fault) {
 	if a.request != nil {
 		a.request.addFault(fault.Index)
 	}
 }
 
-// addProcessFaults records the faults that have ended the server's process.
+// addProcessFaults records in the request the current and recent faults that ended the server's process.
 func (a *attempt) addProcessFaults() {
 	sim := a.node.sim
 	original := strings.TrimRight(a.server.id, replacementSuffix)
 	isOriginal := func(i int) bool { return sim.plan.Servers[i].ID == original }
 	for i := range sim.plan.Faults {
 		fault := &sim.plan.Faults[i]
-		if endsServers(fault.Kind) && fault.At <= sim.now && sim.now < fault.End()+processFaultAftermath &&
+		if endsServerProcess(fault.Kind) && fault.At <= sim.now && sim.now < fault.End()+faultAttributionWindow &&
 			slices.ContainsFunc(fault.Servers, isOriginal) {
 			a.addFault(fault)
 		}
 	}
 }
 
-// addDiscoveryFaults records the active faults because of which the node uses a server that is not available.
+// addDiscoveryFaults records in the request the active faults that may have made the node use an unavailable server.
 func (a *attempt) addDiscoveryFaults() {
 	sim := a.node.sim
 	for i := range sim.plan.Faults {
-		if fault := &sim.plan.Faults[i]; misleadsDiscovery(fault.Kind) && fault.ActiveAt(sim.now) {
+		if fault := &sim.plan.Faults[i]; affectsEndpointList(fault.Kind) && fault.ActiveAt(sim.now) {
 			a.addFault(fault)
 		}
 	}
 }
 
-// blocked reports whether faults block all traffic between the node and the server, and records them.
+// blocked reports whether faults block all traffic between the node and the server, and records them in the request.
 func (a *attempt) blocked() bool {
 	sim := a.node.sim
-	for _, fault := range a.server.silences {
+	for _, fault := range a.server.silentFaults {
 		a.addFault(fault)
 	}
 	if !sim.partitioned(a.node.spec.Zone, a.server.spec.Zone) {
-		return len(a.server.silences) > 0
+		return len(a.server.silentFaults) > 0
 	}
 	for i := range sim.plan.Faults {
 		if fault := &sim.plan.Faults[i]; fault.Kind == script.FaultZoneCut && fault.ActiveAt(sim.now) {
@@ -116,7 +117,7 @@
 	})
 }
 
-// accept opens the connection at the server, or refuses it.
+// accept makes the server accept the connection, or refuse it if no process accepts connections.
 func (a *attempt) accept() {
 	sim, p := a.node.sim, a.server.process
 	if p == nil || !p.model.Connect(sim.now) {
@@ -136,7 +137,7 @@
 	})
 }
 
-// send writes the request, unless it may no longer be sent.
+// send writes the request, or finishes the attempt if the request may no longer be sent.
 func (a *attempt) send() {
 	sim, n := a.node.sim, a.node
 	if code, ok := a.maySend(); !ok {
@@ -157,7 +158,7 @@
 	sim.after(a.delay, func() { p.receive(a) })
 }
 
-// maySend reports whether the request may be sent now; if not, code is the result of the attempt.
+// maySend reports whether the request may still be sent; if not, code is the result of the attempt.
 func (a *attempt) maySend() (code policy.Code, ok bool) {
 	sim := a.node.sim
 	since, unavailable := a.node.unavailableSince[a.server.id]
@@ -172,7 +173,7 @@
 	return policy.OK, true
 }
 
-// reply calls do once a reply of the server has reached the node.
+// reply calls do once a response of the server reaches the node. If a fault blocks the response, the attempt is stuck.
 func (a *attempt) reply(do func()) {
 	if a.blocked() {
 		a.stuck = true
@@ -185,7 +186,7 @@
 	})
 }
 
-// complete answers the attempt.
+// complete sends the response of a request that the server has executed.
 func (a *attempt) complete() {
 	a.reply(func() {
 		switch {
@@ -199,7 +200,7 @@
 	})
 }
 
-// reject answers that the request did not run.
+// reject sends a rejection, which proves to the node that the request did not run.
 func (a *attempt) reject() {
 	a.reply(func() {
 		a.node.sim.checker.AttemptNotRun(a.node.spec.Name, a.engineAttempt.Request.ID, a.engineAttempt.Number)
@@ -207,7 +208,7 @@
 	})
 }
 
-// breakConn breaks the connection. The node notices after a delay.
+// breakConn breaks the connection. The node notices after the given delay.
 func (a *attempt) breakConn(delay time.Duration) {
 	if a.conn != nil {
 		a.conn.broken = true
@@ -222,7 +223,7 @@
 	})
 }
 
-// finish passes the result to the engine, once, and keeps or closes the connection.
+// finish passes the result to the engine and keeps or closes the connection. Later calls have no effect.
 func (a *attempt) finish(code policy.Code) {
 	n := a.node
 	if a.finished || n.inFlight[a.engineAttempt] != a {
@@ -235,11 +236,11 @@
 		a.request.servedWork = a.work
 	}
 	n.step(func(now time.Duration) {
-		n.engine.FinishAttempt(now, a.engineAttempt, router.Result{Code: code, Answer: router.Answer{Body: doneBody}})
+		n.engine.FinishAttempt(now, a.engineAttempt, router.Result{Code: code, Answer: router.Answer{Body: responseBody}})
 	})
 }
 
-// releaseConn keeps the connection of a finished attempt for reuse, or closes it.
+// releaseConn returns the connection of a finished attempt to the idle pool, or closes it if it can't be reused.
 func (a *attempt) releaseConn(code policy.Code) {
 	used := a.conn
 	if used == nil {
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -10,28 +10,28 @@
 	"cobaltward/router"
 )
 
-// duplicateDelay is the time after which a client sends the duplicate of a request.
+// duplicateDelay is the time between a request and its duplicate with the same ID.
 const duplicateDelay = time.Millisecond
 
 // request is a client's request with all its attempts.
 type request struct {
 	plan.Request
 	work           float64
-	servedWork     float64 // of the last attempt at a server that succeeded
+	servedWork     float64 // work of the last attempt that a server completed successfully
 	clientAttempts int
 	serverAttempts int
 	faults         []int // indices of the faults that affected the request, ascending
 
-	// Of the current attempt of the client.
-	attemptID string
-	node      *node
-	open      bool // not finished
-	nodeLost  bool // the node crashed: the request may have run
-	sentAt    time.Duration
-	timeout   time.Duration
+	// The remaining fields describe the client's current attempt.
+	attemptID   string
+	node        *node
+	open        bool // the attempt is not finished
+	nodeCrashed bool // the node crashed during the attempt, so the request may have run
+	sentAt      time.Duration
+	timeout     time.Duration
 }
 
-// isOpen reports whether an attempt is the current one and not finished.
+// isOpen reports whether the attempt with the given ID is the current one and not finished.
 func (r *request) isOpen(attemptID string) bool { return r.open && r.attemptID == attemptID }
 
 // addFault records that a fault affected the request.
@@ -46,10 +46,11 @@
 	*request
 	id    string
 	node  *node
-	delay time.Duration // one way
+	delay time.Duration // one-way network delay
 }
 
-// scheduleArrival schedules the next request, which arrives independently of the outcome of earlier ones.
+// scheduleArrival schedules the next request. The load is open-loop: arrivals don't depend on the outcome of earlier
+// requests.
 func (sim *simulation) scheduleArrival(arrivals *plan.Arrivals) {
 	next, ok := arrivals.Next()
 	if !ok {
@@ -61,13 +62,13 @@
 		r := &request{Request: next, work: sim.plan.Work(&next)}
 		sim.addTrafficFaults(r)
 		sim.recorder.RequestArrived(&r.Request)
-		_, leavesAfter := sim.plan.ClientBehavior(&r.Request)
-		sim.startAttempt(r, leavesAfter)
+		_, disconnectAfter := sim.plan.ClientBehavior(&r.Request)
+		sim.startAttempt(r, disconnectAfter)
 		sim.scheduleArrival(arrivals)
 	})
 }
 
-// addTrafficFaults records the traffic faults that a request is part of.
+// addTrafficFaults records in a new request the active traffic faults that affect it.
 func (sim *simulation) addTrafficFaults(r *request) {
 	if r.CostFault >= 0 {
 		r.addFault(r.CostFault)
@@ -97,15 +98,15 @@
 	return sim.nodes[index]
 }
 
-// startAttempt sends a request to a node. The client disconnects after the fraction leavesAfter of its timeout; 0: it
-// waits.
-func (sim *simulation) startAttempt(r *request, leavesAfter float64) {
+// startAttempt sends a request to a node. The client disconnects after the fraction disconnectAfter of the attempt's
+// timeout; 0: it waits for the whole timeout.
+func (sim *simulation) startAttempt(r *request, disconnectAfter float64) {
 	r.sentAt = sim.now
 	r.timeout = sim.plan.AttemptTimeout(&r.Request, sim.now-r.At)
 	r.attemptID = r.AttemptID(r.clientAttempts)
 	r.node = sim.chooseNode(r)
 	r.clientAttempts++
-	r.open, r.nodeLost = true, false
+	r.open, r.nodeCrashed = true, false
 	sim.recorder.ClientAttempt()
 	current := &clientAttempt{request: r, id: r.attemptID, node: r.node}
 	sim.requestsByAttempt[current.id] = r
@@ -122,8 +123,8 @@
 		sim.after(current.delay+time.Duration(i)*duplicateDelay, func() { sim.deliver(current, i) })
 	}
 	sim.after(r.timeout, func() { sim.disconnect(current) })
-	if leavesAfter > 0 {
-		sim.after(time.Duration(leavesAfter*float64(r.timeout)), func() {
+	if disconnectAfter > 0 {
+		sim.after(time.Duration(disconnectAfter*float64(r.timeout)), func() {
 			if r.isOpen(current.id) {
 				sim.checker.ClientLeft(current.node.spec.Name, current.id, 0)
 				sim.disconnect(current)
@@ -132,7 +133,7 @@
 	}
 }
 
-// deliver passes an attempt to its node. index numbers the requests with the same ID.
+// deliver passes an attempt to its node. index is 0 for the original request and 1 for its duplicate.
 func (sim *simulation) deliver(current *clientAttempt, index int) {
 	n := current.node
 	if n.engine == nil {
@@ -144,7 +145,7 @@
 	source := sim.plan.Script
 	class, deadline := source.Classes[current.Class].Name, current.sentAt+current.timeout
 	sim.checker.RequestReceived(sim.now, n.spec.Name, current.id, class, deadline)
-	if !current.isOpen(current.id) { // the client left while the request was on its way
+	if !current.isOpen(current.id) { // the client disconnected before the request reached the node
 		sim.checker.ClientLeft(n.spec.Name, current.id, index)
 	}
 	incarnation := n.incarnation
@@ -154,7 +155,7 @@
 			IdempotencyKey: current.Key, Timeout: deadline - sim.now, IsRetry: current.clientAttempts > 1,
 		}, func(answer router.Answer) {
 			sim.after(current.delay, func() {
-				if n.incarnation == incarnation { // else the connection was lost with the node
+				if n.incarnation == incarnation { // otherwise the connection ended with the node's process
 					sim.receiveAnswer(current, index, answer)
 				}
 			})
@@ -165,7 +166,7 @@
 	})
 }
 
-// receiveAnswer passes an answer to its client. The client ignores the answer to a duplicate.
+// receiveAnswer passes an answer to the client, which ignores the answer to a duplicate.
 func (sim *simulation) receiveAnswer(current *clientAttempt, index int, answer router.Answer) {
 	rejected := answer.Outcome == router.Rejected || answer.Outcome == router.Overloaded
 	sim.checker.ResponseReceived(sim.now, current.node.spec.Name, current.id, index, rejected)
@@ -182,7 +183,7 @@
 	sim.finishAttempt(current.request, current.id, status, answer.RetryAfter)
 }
 
-// disconnect closes the connection of a client whose attempt is open.
+// disconnect closes the client's connection to the node if the attempt is still open.
 func (sim *simulation) disconnect(a *clientAttempt) {
 	if !a.isOpen(a.id) {
 		return
@@ -196,25 +197,25 @@
 	sim.finishAttempt(a.request, a.id, result.ClientLeft, 0)
 }
 
-// loseNode makes the clients of a crashed node notice the end of their connections.
-func (sim *simulation) loseNode(n *node, fault *plan.Fault) {
+// resetClientConns ends the open attempts at a crashed node: their clients notice that the connection is reset.
+func (sim *simulation) resetClientConns(n *node, fault *plan.Fault) {
 	for _, id := range sortedKeys(sim.requestsByAttempt) {
 		r := sim.requestsByAttempt[id]
 		if r.isOpen(id) && r.node == n {
 			r.addFault(fault.Index)
-			r.nodeLost = true
+			r.nodeCrashed = true
 			sim.after(sim.plan.Script.Network.ClientDelay, func() { sim.finishAttempt(r, id, result.Unreachable, 0) })
 		}
 	}
 }
 
-// finishAttempt ends a client's attempt, with a retry or with the outcome of the request.
+// finishAttempt ends a client's attempt, and then either schedules a retry or records the outcome of the request.
 func (sim *simulation) finishAttempt(r *request, id string, status result.Status, retryAfter time.Duration) {
 	if !r.isOpen(id) {
 		return
 	}
 	r.open = false
-	// The engine may still send attempts for the request, so it is found by its ID for a while.
+	// The engine may still send attempts for the request, so it stays in the map until none can have an effect.
 	sim.after(maxRequestTime(sim.plan), func() {
 		if sim.requestsByAttempt[id] == r {
 			delete(sim.requestsByAttempt, id)
@@ -222,7 +223,7 @@
 	})
 	if status == result.Rejected || status == result.Unreachable || status == result.Failed {
 		delay, retry := sim.plan.Retry(&r.Request, r.clientAttempts, plan.Outcome{
-			Rejected: status == result.Rejected, MayHaveRun: status == result.Failed || r.nodeLost,
+			Rejected: status == result.Rejected, MayHaveRun: status == result.Failed || r.nodeCrashed,
 			RetryAfter: retryAfter, Elapsed: sim.now - r.At,
 		})
 		if retry {
--- a/emulator/sim/fault.go
+++ b/emulator/sim/fault.go
@@ -9,8 +9,8 @@
 	"cobaltward/policy"
 )
 
-// schedule schedules the start and the end of a fault.
-func (sim *simulation) schedule(fault *plan.Fault) {
+// scheduleFault schedules the events for the start and the end of a fault.
+func (sim *simulation) scheduleFault(fault *plan.Fault) {
 	sim.events.push(fault.At, func() { sim.startFault(fault) })
 	sim.events.push(fault.End(), func() { sim.endFault(fault) })
 }
@@ -97,30 +97,31 @@
 	}
 }
 
-// resetStuck ends the attempts that were stuck behind a fault, at all nodes.
+// resetStuck resets, at all nodes, the connections of attempts that faults no longer block.
 func (sim *simulation) resetStuck() {
 	for _, n := range sim.nodes {
 		n.resetStuck()
 	}
 }
 
-// startSilence cuts the machine off the network. Discovery removes it after the silence timeout, if there is one.
+// startSilence disconnects the machine from the network. Discovery removes the server from the endpoint list after the
+// silence timeout, if there is one and the fault lasts longer.
 func (s *server) startSilence(fault *plan.Fault) {
-	s.silences = append(s.silences, fault)
+	s.silentFaults = append(s.silentFaults, fault)
 	if timeout := s.sim.plan.Script.Discovery.SilenceTimeout; timeout > 0 && timeout < fault.Duration {
-		s.sim.after(timeout, func() { s.knownSilences++; s.announce(policy.Removed) })
+		s.sim.after(timeout, func() { s.detectedSilences++; s.announce(policy.Removed) })
 	}
 }
 
 func (s *server) endSilence(fault *plan.Fault) {
-	if i := slices.Index(s.silences, fault); i >= 0 {
-		s.silences = slices.Delete(s.silences, i, i+1)
+	if i := slices.Index(s.silentFaults, fault); i >= 0 {
+		s.silentFaults = slices.Delete(s.silentFaults, i, i+1)
 	}
-	if len(s.silences) == 0 {
+	if len(s.silentFaults) == 0 {
 		s.sim.resetStuck()
 	}
-	if s.knownSilences > 0 {
-		if s.knownSilences--; s.knownSilences == 0 && s.process != nil {
+	if s.detectedSilences > 0 {
+		if s.detectedSilences--; s.detectedSilences == 0 && s.process != nil {
 			s.announce(policy.Running)
 		}
 	}
--- a/emulator/sim/levels_test.go
+++ b/emulator/sim/levels_test.go
@@ -9,29 +9,30 @@
 	"cobaltward/levels"
 )
 
-// bookingLevels shed searches beyond the tenants' quotas, then nearly all searches and some cancellations.
+// bookingLevels returns two levels of reduced service. The first sheds half of the searches, the second 90 % of the
+// searches and 40 % of the cancellations; bookings are shed last.
 func bookingLevels() *levels.Config {
 	above := func(threshold float64) []levels.Condition {
 		return []levels.Condition{{Signal: levels.Demand, Threshold: threshold, For: 2 * time.Second}}
 	}
-	calm := []levels.Condition{{Signal: levels.Demand, Threshold: 0.95, For: 10 * time.Second}}
+	belowCapacity := []levels.Condition{{Signal: levels.Demand, Threshold: 0.95, For: 10 * time.Second}}
 	return &levels.Config{
 		Classes: []levels.Class{{Name: "hladanie"}, {Name: "rezervacia", ShedLast: true}, {Name: "zrusenie"}},
 		Levels: []levels.Level{
 			{
-				Name: "fewer searches", Enter: above(1.1), Exit: calm,
+				Name: "fewer searches", Enter: above(1.1), Exit: belowCapacity,
 				Measures: []levels.Measure{{Class: "hladanie", Shed: 0.5, NoHedging: true}},
 			},
 			{
-				Name: "bookings first", Enter: above(1.3), Exit: calm,
+				Name: "bookings first", Enter: above(1.3), Exit: belowCapacity,
 				Measures: []levels.Measure{{Class: "hladanie", Shed: 0.9}, {Class: "zrusenie", Shed: 0.4}},
 			},
 		},
 	}
 }
 
-// With quotas beyond what the servers can carry, so that no quota limits the load, levels serve bookings better than no
-// levels do, and every rule is kept.
+// The quotas are higher than the servers' capacity, so that no quota limits the load. With levels a larger share of the
+// bookings' value must be served than without, and no rule may be violated.
 func TestLevels_ServeBookingsBetterUnderOverload(t *testing.T) {
 	monday := func() *plan.Plan {
 		scenario := loadScript(t, "../../scenarios/monday.toml")
@@ -45,16 +46,17 @@
 	}
 	for name, service := range with.Classes {
 		before := without.Classes[name]
-		t.Logf("%s: worth kept %.3f (%.3f without levels), in aim %d (%d)",
+		t.Logf("%s: value share %.3f (%.3f without levels), on time %d (%d)",
 			name, service.ValueShare(), before.ValueShare(), service.OnTime, before.OnTime)
 	}
-	t.Logf("all: %.3f (%.3f)", with.All.ValueShare(), without.All.ValueShare())
+	t.Logf("all classes: value share %.3f (%.3f without levels)", with.All.ValueShare(), without.All.ValueShare())
 	if a, b := with.Classes["rezervacia"].ValueShare(), without.Classes["rezervacia"].ValueShare(); a < b+0.02 {
-		t.Errorf("bookings: %.3f with levels, %.3f without", a, b)
+		t.Errorf("value share of bookings: %.3f with levels, %.3f without; want at least 0.02 more", a, b)
 	}
 }
 
-// Faults without overload enter no level: what healthy servers can carry is not shed.
+// Faults that don't overload the servers must not activate a level, which would shed load that the healthy servers can
+// carry.
 func TestLevels_NoneWithoutOverload(t *testing.T) {
 	for _, name := range []string{script.FaultFastErrors, script.FaultHotNode} {
 		scenario := loadScript(t, "../../scenarios/"+name+".toml")
@@ -62,11 +64,11 @@
 		r := run(t, newPlan(t, scenario), Options{Levels: bookingLevels()})
 		for at, l := range r.Levels {
 			if l.Level != 0 {
-				t.Fatalf("%s: level %d after %d s, demand %.2f", name, l.Level, at, l.Demand)
+				t.Fatalf("%s: level %d in second %d, demand %.2f; want level 0", name, l.Level, at, l.Demand)
 			}
 		}
 		if len(r.Levels) < 15 {
-			t.Errorf("%s: only %d seconds have a level", name, len(r.Levels))
+			t.Errorf("%s: the level was recorded for %d seconds, want 15 or more", name, len(r.Levels))
 		}
 	}
 }
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -8,10 +8,11 @@
 	"cobaltward/policy"
 )
 
-// Mutant is a configuration of the nodes without one safeguard. The checker has to report violations of its rule.
+// Mutant is a configuration of the nodes in which one safeguard is disabled. The checker must report violations of the
+// rule that the safeguard protects.
 type Mutant struct {
 	Name       string
-	Scenario   string // in scenarios/, in which the safeguard is needed
+	Scenario   string // file in scenarios/ without its extension, in which the safeguard is needed
 	Rule       checker.Rule
 	newOptions func() Options
 }
@@ -19,7 +20,7 @@
 // Options returns the options of a run of the mutant.
 func (m Mutant) Options() Options { return m.newOptions() }
 
-// Mutants returns all mutants, by rule. They show that the checker detects violations.
+// Mutants returns all mutants, ordered by rule. Runs of them show that the checker detects violations.
 func Mutants() []Mutant {
 	return slices.Concat(answerMutants(), effectMutants(), drainMutants(), slowStartMutants())
 }
@@ -88,17 +89,18 @@
 	}
 }
 
-// overriding returns options with overrides of the engines.
+// overriding returns a function that makes options with the given overrides of the engines.
 func overriding(overrides safeguards.Overrides) func() Options {
 	return func() Options { return Options{Overrides: func() safeguards.Overrides { return overrides }} }
 }
 
-// disabling returns options without some guards.
+// disabling returns a function that makes options in which some guards are disabled.
 func disabling(guards safeguards.Guards) func() Options {
 	return overriding(safeguards.Overrides{Disabled: guards})
 }
 
-// ignoringDrains returns options in which neither the policy nor the transports notice that servers drain.
+// ignoringDrains returns a function that makes options in which transports send to draining servers and change hides
+// from the policy that servers are draining or removed.
 func ignoringDrains(change func(policy.Event) policy.Event) func() Options {
 	overrides := safeguards.Overrides{WrapPolicy: changeEvents(change)}
 	return func() Options {
@@ -106,12 +108,12 @@
 	}
 }
 
-// changeEvents wraps a policy so that it receives changed events.
+// changeEvents returns a wrapper of policies that applies change to each event before the policy receives it.
 func changeEvents(change func(policy.Event) policy.Event) func(safeguards.Policy) safeguards.Policy {
 	return func(p safeguards.Policy) safeguards.Policy { return &tamperedPolicy{Policy: p, change: change} }
 }
 
-// changeClasses changes each class of the settings.
+// changeClasses returns a function that applies change to each class of a copy of the settings.
 func changeClasses(change func(*policy.Class)) func(policy.Settings) policy.Settings {
 	return func(s policy.Settings) policy.Settings {
 		s.Classes = slices.Clone(s.Classes)
@@ -122,13 +124,13 @@
 	}
 }
 
-// isNoFailure reports whether an action is not a final answer of a failed or rejected request.
+// isNoFailure reports whether an action is anything but the final answer to a failed or rejected request.
 func isNoFailure(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }
 
-// tamperedPolicy is a policy that receives changed events, or some of whose actions are dropped.
+// tamperedPolicy wraps a policy: it changes the events that the policy receives, or drops some of its actions.
 type tamperedPolicy struct {
 	safeguards.Policy
-	change func(policy.Event) policy.Event // nil: events are passed on
+	change func(policy.Event) policy.Event // nil: events are passed on unchanged
 	keep   func(policy.Action) bool        // nil: all actions are kept
 }
 
@@ -144,7 +146,7 @@
 	return actions
 }
 
-// changeEndpoints returns an event whose endpoints are changed; other events are returned as they are.
+// changeEndpoints applies change to each endpoint of a copy of an endpoint list; other events are returned unchanged.
 func changeEndpoints(ev policy.Event, change func(*policy.Endpoint)) policy.Event {
 	list, ok := ev.(policy.EndpointList)
 	if !ok {
@@ -173,7 +175,7 @@
 	return changeEndpoints(ev, func(m *policy.Endpoint) { m.OnlineSince, m.SlowStartAt = 0, 0 })
 }
 
-// hideAnswer hides that a request was answered, so that failed attempts of it are retried.
+// hideAnswer hides from the policy that a request was answered, so that the policy retries it.
 func hideAnswer(ev policy.Event) policy.Event {
 	if o, ok := ev.(policy.Outcome); ok {
 		o.Answered = false
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -13,27 +13,26 @@
 	"cobaltward/router"
 )
 
-// node is one instance of the router with its machine: the engine, the connections, and the agent that receives updates
-// of the endpoint list.
+// node is one instance of the router: the engine, its connections, and the agent that receives endpoint list updates.
 type node struct {
 	sim         *simulation
 	index       int
 	spec        *plan.Node
-	engine      *router.Stepped // nil while the process is dead
+	engine      *router.Stepped // nil while the process is down
 	startedAt   time.Duration
 	incarnation int
-	nextWake    time.Duration // time of the engine's next scheduled timer; 0: none
+	nextWake    time.Duration // simulation time of the next scheduled call of the engine; 0: none
 	snapshot    learnedstate.Snapshot
 
 	inFlight  map[router.Attempt]*attempt
 	connCount int                // open connections, idle ones included
-	idle      map[string][]*conn // by server, the last used at the end
-	idleOrder []idleEntry        // oldest first; entries of connections used since are stale
+	idle      map[string][]*conn // by server ID; the most recently used connection is last
+	idleOrder []idleEntry        // oldest first; entries of connections that were used again are stale
 
-	endpoints        map[string]router.Endpoint // as last received
-	unavailableSince map[string]time.Duration   // draining and removed servers
-	pendingUpdates   []router.Endpoint          // received by the agent and not yet by the process
-	lastUpdateAt     time.Duration              // arrival of the last update; later ones don't overtake it
+	endpoints        map[string]router.Endpoint // by server ID, as last received
+	unavailableSince map[string]time.Duration   // by server ID; only draining and removed servers
+	pendingUpdates   []router.Endpoint          // received by the agent but not yet applied by the process
+	lastUpdateAt     time.Duration              // arrival of the newest update; later updates never arrive before it
 }
 
 func (sim *simulation) addNode(index int) error {
@@ -45,7 +44,7 @@
 	return n.start()
 }
 
-// start runs the process with the last received endpoint list.
+// start starts the process with the last received endpoint list, and restores the last snapshot if there is one.
 func (n *node) start() error {
 	sim := n.sim
 	engine, err := router.NewStepped(n.config(), n, epoch.Add(sim.now), n.engineOptions()...)
@@ -97,7 +96,7 @@
 	return options
 }
 
-// step calls the engine and schedules its next timer.
+// step calls do with the time on the engine's clock, and schedules the event for the engine's next timer.
 func (n *node) step(do func(now time.Duration)) {
 	if n.engine == nil {
 		return
@@ -118,7 +117,8 @@
 	}
 }
 
-// crash kills the process. All its connections are reset and its requests are lost.
+// crash kills the process: all its connections are reset and all its requests end. The load balancer notices after the
+// failure detection time.
 func (n *node) crash(fault *plan.Fault) {
 	if n.engine == nil {
 		return
@@ -135,7 +135,7 @@
 			c.close(nil)
 		}
 	}
-	n.sim.loseNode(n, fault)
+	n.sim.resetClientConns(n, fault)
 	incarnation := n.incarnation
 	n.sim.after(n.sim.plan.Script.Nodes.FailureDetection, func() {
 		if n.incarnation == incarnation && n.engine == nil {
@@ -144,7 +144,7 @@
 	})
 }
 
-// restart runs the process again with its last endpoint list, and then applies updates that its agent has received.
+// restart starts the process again with its last endpoint list, and applies the updates that its agent has received.
 func (n *node) restart() error {
 	if n.engine != nil {
 		return nil
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// queueUpdate passes an update of the endpoint list to the agent after the delay of discovery.
+// queueUpdate passes an endpoint list update to the agent after the node's discovery delay and the delays of faults.
 func (n *node) queueUpdate(endpoint router.Endpoint) {
 	at := n.sim.now + n.spec.DiscoveryDelay
 	for _, delay := range n.sim.listDelays {
@@ -169,7 +169,8 @@
 	})
 }
 
-// applyUpdates passes the agent's updates to the process, unless discovery is blocked or the process is dead.
+// applyUpdates passes the agent's pending updates to the process, unless a fault blocks discovery or the process is
+// down.
 func (n *node) applyUpdates() {
 	if n.sim.discoveryFaults > 0 || n.engine == nil || len(n.pendingUpdates) == 0 {
 		return
@@ -195,7 +196,7 @@
 	})
 }
 
-// resetStuck breaks the connections of attempts that were stuck behind a fault and no longer are.
+// resetStuck breaks the connections of attempts that a fault blocked and no fault blocks any longer.
 func (n *node) resetStuck() {
 	for _, a := range sortedAttempts(n.inFlight) {
 		if a.stuck && !a.blocked() {
--- a/emulator/sim/process.go
+++ b/emulator/sim/process.go
@@ -8,16 +8,16 @@
 	"cobaltward/policy"
 )
 
-// process is one run of a server.
+// process is one run of a server's process, between its start and its end.
 type process struct {
 	server   *server
 	model    *model.Server
-	nextWake time.Duration // time of the next scheduled advance; 0: none
+	nextWake time.Duration // time of the next scheduled call of advance; 0: none
 	attempts map[string]*attempt
 	ended    bool
 }
 
-// resetAttempts ends the process for the attempts that it has.
+// resetAttempts marks the process as ended and resets the connections of its attempts.
 func (p *process) resetAttempts() {
 	p.ended = true
 	p.advance()
@@ -29,7 +29,7 @@
 	p.attempts = nil
 }
 
-// advance moves the model to the current time, passes completions on, and schedules the next advance.
+// advance moves the model to the current time, finishes completed attempts, and schedules the next call of advance.
 func (p *process) advance() {
 	for _, completion := range p.model.Advance(p.server.sim.now) {
 		a := p.attempts[completion.ID]
@@ -47,14 +47,15 @@
 		return
 	}
 	if p.model.Down() {
-		p.overloaded()
+		p.handleOverload()
 		return
 	}
 	p.scheduleNext()
 }
 
-// overloaded ends a process that crashed by itself.
-func (p *process) overloaded() {
+// handleOverload ends a process that crashed under overload while it was warming up, and reports the crash to the
+// checker.
+func (p *process) handleOverload() {
 	var requests []string
 	for _, id := range p.model.OverloadingRequests() {
 		requests = append(requests, requestID(id))
@@ -80,7 +81,7 @@
 	})
 }
 
-// receive handles a complete request.
+// receive handles a request whose last byte has reached the process.
 func (p *process) receive(incoming *attempt) {
 	if p.ended {
 		incoming.breakConn(incoming.delay)
@@ -93,7 +94,7 @@
 		}
 	}
 	work := p.workOf(incoming)
-	p.advance() // requests that have ended free their slots
+	p.advance() // completed requests free their slots before the new one is offered
 	if p.ended {
 		incoming.breakConn(incoming.delay)
 		return
@@ -102,7 +103,8 @@
 	p.advance()
 }
 
-// workOf returns the work of an attempt under the active faults, and decides whether it fails.
+// workOf returns the work of an attempt under the active faults. It also sets whether the attempt fails; a failed
+// attempt has no work.
 func (p *process) workOf(incoming *attempt) float64 {
 	s, work := p.server, incoming.work
 	for _, fault := range s.faults {
@@ -121,7 +123,7 @@
 	return work
 }
 
-// offer passes an attempt to the model.
+// offer passes an attempt to the model, which accepts or rejects it.
 func (p *process) offer(incoming *attempt, work float64) {
 	key := ""
 	if incoming.key != "" {
@@ -147,7 +149,7 @@
 	}
 }
 
-// cancel ends the connection of an attempt, which cancels it.
+// cancel handles the closed connection of an attempt, which cancels the attempt.
 func (p *process) cancel(a *attempt) {
 	if p.ended {
 		return
@@ -159,7 +161,7 @@
 	p.disconnect()
 }
 
-// disconnect closes a connection.
+// disconnect tells the model that a connection was closed.
 func (p *process) disconnect() {
 	p.model.Disconnect(p.server.sim.now)
 	p.advance()
--- a/emulator/sim/queue.go
+++ b/emulator/sim/queue.go
@@ -5,7 +5,8 @@
 // heapArity is the number of children of a node in the heap of events.
 const heapArity = 4
 
-// eventQueue is a priority queue of events by time. Events of the same time keep the order in which they were added.
+// eventQueue is a priority queue of events by time. Events with the same time are returned in the order of their
+// insertion.
 type eventQueue struct {
 	heap []event
 	seq  uint64
@@ -21,7 +22,7 @@
 
 func (q *eventQueue) empty() bool { return len(q.heap) == 0 }
 
-// push adds an event.
+// push adds an event, which calls do at the given time.
 func (q *eventQueue) push(at time.Duration, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{at, q.seq, do})
@@ -36,7 +37,7 @@
 	}
 }
 
-// pop removes the earliest event. The queue must not be empty.
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	heap := q.heap
 	first, last := heap[0], len(heap)-1
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -14,18 +14,18 @@
 // replacementSuffix is appended to the ID of a server that replaces another one.
 const replacementSuffix = "r"
 
-// server is one machine, whose processes start and end.
+// server is one server machine, on which at most one process runs at a time.
 type server struct {
-	sim           *simulation
-	spec          *plan.Server
-	id            string
-	addr          string
-	startedAt     time.Duration // of its process; 0: before the simulation, so that it is warm
-	process       *process      // nil while none runs
-	faults        []*plan.Fault // active faults of requests
-	silences      []*plan.Fault // active faults that cut the machine off
-	state         policy.Availability
-	knownSilences int // silences that discovery has noticed
+	sim              *simulation
+	spec             *plan.Server
+	id               string
+	addr             string
+	startedAt        time.Duration // start of its process; 0: before the simulation, so the process is warm
+	process          *process      // nil while no process runs
+	faults           []*plan.Fault // active faults that affect requests at this server
+	silentFaults     []*plan.Fault // active faults that disconnect the machine from the network
+	state            policy.Availability
+	detectedSilences int // active silences after whose timeout discovery removed the server
 }
 
 func (sim *simulation) addServer(spec *plan.Server, id string, index int, warm bool) *server {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// start runs a process. It warms up unless it is the one that ran before the simulation.
+// start starts a process. It warms up unless it was already running before the simulation.
 func (s *server) start() {
 	config := s.spec.Config
 	if s.startedAt == 0 {
@@ -73,7 +73,7 @@
 	p.resetAttempts()
 }
 
-// announce reports a state to discovery, which passes it on to each node after the node's delay.
+// announce reports a state to discovery, which passes it on to each node after the node's discovery delay.
 func (s *server) announce(state policy.Availability) {
 	s.state = state
 	for _, n := range s.sim.nodes {
@@ -93,7 +93,7 @@
 	return endpoint
 }
 
-// hasFault reports whether an active fault of a kind affects an attempt, and records it at its request.
+// hasFault reports whether an active fault of the given kind affects an attempt, and records the fault in its request.
 func (s *server) hasFault(kind string, a *attempt) bool {
 	for _, fault := range s.faults {
 		if fault.Kind == kind && s.sim.plan.Chance(kind+fault.Label(), a.id) < fault.Fraction {
@@ -104,19 +104,21 @@
 	return false
 }
 
-// requestID returns the ID of the request that an attempt at a server belongs to.
+// requestID returns the ID of the request to which an attempt at a server belongs.
 func requestID(attemptID string) string {
 	id, _, _ := strings.Cut(attemptID, "/")
 	return id
 }
 
-// keyTables holds the tables of idempotency keys of the groups of servers, by their names.
+// keyTables holds the idempotency keys seen by servers: one table for each deduplication scope, by the name that
+// plan.DedupTable returns.
 type keyTables struct {
 	sim    *simulation
 	tables map[string]*model.KeyTable
 }
 
-// serverKeys looks keys up for one server, in the table of the server's group for the class of the request.
+// serverKeys looks up idempotency keys for one server, in the table of the server's deduplication scope for the class
+// of the request.
 type serverKeys struct {
 	*keyTables
 	server *server
@@ -125,7 +127,8 @@
 // keySeparator separates the class of a request from its idempotency key.
 const keySeparator = "\x00"
 
-// IsDuplicate reports whether a key, which follows its class, was seen within the window of the class.
+// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey is the class,
+// keySeparator, and the key.
 func (k *serverKeys) IsDuplicate(classAndKey string, now time.Duration) bool {
 	class, key, _ := strings.Cut(classAndKey, keySeparator)
 	name, window := k.sim.plan.DedupTable(class, k.server.spec)
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -47,17 +47,17 @@
 	return r
 }
 
-// Every scenario ends without a violation of a rule.
+// No scenario violates a rule.
 func TestRun_ScenariosKeepAllRules(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) < 12 {
-		t.Fatalf("%d scenarios, error %v", len(paths), err)
+		t.Fatalf("found %d scenarios, want 12 or more; error %v", len(paths), err)
 	}
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".toml"), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, load(t, path), Options{})
-			t.Logf("value %.3f, attempts %d, retries %d, to another zone %d, connections %d, work %.0f, wasted %.0f, checked %v",
+			t.Logf("value %.3f, attempts %d, retries %d, cross-zone %d, connections %d, work %.0f, wasted %.0f, checked %v",
 				r.All.ValueShare(), r.ServerAttempts, r.Retries, r.CrossZone, r.Connections, r.Work, r.WastedWork,
 				r.Verdict.Checked)
 			if !r.Verdict.Passed() {
@@ -70,7 +70,7 @@
 	}
 }
 
-// The checker finds the violation of each mutant, with a request, a time and a description.
+// The checker reports a violation of each mutant's rule, with a request, a time and a description.
 func TestMutants_AreDetected(t *testing.T) {
 	for _, mutant := range Mutants() {
 		t.Run(mutant.Name, func(t *testing.T) {
@@ -78,56 +78,57 @@
 			r := run(t, load(t, "../../scenarios/"+mutant.Scenario+".toml"), mutant.Options())
 			i := slices.IndexFunc(r.Verdict.Violations, func(v checker.Violation) bool { return v.Rule == mutant.Rule })
 			if i < 0 {
-				t.Fatalf("no violation of %v: %v", mutant.Rule, r.Verdict.Count)
+				t.Fatalf("no violation of rule %v; violations by rule: %v", mutant.Rule, r.Verdict.Count)
 			}
 			if v := r.Verdict.Violations[i]; v.ID == "" || v.At == 0 || v.Description == "" {
-				t.Errorf("without evidence: %+v", v)
+				t.Errorf("violation lacks the request, time or description: %+v", v)
 			}
 			t.Logf("%v: %+v", r.Verdict.Count, r.Verdict.Violations[i])
 		})
 	}
 }
 
-// The same plan gives the same result, byte for byte, on one core and on several; another seed gives another one.
-func TestRun_SameResultAtEachReplay(t *testing.T) {
-	text := func(p *plan.Plan) string {
+// The same plan gives the same result, byte for byte, on one core and on several; another seed gives another result.
+func TestRun_SamePlanGivesSameResult(t *testing.T) {
+	resultJSON := func(p *plan.Plan) string {
 		raw, err := json.Marshal(run(t, p, Options{}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(raw)
 	}
-	short := func() *plan.Plan { // all of its faults start
+	short := func() *plan.Plan { // long enough for all of its faults to start
 		p := load(t, "../../scenarios/together.toml")
 		p.Script.Duration = 16 * time.Second
 		return p
 	}
 	p := short()
-	first := text(p)
+	first := resultJSON(p)
 	for _, n := range []int{1, 4} {
 		previous := runtime.GOMAXPROCS(n)
-		again := text(short())
+		repeated := resultJSON(short())
 		runtime.GOMAXPROCS(previous)
-		if again != first {
-			t.Errorf("another result on %d cores", n)
+		if repeated != first {
+			t.Errorf("the result with GOMAXPROCS=%d differs from the first one", n)
 		}
 	}
 	other, err := plan.New(p.Script, 99)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text(other) == first {
-		t.Error("the seed changes nothing")
+	if resultJSON(other) == first {
+		t.Error("another seed gave the same result")
 	}
 }
 
-// With several faults at once the result has the requests that each fault affected, and those that it alone affected.
+// With several faults at once, the result counts for each fault the requests that it affected, and those that it alone
+// affected.
 func TestRun_AttributesRequestsToFaults(t *testing.T) {
 	r := run(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
 		if f.Kind == script.FaultFastErrors || f.Kind == script.FaultNodeCrash {
 			if f.Affected == 0 || f.AffectedAlone == 0 || f.AffectedAlone > f.Affected || f.AffectedServed > f.Affected {
-				t.Errorf("%+v", f)
+				t.Errorf("inconsistent counts of affected requests: %+v", f)
 			}
 		}
 	}
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -1,6 +1,6 @@
-// Package sim runs a plan in virtual time: the engine and the policy as they are, with models of the servers, the
-// network, discovery, the load balancer and the clients around them. It uses one goroutine, no clock and no sockets, so
-// that the same plan gives the same result byte for byte.
+// Package sim runs a plan in virtual time: the unmodified engine and policy, with models of the servers, the network,
+// discovery, the load balancer and the clients. It uses one goroutine, no clock and no sockets, so that the same plan
+// gives the same result byte for byte.
 package sim
 
 import (
@@ -16,21 +16,21 @@
 	"cobaltward/levels"
 )
 
-// epoch is the wall-clock time at the start of a simulation.
+// epoch is the simulated wall-clock time at the start of a simulation.
 var epoch = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
 const (
-	progressInterval = time.Second // of virtual time, between calls of Options.OnProgress
-	contextCheckMask = 0xfff       // the context is checked once in this many events, plus one
+	progressInterval = time.Second // virtual time between calls of Options.OnProgress
+	contextCheckMask = 0xfff       // the context is checked after each event whose number has none of these bits set
 )
 
-// Options configure a simulation. The zero value runs the nodes as they are.
+// Options configure a simulation. The zero value runs unmodified nodes without levels and snapshots.
 type Options struct {
-	Overrides        func() safeguards.Overrides // returns the changes of a node's engine; nil: none
-	IgnoreDrains     bool                        // transports send to draining servers
-	TrustResets      bool                        // transports take each reset as proof that the request did not run
-	Levels           *levels.Config              // degradation levels of every node; nil: none
-	SnapshotInterval time.Duration               // between snapshots of the nodes' learned state for restarts; 0: none
+	Overrides        func() safeguards.Overrides // returns the overrides of a node's safeguards; nil: none
+	IgnoreDrains     bool                        // transports send to draining and removed servers
+	TrustResets      bool                        // transports treat each reset as proof that the request did not run
+	Levels           *levels.Config              // levels of reduced service of every node; nil: none
+	SnapshotInterval time.Duration               // of learned-state snapshots, which restarted nodes restore; 0: none
 	OnProgress       func(at time.Duration)      // may be nil
 	OnDone           func(*plan.Request, result.Outcome)
 
@@ -50,18 +50,18 @@
 	byID      map[string]*server
 	nodes     []*node
 	balancer  *plan.Balancer
-	cutZones  map[string]int // number of active faults by zone
+	cutZones  map[string]int // number of active zone-cut faults, by zone
 	keyTables keyTables
 
 	discoveryFaults   int             // active faults that block discovery
 	listDelays        []time.Duration // extra delays of the endpoint list
 	openRequests      int
-	arriving          bool                // more requests are to come
+	arriving          bool                // more requests will arrive
 	requestsByAttempt map[string]*request // by the ID of the client's attempt
-	err               error               // of an engine; it ends the simulation
+	err               error               // first error of an engine; it ends the simulation
 }
 
-// Run runs a plan to its end. It returns an error if an engine fails or ctx is done.
+// Run runs a plan to its end and returns the result. It fails if an engine fails or ctx is done.
 func Run(ctx context.Context, p *plan.Plan, options Options) (*result.Result, error) {
 	sim := &simulation{
 		plan: p, options: options, byID: make(map[string]*server), balancer: p.NewBalancer(),
@@ -69,7 +69,7 @@
 		arriving: true, requestsByAttempt: make(map[string]*request),
 	}
 	sim.keyTables = keyTables{sim: sim, tables: make(map[string]*model.KeyTable)}
-	sim.checker = checker.New(CheckerConfig(p, sim.place))
+	sim.checker = checker.New(CheckerConfig(p, sim.locate))
 	if err := sim.start(); err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	for i := range sim.plan.Faults {
-		sim.schedule(&sim.plan.Faults[i])
+		sim.scheduleFault(&sim.plan.Faults[i])
 	}
 	sim.scheduleArrival(sim.plan.Arrivals())
 	sim.sample()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// runEvents executes events until all requests have their outcome and late effects have had time to show.
+// runEvents executes events until all requests have an outcome and no request can have a further effect.
 func (sim *simulation) runEvents(ctx context.Context) error {
 	var progress time.Duration
 	for n := 0; !sim.events.empty(); n++ {
@@ -128,11 +128,11 @@
 	return nil
 }
 
-// CheckerConfig returns the checker's configuration for a plan.
-func CheckerConfig(p *plan.Plan, place func(server string) (string, int64)) checker.Config {
+// CheckerConfig returns the checker's configuration for a plan. locate returns the zone and the cell of a server.
+func CheckerConfig(p *plan.Plan, locate func(server string) (string, int64)) checker.Config {
 	rules := &p.Settings.Rules
 	config := checker.Config{
-		Classes: make(map[string]checker.Class), AnswerGrace: rules.AnswerGrace, DrainGrace: rules.DrainGrace, Place: place,
+		Classes: make(map[string]checker.Class), AnswerGrace: rules.AnswerGrace, DrainGrace: rules.DrainGrace, Locate: locate,
 	}
 	for _, class := range p.Settings.Classes {
 		config.Classes[class.Name] = checker.Class{
@@ -142,7 +142,7 @@
 	return config
 }
 
-// maxRequestTime returns the longest time after its arrival in which a request can have an effect.
+// maxRequestTime returns the longest time after its arrival during which a request of any class can have an effect.
 func maxRequestTime(p *plan.Plan) (longest time.Duration) {
 	for i := range p.Settings.Classes {
 		class := &p.Settings.Classes[i]
@@ -151,10 +151,10 @@
 	return longest
 }
 
-// after schedules an event after a delay.
+// after schedules an event that calls do after a delay.
 func (sim *simulation) after(d time.Duration, do func()) { sim.events.push(sim.now+d, do) }
 
-// delay returns a one-way delay with the jitter that depends on the purpose and the ID.
+// delay returns a one-way delay: base plus a jitter that depends only on the seed, the purpose and the ID.
 func (sim *simulation) delay(base time.Duration, purpose, id string) time.Duration {
 	jitter := sim.plan.Script.Network.Jitter
 	if jitter == 0 {
@@ -171,24 +171,24 @@
 	return sim.plan.Script.Network.CrossZoneDelay
 }
 
-// partitioned reports whether a fault separates two zones.
+// partitioned reports whether an active fault blocks the traffic between two zones.
 func (sim *simulation) partitioned(a, b string) bool {
 	return a != b && (sim.cutZones[a] > 0 || sim.cutZones[b] > 0)
 }
 
-// place returns the zone and the cell of a server.
-func (sim *simulation) place(id string) (zone string, cell int64) {
+// locate returns the zone and the cell of a server.
+func (sim *simulation) locate(id string) (zone string, cell int64) {
 	if s := sim.byID[id]; s != nil {
 		return s.spec.Zone, s.spec.Cell
 	}
 	return "", 0
 }
 
-// sample records the learned state of the first node, each second.
+// sample records the learned state and the level of the first node, once a second.
 func (sim *simulation) sample() {
 	if n := sim.nodes[0]; n.engine != nil {
 		sim.recorder.Sample(n.engine.Views())
-		if status, err := n.engine.Level(); err == nil { // else the node has no levels
+		if status, err := n.engine.Level(); err == nil { // an error means that the node has no levels
 			sim.recorder.Level(result.Level{Level: status.Level, Demand: status.Demand, Slow: status.Slow})
 		}
 	} else {
@@ -199,7 +199,7 @@
 	}
 }
 
-// takeSnapshots stores the learned state of each node, at the interval of the options.
+// takeSnapshots stores the learned state of each running node, every Options.SnapshotInterval.
 func (sim *simulation) takeSnapshots() {
 	for _, n := range sim.nodes {
 		if n.engine == nil {
--- a/emulator/sim/snapshot_test.go
+++ b/emulator/sim/snapshot_test.go
@@ -8,9 +8,9 @@
 	"cobaltward/emulator/script"
 )
 
-// A node that crashes while servers fail, and restarts with a snapshot of its learned state, sends at most half of the
-// attempts to the failing servers that a node sends which restarts with the endpoint list alone.
-func TestSnapshot_SparesFailingServersAfterRestart(t *testing.T) {
+// A node crashes while servers fail, and restarts. With a snapshot of its learned state it must send at most half as
+// many attempts to the failing servers as it sends with the endpoint list alone.
+func TestSnapshot_FewerAttemptsToFailingServersAfterRestart(t *testing.T) {
 	scenario, err := script.Parse("x.toml", []byte(`base = "../../scenarios/calm.toml"
 length = "86s"
 seed = 41
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := func(options Options) (n int) { // to failing servers in the first minute after the restart
+	sent := func(options Options) (n int) { // attempts at failing servers in the first minute after the restart
 		p := newPlan(t, scenario)
 		var failing []string
 		for _, i := range p.Faults[0].Servers {
@@ -43,13 +43,13 @@
 			}
 		}
 		if r := run(t, p, options); !r.Verdict.Passed() {
-			t.Errorf("%+v", r.Verdict.Violations)
+			t.Errorf("violations: %+v", r.Verdict.Violations)
 		}
 		return n
 	}
 	without, with := sent(Options{}), sent(Options{SnapshotInterval: 2 * time.Second})
-	t.Logf("to failing servers in the first minute: %d with the list alone, %d with a snapshot", without, with)
+	t.Logf("attempts at failing servers: %d with the endpoint list alone, %d with a snapshot", without, with)
 	if without < 10 || with*2 > without {
-		t.Errorf("%d with the list alone, %d with a snapshot", without, with)
+		t.Errorf("attempts at failing servers: %d without snapshots, want 10 or more; %d with, want half", without, with)
 	}
 }
--- a/emulator/sim/transport.go
+++ b/emulator/sim/transport.go
@@ -9,20 +9,21 @@
 	"cobaltward/router"
 )
 
-// conn is a connection to a process.
+// conn is a connection of a node to a server process.
 type conn struct {
 	process   *process
 	idleSince time.Duration
-	broken    bool // by a fault: the node closes it as soon as it tries to use it
+	broken    bool // a fault broke it; the node closes it when it next tries to use it
 }
 
-// idleEntry is the time at which a connection became idle.
+// idleEntry is a connection with the time at which it became idle.
 type idleEntry struct {
 	conn  *conn
 	since time.Duration
 }
 
-// Launch starts an attempt as the HTTP/1.1 transport does. It implements the engine's transport.
+// Launch starts an attempt like the HTTP/1.1 transport: over an idle connection, or over a new one if the limit allows
+// it. It implements the engine's transport.
 func (n *node) Launch(engineAttempt router.Attempt) {
 	launched := n.newAttempt(engineAttempt)
 	n.inFlight[engineAttempt] = launched
@@ -51,7 +52,8 @@
 	launched.connect()
 }
 
-// takeIdle returns the idle connection to a server that was used last, and closes unusable ones; nil if there is none.
+// takeIdle removes and returns the most recently used idle connection to a server; nil if there is none. It closes the
+// unusable connections that it finds.
 func (n *node) takeIdle(server string) *conn {
 	maxIdle := n.sim.plan.Script.Capabilities.ConnIdle / 2
 	idle := n.idle[server]
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// evict closes the connection that has been idle longest; it returns false if none is idle.
+// evict closes the connection that has been idle for the longest time; it returns false if no connection is idle.
 func (n *node) evict() bool {
 	for len(n.idleOrder) > 0 {
 		entry := n.idleOrder[0]
@@ -86,7 +88,7 @@
 	return false
 }
 
-// addIdle adds a connection to the idle ones.
+// addIdle adds a connection to the idle pool.
 func (n *node) addIdle(c *conn) {
 	c.idleSince = n.sim.now
 	server := c.process.server.id
@@ -123,8 +125,8 @@
 	delete(n.idle, id)
 }
 
-// close closes a connection from the node's side, and with it the attempt that uses it; nil: it is idle. The server
-// notices after the network's delay. A nil connection has nothing to close.
+// close closes a connection from the node's side, and cancels the attempt that uses it; a is nil if the connection is
+// idle. The server notices after the network delay. On a nil connection, close does nothing.
 func (c *conn) close(a *attempt) {
 	if c == nil {
 		return
@@ -143,12 +145,12 @@
 	})
 }
 
-// endsServers reports whether a kind of fault ends processes of servers.
-func endsServers(kind string) bool {
+// endsServerProcess reports whether a kind of fault ends a server's process.
+func endsServerProcess(kind string) bool {
 	return kind == script.FaultCrash || kind == script.FaultReplaced || kind == script.FaultDrain
 }
 
-// misleadsDiscovery reports whether a kind of fault makes endpoint lists wrong.
-func misleadsDiscovery(kind string) bool {
+// affectsEndpointList reports whether a kind of fault makes the nodes' endpoint lists wrong or outdated.
+func affectsEndpointList(kind string) bool {
 	return kind == script.FaultDiscoveryDown || kind == script.FaultListLate || kind == script.FaultListWrong
 }
