--- a/emulator/realtime/agent.go
+++ b/emulator/realtime/agent.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Endpoint is a server in the format of the platform's discovery.
+// Endpoint is a server in the JSON format of the platform's discovery protocol.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"host_port"`
@@ -33,20 +33,20 @@
 
 // Agent is the discovery service of one node. Its methods are safe for concurrent use.
 type Agent interface {
-	Addr() string                  // for the platform's configuration
-	NodeConfig() string            // TOML for the node's own configuration
-	Update(e Endpoint)             // reports a change of a server
-	SetSilent(silent bool)         // makes the agent stop or resume sending updates
-	Snapshot() ([]Endpoint, int64) // the list for a node that starts, and its revision
+	Addr() string                  // address of the service, for the platform's configuration
+	NodeConfig() string            // TOML to add to the node's own configuration
+	Update(e Endpoint)             // adds or changes a server
+	SetSilent(silent bool)         // stops or resumes sending updates to the node
+	Snapshot() ([]Endpoint, int64) // the current list, for a node that starts, and its revision
 	Stop()
 }
 
-// NewAgent starts an agent with a list of endpoints and a directory for its files. It calls notified for each endpoint
-// that it sends to the node, at the latest when it is written.
+// NewAgent starts an agent with a list of endpoints and a directory for its files. The agent calls notified for each
+// endpoint that it sends to the node, before or while it writes the endpoint.
 type NewAgent func(dir string, endpoints []Endpoint, notified func(id string, available bool)) (Agent, error)
 
-// maxWatch is the longest time for which a request for changes waits.
-const maxWatch = time.Minute
+// maxWatchWait is the longest time for which the agent holds a request for changes.
+const maxWatchWait = time.Minute
 
 // agent is an Agent that uses the platform's discovery protocol.
 type agent struct {
@@ -58,8 +58,8 @@
 	mu        sync.Mutex
 	revision  int64
 	endpoints map[string]Endpoint
-	changedAt map[string]int64 // revision of each endpoint's last change, removals included
-	changes   chan struct{}    // closed at each change
+	changedAt map[string]int64 // revision of each endpoint's last change, which may be its removal
+	changes   chan struct{}    // closed and replaced at each change
 	silent    bool
 }
 
@@ -76,7 +76,7 @@
 		a.endpoints[endpoint.ID] = endpoint
 	}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.handle), ReadHeaderTimeout: time.Minute}
-	a.tasks.Go(func() { _ = a.server.Serve(ln) }) // returns after Stop
+	a.tasks.Go(func() { _ = a.server.Serve(ln) }) // returns an error after Stop, as intended
 	return a, nil
 }
 
@@ -97,7 +97,7 @@
 	a.wakeWatches()
 }
 
-// wakeWatches makes waiting requests look at the state again. The lock is held.
+// wakeWatches makes waiting requests check the state again. The caller must hold a.mu.
 func (a *agent) wakeWatches() {
 	close(a.changes)
 	a.changes = make(chan struct{})
@@ -110,8 +110,8 @@
 	a.wakeWatches()
 }
 
-// list returns the endpoints that have changed after a revision, in the order of their IDs; after < 0: the complete
-// list. The lock is held.
+// list returns the endpoints that have changed after a revision, sorted by ID, or the complete list if after is
+// negative, and the current revision. The caller must hold a.mu.
 func (a *agent) list(after int64) (all []Endpoint, revision int64) {
 	for id, endpoint := range a.endpoints {
 		complete := after < 0
@@ -129,7 +129,8 @@
 	return a.list(-1)
 }
 
-// handle answers a request for the list, or for changes after a revision once there are any.
+// handle answers a request for the complete list at once, and a request for changes when there are any or its wait time
+// is over.
 func (a *agent) handle(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -154,7 +155,7 @@
 		}
 		select {
 		case <-changes:
-		case <-timer.C: // fires once: a silent agent answers only after its silence
+		case <-timer.C: // fires once; if the agent is silent then, it answers when the silence ends
 			expired = true
 		case <-r.Context().Done():
 			return
@@ -162,8 +163,8 @@
 	}
 }
 
-// parseWatch returns the revision after which a request asks for changes, or -1 for the complete list, and the longest
-// time to wait for them.
+// parseWatch returns the revision after which a request asks for changes, or -1 if it asks for the complete list, and
+// the longest time to wait for changes.
 func parseWatch(r *http.Request) (after int64, wait time.Duration, err error) {
 	text := r.URL.Query().Get("index")
 	if text == "" {
@@ -171,7 +172,7 @@
 	}
 	after, err = strconv.ParseInt(text, 10, 64)
 	ms, err2 := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 32)
-	return after, min(maxWatch, time.Duration(ms)*time.Millisecond), errors.Join(err, err2)
+	return after, min(maxWatchWait, time.Duration(ms)*time.Millisecond), errors.Join(err, err2)
 }
 
 // write sends endpoints to the node.
@@ -181,10 +182,10 @@
 	}
 	raw, err := json.Marshal(object{"revision": revision, "complete": complete, "members": endpoints})
 	if err != nil {
-		panic(err) // numbers and names can always be encoded
+		panic(err) // can't happen: numbers and strings can always be encoded
 	}
 	for _, endpoint := range endpoints {
 		a.notified(endpoint.ID, endpoint.Phase == PhaseUp)
 	}
-	_, _ = w.Write(raw) // fails if the node has died; it requests the list again after its restart
+	_, _ = w.Write(raw) // fails if the node was killed; after its restart it requests the list again
 }
--- a/emulator/realtime/client.go
+++ b/emulator/realtime/client.go
@@ -13,8 +13,8 @@
 	"cobaltward/emulator/script"
 )
 
-// generateLoad sends the requests of the plan at their times, independently of how they are served, and waits for their
-// outcomes.
+// generateLoad sends the requests of the plan at their scheduled times, independently of the outcome of earlier
+// requests, and waits for all outcomes.
 func (r *rehearsal) generateLoad(ctx context.Context) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -36,7 +36,7 @@
 		}
 		lag := r.now() - next.At
 		r.sentCount++
-		if lag > lateAfter {
+		if lag > lateThreshold {
 			r.lateCount++
 		}
 		select {
@@ -51,19 +51,19 @@
 	}
 }
 
-// attemptOutcome is the end of a client's attempt.
+// attemptOutcome is the outcome of a client's attempt.
 type attemptOutcome struct {
 	status     result.Status
 	mayHaveRun bool
-	retryAfter time.Duration // of a rejection; 0: none
+	retryAfter time.Duration // Retry-After of a rejection; 0: none
 }
 
-// runClient sends a request until it is answered or the client gives up.
+// runClient sends a request, with retries, until it is answered or the client gives up.
 func (r *rehearsal) runClient(ctx context.Context, request *request) {
-	_, leavesAfter := r.plan.ClientBehavior(&request.Request)
+	_, disconnectAfter := r.plan.ClientBehavior(&request.Request)
 	for attempts := 1; ; attempts++ {
-		outcome := r.attempt(request, attempts-1, leavesAfter)
-		leavesAfter = 0
+		outcome := r.attempt(request, attempts-1, disconnectAfter)
+		disconnectAfter = 0
 		if r.awaitRetry(ctx, request, attempts, outcome) {
 			continue
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// awaitRetry waits for the time of the client's next attempt; it returns false if there is none or ctx is done.
+// awaitRetry waits until the client's next attempt is due; it returns false if the client doesn't retry or ctx is done.
 func (r *rehearsal) awaitRetry(ctx context.Context, request *request, attempts int, outcome attemptOutcome) bool {
 	switch outcome.status {
 	case result.Rejected, result.Unreachable, result.Failed:
@@ -106,9 +106,9 @@
 	return r.balancer.Next(request.Zone)
 }
 
-// attempt sends a request once; retry 0 is the first attempt. The client disconnects after the fraction leavesAfter of
-// the attempt's timeout; 0: it waits.
-func (r *rehearsal) attempt(request *request, retry int, leavesAfter float64) attemptOutcome {
+// attempt sends a request once; retry 0 is the first attempt. The client disconnects after the fraction disconnectAfter
+// of the attempt's timeout; 0: it waits for the whole timeout.
+func (r *rehearsal) attempt(request *request, retry int, disconnectAfter float64) attemptOutcome {
 	index := r.chooseNode(request, retry)
 	if index < 0 {
 		return attemptOutcome{status: result.Unreachable}
@@ -121,9 +121,9 @@
 	}
 	id, timeout := request.AttemptID(retry), r.plan.AttemptTimeout(&request.Request, r.now()-request.At)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout+r.plan.Script.Rules.AnswerGrace+slack)
-	if leavesAfter > 0 {
+	if disconnectAfter > 0 {
 		cancel()
-		ctx, cancel = context.WithTimeout(context.Background(), time.Duration(leavesAfter*float64(timeout)))
+		ctx, cancel = context.WithTimeout(context.Background(), time.Duration(disconnectAfter*float64(timeout)))
 	}
 	defer cancel()
 	httpRequest, err := r.newRequest(ctx, request, addr, retry, timeout)
@@ -139,13 +139,13 @@
 		_ = response.Body.Close()
 	}
 	if err != nil {
-		left := leavesAfter > 0 && ctx.Err() != nil
-		return r.unanswered(request, index, id, incarnation, left)
+		clientLeft := disconnectAfter > 0 && ctx.Err() != nil
+		return r.noAnswerOutcome(request, index, id, incarnation, clientLeft)
 	}
-	return r.answered(n, id, response)
+	return r.answeredOutcome(n, id, response)
 }
 
-// newRequest returns the HTTP request of an attempt.
+// newRequest returns the HTTP request of an attempt, which sends it to the node at addr.
 func (r *rehearsal) newRequest(
 	ctx context.Context, request *request, addr string, retry int, timeout time.Duration,
 ) (*http.Request, error) {
@@ -172,23 +172,24 @@
 	return httpRequest, nil
 }
 
-// unanswered returns the outcome of an attempt without an answer. left reports whether the client has disconnected.
-func (r *rehearsal) unanswered(request *request, node int, id string, incarnation int, left bool) attemptOutcome {
+// noAnswerOutcome returns the outcome of an attempt without an answer. incarnation is that of the node at the start
+// of the attempt. left reports whether the client has disconnected.
+func (r *rehearsal) noAnswerOutcome(request *request, node int, id string, incarnation int, left bool) attemptOutcome {
 	n := r.nodes[node]
-	_, _, now := n.state()
-	if left || now != incarnation {
+	_, _, currentIncarnation := n.state()
+	if left || currentIncarnation != incarnation {
 		r.observer.clientLeft(n.spec.Name, id)
 	}
-	if left || now == incarnation {
-		// If the client has waited for a live node, the checker reports the missing answer.
+	if left || currentIncarnation == incarnation {
+		// If the client waited for its whole timeout on a running node, the checker reports the missing answer.
 		return attemptOutcome{status: result.ClientLeft, mayHaveRun: true}
 	}
 	r.addNodeFaults(request, node)
 	return attemptOutcome{status: result.Unreachable, mayHaveRun: true}
 }
 
-// answered returns the outcome of an answered attempt.
-func (r *rehearsal) answered(n *node, id string, response *http.Response) attemptOutcome {
+// answeredOutcome records an answer and returns the outcome of the attempt.
+func (r *rehearsal) answeredOutcome(n *node, id string, response *http.Response) attemptOutcome {
 	rejected := response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable
 	r.observer.answered(n.spec.Name, id, rejected)
 	switch {
@@ -204,7 +205,7 @@
 	return attemptOutcome{status: result.Failed, mayHaveRun: true}
 }
 
-// addNodeFaults records the faults that killed a node under a request.
+// addNodeFaults records in a request the faults that killed its node during the request.
 func (r *rehearsal) addNodeFaults(request *request, node int) {
 	now := r.now()
 	for i := range r.plan.Faults {
--- a/emulator/realtime/config.go
+++ b/emulator/realtime/config.go
@@ -14,19 +14,19 @@
 // object is a JSON object.
 type object = map[string]any
 
-// milliseconds returns a duration in the unit of the platform's configuration.
+// milliseconds returns a duration in milliseconds, the unit of the platform's configuration.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// platformOptions are the values of a node's configuration beside those of the plan.
+// platformOptions are the values of a node's platform configuration that don't come from the plan.
 type platformOptions struct {
 	node              int
 	listen, discovery string // addresses
 	endpoints         []Endpoint
-	revision          int64 // of endpoints
+	revision          int64 // revision of the endpoint list
 	incarnation       int
 }
 
-// platformConfig returns the platform's configuration of a node, in the format of ROUTER_CONFIG.
+// platformConfig returns the platform's configuration of a node, in the format of the file that ROUTER_CONFIG names.
 func platformConfig(p *plan.Plan, options platformOptions) ([]byte, error) {
 	seed := p.Seed + uint64(options.node)*1000 + uint64(options.incarnation)
 	return json.Marshal(object{
@@ -80,7 +80,7 @@
 	}
 }
 
-// nodeConfig returns a node's own configuration, which starts with the given TOML.
+// nodeConfig returns the start of a node's own configuration: the given TOML and the table of MessagePack servers.
 func nodeConfig(p *plan.Plan, toml string) string {
 	var kinds []string
 	for _, kind := range p.Script.ServerKinds {
--- a/emulator/realtime/control/control.go
+++ b/emulator/realtime/control/control.go
@@ -1,5 +1,5 @@
-// Package control provides a rehearsal's discovery by xDS: an Envoy control plane for each node, from which the node
-// gets all its endpoints.
+// Package control provides discovery by xDS for rehearsals: one Envoy control plane for each node, which sends the node
+// all its endpoints.
 package control
 
 import (
@@ -16,13 +16,13 @@
 	"cobaltward/emulator/realtime"
 )
 
-// cluster is the name of the cluster that holds all endpoints.
+// cluster is the name of the only cluster, which holds all endpoints.
 const cluster = "site"
 
 // unusedAddr is an address at which no discovery service listens.
 const unusedAddr = "127.0.0.1:9"
 
-// agent is a realtime.Agent with a control plane.
+// agent is a realtime.Agent that sends endpoints through a control plane.
 type agent struct {
 	plane     *standin.ControlPlane
 	bootstrap string // path of the node's bootstrap file
@@ -32,10 +32,10 @@
 	endpoints map[string]realtime.Endpoint
 	revision  int64
 	silent    bool
-	pending   []realtime.Endpoint // updates during the silence
+	pending   []realtime.Endpoint // updates received while the agent is silent
 }
 
-// New starts a control plane with a list of endpoints. It is a realtime.NewAgent.
+// New starts an agent whose control plane serves a list of endpoints. It is a realtime.NewAgent.
 func New(
 	dir string, endpoints []realtime.Endpoint, notified func(id string, available bool),
 ) (realtime.Agent, error) {
@@ -59,7 +59,7 @@
 	return started, nil
 }
 
-// writeBootstrap writes a bootstrap file for the control plane at an address, and returns its path.
+// writeBootstrap writes an xDS bootstrap file that names the control plane at an address, and returns its path.
 func writeBootstrap(dir, addr string) (path string, err error) {
 	file, err := os.CreateTemp(dir, "bootstrap-*.json")
 	if err != nil {
@@ -70,15 +70,15 @@
 	return file.Name(), errors.Join(err, file.Close())
 }
 
-// Addr returns an unused address, since the node's own configuration makes xDS its only discovery.
+// Addr returns an address without a service: the node's own configuration makes xDS its only endpoint source.
 func (a *agent) Addr() string { return unusedAddr }
 
-// NodeConfig returns the table with which the node uses the control plane.
+// NodeConfig returns the TOML table that makes the node use the control plane.
 func (a *agent) NodeConfig() string {
 	return fmt.Sprintf("[xds]\nbootstrap = %q\nalone = true\n", filepath.ToSlash(a.bootstrap))
 }
 
-// Update sends a change of a server, unless the agent is silent.
+// Update sends a change of a server, or keeps it for later while the agent is silent.
 func (a *agent) Update(e realtime.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +91,8 @@
 	a.push()
 }
 
-// push sends the complete assignment. The lock is held, or the agent is not yet shared.
+// push sends all endpoints as a complete endpoint assignment. The caller must hold a.mu, unless the agent is not yet
+// shared.
 func (a *agent) push() {
 	a.revision++
 	var texts []string
@@ -103,7 +104,7 @@
 	slices.Sort(texts)
 	assignment, err := standin.ParseAssignment(cluster, texts)
 	if err != nil {
-		panic("control: " + err.Error() + ": " + strings.Join(texts, " ")) // addresses and numbers are always valid
+		panic("control: " + err.Error() + ": " + strings.Join(texts, " ")) // can't happen: the texts are always valid
 	}
 	a.plane.Set(assignment)
 }
@@ -122,7 +123,7 @@
 	return text
 }
 
-// SetSilent stops or resumes the control plane's responses.
+// SetSilent stops or resumes the control plane's responses. At the end of a silence it sends the pending updates.
 func (a *agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	a.silent = silent
@@ -135,7 +136,7 @@
 	}
 }
 
-// Snapshot returns the current endpoints in the order of their IDs, and their revision.
+// Snapshot returns the current endpoints, sorted by ID, and their revision.
 func (a *agent) Snapshot() ([]realtime.Endpoint, int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/emulator/realtime/fault.go
+++ b/emulator/realtime/fault.go
@@ -9,7 +9,8 @@
 	"cobaltward/emulator/script"
 )
 
-// announce reports the state of a server to discovery, which passes it on to each node after the node's delay.
+// announce reports the state of a server to discovery, which passes it on to each node after the node's discovery delay
+// and the delays of active faults.
 func (r *rehearsal) announce(s *server, phase string) {
 	r.delaysMu.Lock()
 	var extra time.Duration
@@ -56,14 +57,14 @@
 	}
 }
 
-// crashNode kills a node. The balancer notices after the time that the script gives failure detection.
+// crashNode kills a node. The balancer notices after the script's failure detection time.
 func (r *rehearsal) crashNode(index int) {
 	n := r.nodes[index]
 	n.kill()
 	r.observer.nodeDown(n.spec.Name)
 	_, _, incarnation := n.state()
 	r.schedule(r.now()+r.plan.Script.Nodes.FailureDetection, func() {
-		if _, up, now := n.state(); !up && now == incarnation {
+		if _, up, current := n.state(); !up && current == incarnation {
 			r.setNodeDown(index, true)
 		}
 	})
@@ -102,7 +103,8 @@
 	}
 }
 
-// endServerFault restarts or replaces a server at the end of a fault that ended its process or removed it.
+// endServerFault restarts, replaces or announces a server at the end of a fault that ended its process or removed it
+// from the endpoint list. Other faults need no action.
 func (r *rehearsal) endServerFault(fault *plan.Fault, target *server) error {
 	var err error
 	switch fault.Kind {
--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	startTimeout   = 20 * time.Second // for each of listening and being ready
+	startTimeout   = 20 * time.Second // limit for a started node to listen, and then again to be ready
 	readyInterval  = 10 * time.Millisecond
-	requestTimeout = time.Second // of requests to a node's own API
-	maxLogLines    = 200         // kept of a node's log
+	requestTimeout = time.Second // of readiness and admin requests to a node
+	maxLogLines    = 200         // last lines kept of a node's log
 )
 
-// node is one instance of the router, in a process of its own.
+// node is one instance of the router, which runs in its own process.
 type node struct {
 	rehearsal *rehearsal
 	index     int
@@ -39,16 +39,16 @@
 	addr        string
 	cmd         *exec.Cmd
 	exited      chan struct{}
-	killed      bool // by a fault or the end of the run
+	killed      bool // killed by a fault or at the end of the run; another exit is a failure
 	incarnation int
 	up          bool
-	log         []string // last lines
+	log         []string // last maxLogLines lines
 }
 
 // listening matches the log line with which a node reports its address.
 var listening = regexp.MustCompile(`msg=listening .*address=(\S+)`)
 
-// addNode adds a node with its agent and client, and starts it.
+// addNode adds a node with its discovery agent and its HTTP client, and starts it.
 func (r *rehearsal) addNode(ctx context.Context, index int) error {
 	n := &node{rehearsal: r, index: index, spec: &r.plan.Nodes[index]}
 	var endpoints []Endpoint
@@ -76,13 +76,13 @@
 
 // start runs the process and waits until it is ready.
 func (n *node) start(ctx context.Context) error {
-	configPath, ownPath, err := n.writeConfigs()
+	configPath, nodeConfigPath, err := n.writeConfigs()
 	if err != nil {
 		return err
 	}
 	command := n.rehearsal.options.Command
 	cmd := exec.Command(command[0], command[1:]...)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "WAYHOLD_CONFIG="+ownPath,
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "WAYHOLD_CONFIG="+nodeConfigPath,
 		"ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=", "GOMAXPROCS=")
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -92,7 +92,7 @@
 		return err
 	}
 	addrs, exited := make(chan string, 1), make(chan struct{})
-	n.rehearsal.tasks.Go(func() { n.follow(cmd, logs, addrs, exited) })
+	n.rehearsal.tasks.Go(func() { n.followLog(cmd, logs, addrs, exited) })
 	n.mu.Lock()
 	n.cmd, n.exited, n.killed = cmd, exited, false
 	n.mu.Unlock()
@@ -102,16 +102,16 @@
 	case addr := <-addrs:
 		return n.awaitReady(ctx, addr)
 	case <-exited:
-		return fmt.Errorf("start node %s: process ended: %s", n.spec.Name, n.lastLogLine())
+		return fmt.Errorf("start node %s: process exited; log ends with: %s", n.spec.Name, n.lastLogLine())
 	case <-timeout.C:
-		return fmt.Errorf("start node %s: not listening after %v: %s", n.spec.Name, startTimeout, n.lastLogLine())
+		return fmt.Errorf("start node %s: not listening after %v; log ends with: %s", n.spec.Name, startTimeout, n.lastLogLine())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// writeConfigs writes the platform's configuration of the node, and its own.
-func (n *node) writeConfigs() (configPath, ownPath string, err error) {
+// writeConfigs writes the platform's configuration of the node and the node's own configuration.
+func (n *node) writeConfigs() (configPath, nodeConfigPath string, err error) {
 	r := n.rehearsal
 	endpoints, revision := n.agent.Snapshot()
 	n.mu.Lock()
@@ -131,13 +131,14 @@
 	if err := os.WriteFile(configPath, config, 0o600); err != nil {
 		return "", "", err
 	}
-	own := nodeConfig(r.plan, n.agent.NodeConfig()) + r.options.Levels + n.adminConfig()
-	ownPath = filepath.Join(r.dir, n.spec.Name+".toml")
-	return configPath, ownPath, os.WriteFile(ownPath, []byte(own), 0o600)
+	ownConfig := nodeConfig(r.plan, n.agent.NodeConfig()) + r.options.Levels + n.adminConfig()
+	nodeConfigPath = filepath.Join(r.dir, n.spec.Name+".toml")
+	return configPath, nodeConfigPath, os.WriteFile(nodeConfigPath, []byte(ownConfig), 0o600)
 }
 
-// follow reads the log of a process, sends the address that it listens on, and waits for its end.
-func (n *node) follow(cmd *exec.Cmd, logs io.Reader, addrs chan<- string, exited chan<- struct{}) {
+// followLog reads the log of a process until its end, sends the address on which it listens, and reports an exit that
+// the run did not cause.
+func (n *node) followLog(cmd *exec.Cmd, logs io.Reader, addrs chan<- string, exited chan<- struct{}) {
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
 		if match := listening.FindStringSubmatch(lines.Text()); match != nil {
@@ -152,7 +153,7 @@
 		}
 		n.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, logs) // the rest, after a line that is too long to scan
+	_, _ = io.Copy(io.Discard, logs) // drain the log if the scanner stopped at a line that is too long
 	err := cmd.Wait()
 	n.mu.Lock()
 	crashed := !n.killed
@@ -160,11 +161,12 @@
 	n.mu.Unlock()
 	close(exited)
 	if crashed {
-		n.rehearsal.fail(fmt.Errorf("node %s ended by itself: %w; its log ends with %q", n.spec.Name, err, n.lastLogLine()))
+		n.rehearsal.fail(fmt.Errorf("node %s exited unexpectedly: %w; log ends with %q", n.spec.Name, err, n.lastLogLine()))
 	}
 }
 
-// adminConfig is the table that enables the node's admin API, which is used to read the degradation level.
+// adminConfig returns the table that enables the node's admin API, from which the level of reduced service is read;
+// empty if the node has no levels.
 func (n *node) adminConfig() string {
 	if n.rehearsal.options.Levels == "" {
 		return ""
@@ -174,7 +176,7 @@
 
 func (n *node) adminSocket() string { return filepath.Join(n.rehearsal.dir, n.spec.Name+".sock") }
 
-// level reads the degradation level; ok is false if the node doesn't answer.
+// level reads the node's level of reduced service; ok is false if the node doesn't answer.
 func (n *node) level() (level result.Level, ok bool) {
 	client, baseURL := n.rehearsal.options.AdminClient(n.adminSocket())
 	defer client.CloseIdleConnections()
@@ -191,7 +193,7 @@
 	return result.Level{Level: status.Level, Demand: status.Demand, Slow: status.Slow}, true
 }
 
-// awaitReady waits until the node at an address reports that it is ready.
+// awaitReady waits until the node at an address reports that it is ready, and then marks it as up.
 func (n *node) awaitReady(ctx context.Context, addr string) error {
 	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
@@ -220,7 +222,7 @@
 	return n.log[len(n.log)-1]
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its end.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -230,7 +232,7 @@
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Kill() // fails only if the process has ended
+	_ = cmd.Process.Kill() // fails only if the process has already ended
 	<-exited
 }
 
--- a/emulator/realtime/observer.go
+++ b/emulator/realtime/observer.go
@@ -10,10 +10,11 @@
 	"cobaltward/emulator/result"
 )
 
-// forgetAfter is the time after its end for which an attempt is remembered, since its requests may still reach servers.
+// forgetAfter is how long a finished client attempt is remembered, since attempts of its node may still reach servers.
 const forgetAfter = 15 * time.Second
 
-// observer passes facts from many goroutines to the checker and the recorder.
+// observer passes observations from many goroutines to the checker and the recorder, which aren't safe for concurrent
+// use.
 type observer struct {
 	plan      *plan.Plan
 	startedAt time.Time
@@ -30,11 +31,11 @@
 	at time.Duration
 }
 
-// request is a client's request with all its attempts. The observer's lock guards the fields beside the plan's.
+// request is a client's request with all its attempts. The observer's lock guards the fields below work.
 type request struct {
 	plan.Request
 	work           float64
-	startedWork    float64 // of the last attempt at a server
+	startedWork    float64 // work of the last attempt that a server started
 	serverAttempts int
 	faults         []int // indices of the faults that affected the request, ascending
 }
@@ -46,7 +47,7 @@
 	}
 }
 
-// restartClock makes now the start of the script.
+// restartClock makes the current time the start of the script.
 func (o *observer) restartClock() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -55,7 +56,7 @@
 
 func (o *observer) now() time.Duration { return time.Since(o.startedAt) }
 
-// do calls f with the current time under the lock.
+// do calls f with the time since the start of the script while it holds the lock.
 func (o *observer) do(f func(now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,7 +82,7 @@
 	})
 }
 
-// attemptStarted records an attempt of a client, which waits until deadline.
+// attemptStarted records the start of a client's attempt. The client waits until deadline.
 func (o *observer) attemptStarted(r *request, id, node string, deadline time.Duration) {
 	o.do(func(now time.Duration) {
 		o.checker.RequestReceived(now, node, id, o.plan.Script.Classes[r.Class].Name, deadline)
@@ -90,7 +91,7 @@
 	})
 }
 
-// attemptFinished records the end of a client's attempt.
+// attemptFinished records the end of a client's attempt, and forgets attempts that ended long ago.
 func (o *observer) attemptFinished(id string) {
 	o.do(func(now time.Duration) {
 		o.finished = append(o.finished, finishedAttempt{id, now})
@@ -109,8 +110,8 @@
 	o.do(func(time.Duration) { o.checker.ClientLeft(node, id, 0) })
 }
 
-// serverReceived records that an attempt of a node has reached a server. It returns the request, or nil if it is
-// forgotten, and the number of earlier attempts.
+// serverReceived records that an attempt of a node has reached a server. It returns the client's request, or nil if it
+// is forgotten, and the number of earlier attempts for the same ID.
 func (o *observer) serverReceived(node int, id, server string, crossZone bool) (r *request, attempt int) {
 	o.do(func(now time.Duration) {
 		r, attempt = o.requests[id], o.checker.Attempts(id)
@@ -123,7 +124,7 @@
 	return r, attempt
 }
 
-// serverRejected records that a server rejected the last attempt for an ID.
+// serverRejected records that a server rejected the last attempt for an ID, which proves that it did not run.
 func (o *observer) serverRejected(node int, id string) {
 	o.do(func(time.Duration) { o.checker.AttemptNotRun(o.plan.Nodes[node].Name, id, o.checker.Attempts(id)-1) })
 }
@@ -156,7 +157,7 @@
 
 func (o *observer) nodeDown(node string) { o.do(func(time.Duration) { o.checker.NodeDown(node) }) }
 
-// endpointUpdated records that a node was notified whether a server is available.
+// endpointUpdated records that a node was notified that a server is available, or that it is draining or removed.
 func (o *observer) endpointUpdated(node, server string, available bool) {
 	o.do(func(now time.Duration) { o.checker.EndpointUpdated(now, node, server, available) })
 }
@@ -167,7 +168,7 @@
 	o.do(func(time.Duration) { o.recorder.Invalidate(reason) })
 }
 
-// finish returns the result.
+// finish returns the result with the checker's verdict.
 func (o *observer) finish() *result.Result {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	slack             = 100 * time.Millisecond // uncertainty of times observed by goroutines on sockets
+	slack             = 100 * time.Millisecond // tolerance for times observed through sockets and goroutines
 	maxServers        = 400
 	maxNodes          = 24
-	maxInFlight       = 20000                 // requests; the load generator can't keep up beyond
-	lateAfter         = 20 * time.Millisecond // after which a request counts as sent late
-	maxLateShare      = 0.01                  // fraction of late requests that makes a run invalid
-	overloadPoll      = 50 * time.Millisecond // between checks for servers that have crashed
-	levelPoll         = time.Second           // between reads of the first node's degradation level
+	maxInFlight       = 20000                 // requests; with more the load generator can't keep up
+	lateThreshold     = 20 * time.Millisecond // lag after which a request counts as sent late
+	maxLateShare      = 0.01                  // a larger fraction of requests sent late makes a run invalid
+	overloadPoll      = 50 * time.Millisecond // interval of checks for servers that crashed under overload
+	levelPoll         = time.Second           // interval of reads of the first node's level of reduced service
 	protocolXDS       = "xds"                 // value of discovery.form
 	replacementSuffix = "r"                   // appended to the ID of a server that replaces another one
 )
 
 // Options configure a run.
 type Options struct {
-	Command         []string // starts a node, such as `wayhold serve`; its configuration is in the environment
-	NewControlPlane NewAgent // discovery by xDS; nil if the program has none
-	Levels          string   // tables [service] and [[level]] of every node's configuration; empty: no levels
+	Command         []string // starts a node, such as `wayhold serve`; the environment names its configuration files
+	NewControlPlane NewAgent // starts an agent that uses xDS; nil if the program has no xDS
+	Levels          string   // TOML tables [service] and [[level]] for every node's configuration; empty: no levels
 	// AdminClient returns a client of the admin API on a Unix socket, and its base URL. It is needed with Levels.
 	AdminClient func(socket string) (client *http.Client, baseURL string)
 	OnProgress  func(at time.Duration) // may be nil
@@ -48,17 +48,17 @@
 type rehearsal struct {
 	plan     *plan.Plan
 	options  Options
-	dir      string // of the nodes' configurations
+	dir      string // directory of the nodes' configuration files
 	observer *observer
 	stop     context.CancelFunc
 
 	servers []*server
 	nodes   []*node
-	clients []*http.Client // by node
+	clients []*http.Client // by node index
 
 	tasks  sync.WaitGroup
 	timers sync.WaitGroup
-	quit   chan struct{} // closed at the end
+	quit   chan struct{} // closed at the end of the run
 
 	balancerMu sync.Mutex
 	balancer   *plan.Balancer
@@ -72,7 +72,7 @@
 	delaysMu   sync.Mutex
 	listDelays []time.Duration // extra delays of the endpoint list
 
-	// Owned by the load generator.
+	// The fields below are used only by the load generator; finish reads the counts after it has returned.
 	inFlight  chan struct{}
 	sentCount int
 	lateCount int
@@ -81,7 +81,7 @@
 // now returns the time since the start of the script.
 func (r *rehearsal) now() time.Duration { return r.observer.now() }
 
-// fail ends the run with its first error.
+// fail ends the run. The first error becomes the error of the run.
 func (r *rehearsal) fail(err error) {
 	r.errMu.Lock()
 	defer r.errMu.Unlock()
@@ -91,8 +91,8 @@
 	r.stop()
 }
 
-// Run runs a plan to its end, and stops all servers and processes that it has started. It returns an error if ctx is
-// done, or if a server or node fails without a fault of the plan.
+// Run runs a plan to its end, stops all servers and processes that it has started, and returns the result. It fails if
+// ctx is done, or if a server or node fails for another reason than a fault of the plan.
 func Run(ctx context.Context, source *plan.Plan, options Options) (*result.Result, error) {
 	if err := checkLimits(source, &options); err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a leftover of temporary files doesn't change the result
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files that remain don't change the result
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := &rehearsal{
@@ -126,7 +126,7 @@
 	return r.finish(), nil
 }
 
-// checkLimits returns an error for plans that can't run in real time.
+// checkLimits returns an error if the plan is too large for real time or needs a discovery that the program lacks.
 func checkLimits(p *plan.Plan, options *Options) error {
 	if len(p.Servers) > maxServers || len(p.Nodes) > maxNodes {
 		return fmt.Errorf("%d servers and %d nodes: real time allows at most %d and %d; use virtual time",
@@ -161,7 +161,7 @@
 	if r.options.Levels != "" {
 		r.tasks.Go(r.recordLevels)
 	}
-	r.timers.Go(r.pollServers) // it starts timers, which must not happen once they are waited for
+	r.timers.Go(r.pollServers) // in timers, since it adds timers: that must not race with timers.Wait
 	return nil
 }
 
@@ -179,16 +179,16 @@
 	}
 }
 
-// finish returns the result after the last request.
+// finish returns the result after the last request. The run is invalid if too many requests were sent late.
 func (r *rehearsal) finish() *result.Result {
 	if r.lateCount > int(maxLateShare*float64(r.sentCount)) {
 		r.observer.invalidate(fmt.Sprintf("the load generator sent %d of %d requests more than %v late: "+
-			"this machine is too busy or too small for the script", r.lateCount, r.sentCount, lateAfter))
+			"this machine is too busy or too small for the script", r.lateCount, r.sentCount, lateThreshold))
 	}
 	return r.observer.finish()
 }
 
-// schedule calls do at a time of the script, unless the run ends before.
+// schedule calls do at a time after the start of the script, unless the run ends before.
 func (r *rehearsal) schedule(at time.Duration, do func()) {
 	r.timers.Go(func() {
 		timer := time.NewTimer(time.Until(r.observer.startedAt.Add(at)))
@@ -201,7 +201,8 @@
 	})
 }
 
-// recordLevels records the degradation level of the first node until the end of the run.
+// recordLevels records the first node's level of reduced service until the end of the run. While the node doesn't
+// answer, it repeats the last known level.
 func (r *rehearsal) recordLevels() {
 	ticker := time.NewTicker(levelPoll)
 	defer ticker.Stop()
@@ -219,7 +220,7 @@
 	}
 }
 
-// pollServers ends servers whose model has crashed, until the end of the run.
+// pollServers ends the processes of servers whose model crashed under overload, until the end of the run.
 func (r *rehearsal) pollServers() {
 	ticker := time.NewTicker(overloadPoll)
 	defer ticker.Stop()
@@ -238,8 +239,9 @@
 	}
 }
 
-// placer returns a function that returns the zone and the cell of a server; a replacement has those of its original.
-func placer(p *plan.Plan) func(id string) (zone string, cell int64) {
+// newLocator returns a function that looks up the zone and the cell of a server; a replacement has those of its
+// original.
+func newLocator(p *plan.Plan) func(id string) (zone string, cell int64) {
 	servers := make(map[string]*plan.Server)
 	for i := range p.Servers {
 		servers[p.Servers[i].ID] = &p.Servers[i]
@@ -252,9 +254,9 @@
 	}
 }
 
-// checkerConfig is that of virtual time, with the uncertainty of real time.
+// checkerConfig returns the checker's configuration of virtual time with the tolerance that real time needs.
 func checkerConfig(p *plan.Plan) checker.Config {
-	config := sim.CheckerConfig(p, placer(p))
+	config := sim.CheckerConfig(p, newLocator(p))
 	config.Slack = slack
 	return config
 }
--- a/emulator/realtime/realtime_test.go
+++ b/emulator/realtime/realtime_test.go
@@ -14,15 +14,15 @@
 	"go.uber.org/goleak"
 )
 
-// asNode is the environment variable that makes the test binary a node.
-const asNode = "WAYHOLD_TEST_NODE"
+// runAsNodeEnv is the environment variable that makes the test binary run as a node.
+const runAsNodeEnv = "WAYHOLD_TEST_NODE"
 
-// TestMain runs a node if the environment says so, so that the test's own binary serves as the nodes.
+// TestMain runs a node if runAsNodeEnv is set, so that tests can start their own binary as nodes.
 func TestMain(m *testing.M) {
-	if os.Getenv(asNode) != "" {
+	if os.Getenv(runAsNodeEnv) != "" {
 		os.Exit(cli.Main(cli.Extensions{}))
 	}
-	if err := os.Setenv(asNode, "1"); err != nil {
+	if err := os.Setenv(runAsNodeEnv, "1"); err != nil {
 		panic(err)
 	}
 	goleak.VerifyTestMain(m)
@@ -120,8 +120,8 @@
 for = "1s"
 `
 
-// With a node killed and many faults at once, in each protocol, every rule is kept, the faults affect requests, and no
-// goroutine is left.
+// A run with a killed node and many faults at once, in each protocol, must violate no rule and leave no goroutine, and
+// the faults must affect requests.
 func TestRun_KeepsRulesUnderFaults(t *testing.T) {
 	t.Run("http", func(t *testing.T) { t.Parallel(); rehearse(t, site) })
 	t.Run("msgpack", func(t *testing.T) {
@@ -151,8 +151,8 @@
 	if !r.Verdict.Passed() {
 		t.Errorf("violations: %+v", r.Verdict.Violations)
 	}
-	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // also on a busy machine
-		t.Errorf("%d of %d were served", r.All.OnTime+r.All.Late, r.All.Offered)
+	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // a limit that a run on a busy machine also keeps
+		t.Errorf("%d of %d requests were served, want at least half", r.All.OnTime+r.All.Late, r.All.Offered)
 	}
 	for _, f := range r.Faults {
 		switch f.Kind {
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -15,7 +15,7 @@
 	"cobaltward/emulator/serverprotocol"
 )
 
-// server is one machine. It has an address for each node, by which it recognizes the sender of a request.
+// server is one server machine. It listens on a separate address for each node, which tells it the sender of a request.
 type server struct {
 	rehearsal *rehearsal
 	spec      *plan.Server
@@ -23,13 +23,13 @@
 
 	mu        sync.Mutex
 	id        string
-	addrs     []string // by node
+	addrs     []string // by node index
 	backend   *servermodel.Server
 	listeners []interface{ Close() }
-	startedAt int64 // Unix time in milliseconds; 0: before the run
+	startedAt int64 // Unix time in milliseconds; 0: the process started before the run
 }
 
-// start starts a process, which warms up unless warm is set. Its addresses stay the same.
+// start starts a process, which warms up unless warm is set. A restart uses the same addresses.
 func (s *server) start(id string, warm bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// listen serves the process on the address for a node. The lock is held.
+// listen serves the process on the address for a node. The caller must hold s.mu.
 func (s *server) listen(node int) error {
 	source := s.rehearsal.plan
 	addr := fmt.Sprintf("127.%d.%d.%d:0", 20+node, s.index/200, s.index%200+1)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// crash ends the process. Its connections are reset, and new ones refused.
+// crash ends the process. Its connections are reset, and new connections are refused.
 func (s *server) crash() {
 	s.mu.Lock()
 	listeners, backend := s.listeners, s.backend
@@ -101,7 +101,7 @@
 	}
 }
 
-// poll ends the process if it was overloaded.
+// poll ends the process if its model crashed under overload, and reports the crash.
 func (s *server) poll() {
 	s.mu.Lock()
 	backend, id := s.backend, s.id
@@ -121,7 +121,7 @@
 	s.rehearsal.announce(s, PhaseRemoved)
 }
 
-// behavior returns the behavior for a request of a node under the active faults.
+// behavior records a request of a node and returns how the server handles it under the active faults.
 func (s *server) behavior(node int, id string, delay time.Duration) serverprotocol.Behavior {
 	source := s.rehearsal.plan
 	s.mu.Lock()
@@ -130,7 +130,7 @@
 	crossZone := source.Nodes[node].Zone != s.spec.Zone
 	request, attempt := s.rehearsal.observer.serverReceived(node, id, serverID, crossZone)
 	behavior := serverprotocol.Behavior{ID: fmt.Sprintf("%s/%d", id, attempt), NetworkDelay: delay}
-	if request == nil { // the checker has reported the attempt
+	if request == nil { // the checker has already reported the attempt as a violation
 		return behavior
 	}
 	behavior.Work = request.work
@@ -151,8 +151,8 @@
 	return behavior
 }
 
-// applyFault changes the behavior for a request of a node in a zone as an active fault requires. It returns false if
-// the fault doesn't affect the request.
+// applyFault applies an active fault to the behavior for a request of a node in nodeZone. It returns false if the fault
+// doesn't affect the request.
 func (s *server) applyFault(fault *plan.Fault, nodeZone string, behavior *serverprotocol.Behavior) bool {
 	if fault.Kind == script.FaultZoneCut && (fault.Zone == s.spec.Zone) != (fault.Zone == nodeZone) {
 		behavior.Hang = true
@@ -184,7 +184,7 @@
 	return true
 }
 
-// endpoint returns the entry of the server in the endpoint list of a node.
+// endpoint returns the server's entry in the endpoint list of a node.
 func (s *server) endpoint(node int, phase string) Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 }
 
-// requestID returns the ID of the request that an attempt at a server belongs to.
+// requestID returns the ID of the request to which an attempt at a server belongs.
 func requestID(attemptID string) string {
 	id, _, _ := strings.Cut(attemptID, "/")
 	return id
@@ -203,13 +203,15 @@
 // keySeparator separates the class of a request from its idempotency key.
 const keySeparator = "\x00"
 
-// serverKeys looks keys up for one server, in the table of the server's group for the class of the request.
+// serverKeys looks up idempotency keys for one server, in the table of the server's deduplication scope for the class
+// of the request.
 type serverKeys struct {
 	rehearsal *rehearsal
 	spec      *plan.Server
 }
 
-// IsDuplicate reports whether a key, which follows its class, was seen within the window of the class.
+// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey is the class,
+// keySeparator, and the key.
 func (k *serverKeys) IsDuplicate(classAndKey string, _ time.Duration) bool {
 	class, key, _ := strings.Cut(classAndKey, keySeparator)
 	name, window := k.rehearsal.plan.DedupTable(class, k.spec)
