--- a/emulator/script/check.go
+++ b/emulator/script/check.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// shareTolerance is the rounding error allowed in the sum of shares.
+// shareTolerance is the rounding error that is allowed in a sum of shares.
 const shareTolerance = 1e-6
 
-// check returns an error for a script whose values contradict one another.
+// check returns an error if a value of the script is invalid or contradicts another one.
 func (s *Script) check() error {
 	if len(s.Network.Zones) == 0 {
 		return s.lines.Errorf("net.zones", "want one zone or more")
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkZones returns an error for weights of unknown zones, or without a weight above 0.
+// checkZones returns an error if a weight belongs to an unknown zone, or if weights are given and none is above 0.
 func (s *Script) checkZones(at string, weights map[string]float64) error {
 	sum := 0.0
 	for _, zone := range sortedKeys(weights) {
@@ -130,7 +130,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// checkKnown returns an error if a name is neither empty nor one of names.
+// checkKnown returns an error if a name is neither empty nor one of names. what is the kind of thing that it names.
 func (s *Script) checkKnown(key, what, name string, names []string) error {
 	if name == "" || slices.Contains(names, name) {
 		return nil
--- a/emulator/script/checkfault.go
+++ b/emulator/script/checkfault.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// checkFaultKeys compares the keys of a fault with those of its kind.
+// checkFaultKeys checks that a fault has all keys that its kind requires and only keys that its kind allows.
 func (s *Script) checkFaultKeys(fault *Fault, at string, kind faultKind) error {
 	for _, key := range faultKeys {
 		_, present := s.lines[at+"."+key]
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// checkFaultNames checks that the script has what the fault names.
+// checkFaultNames checks that every zone, class, tenant, server and node that the fault names exists in the script.
 func (s *Script) checkFaultNames(fault *Fault, at string, _ faultKind) error {
 	for _, check := range []struct {
 		key, what, name string
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// checkFaultSelection checks that servers or nodes are selected in exactly one way.
+// checkFaultSelection checks that a fault of servers or nodes selects them in exactly one way, and that a delay of the
+// endpoint list is above 0.
 func (s *Script) checkFaultSelection(fault *Fault, at string, kind faultKind) error {
 	if kind.target == targetServers || kind.target == targetNodes {
 		selections := 0
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// checkFaultOverlap returns an error if the fault can't be active at the same time as an earlier one. Servers selected
-// at random avoid other faults of their processes, but servers selected by name can't.
+// checkFaultOverlap returns an error if the fault overlaps an earlier one with which it can't be active at the same
+// time. For servers, only selections by name are compared: the random selection avoids conflicts.
 func (s *Script) checkFaultOverlap(fault, other *Fault, at string, kind faultKind) error {
 	if !fault.overlaps(other) {
 		return nil
--- a/emulator/script/fault.go
+++ b/emulator/script/fault.go
@@ -13,24 +13,24 @@
 	At       time.Duration `toml:"at" need:"1" min:"0s"`
 	Duration time.Duration `toml:"for" min:"0s"`
 
-	Servers    []string `toml:"servers"` // by name; else selected at random
+	Servers    []string `toml:"servers"` // selected by name; empty: selected at random
 	Count      int      `toml:"count" min:"1"`
 	Share      float64  `toml:"share" min:"0" max:"1"`
 	Zone       string   `toml:"zone"`
 	ServerKind string   `toml:"of"`
 
-	Fraction     float64       `toml:"part" min:"0" max:"1"` // of requests
+	Fraction     float64       `toml:"part" min:"0" max:"1"` // of the requests that are affected
 	Factor       float64       `toml:"factor" min:"0" max:"1000"`
 	Delay        time.Duration `toml:"delay" min:"0s" max:"10m"`
 	Class        string        `toml:"class"`
 	Tenant       string        `toml:"tenant"`
 	Nodes        []string      `toml:"nodes"`
-	RampDuration time.Duration `toml:"rise" min:"0s"` // time in which traffic reaches its full factor, and leaves it
+	RampDuration time.Duration `toml:"rise" min:"0s"` // of traffic to the full factor, and back at the end
 
 	line int
 }
 
-// faultTarget is the part of a site that a kind of fault hits.
+// faultTarget is the part of a site that a kind of fault affects.
 type faultTarget string
 
 const (
@@ -41,7 +41,7 @@
 	targetZone      faultTarget = "zone"
 )
 
-// The kinds of faults, which docs/rehearse.md describes.
+// The kinds of faults, as described in docs/rehearse.md.
 const (
 	FaultFastErrors    = "fast-errors"
 	FaultHung          = "hung"
@@ -64,14 +64,15 @@
 	FaultSurge         = "surge"
 )
 
-// faultKind describes a kind of fault and its keys beside name, kind, at and for.
+// faultKind describes the target of a kind of fault, and which keys it allows and requires. The keys name, kind, at and
+// for are always allowed.
 type faultKind struct {
 	target   faultTarget
 	allowed  []string
 	required []string
 }
 
-// faultKeys are all keys that depend on the kind of the fault, in the order in which they are checked.
+// faultKeys are the keys that depend on the kind of the fault, in the order in which they are checked.
 var faultKeys = []string{
 	"servers", "count", "share", "zone", "of", "part", "factor", "delay", "class", "tenant", "nodes", "rise", "for",
 }
@@ -101,7 +102,7 @@
 	FaultSurge:         {targetTraffic, []string{"factor", "rise"}, []string{"for", "factor"}},
 }
 
-// serverFault describes a fault of servers with parameters, which are required.
+// serverFault returns a kind of fault that affects servers and requires the given parameters.
 func serverFault(parameters ...string) faultKind {
 	return faultKind{
 		target:   targetServers,
@@ -110,15 +111,16 @@
 	}
 }
 
-// EndsProcess reports whether the fault ends or drains server processes. Two such faults can't overlap at one server.
+// EndsProcess reports whether the fault ends a server's process, drains it, or removes it from the endpoint list. Two
+// such faults can't overlap at one server.
 func (f *Fault) EndsProcess() bool {
 	return f.Kind == FaultCrash || f.Kind == FaultReplaced || f.Kind == FaultDrain || f.Kind == FaultListWrong
 }
 
-// End returns the time at which the fault ends.
+// End returns the time at which the fault ends, counted from the first request.
 func (f *Fault) End() time.Duration { return f.At + f.Duration }
 
-// overlaps reports whether both faults are active at some time.
+// overlaps reports whether there is a time at which both faults are active.
 func (f *Fault) overlaps(other *Fault) bool { return f.At < other.End() && other.At < f.End() }
 
 // Label returns the name of the fault in reports.
@@ -129,10 +131,11 @@
 	return fmt.Sprintf("%s at %v", f.Kind, f.At)
 }
 
-// Line returns the line of the fault in the script.
+// Line returns the number of the line at which the fault begins in the script.
 func (f *Fault) Line() int { return f.line }
 
-// Errorf returns an error that names the fault's line, for errors found after the script is read.
+// Errorf returns an error with the path of the script and the line and label of the fault, for errors that are found
+// after the script was read.
 func (s *Script) Errorf(f *Fault, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s: %s", s.path, f.line, f.Label(), fmt.Sprintf(format, args...))
 }
--- a/emulator/script/parse.go
+++ b/emulator/script/parse.go
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads the script at path. Errors are one line that names the file, the line and what is allowed.
+// Load reads the script at path. An error is one line of text with the file, the line, and what is allowed there.
 func Load(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return Parse(filepath.ToSlash(path), text)
 }
 
-// Parse reads a script's text; path names it in errors and is the start of a relative base.
+// Parse reads a script from its text. Errors name path, and a relative base is relative to its directory.
 func Parse(path string, text []byte) (*Script, error) {
 	script := withDefaults(path)
 	if err := script.decodeBase(text); err != nil {
@@ -39,7 +39,7 @@
 	return script, nil
 }
 
-// withDefaults returns a script with the defaults of the single tables.
+// withDefaults returns a script with the defaults of all tables that occur once.
 func withDefaults(path string) *Script {
 	return &Script{
 		Title: strings.TrimSuffix(filepath.Base(path), ".toml"), Seed: 1, path: path,
@@ -62,7 +62,7 @@
 	}
 }
 
-// decodeBase reads the base of a script, if its text names one, except for the title and the faults.
+// decodeBase decodes the base of a script, if its text names one, into s, except for the base's title and faults.
 func (s *Script) decodeBase(text []byte) error {
 	base := baseOf(text)
 	if base == "" {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// baseOf returns the base that a script names, if any.
+// baseOf returns the path of the base that a script names; empty if it names none.
 func baseOf(text []byte) string {
 	var b struct {
 		Base string `toml:"base"`
@@ -99,7 +99,8 @@
 	return b.Base
 }
 
-// fillDefaults sets the defaults of list items and of keys that depend on others.
+// fillDefaults sets the defaults of list items and of keys whose default depends on other keys, and the lines of the
+// faults.
 func (s *Script) fillDefaults() {
 	for i := range s.ServerKinds {
 		s.ServerKinds[i].fillDefaults()
@@ -130,7 +131,7 @@
 	}
 }
 
-// setDefault sets an empty range to a single value.
+// setDefault sets an unset range to a single value.
 func setDefault(r *stricttoml.Range, value float64) {
 	if *r == (stricttoml.Range{}) {
 		*r = stricttoml.Range{Lo: value, Hi: value}
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -1,5 +1,5 @@
-// Package script reads the scripts of rehearsals: a site, its traffic, and the faults that occur in it. Their format is
-// described in docs/rehearse.md.
+// Package script reads the scripts of rehearsals. A script describes a site, its traffic, and the faults that occur in
+// it. The format is described in docs/rehearse.md.
 package script
 
 import (
@@ -9,12 +9,12 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// Script is a rehearsal script. Times count from the first request.
+// Script is the script of a rehearsal. Times in it count from the start of the traffic.
 type Script struct {
 	Title        string        `toml:"title"`
-	Base         string        `toml:"base"` // path of the script that this one overrides: tables by key, lists as a whole
+	Base         string        `toml:"base"` // path of a script to override: tables by key, lists as a whole
 	Seed         uint64        `toml:"seed"`
-	Duration     time.Duration `toml:"length" need:"1" min:"100ms" max:"1h"` // time within which requests arrive
+	Duration     time.Duration `toml:"length" need:"1" min:"100ms" max:"1h"` // time during which requests arrive
 	Network      Network       `toml:"net"`
 	Nodes        Nodes         `toml:"nodes"`
 	Discovery    Discovery     `toml:"discovery"`
@@ -23,7 +23,7 @@
 	Tenants      []Tenant      `toml:"tenant" need:"1"`
 	Traffic      Traffic       `toml:"traffic" need:"1"`
 	Clients      Clients       `toml:"clients"`
-	LoadFields   []string      `toml:"reports" one:"inflight|queue|util"` // figures of load reports; real time only
+	LoadFields   []string      `toml:"reports" one:"inflight|queue|util"` // fields of load reports; real time only
 	Capabilities Capabilities  `toml:"allow"`
 	Rules        Rules         `toml:"rules"`
 	Faults       []Fault       `toml:"fault"`
@@ -32,7 +32,7 @@
 	path  string
 }
 
-// Network describes the network. Delays are one way.
+// Network describes the network. All delays are one-way delays.
 type Network struct {
 	Zones          []string      `toml:"zones"`
 	SameZoneDelay  time.Duration `toml:"same" min:"0s" max:"1s"`
@@ -47,16 +47,16 @@
 type Nodes struct {
 	Count            int           `toml:"count" min:"1" max:"200"`
 	FailureDetection time.Duration `toml:"notice" min:"0s" max:"1m"` // until the load balancer avoids a dead node
-	MaxConns         int           `toml:"max_conns" min:"1"`        // of one node to all servers
-	MaxOpen          int           `toml:"max_open" min:"1"`         // requests open at one node
+	MaxConns         int           `toml:"max_conns" min:"1"`        // connections of one node to all servers
+	MaxOpen          int           `toml:"max_open" min:"1"`         // requests in flight at one node
 }
 
-// Discovery describes how the nodes learn of changes of the endpoint list.
+// Discovery describes how changes of the endpoint list reach the nodes.
 type Discovery struct {
 	Delay    time.Duration `toml:"delay" min:"0s" max:"1m"`
-	Spread   time.Duration `toml:"spread" min:"0s" max:"1m"` // largest extra delay of a node
+	Spread   time.Duration `toml:"spread" min:"0s" max:"1m"` // largest random extra delay of a node
 	Protocol string        `toml:"form" one:"own|xds"`       // real time only; own: the platform's protocol
-	// SilenceTimeout is the time after which a machine that sends nothing is removed from the list; 0: never.
+	// SilenceTimeout is the time after which a server that sends nothing is removed from the endpoint list; 0: never.
 	SilenceTimeout time.Duration `toml:"silent" min:"0s" max:"1h"`
 }
 
@@ -64,14 +64,14 @@
 type ServerKind struct {
 	Name            string             `toml:"name" need:"1"`
 	Count           int                `toml:"count" need:"1" min:"1" max:"5000"`
-	Zones           map[string]float64 `toml:"zones" min:"0"` // weights; none: evenly
+	Zones           map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: all the same
 	Cores           int                `toml:"cores" min:"1" max:"256"`
 	Speed           stricttoml.Range   `toml:"speed" min:"0.001" max:"1000"`
 	Slots           stricttoml.Range   `toml:"slots" min:"0.01" max:"1000"`   // per core
 	Queue           stricttoml.Range   `toml:"queue" min:"0" max:"10000"`     // per core
 	ThrashFactor    float64            `toml:"thrash" min:"0" max:"10"`       // see model.Config
 	ThrashThreshold float64            `toml:"thrash_at" min:"0" max:"10000"` // requests in flight per core
-	InitialCapacity stricttoml.Range   `toml:"cold_from" min:"0" max:"1"`     // fraction of the capacity; 0: warm
+	InitialCapacity stricttoml.Range   `toml:"cold_from" min:"0" max:"1"`     // fraction of the capacity; 0: no warm-up
 	WarmUpDuration  time.Duration      `toml:"cold_for" min:"0s" max:"10m"`
 	WarmUpBy        string             `toml:"cold_by" one:"time|work"`
 	PauseInterval   time.Duration      `toml:"pause_every" min:"0s" max:"10m"` // 0s: never
@@ -86,11 +86,11 @@
 	Protocol        string             `toml:"protocol" one:"http|msgpack"` // real time only
 }
 
-// Class describes a class of requests.
+// Class describes a class of requests: its work, its time limits, and whether and where it may be retried.
 type Class struct {
 	Name               string        `toml:"name" need:"1"`
 	Share              float64       `toml:"share" need:"1" min:"0"`
-	Work               time.Duration `toml:"work" need:"1" min:"1us" max:"1h"` // mean, of a core of speed 1
+	Work               time.Duration `toml:"work" need:"1" min:"1us" max:"1h"` // mean time on a core of speed 1
 	Dist               string        `toml:"dist" one:"fixed|exponential|lognormal|pareto"`
 	CV                 float64       `toml:"cv" min:"0.01" max:"20"` // coefficient of variation
 	LatencyObjective   time.Duration `toml:"aim" need:"1" min:"1ms"`
@@ -108,7 +108,7 @@
 	NonIdempotent    = "never"
 )
 
-// Tenant describes a tenant.
+// Tenant describes the quota and the load of a tenant.
 type Tenant struct {
 	Name  string  `toml:"name" need:"1"`
 	Share float64 `toml:"share" need:"1" min:"0" max:"1"`
@@ -118,18 +118,18 @@
 // Traffic describes the open-loop load that clients offer.
 type Traffic struct {
 	Rate float64 `toml:"rate" need:"1" min:"0.1" max:"1000000"` // first attempts per second, of all tenants
-	// Quota is the number of requests per second that the tenants' shares divide; 0: the rate.
+	// Quota is the sum of all quotas in requests per second, which the tenants' shares divide; 0: the same as Rate.
 	Quota float64            `toml:"quota" min:"0"`
-	Zones map[string]float64 `toml:"zones" min:"0"` // weights; none: evenly
+	Zones map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: all the same
 	Shape string             `toml:"shape" one:"steady|wave|ramp|square"`
-	// Period is the period of a wave or a square; 0: half of the script's duration.
+	// Period is the period of the shapes wave and square; 0: half of the script's duration.
 	Period time.Duration `toml:"period" min:"100ms" max:"1h"`
-	// Amplitude is the relative change of the rate in a wave or a square. A ramp goes from 1 - Amplitude to
-	// 1 + Amplitude.
+	// Amplitude is the largest relative change of the rate in the shapes wave and square. The shape ramp goes from
+	// 1 - Amplitude to 1 + Amplitude times the rate.
 	Amplitude float64 `toml:"swing" min:"0" max:"1"`
 }
 
-// PeriodOf returns the period of a wave or a square in a script of the given duration.
+// PeriodOf returns the period of the shapes wave and square in a script of the given duration.
 func (t Traffic) PeriodOf(duration time.Duration) time.Duration {
 	if t.Period > 0 {
 		return t.Period
@@ -137,16 +137,16 @@
 	return duration / 2
 }
 
-// Clients describes how clients wait and retry. Fractions are of 1.
+// Clients describes how long clients wait and when they retry. Fractions are between 0 and 1.
 type Clients struct {
 	Retries                int           `toml:"retries" min:"0" max:"10"`
-	AttemptTimeoutFraction float64       `toml:"try_share" min:"0.05" max:"1"` // of the deadline
+	AttemptTimeoutFraction float64       `toml:"try_share" min:"0.05" max:"1"` // timeout as a fraction of the deadline
 	Backoff                string        `toml:"backoff" one:"none|fixed|exponential"`
 	BackoffDelay           time.Duration `toml:"wait" min:"0s" max:"1m"`
 	HonorFraction          float64       `toml:"honour" min:"0" max:"1"`        // clients that obey Retry-After
-	MaxRetryAfter          time.Duration `toml:"max_retry_after" min:"0s"`      // longest Retry-After that they obey
-	EarlyLeaveFraction     float64       `toml:"impatient" min:"0" max:"1"`     // attempts whose client disconnects early
-	DuplicateIDFraction    float64       `toml:"duplicate_ids" min:"0" max:"1"` // requests sent twice with the same ID
+	MaxRetryAfter          time.Duration `toml:"max_retry_after" min:"0s"`      // longest Retry-After that clients obey
+	EarlyLeaveFraction     float64       `toml:"impatient" min:"0" max:"1"`     // requests whose client disconnects early
+	DuplicateIDFraction    float64       `toml:"duplicate_ids" min:"0" max:"1"` // attempts sent twice with the same ID
 }
 
 // Capabilities lists what the site allows nodes to do.
@@ -158,7 +158,7 @@
 	ConnIdle    time.Duration `toml:"conn_idle" min:"1s" max:"1h"`
 }
 
-// Rules holds the parameters of the platform's rules.
+// Rules holds the parameters of the platform's four rules, against which the checker checks a run.
 type Rules struct {
 	DrainGrace       time.Duration `toml:"drain_grace" min:"0s"`
 	OverloadFactor   float64       `toml:"fall_multiple" min:"1"`
@@ -166,7 +166,7 @@
 	AnswerGrace      time.Duration `toml:"answer_grace" min:"0s"`
 }
 
-// ServerNames returns the names of the servers in scripts.
+// ServerNames returns the names by which faults select servers: s-0001, s-0002 and so on.
 func (s *Script) ServerNames() (all []string) {
 	for _, kind := range s.ServerKinds {
 		for range kind.Count {
@@ -176,7 +176,7 @@
 	return all
 }
 
-// NodeNames returns the names of the nodes in scripts.
+// NodeNames returns the names by which faults select nodes: n1, n2 and so on.
 func (s *Script) NodeNames() (all []string) {
 	for i := range s.Nodes.Count {
 		all = append(all, fmt.Sprintf("n%d", i+1))
--- a/emulator/script/script_test.go
+++ b/emulator/script/script_test.go
@@ -10,11 +10,11 @@
 // errorCase is a change of a valid script that makes it invalid.
 type errorCase struct {
 	change func(string) string
-	line   int      // in the error; 0: not checked
-	want   []string // parts of the error
+	line   int      // line number in the error; 0: not checked
+	want   []string // texts that the error must contain
 }
 
-// validScript returns the text of a valid script.
+// validScript returns the text of a script that Parse accepts.
 func validScript(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../scenarios/calm.toml")
@@ -27,37 +27,37 @@
 	return string(text)
 }
 
-// fault returns a change that appends a fault with the given lines.
+// fault returns a function that appends a fault with the given lines to a script.
 func fault(lines ...string) func(string) string {
 	return func(s string) string { return s + "\n[[fault]]\n" + strings.Join(lines, "\n") }
 }
 
-// edit returns a change that replaces the first occurrence of a text.
+// edit returns a function that replaces the first occurrence of a text in a script.
 func edit(from, to string) func(string) string {
 	return func(s string) string { return strings.Replace(s, from, to, 1) }
 }
 
-// check parses the changed script and compares the error, which must be a single line with the file's name.
+// check parses the changed script and checks the error, which must be a single line that begins with the file's name.
 func (c *errorCase) check(t *testing.T, valid string) {
 	t.Helper()
 	text := c.change(valid)
 	if text == valid {
-		t.Fatal("the change changes nothing")
+		t.Fatal("the change left the script as it was")
 	}
 	_, err := Parse("x.toml", []byte(text))
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("Parse accepted an invalid script")
 	}
 	got := err.Error()
 	if strings.Contains(got, "\n") || !strings.HasPrefix(got, "x.toml:") {
-		t.Errorf("%q is not one line that begins with the file's name", got)
+		t.Errorf("error %q is not one line that begins with the file's name", got)
 	}
 	if c.line > 0 && !strings.HasPrefix(got, "x.toml:"+strconv.Itoa(c.line)+":") {
-		t.Errorf("%q does not name line %d", got, c.line)
+		t.Errorf("error %q does not name line %d", got, c.line)
 	}
 	for _, want := range c.want {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not say %q", got, want)
+			t.Errorf("error %q does not contain %q", got, want)
 		}
 	}
 }
