--- a/emulator/plan/arrivals.go
+++ b/emulator/plan/arrivals.go
@@ -10,22 +10,22 @@
 	"cobaltward/emulator/script"
 )
 
-// Request is a client's request with its random choices.
+// Request is a client's request with the random choices that were made for it.
 type Request struct {
 	Number     int
 	At         time.Duration
-	ID         string  // of its first attempt
+	ID         string  // ID of its first attempt
 	Class      int     // index in Script.Classes
 	Tenant     int     // index in Script.Tenants
-	Zone       string  // of the client
+	Zone       string  // zone of the client
 	Node       int     // node to which a fault directs the request; -1: chosen by the balancer
 	Key        string  // idempotency key; empty if the class has none
-	CostFactor float64 // by which faults multiply the work
-	CostFault  int     // index of the last of these faults; -1: none
-	OverQuota  bool    // the tenant exceeds its quota
+	CostFactor float64 // factor by which faults multiply the work
+	CostFault  int     // index of the last fault that multiplies the work; -1: none
+	OverQuota  bool    // the tenant exceeds its quota with this request
 }
 
-// AttemptID returns the ID of the n-th retry of a request; retry 0 is the first attempt.
+// AttemptID returns the ID of a client's n-th retry of a request; retry 0 is the first attempt.
 func (r *Request) AttemptID(n int) string {
 	if n == 0 {
 		return r.ID
@@ -33,20 +33,20 @@
 	return fmt.Sprintf("%s.%d", r.ID, n)
 }
 
-// Arrivals generates the requests in the order of their arrival, independently of how they are served. It isn't safe
-// for concurrent use.
+// Arrivals generates the requests in the order of their arrival, independently of the outcome of earlier requests. It
+// isn't safe for concurrent use.
 type Arrivals struct {
 	plan       *Plan
 	rng        *rand.Rand
 	at         time.Duration
 	count      int
-	peakFactor float64 // highest possible rate, as a multiple of the script's
-	// Each tenant has a token bucket that holds its quota of one second.
+	peakFactor float64 // upper bound of the rate, as a multiple of the script's rate
+	// Each tenant has a token bucket whose capacity is its quota for one second.
 	tokens     []float64
 	lastRefill []time.Duration
 }
 
-// Arrivals starts the plan's traffic.
+// Arrivals returns a generator at the start of the plan's traffic.
 func (p *Plan) Arrivals() *Arrivals {
 	tenants := len(p.Script.Tenants)
 	arrivals := &Arrivals{
@@ -66,7 +66,7 @@
 	return arrivals
 }
 
-// trafficFactor returns the factor by which a fault multiplies traffic at a time; 1 while it is inactive.
+// trafficFactor returns the factor by which a fault multiplies the traffic at a time; 1 while the fault is inactive.
 func trafficFactor(fault *script.Fault, at time.Duration) float64 {
 	if at < fault.At || at >= fault.End() {
 		return 1
@@ -104,7 +104,7 @@
 	return byTenant, shapedRate(rate, source, at) * sum
 }
 
-// shapedRate returns the rate at a time with the shape of the traffic.
+// shapedRate returns the rate at a time after the shape of the script's traffic is applied.
 func shapedRate(rate float64, source *script.Script, at time.Duration) float64 {
 	amplitude := source.Traffic.Amplitude
 	period := source.Traffic.PeriodOf(source.Duration).Seconds()
@@ -127,8 +127,8 @@
 func (a *Arrivals) Next() (request Request, ok bool) {
 	source := a.plan.Script
 	for {
-		// Thinning: arrivals are drawn at the highest possible rate, and kept with the probability that gives the
-		// rate at their time.
+		// Thinning: arrivals are drawn at the upper bound of the rate, and each is kept with the probability that
+		// yields the rate at its time.
 		a.at += time.Duration(a.rng.ExpFloat64() / (source.Traffic.Rate * a.peakFactor) * float64(time.Second))
 		if a.at >= source.Duration {
 			return Request{}, false
@@ -140,7 +140,8 @@
 	}
 }
 
-// draw returns a request that arrives now. The order of the draws is part of each plan.
+// draw returns a request that arrives at the current time. The order of the random draws must not change, or the same
+// seed would give other requests.
 func (a *Arrivals) draw(byTenant []float64) Request {
 	source := a.plan.Script
 	request := Request{Number: a.count, At: a.at, Node: -1, CostFactor: 1, CostFault: -1}
@@ -158,7 +159,7 @@
 	return request
 }
 
-// applyFaults draws the effects of active faults on a request.
+// applyFaults applies the active faults to a request; random draws decide which of them affect it.
 func (a *Arrivals) applyFaults(request *Request) {
 	class := a.plan.Script.Classes[request.Class].Name
 	for i := range a.plan.Faults {
@@ -188,7 +189,7 @@
 	return true
 }
 
-// weightedIndex draws an index with a probability in proportion to its weight.
+// weightedIndex draws an index, each with a probability proportional to its weight.
 func weightedIndex(rng *rand.Rand, weights []float64) int {
 	return weightedIndexFunc(rng, weights, func(w float64) float64 { return w })
 }
--- a/emulator/plan/balancer.go
+++ b/emulator/plan/balancer.go
@@ -1,13 +1,14 @@
 package plan
 
-// Balancer distributes clients among the nodes of their zone in turn. It isn't safe for concurrent use.
+// Balancer is the load balancer in front of the nodes. It distributes clients round-robin among the nodes of their
+// zone. It isn't safe for concurrent use.
 type Balancer struct {
-	next        map[string]int   // by zone; "" stands for all zones
-	nodesByZone map[string][]int // likewise
+	next        map[string]int   // round-robin position by zone; the key "" stands for all zones
+	nodesByZone map[string][]int // node indices by zone; the key "" stands for all zones
 	down        []bool
 }
 
-// NewBalancer returns a balancer for which all nodes are up.
+// NewBalancer returns a balancer that treats all nodes as up.
 func (p *Plan) NewBalancer() *Balancer {
 	b := &Balancer{next: make(map[string]int), nodesByZone: make(map[string][]int), down: make([]bool, len(p.Nodes))}
 	for i, node := range p.Nodes {
@@ -17,10 +18,11 @@
 	return b
 }
 
-// SetDown tells the balancer whether a node is down.
+// SetDown sets whether the balancer treats a node as down and avoids it.
 func (b *Balancer) SetDown(node int, down bool) { b.down[node] = down }
 
-// Next returns the node for a client of a zone: one of the zone, else any; -1 if all nodes are down.
+// Next returns the index of the node for a client of a zone: a node of that zone, or of any zone if those are down. It
+// returns -1 if all nodes are down.
 func (b *Balancer) Next(zone string) int {
 	for _, z := range []string{zone, ""} {
 		for range b.nodesByZone[z] {
--- a/emulator/plan/fault.go
+++ b/emulator/plan/fault.go
@@ -8,7 +8,7 @@
 	"cobaltward/emulator/script"
 )
 
-// Fault is a fault with the servers and nodes that it hits.
+// Fault is a fault of the script with the servers and nodes that it affects.
 type Fault struct {
 	*script.Fault
 	Index   int   // in Plan.Faults
@@ -19,10 +19,10 @@
 // ActiveAt reports whether the fault is active at a time.
 func (f *Fault) ActiveAt(at time.Duration) bool { return f.At <= at && at < f.End() }
 
-// reservations are the faults that end processes, by the server that they hit.
+// reservations holds, for each index of a server, the faults that end its process.
 type reservations map[int][]*script.Fault
 
-// add records that a fault hits servers.
+// add records the servers that a fault affects, if the fault ends their processes.
 func (r reservations) add(fault *script.Fault, servers []int) {
 	if !fault.EndsProcess() {
 		return
@@ -32,14 +32,15 @@
 	}
 }
 
-// conflicts reports whether a fault can't hit a server because another one ends its process at that time.
+// conflicts reports whether a fault can't affect a server because both it and an overlapping fault end its process.
 func (r reservations) conflicts(fault *script.Fault, server int) bool {
 	return fault.EndsProcess() && slices.ContainsFunc(r[server], func(other *script.Fault) bool {
 		return fault.At < other.End() && other.At < fault.End()
 	})
 }
 
-// drawFaults selects the servers and nodes that the faults hit. Named ones come first, so that draws can avoid them.
+// drawFaults selects the servers and nodes that the faults affect. It reserves those that the script names before it
+// draws others at random, so that the draws can avoid them.
 func (p *Plan) drawFaults() error {
 	faults, reserved := p.Script.Faults, make(reservations)
 	p.Faults = make([]Fault, len(faults))
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// namedTargets returns a fault with the servers and nodes that the script names.
+// namedTargets returns a fault with the servers and nodes that the script names for it.
 func (p *Plan) namedTargets(index int) Fault {
 	fault := Fault{Fault: &p.Script.Faults[index], Index: index}
 	for _, name := range fault.Fault.Servers {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// targetCount returns the number of servers or nodes, out of all, that a fault hits.
+// targetCount returns the number of servers or nodes that a fault affects, out of a total of all.
 func targetCount(fault *script.Fault, all int) int {
 	if fault.Count > 0 {
 		return fault.Count
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan makes the random choices of a script: the speed of each server, the servers that a fault hits, the
-// arrival and the cost of each request. The same script and seed give the same plan in virtual and in real time.
+// Package plan makes the random choices for a script: the speed of each server, the servers that a fault affects, the
+// arrival and the work of each request. The same script and seed give the same plan in virtual and in real time.
 package plan
 
 import (
@@ -12,7 +12,8 @@
 	"cobaltward/policy"
 )
 
-// Streams of random numbers, one for each subject, so that a change of one subject leaves the others as they are.
+// Streams of random numbers, one for each subject, so that a changed number of draws for one subject doesn't change the
+// draws for the others.
 const (
 	streamServers = iota + 1
 	streamFaults
@@ -23,7 +24,7 @@
 // cellSize is the number of servers in a cell.
 const cellSize = 6
 
-// Plan is a script with its random choices made. It is read-only and safe for concurrent use.
+// Plan is a script with all random choices made. It is read-only and safe for concurrent use.
 type Plan struct {
 	Script  *script.Script
 	Seed    uint64
@@ -36,7 +37,7 @@
 	work map[string]model.Work // by class
 }
 
-// Server is the configuration of one server at the start.
+// Server is the configuration of one server at the start of a run.
 type Server struct {
 	ID            string
 	Zone          string
@@ -48,14 +49,14 @@
 	SpeaksMsgpack bool // serves MessagePack-RPC; real time only
 }
 
-// Node is one instance of the router.
+// Node describes one instance of the router.
 type Node struct {
 	Name           string
 	Zone           string
 	DiscoveryDelay time.Duration // until a change of the endpoint list reaches the node
 }
 
-// New returns the plan of a script. Seed 0 stands for the script's own.
+// New returns the plan of a script. Seed 0 stands for the seed in the script.
 func New(source *script.Script, seed uint64) (*Plan, error) {
 	if seed == 0 {
 		seed = source.Seed
@@ -81,7 +82,7 @@
 	return model.Work{Dist: distributions[class.Dist], Mean: class.Work.Seconds(), CV: class.CV}
 }
 
-// random returns a stream of random numbers.
+// random returns a random number generator at the start of a stream.
 func (p *Plan) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream)) }
 
 func (p *Plan) drawServers() {
@@ -105,7 +106,8 @@
 	}
 }
 
-// drawConfig draws the configuration of a server. The order of the draws is part of each plan.
+// drawConfig draws the configuration of a server. The order of the random draws must not change, or the same seed would
+// give another configuration.
 func drawConfig(rng *rand.Rand, kind *script.ServerKind, rules *script.Rules) model.Config {
 	cores := float64(kind.Cores)
 	speed := kind.Speed.Interpolate(rng.Float64())
@@ -129,7 +131,8 @@
 	}
 }
 
-// apportion distributes n items among zones by weight, evenly along the list.
+// apportion distributes n items among zones in proportion to their weights, and returns the zone of each item. The
+// zones are interleaved evenly.
 func apportion(n int, zones []string, weights map[string]float64) []string {
 	counts := make([]float64, len(zones))
 	all := make([]string, 0, n)
@@ -147,7 +150,7 @@
 	return all
 }
 
-// weight returns the weight of a zone; without weights all zones weigh the same.
+// weight returns the weight of a zone. If no weights are given, all zones have the same.
 func weight(weights map[string]float64, zone string) float64 {
 	if len(weights) == 0 {
 		return 1
--- a/emulator/plan/settings.go
+++ b/emulator/plan/settings.go
@@ -8,7 +8,7 @@
 	"cobaltward/policy"
 )
 
-// commonSettings returns the settings of a node of the site, without its index and zone.
+// commonSettings returns the settings that all nodes of the site share, without a node's index and zone.
 func commonSettings(source *script.Script) policy.Settings {
 	rules := &source.Rules
 	settings := policy.Settings{
@@ -56,15 +56,15 @@
 	}
 }
 
-// NodeSettings returns the settings of one node.
+// NodeSettings returns the settings of one node, with its index and zone.
 func (p *Plan) NodeSettings(node int) policy.Settings {
 	settings := p.Settings
 	settings.Node, settings.Zone = node, p.Nodes[node].Zone
 	return settings
 }
 
-// DedupTable returns the name of the table in which a server looks up the idempotency keys of a class, and the time for
-// which the table remembers them.
+// DedupTable returns the name of the table in which a server looks up the idempotency keys of a class, and how long the
+// table remembers a key.
 func (p *Plan) DedupTable(class string, server *Server) (name string, window time.Duration) {
 	for i := range p.Settings.Classes {
 		settings := &p.Settings.Classes[i]
