--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -1,6 +1,7 @@
 // Package checker checks the traffic of nodes against the platform's four rules. It uses what clients, servers and
-// discovery observed and not what the nodes report about themselves. It does no I/O and reads no clock: its input is
-// facts with their times, its output a verdict with evidence. A request is forgotten some seconds after its deadline.
+// discovery observe, not what the nodes report about themselves. It does no I/O and reads no clock: its input is
+// observations with their times, its output a verdict with evidence. It forgets a request some seconds after the
+// request's deadline.
 package checker
 
 import (
@@ -12,8 +13,8 @@
 )
 
 const (
-	maxViolations     = 200              // recorded with their evidence; further ones are only counted
-	lateAttemptWindow = 10 * time.Second // after a request's deadline, within which its attempts may still reach servers
+	maxViolations     = 200              // violations recorded with evidence; further ones are only counted
+	lateAttemptWindow = 10 * time.Second // how long after a request's deadline its attempts may still reach servers
 )
 
 // Class holds the properties of a request class that the rules depend on.
@@ -23,29 +24,32 @@
 	DedupWindow time.Duration
 }
 
-// Config holds the parameters of the rules.
+// Config holds the parameters of the rules and of the observations.
 type Config struct {
 	Classes     map[string]Class
 	AnswerGrace time.Duration
 	DrainGrace  time.Duration
-	// Slack is the uncertainty of observed times: zero in virtual time.
+	// Slack is the largest error of observed times; 0 in virtual time, where they are exact.
 	Slack time.Duration
-	// Locate returns the zone and the cell of a server, which are scopes of idempotency keys. It may be nil.
+	// Locate returns the zone and the cell of a server, which can be scopes of deduplication. If it is nil, all servers
+	// are in the same scope.
 	Locate func(server string) (zone string, cell int64)
 }
 
-// Checker checks one run. It isn't safe for concurrent use. Times must not decrease by more than the slack.
+// Checker checks one run. It isn't safe for concurrent use. Times of successive calls must not decrease by more than
+// Config.Slack.
 type Checker struct {
 	config  Config
 	verdict Verdict
 	open    map[requestKey]*request
-	byID    map[string]*request // the first request with the ID, to which the attempts are attributed
-	expiry  []*request          // in the order in which they were received
-	// unavailableSince has the time at which a node learned that a server is draining or gone, by node and server.
+	byID    map[string]*request // the first request with each ID, to which all attempts with the ID are attributed
+	expiry  []*request          // requests in the order in which they were received
+	// unavailableSince holds the time at which a node was notified that a server is draining or gone, by node and
+	// server.
 	unavailableSince map[[2]string]time.Duration
 }
 
-// New returns a checker for a run without requests.
+// New returns a checker that has observed nothing yet.
 func New(config Config) *Checker {
 	return &Checker{
 		config:           config,
@@ -56,7 +60,7 @@
 	}
 }
 
-// report records a violation.
+// report counts a violation, and records its evidence up to maxViolations.
 func (c *Checker) report(violation Violation) {
 	c.verdict.Count[violation.Rule]++
 	if len(c.verdict.Violations) < maxViolations {
@@ -64,7 +68,7 @@
 	}
 }
 
-// RequestReceived records that a node has received a complete request, whose client waits until deadline.
+// RequestReceived records that a node has received a complete request. The client waits for the answer until deadline.
 func (c *Checker) RequestReceived(at time.Duration, node, id, class string, deadline time.Duration) {
 	c.expire(at)
 	r := &request{
@@ -115,7 +119,8 @@
 	}
 }
 
-// NodeDown records that a node was killed. No answers to its requests are due.
+// NodeDown records that a node was killed. It no longer has to answer its requests, and it starts again without the
+// notifications about servers that it had.
 func (c *Checker) NodeDown(node string) {
 	for _, r := range c.expiry {
 		if r.node == node {
@@ -129,8 +134,8 @@
 	}
 }
 
-// EndpointUpdated records that a node was notified of a server: that it is available for new work, or that it is
-// draining or gone.
+// EndpointUpdated records that a node was notified about a server: available reports whether the server accepts new
+// work; otherwise it is draining or gone.
 func (c *Checker) EndpointUpdated(at time.Duration, node, server string, available bool) {
 	key := [2]string{node, server}
 	if available {
@@ -142,7 +147,7 @@
 	}
 }
 
-// AttemptSent records that the n-th attempt for an ID was sent completely to a server.
+// AttemptSent records that the n-th attempt (from 0) for an ID was sent completely to a server.
 func (c *Checker) AttemptSent(at time.Duration, node, id string, n int, server string) {
 	c.verdict.Checked[RuleDrainGrace]++
 	since, unavailable := c.unavailableSince[[2]string{node, server}]
@@ -164,8 +169,8 @@
 	r.setAttempt(n, attempt{server: server, sent: at})
 }
 
-// checkRetry checks that a new attempt can't repeat the effect of the first one that may have run. Idempotent requests
-// may be retried anywhere.
+// checkRetry checks that a new attempt can't repeat the effect of the first earlier attempt that may have run.
+// Idempotent requests may be retried at any server and time.
 func (c *Checker) checkRetry(at time.Duration, r *request, server string) {
 	class := c.config.Classes[r.class]
 	for i, earlier := range r.attempts {
@@ -192,7 +197,7 @@
 	}
 }
 
-// sameScope reports whether two servers share a table of idempotency keys.
+// sameScope reports whether two servers share a table of idempotency keys in a deduplication scope.
 func (c *Checker) sameScope(scope policy.DedupScope, a, b string) bool {
 	if scope == policy.DedupAll || c.config.Locate == nil {
 		return true
@@ -202,7 +207,7 @@
 	return zoneA == zoneB && (scope == policy.DedupZone || cellA == cellB)
 }
 
-// Attempts returns the number of attempts so far for an ID.
+// Attempts returns the number of attempts that were sent so far for an ID.
 func (c *Checker) Attempts(id string) int {
 	if r := c.byID[id]; r != nil {
 		return len(r.attempts)
@@ -210,15 +215,15 @@
 	return 0
 }
 
-// AttemptNotRun records that the n-th attempt is proven to the node, by the server or the network, not to have run.
+// AttemptNotRun records that the server or the network has proven to the node that the n-th attempt did not run.
 func (c *Checker) AttemptNotRun(node, id string, n int) {
 	if r := c.byID[id]; r != nil && r.node == node {
 		r.setNotRun(n)
 	}
 }
 
-// ServerExecuted records that a server has started a request with the ID. discarded reports whether it was a duplicate
-// without an effect.
+// ServerExecuted records that a server has started to execute a request with the ID. discarded reports whether the
+// server recognized it as a duplicate, so that it had no effect.
 func (c *Checker) ServerExecuted(at time.Duration, server, id string, discarded bool) {
 	r := c.byID[id]
 	if r == nil || discarded {
@@ -238,7 +243,8 @@
 	}
 }
 
-// ServerOverloaded records that a warming server crashed, and the IDs of the requests that overloaded it.
+// ServerOverloaded records that a server crashed while it was warming up, and the IDs of the requests that overloaded
+// it.
 func (c *Checker) ServerOverloaded(at time.Duration, server string, requests []string) {
 	last := ""
 	if len(requests) > 0 {
@@ -255,7 +261,7 @@
 // ServerStarted counts the start of a server that warms up.
 func (c *Checker) ServerStarted() { c.verdict.Checked[RuleSlowStart]++ }
 
-// expire settles and forgets the requests that are due for it.
+// expire finalizes and forgets the requests whose forgetAt has passed.
 func (c *Checker) expire(now time.Duration) {
 	for len(c.expiry) > 0 && c.expiry[0].forgetAt < now {
 		c.finalize(c.expiry[0])
@@ -285,10 +291,10 @@
 	}
 }
 
-// PendingRequests returns the number of requests that the checker remembers.
+// PendingRequests returns the number of requests that the checker has not forgotten.
 func (c *Checker) PendingRequests() int { return len(c.expiry) }
 
-// Finish settles the remaining requests and returns the verdict.
+// Finish finalizes the remaining requests and returns the verdict, with the violations ordered by time.
 func (c *Checker) Finish() *Verdict {
 	for _, r := range c.expiry {
 		c.finalize(r)
--- a/emulator/checker/request.go
+++ b/emulator/checker/request.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// requestKey identifies the n-th concurrent request with the same ID at a node.
+// requestKey identifies the n-th concurrent request (from 0) with the same ID at a node.
 type requestKey struct {
 	node, id string
 	n        int
 }
 
-// request is a request that a node has received, with its attempts at servers.
+// request is a client request that a node has received, with the node's attempts at servers.
 type request struct {
 	node, id, class string
 	deadline        time.Duration
 	forgetAt        time.Duration
 	answered        bool
-	answerNotDue    bool // the client has disconnected or the node was killed: no answer is due
+	answerNotDue    bool // the client has disconnected or the node was killed
 	rejected        bool
 	attempts        []attempt
-	executions      int // with an effect
+	executions      int // executions by servers that had an effect
 	firstMayRun     int // index of the first attempt that may have run; -1: none
 }
 
 type attempt struct {
 	server string
 	sent   time.Duration
-	notRun bool // proven not to have run
+	notRun bool // the attempt is proven not to have run
 }
 
-// setAttempt records the n-th attempt. Attempts before it that were not reported didn't reach a server.
+// setAttempt records the n-th attempt. Earlier attempts that were not recorded didn't reach a server and did not run.
 func (r *request) setAttempt(n int, a attempt) {
 	for len(r.attempts) <= n {
 		r.attempts = append(r.attempts, attempt{notRun: true})
--- a/emulator/checker/verdict.go
+++ b/emulator/checker/verdict.go
@@ -7,10 +7,10 @@
 
 // The rules, with their numbers in docs/rehearse.md.
 const (
-	RuleOneAnswer  Rule = 1 + iota // one final answer in time for each request received, and no attempt after it
+	RuleOneAnswer  Rule = 1 + iota // each request gets one final answer in time, and no attempt is sent after it
 	RuleAtMostOnce                 // no effect happens twice
-	RuleDrainGrace                 // no new work for a draining server after the grace period
-	RuleSlowStart                  // a warming server is not overloaded
+	RuleDrainGrace                 // a draining server gets no new work after the grace period
+	RuleSlowStart                  // a server that warms up is not overloaded
 )
 
 // Rules lists all rules in order.
@@ -21,22 +21,22 @@
 	return [...]string{"", "one answer, in time", "no effect twice", "drains kept", "no cold server pushed over"}[r]
 }
 
-// Violation is one violation of a rule with its evidence.
+// Violation is one violation of a rule, with the evidence for it.
 type Violation struct {
 	Rule        Rule          `json:"rule"`
 	At          time.Duration `json:"at"`
-	ID          string        `json:"request"` // of the request, or of the last of several
+	ID          string        `json:"request"` // ID of the request; with several requests, of the last one
 	Node        string        `json:"node,omitempty"`
 	Server      string        `json:"server,omitempty"`
 	Description string        `json:"what"`
 }
 
-// Verdict is the result of a check.
+// Verdict is the result of checking a run against all rules.
 type Verdict struct {
-	Checked    map[Rule]int `json:"checked"` // facts checked against each rule
+	Checked    map[Rule]int `json:"checked"` // observations checked against each rule
 	Count      map[Rule]int `json:"count"`   // violations of each rule
 	Violations []Violation  `json:"breaches"`
 }
 
-// Passed reports whether there is no violation.
+// Passed reports whether no rule was violated.
 func (v *Verdict) Passed() bool { return len(v.Count) == 0 }
