--- a/emulator/result/recorder.go
+++ b/emulator/result/recorder.go
@@ -13,16 +13,16 @@
 	"cobaltward/policy"
 )
 
-// Outcome is the outcome of a request.
+// Outcome is the outcome of a client's request after all its attempts.
 type Outcome struct {
 	Status         Status
-	Latency        time.Duration // since the scheduled arrival
+	Latency        time.Duration // since the scheduled arrival of the request
 	ClientAttempts int
 	ServerAttempts int
 	Faults         []int // indices of the faults that affected the request, ascending
 }
 
-// Recorder collects a result. It isn't safe for concurrent use.
+// Recorder collects the result of a run while it goes on. It isn't safe for concurrent use.
 type Recorder struct {
 	plan       *plan.Plan
 	result     *Result
@@ -30,11 +30,11 @@
 	inFlight   int
 	usefulWork float64
 	onDone     func(request *plan.Request, outcome Outcome)
-	scratch    []byte // reused by each digest entry
+	scratch    []byte // buffer that addToDigest reuses
 }
 
-// NewRecorder returns a recorder for a run of a plan. clock is virtual or real. onDone is called with the outcome of
-// each request unless it is nil.
+// NewRecorder returns a recorder for a run of a plan. clock is "virtual" or "real". onDone, unless it is nil, is called
+// with the outcome of each request.
 func NewRecorder(source *plan.Plan, clock string, onDone func(*plan.Request, Outcome)) *Recorder {
 	scenario := source.Script
 	result := &Result{
@@ -68,7 +68,7 @@
 	return Fault{Label: fault.Label(), Kind: fault.Kind, From: fault.At, To: fault.End(), Targets: targets}
 }
 
-// second returns the figures of the second that a time is in.
+// second returns the figures of the second to which a time belongs.
 func (r *Recorder) second(now time.Duration) *Second {
 	n := int(max(0, now) / time.Second)
 	for len(r.result.Seconds) <= n {
@@ -103,13 +103,13 @@
 	}
 }
 
-// Connected records a new connection to a server.
+// Connected records that a node opens a new connection to a server.
 func (r *Recorder) Connected() { r.result.Connections++ }
 
-// WorkStarted records work that a server starts.
+// WorkStarted records the work of an attempt that a server starts to execute.
 func (r *Recorder) WorkStarted(work float64) { r.result.Work += work }
 
-// WorkUseful records started work whose answer has reached its client.
+// WorkUseful records the started work of an attempt whose answer has reached the client. The rest is wasted work.
 func (r *Recorder) WorkUseful(work float64) { r.usefulWork += work }
 
 // RequestDone records the outcome of a request.
@@ -148,7 +148,7 @@
 	_, _ = r.digest.Write(r.scratch) // a hash's Write never fails
 }
 
-// Sample records the learned state of the servers at a node.
+// Sample records the state that the first node has learned of its servers, once a second.
 func (r *Recorder) Sample(views []policy.View) {
 	row := make([]Sample, 0, len(views))
 	for _, v := range views {
@@ -157,16 +157,16 @@
 	r.result.Samples = append(r.result.Samples, row)
 }
 
-// Level records the degradation level of a node.
+// Level records the level of reduced service of the first node, once a second.
 func (r *Recorder) Level(level Level) { r.result.Levels = append(r.result.Levels, level) }
 
 // GeneratorLag records by how much a request was sent after its scheduled arrival.
 func (r *Recorder) GeneratorLag(lag time.Duration) { r.result.MaxLag = max(r.result.MaxLag, lag) }
 
-// Invalidate marks the rehearsal as invalid for a reason.
+// Invalidate marks the rehearsal as invalid and records the reason.
 func (r *Recorder) Invalidate(reason string) { r.result.InvalidReason = reason }
 
-// Finish returns the result with the verdict of the rules.
+// Finish returns the complete result with the checker's verdict.
 func (r *Recorder) Finish(verdict *checker.Verdict) *Result {
 	result := r.result
 	result.Verdict = verdict
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the result of a rehearsal: the verdict, the service by class, tenant and zone, its cost, and the
-// figures of each second. A Recorder collects it during the rehearsal.
+// Package result holds the result of a rehearsal: the verdict, the outcomes by class, tenant and zone, the attempts and
+// the work that they took, and the figures of each second. A Recorder collects the result during the rehearsal.
 package result
 
 import (
@@ -8,11 +8,11 @@
 	"cobaltward/emulator/checker"
 )
 
-// Result is the result of a rehearsal.
+// Result is the result of a rehearsal. It is encoded as JSON in reports.
 type Result struct {
 	Title          string              `json:"title"`
 	Seed           uint64              `json:"seed"`
-	Clock          string              `json:"clock"` // virtual or real
+	Clock          string              `json:"clock"` // "virtual" or "real"
 	Duration       time.Duration       `json:"length"`
 	Servers        int                 `json:"servers"`
 	Nodes          int                 `json:"nodes"`
@@ -25,15 +25,15 @@
 	ByZone         map[string]*Service `json:"by_zone"`
 	ClientAttempts int                 `json:"tries"`
 	ServerAttempts int                 `json:"attempts"`
-	Retries        int                 `json:"repeats"`   // server attempts beyond the first of a client attempt
-	CrossZone      int                 `json:"crossings"` // server attempts to another zone than the node's
+	Retries        int                 `json:"repeats"`   // server attempts after the first one of each client attempt
+	CrossZone      int                 `json:"crossings"` // server attempts at servers outside the node's zone
 	Connections    int                 `json:"connections"`
-	Work           float64             `json:"work_s"`  // started by servers, in seconds of a core of speed 1
+	Work           float64             `json:"work_s"`  // work started by servers, in seconds on a core of speed 1
 	WastedWork     float64             `json:"waste_s"` // part of Work whose answer reached no client
 	OfferedWork    float64             `json:"work_offered_s"`
 	Seconds        []Second            `json:"seconds"`
-	Samples        [][]Sample          `json:"samples"`          // of the first node, by second
-	Levels         []Level             `json:"levels,omitempty"` // of the first node, by second
+	Samples        [][]Sample          `json:"samples"`          // learned state of the first node, by second
+	Levels         []Level             `json:"levels,omitempty"` // level of the first node, by second
 	Faults         []Fault             `json:"faults"`
 	Digest         string              `json:"digest"` // SHA-256 of the outcomes of all requests
 	MaxLag         time.Duration       `json:"generator_lag_max"`
@@ -42,15 +42,15 @@
 // Second holds the figures of one second of a rehearsal.
 type Second struct {
 	Offered   int `json:"offered"`
-	Served    int `json:"served"` // by the second of arrival, like Rejected and Failed
+	Served    int `json:"served"` // requests that arrived in this second and were served; likewise Rejected and Failed
 	Rejected  int `json:"refused"`
-	Failed    int `json:"failed"` // neither served nor rejected
+	Failed    int `json:"failed"` // requests neither served nor rejected
 	InFlight  int `json:"in_flight"`
 	Attempts  int `json:"attempts"`
-	CrossZone int `json:"crossing"` // attempts to another zone
+	CrossZone int `json:"crossing"` // attempts at servers outside the node's zone
 }
 
-// Sample is the learned state of a server at a node.
+// Sample is the state that a node has learned of a server.
 type Sample struct {
 	Server    string  `json:"server"`
 	InFlight  int     `json:"in_flight"`
@@ -58,7 +58,7 @@
 	Ejected   bool    `json:"ejected,omitempty"`
 }
 
-// Level is the degradation level of a node with its inputs.
+// Level is the level of reduced service of a node, with the signals that determine it.
 type Level struct {
 	Level  int     `json:"level"`
 	Demand float64 `json:"demand"`
@@ -71,14 +71,14 @@
 	Kind                string        `json:"kind"`
 	From                time.Duration `json:"from"`
 	To                  time.Duration `json:"to"`
-	Targets             []string      `json:"hit,omitempty"` // servers and nodes
+	Targets             []string      `json:"hit,omitempty"` // names of the affected servers and nodes
 	Affected            int           `json:"requests_met"`
 	AffectedServed      int           `json:"of_them_served"`
-	AffectedAlone       int           `json:"met_it_alone"` // requests that no other fault affected
+	AffectedAlone       int           `json:"met_it_alone"` // requests that only this fault affected
 	AffectedAloneServed int           `json:"met_it_alone_and_served"`
 }
 
-// add records a request that the fault affected, alone or with other faults.
+// add counts a request that the fault affected. alone reports whether no other fault affected the request.
 func (f *Fault) add(served, alone bool) {
 	f.Affected++
 	if served {
--- a/emulator/result/service.go
+++ b/emulator/result/service.go
@@ -6,20 +6,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// overQuotaValue is the value of a request beyond its tenant's quota; the value of others is 1.
+// overQuotaValue is the value of a request that exceeds its tenant's quota; the value of other requests is 1.
 const overQuotaValue = 0.05
 
-// Status is the final state of a request after all its attempts.
+// Status is the final status of a request after all its attempts.
 type Status uint8
 
-// The final states.
+// The final statuses of a request.
 const (
 	Served Status = iota
 	Rejected
-	Failed      // may have run
-	Unreachable // the last attempt found no node, or lost it
+	Failed      // answered with an error; the request may have run
+	Unreachable // in the last attempt no node was up, or the node crashed
 	ClientLeft
-	statusCount // the number of states
+	statusCount // number of statuses
 )
 
 var statusNames = [statusCount]string{"served", "refused", "failed", "missed", "gave up"}
@@ -27,10 +27,10 @@
 // String returns the name of the status in reports.
 func (s Status) String() string { return statusNames[s] }
 
-// Service summarizes a set of requests.
+// Service summarizes the outcomes of a set of requests.
 type Service struct {
 	Offered           int     `json:"offered"`
-	OnTime            int     `json:"served_in_aim"` // within the latency objective
+	OnTime            int     `json:"served_in_aim"` // served within the latency objective
 	Late              int     `json:"served_late"`
 	Rejected          int     `json:"refused"`
 	Failed            int     `json:"failed"`
@@ -58,7 +58,7 @@
 	return s.Value / s.OfferedValue
 }
 
-// add records a request. lateValue is the fraction of its value that a late answer has.
+// add counts a request with its outcome. lateValue is the fraction of the request's value that a late answer has.
 func (s *Service) add(outcome *Outcome, overQuota, onTime bool, lateValue float64) {
 	value := 1.0
 	if overQuota {
@@ -94,18 +94,18 @@
 }
 
 const (
-	maxLatency    = int64(time.Hour / time.Microsecond) // microseconds; longer ones count as this
+	maxLatency    = int64(time.Hour / time.Microsecond) // in microseconds; longer latencies count as this
 	latencyDigits = 2                                   // significant digits
 )
 
-// histogram records latencies in microseconds within bounded memory.
+// histogram records latencies in microseconds with a bounded use of memory.
 type histogram struct{ *hdrhistogram.Histogram }
 
 func (h histogram) add(d time.Duration) {
-	_ = h.RecordValue(min(maxLatency, max(1, d.Microseconds()))) // never out of range
+	_ = h.RecordValue(min(maxLatency, max(1, d.Microseconds()))) // the value is never out of range
 }
 
-// quantile returns a quantile in milliseconds; 0 if there are no latencies.
+// quantile returns the q-quantile of the latencies in milliseconds; 0 if there are none.
 func (h histogram) quantile(q float64) float64 {
 	return float64(h.ValueAtQuantile(100*q)) / 1000
 }
