--- a/emulator/report/compare.go
+++ b/emulator/report/compare.go
@@ -9,7 +9,7 @@
 	"cobaltward/emulator/result"
 )
 
-// Compare writes two results side by side.
+// Compare writes the main figures of two results side by side, with their differences.
 func Compare(w io.Writer, first, second *result.Result) error {
 	var t text
 	t.printf("A: %s, seed %d, %s time\n", first.Title, first.Seed, first.Clock)
@@ -37,7 +37,7 @@
 	return err
 }
 
-// compareService returns a table row for each part of the requests in either result.
+// compareService returns a table row for each class, tenant and zone that is in either result.
 func compareService(as, bs []Row) (rows []string) {
 	for _, a := range as {
 		i := slices.IndexFunc(bs, func(b Row) bool { return b.Name == a.Name })
--- a/emulator/report/page/page.go
+++ b/emulator/report/page/page.go
@@ -1,4 +1,5 @@
-// Package page writes the result of a rehearsal as an HTML page with plots over time. The page needs no network.
+// Package page writes the result of a rehearsal as an HTML page with plots over time. The page loads nothing from the
+// network.
 package page
 
 import (
@@ -20,7 +21,7 @@
 	"s": func(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) },
 }).Parse(pageText))
 
-// pageData is the input of the template.
+// pageData is the input of the page template.
 type pageData struct {
 	Result *result.Result
 	Rows   []report.Row
@@ -28,7 +29,7 @@
 	Plots  []plotData
 }
 
-// ruleData is the verdict on one rule.
+// ruleData is the verdict on one rule, as the page shows it.
 type ruleData struct {
 	Rule       checker.Rule
 	Checked    int
@@ -52,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", chart.title, err)
 		}
-		// The plot escapes names; all else in it are numbers.
+		// Marking the SVG as safe HTML is correct: the plot escapes names, and everything else in it is a number.
 		data.Plots = append(data.Plots, plotData{chart.title, template.HTML(svg)})
 	}
 	return page.Execute(w, data)
--- a/emulator/report/report.go
+++ b/emulator/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the result of a rehearsal as text, as JSON, and compared with another. Package page writes HTML
-// pages with plots.
+// Package report writes the result of a rehearsal as text, as JSON, or in comparison with another result. Package page
+// writes it as an HTML page with plots.
 package report
 
 import (
@@ -15,14 +15,14 @@
 	"cobaltward/emulator/result"
 )
 
-// JSON writes a result as JSON: the same bytes for the same result.
+// JSON writes a result as JSON. The same result always gives the same bytes.
 func JSON(w io.Writer, r *result.Result) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// Load reads a file that JSON wrote.
+// Load reads a result from a file that JSON wrote.
 func Load(path string) (*result.Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -38,13 +38,13 @@
 	return r, nil
 }
 
-// Row is the service of a named part of the requests.
+// Row is the summary of a named set of requests: of all, or of a class, tenant or zone.
 type Row struct {
 	Name string
 	*result.Service
 }
 
-// Rows returns the service of all requests and of each class, tenant and zone, in a fixed order.
+// Rows returns the summary of all requests and of each class, tenant and zone, in a fixed order.
 func Rows(r *result.Result) []Row {
 	rows := []Row{{"all", r.All}}
 	for _, group := range []struct {
--- a/emulator/report/text.go
+++ b/emulator/report/text.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxShownViolations = 10 // of each rule, in the text
-	maxShownTargets    = 4  // of each fault
+	maxShownViolations = 10 // violations listed for each rule
+	maxShownTargets    = 4  // servers and nodes listed for each fault
 )
 
-// text collects a report. Writes to it don't fail.
+// text is a buffer in which a report is built. Writes to it never fail.
 type text struct{ bytes.Buffer }
 
 func (t *text) printf(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) }
@@ -28,7 +28,7 @@
 	_ = table.Flush() // fails only if a write to the buffer does
 }
 
-// Text writes a result as text.
+// Text writes a result as plain text with tables.
 func Text(w io.Writer, r *result.Result) error {
 	var t text
 	t.printf("%s: %d servers, %d nodes, %v of traffic, seed %d, %s time\n\n",
@@ -54,7 +54,7 @@
 	return err
 }
 
-// service appends the table of the service by class, tenant and zone.
+// service appends the table of outcomes of all requests and by class, tenant and zone.
 func (t *text) service(r *result.Result) {
 	rows := []string{"service\toffered\tin aim\tlate\trefused\tfailed\tmissed\tgave up\tworth kept\t" +
 		"in share, in aim\tp50 ms\tp99 ms\t"}
@@ -70,7 +70,7 @@
 	t.table(tabwriter.AlignRight, rows)
 }
 
-// faults appends the table of the faults.
+// faults appends the table of the faults with their effect on requests.
 func (t *text) faults(r *result.Result) {
 	rows := []string{"fault\tfrom\tto\thit\trequests that met it\tserved\tmet it alone\tserved"}
 	for _, f := range r.Faults {
@@ -100,7 +100,7 @@
 	}
 }
 
-// abbreviate returns a list of names without the later ones of many.
+// abbreviate joins names with spaces. If there are more than maxShownTargets, it replaces the last ones by their count.
 func abbreviate(names []string) string {
 	if len(names) > maxShownTargets {
 		shown := maxShownTargets - 1
