--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -102,9 +102,9 @@
 	case addr := <-addrs:
 		return n.awaitReady(ctx, addr)
 	case <-exited:
-		return fmt.Errorf("start node %s: process exited; log ends with: %s", n.spec.Name, n.lastLogLine())
+		return fmt.Errorf("start node %s: process exited; log: %s", n.spec.Name, n.lastLogLine())
 	case <-timeout.C:
-		return fmt.Errorf("start node %s: not listening after %v; log ends with: %s", n.spec.Name, startTimeout, n.lastLogLine())
+		return fmt.Errorf("start node %s: not listening after %v; log: %s", n.spec.Name, startTimeout, n.lastLogLine())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
