--- a/emulator/checker/verdict.go
+++ b/emulator/checker/verdict.go
@@ -8,7 +8,7 @@
 // The rules, with their numbers in docs/rehearse.md.
 const (
 	RuleOneAnswer  Rule = 1 + iota // each request gets one final answer in time, and no attempt is sent after it
-	RuleAtMostOnce                 // no effect happens twice
+	RuleAtMostOnce                 // no request has its effect twice
 	RuleDrainGrace                 // a draining server gets no new work after the grace period
 	RuleSlowStart                  // a server that warms up is not overloaded
 )
--- a/emulator/plan/arrivals.go
+++ b/emulator/plan/arrivals.go
@@ -189,7 +189,7 @@
 	return true
 }
 
-// weightedIndex draws an index, each with a probability proportional to its weight.
+// weightedIndex draws an index with a probability proportional to its weight.
 func weightedIndex(rng *rand.Rand, weights []float64) int {
 	return weightedIndexFunc(rng, weights, func(w float64) float64 { return w })
 }
--- a/emulator/plan/fault.go
+++ b/emulator/plan/fault.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// targetCount returns the number of servers or nodes that a fault affects, out of a total of all.
+// targetCount returns how many servers or nodes a fault affects. all is the number of candidates.
 func targetCount(fault *script.Fault, all int) int {
 	if fault.Count > 0 {
 		return fault.Count
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -12,7 +12,7 @@
 	"cobaltward/policy"
 )
 
-// Streams of random numbers, one for each subject, so that a changed number of draws for one subject doesn't change the
+// Each subject has its own stream of random numbers, so that a change in the draws for one subject doesn't affect the
 // draws for the others.
 const (
 	streamServers = iota + 1
@@ -150,7 +150,7 @@
 	return all
 }
 
-// weight returns the weight of a zone. If no weights are given, all zones have the same.
+// weight returns the weight of a zone. If no weights are given, every zone has the weight 1.
 func weight(weights map[string]float64, zone string) float64 {
 	if len(weights) == 0 {
 		return 1
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -70,7 +70,7 @@
 	err   error // the first failure, which ends the run
 
 	delaysMu   sync.Mutex
-	listDelays []time.Duration // extra delays of the endpoint list
+	listDelays []time.Duration // extra delays of endpoint list updates, by active faults
 
 	// The fields below are used only by the load generator; finish reads the counts after it has returned.
 	inFlight  chan struct{}
--- a/emulator/realtime/realtime_test.go
+++ b/emulator/realtime/realtime_test.go
@@ -151,7 +151,7 @@
 	if !r.Verdict.Passed() {
 		t.Errorf("violations: %+v", r.Verdict.Violations)
 	}
-	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // a limit that a run on a busy machine also keeps
+	if r.All.OnTime+r.All.Late < r.All.Offered/2 { // a low limit, which also holds on a busy machine
 		t.Errorf("%d of %d requests were served, want at least half", r.All.OnTime+r.All.Late, r.All.Offered)
 	}
 	for _, f := range r.Faults {
--- a/emulator/script/check.go
+++ b/emulator/script/check.go
@@ -130,7 +130,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// checkKnown returns an error if a name is neither empty nor one of names. what is the kind of thing that it names.
+// checkKnown returns an error if a name is neither empty nor one of names. what says what the name stands for.
 func (s *Script) checkKnown(key, what, name string, names []string) error {
 	if name == "" || slices.Contains(names, name) {
 		return nil
--- a/emulator/script/fault.go
+++ b/emulator/script/fault.go
@@ -19,13 +19,13 @@
 	Zone       string   `toml:"zone"`
 	ServerKind string   `toml:"of"`
 
-	Fraction     float64       `toml:"part" min:"0" max:"1"` // of the requests that are affected
+	Fraction     float64       `toml:"part" min:"0" max:"1"` // fraction of requests that are affected
 	Factor       float64       `toml:"factor" min:"0" max:"1000"`
 	Delay        time.Duration `toml:"delay" min:"0s" max:"10m"`
 	Class        string        `toml:"class"`
 	Tenant       string        `toml:"tenant"`
 	Nodes        []string      `toml:"nodes"`
-	RampDuration time.Duration `toml:"rise" min:"0s"` // of traffic to the full factor, and back at the end
+	RampDuration time.Duration `toml:"rise" min:"0s"` // of traffic to the full factor and, at the end, back
 
 	line int
 }
@@ -117,7 +117,7 @@
 	return f.Kind == FaultCrash || f.Kind == FaultReplaced || f.Kind == FaultDrain || f.Kind == FaultListWrong
 }
 
-// End returns the time at which the fault ends, counted from the first request.
+// End returns the time at which the fault ends, counted from the start of the traffic.
 func (f *Fault) End() time.Duration { return f.At + f.Duration }
 
 // overlaps reports whether there is a time at which both faults are active.
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -47,7 +47,7 @@
 	return r
 }
 
-// No scenario violates a rule.
+// No scenario in scenarios/ may violate a rule.
 func TestRun_ScenariosKeepAllRules(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) < 12 {
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -54,7 +54,7 @@
 	keyTables keyTables
 
 	discoveryFaults   int             // active faults that block discovery
-	listDelays        []time.Duration // extra delays of the endpoint list
+	listDelays        []time.Duration // extra delays of endpoint list updates, by active faults
 	openRequests      int
 	arriving          bool                // more requests will arrive
 	requestsByAttempt map[string]*request // by the ID of the client's attempt
--- a/emulator/sim/transport.go
+++ b/emulator/sim/transport.go
@@ -93,7 +93,7 @@
 	c.idleSince = n.sim.now
 	server := c.process.server.id
 	n.idle[server] = append(n.idle[server], c)
-	if len(n.idleOrder) > 8*n.sim.plan.Script.Nodes.MaxConns { // most entries are stale
+	if len(n.idleOrder) > 8*n.sim.plan.Script.Nodes.MaxConns { // at this length most entries are stale
 		n.idleOrder = slices.DeleteFunc(n.idleOrder, func(e idleEntry) bool { return e.conn.idleSince != e.since })
 	}
 	n.idleOrder = append(n.idleOrder, idleEntry{c, c.idleSince})
