--- a/emulator/sim/snapshot_test.go
+++ b/emulator/sim/snapshot_test.go
@@ -50,6 +50,6 @@
 	without, with := sent(Options{}), sent(Options{SnapshotInterval: 2 * time.Second})
 	t.Logf("attempts at failing servers: %d with the endpoint list alone, %d with a snapshot", without, with)
 	if without < 10 || with*2 > without {
-		t.Errorf("attempts at failing servers: %d without snapshots, want 10 or more; %d with, want half", without, with)
+		t.Errorf("attempts at failing servers: %d without snapshots (want 10+), %d with (want at most half)", without, with)
 	}
 }
