--- a/emulator/clustersim/administrator.go
+++ b/emulator/clustersim/administrator.go
@@ -6,62 +6,62 @@
 	"cobaltward/fleet"
 )
 
-// administer acts as the fleet's administrator: a rolling update is always under way until the faults end, and
-// replicas that lost their disks are added again.
-func (w *world) administer() {
-	state := w.newestState()
+// administer is one turn of the fleet's administrator, who keeps a rolling update running until the faults end, and
+// adds replicas that lost their disks to the cluster again.
+func (s *simulation) administer() {
+	state := s.newestState()
 	if state == nil {
 		return
 	}
-	if w.now <= w.cfg.Length {
-		w.nextUpdate(state)
+	if s.now <= s.cfg.Length {
+		s.selectNextUpdate(state)
 	}
-	leader := w.leader()
+	leader := s.leader()
 	if leader == nil {
 		return
 	}
-	if w.cfg.Rollouts {
-		w.administerRollouts(state, leader)
+	if s.cfg.Rollouts {
+		s.administerRollouts(state, leader)
 	}
-	if state.Jobs[w.updateID] == nil {
-		w.proposeUpdate(leader)
+	if state.Jobs[s.updateID] == nil {
+		s.proposeUpdate(leader)
 	}
-	w.restoreMembers(state, leader)
+	s.restoreMembers(state, leader)
 	leader.processReady()
 }
 
-// nextUpdate chooses the identifier of the next rolling update where the last one has ended.
-func (w *world) nextUpdate(state *fleet.State) {
-	if w.updateID != "" {
-		if job := state.Jobs[w.updateID]; job == nil || job.CloseReason == "" {
+// selectNextUpdate chooses the ID of the next rolling update if the last one has ended.
+func (s *simulation) selectNextUpdate(state *fleet.State) {
+	if s.updateID != "" {
+		if job := state.Jobs[s.updateID]; job == nil || job.CloseReason == "" {
 			return
 		}
-		w.result.RollingUpdates++
-		w.updateEnded()
+		s.result.RollingUpdates++
+		s.checkUpdateEnded()
 	}
-	w.updateCount++
-	w.updateID = fmt.Sprintf("r%d", w.updateCount)
+	s.updateCount++
+	s.updateID = fmt.Sprintf("r%d", s.updateCount)
 }
 
-func (w *world) proposeUpdate(leader *process) {
+func (s *simulation) proposeUpdate(leader *process) {
 	var names []string
-	for _, p := range w.agents {
+	for _, p := range s.agents {
 		names = append(names, p.name)
 	}
-	spec := &fleet.JobSpec{Kind: fleet.JobRollingUpdate, Nodes: names, MaxUnavailable: w.maxUnavailable}
-	w.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindStartJob, JobID: w.updateID, Spec: spec})
+	spec := &fleet.JobSpec{Kind: fleet.JobRollingUpdate, Nodes: names, MaxUnavailable: s.maxUnavailable}
+	s.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindStartJob, JobID: s.updateID, Spec: spec})
 }
 
-// proposeAsAdministrator proposes an entry without waiting for its result: while the state lacks it, the
-// administrator's next turn proposes it again.
-func (w *world) proposeAsAdministrator(leader *process, entry fleet.Entry) {
+// proposeAsAdministrator proposes an entry without waiting for its result. While the state lacks the entry, the
+// administrator proposes it again on each turn.
+func (s *simulation) proposeAsAdministrator(leader *process, entry fleet.Entry) {
 	_ = leader.core.Propose(0, entry)
 }
 
-// restoreMembers proposes that replicas with new disks replace the members of their names. The addition is rejected
-// until the removal is done, and proposed again on the next turn.
-func (w *world) restoreMembers(state *fleet.State, leader *process) {
-	for _, p := range w.replicas {
+// restoreMembers proposes that replicas with new disks replace the members of the same names. The addition is
+// rejected until the removal is applied, and is proposed again on the next turn.
+func (s *simulation) restoreMembers(state *fleet.State, leader *process) {
+	for _, p := range s.replicas {
 		id := p.disk.synced.ID
 		if _, ok := state.Members[id]; ok || !p.up {
 			continue
@@ -76,11 +76,11 @@
 	}
 }
 
-// leader returns the running replica that leads in the highest term; nil where none leads.
-func (w *world) leader() *process {
+// leader returns the running replica that leads in the highest term; nil if none leads.
+func (s *simulation) leader() *process {
 	var leader *process
-	for _, p := range w.replicas {
-		if !p.up || p.pausedUntil > w.now || p.core.Leader() != p.core.ID() {
+	for _, p := range s.replicas {
+		if !p.up || p.pausedUntil > s.now || p.core.Leader() != p.core.ID() {
 			continue
 		}
 		if leader == nil || p.core.Status().GetTerm() > leader.core.Status().GetTerm() {
--- a/emulator/clustersim/agent.go
+++ b/emulator/clustersim/agent.go
@@ -11,13 +11,13 @@
 	"cobaltward/fleet/rollingupdate"
 )
 
-// pollState fetches the state from a replica, and registers the node where the state does not have it.
+// pollState fetches the state from a replica, and registers the node if the state lacks it.
 func (p *process) pollState() {
-	w := p.world
-	to, incarnation := w.randomReplica(), p.incarnation
-	w.send(p, to, func() {
+	sim := p.sim
+	to, incarnation := sim.randomReplica(), p.incarnation
+	sim.send(p, to, func() {
 		fetched := to.core.State()
-		w.reply(to, p, incarnation, func() {
+		sim.reply(to, p, incarnation, func() {
 			if fetched.NewerThan(p.state) {
 				p.state = fetched
 			}
@@ -27,39 +27,40 @@
 					LeaseCandidate: p.controller != nil, Incarnation: fmt.Sprint(p.incarnation),
 				}
 				entry := fleet.Entry{Kind: fleet.KindRegisterNode, Node: &self}
-				p.propose(w.randomReplica(), entry, func(fleet.Result) {})
+				p.propose(sim.randomReplica(), entry, func(fleet.Result) {})
 			}
 		})
 	})
 }
 
-// runController is one turn of the rolling-update controller: its lease, then the steps of the job.
+// runController is one turn of the rolling-update controller, which acquires or renews its lease and then executes
+// the next steps of the job.
 func (p *process) runController() {
-	w, sentAt := p.world, p.monotonic()
+	sim, sentAt := p.sim, p.monotonic()
 	if entry, ok := p.controller.NextProposal(sentAt, p.state); ok {
-		p.propose(w.randomReplica(), entry, func(result fleet.Result) {
-			if p.monotonic()-sentAt < leaseDuration/2 { // the request has timed out otherwise
+		p.propose(sim.randomReplica(), entry, func(result fleet.Result) {
+			if p.monotonic()-sentAt < leaseDuration/2 { // otherwise the request has timed out
 				p.controller.HandleResult(sentAt, p.monotonic(), entry, result, true)
 			}
 		})
 	}
 	for _, step := range p.controller.Next(p.monotonic(), p.state, p.clusterView()) {
 		if step.Entry != nil {
-			p.write(*step.Entry)
+			p.proposeForController(*step.Entry)
 			continue
 		}
-		// A process may be paused between its check of the lease and the effect.
+		// The delay lets a pause of the process fall between its check of the lease and the effect.
 		request := *step.Request
-		w.after(w.randomExp(ms), p, func() { p.requestEffect(request) })
+		sim.after(sim.randomExp(ms), p, func() { p.requestEffect(request) })
 	}
 }
 
-// clusterView is what the controller observes of the nodes.
+// clusterView returns the status of the nodes as the controller observes it.
 func (p *process) clusterView() rollingupdate.ClusterView {
-	w := p.world
+	sim := p.sim
 	view := rollingupdate.ClusterView{Nodes: make(map[string]rollingupdate.NodeStatus)}
-	for _, other := range w.agents {
-		reachable := w.blockedLinks[[2]int{p.index, other.index}] == 0
+	for _, other := range sim.agents {
+		reachable := sim.blockedLinks[[2]int{p.index, other.index}] == 0
 		view.Nodes[other.name] = rollingupdate.NodeStatus{
 			Capacity: 1, LeaseCandidate: other.controller != nil,
 			Serving: other.up && other.pausedUntil == 0 && !other.node.drained && reachable,
@@ -68,60 +69,61 @@
 	return view
 }
 
-// write proposes an entry for the controller, which gets the result.
-func (p *process) write(entry fleet.Entry) {
-	p.propose(p.world.randomReplica(), entry, func(result fleet.Result) { p.controller.HandleWrite(result) })
+// proposeForController proposes an entry and passes its result to the controller.
+func (p *process) proposeForController(entry fleet.Entry) {
+	p.propose(p.sim.randomReplica(), entry, func(result fleet.Result) { p.controller.HandleWrite(result) })
 }
 
-// requestEffect sends a request for an effect to the agent of its node, whose receiver decides about it.
+// requestEffect sends a request for an effect to the agent of its node, whose receiver decides whether to execute it.
 func (p *process) requestEffect(request lease.EffectRequest) {
-	w, incarnation := p.world, p.incarnation
+	sim, incarnation := p.sim, p.incarnation
 	isTarget := func(agent *process) bool { return agent.name == request.Step.Node }
-	to := w.agents[slices.IndexFunc(w.agents, isTarget)]
-	w.send(p, to, func() {
+	to := sim.agents[slices.IndexFunc(sim.agents, isTarget)]
+	sim.send(p, to, func() {
 		response, verdict, changed := to.receiver.Decide(request, to.state)
 		if changed {
 			to.saveReceiver()
 		}
 		switch verdict {
 		case lease.Reject:
-			w.result.Rejected++
+			sim.result.Rejected++
 			return
 		case lease.Defer:
 			return
 		case lease.Execute, lease.VerifyFirst:
 			to.executeEffect(request, verdict == lease.VerifyFirst)
 		}
-		w.reply(to, p, incarnation, func() {
+		sim.reply(to, p, incarnation, func() {
 			for _, entry := range p.controller.HandleResponse(request, response) {
-				p.write(entry)
+				p.proposeForController(entry)
 			}
 		})
 	})
 }
 
-// executeEffect applies an effect to the node after a while, and records its end after another: a crash in between
-// leaves the effect without an outcome. With verify, a patch that was applied before is not applied again.
+// executeEffect applies an effect to the node after a delay, and records its outcome after another one: a crash in
+// between leaves the effect without an outcome. With verify, a patch that was applied before is not applied again.
 func (p *process) executeEffect(request lease.EffectRequest, verify bool) {
-	w := p.world
-	drawDuration := func() time.Duration { return 20*ms + w.randomExp(300*ms) }
+	sim := p.sim
+	drawDuration := func() time.Duration { return 20*ms + sim.randomExp(300*ms) }
 	finish := func() {
 		p.receiver.EffectLog.Finish(request.IdempotencyKey, fleet.OutcomeOK, "")
 		p.saveReceiver()
 	}
-	w.after(drawDuration(), p, func() {
+	sim.after(drawDuration(), p, func() {
 		if request.Step.Action == fleet.ActionPatch && verify && p.node.patches[request.IdempotencyKey] > 0 {
 			finish()
 			return
 		}
-		w.applyEffect(p.node, request)
-		w.after(drawDuration(), p, finish)
+		sim.applyEffect(p.node, request)
+		sim.after(drawDuration(), p, finish)
 	})
 }
 
-// saveReceiver writes the receiver's state to the agent's disk, and at times keeps the copy before it as a stale one.
+// saveReceiver writes the receiver's state to the agent's disk. At random it keeps the previous copy as the stale
+// one, which a crash may restore.
 func (p *process) saveReceiver() {
-	if p.world.rand.IntN(8) == 0 {
+	if p.sim.rand.IntN(8) == 0 {
 		p.staleReceiverDisk = p.receiverDisk
 	}
 	p.receiverDisk = encodeReceiver(p.receiver.ReceiverState)
@@ -131,13 +133,13 @@
 func encodeReceiver(state lease.ReceiverState) []byte {
 	raw, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // recovered in Run, as a violation
+		panic(err) // Run recovers and reports a violation
 	}
 	return raw
 }
 
 func decodeReceiver(raw []byte, to *lease.ReceiverState) {
 	if err := json.Unmarshal(raw, to); err != nil {
-		panic(err) // recovered in Run, as a violation
+		panic(err) // Run recovers and reports a violation
 	}
 }
--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -2,9 +2,9 @@
 // replicas, rolling-update controllers, fenced receivers) on simulated disks, links and clocks, whose faults follow a
 // schedule drawn from a seed. The same seed gives the same schedule.
 //
-// The faults are processes that crash, pause or are partitioned; messages that are lost, delayed or duplicated; and
-// clocks that run apart by up to lease.MaxClockDrift, or jump where the configuration says so. HTTP, the file system
-// and goroutines are not simulated; package multiprocess runs those for real.
+// Processes crash, pause or are partitioned. Messages are lost, delayed or duplicated. Clocks drift apart by up to
+// lease.MaxClockDrift, or jump if the configuration says so. HTTP, the file system and goroutines are not simulated;
+// package multiprocess tests them with real processes.
 package clustersim
 
 import (
@@ -21,24 +21,24 @@
 	statePollInterval     = 250 * ms
 	controllerInterval    = 100 * ms
 	entriesPerSnapshot    = 40
-	recoveryTimeout       = 90 * time.Second // after the last fault, for the last rolling update to end
+	recoveryTimeout       = 90 * time.Second // from the last fault until the last rolling update has to end
 	maxDuplicateDelay     = 20 * time.Second
 	snapshotReportDelay   = 300 * ms
 	administratorInterval = 300 * ms
 )
 
-// Config describes the fleet that is simulated and the faults that its schedule may contain.
+// Config describes the simulated fleet and the faults that its schedule may contain.
 type Config struct {
 	Seed            uint64
 	Replicas        int
 	Nodes           int // each with an agent and a receiver
-	LeaseCandidates int // nodes whose agents may hold leases
+	LeaseCandidates int // number of nodes whose agents may hold leases
 	Length          time.Duration
-	ClockJumps      bool // clocks jump and run at any rate; of the invariants only the receivers' are checked then
-	Guards          lease.UnsafeOptions
-	NoSync          bool                  // terms and votes are not synced to the disk by themselves
-	Rollouts        bool                  // rollouts are under way, and nodes act under version leases
-	VersionLeases   rollout.UnsafeOptions // with Rollouts
-	Faults          []FaultKind           // the kinds that are drawn; nil: all
-	Trace           func(string)
+	ClockJumps      bool                  // clocks jump and run at any rate; only the invariants of receivers are checked
+	Unsafe          lease.UnsafeOptions   // disabled safeguards of leases
+	NoSync          bool                  // terms and votes are synced only together with entries or snapshots
+	Rollouts        bool                  // rollouts run, and nodes act under version leases
+	UnsafeRollouts  rollout.UnsafeOptions // disabled safeguards of version leases, with Rollouts
+	Faults          []FaultKind           // the kinds of faults to draw; nil: all
+	Trace           func(string)          // called with each line of the trace; nil: no trace
 }
--- a/emulator/clustersim/events.go
+++ b/emulator/clustersim/events.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// event is a function that runs at a time of the simulation, at a process or at none.
+// event is a function to run at a virtual time. With a target, it runs at that process.
 type event struct {
 	at          time.Duration
 	seq         uint64 // orders events of the same time
 	target      *process
-	incarnation int // of the target: with another one the event is dropped; 0: any
+	incarnation int // of the target; if the target has another one by then, the event is dropped; 0: any
 	run         func()
 }
 
@@ -39,59 +39,59 @@
 	return last
 }
 
-// after runs a function after a delay. With a target it runs at that process, in its present incarnation, and not
-// while the process is paused.
-func (w *world) after(delay time.Duration, target *process, run func()) {
+// after schedules a function after a delay. With a target, the function runs at that process in its present
+// incarnation, and a pause of the process delays it.
+func (s *simulation) after(delay time.Duration, target *process, run func()) {
 	incarnation := 0
 	if target != nil {
 		incarnation = target.incarnation
 	}
-	w.push(delay, target, incarnation, run)
+	s.push(delay, target, incarnation, run)
 }
 
-func (w *world) push(delay time.Duration, target *process, incarnation int, run func()) {
-	w.eventSeq++
-	next := event{at: w.now + delay, seq: w.eventSeq, target: target, incarnation: incarnation, run: run}
-	heap.Push(&w.events, next)
+func (s *simulation) push(delay time.Duration, target *process, incarnation int, run func()) {
+	s.eventSeq++
+	next := event{at: s.now + delay, seq: s.eventSeq, target: target, incarnation: incarnation, run: run}
+	heap.Push(&s.events, next)
 }
 
 // runEvents runs events in order until an invariant is broken, or the faults are over and the last rolling update has
 // ended. Between events it checks that at most one process holds the lease.
-func (w *world) runEvents() {
-	end := w.cfg.Length + recoveryTimeout
-	for len(w.events) > 0 && len(w.result.Violations) == 0 {
-		next := heap.Pop(&w.events).(event)
+func (s *simulation) runEvents() {
+	end := s.cfg.Length + recoveryTimeout
+	for len(s.events) > 0 && len(s.result.Violations) == 0 {
+		next := heap.Pop(&s.events).(event)
 		if next.at > end {
 			break
 		}
-		w.now = max(w.now, next.at)
-		if next.target != nil && !w.deliverable(next) {
+		s.now = max(s.now, next.at)
+		if next.target != nil && !s.deliverable(next) {
 			continue
 		}
 		next.run()
-		if next.target != nil && next.target.controller != nil && !w.cfg.ClockJumps {
-			w.checkLeaseHolders()
+		if next.target != nil && next.target.controller != nil && !s.cfg.ClockJumps {
+			s.checkLeaseHolders()
 		}
-		if w.now > w.cfg.Length && w.updateEnded() {
+		if s.now > s.cfg.Length && s.checkUpdateEnded() {
 			return
 		}
 	}
-	if len(w.result.Violations) == 0 && !w.updateEnded() {
-		w.fail("rolling update %s did not end within %v of the last fault; %s",
-			w.updateID, recoveryTimeout, w.describeReplicas())
+	if len(s.result.Violations) == 0 && !s.checkUpdateEnded() {
+		s.fail("rolling update %s did not end within %v of the last fault; %s",
+			s.updateID, recoveryTimeout, s.describeReplicas())
 	}
 }
 
-// deliverable reports whether an event can run at its target now. Where the target is paused, the event is put off
-// until the end of the pause.
-func (w *world) deliverable(next event) bool {
+// deliverable reports whether an event can run at its target now. If the target is paused, the event is rescheduled
+// for the end of the pause.
+func (s *simulation) deliverable(next event) bool {
 	p := next.target
 	if !p.up || next.incarnation != 0 && p.incarnation != next.incarnation {
 		return false
 	}
-	if p.pausedUntil > w.now {
+	if p.pausedUntil > s.now {
 		next.at = p.pausedUntil
-		heap.Push(&w.events, next)
+		heap.Push(&s.events, next)
 		return false
 	}
 	p.pausedUntil = 0
--- a/emulator/clustersim/faults.go
+++ b/emulator/clustersim/faults.go
@@ -7,142 +7,143 @@
 	"cobaltward/fleet/consensus"
 )
 
-// FaultKind is a kind of fault that a schedule may contain. All kinds are equally likely; a kind that is to be twice
-// as likely has two values.
+// FaultKind is a kind of fault that a schedule may contain. Each value is equally likely to be drawn; a kind that is
+// twice as likely has a second value, its alias.
 type FaultKind int
 
 // The kinds of faults.
 const (
 	FaultCrash FaultKind = iota
-	faultCrashTwin
+	faultCrashAlias
 	FaultPause
-	faultPauseTwin
+	faultPauseAlias
 	FaultGroupPartition // separates some of the processes from the others
-	faultGroupPartitionTwin
+	faultGroupPartitionAlias
 	FaultPairPartition // separates two processes
 	FaultLoss
 	FaultDelay
 	FaultDuplicates
 	FaultAllReplicasCrash // with Config.ClockJumps: a clock jumps instead
-	FaultDelayedCandidate // a lease candidate gets messages late, and then is isolated
-	FaultBridgingVoter    // two replicas are separated, while a third that reaches both restarts again and again
-	FaultDelayedNode
+	FaultDelayedCandidate // a lease candidate receives messages late, and is then isolated
+	FaultBridgingVoter    // two replicas are separated, and a third that reaches both restarts repeatedly
+	FaultDelayedNode      // the last node receives messages late
 	faultKinds
 )
 
-// fault is one fault of a schedule, in force from a time on for a length of time.
+// fault is one fault of a schedule, which begins at a time and lasts for a length of time.
 type fault struct {
 	at, length   time.Duration
 	target, peer *process
 }
 
-// scheduleFaults draws all faults of the schedule, and schedules them and the administrator's turns.
-func (w *world) scheduleFaults() {
-	all := slices.Concat(w.replicas, w.agents)
+// scheduleFaults draws the faults of the schedule, and schedules them and the administrator's turns.
+func (s *simulation) scheduleFaults() {
+	all := slices.Concat(s.replicas, s.agents)
 	var administer func()
 	administer = func() {
-		w.administer()
-		w.after(administratorInterval, nil, administer)
-	}
-	w.after(0, nil, administer)
-	for at := w.randomBetween(0, 3*time.Second); at < w.cfg.Length; at += w.randomBetween(100*ms, 6*time.Second) {
-		length := w.randomBetween(200*ms, 10*time.Second)
-		next := fault{at: at, length: min(length, w.cfg.Length-at)}
-		next.target = all[w.rand.IntN(len(all))]
-		next.peer = all[w.rand.IntN(len(all))]
-		kind := FaultKind(w.rand.IntN(int(faultKinds)))
-		if w.cfg.Faults != nil {
-			kind = w.cfg.Faults[w.rand.IntN(len(w.cfg.Faults))]
+		s.administer()
+		s.after(administratorInterval, nil, administer)
+	}
+	s.after(0, nil, administer)
+	for at := s.randomBetween(0, 3*time.Second); at < s.cfg.Length; at += s.randomBetween(100*ms, 6*time.Second) {
+		length := s.randomBetween(200*ms, 10*time.Second)
+		next := fault{at: at, length: min(length, s.cfg.Length-at)}
+		next.target = all[s.rand.IntN(len(all))]
+		next.peer = all[s.rand.IntN(len(all))]
+		kind := FaultKind(s.rand.IntN(int(faultKinds)))
+		if s.cfg.Faults != nil {
+			kind = s.cfg.Faults[s.rand.IntN(len(s.cfg.Faults))]
 		}
-		w.scheduleFault(kind, next)
+		s.scheduleFault(kind, next)
 	}
 }
 
-func (w *world) scheduleFault(kind FaultKind, next fault) {
+func (s *simulation) scheduleFault(kind FaultKind, next fault) {
 	switch kind {
-	case FaultCrash, faultCrashTwin:
-		diskLost := w.rand.IntN(3) == 0
-		w.during(next.at, next.length, func() { w.crash(next.target, diskLost) }, func() { w.restart(next.target) })
-	case FaultPause, faultPauseTwin:
-		w.schedulePause(next)
-	case FaultGroupPartition, faultGroupPartitionTwin:
-		w.scheduleGroupPartition(next)
+	case FaultCrash, faultCrashAlias:
+		diskLost := s.rand.IntN(3) == 0
+		s.during(next.at, next.length, func() { s.crash(next.target, diskLost) }, func() { s.restart(next.target) })
+	case FaultPause, faultPauseAlias:
+		s.schedulePause(next)
+	case FaultGroupPartition, faultGroupPartitionAlias:
+		s.scheduleGroupPartition(next)
 	case FaultPairPartition:
-		w.partition(next.at, next.length, isPair(next.target, next.peer), w.randomDirection())
+		s.partition(next.at, next.length, isPair(next.target, next.peer), s.randomDirection())
 	case FaultLoss:
-		rate := 0.5 * w.rand.Float64()
-		w.during(next.at, next.length, func() { w.lossRate += rate }, func() { w.lossRate -= rate })
+		rate := 0.5 * s.rand.Float64()
+		s.during(next.at, next.length, func() { s.lossRate += rate }, func() { s.lossRate -= rate })
 	case FaultDelay:
-		delay := w.randomBetween(5*ms, leaseDuration/3)
-		w.during(next.at, next.length, func() { w.extraDelay += delay }, func() { w.extraDelay -= delay })
+		delay := s.randomBetween(5*ms, leaseDuration/3)
+		s.during(next.at, next.length, func() { s.extraDelay += delay }, func() { s.extraDelay -= delay })
 	case FaultDuplicates:
-		rate := 0.4 * w.rand.Float64()
-		w.during(next.at, next.length, func() { w.duplicateRate += rate }, func() { w.duplicateRate -= rate })
+		rate := 0.4 * s.rand.Float64()
+		s.during(next.at, next.length, func() { s.duplicateRate += rate }, func() { s.duplicateRate -= rate })
 	case FaultAllReplicasCrash:
-		if w.cfg.ClockJumps {
-			w.scheduleClockJump(next)
+		if s.cfg.ClockJumps {
+			s.scheduleClockJump(next)
 		} else {
-			w.during(next.at, next.length, w.crashReplicas, w.restartReplicas)
+			s.during(next.at, next.length, s.crashReplicas, s.restartReplicas)
 		}
 	case FaultDelayedCandidate:
-		w.scheduleDelayedCandidate(next)
+		s.scheduleDelayedCandidate(next)
 	case FaultBridgingVoter:
-		w.scheduleBridgingVoter(next)
+		s.scheduleBridgingVoter(next)
 	case FaultDelayedNode:
-		node, delay := w.agents[len(w.agents)-1], w.drawLongDelay()
-		w.during(next.at, 2*next.length, func() { node.extraDelay = delay }, func() { node.extraDelay = 0 })
+		node, delay := s.agents[len(s.agents)-1], s.drawLongDelay()
+		s.during(next.at, 2*next.length, func() { node.extraDelay = delay }, func() { node.extraDelay = 0 })
 	}
 }
 
-// during schedules the begin and the end of a fault.
-func (w *world) during(at, length time.Duration, begin, end func()) {
-	w.after(at, nil, begin)
-	w.after(at+length, nil, end)
+// during schedules the functions that begin and end a fault.
+func (s *simulation) during(at, length time.Duration, begin, end func()) {
+	s.after(at, nil, begin)
+	s.after(at+length, nil, end)
 }
 
-// schedulePause pauses a process. At an agent the pause is longer by half a lease, or by many.
-func (w *world) schedulePause(f fault) {
+// schedulePause schedules a pause of a process. The pause of an agent is longer by half a lease duration, or by 10 or
+// 150 lease durations.
+func (s *simulation) schedulePause(f fault) {
 	spans := []time.Duration{leaseDuration / 2, 10 * leaseDuration, 150 * leaseDuration}
-	span, length := spans[w.rand.IntN(len(spans))], f.length
+	span, length := spans[s.rand.IntN(len(spans))], f.length
 	if f.target.node != nil {
-		length = min(length+span, w.cfg.Length-f.at)
+		length = min(length+span, s.cfg.Length-f.at)
 	}
-	w.after(f.at, nil, func() { w.pause(f.target, length) })
+	s.after(f.at, nil, func() { s.pause(f.target, length) })
 }
 
-func (w *world) scheduleGroupPartition(f fault) {
+func (s *simulation) scheduleGroupPartition(f fault) {
 	isolated := make(map[*process]bool)
-	for _, p := range slices.Concat(w.replicas, w.agents) {
-		isolated[p] = w.rand.IntN(3) == 0
+	for _, p := range slices.Concat(s.replicas, s.agents) {
+		isolated[p] = s.rand.IntN(3) == 0
 	}
 	separated := func(a, b *process) bool { return isolated[a] != isolated[b] }
-	w.partition(f.at, f.length, separated, w.randomDirection())
+	s.partition(f.at, f.length, separated, s.randomDirection())
 }
 
-func (w *world) scheduleClockJump(f fault) {
-	jump := w.randomBetween(-5*time.Second, 20*time.Second)
-	w.after(f.at, nil, func() {
+func (s *simulation) scheduleClockJump(f fault) {
+	jump := s.randomBetween(-5*time.Second, 20*time.Second)
+	s.after(f.at, nil, func() {
 		f.target.clockOffset += max(jump, 0)
-		w.result.ClockJumps++
+		s.result.ClockJumps++
 	})
 }
 
-func (w *world) scheduleDelayedCandidate(f fault) {
-	candidate, delay := w.agents[w.rand.IntN(w.cfg.LeaseCandidates)], w.drawLongDelay()
-	w.during(f.at, f.length, func() { candidate.extraDelay += delay }, func() { candidate.extraDelay -= delay })
-	if f.at+2*f.length < w.cfg.Length {
+func (s *simulation) scheduleDelayedCandidate(f fault) {
+	candidate, delay := s.agents[s.rand.IntN(s.cfg.LeaseCandidates)], s.drawLongDelay()
+	s.during(f.at, f.length, func() { candidate.extraDelay += delay }, func() { candidate.extraDelay -= delay })
+	if f.at+2*f.length < s.cfg.Length {
 		isolated := func(a, b *process) bool { return a == candidate || b == candidate }
-		w.partition(f.at+f.length, f.length, isolated, bothWays)
+		s.partition(f.at+f.length, f.length, isolated, bothWays)
 	}
 }
 
-func (w *world) scheduleBridgingVoter(f fault) {
-	order := w.rand.Perm(len(w.replicas))
-	left, right, bridge := w.replicas[order[0]], w.replicas[order[1]], w.replicas[order[2]]
-	w.partition(f.at, f.length, isPair(left, right), bothWays)
-	for at := f.at; at < f.at+f.length; at += w.randomBetween(50*ms, time.Second) {
-		w.after(at, nil, func() { w.crash(bridge, false) })
-		w.after(at+w.randomBetween(ms, 40*ms), nil, func() { w.restart(bridge) })
+func (s *simulation) scheduleBridgingVoter(f fault) {
+	order := s.rand.Perm(len(s.replicas))
+	left, right, bridge := s.replicas[order[0]], s.replicas[order[1]], s.replicas[order[2]]
+	s.partition(f.at, f.length, isPair(left, right), bothWays)
+	for at := f.at; at < f.at+f.length; at += s.randomBetween(50*ms, time.Second) {
+		s.after(at, nil, func() { s.crash(bridge, false) })
+		s.after(at+s.randomBetween(ms, 40*ms), nil, func() { s.restart(bridge) })
 	}
 }
 
@@ -151,52 +152,53 @@
 	return func(a, b *process) bool { return a == left && b == right || a == right && b == left }
 }
 
-func (w *world) randomDirection() direction { return direction(w.rand.IntN(int(directions))) }
+func (s *simulation) randomDirection() direction { return direction(s.rand.IntN(int(directions))) }
 
-// drawLongDelay draws a delay of messages by which a round trip takes most of a lease's duration.
-func (w *world) drawLongDelay() time.Duration {
-	return time.Duration((0.3 + 0.18*w.rand.Float64()) * float64(leaseDuration))
+// drawLongDelay draws a delay of messages with which a round trip takes most of a lease duration.
+func (s *simulation) drawLongDelay() time.Duration {
+	return time.Duration((0.3 + 0.18*s.rand.Float64()) * float64(leaseDuration))
 }
 
-func (w *world) crashReplicas() {
-	for _, p := range w.replicas {
-		w.crash(p, false)
+func (s *simulation) crashReplicas() {
+	for _, p := range s.replicas {
+		s.crash(p, false)
 	}
 }
 
-func (w *world) restartReplicas() {
-	for _, p := range w.replicas {
-		w.restart(p)
+func (s *simulation) restartReplicas() {
+	for _, p := range s.replicas {
+		s.restart(p)
 	}
 }
 
-// crash ends a process. With diskLost, a replica's disk is empty afterwards, where the cluster tolerates the loss,
-// and an agent's is an earlier copy.
-func (w *world) crash(target *process, diskLost bool) {
+// crash ends a process. With diskLost, a replica starts again with an empty disk if the cluster tolerates the loss,
+// and an agent starts again with an earlier copy of its disk.
+func (s *simulation) crash(target *process, diskLost bool) {
 	target.crash()
 	if !diskLost {
 		return
 	}
 	if target.node != nil {
 		target.receiverDisk = target.staleReceiverDisk
-		w.result.StaleReceiverDisks++
-		w.trace("%s has an older disk", target.name)
+		s.result.StaleReceiverDisks++
+		s.trace("%s has an older disk", target.name)
 		return
 	}
-	if w.toleratesLostDisk(target) {
-		w.result.LostDisks++
-		target.disk = disk{synced: consensus.PersistentState{ID: w.rand.Uint64() | 1}}
-		w.trace("%s has lost its disk", target.name)
+	if s.toleratesLostDisk(target) {
+		s.result.LostDisks++
+		target.disk = disk{synced: consensus.PersistentState{ID: s.rand.Uint64() | 1}}
+		s.trace("%s has lost its disk", target.name)
 	}
 }
 
-// toleratesLostDisk reports whether a replica may lose its disk: all others have theirs and are voters.
-func (w *world) toleratesLostDisk(p *process) bool {
-	state := w.newestState()
-	if len(w.replicas) < 3 || state == nil || len(state.Members) < len(w.replicas) {
+// toleratesLostDisk reports whether a replica may lose its disk: all other replicas have theirs, and all members are
+// voters.
+func (s *simulation) toleratesLostDisk(p *process) bool {
+	state := s.newestState()
+	if len(s.replicas) < 3 || state == nil || len(state.Members) < len(s.replicas) {
 		return false
 	}
-	for _, other := range w.replicas {
+	for _, other := range s.replicas {
 		if other != p && other.core != nil && other.disk.synced.Snapshot == nil {
 			return false
 		}
@@ -210,22 +212,22 @@
 }
 
 // restart starts a process that is down.
-func (w *world) restart(p *process) {
+func (s *simulation) restart(p *process) {
 	if !p.up {
-		w.trace("%s starts", p.name)
+		s.trace("%s starts", p.name)
 		p.start()
 	}
 }
 
-// pause keeps a running process from handling events, while its clock runs.
-func (w *world) pause(p *process, length time.Duration) {
-	if !p.up || p.pausedUntil > w.now {
+// pause stops a running process from handling events. Its clock continues to run.
+func (s *simulation) pause(p *process, length time.Duration) {
+	if !p.up || p.pausedUntil > s.now {
 		return
 	}
-	p.pausedUntil = w.now + length
-	w.result.Pauses++
+	p.pausedUntil = s.now + length
+	s.result.Pauses++
 	if length > leaseDuration {
-		w.result.LongPauses++
+		s.result.LongPauses++
 	}
-	w.trace("%s is paused for %v", p.name, length)
+	s.trace("%s is paused for %v", p.name, length)
 }
--- a/emulator/clustersim/invariants.go
+++ b/emulator/clustersim/invariants.go
@@ -11,44 +11,44 @@
 
 // applyEffect applies an effect to a node, and checks the invariants of effects: tokens never decrease at a node, at
 // most maxUnavailable nodes are drained, only drained nodes are patched, and each patch is applied once.
-func (w *world) applyEffect(target *node, request lease.EffectRequest) {
+func (s *simulation) applyEffect(target *node, request lease.EffectRequest) {
 	action, token, key := request.Step.Action, request.FencingToken, request.IdempotencyKey
 	if action == fleet.ActionDrain && target.drained || action == fleet.ActionResume && !target.drained {
-		return // nothing to change
+		return // the node is already in this state
 	}
-	w.result.Effects++
-	w.tokens[token] = true
-	w.trace("%s: %s under token %d", target.name, key, token)
-	if token < w.highestToken {
-		w.result.LateEffects++
+	s.result.Effects++
+	s.tokens[token] = true
+	s.trace("%s: %s under token %d", target.name, key, token)
+	if token < s.highestToken {
+		s.result.LateEffects++
 	}
-	w.highestToken = max(w.highestToken, token)
+	s.highestToken = max(s.highestToken, token)
 	if token < target.highestToken {
-		w.fail("%s: %s under token %d, after %d", target.name, key, token, target.highestToken)
+		s.fail("%s: %s under token %d, after token %d", target.name, key, token, target.highestToken)
 	}
 	target.highestToken = max(target.highestToken, token)
 	switch action {
 	case fleet.ActionDrain:
 		target.drained = true
-		if drained := w.drainedNodes(); drained > w.maxUnavailable {
-			w.fail("%d nodes drained at once: %s under token %d", drained, key, token)
+		if drained := s.drainedNodes(); drained > s.maxUnavailable {
+			s.fail("%d nodes drained at once: %s under token %d", drained, key, token)
 		}
 	case fleet.ActionPatch:
 		if !target.drained {
-			w.fail("%s is patched while not drained", target.name)
+			s.fail("%s is patched while not drained", target.name)
 		}
-		w.result.Patches++
+		s.result.Patches++
 		target.patches[key]++
 		if times := target.patches[key]; times > 1 {
-			w.fail("%s was applied %d times", key, times)
+			s.fail("%s was applied %d times", key, times)
 		}
 	case fleet.ActionResume:
 		target.drained = false
 	}
 }
 
-func (w *world) drainedNodes() (count int) {
-	for _, n := range w.nodes {
+func (s *simulation) drainedNodes() (count int) {
+	for _, n := range s.nodes {
 		if n.drained {
 			count++
 		}
@@ -57,45 +57,45 @@
 }
 
 // checkLeaseHolders checks that at most one running process may act under the lease.
-func (w *world) checkLeaseHolders() {
+func (s *simulation) checkLeaseHolders() {
 	holder := ""
-	for _, p := range w.agents {
-		if p.controller == nil || !p.up || p.pausedUntil > w.now {
+	for _, p := range s.agents {
+		if p.controller == nil || !p.up || p.pausedUntil > s.now {
 			continue
 		}
 		if token, ok := p.controller.FencingToken(p.monotonic()); ok {
 			if holder != "" {
-				w.fail("two lease holders may act at once: %s and %s under token %d", holder, p.name, token)
+				s.fail("two lease holders may act at once: %s and %s under token %d", holder, p.name, token)
 			}
 			holder = fmt.Sprintf("%s under token %d", p.name, token)
 		}
 	}
 }
 
-// updateEnded reports whether the last rolling update has ended, and checks that every node was patched once and
+// checkUpdateEnded reports whether the last rolling update has ended, and checks that every node was patched once and
 // resumed.
-func (w *world) updateEnded() bool {
-	state := w.newestState()
-	if state == nil || state.Jobs[w.updateID] == nil || state.Jobs[w.updateID].CloseReason == "" {
+func (s *simulation) checkUpdateEnded() bool {
+	state := s.newestState()
+	if state == nil || state.Jobs[s.updateID] == nil || state.Jobs[s.updateID].CloseReason == "" {
 		return false
 	}
-	job := state.Jobs[w.updateID]
+	job := state.Jobs[s.updateID]
 	if job.CloseReason != "done" {
-		w.fail("rolling update %s ended as %s: %s", job.ID, job.CloseReason, job.Detail)
+		s.fail("rolling update %s ended as %s: %s", job.ID, job.CloseReason, job.Detail)
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		patch := rollingupdate.IdempotencyKey(job.ID, fleet.StepKey{Node: n.name, Action: fleet.ActionPatch})
 		if n.drained || n.patches[patch] != 1 {
-			w.fail("rolling update %s is done, but %s is drained (%v) or not patched", job.ID, n.name, n.drained)
+			s.fail("rolling update %s is done, but %s is drained (%v) or was not patched once", job.ID, n.name, n.drained)
 		}
 	}
 	return true
 }
 
-// newestState returns the newest state that any running replica has; nil where none runs.
-func (w *world) newestState() *fleet.State {
+// newestState returns the newest state that any running replica has; nil if none runs.
+func (s *simulation) newestState() *fleet.State {
 	var newest *fleet.State
-	for _, p := range w.replicas {
+	for _, p := range s.replicas {
 		if p.core != nil && p.up && (newest == nil || p.core.State().NewerThan(newest)) {
 			newest = p.core.State()
 		}
@@ -103,10 +103,10 @@
 	return newest
 }
 
-// describeReplicas describes the replicas, for a violation's text.
-func (w *world) describeReplicas() string {
+// describeReplicas describes the replicas for the text of a violation.
+func (s *simulation) describeReplicas() string {
 	var text strings.Builder
-	for _, p := range w.replicas {
+	for _, p := range s.replicas {
 		status, state := p.core.Status(), p.core.State()
 		fmt.Fprintf(&text, "%s (%x, up %v): %v in term %d under %x, position %d of %d, voters %v, members %v; ",
 			p.name, p.core.ID(), p.up, status.RaftState, status.GetTerm(), status.Lead,
--- a/emulator/clustersim/network.go
+++ b/emulator/clustersim/network.go
@@ -7,41 +7,41 @@
 	"cobaltward/fleet"
 )
 
-// send delivers a message to whichever incarnation of a process is up at the time.
-func (w *world) send(from, to *process, deliver func()) { w.transmit(from, to, 0, deliver) }
+// send sends a message to a process. Any incarnation of the process receives it.
+func (s *simulation) send(from, to *process, deliver func()) { s.transmit(from, to, 0, deliver) }
 
-// reply delivers an answer to the incarnation that sent the request.
-func (w *world) reply(from, to *process, incarnation int, deliver func()) {
-	w.transmit(from, to, incarnation, deliver)
+// reply sends a response to the incarnation that sent the request. No other incarnation receives it.
+func (s *simulation) reply(from, to *process, incarnation int, deliver func()) {
+	s.transmit(from, to, incarnation, deliver)
 }
 
-// transmit loses, delays or duplicates a message, as the faults in force say.
-func (w *world) transmit(from, to *process, incarnation int, deliver func()) {
-	w.result.Messages++
-	if w.blockedLinks[[2]int{from.index, to.index}] > 0 || w.rand.Float64() < w.lossRate {
-		w.result.Lost++
+// transmit delivers a message after a random latency. The active faults may lose, delay or duplicate it.
+func (s *simulation) transmit(from, to *process, incarnation int, deliver func()) {
+	s.result.Messages++
+	if s.blockedLinks[[2]int{from.index, to.index}] > 0 || s.rand.Float64() < s.lossRate {
+		s.result.Lost++
 		return
 	}
-	w.push(w.drawLatency(to), to, incarnation, deliver)
-	if w.rand.Float64() < w.duplicateRate {
-		w.result.Duplicated++
-		latency := w.drawLatency(to)
-		late := time.Duration(w.rand.Float64() * w.rand.Float64() * float64(maxDuplicateDelay))
-		w.push(latency+late, to, incarnation, deliver)
+	s.push(s.drawLatency(to), to, incarnation, deliver)
+	if s.rand.Float64() < s.duplicateRate {
+		s.result.Duplicated++
+		latency := s.drawLatency(to)
+		late := time.Duration(s.rand.Float64() * s.rand.Float64() * float64(maxDuplicateDelay))
+		s.push(latency+late, to, incarnation, deliver)
 	}
 }
 
-func (w *world) drawLatency(to *process) time.Duration {
-	return ms + w.randomExp(3*ms) + w.randomExp(w.extraDelay) + to.extraDelay
+func (s *simulation) drawLatency(to *process) time.Duration {
+	return ms + s.randomExp(3*ms) + s.randomExp(s.extraDelay) + to.extraDelay
 }
 
-// propose sends an entry to a replica. The result, if any comes, is passed to done.
+// propose proposes an entry at a replica. The result, if one comes back, is passed to done.
 func (p *process) propose(to *process, entry fleet.Entry, done func(fleet.Result)) {
-	w := p.world
-	id, incarnation := w.nextRequestID(), p.incarnation
-	w.send(p, to, func() {
+	sim := p.sim
+	id, incarnation := sim.nextRequestID(), p.incarnation
+	sim.send(p, to, func() {
 		to.pendingProposals[id] = func(result fleet.Result) {
-			w.reply(to, p, incarnation, func() { done(result) })
+			sim.reply(to, p, incarnation, func() { done(result) })
 		}
 		if to.core.Propose(id, entry) != nil {
 			delete(to.pendingProposals, id)
@@ -50,13 +50,13 @@
 	})
 }
 
-// nextRequestID returns a new identifier. It is never 0, the value of entries without a proposal.
-func (w *world) nextRequestID() uint64 {
-	w.lastRequest++
-	return w.lastRequest<<1 | 1
+// nextRequestID returns a new ID for a proposal or a read. It is never 0, which marks entries that nobody waits for.
+func (s *simulation) nextRequestID() uint64 {
+	s.lastRequest++
+	return s.lastRequest<<1 | 1
 }
 
-// direction says which messages between the two sides of a partition are lost.
+// direction selects which messages between the two sides of a partition are lost.
 type direction int
 
 const (
@@ -66,10 +66,11 @@
 	directions
 )
 
-// partition blocks the links between pairs of processes for a while, from a time after now on.
-func (w *world) partition(at, length time.Duration, separated func(a, b *process) bool, blocked direction) {
+// partition blocks the links between separated pairs of processes for a length of time, which begins after the delay
+// at.
+func (s *simulation) partition(at, length time.Duration, separated func(a, b *process) bool, blocked direction) {
 	var links [][2]int
-	all := slices.Concat(w.replicas, w.agents)
+	all := slices.Concat(s.replicas, s.agents)
 	for _, a := range all {
 		for _, b := range all {
 			if a != b && separated(a, b) && (blocked == bothWays || (blocked == towardsHigherIndex) == (a.index < b.index)) {
@@ -77,16 +78,16 @@
 			}
 		}
 	}
-	w.after(at, nil, func() {
-		w.result.Partitions++
+	s.after(at, nil, func() {
+		s.result.Partitions++
 		for _, link := range links {
-			w.blockedLinks[link]++
+			s.blockedLinks[link]++
 		}
-		w.trace("%d links are blocked", len(links))
+		s.trace("%d links are blocked", len(links))
 	})
-	w.after(at+length, nil, func() {
+	s.after(at+length, nil, func() {
 		for _, link := range links {
-			w.blockedLinks[link]--
+			s.blockedLinks[link]--
 		}
 	})
 }
--- a/emulator/clustersim/process.go
+++ b/emulator/clustersim/process.go
@@ -13,34 +13,34 @@
 
 // process is a consensus replica or the agent of a node.
 type process struct {
-	world       *world
+	sim         *simulation
 	name        string
 	index       int
 	up          bool
 	incarnation int
 	pausedUntil time.Duration // 0: not paused
-	extraDelay  time.Duration // of messages to the process
+	extraDelay  time.Duration // added to the latency of messages to the process
 	clockRate   float64
 	clockOffset time.Duration
 
-	// Of a replica.
+	// Fields of a replica.
 	core             *consensus.Core
 	disk             disk
 	pendingProposals map[uint64]func(fleet.Result)
 	pendingReads     map[uint64]func()
 	retirement       rollout.RetirementTracker
 
-	// Of an agent.
+	// Fields of an agent.
 	state             *fleet.State
 	controller        *rollingupdate.Controller // nil: not a lease candidate
 	receiver          *lease.FencedReceiver
-	receiverDisk      []byte        // the receiver's encoded state
-	staleReceiverDisk []byte        // an earlier copy of it
-	versions          *versionAgent // with Config.Rollouts
+	receiverDisk      []byte        // stored state of the receiver
+	staleReceiverDisk []byte        // an earlier copy of receiverDisk
+	versions          *versionAgent // nil without Config.Rollouts
 	node              *node
 }
 
-// node is the router node that an agent drives. It outlives the agent.
+// node is the router node that an agent controls. It keeps running when the agent crashes.
 type node struct {
 	name         string
 	drained      bool
@@ -50,7 +50,7 @@
 
 // monotonic reads the process's own clock.
 func (p *process) monotonic() time.Duration {
-	return time.Duration(float64(p.world.now)*p.clockRate) + p.clockOffset
+	return time.Duration(float64(p.sim.now)*p.clockRate) + p.clockOffset
 }
 
 func (p *process) start() {
@@ -64,60 +64,60 @@
 }
 
 func (p *process) startReplica() {
-	w := p.world
-	core, err := consensus.NewCore(p.disk.synced, w.cfg.Guards, entriesPerSnapshot, p.monotonic(),
+	sim := p.sim
+	core, err := consensus.NewCore(p.disk.synced, sim.cfg.Unsafe, entriesPerSnapshot, p.monotonic(),
 		consensus.DiscardLogger)
 	if err != nil {
-		panic(err) // recovered in Run, as a violation
+		panic(err) // Run recovers and reports a violation
 	}
 	p.core = core
 	p.pendingProposals = make(map[uint64]func(fleet.Result))
 	p.pendingReads = make(map[uint64]func())
-	p.retirement = rollout.RetirementTracker{LeaseDuration: versionLeaseDuration, Unsafe: w.cfg.VersionLeases}
+	p.retirement = rollout.RetirementTracker{LeaseDuration: versionLeaseDuration, Unsafe: sim.cfg.UnsafeRollouts}
 	p.repeat(raftTick, func() {
-		p.core.Tick(p.monotonic(), time.Unix(0, 0).Add(w.now))
+		p.core.Tick(p.monotonic(), time.Unix(0, 0).Add(sim.now))
 		p.processReady()
 	})
 }
 
 func (p *process) startAgent() {
-	w := p.world
+	sim := p.sim
 	p.state = fleet.NewState(0)
 	var saved lease.ReceiverState
 	if p.receiverDisk != nil {
 		decodeReceiver(p.receiverDisk, &saved)
 	}
-	p.receiver = lease.Restore(saved, p.name, fmt.Sprint(p.incarnation), w.cfg.Guards)
+	p.receiver = lease.Restore(saved, p.name, fmt.Sprint(p.incarnation), sim.cfg.Unsafe)
 	p.repeat(statePollInterval, p.pollState)
-	if w.cfg.Rollouts {
+	if sim.cfg.Rollouts {
 		p.startVersionAgent()
 	}
 	if p.isLeaseCandidate() {
 		p.controller = rollingupdate.NewController(fleet.JobRollingUpdate, p.identity(), p.name, leaseDuration,
-			w.cfg.Guards)
+			sim.cfg.Unsafe)
 		p.repeat(controllerInterval, p.runController)
 	}
 }
 
 // isLeaseCandidate reports whether the agent may hold leases.
 func (p *process) isLeaseCandidate() bool {
-	return p.index-p.world.cfg.Replicas < p.world.cfg.LeaseCandidates
+	return p.index-p.sim.cfg.Replicas < p.sim.cfg.LeaseCandidates
 }
 
-// identity names the process and its incarnation, as a holder of leases.
+// identity returns the name under which this incarnation of the process holds leases.
 func (p *process) identity() string { return fmt.Sprintf("%s/%d", p.name, p.incarnation) }
 
-// repeat runs a function at an interval of the process's own clock, for as long as this incarnation lasts.
+// repeat runs a function at an interval of the process's own clock until the incarnation of the process changes.
 func (p *process) repeat(interval time.Duration, run func()) {
 	var next func()
 	next = func() {
 		run()
-		p.world.after(time.Duration(float64(interval)/p.clockRate), p, next)
+		p.sim.after(time.Duration(float64(interval)/p.clockRate), p, next)
 	}
-	p.world.after(p.world.randomBetween(0, interval), p, next)
+	p.sim.after(p.sim.randomBetween(0, interval), p, next)
 }
 
-// crash ends the process. What its disk has not synced is lost.
+// crash ends the process, which loses what its disk has not synced.
 func (p *process) crash() {
 	if !p.up {
 		return
@@ -125,6 +125,6 @@
 	p.up = false
 	p.incarnation++
 	p.disk.unsynced = nil
-	p.world.result.Crashes++
-	p.world.trace("%s crashes", p.name)
+	p.sim.result.Crashes++
+	p.sim.trace("%s crashes", p.name)
 }
--- a/emulator/clustersim/replica.go
+++ b/emulator/clustersim/replica.go
@@ -9,10 +9,10 @@
 	"cobaltward/fleet/consensus"
 )
 
-// disk is a replica's storage.
+// disk is the simulated storage of a replica.
 type disk struct {
 	synced   consensus.PersistentState
-	unsynced *pb.HardState // with Config.NoSync
+	unsynced *pb.HardState // lost in a crash; only with Config.NoSync
 }
 
 // save writes a batch. Without sync, a term and a vote are synced only together with later entries or a snapshot.
@@ -31,7 +31,7 @@
 	}
 }
 
-// replaceFrom appends entries in place of those from their first index on.
+// replaceFrom removes the stored entries from the index of the first new entry on, and appends the new ones.
 func (d *disk) replaceFrom(entries []*pb.Entry) {
 	first := entries[0].GetIndex()
 	prefix := d.synced.Entries[:0:0]
@@ -49,7 +49,7 @@
 	}
 }
 
-// compact replaces the entries that a snapshot covers by the snapshot.
+// compact replaces the entries that a snapshot covers with the snapshot.
 func (d *disk) compact(snapshot *pb.Snapshot) {
 	d.synced.Snapshot = snapshot
 	d.syncHardState()
@@ -61,10 +61,10 @@
 // processReady carries out the work that the replica's core has ready: writes, messages and results.
 func (p *process) processReady() {
 	for batch := p.core.Ready(); batch != nil; batch = p.core.Ready() {
-		p.disk.save(batch, !p.world.cfg.NoSync)
+		p.disk.save(batch, !p.sim.cfg.NoSync)
 		output, err := p.core.Advance(batch, p.monotonic())
 		if err != nil {
-			panic(err) // recovered in Run, as a violation
+			panic(err) // Run recovers and reports a violation
 		}
 		if output.Snapshot != nil {
 			p.disk.compact(output.Snapshot)
@@ -85,18 +85,19 @@
 	}
 }
 
-// sendRaft sends a message to the replica that it names, unless that has lost its disk and has another identifier.
+// sendRaft sends a Raft message to the replica that has the ID in it. A replica that lost its disk has a new ID, and
+// does not receive messages to the old one.
 func (p *process) sendRaft(message *pb.Message) {
-	w := p.world
-	to := w.replicaByID(message.GetTo())
+	sim := p.sim
+	to := sim.replicaByID(message.GetTo())
 	if to == nil {
 		return
 	}
 	if message.GetType() == pb.MsgSnap {
-		// The report is of the transfer alone; raft sends again what the receiver lacks.
-		w.after(snapshotReportDelay, p, func() { p.core.ReportSnapshot(message.GetTo(), true) })
+		// This reports the transfer of the snapshot only; raft sends again what the receiver lacks.
+		sim.after(snapshotReportDelay, p, func() { p.core.ReportSnapshot(message.GetTo(), true) })
 	}
-	w.send(p, to, func() {
+	sim.send(p, to, func() {
 		if to.core.ID() != message.GetTo() {
 			return
 		}
@@ -105,28 +106,29 @@
 	})
 }
 
-// handleApplied compares an applied entry with what other replicas applied at its position, and answers its proposal.
+// handleApplied compares an applied entry with the one that other replicas applied at the same position, and responds
+// to the proposal of the entry.
 func (p *process) handleApplied(applied consensus.AppliedEntry) {
-	w, position := p.world, applied.Result.Position
+	sim, position := p.sim, applied.Result.Position
 	hash := fnv.New64a()
 	hash.Write(applied.Raw)
-	known, seen := w.appliedHashes[position]
-	if !seen && w.cfg.Trace != nil {
-		w.trace("%s is the first to apply %d: %s: %v", p.name, position, applied.Raw, applied.Result.Err)
+	known, seen := sim.appliedHashes[position]
+	if !seen && sim.cfg.Trace != nil {
+		sim.trace("%s is the first to apply %d: %s: %v", p.name, position, applied.Raw, applied.Result.Err)
 	}
 	if seen && known != hash.Sum64() {
-		w.fail("the log forks at position %d: %s has applied %s", position, p.name, applied.Raw)
+		sim.fail("the logs of replicas differ at position %d: %s has applied %s", position, p.name, applied.Raw)
 	}
-	w.appliedHashes[position] = hash.Sum64()
+	sim.appliedHashes[position] = hash.Sum64()
 	if answer := p.pendingProposals[applied.ProposalID]; applied.ProposalID != 0 && answer != nil {
 		delete(p.pendingProposals, applied.ProposalID)
 		answer(applied.Result)
 	}
 }
 
-// replicaByID returns the replica that has an identifier now; nil where none has.
-func (w *world) replicaByID(id uint64) *process {
-	for _, p := range w.replicas {
+// replicaByID returns the replica that has an ID now; nil if none has.
+func (s *simulation) replicaByID(id uint64) *process {
+	for _, p := range s.replicas {
 		if p.core != nil && p.core.ID() == id {
 			return p
 		}
@@ -134,4 +136,4 @@
 	return nil
 }
 
-func (w *world) randomReplica() *process { return w.replicas[w.rand.IntN(len(w.replicas))] }
+func (s *simulation) randomReplica() *process { return s.replicas[s.rand.IntN(len(s.replicas))] }
--- a/emulator/clustersim/result.go
+++ b/emulator/clustersim/result.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// Result counts what happened in one schedule, or in several added up.
+// Result counts what happened in one schedule, or the sum of several.
 type Result struct {
-	Violations []string // broken invariants, each with seed and time
+	Violations []string // descriptions of broken invariants, each with seed and time
 
-	Effects, Tokens         int // effects on nodes, and fencing tokens under which there were any
-	LateEffects             int // effects under an older token than one already seen at another node
+	Effects, Tokens         int // effects on nodes, and fencing tokens under which there were effects
+	LateEffects             int // effects under an older token than one that another node had seen
 	Rejected                int // effects that a receiver rejected
 	RollingUpdates, Patches int
 	Crashes                 int
 	Pauses, LongPauses      int // a long pause exceeds the lease duration
 	Partitions              int
-	Lost, Duplicated        int // of Messages
+	Lost, Duplicated        int // messages that were lost or duplicated
 	ClockJumps              int
-	LostDisks               int // of replicas
-	StaleReceiverDisks      int
-	Decisions, Rollouts     int // with Config.Rollouts
+	LostDisks               int // replicas that lost their disk
+	StaleReceiverDisks      int // agents whose disk was replaced by an earlier copy
+	Decisions, Rollouts     int // requests decided under version leases, and rollouts; with Config.Rollouts
 	Messages                int
 }
 
--- a/emulator/clustersim/rollout.go
+++ b/emulator/clustersim/rollout.go
@@ -17,23 +17,24 @@
 	versionLeaseRequestInterval = 100 * ms
 )
 
-// versionAgent is the part of an agent that acts under version leases, and as a lease candidate runs rollouts.
+// versionAgent is the part of an agent that acts under version leases and, if the agent is a lease candidate, runs
+// rollouts.
 type versionAgent struct {
-	lease        rollout.VersionLease
-	rolloutLease lease.Holder
-	observed     map[string]rollout.NodeStatus
-	laggingSince map[string]time.Duration // by node
-	cleared      fleet.Version
+	lease          rollout.VersionLease
+	rolloutLease   lease.Holder
+	observed       map[string]rollout.NodeStatus
+	laggingSince   map[string]time.Duration // by node: time since which it does not act on its desired version
+	clearedVersion fleet.Version
 }
 
 func (p *process) startVersionAgent() {
-	w := p.world
+	sim := p.sim
 	p.versions = &versionAgent{
-		lease:        rollout.VersionLease{Duration: versionLeaseDuration, Unsafe: w.cfg.VersionLeases},
+		lease:        rollout.VersionLease{Duration: versionLeaseDuration, Unsafe: sim.cfg.UnsafeRollouts},
 		observed:     make(map[string]rollout.NodeStatus),
 		laggingSince: make(map[string]time.Duration),
 		rolloutLease: lease.Holder{
-			Resource: fleet.ResourceRollout, Identity: p.identity(), Duration: leaseDuration, Unsafe: w.cfg.Guards,
+			Resource: fleet.ResourceRollout, Identity: p.identity(), Duration: leaseDuration, Unsafe: sim.cfg.Unsafe,
 		},
 	}
 	p.repeat(versionLeaseRequestInterval, p.requestVersionLease)
@@ -43,9 +44,10 @@
 	}
 }
 
-// requestVersionLease requests a lease on the versions that the process should act on by the state that it knows.
+// requestVersionLease requests a lease on the versions that the process should act on according to the state that it
+// knows.
 func (p *process) requestVersionLease() {
-	w := p.world
+	sim := p.sim
 	if p.state.Artifacts[artifact] == nil {
 		return
 	}
@@ -54,12 +56,12 @@
 	if !ok {
 		return
 	}
-	to, incarnation := w.randomReplica(), p.incarnation
-	id := w.nextRequestID()
-	w.send(p, to, func() {
+	to, incarnation := sim.randomReplica(), p.incarnation
+	id := sim.nextRequestID()
+	sim.send(p, to, func() {
 		to.pendingReads[id] = func() {
-			granted := w.cfg.VersionLeases.GrantAnyVersion || rollout.Allows(to.core.State(), p.name, wanted)
-			w.reply(to, p, incarnation, func() {
+			granted := sim.cfg.UnsafeRollouts.GrantAnyVersion || rollout.Allows(to.core.State(), p.name, wanted)
+			sim.reply(to, p, incarnation, func() {
 				versions.lease.HandleResult(sentAt, p.monotonic(), wanted, granted)
 			})
 		}
@@ -68,31 +70,32 @@
 	})
 }
 
-// decideRequest decides a request under the version lease, if the process has one, and checks that the running nodes
-// act on at most two versions.
+// decideRequest decides a request under the version lease, if the process has a valid one, and checks that the
+// running nodes act on at most two versions.
 func (p *process) decideRequest() {
-	w := p.world
+	sim := p.sim
 	if _, ok := p.versions.lease.Valid(p.monotonic()); !ok {
 		return
 	}
-	w.result.Decisions++
-	active := make(map[string]string) // a node by version
-	for _, agent := range w.agents {
-		if agent.versions == nil || !agent.up || agent.pausedUntil > w.now {
+	sim.result.Decisions++
+	active := make(map[string]string) // name of one node that acts on a version, by version
+	for _, agent := range sim.agents {
+		if agent.versions == nil || !agent.up || agent.pausedUntil > sim.now {
 			continue
 		}
 		if versions, ok := agent.versions.lease.Valid(agent.monotonic()); ok {
 			active[versions[artifact]] = agent.name
 		}
 	}
-	if len(active) > 2 && !w.cfg.ClockJumps {
-		w.fail("%d versions are active at once: %v", len(active), active)
+	if len(active) > 2 && !sim.cfg.ClockJumps {
+		sim.fail("%d versions are active at once: %v", len(active), active)
 	}
 }
 
-// runRollout is one turn of a lease candidate for rollouts: its lease, then the next step of the job.
+// runRollout is one turn of the rollout controller of a lease candidate, which acquires or renews its lease and then
+// executes the next step of the job.
 func (p *process) runRollout() {
-	w, versions, sentAt := p.world, p.versions, p.monotonic()
+	sim, versions, sentAt := p.sim, p.versions, p.monotonic()
 	current, leased := p.state.Leases[fleet.ResourceRollout]
 	if !leased || current.Holder == versions.rolloutLease.Identity || versions.rolloutLease.HoldsLease() {
 		p.proposeRolloutLease(sentAt)
@@ -103,9 +106,9 @@
 	if !ok || job == nil || p.state.HighestTokens[fleet.ResourceRollout] != token {
 		return
 	}
-	view := rollout.View{Nodes: versions.observed, Cleared: versions.cleared}
+	view := rollout.View{Nodes: versions.observed, Cleared: versions.clearedVersion}
 	if entry, ok := rollout.Next(job, p.state, token, view); ok {
-		p.propose(w.randomReplica(), entry, func(fleet.Result) {})
+		p.propose(sim.randomReplica(), entry, func(fleet.Result) {})
 	}
 }
 
@@ -115,42 +118,43 @@
 	if !ok {
 		return
 	}
-	p.propose(p.world.randomReplica(), entry, func(result fleet.Result) {
-		if p.monotonic()-sentAt < leaseDuration/2 { // the request has timed out otherwise
+	p.propose(p.sim.randomReplica(), entry, func(result fleet.Result) {
+		if p.monotonic()-sentAt < leaseDuration/2 { // otherwise the request has timed out
 			holder.HandleResult(sentAt, p.monotonic(), entry, result, true)
 		}
 	})
 }
 
-// observeNodes asks a replica which version has been cleared and a node which versions it acts on, and updates which
-// nodes are stragglers.
+// observeNodes asks a random replica which version has been cleared and a random node which versions it acts on, and
+// updates which nodes are stragglers.
 func (p *process) observeNodes() {
-	w, versions, incarnation := p.world, p.versions, p.incarnation
-	replica := w.randomReplica()
-	w.send(p, replica, func() {
+	sim, versions, incarnation := p.sim, p.versions, p.incarnation
+	replica := sim.randomReplica()
+	sim.send(p, replica, func() {
 		cleared := replica.retirement.Cleared(artifact, replica.monotonic())
-		w.reply(replica, p, incarnation, func() {
-			if cleared.Position > versions.cleared.Position {
-				versions.cleared = cleared
+		sim.reply(replica, p, incarnation, func() {
+			if cleared.Position > versions.clearedVersion.Position {
+				versions.clearedVersion = cleared
 			}
 		})
 	})
-	agent := w.agents[w.rand.IntN(len(w.agents))]
-	w.send(p, agent, func() {
+	agent := sim.agents[sim.rand.IntN(len(sim.agents))]
+	sim.send(p, agent, func() {
 		active, ok := agent.versions.lease.Valid(agent.monotonic())
 		if !ok {
 			active = nil
 		}
-		w.reply(agent, p, incarnation, func() {
+		sim.reply(agent, p, incarnation, func() {
 			versions.observed[agent.name] = rollout.NodeStatus{Versions: active}
 		})
 	})
-	for _, other := range w.agents {
-		versions.updateStraggler(p.state.Artifacts[artifact], other.name, w.now)
+	for _, other := range sim.agents {
+		versions.updateStraggler(p.state.Artifacts[artifact], other.name, sim.now)
 	}
 }
 
-// updateStraggler notes whether a node has not acted on its desired version for longer than a rollout waits.
+// updateStraggler marks a node as a straggler if it has not acted on its desired version for longer than
+// stragglerTimeout.
 func (v *versionAgent) updateStraggler(published *fleet.Artifact, name string, now time.Duration) {
 	status := v.observed[name]
 	if published == nil || status.Versions[artifact] == published.DesiredVersion(name) {
@@ -164,28 +168,28 @@
 }
 
 // administerRollouts publishes the first version, then starts one rollout after another, and rolls some back.
-func (w *world) administerRollouts(state *fleet.State, leader *process) {
+func (s *simulation) administerRollouts(state *fleet.State, leader *process) {
 	published, open := state.Artifacts[artifact], state.OpenJob(fleet.JobRollout)
 	switch {
 	case published == nil:
-		w.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindPublishVersion, Artifact: artifact, Digest: "v0"})
-	case open == nil && !published.InTransition() && w.now < w.cfg.Length:
-		w.proposeRollout(state, leader)
-	case open != nil && w.rand.IntN(40) == 0 && w.now < w.cfg.Length:
+		s.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindPublishVersion, Artifact: artifact, Digest: "v0"})
+	case open == nil && !published.InTransition() && s.now < s.cfg.Length:
+		s.proposeRollout(state, leader)
+	case open != nil && s.rand.IntN(40) == 0 && s.now < s.cfg.Length:
 		rollBack := fleet.Entry{Kind: fleet.KindControlJob, JobID: open.ID, Command: fleet.CommandRollBack}
-		w.proposeAsAdministrator(leader, rollBack)
+		s.proposeAsAdministrator(leader, rollBack)
 	}
 }
 
 // proposeRollout proposes a rollout in three stages: one node, two nodes, then the others.
-func (w *world) proposeRollout(state *fleet.State, leader *process) {
-	if w.rolloutCount == 0 || state.Jobs[fmt.Sprint("v", w.rolloutCount)] != nil {
-		w.rolloutCount++
-		w.result.Rollouts++
+func (s *simulation) proposeRollout(state *fleet.State, leader *process) {
+	if s.rolloutCount == 0 || state.Jobs[fmt.Sprint("v", s.rolloutCount)] != nil {
+		s.rolloutCount++
+		s.result.Rollouts++
 	}
-	id := fmt.Sprint("v", w.rolloutCount)
-	w.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindStartJob, JobID: id, Spec: &fleet.JobSpec{
-		Kind: fleet.JobRollout, Artifact: artifact, Digest: id, MaxStragglers: len(w.agents),
-		Stages: [][]string{{w.agents[0].name}, {w.agents[1].name, w.agents[2].name}},
+	id := fmt.Sprint("v", s.rolloutCount)
+	s.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindStartJob, JobID: id, Spec: &fleet.JobSpec{
+		Kind: fleet.JobRollout, Artifact: artifact, Digest: id, MaxStragglers: len(s.agents),
+		Stages: [][]string{{s.agents[0].name}, {s.agents[1].name, s.agents[2].name}},
 	}})
 }
--- a/emulator/clustersim/simulation_test.go
+++ b/emulator/clustersim/simulation_test.go
@@ -12,62 +12,64 @@
 	"time"
 )
 
-// shardEnv holds the first seed of a shard, in the processes that TestMany starts.
+// shardEnv is the environment variable with the first seed of a shard, for the processes that
+// TestManySchedules_NoViolations starts.
 const shardEnv = "CLUSTERSIM_SHARD"
 
 var (
-	schedules = flag.Int("schedules", 80, "schedules to run")
-	first     = flag.Uint64("seed", 1, "the first schedule's seed")
-	replay    = flag.Bool("replay", false, "run one schedule, and print what happens")
-	lie       = flag.Bool("lie", false, "with -replay: clocks jump and run at any rate")
-	length    = flag.Duration("length", 30*time.Second,
+	scheduleCount    = flag.Int("schedules", 80, "number of schedules")
+	firstSeed        = flag.Uint64("seed", 1, "seed of the first schedule")
+	replay           = flag.Bool("replay", false, "run one schedule and print its trace")
+	replayClockJumps = flag.Bool("lie", false, "with -replay: clocks jump and run at any rate")
+	scheduleLength   = flag.Duration("length", 30*time.Second,
 		"length of a schedule; from 11m on, some processes are paused for 10 minutes")
-	versions = flag.Bool("versions", false, "with rollouts, and nodes that act under version leases")
-	without  = flag.String("without", "", "a guard to take away: token, wait, asking, sync, before, right, behind, clear")
+	withRollouts          = flag.Bool("versions", false, "run rollouts, with nodes that act under version leases")
+	disabledSafeguardFlag = flag.String("without", "",
+		"safeguard to disable: token, wait, asking, sync, before, right, behind, clear")
 )
 
-func configFor(seed uint64, without string, clockJumps bool) Config {
+func configFor(seed uint64, disabledSafeguard string, clockJumps bool) Config {
 	cfg := Config{
-		Seed: seed, Replicas: 3 + 2*int(seed%4/3), Nodes: 4, LeaseCandidates: 3, Length: *length,
-		ClockJumps: clockJumps, Faults: faultsWithout[without],
+		Seed: seed, Replicas: 3 + 2*int(seed%4/3), Nodes: 4, LeaseCandidates: 3, Length: *scheduleLength,
+		ClockJumps: clockJumps, Faults: faultsBySafeguard[disabledSafeguard],
 	}
-	switch without {
+	switch disabledSafeguard {
 	case "token":
-		cfg.Guards.SkipFencing = true
+		cfg.Unsafe.SkipFencing = true
 	case "wait":
-		cfg.Guards.SkipExpiryDelay = true
+		cfg.Unsafe.SkipExpiryDelay = true
 	case "asking":
-		cfg.Guards.CountFromResponse = true
+		cfg.Unsafe.CountFromResponse = true
 	case "sync":
 		cfg.NoSync = true
 	case "before":
-		cfg.Guards.RecordIntentLate = true
+		cfg.Unsafe.RecordIntentLate = true
 	case "right":
-		cfg.Rollouts, cfg.VersionLeases.CountFromResponse = true, true
+		cfg.Rollouts, cfg.UnsafeRollouts.CountFromResponse = true, true
 	case "behind":
-		cfg.Rollouts, cfg.VersionLeases.GrantAnyVersion = true, true
+		cfg.Rollouts, cfg.UnsafeRollouts.GrantAnyVersion = true, true
 	case "clear":
-		cfg.Rollouts, cfg.VersionLeases.SkipRetirementDelay = true, true
+		cfg.Rollouts, cfg.UnsafeRollouts.SkipRetirementDelay = true, true
 	}
-	if *versions {
+	if *withRollouts {
 		cfg.Rollouts = true
 	}
 	return cfg
 }
 
-// faultsWithout are the faults that a guard protects from. Without the guard only these are drawn, so that few
-// schedules suffice to break an invariant.
-var faultsWithout = map[string][]FaultKind{
-	"token":  {faultCrashTwin, faultCrashTwin, FaultDuplicates, FaultPause},
+// faultsBySafeguard lists the faults from which a safeguard protects. Without the safeguard only these are drawn, so
+// that few schedules suffice to break an invariant.
+var faultsBySafeguard = map[string][]FaultKind{
+	"token":  {faultCrashAlias, faultCrashAlias, FaultDuplicates, FaultPause},
 	"asking": {FaultDelayedCandidate},
 	"right":  {FaultDelayedNode},
 	"sync":   {FaultBridgingVoter},
 }
 
-// runMany runs schedules until one breaks an invariant, and returns its seed; 0 where none does.
-func runMany(from uint64, count int, without string, clockJumps bool) (total Result, failedSeed uint64) {
+// runSchedules runs schedules until one breaks an invariant, and returns its seed; 0 if none does.
+func runSchedules(from uint64, count int, disabledSafeguard string, clockJumps bool) (total Result, failedSeed uint64) {
 	for seed := from; seed < from+uint64(count); seed++ {
-		result := Run(configFor(seed, without, clockJumps))
+		result := Run(configFor(seed, disabledSafeguard, clockJumps))
 		total.Add(result)
 		if len(result.Violations) > 0 {
 			return total, seed
@@ -81,32 +83,32 @@
 	os.Exit(m.Run())
 }
 
-// Schedules of all faults break no invariant. Where clocks jump, receivers still reject effects of an old lease
-// holder after those of a newer one, and nothing is applied twice.
-func TestSchedules(t *testing.T) {
+// Schedules with all kinds of faults break no invariant. Where clocks jump, receivers still reject effects of an old
+// lease holder after those of a newer one, and no patch is applied twice.
+func TestSchedules_NoViolations(t *testing.T) {
 	if *replay {
-		cfg := configFor(*first, *without, *lie)
+		cfg := configFor(*firstSeed, *disabledSafeguardFlag, *replayClockJumps)
 		cfg.Trace = func(line string) { fmt.Println(line) }
 		result := Run(cfg)
 		fmt.Println(result, result.Violations)
 		return
 	}
 	for _, clockJumps := range []bool{false, true} {
-		result, failed := runMany(*first, *schedules/2, *without, clockJumps)
+		result, failed := runSchedules(*firstSeed, *scheduleCount/2, *disabledSafeguardFlag, clockJumps)
 		if failed != 0 {
 			t.Errorf("clock jumps %v: %v; replay with -replay -seed %d -lie=%v",
 				clockJumps, result.Violations, failed, clockJumps)
 		}
-		if result.Tokens < 2**schedules/2 || result.LongPauses == 0 || result.RollingUpdates == 0 ||
-			result.Rejected == 0 && *schedules > 200 {
-			t.Errorf("too little happened: %v", result)
+		if result.Tokens < 2**scheduleCount/2 || result.LongPauses == 0 || result.RollingUpdates == 0 ||
+			result.Rejected == 0 && *scheduleCount > 200 {
+			t.Errorf("the schedules covered too little: %v", result)
 		}
 		t.Logf("clock jumps %v: %v", clockJumps, result)
 	}
 }
 
-// Without a guard some schedule breaks the invariant that the guard protects.
-func TestGuards(t *testing.T) {
+// Without one of the safeguards, some schedule breaks the invariant that the safeguard protects.
+func TestGuards_ViolationWithoutEach(t *testing.T) {
 	for _, test := range []struct {
 		without, violation string
 		from               uint64
@@ -119,22 +121,23 @@
 		{"sync", "", 23, 3000, false},
 		{"before", "drained at once", 1, 3000, false},
 	} {
-		result, failed := runMany(test.from, test.count, test.without, test.clockJumps)
+		result, failed := runSchedules(test.from, test.count, test.without, test.clockJumps)
 		if failed == 0 {
-			t.Errorf("without %s: %d schedules broke nothing: %v", test.without, test.count, result)
+			t.Errorf("without %s: %d schedules broke no invariant: %v", test.without, test.count, result)
 			continue
 		}
 		if !strings.Contains(result.Violations[0], test.violation) {
-			t.Errorf("without %s another invariant broke: %v", test.without, result.Violations)
+			t.Errorf("without %s: broke another invariant than expected: %v", test.without, result.Violations)
 		}
 		t.Logf("without %s: seed %d: %s", test.without, failed, result.Violations[0])
 	}
 }
 
-// Rollouts continue during all faults, and nodes never act on more than two versions. Without a guard they do.
-func TestVersions(t *testing.T) {
+// Rollouts make progress during all faults, and nodes act on at most two versions at a time. Without one of the
+// safeguards, some schedule has more than two active versions.
+func TestVersions_AtMostTwoActive(t *testing.T) {
 	var total Result
-	for seed := *first; seed < *first+uint64(*schedules/4); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*scheduleCount/4); seed++ {
 		cfg := configFor(seed, "", false)
 		cfg.Rollouts = true
 		result := Run(cfg)
@@ -143,15 +146,15 @@
 			t.Fatalf("%v; replay with -replay -versions -seed %d", result.Violations, seed)
 		}
 	}
-	if total.Decisions == 0 || total.Rollouts < *schedules/4 {
-		t.Errorf("too little happened: %v", total)
+	if total.Decisions == 0 || total.Rollouts < *scheduleCount/4 {
+		t.Errorf("the schedules covered too little: %v", total)
 	}
 	t.Log(total)
 	// Each search starts shortly before a seed whose schedule breaks the invariant.
 	for without, from := range map[string]uint64{"right": 58, "behind": 12, "clear": 9} {
-		result, failed := runMany(from, 1000, without, false)
+		result, failed := runSchedules(from, 1000, without, false)
 		if failed == 0 || !strings.Contains(result.Violations[0], "versions are active") {
-			t.Errorf("without %s: %v", without, result)
+			t.Errorf("without %s: no schedule with too many active versions: %v", without, result)
 			continue
 		}
 		t.Logf("without %s: seed %d: %s", without, failed, result.Violations[0])
@@ -160,24 +163,24 @@
 
 func TestReplay_SameSeedGivesSameTrace(t *testing.T) {
 	for seed := uint64(1); seed < 4; seed++ {
-		var once, again strings.Builder
-		for _, out := range []*strings.Builder{&once, &again} {
+		var firstTrace, secondTrace strings.Builder
+		for _, out := range []*strings.Builder{&firstTrace, &secondTrace} {
 			cfg := configFor(seed, "", false)
 			cfg.Trace = func(line string) { fmt.Fprintln(out, line) }
 			Run(cfg)
 		}
-		if once.String() != again.String() || once.Len() < 100 {
-			t.Errorf("seed %d: two traces differ, or are short:\n%s\n%s", seed, once.String(), again.String())
+		if firstTrace.String() != secondTrace.String() || firstTrace.Len() < 100 {
+			t.Errorf("seed %d: two traces differ, or are too short:\n%s\n%s", seed, firstTrace.String(), secondTrace.String())
 		}
 	}
 }
 
-// TestMany runs many schedules on all cores, in one process per core, and prints its progress:
+// TestManySchedules_NoViolations runs many schedules on all cores, in one process per core, and prints its progress:
 //
-//	go test ./emulator/clustersim -run TestMany -schedules 100000 -timeout 2h -v
-func TestMany(t *testing.T) {
-	if *schedules < 1000 {
-		t.Skip("a measurement: -schedules 1000 or more")
+//	go test ./emulator/clustersim -run TestManySchedules_NoViolations -schedules 100000 -timeout 2h -v
+func TestManySchedules_NoViolations(t *testing.T) {
+	if *scheduleCount < 1000 {
+		t.Skip("a long run: needs -schedules 1000 or more")
 	}
 	if shard := os.Getenv(shardEnv); shard != "" {
 		runShard(t, shard)
@@ -187,8 +190,9 @@
 	done := make(chan error, shards)
 	for i := range shards {
 		cmd := exec.Command(os.Args[0], "-test.run", "TestMany", "-test.timeout", "3h",
-			"-schedules", strconv.Itoa(*schedules/shards), "-without", *without, "-length", length.String())
-		from := *first + uint64(i**schedules/shards)
+			"-schedules", strconv.Itoa(*scheduleCount/shards), "-without", *disabledSafeguardFlag,
+			"-length", scheduleLength.String())
+		from := *firstSeed + uint64(i**scheduleCount/shards)
 		cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", shardEnv, from), "GOMAXPROCS=1")
 		cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 		go func() { done <- cmd.Run() }()
@@ -200,17 +204,17 @@
 	}
 }
 
-// runShard runs the schedules of one process of TestMany. In every third batch, clocks jump.
+// runShard runs the schedules of one process of TestManySchedules_NoViolations. In every third batch, clocks jump.
 func runShard(t *testing.T, shard string) {
 	t.Helper()
 	from, err := strconv.ParseUint(shard, 10, 64)
 	if err != nil {
 		t.Fatalf("%s: %v", shardEnv, err)
 	}
-	for i, batch := 0, 200; i < *schedules; i += batch {
+	for i, batch := 0, 200; i < *scheduleCount; i += batch {
 		clockJumps := (i/batch)%3 == 2
-		result, failed := runMany(from+uint64(i), min(batch, *schedules-i), *without, clockJumps)
-		fmt.Printf("shard %d: %d of %d: %v %v\n", from, i+batch, *schedules, result, result.Violations)
+		result, failed := runSchedules(from+uint64(i), min(batch, *scheduleCount-i), *disabledSafeguardFlag, clockJumps)
+		fmt.Printf("shard %d: %d of %d: %v %v\n", from, i+batch, *scheduleCount, result, result.Violations)
 		if failed != 0 {
 			t.Errorf("seed %d, clock jumps %v: %v", failed, clockJumps, result.Violations)
 		}
--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -14,7 +14,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// hardCases are faults that are unlikely to be drawn together.
+// hardCases are combinations of faults that a random schedule rarely contains.
 var hardCases = []struct{ title, faults string }{
 	{"the lease holder is paused for a lease, and for eight", `
 [[fault]]
@@ -81,16 +81,16 @@
 on = ["c2", "c3"]`},
 }
 
-func TestHardCases(t *testing.T) {
+func TestHardCases_NoViolations(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	for i, test := range hardCases {
-		if i > 0 && !*all {
+		if i > 0 && !*runAllCases {
 			break
 		}
 		t.Run(strings.ReplaceAll(test.title, " ", "_"), func(t *testing.T) {
-			if *all {
+			if *runAllCases {
 				t.Parallel()
 			}
 			script, err := Parse([]byte("council = 5\nnodes = 4\nlength = \"9s\"\nat_once = 1\nneed = 3\n" + test.faults))
@@ -100,7 +100,7 @@
 			script.Lease = *leaseDuration
 			result := runScript(t, script)
 			if len(result.Violations) > 0 || result.RollingUpdates == 0 {
-				t.Errorf("%v, %d rolling updates", result.Violations, result.RollingUpdates)
+				t.Errorf("violations: %v; rolling updates: %d", result.Violations, result.RollingUpdates)
 				logRun(t, script, result)
 			}
 			t.Log(result)
@@ -108,7 +108,7 @@
 	}
 }
 
-// startHarness starts the processes of a script, and injects no faults.
+// startHarness starts the processes of a script without injecting faults.
 func startHarness(t *testing.T, script *Script) *Harness {
 	t.Helper()
 	script.Lease, script.Tick, script.MaxUnavailable = *leaseDuration, testTick, 1
@@ -136,12 +136,12 @@
 	return status
 }
 
-// updateToken returns the token of the lease of rolling updates; 0 where none is held.
+// updateToken returns the fencing token of the rolling-update lease; 0 if no process holds it.
 func updateToken(state *fleet.State) fleet.FencingToken {
 	return state.Leases[fleet.ResourceRollingUpdate].FencingToken
 }
 
-// loseDisks restarts c1 and c2 with empty disks, and returns a copy of the former disk of c1.
+// loseDisks restarts c1 and c2 with empty disks, and returns the path of a copy of the previous disk of c1.
 func loseDisks(t *testing.T, harness *Harness) (oldDisk string) {
 	t.Helper()
 	oldDisk = filepath.Join(harness.dir, "c1.old")
@@ -159,15 +159,15 @@
 	return oldDisk
 }
 
-// recoverCluster has the administrator start a new cluster from c3, and adds the other replicas.
+// recoverCluster runs the recover command at c3, which starts a new cluster, and adds the other replicas to it.
 func recoverCluster(t *testing.T, harness *Harness) {
 	t.Helper()
 	if output, err := harness.runCommand("c3", "recover"); err == nil || !strings.Contains(output, "--reason") {
-		t.Errorf("recover without a reason: %v %s", err, output)
+		t.Errorf("recover without a reason succeeded, or did not ask for one: %v: %s", err, output)
 	}
 	harness.Kill("c3")
 	if output, err := harness.runCommand("c3", "recover", "--reason", "two disks are lost"); err != nil {
-		t.Fatalf("%v %s", err, output)
+		t.Fatalf("recover: %v: %s", err, output)
 	}
 	harness.mustStart(t, "c3")
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.MaxWait)
@@ -179,7 +179,7 @@
 	}
 }
 
-// restoreDisk restarts c1 with a former disk.
+// restoreDisk restarts c1 with its previous disk.
 func restoreDisk(t *testing.T, harness *Harness, oldDisk string) {
 	t.Helper()
 	harness.Kill("c1")
@@ -193,12 +193,12 @@
 	harness.mustStart(t, "c1")
 }
 
-// When two of three replicas lose their disks, the third one reports that it has no leader, and does not start a new
-// cluster by itself. An administrator can have it start one, with a reason. Tokens increase across that, and a replica
-// with a disk of the former cluster has no influence.
+// After two of three replicas have lost their disks, the third one reports that it has no leader, and does not start
+// a new cluster by itself. The recover command makes it start one, and requires a reason. Fencing tokens keep
+// increasing across the recovery, and a replica with a disk of the former cluster cannot unseat the new leader.
 func TestRecover_MajorityOfDisksLost(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	harness, ctx := startHarness(t, &Script{Seed: 1, Replicas: 3, Nodes: 2}), context.Background()
 	testkit.Await(t, "a lease holder", func() bool {
@@ -213,7 +213,7 @@
 	})
 	for _, name := range []string{"c1", "c2"} {
 		if status := harness.mustStatus(t, name); status.IsMember || status.LeaderID != "" {
-			t.Errorf("%s, with an empty disk: %+v", name, status)
+			t.Errorf("%s has an empty disk, but is a member or has a leader: %+v", name, status)
 		}
 	}
 	recoverCluster(t, harness)
@@ -223,39 +223,39 @@
 			updateToken(state) > before.HighestTokens[fleet.ResourceRollingUpdate]
 	})
 	if state, _ := harness.State(ctx); len(state.Nodes) != 2 || state.Position <= before.Position {
-		t.Errorf("the state did not continue: %+v", state)
+		t.Errorf("the new cluster did not continue from the old state: %+v", state)
 	}
 	restoreDisk(t, harness, oldDisk)
 	testkit.Await(t, "c1 to stay without a leader", func() bool {
 		return harness.mustStatus(t, "c1").LeaderlessFor > time.Second
 	})
 	if state, hasLeader := harness.State(ctx); !hasLeader || state.Epoch != before.Epoch+1 {
-		t.Errorf("a replica of the former cluster unseated the leader: %v", hasLeader)
+		t.Errorf("a replica of the former cluster unseated the leader; has leader: %v", hasLeader)
 	}
 }
 
-// A server that is disabled by the administrator is disabled at all nodes, and the command reports so. The order ends
-// at its time even without replicas.
-func TestDisabledServers(t *testing.T) {
+// A server that the administrator disables is disabled at all nodes, and the command reports this. The order expires
+// on time even while no replica runs.
+func TestDisabledServers_AtAllNodesUntilExpiry(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	harness := startHarness(t, &Script{Seed: 1, Replicas: 3, Nodes: 3})
 	output, err := harness.runCommand("n1", "hold", "s-7", "--for", "5m", "--wait", "30s",
 		"--reason", "it answers wrongly", "--id", "h")
 	if err != nil || !strings.Contains(output, "h: in force at 3 of 3 nodes") {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("hold: %v: %s", err, output)
 	}
 	if count := harness.NodesDisabling("s-7"); count != 3 {
-		t.Errorf("disabled at %d nodes", count)
+		t.Errorf("the server is disabled at %d nodes, want 3", count)
 	}
 	if output, err = harness.runCommand("n1", "lift", "h"); err != nil {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("lift: %v: %s", err, output)
 	}
 	testkit.Await(t, "the server to be enabled", func() bool { return harness.NodesDisabling("s-7") == 0 })
 	output, err = harness.runCommand("n1", "hold", "--zone", "bystrica", "--for", "7s", "--reason", "its link")
 	if err != nil {
-		t.Errorf("the servers of a zone: %v: %s", err, output)
+		t.Errorf("hold of a zone: %v: %s", err, output)
 	}
 	testkit.Await(t, "the servers of a zone to be disabled", func() bool {
 		return harness.NodesDisabling("b-1") == 3 && harness.NodesDisabling("b-2") == 3
@@ -268,6 +268,6 @@
 	})
 	output, err = harness.runCommand("n1", "hold", "s-7", "--for", "6s", "--reason", "again")
 	if err == nil || !strings.Contains(output, "no replica reported the outcome") {
-		t.Errorf("without replicas: %v: %s", err, output)
+		t.Errorf("hold without replicas: %v: %s", err, output)
 	}
 }
--- a/emulator/multiprocess/checker.go
+++ b/emulator/multiprocess/checker.go
@@ -24,22 +24,22 @@
 	effectPatchCommit effectKind = "patch commit"
 )
 
-// effect is one effect on a node, as its stand-in received it.
+// effect is one drain, resume or patch of a node, as its stand-in or the patch command reported it.
 type effect struct {
 	at    time.Duration
 	node  string
 	kind  effectKind
 	token uint64
-	key   string // idempotency key, of patches
+	key   string // idempotency key; set for patches only
 }
 
 func (e effect) String() string {
 	return fmt.Sprintf("%8.3fs %s %s token %d %s", e.at.Seconds(), e.node, e.kind, e.token, e.key)
 }
 
-// effectChecker receives all effects, by the admin APIs of stand-ins for nodes and from the commands that patch them,
-// and checks the invariants: no older token after a newer one at the same node, as many nodes available as the script
-// says, patches on drained nodes only, and each patch once.
+// effectChecker records the effects that the admin APIs of the node stand-ins receive and that the patch commands
+// report, and checks the invariants: a node never sees an older fencing token after a newer one, as many nodes stay
+// available as the script requires, only drained nodes are patched, and each patch is applied once.
 type effectChecker struct {
 	harness  *Harness
 	listener net.Listener
@@ -55,7 +55,7 @@
 func newEffectChecker(h *Harness) (*effectChecker, error) {
 	listener, err := net.Listen("tcp", listenAddress)
 	if err != nil {
-		return nil, fmt.Errorf("open the checker of effects: %w", err)
+		return nil, fmt.Errorf("listen for reports of effects: %w", err)
 	}
 	checker := &effectChecker{
 		harness: h, listener: listener, nodes: make(map[string]*nodeStandIn), patches: make(map[string]int),
@@ -70,7 +70,7 @@
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(handle(r)) })
 	}
 	checker.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go func() { _ = checker.server.Serve(listener) }() // ends with close
+	go func() { _ = checker.server.Serve(listener) }() // returns after close
 	return checker, nil
 }
 
@@ -85,27 +85,27 @@
 
 var tokenSuffix = regexp.MustCompile(`token (\d+)$`)
 
-// record records an effect and checks the invariants. The token is at the end of the text that came with the effect.
-// The caller holds the mutex.
+// record records an effect and checks the invariants. The fencing token is at the end of text, which is the reason or
+// the requester that came with the effect. The caller holds the mutex.
 func (c *effectChecker) record(node *nodeStandIn, kind effectKind, text, key string) {
 	received := effect{at: c.harness.elapsed(), node: node.name, kind: kind, key: key}
 	if match := tokenSuffix.FindStringSubmatch(text); match != nil {
-		received.token, _ = strconv.ParseUint(match[1], 10, 64) // digits; out of range: the highest token
+		received.token, _ = strconv.ParseUint(match[1], 10, 64) // the match has digits only; out of range: the maximum
 	}
 	c.effects = append(c.effects, received)
 	fail := func(format string, args ...any) {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...)+": "+received.String())
 	}
 	if received.token < node.highestToken {
-		fail("token order violated: the node has seen %d", node.highestToken)
+		fail("token order violated: the node has already seen token %d", node.highestToken)
 	}
 	node.highestToken = max(node.highestToken, received.token)
 	switch kind {
 	case effectDrain:
-		node.drained = true
+		node.drainActive = true
 		c.checkAvailability(fail)
 	case effectResume:
-		node.drained = false
+		node.drainActive = false
 	case effectPatchBegin, effectPatchCommit:
 		if node.finishDrain(); node.admin != nil && node.state != drain.Drained {
 			fail("a node is patched while not drained (%v)", node.state)
@@ -119,23 +119,24 @@
 	}
 }
 
-// checkAvailability checks how many nodes are drained. The caller holds the mutex.
+// checkAvailability checks that no more nodes are drained, and no fewer serve, than the script allows. The caller
+// holds the mutex.
 func (c *effectChecker) checkAvailability(fail func(format string, args ...any)) {
 	script, drained := c.harness.script, 0
 	for _, node := range c.nodes {
-		if node.drained {
+		if node.drainActive {
 			drained++
 		}
 	}
 	if drained > script.MaxUnavailable {
-		fail("%d nodes are drained, at most %d may be", drained, script.MaxUnavailable)
+		fail("%d nodes are drained, but at most %d may be", drained, script.MaxUnavailable)
 	}
 	if serving := len(c.nodes) - drained; float64(serving) < script.MinCapacity {
-		fail("%d nodes serve, at least %.0f have to", serving, script.MinCapacity)
+		fail("%d nodes serve, but at least %.0f must", serving, script.MinCapacity)
 	}
 }
 
-// recordReport records an effect that a command reports, and returns the HTTP status of the response.
+// recordReport records an effect that a patch command reports, and returns the HTTP status of the response.
 func (c *effectChecker) recordReport(r *http.Request, kind effectKind) (status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +155,7 @@
 	return c.recordReport(r, effectPatchBegin)
 }
 
-// handleApply restarts a real node.
+// handleApply restarts the patched node if it is a real process.
 func (c *effectChecker) handleApply(r *http.Request) (status int) {
 	if traffic := c.harness.traffic; traffic != nil {
 		if err := traffic.restartNode(r.FormValue("node")); err != nil {
@@ -168,7 +169,7 @@
 	return c.recordReport(r, effectPatchCommit)
 }
 
-// handleVerify responds whether a patch was applied.
+// handleVerify returns 200 if the patch with the given key was applied, and 404 otherwise.
 func (c *effectChecker) handleVerify(r *http.Request) (status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +179,8 @@
 	return http.StatusNotFound
 }
 
-// patchedNodes returns the number of nodes that a job has patched.
-func (c *effectChecker) patchedNodes(job string) (count int) {
+// patchedNodeCount returns the number of nodes that a job has patched.
+func (c *effectChecker) patchedNodeCount(job string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, times := range c.patches {
@@ -190,8 +191,8 @@
 	return count
 }
 
-// nodesDisabling returns the number of nodes at which a server is disabled.
-func (c *effectChecker) nodesDisabling(server string) (count int) {
+// countNodesDisabling returns the number of nodes at which a server is disabled.
+func (c *effectChecker) countNodesDisabling(server string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, node := range c.nodes {
@@ -208,8 +209,8 @@
 	return slices.Clone(c.effects)
 }
 
-// addTo adds the violations and counts to the result of the run. An effect under an older token than one that another
-// node had already is harmless, and counted as late.
+// addTo adds the violations and the counts to the result of the run. An effect under an older token than one that
+// another node has seen breaks no invariant, and is counted as late.
 func (c *effectChecker) addTo(result *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/multiprocess/child.go
+++ b/emulator/multiprocess/child.go
@@ -10,48 +10,48 @@
 	"cobaltward/fleet/lease"
 )
 
-// Environment variables by which the harness instructs a process, besides its settings.
+// Environment variables that tell a process its role and its faults, in addition to its settings file.
 const (
-	roleEnv         = "WAYHOLD_HARNESS_ROLE"
-	checkerEnv      = "WAYHOLD_HARNESS_CHECKER"       // address to which effects are reported
-	leaseHistoryEnv = "WAYHOLD_HARNESS_LEASE_HISTORY" // file in which lease requests are recorded
-	diskFaultEnv    = "WAYHOLD_HARNESS_DISK_FAULT"    // file which, while it exists, makes writes to the disk fail
-	argumentsEnv    = "WAYHOLD_HARNESS_ARGUMENTS"     // of roleCommand: one argument per line
-	withoutEnv      = "WAYHOLD_HARNESS_WITHOUT"       // guards to take away
-	configEnv       = "WAYHOLD_CONFIG"                // the program's own: path of its settings
+	roleEnv               = "WAYHOLD_HARNESS_ROLE"
+	checkerEnv            = "WAYHOLD_HARNESS_CHECKER"       // address of the effect checker
+	leaseHistoryEnv       = "WAYHOLD_HARNESS_LEASE_HISTORY" // file in which the process records its lease requests
+	diskFaultEnv          = "WAYHOLD_HARNESS_DISK_FAULT"    // file that makes all writes to the disk fail while it exists
+	argumentsEnv          = "WAYHOLD_HARNESS_ARGUMENTS"     // arguments for roleCommand, one per line
+	disabledSafeguardsEnv = "WAYHOLD_HARNESS_WITHOUT"       // safeguards to disable, separated by spaces
+	configEnv             = "WAYHOLD_CONFIG"                // path of the settings file; read by the program itself
 )
 
 // Roles of a process.
 const (
-	roleReplica = "council" // a command of the fleet program, as the next
-	roleAgent   = "agent"
+	roleReplica = "council" // subcommand of the fleet program
+	roleAgent   = "agent"   // subcommand of the fleet program
 	roleNode    = "node"
-	roleCommand = "tool"  // a command of the administrator's
-	rolePatch   = "patch" // the command by which an agent patches its node
-	roleVerify  = "look"  // the command by which it verifies a patch
+	roleCommand = "tool"  // an administrator's command, with the arguments in argumentsEnv
+	rolePatch   = "patch" // the command with which an agent patches its node
+	roleVerify  = "look"  // the command with which an agent checks whether a patch was applied
 )
 
-// exitUsage is the exit status of a process that got wrong instructions.
+// exitUsage is the exit status of a process whose environment variables are invalid.
 const exitUsage = 2
 
-// FleetHooks are what the fleet program lets tests replace or observe.
+// FleetHooks replace or observe parts of the fleet program in tests.
 type FleetHooks struct {
-	Clock           consensus.Clock // zero: the system's
+	Clock           consensus.Clock // zero value: the clock of the system
 	Storage         func(consensus.Storage) consensus.Storage
 	Unsafe          lease.UnsafeOptions
 	ObserveProposal func(entry fleet.Entry, holder string) func(result fleet.Result, known bool)
 }
 
-// Programs are the main functions of the programs, which read os.Args and return the exit status. The caller of Child
-// supplies them, so that this package does not depend on the command line.
+// Programs holds the main functions of the programs, which read os.Args and return the exit status. The caller of
+// Child supplies them, so that this package does not depend on the command line.
 type Programs struct {
 	Node  func() int
 	Fleet func(FleetHooks) int
 }
 
-// Child runs the program in a process that a harness has started, with a clock and a disk that faults can reach and
-// without the guards that the harness takes away. It reports whether this process is one of a harness's; any other
-// process continues with its own work.
+// Child runs the program for this process's role if a harness has started the process. The program uses a clock and a
+// disk that faults can disturb, and runs without the safeguards that the harness disables. In any other process
+// isChild is false, and the caller continues with its own work.
 func Child(programs Programs) (status int, isChild bool) {
 	switch role := os.Getenv(roleEnv); role {
 	case "":
@@ -77,8 +77,8 @@
 
 func hooksFromEnvironment() (FleetHooks, error) {
 	hooks := FleetHooks{Clock: newFaultyClock()}
-	for _, guard := range strings.Fields(os.Getenv(withoutEnv)) {
-		switch guard {
+	for _, safeguard := range strings.Fields(os.Getenv(disabledSafeguardsEnv)) {
+		switch safeguard {
 		case "token":
 			hooks.Unsafe.SkipFencing = true
 		case "wait":
--- a/emulator/multiprocess/childfaults.go
+++ b/emulator/multiprocess/childfaults.go
@@ -14,10 +14,10 @@
 	"cobaltward/fleet/consensus"
 )
 
-// Signals by which the harness makes the clock of a process wrong.
+// Signals with which the harness makes the clock of a process jump or run fast.
 const (
 	clockJumpSignal = syscall.SIGUSR1
-	clockRateSignal = syscall.SIGUSR2 // from one to the next the clock runs fast
+	clockRateSignal = syscall.SIGUSR2 // the clock runs fast until the next one
 )
 
 const (
@@ -25,16 +25,16 @@
 	fastRate  = 1.1
 )
 
-// faultyClock is a clock that jumps or runs fast at signals.
+// faultyClock is a clock that jumps or runs fast when the process receives a signal.
 type faultyClock struct {
 	mu      sync.Mutex
 	started time.Time
 	rate    float64
-	base    time.Duration // the clock's time at the last change of its rate
-	baseAt  time.Duration // real time since the start at that change
+	base    time.Duration // reading of the clock at the last signal
+	baseAt  time.Duration // real time from started to the last signal
 }
 
-// newFaultyClock returns a clock that follows signals until the process ends.
+// newFaultyClock returns a clock that reacts to signals until the process ends.
 func newFaultyClock() consensus.Clock {
 	clock := &faultyClock{started: time.Now(), rate: 1}
 	signals := make(chan os.Signal, 8)
@@ -66,12 +66,12 @@
 	return c.now()
 }
 
-// now returns the clock's time. The caller holds the mutex.
+// now returns the clock's reading. The caller holds the mutex.
 func (c *faultyClock) now() time.Duration {
 	return c.base + time.Duration(c.rate*float64(time.Since(c.started)-c.baseAt))
 }
 
-// faultyStorage fails to write while a file exists.
+// faultyStorage fails all writes while faultFile exists.
 type faultyStorage struct {
 	consensus.Storage
 	faultFile string
@@ -79,7 +79,7 @@
 
 var errDiskFault = errors.New("write to storage: injected fault: no space left on device")
 
-// Save writes a batch unless the fault is in force.
+// Save writes a batch, or fails while the fault is active.
 func (s *faultyStorage) Save(batch *consensus.WriteBatch) error {
 	if _, err := os.Stat(s.faultFile); err == nil {
 		return errDiskFault
@@ -87,7 +87,7 @@
 	return s.Storage.Save(batch)
 }
 
-// Compact replaces entries by a snapshot unless the fault is in force.
+// Compact replaces entries by a snapshot, or fails while the fault is active.
 func (s *faultyStorage) Compact(snapshot *pb.Snapshot, first fleet.Position) error {
 	if _, err := os.Stat(s.faultFile); err == nil {
 		return errDiskFault
--- a/emulator/multiprocess/cluster.go
+++ b/emulator/multiprocess/cluster.go
@@ -20,11 +20,11 @@
 
 var (
 	errNoLeader        = errors.New("no replica leads")
-	errLearner         = errors.New("the replica is a learner still")
-	errAdditionPending = errors.New("the addition is not applied yet")
+	errLearner         = errors.New("the replica is still a learner")
+	errAdditionPending = errors.New("the addition of the replica is not applied yet")
 )
 
-// Client returns a client that bypasses the proxies, with the present addresses of the processes.
+// Client returns a client that bypasses the proxies and sends to the present addresses of the processes.
 func (h *Harness) Client() *agent.Client {
 	overrides := make(map[string]string)
 	for name := range h.processes {
@@ -38,7 +38,7 @@
 	}
 }
 
-// State returns the newest state that any replica has, nil where none responds, and whether one of them leads.
+// State returns the newest state that any replica reports, nil if none responds, and whether one of them leads.
 func (h *Harness) State(ctx context.Context) (state *fleet.State, hasLeader bool) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 	return state, hasLeader
 }
 
-// awaitState waits until a replica leads and the newest state meets a condition.
+// awaitState waits until a replica leads and the newest state satisfies met. The error names the condition.
 func (h *Harness) awaitState(ctx context.Context, condition string, met func(*fleet.State) bool) error {
 	for ctx.Err() == nil {
 		if state, hasLeader := h.State(ctx); state != nil && hasLeader && met(state) {
@@ -62,8 +62,8 @@
 	return fmt.Errorf("wait for %s: %w", condition, ctx.Err())
 }
 
-// addMember adds a replica to the cluster as an administrator does: a member of the same name with another disk is
-// removed first. It returns when the replica votes.
+// addMember adds a replica to the cluster as an administrator does: it first removes a member of the same name that
+// has another ID, from before the replica lost its disk. It returns once the replica is a voter.
 func (h *Harness) addMember(ctx context.Context, name string) error {
 	var err error
 	for ctx.Err() == nil {
@@ -78,7 +78,7 @@
 	return fmt.Errorf("add replica %s: %w", name, errors.Join(ctx.Err(), err))
 }
 
-// advanceMembership takes the next step towards the replica's membership. It returns nil once the replica votes.
+// advanceMembership takes the next step towards the replica's membership. It returns nil once the replica is a voter.
 func (h *Harness) advanceMembership(ctx context.Context, name string) error {
 	client := h.Client()
 	var status consensus.Status
@@ -110,7 +110,7 @@
 	return errAdditionPending
 }
 
-// changeMembership sends a request to one replica after another until one accepts it.
+// changeMembership sends a membership request to one replica after another until one accepts it.
 func changeMembership(ctx context.Context, client *agent.Client, request consensus.MembershipRequest) error {
 	var err error
 	for _, address := range client.Replicas {
--- a/emulator/multiprocess/draw.go
+++ b/emulator/multiprocess/draw.go
@@ -16,7 +16,7 @@
 	replicaDiskWasLost bool // a cluster of three tolerates one lost disk
 }
 
-// Draw returns a script of mixed faults drawn from a seed: the same one for the same arguments.
+// Draw returns a script of mixed faults that depends only on the seed and the other arguments.
 func Draw(seed uint64, replicas, nodes int, length time.Duration) *Script {
 	random := rand.New(rand.NewPCG(seed, 0x77a7))
 	script := &Script{
@@ -78,7 +78,7 @@
 	}
 }
 
-// drawReplicaKill draws a kill of replicas. At most one of them loses its disk in a script.
+// drawReplicaKill draws a kill of replicas. In each script at most one replica loses its disk.
 func (d *faultDrawer) drawReplicaKill(fault *Fault) {
 	fault.Kind, fault.Targets = FaultKill, d.pick(d.replicas, 2)
 	fault.Disk = []string{diskSame, diskSame, diskTorn, diskLost}[d.rand.IntN(4)]
@@ -103,7 +103,7 @@
 	}
 }
 
-// pick draws at least one and at most a number of names, and sorts them.
+// pick draws between one and limit names from a list, and returns them sorted.
 func (d *faultDrawer) pick(from []string, limit int) []string {
 	count := 1 + d.rand.IntN(min(limit, len(from)))
 	var picked []string
@@ -114,12 +114,13 @@
 	return picked
 }
 
-// seconds draws a duration between two numbers of seconds, in whole milliseconds.
+// seconds draws a duration between lo and hi seconds, rounded to milliseconds.
 func (d *faultDrawer) seconds(lo, hi float64) time.Duration {
 	return time.Duration((lo + (hi-lo)*d.rand.Float64()) * float64(time.Second)).Round(time.Millisecond)
 }
 
-// Shrink removes faults from a script, one after another, as long as it still fails without them.
+// Shrink removes faults from a failing script, one after another, and keeps each removal after which the script still
+// fails.
 func Shrink(script *Script, fails func(*Script) bool) *Script {
 	for i := len(script.Faults) - 1; i >= 0; i-- {
 		shorter := *script
--- a/emulator/multiprocess/faults.go
+++ b/emulator/multiprocess/faults.go
@@ -12,7 +12,8 @@
 	"cobaltward/fleet"
 )
 
-// injectFault injects one fault at its time, and lifts it at its end. The index identifies it among the faults.
+// injectFault waits for the start of a fault, injects it, and lifts it at its end. The index identifies the fault
+// among those of the script.
 func (h *Harness) injectFault(ctx context.Context, index int, fault Fault) {
 	waitUntil(ctx, h.startTime().Add(fault.At))
 	end := h.startTime().Add(fault.At + fault.Duration)
@@ -30,7 +31,7 @@
 	lift()
 }
 
-// faultActions returns what begins and what lifts a fault.
+// faultActions returns the functions that begin and lift a fault.
 func (h *Harness) faultActions(ctx context.Context, index int, fault Fault) (begin, lift func()) {
 	signal := func(signal syscall.Signal) func() {
 		return func() {
@@ -56,9 +57,9 @@
 
 func (h *Harness) killTargets(fault Fault) {
 	for _, name := range fault.Targets {
-		h.processes[name].addFault(1)
+		h.processes[name].adjustActiveFaults(1)
 		h.processes[name].kill()
-		_ = h.damageDisk(name, fault.Disk) // a process that was killed early has not created its files
+		_ = h.damageDisk(name, fault.Disk) // fails if the process was killed before it created its files
 	}
 }
 
@@ -70,7 +71,7 @@
 
 func (h *Harness) failDisks(fault Fault) {
 	for _, name := range fault.Targets {
-		h.processes[name].addFault(1)
+		h.processes[name].adjustActiveFaults(1)
 		if err := os.WriteFile(h.processes[name].diskFaultFile, nil, 0o600); err != nil {
 			h.fail(err.Error())
 		}
@@ -79,13 +80,14 @@
 
 func (h *Harness) repairDisks(ctx context.Context, fault Fault) {
 	for _, name := range fault.Targets {
-		_ = os.Remove(h.processes[name].diskFaultFile) // absent where it could not be written, which has failed the run
-		h.processes[name].kill()                       // most have exited by themselves
+		_ = os.Remove(h.processes[name].diskFaultFile) // absent if it could not be written, which has failed the run
+		h.processes[name].kill()                       // most processes exit by themselves after a disk error
 		h.restartAfterFault(ctx, name)
 	}
 }
 
-// resolveNames replaces the names of roles by the processes that have them now; by none where none has.
+// resolveNames replaces the names of roles with the processes that have the role now, and drops a role that no
+// process has.
 func (h *Harness) resolveNames(ctx context.Context, names []string) (resolved []string) {
 	for _, name := range names {
 		switch name {
@@ -110,17 +112,17 @@
 	return resolved
 }
 
-// leaseHolder returns the process that holds the lease of rolling updates; empty where none does.
+// leaseHolder returns the name of the process that holds the rolling-update lease; empty if none does.
 func leaseHolder(state *fleet.State) string {
 	name, _, _ := strings.Cut(state.Leases[fleet.ResourceRollingUpdate].Holder, "/")
 	return name
 }
 
-// restartAfterFault starts a process again once no fault keeps it down. A replica whose disk is new is added to the
-// cluster.
+// restartAfterFault starts a process again once no other fault keeps it down. A replica whose disk is new is added to
+// the cluster again.
 func (h *Harness) restartAfterFault(ctx context.Context, name string) {
 	p := h.processes[name]
-	if p.addFault(-1) > 0 || ctx.Err() != nil {
+	if p.adjustActiveFaults(-1) > 0 || ctx.Err() != nil {
 		return
 	}
 	if err := p.start(); err != nil {
@@ -139,7 +141,7 @@
 	})
 }
 
-// damageDisk changes the disk of a process that is down, as a fault says.
+// damageDisk changes the disk of a stopped process in the way that the fault specifies.
 func (h *Harness) damageDisk(name, damage string) error {
 	dir := h.processes[name].dir
 	switch damage {
@@ -148,18 +150,20 @@
 	case diskTorn:
 		return tearDatabase(filepath.Join(dir, "council", "council.db"))
 	case diskOlder:
-		// The receiver loses its state, as of the start: the log still has the newer tokens.
+		// The receiver starts without its saved state, as at its first start. The log still has the newer fencing
+		// tokens.
 		return os.Remove(filepath.Join(dir, "receiver.json"))
 	}
 	return nil
 }
 
-// tearDatabase overwrites a part of the database as a write that a crash cut short. Of the two meta pages, which
-// locate the root of the tree, the next transaction writes the older one: synced data is not touched.
+// tearDatabase overwrites a part of the database, as a write that a crash cut short would. Two meta pages locate the
+// root of the tree, and each transaction overwrites the older of them. Only that page is damaged, so that no synced
+// data is lost.
 func tearDatabase(path string) (err error) {
 	const (
 		pageHeader    = 16
-		transactionID = pageHeader + 48 // offset of the meta page's eighth field
+		transactionID = pageHeader + 48 // offset of the transaction ID, the eighth field of a meta page
 		tornOffset    = pageHeader + 8
 	)
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
--- a/emulator/multiprocess/harness.go
+++ b/emulator/multiprocess/harness.go
@@ -2,8 +2,9 @@
 // fault-injecting proxy on each link between two of them, injects the faults of a script, and checks the effects that
 // stand-ins for nodes receive.
 //
-// It tolerates processes that end by themselves. It trusts the machine's monotonic clock alone. A process that does
-// not respond proves nothing until the script has ended, its faults are lifted and the recovery timeout has passed.
+// A process may exit by itself without failing the run. The only clock on which the harness relies is the machine's
+// monotonic clock. A process that does not respond breaks no invariant until the script has ended, its faults are
+// lifted and the recovery timeout has passed.
 package multiprocess
 
 import (
@@ -25,25 +26,25 @@
 
 const (
 	startTimeout    = 20 * time.Second
-	recoveryTimeout = 60 * time.Second // after the last fault, for the rolling update under way to end
+	recoveryTimeout = 60 * time.Second // from the last fault until the current rolling update has to end
 	pollInterval    = 20 * time.Millisecond
 	listenAddress   = "127.0.0.1:0"
 	authToken       = "a-secret-of-the-harness"
 	tokenFile       = "token"
-	headerTimeout   = 5 * time.Second // of the HTTP servers, for reading the header of a request
+	headerTimeout   = 5 * time.Second // limit for reading the headers of a request
 )
 
-// Options are settings of a run besides its script.
+// Options are the settings of a run that its script does not contain.
 type Options struct {
-	Command []string // starts a process, which calls Child
-	Without string   // guards that all processes lack, separated by spaces
+	Command    []string // command line of a program that calls Child
+	SkipGuards string   // safeguards that are disabled in all processes, separated by spaces
 }
 
 // Harness holds the processes of a run, and the proxies and stand-ins around them.
 type Harness struct {
 	Messages MessageCounts
 
-	startedAt  atomic.Pointer[time.Time] // the script's time counts from here
+	startedAt  atomic.Pointer[time.Time] // time zero of the script
 	script     *Script
 	options    Options
 	dir        string
@@ -51,19 +52,19 @@
 	processes  map[string]*process
 	proxies    map[link]*proxy
 	checker    *effectChecker
-	traffic    *traffic // nil: the nodes are stand-ins
+	traffic    *traffic // nil if the nodes are stand-ins
 	client     *agent.Client
 	tasks      sync.WaitGroup
 	closing    chan struct{}
 
 	mu           sync.Mutex
-	injected     map[string]int // faults by kind
+	injected     map[string]int // number of injected faults by kind
 	updateIDs    []string
 	updatesEnded int
 }
 
-// Run runs a script. Everything that it started has ended when it returns. An error says what could not be run;
-// broken invariants are in the result.
+// Run runs a script. When it returns, everything that it started has ended. An error means that the script could not
+// be run; broken invariants are in the result.
 func Run(ctx context.Context, script *Script, options Options) (*Result, error) {
 	harness, err := Start(ctx, script, options)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return result, ctx.Err()
 }
 
-// Start starts all processes of a script, and injects none of its faults. The caller has to call Close.
+// Start starts all processes of a script without injecting its faults. The caller must call Close.
 func Start(ctx context.Context, script *Script, options Options) (*Harness, error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -119,7 +120,7 @@
 	return h, nil
 }
 
-// start starts everything, and waits until all replicas are members and all nodes are registered.
+// start starts all processes, and waits until all replicas are members and all nodes are registered.
 func (h *Harness) start(ctx context.Context) error {
 	var err error
 	if h.checker, err = newEffectChecker(h); err != nil {
@@ -159,7 +160,7 @@
 	})
 }
 
-// createProxies opens a proxy on each link over which processes send requests: replicas send none to agents.
+// createProxies opens a proxy on each link over which a process sends requests. Replicas send no requests to agents.
 func (h *Harness) createProxies() error {
 	names := h.script.Names()
 	seed := h.script.Seed
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// createProcesses writes the configuration of all processes, and opens the admin API of the stand-ins for nodes.
+// createProcesses writes the settings files of all processes, and opens the admin APIs of the node stand-ins.
 func (h *Harness) createProcesses() error {
 	h.client = agent.NewClient(nil, make(map[string]string), authToken, nil)
 	for _, name := range h.script.Names() {
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// Close ends everything that was started.
+// Close ends everything that was started, and removes the files of the run.
 func (h *Harness) Close() {
 	close(h.closing)
 	for _, p := range h.processes {
@@ -217,7 +218,7 @@
 	if h.client != nil {
 		h.client.HTTP.CloseIdleConnections()
 	}
-	_ = os.RemoveAll(h.dir) // a temporary directory
+	_ = os.RemoveAll(h.dir) // files that remain in the temporary directory do no harm
 }
 
 // fail records a broken invariant.
@@ -232,22 +233,22 @@
 
 func (h *Harness) elapsed() time.Duration { return time.Since(h.startTime()) }
 
-// resetStartTime makes the script's time count from now.
+// resetStartTime sets time zero of the script to now.
 func (h *Harness) resetStartTime() {
 	now := time.Now()
 	h.startedAt.Store(&now)
 }
 
-// path returns the path of a file of the run.
+// path returns the path of a file in the directory of the run.
 func (h *Harness) path(file string) string { return filepath.Join(h.dir, file) }
 
-// socket returns the path of the admin API's socket of a node.
+// socket returns the path of a node's admin API socket.
 func (h *Harness) socket(node string) string { return h.path(node + ".sock") }
 
 // processNames returns the names of all processes, sorted.
 func (h *Harness) processNames() []string { return slices.Sorted(maps.Keys(h.processes)) }
 
-// address returns the real address of a process; empty while it is down.
+// address returns the address on which a process listens; empty while it is down.
 func (h *Harness) address(name string) string {
 	p := h.processes[name]
 	if p == nil {
@@ -256,17 +257,18 @@
 	return p.currentAddress()
 }
 
-// isReplica reports whether a process is a consensus replica, and not a node's agent.
+// isReplica reports whether a process is a consensus replica; all others are agents of nodes.
 func isReplica(name string) bool { return name[0] == 'c' }
 
-// processNumber returns the number in a process's name, 2 of "n2"; the names are the script's own.
+// processNumber returns the number in a process's name, such as 2 for "n2". The names come from numberedNames, so
+// that Sscanf can't fail.
 func processNumber(name string) (number int) {
 	_, _ = fmt.Sscanf(name[1:], "%d", &number)
 	return number
 }
 
-// canonicalAddress returns the address under which the processes know one another. Nothing listens there: each
-// process reaches it through a proxy.
+// canonicalAddress returns the address that the settings of all processes contain for a process. Nothing listens
+// there: each process reaches it through a proxy.
 func canonicalAddress(name string) string {
 	subnet := 1
 	if !isReplica(name) {
--- a/emulator/multiprocess/harness_test.go
+++ b/emulator/multiprocess/harness_test.go
@@ -17,16 +17,16 @@
 const testTick = 25 * time.Millisecond
 
 var (
-	seeds         = flag.Int("seeds", 2, "number of schedules of mixed faults")
-	first         = flag.Uint64("seed", 1, "the first schedule's seed; with -seeds 1 the schedule is replayed")
-	length        = flag.Duration("length", 6*time.Second, "length of a schedule")
-	atOnce        = flag.Int("at-once", 2, "schedules that run at the same time")
-	nodes         = flag.Int("nodes", 4, "real nodes under load")
-	load          = flag.Float64("load", 200, "requests per second to real nodes")
-	without       = flag.String("without", "", "guards that all processes lack: token, wait, asking, before")
-	leaseDuration = flag.Duration("lease", 2*time.Second, "duration of leases")
-	all           = flag.Bool("all", false, "run all hard cases, in parallel, and not only the first one")
-	smaller       = flag.Bool("smaller", false, "remove the faults that a failing schedule does not need")
+	scheduleCount  = flag.Int("seeds", 2, "number of schedules of mixed faults")
+	firstSeed      = flag.Uint64("seed", 1, "seed of the first schedule; -seeds 1 replays only that one")
+	scheduleLength = flag.Duration("length", 6*time.Second, "length of a schedule")
+	maxParallel    = flag.Int("at-once", 2, "number of schedules that run in parallel")
+	nodeCount      = flag.Int("nodes", 4, "number of real nodes under load")
+	requestRate    = flag.Float64("load", 200, "requests per second to real nodes")
+	skipGuards     = flag.String("without", "", "safeguards to disable in all processes: token, wait, asking, before")
+	leaseDuration  = flag.Duration("lease", 2*time.Second, "duration of leases")
+	runAllCases    = flag.Bool("all", false, "run all hard cases in parallel, not only the first one")
+	shrinkFailing  = flag.Bool("smaller", false, "shrink a failing schedule to the faults that make it fail")
 )
 
 func TestMain(m *testing.M) {
@@ -45,9 +45,9 @@
 	os.Exit(m.Run())
 }
 
-func testOptions() Options { return Options{Command: []string{os.Args[0]}, Without: *without} }
+func testOptions() Options { return Options{Command: []string{os.Args[0]}, SkipGuards: *skipGuards} }
 
-// runScript runs a script, and adds to the violations whether the lease history is explicable.
+// runScript runs a script, and adds a violation if no valid order explains the lease history.
 func runScript(t *testing.T, script *Script) *Result {
 	t.Helper()
 	result, err := Run(context.Background(), script, testOptions())
@@ -97,8 +97,8 @@
 		logRun(t, script, result)
 	}
 	elapsed := time.Since(m.startedAt).Round(time.Second)
-	fmt.Printf("%d of %d after %v: seed %d: %s\n", m.finished, *seeds, elapsed, script.Seed, result)
-	if len(result.Violations) > 0 && *smaller {
+	fmt.Printf("%d of %d after %v: seed %d: %s\n", m.finished, *scheduleCount, elapsed, script.Seed, result)
+	if len(result.Violations) > 0 && *shrinkFailing {
 		shrunk := Shrink(script, func(s *Script) bool { return len(runScript(t, s).Violations) > 0 })
 		for _, fault := range shrunk.Faults {
 			fmt.Print(fault.TOML())
@@ -106,28 +106,28 @@
 	}
 }
 
-// Under mixed faults of all kinds, drawn from seeds, effects are in the order of their tokens, and none is applied
-// twice or lost.
-func TestMixed(t *testing.T) {
+// Under random faults of all kinds, each node receives effects in the order of their fencing tokens, and no patch is
+// lost or applied twice.
+func TestMixedFaults_EffectsInTokenOrder(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	runs := &mixedRuns{startedAt: time.Now(), total: Result{Faults: make(map[string]int)}}
-	slots := make(chan struct{}, *atOnce)
+	slots := make(chan struct{}, *maxParallel)
 	var tasks sync.WaitGroup
-	for i := range *seeds {
+	for i := range *scheduleCount {
 		slots <- struct{}{}
 		tasks.Go(func() {
 			defer func() { <-slots }()
-			script := Draw(*first+uint64(i), 3+2*(i%5/4), 5, *length)
+			script := Draw(*firstSeed+uint64(i), 3+2*(i%5/4), 5, *scheduleLength)
 			script.Lease = *leaseDuration
 			runs.add(t, script, runScript(t, script))
 		})
 	}
 	tasks.Wait()
-	t.Logf("all: %s (links: see each)", &runs.total)
+	t.Logf("total: %s (message counts: see each schedule)", &runs.total)
 	if runs.total.Effects == 0 || runs.total.Tokens < 2 {
-		t.Error("too little happened: no effects, or no change of the lease holder")
+		t.Error("the schedules covered too little: no effects, or no change of the lease holder")
 	}
 }
 
@@ -140,17 +140,17 @@
 	}
 	result := runScript(t, script)
 	if len(result.Violations) > 0 || result.RollingUpdates == 0 || result.LateEffects > 0 {
-		t.Errorf("%v, %d rolling updates", result.Violations, result.RollingUpdates)
+		t.Errorf("violations: %v; rolling updates: %d", result.Violations, result.RollingUpdates)
 		logRun(t, script, result)
 	}
 	t.Log(result)
 }
 
 // The same seed draws the same script, Parse reads what TOML writes, and Shrink keeps only the faults that matter.
-func TestScripts(t *testing.T) {
-	script, again := Draw(7, 3, 5, time.Minute), Draw(7, 3, 5, time.Minute)
-	if fmt.Sprint(script) != fmt.Sprint(again) || len(script.Faults) < 5 {
-		t.Errorf("%v\n%v", script, again)
+func TestScripts_DrawParseAndShrink(t *testing.T) {
+	script, redrawn := Draw(7, 3, 5, time.Minute), Draw(7, 3, 5, time.Minute)
+	if fmt.Sprint(script) != fmt.Sprint(redrawn) || len(script.Faults) < 5 {
+		t.Errorf("two draws from a seed differ, or have too few faults:\n%v\n%v", script, redrawn)
 	}
 	text := "council = 3\nnodes = 5\nlength = \"1m\"\n"
 	for _, fault := range script.Faults {
@@ -158,13 +158,13 @@
 	}
 	parsed, err := Parse([]byte(text))
 	if err != nil || fmt.Sprint(parsed.Faults) != fmt.Sprint(script.Faults) {
-		t.Errorf("%v: %v\n%v", err, parsed, script.Faults)
+		t.Errorf("Parse: %v: got %v, want the faults\n%v", err, parsed, script.Faults)
 	}
 	shrunk := Shrink(script, func(s *Script) bool {
 		return slices.ContainsFunc(s.Faults, func(fault Fault) bool { return fault.Kind == FaultKill })
 	})
 	if len(shrunk.Faults) != 1 {
-		t.Errorf("%v", shrunk.Faults)
+		t.Errorf("Shrink kept faults that do not matter: %v", shrunk.Faults)
 	}
 	text = "council = 3\nnodes = 1\nlength = \"1s\"\n[[fault]]\nat = \"0s\"\nkind = \"kill\"\non = [\"n2\"]\n"
 	want := `4: fault[0]: unknown process "n2", want one of c1 c2 c3 n1`
@@ -174,16 +174,17 @@
 }
 
 // In rolling updates of real nodes under load, while the lease holder is killed every five seconds, each node is
-// patched once, no request is lost, none is executed twice, and never too few nodes serve.
+// patched once, no request is lost, no booking is executed twice, and enough nodes are always ready.
 func TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	script := &Script{
-		Title: "rolling update under load", Seed: *first, Replicas: 3, Nodes: *nodes, Lease: *leaseDuration, Tick: testTick,
-		Length: *length, MaxUnavailable: 2, MinCapacity: float64(*nodes - 2), RequestRate: *load,
+		Title: "rolling update under load", Seed: *firstSeed, Replicas: 3, Nodes: *nodeCount,
+		Lease: *leaseDuration, Tick: testTick, Length: *scheduleLength, MaxUnavailable: 2,
+		MinCapacity: float64(*nodeCount - 2), RequestRate: *requestRate,
 	}
-	for at := 3 * time.Second; at < *length; at += 5 * time.Second {
+	for at := 3 * time.Second; at < *scheduleLength; at += 5 * time.Second {
 		script.Faults = append(script.Faults, Fault{
 			At: at, Duration: 1500 * time.Millisecond,
 			Kind: FaultKill, Targets: []string{leaseHolderName}, Disk: diskSame,
@@ -191,7 +192,7 @@
 	}
 	result := runScript(t, script)
 	if len(result.Violations) > 0 || result.RollingUpdates == 0 || result.Tokens < 2 {
-		t.Errorf("%v, %d rolling updates", result.Violations, result.RollingUpdates)
+		t.Errorf("violations: %v; rolling updates: %d", result.Violations, result.RollingUpdates)
 		logRun(t, script, result)
 	}
 	t.Log(result)
--- a/emulator/multiprocess/leasehistory.go
+++ b/emulator/multiprocess/leasehistory.go
@@ -14,13 +14,13 @@
 
 // leaseState is the state of the lease model.
 type leaseState struct {
-	token   fleet.FencingToken // 0: no holder, or one whose grant was not received
+	token   fleet.FencingToken // 0: no holder, or a holder that did not receive its grant
 	highest fleet.FencingToken
 }
 
-// leaseModel says which responses the requests of many processes may get if each takes effect at one moment between
-// its sending and its response. A lease may end at any time without a request. A request without a response may take
-// effect or not, at any time after its sending, and so may one that the network duplicates.
+// leaseModel defines which responses the requests of several processes may get if each request takes effect at one
+// moment between its sending and its response. A lease may expire at any time without a request. A request without a
+// response may take effect at any time after its sending, or never, and so may one that the network duplicates.
 var leaseModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, output any) []any {
@@ -29,7 +29,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// nextLeaseStates returns the states that may follow a request with a response; none where the response is wrong.
+// nextLeaseStates returns the states that may follow a request with its response; none if the response is invalid.
 func nextLeaseStates(state leaseState, request, response LeaseRequest) []any {
 	free := leaseState{highest: state.highest}
 	succeeded := response.OutcomeKnown && response.Error == ""
@@ -52,19 +52,19 @@
 
 func statesAfterGrant(state leaseState, response LeaseRequest) []any {
 	switch {
-	case response.granted() && response.GrantedToken > state.highest: // the lease before may have expired
+	case response.granted() && response.GrantedToken > state.highest: // the previous lease may have expired
 		return []any{leaseState{response.GrantedToken, response.GrantedToken}}
 	case response.granted():
 		return nil // tokens have to increase
-	case response.OutcomeKnown: // another process holds the lease, or did
+	case response.OutcomeKnown: // another process holds or held the lease
 		return []any{state}
 	}
 	return []any{state, leaseState{highest: state.highest}}
 }
 
 // CheckLeaseHistory checks that the responses to the lease requests of all processes are those of a lease with one
-// holder at a time. A search that takes longer than the timeout finds no violation. An error names the first token
-// that is out of order, where one is.
+// holder at a time. A search that exceeds the timeout reports no violation. The error names the first token that is
+// out of order, if there is one.
 func CheckLeaseHistory(requests []LeaseRequest, timeout time.Duration) error {
 	history := leaseOperations(requests)
 	if porcupine.CheckOperationsTimeout(leaseModel, history, timeout) != porcupine.Illegal {
@@ -87,8 +87,8 @@
 	return fmt.Errorf("lease history: no order of the %d requests explains their responses", len(history))
 }
 
-// leaseOperations converts requests to operations of the model. Renewals without a response change nothing, and are
-// left out.
+// leaseOperations converts requests to operations of the model. It leaves out renewals without a response, which
+// change nothing in the model.
 func leaseOperations(requests []LeaseRequest) (operations []porcupine.Operation) {
 	clients := make(map[string]int)
 	for _, request := range requests {
--- a/emulator/multiprocess/leaserequests.go
+++ b/emulator/multiprocess/leaserequests.go
@@ -11,17 +11,17 @@
 	"cobaltward/fleet"
 )
 
-// LeaseRequest is one proposal about a lease, as its process recorded it. Times are of the machine's clock, in
-// nanoseconds.
+// LeaseRequest is a proposal to grant, renew or release a lease, as the process that proposed it recorded it. Times
+// are Unix times of the machine, in nanoseconds.
 type LeaseRequest struct {
-	Number       uint64             `json:"n"` // counts the requests of a process
+	Number       uint64             `json:"n"` // sequence number among the requests of a process
 	Holder       string             `json:"holder"`
 	Kind         fleet.Kind         `json:"kind"`
 	Resource     string             `json:"work"`
 	Token        fleet.FencingToken `json:"token"`
 	SentAt       int64              `json:"called"`
-	RespondedAt  int64              `json:"back"`  // 0: no response came, or the process ended before
-	OutcomeKnown bool               `json:"known"` // of the proposal
+	RespondedAt  int64              `json:"back"`  // 0: no response, or the process ended before it came
+	OutcomeKnown bool               `json:"known"` // whether the process learned the outcome of the proposal
 	GrantedToken fleet.FencingToken `json:"got"`
 	Error        string             `json:"error"`
 }
@@ -38,7 +38,7 @@
 	number uint64
 }
 
-// newLeaseRecorder opens the file of a recorder. It stays open until the process ends.
+// newLeaseRecorder returns a recorder that appends to a file, which stays open until the process ends.
 func newLeaseRecorder(path string) (*leaseRecorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return &leaseRecorder{file: file}, nil
 }
 
-// observe records a request before it is sent. The function that it returns records it again with its response.
+// observe records a request before it is sent, and returns a function that records it again with its response.
 func (r *leaseRecorder) observe(entry fleet.Entry, holder string) func(fleet.Result, bool) {
 	r.mu.Lock()
 	r.number++
@@ -79,8 +79,8 @@
 	}
 }
 
-// readLeaseRequests reads what a process recorded: each request once, with its response where one came. Lines that a
-// crash cut short are skipped.
+// readLeaseRequests reads what a process recorded: each request once, with its response if there was one. It skips
+// lines that a crash cut short.
 func readLeaseRequests(path string) (requests []LeaseRequest) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/emulator/multiprocess/linkfault.go
+++ b/emulator/multiprocess/linkfault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// linkFault is what a fault does to the messages on a link.
+// linkFault describes what a fault does to the messages on a link.
 type linkFault struct {
 	loseRequests, loseResponses bool
 	lossRate, duplicateRate     float64
@@ -14,15 +14,16 @@
 	flapInterval                time.Duration // all messages are lost in every other interval of this length
 }
 
-// messageFate is what happens to one message.
-type messageFate struct {
+// messageFaults are the faults that one message meets.
+type messageFaults struct {
 	reset, stall              bool
 	loseRequest, loseResponse bool
 	duplicate                 bool
 	delay, duplicateDelay     time.Duration
 }
 
-// combine returns the effect of two faults together at a time of the run.
+// combine returns the combined effect of f and other. The elapsed time of the run decides whether a flapping link
+// loses messages now.
 func (f linkFault) combine(other linkFault, elapsed time.Duration) linkFault {
 	flapped := other.flapInterval > 0 && (elapsed/other.flapInterval)%2 == 0
 	return linkFault{
@@ -36,21 +37,21 @@
 	}
 }
 
-// drawFate draws what the faults in force do to one message.
-func (p *proxy) drawFate() messageFate {
+// drawMessageFaults draws which of the active faults one message meets.
+func (p *proxy) drawMessageFaults() messageFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var combined linkFault
 	for _, fault := range p.faults {
 		combined = combined.combine(fault, p.harness.elapsed())
 	}
-	fate := messageFate{reset: combined.reset, stall: combined.stall}
-	fate.loseRequest = p.rand.Float64() < combined.lossRate || combined.loseRequests
-	fate.loseResponse = p.rand.Float64() < combined.lossRate || combined.loseResponses
-	fate.duplicate = p.rand.Float64() < combined.duplicateRate
-	fate.delay = min(time.Duration(p.rand.ExpFloat64()*float64(combined.meanDelay)), maxDelay)
-	fate.duplicateDelay = time.Duration(p.rand.Float64() * float64(maxDuplicateDelay))
-	return fate
+	faults := messageFaults{reset: combined.reset, stall: combined.stall}
+	faults.loseRequest = p.rand.Float64() < combined.lossRate || combined.loseRequests
+	faults.loseResponse = p.rand.Float64() < combined.lossRate || combined.loseResponses
+	faults.duplicate = p.rand.Float64() < combined.duplicateRate
+	faults.delay = min(time.Duration(p.rand.ExpFloat64()*float64(combined.meanDelay)), maxDelay)
+	faults.duplicateDelay = time.Duration(p.rand.Float64() * float64(maxDuplicateDelay))
+	return faults
 }
 
 func (p *proxy) setFault(index int, fault linkFault) {
@@ -66,7 +67,7 @@
 }
 
 // InjectLinkFault injects a fault into the links between its targets and their peers until LiftLinkFault is called
-// with the same index. Without peers it meets the links to all other processes.
+// with the same index. Without peers it affects the links to all other processes.
 func (h *Harness) InjectLinkFault(index int, fault Fault) {
 	peers := fault.Peers
 	if len(peers) == 0 {
@@ -92,13 +93,14 @@
 	}
 }
 
-// onLink returns what the fault does to a link that leads from a target (outbound) or to one (inbound).
+// onLink returns what the fault does to a link that leads from a target to a peer (outbound) or from a peer to a
+// target (inbound).
 func (f Fault) onLink(outbound, inbound bool) linkFault {
 	seconds := time.Duration(f.Value * float64(time.Second))
 	switch f.Kind {
 	case FaultPartition:
 		return linkFault{loseRequests: true, loseResponses: true}
-	case FaultAsymmetricPartition: // messages of the targets are lost
+	case FaultAsymmetricPartition: // only the messages that targets send are lost
 		return linkFault{loseRequests: outbound, loseResponses: inbound}
 	case FaultResponseLoss:
 		return linkFault{loseResponses: true}
--- a/emulator/multiprocess/measurements.go
+++ b/emulator/multiprocess/measurements.go
@@ -17,7 +17,7 @@
 
 var errUnknownFormat = errors.New("unknown format")
 
-// Kill ends a process at once.
+// Kill kills a process without a graceful shutdown.
 func (h *Harness) Kill(name string) { h.processes[name].kill() }
 
 // Restart starts a process that was killed.
@@ -27,7 +27,7 @@
 func (h *Harness) Signal(name string, signal syscall.Signal) { h.processes[name].signal(signal) }
 
 // NodesDisabling returns the number of nodes at which a server is disabled.
-func (h *Harness) NodesDisabling(server string) int { return h.checker.nodesDisabling(server) }
+func (h *Harness) NodesDisabling(server string) int { return h.checker.countNodesDisabling(server) }
 
 // SendTraffic sends requests to the real nodes until the context ends.
 func (h *Harness) SendTraffic(ctx context.Context) { h.traffic.run(ctx) }
@@ -42,8 +42,8 @@
 	return latencies
 }
 
-// ProxyAddresses returns the addresses of the proxies by which a process reaches the others, by canonical address.
-// They stay the same when the others restart.
+// ProxyAddresses returns the addresses of the proxies through which a process reaches the others, by canonical
+// address. They stay the same when the other processes restart.
 func (h *Harness) ProxyAddresses(name string) map[string]string {
 	addresses := make(map[string]string)
 	for ends, proxy := range h.proxies {
@@ -54,14 +54,14 @@
 	return addresses
 }
 
-// Usage is what a process uses of the machine.
+// Usage is the memory and the CPU time that a process uses.
 type Usage struct {
-	Anonymous int64 // bytes of memory that no file backs
-	Resident  int64 // bytes of memory in all
+	Anonymous int64 // bytes of memory that no file backs, such as the heap
+	Resident  int64 // bytes of resident memory, including file-backed pages
 	CPU       time.Duration
 }
 
-// Usage returns what a process has used so far.
+// Usage returns the present memory use of a process and its CPU time so far.
 func (h *Harness) Usage(name string) (usage Usage, err error) {
 	pid := h.processes[name].pid()
 	if err := usage.readMemory(pid); err != nil {
--- a/emulator/multiprocess/nodecommand.go
+++ b/emulator/multiprocess/nodecommand.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Paths of the checker to which the commands of a rolling update report.
+// Paths of the effect checker to which the commands of a rolling update report.
 const (
 	patchBeginPath  = "/begin"
 	patchApplyPath  = "/replace"
@@ -16,21 +16,22 @@
 	patchVerifyPath = "/look"
 )
 
-// Exit statuses of the commands, as agents read them.
+// Exit statuses with which the commands tell the agent the outcome.
 const (
-	exitApplied    = 0
-	exitNotApplied = 1
-	exitUnknown    = 3
+	exitApplied        = 0
+	exitNotApplied     = 1
+	exitOutcomeUnknown = 3
 )
 
 const (
 	patchDuration = 60 * time.Millisecond
-	// patchExitDelay is a time in which the agent may die without having recorded that the patch was applied.
+	// patchExitDelay delays the exit of the command after the patch was applied. An agent that is killed in this time
+	// has not recorded that the patch was applied.
 	patchExitDelay = 20 * time.Millisecond
 )
 
-// runNodeCommand stands in for the command by which an agent patches its node or verifies a patch. It only reports to
-// the checker.
+// runNodeCommand stands in for the command with which an agent patches its node or checks whether a patch was
+// applied. It only reports to the effect checker.
 func runNodeCommand(role string) (status int) {
 	if role == roleVerify {
 		return report(patchVerifyPath)
@@ -47,7 +48,7 @@
 	return status
 }
 
-// report posts the command's environment to the checker, and returns an exit status by its response.
+// report posts the command's environment to the effect checker, and converts the response to an exit status.
 func report(path string) (status int) {
 	form := url.Values{}
 	for _, key := range []string{"NODE", "KEY", "TOKEN", "STEP"} {
@@ -55,7 +56,7 @@
 	}
 	response, err := http.PostForm("http://"+os.Getenv(checkerEnv)+path, form)
 	if err != nil {
-		return exitUnknown
+		return exitOutcomeUnknown
 	}
 	_ = response.Body.Close()
 	switch response.StatusCode {
@@ -64,5 +65,5 @@
 	case http.StatusNotFound:
 		return exitNotApplied
 	}
-	return exitUnknown
+	return exitOutcomeUnknown
 }
--- a/emulator/multiprocess/nodestandin.go
+++ b/emulator/multiprocess/nodestandin.go
@@ -12,22 +12,23 @@
 	"cobaltward/internal/node"
 )
 
-// standInDrainDuration is the time that a stand-in takes to drain.
+// standInDrainDuration is the time that the drain of a stand-in takes.
 const standInDrainDuration = 40 * time.Millisecond
 
-// nodeStandIn stands in for a node: it has its admin API only. The checker's mutex guards its state.
+// nodeStandIn is the checker's record of a node. Unless the node is a real process, it also serves the node's admin
+// API. The checker's mutex guards its state.
 type nodeStandIn struct {
 	checker         *effectChecker
 	name            string
-	admin           *adminapi.Server // nil: a real node has the admin API
+	admin           *adminapi.Server // nil if a real node serves its own admin API
 	state           drain.State
-	drainedAt       time.Time // end of a drain
+	drainEndsAt     time.Time // time at which the last drain is complete
 	disabledServers map[string]bool
 	highestToken    uint64
-	drained         bool // from the drain to the resumption
+	drainActive     bool // true from a drain until the node resumes
 }
 
-// addNode adds a node, and opens its admin API unless the node is real.
+// addNode adds a node, and opens its admin API unless the node is a real process.
 func (c *effectChecker) addNode(name, socket string) error {
 	added := &nodeStandIn{checker: c, name: name, disabledServers: make(map[string]bool)}
 	if c.harness.script.RequestRate == 0 {
@@ -59,16 +60,16 @@
 		n.handleDisable(w, r, false)
 	})
 	server.Handle(http.MethodGet, "/servers", func(w http.ResponseWriter, _ *http.Request) {
-		servers := map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}} // by zone
+		servers := map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}} // IDs by zone
 		adminapi.WriteJSON(w, http.StatusOK, servers)
 	})
 	server.Start()
 	return nil
 }
 
-// finishDrain completes a drain whose time has passed. The caller holds the checker's mutex.
+// finishDrain marks a drain as complete once its duration has passed. The caller holds the checker's mutex.
 func (n *nodeStandIn) finishDrain() {
-	if n.state != drain.Serving && !time.Now().Before(n.drainedAt) {
+	if n.state != drain.Serving && !time.Now().Before(n.drainEndsAt) {
 		n.state = drain.Drained
 	}
 }
@@ -91,7 +92,7 @@
 	n.checker.mu.Lock()
 	n.finishDrain()
 	if n.state == drain.Serving {
-		n.state, n.drainedAt = drain.Announced, time.Now().Add(standInDrainDuration)
+		n.state, n.drainEndsAt = drain.Announced, time.Now().Add(standInDrainDuration)
 		n.checker.record(n, effectDrain, request.Reason, "")
 	}
 	n.checker.mu.Unlock()
--- a/emulator/multiprocess/process.go
+++ b/emulator/multiprocess/process.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxLogLines        = 400 // of each process
+	maxLogLines        = 400 // kept for each process
 	leaseHistorySuffix = ".lease-requests"
 )
 
-// process is one process of the program, which may be started several times.
+// process is a named process of the run. It may be killed and started again.
 type process struct {
 	harness       *Harness
 	name          string
@@ -27,14 +27,14 @@
 	dir           string
 	diskFaultFile string // while the file exists, writes to the disk fail
 
-	lifecycle sync.Mutex // held during a start or a stop
+	lifecycle sync.Mutex // held while the process is started or stopped
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	address      string // empty while the process is down
 	log          []string
-	activeFaults int // that keep it down
+	activeFaults int // number of faults that keep the process down
 }
 
 func newProcess(h *Harness, name string) *process {
@@ -45,7 +45,7 @@
 	return &process{harness: h, name: name, role: role, dir: h.path(name), diskFaultFile: h.path(name + ".bad")}
 }
 
-// configPath returns the path of the process's settings.
+// configPath returns the path of the process's settings file.
 func (p *process) configPath() string { return p.harness.path(p.name + ".toml") }
 
 var listeningLine = regexp.MustCompile(`msg=listening .*address=(\S+)`)
@@ -57,7 +57,7 @@
 	command := p.harness.options.Command
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), p.environment()...)
-	// The process ends with the harness, however that ends.
+	// The kernel kills the process when the harness ends, even if the harness crashes.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -69,7 +69,7 @@
 	listening, exited := make(chan string, 1), make(chan struct{})
 	p.harness.tasks.Go(func() {
 		p.readLog(stderr, listening)
-		_ = cmd.Wait() // the log shows how it ended
+		_ = cmd.Wait() // the log shows why the process ended
 		p.setAddress("")
 		close(exited)
 	})
@@ -91,14 +91,15 @@
 	return []string{
 		roleEnv + "=" + p.role,
 		configEnv + "=" + p.configPath(),
-		withoutEnv + "=" + p.harness.options.Without,
+		disabledSafeguardsEnv + "=" + p.harness.options.SkipGuards,
 		leaseHistoryEnv + "=" + p.harness.path(p.name+leaseHistorySuffix),
 		diskFaultEnv + "=" + p.diskFaultFile,
 		"GOMAXPROCS=2",
 	}
 }
 
-// readLog keeps the last lines of the process's log until its end, and sends the address on which it listens.
+// readLog reads the process's log until its end. It keeps the last lines, and sends the address on which the process
+// listens.
 func (p *process) readLog(stderr io.Reader, listening chan<- string) {
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
@@ -115,30 +116,30 @@
 		}
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, stderr) // the rest, after a line that is too long for the scanner
+	_, _ = io.Copy(io.Discard, stderr) // drains what follows a line that is too long for the scanner
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
-	cmd, exited := p.running()
+	cmd, exited := p.lastCommand()
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Kill() // it may have ended by itself
+	_ = cmd.Process.Kill() // fails if the process has ended by itself
 	<-exited
 }
 
-// stop ends the process by a graceful shutdown.
+// stop shuts the process down gracefully, and kills it if it takes longer than startTimeout.
 func (p *process) stop() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
-	cmd, exited := p.running()
+	cmd, exited := p.lastCommand()
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+	_ = cmd.Process.Signal(syscall.SIGTERM) // fails if the process has ended by itself
 	select {
 	case <-exited:
 	case <-time.After(startTimeout):
@@ -147,22 +148,23 @@
 	}
 }
 
-// running returns the last command that was started, nil before the first, and the channel that its end closes.
-func (p *process) running() (cmd *exec.Cmd, exited <-chan struct{}) {
+// lastCommand returns the command that was started last, nil before the first start, and a channel that is closed
+// when its process ends.
+func (p *process) lastCommand() (cmd *exec.Cmd, exited <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
 func (p *process) signal(signal syscall.Signal) {
-	if cmd, _ := p.running(); cmd != nil {
-		_ = cmd.Process.Signal(signal) // it may have ended
+	if cmd, _ := p.lastCommand(); cmd != nil {
+		_ = cmd.Process.Signal(signal) // fails if the process has ended
 	}
 }
 
-// pid returns the process identifier; 0 before the first start.
+// pid returns the process ID; 0 before the first start.
 func (p *process) pid() int {
-	cmd, _ := p.running()
+	cmd, _ := p.lastCommand()
 	if cmd == nil {
 		return 0
 	}
@@ -182,8 +184,8 @@
 	return p.address
 }
 
-// addFault adds to the number of faults that keep the process down, and returns the new number.
-func (p *process) addFault(change int) int {
+// adjustActiveFaults changes the number of faults that keep the process down, and returns the new number.
+func (p *process) adjustActiveFaults(change int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.activeFaults += change
@@ -196,7 +198,7 @@
 	return slices.Clone(p.log)
 }
 
-// runCommand runs a command of the administrator's with the settings of a process, and returns its output.
+// runCommand runs an administrator's command with the settings of a process, and returns its output.
 func (h *Harness) runCommand(name string, arguments ...string) (string, error) {
 	command := h.options.Command
 	cmd := exec.Command(command[0], command[1:]...)
--- a/emulator/multiprocess/processconfig.go
+++ b/emulator/multiprocess/processconfig.go
@@ -9,7 +9,7 @@
 // zones is the number of zones over which nodes are spread.
 const zones = 3
 
-// writeConfig writes the settings of a replica or an agent.
+// writeConfig writes the settings file of a replica or an agent.
 func (p *process) writeConfig() error {
 	var text strings.Builder
 	script := p.harness.script
@@ -38,7 +38,8 @@
 	return os.WriteFile(p.configPath(), []byte(text.String()), 0o600)
 }
 
-// writeAgentConfig writes an agent's zone, the leases that it may hold, and the commands by which it patches its node.
+// writeAgentConfig writes an agent's zone, the leases that it may hold, and the commands with which it patches its
+// node.
 func (p *process) writeAgentConfig(text *strings.Builder) {
 	script, number := p.harness.script, processNumber(p.name)
 	fmt.Fprintf(text, "zone = \"z%d\"\n", (number-1)%zones)
@@ -55,7 +56,8 @@
 	}
 }
 
-// nodeConfig holds the settings of a real node, but for its servers: its name, then its socket.
+// nodeConfig is the settings file of a real node without its list of servers. The format arguments are the node's
+// name and the path of its admin API socket.
 const nodeConfig = `[[listen]]
 address = "127.0.0.1:0"
 [node]
--- a/emulator/multiprocess/proxy.go
+++ b/emulator/multiprocess/proxy.go
@@ -28,7 +28,8 @@
 // link is a link in one direction, from the process that sends requests to the process that responds.
 type link struct{ from, to string }
 
-// proxy forwards the requests on one link, and injects faults into whole messages: a request or its response.
+// proxy forwards the requests on one link and injects faults. A fault affects a whole message, which is a request or
+// its response.
 type proxy struct {
 	link    link
 	harness *Harness
@@ -37,18 +38,18 @@
 	client  *http.Client
 
 	mu     sync.Mutex
-	faults map[int]linkFault // in force, by index
+	faults map[int]linkFault // active faults, by index
 	rand   *rand.Rand
 }
 
-// MessageCounts counts the messages on all links, and those that met a fault. Bytes are those of the bodies, in both
-// directions.
+// MessageCounts counts the requests on all links and the messages that met a fault. Bytes is the size of all request
+// and response bodies.
 type MessageCounts struct {
 	Requests, Bytes, LostRequests, LostResponses atomic.Int64
 	Delayed, Duplicated, Stalled, Reset          atomic.Int64
 }
 
-// String returns the counts but for the bytes.
+// String returns all counts except Bytes on one line.
 func (c *MessageCounts) String() string {
 	return fmt.Sprintf("of %d messages %d lost, %d responses lost, %d delayed, %d duplicated, %d stalled, %d reset",
 		c.Requests.Load(), c.LostRequests.Load(), c.LostResponses.Load(), c.Delayed.Load(), c.Duplicated.Load(),
@@ -68,7 +69,7 @@
 		rand: rand.New(rand.NewPCG(seed, 1)), client: &http.Client{Transport: transport},
 	}
 	p.server = &http.Server{Handler: p, ReadHeaderTimeout: headerTimeout}
-	go func() { _ = p.server.Serve(listener) }() // ends with close
+	go func() { _ = p.server.Serve(listener) }() // returns after close
 	return p, nil
 }
 
@@ -77,7 +78,7 @@
 	p.client.CloseIdleConnections()
 }
 
-// ServeHTTP forwards one request and its response, with the faults in force.
+// ServeHTTP forwards one request and its response, subject to the active faults.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxProxiedBody))
 	if err != nil {
@@ -86,33 +87,34 @@
 	counts := &p.harness.Messages
 	counts.Requests.Add(1)
 	counts.Bytes.Add(int64(len(body)))
-	fate := p.drawFate()
+	faults := p.drawMessageFaults()
 	switch {
-	case fate.reset:
+	case faults.reset:
 		counts.Reset.Add(1)
 		resetConnection(w)
 		return
-	case fate.loseRequest:
+	case faults.loseRequest:
 		counts.LostRequests.Add(1)
-		<-request.Context().Done() // until the sender gives up
+		<-request.Context().Done() // the sender gets no response and gives up
 		return
-	case fate.stall:
+	case faults.stall:
 		counts.Stalled.Add(1)
 		<-request.Context().Done()
 		return
 	}
-	if fate.delay > 0 {
+	if faults.delay > 0 {
 		counts.Delayed.Add(1)
-		time.Sleep(fate.delay)
+		time.Sleep(faults.delay)
 	}
-	if fate.duplicate {
+	if faults.duplicate {
 		counts.Duplicated.Add(1)
-		p.harness.tasks.Go(func() { p.sendDuplicate(request, body, fate.duplicateDelay) })
+		p.harness.tasks.Go(func() { p.sendDuplicate(request, body, faults.duplicateDelay) })
 	}
 	p.forward(w, request, body)
 }
 
-// forward sends a request to its process and returns the response, with the faults in force by then.
+// forward sends a request to the target process and returns the response, subject to the faults that are active by
+// then.
 func (p *proxy) forward(w http.ResponseWriter, request *http.Request, body []byte) {
 	response, err := p.send(request.Context(), request, body)
 	if err != nil {
@@ -127,11 +129,11 @@
 	}
 	counts := &p.harness.Messages
 	counts.Bytes.Add(int64(len(responseBody)))
-	fate := p.drawFate()
-	if fate.delay > 0 {
-		time.Sleep(fate.delay)
+	faults := p.drawMessageFaults()
+	if faults.delay > 0 {
+		time.Sleep(faults.delay)
 	}
-	if fate.loseResponse || fate.stall {
+	if faults.loseResponse || faults.stall {
 		counts.LostResponses.Add(1)
 		<-request.Context().Done()
 		return
@@ -142,10 +144,11 @@
 		}
 	}
 	w.WriteHeader(response.StatusCode)
-	_, _ = w.Write(responseBody) // the sender may have given up
+	_, _ = w.Write(responseBody) // fails if the sender has given up
 }
 
-// sendDuplicate sends a request once more after a delay, whatever the outcome of the first, and drops the response.
+// sendDuplicate sends a request once more after a delay, whatever the outcome of the original, and discards the
+// response.
 func (p *proxy) sendDuplicate(request *http.Request, body []byte, delay time.Duration) {
 	select {
 	case <-time.After(delay):
@@ -173,7 +176,7 @@
 	return p.client.Do(forwarded)
 }
 
-// resetConnection closes the sender's connection by a TCP reset.
+// resetConnection closes the sender's connection with a TCP reset.
 func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/emulator/multiprocess/requests.go
+++ b/emulator/multiprocess/requests.go
@@ -17,12 +17,13 @@
 	readinessTimeout  = time.Second
 	bookTimeout       = 1500 * time.Millisecond
 	searchTimeout     = 3 * time.Second
-	lossGrace         = time.Second // after a request's deadline, until it counts as lost
+	lossGrace         = time.Second // after its deadline a request counts as lost once this time has passed
 	maxInFlight       = 4000
 	bookingFraction   = 0.4
 )
 
-// run sends requests to the ready nodes at the script's rate until the context ends. It begins once all are ready.
+// run sends requests to the ready nodes at the script's rate until the context ends. It starts once all nodes are
+// ready.
 func (t *traffic) run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -56,7 +57,8 @@
 	}
 }
 
-// checkReadiness is the load balancer: requests go only to nodes whose last health check succeeded.
+// checkReadiness runs the health checks of the emulated load balancer, which sends requests only to nodes whose last
+// health check succeeded.
 func (t *traffic) checkReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: readinessTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -86,7 +88,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// send sends one request to a ready node, and where that accepts no connection, to the next one.
+// send sends one request to a ready node or, if that node accepts no connection, to the next one.
 func (t *traffic) send(id string, isBooking bool, firstNode int) {
 	sentAt := time.Now()
 	t.mu.Lock()
@@ -115,7 +117,7 @@
 	}
 }
 
-// sendTo sends a request to one node. The status is 0 without a whole answer; connected is false where the node
+// sendTo sends a request to one node. The status is 0 if no complete response arrived; connected is false if the node
 // accepted no connection, so that the request was not sent.
 func (t *traffic) sendTo(name, id string, isBooking bool) (status int, connected bool) {
 	method, timeout := http.MethodGet, searchTimeout
--- a/emulator/multiprocess/result.go
+++ b/emulator/multiprocess/result.go
@@ -12,24 +12,24 @@
 	"cobaltward/fleet/agent"
 )
 
-// shownLogLines is the number of lines of each process's log that a failed run shows.
-const shownLogLines = 60
+// maxReportedLogLines is the number of lines of each process's log that the result of a failed run contains.
+const maxReportedLogLines = 60
 
 // Result is the outcome of a run.
 type Result struct {
 	Script         *Script
-	Violations     []string // broken invariants, each with the effect that broke it
+	Violations     []string // descriptions of the broken invariants
 	Effects        int
-	Tokens         int // fencing tokens under which there were effects
-	LateEffects    int // effects under an older token than one already seen at another node
-	Rejected       uint64
+	Tokens         int    // number of fencing tokens under which there were effects
+	LateEffects    int    // effects under an older token than one that another node had seen
+	Rejected       uint64 // effects that agents rejected
 	Patches        int
-	RollingUpdates int            // that ended
-	Faults         map[string]int // by kind
-	Links          string         // counts of the messages between processes
+	RollingUpdates int            // rolling updates that ended
+	Faults         map[string]int // number of injected faults by kind
+	MessageSummary string         // counts of the messages between processes
 	LeaseRequests  []LeaseRequest
-	Log            string // the ends of all logs, where an invariant is broken
-	Traffic        string // counts of the requests to real nodes
+	Log            string // all effects and the last log lines; empty unless an invariant is broken
+	Traffic        string // counts of the requests to real nodes; empty for stand-ins
 }
 
 // String returns the counts on one line.
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%d effects under %d fencing tokens (%d late and harmless, %d rejected), "+
 		"%d patches in %d rolling updates; %s; %s",
 		r.Effects, r.Tokens, r.LateEffects, r.Rejected, r.Patches, r.RollingUpdates,
-		strings.Join(faults, ", "), r.Links+r.Traffic)
+		strings.Join(faults, ", "), r.MessageSummary+r.Traffic)
 }
 
 // result gathers the counts of the run.
@@ -63,11 +63,11 @@
 		result.LeaseRequests = append(result.LeaseRequests, readLeaseRequests(h.path(name+leaseHistorySuffix))...)
 	}
 	h.checker.addTo(result)
-	result.Links = h.Messages.String()
+	result.MessageSummary = h.Messages.String()
 	return result
 }
 
-// logs returns all effects, and the ends of all logs.
+// logs returns all effects, and the last log lines of each process.
 func (h *Harness) logs() string {
 	var text strings.Builder
 	if h.checker != nil {
@@ -77,7 +77,7 @@
 	}
 	for _, name := range h.processNames() {
 		lines := h.processes[name].logLines()
-		shown := lines[max(0, len(lines)-shownLogLines):]
+		shown := lines[max(0, len(lines)-maxReportedLogLines):]
 		fmt.Fprintf(&text, "--- %s\n%s\n", name, strings.Join(shown, "\n"))
 	}
 	return text.String()
--- a/emulator/multiprocess/script.go
+++ b/emulator/multiprocess/script.go
@@ -9,14 +9,14 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// Script says which processes are started and which faults are injected. Replicas are c1, c2, ...; nodes, each with
-// its agent, are n1, n2, ..., spread over zones.
+// Script defines which processes are started and which faults are injected. Replicas are named c1, c2, and so on;
+// nodes are named n1, n2, and so on. Each node has an agent, and the nodes are spread over zones.
 type Script struct {
 	Title           string        `toml:"title"`
 	Seed            uint64        `toml:"seed"`
 	Replicas        int           `toml:"council" need:"1" min:"1" max:"5"`
 	Nodes           int           `toml:"nodes" need:"1" min:"1" max:"30"`
-	LeaseCandidates int           `toml:"owners" min:"0" max:"30"` // the first nodes, whose agents may hold leases; 0: all
+	LeaseCandidates int           `toml:"owners" min:"0" max:"30"` // agents that may hold leases, from n1 on; 0: all
 	Lease           time.Duration `toml:"lease" min:"500ms" max:"1m"`
 	Tick            time.Duration `toml:"tick" min:"10ms" max:"1s"`
 	Length          time.Duration `toml:"length" need:"1" min:"1s" max:"1h"`
@@ -26,17 +26,17 @@
 	Faults          []Fault       `toml:"fault"`
 }
 
-// Fault is one fault, in force from a time on for a duration.
+// Fault is one fault, which begins at a time of the script and lasts for a duration.
 type Fault struct {
 	At       time.Duration `toml:"at" min:"0s"`
 	Duration time.Duration `toml:"for" min:"0s" max:"1h"`
 
 	Kind string `toml:"kind" need:"1" one:"cut|one_way|answers|loss|delay|repeat|stall|reset|flap|kill|stop|sync|jump|rate"` //nolint:lll // a tag can't be wrapped
 
-	Targets []string `toml:"on" need:"1"`                     // processes
-	Peers   []string `toml:"with"`                            // other ends of the links; none: all others
-	Value   float64  `toml:"value" min:"0"`                   // a fraction, or seconds
-	Disk    string   `toml:"disk" one:"same|older|none|torn"` // after a kill
+	Targets []string `toml:"on" need:"1"`                     // names of processes or roles
+	Peers   []string `toml:"with"`                            // processes at the other link ends; empty: all others
+	Value   float64  `toml:"value" min:"0"`                   // a fraction or seconds, depending on Kind
+	Disk    string   `toml:"disk" one:"same|older|none|torn"` // state of the disk after a kill
 }
 
 // The kinds of faults. Value is the fraction of messages for FaultLoss and FaultDuplicates, the mean delay in seconds
@@ -66,9 +66,10 @@
 	diskTorn  = "torn"
 )
 
-// Names of roles, which stand among names of processes for the ones that have the role when a fault begins.
+// Names of roles, which may stand among the names of processes. A role stands for the processes that have it when the
+// fault begins.
 const (
-	leaseHolderName = "owner" // of the lease of rolling updates
+	leaseHolderName = "owner" // holder of the rolling-update lease
 	leaderName      = "leader"
 )
 
@@ -87,7 +88,7 @@
 	return text
 }
 
-// TOML returns the fault as a script has it.
+// TOML returns the fault in the format of a script.
 func (f Fault) TOML() string {
 	list := func(names []string) string {
 		quoted := make([]string, len(names))
@@ -109,7 +110,7 @@
 	return text
 }
 
-// Parse reads a script from TOML. Errors name the line.
+// Parse reads a script from TOML. Its errors name the line.
 func Parse(text []byte) (*Script, error) {
 	script := &Script{Lease: time.Second, Tick: 25 * time.Millisecond, MaxUnavailable: 1}
 	lines, err := stricttoml.Decode(text, script)
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -27,37 +27,38 @@
 )
 
 // traffic is a set of real nodes under load: processes of the node program, emulated app servers, and clients behind
-// an emulated load balancer that checks the nodes' readiness.
+// an emulated load balancer that checks whether the nodes are ready.
 type traffic struct {
 	harness  *Harness
 	servers  []*servermodel.Server
 	handlers []*serverprotocol.HTTPServer
 	nodes    map[string]*process
-	clients  map[string]*http.Client // by node
+	clients  map[string]*http.Client // by name of the node
 	inFlight sync.WaitGroup
 
 	mu         sync.Mutex
 	readyNodes []string
-	minReady   int // lowest number of ready nodes, once all have been
+	minReady   int // lowest number of ready nodes since all were ready for the first time
 	counts     requestCounts
-	isBooking  map[string]bool // by request
-	latencies  []time.Duration // of served requests
+	isBooking  map[string]bool // by request ID
+	latencies  []time.Duration // latencies of the served requests
 }
 
 // requestCounts counts requests by their outcome.
 type requestCounts struct {
 	sent, served, rejected, failed int
-	lost                           int // sent to a node and not answered
+	lost                           int // sent to a node but not answered
 	unroutable                     int // no node accepted a connection
 }
 
-// startTraffic starts app servers and nodes. Each node's admin API is where its agent expects it.
+// startTraffic starts the app servers and the nodes. Each node serves its admin API on the socket that its agent
+// uses.
 func (h *Harness) startTraffic() error {
 	t := &traffic{
 		harness: h, nodes: make(map[string]*process), clients: make(map[string]*http.Client),
 		minReady: h.script.Nodes, isBooking: make(map[string]bool),
 	}
-	h.traffic = t // Close ends it, after an error, too
+	h.traffic = t // set first, so that Close also stops it after an error
 	serverConfig, err := t.startServers()
 	if err != nil {
 		return err
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// startServers starts the app servers, and returns their part of the nodes' settings.
+// startServers starts the app servers, and returns the part of the nodes' settings that lists them.
 func (t *traffic) startServers() (config string, err error) {
 	var text strings.Builder
 	for i := range appServers {
@@ -119,8 +120,8 @@
 	}
 }
 
-// isDrained reports whether a node is drained, by its admin API. A node that does not respond has ended, and is
-// drained, too.
+// isDrained reports whether a node's admin API says that the node is drained. A node that does not respond has ended,
+// and counts as drained.
 func (t *traffic) isDrained(name string) bool {
 	client, base := adminapi.NewClient(t.harness.socket(name), "", nil)
 	defer client.CloseIdleConnections()
@@ -138,7 +139,7 @@
 	return json.Unmarshal(raw, &status) == nil && status.Drain.State == drain.Drained
 }
 
-// restartNode ends a node by a graceful shutdown and starts it again, as a patch would.
+// restartNode shuts a node down gracefully and starts it again, as a patch does.
 func (t *traffic) restartNode(name string) error {
 	p := t.nodes[name]
 	if p == nil {
@@ -148,7 +149,7 @@
 	return p.start()
 }
 
-// check waits for the last answers, and returns the broken invariants.
+// check waits for the last responses, and returns descriptions of the broken invariants.
 func (t *traffic) check() (violations []string) {
 	t.inFlight.Wait()
 	t.mu.Lock()
@@ -175,7 +176,7 @@
 	return violations
 }
 
-// String returns the counts of requests, as the end of a line.
+// String returns the counts of requests, formatted as the end of the line that Result.String returns.
 func (t *traffic) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/emulator/multiprocess/updates.go
+++ b/emulator/multiprocess/updates.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// runUpdate starts a rolling update unless it is started already, and waits for its end. It returns false if the
-// context ends before.
+// runUpdate starts a rolling update unless it is already started, and waits for its end. It returns false if the
+// context ends first.
 func (h *Harness) runUpdate(ctx context.Context, id string) bool {
 	recorded := false
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 }
 
 // proposeUpdate proposes a rolling update to one replica after another until one responds. A lost response does no
-// harm: the next proposal has the same identifier.
+// harm, since the next proposal has the same job ID.
 func (h *Harness) proposeUpdate(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, updateProposalTimeout)
 	defer cancel()
@@ -71,12 +71,12 @@
 	}
 }
 
-// checkUpdate compares a rolling update that has ended with the effects that were seen.
+// checkUpdate compares a rolling update that has ended with the recorded effects.
 func (h *Harness) checkUpdate(job *fleet.Job) {
 	h.mu.Lock()
 	h.updatesEnded++
 	h.mu.Unlock()
-	patched := h.checker.patchedNodes(job.ID)
+	patched := h.checker.patchedNodeCount(job.ID)
 	failed := 0
 	for key, step := range job.Steps {
 		if key.Action == fleet.ActionPatch && step.Outcome != fleet.OutcomeOK {
@@ -92,8 +92,8 @@
 	}
 }
 
-// awaitRecovery restarts the processes that are down once all faults are over, and waits for the rolling update under
-// way to end. It returns broken invariants.
+// awaitRecovery runs after the last fault. It starts the processes that are down, and waits for the current rolling
+// update to end. It returns descriptions of the broken invariants.
 func (h *Harness) awaitRecovery(ctx context.Context) (violations []string) {
 	for _, name := range h.processNames() {
 		p := h.processes[name]
@@ -115,11 +115,11 @@
 	if state != nil {
 		text = string(state.Marshal())
 	}
-	return []string{fmt.Sprintf("rolling update %s did not end within %v of the last fault (a leader: %v): %s",
+	return []string{fmt.Sprintf("rolling update %s did not end within %v of the last fault (has leader: %v): %s",
 		id, recoveryTimeout, hasLeader, text)}
 }
 
-// lastUpdateID returns the rolling update that was started last; the first one where none was.
+// lastUpdateID returns the ID of the rolling update that was started last; the first ID if none was started.
 func (h *Harness) lastUpdateID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
