--- a/emulator/model/capacity.go
+++ b/emulator/model/capacity.go
@@ -17,8 +17,8 @@
 	id   string
 }
 
-// Capacity returns the current fraction of the server's full capacity, which warming up, thrashing, open connections
-// and pauses reduce.
+// Capacity returns the fraction of the server's full capacity that is available now. Warming up, thrashing, open
+// connections and pauses reduce it.
 func (s *Server) Capacity() float64 {
 	if s.down || s.now < s.pauseEnd {
 		return 0
@@ -34,7 +34,7 @@
 	return fraction
 }
 
-// updateWarmFraction computes the fraction of the capacity that a warming server has until the next step.
+// updateWarmFraction computes the fraction of its capacity that a warming server has until the next step.
 func (s *Server) updateWarmFraction() {
 	warmUp := &s.config.WarmUp
 	s.nextWarmUpdate = math.MaxInt64
@@ -54,7 +54,7 @@
 // fullRate returns the work per second of a warm server.
 func (s *Server) fullRate() float64 { return float64(s.config.Cores) * s.config.Speed }
 
-// rate returns the work per second that each running request receives.
+// rate returns the work per second that the server does for each running request.
 func (s *Server) rate() float64 {
 	if len(s.running) == 0 {
 		return 0
@@ -62,7 +62,7 @@
 	return s.Capacity() * s.config.Speed * min(1, float64(s.config.Cores)/float64(len(s.running)))
 }
 
-// recordArrival adds up the work that a warming server receives, and crashes the server if that overloads it.
+// recordArrival adds up the work that a warming server receives, and crashes the server if it is overloaded.
 func (s *Server) recordArrival(r Request) {
 	warmUp := &s.config.WarmUp
 	if warmUp.OverloadFactor <= 0 || s.warmFraction >= 1 {
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -4,22 +4,23 @@
 
 import "time"
 
-// Cancel selects what the cancellation of a request does at the server.
+// Cancel selects what the server does when a request is cancelled.
 type Cancel uint8
 
 // The effects of a cancellation.
 const (
 	CancelIgnored Cancel = iota
 	CancelQueued         // removes queued requests only
-	CancelAll            // also stops running requests
+	CancelAll            // removes queued requests and stops running ones
 )
 
-// Config describes a kind of server. Durations are of the server's own clock; work is in seconds of a core of speed 1.
+// Config describes a kind of server. Durations are measured by the server's own clock; work is in seconds of a core
+// of speed 1.
 type Config struct {
 	Cores int
 	Speed float64 // work per second of each core
-	Slots int     // running requests, which share the cores evenly; FIFO if equal to Cores
-	Queue int     // queued requests; beyond, requests are rejected
+	Slots int     // limit of running requests, which share the cores evenly; FIFO if equal to Cores
+	Queue int     // limit of queued requests; further requests are rejected
 
 	// The capacity is divided by 1 + ThrashFactor × (requests in flight per core - ThrashThreshold).
 	ThrashFactor    float64
@@ -31,27 +32,27 @@
 	Cancel      Cancel
 	DropExpired bool // queued requests are dropped once their deadline has passed
 
-	ConnSetupWork float64 // work of a new connection
+	ConnSetupWork float64 // work to set up a new connection
 	MaxConns      int     // 0: unlimited
 	ConnOverhead  float64 // fraction of the capacity lost with MaxConns connections, in proportion to their number
 }
 
-// WarmUp describes the capacity of a server after its start. The zero value starts warm.
+// WarmUp describes the capacity of a server after its start. With the zero value, the server starts warm.
 type WarmUp struct {
-	InitialCapacity float64       // fraction of the full capacity; 0: warm
-	Duration        time.Duration // until the server is warm
+	InitialCapacity float64       // fraction of the full capacity at the start; 0: the server starts warm
+	Duration        time.Duration // time until the server is warm
 	// ByWork makes the capacity grow with the work done instead of with time. The server is warm once it has done the
 	// work that it can do within Duration at full capacity.
 	ByWork bool
-	// A server that receives more than OverloadFactor times the work that it can do at that time, within
-	// OverloadWindow, crashes and stays down.
-	OverloadFactor float64 // 0: never
+	// A server that receives, within OverloadWindow, more than OverloadFactor times the work that it can currently do
+	// in that time crashes and stays down.
+	OverloadFactor float64 // 0: no crash
 	OverloadWindow time.Duration
 }
 
-// Pause describes periodic pauses, such as those of a garbage collector. The zero value never pauses.
+// Pause describes periodic pauses, such as those of a garbage collector. With the zero value there are none.
 type Pause struct {
-	Interval time.Duration // from the end of a pause to the next
+	Interval time.Duration // from the end of a pause to the start of the next
 	Duration time.Duration
 	Growth   float64 // relative growth of a pause for each request in flight per core at its start
 }
--- a/emulator/model/draw.go
+++ b/emulator/model/draw.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Dist is a distribution of work.
+// Dist is the shape of a distribution of work.
 type Dist uint8
 
 // The distributions.
@@ -16,14 +16,14 @@
 	Pareto
 )
 
-// Work is the distribution of the work of a class of requests.
+// Work is the distribution of the work of the requests of a class.
 type Work struct {
 	Dist Dist
 	Mean float64 // seconds of a core of speed 1
 	CV   float64 // coefficient of variation, used by Lognormal and Pareto
 }
 
-// Draw returns the work of the request with the given ID: the same at each replay and at each server.
+// Draw returns the work of the request with the given ID, which is the same in each replay and at each server.
 func (w Work) Draw(seed uint64, id string) float64 {
 	u := Uniform(seed, id)
 	switch w.Dist {
@@ -32,7 +32,7 @@
 	case Lognormal:
 		sigma := math.Sqrt(math.Log1p(w.CV * w.CV))
 		return w.Mean * math.Exp(sigma*math.Sqrt2*math.Erfinv(2*u-1)-sigma*sigma/2)
-	case Pareto: // its shape follows from the coefficient of variation
+	case Pareto: // the coefficient of variation determines the shape
 		shape := 1 + math.Sqrt(1+1/(w.CV*w.CV))
 		return w.Mean * (shape - 1) / shape * math.Pow(1-u, -1/shape)
 	}
--- a/emulator/model/events.go
+++ b/emulator/model/events.go
@@ -9,7 +9,7 @@
 // job is a running request, or the setup of a connection, which has no ID.
 type job struct {
 	Request
-	finishAt  float64 // value of Server.attained at which the job is complete
+	finishAt  float64 // value of Server.attained at which the job completes
 	discarded bool
 	heapIndex int
 }
@@ -38,8 +38,8 @@
 	return j
 }
 
-// nextEvent returns the next time at which the server's rate changes by itself or, with completes set, at which a
-// request completes; ok is false if there is none.
+// nextEvent returns the time of the next event; ok is false if there is none. If completes is true, a request
+// completes then; otherwise the server's rate changes.
 func (s *Server) nextEvent() (at time.Duration, completes bool, ok bool) {
 	if s.down {
 		return 0, false, false
@@ -49,7 +49,8 @@
 		return min(s.pauseEnd, at), false, true
 	}
 	if len(s.running) > 0 {
-		// Rounded up, except for the rounding errors of float sums: an event at the current time would repeat forever.
+		// The span is rounded up, since an event at the current time would repeat forever. Subtracting 0.01 ns first
+		// keeps rounding errors of float sums from adding a nanosecond.
 		span := math.Ceil(max(0, s.running[0].finishAt-s.attained)/s.rate()*float64(time.Second) - 0.01)
 		if span <= float64(at-s.now) && span < math.MaxInt64/2 {
 			return s.now + time.Duration(max(0, span)), true, true
@@ -59,7 +60,7 @@
 }
 
 // Next returns the time at which the next request completes unless the server is used before; ok is false if no
-// request is running. The time may be early: then Advance returns nothing, and Next a later time.
+// request is running. The time may be too early: then Advance returns nothing, and Next returns a later time.
 func (s *Server) Next() (at time.Duration, ok bool) {
 	at, _, ok = s.nextEvent()
 	return at, ok && len(s.running) > 0
@@ -95,7 +96,7 @@
 			s.startPause()
 		}
 	}
-	for len(s.running) > 0 && s.now >= s.pauseEnd && s.running[0].finishAt <= s.attained { // without work
+	for len(s.running) > 0 && s.now >= s.pauseEnd && s.running[0].finishAt <= s.attained { // those without work
 		s.completeNext()
 	}
 }
@@ -117,7 +118,7 @@
 		s.completed = append(s.completed, Completion{ID: j.ID, At: s.now, Discarded: j.discarded})
 	}
 	if len(s.running) == 0 {
-		s.attained = 0 // small work would be lost in the rounding of a large sum
+		s.attained = 0 // small amounts of work would be lost in the rounding of a large sum
 	}
 	s.startQueued()
 }
--- a/emulator/model/keytable.go
+++ b/emulator/model/keytable.go
@@ -13,7 +13,7 @@
 type KeyTable struct {
 	Window    time.Duration // time for which a key is remembered
 	firstSeen map[string]time.Duration
-	order     []string // oldest first
+	order     []string // keys, oldest first
 }
 
 // IsDuplicate reports whether the key was seen within the window, and records it if not.
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -52,8 +52,8 @@
 	return last / (sum + last)
 }
 
-// Mean times in the system agree with queueing theory. THEORY in the environment is a number of arrivals, and 2% are
-// allowed then; the short run's bound is wider, for chance.
+// Mean times in the system agree with queueing theory within 12%. The environment variable THEORY sets another number
+// of arrivals for a longer run, whose random variation is smaller; the tolerance is then 2%.
 func TestServer_MeanTimesAgreeWithTheory(t *testing.T) {
 	n, within := 60_000, 0.12
 	if more, err := strconv.Atoi(os.Getenv("THEORY")); err == nil && more > 0 {
@@ -96,9 +96,9 @@
 			for _, load := range []float64{0.2, 0.4, 0.6, 0.7, 0.8} {
 				got, want := meanTime(test.config, test.work, load, n), test.want(load)
 				if math.Abs(got/want-1) > within {
-					t.Errorf("at a load of %v: %.4f, theory has %.4f", load, got, want)
+					t.Errorf("load %v: mean time %.4f, theory gives %.4f", load, got, want)
 				}
-				t.Logf("load %v: %.4f, theory %.4f, off by %.2f%%", load, got, want, 100*(got/want-1))
+				t.Logf("load %v: mean time %.4f, theory gives %.4f, difference %.2f%%", load, got, want, 100*(got/want-1))
 			}
 		})
 	}
@@ -119,12 +119,12 @@
 			t.Errorf("%+v: mean %.4f, coefficient of variation %.3f", w, mean, cv)
 		}
 		if w.Draw(1, "a") != w.Draw(1, "a") || w.Dist != Fixed && w.Draw(1, "a") == w.Draw(2, "a") {
-			t.Errorf("%+v: not by seed and id", w)
+			t.Errorf("%+v: a draw does not depend on seed and ID alone", w)
 		}
 	}
 }
 
-// Servers that warm by time and by work do the work of the closed form.
+// A server that warms up by time or by work does the work that the closed-form solution gives.
 func TestWarmUp_FollowsClosedForm(t *testing.T) {
 	const from, warm = 0.4, 4.0
 	for byWork, want := range map[bool]func(t float64) float64{
@@ -142,14 +142,15 @@
 		for _, after := range []float64{0.5, 1, 2, 3} {
 			s.Advance(time.Minute + time.Duration(after*float64(time.Second)))
 			if math.Abs(s.workDone/want(after)-1) > 0.002 {
-				t.Errorf("by work %v, after %v s: %.4f s of work, the closed form has %.4f", byWork, after, s.workDone, want(after))
+				t.Errorf("by work %v, after %v s: %.4f s of work, want %.4f", byWork, after, s.workDone, want(after))
 			}
 		}
 	}
 }
 
-// A warming server that receives more than the overload factor allows crashes at the time of the closed form, loses its
-// requests and stays down; below that rate it doesn't crash, and neither does a warm one.
+// A warming server that receives more work than the overload factor allows crashes at the time that the closed form
+// gives, loses its requests and stays down. At a lower rate it does not crash, and without an overload factor it
+// never does.
 func TestOverload_CrashesWarmingServer(t *testing.T) {
 	crashTime := func(rate float64, warmUp WarmUp) time.Duration {
 		s := New(Config{Cores: 2, Speed: 1, Slots: 2, Queue: 1 << 20, WarmUp: warmUp}, nil, 0)
@@ -157,7 +158,7 @@
 		for at := time.Duration(0); at < 8*time.Second; at += time.Duration(work / rate * float64(time.Second)) {
 			if s.Offer(at, Request{ID: fmt.Sprint(at), Work: work}) == Down {
 				if got := s.Advance(at); !got[len(got)-1].Lost || !s.Down() || s.Offer(at+time.Hour, Request{}) != Down {
-					t.Errorf("it crashed, lost its last: %v, and takes requests again: %v", got[len(got)-1].Lost, !s.Down())
+					t.Errorf("after the crash: last request lost: %v; accepts requests again: %v", got[len(got)-1].Lost, !s.Down())
 				}
 				return at
 			}
@@ -165,31 +166,31 @@
 		return -1
 	}
 	warmUp := WarmUp{InitialCapacity: 0.5, Duration: 8 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
-	// At a rate r from the start, r·t passes 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375), if that is within the
-	// window; later the window's work is r.
+	// Within the first window of 1 s, the work received by the time t at a rate r is r·t. It exceeds the limit of
+	// 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375). Later, the work within the window is r.
 	for _, rate := range []float64{3.6, 4.5, 9} {
 		want := 3 / (rate - 0.375)
 		if got := crashTime(rate, warmUp).Seconds(); math.Abs(got/want-1) > 0.01 {
-			t.Errorf("at %v: it crashed after %.3f s, the closed form has %.3f", rate, got, want)
+			t.Errorf("rate %v: crashed after %.3f s, the closed form gives %.3f", rate, got, want)
 		}
 	}
 	if got := crashTime(2.9, warmUp); got != -1 {
-		t.Errorf("under the overload factor it crashed after %v", got)
+		t.Errorf("at a rate below the overload factor: crashed after %v", got)
 	}
 	warmUp.OverloadFactor = 0
 	if got := crashTime(20, warmUp); got != -1 {
-		t.Errorf("without an overload factor it crashed after %v", got)
+		t.Errorf("without an overload factor: crashed after %v", got)
 	}
 }
 
-// Pauses stop the work for their duration and grow with the requests in flight; thrashing and open connections slow the
-// server down.
+// Pauses stop the work for their duration, which grows with the requests in flight. Thrashing and open connections
+// slow the server down.
 func TestServer_Slowdowns(t *testing.T) {
 	lastEnd := func(config Config, requests, conns int) float64 {
 		server := New(config, nil, 0)
 		for range conns {
 			if !server.Connect(0) {
-				t.Fatal("no connection")
+				t.Fatal("a connection within the limit is rejected")
 			}
 		}
 		for i := range requests {
@@ -213,7 +214,7 @@
 		"connections' work": {Config{Slots: 3, Queue: 9, ConnSetupWork: 0.25}, 1, 1, 1.25},
 	} {
 		if got := lastEnd(test.config, test.requests, test.conns); math.Abs(got-test.want) > 1e-6 {
-			t.Errorf("%s: the last ends after %.6f s, want %v", name, got, test.want)
+			t.Errorf("%s: the last request ends after %.6f s, want %v", name, got, test.want)
 		}
 	}
 }
@@ -229,7 +230,7 @@
 	}
 }
 
-// Cancellations and expired deadlines remove requests as configured.
+// Cancellations and expired deadlines remove the requests that the configuration says.
 func TestCancel_RemovesAsConfigured(t *testing.T) {
 	run := func(cancel Cancel, drop bool) string {
 		server := New(Config{Slots: 1, Queue: 2, Cancel: cancel, DropExpired: drop}, nil, 0)
@@ -261,7 +262,7 @@
 	}
 }
 
-// Servers that share a table discard a key's repeats within the window, and not after it.
+// Servers that share a table discard repeats of a key within the window, but not after it.
 func TestKeyTable_SharedByServers(t *testing.T) {
 	group := &KeyTable{Window: 4 * time.Second}
 	one, other := New(Config{Slots: 9}, group, 0), New(Config{Slots: 9}, group, 0)
@@ -272,13 +273,13 @@
 	for _, e := range append(slices.Clone(one.Executions()), other.Executions()...) {
 		seen = append(seen, e.Discarded)
 	}
-	if !slices.Equal(seen, []bool{false, false, true}) { // a, c, b
-		t.Errorf("discarded: %v", seen)
+	if !slices.Equal(seen, []bool{false, false, true}) { // requests a, c, b
+		t.Errorf("discarded: %v, want the third only", seen)
 	}
 }
 
-// Whatever requests a server receives, each accepted one ends once, unless it was cancelled; executions are recorded
-// for accepted requests only; and completions don't depend on the steps in which time advances.
+// Whatever requests a server receives, each accepted one that is not cancelled completes once, executions are
+// recorded for accepted requests only, and completions do not depend on the steps in which time advances.
 func TestServer_EveryAcceptedRequestEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checkSteps(t, drawConfig(t))
@@ -329,7 +330,7 @@
 		}
 		got, inFiner := coarse.Offer(now, r), fine.Offer(now, r)
 		if got != inFiner {
-			t.Fatalf("%s: %v, and in finer steps %v", id, got, inFiner)
+			t.Fatalf("request %s: %v, but %v in finer steps", id, got, inFiner)
 		}
 		if got == Accepted {
 			open[id] = true
@@ -348,20 +349,20 @@
 // cancelled.
 func checkCompletions(t *rapid.T, coarse, fine []Completion, open, cancelled map[string]bool) {
 	if len(coarse) != len(fine) {
-		t.Fatalf("%d ends, and in finer steps %d", len(coarse), len(fine))
+		t.Fatalf("%d completions, but %d in finer steps", len(coarse), len(fine))
 	}
 	for i, e := range coarse {
 		if f := fine[i]; f.ID != e.ID || f.Lost != e.Lost || (f.At-e.At).Abs() > time.Microsecond {
-			t.Fatalf("end %d: %+v, and in finer steps %+v", i, e, f)
+			t.Fatalf("completion %d: %+v, but %+v in finer steps", i, e, f)
 		}
 		if !open[e.ID] {
-			t.Fatalf("%s ended twice, or was never accepted", e.ID)
+			t.Fatalf("request %s completed twice, or was never accepted", e.ID)
 		}
 		delete(open, e.ID)
 	}
 	for id := range open {
 		if !cancelled[id] {
-			t.Fatalf("%s was accepted and never ended", id)
+			t.Fatalf("request %s was accepted but never completed", id)
 		}
 	}
 }
--- a/emulator/model/request.go
+++ b/emulator/model/request.go
@@ -7,10 +7,10 @@
 	ID       string
 	Key      string        // idempotency key, by which duplicates are discarded
 	Work     float64       // seconds of a core of speed 1
-	Deadline time.Duration // time after which the client no longer waits; 0: none
+	Deadline time.Duration // time until which the client waits; 0: no deadline
 }
 
-// Admission is the immediate decision on a request.
+// Admission is the server's immediate decision on a request.
 type Admission uint8
 
 // The decisions. After Rejected and Down the request never runs.
@@ -20,7 +20,7 @@
 	Down               // the server has crashed or stopped
 )
 
-// Completion is the end of a request at a server.
+// Completion reports that a request has ended at a server.
 type Completion struct {
 	ID        string
 	At        time.Duration
--- a/emulator/model/server.go
+++ b/emulator/model/server.go
@@ -15,10 +15,10 @@
 	now       time.Duration
 	startedAt time.Duration
 	down      bool
-	workDone  float64 // since the start
+	workDone  float64 // total since the start
 
-	// attained is the attained service of a request that has been running since attained was 0. Running requests
-	// share the cores evenly, so each is complete once attained has grown by its work.
+	// attained is the work that has been done for a request that has been running since attained was last 0. Running
+	// requests share the cores evenly, so each is complete once attained has grown by its work.
 	attained float64
 	running  jobHeap
 	queue    []Request
@@ -30,16 +30,17 @@
 	nextPause      time.Duration
 	conns          int
 	recentArrivals []arrival // within the overload window, while warming up
-	recentWork     float64   // of recentArrivals
+	recentWork     float64   // sum of the work of recentArrivals
 
 	executions  []Execution
 	onExecution func(Execution)
 	overloading []string     // IDs of the requests that overloaded the server
-	completed   []Completion // since the last call of Advance
-	returned    []Completion // by the last call of Advance
+	completed   []Completion // ended since the last call of Advance
+	returned    []Completion // returned by the last call of Advance
 }
 
-// New returns a server started at now. Several servers may share a deduplicator; nil deduplicates nothing.
+// New returns a server started at now. Several servers may share a deduplicator; without one, duplicates are not
+// discarded.
 func New(c Config, dedup Deduplicator, now time.Duration) *Server {
 	c.Cores, c.Slots = max(1, c.Cores), max(1, c.Slots)
 	if c.Speed <= 0 {
@@ -58,8 +59,8 @@
 // InFlight returns the number of running and queued requests.
 func (s *Server) InFlight() int { return len(s.running) + len(s.queue) }
 
-// Load returns the figures of a load report: requests in flight, those of them that are queued, and the busy fraction
-// of the cores.
+// Load returns the values of a load report: the requests in flight, how many of them are queued, and the busy
+// fraction of the cores.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	return s.InFlight(), len(s.queue), min(1, float64(len(s.running))/float64(s.config.Cores))
 }
@@ -71,14 +72,14 @@
 // did.
 func (s *Server) OverloadingRequests() []string { return s.overloading }
 
-// OnExecution makes the server call f at the start of each execution instead of recording it, which takes memory for
-// each.
+// OnExecution makes the server call f at the start of each execution. The server then keeps no record of executions,
+// which would take memory for each.
 func (s *Server) OnExecution(f func(Execution)) { s.onExecution = f }
 
 // Executions returns the recorded executions, oldest first.
 func (s *Server) Executions() []Execution { return s.executions }
 
-// Offer sends the server a request.
+// Offer sends the server a request and returns the server's decision.
 func (s *Server) Offer(now time.Duration, r Request) Admission {
 	s.advance(now)
 	if s.down {
@@ -106,7 +107,7 @@
 		return false
 	}
 	s.conns++
-	if work := s.config.ConnSetupWork; work > 0 { // runs beside the requests, without a slot
+	if work := s.config.ConnSetupWork; work > 0 { // the setup runs beside the requests and takes no slot
 		heap.Push(&s.running, &job{Request: Request{Work: work}, finishAt: s.attained + work})
 	}
 	return true
@@ -118,7 +119,7 @@
 	s.conns = max(0, s.conns-1)
 }
 
-// Cancel cancels a request, with the effect that the configuration gives cancellations.
+// Cancel cancels a request. Config.Cancel determines whether that has an effect.
 func (s *Server) Cancel(now time.Duration, id string) {
 	s.advance(now)
 	if s.config.Cancel == CancelIgnored {
@@ -158,7 +159,7 @@
 	clear(s.jobs)
 }
 
-// start runs a request.
+// start starts a request on a free slot.
 func (s *Server) start(r Request) {
 	j := &job{Request: r, finishAt: s.attained + r.Work}
 	if s.dedup != nil && r.Key != "" {
@@ -173,7 +174,7 @@
 	s.jobs[r.ID] = j
 }
 
-// startQueued runs queued requests while there are free slots.
+// startQueued starts queued requests while there are free slots.
 func (s *Server) startQueued() {
 	for len(s.queue) > 0 && len(s.running) < s.config.Slots {
 		r := s.queue[0]
--- a/emulator/servermodel/group.go
+++ b/emulator/servermodel/group.go
@@ -14,13 +14,13 @@
 	startedAt time.Time
 }
 
-// NewGroup returns a group whose servers discard the repeats of a key for the window.
+// NewGroup returns a group whose servers discard requests with a key that was first seen within the window.
 func NewGroup(window time.Duration) *Group {
 	return &Group{keys: model.KeyTable{Window: window}, startedAt: time.Now()}
 }
 
 // IsDuplicate reports whether the key was seen within the window. The clocks of the servers start at different times,
-// so the group uses its own.
+// so the group ignores the time that is passed and uses its own clock.
 func (g *Group) IsDuplicate(key string, _ time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/emulator/servermodel/server.go
+++ b/emulator/servermodel/server.go
@@ -1,5 +1,5 @@
 // Package servermodel runs a model of a server on the wall clock: callers wait for the completion of their requests.
-// Simulations in virtual time step the model themselves and don't need this package.
+// Simulations in virtual time advance the model themselves and don't need this package.
 package servermodel
 
 import (
@@ -10,7 +10,8 @@
 	"cobaltward/emulator/model"
 )
 
-// ErrServerDown is returned by Do if the server crashed or stopped during the request, which may have run.
+// ErrServerDown is returned by Do if a request may have run but did not complete: the server crashed or stopped, or
+// the request was cancelled.
 var ErrServerDown = errors.New("server down")
 
 // Server is one emulated server. Its methods are safe for concurrent use: a single goroutine owns the model and
@@ -21,12 +22,13 @@
 	tasks     sync.WaitGroup
 	startedAt time.Time
 
-	// Owned by run.
+	// Only the goroutine of run uses these fields until it ends.
 	state   *model.Server
-	waiters map[string]chan model.Completion
+	waiters map[string]chan model.Completion // by request ID
 }
 
-// Start starts a server with the given configuration. Several servers may share a group; nil deduplicates nothing.
+// Start starts a server with the given configuration. Several servers may share a group; without a group, duplicates
+// are not discarded.
 func Start(c model.Config, group *Group) *Server {
 	var dedup model.Deduplicator
 	if group != nil {
@@ -35,16 +37,16 @@
 	return StartObserved(c, dedup, nil)
 }
 
-// StartObserved is Start with any deduplicator. If watch is not nil it is called for each execution, and the server
-// keeps no record of executions itself. watch must not call the server.
-func StartObserved(c model.Config, dedup model.Deduplicator, watch func(model.Execution)) *Server {
+// StartObserved is Start with any deduplicator. If onExecution is not nil it is called for each execution, and the
+// server keeps no record of executions itself. onExecution must not call the server.
+func StartObserved(c model.Config, dedup model.Deduplicator, onExecution func(model.Execution)) *Server {
 	s := &Server{
 		commands: make(chan func(time.Duration)), stop: make(chan struct{}), startedAt: time.Now(),
 		waiters: make(map[string]chan model.Completion),
 	}
 	s.state = model.New(c, dedup, 0)
-	if watch != nil {
-		s.state.OnExecution(watch)
+	if onExecution != nil {
+		s.state.OnExecution(onExecution)
 	}
 	s.tasks.Go(s.run)
 	return s
@@ -87,7 +89,7 @@
 	}
 }
 
-// execute runs a function on the goroutine that owns the model; it returns false if that has ended.
+// execute runs a function on the goroutine that owns the model; it returns false if that goroutine has ended.
 func (s *Server) execute(do func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
@@ -126,7 +128,7 @@
 	}
 }
 
-// Crash ends the server's process: its requests are lost, and it stays down.
+// Crash simulates a crash: the requests of the server are lost, and it stays down.
 func (s *Server) Crash() {
 	s.execute(func(now time.Duration) { s.state.Stop(now) })
 }
@@ -155,8 +157,8 @@
 	return ids
 }
 
-// Load returns the figures of a load report: requests in flight, those of them that are queued, and the busy fraction
-// of the cores.
+// Load returns the values of a load report: the requests in flight, how many of them are queued, and the busy
+// fraction of the cores.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	s.execute(func(time.Duration) { inflight, queue, util = s.state.Load() })
 	return inflight, queue, util
--- a/emulator/serverprotocol/behavior.go
+++ b/emulator/serverprotocol/behavior.go
@@ -1,5 +1,5 @@
-// Package serverprotocol serves an emulated server over the protocols that nodes use: HTTP/1.1 as described on the
-// protocol page, and MessagePack-RPC.
+// Package serverprotocol serves an emulated server over the protocols that nodes use: HTTP/1.1, with headers such as
+// X-Request-Id and X-Not-Run, and MessagePack-RPC.
 package serverprotocol
 
 import (
@@ -15,15 +15,15 @@
 // WorkFunc returns the work of a request, in seconds of a core of speed 1, by its path and ID.
 type WorkFunc func(target, id string) float64
 
-// Behavior is the treatment of one request. The zero value answers without work.
+// Behavior defines how the server treats one request. The zero value answers without work.
 type Behavior struct {
 	Work         float64       // seconds of a core of speed 1
-	ID           string        // in the record of executions; empty: the request's own
-	Key          string        // idempotency key; empty: the request's own
-	NetworkDelay time.Duration // one way
-	Fail         bool          // answered with an error at once, though the request may have had its effect
-	Hang         bool          // read and never answered
-	Reset        bool          // the connection is reset after the last byte of the request, which runs all the same
+	ID           string        // ID in the record of executions; empty: that of the request
+	Key          string        // idempotency key; empty: that of the request
+	NetworkDelay time.Duration // delay in each direction
+	Fail         bool          // answered with an error, although the request may have had its effect
+	Hang         bool          // read but never answered
+	Reset        bool          // the connection is reset after the last byte of the request, which still runs
 	Truncate     bool          // the connection is closed in the middle of the answer
 	Malform      bool          // the framing of the answer is invalid
 }
@@ -35,7 +35,7 @@
 type Options struct {
 	Behavior   BehaviorFunc
 	OnRejected func(id string) // called for each request that the server rejects; may be nil
-	LoadFields []string        // figures of the load report in answers: inflight, queue, util; nil: no report
+	LoadFields []string        // values of the load report in answers: inflight, queue, util; nil: no report
 }
 
 // loadReport returns the load report of a server in the format of X-Load.
@@ -65,7 +65,8 @@
 	}
 }
 
-// plainBehavior does the work of each request, or fails it if fails is not nil and returns true.
+// plainBehavior returns a function that does the work of each request, or fails the request if fails is not nil and
+// returns true.
 func plainBehavior(work WorkFunc, fails func() bool) BehaviorFunc {
 	return func(target, id string) Behavior {
 		behavior := Behavior{Work: work(target, id)}
@@ -76,7 +77,7 @@
 	}
 }
 
-// request returns the model's request for a request with the given ID and idempotency key.
+// request returns the model's form of a request with the given ID and idempotency key.
 func (b *Behavior) request(id, key string) model.Request {
 	request := model.Request{ID: b.ID, Key: b.Key, Work: b.Work}
 	if request.ID == "" {
@@ -88,7 +89,7 @@
 	return request
 }
 
-// reset closes a connection as the end of its process does.
+// reset closes a connection with a TCP reset, as the operating system does for a process that ends.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a closed connection
--- a/emulator/serverprotocol/http.go
+++ b/emulator/serverprotocol/http.go
@@ -26,7 +26,7 @@
 	tasks   sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool // connections counted at the backend
+	conns map[net.Conn]bool // connections that the backend counts as open
 }
 
 // ServeHTTP1 serves a backend on a listener until Close, which doesn't stop the backend. If fails is not nil, each
@@ -35,7 +35,7 @@
 	return ServeHTTP1WithOptions(ln, backend, Options{Behavior: plainBehavior(work, fails)})
 }
 
-// ServeHTTP1WithOptions is ServeHTTP1 with a behavior chosen for each request.
+// ServeHTTP1WithOptions is ServeHTTP1 with a behavior that the options select for each request.
 func ServeHTTP1WithOptions(ln net.Listener, backend *servermodel.Server, options Options) *HTTPServer {
 	s := &HTTPServer{Addr: ln.Addr().String(), backend: backend, options: options, conns: make(map[net.Conn]bool)}
 	s.server = &http.Server{
@@ -53,7 +53,7 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connState counts connections at the backend and resets those that it does not accept.
+// connState reports new and closed connections to the backend, and resets those that it does not accept.
 func (s *HTTPServer) connState(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -69,7 +69,7 @@
 	}
 }
 
-// disconnect closes a connection at the backend if it was counted there.
+// disconnect closes a connection at the backend if the backend counts it as open.
 func (s *HTTPServer) disconnect(conn net.Conn) {
 	s.mu.Lock()
 	counted := s.conns[conn]
@@ -128,7 +128,7 @@
 	}
 }
 
-// writeInvalid closes the connection after a truncated response or one with a malformed length.
+// writeInvalid sends a truncated response or one with a malformed length, and closes the connection.
 func (s *HTTPServer) writeInvalid(w http.ResponseWriter, malformed bool) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -144,7 +144,7 @@
 	s.disconnect(conn) // net/http doesn't report the end of a hijacked connection
 }
 
-// abort resets the connection of a request without an answer.
+// abort resets the connection of a request and ends its handler, so that the request gets no answer.
 func abort(r *http.Request) {
 	reset(r.Context().Value(connKey{}).(net.Conn))
 	panic(http.ErrAbortHandler)
--- a/emulator/serverprotocol/msgpack.go
+++ b/emulator/serverprotocol/msgpack.go
@@ -29,7 +29,7 @@
 	return ServeMsgpackWithOptions(ln, backend, Options{Behavior: plainBehavior(work, nil)})
 }
 
-// ServeMsgpackWithOptions is ServeMsgpack with a behavior chosen for each call.
+// ServeMsgpackWithOptions is ServeMsgpack with a behavior that the options select for each call.
 func ServeMsgpackWithOptions(ln net.Listener, backend *servermodel.Server, options Options) *MsgpackServer {
 	s := &MsgpackServer{
 		Addr: ln.Addr().String(), backend: backend, options: options, listener: ln, conns: make(map[net.Conn]bool),
@@ -38,7 +38,7 @@
 	return s
 }
 
-// accept serves the connections of the listener until that is closed.
+// accept serves the connections of the listener until Close closes it.
 func (s *MsgpackServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -167,7 +167,7 @@
 	c.write(msgpackrpc.AppendReply(nil, id, &reply), &behavior)
 }
 
-// do passes a call to the backend as its behavior says.
+// do passes a call to the backend, subject to its behavior.
 func (c *msgpackConn) do(call *msgpackrpc.Call, behavior *Behavior, cancelled chan struct{}) (model.Admission, error) {
 	backend := c.server.backend
 	request := behavior.request(call.ID, call.IdempotencyKey)
@@ -187,7 +187,8 @@
 	return admission, err
 }
 
-// write sends an encoded reply. A truncated or malformed one resets the connection, which can't be used any more.
+// write sends an encoded reply. After a truncated or malformed one it resets the connection, which cannot be used any
+// more.
 func (c *msgpackConn) write(raw []byte, behavior *Behavior) {
 	c.writes.Lock()
 	defer c.writes.Unlock()
--- a/emulator/serverprotocol/protocol_test.go
+++ b/emulator/serverprotocol/protocol_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// protocols has each protocol with the transport that uses it.
+// protocols maps the name of each protocol to the function that serves it and the transport that uses it.
 var protocols = map[string]struct {
 	serve     func(ln net.Listener, backend *servermodel.Server, work WorkFunc) (addr string, end func())
 	transport func() router.Transport
@@ -43,7 +43,7 @@
 	},
 }
 
-// start runs a server with a protocol until the test ends.
+// start runs a server with a protocol until the test ends, and returns its address.
 func start(
 	t testing.TB, protocol string, config model.Config, group *servermodel.Group, work WorkFunc,
 ) (*servermodel.Server, string) {
@@ -58,7 +58,7 @@
 	return backend, addr
 }
 
-// attempt makes one attempt at the server and returns its outcome.
+// attempt makes one attempt at the server and returns a name for its outcome.
 func attempt(t testing.TB, transport router.Transport, id, key string, timeout time.Duration) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -70,7 +70,7 @@
 	}[r.Code])
 }
 
-// slowWork is an hour for paths that start with /slow, and a millisecond for others.
+// slowWork returns an hour of work for paths that start with /slow, and a millisecond for others.
 func slowWork(target, _ string) float64 {
 	if strings.HasPrefix(target, "/slow") {
 		return 3600
@@ -78,8 +78,8 @@
 	return 0.001
 }
 
-// Transports see the outcome that the model gives a request, in each protocol: answered, rejected, timed out and
-// cancelled, reset by a crash.
+// With each protocol, the transport reports the outcome that the model gives a request: answered, rejected, timed out
+// and cancelled, or reset by a crash.
 func TestProtocols_OutcomesOfTheModel(t *testing.T) {
 	for name := range protocols {
 		t.Run(name, func(t *testing.T) { testOutcomes(t, name) })
@@ -95,53 +95,53 @@
 	transport.Update(router.EndpointUpdate{Endpoints: []router.Endpoint{{ID: "s", Addr: addr}}})
 	for _, id := range []string{"a", "b"} {
 		if got := attempt(t, transport, id, "k", testkit.MaxWait); got != "ok" {
-			t.Errorf("%s: %s", id, got)
+			t.Errorf("request %s: outcome %s, want ok", id, got)
 		}
 	}
 	if all := backend.Executions(); len(all) != 2 || all[0].Discarded || !all[1].Discarded {
-		t.Errorf("executions: %+v", all)
+		t.Errorf("want two executions, the second one discarded: %+v", all)
 	}
 	var inFlight sync.WaitGroup
 	slow := func(id, want string, timeout time.Duration) {
 		inFlight.Go(func() {
 			if got := attempt(t, transport, id, "", timeout); got != want {
-				t.Errorf("%s: %s, want %s", id, got, want)
+				t.Errorf("request %s: outcome %s, want %s", id, got, want)
 			}
 		})
 	}
 	executed := func(n int) bool { return len(backend.Executions()) == n }
 	slow("slow1", "timed out", 300*time.Millisecond) // its cancellation frees the slot
-	testkit.Await(t, "start of the first", func() bool { return executed(3) })
+	testkit.Await(t, "the first request to run", func() bool { return executed(3) })
 	slow("slow2", "reset", testkit.MaxWait)
-	testkit.Await(t, "arrival of the second", func() bool { return backend.InFlight() == 2 || executed(4) })
-	testkit.Await(t, "end of the first", func() bool { return executed(4) })
+	testkit.Await(t, "the second request to arrive", func() bool { return backend.InFlight() == 2 || executed(4) })
+	testkit.Await(t, "the first request to end", func() bool { return executed(4) })
 	slow("slow3", "reset", testkit.MaxWait)
-	testkit.Await(t, "the second running, the third queued", func() bool { return executed(4) && backend.InFlight() == 2 })
+	testkit.Await(t, "the third request to be queued", func() bool { return executed(4) && backend.InFlight() == 2 })
 	if got := attempt(t, transport, "c", "", testkit.MaxWait); got != "rejected" {
-		t.Errorf("with a full queue: %s", got)
+		t.Errorf("with a full queue: outcome %s, want rejected", got)
 	}
 	backend.Crash()
 	inFlight.Wait()
 	if got := attempt(t, transport, "d", "", testkit.MaxWait); got != "reset" && got != "not connected" {
-		t.Errorf("at a server that is down: %s", got)
+		t.Errorf("at a server that is down: outcome %s, want a connection error", got)
 	}
 	if !backend.Down() {
-		t.Error("a server that crashed is up")
+		t.Error("a server that crashed does not report that it is down")
 	}
 }
 
-// A node with a fresh server among warm ones, under more load than the fresh one can take at first: slow start keeps
-// it up, and without slow start it is overloaded.
+// A fresh server among warm ones gets more load than it can take at first. With slow start it stays up; without slow
+// start it is overloaded and crashes.
 func TestSlowStart_KeepsWarmingServerUp(t *testing.T) {
-	for _, guarded := range []bool{true, false} {
-		t.Run(fmt.Sprint("guarded=", guarded), func(t *testing.T) {
+	for _, slowStart := range []bool{true, false} {
+		t.Run(fmt.Sprint("slow_start=", slowStart), func(t *testing.T) {
 			t.Parallel()
-			testWarmingServer(t, guarded)
+			testWarmingServer(t, slowStart)
 		})
 	}
 }
 
-func testWarmingServer(t *testing.T, guarded bool) {
+func testWarmingServer(t *testing.T, slowStart bool) {
 	const work = 0.004
 	cost := func(string, string) float64 { return work }
 	warm := model.Config{Cores: 1, Slots: 4, Queue: 40}
@@ -155,8 +155,8 @@
 		endpoints = append(endpoints, router.Endpoint{ID: fmt.Sprint("w", i), Zone: "a", Addr: addr, Weight: 1})
 	}
 	fresh, addr := start(t, "http", cold, nil, cost)
-	endpoint := router.Endpoint{ID: "a-fresh", Zone: "a", Addr: addr, Weight: 1} // first in ID order
-	if guarded {                                                                 // else it counts as warm
+	endpoint := router.Endpoint{ID: "a-fresh", Zone: "a", Addr: addr, Weight: 1} // sorts before the warm ones
+	if slowStart {                                                               // otherwise it counts as warm
 		endpoint.Started = time.Now()
 	}
 	node := startNode(t, append(endpoints, endpoint))
@@ -173,13 +173,13 @@
 		})
 	}
 	callers.Wait()
-	if fresh.Down() == guarded {
-		t.Errorf("the fresh server is down: %v", fresh.Down())
+	if fresh.Down() == slowStart {
+		t.Errorf("the fresh server is down: %v, want the opposite", fresh.Down())
 	}
 	t.Logf("%d executions at the fresh server", len(fresh.Executions()))
 }
 
-// startNode runs a node with the endpoints until the test ends, and waits until it serves.
+// startNode runs a node with the endpoints until the test ends, and waits until the node serves.
 func startNode(t *testing.T, endpoints []router.Endpoint) *router.Router {
 	t.Helper()
 	node, err := router.New(router.Config{Endpoints: endpoints, Settings: policy.Settings{
