--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -3,7 +3,7 @@
 // schedule drawn from a seed. The same seed gives the same schedule.
 //
 // Processes crash, pause or are partitioned. Messages are lost, delayed or duplicated. Clocks drift apart by up to
-// lease.MaxClockDrift, or jump if the configuration says so. HTTP, the file system and goroutines are not simulated;
+// lease.MaxClockDrift, or jump with Config.ClockJumps. HTTP, the file system and goroutines are not simulated;
 // package multiprocess tests them with real processes.
 package clustersim
 
--- a/emulator/clustersim/events.go
+++ b/emulator/clustersim/events.go
@@ -39,7 +39,7 @@
 	return last
 }
 
-// after schedules a function after a delay. With a target, the function runs at that process in its present
+// after schedules a function after a delay. With a target, the function runs at that process in its current
 // incarnation, and a pause of the process delays it.
 func (s *simulation) after(delay time.Duration, target *process, run func()) {
 	incarnation := 0
--- a/emulator/multiprocess/cluster.go
+++ b/emulator/multiprocess/cluster.go
@@ -24,7 +24,7 @@
 	errAdditionPending = errors.New("the addition of the replica is not applied yet")
 )
 
-// Client returns a client that bypasses the proxies and sends to the present addresses of the processes.
+// Client returns a client that bypasses the proxies and sends to the current addresses of the processes.
 func (h *Harness) Client() *agent.Client {
 	overrides := make(map[string]string)
 	for name := range h.processes {
--- a/emulator/multiprocess/measurements.go
+++ b/emulator/multiprocess/measurements.go
@@ -61,7 +61,7 @@
 	CPU       time.Duration
 }
 
-// Usage returns the present memory use of a process and its CPU time so far.
+// Usage returns the current memory use of a process and its CPU time so far.
 func (h *Harness) Usage(name string) (usage Usage, err error) {
 	pid := h.processes[name].pid()
 	if err := usage.readMemory(pid); err != nil {
--- a/emulator/multiprocess/proxy.go
+++ b/emulator/multiprocess/proxy.go
@@ -25,7 +25,7 @@
 
 var errProcessDown = errors.New("the process is down")
 
-// link is a link in one direction, from the process that sends requests to the process that responds.
+// link is a pair of processes: from sends requests, and to responds to them.
 type link struct{ from, to string }
 
 // proxy forwards the requests on one link and injects faults. A fault affects a whole message, which is a request or
--- a/emulator/serverprotocol/behavior.go
+++ b/emulator/serverprotocol/behavior.go
@@ -21,7 +21,7 @@
 	ID           string        // ID in the record of executions; empty: that of the request
 	Key          string        // idempotency key; empty: that of the request
 	NetworkDelay time.Duration // delay in each direction
-	Fail         bool          // answered with an error, although the request may have had its effect
+	Fail         bool          // answered with an error, although the request may have been executed
 	Hang         bool          // read but never answered
 	Reset        bool          // the connection is reset after the last byte of the request, which still runs
 	Truncate     bool          // the connection is closed in the middle of the answer
--- a/emulator/serverprotocol/http.go
+++ b/emulator/serverprotocol/http.go
@@ -30,7 +30,7 @@
 }
 
 // ServeHTTP1 serves a backend on a listener until Close, which doesn't stop the backend. If fails is not nil, each
-// request for which it returns true is answered 500 at once, though it may have had its effect.
+// request for which it returns true is answered 500 at once, although it may have been executed.
 func ServeHTTP1(ln net.Listener, backend *servermodel.Server, work WorkFunc, fails func() bool) *HTTPServer {
 	return ServeHTTP1WithOptions(ln, backend, Options{Behavior: plainBehavior(work, fails)})
 }
