--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo demonstrates a node on loopback: emulated app servers in three zones, one of them slow
-// and one failing for a while, a discovery server with a fixed list, and some seconds of mixed traffic.
+// Package demo demonstrates a node on loopback: emulated app servers in three zones, of which one is slow and one
+// fails for a while, a discovery server with a fixed list, and some seconds of mixed traffic.
 package demo
 
 import (
@@ -22,8 +22,8 @@
 
 // Config configures a demonstration.
 type Config struct {
-	Duration time.Duration // of traffic; 0: 6 s
-	Rate     float64       // requests a second; 0: 300
+	Duration time.Duration // of the traffic; default: 6 s
+	Rate     float64       // requests per second; default: 300
 	Seed     uint64
 }
 
@@ -33,23 +33,23 @@
 
 	serverCount       = 9 // three in each zone
 	discoveryLongPoll = 5 * time.Second
-	readyChecks       = 500
+	maxReadyChecks    = 500
 	readyInterval     = 10 * time.Millisecond
 )
 
-// demonstration has a running node, its servers, and what became of the requests.
+// demonstration holds the node, its servers and the results of the requests.
 type demonstration struct {
-	config  Config
-	began   time.Time // of the traffic
-	servers []*server
-	addr    string // of the node
+	config       Config
+	trafficStart time.Time // start of the servers until the traffic starts
+	servers      []*server
+	nodeAddr     string // address that the node listens on
 
 	mu           sync.Mutex
 	classes      map[string]*classResult
-	attempts     map[string]int  // by request ID
-	bookings     map[string]bool // IDs of the requests that are bookings
-	executions   map[string]int  // by request ID, once the servers have stopped
-	deduplicated int             // requests that servers dropped by their idempotency key
+	attempts     map[string]int  // number of attempts by request ID
+	bookings     map[string]bool // set of the request IDs of bookings
+	executions   map[string]int  // number of executions by request ID; filled when the servers stop
+	deduplicated int             // requests that servers dropped as duplicates by their idempotency key
 	inFlight     int
 	sent         int
 }
@@ -65,8 +65,8 @@
 	return d
 }
 
-// Run runs a demonstration and writes its progress and its result to out; on a terminal, progress
-// stays on one line. An error says which of the rules did not hold, or what could not be started.
+// Run runs a demonstration and writes its progress and its result to out; on a terminal, progress stays on one line.
+// It returns an error if a request was lost, if a booking was executed twice, or if something could not be started.
 func Run(ctx context.Context, config Config, out io.Writer, terminal bool) error {
 	if config.Duration <= 0 {
 		config.Duration = defaultDuration
@@ -82,8 +82,8 @@
 	seconds := config.Duration.Seconds()
 	_, _ = fmt.Fprintf(out, "A node on %s, %d app servers in 3 data centres: "+
 		"%s is slow, %s fails most requests from second %.1f to %.1f.\n",
-		demo.addr, len(demo.servers), demo.servers[slowServer].id, demo.servers[faultyServer].id,
-		faultyFrom*seconds, faultyTo*seconds)
+		demo.nodeAddr, len(demo.servers), demo.servers[slowServer].id, demo.servers[faultyServer].id,
+		faultStart*seconds, faultEnd*seconds)
 	demo.runTraffic(ctx, out, terminal)
 	if err := stop(); err != nil {
 		return err
@@ -91,8 +91,8 @@
 	return demo.report(out)
 }
 
-// start starts the servers, discovery and the node. The returned function shuts the node down and then stops the
-// others.
+// start starts the servers, the discovery server and the node. The returned function shuts the node down and then
+// stops the others.
 func (d *demonstration) start() (stop func() error, err error) {
 	var closers []func()
 	closeAll := func() {
@@ -105,7 +105,7 @@
 			closeAll()
 		}
 	}()
-	d.began = time.Now()
+	d.trafficStart = time.Now()
 	group := servermodel.NewGroup(dedupWindow)
 	var endpoints []router.Endpoint
 	for i := range serverCount {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.addr = listener.Addr().String()
+	d.nodeAddr = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	config := node.Config{
@@ -164,8 +164,8 @@
 func (d *demonstration) waitReady() error {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
-	for range readyChecks {
-		resp, err := client.Get("http://" + d.addr + "/health/ready")
+	for range maxReadyChecks {
+		resp, err := client.Get("http://" + d.nodeAddr + "/health/ready")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -174,10 +174,10 @@
 		}
 		time.Sleep(readyInterval)
 	}
-	return fmt.Errorf("demo: node not ready after %d checks", readyChecks)
+	return fmt.Errorf("demo: node not ready after %d checks", maxReadyChecks)
 }
 
-// serveUnchangedList is discovery's long poll for a list that never changes.
+// serveUnchangedList answers the node's long poll to the discovery server: the list never changes.
 func serveUnchangedList(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,7 +10,8 @@
 	"go.uber.org/goleak"
 )
 
-// A demonstration ends by itself, keeps the rules, reports on each class, and leaves no goroutine behind.
+// A demonstration ends by itself without a lost request or a booking that is executed twice, reports on each class, and
+// leaks no goroutine.
 func TestRun_ReportsEachClass(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var out bytes.Buffer
@@ -22,12 +23,12 @@
 		`[1-9]\d* bookings reached a server, and 0 of them ran twice`, `Every request had one answer`,
 	} {
 		if !regexp.MustCompile(want).MatchString(out.String()) {
-			t.Errorf("no %q in\n%s", want, &out)
+			t.Errorf("no match for %q in the output:\n%s", want, &out)
 		}
 	}
 }
 
-// A booking that was executed twice, and a lost request, are errors.
+// The report returns an error for a booking that was executed twice and for a lost request.
 func TestReport_FailsOnBrokenRule(t *testing.T) {
 	for name, breakRule := range map[string]func(*demonstration){
 		"twice": func(d *demonstration) { d.bookings["b1"], d.executions["b1"] = true, 2 },
@@ -41,7 +42,7 @@
 		breakRule(demo)
 		out.Reset()
 		if err := demo.report(&out); err == nil || strings.Contains(out.String(), "Every request") {
-			t.Errorf("%s: %v\n%s", name, err, &out)
+			t.Errorf("%s: report returned error %v and wrote:\n%s", name, err, &out)
 		}
 	}
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// classResult is what became of the requests of one class.
+// classResult counts the requests of one class by their result.
 type classResult struct {
 	served, rejected, failed, lost int
-	retried                        int // with more than one attempt
+	retried                        int // requests with more than one attempt
 	latencies                      []time.Duration
 }
 
-// record counts a request by its status, or by the error in its place.
+// record counts a request by its status. A request that ended with an error counts as lost.
 func (r *classResult) record(status int, err error, latency time.Duration, attempts int) {
 	switch {
 	case err != nil:
@@ -35,14 +35,15 @@
 	}
 }
 
-// recordAttempt counts a request that has reached a server.
+// recordAttempt counts an attempt that has reached a server.
 func (d *demonstration) recordAttempt(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.attempts[id]++
 }
 
-// writeProgress writes the counts so far: over the last ones on a terminal, else on a line a second.
+// writeProgress writes the counts so far. On a terminal it overwrites the previous line; elsewhere it writes one line
+// per second.
 func (d *demonstration) writeProgress(out io.Writer, terminal bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,7 +51,7 @@
 	for _, class := range d.classes {
 		served, rejected, failed = served+class.served, rejected+class.rejected, failed+class.failed
 	}
-	since := time.Since(d.began)
+	since := time.Since(d.trafficStart)
 	line := fmt.Sprintf("%4.1f s  sent %d  in flight %d  served %d  refused %d  failed %d",
 		since.Seconds(), d.sent, d.inFlight, served, rejected, failed)
 	if terminal {
@@ -60,10 +61,10 @@
 	}
 }
 
-// report writes the results by class and what the servers executed. It fails if a request was not answered or a
-// booking was executed twice.
+// report writes the results by class and the number of bookings that the servers executed. It returns an error if a
+// request was not answered or a booking was executed twice.
 func (d *demonstration) report(out io.Writer) error {
-	var text bytes.Buffer // which returns no errors
+	var text bytes.Buffer // its writes return no errors
 	lost := d.writeClasses(&text)
 	bookings := 0
 	var duplicates []string
@@ -110,7 +111,7 @@
 	return lost
 }
 
-// formatQuantile returns a quantile of sorted durations, or a dash without any.
+// formatQuantile returns a quantile of sorted durations in milliseconds, or a dash if there are none.
 func formatQuantile(sorted []time.Duration, q float64) string {
 	if len(sorted) == 0 {
 		return "-"
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	faultyServer, slowServer = 0, 2 // by number: both in the node's own zone
+	faultyServer, slowServer = 0, 2 // indexes of servers; both are in the node's own zone
 
-	// The faulty server fails a share of its requests during a part of the traffic.
-	faultyFrom, faultyTo = 0.25, 0.6
-	faultyShare          = 0.8
+	// The faulty server fails faultShare of its requests between faultStart and faultEnd, which are fractions of the
+	// traffic's duration.
+	faultStart, faultEnd = 0.25, 0.6
+	faultShare           = 0.8
 
-	meanWork     = 40 * time.Millisecond  // of a request, exponentially distributed
-	slowMeanWork = 250 * time.Millisecond // at the slow server
+	meanWork     = 40 * time.Millisecond  // mean work of a request, exponentially distributed
+	slowMeanWork = 250 * time.Millisecond // mean work of a request at the slow server
 
-	serverSlots = 8  // requests that a server executes at once
-	serverQueue = 32 // requests that wait for a slot; a server rejects more
+	serverSlots = 8  // requests that a server executes concurrently
+	serverQueue = 32 // requests that may wait for a slot; further ones are rejected
 )
 
 // server is an emulated app server.
@@ -33,7 +34,8 @@
 	frontend *serverprotocol.HTTPServer
 }
 
-// startServer runs the n-th server on loopback. The servers of one group drop each other's duplicates.
+// startServer runs the n-th server on loopback. A server drops requests that another server of its group has executed
+// with the same idempotency key.
 func startServer(n int, demo *demonstration, group *servermodel.Group) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,10 +59,10 @@
 	return started, nil
 }
 
-// drawFault reports whether the faulty server fails a request now.
+// drawFault randomly decides whether the faulty server fails a request at this point of the traffic.
 func (d *demonstration) drawFault() bool {
-	part := time.Since(d.began).Seconds() / d.config.Duration.Seconds()
-	return part >= faultyFrom && part < faultyTo && rand.Float64() < faultyShare
+	elapsed := time.Since(d.trafficStart).Seconds() / d.config.Duration.Seconds()
+	return elapsed >= faultStart && elapsed < faultEnd && rand.Float64() < faultShare
 }
 
 // stop stops the server and records its executions.
@@ -77,7 +79,7 @@
 	}
 }
 
-// startHTTP serves by the handler on loopback, until stop is called.
+// startHTTP serves HTTP on loopback with the handler until stop is called.
 func startHTTP(handler http.Handler) (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +88,7 @@
 	httpServer := &http.Server{Handler: handler}
 	ended := make(chan struct{})
 	go func() {
-		_ = httpServer.Serve(ln) // until it is closed
+		_ = httpServer.Serve(ln) // returns when the server is closed
 		close(ended)
 	}()
 	return ln.Addr().String(), func() { _ = httpServer.Close(); <-ended }, nil
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -6,7 +6,7 @@
 	"cobaltward/policy"
 )
 
-// Classes of requests.
+// Names of the request classes.
 const (
 	classSearch = "hladanie"
 	classBook   = "rezervacia"
@@ -20,7 +20,7 @@
 	cancelDeadline = 4000 * time.Millisecond
 )
 
-// dedupWindow is the time in which servers drop a cancellation with an idempotency key that they have seen.
+// dedupWindow is how long servers remember the idempotency key of a cancellation and drop requests that repeat it.
 const dedupWindow = 4 * time.Second
 
 // mainTenant sends more than its quota; otherTenants share the rest of the traffic.
@@ -28,7 +28,7 @@
 
 var otherTenants = []string{"kancel-presov", "stol-nitra", "podkrovie-zvolen", "mlyn-poprad"}
 
-// zones are data centres; the node is in the first.
+// zones are the names of the data centers. The node is in the first one.
 var zones = []string{"bystrica", "presov", "nitra"}
 
 // Settings returns the settings of the demonstration's node: three classes, five tenants, three zones.
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -14,21 +14,21 @@
 const (
 	progressInterval = 200 * time.Millisecond
 
-	// maxInFlight bounds the requests that clients wait for; beyond it the traffic falls behind its rate.
+	// maxInFlight limits the requests in flight. When it is reached, requests are sent later than the rate demands.
 	maxInFlight = 2048
 
-	// responseGrace is the time after a request's deadline when the clients count it as lost.
+	// responseGrace is how long after a request's deadline the clients wait before they count it as lost.
 	responseGrace = time.Second
 )
 
-// request is a client's.
+// request is one request of the generated traffic.
 type request struct {
 	id, class, tenant, key string
 	deadline               time.Duration
 }
 
-// drawRequest draws the n-th request: half search, three in ten book, two in ten cancel. The main tenant sends three
-// in five.
+// drawRequest generates the n-th request at random: half are searches, three in ten are bookings, two in ten are
+// cancellations. The main tenant sends three in five.
 func drawRequest(random *rand.Rand, n int) request {
 	drawn := request{
 		id: fmt.Sprintf("demo-%d-%x", n, random.Uint32()), class: classSearch, tenant: mainTenant, deadline: searchDeadline,
@@ -45,7 +45,8 @@
 	return drawn
 }
 
-// runTraffic sends requests at the rate, whatever becomes of them, and waits for the last response.
+// runTraffic sends requests at the configured rate without waiting for earlier ones, and returns after the last
+// response.
 func (d *demonstration) runTraffic(ctx context.Context, out io.Writer, terminal bool) {
 	random := rand.New(rand.NewPCG(d.config.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -54,9 +55,9 @@
 	slots := make(chan struct{}, maxInFlight)
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
-	d.began = time.Now()
-	next := d.began
-	for n := 0; ctx.Err() == nil && next.Sub(d.began) < d.config.Duration; n++ {
+	d.trafficStart = time.Now()
+	next := d.trafficStart
+	for n := 0; ctx.Err() == nil && next.Sub(d.trafficStart) < d.config.Duration; n++ {
 		d.waitUntil(ctx, next, tick.C, out, terminal)
 		drawn := drawRequest(random, n)
 		slots <- struct{}{}
@@ -70,23 +71,23 @@
 	}
 }
 
-// waitUntil waits for the time of the next request or the end of ctx, and writes progress meanwhile.
+// waitUntil waits for the time of the next request or the end of ctx, and writes the progress while it waits.
 func (d *demonstration) waitUntil(
 	ctx context.Context, next time.Time, tick <-chan time.Time, out io.Writer, terminal bool,
 ) {
 	for wait := time.Until(next); wait > 0 && ctx.Err() == nil; wait = time.Until(next) {
-		pause := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-tick:
 			d.writeProgress(out, terminal)
-		case <-pause.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
-		pause.Stop()
+		timer.Stop()
 	}
 }
 
-// send sends a request to the node, and records the result.
+// send sends a request to the node and records the result.
 func (d *demonstration) send(client *http.Client, sent request) {
 	d.mu.Lock()
 	d.inFlight++
@@ -95,11 +96,11 @@
 		d.bookings[sent.id] = true
 	}
 	d.mu.Unlock()
-	// A node that keeps the deadlines responds earlier.
+	// A node that enforces the request's deadline responds before this timeout.
 	ctx, cancel := context.WithTimeout(context.Background(), sent.deadline+responseGrace)
 	defer cancel()
 	began := time.Now()
-	status, err := sent.do(ctx, client, d.addr)
+	status, err := sent.do(ctx, client, d.nodeAddr)
 	latency := time.Since(began)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// defaultTolerance is that of a zone's share of the first attempts.
+// defaultTolerance is the default of Want.Tolerance, the accepted deviation of a zone's share of the first attempts.
 const defaultTolerance = 0.05
 
-// failures are texts of what does not hold.
+// failures holds one message for each part of an expectation that is not met.
 type failures []string
 
 func (f *failures) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
 
-// check returns what does not hold of the requests sent so far.
+// check compares the requests sent so far with the expectation and returns the parts that are not met.
 func (s *simulation) check(want *Want) failures {
 	var found failures
 	s.checkServers(want, &found)
@@ -23,18 +23,18 @@
 	return found
 }
 
-// checkServers checks where the first attempt went, and that no attempt went to excluded zones.
+// checkServers checks the zone and server of the first attempt, and that no attempt was sent to an excluded zone.
 func (s *simulation) checkServers(want *Want, found *failures) {
-	first, goes := "", "nowhere"
+	firstServer, destination := "", "nowhere"
 	if len(s.firstServers) > 0 {
-		first = s.firstServers[0]
-		goes = fmt.Sprintf("to %s in %s", first, s.zones[first])
+		firstServer = s.firstServers[0]
+		destination = fmt.Sprintf("to %s in %s", firstServer, s.zones[firstServer])
 	}
-	if want.FirstZone != "" && (first == "" || s.zones[first] != want.FirstZone) {
-		found.add("want the first attempt to go to zone %s; it goes %s", want.FirstZone, goes)
+	if want.FirstZone != "" && (firstServer == "" || s.zones[firstServer] != want.FirstZone) {
+		found.add("want the first attempt to go to zone %s; it goes %s", want.FirstZone, destination)
 	}
-	if want.FirstServer != "" && first != want.FirstServer {
-		found.add("want the first attempt to go to server %s; it goes %s", want.FirstServer, goes)
+	if want.FirstServer != "" && firstServer != want.FirstServer {
+		found.add("want the first attempt to go to server %s; it goes %s", want.FirstServer, destination)
 	}
 	for _, zone := range want.NeverZones {
 		if s.zoneAttempts[zone] > 0 {
@@ -44,7 +44,7 @@
 }
 
 func (s *simulation) checkZoneShares(want *Want, found *failures) {
-	firstAttempts := make(map[string]int) // by zone
+	firstAttempts := make(map[string]int) // count by zone
 	for _, server := range s.firstServers {
 		firstAttempts[s.zones[server]]++
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkAttempts reports one request with too many attempts.
+// checkAttempts reports at most one request that had too many attempts.
 func (s *simulation) checkAttempts(want *Want, found *failures) {
 	if want.MaxAttempts == 0 {
 		return
--- a/internal/expect/evaluate.go
+++ b/internal/expect/evaluate.go
@@ -18,24 +18,24 @@
 	defaultRequests = 100
 	defaultInterval = 50 * time.Millisecond
 
-	// settleTime passes after the last request, so that every request ends.
+	// settleTime is the virtual time that passes after the last request, so that every request ends.
 	settleTime = time.Minute
 )
 
-// defaultPeer is the address of the connection, of a network for documentation.
+// defaultPeer is the client address of a case that sets none. It belongs to a network reserved for documentation.
 var defaultPeer = netip.MustParseAddr("192.0.2.1")
 
-// evaluation is one case under evaluation.
+// evaluation holds the request of one case and the failures found so far.
 type evaluation struct {
 	want *Want
 
 	peer         netip.Addr
-	method, path string // the path as it is escaped
+	method, path string // the path is escaped
 	url          *url.URL
 	header       http.Header
 	tenant       string
 
-	description string // of the request, in failures
+	description string // method and URL of the request, which start each failure message
 	failures    []string
 }
 
@@ -43,7 +43,8 @@
 	e.failures = append(e.failures, e.description+": "+fmt.Sprintf(format, args...))
 }
 
-// evaluate returns what of a case does not hold.
+// evaluate checks one case and returns a message for each part of it that is not met. An error means that the case
+// can't be evaluated.
 func evaluate(
 	conf *standalone.File, table *routes.Table, resolver *identity.Resolver, tested *Case,
 ) (failures []string, err error) {
@@ -98,7 +99,7 @@
 	return eval, nil
 }
 
-// checkPath reports whether routes are searched for the path.
+// checkPath checks whether the path is accepted, as the case expects. It reports whether routes are to be matched.
 func (e *evaluation) checkPath() (accepted bool) {
 	wantRejected := e.want.Route == wantPathRejected
 	if err := routes.CheckPath(e.path); err != nil {
@@ -113,7 +114,7 @@
 	return true
 }
 
-// checkTenant assigns the tenant.
+// checkTenant determines the request's tenant and compares it with the expected one.
 func (e *evaluation) checkTenant(resolver *identity.Resolver) {
 	found := resolver.Resolve(&identity.Request{Peer: e.peer, Header: e.header})
 	e.tenant = found.Tenant
@@ -128,7 +129,8 @@
 	}
 }
 
-// checkRoute returns the route of the first request, or nil if none matches.
+// checkRoute matches the first request against the routes and compares the result with the expected route and class.
+// It returns nil if no route matches.
 func (e *evaluation) checkRoute(table *routes.Table) *routes.Route {
 	wantNone := e.want.Route == wantNoRoute
 	index := table.Match(e.routeRequest(requestID(0)))
@@ -161,8 +163,8 @@
 	}
 }
 
-// sendRequests sends the case's requests to a simulation. Routes are searched for each: a fraction of them by ID may
-// take another route.
+// sendRequests sends the case's requests to a simulation. Each request is matched against the routes by itself, because
+// a route may apply to a fraction of the request IDs.
 func (e *evaluation) sendRequests(sim *simulation, table *routes.Table, tested *Case) {
 	count, interval := tested.Requests, tested.Interval
 	if count == 0 {
@@ -185,7 +187,7 @@
 	sim.advance(settleTime)
 }
 
-// uniqueKey returns a key of the n-th request's own: requests with the same one would be duplicates.
+// uniqueKey returns an idempotency key for the n-th request: requests with the same key would be treated as duplicates.
 func uniqueKey(key string, n int) string {
 	if key == "" {
 		return ""
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -1,6 +1,6 @@
-// Package expect checks a configuration against its operator's expectations: which class, tenant and zone a
-// request is assigned, also while zones are gone or tenants send too much. It runs the real tables, engine and
-// policy module in virtual time, without a socket.
+// Package expect checks a configuration against its operator's expectations: which class, tenant and zone a request
+// is assigned, including while zones are unavailable or tenants exceed their quotas. It runs the production route
+// table, engine and policy module in virtual time, without opening a socket.
 package expect
 
 import (
@@ -20,50 +20,56 @@
 	path  string
 }
 
-// Case is one expectation: a request, the state of servers and node, and what must hold. The request is sent several
-// times.
+// Case is one expectation: a request, the state of the servers and the node, and the expected result. The request is
+// sent several times.
 type Case struct {
 	Name     string            `toml:"name" need:"1"`
-	Method   string            `toml:"method"` // empty: GET
+	Method   string            `toml:"method"` // default: GET
 	URL      string            `toml:"url" need:"1"`
 	Headers  map[string]string `toml:"headers"`
-	From     string            `toml:"from"` // address of the connection; empty: 192.0.2.1
+	From     string            `toml:"from"` // client address; default: 192.0.2.1
 	State    State             `toml:"state"`
-	Requests int               `toml:"draws" min:"1" max:"100000"` // 0: 100
-	Interval time.Duration     `toml:"every" min:"0s" max:"1m"`    // between two requests; 0: 50ms
+	Requests int               `toml:"draws" min:"1" max:"100000"` // default: 100
+	Interval time.Duration     `toml:"every" min:"0s" max:"1m"`    // between two requests; default: 50ms
 	Seed     uint64            `toml:"seed"`
 	Want     Want              `toml:"want"`
 }
 
-// State changes servers and node from what the configuration says.
+// State overrides the configured state of the servers and the node.
 type State struct {
 	MissingZones   []string `toml:"zones_gone"`
 	MissingServers []string `toml:"servers_gone"`
 	Draining       []string `toml:"drained"`
-	Response       string   `toml:"answer" one:"served|failing|full"` // of every server; empty: served
-	NodeZone       string   `toml:"node_zone"`                        // of the node; empty: the configuration's
+	Response       string   `toml:"answer" one:"served|failing|full"` // of every server; default: served
+	NodeZone       string   `toml:"node_zone"`                        // default: the zone in the configuration
 }
 
-// Want is what must hold. A field that is empty is not checked.
+// Want is the expected result. A field with its zero value is not checked.
 type Want struct {
-	Class       string             `toml:"class"`
-	Tenant      string             `toml:"tenant"` // "anonymous" for one that is not configured
-	Route       string             `toml:"route"`  // wantNoRoute, or wantPathRejected
-	FirstZone   string             `toml:"first_zone"`
-	NeverZones  []string           `toml:"never_zones"`
-	FirstServer string             `toml:"first_server"`
-	ZoneShare   map[string]float64 `toml:"zone_share"`                          // part of the first attempts
-	Tolerance   float64            `toml:"within" min:"0" max:"1"`              // of ZoneShare; 0: 0.05
-	Outcome     string             `toml:"outcome" one:"served|refused|failed"` // of all requests
-	Rejected    *stricttoml.Range  `toml:"refused"`                             // part of the requests
-	RetryAfter  bool               `toml:"retry_after"`                         // all rejections have a Retry-After
-	MaxAttempts int                `toml:"at_most_attempts" min:"1"`            // of each request
+	Class       string   `toml:"class"`
+	Tenant      string   `toml:"tenant"` // "anonymous" for a tenant that is not configured
+	Route       string   `toml:"route"`  // wantNoRoute or wantPathRejected
+	FirstZone   string   `toml:"first_zone"`
+	NeverZones  []string `toml:"never_zones"`
+	FirstServer string   `toml:"first_server"`
+	// ZoneShare is the expected fraction of the first attempts that go to each zone.
+	ZoneShare map[string]float64 `toml:"zone_share"`
+	// Tolerance is the accepted deviation from each value of ZoneShare; the default is 0.05.
+	Tolerance float64 `toml:"within" min:"0" max:"1"`
+	// Outcome is the expected outcome of every request.
+	Outcome string `toml:"outcome" one:"served|refused|failed"`
+	// Rejected is the range that the fraction of rejected requests has to be in.
+	Rejected *stricttoml.Range `toml:"refused"`
+	// RetryAfter requires a Retry-After of every rejection.
+	RetryAfter bool `toml:"retry_after"`
+	// MaxAttempts is the greatest number of attempts that a request may have.
+	MaxAttempts int `toml:"at_most_attempts" min:"1"`
 }
 
 // Values of Want.Route.
 const (
 	wantNoRoute      = "none"    // no route matches
-	wantPathRejected = "refused" // the path is rejected before routes are searched
+	wantPathRejected = "refused" // the path is rejected before any route is matched
 )
 
 // Load reads a file of expectations.
@@ -79,12 +85,12 @@
 	return file, nil
 }
 
-// Result is the result of one expectation.
+// Result tells whether one expectation is met.
 type Result struct {
 	Name string
-	Line int // of the expectation in its file
-	// Failures each have what was wanted, what was found, and the line of the configuration that decided. There are none
-	// if the expectation is met.
+	Line int // line of the expectation in its file
+	// Failures has a message for each part that is not met: the expected value, the actual value, and the line of the
+	// configuration that led to it. It is empty if the expectation is met.
 	Failures []string
 }
 
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -182,7 +182,7 @@
 	return loaded, file
 }
 
-// allFailures returns the failures of all expectations, each behind the expectation's name.
+// allFailures runs all expectations and returns their failures, each prefixed with the expectation's name.
 func allFailures(t *testing.T, conf, expectations string) (all []string) {
 	t.Helper()
 	loaded, file := load(t, conf, expectations)
@@ -198,134 +198,134 @@
 	return all
 }
 
-// brokenConfigurations each change a text of the configuration. The change makes the expectation fail whose name
-// begins with failing, with a text that contains says.
-var brokenConfigurations = map[string]struct{ old, replacement, failing, says string }{
+// brokenConfigurations are changes of the configuration by text replacement. Each makes the expectation whose name
+// starts with the field expectation fail with a message that contains wantText.
+var brokenConfigurations = map[string]struct{ old, replacement, expectation, wantText string }{
 	"node in another zone": {
 		old:         `zone = "presov"` + "\n[[class]]",
 		replacement: `zone = "nitra"` + "\n[[class]]",
-		failing:     "search prefers its own zone",
-		says:        "want the first attempt to go to zone presov; it goes to n1 in nitra",
+		expectation: "search prefers its own zone",
+		wantText:    "want the first attempt to go to zone presov; it goes to n1 in nitra",
 	},
 	"class of another zone": {
 		old:         "aim = \"600ms\"",
 		replacement: "aim = \"600ms\"\nzones = [\"bystrica\"]",
-		failing:     "search prefers its own zone",
-		says:        "first attempt to go to zone presov; it goes to b1 in bystrica",
+		expectation: "search prefers its own zone",
+		wantText:    "first attempt to go to zone presov; it goes to b1 in bystrica",
 	},
 	"class lost its zones": {
 		old:         `zones = ["bystrica", "presov"]`,
 		replacement: "",
-		failing:     "bookings without their zones are refused",
-		says:        "want nothing sent to zone nitra",
+		expectation: "bookings without their zones are refused",
+		wantText:    "want nothing sent to zone nitra",
 	},
 	"class with a wrong zone": {
 		old:         `zones = ["bystrica", "presov"]`,
 		replacement: `zones = ["nitra"]`,
-		failing:     "bookings never go to nitra",
-		says:        "want nothing sent to zone nitra",
+		expectation: "bookings never go to nitra",
+		wantText:    "want nothing sent to zone nitra",
 	},
 	"bookings may be repeated": {
 		old:         "name = \"rezervacia\"\nrepeat = \"never\"",
 		replacement: "name = \"rezervacia\"\nrepeat = \"guarded\"\nwindow = \"4s\"",
-		failing:     "a failing booking is tried once",
-		says:        "IdempotencyKey: missing",
+		expectation: "a failing booking is tried once",
+		wantText:    "IdempotencyKey: missing",
 	},
 	"share": {
 		old:         "share = 0.25",
 		replacement: "share = 0.5",
-		failing:     "a quarter tries the new release",
-		says:        "want 0.25 of the first attempts in zone nitra",
+		expectation: "a quarter tries the new release",
+		wantText:    "want 0.25 of the first attempts in zone nitra",
 	},
 	"share by tenant": {
 		old:         `by = "id"`,
 		replacement: `by = "tenant"`,
-		failing:     "a quarter tries the new release",
-		says:        "want 0.25 of the first attempts",
+		expectation: "a quarter tries the new release",
+		wantText:    "want 0.25 of the first attempts",
 	},
 	"release in another zone": {
 		old:         `zones = ["nitra"]`,
 		replacement: `zones = ["presov"]`,
-		failing:     "a quarter tries the new release",
-		says:        "of the first attempts in zone nitra",
+		expectation: "a quarter tries the new release",
+		wantText:    "of the first attempts in zone nitra",
 	},
 	"quota": {
 		old:         "quota = 5",
 		replacement: "quota = 500",
-		failing:     "a workspace beyond its quota",
-		says:        "requests rejected; got 0.00",
+		expectation: "a workspace beyond its quota",
+		wantText:    "requests rejected; got 0.00",
 	},
 	"trust": {
 		old:         `"10.0.0.0/8"`,
 		replacement: `"0.0.0.0/0"`,
-		failing:     "nobody claims to be a workspace",
-		says:        "want tenant anonymous, got mlyn, by identity layer 1 (header)",
+		expectation: "nobody claims to be a workspace",
+		wantText:    "want tenant anonymous, got mlyn, by identity layer 1 (header)",
 	},
 	"no trust": {
 		old:         `"10.0.0.0/8"`,
 		replacement: `"10.9.0.0/16"`,
-		failing:     "a workspace beyond its quota",
-		says:        "want tenant mlyn, got anonymous, by no identity layer",
+		expectation: "a workspace beyond its quota",
+		wantText:    "want tenant mlyn, got anonymous, by no identity layer",
 	},
 	"another header": {
 		old:         `name = "X-Workspace"`,
 		replacement: `name = "X-Space"`,
-		failing:     "a workspace beyond its quota",
-		says:        "want tenant mlyn",
+		expectation: "a workspace beyond its quota",
+		wantText:    "want tenant mlyn",
 	},
 	"route order": {
 		old: "[[route]]\nprefix = \"/new\"\nshare = 0.25\nby = \"id\"\nclass = \"nove\"\n" +
 			"[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"",
 		replacement: "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"",
-		failing:     "search prefers its own zone",
-		says:        "want class hladanie, got nove, by the route of line 31",
+		expectation: "search prefers its own zone",
+		wantText:    "want class hladanie, got nove, by the route of line 31",
 	},
 	"route by another path": {
 		old:         `path = "/book"`,
 		replacement: `path = "/booking"`,
-		failing:     "bookings never go to nitra",
-		says:        "POST http://x/book: no route matches",
+		expectation: "bookings never go to nitra",
+		wantText:    "POST http://x/book: no route matches",
 	},
 	"route of another class": {
 		old:         "[[route]]\nmethods = [\"GET\"]\nclass = \"hladanie\"",
 		replacement: "[[route]]\nmethods = [\"GET\"]\nclass = \"nove\"",
-		failing:     "search prefers its own zone",
-		says:        "want class hladanie, got nove",
+		expectation: "search prefers its own zone",
+		wantText:    "want class hladanie, got nove",
 	},
 	"route for all hosts lost": {
 		old:         "[[route]]\nmethods = [\"GET\"]",
 		replacement: "[[route]]\nhost = \"y\"\nmethods = [\"GET\"]",
-		failing:     "search prefers its own zone",
-		says:        "no route matches",
+		expectation: "search prefers its own zone",
+		wantText:    "no route matches",
 	},
 	"server drained for good": {
 		old:         "address = \"127.0.0.1:3\"",
 		replacement: "address = \"127.0.0.1:3\"\ndrain = true",
-		failing:     "search prefers its own zone",
-		says:        "first attempt to go to zone presov",
+		expectation: "search prefers its own zone",
+		wantText:    "first attempt to go to zone presov",
 	},
 	"server of another kind": {
 		old:         "name = \"hladanie\"",
 		replacement: "name = \"hladanie\"\nkinds = [\"big\"]",
-		failing:     "search prefers its own zone",
-		says:        "it goes nowhere",
+		expectation: "search prefers its own zone",
+		wantText:    "it goes nowhere",
 	},
 	"pool that nobody is in": {
 		old:         "name = \"hladanie\"",
 		replacement: "name = \"hladanie\"\npool = \"rooms\"",
-		failing:     "search prefers its own zone",
-		says:        "it goes nowhere",
+		expectation: "search prefers its own zone",
+		wantText:    "it goes nowhere",
 	},
 	"bucket of the others": {
 		old:         "rate = 1000, burst = 1000",
 		replacement: "rate = 1, burst = 1",
-		failing:     "search prefers its own zone",
-		says:        "requests served",
+		expectation: "search prefers its own zone",
+		wantText:    "requests served",
 	},
 }
 
-// The right configuration meets all expectations; each broken one fails the expectation that is about it, with the
-// request and the line that decided.
+// The original configuration meets all expectations. Each broken one fails the expectation that covers the change, and
+// the message names the request.
 func TestRun_FindsBrokenConfigurations(t *testing.T) {
 	if all := allFailures(t, conf, expectations); len(all) > 0 {
 		t.Fatalf("%q", all)
@@ -334,35 +334,36 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(conf, test.old, test.replacement, 1)
 			if text == conf {
-				t.Fatal("the change changes nothing")
+				t.Fatal("the text to replace is not in the configuration")
 			}
-			all := allFailures(t, text, expectations)
-			for _, f := range all {
-				if strings.HasPrefix(f, test.failing) && strings.Contains(f, test.says) && strings.Contains(f, "http://x/") {
+			failures := allFailures(t, text, expectations)
+			for _, failure := range failures {
+				if strings.HasPrefix(failure, test.expectation) && strings.Contains(failure, test.wantText) &&
+					strings.Contains(failure, "http://x/") {
 					return
 				}
 			}
-			t.Errorf("no failure of %q that says %q: %q", test.failing, test.says, all)
+			t.Errorf("no failure of %q that contains %q: %q", test.expectation, test.wantText, failures)
 		})
 	}
 }
 
-// A case that can't be evaluated is an error, not a failure.
+// An expectation that can't be evaluated makes Run return an error instead of a failure.
 func TestRun_UnknownZoneIsAnError(t *testing.T) {
 	unknown := strings.Replace(expectations, `zones_gone = ["presov"]`, `zones_gone = ["kosice"]`, 1)
 	loaded, file := load(t, conf, unknown)
 	_, err := file.Run(loaded)
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("no error for an unknown zone")
 	}
 	for _, want := range []string{`unknown zone "kosice"`, "e.toml:12: expect[1]"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in %v", want, err)
+			t.Errorf("error lacks %q: %v", want, err)
 		}
 	}
 }
 
-// A thousand expectations over a thousand routes are all met. The test logs how long that takes.
+// A thousand expectations for a thousand routes are all met. The test logs the time that takes.
 func TestRun_ThousandExpectations(t *testing.T) {
 	var routes, cases strings.Builder
 	for i := range 1000 {
@@ -370,10 +371,10 @@
 		fmt.Fprintf(&cases, "[[expect]]\nname = \"%d\"\nurl = \"http://x/p%d\"\ndraws = 10\n"+
 			"[expect.want]\nfirst_zone = \"presov\"\n", i, i)
 	}
-	began := time.Now()
+	start := time.Now()
 	withRoutes := strings.Replace(conf, "[[route]]", routes.String()+"[[route]]", 1)
 	if all := allFailures(t, withRoutes, cases.String()); len(all) > 0 {
 		t.Errorf("%d failures, the first %s", len(all), all[0])
 	}
-	t.Logf("%v", time.Since(began))
+	t.Logf("%v", time.Since(start))
 }
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -10,38 +10,39 @@
 	"cobaltward/router"
 )
 
-// responseTime is that of every server.
+// responseTime is how long every server takes to respond.
 const responseTime = 10 * time.Millisecond
 
-// Outcomes of requests, as Want.Outcome names them.
+// Outcomes of requests, with the names that Want.Outcome uses.
 const (
 	outcomeServed   = "served"
 	outcomeRejected = "refused"
 	outcomeFailed   = "failed"
 )
 
-// responseCodes are the results of attempts by State.Response.
+// responseCodes maps State.Response to the result code of every attempt.
 var responseCodes = map[string]policy.Code{
 	"": policy.OK, "served": policy.OK, "failing": policy.ServerError, "full": policy.Overloaded,
 }
 
-// simulation runs an engine in virtual time, among servers that all respond the same. It is the engine's transport.
+// simulation runs an engine in virtual time with servers that all give the same response. It implements the engine's
+// transport.
 type simulation struct {
 	engine   *router.Stepped
 	now      time.Duration
 	response policy.Code
-	inFlight []launched        // by the time of their end
-	zones    map[string]string // by server
+	inFlight []pendingAttempt  // in the order in which they end
+	zones    map[string]string // by server ID
 
-	firstServers []string       // of each request's first attempt
-	zoneAttempts map[string]int // by zone
-	attempts     map[string]int // by request ID
+	firstServers []string       // server of each request's first attempt
+	zoneAttempts map[string]int // number of attempts by zone
+	attempts     map[string]int // number of attempts by request ID
 	outcomes     map[string]int
-	retryAfters  []time.Duration // of rejections; 0: without
+	retryAfters  []time.Duration // of each rejected request; 0: no Retry-After
 }
 
-// launched is an attempt without a result yet.
-type launched struct {
+// pendingAttempt is an attempt that has no result yet.
+type pendingAttempt struct {
 	endsAt  time.Duration
 	attempt router.Attempt
 }
@@ -71,7 +72,7 @@
 	return sim, err
 }
 
-// checkNames fails if the case names a zone or server that the configuration doesn't have.
+// checkNames returns an error if the case names a zone or server that the configuration doesn't have.
 func (c *Case) checkNames(endpoints []router.Endpoint) error {
 	ids, zones := make(map[string]bool), make(map[string]bool)
 	for _, endpoint := range endpoints {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// apply returns the endpoints that are present.
+// apply returns the endpoints without the missing ones, and marks those that drain.
 func (s *State) apply(endpoints []router.Endpoint) (present []router.Endpoint) {
 	for _, endpoint := range endpoints {
 		if slices.Contains(s.MissingZones, endpoint.Zone) || slices.Contains(s.MissingServers, endpoint.ID) {
@@ -110,14 +111,14 @@
 	return present
 }
 
-// Launch records an attempt, and schedules its result.
+// Launch records an attempt and schedules its result.
 func (s *simulation) Launch(attempt router.Attempt) {
 	if attempt.Number == 0 {
 		s.firstServers = append(s.firstServers, attempt.Server)
 	}
 	s.zoneAttempts[s.zones[attempt.Server]]++
 	s.attempts[attempt.Request.ID]++
-	s.inFlight = append(s.inFlight, launched{endsAt: s.now + responseTime, attempt: attempt})
+	s.inFlight = append(s.inFlight, pendingAttempt{endsAt: s.now + responseTime, attempt: attempt})
 }
 
 // Cancel does nothing: the attempt ends within responseTime.
@@ -126,7 +127,8 @@
 // CloseIdle does nothing: there are no connections.
 func (s *simulation) CloseIdle(string) {}
 
-// submit sends a request to the engine. An invalid one has an outcome of its own.
+// submit sends a request to the engine and counts its outcome. A request that the engine refuses as invalid is counted
+// under its error.
 func (s *simulation) submit(request router.Request) {
 	err := s.engine.Submit(s.now, request, func(answer router.Answer) {
 		switch answer.Outcome {
@@ -144,7 +146,7 @@
 	}
 }
 
-// advance lets time pass, and ends the attempts whose time comes.
+// advance moves the virtual time forward and ends the attempts that are due.
 func (s *simulation) advance(by time.Duration) {
 	until := s.now + by
 	for len(s.inFlight) > 0 && s.inFlight[0].endsAt <= until {
