--- a/tools/rpcbench/memory.go
+++ b/tools/rpcbench/memory.go
@@ -12,7 +12,7 @@
 	memoryConns = 1000
 	memoryCalls = 200 // calls in flight, one per connection; the admission policy would queue further ones
 
-	// memorySettleTime is how long to wait for a node to accept connections and to forward calls before its memory is read.
+	// memorySettleTime is the time for a node to accept connections and to forward calls before its memory is read.
 	memorySettleTime = 500 * time.Millisecond
 )
 
