--- a/internal/protocolmatrix/appserver_test.go
+++ b/internal/protocolmatrix/appserver_test.go
@@ -21,20 +21,20 @@
 // dedupWindow is the time for which servers remember an idempotency key.
 const dedupWindow = 4 * time.Second
 
-// slowResponseDelay is how long a server takes for a request that it answers slowly.
+// slowResponseDelay is the delay of a response where the script says "slow".
 const slowResponseDelay = 50 * time.Millisecond
 
-// appServer is a server that speaks both protocols, each at an address of its own, and reacts as its script says to
-// the requests that it has read completely.
+// appServer is a server that speaks HTTP and MessagePack-RPC, each at its own address. Its script defines how it
+// reacts to each request that it has read completely.
 type appServer struct {
 	http, msgpack string                     // addresses
-	cut           func() int                 // bytes after which a connection breaks; nil: never
+	cut           func() int                 // returns the bytes after which a connection is cut; nil: never
 	tlsConfig     atomic.Pointer[tls.Config] // nil without TLS; set before the first connection
 
 	mu         sync.Mutex
-	script     []string             // reactions to the next requests; then "ok"
-	executions map[string]int       // by request ID
-	firstRun   map[string]time.Time // by idempotency key
+	script     []string             // reactions to the next requests; "ok" for those after them
+	executions map[string]int       // number of executions by request ID
+	firstRun   map[string]time.Time // time of the first execution by idempotency key
 }
 
 // newAppServer runs a server until the test ends. A script that begins with "refuse" makes it refuse connections.
@@ -53,8 +53,8 @@
 	return app
 }
 
-// refusingAddr returns an address that refuses connections: bound, so that no other process gets it, but without a
-// listener.
+// refusingAddr returns an address that refuses connections. Its port is bound, so that no other process gets it, but
+// nothing listens on it.
 func refusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -72,7 +72,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// next returns the reaction to a request that was read completely, and counts its execution if it is one.
+// next returns the reaction to a completely read request, and counts an execution if the reaction means that the
+// request ran.
 func (a *appServer) next(id, key string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,7 +90,7 @@
 	return reaction
 }
 
-// totalExecutions counts the executions of all requests.
+// totalExecutions returns the number of executions of all requests.
 func (a *appServer) totalExecutions() (total int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,7 +100,7 @@
 	return total
 }
 
-// wrap applies the server's cuts and TLS to a connection.
+// wrap returns the connection with the server's cuts and TLS applied.
 func (a *appServer) wrap(conn net.Conn) net.Conn {
 	conn = newCutConn(conn, a.cut)
 	if config := a.tlsConfig.Load(); config != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// answerHTTP reacts to a request. False ends the connection.
+// answerHTTP sends the response of a reaction. It returns false to close the connection.
 func answerHTTP(conn net.Conn, in *bufio.Reader, reaction string) (open bool) {
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	switch reaction {
@@ -136,7 +137,7 @@
 		response = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	case "unknown":
 		response = "HTTP/1.1 418 Teapot\r\nContent-Length: 0\r\n\r\n"
-	case "nonsense":
+	case "invalid":
 		response = "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"
 	case "large":
 		response = "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)
@@ -146,7 +147,7 @@
 		_, _ = io.WriteString(conn, response[:len(response)-2])
 		return false
 	case "hang":
-		_, _ = in.Peek(1) // until the node cancels the attempt
+		_, _ = in.Peek(1) // returns when the node cancels the attempt
 		return false
 	case "slow":
 		time.Sleep(slowResponseDelay)
@@ -170,7 +171,7 @@
 	}
 }
 
-// readCall reads the next call, and skips other messages, which are cancellations.
+// readCall reads the next call. It skips other messages, which can only be cancellations.
 func readCall(in *msgpackrpc.Reader) (messageID uint32, call msgpackrpc.Call, err error) {
 	for {
 		raw, err := in.Next()
@@ -186,11 +187,11 @@
 	}
 }
 
-// msgpackConn is a server's connection, on which several calls are open at once.
+// msgpackConn is a MessagePack-RPC connection of a server, on which several calls can be in progress.
 type msgpackConn struct {
 	net.Conn
 	writeMu sync.Mutex
-	delayed sync.WaitGroup // replies being delayed
+	delayed sync.WaitGroup // goroutines that send delayed replies
 }
 
 func (c *msgpackConn) write(text []byte) {
@@ -199,7 +200,7 @@
 	_, _ = c.Write(text)
 }
 
-// answer reacts to a call. False ends the connection.
+// answer sends the reply of a reaction. It returns false to close the connection.
 func (c *msgpackConn) answer(messageID uint32, reaction string) (open bool) {
 	encode := func(reply msgpackrpc.Reply) []byte { return msgpackrpc.AppendReply(nil, messageID, &reply) }
 	text := encode(msgpackrpc.Reply{Body: []byte("done")})
@@ -212,8 +213,8 @@
 		text = append(msgpackrpc.AppendDrain(nil), encode(msgpackrpc.Reply{Code: msgpackrpc.NotRun})...)
 	case "unknown":
 		text = encode(msgpackrpc.Reply{Code: "teapot"})
-	case "nonsense":
-		text = append(text[:3:3], 0x80, 0x80) // an error and a result
+	case "invalid":
+		text = append(text[:3:3], 0x80, 0x80) // invalid: both an error and a result
 	case "large":
 		text = encode(msgpackrpc.Reply{Body: make([]byte, msgpackrpc.MaxMessageSize)})
 	case "reset":
--- a/internal/protocolmatrix/attemptlog_test.go
+++ b/internal/protocolmatrix/attemptlog_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/router"
 )
 
-// attemptLog is a transport that records the attempts made through another one, to explain a result.
+// attemptLog wraps a transport and records its attempts, so that a test can log what led to a result.
 type attemptLog struct {
 	router.Transport
 
@@ -19,7 +19,7 @@
 	attempts []string
 }
 
-// newAttemptLog returns a transport that records from now on.
+// newAttemptLog returns an attemptLog around a transport. Times in the log count from this call.
 func newAttemptLog(transport router.Transport) *attemptLog {
 	return &attemptLog{Transport: transport, began: time.Now()}
 }
@@ -35,7 +35,7 @@
 	return result
 }
 
-// String lists the attempts.
+// String returns the recorded attempts, one per line.
 func (l *attemptLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/protocolmatrix/cutconn_test.go
+++ b/internal/protocolmatrix/cutconn_test.go
@@ -6,25 +6,27 @@
 	"sync/atomic"
 )
 
-// cutConn is a connection that breaks after a number of bytes, read and written together.
+// cutConn is a connection that is closed after a number of bytes, counting both those read and those written.
 type cutConn struct {
 	net.Conn
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
-// newCutConn wraps a connection to break after as many bytes as cut returns, unless cut is nil.
+// newCutConn wraps a connection so that it is closed after the number of bytes that cut returns. If cut is nil, it
+// returns the connection itself.
 func newCutConn(conn net.Conn, cut func() int) net.Conn {
 	if cut == nil {
 		return conn
 	}
 	c := &cutConn{Conn: conn}
-	c.left.Store(int64(cut()))
+	c.remaining.Store(int64(cut()))
 	return c
 }
 
-// consume takes n bytes, and returns how many of them are before the cut and whether it is reached.
+// consume subtracts n from the remaining bytes. It returns how many of the n bytes come before the cut, and whether
+// the cut is reached.
 func (c *cutConn) consume(n int) (before int, reached bool) {
-	if left := c.left.Add(int64(-n)); left < 0 {
+	if left := c.remaining.Add(int64(-n)); left < 0 {
 		return max(0, n+int(left)), true
 	}
 	return n, false
@@ -49,7 +51,7 @@
 	return n, io.ErrClosedPipe
 }
 
-// cutListener cuts the connections that it accepts, unless cut is nil.
+// cutListener wraps the connections that it accepts with newCutConn.
 type cutListener struct {
 	net.Listener
 	cut func() int
--- a/internal/protocolmatrix/exactlyonce_test.go
+++ b/internal/protocolmatrix/exactlyonce_test.go
@@ -14,9 +14,10 @@
 	"cobaltward/msgpackrpc"
 )
 
-// Many calls run at once while connections are cut at random bytes, those to the servers and those of clients, which
-// retry the same request: each has one answer, no non-idempotent one runs twice, and no keyed one has its effect twice.
-// EXACTLY_ONCE in the environment sets the number of calls a pair, SEED the places of the cuts.
+// Connections to servers, and in half of the cases those of clients, are cut at random bytes while many calls are in
+// flight. Clients retry a call whose response was lost. Each call must get one final answer, no non-idempotent call
+// may run twice, and no keyed call may be retried after the deduplication window. The environment variable
+// EXACTLY_ONCE sets the number of calls per pair, and SEED the seed of the cuts.
 func TestExactlyOnce_UnderCutConnections(t *testing.T) {
 	calls, seed := 400, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("EXACTLY_ONCE")); err == nil && n > 0 {
@@ -29,14 +30,14 @@
 		for _, cutClients := range []bool{false, true} {
 			t.Run(fmt.Sprint(pair.name, "/clients cut=", cutClients), func(t *testing.T) {
 				t.Parallel()
-				draw := newDraw(seed, uint64(i))
-				load := &cutLoad{calls: calls, minServed: calls / 2, draw: draw}
+				randomInt := newRandomInt(seed, uint64(i))
+				load := &cutLoad{calls: calls, minServed: calls / 2, randomInt: randomInt}
 				for range 4 {
-					load.apps = append(load.apps, newAppServer(t, func() int { return 200 + draw(6000) }))
+					load.apps = append(load.apps, newAppServer(t, func() int { return 200 + randomInt(6000) }))
 				}
 				var clientCut func() int
-				if cutClients { // a cut loses many calls at once where they share a connection
-					clientCut = func() int { return 4000 + draw(40_000) }
+				if cutClients { // calls may share a connection, so one cut can lose many of them
+					clientCut = func() int { return 4000 + randomInt(40_000) }
 					load.minServed = calls / 4
 				}
 				load.call = pair.start(t, clientCut, load.apps...).call
@@ -47,8 +48,8 @@
 	}
 }
 
-// newDraw returns a random source of integers below n that goroutines may share.
-func newDraw(seed, stream uint64) func(n int) int {
+// newRandomInt returns a function that draws a random integer below n and is safe for concurrent use.
+func newRandomInt(seed, stream uint64) func(n int) int {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, stream))
 	return func(n int) int {
@@ -58,24 +59,24 @@
 	}
 }
 
-// finalOutcomes are the answers that a node gives; any other outcome is an answer that was lost.
+// finalOutcomes are the outcomes of calls that a node answered. With any other outcome the answer was lost.
 var finalOutcomes = []string{"served done", "failed", "refused", "conflict"}
 
-// maxRetries bounds how often a client retries a call whose answer was lost.
+// maxRetries is the maximum number of times that a client retries a call whose answer was lost.
 const maxRetries = 20
 
-// cutLoad is a number of calls to a node whose connections are cut.
+// cutLoad sends calls to a node whose connections are cut, and collects their outcomes.
 type cutLoad struct {
 	call      callFunc
 	apps      []*appServer
 	calls     int
 	minServed int
-	draw      func(n int) int
+	randomInt func(n int) int
 
-	outcomes sync.Map // by request ID
+	outcomes sync.Map // last outcome by request ID
 }
 
-// run sends all calls from 16 workers.
+// run sends all calls from 16 concurrent workers.
 func (l *cutLoad) run(t *testing.T) {
 	t.Helper()
 	var started atomic.Int64
@@ -89,7 +90,7 @@
 					outcome = l.call(t.Context(), request)
 				}
 				if _, twice := l.outcomes.LoadOrStore(request.ID, outcome); twice {
-					t.Errorf("%s was answered twice", request.ID)
+					t.Errorf("call %s has two final outcomes", request.ID)
 				}
 			}
 		})
@@ -97,14 +98,14 @@
 	workers.Wait()
 }
 
-// request is the n-th call, of a class that goes by n.
+// request returns the n-th call. Its class depends on n.
 func (l *cutLoad) request(n int64) msgpackrpc.Call {
 	call := msgpackrpc.Call{
 		ID: fmt.Sprint("r", n), Class: []string{"read", "pay", "undo"}[n%3], Tenant: "t", Timeout: 8 * time.Second,
 		Target: "/api",
 	}
 	if call.Class != "read" {
-		call.Body = make([]byte, l.draw(300))
+		call.Body = make([]byte, l.randomInt(300))
 	}
 	if call.Class == "undo" {
 		call.IdempotencyKey = fmt.Sprint("k", n)
@@ -112,20 +113,20 @@
 	return call
 }
 
-// check holds the outcomes against what the servers executed.
+// check compares the outcomes of all calls with what the servers executed.
 func (l *cutLoad) check(t *testing.T) {
 	t.Helper()
 	counts := make(map[string]int)
 	for n := 1; n <= l.calls; n++ {
 		counts[l.checkCall(t, n)]++
 	}
-	t.Logf("%v", counts)
+	t.Logf("number of calls by outcome: %v", counts)
 	if counts["served done"] < l.minServed {
-		t.Errorf("only %d of %d served", counts["served done"], l.calls)
+		t.Errorf("only %d of %d calls were served", counts["served done"], l.calls)
 	}
 }
 
-// checkCall checks the n-th call, and returns its outcome, "lost" for none.
+// checkCall checks the outcome of the n-th call and returns it, or "lost" if the call got no answer.
 func (l *cutLoad) checkCall(t *testing.T, n int) string {
 	t.Helper()
 	id := fmt.Sprint("r", n)
@@ -138,19 +139,19 @@
 	nonIdempotent := n%3 == 1
 	switch {
 	case spread > dedupWindow:
-		t.Errorf("%s was sent again %v later, when its key was forgotten", id, spread)
+		t.Errorf("call %s was retried at another server %v later, after its deduplication window", id, spread)
 	case nonIdempotent && executions > 1:
-		t.Errorf("%s of the non-idempotent class ran %d times: %s", id, executions, outcome)
+		t.Errorf("non-idempotent call %s ran %d times, with outcome %s", id, executions, outcome)
 	case outcome == "served done" && executions == 0, outcome == "refused" && nonIdempotent && executions > 0:
-		t.Errorf("%s ran %d times and is %s", id, executions, outcome)
+		t.Errorf("call %s ran %d times, with outcome %s", id, executions, outcome)
 	case outcome == "lost":
-		t.Errorf("%s has no answer after %d retries: %s", id, maxRetries, got)
+		t.Errorf("call %s got no answer after %d retries: %s", id, maxRetries, got)
 	}
 	return outcome
 }
 
-// executions counts the executions of a request at all servers, and returns the time between the first at the server
-// that ran the key first and the first at the server that ran it last.
+// executions returns how often the servers ran a request. spread is the time between the earliest and the latest of
+// the servers' first executions with the key.
 func (l *cutLoad) executions(id, key string) (count int, spread time.Duration) {
 	var firstRuns []time.Time
 	for _, app := range l.apps {
--- a/internal/protocolmatrix/failures_test.go
+++ b/internal/protocolmatrix/failures_test.go
@@ -10,19 +10,19 @@
 	"cobaltward/msgpackrpc"
 )
 
-// result is what becomes of a request.
+// result is the outcome of a request and the number of its executions.
 type result struct {
 	outcome    string
-	executions [2]int // at the first server and at the second
+	executions [2]int // at the first and at the second server
 }
 
-// failureCase is a reaction of the first server, or a fault of the request, and the result for each class. The second
-// server serves all requests.
+// failureCase is a reaction of the first server, or an error in the request, with the expected result for each class.
+// The second server serves all requests.
 type failureCase struct {
 	failure         string
 	read, pay, undo result
-	timeout         time.Duration // of the request; 0: 8 s
-	cancels         bool          // the client cancels the request once it is at the server
+	timeout         time.Duration // the deadline of the request; 0: 8 s
+	cancels         bool          // the client cancels the request once it runs at the first server
 }
 
 var failureCases = []failureCase{
@@ -33,7 +33,7 @@
 	sameResult("drain", "served done", onSecond),
 	mayHaveRun("error"),
 	mayHaveRun("unknown"),
-	mayHaveRun("nonsense"),
+	mayHaveRun("invalid"),
 	mayHaveRun("large"),
 	mayHaveRun("reset"),
 	mayHaveRun("half"),
@@ -43,7 +43,7 @@
 	},
 	{
 		failure: "hang", cancels: true,
-		read: result{"left", onFirst}, pay: result{"left", onFirst}, undo: result{"left", onFirst},
+		read: result{"cancelled", onFirst}, pay: result{"cancelled", onFirst}, undo: result{"cancelled", onFirst},
 	},
 	sameResult("bad class", "malformed", onNone),
 	{
@@ -56,7 +56,7 @@
 	sameResult("a large body", "malformed", onNone),
 }
 
-// Executions at the two servers.
+// Numbers of executions at the first and at the second server.
 var (
 	onFirst  = [2]int{1, 0}
 	onSecond = [2]int{0, 1}
@@ -64,24 +64,24 @@
 	onNone   = [2]int{0, 0}
 )
 
-// sameResult is a case in which all classes have the same result.
+// sameResult returns a case in which requests of all classes have the same result.
 func sameResult(failure, outcome string, executions [2]int) failureCase {
 	r := result{outcome, executions}
 	return failureCase{failure: failure, read: r, pay: r, undo: r}
 }
 
-// mayHaveRun is a case after which the request may have run at the first server: it is retried at the second, unless it
-// is not idempotent.
+// mayHaveRun returns a case in which the node cannot know whether the first server ran the request. The request must
+// be retried at the second server, unless it is non-idempotent.
 func mayHaveRun(failure string) failureCase {
 	retried := result{"served done", onBoth}
 	return failureCase{failure: failure, read: retried, pay: result{"failed", onFirst}, undo: retried}
 }
 
-// Each failure of the first server has the same result over each pair of protocols.
+// Each failure case must have the same result with each pair of protocols.
 func TestFailures_SameResultOverPairs(t *testing.T) { testFailures(t, false) }
 
-// The same over TLS. This is a test of its own because both at once load a small machine so much that responses are
-// late.
+// Each failure case must have the same result with TLS to the servers. This is a separate test because running all
+// pairs at once overloads a small machine and delays responses.
 func TestFailures_SameResultOverTLS(t *testing.T) { testFailures(t, true) }
 
 func testFailures(t *testing.T, tls bool) {
@@ -93,12 +93,13 @@
 					continue
 				}
 				t.Run(fmt.Sprint(failure.failure, "/", class, "/", pair.name), func(t *testing.T) {
-					if failure.timeout == 0 { // a case that is timed closely runs alone
+					if failure.timeout == 0 { // a case with its own timeout is sensitive to delays and runs alone
 						t.Parallel()
 					}
 					got := failure.runOnTime(t, pair, class)
 					if got != want {
-						t.Errorf("%s, ran %v; want %s, %v", got.outcome, got.executions, want.outcome, want.executions)
+						t.Errorf("outcome %s, executions %v; want %s, %v",
+							got.outcome, got.executions, want.outcome, want.executions)
 					}
 				})
 			}
@@ -106,11 +107,12 @@
 	}
 }
 
-// maxEngineLag is the longest delay of the engine at which a run of a case with a timeout of its own counts: the node
-// answers such a request 20 ms before its timeout, and may be 10 ms late.
+// maxEngineLag is the longest delay of the engine at which the result of a case with its own timeout is valid. The
+// node answers a request 20 ms before its timeout, and may be up to 10 ms late.
 const maxEngineLag = 8 * time.Millisecond
 
-// runOnTime runs the case, again while the host kept the engine from running for so long that the result says nothing.
+// runOnTime runs the case. It repeats a case with its own timeout, up to 20 runs, while the host delays the engine by
+// more than maxEngineLag, since the result is not valid then.
 func (c failureCase) runOnTime(t *testing.T, pair protocolPair, class string) result {
 	t.Helper()
 	for range 20 {
@@ -119,7 +121,7 @@
 			return got
 		}
 	}
-	t.Fatal("the host delayed the engine in each of 20 runs")
+	t.Fatal("the host delayed the engine too long in each of 20 runs")
 	return result{}
 }
 
@@ -130,7 +132,7 @@
 	call := c.request(class)
 	if c.failure == "the same id again" {
 		if outcome := node.call(t.Context(), call); outcome != "served done" {
-			t.Fatalf("the first: %s", outcome)
+			t.Fatalf("the first request with the ID: outcome %s, want \"served done\"", outcome)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -143,15 +145,15 @@
 		}()
 	}
 	pause := testkit.MeasurePauses(t)
-	began := time.Now()
+	startedAt := time.Now()
 	outcome := node.call(ctx, call)
-	t.Logf("%s after %v; longest pause of the host %v, of the engine %v; attempts:\n%s",
-		outcome, time.Since(began), pause(), node.maxLag(), node.attempts)
+	t.Logf("outcome %s after %v; longest pause of the host %v, longest lag of the engine %v; attempts:\n%s",
+		outcome, time.Since(startedAt), pause(), node.maxLag(), node.attempts)
 	cancel()
 	return result{outcome, [2]int{apps[0].totalExecutions(), apps[1].totalExecutions()}}, node.maxLag()
 }
 
-// request is the request of the case, with its fault.
+// request returns the request of the case, with the error that the case puts into it.
 func (c failureCase) request(class string) msgpackrpc.Call {
 	call := msgpackrpc.Call{ID: "r1", Class: class, Tenant: "t", Timeout: 8 * time.Second, Target: "/api"}
 	if class == "undo" {
--- a/internal/protocolmatrix/pair_test.go
+++ b/internal/protocolmatrix/pair_test.go
@@ -1,5 +1,5 @@
-// Package protocolmatrix runs the same failures over every pair of a frontend and a transport: whichever protocols are
-// in use, each request has the same outcome and the same number of executions at the servers.
+// Package protocolmatrix tests the same failures over every pair of a client protocol and a server protocol. With each
+// pair, a request must have the same outcome and the same number of executions at the servers.
 package protocolmatrix
 
 import (
@@ -37,12 +37,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// protocolPair is a node with one frontend and one transport, or two.
+// protocolPair is the protocol that clients use with a node, and the protocol or protocols that it uses with servers.
 type protocolPair struct {
-	name     string
-	frontend string                    // "http" or "msgpack"
-	protocol func(router.Endpoint) int // of a server: 0 is HTTP, 1 MessagePack-RPC
-	tls      bool                      // towards the servers
+	name       string
+	frontend   string                    // "http" or "msgpack"
+	protocolOf func(router.Endpoint) int // the protocol of a server: 0 for HTTP, 1 for MessagePack-RPC
+	tls        bool                      // the node connects to servers with TLS
 }
 
 func overHTTP(router.Endpoint) int             { return 0 }
@@ -55,12 +55,12 @@
 	{"msgpack to http", "msgpack", overHTTP, false},
 	{"msgpack to msgpack", "msgpack", overMsgpack, false},
 	{"msgpack to one of each", "msgpack", overOneOfEach, false},
-	{"http to http by TLS", "http", overHTTP, true},
-	{"msgpack to msgpack by TLS", "msgpack", overMsgpack, true},
+	{"http to http over TLS", "http", overHTTP, true},
+	{"msgpack to msgpack over TLS", "msgpack", overMsgpack, true},
 }
 
-// callFunc sends a request to a node, and returns its outcome: "served" with the body, "failed", "refused", "conflict",
-// "malformed", "left" where the caller cancelled it, or the text of an error.
+// callFunc sends a request to a node and returns its outcome: "served" with the body, "cancelled" if ctx was cancelled,
+// a code of MessagePack-RPC ("failed", "conflict", "malformed", or "refused" for a rejection), or the text of an error.
 type callFunc func(ctx context.Context, call msgpackrpc.Call) string
 
 // runningNode is a node that runs until the test ends.
@@ -70,10 +70,11 @@
 	attempts *attemptLog
 }
 
-// maxLag is the longest delay of the engine so far, because the host did not run it.
+// maxLag returns the longest time so far by which the host delayed the router's engine.
 func (n runningNode) maxLag() time.Duration { return n.router.Stats().Lag.Max }
 
-// start runs a node before the servers until the test ends; its clients' connections are cut where cut is not nil.
+// start runs a node in front of the servers until the test ends. If cut is not nil, connections of clients are cut
+// after the number of bytes that it returns.
 func (p protocolPair) start(t testing.TB, cut func() int, apps ...*appServer) runningNode {
 	t.Helper()
 	engine, attempts := p.newRouter(t, apps)
@@ -89,31 +90,31 @@
 	return runningNode{serveMsgpackFrontend(t, engine, ln), engine, attempts}
 }
 
-// newRouter returns an engine that is serving, with the log of its attempts.
+// newRouter returns a router that is serving, and the log of its attempts.
 func (p protocolPair) newRouter(t testing.TB, apps []*appServer) (*router.Router, *attemptLog) {
 	t.Helper()
 	var endpoints []router.Endpoint
 	for i, app := range apps {
 		endpoint := router.Endpoint{ID: fmt.Sprint("s", i), Zone: "a", Cell: int64(i), Weight: 1}
-		endpoint.Addr = []string{app.http, app.msgpack}[p.protocol(endpoint)]
+		endpoint.Addr = []string{app.http, app.msgpack}[p.protocolOf(endpoint)]
 		endpoints = append(endpoints, endpoint)
 	}
 	var clientTLS *secure.ClientTLS
 	if p.tls {
 		clientTLS = enableTLS(t, apps)
 	}
-	transport := newAttemptLog(mixed.New(p.protocol, http1.New(http1.Config{TLS: clientTLS}),
+	transport := newAttemptLog(mixed.New(p.protocolOf, http1.New(http1.Config{TLS: clientTLS}),
 		msgpacktransport.New(msgpacktransport.Config{TLS: clientTLS})))
 	engine, err := router.New(router.Config{Settings: settings(), Endpoints: endpoints}, router.WithTransport(transport))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = engine.Close() })
-	testkit.Await(t, "the node", func() bool { return engine.Phase() == router.Serving })
+	testkit.Await(t, "the router to serve", func() bool { return engine.Phase() == router.Serving })
 	return engine, transport
 }
 
-// settings has a retry budget that is never the reason for an outcome.
+// settings returns settings with a retry budget so large that it never affects an outcome.
 func settings() policy.Settings {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{
@@ -134,10 +135,10 @@
 	}
 }
 
-// enableTLS has the servers use TLS, and returns the node's side of it.
+// enableTLS makes the servers use TLS, and returns the client TLS configuration with which the node trusts them.
 func enableTLS(t testing.TB, apps []*appServer) *secure.ClientTLS {
 	t.Helper()
-	ca := pki.NewAuthority("the apps'")
+	ca := pki.NewAuthority("the servers'")
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	if err := os.WriteFile(file, ca.PEM(), 0o600); err != nil {
 		t.Fatal(err)
@@ -189,12 +190,12 @@
 		reply, err := conn.Call(ctx, call)
 		switch {
 		case ctx.Err() != nil:
-			return "left"
+			return "cancelled"
 		case err != nil:
 			return err.Error()
 		case reply.Code == "":
 			return "served " + string(reply.Body)
-		case reply.Code == msgpackrpc.Expired: // as with "failed", the request may have run
+		case reply.Code == msgpackrpc.Expired: // the request may have run, as with any failure
 			return "failed"
 		case reply.Code == msgpackrpc.Overloaded:
 			return "refused"
@@ -214,7 +215,7 @@
 		resp, err := httpClient.Do(req)
 		if err != nil {
 			if ctx.Err() != nil {
-				return "left"
+				return "cancelled"
 			}
 			return err.Error()
 		}
@@ -237,7 +238,7 @@
 	}
 }
 
-// newHTTPRequest is the call as an HTTP request that net/http's client does not repeat by itself.
+// newHTTPRequest converts a call to an HTTP request. GetBody is nil, so that the client of net/http does not retry it.
 func newHTTPRequest(ctx context.Context, addr string, call msgpackrpc.Call) (*http.Request, error) {
 	method := "POST"
 	if call.Class == "read" {
