--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -23,35 +23,35 @@
 )
 
 const (
-	// firstRequestGrace is how long after its connect a node that ends leaves a connection open without a request.
+	// firstRequestGrace is how long a node that is shutting down keeps a new connection open without a request.
 	firstRequestGrace = 2500 * time.Millisecond
-	// newConnTimeout is how long after its connect any node does.
+	// newConnTimeout is how long a node that is not shutting down keeps a new connection open without a request.
 	newConnTimeout = 15 * time.Second
 )
 
-// client sends requests one after another, keeps its connection as long as it can, and opens another while clients are
-// routed to the node.
+// client sends one request after another. It uses a connection until the connection is closed, and opens new ones as
+// long as clients are routed to the node.
 type client struct {
-	name       string
-	addr       string
-	rng        *rand.Rand
-	connectRNG *rand.Rand // of the pauses after a connect; apart, so that they change no other draw of a seed
-	history    *history
-	longest    time.Duration // the longest deadline of its requests
-	routed     *atomic.Bool  // connections may be opened
-	stopping   *atomic.Bool  // the node is being terminated
-	ended      *atomic.Bool  // the node has ended
-	abandons   float64       // part of its requests whose response it does not wait for
-	crowded    bool          // idle clients fill the node's descriptors
-	pause      time.Duration // longest between a response, or a connect, and the next request; 0: none
-	rest       time.Duration // between the first connect and the first request
-	rested     bool          // the rest is over
-	restedConn net.Conn      // the connection of the rest
+	name            string
+	addr            string
+	rng             *rand.Rand
+	connectRNG      *rand.Rand // for pauses after a connect; separate, so that these do not change what rng draws
+	history         *history
+	longestDeadline time.Duration // longest deadline of its requests
+	clientsRouted   *atomic.Bool  // clients may open connections to the node
+	stopping        *atomic.Bool  // the node is being terminated
+	nodeExited      *atomic.Bool  // the node's process has exited
+	abandonRate     float64       // fraction of the requests for whose response the client does not wait
+	descriptorsFull bool          // idle connections fill the node's descriptors
+	longestPause    time.Duration // longest pause between a connect or a response and the next request; 0: none
+	rest            time.Duration // time between the first connect and the first request
+	rested          bool          // the rest before the first request is over
+	restedConn      net.Conn      // the connection that was idle during the rest
 }
 
-// run sends until the node has ended.
+// run sends requests until the node has exited or clients are no longer routed to it.
 func (c *client) run() {
-	for n := 0; !c.ended.Load() && c.routed.Load(); {
+	for n := 0; !c.nodeExited.Load() && c.clientsRouted.Load(); {
 		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			time.Sleep(5 * time.Millisecond)
@@ -61,19 +61,20 @@
 			_ = conn.Close()
 			continue
 		}
-		if c.pause > 0 && c.connectRNG.IntN(2) == 0 {
-			time.Sleep(time.Duration(c.connectRNG.Int64N(int64(c.pause))))
+		if c.longestPause > 0 && c.connectRNG.IntN(2) == 0 {
+			time.Sleep(time.Duration(c.connectRNG.Int64N(int64(c.longestPause))))
 		}
 		for used := 0; c.exchange(conn, used, &n); used++ {
-			if c.pause > 0 {
-				time.Sleep(time.Duration(c.rng.Int64N(int64(c.pause))))
+			if c.longestPause > 0 {
+				time.Sleep(time.Duration(c.rng.Int64N(int64(c.longestPause))))
 			}
 		}
 		_ = conn.Close()
 	}
 }
 
-// restBeforeFirstRequest rests on the first connection, and reports whether the node has closed it meanwhile.
+// restBeforeFirstRequest keeps the first connection idle for the time of rest, and reports whether the node closed it
+// meanwhile. On later connections it returns at once.
 func (c *client) restBeforeFirstRequest(conn net.Conn) (closed bool) {
 	if c.rest == 0 || c.rested {
 		return false
@@ -84,42 +85,42 @@
 	if !sockets.PeerClosed(conn.(*net.TCPConn)) {
 		return false
 	}
-	c.history.recordClosedAtRest(c.stopping.Load() || c.crowded || c.rest >= newConnTimeout, c.rest)
+	c.history.recordClosedBeforeFirstRequest(c.stopping.Load() || c.descriptorsFull || c.rest >= newConnTimeout, c.rest)
 	return true
 }
 
-// mayBeClosedUnread reports whether the node may have closed a connection without reading its request, which came as
-// the node closed it: one that was used before, or one on which its client has rested, as the node ends or for too
-// long. The client has to see an orderly close then.
+// mayBeClosedUnread reports whether the node was allowed to close a connection without reading a request that arrived
+// at the same time. That holds for a reused connection, and for one that stayed idle before its first request for
+// longer than the node has to wait. The latter must be closed with a FIN, which the client sees as an unexpected EOF.
 func (c *client) mayBeClosedUnread(conn net.Conn, used int, cause error) bool {
 	restedLong := c.restedConn == conn && c.rest >= firstRequestGrace
 	mayEnd := c.stopping.Load() || c.rest >= newConnTimeout
 	return used > 0 || restedLong && mayEnd && errors.Is(cause, io.ErrUnexpectedEOF)
 }
 
-// exchange sends one request and reads its response; false where the connection has ended.
+// exchange sends one request and reads its response. It returns false if the connection cannot be used any more.
 func (c *client) exchange(conn net.Conn, used int, n *int) bool {
-	if c.ended.Load() {
+	if c.nodeExited.Load() {
 		return false
 	}
 	*n++
 	id := fmt.Sprintf("%s-%d", c.name, *n)
 	class := []string{searchClass, bookingClass, cancelClass}[c.rng.IntN(3)]
-	deadline := c.longest/3 + time.Duration(c.rng.Int64N(int64(c.longest*2/3)))
+	deadline := c.longestDeadline/3 + time.Duration(c.rng.Int64N(int64(c.longestDeadline*2/3)))
 	text := requestText(id, class, deadline)
 	cut := c.rng.IntN(len(text))
 	if _, err := io.WriteString(conn, text[:cut]); err != nil {
-		return false // the node has closed the connection: it has no complete request
+		return false // the node closed the connection before it had the complete request
 	}
 	if c.rng.IntN(10) == 0 {
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
 	c.history.recordRequest(id, class, deadline)
-	if _, err := io.WriteString(conn, text[cut:]); err != nil { // the same
-		c.history.count("not sent whole")
+	if _, err := io.WriteString(conn, text[cut:]); err != nil { // as above
+		c.history.count("requests not sent completely")
 		return false
 	}
-	if c.rng.Float64() < c.abandons {
+	if c.rng.Float64() < c.abandonRate {
 		time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
 		c.history.recordClose(id)
 		return false
@@ -127,17 +128,17 @@
 	_ = conn.SetReadDeadline(time.Now().Add(deadline + responseSlack))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
-		defer func() { _ = response.Body.Close() }()                 // its end was read, or an error
-		if _, err = io.Copy(io.Discard, response.Body); err != nil { // the client can tell that it failed
-			c.history.count("answers cut short")
+		defer func() { _ = response.Body.Close() }()                 // after the body was read to its end or to an error
+		if _, err = io.Copy(io.Discard, response.Body); err != nil { // the client sees that the response is incomplete
+			c.history.count("responses incomplete")
 			return false
 		}
 	}
 	if err != nil {
-		c.history.recordNoResponse(id, c.mayBeClosedUnread(conn, used, err), c.crowded, err)
+		c.history.recordNoResponse(id, c.mayBeClosedUnread(conn, used, err), c.descriptorsFull, err)
 		return false
 	}
-	unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn)) // 0 where the kernel does not tell
+	unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn)) // 0 if the kernel does not report it
 	c.history.recordResponse(id, response.StatusCode, unread)
 	return !response.Close
 }
@@ -161,10 +162,11 @@
 	return text
 }
 
-// openIdleConns opens connections, some with half a request, which stay open until closeAll.
-func openIdleConns(addr string, size int) (closeAll func()) {
+// openIdleConns opens connections and sends the beginning of a request on every third. They stay open until closeAll
+// is called.
+func openIdleConns(addr string, count int) (closeAll func()) {
 	var conns []net.Conn
-	for i := range size {
+	for i := range count {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			break
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak holds tests alone: one node as a process of its own, terminated and killed at the earliest moment that
-// the operators allow, while clients use their connections to the last and servers fail in many ways. What a run does
-// is drawn from its seed. Results are judged by what clients and servers have recorded, not by what the node reports.
+// Package soak contains only tests. Each runs a node as a separate process, sends it SIGTERM and then SIGKILL as early
+// as the operators' rules allow, while clients keep using their connections and servers fail in many ways. A seed
+// determines what a run does. The tests check what clients and servers recorded, not what the node reports.
 package soak
--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -20,34 +20,34 @@
 	"cobaltward/internal/testkit"
 )
 
-var growthFor = flag.Duration("soak.growth", 10*time.Second, "for how long nodes of two fleet sizes are compared")
+var growthFor = flag.Duration("soak.growth", 10*time.Second, "how long the nodes of two fleet sizes run")
 
-// The usual size of a fleet, and the largest: servers, and nodes that share them.
+// Numbers of servers and nodes in a fleet of the usual and of the largest size.
 const (
 	usualServers, usualNodes     = 200, 300
 	largestServers, largestNodes = 3200, 900
 )
 
 const (
-	growthRate  = 20 // requests a second of the node, at each size
-	growthSteps = 20 // in which half of the servers are replaced
+	growthRate  = 20 // requests per second to the node, at each size
+	growthSteps = 20 // number of steps in which half of the servers are replaced
 	serviceTime = 20 * time.Millisecond
 	kilobyte    = 1 << 10
 	megabyte    = 1 << 20
 )
 
-// resourceUse is what a node used over its run.
-type resourceUse struct {
+// resourceUsage is the resource usage of a node over its run.
+type resourceUsage struct {
 	cpuSeconds, peakMemory, descriptors, connections, listBytes float64
 
-	servedShare float64 // of the requests
+	servedShare float64 // fraction of the requests that were served
 }
 
-// TestGrowth_ResourceUseIsBounded compares a node of the largest fleet with one of the usual size, over the same
-// traffic and with the same part of the servers replaced: the growth of its resource use is bounded.
+// TestGrowth_ResourceUseIsBounded compares a node of a fleet of the largest size with one of the usual size. Both have
+// the same traffic, and half of their servers are replaced. Resource usage may grow only within bounds.
 func TestGrowth_ResourceUseIsBounded(t *testing.T) {
 	binary := buildNode(t)
-	var usual, largest resourceUse
+	var usual, largest resourceUsage
 	t.Run("sizes", func(t *testing.T) {
 		t.Run("usual", func(t *testing.T) {
 			t.Parallel()
@@ -73,19 +73,19 @@
 		{"share not served", 1 - largest.servedShare, 1 - 0.85*usual.servedShare},
 	} {
 		if bound.got > bound.max {
-			t.Errorf("%s: %v, and at most %v wanted", bound.what, bound.got, bound.max)
+			t.Errorf("%s: %v, want at most %v", bound.what, bound.got, bound.max)
 		}
 	}
 }
 
-// fleet is the servers of one size of a fleet, and its discovery service, which sends changes.
+// fleet is the servers of a fleet and its discovery service, which sends changes of the endpoint list.
 type fleet struct {
 	listeners   []net.Listener
 	connections atomic.Int64
 	listBytes   atomic.Int64
 
 	mu      sync.Mutex
-	changes []string // an entry of the list each; its index is its revision less one
+	changes []string // list entries in order of change; the entry at index i is the change to revision i+1
 	changed chan struct{}
 }
 
@@ -106,12 +106,13 @@
 			}
 		},
 	}
-	go func() { _ = server.Serve(listener) }() // until the test's end
+	go func() { _ = server.Serve(listener) }() // returns when the cleanup closes the server
 	t.Cleanup(func() { _ = server.Close() })
 	f.listeners = append(f.listeners, listener)
 }
 
-// publish adds a change of each server in a range. started is when the servers started; zero: before all others.
+// publish adds a change for each server with an index in [from, to). started is the start time of these servers; the
+// zero time means that they started before all others.
 func (f *fleet) publish(from, to int, phase string, started time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +128,8 @@
 	f.changed = make(chan struct{})
 }
 
-// list returns the changes since a revision, or a channel that closes at the next change if there are none.
+// list returns the changes since a revision. If there are none, it returns a channel that is closed at the next
+// change.
 func (f *fleet) list(since int) (list string, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,8 +159,8 @@
 	f.listBytes.Add(int64(n))
 }
 
-// runFleetNode runs one node of a fleet as a process, and returns its resource use.
-func runFleetNode(t *testing.T, binary string, servers, nodes int) (use resourceUse) {
+// runFleetNode runs one node of a fleet as a process, and returns its resource usage.
+func runFleetNode(t *testing.T, binary string, servers, nodes int) (use resourceUsage) {
 	t.Helper()
 	stub := &fleet{changed: make(chan struct{})}
 	for range servers + servers/2 {
@@ -171,11 +173,11 @@
 	node := startNode(t, exec.Command(binary, "serve"), config)
 	pid := node.command.Process.Pid
 
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	var running sync.WaitGroup
 	var sent, served atomic.Int64
-	running.Go(func() { stub.replaceHalf(servers, ended) })
-	running.Go(func() { use.descriptors = maxDescriptors(pid, ended) })
+	running.Go(func() { stub.replaceHalf(servers, done) })
+	running.Go(func() { use.descriptors = maxDescriptors(pid, done) })
 	ticker := time.NewTicker(time.Second / growthRate)
 	for end := time.Now().Add(*growthFor); time.Now().Before(end); <-ticker.C {
 		id := fmt.Sprint("g", sent.Add(1))
@@ -186,32 +188,32 @@
 		})
 	}
 	ticker.Stop()
-	close(ended)
+	close(done)
 	running.Wait()
-	use.cpuSeconds, use.peakMemory = processUse(t, pid)
+	use.cpuSeconds, use.peakMemory = processUsage(t, pid)
 	use.connections, use.listBytes = float64(stub.connections.Load()), float64(stub.listBytes.Load())
 	use.servedShare = float64(served.Load()) / float64(sent.Load())
 	return use
 }
 
-// maxDescriptors samples the open descriptors of a process until ended closes, and returns the maximum.
-func maxDescriptors(pid int, ended <-chan struct{}) (most float64) {
+// maxDescriptors samples the number of open descriptors of a process until done is closed, and returns the maximum.
+func maxDescriptors(pid int, done <-chan struct{}) (most float64) {
 	for {
 		select {
-		case <-ended:
+		case <-done:
 			return most
 		case <-time.After(20 * time.Millisecond):
-			open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // a sample that fails counts as none
+			open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // a failed read counts as zero descriptors
 			most = max(most, float64(len(open)))
 		}
 	}
 }
 
-// replaceHalf replaces half of the servers in steps over the run, or until ended closes.
-func (f *fleet) replaceHalf(servers int, ended <-chan struct{}) {
+// replaceHalf replaces half of the servers in growthSteps steps over the run, unless done is closed before.
+func (f *fleet) replaceHalf(servers int, done <-chan struct{}) {
 	for step := range growthSteps {
 		select {
-		case <-ended:
+		case <-done:
 			return
 		case <-time.After(*growthFor / (growthSteps + 1)):
 		}
@@ -221,13 +223,13 @@
 	}
 }
 
-// requestServed sends a request on a connection of its own, and reports whether it was served.
+// requestServed sends a request on a new connection, and reports whether it was served.
 func requestServed(addr, id string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the response has been read
+	defer func() { _ = conn.Close() }() // an error no longer matters: the response was read
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	write(conn, requestText(id, searchClass, 1500*time.Millisecond))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -237,8 +239,8 @@
 	return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 }
 
-// processUse is the CPU time and the peak memory, in bytes, of a process.
-func processUse(t *testing.T, pid int) (cpuSeconds, peakMemory float64) {
+// processUsage returns the CPU time and the peak memory, in bytes, of a process.
+func processUsage(t *testing.T, pid int) (cpuSeconds, peakMemory float64) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d", pid)
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -246,7 +248,7 @@
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(stat), ") ")
-	const user, system, ticksPerSecond = 11, 12, 100 // fields behind the name
+	const user, system, ticksPerSecond = 11, 12, 100 // indexes of the fields after the process name
 	fields := strings.Fields(rest)
 	for _, field := range []int{user, system} {
 		ticks, err := strconv.Atoi(fields[field])
@@ -267,7 +269,7 @@
 	return cpuSeconds, kilobytes * kilobyte
 }
 
-// buildNode builds the node as it is shipped, without the race detector, which multiplies the use of CPU and memory.
+// buildNode builds the node without the race detector, which would multiply its usage of CPU and memory.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "wayhold")
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Bounds that the operators' terms set, each with some time for a busy machine.
+// Bounds that the operators' rules set, each with some tolerance for a busy machine.
 const (
 	machineSlack  = 150 * time.Millisecond
-	responseSlack = 500*time.Millisecond + machineSlack // after a request's deadline, until its response is lost
-	closeSlack    = 100*time.Millisecond + machineSlack // after a client's close, in which an attempt may begin
-	deadlineSlack = 150*time.Millisecond + machineSlack // of a server's deadline beyond the client's
+	responseSlack = 500*time.Millisecond + machineSlack // time after its deadline in which a request may be answered
+	closeSlack    = 100*time.Millisecond + machineSlack // time after a client's close in which an attempt may arrive
+	deadlineSlack = 150*time.Millisecond + machineSlack // how much longer a server's deadline may be than the client's
 )
 
-// kernelClockTick is the longest tick of the clock by which the kernel keeps the times of a connection.
+// kernelClockTick is the coarsest resolution with which the kernel records the times of a connection.
 const kernelClockTick = 10 * time.Millisecond
 
-// requestRecord is what clients and servers have recorded of one request.
+// requestRecord is what clients and servers have recorded about one request.
 type requestRecord struct {
 	class    string
 	deadline time.Duration
-	sent     time.Time // its last byte was written
-	closedAt time.Time // its client has closed the connection; zero: it has not
+	sent     time.Time // when the client was about to write its last byte
+	closedAt time.Time // when its client closed the connection; zero if the client did not
 	attempts []attemptRecord
-	rejected time.Time // its rejection was read; zero: none was
-	// rejectedAt is when the kernel had the rejection's last byte; the client may have read it late.
+	rejected time.Time // when the client read its rejection; zero if it was not rejected
+	// rejectedAt is when the rejection's last byte arrived in the kernel. The client may have read it later.
 	rejectedAt time.Time
 }
 
@@ -37,8 +37,8 @@
 	notRun bool
 }
 
-// history is what clients and servers of a run have recorded, and what of it violates a rule. It is safe for concurrent
-// use.
+// history is what the clients and servers of a run have recorded, and the violations of rules found in it. Its methods
+// other than addViolationf are safe for concurrent use.
 type history struct {
 	mu         sync.Mutex
 	requests   map[string]*requestRecord
@@ -50,7 +50,7 @@
 	return &history{requests: make(map[string]*requestRecord), counts: make(map[string]int)}
 }
 
-func (h *history) violatef(format string, args ...any) {
+func (h *history) addViolationf(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
@@ -60,7 +60,7 @@
 	h.counts[what]++
 }
 
-// recordRequest records a request whose last byte is about to be written.
+// recordRequest records a request just before its client writes the last byte.
 func (h *history) recordRequest(id, class string, deadline time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,44 +68,45 @@
 	h.counts["requests"]++
 }
 
-// recordClose records that a client closes its connection.
+// recordClose records that a client closes its connection without waiting for the response.
 func (h *history) recordClose(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.requests[id].closedAt = time.Now()
-	h.counts["clients left"]++
+	h.counts["requests abandoned"]++
 }
 
-// recordAttempt records that a server has received a request completely, with a deadline, and returns the number of the
-// attempt. unread is how long before that the kernel had its last byte.
+// recordAttempt records that a server has received a complete request with the given deadline, and returns the index
+// of the attempt. unread is the time between the arrival of the last byte in the kernel and the read.
 func (h *history) recordAttempt(id string, deadline, unread time.Duration) (number int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now, r := time.Now(), h.requests[id]
 	if r == nil {
-		h.violatef("%s was sent by no client", id)
+		h.addViolationf("%s: a server received a request that no client sent", id)
 		return 0
 	}
 	h.counts["attempts"]++
 	if left := r.deadline - now.Sub(r.sent); deadline > left+deadlineSlack {
-		h.violatef("%s: a server got a deadline of %v, its client has %v left", id, deadline, left)
+		h.addViolationf("%s: a server got a deadline of %v, but its client has only %v left", id, deadline, left)
 	}
 	if !r.closedAt.IsZero() && now.Sub(r.closedAt) > closeSlack {
-		h.violatef("%s: an attempt came %v after its client had disconnected", id, now.Sub(r.closedAt))
+		h.addViolationf("%s: an attempt arrived %v after the client had disconnected", id, now.Sub(r.closedAt))
 	}
 	if !r.rejected.IsZero() && !r.arrivedBeforeRejection(now, unread) {
-		h.violatef("%s (%s): an attempt came %v after it was rejected; its last byte had come %v before it was read",
+		h.addViolationf("%s (%s): an attempt was read %v after the rejection; its last byte arrived %v before that",
 			id, r.class, now.Sub(r.rejected), unread)
 	}
 	if r.class == bookingClass && r.mayHaveRun() {
-		h.violatef("%s of a class that must not run twice: attempt %d", id, len(r.attempts))
+		h.addViolationf("%s: non-idempotent, but retried after it may have run: attempt %d", id, len(r.attempts))
 	}
 	r.attempts = append(r.attempts, attemptRecord{at: now})
 	return len(r.attempts) - 1
 }
 
-// arrivedBeforeRejection reports whether the kernel had an attempt before the rejection that was read ahead of it: a
-// server that reads late, at now, has had its last byte for the time unread.
+// arrivedBeforeRejection reports whether an attempt, read by a server at the time now, arrived in the kernel before
+// the rejection of its request did. unread is the time between the arrival of its last byte in the kernel and the
+// read.
 func (r *requestRecord) arrivedBeforeRejection(now time.Time, unread time.Duration) bool {
 	return unread > kernelClockTick && now.Add(-unread).Before(r.rejectedAt.Add(kernelClockTick))
 }
@@ -119,7 +120,7 @@
 	return false
 }
 
-// recordNotRun records that a server is about to respond that an attempt did not run.
+// recordNotRun records, just before the server responds, that an attempt did not run.
 func (h *history) recordNotRun(id string, attempt int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,46 +129,48 @@
 	}
 }
 
-// recordResponse records a complete response. unread is how long the kernel had had its last byte when it was read.
+// recordResponse records a complete response. unread is the time between the arrival of its last byte in the kernel
+// and the read.
 func (h *history) recordResponse(id string, status int, unread time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.requests[id]
 	h.counts[fmt.Sprint("answered ", status)]++
 	if late := time.Since(r.sent) - r.deadline; late > responseSlack {
-		h.violatef("%s: answered with %d, %v after its deadline", id, status, late)
+		h.addViolationf("%s: answered with status %d, %v after its deadline", id, status, late)
 	}
 	if status == 429 || status == 503 {
 		r.rejected = time.Now()
 		r.rejectedAt = r.rejected.Add(-unread)
 		if r.class == bookingClass && r.mayHaveRun() {
-			h.violatef("%s: rejected with %d, and may have run", id, status)
+			h.addViolationf("%s: rejected with status %d, but may have run", id, status)
 		}
 	}
 }
 
-// recordClosedAtRest records that the node closed a connection whose client rested ahead of its first request.
-func (h *history) recordClosedAtRest(allowed bool, rest time.Duration) {
+// recordClosedBeforeFirstRequest records that the node closed a connection while its client rested before the first
+// request. It is a violation unless allowed is set.
+func (h *history) recordClosedBeforeFirstRequest(allowed bool, rest time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.counts["closed at rest"]++
+	h.counts["closed before the first request"]++
 	if !allowed {
-		h.violatef("a connection was closed within %v of rest ahead of its first request", rest)
+		h.addViolationf("a connection was closed while its client rested for %v before its first request", rest)
 	}
 }
 
-// recordNoResponse records that a connection ended without a response. A request that crosses the close of an idle
-// connection may be sent again, if no server has received it; one on a new connection is lost, unless idle clients fill
-// the descriptors: then new connections may be closed unread.
-func (h *history) recordNoResponse(id string, reused, crowded bool, cause error) {
+// recordNoResponse records that a connection ended without a response. That is a violation, unless the connection was
+// closed before any server received the request, and either mayBeClosedUnread or descriptorsFull is set: when idle
+// clients fill the descriptors, the node may close new connections unread.
+func (h *history) recordNoResponse(id string, mayBeClosedUnread, descriptorsFull bool, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.requests[id]
 	closedUnread := !errors.Is(cause, os.ErrDeadlineExceeded) && len(r.attempts) == 0
-	if closedUnread && (reused || crowded) {
+	if closedUnread && (mayBeClosedUnread || descriptorsFull) {
 		h.counts["closed unread"]++
 		return
 	}
-	h.violatef("%s: lost %v after it was sent, of %v; on a connection used before: %v; at %d servers: %v",
-		id, time.Since(r.sent), r.deadline, reused, len(r.attempts), cause)
+	h.addViolationf("%s: no response %v after it was sent (deadline %v); may be closed unread: %v; %d attempts: %v",
+		id, time.Since(r.sent), r.deadline, mayBeClosedUnread, len(r.attempts), cause)
 }
--- a/internal/soak/historycheck_test.go
+++ b/internal/soak/historycheck_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestHistory_AttemptAfterRejection: an attempt read after the rejection of its request violates the rule, unless
-// the kernel had it before it had the rejection, and the server alone was late.
+// TestHistory_AttemptAfterRejection checks that an attempt that a server reads after the rejection of its request
+// counts as a violation, unless it arrived in the kernel before the rejection and the server read it late.
 func TestHistory_AttemptAfterRejection(t *testing.T) {
 	const long = 150 * time.Millisecond
 	for _, test := range []struct {
 		name             string
-		attempt, respond time.Duration // how long the kernel had had the bytes when they were read
+		attempt, respond time.Duration // time between the arrival in the kernel and the read
 		violates         bool
 	}{
 		{"both read at once", 0, 0, true},
@@ -26,7 +26,7 @@
 			h.recordResponse("r1", 503, test.respond)
 			h.recordAttempt("r1", 0, test.attempt)
 			if violates := len(h.violations) > 0; violates != test.violates {
-				t.Errorf("violations %v, want some: %v", h.violations, test.violates)
+				t.Errorf("violations %v, want a violation: %v", h.violations, test.violates)
 			}
 		})
 	}
--- a/internal/soak/nodeprocess_test.go
+++ b/internal/soak/nodeprocess_test.go
@@ -12,16 +12,16 @@
 	"cobaltward/internal/testkit"
 )
 
-// nodeProcess is a node that runs as a process of its own until the test ends.
+// nodeProcess is a node that runs as a separate process until the test ends.
 type nodeProcess struct {
 	t       *testing.T
 	command *exec.Cmd
-	addr    string        // for clients
-	logPath string        // its standard error
-	exited  chan struct{} // closed once the process has ended
+	addr    string        // address for clients
+	logPath string        // file that receives the standard error of the process
+	exited  chan struct{} // closed once the process has exited
 }
 
-// startNode starts a command as a node with a configuration, and waits until it is ready.
+// startNode runs a command as a node with the given configuration, and waits until the node is ready.
 func startNode(t *testing.T, command *exec.Cmd, config string) *nodeProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = log.Close() }() // the process has its own descriptor
+	defer func() { _ = log.Close() }() // the process has its own copy of the descriptor
 	command.Env = append(os.Environ(), nodeEnv+"=1", "ROUTER_CONFIG="+configPath, "TMPDIR="+dir)
 	command.Stderr = log
 	if err := command.Start(); err != nil {
@@ -53,7 +53,7 @@
 	return node
 }
 
-// readAddr takes the node's address from its log, and tells whether it is there.
+// readAddr reads the node's address from its log, and reports whether the log contains it.
 func (n *nodeProcess) readAddr() (found bool) {
 	raw, _ := os.ReadFile(n.logPath)
 	_, rest, found := strings.Cut(string(raw), "msg=listening")
@@ -70,18 +70,18 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // nothing is lost with it
+	defer func() { _ = conn.Close() }() // an error no longer matters: the response was read
 	write(conn, "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	head := make([]byte, len("HTTP/1.1 200"))
 	read, _ := conn.Read(head)
 	return string(head[:read]) == "HTTP/1.1 200"
 }
 
-// signal sends a signal, unless the process has ended.
+// signal sends a signal to the process, unless it has exited.
 func (n *nodeProcess) signal(s syscall.Signal) {
 	select {
 	case <-n.exited:
 	default:
-		_ = n.command.Process.Signal(s) // the process may have ended just now
+		_ = n.command.Process.Signal(s) // it fails if the process has just exited
 	}
 }
--- a/internal/soak/pauses_test.go
+++ b/internal/soak/pauses_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of a pauseSchedule. The operators' pages allow for a node that is held up for 0.15 s.
+// Bounds of the durations in a pauseSchedule. By the operators' rules a node must cope with pauses of up to 0.15 s.
 const (
 	minPause = 5 * time.Millisecond
 	maxPause = 150 * time.Millisecond
@@ -14,28 +14,28 @@
 	maxRun   = 400 * time.Millisecond
 )
 
-// pauseSchedule stops a node and continues it, at times drawn from a seed. Its draws are its own, so that a run does
-// the same with and without it.
+// pauseSchedule repeatedly stops and continues a node's process, at random times. It has its own random generator, so
+// that the rest of a run is the same with and without pauses.
 type pauseSchedule struct {
 	rng   *rand.Rand
-	count int           // pauses so far
-	total time.Duration // of the pauses
+	count int           // number of pauses so far
+	total time.Duration // total length of the pauses so far
 }
 
 func newPauseSchedule(seed uint64) *pauseSchedule {
-	const stream = 3 // of the generators that are seeded by the run's seed
+	const stream = 3 // each generator that is seeded with the run's seed has its own stream
 	return &pauseSchedule{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// run pauses the node until it has ended.
+// run pauses the node again and again until its process exits.
 func (s *pauseSchedule) run(node *nodeProcess) {
 	for {
 		select {
 		case <-node.exited:
 			return
-		case <-time.After(s.between(minRun, maxRun)):
+		case <-time.After(s.randomDuration(minRun, maxRun)):
 		}
-		pause := s.between(minPause, maxPause)
+		pause := s.randomDuration(minPause, maxPause)
 		node.signal(syscall.SIGSTOP)
 		time.Sleep(pause)
 		node.signal(syscall.SIGCONT)
@@ -44,7 +44,7 @@
 	}
 }
 
-// between draws a duration.
-func (s *pauseSchedule) between(shortest, longest time.Duration) time.Duration {
+// randomDuration returns a random duration of at least shortest and less than longest.
+func (s *pauseSchedule) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)))
 }
--- a/internal/soak/servers_test.go
+++ b/internal/soak/servers_test.go
@@ -18,22 +18,22 @@
 	"cobaltward/internal/testkit"
 )
 
-// server is an application server. While it hangs, it answers no request.
+// server is an application server. While hanging is set, it answers no request.
 type server struct {
-	id, addr string
-	history  *history
-	hangs    atomic.Bool
-	faults   float64 // part of the requests that get a fault
+	id, addr  string
+	history   *history
+	hanging   atomic.Bool
+	faultRate float64 // fraction of the requests that get a faulty response
 }
 
 func startServer(t *testing.T, id string, h *history, faults float64) *server {
 	t.Helper()
-	s := &server{id: id, history: h, faults: faults}
+	s := &server{id: id, history: h, faultRate: faults}
 	s.addr = testkit.RawServer(t, s.serve)
 	return s
 }
 
-// serve answers the requests of a connection until a fault ends it.
+// serve answers the requests of a connection until a fault or the node closes it.
 func (s *server) serve(conn net.Conn, in *bufio.Reader) {
 	for {
 		request, err := http.ReadRequest(in)
@@ -44,8 +44,8 @@
 			return
 		}
 		id := request.Header.Get("X-Request-Id")
-		deadlineMs, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms")) // a missing deadline is not too long
-		unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn))        // 0 where the kernel does not tell
+		deadlineMs, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms")) // 0 if missing, which passes the check
+		unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn))        // 0 if the kernel does not report it
 		attempt := s.history.recordAttempt(id, time.Duration(deadlineMs)*time.Millisecond, unread)
 		if !s.answer(conn, in, id, attempt) {
 			return
@@ -53,14 +53,14 @@
 	}
 }
 
-// answer answers one request; false ends the connection.
+// answer answers one request, with a fault in some cases. It returns false to close the connection.
 func (s *server) answer(conn net.Conn, in *bufio.Reader, id string, attempt int) bool {
-	if s.hangs.Load() {
-		_, _ = in.Peek(1) // until the node cancels the attempt
+	if s.hanging.Load() {
+		_, _ = in.Peek(1) // returns when the node cancels the attempt
 		return false
 	}
 	time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
-	if rand.Float64() >= s.faults {
+	if rand.Float64() >= s.faultRate {
 		return write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 	}
 	switch rand.IntN(7) {
@@ -78,7 +78,7 @@
 	case 4: // half a body
 		write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo")
 		return false
-	case 5: // chunked without an end
+	case 5: // a chunked body that never ends
 		for write(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); write(conn, "1\r\nx\r\n"); {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -92,7 +92,7 @@
 	return err == nil
 }
 
-// registry is a discovery service: it holds a call until there is a newer list.
+// registry is a discovery service. It delays the answer to a call until the list changes or the call's wait is over.
 type registry struct {
 	addr string
 
@@ -110,7 +110,7 @@
 	return r
 }
 
-// set makes these servers the list.
+// set replaces the list with the servers and increments its revision.
 func (r *registry) set(servers []*server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +124,7 @@
 	r.changed = make(chan struct{})
 }
 
-// list is the complete list as it is now.
+// list returns the current list in the form of a complete answer.
 func (r *registry) list() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,22 +16,22 @@
 )
 
 var (
-	firstSeed = flag.Uint64("soak.seed", 1, "the seed of the first run")
-	seeds     = flag.Int("soak.seeds", 6, "how many runs")
-	parallel  = flag.Int("soak.together", 3, "how many runs at a time")
-	longRest  = flag.Duration("soak.rest", 4*time.Second, "the longest rest of clients ahead of their first request")
+	firstSeed = flag.Uint64("soak.seed", 1, "seed of the first run")
+	seeds     = flag.Int("soak.seeds", 6, "number of runs, each with its own seed")
+	parallel  = flag.Int("soak.together", 3, "maximum number of concurrent runs")
+	longRest  = flag.Duration("soak.rest", 4*time.Second, "longest idle time of clients before their first request")
 )
 
-// pausedRuns is how many runs TestSoak_PausedNode does for each of -soak.seeds.
+// pausedRuns multiplies -soak.seeds to get the number of runs of TestSoak_PausedNode.
 const pausedRuns = 5
 
-// nodeEnv names the environment variable that makes this binary the node of a run.
+// nodeEnv is the environment variable that makes the test binary run as a node.
 const nodeEnv = "WAYHOLD_SOAK_NODE"
 
-// Times that the operators' pages give.
+// Times that the operators' rules define.
 const (
-	killDelay        = 700 * time.Millisecond // from SIGTERM and the longest deadline to the earliest SIGKILL
-	clientsRoutedFor = 200 * time.Millisecond // the shortest time after SIGTERM in which clients open connections
+	killDelay        = 700 * time.Millisecond // SIGKILL comes no earlier than this plus the longest deadline after SIGTERM
+	clientsRoutedFor = 200 * time.Millisecond // shortest time after SIGTERM in which clients may open connections
 )
 
 func TestMain(m *testing.M) {
@@ -43,29 +43,30 @@
 	os.Exit(m.Run())
 }
 
-// TestSoak_KeepsOperatorsRules does one run for each seed.
+// TestSoak_KeepsOperatorsRules does one run for each seed and checks that the node violates none of the operators'
+// rules, without pauses and without resting clients.
 func TestSoak_KeepsOperatorsRules(t *testing.T) {
 	runSeeds(t, *seeds, func(*soakRun, uint64) {})
 }
 
-// TestSoak_PausedNode does one run for each seed whose node is stopped and continued again and again, as by a host that
-// is suspended. Servers and clients are not.
+// TestSoak_PausedNode does one run for each seed in which SIGSTOP and SIGCONT repeatedly pause the node, as on a host
+// that is suspended. Servers and clients keep running.
 func TestSoak_PausedNode(t *testing.T) {
 	runSeeds(t, pausedRuns**seeds, func(r *soakRun, seed uint64) { r.pauses = newPauseSchedule(seed) })
 }
 
-// TestSoak_RestingClients does one run for each seed with clients that connect and rest before their first request; the
-// node is paused in every second run.
+// TestSoak_RestingClients does one run for each seed with clients that keep their new connections idle for some time
+// before the first request. In every second run the node is also paused.
 func TestSoak_RestingClients(t *testing.T) {
 	runSeeds(t, *seeds, func(r *soakRun, seed uint64) {
-		r.rest = *longRest
+		r.longestRest = *longRest
 		if seed%2 == 0 {
 			r.pauses = newPauseSchedule(seed)
 		}
 	})
 }
 
-// runSeeds does so many runs, one for each seed, which configure may change first.
+// runSeeds does the given number of runs with consecutive seeds. configure is called before each run to adapt it.
 func runSeeds(t *testing.T, runs int, configure func(r *soakRun, seed uint64)) {
 	limit := make(chan struct{}, *parallel)
 	for i := range runs {
@@ -81,27 +82,27 @@
 	}
 }
 
-// soakRun is one node with its servers and clients. All that it does is drawn from its seed.
+// soakRun is a run of one node with its servers and clients. Its random choices depend only on its seed.
 type soakRun struct {
-	t        *testing.T
-	seed     uint64
-	rng      *rand.Rand
-	history  *history
-	servers  []*server
-	registry *registry
-	longest  time.Duration // the deadline of every class
-	node     *nodeProcess
-	pauses   *pauseSchedule // of the node; nil: none
-	rest     time.Duration  // longest rest of resting clients; 0: there are none
-	routed   atomic.Bool    // clients may open connections to the node
-	stopping atomic.Bool    // the node is being terminated
-	ended    atomic.Bool    // the node has ended
+	t               *testing.T
+	seed            uint64
+	rng             *rand.Rand
+	history         *history
+	servers         []*server
+	registry        *registry
+	longestDeadline time.Duration // deadline of every class
+	node            *nodeProcess
+	pauses          *pauseSchedule // pauses of the node; nil: none
+	longestRest     time.Duration  // longest idle time of clients before their first request; 0: no resting clients
+	clientsRouted   atomic.Bool    // clients may open connections to the node
+	stopping        atomic.Bool    // the node is being terminated
+	nodeExited      atomic.Bool    // the node's process has exited
 }
 
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	t.Helper()
 	r := &soakRun{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, seed)), history: newHistory()}
-	r.longest = time.Duration(150+r.rng.IntN(1350)) * time.Millisecond
+	r.longestDeadline = time.Duration(150+r.rng.IntN(1350)) * time.Millisecond
 	for i := range 3 + r.rng.IntN(4) {
 		r.servers = append(r.servers, startServer(t, fmt.Sprint("s", i), r.history, []float64{0, 0.05, 0.3}[r.rng.IntN(3)]))
 	}
@@ -109,20 +110,21 @@
 	return r
 }
 
-// execute starts the node, has clients use it, terminates it, kills it at the earliest moment, and reports violations.
+// execute starts the node and its clients, injects faults, terminates the node, kills it if it has not exited by the
+// earliest time of SIGKILL, and reports violations.
 func (r *soakRun) execute() {
 	r.startNode()
 	var clients, pausing sync.WaitGroup
 	if r.pauses != nil {
 		pausing.Go(func() { r.pauses.run(r.node) })
 	}
-	r.routed.Store(true)
-	crowded, closeIdle := r.rng.IntN(3) == 0, func() {}
-	if r.rest > 0 {
-		r.startRestingClients(&clients, crowded)
-		time.Sleep(r.rest - restOverlap)
+	r.clientsRouted.Store(true)
+	fillDescriptors, closeIdle := r.rng.IntN(3) == 0, func() {}
+	if r.longestRest > 0 {
+		r.startRestingClients(&clients, fillDescriptors)
+		time.Sleep(r.longestRest - restOverlap)
 	}
-	if crowded {
+	if fillDescriptors {
 		closeIdle = openIdleConns(r.node.addr, 40+r.rng.IntN(80))
 	}
 	abandonRates := []float64{0, 0.05, 0.2}
@@ -132,8 +134,9 @@
 		c := &client{
 			name: fmt.Sprint("c", i), addr: r.node.addr, history: r.history,
 			rng: rand.New(rand.NewPCG(clientSeed, 1)), connectRNG: rand.New(rand.NewPCG(clientSeed, 2)),
-			longest: r.longest, routed: &r.routed, stopping: &r.stopping, ended: &r.ended, crowded: crowded,
-			abandons: abandonRates[r.rng.IntN(len(abandonRates))], pause: pauses[r.rng.IntN(len(pauses))],
+			longestDeadline: r.longestDeadline, clientsRouted: &r.clientsRouted,
+			stopping: &r.stopping, nodeExited: &r.nodeExited, descriptorsFull: fillDescriptors,
+			abandonRate: abandonRates[r.rng.IntN(len(abandonRates))], longestPause: pauses[r.rng.IntN(len(pauses))],
 		}
 		clients.Go(c.run)
 	}
@@ -141,40 +144,42 @@
 	r.terminate()
 	clients.Wait()
 	closeIdle()
-	pausing.Wait() // ends with the node
+	pausing.Wait() // the pauses end when the node exits
 	r.report()
 }
 
-// restOverlap is how long before the longest rest the other clients and the faults begin: the first requests of some
-// resting clients come as the node ends.
+// restOverlap is how long before the end of the longest rest the other clients and the faults start. Because of it,
+// some resting clients send their first request while the node shuts down.
 const restOverlap = time.Second
 
-// startRestingClients starts clients that connect now and rest before their first request. Their draws are their own,
-// so that the rest of a run does the same with and without them.
-func (r *soakRun) startRestingClients(clients *sync.WaitGroup, crowded bool) {
+// startRestingClients starts clients that connect now and stay idle before their first request. They have their own
+// random generator, so that the remainder of a run is the same with and without them.
+func (r *soakRun) startRestingClients(clients *sync.WaitGroup, descriptorsFull bool) {
 	const restingClients = 20
-	const stream = 4 // of the generators that are seeded by the run's seed
+	const stream = 4 // each generator that is seeded with the run's seed has its own stream
 	rng := rand.New(rand.NewPCG(r.seed, stream))
 	for i := range restingClients {
 		clientSeed := rng.Uint64()
 		c := &client{
 			name: fmt.Sprint("r", i), addr: r.node.addr, history: r.history,
 			rng: rand.New(rand.NewPCG(clientSeed, 1)), connectRNG: rand.New(rand.NewPCG(clientSeed, 2)),
-			longest: r.longest, routed: &r.routed, stopping: &r.stopping, ended: &r.ended, crowded: crowded,
-			pause: 300 * time.Millisecond, rest: time.Duration(rng.Int64N(int64(r.rest))),
+			longestDeadline: r.longestDeadline, clientsRouted: &r.clientsRouted,
+			stopping: &r.stopping, nodeExited: &r.nodeExited, descriptorsFull: descriptorsFull,
+			longestPause: 300 * time.Millisecond, rest: time.Duration(rng.Int64N(int64(r.longestRest))),
 		}
 		clients.Go(c.run)
 	}
 }
 
-// injectFaults has servers hang and recover, the endpoint list change and the configuration be reloaded, for a while.
+// injectFaults makes servers hang and recover, changes the endpoint list and reloads the configuration at random times
+// for the given duration.
 func (r *soakRun) injectFaults(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(20+r.rng.IntN(80)) * time.Millisecond)
 		switch r.rng.IntN(4) {
 		case 0:
 			s := r.servers[r.rng.IntN(len(r.servers))]
-			s.hangs.Store(!s.hangs.Load())
+			s.hanging.Store(!s.hanging.Load())
 		case 1:
 			r.node.signal(syscall.SIGHUP)
 		case 2:
@@ -183,42 +188,43 @@
 	}
 }
 
-// terminate sends SIGTERM, other signals in series, and SIGKILL at the earliest time that the pages allow.
+// terminate sends SIGTERM, then up to four more SIGHUPs and SIGTERMs, and SIGKILL at the earliest time that the
+// operators' rules allow if the node has not exited before.
 func (r *soakRun) terminate() {
 	if r.rng.IntN(2) == 0 {
 		for _, s := range r.servers {
-			s.hangs.Store(r.rng.IntN(2) == 0)
+			s.hanging.Store(r.rng.IntN(2) == 0)
 		}
 	}
 	terminatedAt := time.Now()
 	r.stopping.Store(true)
 	r.node.signal(syscall.SIGTERM)
-	time.AfterFunc(clientsRoutedFor, func() { r.routed.Store(false) })
-	killAt := terminatedAt.Add(r.longest + killDelay)
+	time.AfterFunc(clientsRoutedFor, func() { r.clientsRouted.Store(false) })
+	killAt := terminatedAt.Add(r.longestDeadline + killDelay)
 	for range r.rng.IntN(5) {
-		time.Sleep(time.Duration(r.rng.Int64N(int64(r.longest / 4))))
+		time.Sleep(time.Duration(r.rng.Int64N(int64(r.longestDeadline / 4))))
 		r.node.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[r.rng.IntN(2)])
 	}
 	select {
 	case <-r.node.exited:
-		r.history.count("ended by itself")
+		r.history.count("exited before SIGKILL")
 	case <-time.After(time.Until(killAt)):
 		r.history.count("killed")
 		r.node.signal(syscall.SIGKILL)
 		<-r.node.exited
 	}
-	r.ended.Store(true)
-	r.routed.Store(false)
+	r.nodeExited.Store(true)
+	r.clientsRouted.Store(false)
 }
 
-// report fails the test for each violation of a rule, and shows the log of the node.
+// report reports up to ten violations as test errors, and logs the node's log if there are any.
 func (r *soakRun) report() {
 	history := r.history
 	history.mu.Lock()
 	defer history.mu.Unlock()
-	r.t.Logf("longest deadline %v: %v", r.longest, history.counts)
+	r.t.Logf("longest deadline %v, event counts: %v", r.longestDeadline, history.counts)
 	if r.pauses != nil {
-		r.t.Logf("the node was paused %d times, for %v in all", r.pauses.count, r.pauses.total)
+		r.t.Logf("the node was paused %d times, for %v in total", r.pauses.count, r.pauses.total)
 	}
 	if len(history.violations) == 0 {
 		return
@@ -226,22 +232,22 @@
 	for _, violation := range history.violations[:min(len(history.violations), 10)] {
 		r.t.Error(violation)
 	}
-	log, _ := os.ReadFile(r.node.logPath) // without it the violations are still reported
+	log, _ := os.ReadFile(r.node.logPath) // if it cannot be read, the violations are still reported
 	r.t.Logf("%d violations; the node's log:\n%s", len(history.violations), log)
 }
 
-// restingDescriptors are added for runs with resting clients: none of these is evicted, unless idle clients fill the
-// node's descriptors.
+// restingDescriptors is the number of descriptors that a node gets in addition in runs with resting clients. It keeps
+// the node from evicting their connections, unless idle clients fill its descriptors.
 const restingDescriptors = 256
 
-// startNode starts this test's own binary as the node.
+// startNode starts the test binary as the node.
 func (r *soakRun) startNode() {
 	r.t.Helper()
 	descriptors := 64 + r.rng.IntN(4)*64
-	if r.rest > 0 {
+	if r.longestRest > 0 {
 		descriptors += restingDescriptors
 	}
-	config := fmt.Sprintf(configFormat, r.registry.addr, descriptors, r.registry.list(), r.longest.Milliseconds())
+	config := fmt.Sprintf(configFormat, r.registry.addr, descriptors, r.registry.list(), r.longestDeadline.Milliseconds())
 	r.node = startNode(r.t, exec.Command(os.Args[0]), config)
 }
 
