--- a/internal/conformance/alloc_test.go
+++ b/internal/conformance/alloc_test.go
@@ -11,11 +11,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// benchmarkRequest has the number of requests and the request's index for its ID.
+// benchmarkRequest is the format of a request, whose ID consists of the number of requests and the request's index.
 const benchmarkRequest = "GET /api?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d-%d\r\nX-Class: read\r\n" +
 	"X-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 
-// answerHeads answers each request head, and expects no bodies.
+// answerHeads sends a response after each request head. It does not read bodies.
 func answerHeads(conn net.Conn, in *bufio.Reader) {
 	response := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	for {
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkRequest sends one request after the other through a build, on one loopback connection. Allocations are those
-// of the process, the plain client and server included.
+// BenchmarkRequest sends one request after another through each build, on one loopback connection. The reported
+// allocations are those of the whole process, which includes the client and the server.
 func BenchmarkRequest(b *testing.B) {
 	addr := testkit.RawServer(b, answerHeads)
 	for _, build := range builds {
--- a/internal/conformance/connections_test.go
+++ b/internal/conformance/connections_test.go
@@ -15,7 +15,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// An attempt is cancelled once its client has disconnected.
+// When a client disconnects, the node must cancel the attempt of its request.
 func testClientDisconnectCancelsAttempt(t *testing.T, b build) {
 	received, cancelled := make(chan struct{}), make(chan struct{})
 	addr := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -25,7 +25,7 @@
 		close(cancelled)
 	})
 	config := testConfig(t, knownList(addr))
-	for i := range config.Settings.Classes { // the deadline is far off, so that nothing else ends the attempt
+	for i := range config.Settings.Classes { // a long deadline, so that nothing else ends the attempt
 		config.Settings.Classes[i].Deadline = time.Hour
 	}
 	node, _ := b.start(t, config)
@@ -43,8 +43,9 @@
 	testkit.Receive(t, "its cancellation", cancelled)
 }
 
-// holdServer runs a server that answers the request "slow" once release is closed, and others at once.
-func holdServer(t *testing.T) (addr string, received <-chan struct{}, release chan<- struct{}) {
+// startBlockingServer runs a server that answers the request with the ID "slow" once release is closed, and others at
+// once. It sends a value to received when it gets the request "slow".
+func startBlockingServer(t *testing.T) (addr string, received <-chan struct{}, release chan<- struct{}) {
 	t.Helper()
 	hold, held := make(chan struct{}), make(chan struct{}, 2)
 	addr = testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -56,13 +57,13 @@
 	return addr, held, hold
 }
 
-// slowResponse is what a client gets for the request "slow"; the zero value is for none.
+// slowResponse is the response to the request "slow", or the zero value if there was none.
 type slowResponse struct {
 	status int
 	closes bool // the response announces the close of the connection
 }
 
-// sendSlow sends the request "slow" by a client, and returns a channel for its response.
+// sendSlow sends the request "slow", and returns a channel that receives its response.
 func sendSlow(t *testing.T, client *http.Client, node string) <-chan slowResponse {
 	t.Helper()
 	responses := make(chan slowResponse, 1)
@@ -79,10 +80,10 @@
 	return responses
 }
 
-// Clients that connect without a request, or keep idle connections, do not keep others from being accepted, and no
-// connection with an open request is evicted for them.
+// More clients than the node has slots connect and send nothing, or keep their connections idle after a request. The
+// node must evict idle connections to accept new ones, but none with an open request.
 func testIdleConnectionsAreEvicted(t *testing.T, b build) {
-	addr, received, release := holdServer(t)
+	addr, received, release := startBlockingServer(t)
 	config := testConfig(t, knownList(addr))
 	config.MaxDescriptors = minDescriptors
 	node, _ := b.start(t, config)
@@ -97,22 +98,23 @@
 		}
 		defer func() { _ = conn.Close() }()
 		idle = append(idle, conn)
-		if i%2 == 0 { // sends one request, and keeps its connection
+		if i%2 == 0 { // sends one request and then keeps the connection idle
 			requestOnce(t, node, conn, i)
 		}
 	}
 	_ = idle[0].SetReadDeadline(time.Now().Add(headerTimeout / 2))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection idle for longest is still open: %v", err)
+		t.Errorf("the connection that was idle for longest was not evicted: %v", err)
 	}
 	close(release)
 	releasedAfter := time.Since(sentAt)
 	if resp := testkit.Receive(t, "the slow response", slow); resp.status != 200 {
-		t.Errorf("the request that was open: %d; its server was released %v after it was sent", resp.status, releasedAfter)
+		t.Errorf("the open request got status %d, want 200; its server responded %v after it was sent",
+			resp.status, releasedAfter)
 	}
 }
 
-// requestOnce has a request served on a connection.
+// requestOnce sends a request on a connection and checks that it is served.
 func requestOnce(t *testing.T, node string, conn net.Conn, i int) {
 	t.Helper()
 	if err := clientRequest(t, node, "GET", "read", fmt.Sprint("once", i), "").Write(conn); err != nil {
@@ -120,12 +122,12 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("request %d: %v, %v", i, resp, err)
+		t.Fatalf("request %d: response %v, error %v; want status 200", i, resp, err)
 	}
 	_ = resp.Body.Close()
 }
 
-// incompleteRequests are what bad clients send before they stay silent; %d is for an ID.
+// incompleteRequests returns what faulty clients send before they stop sending. %d is replaced by a number for the ID.
 func incompleteRequests() []string {
 	const head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: pay\r\nX-Tenant: t\r\n" +
 		"X-Deadline-Ms: 8000\r\n"
@@ -139,8 +141,8 @@
 	}
 }
 
-// A client that sends an incomplete request soon gets a response or a close. The timeout for that does not end a
-// complete request that waits for its response.
+// If a client sends an incomplete request, the node must answer it or close the connection after a timeout. The
+// timeout must not apply to a complete request that waits for its response.
 func testHeaderTimeoutBoundsRequestsOnly(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {
 		time.Sleep(headerTimeout + 200*time.Millisecond)
@@ -164,29 +166,30 @@
 		}()
 	}
 	if resp := do(t, clientRequest(t, node, "POST", "pay", "good", "sum")); resp.status != http.StatusOK {
-		t.Errorf("the good client: %d", resp.status)
+		t.Errorf("the complete request got status %d, want 200", resp.status)
 	}
 	for range incomplete {
-		got := testkit.Receive(t, "the end of a bad client's connection", ended)
+		got := testkit.Receive(t, "the end of an incomplete request's connection", ended)
 		if got != "" && !strings.HasPrefix(got, "HTTP/1.1 4") {
-			t.Errorf("answered %.80q", got)
+			t.Errorf("response %.80q to an incomplete request, want a 4xx status or none", got)
 		}
 	}
 }
 
-// A node that shuts down accepts requests for a while, answers those that are open, and exits.
+// A node that shuts down must report that it is not ready, accept connections for as long as clients may still be
+// routed to it, answer open requests, and then exit.
 func testGracefulShutdown(t *testing.T, b build) {
-	addr, received, release := holdServer(t)
+	addr, received, release := startBlockingServer(t)
 	node, stop := b.start(t, testConfig(t, knownList(addr)))
-	client := &http.Client{Transport: &http.Transport{}} // keeps its connections
+	client := &http.Client{Transport: &http.Transport{}} // keeps idle connections open
 	defer client.CloseIdleConnections()
 	slow := sendSlow(t, client, node)
 	testkit.Receive(t, "the slow request", received)
 	exited, began := make(chan error, 1), time.Now()
 	go func() { exited <- stop() }()
-	testkit.Await(t, "a node that isn't ready", func() bool { return isUnready(node) })
+	testkit.Await(t, "the node to be unready", func() bool { return isUnready(node) })
 	expectServedAndKept(t, client, node)
-	testkit.Await(t, "the end of accepting", func() bool {
+	testkit.Await(t, "the node to refuse connections", func() bool {
 		conn, err := net.Dial("tcp", node)
 		if err == nil {
 			_ = conn.Close()
@@ -194,23 +197,23 @@
 		return err != nil
 	})
 	if took := time.Since(began); took < 400*time.Millisecond {
-		t.Errorf("accepted for %v only: clients are routed to the node for longer", took)
+		t.Errorf("the node accepted connections for only %v, want at least 400 ms", took)
 	}
 	select {
 	case err := <-exited:
-		t.Fatalf("ended with a request open: %v", err)
+		t.Fatalf("the node exited while a request was open: %v", err)
 	default:
 	}
 	close(release)
 	if resp := testkit.Receive(t, "the slow response", slow); resp.status != 200 || !resp.closes {
-		t.Errorf("the request that was open: %d, ends its connection: %v", resp.status, resp.closes)
+		t.Errorf("the open request: status %d, closes its connection: %v; want 200 and true", resp.status, resp.closes)
 	}
 	if err := testkit.Receive(t, "the node's exit", exited); err != nil {
 		t.Error(err)
 	}
 }
 
-// isUnready tells whether a node answers, and says that it is not ready.
+// isUnready reports whether a node answers the readiness check with 503.
 func isUnready(node string) bool {
 	resp, err := oneShotClient().Get("http://" + node + readyPath)
 	if err != nil {
@@ -220,8 +223,8 @@
 	return resp.StatusCode == http.StatusServiceUnavailable
 }
 
-// expectServedAndKept checks that a node that shuts down serves a client, and keeps its connection: there may be no
-// other node yet.
+// expectServedAndKept checks that a node that is shutting down serves a request without closing its connection: the
+// client may have no other node to connect to yet.
 func expectServedAndKept(t *testing.T, client *http.Client, node string) {
 	t.Helper()
 	resp, err := client.Do(clientRequest(t, node, "GET", "read", "late", ""))
@@ -230,6 +233,7 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("a request to a node that shuts down: %d, ends its connection: %v", resp.StatusCode, resp.Close)
+		t.Errorf("a request during the shutdown: status %d, closes its connection: %v; want 200 and false",
+			resp.StatusCode, resp.Close)
 	}
 }
--- a/internal/conformance/requests_test.go
+++ b/internal/conformance/requests_test.go
@@ -17,7 +17,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// A request of each class is forwarded with its method, path, query, body, ID and key.
+// A request of each class must be forwarded with its method, path, query, body, ID and idempotency key.
 func testServesEachClass(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -38,7 +38,7 @@
 	}
 }
 
-// invalidRequest is a request that its client must not send, and the status that it gets.
+// invalidRequest is an invalid request and the status with which it must be answered.
 type invalidRequest struct {
 	method, class, body string
 	headers             []string
@@ -68,7 +68,7 @@
 	}
 }
 
-// An invalid request is answered as malformed and reaches no server.
+// An invalid request must be rejected with a 4xx status and reach no server. Its ID must stay usable for a valid one.
 func testInvalidRequestsReachNoServer(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -80,18 +80,18 @@
 		}
 		req := clientRequest(t, node, invalid.method, invalid.class, "r1", invalid.body, invalid.headers...)
 		if resp := do(t, req); resp.status != invalid.want {
-			t.Errorf("%s: %d, want %d", name, resp.status, invalid.want)
+			t.Errorf("%s: status %d, want %d", name, resp.status, invalid.want)
 		}
 	}
 	if n := reached.Load(); n != 0 {
 		t.Errorf("%d requests reached the server", n)
 	}
 	if resp := do(t, clientRequest(t, node, "GET", "read", "r1", "")); resp.status != 200 {
-		t.Errorf("a good request with that id afterwards: %d", resp.status)
+		t.Errorf("a valid request with the same ID: status %d, want 200", resp.status)
 	}
 }
 
-// A Content-Length over the maximum is rejected without a byte of the body.
+// A Content-Length above the maximum must be rejected before any byte of the body arrives.
 func testTooLongBodyIsRejectedByLength(t *testing.T, node, name string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", node)
@@ -105,11 +105,11 @@
 	}
 	got := make([]byte, 12)
 	if _, _ = io.ReadFull(conn, got); string(got) != "HTTP/1.1 413" {
-		t.Errorf("%s: %q", name, got)
+		t.Errorf("%s: response %q, want status 413", name, got)
 	}
 }
 
-// A tenant over its quota is rejected at once with a Retry-After.
+// Requests of a tenant that exceeds its quota must be rejected with a Retry-After header.
 func testRejectionHasRetryAfter(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := b.start(t, testConfig(t, knownList(addr)))
@@ -120,14 +120,14 @@
 		}
 		wait, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64)
 		if resp.status != http.StatusTooManyRequests || err != nil || wait < 1 {
-			t.Errorf("%d, Retry-After %q", resp.status, resp.header.Get("Retry-After"))
+			t.Errorf("status %d, Retry-After %q; want 429 and at least 1", resp.status, resp.header.Get("Retry-After"))
 		}
 		return
 	}
-	t.Error("a tenant with almost no quota was never rejected")
+	t.Error("no request of a tenant with almost no quota was rejected")
 }
 
-// A non-idempotent request that may have run is neither retried nor answered as rejected.
+// A non-idempotent request that may have run must be neither retried nor answered as rejected.
 func testNonIdempotentRequestIsNotRetried(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -138,14 +138,14 @@
 	node, _ := b.start(t, testConfig(t, knownList(addr, addr)))
 	resp := do(t, clientRequest(t, node, "POST", "pay", "r1", "sum"))
 	if s := resp.status; s < 400 || s == http.StatusTooManyRequests || s == http.StatusServiceUnavailable {
-		t.Errorf("status %d, want a failure that promises nothing", s)
+		t.Errorf("status %d, want a failure after which the request may have run", s)
 	}
 	if n := reached.Load(); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("%d attempts reached the servers, want 1", n)
 	}
 }
 
-// No input panics the node: after malformed input of each kind it still serves.
+// No malformed input may crash the node: it must still serve requests afterwards.
 func testMalformedInput(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := b.start(t, testConfig(t, knownList(addr)))
@@ -160,23 +160,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(conn, input) // the node may close before all is written
+		_, _ = io.WriteString(conn, input) // the node may close the connection before all is written
 		_ = conn.(*net.TCPConn).CloseWrite()
 		got := readToEnd(t, input, conn)
 		if len(got) > 0 && !strings.HasPrefix(got, "HTTP/1.1 4") && !strings.HasPrefix(got, "HTTP/1.1 5") {
-			t.Errorf("%.40q: answered %.60q", input, got)
+			t.Errorf("input %.40q: response %.60q, want a 4xx or 5xx status", input, got)
 		}
 	}
 	if resp := do(t, clientRequest(t, node, "GET", "read", "r1", "")); resp.status != 200 {
-		t.Errorf("status %d", resp.status)
+		t.Errorf("a valid request after malformed input: status %d, want 200", resp.status)
 	}
 }
 
-// smuggledRequest is what the malformed requests below try to have taken for a request of its own.
+// smuggledRequest is placed in or behind the malformed requests below, which try to have it processed as a request.
 const smuggledRequest = "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: inner\r\nX-Class: read\r\nX-Tenant: t\r\n" +
 	"X-Deadline-Ms: 8000\r\n\r\n"
 
-// smugglingRequests are requests whose framing is ambiguous or invalid, each with a request behind it.
+// smugglingRequests returns requests whose framing is ambiguous or invalid, each followed by another request.
 func smugglingRequests() map[string]string {
 	const (
 		post   = "POST /api HTTP/1.1\r\n"
@@ -202,8 +202,8 @@
 	}
 }
 
-// net/http ignores Content-Length where a transfer coding is given too, and reads a request out of what the length
-// calls the body. No request of such a connection may reach a server.
+// net/http ignores Content-Length if the request also has a transfer coding, and reads a second request out of what is
+// the body according to Content-Length. No request from such a connection may reach a server.
 func testSmuggledRequestsReachNoServer(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -214,31 +214,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(conn, raw) // the node may close before all is written
+		_, _ = io.WriteString(conn, raw) // the node may close the connection before all is written
 		got := readToEnd(t, name, conn)
-		if b.anyFraming && name == "chunked" { // a request behind the last chunk is valid
+		if b.anyFraming && name == "chunked" { // the build accepts chunked bodies and pipelined requests
 			if n := reached.Swap(0); n != 2 || strings.Count(got, "HTTP/1.1 200") != 2 {
-				t.Errorf("%s: %d requests reached the server, answered %.120q", name, n, got)
+				t.Errorf("%s: %d requests reached the server, response %.120q; want 2", name, n, got)
 			}
 			continue
 		}
 		if len(got) > 0 && !rejection.MatchString(got) || strings.Count(got, "HTTP/1.") > 1 {
-			t.Errorf("%s: answered %.120q", name, got)
+			t.Errorf("%s: response %.120q, want at most one, with a 4xx or 5xx status", name, got)
 		}
 		if n := reached.Swap(0); n != 0 {
-			t.Errorf("%s: %d requests reached the server", name, n)
+			t.Errorf("%s: %d requests reached the server, want none", name, n)
 		}
 	}
 }
 
-// readToEnd reads a connection until the node closes it, which must come, and closes it.
+// readToEnd reads from a connection until the node closes it, and then closes it. It reports an error if the node
+// keeps the connection open.
 func readToEnd(t *testing.T, input string, conn net.Conn) string {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(long))
+	_ = conn.SetReadDeadline(time.Now().Add(maxWait))
 	got, err := io.ReadAll(conn)
 	_ = conn.Close()
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-		t.Errorf("%.40q: the connection stays open", input)
+		t.Errorf("input %.40q: the node did not close the connection", input)
 	}
 	return string(got)
 }
--- a/internal/conformance/script_test.go
+++ b/internal/conformance/script_test.go
@@ -16,24 +16,25 @@
 	"cobaltward/internal/testkit"
 )
 
-// The ID of each request of the script names the servers' reaction to its first attempt, after a dash, so that it is
-// the same whichever server gets the attempt.
+// Sizes of the script. The part of a request's ID after the dash names the servers' reaction to its first attempt, so
+// that the reaction is the same whichever server gets the attempt.
 const (
 	scriptLength  = 2000
 	scriptServers = 6
-	scriptClients = 8 // each sends its part of the script in order
+	scriptClients = 8 // each sends every eighth request of the script, in order
 )
 
-// scriptedCluster is the servers of a script, and a discovery service, which drains one of them half-way.
+// scriptedCluster is the servers of a script and a discovery service. The service lists one of the servers as draining
+// when half of the script has been sent.
 type scriptedCluster struct {
 	t     *testing.T
 	addrs []string
 
-	mu         sync.Mutex
-	executions map[string]int // complete attempts that were not rejected, by request ID
-	attempts   map[string]int // by request ID
-	drainedAt  time.Time      // when discovery sent the drain of the last server
-	late       int            // attempts at it after the grace
+	mu                 sync.Mutex
+	executions         map[string]int // number of complete attempts that were not rejected, by request ID
+	attempts           map[string]int // number of complete attempts, by request ID
+	drainedAt          time.Time      // when discovery sent the drain of the last server
+	attemptsAfterGrace int            // number of attempts at the draining server after the grace
 }
 
 func newScriptedCluster(t *testing.T) *scriptedCluster {
@@ -55,7 +56,7 @@
 	return cluster
 }
 
-// count counts an attempt at a server, and tells whether it is the request's first.
+// count counts an attempt at a server, and reports whether it is the first attempt of the request.
 func (c *scriptedCluster) count(server int, id, reaction string) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,12 +66,12 @@
 		c.executions[id]++
 	}
 	if server == scriptServers-1 && !c.drainedAt.IsZero() && time.Since(c.drainedAt) > 500*time.Millisecond {
-		c.late++
+		c.attemptsAfterGrace++
 	}
 	return first
 }
 
-// serve answers one attempt; false ends the connection.
+// serve answers one attempt with the reaction that its ID names. It returns false to close the connection.
 func (c *scriptedCluster) serve(server int, conn net.Conn, req *http.Request) (open bool) {
 	id := req.Header.Get("X-Request-Id")
 	_, reaction, _ := strings.Cut(id, "-")
@@ -92,7 +93,7 @@
 		}
 	}
 	if reaction == "hang" {
-		_, _ = conn.Read(make([]byte, 1)) // until the attempt is cancelled
+		_, _ = conn.Read(make([]byte, 1)) // returns when the attempt is cancelled
 		return false
 	}
 	body := "done " + id
@@ -100,7 +101,8 @@
 	return err == nil
 }
 
-// discovery runs a discovery service. Once drain is closed it answers watches with the drain of the last server.
+// discovery runs a discovery service. Once drain is closed, it answers watches with a list in which the last server is
+// draining.
 func (c *scriptedCluster) discovery(drain <-chan struct{}) (addr string) {
 	const update = `{"revision":8,"complete":false,"members":[{"id":"s%d","host_port":%q,"locality":"a","flavor":"k",` +
 		`"cell":1,"phase":"draining","up_since_ms":0}]}`
@@ -121,32 +123,33 @@
 	})
 }
 
-// scriptedRequest is one request and the outcome that it must have.
+// scriptedRequest is a request of the script and the outcome that it must have.
 type scriptedRequest struct {
 	id, class, tenant string
 	deadline          int // in ms
 	want              string
 }
 
-// script returns the requests: most are plain, one in ten meets a fault on its first attempt.
+// script returns the requests of the script. Most are served normally; for one in ten the server that gets the first
+// attempt injects a fault.
 func script() (requests []scriptedRequest) {
 	reactions := []string{"error", "full", "reset", "half", "slow"}
 	classes := []string{"read", "pay", "undo"}
-	tiny := 0
+	tinyTenantRequests := 0
 	for i := range scriptLength {
 		req := scriptedRequest{class: classes[i%3], tenant: "t", deadline: 8000, want: "served"}
 		reaction := "plain"
 		switch {
-		case i%400 == 399: // an ID that was used before, by a plain request of the same client
+		case i%400 == 399: // reuses the ID of an earlier request of the same client
 			before := requests[i-scriptClients*2]
 			req.id, req.class, req.want = before.id, before.class, "conflict"
 			requests = append(requests, req)
 			continue
 		case i%200 == 199:
 			req.class, req.want = "other", "malformed"
-		case i%200 == 96 && tiny < 8: // all of one client, so that their order is given
+		case i%200 == 96 && tinyTenantRequests < 8: // the same client sends all of these, so their order is fixed
 			req.tenant, req.class = "tiny", "read"
-			if tiny++; tiny > 3 {
+			if tinyTenantRequests++; tinyTenantRequests > 3 {
 				req.want = "refused"
 			}
 		case i%100 == 51:
@@ -163,13 +166,13 @@
 	return requests
 }
 
-// outcome names a response's outcome as the protocol does.
+// outcome returns the name of a response's outcome, as in the protocol, or a description of an invalid response.
 func outcome(resp *http.Response, body, id string) string {
 	switch status := resp.StatusCode; {
 	case status == 200 && body == "done "+id:
 		return "served"
 	case status == 200:
-		return "served with a body that no server sent for it"
+		return "served with an unexpected body"
 	case status == 429 || status == 503:
 		if wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || wait < 1 {
 			return "refused without a valid Retry-After"
@@ -183,7 +186,8 @@
 	return "failed"
 }
 
-// run sends the script to an address, has the last server drained half-way, and returns the outcome of each request.
+// run sends the script to an address and returns the outcome of each request by its index. When half of the script has
+// been sent, it closes drain.
 func (c *scriptedCluster) run(addr string, drain chan<- struct{}) map[int]string {
 	requests, outcomes := script(), make(map[int]string)
 	var clients sync.WaitGroup
@@ -227,9 +231,9 @@
 	return outcome(resp, string(raw), scripted.id)
 }
 
-// TestScript_SameOutcomesOnAllBuilds sends 2,000 requests to failing, slow, draining and resetting servers through
-// every build: each request has the same outcome on all, no booking runs twice, and no attempt goes to the server that
-// drains.
+// TestScript_SameOutcomesOnAllBuilds sends the same 2,000 requests through every build to servers that fail, respond
+// slowly, reset connections or are draining. Each request must have the same outcome on all builds, no booking may run
+// twice, and no attempt may go to a draining server after the grace.
 func TestScript_SameOutcomesOnAllBuilds(t *testing.T) {
 	results := make([]map[int]string, len(builds))
 	t.Run("builds", func(t *testing.T) {
@@ -243,7 +247,8 @@
 	for n := 1; n < len(builds); n++ {
 		for i := range scriptLength {
 			if results[n][i] != results[0][i] {
-				t.Errorf("request %d: %s on %s, %s on %s", i, results[n][i], builds[n].name, results[0][i], builds[0].name)
+				t.Errorf("request %d: outcome %s on %s, but %s on %s",
+					i, results[n][i], builds[n].name, results[0][i], builds[0].name)
 			}
 		}
 	}
@@ -251,11 +256,11 @@
 	for _, outcome := range results[0] {
 		counts[outcome]++
 	}
-	table, _ := json.Marshal(counts) // a map of strings to numbers can be encoded
-	t.Logf("of %d requests on each build: %s", scriptLength, table)
+	table, _ := json.Marshal(counts) // encoding a map of strings to integers cannot fail
+	t.Logf("outcomes of %d requests on each build: %s", scriptLength, table)
 }
 
-// testScript sends the script through a build, and returns the outcomes.
+// testScript sends the script through a build, checks the outcomes and returns them.
 func testScript(t *testing.T, b build) map[int]string {
 	t.Helper()
 	testkit.LogPausesOnFailure(t)
@@ -269,15 +274,16 @@
 	defer cluster.mu.Unlock()
 	for i, req := range script() {
 		if got := outcomes[i]; got != req.want {
-			t.Errorf("request %d %s of %s: %s, want %s; %d attempts, executed %d times",
+			t.Errorf("request %d, ID %s, class %s: outcome %s, want %s; %d attempts, %d executions",
 				i, req.id, req.class, got, req.want, cluster.attempts[req.id], cluster.executions[req.id])
 		}
 		if n := cluster.executions[req.id]; req.class == "pay" && n > 1 {
 			t.Errorf("booking %s ran %d times", req.id, n)
 		}
 	}
-	if cluster.drainedAt.IsZero() || cluster.late > 0 {
-		t.Errorf("drained at %v, %d attempts after the grace", cluster.drainedAt, cluster.late)
+	if cluster.drainedAt.IsZero() || cluster.attemptsAfterGrace > 0 {
+		t.Errorf("the last server was drained at %v and got %d attempts after the grace, want none",
+			cluster.drainedAt, cluster.attemptsAfterGrace)
 	}
 	return outcomes
 }
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -1,10 +1,11 @@
-// Package conformance holds the daemon's suite, which runs unchanged over every build that serves clients: the daemon,
+// Package conformance contains a test suite that runs unchanged against every build that serves clients: the daemon
 // with and without TLS, the net/http middleware and the gin middleware.
 package conformance
 
 import "testing"
 
-// TestSuite runs every case over every build. The cases wait more than they compute, so they run in parallel.
+// TestSuite runs every case against every build, except those that a build excludes with a reason. The cases mostly
+// wait, so they run in parallel.
 func TestSuite(t *testing.T) {
 	cases := []struct {
 		name string
@@ -26,7 +27,7 @@
 			t.Parallel()
 			for _, c := range cases {
 				t.Run(c.name, func(t *testing.T) {
-					if why := b.except[c.name]; why != "" {
+					if why := b.exceptions[c.name]; why != "" {
 						t.Skip(why)
 					}
 					t.Parallel()
--- a/internal/conformance/support_test.go
+++ b/internal/conformance/support_test.go
@@ -27,26 +27,27 @@
 )
 
 const (
-	long      = testkit.MaxWait
+	maxWait   = testkit.MaxWait
 	readyPath = "/health/ready"
 
-	// The bounds that the suite expects of a build.
+	// Limits and timeouts that every build must have.
 	maxBody        = 64 << 10
 	maxID          = 128
 	headerTimeout  = 2500 * time.Millisecond
 	minDescriptors = 64
-	maxClients     = 16 // client connections of a node with minDescriptors
+	maxClients     = 16 // maximum number of client connections with minDescriptors
 	maxHeader      = 16 << 10
 )
 
-// build is what the suite runs against: something that serves clients at an address.
+// build is a way of serving clients that the suite tests.
 type build struct {
 	name string
-	// serve serves on the listener until ctx ends, then shuts down gracefully.
+	// serve serves clients on the listener until ctx is cancelled, then shuts down gracefully.
 	serve func(ctx context.Context, c node.Config, ln net.Listener) error
-	// except names the cases that do not apply to the build, with the reason; docs/library.md lists them.
-	except map[string]string
-	// anyFraming says that the build forwards bodies of any size and every framing of HTTP/1.1.
+	// exceptions maps the names of cases that do not apply to the build to the reason. docs/library.md lists them.
+	exceptions map[string]string
+	// anyFraming says that the build forwards bodies of more than maxBody bytes and every framing of HTTP/1.1, such as
+	// chunked bodies.
 	anyFraming bool
 }
 
@@ -55,16 +56,17 @@
 		return node.Run(ctx, c, ln, nil, slog.New(slog.DiscardHandler))
 	}},
 	{name: "daemon with TLS", anyFraming: true, serve: serveWithTLS},
-	{name: "middleware", except: hostOwnsListener, serve: serveMiddleware},
-	{name: "gin", except: hostOwnsListener, serve: serveGin},
+	{name: "middleware", exceptions: hostOwnsListener, serve: serveMiddleware},
+	{name: "gin", exceptions: hostOwnsListener, serve: serveGin},
 }
 
 func serveMiddleware(ctx context.Context, c node.Config, ln net.Listener) error {
-	return host(ctx, c, ln, func(f *middleware.Frontend, app http.Handler) http.Handler { return f.Handler(app) })
+	return serveApplication(ctx, c, ln,
+		func(f *middleware.Frontend, app http.Handler) http.Handler { return f.Handler(app) })
 }
 
 func serveGin(ctx context.Context, c node.Config, ln net.Listener) error {
-	return host(ctx, c, ln, func(f *middleware.Frontend, app http.Handler) http.Handler {
+	return serveApplication(ctx, c, ln, func(f *middleware.Frontend, app http.Handler) http.Handler {
 		gin.SetMode(gin.ReleaseMode)
 		engine := gin.New()
 		engine.Use(ginmw.New(f))
@@ -74,12 +76,12 @@
 }
 
 var hostOwnsListener = map[string]string{
-	"IdleConnectionsAreEvicted": "the host owns its listener, and with it the number of its clients' connections",
+	"IdleConnectionsAreEvicted": "the application owns the listener, so the middleware cannot limit its connections",
 }
 
-// host runs an application with the middleware in it: its own net/http server, its own pages, and the engine shut down
-// with it gracefully.
-func host(
+// serveApplication runs an application that embeds the middleware. It has its own net/http server and pages, and shuts
+// down the router before it closes its server.
+func serveApplication(
 	ctx context.Context, c node.Config, ln net.Listener,
 	wrap func(*middleware.Frontend, http.Handler) http.Handler,
 ) error {
@@ -135,7 +137,7 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// testConfig reads a configuration as a node does.
+// testConfig loads a node configuration from a file, as the daemon does. known is the endpoint list at start.
 func testConfig(t testing.TB, known string) node.Config {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
@@ -154,7 +156,7 @@
 	return c
 }
 
-// knownList is a complete list of the servers at the addresses, named s0, s1 and so on.
+// knownList returns a complete endpoint list of servers at the addresses, with the IDs s0, s1 and so on.
 func knownList(addrs ...string) string {
 	var entries []string
 	for i, a := range addrs {
@@ -164,8 +166,8 @@
 	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
 }
 
-// start runs the build until the test ends, and returns its address and a function that stops it as SIGTERM stops a
-// node, and waits for that.
+// start runs the build until the test ends, and returns its address. The function stop shuts it down as SIGTERM shuts
+// down a node, and waits until it has exited.
 func (b build) start(t testing.TB, c node.Config) (addr string, stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -185,8 +187,8 @@
 		select {
 		case err := <-exited:
 			return err
-		case <-time.After(long):
-			return fmt.Errorf("stop %s: still serving after %v", b.name, long)
+		case <-time.After(maxWait):
+			return fmt.Errorf("stop %s: still running after %v", b.name, maxWait)
 		}
 	}
 	t.Cleanup(func() {
@@ -199,7 +201,7 @@
 	return addr, stop
 }
 
-// isReady asks for readiness as a load balancer before the node does.
+// isReady sends the readiness check that a load balancer in front of the node would send.
 func isReady(addr string) bool {
 	resp, err := oneShotClient().Get("http://" + addr + readyPath)
 	if err != nil {
@@ -209,13 +211,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// oneShotClient returns a client that opens a connection for each request: one shared among tests could repeat a
-// request by itself on a connection that another test left behind.
+// oneShotClient returns a client that opens a connection for each request. A client with idle connections could retry
+// a request by itself after an error on a connection that another test left open.
 func oneShotClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// clientRequest is a request as clients send it; headers are pairs, and an empty value removes one.
+// clientRequest returns a request as clients send it. headers are pairs of a name and a value; an empty value removes
+// the header.
 func clientRequest(t testing.TB, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/api/x?q=a%20b", strings.NewReader(body))
@@ -237,14 +240,14 @@
 	return req
 }
 
-// response is a response that was read to its end.
+// response is a response whose body has been read completely.
 type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// do sends a request on a connection of its own, which must be answered.
+// do sends a request on a new connection and returns the response. The test ends if there is none.
 func do(t testing.TB, req *http.Request) response {
 	t.Helper()
 	resp, err := oneShotClient().Do(req)
--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -20,8 +20,8 @@
 	"cobaltward/transport/secure"
 )
 
-// serveWithTLS runs the daemon with TLS on both sides. The suite itself uses plain HTTP, through a tunnel in front of
-// the node and one in front of each server.
+// serveWithTLS runs the daemon with TLS to clients and servers. The suite's clients and servers use plain HTTP: a
+// tunnel in front of the node adds TLS, and one in front of each server removes it.
 func serveWithTLS(ctx context.Context, config node.Config, ln net.Listener) error {
 	dir, err := os.MkdirTemp("", "conformance")
 	if err != nil {
@@ -35,11 +35,11 @@
 	var tunnels sync.WaitGroup
 	defer tunnels.Wait()
 	config.TLS = &node.TLS{
-		Clients:       &node.TLSListener{Certificates: credentials.own},
-		Stores:        []*certificates.Store{credentials.own, credentials.trust},
+		Clients:       &node.TLSListener{Certificates: credentials.nodeCert},
+		Stores:        []*certificates.Store{credentials.nodeCert, credentials.serverCA},
 		CheckInterval: time.Second,
 	}
-	rule := secure.Rule{Trust: credentials.trust}
+	rule := secure.Rule{Trust: credentials.serverCA}
 	for i := range config.InitialList.Endpoints {
 		endpoint := &config.InitialList.Endpoints[i]
 		tunnel, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,15 +64,16 @@
 	return node.Run(ctx, config, inner, nil, slog.New(slog.DiscardHandler))
 }
 
-// credentials are what the node, its servers and its clients need for TLS with each other.
+// credentials are the certificates and TLS configurations of the node, its servers and its clients.
 type credentials struct {
-	own    *certificates.Store // the node's certificate
-	trust  *certificates.Store // the authority of servers
-	server *tls.Config
-	client *tls.Config
+	nodeCert *certificates.Store // the node's certificate
+	serverCA *certificates.Store // the authority that the node trusts for servers
+	server   *tls.Config
+	client   *tls.Config
 }
 
-// newCredentials writes certificates to a directory, where the node checks them for changes until it exits.
+// newCredentials creates credentials with certificate files in a directory. The node checks the files for changes, so
+// they must exist until it exits.
 func newCredentials(dir string) (*credentials, error) {
 	ca := pki.NewAuthority("the suite's")
 	pair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
@@ -94,13 +95,13 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.Cert)
 	return &credentials{
-		own: own, trust: trust,
+		nodeCert: own, serverCA: trust,
 		server: &tls.Config{Certificates: []tls.Certificate{pair.TLS()}},
 		client: &tls.Config{RootCAs: pool},
 	}, nil
 }
 
-// runServerTunnel ends the node's TLS on accepted connections, and forwards them to a server.
+// runServerTunnel terminates TLS on connections from the node, and forwards them to a server in plain text.
 func runServerTunnel(ln net.Listener, config *tls.Config, server string) {
 	accept := func(conn *net.TCPConn) halfCloser { return tls.Server(conn, config) }
 	dial := func() (halfCloser, error) {
@@ -113,8 +114,8 @@
 	runTunnel(ln, accept, dial)
 }
 
-// runClientTunnel forwards connections of clients to the node by TLS. The listener is closed at the first connection
-// that the node refuses.
+// runClientTunnel forwards connections of clients to the node over TLS. It closes the listener once the node refuses a
+// connection, so that clients are refused as well.
 func runClientTunnel(ln net.Listener, config *tls.Config, node string) {
 	accept := func(conn *net.TCPConn) halfCloser { return conn }
 	dial := func() (halfCloser, error) {
@@ -127,13 +128,14 @@
 	runTunnel(ln, accept, dial)
 }
 
-// halfCloser is a connection whose sides can be closed apart.
+// halfCloser is a connection whose write side can be closed on its own.
 type halfCloser interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// runTunnel forwards accepted connections, both ways, until the listener closes, and waits for those that are open.
+// runTunnel forwards accepted connections in both directions until the listener is closed, and then waits until the
+// open ones are closed.
 func runTunnel(ln net.Listener, accept func(*net.TCPConn) halfCloser, dial func() (halfCloser, error)) {
 	var conns sync.WaitGroup
 	defer conns.Wait()
@@ -145,32 +147,32 @@
 		conns.Go(func() {
 			tcp := conn.(*net.TCPConn)
 			defer func() { _ = tcp.Close() }()
-			near := accept(tcp)
-			if t, ok := near.(*tls.Conn); ok && t.Handshake() != nil {
+			downstream := accept(tcp)
+			if t, ok := downstream.(*tls.Conn); ok && t.Handshake() != nil {
 				return
 			}
-			far, err := dial()
+			upstream, err := dial()
 			if err != nil {
-				_ = tcp.SetLinger(0) // as a server that refuses the connection, or cuts it
+				_ = tcp.SetLinger(0) // resets the connection, as a peer that refuses or aborts it would
 				return
 			}
-			defer func() { _ = far.Close() }()
-			forward(near, far)
+			defer func() { _ = upstream.Close() }()
+			forward(downstream, upstream)
 		})
 	}
 }
 
-// forward copies both ways until both sides have ended, or either fails.
-func forward(near, far halfCloser) {
+// forward copies data in both directions until both sides have closed or a copy fails.
+func forward(downstream, upstream halfCloser) {
 	var directions sync.WaitGroup
-	for _, d := range []struct{ from, to halfCloser }{{near, far}, {far, near}} {
+	for _, d := range []struct{ from, to halfCloser }{{downstream, upstream}, {upstream, downstream}} {
 		directions.Go(func() {
 			if _, err := io.Copy(d.to, d.from); err != nil {
-				_ = near.Close()
-				_ = far.Close()
+				_ = downstream.Close()
+				_ = upstream.Close()
 				return
 			}
-			_ = d.to.CloseWrite() // the other side may have closed already
+			_ = d.to.CloseWrite() // it fails if the peer has already closed the connection
 		})
 	}
 	directions.Wait()
--- a/internal/conformance/wallclock_test.go
+++ b/internal/conformance/wallclock_test.go
@@ -9,36 +9,37 @@
 	"testing"
 )
 
-// wallClockUses are the places that convert a time to wall-clock time or read one, and why no duration depends on it.
-var wallClockUses = map[string]string{
-	"discovery/registry/list.go":   "the start of a server as the registry names it; the router bounds it by its clock",
-	"discovery/xds/file_source.go": "a time of change of a file, compared for equality alone",
-	"discovery/xds/resource/":      "the start of a server as the control plane names it; the same",
-	"router/clock.go":              "tells processes of a server apart; slow start goes by startTracker",
+// allowedWallClockUses maps path prefixes of code that may use wall-clock time to the reason why no duration in the
+// node depends on it.
+var allowedWallClockUses = map[string]string{
+	"discovery/registry/list.go":   "start time of a server as the registry reports it; the router bounds it by its clock",
+	"discovery/xds/file_source.go": "modification time of a file, only compared for equality",
+	"discovery/xds/resource/":      "start time of a server as reported by the control plane; bounded like the registry's",
+	"router/clock.go":              "distinguishes processes of a server; slow start uses startTracker",
 	"internal/simprotocol/":        "the simulator's protocol",
-	"internal/bootclock/":          "the clock that processes of one machine share",
+	"internal/bootclock/":          "clock that the processes of one machine share",
 	"emulator/":                    "virtual time and test harnesses",
-	"tools/":                       "tools, not the node",
-	"certificates/":                "the validity of certificates is by the wall clock",
-	"internal/pki/":                "the same, in tests",
-	"discovery/xds/standin/":       "a control plane for tests",
-	"internal/demo/":               "the demo's server list",
+	"tools/":                       "development tools, not part of the node",
+	"certificates/":                "the validity of certificates is defined in wall-clock time",
+	"internal/pki/":                "validity of certificates in tests",
+	"discovery/xds/standin/":       "control plane for tests",
+	"internal/demo/":               "server list of the demo",
 	"internal/expect/":             "virtual time",
-	"fleet/":                       "see docs/terms-audit.md: orders of the fleet end by the wall clock",
-	"internal/fleetcli/":           "the same",
-	"examples/":                    "examples",
-	"cmd/xds-standin/":             "a control plane for tests",
+	"fleet/":                       "orders of the fleet expire by the wall clock, see docs/terms-audit.md",
+	"internal/fleetcli/":           "orders of the fleet expire by the wall clock, see docs/terms-audit.md",
+	"examples/":                    "example programs, not part of the node",
+	"cmd/xds-standin/":             "control plane for tests",
 }
 
-// wallClock matches code that drops the monotonic clock reading of a time, or makes a time without one.
+// wallClock matches code that drops the monotonic clock reading of a time, or creates a time without one.
 var wallClock = regexp.MustCompile(`\btime\.Unix(Milli|Micro)?\(|\.Unix(Milli|Micro|Nano)\(\)|\.Round\(0\)`)
 
-// TestWallClock_MeasuresNoDuration allows the wall clock only where the list has a reason for it: it may be stepped at
-// any moment, and deadlines, windows, waits and ages are durations of real time.
+// TestWallClock_MeasuresNoDuration checks that only code in allowedWallClockUses uses the wall clock. The wall clock
+// can be set at any time, so it must not be used to measure deadlines, windows, waits and ages.
 func TestWallClock_MeasuresNoDuration(t *testing.T) {
 	out, err := exec.Command("git", "-C", "../..", "ls-files", "*.go").Output()
 	if err != nil {
-		t.Fatalf("the list of source files: %v", err)
+		t.Fatalf("list source files: %v", err)
 	}
 	for _, file := range strings.Fields(string(out)) {
 		if strings.HasSuffix(file, "_test.go") || isAllowed(file) {
@@ -46,18 +47,18 @@
 		}
 		source, err := os.ReadFile("../../" + file)
 		if err != nil {
-			continue // removed, and not committed yet
+			continue // deleted in the working tree, but not yet in git's index
 		}
 		for number, line := range bytes.Split(source, []byte("\n")) {
 			if wallClock.Match(line) {
-				t.Errorf("%s:%d: %s", file, number+1, bytes.TrimSpace(line))
+				t.Errorf("%s:%d: wall clock used without a listed reason: %s", file, number+1, bytes.TrimSpace(line))
 			}
 		}
 	}
 }
 
 func isAllowed(file string) bool {
-	for prefix := range wallClockUses {
+	for prefix := range allowedWallClockUses {
 		if strings.HasPrefix(file, prefix) {
 			return true
 		}
