--- a/internal/cli/certsshow.go
+++ b/internal/cli/certsshow.go
@@ -45,8 +45,8 @@
 }
 
 func printTLS(out io.Writer, status *node.TLSStatus, now time.Time) error {
-	if status.RejectedFile != "" {
-		_, err := fmt.Fprintf(out, "rejected, the former certificates stay in force: %s\n", status.RejectedFile)
+	if status.RejectedFileReason != "" {
+		_, err := fmt.Fprintf(out, "rejected, the former certificates stay in force: %s\n", status.RejectedFileReason)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	finder, err := file.IdentityFinder()
+	finder, err := file.IdentityResolver()
 	if err != nil {
 		return err
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -71,7 +71,7 @@
 // MessagePack-RPC.
 func applyOptions(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
 	applyDrain(options, config)
-	config.DrainMark = options.Drain.StateFile
+	config.DrainMarkerFile = options.Drain.StateFile
 	if err := applyXDS(options, config, extensions, log); err != nil {
 		return err
 	}
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resolver, err := conf.IdentityFinder()
+	resolver, err := conf.IdentityResolver()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -118,15 +118,15 @@
 // InHead reports whether the next byte belongs to a request's head or starts one.
 func (g *Guard) InHead() bool { return g.state == stateHead || g.state == stateHeadCR }
 
-// WithinHead reports whether a head has been received in part.
-func (g *Guard) WithinHead() bool {
+// HasPartialHead reports whether a head has been received in part.
+func (g *Guard) HasPartialHead() bool {
 	return g.state == stateHeadCR || g.state == stateHead && (g.hasRequestLine || len(g.line) > 0)
 }
 
 // IsCompleteRequest reports whether the bytes are exactly one well-formed request with its body.
 func IsCompleteRequest(data []byte) bool {
 	var guard Guard
-	return guard.Check(data) == len(data) && guard.completeHeads == 1 && guard.InHead() && !guard.WithinHead()
+	return guard.Check(data) == len(data) && guard.completeHeads == 1 && guard.InHead() && !guard.HasPartialHead()
 }
 
 // Heads returns the number of complete heads that were received.
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -83,7 +83,7 @@
 		nodeTLS:         n.tls,
 		httpServer:      n.httpServer,
 		announceFor:     n.config.announceDuration(),
-		drainMarkerFile: n.config.DrainMark,
+		drainMarkerFile: n.config.DrainMarkerFile,
 	}
 	successorOnly := n.buildProcessGroup()
 	n.state = &stateStore{
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -207,7 +207,7 @@
 	if _, err := io.WriteString(client, request+request[:len(request)/2]); err != nil {
 		t.Fatal(err)
 	}
-	for !conn.framing.WithinHead() || conn.framing.Heads() < 1 {
+	for !conn.framing.HasPartialHead() || conn.framing.Heads() < 1 {
 		if _, err := conn.Read(make([]byte, 64)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/clientstate.go
+++ b/internal/node/clientstate.go
@@ -100,7 +100,7 @@
 	}
 	c.arrival.reset(time.Now())
 	withinRecord := c.tls != nil && c.tls.WithinRecord()
-	if c.framing.WithinHead() || withinRecord { // part of the next request has already been read from the socket
+	if c.framing.HasPartialHead() || withinRecord { // part of the next request has already been read from the socket
 		c.updateReadPhase()
 		c.listener.partialRequests[c] = true
 		c.lastPartialAt = time.Now()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -55,9 +55,9 @@
 
 	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
-	// DrainMark is the path of a file that exists during a drain by request, so that a restarted process drains again;
+	// DrainMarkerFile is the path of a file that exists during a drain by request, so that a restarted process drains again;
 	// empty: a restarted process serves.
-	DrainMark string
+	DrainMarkerFile string
 
 	// State says where the node saves its learned state; the zero value disables saving.
 	State StateConfig
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -141,9 +141,9 @@
 		"with clients: %d full, %d resumed, failures %v",
 		rotation.changes, toServers.Full.Count, toServers.Resumed.Count, toServers.Failures,
 		toClients.Full.Count, toClients.Resumed.Count, toClients.Failures)
-	if status.RejectedFile != "" || toServers.Failures[unknownAuthority] == 0 {
+	if status.RejectedFileReason != "" || toServers.Failures[unknownAuthority] == 0 {
 		t.Errorf("rejected file: %q, failures %v: want no rejected file, and some untrusted servers",
-			status.RejectedFile, toServers.Failures)
+			status.RejectedFileReason, toServers.Failures)
 	}
 	harness.checkResults()
 }
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -11,14 +11,14 @@
 
 // TLSStatus is the status of a node's TLS, as the admin API sends it.
 type TLSStatus struct {
-	Certificates   []certificates.Summary `json:"keys"` // in use; those of a store in the order of their expiry
-	RejectedFile   string                 `json:"refused_files,omitempty"`
-	HandshakeSteps uint64                 `json:"pieces"`  // number of computation steps of all handshakes
-	HandshakeTime  time.Duration          `json:"work_ns"` // time that the steps took, in nanoseconds
-	Servers        *secure.Stats          `json:"servers,omitempty"`
-	Clients        *frontsecure.Stats     `json:"clients,omitempty"`
-	Msgpack        *frontsecure.Stats     `json:"msgpack,omitempty"`
-	AdminAPI       *frontsecure.Stats     `json:"door,omitempty"`
+	Certificates       []certificates.Summary `json:"keys"` // in use; those of a store in the order of their expiry
+	RejectedFileReason string                 `json:"refused_files,omitempty"`
+	HandshakeSteps     uint64                 `json:"pieces"`  // number of computation steps of all handshakes
+	HandshakeTime      time.Duration          `json:"work_ns"` // time that the steps took, in nanoseconds
+	Servers            *secure.Stats          `json:"servers,omitempty"`
+	Clients            *frontsecure.Stats     `json:"clients,omitempty"`
+	Msgpack            *frontsecure.Stats     `json:"msgpack,omitempty"`
+	AdminAPI           *frontsecure.Stats     `json:"door,omitempty"`
 }
 
 // status returns the current status; nil for a node without TLS.
@@ -33,7 +33,7 @@
 		AdminAPI:     layerStats(s.adminLayer),
 	}
 	if reason := s.rejectedFileReason.Load(); reason != nil {
-		status.RejectedFile = *reason
+		status.RejectedFileReason = *reason
 	}
 	status.HandshakeSteps, status.HandshakeTime = s.cpuBudget.Totals()
 	if s.serverLayer != nil {
--- a/internal/node/unanswered.go
+++ b/internal/node/unanswered.go
@@ -74,7 +74,7 @@
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if errors.Is(err, io.EOF) && !c.framing.WithinHead() { // the bytes that arrived over TLS were the client's close
+	if errors.Is(err, io.EOF) && !c.framing.HasPartialHead() { // the bytes that arrived over TLS were the client's close
 		return
 	}
 	cause := endClientClosed
--- a/internal/safeguards/safeguards.go
+++ b/internal/safeguards/safeguards.go
@@ -10,14 +10,14 @@
 
 // The safeguards that can be disabled.
 const (
-	SingleAnswer         Guards = 1 << iota // an answered request is not answered again
-	NoAttemptAfterAnswer                    // no attempt starts for an answered request
-	UniqueID                                // a request ID that is in use, or was recently, is rejected
-	BackstopAnswer                          // a request that the policy leaves unanswered is answered before its deadline
-	AnswerDeadline                          // an answer is sent early enough to reach the client by the deadline
-	DedupWindow                             // no retry is sent once servers may have forgotten the idempotency key
-	NoRejectionAfterRun                     // a request that may have run is not rejected
-	ClientGone                              // no attempt starts for a request whose client has disconnected
+	SingleAnswer             Guards = 1 << iota // an answered request is not answered again
+	NoAttemptAfterAnswer                        // no attempt starts for an answered request
+	UniqueID                                    // a request ID that is in use, or was recently, is rejected
+	BackstopAnswer                              // a request that the policy leaves unanswered is answered before its deadline
+	AnswerDeadline                              // an answer is sent early enough to reach the client by the deadline
+	DedupWindow                                 // no retry is sent once servers may have forgotten the idempotency key
+	NoRejectionAfterRun                         // a request that may have run is not rejected
+	NoAttemptAfterDisconnect                    // no attempt starts for a request whose client has disconnected
 )
 
 // Policy decides how requests are handled, as policy.Balancer does.
--- a/internal/standalone/check.go
+++ b/internal/standalone/check.go
@@ -117,7 +117,7 @@
 				"client certificates are not verified: tls.clients.trust names no authorities")
 		}
 	}
-	if _, err := f.IdentityFinder(); err != nil {
+	if _, err := f.IdentityResolver(); err != nil {
 		return f.lines.Errorf("identity", "%s", err)
 	}
 	return nil
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -60,7 +60,7 @@
 	if loaded.routes, err = file.RouteTable(); err != nil {
 		return err
 	}
-	if loaded.identities, err = file.IdentityFinder(); err != nil {
+	if loaded.identities, err = file.IdentityResolver(); err != nil {
 		return err
 	}
 	for _, class := range file.Classes {
--- a/internal/standalone/identity.go
+++ b/internal/standalone/identity.go
@@ -37,8 +37,8 @@
 	byCertificate: identity.Certificate,
 }
 
-// IdentityFinder compiles the layers to a resolver of tenants.
-func (f *File) IdentityFinder() (*identity.Resolver, error) {
+// IdentityResolver compiles the layers to a resolver of tenants.
+func (f *File) IdentityResolver() (*identity.Resolver, error) {
 	config := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
 	for _, tenant := range f.Tenants {
 		config.Tenants = append(config.Tenants, tenant.Name)
--- a/router/admission.go
+++ b/router/admission.go
@@ -35,7 +35,7 @@
 func (l *loop) admit(call *call) {
 	now := l.clock.now()
 	l.recordLag(now - call.submittedAt)
-	if l.enforced(safeguards.ClientGone) && call.clientGone() { // the client left while the call was queued
+	if l.enforced(safeguards.NoAttemptAfterDisconnect) && call.clientGone() { // the client left while the call was queued
 		l.stats.ClientsGone++
 		return
 	}
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -61,7 +61,7 @@
 		l.log.Error("balancer requested an attempt for a request that is not open", "id", action.ID)
 		return
 	}
-	if !r.finished && l.enforced(safeguards.ClientGone) && r.clientGone() {
+	if !r.finished && l.enforced(safeguards.NoAttemptAfterDisconnect) && r.clientGone() {
 		l.recordClientGone(r)
 	}
 	attempt := &attempt{request: r, number: len(r.attempts), server: action.Server, sentAt: now}
--- a/router/reply.go
+++ b/router/reply.go
@@ -83,7 +83,7 @@
 	r.finished = true
 	for _, a := range r.attempts {
 		// An attempt that still waits for a connection needs no cancellation, which the settings may not allow.
-		if a.inFlight && l.enforced(safeguards.ClientGone) {
+		if a.inFlight && l.enforced(safeguards.NoAttemptAfterDisconnect) {
 			a.ctx.abandon()
 		}
 	}
