--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -1,9 +1,9 @@
-// Package hotrestart divides a node between two processes while one replaces the other under load. It determines which
-// share of the traffic, the memory and the connections each may use, and which order into or out of standby applies. It
-// does no I/O and reads no clock; package rundir exchanges the messages.
+// Package hotrestart divides a node between two processes while one replaces the other under load. It determines
+// which share of the traffic, the memory and the connections each process may use. It also determines which order
+// into or out of standby applies. The package does no I/O and reads no clock; package rundir exchanges the messages.
 package hotrestart
 
-// Limits is the maximum number of connections of a node, or of one of its processes.
+// Limits is the maximum number of connections of a node or of one of its processes.
 type Limits struct {
 	ClientConns, ServerConns int
 }
@@ -17,19 +17,20 @@
 
 const (
 	smoothingWeight = 0.5  // weight of the newest reports in the smoothed share of traffic
-	minTrafficShare = 0.1  // lets a process answer the first clients that reach it
-	minConnShare    = 0.25 // minimum share of connections: the other process closes its own as their clients leave
+	minTrafficShare = 0.1  // lets a process answer its first clients
+	minConnShare    = 0.25 // minimum share of connections; the other process frees more as its clients leave
 )
 
-// Splitter calculates the share of one process from the reports of all processes of its node. The zero value is for a
-// process that is the only one.
+// Splitter calculates the share of one process from the reports of all processes of its node. The zero value is ready
+// for use.
 type Splitter struct {
 	traffic      float64           // smoothed share of the requests; 0: Split has not been called
-	lastAccepted map[string]uint64 // requests accepted by each other process at the last call of Split
+	lastAccepted map[string]uint64 // requests accepted by each other process at the previous Split
 	ownAccepted  uint64
 }
 
-// Split returns this process's share. others contains the latest report of each other process that serves, by its name.
+// Split returns this process's share of the node. own is the latest report of this process. others contains the
+// latest report of each other running process, by process name.
 func (s *Splitter) Split(own Report, others map[string]Report, node Limits) Share {
 	ownRequests := own.Accepted - s.ownAccepted
 	s.ownAccepted = own.Accepted
@@ -55,8 +56,8 @@
 	}
 }
 
-// countNewRequests returns how many requests the other processes have accepted since the last call, and whether all of
-// them were known then.
+// countNewRequests returns how many requests the other processes have accepted since the previous call. allKnown
+// reports whether the previous call included all of them.
 func (s *Splitter) countNewRequests(others map[string]Report) (requests uint64, allKnown bool) {
 	accepted := make(map[string]uint64, len(others))
 	allKnown = true
@@ -72,8 +73,8 @@
 	return requests, allKnown
 }
 
-// remainingConns returns how many connections the other processes leave for this one, but at least the share
-// minConnShare.
+// remainingConns returns how many connections of the node the other processes leave to this process, but at least the
+// share minConnShare.
 func remainingConns(others map[string]Report, node Limits) Limits {
 	remaining := node
 	for _, report := range others {
--- a/internal/hotrestart/split_test.go
+++ b/internal/hotrestart/split_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSplitter_TwoProcessesShareOneNode distributes requests and connections randomly between two processes. Their
-// shares together must not exceed the rate limits, memory and connections of the node by more than the minimum shares,
-// and a process that becomes the only one must get the whole node at once.
+// TestSplitter_TwoProcessesShareOneNode checks the shares of two processes for random requests and connections. The
+// shares together must not exceed the node's rate limits, memory and connections by more than the minimum shares. A
+// process that becomes the only one must get the whole node at once.
 func TestSplitter_TwoProcessesShareOneNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := Limits{ClientConns: 200, ServerConns: 100}
@@ -35,8 +35,8 @@
 	})
 }
 
-// checkTotals checks that the traffic shares of two processes add up to between 1 and 1+minTrafficShare, and their
-// memory shares to at most 1.
+// checkTotals checks that the traffic shares of two processes add up to between 1 and 1+minTrafficShare. Their memory
+// shares must add up to at most 1.
 func checkTotals(t *rapid.T, first, second Share) {
 	const rounding = 1e-9
 	sum := first.Traffic + second.Traffic
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestSplitter_TrafficMovesToSuccessor checks that, within a few rounds of reports, a successor that gets all requests
-// also gets the traffic share of its predecessor.
+// TestSplitter_TrafficMovesToSuccessor checks that a successor that gets all requests also gets its predecessor's
+// traffic share. It must get that share within a few rounds of reports.
 func TestSplitter_TrafficMovesToSuccessor(t *testing.T) {
 	node := Limits{ClientConns: 10, ServerConns: 10}
 	var predecessor, successor Splitter
