--- a/internal/pausedetector/detector.go
+++ b/internal/pausedetector/detector.go
@@ -1,5 +1,5 @@
-// Package pausedetector measures how long this process could not run, because it was stopped, its machine was
-// suspended, or no core was free. That a peer did nothing in that time is no evidence that the peer is slow.
+// Package pausedetector measures for how long this process could not run: it was stopped, its machine was suspended,
+// or no core was free. A peer that did nothing during a pause is not necessarily slow.
 package pausedetector
 
 import (
@@ -10,7 +10,8 @@
 const (
 	// interval is the time between two checks of the clock.
 	interval = 20 * time.Millisecond
-	// maxTimerDelay is how late a check may be without counting as a pause: timers also fire late in a running process.
+	// maxTimerDelay is the maximum delay of a check that does not count as a pause. Timers also fire late in a running
+	// process.
 	maxTimerDelay = 5 * time.Millisecond
 )
 
@@ -19,13 +20,13 @@
 type Detector struct {
 	mu      sync.Mutex
 	uses    int           // number of calls of Begin without a matching End
-	timer   *time.Timer   // calls tick; nil: Begin has not been called
-	running bool          // the timer is set and will call tick
+	timer   *time.Timer   // timer that calls tick; nil: Begin has not been called
+	running bool          // whether the timer is set
 	due     time.Time     // time of the next check
 	paused  time.Duration // sum of all pauses so far
 }
 
-// Begin begins a use of the detector, which End ends. Uses may overlap.
+// Begin begins a use of the detector. The use lasts until End is called. Uses may overlap.
 func (d *Detector) Begin() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,15 +43,15 @@
 	}
 }
 
-// End ends a use that Begin has begun.
+// End ends one use that Begin has begun.
 func (d *Detector) End() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.uses--
 }
 
-// Paused returns the sum of all pauses so far. The difference between two calls within a use is how long the process
-// was paused between them.
+// Paused returns the sum of all pauses so far. Within a use, the difference between two results is the time for which
+// the process was paused between the two calls.
 func (d *Detector) Paused() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +59,7 @@
 	return d.paused
 }
 
-// tick checks the clock, and sets the timer again unless the detector is no longer in use.
+// tick checks the clock. It sets the timer again unless the detector is no longer in use.
 func (d *Detector) tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +71,7 @@
 	d.timer.Reset(time.Until(d.due))
 }
 
-// recordLocked checks the clock for tick or a caller of Paused, and counts a pause if the check is late.
+// recordLocked checks the clock for tick and Paused. It counts a pause if the check is late.
 func (d *Detector) recordLocked(now time.Time) {
 	if !d.running || now.Before(d.due) {
 		return
--- a/internal/pausedetector/detector_test.go
+++ b/internal/pausedetector/detector_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A process that runs has no pauses, and the detector checks the clock only while it is in use.
+// TestDetector_NoPause checks that a process that runs has no pauses. The detector must check the clock only while it
+// is in use.
 func TestDetector_NoPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var detector Detector
@@ -30,7 +31,8 @@
 	})
 }
 
-// A late check is counted as a pause once, whether the timer or a caller of Paused is first after the pause.
+// TestDetector_CountsLateLooks checks that a late check counts as a pause once. The first check after the pause may
+// come from the timer or from a caller of Paused.
 func TestDetector_CountsLateLooks(t *testing.T) {
 	start := time.Now()
 	detector := Detector{running: true, due: start.Add(interval)}
