--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -19,7 +19,7 @@
 
 // Limits of the values that Decay takes over from a snapshot.
 const (
-	maxClockSkew    = 2 * time.Second // between two nodes' estimates of when a process started
+	maxClockSkew    = 2 * time.Second // tolerance for snapshot times and for estimates of process starts
 	maxThreshold    = 1e6
 	maxFaultScore   = 1e6
 	maxLatency      = 3600 // seconds
@@ -27,21 +27,21 @@
 	maxScale        = 100
 	maxEjections    = 10
 	maxBucketIdle   = 24 * time.Hour
-	otherNodeWeight = 0.5 // factor for the weight of a snapshot of another node
+	otherNodeWeight = 0.5 // factor for the weight of another node's snapshot
 )
 
-// Config says how a snapshot loses weight, and which parts of it are taken over.
+// Config configures how a snapshot loses weight and which parts of it Decay takes over.
 type Config struct {
-	HalfLife        time.Duration // time in which the weight of learned values halves; 0: DefaultHalfLife
-	MaxAge          time.Duration // age beyond which a snapshot is rejected; 0: DefaultMaxAge
-	MaxEjectedShare float64       // largest share of servers that start ejected; 0: DefaultMaxEjectedShare
-	// OtherNode says that the snapshot is of another node: its buckets are left out, and its weight is halved.
+	HalfLife        time.Duration // age at which learned values have half their weight; 0: DefaultHalfLife
+	MaxAge          time.Duration // maximum age of an accepted snapshot; 0: DefaultMaxAge
+	MaxEjectedShare float64       // maximum share of servers that start ejected; 0: DefaultMaxEjectedShare
+	// OtherNode marks a snapshot of another node: its buckets are left out, and its weight is halved.
 	OtherNode bool
-	// SuccessorOnly takes over only the ejections and the buckets, for the successor in a hot restart. Thresholds and
-	// scales that a process learned while it was busy shutting down would limit its successor.
+	// SuccessorOnly limits Decay to ejections and buckets, for the successor in a hot restart. A predecessor that shuts
+	// down learns thresholds and scales that would limit its successor.
 	SuccessorOnly bool
-	// Boot is the time of the call of Decay since the start of the machine. Within one machine, the age of a snapshot
-	// is computed from it, so that steps of the wall clock don't matter; zero: unknown.
+	// Boot is the boot-clock time of the call of Decay; the zero value means unknown. If the snapshot is of the same
+	// start of the machine, its age is computed from Boot. Steps of the wall clock then have no effect.
 	Boot bootclock.Time
 }
 
@@ -58,26 +58,27 @@
 	return c
 }
 
-// Report says what was taken over from a snapshot.
+// Report describes what Decay took over from a snapshot.
 type Report struct {
 	Age       time.Duration
-	Weight    float64 // with which the learned values count, 0 to 1
-	Restored  int     // servers whose state was taken over
-	NotListed int     // servers that are no longer in service
-	Restarted int     // servers whose process is another one by now
-	Ejected   int     // servers that start ejected
-	Unejected int     // ejected servers that start in service, since too many were ejected
-	Buckets   int     // quota buckets that were taken over
-	Rejected  string  // why the snapshot was rejected; empty if it was not
+	Weight    float64 // weight of the learned values, 0 to 1
+	Restored  int     // number of servers whose state was taken over
+	NotListed int     // number of servers that are no longer in service
+	Restarted int     // number of servers that run another process now
+	Ejected   int     // number of servers that start ejected
+	Unejected int     // number of ejected servers put back in service by MaxEjectedShare
+	Buckets   int     // number of quota buckets that were taken over
+	Rejected  string  // reason for rejecting the snapshot; empty: not rejected
 }
 
-// InitialThreshold returns the threshold with which a node starts using a server, and for how long the server's
-// process has been running (0: since long ago). ok is false if the server is not in service.
+// InitialThreshold returns the threshold with which a node starts using a server, and the uptime of the server's
+// process. An uptime of 0 means that the process started long ago. ok is false if the server is not in service.
 type InitialThreshold func(server string) (threshold float64, uptime time.Duration, ok bool)
 
-// Decay returns the part of a snapshot that a node may take over at the time now. Values that no node can have are
-// replaced by defaults, and a snapshot from the future is rejected. The older the snapshot, the closer a threshold is
-// to the node's own initial one. A server that was ejected starts ejected for the rest of its time, and is
+// Decay returns the part of a snapshot that a node may take over at the time now. A snapshot that is too old or from
+// the future is rejected. Server values that no node can have are replaced by defaults, and buckets with such values
+// are left out. The older the snapshot, the closer a threshold is to the node's own initial threshold. An ejected
+// server starts ejected for the rest of its time, unless too many servers would start ejected. An ejected server is
 // health-checked before it is used.
 func Decay(
 	snapshot Snapshot, now time.Time, initial InitialThreshold, config Config,
@@ -116,8 +117,8 @@
 	return state, report
 }
 
-// age returns the age of a snapshot, from the boot clock if both times are of the same start of the machine, else
-// from the wall clock.
+// age returns the age of a snapshot. It uses the boot clock if both times are of the same start of the machine, and
+// otherwise the wall clock.
 func (s Snapshot) age(now time.Time, boot bootclock.Time) time.Duration {
 	if s.Boot != nil {
 		if age, ok := boot.Sub(*s.Boot); ok {
@@ -127,12 +128,13 @@
 	return now.Sub(s.At)
 }
 
-// decayScale returns a scale that is moved towards 1 according to the weight.
+// decayScale returns the scale moved towards 1 according to the weight. A scale outside minimum and maxScale counts
+// as 1.
 func (r *Report) decayScale(scale, minimum float64) float64 {
 	return 1 + r.Weight*(boundedOr(scale, minimum, maxScale, 1)-1)
 }
 
-// decayServers returns the decayed states of the servers that still run the process of the stored state.
+// decayServers returns the decayed states of the servers whose stored process still runs.
 func (r *Report) decayServers(
 	stored []policy.ServerState, initial InitialThreshold, maxAge time.Duration,
 ) (servers []policy.ServerState) {
@@ -150,8 +152,8 @@
 	return servers
 }
 
-// sameProcess reports whether a process whose uptime was stored, as long ago as age, may be the one whose uptime is
-// current. An uptime of 0 means that the process started long ago.
+// sameProcess reports whether two uptimes of a server can be of the same process. The uptime stored is as old as age;
+// current is the uptime now. An uptime of 0 means that the process started long ago.
 func sameProcess(stored, age, current time.Duration) bool {
 	if stored <= 0 || current == 0 {
 		return (stored == 0) == (current == 0)
@@ -160,7 +162,7 @@
 	return (current - expected).Abs() <= maxClockSkew
 }
 
-// decayServer returns the decayed state of one server. threshold is its initial threshold.
+// decayServer returns the decayed state of a server. threshold is the server's initial threshold.
 func (r *Report) decayServer(server policy.ServerState, threshold float64, maxAge time.Duration) policy.ServerState {
 	learned := boundedOr(server.Threshold, 0, maxThreshold, threshold)
 	server.Threshold = threshold + r.Weight*(learned-threshold)
@@ -178,7 +180,7 @@
 	return server
 }
 
-// decayBuckets returns the buckets with plausible values, and adds the age of the snapshot to their idle time.
+// decayBuckets returns the buckets with plausible values, with the age of the snapshot added to their idle time.
 func (r *Report) decayBuckets(stored []policy.BucketState) (buckets []policy.BucketState) {
 	for _, bucket := range stored {
 		if bucket.Tokens < 0 || bucket.Idle < 0 || bucket.Idle > maxBucketIdle {
@@ -190,8 +192,9 @@
 	return buckets
 }
 
-// limitEjected puts servers back in service if too many would start ejected, beginning with those whose ejection ends
-// soonest. A node that starts with most of its servers ejected could serve almost no requests.
+// limitEjected puts ejected servers back in service until at most the given share is ejected. It begins with the
+// servers whose ejection ends soonest. A node that starts with most of its servers ejected could serve almost no
+// requests.
 func (r *Report) limitEjected(servers []policy.ServerState, share float64) {
 	var ejected []int // indexes
 	for i := range servers {
@@ -211,7 +214,7 @@
 	}
 }
 
-// boundedOr returns the value if it is within the limits, and the fallback if it is outside or not a number.
+// boundedOr returns value if it is between minimum and maximum, and fallback if it is outside or not a number.
 func boundedOr(value, minimum, maximum, fallback float64) float64 {
 	if math.IsNaN(value) || value < minimum || value > maximum {
 		return fallback
--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// allListed is the InitialThreshold of a node that has every server in service, with processes that started long ago.
+// allListed is an InitialThreshold with every server in service. Their processes started long ago.
 func allListed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
-// TestDecay_ByAge checks that thresholds halve their distance to the initial one in each half-life, that the
-// remaining time of ejections shrinks to 0 while the servers stay ejected, that buckets get the age as idle time, and
-// that a snapshot that is too old or from the future is rejected.
+// TestDecay_ByAge checks how a snapshot ages. Thresholds halve their distance to the initial threshold in each
+// half-life. The remaining time of ejections shrinks to 0 while the servers stay ejected. Buckets get the age as idle
+// time. A snapshot that is too old or from the future is rejected.
 func TestDecay_ByAge(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, time.Minute: 5, 2 * time.Minute: 3.5} {
 		t.Run(age.String(), func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestDecay_OtherProcess checks that the learned state of a server is dropped if another process runs there by now.
+// TestDecay_OtherProcess checks that the learned state of a server is dropped if the server runs another process now.
 func TestDecay_OtherProcess(t *testing.T) {
 	snapshot := newSnapshot(2)
 	snapshot.State.Servers[1].Uptime = time.Minute
@@ -66,8 +66,7 @@
 	}
 }
 
-// TestDecay_OtherNode checks that a snapshot of another node counts with half the weight, and that its buckets are
-// left out.
+// TestDecay_OtherNode checks that a snapshot of another node has half the weight and that its buckets are left out.
 func TestDecay_OtherNode(t *testing.T) {
 	state, _ := Decay(newSnapshot(4), takenAt, allListed, Config{OtherNode: true})
 	if len(state.Buckets) > 0 || state.Servers[1].Threshold != 5 {
@@ -100,7 +99,7 @@
 	return snapshot
 }
 
-// isPlausible reports whether a node can have such a state of a server.
+// isPlausible reports whether a node can have the server state s.
 func isPlausible(s policy.ServerState) bool {
 	return s.Threshold >= 0 && s.Threshold <= 1e6 &&
 		s.Latency >= 0 && s.Latency <= 3600 &&
@@ -109,8 +108,8 @@
 		s.Ejections >= 0 && s.Ejections <= 10
 }
 
-// TestDecay_BoundsAnySnapshot checks, for arbitrary snapshots, that all values taken over are ones that a node can
-// have, and that at most half of the servers start ejected.
+// TestDecay_BoundsAnySnapshot checks arbitrary snapshots: all values taken over must be possible for a node, and at
+// most half of the servers may start ejected.
 func TestDecay_BoundsAnySnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(0, 12).Draw(t, "servers")
--- a/internal/learnedstate/snapshot.go
+++ b/internal/learnedstate/snapshot.go
@@ -1,7 +1,7 @@
-// Package learnedstate encodes what a node has learned about its servers and tenants, so that it outlives the node:
-// in a snapshot with a version and a checksum, and with rules by which a snapshot loses weight as it ages. The
-// package does no I/O and reads no clock. A snapshot that is incomplete or altered, or is not of this format, is
-// rejected as a whole.
+// Package learnedstate encodes what a node has learned about its servers and tenants, so that a restarted node can
+// use it. A stored snapshot has a version and a checksum. Decay reduces the weight of a snapshot by its age.
+// Snapshots that are incomplete, altered or in another format are rejected as a whole. The package does no I/O and
+// reads no clock.
 package learnedstate
 
 import (
@@ -19,11 +19,11 @@
 // Version is the version of the stored format. Snapshots of other versions are rejected.
 const Version = 1
 
-// MaxSize is the largest accepted size of a stored snapshot, in bytes.
+// MaxSize is the maximum size of a stored snapshot, in bytes.
 const MaxSize = 64 << 20
 
-// headFormat is the first line of a stored snapshot: an identifier of the format, and the checksum of everything
-// after the line.
+// headFormat is the first line of a stored snapshot: an identifier of the format and the checksum of all bytes after
+// the line.
 const headFormat = "wayhold-knowledge %08x"
 
 // Errors of Decode.
@@ -34,18 +34,18 @@
 	ErrChecksum = errors.New("checksum mismatch: the snapshot is incomplete or was altered")
 )
 
-// Snapshot is what one node had learned at one time.
+// Snapshot is the learned state of one node at one time.
 type Snapshot struct {
 	Version int                 `json:"version"`
 	Node    string              `json:"node"`
 	At      time.Time           `json:"at"`
-	Boot    *bootclock.Time     `json:"boot,omitempty"` // At by the boot clock; preferred if comparable
+	Boot    *bootclock.Time     `json:"boot,omitempty"` // the same time by the boot clock; used instead of At within one boot
 	State   policy.LearnedState `json:"knowledge"`
 }
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the stored form of a snapshot: a line with the checksum of what follows, and the snapshot in JSON.
+// Encode returns the stored form of a snapshot: the line with the checksum, and the snapshot in JSON.
 func Encode(snapshot Snapshot) ([]byte, error) {
 	snapshot.Version = Version
 	body, err := json.Marshal(snapshot)
@@ -56,7 +56,7 @@
 	return append(head, body...), nil
 }
 
-// Decode decodes the stored form of a snapshot. Its errors are ErrNotSnapshot, possibly wrapped, and ErrChecksum.
+// Decode decodes the stored form of a snapshot. It returns ErrChecksum, or an error that wraps ErrNotSnapshot.
 func Decode(raw []byte) (Snapshot, error) {
 	head, body, found := bytes.Cut(raw, []byte{'\n'})
 	var checksum uint32
--- a/internal/learnedstate/snapshot_test.go
+++ b/internal/learnedstate/snapshot_test.go
@@ -13,7 +13,7 @@
 
 var takenAt = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// newSnapshot returns a snapshot with the given number of servers, every third of them ejected.
+// newSnapshot returns a snapshot with the given number of servers. Every third server is ejected.
 func newSnapshot(servers int) Snapshot {
 	snapshot := Snapshot{
 		Version: Version, Node: "n1", At: takenAt,
@@ -29,8 +29,8 @@
 	return snapshot
 }
 
-// TestEncode_RoundTripAndCorruption checks that an encoded snapshot can be decoded, and that any changed byte and any
-// truncation is detected.
+// TestEncode_RoundTripAndCorruption checks that an encoded snapshot can be decoded. Decode must detect every changed
+// byte and every truncation.
 func TestEncode_RoundTripAndCorruption(t *testing.T) {
 	snapshot := newSnapshot(3)
 	raw, err := Encode(snapshot)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestEncode_Version checks that Encode writes the current version, whatever the snapshot says.
+// TestEncode_Version checks that Encode writes the current version, whatever version the snapshot has.
 func TestEncode_Version(t *testing.T) {
 	snapshot := newSnapshot(1)
 	snapshot.Version = 9
--- a/internal/learnedstate/stored_test.go
+++ b/internal/learnedstate/stored_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/policy"
 )
 
-// TestDecode_FileOfEarlierVersion checks that a state file written by an earlier version of the program is decoded,
-// and that encoding it again yields the same bytes.
+// TestDecode_FileOfEarlierVersion checks that a state file of an earlier version of the program is decoded. Encoding
+// the snapshot again must yield the same bytes.
 func TestDecode_FileOfEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "node-state"))
 	if err != nil {
