--- a/internal/rundir/rundir.go
+++ b/internal/rundir/rundir.go
@@ -1,7 +1,7 @@
 // Package rundir implements the directory through which the processes of one node exchange messages during a hot
-// restart. Each process holds a lock on a file of its own, which the system releases when the process ends. Beside
-// that file is the process's latest report. Another file has the current order on standby. Files are replaced
-// atomically: a reader finds either the former content or the new one, never a part.
+// restart. Each process locks a file of its own; the system releases the lock when the process ends. A second file
+// holds the latest report of the process. One file for the whole node holds the current standby order. Files are
+// replaced atomically: a reader finds either the old content or the new content, never a part.
 package rundir
 
 import (
@@ -24,7 +24,7 @@
 	lockSuffix   = ".alive"
 	reportSuffix = ".report"
 	orderFile    = filePrefix + "order"
-	maxProcesses = 8 // limit of other processes that are read; a hot restart has one or two
+	maxProcesses = 8 // maximum number of other processes that are read; a hot restart has one or two
 )
 
 // Process is this process's entry in the directory. It is not safe for concurrent use.
@@ -35,14 +35,14 @@
 
 // Register adds this process to the directory.
 func Register(dir string) (*Process, error) {
-	// Process IDs and times of the wall clock may repeat, so the name has a random part instead of a time.
+	// Process IDs and wall-clock times may repeat, so the name has a random part instead of a time.
 	name := fmt.Sprintf("%s%d-%s", filePrefix, os.Getpid(), rand.Text())
 	lock, err := os.OpenFile(filepath.Join(dir, name+lockSuffix), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // the first error is the one returned
+		_ = lock.Close() // the lock error is returned
 		return nil, fmt.Errorf("rundir: %s: %w", lock.Name(), err)
 	}
 	return &Process{dir: dir, name: name, lock: lock}, nil
@@ -50,16 +50,16 @@
 
 // Unregister removes this process's files and releases its lock.
 func (p *Process) Unregister() {
-	_ = os.Remove(p.reportPath()) // there is none before the first WriteReport
+	_ = os.Remove(p.reportPath()) // no file exists before the first WriteReport
 	_ = os.Remove(p.lock.Name())
 	_ = p.lock.Close()
 }
 
 func (p *Process) reportPath() string { return filepath.Join(p.dir, p.name+reportSuffix) }
 
-// Others returns the latest reports of the other running processes, by process name, and removes the files of
-// processes that have ended. A process whose report is unreadable has a zero report in the map, and the error of one
-// such report is returned beside the map.
+// Others returns the latest reports of up to maxProcesses other running processes, by process name. It removes the
+// files of processes that have ended. A process without a readable report has a zero report in the map. reportErr is
+// the error of one unreadable report.
 func (p *Process) Others() (reports map[string]hotrestart.Report, reportErr error) {
 	locks, err := filepath.Glob(filepath.Join(p.dir, filePrefix+"*"+lockSuffix))
 	if err != nil {
@@ -73,7 +73,7 @@
 			continue
 		}
 		if !isAlive(lockPath) {
-			_ = os.Remove(base + reportSuffix) // the process may have written none
+			_ = os.Remove(base + reportSuffix) // the process may not have written a report
 			_ = os.Remove(lockPath)
 			continue
 		}
@@ -86,7 +86,7 @@
 	return reports, reportErr
 }
 
-// isAlive reports whether the process that created a lock file still holds the lock.
+// isAlive reports whether a process still holds the lock on the file at lockPath.
 func isAlive(lockPath string) bool {
 	file, err := os.OpenFile(lockPath, os.O_RDWR, 0)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return replaceFile(p.reportPath(), report)
 }
 
-// Order returns the current order; the zero value if there is none.
+// Order returns the current order, or the zero value if there is no order.
 func (p *Process) Order() (hotrestart.Order, error) {
 	order, err := readFile[hotrestart.Order](filepath.Join(p.dir, orderFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -117,7 +117,7 @@
 	return replaceFile(filepath.Join(p.dir, orderFile), order)
 }
 
-// readFile reads and decodes a message from a file. Its errors name the file.
+// readFile reads and decodes a message from the file at path. The errors name the file.
 func readFile[T hotrestart.Report | hotrestart.Order](path string) (message T, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -135,14 +135,15 @@
 	return message, nil
 }
 
-// replaceFile replaces a file atomically. It does not sync the file, which need not survive a crash of the machine.
+// replaceFile replaces the file at path atomically with message. It does not sync the file, because the file need not
+// survive a crash of the machine.
 func replaceFile[T hotrestart.Report | hotrestart.Order](path string, message T) error {
 	raw, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	// The name contains the process ID, so that the leftover file of a killed process is overwritten by a later
-	// process with the same ID.
+	// The name contains the process ID. A later process with the same ID overwrites the temporary file of a killed
+	// process.
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
 		return err
--- a/internal/rundir/stored_test.go
+++ b/internal/rundir/stored_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/internal/hotrestart"
 )
 
-// TestReadFile_EarlierVersion checks that the files that an earlier version wrote for two processes of one node are
-// decoded, and that encoding them again yields the same bytes.
+// TestReadFile_EarlierVersion checks that the files of two processes of an earlier version are decoded. Encoding the
+// messages again must yield the same bytes.
 func TestReadFile_EarlierVersion(t *testing.T) {
 	dir := filepath.Join("testdata", "node")
 	moment := time.Date(2026, 12, 1, 8, 30, 0, 0, time.UTC)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestOthers_EarlierVersion checks that the files of ended processes of an earlier version are removed, and that its
-// order is read.
+// TestOthers_EarlierVersion checks that the files of ended processes of an earlier version are removed. The order of
+// the earlier version must be read.
 func TestOthers_EarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "node"))); err != nil {
