--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWrite_ReplacesWholeFile checks for both functions that the file has the new content and mode 0600, that no
-// temporary file is left in its directory, and that a write to a missing directory fails.
+// TestWrite_ReplacesWholeFile checks both functions. The file must have the new content and mode 0600, and no
+// temporary file may remain. A write to a missing directory must fail.
 func TestWrite_ReplacesWholeFile(t *testing.T) {
 	for name, write := range map[string]func(string, []byte) error{"Write": Write, "WriteShared": WriteShared} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestWrite_AfterCrash checks that Write overwrites the longer temporary file of a crashed write.
+// TestWrite_AfterCrash checks that Write overwrites the temporary file of a crashed write, which is longer than the
+// new content.
 func TestWrite_AfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(path+".new", []byte("half of a much longer content"), 0o600); err != nil {
