--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock provides times that the processes of one machine can compare even if its wall clock is stepped:
-// the time since the machine was started, with an ID of that start.
+// Package bootclock provides times that the processes of one machine can compare even if its wall clock is stepped.
+// Each time is the time since the start of the machine, with an ID of that start.
 package bootclock
 
 import (
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds an ID that the kernel generates at each start of the machine.
+// bootIDFile is the file with the ID that the kernel generates at each start of the machine.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
 // Time is a time since the start of the machine. The zero value means unknown.
@@ -20,7 +20,7 @@
 	SinceBoot time.Duration `json:"ns,omitempty"`
 }
 
-// Now returns the current time; the zero value if the system does not provide it.
+// Now returns the current time, or the zero value if the system does not provide it.
 func Now() Time {
 	id := bootID()
 	var now unix.Timespec
@@ -30,8 +30,8 @@
 	return Time{BootID: id, SinceBoot: time.Duration(now.Nano())}
 }
 
-// Sub returns the time from earlier to t; false if one of them is unknown, or they are of different starts of the
-// machine.
+// Sub returns the time from earlier to t. ok is false if a time is unknown, or if the times are of different starts
+// of the machine.
 func (t Time) Sub(earlier Time) (span time.Duration, ok bool) {
 	if t.BootID == "" || t.BootID != earlier.BootID {
 		return 0, false
