--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,7 +12,7 @@
 	"cobaltward/router"
 )
 
-// eventInterval is the interval at which clients of the event stream are sent the status.
+// eventInterval is the interval between statuses in the event stream.
 const eventInterval = 250 * time.Millisecond
 
 // adminAPI handles the calls of a node's admin API. Its methods are safe for concurrent use.
@@ -21,10 +21,10 @@
 	engine          *router.Router
 	disabled        *disabled.Source
 	httpServer      *httpServer
-	announceFor     time.Duration      // how long a drain announces itself before connections are closed
+	announceFor     time.Duration      // time from the start of a drain until connections are closed
 	nodeTLS         *nodeTLS           // nil: no TLS
-	drainMarkerFile string             // path of the file that exists during a drain by request; empty: no file
-	onStandby       func(standby bool) // forwards the order to the other processes of this node; nil: there are none
+	drainMarkerFile string             // path of the drain marker file; empty: no file
+	onStandby       func(standby bool) // sends the order to the other processes of this node; nil: no other processes
 
 	mu         sync.Mutex
 	lastStatus Status
@@ -53,7 +53,7 @@
 
 // watchEvents sends drain events, and the status every eventInterval, until the client disconnects.
 func (a *adminAPI) watchEvents(api *adminapi.Server, w http.ResponseWriter, r *http.Request) {
-	var last uint64 // number of the last event that was sent
+	var last uint64 // number of the last event sent
 	api.StreamEvents(w, r, eventInterval, func() (events []adminapi.Event, more bool) {
 		for _, event := range a.engine.DrainEvents(last) {
 			if event.Number > last+1 && last > 0 {
@@ -77,7 +77,7 @@
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
 type LevelRequest struct {
 	Level       int    `json:"level"`
-	Duration    string `json:"for"` // such as "10m"; empty: until the level is released
+	Duration    string `json:"for"` // for example "10m"; empty: until the level is released
 	RequestedBy string `json:"who"`
 	Reason      string `json:"reason"`
 }
@@ -107,7 +107,7 @@
 	a.replyLevel(w, r, a.engine.SetLevel(request.Level, duration, request.RequestedBy, request.Reason))
 }
 
-// handleSetMaxLevel forbids the levels above the one requested.
+// handleSetMaxLevel forbids all levels above the requested level.
 func (a *adminAPI) handleSetMaxLevel(w http.ResponseWriter, r *http.Request) {
 	var request LevelRequest
 	if !adminapi.ReadJSON(w, r, &request) {
@@ -120,7 +120,7 @@
 	a.replyLevel(w, r, a.engine.ReleaseLevel())
 }
 
-// replyLevel answers a request to change the level: with the current level, or with err if the change failed.
+// replyLevel answers a request to change the level. It sends the current level, or err if the change failed.
 func (a *adminAPI) replyLevel(w http.ResponseWriter, r *http.Request, err error) {
 	if err != nil {
 		adminapi.WriteError(w, http.StatusConflict, err.Error())
@@ -141,7 +141,8 @@
 	a.replyDisabled(w, a.disabled.Enable(r.PathValue("id")))
 }
 
-// replyDisabled answers a request to disable or enable a server: with all disabled servers, or with err if it failed.
+// replyDisabled answers a request to disable or enable a server. It sends all disabled servers, or err if the change
+// failed.
 func (a *adminAPI) replyDisabled(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, disabled.ErrUnknownServer):
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	defaultDrainTimeout = 30 * time.Second // used where an order names no timeout
-	drainLeaveFor       = time.Second      // after the announcement: connections are closed with their answers
+	defaultDrainTimeout = 30 * time.Second // timeout of orders that name none
+	drainLeaveFor       = time.Second      // time after the announcement in which connections close with their answers
 	maxOrderDuration    = 24 * time.Hour
-	// phaseDivisor limits each of the first two phases of a drain to a quarter of its timeout, so that clients have left
+	// phaseDivisor limits each of the first two phases of a drain to a quarter of its timeout. Clients must have left
 	// before a short drain ends.
 	phaseDivisor = 4
 )
 
-// otherProcess is recorded as the requester of orders that another process of this node received.
+// otherProcess is the recorded requester of an order that another process of this node received.
 const otherProcess = "another process of this node"
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
 type DrainRequest struct {
-	Timeout     string `json:"deadline"` // such as "30s"; empty: defaultDrainTimeout
+	Timeout     string `json:"deadline"` // for example "30s"; empty: defaultDrainTimeout
 	Reason      string `json:"reason"`
 	RequestedBy string `json:"who"`
 	Force       bool   `json:"force"`
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// parseOrderDuration parses a duration in a request of an operator, which must be positive and at most
+// parseOrderDuration parses a duration in an operator's request. The duration must be positive and at most
 // maxOrderDuration.
 func parseOrderDuration(text string) (time.Duration, error) {
 	duration, err := time.ParseDuration(text)
@@ -107,7 +107,7 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// startDrain starts a drain requested over the admin API or the operations endpoint, and orders the other processes of
+// startDrain starts a drain that the admin API or the operations endpoint received. It orders the other processes of
 // the node into standby.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
@@ -117,8 +117,8 @@
 	return err
 }
 
-// cancelDrain cancels the drain, as requested over the admin API or the operations endpoint, and orders the other
-// processes of the node out of standby.
+// cancelDrain cancels the drain for the admin API or the operations endpoint. It orders the other processes of the
+// node out of standby.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
@@ -130,7 +130,7 @@
 	return err
 }
 
-// setStandby starts or cancels a drain as ordered by another process of this node.
+// setStandby starts or cancels a drain when another process of this node has ordered it.
 func (a *adminAPI) setStandby(standby bool) error {
 	if !standby {
 		err := a.engine.CancelDrain(otherProcess)
@@ -152,13 +152,13 @@
 	return err
 }
 
-// isAlreadyDraining reports whether a drain was not started because another is in progress or complete.
+// isAlreadyDraining reports whether err says that a drain is in progress or complete.
 func isAlreadyDraining(err error) bool {
 	var inProgress *drain.InProgressError
 	return errors.As(err, &inProgress) || errors.Is(err, drain.ErrDrained)
 }
 
-// writeDrainMarker writes the drain marker file, which makes a restarted process drain again.
+// writeDrainMarker writes the drain marker file. The file makes a restarted process drain again.
 func (a *adminAPI) writeDrainMarker(request DrainRequest) error {
 	if a.drainMarkerFile == "" {
 		return nil
@@ -177,7 +177,7 @@
 	}
 }
 
-// restoreDrain starts a drain if the drain marker file shows that one was in progress when the previous process ended.
+// restoreDrain starts a drain if the drain marker file exists, which means that the previous process was draining.
 func (a *adminAPI) restoreDrain() {
 	if a.drainMarkerFile == "" {
 		return
@@ -187,7 +187,7 @@
 		return
 	}
 	var request DrainRequest
-	_ = json.Unmarshal(raw, &request)    // even an incomplete file shows that there was a drain
+	_ = json.Unmarshal(raw, &request)    // an incomplete file also shows that there was a drain
 	_ = a.engine.StartDrain(drain.Order{ // cannot fail: a new engine has no other drain
 		Timeout:     defaultDrainTimeout,
 		Reason:      "drained before the restart: " + request.Reason,
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,10 +7,10 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is how long a status is cached, so that many polling clients cost no more than one.
+// statusMaxAge is the maximum age of the cached status. Many polling clients cost no more than one.
 const statusMaxAge = 100 * time.Millisecond
 
-// statusVersion is the format version that Status.Version reports.
+// statusVersion is the format version in Status.Version.
 const statusVersion = 1
 
 // Status is the status of a node, as the admin API sends it.
@@ -24,19 +24,19 @@
 	Connections      ConnectionCounts         `json:"connections"`
 	Servers          map[string]int           `json:"servers"` // number of servers by availability
 	DisabledServers  []string                 `json:"servers_drained_by_hand"`
-	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers with unproven identity
+	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers without a proven identity
 	EndpointList     router.EndpointListStats `json:"list"`
 	Answers          map[string]uint64        `json:"answers"` // number of answers by outcome
 	Attempts         uint64                   `json:"attempts"`
 }
 
-// RequestCounts counts the requests that are not answered yet.
+// RequestCounts counts the requests without an answer.
 type RequestCounts struct {
 	Open              int            `json:"open"`
 	ByClass           map[string]int `json:"by_class"`
 	OldestMs          int64          `json:"oldest_ms"`      // age of the oldest request
-	OldestRemainingMs int64          `json:"oldest_left_ms"` // time left until the deadline of the oldest request
-	Queued            int            `json:"held"`           // requests that wait for a server
+	OldestRemainingMs int64          `json:"oldest_left_ms"` // time until the deadline of the oldest request
+	Queued            int            `json:"held"`           // requests waiting for a server
 	Retrying          int            `json:"retrying"`
 	AttemptsInFlight  int            `json:"attempts_out"`
 }
@@ -46,11 +46,12 @@
 	Clients          int    `json:"clients"`
 	Busy             int    `json:"clients_with_a_request"`
 	Servers          int    `json:"servers"`
-	ClosedForDrain   uint64 `json:"parted"`  // client connections that a drain closed while they were idle
-	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; their clients send them again
+	ClosedForDrain   uint64 `json:"parted"`  // idle client connections closed by a drain
+	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; clients retry them
 }
 
-// currentStatus returns the node's status, at most statusMaxAge old. The status of its drain is always current.
+// currentStatus returns the node's status, which is at most statusMaxAge old. The drain in the status is always
+// current.
 func (a *adminAPI) currentStatus() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -9,22 +9,22 @@
 	"cobaltward/internal/sockets"
 )
 
-// requestArrival is a sockets.Arrival that is safe for concurrent use. It has a mutex of its own because it makes
-// system calls, during which the listener's mutex would block all connections.
+// requestArrival is a sockets.Arrival that is safe for concurrent use. It makes system calls and therefore has its
+// own mutex: the listener's mutex would block all connections meanwhile.
 type requestArrival struct {
 	mu      sync.Mutex
 	arrival sockets.Arrival
 }
 
-// reset starts tracking a request of which no byte can have arrived before earliest.
+// reset starts tracking a new request. No byte of the request can have arrived before earliest.
 func (a *requestArrival) reset(earliest time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.arrival.Reset(earliest)
 }
 
-// recordIdleRead records a non-blocking read of an idle connection that returned at now. waited says that the read was
-// repeated because there were no bytes at first; all says that it took all bytes that had arrived.
+// recordIdleRead records a non-blocking read of an idle connection that returned at now. waited reports whether the
+// first try found no bytes. all reports whether the read took all bytes that had arrived.
 func (a *requestArrival) recordIdleRead(now time.Time, waited, all bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -34,7 +34,8 @@
 	a.arrival.RecordRead(now, now, all)
 }
 
-// recordRead records a read from began until now; all says that it took all bytes that had arrived.
+// recordRead records a read that began at began and returned now. all reports whether the read took all bytes that
+// had arrived.
 func (a *requestArrival) recordRead(tcp *net.TCPConn, began time.Time, all bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,9 +63,9 @@
 	return a.arrival
 }
 
-// arrivalAge returns an upper bound of the time since the last byte of the request that was just read arrived; 0 if
-// the connection is unknown. The kernel's time of the last receipt is used where it is known, except for pipelined
-// requests: it may then belong to a later request.
+// arrivalAge returns an upper bound of the age of a request: the time since its last byte arrived. It returns 0 if
+// the connection is unknown. It uses the kernel's time of the last receipt where possible. For pipelined requests
+// that time may belong to a later request and is not used.
 func arrivalAge(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -26,23 +26,24 @@
 
 const (
 	maxHeaderBytes    = 16 << 10
-	headerTimeout     = 2500 * time.Millisecond // for reading a request's head, from its first byte
-	bodyTimeout       = 5 * time.Second         // for reading a request's body, beyond the time that a slow network needs
-	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; eviction may end them earlier
-	newConnTimeout    = 15 * time.Second        // from the accept or the TLS handshake to the first byte of a request
-	rpcIdleTimeout    = 15 * time.Second        // of MessagePack-RPC connections; documented in docs/msgpack-rpc.md
-	writeTimeout      = 5 * time.Second         // for writing an answer to a client that does not read
+	headerTimeout     = 2500 * time.Millisecond // timeout for a request's head, from its first byte
+	bodyTimeout       = 5 * time.Second         // timeout for a request's body, beyond the time for a slow network
+	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; eviction may come earlier
+	newConnTimeout    = 15 * time.Second        // timeout for the first byte after the accept or the TLS handshake
+	rpcIdleTimeout    = 15 * time.Second        // idle timeout of MessagePack-RPC; documented in docs/msgpack-rpc.md
+	writeTimeout      = 5 * time.Second         // timeout for writing an answer to a client that does not read
 	readyPath         = "/health/ready"
 )
 
 const (
 	bodyMemoryShare = 0.25     // share of the node's memory for buffered bodies
 	maxBodyBytes    = 32 << 20 // maximum length of the body of one request
-	bodiesPerBudget = 4        // number of buffered bodies of the largest size that fit into the budget
+	bodiesPerBudget = 4        // minimum number of buffered bodies that fit into the budget
 )
 
-// build creates the parts of the node. It starts none of the node's background tasks; the engine, the transport and the
-// TLS layer towards servers start their own goroutines. release closes what build has opened, also after an error.
+// build creates the parts of the node. It starts none of the node's background tasks, but the engine, the transport
+// and the TLS layer towards servers start their own goroutines. release closes what build has opened, also after an
+// error.
 func (n *node) build(listener net.Listener) error {
 	n.limits = n.config.connLimits()
 	n.registry = registry.New(registry.Config{
@@ -109,7 +110,7 @@
 // buildHTTPServer creates the server for HTTP clients; its handler is set later.
 func (n *node) buildHTTPServer(listener net.Listener) {
 	server := &http.Server{
-		MaxHeaderBytes:               maxHeaderBytes, // timeouts are not set: readDeadline enforces them
+		MaxHeaderBytes:               maxHeaderBytes, // timeouts stay unset: readDeadline enforces them
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 		ConnContext:                  withClientConn,
@@ -125,8 +126,8 @@
 	n.httpServer.listener.tlsLayer = n.tls.clientListenerLayer()
 }
 
-// newEndpointSource returns the source of endpoints: the registry, or the source that the configuration derives from
-// it.
+// newEndpointSource returns the source of endpoints: the registry, or a source that the configuration derives from
+// the registry.
 func (n *node) newEndpointSource() (router.EndpointSource, error) {
 	if n.config.NewEndpointSource == nil {
 		return n.registry, nil
@@ -134,8 +135,9 @@
 	return n.config.NewEndpointSource(n.registry)
 }
 
-// wrapEndpointSource makes a source report disabled and untrusted servers as draining. It returns the source itself if
-// there is neither an admin API, which disables servers, nor TLS towards servers, which finds untrusted ones.
+// wrapEndpointSource returns a source that reports disabled and untrusted servers as draining. It returns source
+// itself if there is neither an admin API, which disables servers, nor TLS towards servers, which finds untrusted
+// servers.
 func (n *node) wrapEndpointSource(source router.EndpointSource) router.EndpointSource {
 	if n.adminServer == nil && n.tls.transportLayer() == nil {
 		return source
@@ -145,7 +147,7 @@
 	return n.disabledServers
 }
 
-// openAdminServer opens the admin API's listeners. Connections wait in the accept queue until start.
+// openAdminServer opens the admin API's listeners. Connections wait in the accept queue until startAdminServer.
 func (n *node) openAdminServer() error {
 	if !n.config.AdminAPI.Enabled() {
 		return nil
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// buildEngine creates the engine, which starts to follow the endpoint source, and connects it with the parts that
-// need it.
+// buildEngine creates the engine and connects it with the parts that need it. The engine starts to follow the
+// endpoint source.
 func (n *node) buildEngine(endpoints router.EndpointSource) error {
 	options := []router.Option{
 		router.WithLogger(n.log),
@@ -226,8 +228,9 @@
 	})
 }
 
-// buildProcessGroup makes this process share the node with its predecessor and successor if a shared listener and a
-// shared directory are configured. It reports whether the learned state is saved for a successor only.
+// buildProcessGroup makes this process share the node with its predecessor and successor. It does nothing without a
+// shared listener and a shared directory. successorOnly reports whether the learned state is saved for a successor
+// only.
 func (n *node) buildProcessGroup() (successorOnly bool) {
 	if !n.config.SharedListener || n.config.SharedDir == "" {
 		return false
@@ -251,15 +254,14 @@
 	return true
 }
 
-// bodyLimits returns the limits of buffered request bodies: a share of the node's memory for all bodies together, and
-// a part of that for each.
+// bodyLimits returns the limits of buffered request bodies: a share of the node's memory for all bodies, and a part
+// of that share for each body.
 func (c Config) bodyLimits() body.Limits {
 	budget := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
 	return body.Limits{MaxLength: maxBodyBytes, MaxBuffered: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
 }
 
-// newTransport returns a transport with at most maxConns connections, which uses the protocol that the kind of a server
-// implies.
+// newTransport returns a transport with at most maxConns connections. The kind of a server determines the protocol.
 func newTransport(config Config, maxConns int, layer *secure.ClientTLS) router.Transport {
 	newHTTP := func(maxConns int) router.Transport {
 		return http1.New(http1.Config{MaxConns: maxConns, ConnectTimeout: config.ConnectTimeout, TLS: layer})
--- a/internal/node/clientdeadline.go
+++ b/internal/node/clientdeadline.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// readPhase is the part of a request that reads of a client's connection wait for.
+// readPhase says which part of a request the reads of a client's connection wait for.
 type readPhase int
 
 const (
-	phaseIdle readPhase = iota // waits for the first byte of a request
-	phaseHead                  // waits for the rest of a request's head
-	phaseOpen                  // reads the body of a request, or a request is being answered
+	phaseIdle readPhase = iota // waiting for the first byte of a request
+	phaseHead                  // waiting for the rest of a request's head
+	phaseOpen                  // reading the body of a request, or waiting for its answer
 )
 
 // readDeadline sets the read deadline of a client's connection. Idle connections, including new ones, have an idle
-// timeout, and the head of a request has a timeout that starts with its first byte. While a request is open, the
-// deadline that net/http or a handler has set applies. It is safe for concurrent use.
+// timeout. The head of a request has a timeout that starts with its first byte. While a request is open, the deadline
+// of net/http or of a handler applies. readDeadline is safe for concurrent use.
 type readDeadline struct {
 	set    func(t time.Time) error // sets the deadline of the connection; does not block
 	pauses pauseCounter
 
 	mu             sync.Mutex
 	phase          readPhase
-	phaseEnd       time.Time     // end of phaseIdle, of phaseHead, or of the first read of a body in phaseOpen; zero: none
+	phaseEnd       time.Time     // deadline of the phase; in phaseOpen, of a body without a handler's limits; zero: none
 	headTimeout    clientTimeout // timeout of phaseHead
-	requested      time.Time     // set by net/http or a handler, or derived from body; zero: none
+	requested      time.Time     // deadline from net/http, a handler or body; zero: none
 	body           bodyReads
-	ended          bool      // no more requests are read: the connection is closed or lingers
-	countingPauses bool      // pauses.Begin was called, and pauses.End was not
-	closeBy        time.Time // when the client must have closed its side; zero: no such limit
-	finalDeadline  time.Time // replaces all other deadlines; zero: they apply
-	current        time.Time // deadline that was set last
+	ended          bool      // whether the connection is closed or lingers; no more requests are read
+	countingPauses bool      // whether a pauses.Begin has no pauses.End yet
+	closeBy        time.Time // deadline for the client to close its side; zero: none
+	finalDeadline  time.Time // replaces all other deadlines; zero: not set
+	current        time.Time // last deadline set on the connection
 }
 
-// setRequested sets the deadline that net/http or a handler requests; the zero time removes it.
+// setRequested sets the deadline t that net/http or a handler requests. The zero time removes the deadline.
 func (d *readDeadline) setRequested(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,7 +46,8 @@
 	return d.updateLocked()
 }
 
-// limitBody replaces the requested deadline with limits for the reads of a body, from the next read on.
+// limitBody replaces the requested deadline with limits for the reads of a body. The limits apply from the next read
+// on.
 func (d *readDeadline) limitBody(limits bodyReadLimits) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +60,7 @@
 	d.clearBodyTimeoutLocked()
 }
 
-// restartStallTimeout makes the next read of a body restart the timeout for its next bytes.
+// restartStallTimeout restarts the timeout for the next bytes of a body at the next read.
 func (d *readDeadline) restartStallTimeout() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +82,8 @@
 	_ = d.updateLocked()
 }
 
-// updatePauseCountingLocked starts or stops the counting of pauses, which is needed while a head or a body is read.
+// updatePauseCountingLocked starts or stops the counting of pauses. Pauses are counted while a head or a body is
+// read.
 func (d *readDeadline) updatePauseCountingLocked() {
 	wanted := !d.ended && (d.phase == phaseHead || d.body.active())
 	switch {
@@ -93,7 +95,7 @@
 	d.countingPauses = wanted
 }
 
-// end stops the counting of pauses for good: no more requests are read.
+// end stops the counting of pauses for good. It is called when no more requests are read.
 func (d *readDeadline) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,8 +103,8 @@
 	d.updatePauseCountingLocked()
 }
 
-// extendRead extends the deadline of a timed-out read within a request by the time for which the node was paused. It
-// returns false if that leaves no time.
+// extendRead extends the deadline of a timed-out read within a request by the duration of the node's pauses. It
+// returns false if no time is left or no request is being read.
 func (d *readDeadline) extendRead() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,14 +129,14 @@
 	d.updatePauseCountingLocked()
 }
 
-// apply sets the deadline of a phase that beginIdle has begun.
+// apply sets the deadline of phaseIdle, which beginIdle has begun.
 func (d *readDeadline) apply() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_ = d.updateLocked()
 }
 
-// beginHead begins phaseHead, unless it has already begun.
+// beginHead begins phaseHead, unless phaseHead has already begun.
 func (d *readDeadline) beginHead(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,8 +150,8 @@
 	_ = d.updateLocked()
 }
 
-// beginOpen begins phaseOpen, unless it has already begun. withinBody says that the body is not complete: until a
-// handler limits its reads, bodyTimeout does.
+// beginOpen begins phaseOpen, unless phaseOpen has already begun. withinBody says that the body is incomplete.
+// bodyTimeout limits the reads of the body until a handler sets its own limits.
 func (d *readDeadline) beginOpen(withinBody bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,7 +166,7 @@
 	_ = d.updateLocked()
 }
 
-// clearBodyTimeoutLocked removes the limit of bodyTimeout, once a handler has set its own limits for a body.
+// clearBodyTimeoutLocked removes the limit of bodyTimeout. It is called once a handler has set its own limits.
 func (d *readDeadline) clearBodyTimeoutLocked() {
 	if d.phase == phaseOpen {
 		d.phaseEnd = time.Time{}
@@ -179,10 +181,10 @@
 	_ = d.updateLocked()
 }
 
-// interrupt makes the read in progress, and all later ones, fail with a timeout.
+// interrupt makes the current read and all later reads fail with a timeout.
 func (d *readDeadline) interrupt() { d.beginClose(time.Now()) }
 
-// setFinal makes t the only deadline from now on.
+// setFinal makes t the only deadline. It replaces all earlier and later deadlines.
 func (d *readDeadline) setFinal(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,14 +192,14 @@
 	_ = d.updateLocked()
 }
 
-// withinHead reports whether the head of a request has been read in part.
+// withinHead reports whether a part of a request's head has been read.
 func (d *readDeadline) withinHead() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.phase == phaseHead
 }
 
-// updateLocked sets the earliest of the deadlines that apply. It fails only if the connection is closed.
+// updateLocked sets the earliest of the applicable deadlines. It fails only if the connection is closed.
 func (d *readDeadline) updateLocked() error {
 	deadline := earlierDeadline(earlierDeadline(d.requested, d.phaseEnd), d.closeBy)
 	if !d.finalDeadline.IsZero() {
@@ -210,7 +212,7 @@
 	return d.set(deadline)
 }
 
-// earlierDeadline returns the earlier of two deadlines; the zero time means no deadline.
+// earlierDeadline returns the earlier of a and b. The zero time means no deadline.
 func earlierDeadline(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// silentHandshakeAge is the age from which a connection that has sent no byte of its TLS handshake may be evicted.
+	// silentHandshakeAge is the minimum age at which a connection without a byte of its TLS handshake may be evicted.
 	silentHandshakeAge = 250 * time.Millisecond
-	// stalledHandshakeAge is the age from which a connection whose TLS handshake waits for the client may be evicted.
+	// stalledHandshakeAge is the minimum age at which a connection may be evicted while its TLS handshake waits for the
+	// client.
 	stalledHandshakeAge = time.Second
-	// stalledRequestAge is how long after the last byte of an incomplete request its connection may be evicted.
+	// stalledRequestAge is the minimum time between the last byte of an incomplete request and the eviction of its
+	// connection.
 	stalledRequestAge = time.Second
 	// overflowStallTimeout replaces stalledRequestAge for overflow connections.
 	overflowStallTimeout = 2 * time.Millisecond
-	// firstRequestGrace protects a new connection from eviction: its first request is on its way, and its client has no
+	// firstRequestGrace protects a new connection from eviction. The first request is on its way, and the client has no
 	// reason to expect a close.
 	firstRequestGrace = 100 * time.Millisecond
-	// silentConnAge is the age from which a connection that has never sent a request is evicted before those that have:
-	// otherwise clients that connect and send nothing would keep their slots longer than idle clients.
+	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
+	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
 	silentConnAge = 2500 * time.Millisecond
 	// rejectionWriteTimeout limits the write of a rejection before an eviction. A rejection fits into the socket buffer.
 	rejectionWriteTimeout = 100 * time.Millisecond
 )
 
-// evictIdleLocked evicts an idle connection and reports whether there was one; the mutex is released meanwhile.
-// Connections older than silentConnAge that have never sent a request are evicted first, then the one that has been
-// idle for longest. A connection within firstRequestGrace is evicted only if includeNew is set: its client does not
-// expect a close, and may not get an answer on its next connection either.
+// evictIdleLocked evicts an idle connection and reports whether there was one. It releases the mutex meanwhile.
+// Connections older than silentConnAge without any request come first, then the connection that has been idle
+// longest. Connections within firstRequestGrace are evicted only if includeNew is set: their clients do not expect a
+// close, and may get no answer on the next connection either.
 func (l *clientListener) evictIdleLocked(includeNew bool) bool {
 	isSilent := func(c *clientConn) bool {
 		return !c.requestSeen && !c.awaitsFirstRequestLocked(silentConnAge)
@@ -46,8 +48,8 @@
 	return false
 }
 
-// longestIdleLocked returns the candidate that has been idle for longest; nil if there is none. Connections within a
-// handshake that has begun, or with a request that has arrived, are skipped.
+// longestIdleLocked returns the candidate that has been idle longest, or nil if there is none. It skips connections
+// with an unfinished handshake that has begun, and connections whose request has arrived.
 func (l *clientListener) longestIdleLocked(isCandidate func(*clientConn) bool) *clientConn {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -59,9 +61,9 @@
 	return nil
 }
 
-// evictStalledLocked evicts the connection whose client has sent nothing within a request for the longest time, if that
-// exceeds stalledRequestAge, or overflowStallTimeout for an overflow connection. It reports whether there was one; the
-// mutex is released meanwhile.
+// evictStalledLocked evicts the stalled connection whose last byte of a request is the oldest. It reports whether
+// there was one. A connection is stalled after stalledRequestAge, an overflow connection after overflowStallTimeout.
+// The mutex is released meanwhile.
 func (l *clientListener) evictStalledLocked() bool {
 	now := time.Now()
 	var longest *clientConn
@@ -81,8 +83,8 @@
 	return true
 }
 
-// evictHandshakeLocked closes the oldest connection whose TLS handshake has waited for the client beyond
-// stalledHandshakeAge or silentHandshakeAge, and reports whether there was one.
+// evictHandshakeLocked closes the oldest connection whose TLS handshake has waited too long for the client. The
+// limits are stalledHandshakeAge and silentHandshakeAge. It reports whether there was such a connection.
 func (l *clientListener) evictHandshakeLocked() bool {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -99,10 +101,10 @@
 	return false
 }
 
-// rejectEvictedLocked ends an evicted connection, which then lingers; the mutex is released meanwhile. If withRejection
-// is set, a plain connection is sent a 503 first, since the rest of its request may be on its way. A half-closed
-// connection is sent none: a client that has had an answer with Connection: close would not read it. The rejection is
-// written before the connection counts as closed, since its reader closes it then.
+// rejectEvictedLocked ends an evicted connection, which then lingers. It releases the mutex meanwhile. If
+// withRejection is set, a plain connection gets a 503 first, because the rest of its request may be on its way. A
+// half-closed connection gets none: its client would not read a response after Connection: close. The rejection is
+// written before the connection counts as closed, because the reader then closes the connection.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
@@ -111,7 +113,7 @@
 		_, _ = io.WriteString(conn.TCPConn, l.rejectionResponse())
 	}
 	conn.untrackLocked()
-	if conn.isHandshaking() { // no request can have arrived, so it need not linger
+	if conn.isHandshaking() { // no request can have arrived, so lingering is unnecessary
 		l.mu.Unlock()
 		_ = conn.stream.Close()
 		l.mu.Lock()
@@ -121,7 +123,7 @@
 	l.lingering.add(conn)
 	l.mu.Unlock()
 	_ = conn.stream.CloseWrite()
-	conn.deadline.interrupt() // the read returns, and net/http closes the connection
+	conn.deadline.interrupt() // makes the read return, so that net/http closes the connection
 	l.mu.Lock()
 	l.trimLingeringLocked(overflowConns + maxEvictedConns)
 }
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -7,17 +7,17 @@
 	"cobaltward/internal/sockets"
 )
 
-// maxEvictedConns is how many evicted connections may be open in addition to overflowConns until their readers close
-// them. Below that number, accepting does not wait for the close.
+// maxEvictedConns is the maximum number of evicted connections that may be open in addition to overflowConns. Below
+// that maximum, Accept does not wait until the readers close evicted connections.
 const maxEvictedConns = 6
 
-// lingeringConns are connections that the node ends before their clients do. A close while bytes of a request are
-// unread, or on their way, would reset the connection, and its client could not tell whether the request was lost.
-// Instead it lingers: the node's side is closed, and what arrives is discarded until the client has closed its own
-// side, or closeHandshakeTimeout has passed. Lingering connections use only descriptors that clientListener does not
-// need.
+// lingeringConns holds the connections that the node ends before their clients do. A close would reset the connection
+// while bytes of a request are unread or on their way. The client could not tell whether the request was lost. A
+// lingering connection closes the node's side first and discards what arrives. It closes once the client has closed
+// its own side, or after closeHandshakeTimeout. Lingering connections use only descriptors that clientListener does
+// not need.
 type lingeringConns struct {
-	conns linked.List // of *clientConn, longest lingering first
+	conns linked.List // elements are *clientConn, longest lingering first
 }
 
 func (l *lingeringConns) add(c *clientConn) {
@@ -35,7 +35,7 @@
 
 func (l *lingeringConns) len() int { return l.conns.Len() }
 
-// takeOldest removes the connection that has lingered for longest, and returns it.
+// takeOldest removes and returns the connection that has lingered longest.
 func (l *lingeringConns) takeOldest() *clientConn {
 	c := l.conns.Front().Value.(*clientConn)
 	l.remove(c)
@@ -51,15 +51,15 @@
 	}
 }
 
-// trimLingeringLocked closes lingering connections, longest lingering first, while the open and lingering ones together
-// exceed maxConns by more than excess; the mutex is released meanwhile.
+// trimLingeringLocked closes lingering connections, longest lingering first. It stops when open and lingering
+// connections together exceed maxConns by at most excess. It releases the mutex meanwhile.
 func (l *clientListener) trimLingeringLocked(excess int) {
 	for l.lingering.len() > 0 && l.open+l.lingering.len() > l.maxConns+excess {
 		l.closeOldestLingeringLocked()
 	}
 }
 
-// closeOldestLingeringLocked closes the connection that has lingered for longest; the mutex is released meanwhile.
+// closeOldestLingeringLocked closes the connection that has lingered longest. It releases the mutex meanwhile.
 func (l *clientListener) closeOldestLingeringLocked() {
 	c := l.lingering.takeOldest()
 	l.mu.Unlock() // Close waits for a Read in progress, which takes the mutex
@@ -67,18 +67,18 @@
 	l.mu.Lock()
 }
 
-// Close closes the connection. It lets the connection linger if the node ends it before its client, or if bytes are
-// unread: a close would reset it, and the client would lose an answer that it has not read.
+// Close closes the connection. The connection lingers if the node ends it before its client or if bytes are unread.
+// Otherwise the close would reset the connection, and the client could lose an answer that it has not read.
 func (c *clientConn) Close() error {
 	if !c.beginLinger() {
 		return c.stream.Close()
 	}
-	go c.linger() // ends after closeHandshakeTimeout at the latest
+	go c.linger() // ends after at most closeHandshakeTimeout
 	return nil
 }
 
-// beginLinger reports whether the connection must linger, and adds it to the lingering ones then. In either case it no
-// longer counts as open.
+// beginLinger reports whether the connection must linger. If so, it adds the connection to the lingering connections.
+// In either case the connection no longer counts as open.
 func (c *clientConn) beginLinger() bool {
 	l := c.listener
 	l.mu.Lock()
@@ -102,7 +102,7 @@
 	c.deadline.setFinal(time.Now().Add(closeHandshakeTimeout))
 	var buf [discardBufferSize]byte
 	for discarded := 0; discarded < maxDiscarded; {
-		n, err := c.stream.Read(buf[:]) // returns no TLS alerts: a client may answer the node's alert with its own
+		n, err := c.stream.Read(buf[:]) // returns no TLS alerts; a client may answer the node's alert with one
 		if n > 0 {
 			c.recordBytesAfterEnd()
 		}
@@ -125,6 +125,6 @@
 }
 
 const (
-	discardBufferSize = 4 << 10   // buffer size of a read whose bytes are discarded
-	maxDiscarded      = 512 << 10 // number of bytes after which a lingering connection is closed
+	discardBufferSize = 4 << 10   // size of the buffer for discarded bytes
+	maxDiscarded      = 512 << 10 // maximum number of bytes discarded before a lingering connection closes
 )
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -14,50 +14,52 @@
 	"cobaltward/internal/sockets"
 )
 
-// overflowConns is the number of connections above maxConns whose requests are rejected at once. Their file descriptors
-// are taken from those that the node reserves for itself.
+// overflowConns is the maximum number of overflow connections, whose requests are rejected at once. Their file
+// descriptors come from those that the node reserves for itself.
 const overflowConns = 6
 
 // clientListener accepts the connections of clients and limits their number. Above the limit it evicts the connection
-// that has been without a request for longest, so that clients that connect and send nothing, or keep idle connections,
-// do not keep others out. Its methods are safe for concurrent use; the fields above mu are set before the first Accept.
+// that has been without a request longest. Clients that connect and send nothing, or keep idle connections, therefore
+// do not keep other clients out. Its methods are safe for concurrent use. The fields above mu are set before the
+// first Accept.
 type clientListener struct {
 	net.Listener
-	// queueTimeout returns how long connections may wait in the accept queue.
+	// queueTimeout returns the maximum time for which connections may wait in the accept queue.
 	queueTimeout func() time.Duration
-	// retryAfter returns the value of the Retry-After header of rejections; 0: the header is left out.
+	// retryAfter returns the value of the Retry-After header of rejections; 0 omits the header.
 	retryAfter func() time.Duration
 	tlsLayer   *secure.Terminator // nil: connections are plain TCP
 
 	log         *slog.Logger
-	idleTimeout time.Duration // how long a connection may be without a request
-	headTimeout time.Duration // from the first byte of a request's head to the last
-	pauses      pauseCounter  // counts pauses of this process
+	idleTimeout time.Duration // maximum time without a request
+	headTimeout time.Duration // timeout from the first byte of a request's head to the last
+	pauses      pauseCounter  // pauses of this process
 
 	mu        sync.Mutex
-	maxConns  int         // number of connections with a slot, which are served
-	slotFreed sync.Cond   // signalled when an accepted connection may get a slot
+	maxConns  int         // maximum number of connections that are served
+	slotFreed sync.Cond   // signaled when an accepted connection may get a slot
 	open      int         // number of connections, including those in excess of maxConns
-	idle      linked.List // of *clientConn: the connections without a request, longest idle first
-	// partialRequests holds the connections that have sent bytes of a request that is not handed on yet.
+	idle      linked.List // *clientConn elements without a request, longest idle first
+	// partialRequests holds the connections with bytes of a request that is not handed on yet.
 	partialRequests  map[*clientConn]bool
 	closed           bool
 	queue            sockets.AcceptQueue
 	queueDrained     chan struct{} // closed when drainAcceptQueue has emptied the accept queue
-	shuttingDown     bool          // connections are closed as they become idle
+	shuttingDown     bool          // whether connections are closed as they become idle
 	lingering        lingeringConns
-	recheckScheduled bool // a timer will call recheckIdle
-	// firstPending is the number of open connections whose first request is not answered yet. Connections that were
-	// accepted during a shutdown, or are half closed, are not counted.
+	recheckScheduled bool // whether a timer will call recheckIdle
+	// firstPending is the number of open connections without an answer to their first request. It excludes half-closed
+	// connections and connections accepted during a shutdown.
 	firstPending int
 
-	requestsDuringClose uint64 // requests that arrived while a drain closed their connection; clients retry them
-	closedIdle          uint64 // idle connections that were closed by a drain
+	requestsDuringClose uint64 // requests that arrived during a drain's close; clients retry them
+	closedIdle          uint64 // idle connections closed by a drain
 	unanswered          unansweredCounts
 }
 
 // newClientListener returns a listener that accepts from inner and serves at most maxConns connections. Until
-// queueTimeout and retryAfter are set, connections do not wait for a slot and rejections have no Retry-After.
+// queueTimeout is set, connections do not wait for a slot. Until retryAfter is set, rejections have no Retry-After
+// header.
 func newClientListener(inner net.Listener, maxConns int) *clientListener {
 	listener := &clientListener{
 		Listener: inner, queue: sockets.NewAcceptQueue(), queueDrained: make(chan struct{}),
@@ -97,8 +99,8 @@
 	return conn, nil
 }
 
-// acceptQueued returns the next connection in the accept queue. During drainAcceptQueue it fails once the queue is
-// empty.
+// acceptQueued returns the next connection in the accept queue. During drainAcceptQueue it returns net.ErrClosed once
+// the queue is empty.
 func (l *clientListener) acceptQueued() (net.Conn, error) {
 	for {
 		tcp, err := l.queue.Accept(l.Listener)
@@ -115,7 +117,7 @@
 	}
 }
 
-// newConn returns the clientConn of a TCP connection that was just accepted.
+// newConn returns the clientConn of tcp, which was just accepted.
 func (l *clientListener) newConn(tcp *net.TCPConn) *clientConn {
 	now := time.Now()
 	c := &clientConn{TCPConn: tcp, listener: l, acceptedAt: now, openedAt: now}
@@ -138,7 +140,7 @@
 	return l.Listener.Close()
 }
 
-// markClosed makes Accept stop waiting for a slot, and reports whether the listener was open.
+// markClosed makes Accept stop waiting for a slot. wasOpen reports whether the listener was open.
 func (l *clientListener) markClosed() (wasOpen bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +156,7 @@
 	return l.closed
 }
 
-// setMaxConns changes the number of connections that are served; less than 1 counts as 1.
+// setMaxConns sets the maximum number of connections that are served; values below 1 count as 1.
 func (l *clientListener) setMaxConns(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,22 +164,22 @@
 	l.slotFreed.Broadcast()
 }
 
-// connCounts returns the number of open connections, and of those with a request.
+// connCounts returns the number of open connections and how many of them have a request.
 func (l *clientListener) connCounts() (open, busy int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open, l.open - l.idle.Len()
 }
 
-// pendingFirstRequests returns firstPending.
+// pendingFirstRequests returns firstPending under the mutex.
 func (l *clientListener) pendingFirstRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.firstPending
 }
 
-// idleCloseCounts returns the number of idle connections that a drain has closed, and of requests that arrived during
-// such a close.
+// idleCloseCounts returns the number of idle connections that drains have closed, and the number of requests that
+// arrived during such a close.
 func (l *clientListener) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -11,14 +11,13 @@
 	"cobaltward/internal/sockets"
 )
 
-// malformedHead is passed to net/http in place of a request's head with malformed framing, so that net/http answers
-// with 400.
+// malformedHead replaces a request's head with malformed framing. net/http answers malformedHead with 400.
 const malformedHead = "\r\n:\r\n\r\n"
 
 var errMalformedFraming = errors.New("malformed framing of the request's body")
 
-// Read reads for net/http. It records that a request begins, since net/http reports that only after the whole head.
-// Bytes with malformed framing are withheld from net/http, which would accept some of them.
+// Read reads for net/http. It records the start of a request, which net/http reports only after the whole head. It
+// withholds bytes with malformed framing, because net/http would accept some of them.
 func (c *clientConn) Read(buf []byte) (int, error) {
 	if c.framing.Problem() != "" {
 		return c.readMalformed(buf)
@@ -30,8 +29,8 @@
 	if closing {
 		return 0, io.EOF // the node is closing the connection, so no answer can reach the client
 	}
-	// While a request is open, net/http reads a single byte to detect that its client disconnects. A read of a head may
-	// also be of a single byte, if net/http's buffer has no more space.
+	// While a request is open, net/http reads a single byte to detect a disconnect of its client. A read of a head may
+	// also be a single byte, if net/http's buffer has no more space.
 	oneByteRead := len(buf) == 1 && n == 1 && c.framing.Heads() > c.requestsDone
 	if oneByteRead {
 		c.arrival.recordNextStart()
@@ -46,7 +45,7 @@
 		}
 		return wellFormed, nil
 	}
-	// With a byte of the next request, net/http would stop detecting a disconnect. The detection continues here until
+	// Given a byte of the next request, net/http would stop detecting a disconnect. The detection continues here until
 	// net/http ends it with a read deadline in the past.
 	if oneByteRead && err == nil && sockets.AwaitPeerClose(c.TCPConn) == nil {
 		return n, io.EOF
@@ -54,9 +53,9 @@
 	return n, err
 }
 
-// readStream reads and records that a request begins; closing says that the node is closing the connection. On an idle
-// connection both happen under the listener's mutex: between the two, the socket would show no unread bytes, and the
-// connection could be closed although a request has arrived.
+// readStream reads and records the start of a request. closing reports whether the node is closing the connection. On
+// an idle plain connection, the read and the record are one step under the listener's mutex. Between the two, the
+// socket would show no unread bytes, and the connection could be closed although a request has arrived.
 func (c *clientConn) readStream(buf []byte) (n int, closing bool, err error) {
 	if c.tls == nil && c.idle.Load() {
 		return c.readIdle(buf)
@@ -70,12 +69,12 @@
 	return n, n > 0 && !c.recordRequestBytes(began, n < len(buf)), err
 }
 
-// shouldRetryRead reports whether a read that has timed out must be tried again. It ends an idle TLS connection.
+// shouldRetryRead reports whether a timed-out read must be tried again. If not, it ends an idle TLS connection.
 func (c *clientConn) shouldRetryRead() bool {
 	return c.tls != nil && !c.endIdleTLS() || c.deadline.extendRead()
 }
 
-// readIdle implements readStream for idle TCP connections without TLS.
+// readIdle is readStream for idle plain TCP connections.
 func (c *clientConn) readIdle(buf []byte) (n int, closing bool, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -122,8 +121,8 @@
 	return n, closing, nil
 }
 
-// endIdleLocked ends a connection that is idle at its read deadline. The caller holds the mutex since a check that
-// found no unread bytes; bytes that arrive later are discarded and counted.
+// endIdleLocked ends a connection that is idle at its read deadline. The caller holds the mutex from the check for
+// unread bytes on. Bytes that arrive after the check are discarded and counted.
 func (c *clientConn) endIdleLocked() {
 	if c.halfClosed || c.closed {
 		return
@@ -133,8 +132,8 @@
 	c.recordEndLocked(endIdle)
 }
 
-// endIdleTLS ends a TLS connection that is idle at its read deadline. It returns false if bytes have arrived since the
-// last read, which must then be tried again.
+// endIdleTLS ends a TLS connection that is idle at its read deadline. It returns false if bytes have arrived since
+// the last read. The caller must then read again.
 func (c *clientConn) endIdleTLS() (ended bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -149,7 +148,7 @@
 	return true
 }
 
-// readRetryingEINTR reads from a non-blocking file descriptor and retries if a signal interrupts the read.
+// readRetryingEINTR reads from the non-blocking file descriptor fd. It retries when a signal interrupts the read.
 func readRetryingEINTR(fd int, buf []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, buf)
@@ -159,8 +158,8 @@
 	}
 }
 
-// readMalformed makes net/http answer malformed framing with 400 and close the connection: within a head it returns
-// malformedHead, within a body an error.
+// readMalformed handles malformed framing. Within a head it returns malformedHead, which net/http answers with 400
+// before it closes the connection. Within a body it returns an error.
 func (c *clientConn) readMalformed(buf []byte) (int, error) {
 	if !c.framing.InHead() {
 		return 0, errMalformedFraming
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// drainFirstRequestGrace is the age up to which a drain leaves a connection without any request open: the first request
-// may be on its way. A client that needs longer sees an orderly close.
+// drainFirstRequestGrace is the age up to which a drain leaves connections without any request open, because the
+// first request may be on its way. After that, the client sees an orderly close.
 const drainFirstRequestGrace = 2500 * time.Millisecond
 
-// drainRecheckInterval is the time between checks for connections that have reached drainFirstRequestGrace.
+// drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
 const drainRecheckInterval = 100 * time.Millisecond
 
 // acceptQueueDrainTimeout is how long drainAcceptQueue waits for another connection before it closes the listener.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
-// drainAcceptQueue waits until the connections in the accept queue are accepted, or ctx ends, and then closes the
-// listener. Connections left in the queue would be reset with the requests that they have sent. They are accepted
-// even beyond maxConns.
+// drainAcceptQueue waits until the connections in the accept queue are accepted, or ctx ends. Then it closes the
+// listener. Connections left in the queue would be reset, and their requests lost. The queued connections are
+// accepted even beyond maxConns.
 func (l *clientListener) drainAcceptQueue(ctx context.Context) {
 	if !l.markClosed() {
 		return
@@ -26,7 +26,7 @@
 	if l.extendAcceptDeadline() == nil {
 		select {
 		case <-l.queueDrained:
-		case <-ctx.Done(): // needed in case no Accept is running
+		case <-ctx.Done(): // necessary if no Accept is running
 		}
 	}
 	_ = l.Listener.Close()
@@ -41,17 +41,17 @@
 	return listener.SetDeadline(time.Now().Add(acceptQueueDrainTimeout))
 }
 
-// closeIdle closes the node's side of the idle connections, and from now on of those that become idle. A connection
-// with unread bytes has a request and is not idle. Requests that arrive after the close are counted. A connection ends
-// when its client has closed its side.
+// closeIdle closes the node's side of all idle connections, and of connections that become idle later. A connection
+// with unread bytes has a request and is not idle. Requests that arrive after the close are counted. A connection
+// ends when its client has closed its side, or after closeHandshakeTimeout.
 func (l *clientListener) closeIdle() {
 	l.mu.Lock()
 	l.shuttingDown = true
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the idle connections that have reached drainFirstRequestGrace since closeIdle, unless
-// cancelCloseIdle was called meanwhile.
+// recheckIdle closes the idle connections that have passed drainFirstRequestGrace since closeIdle. It does nothing
+// after cancelCloseIdle.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
@@ -62,7 +62,8 @@
 	l.closeIdleAndUnlock()
 }
 
-// closeIdleAndUnlock closes the idle connections. The caller holds the mutex, which is released before the closes.
+// closeIdleAndUnlock closes the idle connections. The caller holds the mutex. closeIdleAndUnlock releases the mutex
+// before the closes.
 func (l *clientListener) closeIdleAndUnlock() {
 	idle := l.halfCloseIdleLocked()
 	l.mu.Unlock()
@@ -78,8 +79,8 @@
 	l.shuttingDown = false
 }
 
-// halfCloseIdleLocked marks the idle connections as half closed and returns them. Connections in a TLS handshake, or
-// without any request within drainFirstRequestGrace, are left to recheckIdle.
+// halfCloseIdleLocked marks the idle connections as half closed and returns them. Two kinds of connections are left
+// to recheckIdle: those in a TLS handshake, and those without any request within drainFirstRequestGrace.
 func (l *clientListener) halfCloseIdleLocked() (idle []*clientConn) {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -7,12 +7,12 @@
 	"cobaltward/handshakes"
 )
 
-// slotRecheckInterval is the time between checks whether a connection has become old enough to be evicted.
+// slotRecheckInterval is the interval between checks for connections that have become old enough to be evicted.
 const slotRecheckInterval = 5 * time.Millisecond
 
-// awaitSlotLocked waits until there is a slot for an accepted connection, and evicts another one if possible. If all
-// open connections have requests, a slot becomes free when one of them ends, but the requests in the accept queue get
-// older meanwhile: after queueTimeout the connection becomes an overflow connection, whose requests are rejected at
+// awaitSlotLocked waits until there is a slot for an accepted connection. It evicts another connection if possible.
+// If all open connections have requests, the wait may last until a request ends, while the requests in the accept
+// queue get older. After queueTimeout, conn therefore becomes an overflow connection, whose requests are rejected at
 // once.
 func (l *clientListener) awaitSlotLocked(conn *clientConn) {
 	for l.open > l.maxConns && !l.closed {
@@ -32,13 +32,13 @@
 		}
 		l.waitForSlotLocked(max(timeout, overflowStallTimeout))
 	}
-	conn.overflow = !l.closed && l.open > l.maxConns // the evicted connection may itself have been without a slot
+	conn.overflow = !l.closed && l.open > l.maxConns // the evicted connection may have had no slot
 }
 
-// waitForSlotLocked waits for slotFreed, but no longer than timeout.
+// waitForSlotLocked waits for slotFreed, but at most for timeout.
 func (l *clientListener) waitForSlotLocked(timeout time.Duration) {
 	timer := time.AfterFunc(timeout, func() {
-		l.mu.Lock() // blocks until Wait has begun: Wait would miss an earlier broadcast
+		l.mu.Lock() // blocks until Wait has begun; Wait would miss an earlier broadcast
 		defer l.mu.Unlock()
 		l.slotFreed.Broadcast()
 	})
@@ -46,7 +46,8 @@
 	l.slotFreed.Wait()
 }
 
-// awaitHandshakeSlotLocked waits until another TLS handshake may begin, and evicts a stalled one if there are too many.
+// awaitHandshakeSlotLocked waits until another TLS handshake may begin. It evicts a stalled handshake if too many
+// wait for their clients.
 func (l *clientListener) awaitHandshakeSlotLocked() {
 	for !l.closed {
 		admit, tooManyWaiting := l.admitHandshakeLocked()
@@ -57,8 +58,8 @@
 	}
 }
 
-// admitHandshakeLocked reports whether another TLS handshake may begin; if not, tooManyWaiting says that too many
-// handshakes wait for their clients.
+// admitHandshakeLocked reports whether another TLS handshake may begin. If not, tooManyWaiting reports whether too
+// many handshakes wait for their clients.
 func (l *clientListener) admitHandshakeLocked() (admit, tooManyWaiting bool) {
 	active, waiting := 0, 0
 	for e := l.idle.Front(); e != nil; e = e.Next() {
@@ -73,9 +74,9 @@
 	return handshakes.AdmitClient(active, waiting, l.maxConns)
 }
 
-// mustReject reports whether a request that is about to be handed on must be rejected: its connection is an overflow
-// connection that still has no slot, or was just evicted, so that its client has been sent a rejection. A connection
-// whose request is handed on is not evicted before the answer.
+// mustReject reports whether a request must be rejected instead of being handed on. Its connection is either an
+// overflow connection that still has no slot, or was just evicted and got a rejection. A connection whose request is
+// handed on is not evicted before the answer.
 func mustReject(ctx context.Context) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
@@ -86,7 +87,7 @@
 	defer l.mu.Unlock()
 	c.overflow = c.overflow && l.open > l.maxConns
 	rejected := c.overflow || c.closed
-	if !rejected { // a rejected connection can still be evicted while the rest of its body arrives
+	if !rejected { // a rejected connection stays evictable while the rest of its body arrives
 		delete(l.partialRequests, c)
 	}
 	return rejected
--- a/internal/node/clientstate.go
+++ b/internal/node/clientstate.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// updateReadPhase starts the timeout of a head at its first byte and ends it at the last. It is called after each read.
+// updateReadPhase starts the timeout of a head at the first byte of the head and ends it at the last byte. It is
+// called after each read.
 func (c *clientConn) updateReadPhase() {
 	if c.framing.InHead() && c.framing.Heads() == c.requestsDone {
 		c.deadline.beginHead(c.listener.headTimeout)
@@ -16,7 +17,8 @@
 	}
 }
 
-// setBodyDeadlines is the middleware.BodyDeadlineSetter for connections of clientListener; it returns false for others.
+// setBodyDeadlines is the middleware.BodyDeadlineSetter for connections of clientListener. It returns false for other
+// connections.
 func setBodyDeadlines(ctx context.Context, timeout time.Duration, deadline time.Time) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if ok {
@@ -25,16 +27,17 @@
 	return ok
 }
 
-// recordTLSBytes starts the timeout of a head when bytes arrive over TLS on an idle connection: the request becomes
-// visible only once their TLS record is complete.
+// recordTLSBytes starts the timeout of a head when TLS bytes arrive on an idle connection. A request becomes visible
+// only when its TLS record is complete.
 func (c *clientConn) recordTLSBytes() {
 	if c.idle.Load() {
 		c.deadline.beginHead(c.listener.headTimeout)
 	}
 }
 
-// recordRequestBytes records that a read returned bytes of a request. readBegan is when the read began, readAll whether
-// it took all bytes that had arrived. It returns false if the node is closing the connection.
+// recordRequestBytes records a read that returned bytes of a request. The read began at readBegan. readAll reports
+// whether the read took all bytes that had arrived. recordRequestBytes returns false if the node is closing the
+// connection.
 func (c *clientConn) recordRequestBytes(readBegan time.Time, readAll bool) bool {
 	c.arrival.recordRead(c.TCPConn, readBegan, readAll)
 	c.listener.mu.Lock()
@@ -62,7 +65,7 @@
 	return true
 }
 
-// onStateChange handles a change of net/http's state of the connection.
+// onStateChange handles a new state of the connection in net/http.
 func (c *clientConn) onStateChange(state http.ConnState) {
 	mustClose := c.trackState(state)
 	c.deadline.apply()
@@ -71,8 +74,8 @@
 	}
 }
 
-// trackState updates the lists of connections. It reports whether the node's side must be closed now, because the
-// connection became idle during a drain.
+// trackState updates the lists of connections for a new state. mustClose reports whether the node's side must be
+// closed now, because the connection became idle during a drain.
 func (c *clientConn) trackState(state http.ConnState) (mustClose bool) {
 	l := c.listener
 	l.mu.Lock()
@@ -90,17 +93,18 @@
 	return false
 }
 
-// endRequestLocked records that a request was answered, and reports whether the node's side must be closed for a drain.
+// endRequestLocked records that a request was answered. mustClose reports whether a drain must close the node's side
+// now.
 func (c *clientConn) endRequestLocked() (mustClose bool) {
 	c.requestsDone++
 	c.setFirstPendingLocked(false)
-	if c.framing.Heads() > c.requestsDone { // the next request is already in net/http's buffer, not in the socket
+	if c.framing.Heads() > c.requestsDone { // net/http's buffer already has the next request
 		c.arrival.advance()
 		return false
 	}
 	c.arrival.reset(time.Now())
 	withinRecord := c.tls != nil && c.tls.WithinRecord()
-	if c.framing.WithinHead() || withinRecord { // part of the next request has already been read from the socket
+	if c.framing.WithinHead() || withinRecord { // part of the next request was read already
 		c.updateReadPhase()
 		c.listener.partialRequests[c] = true
 		c.lastPartialAt = time.Now()
@@ -116,7 +120,7 @@
 	return true
 }
 
-// setFirstPendingLocked adds the connection to listener.firstPending, or removes it, if that changes anything.
+// setFirstPendingLocked sets c.firstPending and keeps the count in listener.firstPending up to date.
 func (c *clientConn) setFirstPendingLocked(pending bool) {
 	if c.firstPending == pending {
 		return
@@ -145,8 +149,8 @@
 	c.idle.Store(false)
 }
 
-// untrackLocked removes the connection from the listener's lists and counts. It does not change c.idle, so that a read
-// of an idle connection still checks c.closed under the same lock as the read.
+// untrackLocked removes the connection from the listener's lists and counts. It does not change c.idle. A read of an
+// idle connection therefore still checks c.closed under the same lock as the read.
 func (c *clientConn) untrackLocked() {
 	if c.idleElement != nil {
 		c.listener.idle.Remove(c.idleElement)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,6 @@
-// Package node implements the daemon: it connects the engine with the listeners for clients, the transports to servers,
-// the source of endpoints and the listeners for operators, and runs them from start to graceful shutdown. It makes no
-// decisions about requests.
+// Package node implements the daemon. It connects the engine with the listeners for clients, the transports to
+// servers, the source of endpoints and the listeners for operators. It runs them from start to graceful shutdown and
+// makes no decisions about requests.
 package node
 
 import (
@@ -24,30 +24,30 @@
 	Seed           uint64
 	Cores          float64
 	MemoryMB       int64
-	MaxDescriptors int           // file descriptors that the node may use
-	InitialList    registry.List // the endpoint list at the start, which may be outdated
+	MaxDescriptors int           // maximum number of file descriptors of the node
+	InitialList    registry.List // endpoint list at the start; may be outdated
 	Settings       policy.Settings
 
-	// Values of the settings that apply to the node and not to the policy.
+	// Settings of the node itself, which the policy does not use.
 	MaxInFlight    int           // maximum number of requests without an answer; 0: no limit
-	ConnectTimeout time.Duration // for connecting to a server
+	ConnectTimeout time.Duration // timeout for connecting to a server
 
-	// AnnounceFor is how long a node that shuts down is not ready but keeps serving as before. If it is nil, the time is
-	// 0.6 of DrainTimeout, or without DrainTimeout 0.6 of the longest deadline but at least 0.42 s.
+	// AnnounceFor is the time for which a node that shuts down is not ready but still serves as before. nil: 0.6 of
+	// DrainTimeout. If DrainTimeout is nil as well: 0.6 of the longest deadline, but at least 0.42 s.
 	AnnounceFor *time.Duration
-	// DrainTimeout limits the whole shutdown; nil: the longest deadline of a class, at most 3 s, plus 0.3 s.
+	// DrainTimeout limits the drain of a shutdown; the last connections close up to 0.15 s later. nil: usually 0.3 s
+	// more than the longest deadline of a class, which counts as at most 3 s. Short deadlines get up to 0.57 s.
 	DrainTimeout *time.Duration
 
-	// OperationsListener is the listener of the operations endpoint; nil: there is none. The node closes it.
+	// OperationsListener is the listener of the operations endpoint; nil: no endpoint. The node closes the listener.
 	OperationsListener net.Listener
-	// SharedListener says that other processes also hold the listening socket for clients, and accept the connections
-	// that this process does not.
+	// SharedListener says that other processes share the listening socket for clients. They accept the connections that
+	// this process does not accept.
 	SharedListener bool
 
-	// SharedDir is the directory through which the processes of a node with a shared listener coordinate; empty: they do
-	// not coordinate.
+	// SharedDir is the directory through which the processes with a shared listener coordinate; empty: no coordination.
 	SharedDir string
-	// SetMemoryShare limits the process to a part of the node's memory; nil: its memory can't be limited.
+	// SetMemoryShare limits the process to a share of the node's memory; nil: no limit is possible.
 	SetMemoryShare func(part float64)
 
 	// Msgpack enables MessagePack-RPC in addition to HTTP; the zero value enables HTTP only.
@@ -55,8 +55,8 @@
 
 	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
-	// DrainMark is the path of a file that exists during a drain by request, so that a restarted process drains again;
-	// empty: a restarted process serves.
+	// DrainMark is the path of the drain marker file, which exists during a drain by request. A restarted process that
+	// finds the file drains again. empty: no file, and a restarted process serves.
 	DrainMark string
 
 	// State says where the node saves its learned state; the zero value disables saving.
@@ -68,19 +68,19 @@
 	// TLS enables TLS; nil: none.
 	TLS *TLS
 
-	// WrapHandler returns a handler that converts requests from clients into the form that next expects; nil: they arrive
-	// in that form. Requests for the path ready must reach next unchanged.
+	// WrapHandler returns a handler that converts clients' requests into the form that next expects; nil: no conversion.
+	// Requests for the path ready must reach next unchanged.
 	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// NewEndpointSource derives the source of endpoints from that of the registry; nil: the registry itself is the source.
+	// NewEndpointSource derives the source of endpoints from the registry's source, own; nil: own is the source.
 	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
 // Msgpack configures MessagePack-RPC with clients and with servers.
 type Msgpack struct {
-	Listener        net.Listener // for clients; nil: HTTP only. The node closes it.
+	Listener        net.Listener // listener for clients; nil: HTTP only; closed by the node
 	MaxConns        int          // maximum number of client connections; 0: defaultMsgpackConns
-	MaxCallsPerConn int          // maximum number of calls in flight; 0: the frontend's default
+	MaxCallsPerConn int          // maximum number of calls in flight per connection; 0: the frontend's default
 	ServerKinds     []string     // kinds of the servers that use MessagePack-RPC
 }
 
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -15,11 +15,11 @@
 	"cobaltward/policy"
 )
 
-// maxCores is the largest accepted limits.cores; a larger number is taken for a mistake.
+// maxCores is the maximum of limits.cores. A larger number is likely a mistake.
 const maxCores = 1024
 
-// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONSOLE
-// override the file if they are set. Errors name the field.
+// LoadConfig reads the file that ROUTER_CONFIG names. If set, ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and
+// ROUTER_CONSOLE override fields of the file. Errors name the field.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return config, nil
 }
 
-// ReloadConfig reads the file again. Its registry address and its settings take effect while a node runs, the rest at
-// the next start. ROUTER_DISCOVERY holds the registry address from the start of the process, so it does not override
-// the file here.
+// ReloadConfig reads the file again. The registry address and the settings, except settings.registryMode, take effect
+// while a node runs. Other fields take effect at the next start. ROUTER_DISCOVERY does not override the file here,
+// because it holds the address from the start of the process.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// parseNodeSettings reads the settings that apply to the node and not to the policy.
+// parseNodeSettings reads the settings of the node itself, which the policy does not use.
 func (c *Config) parseNodeSettings(raw []byte) error {
 	var settings struct {
 		Limits struct {
--- a/internal/node/connlimits.go
+++ b/internal/node/connlimits.go
@@ -3,17 +3,17 @@
 import "cobaltward/internal/operations"
 
 const (
-	minDescriptors      = 64  // minimum of a node: for itself, for clients and for servers
-	reservedDescriptors = 24  // for the node itself: the log, discovery, the Go runtime and so on
-	clientConnShare     = 0.4 // share of the rest for HTTP clients: a third of it for their requests, plus a reserve
-	// msgpackConnDivisor limits the MessagePack-RPC connections, to clients and to servers, to a quarter of the available
-	// connections, since each carries many calls.
+	minDescriptors      = 64  // minimum for the node itself, clients and servers
+	reservedDescriptors = 24  // descriptors for the log, discovery, the Go runtime and so on
+	clientConnShare     = 0.4 // share of the rest for HTTP clients: a third of the rest for their requests, plus a reserve
+	// msgpackConnDivisor limits MessagePack-RPC connections, to clients and to servers, to a quarter of the available
+	// connections. Each such connection carries many calls.
 	msgpackConnDivisor = 4
-	// defaultMsgpackConns is the maximum number of MessagePack-RPC clients if the configuration contains none.
+	// defaultMsgpackConns is the default maximum number of MessagePack-RPC client connections.
 	defaultMsgpackConns = 64
 )
 
-// connLimits is the maximum number of connections of each kind, as the node's file descriptors allow.
+// connLimits is the maximum number of connections of each kind, derived from the node's file descriptors.
 type connLimits struct {
 	clients        int // HTTP clients
 	msgpackClients int
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	coordinateInterval     = 100 * time.Millisecond // between exchanges of reports with the other processes of this node
-	successorStateInterval = 250 * time.Millisecond // between snapshots of the learned state for the successor
+	coordinateInterval     = 100 * time.Millisecond // interval between exchanges of reports
+	successorStateInterval = 250 * time.Millisecond // interval between snapshots for the successor
 	successorStateFile     = "wayhold-knowledge"
 )
 
-// connLimiter is a transport whose limit of connections can be changed.
+// connLimiter is a transport whose connection limit can be changed.
 type connLimiter interface{ SetMaxConns(n int) }
 
 var _ connLimiter = (*http1.Transport)(nil)
 
-// processGroup shares a node between this process, its predecessor and its successor during a hot restart. run and
-// coordinate must be called by one goroutine at a time; publishOrder may be called by any goroutine.
+// processGroup shares a node between this process, its predecessor and its successor during a hot restart. Only one
+// goroutine at a time may call run or coordinate. Any goroutine may call publishOrder.
 type processGroup struct {
 	process        *rundir.Process
 	engine         *router.Router
@@ -36,26 +36,26 @@
 	budget         *body.Budget
 	budgetBytes    int64 // limit of budget while this is the only process of the node
 	limits         hotrestart.Limits
-	setMemoryShare func(share float64) // nil: the memory of the process can't be limited
+	setMemoryShare func(share float64) // nil: the process's memory can't be limited
 	setStandby     func(standby bool) error
 	log            *slog.Logger
 
-	draining atomic.Bool // this process shuts down and accepts no connections
+	draining atomic.Bool // whether this process shuts down and accepts no connections
 
 	splitter  hotrestart.Splitter
 	share     hotrestart.Share
-	lastError string // the last error logged, so that a lasting error is logged once
+	lastError string // last error logged by logOnce
 
-	// orderMu is held while an order is written, so that the file contains the last order given. It is held during I/O;
-	// coordinate does not take it, so that it does not wait for the I/O.
+	// orderMu is held while an order is written, so that the file contains the last order given. It is held during I/O.
+	// coordinate does not take orderMu and never waits for that I/O.
 	orderMu sync.Mutex
 
 	mu       sync.Mutex
-	followed hotrestart.Order // the last order that this process has followed or given
+	followed hotrestart.Order // last order that this process has followed or given
 }
 
-// joinProcessGroup registers this process in the node's shared directory. If that fails, it logs the error and returns
-// nil.
+// joinProcessGroup registers this process in the node's shared directory. If the registration fails, it logs the
+// error and returns nil.
 func joinProcessGroup(dir string, log *slog.Logger) *processGroup {
 	process, err := rundir.Register(dir)
 	if err != nil {
@@ -79,20 +79,20 @@
 	}
 }
 
-// coordinate exchanges reports with the other processes, applies this process's share of the node, and follows the last
-// order into or out of standby.
+// coordinate exchanges reports with the other processes and applies this process's share of the node. It also follows
+// the last order into or out of standby.
 func (g *processGroup) coordinate() {
 	others, err := g.process.Others()
 	g.logOnce(err)
 	own := g.report()
 	g.logOnce(g.process.WriteReport(own))
 	g.applyShare(g.splitter.Split(own, others, g.limits))
-	if !g.draining.Load() { // a process that shuts down drains, whatever the order says
+	if !g.draining.Load() { // a process that shuts down drains regardless of the order
 		g.followOrder()
 	}
 }
 
-// report returns the report of this process to the others.
+// report returns this process's report for the other processes.
 func (g *processGroup) report() hotrestart.Report {
 	metrics := g.engine.Metrics()
 	accepted := uint64(max(0, metrics.InFlight))
@@ -128,7 +128,7 @@
 	g.share = share
 }
 
-// followOrder carries out the order in the shared directory if it is newer than the last one followed or given.
+// followOrder carries out the order in the shared directory if it supersedes the last order followed or given.
 func (g *processGroup) followOrder() {
 	order, err := g.process.Order()
 	g.logOnce(err)
@@ -147,7 +147,7 @@
 func (g *processGroup) publishOrder(standby bool) {
 	g.orderMu.Lock()
 	defer g.orderMu.Unlock()
-	previous, err := g.process.Order() // the file is replaced below, even if it is unreadable
+	previous, err := g.process.Order() // an unreadable file is replaced below, too
 	if err != nil {
 		g.log.Warn("hot restart: previous order is unreadable", "err", err)
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// logOnce logs an error unless it equals the last one logged, so that a lasting error is logged once. Two errors that
-// alternate are logged each time.
+// logOnce logs an error unless it equals the last error logged. A lasting error is therefore logged once, but two
+// alternating errors are logged each time.
 func (g *processGroup) logOnce(err error) {
 	if err == nil || errors.Is(err, router.ErrClosed) || err.Error() == g.lastError {
 		return
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -11,17 +11,18 @@
 	"cobaltward/router"
 )
 
-// idleCloseInterval is the time between checks of Shutdown for connections that have become idle.
+// idleCloseInterval is the interval between checks for ended or idle connections during a shutdown.
 const idleCloseInterval = 20 * time.Millisecond
 
-// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain by request, so
-// that readiness checks get an answer and new requests a rejection; both would otherwise be refused a connection.
+// httpServer is the node's HTTP listener with its connections. The listener stays open during a drain by request:
+// readiness checks get an answer and new requests a rejection. With a closed listener, both would be refused a
+// connection.
 type httpServer struct {
 	server       *http.Server
 	listener     *clientListener
-	sharedSocket bool // another process also holds the listening socket, and accepts what this one does not
+	sharedSocket bool // whether another process also accepts from the listening socket
 
-	stopping  atomic.Bool // the listener was closed on purpose
+	stopping  atomic.Bool // whether the listener was closed on purpose
 	closeOnce sync.Once
 	done      chan struct{} // closed when Serve may return
 
@@ -53,18 +54,19 @@
 	return err
 }
 
-// StopAccepting closes idle connections, and others once their requests are answered. New connections are still
-// accepted.
+// StopAccepting closes idle connections, and other connections once their requests are answered. New connections are
+// still accepted.
 func (s *httpServer) StopAccepting() { s.listener.closeIdle() }
 
-// ResumeAccepting cancels StopAccepting: idle connections are kept open again.
+// ResumeAccepting cancels StopAccepting. Idle connections stay open again.
 func (s *httpServer) ResumeAccepting() error {
 	s.listener.cancelCloseIdle()
 	return nil
 }
 
-// CloseListener stops accepting; accepted connections are still served. First it empties the accept queue, until ctx
-// ends. A shared listening socket is closed at once: it stays open in the other process, which accepts from its queue.
+// CloseListener closes the listener; accepted connections are still served. It first empties the accept queue, for as
+// long as ctx allows. A shared listening socket is closed at once, because the other process still accepts from its
+// queue.
 func (s *httpServer) CloseListener(ctx context.Context) {
 	s.stopping.Store(true)
 	if !s.sharedSocket {
@@ -74,7 +76,7 @@
 	s.listenerCloseOnce.Do(func() { close(s.listenerClosed) })
 }
 
-// awaitListenerClose waits until CloseListener has emptied the accept queue and closed the listener, or ctx ends.
+// awaitListenerClose waits until CloseListener has closed the listener, or ctx ends.
 func (s *httpServer) awaitListenerClose(ctx context.Context) {
 	select {
 	case <-s.listenerClosed:
@@ -82,20 +84,21 @@
 	}
 }
 
-// Connections returns the number of open connections, and of those with a request.
+// Connections returns the number of open connections and how many of them have a request.
 func (s *httpServer) Connections() (open, busy int) { return s.listener.connCounts() }
 
-// PendingFirstRequests returns the number of open connections, accepted before a drain, that have had no response yet.
+// PendingFirstRequests returns the number of open connections without a first response that were accepted before a
+// drain.
 func (s *httpServer) PendingFirstRequests() int { return s.listener.pendingFirstRequests() }
 
-// idleCloseCounts returns the number of idle connections that a drain has closed, and of requests that arrived during
-// such a close.
+// idleCloseCounts returns the number of idle connections that drains have closed, and the number of requests that
+// arrived during such a close.
 func (s *httpServer) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	return s.listener.idleCloseCounts()
 }
 
-// Shutdown stops accepting, and closes connections as they become idle until none is left or ctx ends. Serve returns
-// once none is left.
+// Shutdown stops accepting and closes connections as they become idle. It returns, and makes Serve return, once no
+// connection is left. If ctx ends first, it returns the error of ctx.
 func (s *httpServer) Shutdown(ctx context.Context) error {
 	s.CloseListener(ctx)
 	ticker := time.NewTicker(idleCloseInterval)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,9 +16,9 @@
 	"cobaltward/router"
 )
 
-// Run serves clients on the listener until ctx ends or a listener fails. When ctx ends it shuts the node down
-// gracefully and returns. Of a configuration received from reloads, the parts that ReloadConfig lists take effect at
-// once. A configuration that is rejected is logged and changes nothing.
+// Run serves clients on the listener until ctx ends or a listener fails. When ctx ends, Run shuts the node down
+// gracefully and returns. The registry address, the settings and the levels of a configuration from reloads take
+// effect at once. A rejected configuration is logged and changes nothing.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Config, log *slog.Logger) error {
 	n := &node{config: c, log: log, serveErrors: make(chan error, maxServers)}
 	defer n.release()
@@ -38,11 +38,11 @@
 // maxServers is the maximum number of servers for clients: one for HTTP and one for MessagePack-RPC.
 const maxServers = 2
 
-// node is the state of one call of Run, which calls build, start, shutdown, stopTasks and release in this order, from
+// node is the state of one call of Run. Run calls build, start, shutdown, stopTasks and release in this order from
 // one goroutine.
 type node struct {
 	config  Config                 // configuration at the start, completed by build
-	current atomic.Pointer[Config] // the last configuration that took effect
+	current atomic.Pointer[Config] // last configuration that took effect
 	log     *slog.Logger
 
 	limits          connLimits
@@ -60,16 +60,16 @@
 	processGroup    *processGroup      // nil: this is the only process of the node
 	state           *stateStore
 
-	// handedOver says that another process accepts clients at the same socket, so that readiness checks still succeed.
+	// handedOver says that another process accepts clients at the same socket. Readiness checks still succeed then.
 	handedOver atomic.Bool
 
-	tasks       sync.WaitGroup // the goroutines that start and drain have started
+	tasks       sync.WaitGroup // goroutines started by start and drain
 	cancelTasks context.CancelFunc
-	serveErrors chan error // errors of the servers for clients; buffered for all of them
+	serveErrors chan error // errors of the servers for clients; buffered for every server
 }
 
-// stopTasks ends the goroutines in tasks and waits for them. It closes the HTTP server, which shutdown has already
-// closed unless Run ends because a server failed.
+// stopTasks closes the servers for clients, ends the goroutines in tasks and waits for them. After a shutdown the
+// HTTP server is usually closed already.
 func (n *node) stopTasks() {
 	_ = n.httpServer.Close()
 	if n.rpcServer != nil {
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -9,8 +9,8 @@
 	"cobaltward/router"
 )
 
-// Durations of the first two phases of a drain by the operations endpoint. Clients that poll for readiness stop opening
-// connections 0.3 s after the call; all connections must be closed 4 s after it.
+// Durations of the first two phases of a drain by the operations endpoint. Clients that poll for readiness stop
+// opening connections 0.3 s after the call. All connections must be closed 4 s after the call.
 const (
 	standbyAnnounceFor = 300 * time.Millisecond
 	standbyLeaveFor    = time.Second
@@ -24,14 +24,14 @@
 	unanswered  func() unansweredCounts
 }
 
-// Serving reports whether this process can serve, which includes standby.
+// Serving reports whether this process can serve. A process in standby can.
 func (o *operationsNode) Serving() bool {
 	phase := o.engine.Phase()
 	return phase != router.Starting && phase != router.Closed
 }
 
-// Standby starts to drain the node. If the node already drains or is drained, it does nothing, or returns
-// drain.ErrFinal if that drain is final.
+// Standby starts to drain the node. If the node is already draining or drained, it does nothing. If the existing
+// drain is final, it returns drain.ErrFinal.
 func (o *operationsNode) Standby() error {
 	err := o.startDrain(drain.Order{
 		AnnounceFor: standbyAnnounceFor,
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Active makes the node serve again. It does nothing if the node is not draining.
+// Active cancels a drain and makes the node serve again. It does nothing if the node is not draining.
 func (o *operationsNode) Active() error {
 	err := o.cancelDrain("console")
 	if errors.Is(err, drain.ErrNotDraining) {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// AppendMetrics appends the metrics to a page, one line for each.
+// AppendMetrics appends the metrics to page, one metric a line.
 func (o *operationsNode) AppendMetrics(page []byte) []byte {
 	metrics := o.engine.Metrics()
 	for _, class := range metrics.Classes {
@@ -78,7 +78,7 @@
 	return appendMetric(page, "unanswered", "drain", unanswered.drains)
 }
 
-// appendMetric appends one line, which is name=value, or name.class=value if there is a class.
+// appendMetric appends one line: name=value without a class, name.class=value with a class.
 func appendMetric(page []byte, name, class string, value uint64) []byte {
 	page = append(page, name...)
 	if class != "" {
--- a/internal/node/queueage.go
+++ b/internal/node/queueage.go
@@ -7,8 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// queuedSinceLocked returns since when an accepted connection has waited for a slot, without the time that its client
-// itself took to send its request. Clients behind it in the accept queue connected later.
+// queuedSinceLocked returns the time since when an accepted connection has waited for a slot. It excludes the time
+// that the client itself took to send its request. Clients behind it in the accept queue connected later.
 func (l *clientListener) queuedSinceLocked(c *clientConn) time.Time {
 	isComplete := framing.IsCompleteRequest
 	if c.tls != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// applyConfig applies both the levels and the settings of next, or neither: if the settings are rejected, it restores
-// the levels of current.
+// applyConfig applies the levels and the settings of next. If the settings are rejected, it restores the levels of
+// current.
 func (n *node) applyConfig(current, next *Config) error {
 	if next.Settings.Subscribe != current.Settings.Subscribe {
 		return errors.New("settings.registryMode: takes effect at the next start only")
--- a/internal/node/rpcserver.go
+++ b/internal/node/rpcserver.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// relistenTimeout limits how long relisten waits for an address that is still in use.
+	// relistenTimeout is the maximum time for which relisten waits for an address in use.
 	relistenTimeout = 4 * time.Second
-	// relistenInterval is the time between two attempts of relisten.
+	// relistenInterval is the interval between attempts of relisten.
 	relistenInterval = 10 * time.Millisecond
 )
 
-// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set once the engine exists,
-// before the first call of Serve.
+// rpcServer is the node's MessagePack-RPC listener with its connections. Its Server is set after the engine is
+// created and before the first call of Serve.
 type rpcServer struct {
 	*msgpackfront.Server
 	wrapTLS func(net.Listener) net.Listener // adds TLS to a listener, or returns it unchanged
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Shutdown stops accepting, and waits until all connections have ended or ctx ends. Connections that are left when ctx
-// ends stay open until Close, so that the last answers can be written.
+// Shutdown stops accepting and waits until all connections have ended or ctx ends. Connections left when ctx ends
+// stay open until Close, because their last answers may still have to be written.
 func (s *rpcServer) Shutdown(ctx context.Context) error {
 	s.markClosed()
 	s.Server.StopAccepting()
@@ -122,7 +122,7 @@
 	s.Server.Close()
 }
 
-// markClosed makes Serve return, also while it waits for the listener to be opened again.
+// markClosed makes Serve return, even while Serve waits for a new listener.
 func (s *rpcServer) markClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// relisten opens a listener again at an address that may still be in use by the closed one.
+// relisten opens a listener at an address that the closed listener may still use.
 func relisten(address net.Addr) (net.Listener, error) {
 	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
 		listener, err := net.Listen(address.Network(), address.String())
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	announceFraction = 0.6             // part of the longest deadline for which the node keeps serving as before
-	maxDrainDeadline = 3 * time.Second // longer deadlines of classes are not waited for
+	announceFraction = 0.6             // announcement as a share of the drain timeout or the longest deadline
+	maxDrainDeadline = 3 * time.Second // maximum deadline of a class that a drain waits for
 	// minAnnounce is the minimum time between the end of readiness and the close of the listener, however short the
-	// deadlines are: new clients keep coming until they are sent elsewhere, and a closed listener would reset their
+	// deadlines are. New clients keep coming until they are sent elsewhere, and a closed listener would reset their
 	// connections.
 	minAnnounce = 420 * time.Millisecond
-	// drainMargin is how much longer than the longest deadline a drain may usually take.
+	// drainMargin is the usual maximum duration of a drain beyond the longest deadline.
 	drainMargin        = 300 * time.Millisecond
-	finalAnswerTimeout = 150 * time.Millisecond // for writing the answers to requests that fail at the end of a drain
-	// killDelay is how much later than the longest deadline after SIGTERM the platform sends SIGKILL, at the earliest.
+	finalAnswerTimeout = 150 * time.Millisecond // timeout for writing the answers to requests that fail at the end
+	// killDelay is the minimum time between the longest deadline after SIGTERM and the platform's SIGKILL.
 	killDelay = 700 * time.Millisecond
-	// serveMargin is how long before SIGKILL the drain ends at the latest. Its end answers the open requests.
+	// serveMargin is the minimum time between the end of the drain and SIGKILL. The end of the drain answers the open
+	// requests.
 	serveMargin = 100 * time.Millisecond
-	// closeMargin is how long before SIGKILL the last connections are closed at the latest.
+	// closeMargin is the minimum time between the close of the last connections and SIGKILL.
 	closeMargin = 50 * time.Millisecond
-	// firstRequestPollInterval is the time between checks whether connections still wait for their first response.
+	// firstRequestPollInterval is the interval between checks for connections that still wait for their first response.
 	firstRequestPollInterval = 10 * time.Millisecond
 )
 
-// shutdown drains the node and closes the server for HTTP clients. With a shared listening socket it first leaves new
-// clients to another process.
+// shutdown drains the node and closes the server for HTTP clients. With a shared listening socket, shutdown first
+// leaves new clients to another process.
 func (n *node) shutdown() error {
 	n.log.Info("stopping")
 	current := n.current.Load()
@@ -41,27 +42,28 @@
 	return n.drain(current.shutdownTimes(), announceFor, leaveFor)
 }
 
-// handOver stops accepting, so that the other process at the shared socket gets all new clients. The drain closes the
-// connections of this process with their answers.
+// handOver stops accepting. The other process at the shared socket then gets all new clients. The drain closes each
+// connection of this process with its answer.
 func (n *node) handOver() {
 	n.handedOver.Store(n.engine.Phase() == router.Serving)
 	n.state.savingHandedOver.Store(true)
 	if n.processGroup != nil {
 		n.processGroup.draining.Store(true)
 	}
-	n.httpServer.CloseListener(context.Background()) // does not wait for the accept queue, since the socket is shared
+	n.httpServer.CloseListener(context.Background()) // does not wait for the accept queue of a shared socket
 }
 
-// drain drains the node and closes its clients' connections within the given times. For announceFor the node is not
-// ready but serves as before, since clients may not know another node yet. For leaveFor it then closes each connection
-// with its answer but still accepts others, early enough for the last accepted requests to be answered.
+// drain drains the node and closes its clients' connections within the given times. During announceFor the node is
+// not ready but serves as before, because clients may not know another node yet. During leaveFor the node closes each
+// connection with its answer but still accepts new connections. Both phases end early enough for the last accepted
+// requests to be answered.
 func (n *node) drain(times shutdownTimes, announceFor, leaveFor time.Duration) error {
 	began := time.Now()
 	drainCtx, cancelDrain := context.WithDeadline(context.Background(), began.Add(times.maxDrain))
 	defer cancelDrain()
 	n.tasks.Go(func() {
 		if sleep(drainCtx, times.drain) {
-			n.httpServer.awaitListenerClose(drainCtx) // the end of the drain would reset connections in its accept queue
+			n.httpServer.awaitListenerClose(drainCtx) // the end of the drain would reset connections in the accept queue
 			n.awaitFirstRequests(drainCtx)
 			cancelDrain()
 		}
@@ -72,8 +74,8 @@
 	return n.closeClients(began.Add(times.close))
 }
 
-// closeClients closes the HTTP server once the final answers of all servers for clients are written. Connections whose
-// first request may be on its way stay open until the deadline; the engine rejects these requests.
+// closeClients closes the HTTP server once all servers for clients have written their final answers. Connections
+// whose first request may be on its way stay open until the deadline. The engine rejects these requests.
 func (n *node) closeClients(deadline time.Time) error {
 	deadlineCtx, cancelWait := context.WithDeadline(context.Background(), deadline)
 	defer cancelWait()
@@ -90,8 +92,8 @@
 	return n.httpServer.Close()
 }
 
-// awaitFirstRequests waits until each connection that was accepted before the drain has had a response, or has been
-// open for too long without a request, or ctx ends.
+// awaitFirstRequests waits for the first response on each connection that was accepted before the drain, or until ctx
+// ends. It does not wait for connections that have been open too long without a request.
 func (n *node) awaitFirstRequests(ctx context.Context) {
 	for n.pendingFirstRequests() > 0 && sleep(ctx, firstRequestPollInterval) {
 	}
@@ -122,7 +124,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// announceDuration returns how long a node that shuts down is not ready but keeps serving as before.
+// announceDuration returns the time for which a node that shuts down is not ready but still serves as before.
 func (c Config) announceDuration() time.Duration {
 	if c.AnnounceFor != nil {
 		return *c.AnnounceFor
@@ -133,17 +135,17 @@
 	return max(minAnnounce, time.Duration(announceFraction*float64(c.longestDeadline())))
 }
 
-// shutdownTimes are time limits, all counted from the beginning of a shutdown.
+// shutdownTimes are time limits that count from the beginning of a shutdown.
 type shutdownTimes struct {
-	// drain limits the drain, which may last longer only while the accept queue is not empty, or accepted connections
-	// wait for their first response.
+	// drain limits the drain. The drain may last longer only while the accept queue is not empty, or while accepted
+	// connections wait for their first response.
 	drain    time.Duration
-	maxDrain time.Duration // limits the drain in any case
-	close    time.Duration // by when the last connection is closed
+	maxDrain time.Duration // limit of the drain in all cases
+	close    time.Duration // limit for the close of the last connection
 }
 
-// shutdownTimes returns the time limits for a node that shuts down. If the operator sets DrainTimeout, it limits the
-// drain in any case, since the time of SIGKILL is not known then.
+// shutdownTimes returns the time limits for a node that shuts down. If DrainTimeout is set, it limits the drain in
+// all cases, because the time of SIGKILL is unknown then.
 func (c Config) shutdownTimes() shutdownTimes {
 	if c.DrainTimeout != nil {
 		timeout := *c.DrainTimeout
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -7,7 +7,7 @@
 )
 
 // start starts the servers for operators, then the background tasks, and finally the servers for clients. stopTasks
-// ends the goroutines in tasks; release closes the servers for operators.
+// ends the goroutines in tasks. release closes the servers for operators.
 func (n *node) start(reloads <-chan Config) {
 	if n.config.State.File != "" {
 		n.state.restore()
@@ -24,10 +24,11 @@
 		n.tasks.Go(func() { n.state.run(ctx) })
 	}
 
-	// Clients are accepted only once the engine can serve. With a shared socket the predecessor accepts them until then.
+	// Clients are accepted only once the engine can serve. Until then the predecessor accepts clients at a shared
+	// socket.
 	<-n.engine.Started()
 	if n.processGroup != nil {
-		n.processGroup.coordinate() // the share of the node and standby must be known before the first client
+		n.processGroup.coordinate() // determines the share of the node and standby before the first client
 		n.tasks.Go(func() { n.processGroup.run(ctx) })
 	}
 	n.tasks.Go(func() { n.serveErrors <- n.httpServer.Serve() })
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -18,10 +18,10 @@
 	"cobaltward/router"
 )
 
-// StateConfig says where and how often a node saves its learned state. The zero value disables saving.
+// StateConfig configures where and how often a node saves its learned state. The zero value disables saving.
 type StateConfig struct {
 	File         string
-	SaveInterval time.Duration // between snapshots; 0: 2 s
+	SaveInterval time.Duration // interval between snapshots; 0: 2 s
 	HalfLife     time.Duration // see learnedstate.Config
 	MaxAge       time.Duration // see learnedstate.Config
 }
@@ -33,13 +33,13 @@
 	config           StateConfig
 	name             string // name of the node
 	engine           *router.Router
-	successorOnly    bool // the file is only for a successor in a hot restart, not for later starts
+	successorOnly    bool // whether the file is only for a successor in a hot restart
 	log              *slog.Logger
-	saveFailed       bool        // the last save failed; repeated failures are not logged again
-	savingHandedOver atomic.Bool // saving is left to another process of the node
+	saveFailed       bool        // whether the last save failed; later failures are not logged
+	savingHandedOver atomic.Bool // whether another process of the node saves instead
 }
 
-// restore restores the saved state. If the file is missing or corrupt, the engine is not changed.
+// restore restores the saved state. If the file is missing or corrupt, restore does not change the engine.
 func (s *stateStore) restore() {
 	raw, err := os.ReadFile(s.config.File)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// apply restores a snapshot in its stored form, decayed by its age.
+// apply restores a snapshot in its stored form, with reduced weight according to its age.
 func (s *stateStore) apply(raw []byte) error {
 	snapshot, err := learnedstate.Decode(raw)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// run saves the learned state at intervals until ctx ends, and a last time then.
+// run saves the learned state at intervals, and a last time when ctx ends.
 func (s *stateStore) run(ctx context.Context) {
 	interval := s.config.SaveInterval
 	if interval == 0 {
@@ -113,7 +113,7 @@
 	return learnedstate.Encode(learnedstate.Snapshot{Node: s.name, At: time.Now(), Boot: &boot, State: state})
 }
 
-// save replaces the file with a new snapshot, unless saving is left to another process.
+// save replaces the file with a new snapshot, unless another process saves instead.
 func (s *stateStore) save() {
 	if s.savingHandedOver.Load() {
 		return
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -18,35 +18,35 @@
 
 // TLS configures TLS with servers, clients and operators. Changed certificate files take effect while the node runs.
 type TLS struct {
-	ServerRules            []secure.Rule // which servers use TLS and how; the first rule that matches a server applies
+	ServerRules            []secure.Rule // TLS use by server; the first rule that matches a server applies
 	HandshakeLimits        handshakes.Limits
 	ServerHandshakeTimeout time.Duration // 0: the transport's default
-	CPUShare               float64       // share of a core for handshakes while requests are in flight; 0: the default
+	CPUShare               float64       // share of a core for handshakes while requests are in flight; 0: default
 	Clients                *TLSListener  // nil: clients use plain HTTP
 	AdminAPI               *TLSListener  // nil: the admin API uses plain HTTP
 
 	// Stores contains all certificate stores that the rules and listeners use, without duplicates.
 	Stores []*certificates.Store
-	// Secrets contains those of Stores that a control plane fills, by the name of the secret. They are not read from
-	// files.
+	// Secrets contains the elements of Stores that a control plane fills, by the name of the secret. These stores are
+	// not read from files.
 	Secrets map[string]*certificates.Store
 
-	CheckInterval  time.Duration   // between checks of the files for changes
-	ExpiryWarnings []time.Duration // how long before the expiry of a certificate warnings are logged
+	CheckInterval  time.Duration   // interval between checks of the files for changes
+	ExpiryWarnings []time.Duration // times before the expiry of a certificate at which a warning is logged
 }
 
 // TLSListener configures TLS for the connections of a listener.
 type TLSListener struct {
 	Certificates      *certificates.Store
-	ClientCAs         *certificates.Store   // verify client certificates; nil: no client certificates are requested
+	ClientCAs         *certificates.Store   // authorities of client certificates; nil: none are requested
 	Tickets           *certificates.Tickets // nil: each process has its own session ticket keys
 	RequireClientCert bool
 	AllowTLS12        bool
 	HandshakeTimeout  time.Duration // 0: the default
 }
 
-// nodeTLS is the TLS state of a running node; nil is a node without TLS, on which methods may be called, too. Its
-// methods are safe for concurrent use.
+// nodeTLS is the TLS state of a running node. A nil *nodeTLS is a node without TLS. run, status, close, wrapMsgpack,
+// transportLayer and clientListenerLayer accept a nil receiver. Its methods are safe for concurrent use.
 type nodeTLS struct {
 	config             TLS
 	log                *slog.Logger
@@ -56,11 +56,11 @@
 	clientLayer        *frontsecure.Terminator       // nil: clients use plain HTTP
 	msgpackLayer       *frontsecure.Terminator       // nil: MessagePack-RPC without TLS
 	adminLayer         *frontsecure.Terminator       // nil: the admin API uses plain HTTP
-	rejectedFileReason atomic.Pointer[string]        // why a file is currently rejected; nil: no file is
+	rejectedFileReason atomic.Pointer[string]        // reason for rejecting a file; nil: no file is rejected
 }
 
-// newNodeTLS returns the TLS state for a configuration; nil if the configuration has no TLS. setUntrusted is called
-// when a server fails to prove its identity, and when it succeeds again.
+// newNodeTLS returns the TLS state for config, or nil if config has no TLS. setUntrusted is called when a server
+// fails to prove its identity, and again when it succeeds.
 func newNodeTLS(
 	config Config, setUntrusted func(id string, untrusted bool), log *slog.Logger,
 ) (*nodeTLS, error) {
@@ -93,7 +93,8 @@
 	return tls, err
 }
 
-// newListenerLayer returns the TLS layer of a listener, which offers the protocols alpn; nil if listener is nil.
+// newListenerLayer returns the TLS layer of a listener, or nil if listener is nil. The layer offers the protocols in
+// alpn.
 func (s *nodeTLS) newListenerLayer(listener *TLSListener, alpn ...string) (*frontsecure.Terminator, error) {
 	if listener == nil {
 		return nil, nil
@@ -111,13 +112,13 @@
 	})
 }
 
-// hasRequests reports whether requests are in flight. Handshakes use only a limited share of the CPU then.
+// hasRequests reports whether requests are in flight. Handshakes then use only a limited share of the CPU.
 func (s *nodeTLS) hasRequests() bool {
 	engine := s.engine.Load()
 	return engine != nil && engine.InFlight() > 0
 }
 
-// transportLayer returns the TLS layer of the transports; nil if they use no TLS.
+// transportLayer returns the TLS layer of the transports, or nil if the transports use no TLS.
 func (s *nodeTLS) transportLayer() *secure.ClientTLS {
 	if s == nil {
 		return nil
@@ -125,7 +126,7 @@
 	return s.serverLayer
 }
 
-// clientListenerLayer returns the TLS layer of the listener for HTTP clients; nil if they use plain HTTP.
+// clientListenerLayer returns the TLS layer of the listener for HTTP clients, or nil if clients use plain HTTP.
 func (s *nodeTLS) clientListenerLayer() *frontsecure.Terminator {
 	if s == nil {
 		return nil
@@ -133,7 +134,8 @@
 	return s.clientLayer
 }
 
-// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS, and else returns it unchanged.
+// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS. Otherwise it returns the listener
+// unchanged.
 func (s *nodeTLS) wrapMsgpack(listener net.Listener) net.Listener {
 	if s == nil || s.msgpackLayer == nil {
 		return listener
@@ -152,7 +154,8 @@
 	return layers
 }
 
-// close ends the goroutines of the TLS layer to servers and waits for them. The transports must already be closed.
+// close ends the goroutines of the TLS layer towards servers and waits for them. The transports must already be
+// closed.
 func (s *nodeTLS) close() {
 	if s != nil && s.serverLayer != nil {
 		s.serverLayer.Close()
--- a/internal/node/tlsclient.go
+++ b/internal/node/tlsclient.go
@@ -9,17 +9,17 @@
 	"cobaltward/internal/frontend/secure"
 )
 
-// tlsClientConn is a TLS connection of a client. It does not embed the TCP connection, because the promoted methods of
-// that would bypass TLS.
+// tlsClientConn is a TLS connection of a client. It does not embed the TCP connection, whose promoted methods would
+// bypass TLS.
 type tlsClientConn struct {
 	conn *clientConn
 	tls  *secure.Conn
 }
 
-// Read reads decrypted bytes with clientConn.Read, which tracks the connection's requests.
+// Read reads decrypted bytes through clientConn.Read, which tracks the connection's requests.
 func (c *tlsClientConn) Read(p []byte) (int, error) { return c.conn.Read(p) }
 
-// Write encrypts and writes p. Like clientConn.Write, it discards p after the timeout of a head.
+// Write encrypts p and writes it. After the timeout of a head, Write discards p, as clientConn.Write does.
 func (c *tlsClientConn) Write(p []byte) (int, error) {
 	if c.conn.headTimedOut.Load() {
 		return len(p), nil
@@ -27,7 +27,7 @@
 	return c.tls.Write(p)
 }
 
-// Close closes the connection, which may linger as clientConn.Close describes.
+// Close closes the connection, which may linger as described at clientConn.Close.
 func (c *tlsClientConn) Close() error { return c.conn.Close() }
 
 // CloseWrite closes the node's side of the connection.
@@ -44,7 +44,7 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline sets the deadline of reads. As in clientConn, an earlier deadline of readDeadline takes precedence.
+// SetReadDeadline sets the deadline of reads. An earlier deadline of readDeadline takes precedence.
 func (c *tlsClientConn) SetReadDeadline(t time.Time) error { return c.conn.SetReadDeadline(t) }
 
 // SetWriteDeadline sets the write deadline.
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -7,17 +7,17 @@
 	"cobaltward/certificates"
 )
 
-// certificateWatch detects changes of the certificates that a node uses: of files, and of secrets that a control plane
-// sends. It is used by one goroutine.
+// certificateWatch detects changes of the node's certificates, both in files and in secrets that a control plane
+// sends. Only one goroutine uses it.
 type certificateWatch struct {
 	tls      *nodeTLS
 	files    []*certificates.FileWatcher
-	secrets  map[*certificates.Store]*certificates.Set // sets at the last check
-	rejected map[string]string                         // why files are rejected, by the file's source
+	secrets  map[*certificates.Store]*certificates.Set // certificate sets at the last check
+	rejected map[string]string                         // reasons for rejected files, by source
 	warnings *certificates.ExpiryWarnings
 }
 
-// run applies changed certificates, and logs a warning for those that expire soon, until ctx ends.
+// run applies changed certificates until ctx ends. It also logs a warning for certificates that expire soon.
 func (s *nodeTLS) run(ctx context.Context) {
 	if s == nil {
 		return
@@ -88,14 +88,14 @@
 		}
 	}
 	var rejected *string
-	for _, reason := range c.rejected { // any one of the reasons: the log contains all of them
+	for _, reason := range c.rejected { // keeps one of the reasons; the log contains all of them
 		rejected = &reason
 	}
 	c.tls.rejectedFileReason.Store(rejected)
 	return changed
 }
 
-// checkFile reads a file again if it has changed. After an error its previous content stays in use.
+// checkFile reads a file again if it has changed. After an error, the previous content of the file stays in use.
 func (c *certificateWatch) checkFile(file *certificates.FileWatcher) (changed bool) {
 	poll := file.Poll(time.Now())
 	if poll.Err != nil {
@@ -110,8 +110,8 @@
 	return poll.Changed
 }
 
-// applyCertificates makes the TLS layers discard the results of earlier verifications and use the current ticket keys.
-// Certificates need not be applied: each handshake reads them from their stores.
+// applyCertificates makes the TLS layers discard the results of earlier verifications and use the current ticket
+// keys. New certificates need no such step, because each handshake reads them from their stores.
 func (s *nodeTLS) applyCertificates() {
 	if s.serverLayer != nil {
 		s.serverLayer.InvalidateTrust()
--- a/internal/node/tlsstatus.go
+++ b/internal/node/tlsstatus.go
@@ -9,19 +9,19 @@
 	frontsecure "cobaltward/internal/frontend/secure"
 )
 
-// TLSStatus is the status of a node's TLS, as the admin API sends it.
+// TLSStatus is the TLS status of a node, as the admin API sends it.
 type TLSStatus struct {
-	Certificates   []certificates.Summary `json:"keys"` // in use; those of a store in the order of their expiry
+	Certificates   []certificates.Summary `json:"keys"` // certificates in use, ordered by expiry within a store
 	RejectedFile   string                 `json:"refused_files,omitempty"`
 	HandshakeSteps uint64                 `json:"pieces"`  // number of computation steps of all handshakes
-	HandshakeTime  time.Duration          `json:"work_ns"` // time that the steps took, in nanoseconds
+	HandshakeTime  time.Duration          `json:"work_ns"` // computation time of the steps, in nanoseconds
 	Servers        *secure.Stats          `json:"servers,omitempty"`
 	Clients        *frontsecure.Stats     `json:"clients,omitempty"`
 	Msgpack        *frontsecure.Stats     `json:"msgpack,omitempty"`
 	AdminAPI       *frontsecure.Stats     `json:"door,omitempty"`
 }
 
-// status returns the current status; nil for a node without TLS.
+// status returns the current status, or nil for a node without TLS.
 func (s *nodeTLS) status() *TLSStatus {
 	if s == nil {
 		return nil
@@ -43,7 +43,7 @@
 	return status
 }
 
-// layerStats returns the statistics of a listener's TLS layer; nil if there is no layer.
+// layerStats returns the statistics of a listener's TLS layer, or nil if layer is nil.
 func layerStats(layer *frontsecure.Terminator) *frontsecure.Stats {
 	if layer == nil {
 		return nil
--- a/internal/node/unanswered.go
+++ b/internal/node/unanswered.go
@@ -10,7 +10,7 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is the reason why a connection ended before a request was answered.
+// endCause is the reason for the end of a client's connection.
 type endCause string
 
 const (
@@ -23,18 +23,19 @@
 	endDrain        endCause = "the node is draining"
 )
 
-// unansweredCounts counts connections that ended without an answer although bytes of a request had arrived, by cause.
+// unansweredCounts counts connections that ended without an answer although bytes of a request had arrived. There is
+// one count for each cause.
 type unansweredCounts struct {
-	timeouts     uint64 // the rest of the head did not arrive in time
-	clientCloses uint64 // the client closed or reset the connection
+	timeouts     uint64 // timeouts of the rest of a head
+	clientCloses uint64 // closes or resets by the client
 
-	// For these causes, bytes of the request arrived while the node ended the connection.
-	idleEnds  uint64 // ended because it had been idle for too long
-	evictions uint64 // evicted to free its slot
-	drains    uint64 // closed by a drain
+	// Bytes of the request arrived while the node ended the connection for one of these causes.
+	idleEnds  uint64 // idle timeouts
+	evictions uint64 // evictions to free a slot
+	drains    uint64 // closes by a drain
 }
 
-// count counts a connection under its cause; a rejected client has had an answer.
+// count counts a connection under its cause. endRejected is not counted, because the client got a rejection.
 func (u *unansweredCounts) count(cause endCause) {
 	switch cause {
 	case endHeadTimeout:
@@ -60,13 +61,13 @@
 	u.drains += other.drains
 }
 
-// recordEndLocked records why the node ends the connection, and makes its Close linger.
+// recordEndLocked records why the node ends the connection. Close then lets the connection linger.
 func (c *clientConn) recordEndLocked(cause endCause) {
 	c.endCause, c.mustLinger = cause, true
 }
 
-// recordReadError counts a connection whose read fails within the head of a request. A request whose body ends early is
-// answered and not counted.
+// recordReadError counts a connection whose read fails with err within the head of a request. A request whose body
+// ends early is answered and not counted.
 func (c *clientConn) recordReadError(err error) {
 	if !c.deadline.withinHead() {
 		return
@@ -74,7 +75,7 @@
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if errors.Is(err, io.EOF) && !c.framing.WithinHead() { // the bytes that arrived over TLS were the client's close
+	if errors.Is(err, io.EOF) && !c.framing.WithinHead() { // the TLS bytes were the client's close
 		return
 	}
 	cause := endClientClosed
@@ -82,7 +83,7 @@
 		cause = endHeadTimeout
 	}
 	switch {
-	case c.endCause == cause: // already counted: net/http may read again after an error
+	case c.endCause == cause: // already counted; net/http may read again after an error
 		return
 	case c.closed || c.halfClosed:
 		c.mustLinger = true // more bytes may arrive
@@ -94,7 +95,8 @@
 	c.countUnansweredLocked(cause)
 }
 
-// recordBytesAfterEndLocked counts a connection, once, on which bytes arrive after the node ended it.
+// recordBytesAfterEndLocked counts a connection on which bytes arrive after the node has ended it. It counts each
+// connection once.
 func (c *clientConn) recordBytesAfterEndLocked() {
 	switch {
 	case c.bytesAfterEnd:
@@ -109,21 +111,21 @@
 	c.countUnansweredLocked(c.endCause)
 }
 
-// countUnansweredLocked counts the connection under a cause and logs it.
+// countUnansweredLocked logs the connection and counts it under cause.
 func (c *clientConn) countUnansweredLocked(cause endCause) {
 	c.listener.unanswered.count(cause)
 	c.listener.log.Debug("client connection ended without an answer", slog.String("cause", string(cause)),
 		slog.Duration("age", time.Since(c.acceptedAt)), slog.Int("unread", sockets.Unread(c.TCPConn)))
 }
 
-// unansweredCounts returns how many connections have ended without an answer so far.
+// unansweredCounts returns the counts of connections that ended without an answer.
 func (l *clientListener) unansweredCounts() unansweredCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unanswered
 }
 
-// unansweredCounts returns the counts of all listeners for clients together.
+// unansweredCounts returns the sum of the counts of all listeners for clients.
 func (n *node) unansweredCounts() unansweredCounts {
 	counts := n.httpServer.listener.unansweredCounts()
 	if n.rpcServer != nil {
