--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -18,9 +18,9 @@
 // consecutiveFailures is the number of accept errors in a row before a connection is accepted.
 const consecutiveFailures = 5
 
-// TestListenersSurviveAcceptErrors guards against a listener that stops serving after an accept error. On each
-// listener of the node, Accept fails with every error that Linux documents, several times in a row. The client whose
-// connection is in the accept queue meanwhile gets its response, and so does the next one.
+// TestListenersSurviveAcceptErrors checks that the node's listeners keep serving after accept errors. On each
+// listener, Accept fails several times in a row with every error that Linux documents. The client in the accept queue
+// must get its response, and so must the next client.
 func TestListenersSurviveAcceptErrors(t *testing.T) {
 	const readyRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\nConnection: close\r\n\r\n"
@@ -60,7 +60,7 @@
 		want     string
 	}{
 		{"HTTP", http, readyRequest, "HTTP/1.1 200"},
-		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // invalid first byte: the node sends an error notification
+		{"MessagePack-RPC", rpc, "\xc1", "\x93"}, // invalid first byte; the node sends an error notification
 		{"admin API", admin, statusRequest, "HTTP/1.1 200"},
 		{"operations endpoint", operations, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200"},
 	} {
@@ -107,7 +107,7 @@
 	}
 }
 
-// exchange sends a request over a new connection and returns the start of the response, or the text of an error.
+// exchange sends a request over a new connection. It returns the start of the response, or the text of an error.
 func exchange(listener net.Listener, request string) string {
 	const timeout = 5 * time.Second
 	conn, err := net.DialTimeout("tcp", listener.Addr().String(), timeout)
@@ -127,7 +127,7 @@
 	return string(answer[:n])
 }
 
-// TestRelisten_AddressComesFree checks that relisten retries while its address is in use: another listener releases
+// TestRelisten_AddressComesFree checks that relisten retries while its address is in use. Another listener releases
 // the address after 2 s.
 func TestRelisten_AddressComesFree(t *testing.T) {
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -24,7 +24,7 @@
 	Connections      ConnectionCounts         `json:"connections"`
 	Servers          map[string]int           `json:"servers"` // number of servers by availability
 	DisabledServers  []string                 `json:"servers_drained_by_hand"`
-	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers without a proven identity
+	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers without proven identity
 	EndpointList     router.EndpointListStats `json:"list"`
 	Answers          map[string]uint64        `json:"answers"` // number of answers by outcome
 	Attempts         uint64                   `json:"attempts"`
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -9,10 +9,10 @@
 	"cobaltward/internal/testkit"
 )
 
-// deadlineSlack is the tolerance by which the deadline sent to a server may exceed the time that the client has left.
+// deadlineSlack is the tolerance of the deadline sent to a server, relative to the time that the client has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// delayedListener returns each connection some time after it was accepted; its request waits in the socket buffer
+// delayedListener returns each connection some time after the accept. The request waits in the socket buffer
 // meanwhile.
 type delayedListener struct {
 	net.Listener
@@ -31,9 +31,9 @@
 	return l.Listener.(*net.TCPListener).SetDeadline(t)
 }
 
-// TestDeadline_CountsFromArrival guards against a deadline that counts from when the node reads a request, and so
-// exceeds the time that the client has left. Requests wait unread in the socket buffer, or behind another request on
-// the same connection.
+// TestDeadline_CountsFromArrival checks that the deadline of a request counts from its arrival. Requests wait unread
+// in the socket buffer, or behind another request on the same connection. A deadline that counts from the read would
+// exceed the time that the client has left.
 func TestDeadline_CountsFromArrival(t *testing.T) {
 	const wait, clientDeadline = 500 * time.Millisecond, 1200 * time.Millisecond
 	check := func(t *testing.T, server *holdingServer, id string, sent time.Time) {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -21,8 +21,8 @@
 	"cobaltward/router"
 )
 
-// patternReader reads a body of size bytes. Each byte is computed from its offset, so the body can be checked without
-// a copy.
+// patternReader reads a body of size bytes. Each byte is computed from its offset, so the check needs no copy of the
+// body.
 type patternReader struct{ offset, size int64 }
 
 func (p *patternReader) Read(buf []byte) (int, error) {
@@ -39,7 +39,7 @@
 
 func patternAt(i int64) byte { return byte(i ^ i>>9 ^ i>>17) }
 
-// checkPattern reads r to its end and returns an error unless it yields the size bytes of a patternReader.
+// checkPattern reads r to its end. It returns an error unless r yields the size bytes of a patternReader.
 func checkPattern(r io.Reader, size int64) error {
 	buf := make([]byte, 16<<10)
 	var offset int64
@@ -88,8 +88,8 @@
 	n.initialList.Endpoints = append(n.initialList.Endpoints, endpoint)
 }
 
-// startWithClient starts the node and returns a client. The end of the test stops the node and checks that Run returns
-// no error.
+// startWithClient starts the node and returns a client. At the end of the test it stops the node and checks that Run
+// returns no error.
 func (n *testNode) startWithClient() *http.Client {
 	n.t.Helper()
 	stop, ended := n.start()
@@ -136,9 +136,10 @@
 	request.Header.Set("X-Deadline-Ms", "30000")
 }
 
-// TestLongBodies_HundredAtOnce sends a hundred long bodies in each direction at once, many times what fits into the
-// node's memory, with slow readers on every side. All must arrive unchanged while the heap stays bounded. To run it
-// with bodies of the size in production: LONG_MB=32 go test -run TestLongBodies ./internal/node
+// TestLongBodies_HundredAtOnce checks a hundred long bodies in each direction at once, with slow readers on every
+// side. The bodies together are many times larger than the node's memory. All must arrive unchanged while the heap
+// stays bounded. To run it with bodies of the size in production: LONG_MB=32 go test -run TestLongBodies
+// ./internal/node
 func TestLongBodies_HundredAtOnce(t *testing.T) {
 	size := int64(256 << 10)
 	if mb, err := strconv.Atoi(os.Getenv("LONG_MB")); err == nil {
@@ -182,8 +183,8 @@
 	}
 }
 
-// exchangeLongBody sends a body of the given size and checks the response and its body. Request bodies with an odd
-// number are chunked.
+// exchangeLongBody sends a body of the given size, and checks the response and its body. The request body is chunked
+// if number is odd.
 func (n *testNode) exchangeLongBody(client *http.Client, number int, size int64) {
 	length := size
 	if number%2 == 1 {
@@ -203,8 +204,8 @@
 	}
 }
 
-// TestLongBody_ServerTakesLonger guards against the stall timeout of a body still applying after its last byte: the
-// server answers later than that timeout, while the client waits for the response.
+// TestLongBody_ServerTakesLonger checks that the stall timeout of a body ends with its last byte. The server answers
+// later than that timeout, while the client waits for the response.
 func TestLongBody_ServerTakesLonger(t *testing.T) {
 	const bodyStall = 2500 * time.Millisecond // stall timeout in middleware for bodies of up to 64 KiB
 	for _, test := range []struct {
@@ -233,9 +234,9 @@
 	}
 }
 
-// TestLongBody_ChunkedClientStalls guards against a stall timeout that counts from the start of a chunk. The client
-// stalls three times within one chunk, each time for less than the timeout, but for longer in total. The timeout must
-// restart with each byte, as it does for a body with a Content-Length.
+// TestLongBody_ChunkedClientStalls checks that the stall timeout restarts with each byte of a chunk, as for a body
+// with a Content-Length. The client stalls three times within one chunk, each time for less than the timeout, but for
+// longer in total.
 func TestLongBody_ChunkedClientStalls(t *testing.T) {
 	const stall = 1500 * time.Millisecond
 	const part = 4 << 10
@@ -262,7 +263,7 @@
 	}
 }
 
-// watchHeap samples the heap until the returned function is called, which returns the largest sample in bytes.
+// watchHeap samples the heap until stop is called. stop returns the largest sample in bytes.
 func watchHeap() (stop func() uint64) {
 	var largest uint64
 	ctx, cancel := context.WithCancel(context.Background())
@@ -282,7 +283,7 @@
 	}
 }
 
-// addRawServer adds a server that reads a request and then has script write the response to the connection.
+// addRawServer adds a server that reads a request and calls script to write the response to the connection.
 func (n *testNode) addRawServer(script func(conn net.Conn, r *http.Request)) {
 	n.addEndpoint(testkit.RawServer(n.t, func(conn net.Conn, in *bufio.Reader) {
 		for {
@@ -296,9 +297,9 @@
 	n.allowSlowAnswers()
 }
 
-// TestTruncatedAnswer_IsCut has a server close its connection within the body of a response. The first bytes must
-// reach the client before the rest, the client must be able to tell that the response is incomplete, and the request
-// must not be retried.
+// TestTruncatedAnswer_IsCut checks a response whose server closes the connection within the body. The first bytes
+// must reach the client before the rest. The client must be able to detect that the response is incomplete. The
+// request must not be retried.
 func TestTruncatedAnswer_IsCut(t *testing.T) {
 	const size = 300 << 10
 	body := string(make([]byte, size/2))
@@ -340,8 +341,8 @@
 	}
 }
 
-// TestLongAnswer_ClientDisconnects has clients disconnect within a long response: the node must close its connection
-// to the server, and no request may stay in flight.
+// TestLongAnswer_ClientDisconnects checks that the node closes its connection to the server when a client disconnects
+// within a long response. No request may stay in flight.
 func TestLongAnswer_ClientDisconnects(t *testing.T) {
 	node := newTestNode(t, 0)
 	var aborted atomic.Int64
@@ -368,9 +369,9 @@
 	})
 }
 
-// TestRetry_BufferedBodyOnly has the first server reject a request without executing it. If the node has buffered the
-// body, it retries the request at the next server. If it has streamed the body to the server, it cannot retry, and
-// rejects the request.
+// TestRetry_BufferedBodyOnly checks retries of requests with a body. The first server rejects a request without
+// executing it. If the node has buffered the body, it retries the request at the next server. If the node has
+// streamed the body, it cannot retry and rejects the request.
 func TestRetry_BufferedBodyOnly(t *testing.T) {
 	for name, test := range map[string]struct {
 		memoryMB   int64
@@ -407,9 +408,9 @@
 	}
 }
 
-// TestSlowUpload_DeadlineCountsFromLastByte has a client take longer than its deadline to send a body, which the node
-// streams to the server: the deadline must count from the last byte. A request whose body breaks off must not be
-// executed.
+// TestSlowUpload_DeadlineCountsFromLastByte checks that a deadline counts from the last byte of the body. A client
+// takes longer than its deadline to send a body, which the node streams to the server. A request whose body is
+// incomplete must not be executed.
 func TestSlowUpload_DeadlineCountsFromLastByte(t *testing.T) {
 	const pieces, pieceSize = 10, 20 << 10
 	node := newTestNode(t, 0)
@@ -445,10 +446,10 @@
 	}
 }
 
-// TestStalledBody_GetsErrorInTime has clients stop sending within a body and keep their connections open. Wherever a
-// client stops, it must get a complete error response, or the close of its connection, within 3 s. Bodies over 64 KiB
-// of which a part was sent are left out: their clients may stall for as long as a slow client takes for that part,
-// which TestTimedBody_StallTimeout in middleware checks.
+// TestStalledBody_GetsErrorInTime checks clients that stop within a body and keep their connections open. Wherever a
+// client stops, it must get a complete error response or a close within 3 s. Partly sent bodies over 64 KiB are left
+// out: their clients may stall for as long as a slow client takes for the part sent. TestTimedBody_StallTimeout in
+// middleware checks these.
 func TestStalledBody_GetsErrorInTime(t *testing.T) {
 	const maxDelay = 3 * time.Second
 	for _, length := range []int{9, 20 << 10, 64 << 10, 1 << 20} {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -14,12 +14,12 @@
 	"cobaltward/internal/testkit"
 )
 
-// rejectionStart is the start of the response that the node writes before it closes an evicted connection.
+// rejectionStart is the start of the response to an evicted connection.
 const rejectionStart = "HTTP/1.1 503"
 
-// TestEviction_SparesNewConnection guards against closing a connection whose first request is on its way. A client
-// connects to a full node and sends its request a moment later. Meanwhile another client connects: it must get the
-// slot of the older connection, which becomes idle, and not the slot of the new one.
+// TestEviction_SparesNewConnection checks that a connection whose first request is on its way is not evicted. A
+// client connects to a full node and sends its request a moment later. Another client that connects meanwhile must
+// get the slot of an older connection, which becomes idle.
 func TestEviction_SparesNewConnection(t *testing.T) {
 	listener, _, older := newClientPair(t)
 	listener.setMaxConns(2)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestEviction_SendsRejection has more clients stop within a head than the node has connections. A client whose
-// connection is evicted may still be sending the rest of its request, so it must read a rejection with Retry-After
-// before the close.
+// TestEviction_SendsRejection checks that a client with an evicted connection reads a rejection with Retry-After
+// before the close. More clients stop within a head than the node has connections. Such a client may still be sending
+// the rest of its request.
 func TestEviction_SendsRejection(t *testing.T) {
 	const clients = 2 * minDescriptors
 	_, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
@@ -75,9 +75,8 @@
 	}
 }
 
-// TestEviction_RequestArrivesMeanwhile guards against a close without a rejection. Bytes of a request are read while
-// their connection is being evicted, and the reader closes the connection as soon as it sees the eviction: the
-// rejection must be written first.
+// TestEviction_RequestArrivesMeanwhile checks that a rejection is written before the close. Bytes of a request are
+// read while their connection is being evicted. The reader closes the connection as soon as it detects the eviction.
 func TestEviction_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	for range 300 {
@@ -100,8 +99,9 @@
 	}
 }
 
-// TestEviction_RequestIsNotHandedOn evicts a connection just before or just after its request is handed on to the
-// router. A client that was sent a rejection may send its request again, so the first one must not run.
+// TestEviction_RequestIsNotHandedOn checks that the request of an evicted connection is not handed on to the router.
+// The eviction comes just before or just after the hand-on. A client that got a rejection may retry its request, so
+// the first request must not run.
 func TestEviction_RequestIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
 		listener, _, conn := newClientPair(t)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestEviction_RequestIsBeingRejected evicts an overflow connection after the decision to reject its request, but
-// before that response is written: the client must still read a rejection.
+// TestEviction_RequestIsBeingRejected checks that a client reads a rejection even if its overflow connection is
+// evicted late. The eviction comes after the decision to reject the request, and before the response is written.
 func TestEviction_RequestIsBeingRejected(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	recordRequestStart(conn)
@@ -146,7 +146,7 @@
 	conn.recordRequestBytesLocked()
 }
 
-// stallRequest makes the last bytes of a request so old that the connection counts as stalled.
+// stallRequest backdates the last bytes of a request so that the connection counts as stalled.
 func stallRequest(conn *clientConn) {
 	conn.listener.mu.Lock()
 	defer conn.listener.mu.Unlock()
@@ -159,7 +159,7 @@
 	return listener.evictStalledLocked()
 }
 
-// expectRejection reads the start of a response, and fails the test unless it is a rejection.
+// expectRejection reads the start of a response. It fails the test unless the response is a rejection.
 func expectRejection(t *testing.T, client net.Conn) {
 	t.Helper()
 	_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -13,8 +13,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestFirstRequest_LongAfterConnect guards against a new connection getting less time for its first request than an
-// idle connection has for its next one: the request arrives later after the connect than headerTimeout.
+// TestFirstRequest_LongAfterConnect checks that a new connection may send its first request later than headerTimeout
+// after the connect. The head timeout must not apply before the first byte.
 func TestFirstRequest_LongAfterConnect(t *testing.T) {
 	node := newTestNode(t, 1)
 	node.startWithClient()
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestHead_TimeoutRunsFromFirstByte guards against a head timeout that restarts with each byte, so that a slow client
-// could extend it, and against one that counts the idle time before the first byte.
+// TestHead_TimeoutRunsFromFirstByte checks that the head timeout counts from the first byte of the head. It must not
+// restart with each byte, or a slow client could extend it. It must not include the idle time before the first byte.
 func TestHead_TimeoutRunsFromFirstByte(t *testing.T) {
 	const headTimeout = 200 * ms
 	for _, test := range []struct {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestIdleEnd_RequestArrives has a request arrive around the end of a connection's idle timeout. Bytes that arrive
-// before the end are read. Bytes that arrive after it are counted, and the client sees an orderly close: a reset could
-// destroy a response that it has not read yet.
+// TestIdleEnd_RequestArrives checks requests that arrive around the end of a connection's idle timeout. Bytes that
+// arrive before the end are read, and bytes that arrive after it are counted. The client must see an orderly close,
+// because a reset could destroy a response that the client has not read yet.
 func TestIdleEnd_RequestArrives(t *testing.T) {
 	const idleTimeout = 50 * ms
 	body := make([]byte, 256<<10)
@@ -99,7 +99,7 @@
 		name         string
 		listen       func(t *testing.T, maxConns int) *clientListener
 		beforeEnd    bool
-		pause        time.Duration // how long the node does not run between the idle timeout and the close
+		pause        time.Duration // pause of the node between the idle timeout and the close
 		wantIdleEnds uint64
 	}{
 		{"ahead of the end", newTestListener, true, 0, 0},
@@ -134,7 +134,7 @@
 			go func() {
 				defer close(sent)
 				sendRequestLine(t, client)
-				_, _ = client.Write(body) // fails if the close has already reached the client
+				_, _ = client.Write(body) // fails if the close has reached the client already
 			}()
 			testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(tcp) > 0 })
 			time.Sleep(test.pause)
@@ -153,11 +153,11 @@
 	}
 }
 
-// TestEviction_RequestArrivesAfterwards has a long request arrive after its idle connection was evicted: the client
-// must see an orderly close and not a reset, and the connection must be counted as evicted.
+// TestEviction_RequestArrivesAfterwards checks a long request that arrives after its idle connection was evicted. The
+// client must see an orderly close instead of a reset. The connection must be counted as evicted.
 func TestEviction_RequestArrivesAfterwards(t *testing.T) {
 	listener, client, conn := newClientPair(t)
-	conn.requestSeen = true // a connection that has carried a request is sent no rejection
+	conn.requestSeen = true // a connection with an earlier request gets no rejection
 	listener.mu.Lock()
 	evicted := listener.evictIdleLocked(true)
 	listener.mu.Unlock()
@@ -183,14 +183,14 @@
 	}
 }
 
-// TestEviction_SilentConnectionsFirst needs a slot while two connections are idle: one that has carried a request, and
-// a newer one that never sent any. The newer one is evicted if it is older than silentConnAge, otherwise the one that
-// has carried a request.
+// TestEviction_SilentConnectionsFirst checks which of two idle connections is evicted. One has carried a request, and
+// a newer one has sent nothing. The newer connection is evicted if it is older than silentConnAge, and the other
+// connection otherwise.
 func TestEviction_SilentConnectionsFirst(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		silentFor  time.Duration
-		wantSilent bool // the silent connection is evicted
+		wantSilent bool // whether the silent connection is evicted
 	}{
 		{"old", silentConnAge, true},
 		{"new", silentConnAge / 2, false},
@@ -210,14 +210,14 @@
 	}
 }
 
-// TestLinger_Descriptors evicts more connections than may linger: open and lingering connections together must not use
-// more descriptors than the node has reserved for them.
+// TestLinger_Descriptors checks that open and lingering connections together use at most the descriptors reserved for
+// them. The test evicts more connections than may linger.
 func TestLinger_Descriptors(t *testing.T) {
 	const maxConns = 4
 	listener := newTestListener(t, maxConns)
 	listener.queueTimeout = func() time.Duration { return 0 }
 	for range 4 * (maxConns + overflowConns) {
-		connectClient(t, listener) // evicts a silent connection, which its client leaves open
+		connectClient(t, listener) // evicts a silent connection; its client does not close it
 		listener.mu.Lock()
 		open, lingering := listener.open, listener.lingering.len()
 		listener.mu.Unlock()
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestUnanswered_ServedRequestsAreNotCounted guards against counting answered requests as unanswered: while a request
-// is answered, net/http ends its background read with a read deadline in the past, which looks like a timeout.
+// TestUnanswered_ServedRequestsAreNotCounted checks that answered requests are not counted as unanswered. net/http
+// ends its background read during a request with a read deadline in the past, which looks like a timeout.
 func TestUnanswered_ServedRequestsAreNotCounted(t *testing.T) {
 	node := newTestNode(t, 1)
 	client := node.startWithClient()
@@ -263,8 +263,8 @@
 	return conn.(*clientConn).TCPConn
 }
 
-// handshakeOver performs the TLS handshake between the two ends of a connection, sends no byte of a request, and
-// returns the client's TLS connection.
+// handshakeOver performs the TLS handshake between both ends of a connection and returns the client's TLS connection.
+// It sends no byte of a request.
 func handshakeOver(t *testing.T, plain, conn net.Conn) net.Conn {
 	t.Helper()
 	client := tls.Client(plain, &tls.Config{InsecureSkipVerify: true})
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/pki"
 )
 
-// newClientPair returns a listener with 4 slots, and both ends of a connection that it has accepted.
+// newClientPair returns a listener with 4 slots and both ends of an accepted connection.
 func newClientPair(t *testing.T) (*clientListener, net.Conn, *clientConn) {
 	t.Helper()
 	listener := newTestListener(t, 4)
@@ -52,7 +52,7 @@
 	return clientConnOf(accepted)
 }
 
-// clientConnOf returns the node's end of a connection that was accepted, with or without TLS.
+// clientConnOf returns the clientConn of an accepted connection, with or without TLS.
 func clientConnOf(accepted net.Conn) *clientConn {
 	if secured, ok := accepted.(*tlsClientConn); ok {
 		return secured.conn
@@ -72,8 +72,8 @@
 	return client, conn
 }
 
-// TestAccept_SparesSlowHandshakeWhileCoreIsBusy guards against closing a handshake that waits for its client while
-// other handshakes keep the CPU core busy: the close would not let new clients connect any sooner.
+// TestAccept_SparesSlowHandshakeWhileCoreIsBusy checks that a handshake that waits for its client is not closed while
+// other handshakes keep the CPU core busy. The close would not let new clients connect any sooner.
 func TestAccept_SparesSlowHandshakeWhileCoreIsBusy(t *testing.T) {
 	listener := newTLSTestListener(t, 100)
 	accept := func() *clientConn {
--- a/internal/node/clientorder_test.go
+++ b/internal/node/clientorder_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// timeoutMargin is added to a timeout of the node to act safely after its end.
+	// timeoutMargin is the time that the tests add to a timeout of the node to act safely after its end.
 	timeoutMargin = 200 * time.Millisecond
-	// shortTimeout is the head timeout and the idle timeout of serveShortTimeouts.
+	// shortTimeout is the head timeout and the idle timeout in serveShortTimeouts.
 	shortTimeout = 300 * time.Millisecond
 	// smallRequest is a complete request without a body.
 	smallRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -34,7 +34,8 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// serveShortTimeouts serves a listener with net/http until the test ends. Its head and idle timeouts are shortTimeout.
+// serveShortTimeouts serves a listener with net/http until the test ends. The head and idle timeouts are
+// shortTimeout.
 func serveShortTimeouts(t *testing.T) *clientListener {
 	t.Helper()
 	listener := newTestListener(t, 4)
@@ -53,9 +54,9 @@
 	return listener
 }
 
-// TestIdleEnd_RequestBeforeFinalRead has a request arrive after the read deadline of an idle connection has passed,
-// while the reader waits for the mutex to read one final time before it ends the connection. The request must be
-// served, on a new connection and on one that has carried a request.
+// TestIdleEnd_RequestBeforeFinalRead checks that a request is served if it arrives just after the read deadline of an
+// idle connection. The reader then waits for the mutex to read one final time. The connection is new or has carried a
+// request.
 func TestIdleEnd_RequestBeforeFinalRead(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprintf("kept %v", kept), func(t *testing.T) {
@@ -71,10 +72,10 @@
 				open, busy := listener.connCounts()
 				return open == 1 && busy == 0
 			})
-			listener.mu.Lock() // the final read waits for it
+			listener.mu.Lock() // the final read waits for the mutex
 			time.Sleep(shortTimeout + timeoutMargin)
 			_, _ = io.WriteString(client, smallRequest)
-			time.Sleep(timeoutMargin / 10) // for the bytes to arrive
+			time.Sleep(timeoutMargin / 10) // lets the bytes arrive
 			listener.mu.Unlock()
 			if status, err := readStatus(client); status != http.StatusOK {
 				t.Errorf("status %d, %v", status, err)
@@ -86,11 +87,11 @@
 	}
 }
 
-// isConnectionEnd reports whether err is the end of a connection, and not a timeout.
+// isConnectionEnd reports whether err is the end of a connection and not a timeout.
 func isConnectionEnd(err error) bool { return err != nil && !errors.Is(err, os.ErrDeadlineExceeded) }
 
-// TestUnanswered_AnsweredIsNotCounted checks that readiness checks and malformed requests, which the node answers
-// itself, are not counted as unanswered.
+// TestUnanswered_AnsweredIsNotCounted checks that readiness checks and malformed requests are not counted as
+// unanswered. The node answers both itself.
 func TestUnanswered_AnsweredIsNotCounted(t *testing.T) {
 	node := newTestNode(t, 0)
 	node.addServers(func(http.ResponseWriter, *http.Request) {})
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestUnanswered_CountsConnectionOnce guards against counting a connection twice that times out within a head, because
-// net/http reads from it more than once.
+// TestUnanswered_CountsConnectionOnce checks that a connection that times out within a head is counted once. net/http
+// reads from it more than once.
 func TestUnanswered_CountsConnectionOnce(t *testing.T) {
 	listener := serveShortTimeouts(t)
 	client := dialClient(t, listener.Addr().String())
--- a/internal/node/clientpauses_test.go
+++ b/internal/node/clientpauses_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestBodyReads_ReadDeadline checks that pauses of the node extend the deadline of a read by as much, but by at most
-// maxPauseCredit if the node ran for at least half of the time.
+// TestBodyReads_ReadDeadline checks that pauses of the node extend the deadline of a read by as much. If the node ran
+// for at least half of the time, the extension is at most maxPauseCredit.
 func TestBodyReads_ReadDeadline(t *testing.T) {
 	const timeout = 2500 * ms
 	began := time.Now()
@@ -27,7 +27,7 @@
 		{timeout, timeout / 2, time.Minute, timeout + maxPauseCredit},
 		{timeout, 2000 * ms, time.Minute, timeout + 2000*ms},
 		{time.Minute, 59 * time.Second, 2 * time.Minute, timeout + 59*time.Second},
-		{timeout, 100 * ms, timeout / 2, timeout/2 + 100*ms}, // the deadline of the whole body comes first
+		{timeout, 100 * ms, timeout / 2, timeout/2 + 100*ms}, // the deadline of the whole body is earlier
 	} {
 		limits := bodyReadLimits{timeout: timeout, deadline: began.Add(test.wholeBody)}
 		stall := clientTimeout{began: began, pausedBefore: time.Hour, timeout: timeout}
@@ -46,7 +46,7 @@
 
 	mu    sync.Mutex
 	uses  int
-	began time.Time // when uses last rose from 0
+	began time.Time // time at which uses last rose from 0
 	used  time.Duration
 }
 
@@ -81,7 +81,7 @@
 	return time.Duration(p.share * float64(used))
 }
 
-// requireUnused checks that each Begin was followed by an End.
+// requireUnused checks that every Begin had its End.
 func (p *fakePauses) requireUnused(t *testing.T) {
 	t.Helper()
 	p.mu.Lock()
@@ -108,9 +108,9 @@
 	return n + rest, err
 }
 
-// TestRead_NodePaused has a client stall within a head or a body for longer than the timeout while the node is paused
-// most of the time: the rest must be read, even if the client stalls within a TLS record. If the node is not paused,
-// the read must fail.
+// TestRead_NodePaused checks that a stalled client is still read if the node was paused most of the time. The client
+// stalls within a head, a body or a TLS record for longer than the timeout. If the node is not paused, the read must
+// fail.
 func TestRead_NodePaused(t *testing.T) {
 	const mostOfTheTime = 0.99
 	for _, test := range []struct {
@@ -146,8 +146,8 @@
 	}
 }
 
-// readFromStallingClient reads a request whose client stalls within its head or body for longer than the timeout:
-// stalling splits the write and sleeps between the halves.
+// readFromStallingClient reads a request whose client stalls within its head or body for longer than the timeout. The
+// client's connection splits a write and sleeps between the halves.
 func readFromStallingClient(
 	t *testing.T, listener *clientListener, conn net.Conn, stalling *stallingConn, client net.Conn, withinBody bool,
 ) error {
@@ -184,8 +184,8 @@
 	return err
 }
 
-// TestRead_NodePausedBetweenReads has the node pause for most of the time between two reads of a body, until the
-// deadline of the whole body has passed on the clock: the rest of the body must still be read.
+// TestRead_NodePausedBetweenReads checks that the rest of a body is read after a pause between two reads. The node is
+// paused for most of the time, until the deadline of the whole body has passed on the clock.
 func TestRead_NodePausedBetweenReads(t *testing.T) {
 	const deadline, wait = 200 * ms, 500 * ms
 	const bodySize = 1000
@@ -202,7 +202,7 @@
 	for range 2 {
 		clientConnOf(conn).deadline.limitBody(limits)
 		sent := make(chan struct{})
-		time.AfterFunc(deadline/2, func() { // after the read has found no bytes
+		time.AfterFunc(deadline/2, func() { // runs after the read has found no bytes
 			defer close(sent)
 			_, _ = client.Write(make([]byte, bodySize/2))
 		})
@@ -233,8 +233,8 @@
 	return p.paused
 }
 
-// TestBeginClientTimeout_PauseAsItBegins guards against a timeout that has ended before it begins: the node is paused
-// for longer than the timeout while the timeout is set up.
+// TestBeginClientTimeout_PauseAsItBegins checks that a timeout does not end before it begins. The node is paused for
+// longer than the timeout while the timeout is set up.
 func TestBeginClientTimeout_PauseAsItBegins(t *testing.T) {
 	var pauses pausingCounter
 	timeout := beginClientTimeout(50*ms, &pauses)
--- a/internal/node/clientread_test.go
+++ b/internal/node/clientread_test.go
@@ -12,9 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestRead_DeadlinePassesBeforeRead has bytes of a request arrive before the read deadline, and the read begin after
-// it, as happens when the process is paused. The bytes must be read: on an idle connection, within a request, and with
-// TLS.
+// TestRead_DeadlinePassesBeforeRead checks that bytes that arrived before the read deadline are read after it. The
+// read begins late if the process is paused. The cases are an idle connection, an open request and TLS.
 func TestRead_DeadlinePassesBeforeRead(t *testing.T) {
 	const text = "GET / HTTP/1.1\r\n"
 	for _, test := range []struct {
@@ -53,7 +52,7 @@
 	}
 }
 
-// openTLSClient returns both ends of a TLS connection after the handshake, and the TCP connection beneath it.
+// openTLSClient returns both ends of a TLS connection after the handshake, and the TCP connection beneath conn.
 func openTLSClient(t *testing.T) (client, conn net.Conn, tcp *net.TCPConn) {
 	t.Helper()
 	plain, conn := connectClient(t, newTLSTestListener(t, 4))
@@ -61,7 +60,7 @@
 	handshake := make(chan error, 1)
 	go func() { handshake <- secured.Handshake() }()
 	_ = conn.SetReadDeadline(time.Now().Add(testkit.MaxWait))
-	go func() { _, _ = secured.Write([]byte("x")) }() // waits for the handshake
+	go func() { _, _ = secured.Write([]byte("x")) }() // the write waits for the handshake
 	if n, err := conn.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
@@ -71,8 +70,8 @@
 	return secured, conn, conn.(*tlsClientConn).conn.TCPConn
 }
 
-// TestUnanswered_CountsByCause checks that requests that end within their head are counted as unanswered by cause: a
-// timeout, or a close by the client.
+// TestUnanswered_CountsByCause checks that requests that end within their head are counted by cause: a timeout, or a
+// close by the client.
 func TestUnanswered_CountsByCause(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	_, _ = client.Write([]byte("GET / HT"))
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -25,7 +25,7 @@
 	serveHandler(t, listener, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 }
 
-// serveHandler is serveListener with another handler.
+// serveHandler is serveListener with the given handler.
 func serveHandler(t *testing.T, listener *clientListener, handler http.HandlerFunc) {
 	t.Helper()
 	server := &http.Server{
@@ -45,13 +45,13 @@
 	})
 }
 
-// transports are the two kinds of listeners that clients connect to.
+// transports are the two kinds of client listeners: with and without TLS.
 var transports = []struct {
 	name   string
 	listen func(t *testing.T, maxConns int) *clientListener
 }{{"plain", newTestListener}, {"TLS", newTLSTestListener}}
 
-// dialServed connects to a listener that is being served, and completes the handshake if it uses TLS.
+// dialServed connects to a listener that is being served. With TLS it also completes the handshake.
 func dialServed(t *testing.T, listener *clientListener) net.Conn {
 	t.Helper()
 	conn := dialClient(t, listener.Addr().String())
@@ -74,7 +74,7 @@
 	}
 }
 
-// awaitIdle waits until the listener has exactly one connection, and that one is idle.
+// awaitIdle waits until the listener has exactly one connection, which is idle.
 func awaitIdle(t *testing.T, listener *clientListener) {
 	t.Helper()
 	testkit.Await(t, "the idle connection", func() bool {
@@ -92,8 +92,8 @@
 	})
 }
 
-// TestUnanswered_ClientClosesIdleConnection checks that nothing is counted as unanswered when a client closes a
-// connection whose requests were all answered.
+// TestUnanswered_ClientClosesIdleConnection checks that a close by the client is not counted as unanswered if all
+// requests of the connection were answered.
 func TestUnanswered_ClientClosesIdleConnection(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestUnanswered_ClientClosesAfterIdleEnd checks that nothing is counted as unanswered when the node closes an idle
-// connection and its client then closes its own side without another request.
+// TestUnanswered_ClientClosesAfterIdleEnd checks that an idle connection closed by the node is not counted as
+// unanswered. The client then closes its own side without another request.
 func TestUnanswered_ClientClosesAfterIdleEnd(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestUnanswered_CountedUnderOneCause guards against counting a request twice: its head times out, then its client
+// TestUnanswered_CountedUnderOneCause checks that a request is counted once. Its head times out, and its client then
 // closes the connection while net/http reads on.
 func TestUnanswered_CountedUnderOneCause(t *testing.T) {
 	listener, client, conn := newClientPair(t)
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestEviction_DuringSilentHandshake checks that a connection lingers no longer than others if it is evicted before it
-// has sent a byte of its TLS handshake.
+// TestEviction_DuringSilentHandshake checks an eviction before the first byte of the TLS handshake. The connection
+// must not linger longer than other connections.
 func TestEviction_DuringSilentHandshake(t *testing.T) {
 	listener := newTLSTestListener(t, 4)
 	serveListener(t, listener)
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestEviction_AfterClose guards against a connection that lingers forever: it is evicted after net/http has closed
-// it, but before net/http has reported the close through ConnState.
+// TestEviction_AfterClose checks that a connection does not linger forever if it is evicted late. The eviction comes
+// after net/http has closed the connection, but before net/http has reported the close through ConnState.
 func TestEviction_AfterClose(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	_, _ = io.WriteString(client, "GET")
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestAnswerOfNetHTTP_BytesUnread guards against a lost response: net/http closes a connection after its response
-// while more bytes arrive, and a close with unread bytes resets the connection. The client must read the response and
-// an orderly close.
+// TestAnswerOfNetHTTP_BytesUnread checks that the client reads the response and an orderly close. net/http closes the
+// connection after its response while more bytes arrive. A close with unread bytes would reset the connection and
+// lose the response.
 func TestAnswerOfNetHTTP_BytesUnread(t *testing.T) {
 	rest := bytes.Repeat([]byte("x"), 256<<10)
 	for _, test := range []struct {
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestExpectation_BodyNeverComes has a client send a head that net/http itself answers with 417, and nothing of the
-// body: the connection must still end.
+// TestExpectation_BodyNeverComes checks that a connection ends if its client never sends the body. The client sends
+// only a head, which net/http itself answers with 417.
 func TestExpectation_BodyNeverComes(t *testing.T) {
 	t.Parallel()
 	listener := newTestListener(t, 4)
@@ -246,7 +246,7 @@
 	}
 }
 
-// recordSplitter passes on the first bytes that are written, and holds back the rest.
+// recordSplitter passes on the first bytes written and holds back the rest.
 type recordSplitter struct {
 	net.Conn
 	mu        sync.Mutex
@@ -287,8 +287,8 @@
 	return splitter, client
 }
 
-// TestTLSRecord_Partial has only a part of a TLS record arrive on an idle connection. It counts as the start of a
-// request, which stays unanswered: because of the head timeout, or of a drain that has closed the connection.
+// TestTLSRecord_Partial checks that a part of a TLS record on an idle connection counts as the start of a request.
+// The request stays unanswered, because of the head timeout or because a drain has closed the connection.
 func TestTLSRecord_Partial(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -322,9 +322,9 @@
 	}
 }
 
-// TestTLSRecord_PartialBehindRequest has a part of the next request's record arrive together with a request. After the
-// response the connection must count as within a head: the head timeout applies, and a drain does not close the
-// connection.
+// TestTLSRecord_PartialBehindRequest checks a request that arrives together with a part of the next request's record.
+// After the response, the connection must count as within a head. The head timeout applies, and a drain does not
+// close the connection.
 func TestTLSRecord_PartialBehindRequest(t *testing.T) {
 	for _, drain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("drain %v", drain), func(t *testing.T) {
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestTLSRecord_PartialWithHandshake has a part of the first request's record arrive together with the end of the
-// handshake: the head timeout must apply.
+// TestTLSRecord_PartialWithHandshake checks that the head timeout applies to a partial record at the end of the
+// handshake. The record is that of the first request.
 func TestTLSRecord_PartialWithHandshake(t *testing.T) {
 	t.Parallel()
 	listener := newTLSTestListener(t, 4)
@@ -387,8 +387,8 @@
 	}
 }
 
-// finishedHolder passes on the ClientHello, which is the first write, and holds back the client's Finished message and
-// everything after it.
+// finishedHolder passes on the first write, which is the ClientHello. It holds back the client's Finished message and
+// all later bytes.
 type finishedHolder struct {
 	*recordSplitter
 	writes int
@@ -402,7 +402,7 @@
 	return h.recordSplitter.Write(p)
 }
 
-// readNextStatus is readStatus for a reader that may hold bytes of further responses.
+// readNextStatus is readStatus for a reader that may also hold bytes of later responses.
 func readNextStatus(reader *bufio.Reader) (int, error) {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -411,13 +411,14 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// outcomes counts what clients saw: a status, an orderly close, or an error.
+// outcomes counts what clients received: a status, an orderly close, or an error.
 type outcomes struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// record reads a response and counts the outcome. A reset, or any other error but an orderly close, fails the test.
+// record reads a response and counts the outcome. A reset, or any other error except an orderly close, fails the
+// test.
 func (o *outcomes) record(t *testing.T, client net.Conn, label string) {
 	_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	status, err := readNextStatus(bufio.NewReader(client))
@@ -443,14 +444,14 @@
 var bigRequest = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 262144\r\n\r\n" + strings.Repeat("x", 256<<10)
 
 const (
-	sweepStep  = 100 * time.Microsecond // between two offsets from the close
+	sweepStep  = 100 * time.Microsecond // difference between two offsets from the close
 	sweepSteps = 100
-	sweepIdle  = 60 * ms // from the last response, or the connect, to the close
+	sweepIdle  = 60 * ms // time from the last response, or the connect, to the close
 )
 
-// TestClose_FirstByteArrivesNearClose guards against a reset instead of an orderly close. The first byte of a request
-// arrives shortly before or after its idle connection is closed, in steps of sweepStep: the client must always see a
-// response or an orderly close.
+// TestClose_FirstByteArrivesNearClose checks that a client always sees a response or an orderly close, and never a
+// reset. The first byte of a request arrives shortly before or after the close of its idle connection, in steps of
+// sweepStep.
 func TestClose_FirstByteArrivesNearClose(t *testing.T) {
 	for _, transport := range transports {
 		for size, request := range map[string]string{"small": smallRequest, "256 KiB": bigRequest} {
@@ -474,7 +475,7 @@
 	}
 }
 
-// sweepOnce sends a request at the given offset from the time at which an event closes its connection.
+// sweepOnce sends a request at the given offset from the event that closes its connection.
 func sweepOnce(
 	t *testing.T, listener *clientListener, event, request string, offset time.Duration, seen *outcomes,
 ) {
@@ -501,7 +502,7 @@
 	}
 	sendAt := closeAt.Add(offset)
 	time.Sleep(time.Until(sendAt) - ms)
-	for time.Now().Before(sendAt) { // busy loop, since time.Sleep is not precise enough
+	for time.Now().Before(sendAt) { // busy loop, because time.Sleep is not precise enough
 	}
 	go func() { _, _ = io.WriteString(client, request) }()
 	seen.record(t, client, fmt.Sprint(offset))
@@ -509,7 +510,8 @@
 	awaitAtMostOneConn(t, listener)
 }
 
-// awaitAtMostOneConn waits until no connection lingers, and none is open but the one for which another was evicted.
+// awaitAtMostOneConn waits until no connection lingers and at most one connection is open. That connection may be the
+// one for which another was evicted.
 func awaitAtMostOneConn(t *testing.T, listener *clientListener) {
 	testkit.Await(t, "all other connections to end", func() bool {
 		open, _ := listener.connCounts()
@@ -517,8 +519,8 @@
 	})
 }
 
-// TestIdleEnd_PausedReader has a request arrive while the reader waits for the mutex at the idle deadline, with and
-// without TLS: the request must be served.
+// TestIdleEnd_PausedReader checks that a request is served if it arrives while the reader waits for the mutex at the
+// idle deadline. The connection is with or without TLS.
 func TestIdleEnd_PausedReader(t *testing.T) {
 	for _, transport := range transports {
 		for size, request := range map[string]string{"small": smallRequest, "256 KiB": bigRequest} {
@@ -543,8 +545,8 @@
 	}
 }
 
-// TestHead_SlowClients checks the head timeout that the node uses by default: clients send one byte and then nothing,
-// or one byte a second.
+// TestHead_SlowClients checks the node's default head timeout. Clients send one byte and then nothing, or one byte a
+// second.
 func TestHead_SlowClients(t *testing.T) {
 	for _, transport := range transports {
 		for _, reused := range []bool{false, true} {
@@ -558,8 +560,8 @@
 	}
 }
 
-// testSlowHead has a client send one byte, or one byte a second if keepsSending is set, on a new connection, or on one
-// that has carried a request if reused is set.
+// testSlowHead checks the head timeout for a client that sends one byte, or one byte a second if keepsSending is set.
+// The connection is new, or has carried a request if reused is set.
 func testSlowHead(t *testing.T, listener *clientListener, reused, keepsSending bool) {
 	t.Helper()
 	serveListener(t, listener)
@@ -593,8 +595,8 @@
 	}
 }
 
-// TestLinger_SilentHandshakesAreBounded guards against evicted connections that keep their goroutines and descriptors:
-// many clients connect and send nothing of a TLS handshake.
+// TestLinger_SilentHandshakesAreBounded checks that evicted connections release their goroutines and descriptors.
+// Many clients connect and send nothing of a TLS handshake.
 func TestLinger_SilentHandshakesAreBounded(t *testing.T) {
 	const maxConns, clients = 20, 120
 	listener := newTLSTestListener(t, maxConns)
@@ -609,13 +611,13 @@
 		listener.mu.Unlock()
 	}
 	t.Logf("at most %d open or lingering, %d lingering", highest, highestLingering)
-	if highest > maxConns+overflowConns+1 { // one more is accepted and waits for its slot
+	if highest > maxConns+overflowConns+1 { // one more connection is accepted and waits for its slot
 		t.Errorf("%d connections open or lingering", highest)
 	}
 }
 
-// TestConns_ConcurrentCloses guards against connections that are never released: reads, timeouts, evictions, drains
-// and closes by the clients happen at the same time.
+// TestConns_ConcurrentCloses checks that all connections are released. Reads, timeouts, evictions, drains and closes
+// by the clients happen at the same time.
 func TestConns_ConcurrentCloses(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
@@ -664,9 +666,9 @@
 	}
 }
 
-// TestHead_TimeoutEndsWithHead guards against the head and idle timeouts ending an open request. Its body and its
-// response take longer than both timeouts, for the first request of a connection and for a later one, and also if the
-// head arrives in two parts.
+// TestHead_TimeoutEndsWithHead checks that the head and idle timeouts do not end an open request. The body and the
+// response take longer than both timeouts. The request is the first or a later request of its connection, and its
+// head may arrive in two parts.
 func TestHead_TimeoutEndsWithHead(t *testing.T) {
 	for _, transport := range transports {
 		for _, parts := range [][]string{
@@ -683,7 +685,7 @@
 	}
 }
 
-// testSlowParts sends two requests, each in the given parts; the first part may be a part of the head.
+// testSlowParts sends two requests, each in the given parts. The first part may be an incomplete head.
 func testSlowParts(t *testing.T, listener *clientListener, parts []string) {
 	t.Helper()
 	const timeout = 150 * ms
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -13,9 +13,9 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestCloseIdle_RequestArrivesMeanwhile has a request arrive while a drain closes idle connections. Reading bytes and
-// recording that a request begins is one step under the mutex, so the bytes are still in the socket when the drain
-// checks it, and the connection must stay open.
+// TestCloseIdle_RequestArrivesMeanwhile checks that a connection stays open if its request arrives while a drain
+// closes idle connections. The listener reads bytes and records the request in one step under the mutex. The bytes
+// are therefore still in the socket when the drain checks the socket.
 func TestCloseIdle_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	sendRequestLine(t, client)
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestCloseIdle_RequestArrivesAfterwards has a request arrive after a drain has closed its idle connection: the
-// request must be counted, and not served.
+// TestCloseIdle_RequestArrivesAfterwards checks that a request that arrives after a drain has closed its idle
+// connection is counted and not served.
 func TestCloseIdle_RequestArrivesAfterwards(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.mu.Lock()
@@ -54,13 +54,13 @@
 	}
 }
 
-// TestCloseIdle_ClientKeepsItsSideOpen has a connection become idle during a drain while its client does not close its
-// side: the connection must end after closeHandshakeTimeout, whatever read deadline net/http sets for the next
-// request.
+// TestCloseIdle_ClientKeepsItsSideOpen checks that a connection that becomes idle during a drain ends after
+// closeHandshakeTimeout. The client does not close its side. The read deadline that net/http sets for the next
+// request must not matter.
 func TestCloseIdle_ClientKeepsItsSideOpen(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	conn.onStateChange(http.StateActive)
-	listener.closeIdle() // the request is still being answered
+	listener.closeIdle() // the request is still unanswered
 	conn.onStateChange(http.StateIdle)
 	_ = conn.SetReadDeadline(time.Now().Add(time.Hour))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestCloseIdle_SparesNewConnection guards against a drain closing a connection whose first request is on its way: the
-// drain begins just after a client has connected.
+// TestCloseIdle_SparesNewConnection checks that a drain does not close a connection whose first request is on its
+// way. The drain begins just after a client has connected.
 func TestCloseIdle_SparesNewConnection(t *testing.T) {
 	t.Run("which sends its first request", func(t *testing.T) {
 		listener, client, conn := newClientPair(t)
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestCloseIdle_PipelinedRequest has two requests be read at once: after the first response the connection is not
-// idle, and a drain must not close it.
+// TestCloseIdle_PipelinedRequest checks that a drain does not close a connection with a pipelined request. Two
+// requests are read at once, so the connection is not idle after the first response.
 func TestCloseIdle_PipelinedRequest(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	const request = "GET / HTTP/1.1\r\n\r\n"
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestDrainAcceptQueue_AcceptsBeyondBound has a client wait in the accept queue when a full listener closes: it must
-// be accepted beyond the limit, and its request must not be rejected for lack of a slot.
+// TestDrainAcceptQueue_AcceptsBeyondBound checks a client in the accept queue of a full listener that closes. The
+// client must be accepted beyond the limit, and its request must not be rejected for lack of a slot.
 func TestDrainAcceptQueue_AcceptsBeyondBound(t *testing.T) {
 	listener, _, busy := newClientPair(t)
 	listener.setMaxConns(1)
@@ -164,8 +164,8 @@
 	<-drained
 }
 
-// TestDrainAcceptQueue_AcceptLoopIsLate guards against resetting the clients in the accept queue: the listener closes
-// while Accept is not called for a long time.
+// TestDrainAcceptQueue_AcceptLoopIsLate checks that clients in the accept queue are not reset if Accept is called
+// late. The listener closes long before the next call of Accept.
 func TestDrainAcceptQueue_AcceptLoopIsLate(t *testing.T) {
 	const queued = 3
 	listener := newTestListener(t, 4)
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestCloseIdle_PartOfNextHead has a request arrive together with the start of the next one's head. After the first
-// response the connection is not idle, so a drain must not close it, and the rest of that head must arrive within the
-// head timeout.
+// TestCloseIdle_PartOfNextHead checks a request that arrives together with the start of the next head. After the
+// first response the connection is not idle, so a drain must not close it. The rest of the next head must arrive
+// within the head timeout.
 func TestCloseIdle_PartOfNextHead(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.headTimeout = 50 * ms
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -13,18 +13,18 @@
 	"cobaltward/internal/testkit"
 )
 
-// maxAnswerDelay is how long after the client's deadline a response may arrive; a later one counts as lost.
+// maxAnswerDelay is the maximum delay of a response after the client's deadline. A later response counts as lost.
 const maxAnswerDelay = 500 * time.Millisecond
 
-// TestBusyConnections_DelayNoAnswer occupies the node's connections with requests that wait for a hung server. A
-// client with a short deadline that connects then must still get a final response within maxAnswerDelay.
+// TestBusyConnections_DelayNoAnswer checks that a client with a short deadline gets a final response within
+// maxAnswerDelay. All connections of the node are occupied by requests that wait for a hung server.
 func TestBusyConnections_DelayNoAnswer(t *testing.T) { testBusyConnections(t, 1) }
 
 // TestBusyConnections_LongDeadlinesDelayNoAnswer is TestBusyConnections_DelayNoAnswer with long deadlines for all
 // classes.
 func TestBusyConnections_LongDeadlinesDelayNoAnswer(t *testing.T) { testBusyConnections(t, 8) }
 
-// testBusyConnections multiplies the deadlines of all classes by scale.
+// testBusyConnections runs the test with the deadlines of all classes multiplied by scale.
 func testBusyConnections(t *testing.T, scale time.Duration) {
 	t.Helper()
 	server, addr := runWithHoldingServerScaled(t, minDescriptors, scale, func(l net.Listener) net.Listener { return l })
@@ -38,16 +38,16 @@
 		defer server.mu.Unlock()
 		return len(server.received) > 0
 	})
-	time.Sleep(50 * time.Millisecond) // no metric shows when the other connections have been accepted
+	time.Sleep(50 * time.Millisecond) // no metric shows when the other connections are accepted
 	for i := range 3 {
 		expectAnswer(t, addr, fmt.Sprint("short", i), 100*time.Millisecond)
 	}
 }
 
-// TestWaitForSlot_TimeoutBeforeWait guards against a lost wakeup: on a busy host the timer of a wait may fire before
-// the wait has begun, and the wait must still end.
+// TestWaitForSlot_TimeoutBeforeWait checks that a wait ends even if its timer fires before the wait has begun. On a
+// busy host such a wakeup could be lost.
 func TestWaitForSlot_TimeoutBeforeWait(t *testing.T) {
-	const rounds = 400_000 // enough that the timer fires first in some of them
+	const rounds = 400_000 // enough rounds for the timer to fire first in some of them
 	listener := newTestListener(t, 1)
 	ended := make(chan struct{})
 	go func() {
@@ -61,14 +61,14 @@
 	testkit.Receive(t, "the end of the waits", ended)
 }
 
-// TestPartialHeads_DelayNoAnswer occupies the node's connections with clients that stop within a head. A client that
-// connects then must get its final response in time.
+// TestPartialHeads_DelayNoAnswer checks that a new client gets its final response in time. All connections of the
+// node are occupied by clients that stop within a head.
 func TestPartialHeads_DelayNoAnswer(t *testing.T) {
 	testPartialRequests(t, "GET /api HT")
 }
 
-// TestPartialBodies_DelayNoAnswer is TestPartialHeads_DelayNoAnswer with clients that stop within a short or a long
-// body, or within the body of a request that is rejected because of its head.
+// TestPartialBodies_DelayNoAnswer is TestPartialHeads_DelayNoAnswer for clients that stop within a body. The body is
+// short, long, or part of a request that is rejected because of its head.
 func TestPartialBodies_DelayNoAnswer(t *testing.T) {
 	for name, head := range map[string]string{
 		"short": nonIdempotentRequest("half", time.Minute), "long": nonIdempotentRequest("half", time.Minute),
@@ -84,7 +84,7 @@
 	}
 }
 
-// testPartialRequests has clients send only a part of a request, and requires that other clients are answered.
+// testPartialRequests checks that clients are answered while other clients have sent only part of a request.
 func testPartialRequests(t *testing.T, part string) {
 	t.Helper()
 	server, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
@@ -97,7 +97,7 @@
 	}
 }
 
-// expectAnswer sends a request on a new connection, and requires any response within its deadline plus maxAnswerDelay.
+// expectAnswer sends a request on a new connection. It requires any response within deadline plus maxAnswerDelay.
 func expectAnswer(t *testing.T, addr, id string, deadline time.Duration) {
 	t.Helper()
 	conn := dialClient(t, addr)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -17,8 +17,8 @@
 const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
-// writeConfigFile writes a configuration with KNOWN and SETTINGS replaced. It returns the lookup function of an
-// environment whose ROUTER_CONFIG names the file.
+// writeConfigFile writes a configuration file with KNOWN and SETTINGS replaced in text. It returns the lookup
+// function of an environment whose ROUTER_CONFIG names the file.
 func writeConfigFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -13,7 +13,7 @@
 	"cobaltward/drain"
 )
 
-// drainScript drains a node under load again and again, in ways that a seeded random generator decides.
+// drainScript drains a node under load repeatedly. A seeded random generator decides how.
 type drainScript struct {
 	*testNode
 	rng      *rand.Rand
@@ -27,7 +27,7 @@
 	time.Sleep(time.Duration(minMillis+s.rng.IntN(endMillis-minMillis)) * ms)
 }
 
-// run performs one drain, or a standby in its place, and may disable a server before.
+// run performs one drain or standby. It may disable a server before that.
 func (s *drainScript) run(number int) {
 	s.t.Helper()
 	s.sleep(20, 200)
@@ -49,7 +49,7 @@
 	s.outcomes[outcome]++
 }
 
-// disableServer disables a random server, and may enable it again at once.
+// disableServer disables a random server and may enable it again at once.
 func (s *drainScript) disableServer() {
 	s.t.Helper()
 	path := "/servers/" + s.initialList.Endpoints[s.rng.IntN(4)].ID + "/drain"
@@ -60,8 +60,7 @@
 	}
 }
 
-// standbyAndBack starts a drain by the operations endpoint and cancels it at a random moment, whatever its state is
-// then.
+// standbyAndBack starts a drain by the operations endpoint and cancels it at a random moment, in whatever state.
 func (s *drainScript) standbyAndBack() {
 	s.t.Helper()
 	if code := s.callOperations("/standby"); code != http.StatusOK {
@@ -75,7 +74,7 @@
 	s.outcomes[outcome]++
 }
 
-// startDrain starts a drain by the admin API, and checks that a second order is rejected.
+// startDrain starts a drain by the admin API and checks that a second order is rejected.
 func (s *drainScript) startDrain(number int) {
 	s.t.Helper()
 	request := DrainRequest{
@@ -91,10 +90,10 @@
 	}
 }
 
-// checkOpenRequests checks that the node does not count more open requests than the clients may have sent.
+// checkOpenRequests checks that the node counts at most as many open requests as the clients may have sent.
 func (s *drainScript) checkOpenRequests() {
 	s.t.Helper()
-	const clients = 24 // each may have sent another request meanwhile
+	const clients = 24 // each client may have sent another request meanwhile
 	before := s.inFlight.Load()
 	code, status := s.callAdmin(http.MethodGet, "/status", nil)
 	if code != http.StatusOK {
@@ -144,7 +143,7 @@
 	return "cancelled"
 }
 
-// restart waits for the end of the drain, unless the node is already shutting down, and starts the node again.
+// restart waits for the end of the drain, unless the node is already shutting down. Then it starts the node again.
 func (s *drainScript) restart(number int, outcome string) string {
 	s.t.Helper()
 	if outcome != "SIGTERM" {
@@ -168,9 +167,9 @@
 	}
 }
 
-// TestDrainsUnderLoad runs a seeded script on a node under load: drains, cancellations, shortened deadlines and
-// SIGTERM at random moments, while servers fail or are disabled. No request may be lost, answered twice or executed
-// twice, and the admin API must not count more open requests than the clients. DRAINS=300 gives the long run.
+// TestDrainsUnderLoad checks drains, cancellations, shortened deadlines and SIGTERM at random moments under load,
+// while servers fail or are disabled. No request may be lost, answered twice or executed twice. The admin API must
+// not count more open requests than the clients. DRAINS=300 gives the long run.
 func TestDrainsUnderLoad(t *testing.T) {
 	drains := 12
 	if n, err := strconv.Atoi(os.Getenv("DRAINS")); err == nil {
--- a/internal/node/drainstatus_test.go
+++ b/internal/node/drainstatus_test.go
@@ -17,8 +17,9 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainStatus_CountsOpenRequestsExactly answers requests one by one during a drain: the status must always count
-// exactly those that the server still holds, and the drain must be complete after the last one.
+// TestDrainStatus_CountsOpenRequestsExactly checks the status while requests are answered one by one during a drain.
+// It must always count exactly the requests that the server still holds. The drain must be complete after the last
+// request.
 func TestDrainStatus_CountsOpenRequestsExactly(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestDrainCancel_WhileClosing cancels a drain while a request is open: the node must serve at once at the same
-// address, over connections that are still open and over new ones.
+// TestDrainCancel_WhileClosing checks that a node serves again at once after a drain is cancelled while a request is
+// open. It must serve at the same address, over connections that are still open and over new connections.
 func TestDrainCancel_WhileClosing(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
@@ -70,7 +71,7 @@
 	send := func(id string) <-chan int {
 		answered := make(chan int, 1)
 		go func() {
-			status, _, _ := node.send(client, node.settings.Classes[0], id) // the status is 0 after an error
+			status, _, _ := node.send(client, node.settings.Classes[0], id) // status 0 after an error
 			answered <- status
 		}()
 		testkit.Await(t, "request "+id+" at the server", func() bool { return server.waitingCount() == 1 })
@@ -78,7 +79,7 @@
 	}
 	for round := range 3 {
 		open := send(fmt.Sprint("long", round))
-		node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, then leaving for 1 s
+		node.callAdmin(http.MethodPost, "/drain", DrainRequest{Timeout: "20s"}) // announced for 150 ms, leaving for 1 s
 		testkit.Await(t, "connections to be closed", func() bool {
 			return node.status().Drain.State == drain.Closing
 		})
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestDrainFigures logs durations and latencies, and checks none. To run it:
-// DRAIN_FIGURES=1 go test -run DrainFigures -v ./internal/node
+// TestDrainFigures logs durations and latencies; it checks nothing. To run it: DRAIN_FIGURES=1 go test -run
+// DrainFigures -v ./internal/node
 func TestDrainFigures(t *testing.T) {
 	if os.Getenv("DRAIN_FIGURES") == "" {
 		t.Skip("DRAIN_FIGURES is not set")
@@ -140,7 +141,8 @@
 	}
 }
 
-// logWatcherCost logs the latency of requests with watchers of drain events, relative to the latency without watchers.
+// logWatcherCost logs the latency of requests with watchers of drain events, relative to the latency without
+// watchers.
 func logWatcherCost(t *testing.T) {
 	t.Helper()
 	node := newTestNode(t, 4)
--- a/internal/node/holdingserver_test.go
+++ b/internal/node/holdingserver_test.go
@@ -15,12 +15,12 @@
 	"cobaltward/router"
 )
 
-// holdingServer is an app server that records the X-Deadline-Ms header of each request, and answers once release is
+// holdingServer is an app server that records the X-Deadline-Ms header of each request. It answers once release is
 // closed.
 type holdingServer struct {
 	mu       sync.Mutex
 	received map[string]receivedRequest
-	release  chan struct{} // closed by the test to let requests be answered
+	release  chan struct{} // closed by the test to release the answers
 }
 
 type receivedRequest struct {
@@ -48,7 +48,7 @@
 }
 
 // runWithHoldingServer runs a node with one holdingServer, and returns the server and the node's address. wrap may
-// wrap the clients' listener.
+// wrap the listener for clients.
 func runWithHoldingServer(t *testing.T, sockets int, wrap func(net.Listener) net.Listener) (*holdingServer, string) {
 	t.Helper()
 	return runWithHoldingServerScaled(t, sockets, 1, wrap)
@@ -85,8 +85,7 @@
 	return server, listener.Addr().String()
 }
 
-// nonIdempotentRequest returns a request that must not be retried, so that its only attempt may take all the time
-// left.
+// nonIdempotentRequest returns a request that must not be retried. Its only attempt may take all the time left.
 func nonIdempotentRequest(id string, deadline time.Duration) string {
 	const form = "POST /x HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: rezervacia\r\n" +
 		"X-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n"
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestStandbyOrder_SurvivesWallClockStep guards against processes that follow an outdated standby order because its
-// time is later. Two processes of one node give orders, and the wall clock is stepped back between them: the last
-// order must apply.
+// TestStandbyOrder_SurvivesWallClockStep checks that the last standby order applies even if the wall clock is stepped
+// back. Two processes of one node give orders, and the step comes between the orders. The earlier order then has the
+// later time.
 func TestStandbyOrder_SurvivesWallClockStep(t *testing.T) {
 	dir := t.TempDir()
 	join := func(followed *[]bool) *processGroup {
@@ -29,7 +29,7 @@
 	first, second := join(&firstFollowed), join(&secondFollowed)
 
 	first.publishOrder(true)
-	stepOrder(t, dir, time.Hour) // as if the clock had been an hour ahead and were stepped back now
+	stepOrder(t, dir, time.Hour) // as if the clock were an hour ahead until now
 	first.followed.At = first.followed.At.Add(time.Hour)
 	second.followOrder()
 	second.publishOrder(false)
@@ -44,7 +44,7 @@
 	}
 }
 
-// stepOrder changes the time of the current order.
+// stepOrder adds by to the time of the current order.
 func stepOrder(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	group := joinProcessGroup(dir, slog.New(slog.DiscardHandler))
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -36,8 +36,8 @@
 	return func() { close(released) }
 }
 
-// TestOperations_BlockedEventLoop guards against an operations endpoint that depends on the router's event loop. The
-// loop is blocked, more events wait than its queue holds, and other callers stop within their requests: every call
+// TestOperations_BlockedEventLoop checks that the operations endpoint does not depend on the router's event loop. The
+// loop is blocked, more events wait than its queue holds, and other callers stop within their requests. Every call
 // must be answered.
 func TestOperations_BlockedEventLoop(t *testing.T) {
 	node := newTestNode(t, 2)
@@ -96,8 +96,7 @@
 	goroutines.Wait()
 }
 
-// drainOrders gives orders to a router by the admin API and the operations endpoint, and tracks the state that they
-// should lead to.
+// drainOrders gives orders to a router by the admin API and the operations endpoint. It tracks the expected state.
 type drainOrders struct {
 	rt         *rapid.T
 	engine     *router.Router
@@ -128,7 +127,7 @@
 	}
 }
 
-// step gives a random order, and checks that it is rejected only when it must be.
+// step gives a random order and checks that the order is rejected only when it must be.
 func (o *drainOrders) step() {
 	before := o.engine.DrainStatus()
 	switch rapid.IntRange(0, 5).Draw(o.rt, "order") {
@@ -142,7 +141,7 @@
 			o.rt.Fatalf("active in %+v: %v", before, err)
 		}
 		o.draining = o.final
-	case 2: // with no time for Announced and Leaving
+	case 2: // without the phases Announced and Leaving
 		err := o.admin.startDrain(drain.Order{Timeout: time.Minute, RequestedBy: "door"})
 		if (err != nil) != o.draining {
 			o.rt.Fatalf("drain by the admin API in %+v: %v", before, err)
@@ -162,7 +161,7 @@
 	}
 }
 
-// awaitClosed waits until a drain has left the state Closing, but for at most a second.
+// awaitClosed waits for at most a second until a drain has left the state Closing.
 func (o *drainOrders) awaitClosed(state drain.State) {
 	if state != drain.Closing {
 		return
@@ -175,7 +174,7 @@
 
 func (o *drainOrders) startFinalDrain(before drain.Status) {
 	err := o.admin.startDrain(drain.Order{Timeout: time.Minute, Final: true, RequestedBy: "program"})
-	// A drain in progress may become complete at any moment: then there is nothing left to drain.
+	// A drain in progress may become complete at any moment. Then there is nothing left to drain.
 	complete := o.draining && errors.Is(err, drain.ErrDrained)
 	if (err == nil) == o.final && !complete {
 		o.rt.Fatalf("final drain in %+v: %v", before, err)
@@ -183,7 +182,7 @@
 	o.draining, o.final = true, true
 }
 
-// check compares the router's state with the state that is expected.
+// check compares the router's state with the expected state.
 func (o *drainOrders) check() {
 	if ready := o.engine.Phase() == router.Serving; ready == o.draining {
 		o.rt.Fatalf("ready %v while draining %v: %+v", ready, o.draining, o.engine.DrainStatus())
@@ -193,9 +192,9 @@
 	}
 }
 
-// TestDrainOrders_AdminAPIAndOperations gives random orders by both endpoints, at any stage of a drain. Both must act
-// on the same drain, calls of the operations endpoint may be repeated, the node must be ready exactly while there is
-// no drain, and a final drain must not be cancelled.
+// TestDrainOrders_AdminAPIAndOperations checks random orders by both endpoints at any stage of a drain. Both
+// endpoints must act on the same drain, and calls of the operations endpoint may be repeated. The node must be ready
+// exactly while there is no drain. A final drain must not be cancelled.
 func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		orders := newDrainOrders(rt)
@@ -207,7 +206,7 @@
 	})
 }
 
-// connRecorder is a client that records the connection that it opened last.
+// connRecorder is a client that records its most recently opened connection.
 type connRecorder struct {
 	*http.Client
 	conn net.Conn
@@ -225,12 +224,12 @@
 	return recorder
 }
 
-// sendAndAwaitClose sends a request, and waits until its connection is closed. It returns the status code, and whether
-// the connection was closed within 10 s.
+// sendAndAwaitClose sends a request and waits until its connection is closed. It returns the status code. closed
+// reports whether the close came within 10 s.
 func (n *testNode) sendAndAwaitClose(id string) (status int, closed bool) {
 	client := newConnRecorder()
 	defer client.CloseIdleConnections()
-	status, _, _ = n.send(client.Client, n.settings.Classes[0], id) // the status is 0 after an error
+	status, _, _ = n.send(client.Client, n.settings.Classes[0], id) // status 0 after an error
 	err := client.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for err == nil {
 		_, err = client.conn.Read(make([]byte, 1))
@@ -238,9 +237,9 @@
 	return status, !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// TestStandby puts a node into standby and back while a request is open. The request must be answered and its
-// connection closed. The node must keep running without being ready, and serve again at once after /active, also the
-// second time.
+// TestStandby checks a node that enters and leaves standby twice while a request is open. The request must be
+// answered and its connection closed. The node must keep running without being ready, and serve again at once after
+// /active.
 func TestStandby(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
--- a/internal/node/pausednode_test.go
+++ b/internal/node/pausednode_test.go
@@ -20,8 +20,8 @@
 	"cobaltward/router"
 )
 
-// pausableNodeEnv is the environment variable that makes the test binary run a node instead of tests, in a process
-// that a test can pause. Its value is the address of the app server.
+// pausableNodeEnv is the environment variable that makes the test binary run a node instead of tests. A test can
+// pause that process. The value is the address of the app server.
 const pausableNodeEnv = "NODE_TEST_PAUSABLE_NODE"
 
 func TestMain(m *testing.M) {
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// runPausableNode prints the address of a node, and runs the node until standard input ends.
+// runPausableNode runs a node until standard input ends. It prints the node's address first.
 func runPausableNode(server string) error {
 	config := Config{Name: "n", Discovery: "127.0.0.1:9", Seed: 1, MaxDescriptors: 512, MemoryMB: 32}
 	config.Settings = drainSettings()
@@ -61,7 +61,8 @@
 	process *os.Process
 }
 
-// startPausableNode starts a node that runs until the test ends. Its server answers a request after reading the body.
+// startPausableNode starts a node that runs until the test ends. The node's server answers a request after reading
+// the body.
 func startPausableNode(t *testing.T) *pausableNode {
 	t.Helper()
 	server := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
@@ -95,7 +96,7 @@
 	return &pausableNode{t: t, addr: lines.Text(), process: command.Process}
 }
 
-// pause stops the node's process for the duration.
+// pause stops the node's process for the given duration.
 func (n *pausableNode) pause(duration time.Duration) {
 	if err := n.process.Signal(syscall.SIGSTOP); err != nil {
 		n.t.Error(err)
@@ -106,7 +107,8 @@
 	}
 }
 
-// awaitRunning waits until the node has answered a request, and so has handled the timers that expired during a pause.
+// awaitRunning waits until the node has answered a request. The timers that expired during a pause are then handled,
+// too.
 func (n *pausableNode) awaitRunning() {
 	n.t.Helper()
 	testkit.Await(n.t, "the node to run", func() bool {
@@ -119,7 +121,7 @@
 	})
 }
 
-// beginUpload sends the head of a request, and waits until the node asks for the body with 100 Continue.
+// beginUpload sends the head of a request and waits until the node asks for the body with 100 Continue.
 func (n *pausableNode) beginUpload(id, framing string) *uploadClient {
 	n.t.Helper()
 	conn := dialClient(n.t, n.addr)
@@ -139,7 +141,7 @@
 	answers *bufio.Reader
 }
 
-// finish sends the body, and returns the status of the response.
+// finish sends the body and returns the status of the response.
 func (c *uploadClient) finish(body string) (status int, err error) {
 	_, _ = io.WriteString(c, body) // fails if the node has closed the connection
 	return c.readStatus()
@@ -155,8 +157,8 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// TestPausedNode_BodyAfterPause guards against counting a pause of the node as a stall of its clients. The node is
-// paused for longer than a client may stall within a body, and the clients send their bodies once it runs again: all
+// TestPausedNode_BodyAfterPause checks that a pause of the node does not count as a stall of its clients. The pause
+// is longer than a client may stall within a body. The clients send their bodies once the node runs again, and all
 // must be served.
 func TestPausedNode_BodyAfterPause(t *testing.T) {
 	const pause = 2600 * time.Millisecond // longer than middleware's bodyStallTimeout
@@ -217,8 +219,8 @@
 	}
 }
 
-// startStalledClient starts a client that sends a part of a body and keeps its connection open. The returned channel
-// receives the status of the response.
+// startStalledClient starts a client that sends a part of a body and keeps its connection open. answered receives the
+// status of the response.
 func (n *pausableNode) startStalledClient() (answered chan int) {
 	n.t.Helper()
 	client := n.beginUpload("stalled", "Content-Length: 9")
@@ -230,11 +232,11 @@
 	return answered
 }
 
-// maxStallDelay is the longest time after which a client that stalls within a body must get its error.
+// maxStallDelay is the maximum time until a client that stalls within a body must get its error.
 const maxStallDelay = 3 * time.Second
 
-// TestPausedNode_StalledClientDuringShortPauses pauses a node repeatedly, each time for as long as deadlines must
-// allow for. A client that stalls within a body must still get its error in time.
+// TestPausedNode_StalledClientDuringShortPauses checks that a client that stalls within a body gets its error in time
+// despite repeated pauses of the node. Each pause is short enough that deadlines must allow for it.
 func TestPausedNode_StalledClientDuringShortPauses(t *testing.T) {
 	const pause, interval = 150 * time.Millisecond, 500 * time.Millisecond
 	t.Parallel()
@@ -254,8 +256,8 @@
 	}
 }
 
-// TestPausedNode_StalledClientAfterPause pauses a node until a client has stalled within a body for longer than it
-// may. The client must get its error as soon after the pause as it would without one.
+// TestPausedNode_StalledClientAfterPause checks the error for a client that stalls within a body for too long while
+// the node is paused. The error must come as soon after the pause as it would without a pause.
 func TestPausedNode_StalledClientAfterPause(t *testing.T) {
 	t.Parallel()
 	node := startPausableNode(t)
--- a/internal/node/queueage_test.go
+++ b/internal/node/queueage_test.go
@@ -10,19 +10,19 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestQueuedSince_CountsClientsOwnTime has clients wait in an accept queue that is never empty. A client whose
-// complete request has just arrived, or that has just connected, has not waited yet. A client that may be sending byte
-// by byte counts as old as the queue, so that it does not delay the clients behind it.
+// TestQueuedSince_CountsClientsOwnTime checks the waiting time of clients in an accept queue that is never empty. A
+// client that has just connected, or whose complete request has just arrived, has not waited yet. A client that may
+// be sending byte by byte counts as old as the queue, so that it does not delay the clients behind it.
 func TestQueuedSince_CountsClientsOwnTime(t *testing.T) {
 	const (
 		queueAge   = 300 * time.Millisecond
-		resolution = 30 * time.Millisecond // of the kernel's timestamps
+		resolution = 30 * time.Millisecond // resolution of the kernel's timestamps
 		request    = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody"
 	)
 	clientHello := "\x16\x03\x01\x00\xc8" + strings.Repeat("h", 200)
 	for _, test := range []struct {
 		name, sent string
-		connected  bool // connects just before it is accepted
+		connected  bool // whether the client connects just before the accept
 		wantOld    bool
 		tls        bool
 	}{
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -14,14 +14,14 @@
 
 const unknownAuthority = "unknown authority"
 
-// rotation makes a sequence of changes to the certificates of a harness.
+// rotation changes the certificates of a harness step by step.
 type rotation struct {
 	*rotationHarness
-	interval time.Duration // between changes
+	interval time.Duration // interval between changes
 	changes  int
 }
 
-// step makes a change, renews the certificate of the node's own listener, and waits for the interval.
+// step makes a change and renews the certificate of the node's own listener. Then it waits for the interval.
 func (r *rotation) step(change func()) {
 	r.t.Helper()
 	change()
@@ -30,7 +30,7 @@
 	time.Sleep(r.interval)
 }
 
-// present has servers present new certificates that an authority has issued.
+// present makes servers present new certificates of issuer.
 func (r *rotation) present(servers []*rotationServer, issuer *pki.Authority) {
 	for _, server := range servers {
 		server.present(r.newLeaf(issuer))
@@ -44,7 +44,7 @@
 	return r.servers[:half], r.servers[half:]
 }
 
-// run replaces the authority four times, each time with another order of the steps.
+// run replaces the authority four times, each time in another order of the steps.
 func (r *rotation) run() {
 	r.t.Helper()
 	r.step(func() { r.present(r.servers, r.oldCA) }) // new certificates of the same authority
@@ -54,7 +54,8 @@
 	r.crossSign()
 }
 
-// trustBothFirst has the node trust both authorities while the certificates of the servers are replaced in two halves.
+// trustBothFirst makes the node trust both authorities while the certificates of the servers are replaced in two
+// halves.
 func (r *rotation) trustBothFirst() {
 	r.t.Helper()
 	first, second := r.halves()
@@ -65,7 +66,7 @@
 	r.swapCAs()
 }
 
-// replaceServersFirst has half of the servers present certificates of an authority that is not trusted yet.
+// replaceServersFirst makes half of the servers present certificates of an authority that is not trusted yet.
 func (r *rotation) replaceServersFirst() {
 	r.t.Helper()
 	first, second := r.halves()
@@ -79,7 +80,7 @@
 	r.swapCAs()
 }
 
-// withdrawOldFirst has the node stop trusting the old authority while half of the servers still present its
+// withdrawOldFirst makes the node stop trusting the old authority while half of the servers still present its
 // certificates.
 func (r *rotation) withdrawOldFirst() {
 	r.t.Helper()
@@ -93,8 +94,8 @@
 	r.swapCAs()
 }
 
-// crossSign has the old authority sign the certificate of the new one, so that the servers' certificates are valid
-// with either.
+// crossSign makes the old authority sign the certificate of the new authority. The servers' certificates are then
+// valid with either authority.
 func (r *rotation) crossSign() {
 	r.t.Helper()
 	cross := r.oldCA.CrossSign(r.newCA)
@@ -109,9 +110,9 @@
 	r.swapCAs()
 }
 
-// TestRotationsUnderLoad replaces certificates and authorities under load, in different orders. No request may be lost
-// or executed twice, and none may go to a server that is not trusted. WAYHOLD_ROTATE sets the duration of a long run,
-// with one change a second and 72 servers.
+// TestRotationsUnderLoad checks changes of certificates and authorities under load, in different orders. No request
+// may be lost, executed twice or sent to an untrusted server. WAYHOLD_ROTATE sets the duration of a long run, with
+// one change a second and 72 servers.
 func TestRotationsUnderLoad(t *testing.T) {
 	interval, duration, servers := 250*time.Millisecond, time.Duration(0), 12
 	if text := os.Getenv("WAYHOLD_ROTATE"); text != "" {
@@ -148,8 +149,8 @@
 	harness.checkResults()
 }
 
-// TestRotation_CertificatesExpire lets certificates expire while connections are open. Requests to servers that have
-// replaced theirs in time are not affected. The other servers must get no requests from then on, not even over open
+// TestRotation_CertificatesExpire checks certificates that expire while connections are open. Servers that replace
+// their certificates in time keep serving requests. The other servers must get no more requests, not even over open
 // connections.
 func TestRotation_CertificatesExpire(t *testing.T) {
 	harness := newRotationHarness(t, 6)
@@ -164,7 +165,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	load := harness.load(ctx, 8)
 	time.Sleep(time.Until(end.Add(-time.Second)))
-	for _, server := range harness.servers[:3] { // replaced before they expire
+	for _, server := range harness.servers[:3] { // their certificates are replaced in time
 		server.present(harness.newLeaf(harness.oldCA))
 	}
 	late := harness.servers[3]
@@ -172,7 +173,7 @@
 		if harness.untrustedReason(late.id) == "expired" {
 			return true
 		}
-		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // no requests: expiry goes unnoticed
+		return time.Since(end) > 3*time.Second && late.requests.Load() == 0 // without requests, expiry goes unnoticed
 	})
 	time.Sleep(500 * time.Millisecond)
 	stop()
@@ -181,7 +182,7 @@
 }
 
 // invalidCerts returns certificates that do not prove a server's identity, by the reason that the node reports. A
-// suffix in parentheses distinguishes two certificates with the same reason.
+// suffix in parentheses distinguishes certificates with the same reason.
 func (h *rotationHarness) invalidCerts() map[string]servedCert {
 	name := []string{"127.0.0.1"}
 	intermediate := h.oldCA.NewIntermediate("middle")
@@ -199,9 +200,9 @@
 	return certs
 }
 
-// TestRotation_InvalidCertificateOnOneServer has one server present invalid certificates. Only that server may become
-// untrusted, the node must not retry handshakes with it in rapid succession, and the server must get requests within
-// seconds after it presents a valid certificate.
+// TestRotation_InvalidCertificateOnOneServer checks a server that presents invalid certificates. Only that server may
+// become untrusted, and the node must not retry handshakes with it in rapid succession. The server must get requests
+// within seconds after it presents a valid certificate.
 func TestRotation_InvalidCertificateOnOneServer(t *testing.T) {
 	harness := newRotationHarness(t, 4)
 	harness.start()
@@ -212,9 +213,9 @@
 	for name, cert := range harness.invalidCerts() {
 		server.present(cert)
 		reason, _, _ := strings.Cut(name, " (")
-		// Open connections stay trusted, by the certificate of their handshake, until they end.
+		// Open connections stay trusted until they end, by the certificate of their handshake.
 		testkit.Await(t, name, func() bool { return harness.untrustedReason(server.id) == reason })
-		time.Sleep(200 * time.Millisecond) // for handshakes in progress
+		time.Sleep(200 * time.Millisecond) // lets handshakes in progress end
 		before := harness.tlsStatus().Servers.Failures[reason]
 		time.Sleep(300 * time.Millisecond)
 		if after := harness.tlsStatus().Servers.Failures[reason]; after > before+2 {
@@ -236,8 +237,8 @@
 	harness.checkResults()
 }
 
-// TestHandshakes_StalledOnesDelayNoRequest has clients stop within a handshake: these handshakes need no CPU time, so
-// a request of another client must be served meanwhile.
+// TestHandshakes_StalledOnesDelayNoRequest checks that a request is served while other clients stop within a
+// handshake. Stalled handshakes need no CPU time.
 func TestHandshakes_StalledOnesDelayNoRequest(t *testing.T) {
 	harness := newRotationHarness(t, 1)
 	harness.start()
--- a/internal/node/rotationharness_test.go
+++ b/internal/node/rotationharness_test.go
@@ -27,30 +27,30 @@
 	"cobaltward/transport/secure"
 )
 
-// servedCert is a certificate that a server presents. It is valid while one of its authorities is trusted.
+// servedCert is a certificate that a server presents. It is valid while the node trusts one of its authorities.
 type servedCert struct {
 	authorities []*pki.Authority
 	config      *tls.Config
-	validUntil  time.Time // zero: it does not expire during the test
+	validUntil  time.Time // zero: no expiry during the test
 }
 
-// rotationHarness runs a node, and servers whose certificates change under load. It records the outcomes of requests.
+// rotationHarness runs a node and servers whose certificates change under load. It records the outcomes of requests.
 type rotationHarness struct {
 	t            testing.TB
 	dir          string
 	servers      []*rotationServer
 	oldCA, newCA *pki.Authority
-	listenerCA   *pki.Authority // issues the certificates of the node's own listener
+	listenerCA   *pki.Authority // issuer of the certificates of the node's own listener
 	addr         string
 	adminSocket  string
 
 	mu           sync.Mutex
-	trustChanges []trustChange   // in order of time
+	trustChanges []trustChange   // ordered by time
 	executions   map[string]int  // number of executions by request ID
-	violations   []string        // requests over connections that were no longer trusted, or answered wrongly
+	violations   []string        // requests over untrusted connections, or answered wrongly
 	served       int             // number of requests answered with 200
-	idempotent   map[string]bool // request IDs that may be executed more than once
-	notServed    map[string]int  // number of responses other than 200, and of errors, by text
+	idempotent   map[string]bool // IDs of requests that may be executed more than once
+	notServed    map[string]int  // number of other responses and of errors, by text
 }
 
 // trustChange is a change of the authorities that the node trusts.
@@ -60,10 +60,10 @@
 }
 
 const (
-	// trustChangeDelay is how long after a change of trust requests may still arrive over connections that it makes
-	// invalid: the node checks its files twice before it applies them, and requests may be in transit.
+	// trustChangeDelay is the maximum time for which requests may still arrive over connections that a change of trust
+	// makes invalid. The node checks its files twice before it applies them, and requests may be in transit.
 	trustChangeDelay = 400 * time.Millisecond
-	// maxTransitTime is how long a request that was sent before a certificate expired may be in transit.
+	// maxTransitTime is the maximum time in transit of a request that was sent before a certificate expired.
 	maxTransitTime = 200 * time.Millisecond
 	// rotationCheckInterval is the interval at which the node checks its files.
 	rotationCheckInterval = 20 * time.Millisecond
@@ -89,7 +89,7 @@
 	return harness
 }
 
-// newLeaf returns a new certificate of an authority, with new session ticket keys.
+// newLeaf returns a new certificate of issuer, with new session ticket keys.
 func (h *rotationHarness) newLeaf(issuer *pki.Authority, chain ...*x509.Certificate) servedCert {
 	leaf := issuer.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
 	return h.newServedCert([]*pki.Authority{issuer}, leaf.TLS(chain...))
@@ -97,7 +97,7 @@
 
 func (h *rotationHarness) newServedCert(authorities []*pki.Authority, cert tls.Certificate) servedCert {
 	h.t.Helper()
-	// With ticket keys shared by all certificates, a session would be resumed whatever certificate is served now.
+	// If all certificates shared ticket keys, a session would be resumed whatever certificate is served now.
 	var ticketKey [32]byte
 	if _, err := rand.Read(ticketKey[:]); err != nil {
 		h.t.Fatal(err)
@@ -107,7 +107,7 @@
 	return servedCert{authorities: authorities, config: config}
 }
 
-// replaceFiles replaces each file atomically, one after the other.
+// replaceFiles replaces the files one after the other, each atomically.
 func (h *rotationHarness) replaceFiles(files map[string][]byte) {
 	h.t.Helper()
 	for name, text := range files {
@@ -121,7 +121,7 @@
 	}
 }
 
-// setTrust has the node trust exactly these authorities from now on.
+// setTrust makes the node trust exactly the given authorities from now on.
 func (h *rotationHarness) setTrust(authorities ...*pki.Authority) {
 	h.t.Helper()
 	var certs []*x509.Certificate
@@ -213,9 +213,9 @@
 	}
 }
 
-// rotationSettings has long deadlines, for slow machines: past its latency objective a request is rejected rather than
-// attempted, so a handshake that fails late would make it a request that was not served. A request that finds its
-// server untrusted is retried at another one, and the limit on attempts allows for many such servers.
+// rotationSettings returns settings with long deadlines, for slow machines. After its latency objective a request is
+// rejected instead of attempted, so a late handshake failure would leave the request unserved. A request that finds
+// its server untrusted is retried at another server. The limit on attempts allows for many such servers.
 func rotationSettings() policy.Settings {
 	settings := drainSettings()
 	for i := range settings.Classes {
@@ -235,7 +235,8 @@
 	}}
 }
 
-// load starts clients that send requests until ctx ends. They close their connection after every tenth request.
+// load starts clients that send requests until ctx ends. The clients close their connections after every tenth
+// request.
 func (h *rotationHarness) load(ctx context.Context, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := h.client()
@@ -270,7 +271,7 @@
 	}
 }
 
-// send sends a request. If its status is not 200, it returns the response as text.
+// send sends a request. If the status is not 200, it returns the response as text.
 func (h *rotationHarness) send(
 	client *http.Client, id string, closeConn bool, class policy.Class,
 ) (answer string, err error) {
@@ -292,7 +293,7 @@
 		return "", err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, _ := io.ReadAll(resp.Body) // only for the message
+	body, _ := io.ReadAll(resp.Body) // only for the failure message
 	if resp.StatusCode == http.StatusOK {
 		return "", nil
 	}
@@ -336,7 +337,7 @@
 	return status
 }
 
-// untrustedReason returns why the node does not trust a server, or an empty string if it does.
+// untrustedReason returns why the node does not trust a server, or an empty string for a trusted server.
 func (h *rotationHarness) untrustedReason(id string) string {
 	h.t.Helper()
 	for _, server := range h.tlsStatus().Servers.Servers {
--- a/internal/node/rotationserver_test.go
+++ b/internal/node/rotationserver_test.go
@@ -58,10 +58,11 @@
 	return server
 }
 
-// present has the server present a certificate to new connections.
+// present makes the server present a certificate to new connections.
 func (s *rotationServer) present(cert servedCert) { s.current.Store(&cert) }
 
-// ServeHTTP counts an execution of the request, and records a violation if its connection is no longer trusted.
+// ServeHTTP counts an execution of the request. It records a violation if the request's connection is no longer
+// trusted.
 func (s *rotationServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	s.lastRequestAt.Store(now.UnixNano())
@@ -89,7 +90,7 @@
 	}
 }
 
-// wasTrusted reports whether an authority of the certificate is trusted, or was within the last trustChangeDelay. The
+// wasTrusted reports whether an authority of cert is trusted, or was trusted within the last trustChangeDelay. The
 // caller holds mu.
 func (h *rotationHarness) wasTrusted(cert *servedCert, now time.Time) bool {
 	for _, change := range slices.Backward(h.trustChanges) {
@@ -98,7 +99,7 @@
 				return true
 			}
 		}
-		if now.Sub(change.at) > trustChangeDelay { // what was trusted before this change no longer counts
+		if now.Sub(change.at) > trustChangeDelay { // the trust before this change no longer counts
 			break
 		}
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// heldListener accepts nothing until it is released, like a listener of a process that gets no CPU time.
+// heldListener accepts no connection until it is released, like the listener of a process without CPU time.
 type heldListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -32,11 +32,11 @@
 	return l.TCPListener.Accept()
 }
 
-// TestDrain_AnswersAcceptQueueAfterTimeout guards against losing the requests in the accept queues when a drain times
-// out before the accept loops have run, with the listeners closed before or after the timeout. The requests must be
-// answered, since there is still time until SIGKILL.
+// TestDrain_AnswersAcceptQueueAfterTimeout checks that requests in the accept queues are answered if a drain times
+// out before the accept loops have run. The listeners are closed before or after the timeout. There is still time
+// until SIGKILL.
 func TestDrain_AnswersAcceptQueueAfterTimeout(t *testing.T) {
-	const acceptDelay = 200 * time.Millisecond // how long the listener accepts nothing after the drain has timed out
+	const acceptDelay = 200 * time.Millisecond // delay of the first accept after the drain has timed out
 	for _, announceFor := range []time.Duration{0, acceptDelay / 4} {
 		for _, front := range []string{"HTTP", "MessagePack-RPC"} {
 			t.Run(fmt.Sprint(front, ", listeners close after ", announceFor), func(t *testing.T) {
@@ -50,7 +50,7 @@
 				}
 				request, want := "GET "+readyPath+" HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 "
 				if front == "MessagePack-RPC" {
-					request, want = "\xc1", "\x93" // invalid first byte: the node sends an error notification
+					request, want = "\xc1", "\x93" // invalid first byte; the node sends an error notification
 				}
 				answer := make(chan string, 1)
 				client := dialClient(t, listeners[front].Addr().String())
@@ -94,7 +94,7 @@
 	return n
 }
 
-// readPrefix reads n bytes and returns them, or the text of an error.
+// readPrefix reads n bytes. It returns the bytes, or the text of an error.
 func readPrefix(conn net.Conn, n int) string {
 	prefix := make([]byte, n)
 	if _, err := io.ReadFull(conn, prefix); err != nil {
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// stopNode stops a node and waits for its end.
+// stopNode stops a node and waits until Run has returned.
 func stopNode(t *testing.T, stop context.CancelFunc, ended <-chan error) {
 	t.Helper()
 	stop()
@@ -21,14 +21,15 @@
 	}
 }
 
-// learnedThreshold returns the threshold of the first server from the admin API.
+// learnedThreshold returns the threshold of the first server, read from the admin API.
 func (n *testNode) learnedThreshold() float64 {
 	n.t.Helper()
 	return n.learnedState().State.Servers[0].Threshold
 }
 
-// TestLearnedState_SurvivesRestart restarts a node: it must start near the thresholds and with the token buckets from
-// before. If its file is incomplete, has another format or is empty, it must start as a new node does.
+// TestLearnedState_SurvivesRestart checks that a restarted node starts near its previous thresholds and with its
+// previous token buckets. If the state file is incomplete, empty or in another format, the node must start as a new
+// node does.
 func TestLearnedState_SurvivesRestart(t *testing.T) {
 	node := newTestNode(t, 3)
 	node.state = StateConfig{
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestLearnedState_AgesByRealTime steps the wall clock while a node is down: this must not change the age of its saved
-// state.
+// TestLearnedState_AgesByRealTime checks that a step of the wall clock while a node is down does not change the age
+// of its saved state.
 func TestLearnedState_AgesByRealTime(t *testing.T) {
 	node := newTestNode(t, 3)
 	node.state = StateConfig{
@@ -86,7 +87,7 @@
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		stopNode(t, stop, ended)
 		rewriteState(t, node.state.File, func(snapshot *learnedstate.Snapshot) {
-			snapshot.At = snapshot.At.Add(-step) // as saved by a clock that is stepped afterwards
+			snapshot.At = snapshot.At.Add(-step) // as saved before a step of the clock
 			snapshot.State.Servers[0].Threshold = want
 		})
 		stop, ended = node.start()
@@ -97,7 +98,7 @@
 	stopNode(t, stop, ended)
 }
 
-// rewriteState applies a change to a state file.
+// rewriteState applies change to the snapshot in a state file.
 func rewriteState(t *testing.T, path string, change func(*learnedstate.Snapshot)) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/internal/node/testclients_test.go
+++ b/internal/node/testclients_test.go
@@ -31,8 +31,8 @@
 	retriedAfterClose atomic.Int64
 }
 
-// startClients starts clients that send requests until ctx ends. They reuse idle connections, and open new ones while
-// all are in use.
+// startClients starts clients that send requests until ctx ends. The clients reuse idle connections, and open new
+// connections while all are in use.
 func (n *testNode) startClients(ctx context.Context, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
@@ -54,13 +54,13 @@
 	return &all
 }
 
-// request sends a request, retries it once if a reused connection was closed, and records the outcome.
+// request sends a request and records the outcome. If a reused connection was closed, it retries the request once.
 func (n *testNode) request(client *http.Client, class policy.Class, id string) {
 	n.locked(func(now time.Duration) { n.checker.RequestReceived(now, "n", id, class.Name, now+class.Deadline) })
 	status, reused, err := n.send(client, class, id)
 	if err != nil && reused && !errors.Is(err, context.DeadlineExceeded) {
-		// The node closed the connection while the request was on its way, so the client retries it. If the node had
-		// accepted the request, it answers the retry with a conflict, and the first response was lost.
+		// The node closed the connection while the request was on its way, so the client retries the request. A node that
+		// had accepted the request answers the retry with a conflict, and the first response was lost.
 		n.retriedAfterClose.Add(1)
 		if status, _, err = n.send(client, class, id); status == http.StatusConflict {
 			n.locked(func(now time.Duration) {
@@ -89,7 +89,7 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// recordUnanswered records a request without a response, and checks that the node had not accepted it.
+// recordUnanswered records a request without a response. It checks that the node had not accepted the request.
 func (n *testNode) recordUnanswered(id string, reused bool, err error) {
 	n.unanswered.Add(1)
 	n.locked(func(now time.Duration) {
@@ -100,7 +100,7 @@
 	})
 }
 
-// send sends a request. reused reports whether its connection had carried an earlier request.
+// send sends a request. reused reports whether the connection had carried an earlier request.
 func (n *testNode) send(
 	client *http.Client, class policy.Class, id string,
 ) (status int, reused bool, err error) {
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -29,8 +29,8 @@
 	"cobaltward/router"
 )
 
-// testNode is a node with its admin API and operations endpoint in front of emulated servers. checker is given what
-// the clients and the servers see.
+// testNode is a node in front of emulated servers, with its admin API and operations endpoint. checker records what
+// the clients and the servers observe.
 type testNode struct {
 	t              *testing.T
 	addr           string
@@ -45,7 +45,7 @@
 	checker       *checker.Checker
 	executed      map[string]bool // by request ID
 	startedAt     time.Time
-	failingServer atomic.Int64 // number of the server, from 1, that fails some requests; no such server: none
+	failingServer atomic.Int64 // number, from 1, of the server that fails some requests; no such server: none
 
 	clientCounts
 }
@@ -80,7 +80,8 @@
 	}
 }
 
-// newTestNode starts emulated servers, which run until the test ends, and returns their node. start starts the node.
+// newTestNode starts emulated servers that run until the test ends, and returns their node. The method start starts
+// the node.
 func newTestNode(t *testing.T, servers int) *testNode {
 	t.Helper()
 	settings := drainSettings()
@@ -154,14 +155,14 @@
 	return router.Endpoint{ID: serverID, Addr: server.Addr, Zone: "a", Kind: "k", Weight: 1}
 }
 
-// locked calls f with the time since newTestNode, and holds the mutex of checker and executed meanwhile.
+// locked calls f with the time since newTestNode. It holds the mutex of checker and executed meanwhile.
 func (n *testNode) locked(f func(now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(time.Since(n.startedAt))
 }
 
-// allowSlowAnswers sets long deadlines, and disables hedging.
+// allowSlowAnswers sets long deadlines and disables hedging.
 func (n *testNode) allowSlowAnswers() {
 	for i := range n.settings.Classes {
 		class := &n.settings.Classes[i]
@@ -170,8 +171,8 @@
 	n.settings.Capabilities.Hedge = false
 }
 
-// start runs a node until stop is called, and waits until it is ready. The error of Run is sent to ended. The address
-// for clients is the same at each start.
+// start runs a node until stop is called, and waits until the node is ready. ended receives the error of Run. The
+// address for clients is the same at each start.
 func (n *testNode) start() (stop context.CancelFunc, ended chan error) {
 	n.t.Helper()
 	addr := n.addr
@@ -182,7 +183,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	if n.addr == "" { // written once, since clients read it concurrently later
+	if n.addr == "" { // written once, because clients read n.addr concurrently later
 		n.addr = listener.Addr().String()
 	}
 	operationsListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -223,7 +224,8 @@
 	return nil, nil
 }
 
-// connectTimeout returns a longer timeout for tests with large bodies, which keep the machine busy.
+// connectTimeout returns the timeout for connecting to servers. It is longer for tests with large bodies, which keep
+// the machine busy.
 func (n *testNode) connectTimeout() time.Duration {
 	if n.memoryMB > 0 {
 		return 10 * time.Second
@@ -249,8 +251,8 @@
 	return status == http.StatusOK
 }
 
-// callAdmin calls the admin API. It returns the status code, or 0 if there is no response, and the node's status if
-// the response contains one.
+// callAdmin calls the admin API. It returns the status code, or 0 without a response. It also returns the node's
+// status if the response contains one.
 func (n *testNode) callAdmin(method, path string, body any) (int, Status) {
 	n.t.Helper()
 	client, base := adminapi.NewClient(n.adminSocket, "", nil)
@@ -273,20 +275,20 @@
 	return resp.StatusCode, status
 }
 
-// status returns the node's status from the admin API.
+// status returns the node's status, read from the admin API.
 func (n *testNode) status() Status {
 	n.t.Helper()
 	_, status := n.callAdmin(http.MethodGet, "/status", nil)
 	return status
 }
 
-// drainState returns the name of the drain state from the admin API.
+// drainState returns the name of the drain state, read from the admin API.
 func (n *testNode) drainState() string {
 	n.t.Helper()
 	return n.status().Drain.State.String()
 }
 
-// learnedState returns the learned state from the admin API.
+// learnedState returns the learned state, read from the admin API.
 func (n *testNode) learnedState() learnedstate.Snapshot {
 	n.t.Helper()
 	client, base := adminapi.NewClient(n.adminSocket, "", nil)
@@ -307,7 +309,7 @@
 	return snapshot
 }
 
-// callOperations sends a PUT request to the operations endpoint, and returns the status code.
+// callOperations sends a PUT request to the operations endpoint and returns the status code.
 func (n *testNode) callOperations(path string) int {
 	n.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+n.operationsAddr+path, nil)
@@ -349,7 +351,7 @@
 // gatedServer is a server that holds each response until the test releases it.
 type gatedServer struct {
 	mu      sync.Mutex
-	waiting []chan struct{} // one for each request, the oldest first
+	waiting []chan struct{} // one channel for each request, oldest first
 }
 
 // newGatedNode returns a node in front of a gated server, with long deadlines.
@@ -371,7 +373,7 @@
 	g.mu.Unlock()
 	select {
 	case <-released:
-		_, _ = io.WriteString(w, "done") // the client detects an incomplete response
+		_, _ = io.WriteString(w, "done") // after a write error, the client detects an incomplete response
 	case <-r.Context().Done():
 	}
 }
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -13,8 +13,8 @@
 	"cobaltward/router"
 )
 
-// TestAdminAPI_JSONOfEarlierVersion compares the JSON of the admin API, with every field set, with the JSON of an
-// earlier version: names and order of the keys must be the same, byte for byte.
+// TestAdminAPI_JSONOfEarlierVersion checks that the JSON of the admin API, with every field set, equals the JSON of
+// an earlier version byte for byte. The names and the order of the keys must not change.
 func TestAdminAPI_JSONOfEarlierVersion(t *testing.T) {
 	at := time.Date(2026, 12, 1, 8, 30, 0, 0, time.UTC)
 	for name, value := range map[string]any{
