--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -34,8 +34,8 @@
 }
 
 // Supersedes reports whether o was given after followed, the order that a process follows. It compares the sequences.
-// If a sequence is 0 or both are equal, it compares the times, although the wall clock may have been stepped between
-// the orders.
+// If a sequence is 0 or both are equal, it compares the times. A step of the wall clock between the orders can then
+// give a wrong result.
 func (o Order) Supersedes(followed Order) bool {
 	if o.Sequence == 0 || followed.Sequence == 0 || o.Sequence == followed.Sequence {
 		return o.At.After(followed.At)
--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -73,8 +73,8 @@
 	return requests, allKnown
 }
 
-// remainingConns returns how many connections of the node the other processes leave to this process, but at least the
-// share minConnShare.
+// remainingConns returns the connections of node that the other processes do not use, but at least the share
+// minConnShare of node.
 func remainingConns(others map[string]Report, node Limits) Limits {
 	remaining := node
 	for _, report := range others {
--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -152,8 +152,8 @@
 	return servers
 }
 
-// sameProcess reports whether two uptimes of a server can be of the same process. The uptime stored is as old as age;
-// current is the uptime now. An uptime of 0 means that the process started long ago.
+// sameProcess reports whether two uptimes of a server can be of the same process. stored is the uptime that was saved
+// the duration age ago; current is the uptime now. An uptime of 0 means that the process started long ago.
 func sameProcess(stored, age, current time.Duration) bool {
 	if stored <= 0 || current == 0 {
 		return (stored == 0) == (current == 0)
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,7 +7,8 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is the maximum age of the cached status. Many polling clients cost no more than one.
+// statusMaxAge is the maximum age of the cached status. With the cache, many polling clients cost no more than one
+// client.
 const statusMaxAge = 100 * time.Millisecond
 
 // statusVersion is the format version in Status.Version.
@@ -24,7 +25,7 @@
 	Connections      ConnectionCounts         `json:"connections"`
 	Servers          map[string]int           `json:"servers"` // number of servers by availability
 	DisabledServers  []string                 `json:"servers_drained_by_hand"`
-	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers without proven identity
+	UntrustedServers []string                 `json:"servers_untrusted,omitempty"` // IDs of servers with unproven identity
 	EndpointList     router.EndpointListStats `json:"list"`
 	Answers          map[string]uint64        `json:"answers"` // number of answers by outcome
 	Attempts         uint64                   `json:"attempts"`
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -63,7 +63,7 @@
 	return a.arrival
 }
 
-// arrivalAge returns an upper bound of the age of a request: the time since its last byte arrived. It returns 0 if
+// arrivalAge returns an upper bound of the time since the last byte of the current request arrived. It returns 0 if
 // the connection is unknown. It uses the kernel's time of the last receipt where possible. For pipelined requests
 // that time may belong to a later request and is not used.
 func arrivalAge(ctx context.Context) time.Duration {
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -9,7 +9,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// deadlineSlack is the tolerance of the deadline sent to a server, relative to the time that the client has left.
+// deadlineSlack is the maximum time by which the deadline sent to a server may exceed the time that the client has
+// left.
 const deadlineSlack = 150 * time.Millisecond
 
 // delayedListener returns each connection some time after the accept. The request waits in the socket buffer
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -138,8 +138,9 @@
 
 // TestLongBodies_HundredAtOnce checks a hundred long bodies in each direction at once, with slow readers on every
 // side. The bodies together are many times larger than the node's memory. All must arrive unchanged while the heap
-// stays bounded. To run it with bodies of the size in production: LONG_MB=32 go test -run TestLongBodies
-// ./internal/node
+// stays bounded. To run it with bodies of the size in production:
+//
+//	LONG_MB=32 go test -run TestLongBodies ./internal/node
 func TestLongBodies_HundredAtOnce(t *testing.T) {
 	size := int64(256 << 10)
 	if mb, err := strconv.Atoi(os.Getenv("LONG_MB")); err == nil {
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -47,7 +47,7 @@
 	mustLinger    bool            // whether Close must linger; unread bytes would cause a reset
 	lingers       bool            // whether Close was called and the connection lingers
 	lingerElement *linked.Element // element in clientListener.lingering; nil: not lingering
-	overflow      bool            // whether there was no slot; requests are rejected until there is one
+	overflow      bool            // whether the connection has no slot; its requests are rejected
 	lastPartialAt time.Time       // last arrival of bytes of a request not yet handed on
 }
 
--- a/internal/node/clientdeadline.go
+++ b/internal/node/clientdeadline.go
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	phase          readPhase
-	phaseEnd       time.Time     // deadline of the phase; in phaseOpen, of a body without a handler's limits; zero: none
+	phaseEnd       time.Time     // deadline of phaseIdle, of phaseHead, or of a body in phaseOpen; zero: none
 	headTimeout    clientTimeout // timeout of phaseHead
 	requested      time.Time     // deadline from net/http, a handler or body; zero: none
 	body           bodyReads
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -18,8 +18,8 @@
 	stalledRequestAge = time.Second
 	// overflowStallTimeout replaces stalledRequestAge for overflow connections.
 	overflowStallTimeout = 2 * time.Millisecond
-	// firstRequestGrace protects a new connection from eviction. The first request is on its way, and the client has no
-	// reason to expect a close.
+	// firstRequestGrace is the age up to which a new connection is protected from eviction. The first request is on its
+	// way, and the client has no reason to expect a close.
 	firstRequestGrace = 100 * time.Millisecond
 	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
 	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
@@ -104,7 +104,7 @@
 // rejectEvictedLocked ends an evicted connection, which then lingers. It releases the mutex meanwhile. If
 // withRejection is set, a plain connection gets a 503 first, because the rest of its request may be on its way. A
 // half-closed connection gets none: its client would not read a response after Connection: close. The rejection is
-// written before the connection counts as closed, because the reader then closes the connection.
+// written first, because the reader closes a connection that counts as closed.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestEviction_RequestIsNotHandedOn checks that the request of an evicted connection is not handed on to the router.
-// The eviction comes just before or just after the hand-on. A client that got a rejection may retry its request, so
-// the first request must not run.
+// TestEviction_RequestIsNotHandedOn checks that a request is handed on to the router or its connection is evicted,
+// but never both. The test tries to evict the connection before and after the hand-on. A client that got a rejection
+// may retry its request, so the first request must not run.
 func TestEviction_RequestIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
 		listener, _, conn := newClientPair(t)
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -68,7 +68,7 @@
 }
 
 // Close closes the connection. The connection lingers if the node ends it before its client or if bytes are unread.
-// Otherwise the close would reset the connection, and the client could lose an answer that it has not read.
+// Without lingering, the close would reset the connection, and the client could lose an answer that it has not read.
 func (c *clientConn) Close() error {
 	if !c.beginLinger() {
 		return c.stream.Close()
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -54,8 +54,8 @@
 }
 
 // readStream reads and records the start of a request. closing reports whether the node is closing the connection. On
-// an idle plain connection, the read and the record are one step under the listener's mutex. Between the two, the
-// socket would show no unread bytes, and the connection could be closed although a request has arrived.
+// an idle plain connection, the read and the record are one step under the listener's mutex. In two steps, the socket
+// would show no unread bytes in between, and the connection could be closed although a request has arrived.
 func (c *clientConn) readStream(buf []byte) (n int, closing bool, err error) {
 	if c.tls == nil && c.idle.Load() {
 		return c.readIdle(buf)
@@ -121,8 +121,8 @@
 	return n, closing, nil
 }
 
-// endIdleLocked ends a connection that is idle at its read deadline. The caller holds the mutex from the check for
-// unread bytes on. Bytes that arrive after the check are discarded and counted.
+// endIdleLocked ends a connection that is idle at its read deadline. The caller has held the mutex since a check that
+// found no unread bytes. Bytes that arrive after the check are discarded and counted.
 func (c *clientConn) endIdleLocked() {
 	if c.halfClosed || c.closed {
 		return
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestTLSRecord_PartialWithHandshake checks that the head timeout applies to a partial record at the end of the
-// handshake. The record is that of the first request.
+// TestTLSRecord_PartialWithHandshake checks that the head timeout applies to a part of the first request's record.
+// The part arrives together with the end of the handshake.
 func TestTLSRecord_PartialWithHandshake(t *testing.T) {
 	t.Parallel()
 	listener := newTLSTestListener(t, 4)
@@ -510,8 +510,8 @@
 	awaitAtMostOneConn(t, listener)
 }
 
-// awaitAtMostOneConn waits until no connection lingers and at most one connection is open. That connection may be the
-// one for which another was evicted.
+// awaitAtMostOneConn waits until no connection lingers and at most one connection is open. After an eviction, the
+// connection that got the slot is still open.
 func awaitAtMostOneConn(t *testing.T, listener *clientListener) {
 	testkit.Await(t, "all other connections to end", func() bool {
 		open, _ := listener.connCounts()
@@ -520,7 +520,7 @@
 }
 
 // TestIdleEnd_PausedReader checks that a request is served if it arrives while the reader waits for the mutex at the
-// idle deadline. The connection is with or without TLS.
+// idle deadline. The cases are a plain connection and TLS.
 func TestIdleEnd_PausedReader(t *testing.T) {
 	for _, transport := range transports {
 		for size, request := range map[string]string{"small": smallRequest, "256 KiB": bigRequest} {
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// drainFirstRequestGrace is the age up to which a drain leaves connections without any request open, because the
-// first request may be on its way. After that, the client sees an orderly close.
+// drainFirstRequestGrace is the maximum age of connections without any request that a drain keeps open. Their first
+// requests may be on the way. A client that needs longer sees an orderly close.
 const drainFirstRequestGrace = 2500 * time.Millisecond
 
 // drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestWaitForSlot_TimeoutBeforeWait checks that a wait ends even if its timer fires before the wait has begun. On a
-// busy host such a wakeup could be lost.
+// TestWaitForSlot_TimeoutBeforeWait checks that a wait ends even if its timer fires before the wait has begun, as on
+// a busy host. The wakeup must not be lost.
 func TestWaitForSlot_TimeoutBeforeWait(t *testing.T) {
 	const rounds = 400_000 // enough rounds for the timer to fire first in some of them
 	listener := newTestListener(t, 1)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -56,7 +56,7 @@
 	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
 	// DrainMark is the path of the drain marker file, which exists during a drain by request. A restarted process that
-	// finds the file drains again. empty: no file, and a restarted process serves.
+	// finds the file drains again. If the path is empty, a restarted process serves.
 	DrainMark string
 
 	// State says where the node saves its learned state; the zero value disables saving.
--- a/internal/node/drainstatus_test.go
+++ b/internal/node/drainstatus_test.go
@@ -103,8 +103,9 @@
 	}
 }
 
-// TestDrainFigures logs durations and latencies; it checks nothing. To run it: DRAIN_FIGURES=1 go test -run
-// DrainFigures -v ./internal/node
+// TestDrainFigures logs durations and latencies; it checks nothing. To run it:
+//
+//	DRAIN_FIGURES=1 go test -run DrainFigures -v ./internal/node
 func TestDrainFigures(t *testing.T) {
 	if os.Getenv("DRAIN_FIGURES") == "" {
 		t.Skip("DRAIN_FIGURES is not set")
--- a/internal/node/pausednode_test.go
+++ b/internal/node/pausednode_test.go
@@ -236,7 +236,7 @@
 const maxStallDelay = 3 * time.Second
 
 // TestPausedNode_StalledClientDuringShortPauses checks that a client that stalls within a body gets its error in time
-// despite repeated pauses of the node. Each pause is short enough that deadlines must allow for it.
+// despite repeated pauses of the node. Deadlines must allow for each pause.
 func TestPausedNode_StalledClientDuringShortPauses(t *testing.T) {
 	const pause, interval = 150 * time.Millisecond, 500 * time.Millisecond
 	t.Parallel()
--- a/internal/node/queueage.go
+++ b/internal/node/queueage.go
@@ -7,8 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// queuedSinceLocked returns the time since when an accepted connection has waited for a slot. It excludes the time
-// that the client itself took to send its request. Clients behind it in the accept queue connected later.
+// queuedSinceLocked returns the time from which an accepted connection counts as waiting for a slot. The time that
+// the client itself took to send its request does not count. Clients behind it in the accept queue connected later.
 func (l *clientListener) queuedSinceLocked(c *clientConn) time.Time {
 	isComplete := framing.IsCompleteRequest
 	if c.tls != nil {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -35,7 +35,7 @@
 	engine           *router.Router
 	successorOnly    bool // whether the file is only for a successor in a hot restart
 	log              *slog.Logger
-	saveFailed       bool        // whether the last save failed; later failures are not logged
+	saveFailed       bool        // whether the last save failed; repeated failures are not logged
 	savingHandedOver atomic.Bool // whether another process of the node saves instead
 }
 
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -60,7 +60,7 @@
 }
 
 // newNodeTLS returns the TLS state for config, or nil if config has no TLS. setUntrusted is called when a server
-// fails to prove its identity, and again when it succeeds.
+// fails to prove its identity, and again when the server succeeds.
 func newNodeTLS(
 	config Config, setUntrusted func(id string, untrusted bool), log *slog.Logger,
 ) (*nodeTLS, error) {
--- a/internal/pausedetector/detector.go
+++ b/internal/pausedetector/detector.go
@@ -1,5 +1,5 @@
-// Package pausedetector measures for how long this process could not run: it was stopped, its machine was suspended,
-// or no core was free. A peer that did nothing during a pause is not necessarily slow.
+// Package pausedetector measures how long this process could not run because it was stopped, its machine was
+// suspended, or no core was free. A peer that did nothing during a pause is not necessarily slow.
 package pausedetector
 
 import (
