--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -7,10 +7,11 @@
 	"cobaltward/router"
 )
 
-// statusMaxAge is how long a status is cached, so that many polling clients cost no more than one.
+// statusMaxAge is the maximum age of the cached status. With the cache, many polling clients cost no more than one
+// client.
 const statusMaxAge = 100 * time.Millisecond
 
-// statusVersion is the format version that Status.Version reports.
+// statusVersion is the format version in Status.Version.
 const statusVersion = 1
 
 // Status is the status of a node, as the admin API sends it.
@@ -30,13 +31,13 @@
 	Attempts         uint64                   `json:"attempts"`
 }
 
-// RequestCounts counts the requests that are not answered yet.
+// RequestCounts counts the requests without an answer.
 type RequestCounts struct {
 	Open              int            `json:"open"`
 	ByClass           map[string]int `json:"by_class"`
 	OldestMs          int64          `json:"oldest_ms"`      // age of the oldest request
-	OldestRemainingMs int64          `json:"oldest_left_ms"` // time left until the deadline of the oldest request
-	Queued            int            `json:"held"`           // requests that wait for a server
+	OldestRemainingMs int64          `json:"oldest_left_ms"` // time until the deadline of the oldest request
+	Queued            int            `json:"held"`           // requests waiting for a server
 	Retrying          int            `json:"retrying"`
 	AttemptsInFlight  int            `json:"attempts_out"`
 }
@@ -46,11 +47,12 @@
 	Clients          int    `json:"clients"`
 	Busy             int    `json:"clients_with_a_request"`
 	Servers          int    `json:"servers"`
-	ClosedForDrain   uint64 `json:"parted"`  // client connections that a drain closed while they were idle
-	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; their clients send them again
+	ClosedForDrain   uint64 `json:"parted"`  // idle client connections closed by a drain
+	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; clients retry them
 }
 
-// currentStatus returns the node's status, at most statusMaxAge old. The status of its drain is always current.
+// currentStatus returns the node's status, which is at most statusMaxAge old. The drain in the status is always
+// current.
 func (a *adminAPI) currentStatus() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
