--- a/msgpackrpc/call.go
+++ b/msgpackrpc/call.go
@@ -8,17 +8,17 @@
 
 // Call holds the parameters of a call. Fields with a zero value are not encoded.
 type Call struct {
-	ID             string        // identifies the request; unique
+	ID             string        // unique ID of the request
 	Class          string        // class of the request; only in calls to a node
 	Tenant         string        // tenant that sends the request; only in calls to a node
-	Key            string        // the object that the request is about; only in calls to a node
-	IdempotencyKey string        // servers use it to recognize duplicates
+	Key            string        // object of the request; only in calls to a node
+	IdempotencyKey string        // key by which servers detect duplicates
 	Timeout        time.Duration // time until the reply is due; encoded in whole milliseconds
 	CostHint       time.Duration // estimated work of the server; encoded in whole microseconds
 	IsRetry        bool          // the client has sent this request before
 	Method         string        // HTTP method, such as GET or POST; may be empty
 	Target         string        // path and query of the URL
-	Authority      string        // host, and port if any, of the URL
+	Authority      string        // host and optional port of the URL
 	ContentType    string
 	Body           []byte
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// AppendCall appends a call, encoded as a request message, to b.
+// AppendCall encodes c as the request message msgid, and appends the encoding to b.
 func AppendCall(b []byte, msgid uint32, c *Call) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Request])
 	b = msgp.AppendUint8(b, uint8(Request))
@@ -53,7 +53,8 @@
 	return appendFields(b, fields[:])
 }
 
-// ParseCall decodes the parameters of a call. Its errors are of type *ProtocolError and name the invalid part.
+// ParseCall decodes params, the parameters of a call. All errors are of type *ProtocolError and name the invalid
+// part.
 func ParseCall(params []byte) (c Call, err error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(params)
 	if err != nil || count != 1 {
--- a/msgpackrpc/client/client.go
+++ b/msgpackrpc/client/client.go
@@ -1,5 +1,5 @@
 // Package client calls a node over the protocol specified in docs/msgpack-rpc.md. It never retries a call that was
-// sent: the caller must decide from the error or the code whether a retry is safe.
+// sent. The caller must decide from the error or the code whether a retry is safe.
 package client
 
 import (
@@ -14,39 +14,41 @@
 )
 
 const (
-	minBackoff = 50 * time.Millisecond // wait after the first failure to connect; doubles with each further one
-	maxBackoff = 5 * time.Second       // longest wait after a failure to connect
-	// dialTimeout limits an attempt to connect.
+	minBackoff = 50 * time.Millisecond // wait after the first failure to connect; doubles with each further failure
+	maxBackoff = 5 * time.Second       // maximum wait after a failure to connect
+	// dialTimeout is the timeout for each attempt to connect.
 	dialTimeout = 5 * time.Second
-	// DefaultTimeout is the timeout of a call without Call.Timeout; its context may end earlier.
+	// DefaultTimeout is the timeout of a call without Call.Timeout. The context of the call may end earlier.
 	DefaultTimeout = 30 * time.Second
 )
 
 // ErrClosed is the cause of the *mux.NotSentError that Call returns after Close.
 var ErrClosed = errors.New("client: closed")
 
-// Client calls one node over one connection. It connects when the first call is made, and reconnects for a later call
-// if the connection was lost. It is safe for concurrent use.
+// Client calls one node over one connection. The first call opens the connection. A later call reconnects if the
+// connection was lost. A Client is safe for concurrent use.
 type Client struct {
 	network, addr string
 
 	mu       sync.Mutex
 	conn     *mux.Conn
-	retired  []*mux.Conn   // connections that accept no new calls, but may have open ones
-	dialing  chan struct{} // closed when the current attempt to connect ends; nil: there is none
+	retired  []*mux.Conn   // connections that accept no new calls but may have open calls
+	dialing  chan struct{} // closed when the current attempt to connect ends; nil: no attempt
 	failures int           // number of consecutive failures to connect
 	retryAt  time.Time     // earliest time of the next attempt to connect
 	dialErr  error         // error of the last failure to connect
 	closed   bool
 }
 
-// New returns a client of the node at an address: host:port for the network "tcp", a path for "unix". It does not
-// connect yet.
+// New returns a client of the node at addr. addr is host:port for the network "tcp", and a path for "unix". The first
+// call connects.
 func New(network, addr string) *Client { return &Client{network: network, addr: addr} }
 
-// Call sends one call and waits for its reply, until ctx ends or call.Timeout has passed. A Reply with a Code says
-// why the call was not served. Errors are *mux.NotSentError, after which the call cannot have run, and
-// *mux.NoReplyError and *mux.MalformedReplyError, after which it may have.
+// Call sends call and waits for the reply until ctx ends or call.Timeout has passed. A Reply with a Code says why the
+// call was not served.
+//
+// After a *mux.NotSentError the call cannot have run. After a *mux.NoReplyError or *mux.MalformedReplyError the call
+// may have run.
 func (c *Client) Call(ctx context.Context, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
 	if call.Timeout <= 0 {
 		call.Timeout = DefaultTimeout
@@ -59,20 +61,21 @@
 		if err != nil {
 			return msgpackrpc.Reply{}, &mux.NotSentError{Err: err}
 		}
-		call.Timeout = time.Until(deadline) // connecting has used part of it
+		call.Timeout = time.Until(deadline) // connecting has used part of the timeout
 		if call.Timeout < time.Millisecond {
 			return msgpackrpc.Reply{}, &mux.NotSentError{Err: context.DeadlineExceeded}
 		}
 		reply, err := conn.Call(ctx, &call, nil)
 		var notSent *mux.NotSentError
 		if errors.As(err, &notSent) && errors.Is(err, mux.ErrRetired) && ctx.Err() == nil {
-			continue // the node is draining; another one may accept connections at the same address
+			continue // the node is draining; another node may accept connections at the same address
 		}
 		return reply, err
 	}
 }
 
-// connect returns a connection that accepts calls. During the backoff after a failure it returns the failure's error.
+// connect returns a connection that accepts calls. During the backoff after a failure it returns the error of that
+// failure.
 func (c *Client) connect(ctx context.Context) (*mux.Conn, error) {
 	for {
 		c.mu.Lock()
@@ -103,7 +106,8 @@
 	}
 }
 
-// retireConn moves the current connection to the retired ones, and removes closed ones. c.mu is held.
+// retireConn moves the current connection to the retired connections, and removes closed connections. The caller
+// holds c.mu.
 func (c *Client) retireConn() {
 	var retired []*mux.Conn
 	for _, conn := range append(c.retired, c.conn) {
@@ -120,7 +124,7 @@
 	c.retired, c.conn = retired, nil
 }
 
-// dial attempts to connect once, and then closes dialing, for which connect and Close wait.
+// dial attempts to connect once. It then closes dialing, which wakes connect and Close.
 func (c *Client) dial(dialing chan struct{}) {
 	nc, err := net.DialTimeout(c.network, c.addr, dialTimeout)
 	c.mu.Lock()
--- a/msgpackrpc/client/client_test.go
+++ b/msgpackrpc/client/client_test.go
@@ -11,7 +11,8 @@
 	"cobaltward/msgpackrpc/mux"
 )
 
-// The time to connect counts toward a call's timeout: the node receives only the remaining time.
+// TestCall_TimeoutExcludesTimeToConnect checks that the node receives the time that remains of the timeout after
+// connecting.
 func TestCall_TimeoutExcludesTimeToConnect(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 200 * time.Millisecond
 	received := make(chan time.Duration, 1)
--- a/msgpackrpc/field.go
+++ b/msgpackrpc/field.go
@@ -8,8 +8,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// field is one entry of an encoded map. Exactly one of text, duration, flag and bytes is set, and points to its
-// value.
+// field is one entry of an encoded map. Exactly one of text, duration, flag and bytes is set; it points to the value.
 type field struct {
 	name     string
 	text     *string
@@ -19,7 +18,7 @@
 	bytes    *[]byte
 }
 
-// appendFields appends a map of the fields that are not zero. There must be fewer than 16 of them.
+// appendFields appends to b a map of the fields that are not zero. fields has fewer than 16 entries.
 func appendFields(b []byte, fields []field) []byte {
 	b = msgp.AppendMapHeader(b, 0)
 	header := len(b) - 1
@@ -34,7 +33,7 @@
 	return b
 }
 
-// isZero reports whether a field is zero and therefore not encoded. A duration below its unit counts as zero.
+// isZero reports whether the value is zero and therefore not encoded. A duration below unit counts as zero.
 func (f *field) isZero() bool {
 	switch {
 	case f.text != nil:
@@ -59,9 +58,9 @@
 	return msgp.AppendBytes(b, *f.bytes)
 }
 
-// parseFields decodes a map into fields, and returns the bytes after the map. Unknown names are skipped, because a
-// later version may add some. A duplicate name is an error, because two readers could use different values. what
-// names the map in error messages.
+// parseFields decodes the map at the start of raw into fields, and returns the bytes after the map. what names the
+// map in error messages. Unknown names are skipped, because a later version may add some. A duplicate name is an
+// error, because two readers could use different values.
 func parseFields(raw []byte, what string, fields []field) ([]byte, error) {
 	count, raw, err := msgp.ReadMapHeaderBytes(raw)
 	if err != nil {
@@ -91,7 +90,7 @@
 	return raw, nil
 }
 
-// indexOf returns the index of the field with the given name; -1 if there is none.
+// indexOf returns the index of the field called name, or -1.
 func indexOf(fields []field, name []byte) int {
 	for i := range fields {
 		if fields[i].name == string(name) {
--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -1,5 +1,5 @@
-// Package msgpackrpc implements the messages specified in docs/msgpack-rpc.md: MessagePack-RPC with one method, its
-// parameters and its replies. It encodes and decodes messages of limited size, and does not handle connections.
+// Package msgpackrpc encodes and decodes the messages specified in docs/msgpack-rpc.md: MessagePack-RPC with one
+// method. It limits the size of messages, and does not handle connections.
 package msgpackrpc
 
 import (
@@ -16,7 +16,7 @@
 	Notification             // [2, method, params]
 )
 
-// elementCounts is the length of the array that encodes a message, by kind.
+// elementCounts is the number of elements in the array that encodes a message, by kind.
 var elementCounts = [...]uint32{Request: 4, Response: 4, Notification: 3}
 
 // The methods of the protocol.
@@ -27,17 +27,17 @@
 	MethodError  = "error"  // notification [text]: why the connection is about to be closed
 )
 
-// Message is one decoded message. Its slices refer to the bytes that were passed to Parse.
+// Message is one decoded message. The slices share memory with the argument of Parse.
 type Message struct {
 	Kind   Kind
 	ID     uint32 // msgid of a Request or Response
 	Method string // method of a Request or Notification
 	Params []byte // encoded array of a Request or Notification
-	Error  []byte // encoded error of a Response; nil if it is nil on the wire
-	Result []byte // encoded result of a Response; nil if it is nil on the wire
+	Error  []byte // encoded error of a Response; nil: no error
+	Result []byte // encoded result of a Response; nil: no result
 }
 
-// Parse decodes a message. Its errors are of type *ProtocolError.
+// Parse decodes raw, one complete message. All errors are of type *ProtocolError.
 func Parse(raw []byte) (m Message, err error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(raw)
 	if err != nil {
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// readValue returns the encoding of the next value, or nil if that is MessagePack's nil, and the bytes after it.
+// readValue splits raw into the encoding of its first value and the bytes after it. value is nil for the value nil of
+// MessagePack.
 func readValue(raw []byte) (value, rest []byte, err error) {
 	rest, err = msgp.Skip(raw)
 	if err != nil {
@@ -103,20 +104,20 @@
 	return raw[:len(raw)-len(rest)], rest, nil
 }
 
-// AppendCancel appends a MethodCancel notification.
+// AppendCancel appends to b a MethodCancel notification for the call msgid.
 func AppendCancel(b []byte, msgid uint32) []byte {
 	return msgp.AppendUint32(appendNotification(b, MethodCancel, 1), msgid)
 }
 
-// AppendDrain appends a MethodDrain notification.
+// AppendDrain appends to b a MethodDrain notification.
 func AppendDrain(b []byte) []byte { return appendNotification(b, MethodDrain, 0) }
 
-// AppendError appends a MethodError notification.
+// AppendError appends to b a MethodError notification with the reason text.
 func AppendError(b []byte, text string) []byte {
 	return msgp.AppendString(appendNotification(b, MethodError, 1), text)
 }
 
-// appendNotification appends a notification up to and including the array header of its params.
+// appendNotification appends to b the beginning of a notification. The caller appends as many values as params says.
 func appendNotification(b []byte, method string, params uint32) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Notification])
 	b = msgp.AppendUint8(b, uint8(Notification))
@@ -124,7 +125,8 @@
 	return msgp.AppendArrayHeader(b, params)
 }
 
-// CancelledID returns the msgid in the params of a MethodCancel notification. ok is false if they are malformed.
+// CancelledID returns the msgid of the call that m, a MethodCancel notification, cancels. ok is false if m is
+// malformed.
 func CancelledID(m Message) (msgid uint32, ok bool) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(m.Params)
 	if err != nil || count != 1 {
--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -18,7 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// The encoded examples in docs/msgpack-rpc.md match the encoder byte for byte, and can be decoded.
+// TestEncoding_MatchesDocumentedExamples checks that the encoded examples in docs/msgpack-rpc.md match the encoder
+// byte for byte, and can be decoded.
 func TestEncoding_MatchesDocumentedExamples(t *testing.T) {
 	page, err := os.ReadFile("../docs/msgpack-rpc.md")
 	if err != nil {
@@ -73,7 +74,8 @@
 	}
 }
 
-// A call is decoded to what was encoded, in whatever pieces it arrives, also by another MessagePack library.
+// TestCall_RoundTrip checks that a decoded call equals the encoded call. The message arrives in random pieces.
+// Another MessagePack library must decode the same call.
 func TestCall_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
@@ -124,7 +126,7 @@
 	})
 }
 
-// Input beyond the limits is rejected before memory is allocated for it.
+// TestReader_RejectsHostileInput checks that input beyond the limits is rejected before memory is allocated for it.
 func TestReader_RejectsHostileInput(t *testing.T) {
 	longText := append([]byte{0xda, 4, 0}, make([]byte, 1024)...)
 	deep := bytes.Repeat([]byte{0x91}, 10_000)
@@ -156,7 +158,7 @@
 	}
 }
 
-// The error for an invalid message names the invalid part.
+// TestParse_InvalidMessages checks that the error for an invalid message names the invalid part.
 func TestParse_InvalidMessages(t *testing.T) {
 	encode := func(value any) []byte {
 		raw, err := msgpack.Marshal(value)
@@ -211,7 +213,8 @@
 	}
 }
 
-// No input makes the decoders panic, and each message ends where another MessagePack library finds its end.
+// FuzzMessages checks that no input makes the decoders panic. Each message must end where another MessagePack library
+// finds its end.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendCall(nil, 1, &Call{ID: "a", Body: []byte("b")}))
 	f.Add(AppendReply(nil, 1, &Reply{Code: Rejected}))
@@ -248,7 +251,8 @@
 	})
 }
 
-// BenchmarkDecode compares the scanner, the decoder with the library in use (msgp), and another library.
+// BenchmarkDecode compares the scanner, the decoder of this package, which uses the library msgp, and another
+// MessagePack library.
 func BenchmarkDecode(b *testing.B) {
 	raw := AppendCall(nil, 7, &Call{
 		ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second,
--- a/msgpackrpc/mux/errors.go
+++ b/msgpackrpc/mux/errors.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// ErrRetired says that a connection accepts no new calls. Replies to open calls may still arrive.
+// ErrRetired means that a connection accepts no new calls. Replies to open calls may still arrive.
 var ErrRetired = errors.New("the connection accepts no new calls")
 
-// NotSentError says that a call was not written completely, so it cannot have run.
+// NotSentError means that a call was not written completely. The call cannot have run.
 type NotSentError struct{ Err error }
 
 // Error implements error.
@@ -14,7 +14,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// NoReplyError says that a call was written but no reply was received, so it may have run.
+// NoReplyError means that the write of a call has begun but no reply was received. The call may have run.
 type NoReplyError struct{ Err error }
 
 // Error implements error.
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (e *NoReplyError) Unwrap() error { return e.Err }
 
-// MalformedReplyError says that the reply to a call is invalid, so the call may have run.
+// MalformedReplyError means that the reply to a call is invalid. The call may have run.
 type MalformedReplyError struct{ Err error }
 
 // Error implements error.
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -1,5 +1,5 @@
-// Package mux sends concurrent calls over one connection to a server. For each call without a valid reply the error
-// says whether the call may have run.
+// Package mux sends concurrent calls over one connection to a server. The error of a call without a valid reply says
+// whether the call may have run.
 package mux
 
 import (
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxAbandoned is the number of abandoned calls without a reply at which the connection stops accepting calls.
+	// maxAbandoned is the number of abandoned calls without a reply from which the connection accepts no new calls.
 	maxAbandoned = 1024
-	// writeTimeout limits each write, in case the server does not read.
+	// writeTimeout is the timeout for each write. It ends a write to a server that does not read.
 	writeTimeout = 5 * time.Second
 )
 
@@ -31,20 +31,20 @@
 	mu            sync.Mutex
 	lastID        uint32
 	calls         map[uint32]*pendingCall // open calls, by msgid
-	abandoned     map[uint32]struct{}     // msgids that a late reply may still have; they are not reused
-	queue         []*pendingCall          // calls to be written
-	notifications []byte                  // encoded, not yet written
+	abandoned     map[uint32]struct{}     // msgids that must not be reused: a late reply may still arrive
+	queue         []*pendingCall          // calls that wait to be written
+	notifications []byte                  // encoded notifications that wait to be written
 	retired       bool                    // no new calls are accepted
-	err           error                   // why the connection is closed; nil: it is open
-	idleSince     time.Time               // since when no call is open; only meaningful if calls is empty
+	err           error                   // reason why the connection is closed; nil: open
+	idleSince     time.Time               // end of the last call; only meaningful if calls is empty
 }
 
 type callState uint8
 
 const (
-	queued  callState = iota // in the queue, or in a batch that is being assembled
-	writing                  // in a batch that is being written; only the writer may decide the outcome on failure
-	sent                     // written completely; the call waits for its reply
+	queued  callState = iota // in the queue or in a batch that is being assembled
+	writing                  // in a batch that is being written; on failure, only the writer decides the outcome
+	sent                     // written completely, without a reply yet
 )
 
 // pendingCall is a call that has no outcome yet.
@@ -53,7 +53,7 @@
 	frame    []byte
 	guard    WriteGuard // nil: the call may always be written
 	state    callState
-	finished chan outcome // receives the outcome; has a capacity of 1, so that sending never blocks
+	finished chan outcome // receives the outcome; capacity 1, so that sending never blocks
 }
 
 type outcome struct {
@@ -61,8 +61,8 @@
 	err   error
 }
 
-// New takes ownership of a connection, and reads and writes it until it fails or Close is called. onDrain, if not
-// nil, is called when the server sends a drain notification; it must not block.
+// New returns a Conn that owns nc. It reads and writes nc until nc fails or Close is called. onDrain, if not nil, is
+// called when the server sends a drain notification. onDrain must not block.
 func New(nc net.Conn, onDrain func()) *Conn {
 	c := &Conn{
 		nc:          nc,
@@ -78,9 +78,10 @@
 	return c
 }
 
-// Call sends a request, and waits for the reply or until ctx ends, in which case it notifies the server. It never
-// retries. maySend, if not nil, is called just before the call is written; if it returns an error, the call is not
-// written. The errors of Call are of type *NotSentError, *NoReplyError or *MalformedReplyError.
+// Call sends req, and waits for the reply until ctx ends. If ctx ends first, the server receives a cancel. Call never
+// retries. maySend, if not nil, is called just before the write; its error prevents the write.
+//
+// The errors of Call are of type *NotSentError, *NoReplyError or *MalformedReplyError.
 func (c *Conn) Call(ctx context.Context, req *msgpackrpc.Call, maySend func() error) (msgpackrpc.Reply, error) {
 	if maySend == nil {
 		return c.CallGuarded(ctx, req, nil)
@@ -88,21 +89,21 @@
 	return c.CallGuarded(ctx, req, sendCheck(maySend))
 }
 
-// WriteGuard is notified of the write of a call, and may prevent it. Its methods are called by the writing goroutine.
+// WriteGuard is notified of the write of a call, and may prevent it. The writing goroutine calls the methods.
 type WriteGuard interface {
-	// BeginWrite returns an error if the call must not be written. Otherwise EndWrite is called after the call was
-	// written or its write was given up.
+	// BeginWrite returns an error if the call must not be written. If it returns nil, EndWrite is called once the
+	// write has ended or was given up.
 	BeginWrite() error
 	EndWrite()
 }
 
-// sendCheck is a WriteGuard that consists of BeginWrite only.
+// sendCheck is a WriteGuard with a BeginWrite and an empty EndWrite.
 type sendCheck func() error
 
 func (check sendCheck) BeginWrite() error { return check() }
 func (check sendCheck) EndWrite()         {}
 
-// CallGuarded is like Call, but takes a WriteGuard, which may be nil.
+// CallGuarded is Call with a WriteGuard in place of maySend. guard may be nil.
 func (c *Conn) CallGuarded(ctx context.Context, req *msgpackrpc.Call, guard WriteGuard) (msgpackrpc.Reply, error) {
 	call := &pendingCall{guard: guard, finished: make(chan outcome, 1)}
 	if err := c.enqueue(call, req); err != nil {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// nextID returns a msgid that no open or abandoned call has. IDs wrap around after 2^32 calls. c.mu is held.
+// nextID returns a msgid that no open or abandoned call has. IDs wrap around after 2^32 calls. The caller holds c.mu.
 func (c *Conn) nextID() uint32 {
 	for {
 		c.lastID++
@@ -145,7 +146,7 @@
 	}
 }
 
-// abandon gives up a call whose context has ended, unless it has an outcome by now.
+// abandon gives up call after ctx has ended. If call has an outcome by then, abandon returns the outcome.
 func (c *Conn) abandon(ctx context.Context, call *pendingCall) (msgpackrpc.Reply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +169,8 @@
 	return msgpackrpc.Reply{}, &NoReplyError{context.Cause(ctx)}
 }
 
-// checkIdle is called after a call has ended. It closes a retired connection after its last call. c.mu is held.
+// checkIdle records the start of an idle period once no call is open. It closes a retired connection then. The caller
+// holds c.mu.
 func (c *Conn) checkIdle() {
 	if len(c.calls) > 0 {
 		return
@@ -179,7 +181,7 @@
 	}
 }
 
-// finish ends a call with the given outcome, unless the call was abandoned. c.mu is held.
+// finish ends call with the outcome result, unless call was abandoned. The caller holds c.mu.
 func (c *Conn) finish(call *pendingCall, result outcome) {
 	if c.calls[call.id] == call {
 		delete(c.calls, call.id)
@@ -188,8 +190,8 @@
 	}
 }
 
-// fail closes the connection because of err. Calls that were sent may have run; queued ones cannot have run. The
-// writer decides the outcome of calls that are being written. c.mu is held.
+// fail closes the connection because of err. Calls that were sent may have run; queued calls cannot have run. The
+// writer decides the outcome of calls that are being written. The caller holds c.mu.
 func (c *Conn) fail(err error) {
 	if c.err != nil {
 		return
@@ -216,7 +218,8 @@
 	c.checkIdle()
 }
 
-// IdleSince returns since when no call is open. ok is false if a call is open or the connection accepts none.
+// IdleSince returns the time since which no call is open. ok is false if a call is open or the connection accepts no
+// calls.
 func (c *Conn) IdleSince() (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is the server's end of a connection. Tests use it to send and receive single messages.
+// peer is the end of a connection at the server. Tests use it to send and receive single messages.
 type peer struct {
 	net.Conn
 	in *msgpackrpc.Reader
 }
 
-// connect returns a connection and the server's end of it, which sends only what the test writes. wrap, if not nil,
-// replaces the client's end.
+// connect returns a connection and its end at the server. The server end sends only what the test writes. wrap, if
+// not nil, replaces the client end.
 func connect(t testing.TB, wrap func(net.Conn) net.Conn, onDrain func()) (*Conn, peer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	return c, peer{other, msgpackrpc.NewReader(other)}
 }
 
-// next returns the msgid and the method of the next message; for a cancel, the msgid of the cancelled call.
+// next returns the msgid and the method of the next message. For a cancel, the msgid is that of the cancelled call.
 func (p peer) next(t testing.TB) (uint32, string) {
 	t.Helper()
 	raw, err := p.in.Next()
@@ -84,7 +84,7 @@
 	return msgpackrpc.AppendReply(nil, id, &msgpackrpc.Reply{Body: []byte(text)})
 }
 
-// result describes the outcome of a call in a few words.
+// result describes the outcome of a call: "ok" and the body, or the kind of error.
 func result(r msgpackrpc.Reply, err error) string {
 	var notSent *NotSentError
 	var noReply *NoReplyError
@@ -102,7 +102,8 @@
 	return err.Error()
 }
 
-// startCalls starts n calls, each after the peer has received the previous one. It returns a channel per outcome.
+// startCalls starts n calls, each after p has received the previous call. Each returned channel receives the outcome
+// of one call.
 func startCalls(t testing.TB, c *Conn, p peer, n int) []chan string {
 	t.Helper()
 	ends := make([]chan string, n)
@@ -116,7 +117,8 @@
 	return ends
 }
 
-// A server answers three calls, or commits a fault. The outcome of each call says whether it may have run.
+// TestCall_OutcomeOfServerFaults checks the outcomes of three calls that a server answers or fails to answer. Each
+// outcome says whether the call may have run.
 func TestCall_OutcomeOfServerFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		serve func(t testing.TB, server peer)
@@ -178,7 +180,8 @@
 	}
 }
 
-// limitedConn is a connection that closes, and fails the write, after a number of written bytes.
+// limitedConn is a connection that accepts a limited number of bytes. The write that exceeds the limit fails and
+// closes the connection.
 type limitedConn struct {
 	net.Conn
 	remaining     atomic.Int64
@@ -196,8 +199,8 @@
 	return s.Conn.Write(p)
 }
 
-// A connection fails after each possible number of written bytes of a batch. The calls whose last byte was written
-// may have run; the others cannot have run.
+// TestCall_OutcomeOfPartialWrite checks the outcomes if a connection fails after each possible number of written
+// bytes of a batch. A call may have run only if its last byte was written.
 func TestCall_OutcomeOfPartialWrite(t *testing.T) {
 	frame := len(msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "0"}))
 	const n = 3
@@ -219,7 +222,7 @@
 			})
 		}
 		close(writesAllowed)
-		if cut == n*frame { // the connection is closed after all calls were written
+		if cut == n*frame { // all calls are written before the connection closes
 			testkit.Await(t, "the writes", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
@@ -244,8 +247,8 @@
 	}
 }
 
-// The server is notified of an abandoned call. The late reply to it is ignored, its msgid is not reused, and other
-// calls are not affected. A call that maySend prevents is not sent.
+// TestCall_Abandoned checks that the server receives a cancel for an abandoned call. The late reply is ignored, the
+// msgid is not reused, and other calls are not affected. A call that maySend prevents is not sent.
 func TestCall_Abandoned(t *testing.T) {
 	conn, server := connect(t, nil, nil)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -283,7 +286,8 @@
 	}
 }
 
-// After a drain notification no new calls are sent, and the connection closes after its last reply.
+// TestDrain_AnswersOpenCalls checks that no new calls are sent after a drain notification. The connection closes
+// after its last reply.
 func TestDrain_AnswersOpenCalls(t *testing.T) {
 	drained := make(chan struct{})
 	conn, server := connect(t, nil, sync.OnceFunc(func() { close(drained) }))
--- a/msgpackrpc/mux/read.go
+++ b/msgpackrpc/mux/read.go
@@ -17,7 +17,7 @@
 	switch message.Kind {
 	case msgpackrpc.Request:
 		return &msgpackrpc.ProtocolError{Problem: "unexpected request"}
-	case msgpackrpc.Notification: // unknown methods are ignored: they may belong to a later version
+	case msgpackrpc.Notification: // unknown methods are ignored: a later version may define them
 		if message.Method == msgpackrpc.MethodDrain {
 			c.Retire()
 			if c.onDrain != nil {
--- a/msgpackrpc/mux/write.go
+++ b/msgpackrpc/mux/write.go
@@ -8,13 +8,13 @@
 
 // batch holds calls and notifications that are written together.
 type batch struct {
-	buf         []byte // encoded notifications, then calls
+	buf         []byte // encoded notifications, followed by calls
 	calls       []*pendingCall
-	ends        []int        // end of each call in buf
-	begunWrites []WriteGuard // guards whose EndWrite must still be called
+	ends        []int        // index in buf of the end of each call
+	begunWrites []WriteGuard // guards that still need a call of EndWrite
 }
 
-// endWrites calls EndWrite of the guards whose BeginWrite succeeded.
+// endWrites calls EndWrite of each guard that allowed its write.
 func (b *batch) endWrites() {
 	for i, guard := range b.begunWrites {
 		guard.EndWrite()
@@ -23,7 +23,7 @@
 	b.begunWrites = b.begunWrites[:0]
 }
 
-// write writes queued calls and notifications, in batches, until the connection is closed.
+// write writes queued calls and notifications in batches until the connection is closed.
 func (c *Conn) write() {
 	var next batch
 	for {
@@ -58,8 +58,7 @@
 	return len(c.queue) > 0
 }
 
-// assemble replaces the contents of a batch by queued notifications and calls. It finishes calls whose guards prevent
-// the write.
+// assemble fills next with queued notifications and calls. It finishes the calls that their guards forbid.
 func (c *Conn) assemble(next *batch) {
 	taken := c.dequeue(next.calls[:0])
 	forbidden := next.beginWrites(taken)
@@ -73,7 +72,7 @@
 	c.notifications = c.notifications[:0]
 	for _, call := range taken {
 		switch err := forbidden[call]; {
-		case c.calls[call.id] != call: // the call was abandoned meanwhile
+		case c.calls[call.id] != call: // the call was abandoned in the meantime
 		case err != nil:
 			c.finish(call, outcome{err: &NotSentError{err}})
 		default:
@@ -85,7 +84,7 @@
 	}
 }
 
-// dequeue moves queued calls to taken, until their frames reach the size of a batch.
+// dequeue moves queued calls to taken until their frames reach stream.MaxBatch.
 func (c *Conn) dequeue(taken []*pendingCall) []*pendingCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +98,8 @@
 	return taken
 }
 
-// beginWrites calls BeginWrite of the calls' guards, and returns the errors by call. Conn.mu must not be held,
-// because guards are code of the caller.
+// beginWrites calls BeginWrite of the guards of calls, and returns the errors by call. The caller must not hold
+// Conn.mu, because guards are code of the user of the connection.
 func (b *batch) beginWrites(calls []*pendingCall) (forbidden map[*pendingCall]error) {
 	for _, call := range calls {
 		if call.guard == nil {
@@ -119,7 +118,8 @@
 	return forbidden
 }
 
-// finishWrite records that n bytes of a batch were written. Only calls whose last byte was written may have run.
+// finishWrite ends the write of a batch, of which n bytes were written. Only calls whose last byte was written may
+// have run.
 func (c *Conn) finishWrite(written *batch, n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 		switch {
 		case n < written.ends[i]:
 			c.finish(call, outcome{err: &NotSentError{err}})
-		case c.err != nil: // the connection was closed meanwhile
+		case c.err != nil: // the connection was closed in the meantime
 			c.finish(call, outcome{err: &NoReplyError{c.err}})
 		case err != nil:
 			c.finish(call, outcome{err: &NoReplyError{err}})
--- a/msgpackrpc/reader.go
+++ b/msgpackrpc/reader.go
@@ -7,11 +7,12 @@
 	"io"
 )
 
-// readSize is the initial size of a Reader's buffer, and how much larger than MaxMessageSize it may grow, in bytes.
+// readSize is the initial size of the buffer of a Reader, in bytes. The buffer grows to MaxMessageSize+readSize at
+// most.
 const readSize = 4 << 10
 
-// ProtocolError describes how a stream or a message violates the protocol. The rest of the stream must not be read
-// after it, because message boundaries are unknown.
+// ProtocolError describes how a stream or a message violates the protocol. The rest of the stream is unusable,
+// because message boundaries are unknown.
 type ProtocolError struct{ Problem string }
 
 // Error implements error.
@@ -21,24 +22,26 @@
 	return &ProtocolError{fmt.Sprintf(format, args...)}
 }
 
-// Reader splits a stream into messages, and rejects those beyond the limits. It is not safe for concurrent use.
+// Reader splits a stream into messages. It rejects messages beyond the limits. It is not safe for concurrent use.
 type Reader struct {
-	// BeforeRead, if not nil, is called before each read of the stream, for example to set a deadline. partial says
-	// whether a message has been read in part.
+	// BeforeRead, if not nil, is called before each read of the stream, for example to set a deadline. partial is
+	// true if part of a message has been read.
 	BeforeRead func(partial bool)
 
 	stream     io.Reader
 	buf        []byte
-	begin, end int // buf[begin:end] has been read but not returned
+	begin, end int // buf[begin:end] holds bytes that Next has not returned yet
 	scanner    scanner
 }
 
-// NewReader returns a Reader that reads messages from a stream.
+// NewReader returns a Reader of the messages in stream.
 func NewReader(stream io.Reader) *Reader { return &Reader{stream: stream} }
 
-// Next returns the next message, encoded. The slice is valid until the next call. Next returns io.EOF if the stream
-// ends between two messages, io.ErrUnexpectedEOF if it ends within one, a *ProtocolError if the stream is not a valid
-// message within the limits, and otherwise the error of the stream.
+// Next returns the next message, encoded. The slice is valid until the next call.
+//
+// Next returns io.EOF if the stream ends between two messages, and io.ErrUnexpectedEOF if the stream ends within a
+// message. It returns a *ProtocolError if the stream is not a valid message within the limits. Other errors come from
+// the stream.
 func (r *Reader) Next() ([]byte, error) {
 	scanned := r.begin
 	for {
@@ -59,8 +62,8 @@
 	}
 }
 
-// discardReturned moves unreturned bytes to the start of the buffer, and returns by how many bytes they moved. It
-// releases a large buffer if that is empty.
+// discardReturned moves the bytes that Next has not returned to the start of the buffer. shift is the distance of the
+// move. A large buffer without such bytes is released.
 func (r *Reader) discardReturned() (shift int) {
 	shift = r.begin
 	if shift == 0 {
@@ -76,7 +79,7 @@
 	return shift
 }
 
-// fill reads more bytes into the buffer. It grows a full buffer, up to the size of the largest message plus readSize.
+// fill reads more bytes into the buffer. A full buffer is doubled first, to at most MaxMessageSize+readSize.
 func (r *Reader) fill() error {
 	if r.end == len(r.buf) {
 		larger := make([]byte, min(max(readSize, 2*len(r.buf)), MaxMessageSize+readSize))
@@ -99,7 +102,7 @@
 	return err
 }
 
-// IsCompleteMessage reports whether the bytes are exactly one message.
+// IsCompleteMessage reports whether data is exactly one message.
 func IsCompleteMessage(data []byte) bool {
 	message, err := NewReader(bytes.NewReader(data)).Next()
 	return err == nil && len(message) == len(data)
--- a/msgpackrpc/reply.go
+++ b/msgpackrpc/reply.go
@@ -6,16 +6,16 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Code is the reason why a call was not served.
+// Code is the reason why a call was not served. Its values appear on the wire.
 type Code string
 
 // The codes. docs/msgpack-rpc.md specifies what a client may conclude from each of them.
 const (
-	Rejected    Code = "refused"    // not forwarded; safe to retry
+	Rejected    Code = "refused"    // safe to retry; an idempotent or fully deduplicated call may have run
 	Overloaded  Code = "overloaded" // not forwarded; safe to retry
-	NotRun      Code = "not_run"    // sent by servers: the call has not run, and will not
+	NotRun      Code = "not_run"    // sent by servers: the call has not run and will not run
 	Malformed   Code = "malformed"  // not forwarded: the call is invalid
-	Conflict    Code = "conflict"   // the call's ID is in use, or was until recently
+	Conflict    Code = "conflict"   // the ID of the call is in use, or was used recently
 	Failed      Code = "failed"     // the call may have run
 	Expired     Code = "expired"    // the call may have run, and its deadline has passed
 	ServerError Code = "error"      // sent by servers: the call may have run
@@ -25,7 +25,7 @@
 type Reply struct {
 	Code        Code          // empty if the call was served
 	Text        string        // human-readable reason why the call was not served
-	RetryAfter  time.Duration // how long to wait before a retry, encoded in whole milliseconds; 0: unknown
+	RetryAfter  time.Duration // wait before a retry, encoded in whole milliseconds; 0: unknown
 	Body        []byte        // result of a call that was served
 	ContentType string        // media type of Body
 	Load        string        // load report of a server, in the format of the X-Load header
@@ -47,7 +47,7 @@
 	}
 }
 
-// AppendReply appends a reply, encoded as the response to the call msgid, to b.
+// AppendReply encodes r as the response to the call msgid, and appends the encoding to b.
 func AppendReply(b []byte, msgid uint32, r *Reply) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Response])
 	b = msgp.AppendUint8(b, uint8(Response))
@@ -60,8 +60,8 @@
 	return msgp.AppendNil(appendFields(b, fields[:]))
 }
 
-// ParseReply decodes the response to a call, which must have either an error or a result. Its errors are of type
-// *ProtocolError.
+// ParseReply decodes m, the response to a call. The response must have either an error or a result. All errors are of
+// type *ProtocolError.
 func ParseReply(m Message) (r Reply, err error) {
 	switch {
 	case (m.Error == nil) == (m.Result == nil):
--- a/msgpackrpc/scanner.go
+++ b/msgpackrpc/scanner.go
@@ -9,7 +9,7 @@
 const (
 	MaxMessageSize = 96 << 10 // bytes; enough for a body of 64 KiB and the other fields
 	MaxDepth       = 8        // levels of nesting of arrays and maps
-	MaxElements    = 256      // elements of all arrays and maps together; a map entry counts as two
+	MaxElements    = 256      // total elements of all arrays and maps; a map entry counts as two
 )
 
 var (
@@ -19,19 +19,20 @@
 	errReservedByte    = errors.New("the byte 0xc1, which MessagePack never uses")
 )
 
-// scanner finds the end of a message that may arrive in pieces. It allocates nothing, and rejects a declared length
-// beyond the limits before memory is allocated for it. The zero value is ready to use.
+// scanner finds the end of a message that may arrive in pieces. It allocates nothing. It checks each declared length
+// against the limits before the caller allocates memory for it. The zero value is ready to use.
 type scanner struct {
-	head             [9]byte       // first bytes of the current value: its type and its length
+	head             [9]byte       // type and length of the current value
 	headLen          int           // bytes of head that have been read; 0 between values
-	payloadRemaining int           // bytes of the current value's payload that have not been scanned
-	valuesRemaining  [MaxDepth]int // number of values still to come, per open array or map
+	payloadRemaining int           // bytes of the current payload that have not been scanned
+	valuesRemaining  [MaxDepth]int // values still to come, by open array or map
 	depth            int           // number of open arrays and maps
-	size             int           // bytes of the message so far, including the whole of declared payloads
+	size             int           // bytes of the message so far, including declared payloads in full
 	elements         int           // declared elements of all arrays and maps of the message
 }
 
-// scan consumes the next bytes of a message. It returns how many belong to it, and whether it is complete.
+// scan consumes p, the next bytes of the stream. n is the number of bytes that belong to the message. done reports
+// whether the message is complete.
 func (s *scanner) scan(p []byte) (n int, done bool, err error) {
 	for n < len(p) {
 		if s.payloadRemaining > 0 {
@@ -64,7 +65,8 @@
 	return n, false, nil
 }
 
-// lengthBytes returns the size of the length, or of the number of elements, that follows the first byte of a value.
+// lengthBytes returns the number of length bytes that follow first, the first byte of a value. For arrays and maps,
+// these bytes hold the number of elements.
 func lengthBytes(first byte) int {
 	switch first {
 	case 0xc4, 0xc7, 0xd9: // bin 8, ext 8, str 8
@@ -77,7 +79,7 @@
 	return 0
 }
 
-// handleValueHead processes the complete head of a value, and checks the declared length against the limits.
+// handleValueHead checks the declared length of a value against the limits, once the head of the value is complete.
 func (s *scanner) handleValueHead() error {
 	first, length := s.head[0], uint64(0)
 	for _, b := range s.head[1:s.headLen] {
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// addSize adds declared bytes to the size of the message, and checks the limit.
+// addSize adds declared bytes to the size of the message, and returns errTooLarge beyond the limit.
 func (s *scanner) addSize(bytes int) error {
 	if s.size += bytes; s.size > MaxMessageSize {
 		return errTooLarge
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// openContainer starts an array or map of the given number of values.
+// openContainer starts an array or map that consists of the given number of values.
 func (s *scanner) openContainer(values uint64) error {
 	if values > MaxElements || s.elements+int(values) > MaxElements {
 		return errTooManyElements
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// closeValue ends a value, and each array or map whose last value it is. The payload of the value may still be on its
-// way.
+// closeValue ends a value, and each array or map that ends with the value. The payload of the value may not have
+// arrived yet.
 func (s *scanner) closeValue() {
 	for s.depth > 0 {
 		if s.valuesRemaining[s.depth-1]--; s.valuesRemaining[s.depth-1] > 0 {
--- a/msgpackrpc/stream/stream.go
+++ b/msgpackrpc/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream contains what both ends of a MessagePack-RPC connection share: the loop that reads messages, the
-// signal that wakes the writer, and the size limits of batched writes.
+// Package stream contains the parts that both ends of a MessagePack-RPC connection share: the loop that reads
+// messages, the signal that wakes the writer, and the size limits of batched writes.
 package stream
 
 import (
@@ -9,16 +9,16 @@
 	"cobaltward/msgpackrpc"
 )
 
-// MaxBatch is the size, in bytes, at which no further message is added to a batch.
+// MaxBatch is the size in bytes from which no further message is added to a batch.
 const MaxBatch = 64 << 10
 
-// Signal wakes one goroutine. Several notifications before the goroutine receives are merged into one.
+// Signal wakes one goroutine. Notifications are merged into one until the goroutine receives.
 type Signal chan struct{}
 
 // NewSignal returns a signal without a pending notification.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Notify sends the signal without blocking.
+// Notify wakes the receiving goroutine. It does not block.
 func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
@@ -26,7 +26,7 @@
 	}
 }
 
-// ReadMessages passes each message to handle until reading, parsing or handle fails, and returns that error.
+// ReadMessages passes each message of in to handle. It returns the first error of reading, parsing or handle.
 func ReadMessages(in *msgpackrpc.Reader, handle func(msgpackrpc.Message) error) error {
 	for {
 		raw, err := in.Next()
@@ -43,13 +43,13 @@
 	}
 }
 
-// WriteBatch writes a batch within timeout, and returns how many bytes were written.
+// WriteBatch writes batch to conn within timeout, and returns the number of bytes written.
 func WriteBatch(conn net.Conn, batch []byte, timeout time.Duration) (int, error) {
-	_ = conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only after a close, and then Write fails too
+	_ = conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only after a close; Write then fails too
 	return conn.Write(batch)
 }
 
-// Recycle returns the emptied buffer of a batch for reuse, or nil if its capacity is more than twice MaxBatch.
+// Recycle returns buf, emptied for reuse, or nil if the capacity of buf exceeds twice MaxBatch.
 func Recycle(buf []byte) []byte {
 	if cap(buf) > 2*MaxBatch {
 		return nil
