--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -15,7 +15,7 @@
 	transports      []router.Transport
 
 	mu       sync.RWMutex
-	byServer map[string]int // index into transports by server ID
+	byServer map[string]int // index into transports, by server ID
 }
 
 var (
@@ -24,8 +24,8 @@
 	_ router.WriteCounter      = (*Transport)(nil)
 )
 
-// New returns a transport that assigns each endpoint to transports[selectTransport(endpoint)]. Its Close closes all of
-// them.
+// New returns a transport that assigns each endpoint to transports[selectTransport(endpoint)]. The returned transport
+// owns the others, and closes them in Close.
 func New(selectTransport func(router.Endpoint) int, transports ...router.Transport) *Transport {
 	return &Transport{
 		selectTransport: selectTransport,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Attempt makes the attempt with the transport of the server.
+// Attempt makes an attempt at server with the transport of that server.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	transport := t.transportOf(server)
 	if transport == nil {
@@ -43,7 +43,7 @@
 	return transport.Attempt(ctx, server, r)
 }
 
-// transportOf returns the transport of a server; nil if the server is not in the endpoint list.
+// transportOf returns the transport of server; nil if the server is not in the endpoint list.
 func (t *Transport) transportOf(server string) router.Transport {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -54,15 +54,15 @@
 	return t.transports[i]
 }
 
-// Configure configures all transports.
+// Configure passes s to all transports.
 func (t *Transport) Configure(s policy.Settings) {
 	for _, transport := range t.transports {
 		transport.Configure(s)
 	}
 }
 
-// Update passes each transport the changes of its own servers. A server that is now assigned to another transport is
-// removed from its former one.
+// Update passes each transport the changes of its own servers. If a server moves to another transport, it is removed
+// from its former transport.
 func (t *Transport) Update(update router.EndpointUpdate) {
 	for i, endpoints := range t.assign(update) {
 		if len(endpoints) > 0 || update.Kind != policy.ListUpdate {
@@ -71,7 +71,7 @@
 	}
 }
 
-// assign groups the endpoints of an update by the index of their transport.
+// assign groups the endpoints of update by the index of their transport.
 func (t *Transport) assign(update router.EndpointUpdate) [][]router.Endpoint {
 	assigned := make([][]router.Endpoint, len(t.transports))
 	t.mu.Lock()
@@ -96,14 +96,14 @@
 	return assigned
 }
 
-// CloseIdle closes the idle connections to one server.
+// CloseIdle closes the idle connections to server.
 func (t *Transport) CloseIdle(server string) {
 	if transport := t.transportOf(server); transport != nil {
 		transport.CloseIdle(server)
 	}
 }
 
-// Conns returns the number of open connections of all transports that count them.
+// Conns returns the total of the open connections that the transports count.
 func (t *Transport) Conns() (total int) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.ConnectionCounter); ok {
@@ -113,7 +113,7 @@
 	return total
 }
 
-// Written returns the number of attempts that were written completely, by all transports that count them.
+// Written returns the total of the completely written attempts that the transports count.
 func (t *Transport) Written() (total uint64) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.WriteCounter); ok {
--- a/transport/msgpack/attempt.go
+++ b/transport/msgpack/attempt.go
@@ -14,12 +14,12 @@
 	"cobaltward/transport/secure"
 )
 
-// maxBodyBytes is the maximum body of a request. The whole body is part of one message.
+// maxBodyBytes is the maximum size of a request body. The whole body is part of one message.
 const maxBodyBytes = 64 << 10
 
 var errUntrusted = errors.New("server certificate is no longer trusted")
 
-// Attempt sends r to the server once, and waits for the reply until ctx ends.
+// Attempt sends r once to the server id, and waits for the reply until ctx ends.
 func (t *Transport) Attempt(ctx context.Context, id string, r *router.Request) router.Result {
 	call := msgpackrpc.Call{
 		ID:             r.ID,
@@ -33,7 +33,7 @@
 	if r.Upload != nil {
 		var ok bool
 		if call.Body, ok = readUpload(r.Upload); !ok {
-			return router.Result{Code: policy.Superseded} // the body does not fit a message: the server is not at fault
+			return router.Result{Code: policy.Superseded} // the body is too long or unreadable: the server is not at fault
 		}
 	}
 	for {
@@ -56,17 +56,17 @@
 			t.written.Add(1)
 		}
 		if errors.Is(err, mux.ErrRetired) && !isSent && ctx.Err() == nil {
-			continue // the connection was retired after it was acquired: another one may have a free slot
+			continue // retired after acquire: another connection may have a free slot
 		}
 		return router.Result{Code: callFailure(ctx, err, isSent)}
 	}
 }
 
-// acquireFailure returns the outcome of an attempt without a connection.
+// acquireFailure returns the outcome of an attempt that got no connection because of err.
 func acquireFailure(ctx context.Context, err error) policy.Code {
 	switch {
 	case errors.Is(err, errServerDraining):
-		return policy.Overloaded // the same outcome as if the draining server had rejected the attempt
+		return policy.Overloaded // as if the draining server had rejected the attempt
 	case errors.As(err, new(*secure.UntrustedError)) && ctx.Err() == nil:
 		return policy.Untrusted
 	case errors.Is(err, errNoConnection) || errors.Is(err, secure.ErrTooManyHandshakes):
@@ -75,7 +75,8 @@
 	return outcome.FailureCode(ctx, false)
 }
 
-// callFailure returns the outcome of a call without a reply.
+// callFailure returns the outcome of a call that got no reply because of err. isSent is true if the server may have
+// received the whole call.
 func callFailure(ctx context.Context, err error, isSent bool) policy.Code {
 	var malformed *mux.MalformedReplyError
 	switch {
@@ -89,11 +90,11 @@
 	return outcome.FailureCode(ctx, isSent)
 }
 
-// attemptGuard is the mux.WriteGuard of an attempt. It prevents the write once the attempt is abandoned, or the server
-// is draining or untrusted.
+// attemptGuard is the mux.WriteGuard of an attempt. It prevents the write if the attempt is abandoned, or if the
+// server is draining or untrusted.
 type attemptGuard struct {
 	transport *Transport
-	ctx       context.Context // of the attempt
+	ctx       context.Context // context of the attempt
 	server    *server
 	conn      *pooledConn
 }
@@ -113,7 +114,7 @@
 // EndWrite implements mux.WriteGuard.
 func (g attemptGuard) EndWrite() { outcome.EndWrite(g.ctx) }
 
-// checkServer returns an error if nothing may be written to a server any more.
+// checkServer returns an error if nothing more may be written to srv on conn.
 func (t *Transport) checkServer(srv *server, conn *pooledConn) error {
 	if !conn.isTrusted() {
 		return errUntrusted
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// readUpload reads the body of an upload. It reports false if the length of the body is unknown or exceeds
-// maxBodyBytes, or if the body cannot be read.
+// readUpload reads the body of upload. ok is false if the length is unknown or exceeds maxBodyBytes, or if the body
+// cannot be read.
 func readUpload(upload router.Upload) (body []byte, ok bool) {
 	if upload.Length() < 0 || upload.Length() > maxBodyBytes {
 		return nil, false
@@ -140,7 +141,7 @@
 	return body, err == nil
 }
 
-// resultOf returns the result of an attempt that got a reply.
+// resultOf returns the result of an attempt that got reply.
 func (t *Transport) resultOf(reply *msgpackrpc.Reply) router.Result {
 	switch reply.Code {
 	case "":
--- a/transport/msgpack/connect.go
+++ b/transport/msgpack/connect.go
@@ -12,12 +12,12 @@
 	"cobaltward/transport/secure"
 )
 
-// connect opens a connection and adds it to the pool. It continues after the attempts that wait for the connection have
-// ended, since later attempts can use it.
+// connect opens a connection to endpoint and adds it to the pool of srv. It continues after all waiting attempts have
+// ended, since later attempts can use the connection.
 func (t *Transport) connect(srv *server, endpoint router.Endpoint, dial *pendingDial) {
 	conn, netConn, err := t.open(&endpoint)
 	if sockets.IsResourceExhaustion(err) {
-		err = errNoConnection // this node lacks a local resource: the server is not at fault
+		err = errNoConnection // a local resource is exhausted: the server is not at fault
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,8 +37,8 @@
 	t.tasks.Go(func() { t.awaitEnd(pool, conn) })
 }
 
-// open opens a connection. It fails after the connect timeout, with TLS after the sum of connect and handshake timeout,
-// or when the transport is closed.
+// open opens a connection to endpoint. It fails after the connect timeout, or when the transport is closed. TLS adds
+// the handshake timeout to the connect timeout.
 func (t *Transport) open(endpoint *router.Endpoint) (*pooledConn, net.Conn, error) {
 	timeout := t.config.ConnectTimeout
 	usesTLS := t.config.TLS != nil && t.config.TLS.UsesTLS(endpoint)
@@ -67,7 +67,7 @@
 	return &pooledConn{tls: tlsConn}, tlsConn, err
 }
 
-// awaitEnd waits until a connection has ended, and removes it from its pool.
+// awaitEnd waits until conn has ended, and removes it from pool.
 func (t *Transport) awaitEnd(pool *pool, conn *pooledConn) {
 	<-conn.Done()
 	conn.Close()
@@ -79,7 +79,7 @@
 	}
 }
 
-// handleDrainNotice handles a server's own notice that it is draining: the connections to it accept no further calls.
+// handleDrainNotice records that the server of pool has announced a drain. Its connections accept no further calls.
 func (t *Transport) handleDrainNotice(pool *pool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/msgpack/pool.go
+++ b/transport/msgpack/pool.go
@@ -16,33 +16,33 @@
 	errNoConnection   = errors.New("all connections are full and the connection limit is reached")
 )
 
-// server is one process of a server, with its connection pool in State, which is nil until the first attempt.
+// server is one process of a server. State holds its connection pool, and is nil until the first attempt.
 type server = servers.Server[*pool]
 
-// pool is the connection pool of one server, guarded by the mutex of the transport.
+// pool is the connection pool of one server. The mutex of the transport guards it.
 type pool struct {
 	conns           []*pooledConn
 	pendingDial     *pendingDial // connection that is being opened; nil: none
-	drainNotifiedAt time.Time    // when the server last sent a drain notice
-	removed         bool         // the server left the endpoint list
+	drainNotifiedAt time.Time    // time of the last drain notice from the server
+	removed         bool         // the server is no longer in the endpoint list
 }
 
-// pooledConn is a connection with the number of calls in flight on it.
+// pooledConn is a connection in a pool.
 type pooledConn struct {
 	*mux.Conn
 	tls   *secure.Conn // nil: plaintext
 	calls int          // calls in flight; guarded by the mutex of the transport
 }
 
-// pendingDial is a connection that is being opened. A server has at most one, and all attempts that need a connection
-// to it wait for that one.
+// pendingDial is a connection that is being opened. A server has at most one pending dial. All attempts that need a
+// new connection to the server wait for the pending dial.
 type pendingDial struct {
 	done chan struct{} // closed when the connection is open or has failed
-	err  error         // why the connection failed; set before done is closed
+	err  error         // reason of the failure; set before done is closed
 }
 
-// await waits until the connection is open or ctx ends. If both have happened, for example during a pause of this
-// process, the result of the connection counts, since the server is not at fault.
+// await waits until the dial has ended or ctx ends. If both have happened, for example during a pause of this
+// process, the result of the dial counts: the server is not at fault.
 func (d *pendingDial) await(ctx context.Context) error {
 	select {
 	case <-d.done:
@@ -57,22 +57,24 @@
 	}
 }
 
-// isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
+// isTrusted reports whether the certificate of the server is valid and trusted now. A plaintext connection is always
+// trusted.
 func (c *pooledConn) isTrusted() bool { return c.tls == nil || c.tls.IsTrusted(time.Now()) }
 
-// hasDrainNotice reports whether a drain notice of the server itself is in effect.
+// hasDrainNotice reports whether a drain notice that the server sent is in effect.
 func (p *pool) hasDrainNotice() bool {
 	return !p.drainNotifiedAt.IsZero() && time.Since(p.drainNotifiedAt) < drainNoticeTTL
 }
 
-// retireAll retires all connections: they accept no further calls.
+// retireAll makes all connections reject further calls.
 func (p *pool) retireAll() {
 	for _, conn := range p.conns {
 		conn.Retire()
 	}
 }
 
-// acquire returns a connection with a free slot for a call, and opens one if there is none.
+// acquire returns a connection to the server id with a free slot for a call. It opens a connection if no slot is
+// free.
 func (t *Transport) acquire(ctx context.Context, id string) (*server, *pooledConn, error) {
 	for {
 		srv, conn, dial, err := t.acquireOrDial(id)
@@ -85,7 +87,8 @@
 	}
 }
 
-// acquireOrDial returns a connection with a free slot or, if there is none, a pending connection to wait for.
+// acquireOrDial returns a connection to the server id with a free slot. If no slot is free, it returns a pending dial
+// to wait for.
 func (t *Transport) acquireOrDial(id string) (*server, *pooledConn, *pendingDial, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,14 +110,14 @@
 	return srv, nil, dial, err
 }
 
-// isDraining reports whether no new calls may be sent to a server, because the endpoint list or its own drain notice
-// says that it is draining.
+// isDraining reports whether srv must not receive new calls, because the endpoint list or its own drain notice says
+// that it is draining.
 func (t *Transport) isDraining(srv *server) bool {
 	return srv.WritesForbidden(t.drainWriteTime) || srv.State.hasDrainNotice()
 }
 
-// leastLoaded returns the connection with the fewest calls, if that has a free slot; nil if there is none. It retires
-// connections that are no longer trusted.
+// leastLoaded returns the connection with the fewest calls, or nil if no connection has a free slot. It retires
+// connections that are no longer trusted. maxCalls is the number of slots of each connection.
 func (p *pool) leastLoaded(maxCalls int) (best *pooledConn) {
 	for _, conn := range p.conns {
 		if !conn.isTrusted() {
@@ -128,8 +131,7 @@
 	return best
 }
 
-// dialLocked returns the pending connection to a server, and starts to open one if there is none. The caller holds the
-// mutex.
+// dialLocked returns the pending dial to srv, and starts a dial if there is none. The caller holds the mutex.
 func (t *Transport) dialLocked(srv *server) (*pendingDial, error) {
 	pool := srv.State
 	if pool.pendingDial != nil {
@@ -146,7 +148,7 @@
 	return dial, nil
 }
 
-// release frees the slot of a call that has ended.
+// release frees the slot of a call on conn that has ended.
 func (t *Transport) release(conn *pooledConn) {
 	t.mu.Lock()
 	conn.calls--
--- a/transport/msgpack/serverclose_test.go
+++ b/transport/msgpack/serverclose_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// writeHookContext is the context of an attempt. It calls functions immediately before and after the write.
+// writeHookContext is the context of an attempt. It calls beforeWrite and afterWrite immediately before and after the
+// write.
 type writeHookContext struct {
 	context.Context
 	beforeWrite, afterWrite func()
@@ -33,14 +34,16 @@
 
 func (c writeHookContext) EndWrite() { c.afterWrite() }
 
-// connectionEnding says how a server ends a connection at each of three times; nil: it does not end it then.
+// connectionEnding is a test case: the functions by which the server ends the connection before the attempt, before
+// the write and after the write. A nil function leaves the connection open at that time.
 type connectionEnding struct {
 	beforeAttempt, beforeWrite, afterWrite func(server *net.TCPConn)
 	want                                   policy.Code
 }
 
-// TestAttempt_ServerEndsIdleConn checks attempts on a connection that the server ends at the same moment. The outcome
-// of a call that was not written says that it did not run, and a call that was written is not written again.
+// TestAttempt_ServerEndsIdleConn checks the outcome of an attempt if the server ends the connection. Before the
+// attempt: the call succeeds on another connection. Before the write: the outcome is ConnectFailed, which says that
+// the call did not run. After the write: the outcome is Reset, and the call is not written again.
 func TestAttempt_ServerEndsIdleConn(t *testing.T) {
 	closeBoth := func(c *net.TCPConn) { _ = c.Close() }
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
@@ -108,14 +111,14 @@
 	return &router.Request{ID: id, Class: "pay", Tenant: "t", Method: "POST", Target: "/api"}
 }
 
-// firstConnServer answers one call on its first connection, and then passes the connection to the test through conns.
-// On its other connections it answers all calls.
+// firstConnServer is a server that answers one call on its first connection, and then passes the connection to the
+// test through conns. It answers all calls on other connections.
 type firstConnServer struct {
 	addr  string
 	conns chan *net.TCPConn
 }
 
-// newFirstConnServer returns a server that counts the calls on its other connections.
+// newFirstConnServer returns a server that counts the calls on its other connections in otherConnCalls.
 func newFirstConnServer(t *testing.T, otherConnCalls *atomic.Int32) *firstConnServer {
 	server := &firstConnServer{conns: make(chan *net.TCPConn, 1)}
 	var taken atomic.Bool
--- a/transport/msgpack/transport.go
+++ b/transport/msgpack/transport.go
@@ -1,5 +1,5 @@
-// Package msgpack makes attempts at servers over the protocol of docs/msgpack-rpc.md: many calls at once over few
-// connections. It is a router.Transport.
+// Package msgpack makes attempts at servers over the protocol of docs/msgpack-rpc.md, which carries many concurrent
+// calls over few connections. Transport implements router.Transport.
 package msgpack
 
 import (
@@ -23,21 +23,21 @@
 )
 
 const (
-	defaultServerIdleTimeout = 60 * time.Second // servers close idle connections after this time, unless configured
-	sweepInterval            = time.Second      // time between two checks for expired idle connections
-	// drainNoticeTTL is how long a server's own drain notice is in effect, unless the endpoint list names another
-	// process before that. Afterwards a connection is opened again; a server that is still draining repeats its
-	// notice on it.
+	defaultServerIdleTimeout = 60 * time.Second // idle timeout of servers, unless configured
+	sweepInterval            = time.Second      // time between two checks for expired connections
+	// drainNoticeTTL is the time for which a drain notice of a server is in effect. The notice ends early if the
+	// endpoint list names another process. Afterwards the transport opens a connection again. A server that is still
+	// draining repeats its notice on that connection.
 	drainNoticeTTL = 10 * time.Second
 )
 
 // Config configures a Transport.
 type Config struct {
-	Streams        int               // maximum of concurrent calls on a connection; 0: DefaultStreams
-	ConnsPerServer int               // maximum of connections to one server; 0: DefaultConnsPerServer
-	MaxConns       int               // maximum of connections to all servers; 0: DefaultMaxConns
-	ConnectTimeout time.Duration     // timeout of opening a TCP connection; 0: DefaultConnectTimeout
-	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none. The transport does not close it
+	Streams        int               // maximum number of concurrent calls on a connection; 0: DefaultStreams
+	ConnsPerServer int               // maximum number of connections to one server; 0: DefaultConnsPerServer
+	MaxConns       int               // maximum number of connections to all servers; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // timeout for opening a TCP connection; 0: DefaultConnectTimeout
+	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none; not closed by the transport
 }
 
 func (c Config) withDefaults() Config {
@@ -61,13 +61,13 @@
 	dialer  net.Dialer
 	stop    chan struct{}
 	tasks   sync.WaitGroup
-	written atomic.Uint64 // attempts that were written completely, counted when they end
+	written atomic.Uint64 // attempts that have ended and whose write completed or was in progress
 
 	mu               sync.Mutex
 	servers          servers.Table[*pool]
-	openConns        int // open connections, including those that are being opened
+	openConns        int // open connections, including pending dials
 	idleTimeout      time.Duration
-	drainWriteTime   time.Duration // time after the start of a drain in which calls may still be written
+	drainWriteTime   time.Duration // time after the start of a drain during which calls may still be written
 	loadReportFields []string      // names of the values in a load report, in order
 	closed           bool
 }
@@ -77,7 +77,7 @@
 	_ router.WriteCounter = (*Transport)(nil)
 )
 
-// New returns a transport without servers; Update adds them. The caller has to close it.
+// New returns a transport without servers. Update adds servers. The caller must close the transport.
 func New(config Config) *Transport {
 	config = config.withDefaults()
 	t := &Transport{
@@ -91,7 +91,7 @@
 	return t
 }
 
-// Configure applies the servers' idle timeout, the fields of load reports and the drain grace.
+// Configure applies the idle timeout of servers, the fields of load reports and the drain grace from s.
 func (t *Transport) Configure(s policy.Settings) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// removeServer retires the connections to a server that left the endpoint list. Calls in flight on them may still be
-// answered. The caller holds the mutex.
+// removeServer retires the connections to srv, which left the endpoint list. The server may still answer the calls in
+// flight. The caller holds the mutex.
 func (t *Transport) removeServer(srv *server) {
 	if t.config.TLS != nil {
 		t.config.TLS.RemoveServer(srv.ID)
@@ -131,7 +131,7 @@
 	srv.State.retireAll()
 }
 
-// CloseIdle closes the idle connections to one server.
+// CloseIdle closes the idle connections to the server id.
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// closeExpired closes idle connections that have exceeded the idle timeout or are no longer trusted.
+// closeExpired closes idle connections that exceed the idle timeout or are no longer trusted.
 func (t *Transport) closeExpired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,10 +180,11 @@
 	}
 }
 
-// Written returns the number of attempts that were written completely.
+// Written returns the number of attempts that have ended and were written. An attempt that ends during its write
+// counts too.
 func (t *Transport) Written() uint64 { return t.written.Load() }
 
-// Close closes all connections. It may be called once the last Attempt has returned.
+// Close closes all connections. The caller may call it after the last Attempt has returned.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	first := !t.closed
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome has the functions that the transports of all protocols share: they check whether an attempt may still
-// be written, determine the outcome of an attempt that got no response, and parse load reports.
+// Package outcome has the functions that the transports of all protocols share. They check whether an attempt may
+// still be written, determine the outcome of an attempt without a response, and parse load reports.
 package outcome
 
 import (
@@ -13,16 +13,16 @@
 	"cobaltward/router"
 )
 
-// ErrIdempotencyExpired means that servers may have forgotten the idempotency key of the request: writing the attempt
-// could run it a second time.
+// ErrIdempotencyExpired means that servers may have forgotten the idempotency key of the request. An attempt written
+// now could run the request a second time.
 var ErrIdempotencyExpired = errors.New("dedup window of the idempotency key has passed")
 
 // ErrAbandoned means that the request already has its answer, or that its client has disconnected.
 var ErrAbandoned = errors.New("attempt is abandoned")
 
-// CheckSendable returns an error if an attempt may not be written any more.
+// CheckSendable returns an error if the attempt with the context ctx must not be written any more.
 func CheckSendable(ctx context.Context) error {
-	// The attempt may have waited for its connection, so the time to send it may be over.
+	// The attempt may have waited for its connection beyond the time to send it.
 	if sendCtx, ok := ctx.(router.SendDeadlineContext); ok {
 		if sendBy := sendCtx.SendBy(); !sendBy.IsZero() && !time.Now().Before(sendBy) {
 			return ErrIdempotencyExpired
@@ -34,15 +34,15 @@
 	if abandonable, ok := ctx.(router.AbandonableContext); ok && abandonable.Abandoned() {
 		return ErrAbandoned
 	}
-	// The timer that ends ctx may fire late, so the deadline is compared with the clock too.
+	// The timer that ends ctx may fire late, so the clock is compared with the deadline too.
 	if deadline, ok := ctx.Deadline(); ok && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-// BeginWrite returns an error if an attempt may not be written. If it returns nil, the caller has to call EndWrite
-// after the write. Between the two calls the router delays a rejection of the request.
+// BeginWrite returns an error if the attempt with the context ctx must not be written. If it returns nil, the caller
+// must call EndWrite after the write. Between the two calls the router delays a rejection of the request.
 func BeginWrite(ctx context.Context) error {
 	guard, ok := ctx.(router.WriteGuardContext)
 	if ok && !guard.BeginWrite() {
@@ -55,15 +55,15 @@
 	return err
 }
 
-// EndWrite has to be called after a BeginWrite that returned no error, once the write has ended.
+// EndWrite ends the write that a successful BeginWrite has begun.
 func EndWrite(ctx context.Context) {
 	if guard, ok := ctx.(router.WriteGuardContext); ok {
 		guard.EndWrite()
 	}
 }
 
-// FailureCode returns the outcome of an attempt that got no response. mayRun is set if the last byte of the attempt may
-// have been written. Otherwise the server cannot have run the request, even if the deadline has passed.
+// FailureCode returns the outcome of an attempt without a response. mayRun is true if the last byte of the attempt
+// may have been written. Otherwise the server cannot have run the request, even if the deadline has passed.
 func FailureCode(ctx context.Context, mayRun bool) policy.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -76,9 +76,9 @@
 	return policy.Reset
 }
 
-// WriteNotStartedCode returns the outcome of an attempt that had a connection, but for which BeginWrite or a check
-// after it returned err. If the deadline passed before the write, this process was late and the server is not at
-// fault.
+// WriteNotStartedCode returns the outcome of an attempt that had a connection but was not written because of err. err
+// comes from BeginWrite or from a check after it. If the deadline passed before the write, this process was late and
+// the server is not at fault.
 func WriteNotStartedCode(ctx context.Context, err error) policy.Code {
 	code := FailureCode(ctx, false)
 	if code == policy.ConnectFailed && errors.Is(err, context.DeadlineExceeded) {
@@ -99,8 +99,8 @@
 // maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e9
 
-// ParseLoadReport parses `name=value,name=value` and returns the values of the given names, in the order of names. It
-// returns nil if the report lacks one of the names, or if any part of it is invalid.
+// ParseLoadReport parses text, which has the form name=value,name=value. It returns the values of names, in that
+// order. It returns nil if text lacks one of names or is invalid in any part.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/transport/secure/client.go
+++ b/transport/secure/client.go
@@ -1,6 +1,6 @@
-// Package secure implements TLS on connections to servers. It decides which servers use TLS and how each is verified,
-// limits handshakes, resumes sessions, and rechecks servers that failed verification. Transports run their handshakes
-// through it.
+// Package secure implements TLS on connections to servers. It decides which servers use TLS, and how each server is
+// verified. It limits handshakes, resumes sessions, and rechecks servers that failed verification. Transports run
+// their handshakes through it.
 package secure
 
 import (
@@ -17,24 +17,25 @@
 // DefaultHandshakeTimeout is the default of Config.HandshakeTimeout.
 const DefaultHandshakeTimeout = time.Second
 
-// ErrTooManyHandshakes is the error of a handshake that found the queue full. Nothing was sent, and the server is not
-// at fault.
+// ErrTooManyHandshakes is the error of a handshake that is rejected because the queue is full. Nothing was sent, and
+// the server is not at fault.
 var ErrTooManyHandshakes = errors.New("handshake queue is full")
 
 // Config configures a ClientTLS.
 type Config struct {
 	Rules            []Rule // the first rule that matches a server applies; servers without a rule use no TLS
 	Limits           handshakes.Limits
-	SlowStart        time.Duration // how long a server process warms up after its start; 0: not at all
+	SlowStart        time.Duration // warm-up time of a server process after its start; 0: none
 	HandshakeTimeout time.Duration // 0: DefaultHandshakeTimeout
 	ConnectTimeout   time.Duration // timeout of the TCP connection of a recheck; 0: HandshakeTimeout
 	CPU              *handshakes.CPUScheduler
-	// OnTrustChange is called when a server becomes untrusted or trusted. It must not block, nor call the ClientTLS.
+	// OnTrustChange is called when a server becomes untrusted or trusted. It must not block, and must not call the
+	// ClientTLS.
 	OnTrustChange func(server string, untrusted bool)
 	Log           *slog.Logger // nil: none
 }
 
-// ClientTLS is the client side of TLS towards servers. Its methods may be called concurrently.
+// ClientTLS is the client side of TLS on connections to servers. Its methods may be called concurrently.
 type ClientTLS struct {
 	config    Config
 	startedAt time.Time
@@ -46,7 +47,7 @@
 	mu        sync.Mutex
 	servers   map[string]*server // servers of the endpoint list that use TLS, by ID
 	limiter   *handshakes.Limiter
-	admitted  map[*handshakes.Reservation]chan struct{} // of queued handshakes; closed when the handshake may start
+	admitted  map[*handshakes.Reservation]chan struct{} // closed when the queued handshake may start
 	untrusted *handshakes.UntrustedBackoff
 	verified  map[verificationKey]validity
 	counters  counters
@@ -58,14 +59,14 @@
 	endpoint           router.Endpoint
 	rule               *Rule
 	sessions           sessionStore
-	certificateSerial  string // of the certificate in the last successful handshake, in hexadecimal
+	certificateSerial  string // hexadecimal serial of the certificate in the last successful handshake
 	certificateExpiry  time.Time
-	listedAt           time.Time // when the endpoint list first named the process
-	ownDigest          string    // last known digest of this node's certificate
-	ownDigestChangedAt time.Time // when ownDigest last changed
+	listedAt           time.Time // time when the endpoint list first named the process
+	ownDigest          string    // last known digest of the certificate of this node
+	ownDigestChangedAt time.Time // time of the last change of ownDigest
 }
 
-// New returns a ClientTLS. The caller has to close it. An error about a rule contains the index of the rule.
+// New returns a ClientTLS. The caller must close it. An error about a rule contains the index of the rule.
 func New(config Config) (*ClientTLS, error) {
 	for i := range config.Rules {
 		if err := config.Rules[i].Validate(); err != nil {
@@ -111,10 +112,10 @@
 	l.tasks.Wait()
 }
 
-// now returns the time since New, by the monotonic clock.
+// now returns the time since New by the monotonic clock.
 func (l *ClientTLS) now() time.Duration { return time.Since(l.startedAt) }
 
-// ruleFor returns the first rule that applies to a server; nil if the server uses no TLS.
+// ruleFor returns the first rule that applies to endpoint; nil if the server uses no TLS.
 func (l *ClientTLS) ruleFor(endpoint *router.Endpoint) *Rule {
 	for i := range l.config.Rules {
 		rule := &l.config.Rules[i]
@@ -129,10 +130,10 @@
 	return nil
 }
 
-// UsesTLS reports whether a server uses TLS.
+// UsesTLS reports whether the server endpoint uses TLS.
 func (l *ClientTLS) UsesTLS(endpoint *router.Endpoint) bool { return l.ruleFor(endpoint) != nil }
 
-// CheckTrusted returns an *UntrustedError if the server failed verification, and has not passed it since.
+// CheckTrusted returns an *UntrustedError if the server failed verification and has not passed it since.
 func (l *ClientTLS) CheckTrusted(endpoint *router.Endpoint) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +165,8 @@
 	return &server{endpoint: *endpoint, rule: rule, listedAt: time.Now(), ownDigest: ownDigest}
 }
 
-// RemoveServer drops the state of a server that was removed from the endpoint list, or replaced by another process.
+// RemoveServer drops the state of the server id. Transports call it when the server is removed from the endpoint list
+// or replaced by another process.
 func (l *ClientTLS) RemoveServer(id string) {
 	l.mu.Lock()
 	delete(l.servers, id)
@@ -176,8 +178,8 @@
 	}
 }
 
-// isWarmingUp reports whether the process of an endpoint may still be warming up. The time counts from when the
-// endpoint list first named the process, because its start time would be wrong after a step of the wall clock.
+// isWarmingUp reports whether the process of endpoint may still be warming up. The warm-up time counts from the first
+// endpoint list that names the process. The start time of the process would be wrong after a step of the wall clock.
 func (l *ClientTLS) isWarmingUp(endpoint *router.Endpoint) bool {
 	if l.config.SlowStart <= 0 || endpoint.Started.IsZero() {
 		return false
@@ -189,8 +191,8 @@
 	return !isListed || time.Since(known.listedAt) < l.config.SlowStart
 }
 
-// serverFor returns the state of the process of an endpoint. If the endpoint list names another process by now, it
-// returns a temporary state.
+// serverFor returns the state of the process of endpoint. If the endpoint list now names another process or rule,
+// serverFor returns a temporary state.
 func (l *ClientTLS) serverFor(endpoint *router.Endpoint, rule *Rule) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,7 +204,7 @@
 	return newServer(endpoint, rule)
 }
 
-// notifyTrust reports the current state of a server to OnTrustChange.
+// notifyTrust reports the current state of the server id to OnTrustChange.
 func (l *ClientTLS) notifyTrust(id string) {
 	l.notifyMu.Lock()
 	defer l.notifyMu.Unlock()
@@ -212,8 +214,8 @@
 	l.config.OnTrustChange(id, untrusted)
 }
 
-// InvalidateTrust drops the cached verifications and makes rechecks of all untrusted servers due. It has to be called
-// after the certificates or authorities of a rule were reloaded.
+// InvalidateTrust drops the cached verifications and makes the rechecks of all untrusted servers due. The caller must
+// call it after the certificates or authorities of a rule were reloaded.
 func (l *ClientTLS) InvalidateTrust() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/secure/conn.go
+++ b/transport/secure/conn.go
@@ -58,13 +58,13 @@
 	return tls.VersionName(c.state.Version), c.state.NegotiatedProtocol, c.state.PeerCertificates
 }
 
-// Close closes the connection without blocking: the close_notify alert is dropped if it cannot be written at once.
+// Close closes the connection without blocking. The close_notify alert is dropped if it cannot be written at once.
 func (c *Conn) Close() error {
 	c.raw.DropBlockingWrites()
 	return c.tls.Close()
 }
 
-// IsIdle reports whether the connection is open and has no unread data of the server. It processes messages of TLS
+// IsIdle reports whether the connection is open and has no unread data from the server. It handles messages of TLS
 // itself, such as new session tickets. No other goroutine may be reading.
 func (c *Conn) IsIdle() bool {
 	var data [1]byte
@@ -74,9 +74,9 @@
 	})
 }
 
-// IsTrusted reports whether the server's certificate is valid and trusted now, by the wall clock. A request may be
-// written only if it is. IsTrusted also returns false once the connection should be replaced because the certificate of
-// this node has changed.
+// IsTrusted reports whether a request may be written: the certificate of the server must be valid and trusted at the
+// wall-clock time now. After a change of the certificate of this node, IsTrusted returns false once the connection
+// should be replaced.
 func (c *Conn) IsTrusted(now time.Time) bool {
 	trustDigest, ownDigest := c.rule.digests()
 	c.mu.Lock()
@@ -97,7 +97,8 @@
 	return ownDigest == c.ownDigest || !c.client.shouldReplace(c, ownDigest, now)
 }
 
-// shouldReplace reports whether a connection on which this node presented a former certificate should be replaced now.
+// shouldReplace reports whether conn should be replaced now, because this node presented a former certificate on it.
+// ownDigest is the digest of the current certificate.
 func (l *ClientTLS) shouldReplace(conn *Conn, ownDigest string, now time.Time) bool {
 	if conn.rule.ClientCertificate == nil {
 		return false
--- a/transport/secure/conn_test.go
+++ b/transport/secure/conn_test.go
@@ -24,7 +24,7 @@
 	return certificates.Sources{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
 }
 
-// writePair issues a certificate for this node, and writes it to the files of sources.
+// writePair issues a certificate for this node, and writes the certificate and its key to the files of sources.
 func writePair(t *testing.T, ca *pki.Authority, sources certificates.Sources) {
 	t.Helper()
 	pair := ca.Issue(pki.Leaf{Names: []string{"node"}})
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestHandshake_SessionResumption checks that a session is resumed as long as the server process, the authorities and
-// the certificate of this node are the same, and that a handshake succeeds if the server does not accept the ticket.
+// TestHandshake_SessionResumption checks that a session is resumed only while the server process, the authorities and
+// the certificate of this node stay the same. A handshake must also succeed if the server rejects the ticket.
 func TestHandshake_SessionResumption(t *testing.T) {
 	ca, other := pki.NewAuthority("ours"), pki.NewAuthority("others")
 	trust, trustFile := openTrust(t, ca)
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestConn_IsIdle checks that a connection is idle if it has only unread messages of TLS itself, and not idle if it has
-// unread data or the close_notify alert of the server.
+// TestConn_IsIdle checks that a connection is idle if its only unread bytes are messages of TLS itself. Unread data
+// or a close_notify alert end the idle state.
 func TestConn_IsIdle(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
@@ -157,8 +157,9 @@
 	authority int
 }
 
-// TestConn_FollowsTrustChanges checks that a connection is trusted as long as the authority of its certificate is, and
-// that a handshake succeeds if and only if the server's certificate is trusted, whatever the order of changes.
+// TestConn_FollowsTrustChanges checks random sequences of trust changes, certificate changes and handshakes. A
+// connection is trusted while the authority of its certificate is trusted. A handshake succeeds if and only if the
+// certificate of the server is trusted.
 func TestConn_FollowsTrustChanges(t *testing.T) {
 	authorities := []*pki.Authority{pki.NewAuthority("a"), pki.NewAuthority("b"), pki.NewAuthority("c")}
 	configs := make([]*tls.Config, len(authorities))
@@ -205,7 +206,7 @@
 	}
 }
 
-// changeTrust makes the client trust a random subset of the authorities, with at least one of them.
+// changeTrust makes the client trust a random, non-empty subset of the authorities.
 func (m *trustModel) changeTrust(t *testing.T, rt *rapid.T) {
 	t.Helper()
 	var trusted []*pki.Authority
--- a/transport/secure/errors.go
+++ b/transport/secure/errors.go
@@ -26,7 +26,7 @@
 	reasonAlert            = "will not agree"
 )
 
-// Reasons of failures of the connection, which say nothing about the server's identity.
+// Reasons of connection failures. They say nothing about the identity of the server.
 const (
 	reasonCancelled = "called off"
 	reasonTimeout   = "no answer in time"
@@ -34,32 +34,33 @@
 	reasonBroken    = "broken off"
 )
 
-// UntrustedError is the error of a server that failed verification. No request was sent to it.
+// UntrustedError means that a server failed verification. No request was sent to the server.
 type UntrustedError struct {
 	Reason string // one of the reason constants above
-	Detail string // for people; it may differ for each failure
+	Detail string // human-readable detail; may differ for each failure
 }
 
 func (e *UntrustedError) Error() string { return e.Reason + ": " + e.Detail }
 
-// chainError returns the UntrustedError for an error with which crypto/x509 rejected a chain.
+// chainError returns the UntrustedError for err, with which crypto/x509 rejected a chain.
 func chainError(err error) *UntrustedError {
 	var unknown x509.UnknownAuthorityError
 	var invalid x509.CertificateInvalidError
 	switch {
 	case errors.As(err, &unknown):
 		return &UntrustedError{reasonUnknownAuthority, err.Error()}
-	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // an intermediate: the leaf was checked before
+	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // in an intermediate: the leaf was checked before
 		return &UntrustedError{reasonExpired, "in its chain: " + err.Error()}
 	}
 	return &UntrustedError{reasonInvalidChain, err.Error()}
 }
 
-// alertInternalError is the text of an alert about a fault of the server, which says nothing about its identity.
+// alertInternalError is the text of an alert about a fault in the server. It says nothing about the identity of the
+// server.
 const alertInternalError = "tls: internal error"
 
-// classifyError returns an *UntrustedError for an error which means that the server failed verification. It returns
-// other errors unchanged.
+// classifyError returns an *UntrustedError if err means that the server failed verification. It returns other errors
+// unchanged.
 func classifyError(err error) error {
 	var untrusted *UntrustedError
 	var header tls.RecordHeaderError
@@ -77,8 +78,7 @@
 	return err
 }
 
-// connectionFailureReason returns the reason by which a failure is counted that says nothing about the server's
-// identity.
+// connectionFailureReason returns the reason under which err, a failure of the connection, is counted.
 func connectionFailureReason(err error) string {
 	var netErr net.Error
 	switch {
--- a/transport/secure/handshake.go
+++ b/transport/secure/handshake.go
@@ -12,9 +12,9 @@
 	"cobaltward/router"
 )
 
-// Handshake opens a TLS connection to a server over a TCP connection that dial opens. It ends with queueCtx while it is
-// queued, and with ctx afterwards. urgent is set if a request waits for the connection. An *UntrustedError means that
-// the server failed verification.
+// Handshake opens a TLS connection to endpoint over the TCP connection that dial opens. A queued handshake ends with
+// queueCtx. A running handshake ends with ctx. urgent is true if a request waits for the connection. An
+// *UntrustedError means that the server failed verification.
 func (l *ClientTLS) Handshake(
 	queueCtx, ctx context.Context, endpoint *router.Endpoint, urgent bool, dial func() (*net.TCPConn, error),
 ) (*Conn, error) {
@@ -42,7 +42,7 @@
 	return conn, nil
 }
 
-// acquireSlot waits until a handshake may start.
+// acquireSlot waits until the handshake of slot may start.
 func (l *ClientTLS) acquireSlot(ctx context.Context, slot *handshakes.Reservation) error {
 	l.mu.Lock()
 	switch l.limiter.Acquire(slot) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// releaseSlot ends a reservation, and admits queued handshakes that may now start.
+// releaseSlot ends the reservation slot, and admits the queued handshakes that may now start.
 func (l *ClientTLS) releaseSlot(slot *handshakes.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// handshake runs the handshake over a TCP connection.
+// handshake runs the TLS handshake over tcp. It ends with ctx, and at the latest after HandshakeTimeout.
 func (c *Conn) handshake(ctx context.Context, tcp *net.TCPConn, urgent bool) error {
 	startedAt := time.Now()
 	deadline := startedAt.Add(c.client.config.HandshakeTimeout)
@@ -110,8 +110,8 @@
 		ServerName: c.rule.serverName(&c.endpoint),
 		NextProtos: c.rule.ALPN,
 		MinVersion: tls.VersionTLS13,
-		// VerifyConnection replaces the verification of crypto/tls, which covers only names and authorities, and does
-		// not verify resumed sessions.
+		// The verification of crypto/tls is disabled, because it covers neither pins nor URIs. VerifyConnection
+		// verifies the chain by the rule instead, also for resumed sessions.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) (err error) {
 			c.validity, err = c.client.verify(c.rule, &c.endpoint, state.PeerCertificates)
@@ -127,7 +127,7 @@
 		config.MinVersion = tls.VersionTLS12
 	}
 	if c.rule.ClientCertificate != nil {
-		certificate := new(tls.Certificate) // empty while the store has none: no certificate is sent
+		certificate := new(tls.Certificate) // empty: no certificate is sent, because the store has none yet
 		if pair := c.rule.ClientCertificate.Set().PairFor(""); pair != nil {
 			certificate = &pair.Cert
 		}
@@ -138,11 +138,11 @@
 	return config
 }
 
-// recordSuccess records that the server of a connection passed verification, and makes it trusted again.
+// recordSuccess records that the server of conn passed verification. An untrusted server becomes trusted again.
 func (l *ClientTLS) recordSuccess(conn *Conn) {
 	id, srv := conn.endpoint.ID, conn.server
 	l.mu.Lock()
-	// The success of a process that is no longer listed says nothing about the process that replaced it.
+	// A process that is no longer listed says nothing about the process that replaced it.
 	recovered := l.servers[id] == srv && l.untrusted.RecordSuccess(id)
 	srv.certificateSerial = conn.state.PeerCertificates[0].SerialNumber.Text(16)
 	srv.certificateExpiry = conn.validity.notAfter
@@ -153,8 +153,8 @@
 	}
 }
 
-// recordFailure counts a failed handshake. If the server failed verification, it makes the server untrusted. It returns
-// the error as classifyError does.
+// recordFailure counts a handshake with endpoint that failed with err. A server that failed verification becomes
+// untrusted. recordFailure returns err as classified by classifyError.
 func (l *ClientTLS) recordFailure(endpoint *router.Endpoint, srv *server, err error) error {
 	err = classifyError(err)
 	var untrusted *UntrustedError
@@ -162,7 +162,7 @@
 	l.mu.Lock()
 	if errors.As(err, &untrusted) {
 		l.counters.countFailure(untrusted.Reason)
-		if l.servers[endpoint.ID] == srv { // otherwise the server was removed, or replaced by another process
+		if l.servers[endpoint.ID] == srv { // otherwise the server was removed or replaced by another process
 			becameUntrusted = l.untrusted.RecordFailure(l.now(), endpoint.ID, untrusted.Reason)
 		}
 	} else {
@@ -177,8 +177,8 @@
 	return err
 }
 
-// DialTCP opens a TCP connection, for use in the dial function of Handshake. It fails with a timeout only if the
-// connection was not established in time, even if this process was paused and sees the timeout late.
+// DialTCP opens a TCP connection to addr. The dial function of Handshake uses it. A pause of this process does not
+// cause a timeout: DialTCP succeeds if the connection was established in time.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	return sockets.DialTCP(ctx, dialer, addr)
 }
--- a/transport/secure/handshake_test.go
+++ b/transport/secure/handshake_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/router"
 )
 
-// TestHandshake_FailureReasons checks the reason by which a failed handshake is counted if the server violates the
-// protocol or breaks the connection. A server that sends nothing must not hold up the handshake beyond its timeout.
+// TestHandshake_FailureReasons checks the reason under which a failed handshake is counted if the server violates the
+// protocol or breaks the connection. A server that sends nothing must not delay the handshake beyond its timeout.
 func TestHandshake_FailureReasons(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
@@ -59,7 +59,7 @@
 	}
 }
 
-// truncatedConn closes the connection once a number of bytes has been written.
+// truncatedConn is a connection that closes after a limited number of written bytes.
 type truncatedConn struct {
 	net.Conn
 	remaining int
@@ -74,9 +74,9 @@
 	return c.Conn.Write(p)
 }
 
-// TestHandshake_ConcurrencyLimits checks that a server has at most MaxPerServer concurrent handshakes, or
-// MaxPerWarmingServer while it is warming up, even if more are requested at once. Handshakes that find the queue full
-// are rejected.
+// TestHandshake_ConcurrencyLimits checks that 40 requested handshakes with one server respect the limits. At most
+// MaxPerServer handshakes run at once, or MaxPerWarmingServer while the server is warming up. A handshake that finds
+// the queue full is rejected.
 func TestHandshake_ConcurrencyLimits(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
@@ -153,7 +153,7 @@
 	return c.maximum
 }
 
-// handshakeConcurrently runs n handshakes at once, and returns how many succeeded and how many were rejected.
+// handshakeConcurrently runs n handshakes at once, and returns the numbers of successful and rejected handshakes.
 func handshakeConcurrently(t *testing.T, client *ClientTLS, endpoint router.Endpoint, n int) (succeeded, rejected int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -178,8 +178,8 @@
 	return succeeded, rejected
 }
 
-// TestUntrustedServer_IsRechecked checks that an untrusted server is rechecked although no request asks for it, and
-// that it is trusted once it passes verification.
+// TestUntrustedServer_IsRechecked checks that an untrusted server is rechecked without a request. The server is
+// trusted again once it passes verification.
 func TestUntrustedServer_IsRechecked(t *testing.T) {
 	ca := pki.NewAuthority("ours")
 	trust, _ := openTrust(t, ca)
--- a/transport/secure/recheck.go
+++ b/transport/secure/recheck.go
@@ -8,10 +8,10 @@
 	"cobaltward/router"
 )
 
-// recheckInterval is the time between two checks for untrusted servers that are due for a recheck.
+// recheckInterval is the time between two checks for untrusted servers with a due recheck.
 const recheckInterval = 50 * time.Millisecond
 
-// recheckUntrusted rechecks untrusted servers when they are due, until Close.
+// recheckUntrusted rechecks untrusted servers when their rechecks are due. It runs until Close.
 func (l *ClientTLS) recheckUntrusted() {
 	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
@@ -39,13 +39,13 @@
 	}
 }
 
-// recheck runs a handshake with an untrusted server, without a request.
+// recheck runs a handshake with the untrusted server endpoint. No request waits for the handshake.
 func (l *ClientTLS) recheck(endpoint router.Endpoint) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.config.ConnectTimeout+l.config.HandshakeTimeout)
 	defer cancel()
 	ended := make(chan struct{})
 	defer close(ended)
-	l.tasks.Go(func() { // cancels the recheck when Close is called, so that Close does not wait for the timeout
+	l.tasks.Go(func() { // cancels the recheck in Close, which must not wait for the timeout
 		select {
 		case <-l.stop:
 			cancel()
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -13,24 +13,24 @@
 	"cobaltward/router"
 )
 
-// Rule says whether the servers that it applies to use TLS, and how they are verified.
+// Rule says which servers use TLS, and how they are verified.
 type Rule struct {
-	// The servers to which the rule applies, by ID, zone, pool and kind. An empty list matches all.
+	// IDs, zones, pools and kinds of the servers to which the rule applies. An empty list matches all.
 	Servers, Zones, Pools, Kinds []string
 
 	Plaintext bool // the servers use no TLS
-	// ServerName is the expected name in the server's certificate; {id} and {zone} are replaced by the server's ID and
-	// zone. Empty means the host of the server's address.
+	// ServerName is the expected name in the certificate of the server. {id} and {zone} are replaced by the ID and
+	// the zone of the server. An empty ServerName means the host of the server's address.
 	ServerName string
-	// URIs replaces ServerName: the server's certificate must have one of these URIs. A * at the end matches any
+	// URIs replaces ServerName: the certificate of the server must have one of these URIs. A * at the end matches any
 	// suffix.
 	URIs          []string
-	PublicKeyPins []string // SHA-256 in hexadecimal; the server's public key must match one of them; empty: not checked
+	PublicKeyPins []string // hexadecimal SHA-256 hashes; one must match the server's public key; empty: not checked
 	AllowTLS12    bool
 	ALPN          []string
 
 	Trust             *certificates.Store // authorities that verify the server; may be nil if there are pins
-	ClientCertificate *certificates.Store // the certificate of this node; nil: none
+	ClientCertificate *certificates.Store // certificate of this node; nil: none
 }
 
 // Validate returns an error if the fields of the rule contradict each other or are malformed.
@@ -61,14 +61,15 @@
 	return nil
 }
 
-// isURIPattern reports whether a URI has a scheme, something else than wildcards after it, and a * at most at its end.
+// isURIPattern reports whether uri has a scheme and a part after it that is not only slashes and wildcards. A * is
+// allowed only at the end.
 func isURIPattern(uri string) bool {
 	scheme, path, ok := strings.Cut(uri, "://")
 	hasInnerWildcard := strings.Contains(strings.TrimSuffix(uri, "*"), "*")
 	return ok && scheme != "" && strings.Trim(path, "*/") != "" && !hasInnerWildcard
 }
 
-// matchesURI reports whether a URI matches a pattern of Rule.URIs.
+// matchesURI reports whether uri matches pattern, an element of Rule.URIs.
 func matchesURI(pattern, uri string) bool {
 	if prefix, ok := strings.CutSuffix(pattern, "*"); ok {
 		return strings.HasPrefix(uri, prefix) && len(uri) > len(prefix)
@@ -76,7 +77,7 @@
 	return pattern == uri
 }
 
-// matches reports whether the rule applies to a server.
+// matches reports whether the rule applies to endpoint.
 func (r *Rule) matches(endpoint *router.Endpoint) bool {
 	contains := func(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
 	inPools := func(pool string) bool { return slices.Contains(r.Pools, pool) }
@@ -86,7 +87,7 @@
 		(len(r.Pools) == 0 || slices.ContainsFunc(endpoint.Pools, inPools))
 }
 
-// serverName returns the name that a server's certificate has to have.
+// serverName returns the name that the certificate of endpoint must have.
 func (r *Rule) serverName(endpoint *router.Endpoint) string {
 	if r.ServerName != "" {
 		return strings.NewReplacer("{id}", endpoint.ID, "{zone}", endpoint.Zone).Replace(r.ServerName)
@@ -98,8 +99,8 @@
 	return host
 }
 
-// digests returns the digests of the authorities and of this node's certificate. A session is resumed only while both
-// are the same as when it was established.
+// digests returns the digests of the authorities and of the certificate of this node. A session is resumed only while
+// both digests are the same as in its first handshake.
 func (r *Rule) digests() (trustDigest, ownDigest string) {
 	if r.Trust != nil {
 		trustDigest = r.Trust.Set().TrustDigest
--- a/transport/secure/rule_test.go
+++ b/transport/secure/rule_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/router"
 )
 
-// TestRule_Verification checks that a handshake succeeds if and only if the server meets its rule, and that a server
-// which fails verification is untrusted from then on.
+// TestRule_Verification checks that a handshake succeeds if and only if the server meets its rule. A server that
+// fails verification must be untrusted afterwards.
 func TestRule_Verification(t *testing.T) {
 	for name, test := range newVerificationTests(t) {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestUsesTLS_FirstMatchingRule checks that the first rule which matches a server decides whether it uses TLS.
+// TestUsesTLS_FirstMatchingRule checks that the first matching rule decides whether a server uses TLS.
 func TestUsesTLS_FirstMatchingRule(t *testing.T) {
 	trust, _ := openTrust(t, pki.NewAuthority("ours"))
 	client := newClient(t, Config{Rules: []Rule{
--- a/transport/secure/session.go
+++ b/transport/secure/session.go
@@ -5,12 +5,13 @@
 	"sync"
 )
 
-// sessionStore holds the last session of a server process. One is enough, since each connection provides a new one.
+// sessionStore holds the last session of a server process. One session is enough, since each connection provides a
+// new session.
 type sessionStore struct {
 	mu          sync.Mutex
 	session     *tls.ClientSessionState // nil: none
 	trustDigest string                  // digest of the authorities when the session was established
-	ownDigest   string                  // digest of this node's certificate when the session was established
+	ownDigest   string                  // digest of the certificate of this node at that time
 }
 
 func (s *sessionStore) hasSession() bool {
@@ -19,15 +20,15 @@
 	return s.session != nil
 }
 
-// sessionCache is the tls.ClientSessionCache of one handshake. It offers only a session that was established under the
-// same authorities and the same certificate of this node.
+// sessionCache is the tls.ClientSessionCache of one handshake. It offers a session only if the authorities and the
+// certificate of this node were the same when the session was established.
 type sessionCache struct {
 	sessions    *sessionStore
 	trustDigest string
 	ownDigest   string
 }
 
-// Get returns the session to resume, and drops one that was established under other digests.
+// Get returns the session to resume. It drops a session that was established under other digests.
 func (c *sessionCache) Get(string) (*tls.ClientSessionState, bool) {
 	c.sessions.mu.Lock()
 	defer c.sessions.mu.Unlock()
@@ -37,7 +38,7 @@
 	return c.sessions.session, c.sessions.session != nil
 }
 
-// Put stores a session. A nil session removes the stored one.
+// Put stores session. A nil session removes the stored session.
 func (c *sessionCache) Put(_ string, session *tls.ClientSessionState) {
 	c.sessions.mu.Lock()
 	defer c.sessions.mu.Unlock()
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -9,7 +9,7 @@
 	"cobaltward/handshakes"
 )
 
-// counters counts handshakes by result. It is guarded by the mutex of its ClientTLS.
+// counters counts handshakes by result. The mutex of its ClientTLS guards it.
 type counters struct {
 	full, resumed    handshakes.Histogram
 	rejected, queued uint64
@@ -28,13 +28,13 @@
 	}
 }
 
-// ServerStatus is the certificate and the trust state of one server.
+// ServerStatus describes the certificate and the trust state of one server.
 type ServerStatus struct {
 	Server            string    `json:"server"`
-	CertificateSerial string    `json:"serial,omitempty"` // certificate of the last successful handshake, hexadecimal
+	CertificateSerial string    `json:"serial,omitempty"` // hexadecimal serial in the last successful handshake
 	CertificateExpiry time.Time `json:"ends,omitzero"`
 	UntrustedReason   string    `json:"refused,omitempty"` // empty: trusted
-	Rechecks          int       `json:"looks,omitempty"`   // rechecks that failed since the server became untrusted
+	Rechecks          int       `json:"looks,omitempty"`   // failed rechecks since the server became untrusted
 	UntrustedMs       int64     `json:"refused_for_ms,omitempty"`
 }
 
@@ -43,11 +43,11 @@
 	Full        handshakes.Histogram `json:"full"`
 	Resumed     handshakes.Histogram `json:"resumed"`
 	Failures    map[string]uint64    `json:"failures,omitempty"` // failed handshakes by reason
-	Running     int                  `json:"going"`              // handshakes that are running now
-	Queued      int                  `json:"waiting"`            // handshakes that are queued now
-	TotalQueued uint64               `json:"waited"`             // handshakes that were queued since the start
-	Rejected    uint64               `json:"turned_away"`        // handshakes that found the queue full
-	Sessions    int                  `json:"sessions"`           // servers with a session that can be resumed
+	Running     int                  `json:"going"`              // handshakes now running
+	Queued      int                  `json:"waiting"`            // handshakes now queued
+	TotalQueued uint64               `json:"waited"`             // queued handshakes since the start
+	Rejected    uint64               `json:"turned_away"`        // handshakes rejected because the queue was full
+	Sessions    int                  `json:"sessions"`           // servers with a resumable session
 	Untrusted   int                  `json:"refused"`            // untrusted servers
 	Servers     []ServerStatus       `json:"peers,omitempty"`    // sorted by server ID
 }
@@ -61,7 +61,7 @@
 	return float64(s.Resumed.Count) / float64(total)
 }
 
-// Stats returns a snapshot with all servers.
+// Stats returns a snapshot of the counts and of all servers.
 func (l *ClientTLS) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/secure/verify.go
+++ b/transport/secure/verify.go
@@ -16,7 +16,8 @@
 // maxVerified is the maximum number of cached verifications.
 const maxVerified = 2048
 
-// verificationKey is the key of a cached verification: everything that its result depends on, apart from the time.
+// verificationKey is the key of a cached verification. It contains everything that the result depends on, except the
+// time.
 type verificationKey struct {
 	chainHash   [sha256.Size]byte
 	rule        *Rule
@@ -27,12 +28,13 @@
 // validity is the period in which a certificate chain is valid.
 type validity struct{ notBefore, notAfter time.Time }
 
-// contains reports whether now is within the period. It compares by the wall clock, so that steps of the clock count.
+// contains reports whether now is within the period. It compares wall-clock times, so that a step of the clock takes
+// effect.
 func (v validity) contains(now time.Time) bool {
 	return !now.Before(v.notBefore) && !now.After(v.notAfter)
 }
 
-// verify is Rule.verify with a cache, since most connections of a server present the same chain.
+// verify is Rule.verify with a cache. Most connections of a server present the same chain.
 func (l *ClientTLS) verify(rule *Rule, endpoint *router.Endpoint, chain []*x509.Certificate) (validity, error) {
 	now := time.Now()
 	key := verificationKey{rule: rule, serverName: rule.serverName(endpoint)}
@@ -62,8 +64,8 @@
 	return verified, nil
 }
 
-// verify checks that a certificate chain proves the identity of a server. It returns the period in which the chain is
-// valid. Its errors are of the type *UntrustedError.
+// verify checks that chain proves the identity of endpoint. It returns the period in which chain is valid. All errors
+// are of type *UntrustedError.
 func (r *Rule) verify(endpoint *router.Endpoint, chain []*x509.Certificate, now time.Time) (validity, error) {
 	if len(chain) == 0 {
 		return validity{}, &UntrustedError{reasonNoCertificate, "the server presented none"}
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// checkPin checks that the public key matches one of the rule's pins, if the rule has any.
+// checkPin checks that the public key of leaf matches one of the pins, if the rule has pins.
 func (r *Rule) checkPin(leaf *x509.Certificate) error {
 	if len(r.PublicKeyPins) == 0 {
 		return nil
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// verifyChain verifies a chain against the rule's authorities, and returns its validity.
+// verifyChain verifies chain against the authorities of the rule, and returns its validity.
 func (r *Rule) verifyChain(chain []*x509.Certificate, now time.Time) (validity, error) {
 	roots := r.Trust.Set().Pool
 	if roots == nil { // with nil roots, crypto/x509 would trust the authorities of the operating system
@@ -152,8 +154,8 @@
 	return longest
 }
 
-// checkIdentity checks the URIs or the name in a certificate. If the rule pins the key and sets neither URIs nor a
-// name, the pin is enough.
+// checkIdentity checks the URIs or the name in leaf. The pin is enough if the rule has pins but neither URIs nor a
+// ServerName.
 func (r *Rule) checkIdentity(endpoint *router.Endpoint, leaf *x509.Certificate) error {
 	if len(r.URIs) > 0 {
 		if !slices.ContainsFunc(leaf.URIs, r.matchesAnyURI) {
--- a/transport/servers/servers.go
+++ b/transport/servers/servers.go
@@ -1,5 +1,5 @@
 // Package servers has the table in which a transport keeps its state for each server of the endpoint list. All
-// transports use it, so that moves, restarts and drains of servers follow the same rules for every protocol.
+// transports use the table, so that moves, restarts and drains follow the same rules for every protocol.
 package servers
 
 import (
@@ -9,16 +9,16 @@
 	"cobaltward/router"
 )
 
-// Server is one process of a server, with the state that a transport keeps for it.
+// Server is one process of a server, with the state S that a transport keeps for it.
 type Server[S any] struct {
 	ID, Addr string
 	Started  time.Time
 
-	Endpoint       router.Endpoint // the current entry of the endpoint list; the fields above never change
-	DrainStartedAt time.Time       // when the list first had the server as draining or removed; zero: it is running
-	State          S               // state of the transport
+	Endpoint       router.Endpoint // current entry of the endpoint list; the fields above never change
+	DrainStartedAt time.Time       // start of the drain, or time of the removal; zero: neither
+	State          S               // state that the transport keeps
 
-	removed bool // the server was removed from the list without having been draining before
+	removed bool // removed from the endpoint list without a drain
 }
 
 // Table holds the servers of an endpoint list. It is not safe for concurrent use.
@@ -28,19 +28,19 @@
 	idByAddr map[string]string
 }
 
-// New returns an empty table. onRemove is called for each server that leaves it.
+// New returns an empty table. onRemove is called for each server that is removed from the table.
 func New[S any](onRemove func(*Server[S])) Table[S] {
 	return Table[S]{onRemove: onRemove, byID: make(map[string]*Server[S]), idByAddr: make(map[string]string)}
 }
 
-// Get returns the server with an ID; nil if it is not in the table.
+// Get returns the server id; nil if the table does not have it.
 func (t *Table[S]) Get(id string) *Server[S] { return t.byID[id] }
 
 // All returns the servers by ID. The caller must not change the map.
 func (t *Table[S]) All() map[string]*Server[S] { return t.byID }
 
-// Update applies a change of the endpoint list. A server that moved or restarted is removed and added again, since the
-// connections to its former process cannot be used any more.
+// Update applies a change of the endpoint list. A server that moved or restarted is removed and added again, since
+// the connections to its former process are unusable.
 func (t *Table[S]) Update(update router.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
 		known := t.byID[endpoint.ID]
@@ -58,7 +58,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that are missing from a complete endpoint list.
+// removeUnlisted removes the servers that are missing from endpoints, a complete endpoint list.
 func (t *Table[S]) removeUnlisted(endpoints []router.Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for i := range endpoints {
@@ -71,8 +71,8 @@
 	}
 }
 
-// add adds a server, unless a server that started later has the same address. Only the last process at an address can
-// be reached there, and it must not receive requests for an earlier one.
+// add adds the server endpoint. It does nothing if a server that started later has the same address. Only the last
+// process at an address can be reached, and it must not receive requests for an earlier process.
 func (t *Table[S]) add(endpoint router.Endpoint) {
 	if id, taken := t.idByAddr[endpoint.Addr]; taken {
 		if t.byID[id].Started.After(endpoint.Started) {
@@ -84,7 +84,7 @@
 	t.idByAddr[endpoint.Addr] = endpoint.ID
 }
 
-// updateEndpoint stores an entry of the endpoint list, and records when its server began to drain.
+// updateEndpoint stores endpoint, an entry of the endpoint list, and records the start of a drain.
 func (t *Table[S]) updateEndpoint(endpoint router.Endpoint) {
 	server := t.byID[endpoint.ID]
 	if server == nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// remove removes a server. Attempts that still hold the Server see it as draining from now on.
+// remove removes the server id. Attempts that still hold the Server see it as draining from now on.
 func (t *Table[S]) remove(id string) {
 	server := t.byID[id]
 	if server == nil {
@@ -113,9 +113,8 @@
 	delete(t.idByAddr, server.Addr) // addresses are unique within the table
 }
 
-// WritesForbidden reports whether nothing may be written to the server any more, because it has been draining or
-// removed for at least the grace. With a grace of 0, writes to a server that was removed without draining remain
-// allowed.
+// WritesForbidden reports whether nothing more may be written to the server, because grace has passed since its drain
+// or removal. With a grace of 0, a server that was removed without a drain may still be written to.
 func (s *Server[S]) WritesForbidden(grace time.Duration) bool {
 	if s.DrainStartedAt.IsZero() || s.removed && grace == 0 {
 		return false
