--- a/transport/http1/conn.go
+++ b/transport/http1/conn.go
@@ -8,13 +8,13 @@
 	"cobaltward/transport/secure"
 )
 
-// conn is a connection to a server, in plaintext or with TLS. It does not embed net.TCPConn, because some of that
-// type's methods would bypass TLS.
+// conn is a connection to a server, in plaintext or with TLS. It does not embed net.TCPConn, because some methods of
+// net.TCPConn would bypass TLS.
 type conn struct {
 	tcp      *net.TCPConn
 	tls      *secure.Conn // nil: plaintext
 	server   *server
-	lastUsed time.Time // when the connection was opened, or when its last response ended
+	lastUsed time.Time // end of the last response, or opening of an unused connection
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -41,7 +41,8 @@
 func (c *conn) SetReadDeadline(t time.Time) error  { return c.tcp.SetReadDeadline(t) }
 func (c *conn) SetWriteDeadline(t time.Time) error { return c.tcp.SetWriteDeadline(t) }
 
-// isIdle reports whether the connection is open and has no unread data. No other goroutine may be reading from it.
+// isIdle reports whether the connection is open and has no unread data. No other goroutine may be reading from the
+// connection.
 func (c *conn) isIdle() bool {
 	if c.tls != nil {
 		return c.tls.IsIdle()
@@ -49,11 +50,12 @@
 	return sockets.IsIdle(c.tcp)
 }
 
-// isTrusted reports whether the server's certificate is valid and trusted now. A plaintext connection is trusted.
+// isTrusted reports whether the certificate of the server is valid and trusted now. A plaintext connection is always
+// trusted.
 func (c *conn) isTrusted(now time.Time) bool { return c.tls == nil || c.tls.IsTrusted(now) }
 
-// canReuse reports whether the reuse delay since the last response has passed. By then, a duplicate of that response
-// would have arrived.
+// canReuse reports whether the reuse delay after the last response has passed. A duplicate of that response would
+// have arrived by then.
 func (c *conn) canReuse(now time.Time) bool {
 	delay := reuseDelay
 	if c.tls != nil {
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -11,7 +11,7 @@
 	"cobaltward/transport/secure"
 )
 
-// acquire takes an idle connection to a server, or opens one.
+// acquire takes an idle connection to the server id, or opens a connection.
 func (t *Transport) acquire(ctx context.Context, id string) (*conn, error) {
 	s, c, err := t.reserve(id, true)
 	if c != nil || err != nil {
@@ -31,9 +31,9 @@
 	return nil, err
 }
 
-// openForRequest opens a connection. With TLS, the handshake continues after ctx has ended, so that the next request
-// can use the connection. In that case it returns errAttemptEnded, and a goroutine releases the connection to the pool
-// or gives up its reservation.
+// openForRequest opens a connection to srv. With TLS, the handshake continues after ctx has ended, so that the next
+// request can use the connection. openForRequest then returns errAttemptEnded. A goroutine later releases the
+// connection to the pool or gives up its reservation.
 func (t *Transport) openForRequest(ctx context.Context, srv *server) (*conn, error) {
 	if t.tls == nil {
 		return t.open(ctx, ctx, srv, true)
@@ -53,7 +53,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case r := <-opened: // the result counts although ctx has ended as well, since the server is not at fault
+	case r := <-opened: // the result counts although ctx has ended: the server is not at fault
 		return r.conn, r.err
 	default:
 	}
@@ -67,8 +67,8 @@
 	return nil, errAttemptEnded
 }
 
-// open opens a connection. forRequest is set if a request waits for it. A queued handshake ends with queueCtx, and a
-// running handshake ends with ctx.
+// open opens a connection to srv. forRequest is true if a request waits for the connection. A queued handshake ends
+// with queueCtx, and a running handshake ends with ctx.
 func (t *Transport) open(queueCtx, ctx context.Context, srv *server, forRequest bool) (*conn, error) {
 	var idle *conn
 	dial := func() (*net.TCPConn, error) {
@@ -97,8 +97,9 @@
 	return opened, nil
 }
 
-// takeIdleInstead returns a connection that became idle while a request was queued for a handshake, or nil. The idle
-// connection is already counted in openConns, so it removes the count that was reserved for the request.
+// takeIdleInstead returns a connection to s that became idle while a request was queued for a handshake, or nil.
+// openConns already counts the idle connection, so takeIdleInstead removes the count that was reserved for the
+// request.
 func (t *Transport) takeIdleInstead(s *server, forRequest bool) *conn {
 	if t.tls == nil || !forRequest {
 		return nil
@@ -115,7 +116,7 @@
 	return c
 }
 
-// endpointOf returns the current entry of the endpoint list for a server.
+// endpointOf returns the current entry of the endpoint list for s.
 func (t *Transport) endpointOf(s *server) router.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/errors.go
+++ b/transport/http1/errors.go
@@ -20,8 +20,8 @@
 	errEarlyResponse     = errors.New("server responded or closed before the end of the request body")
 )
 
-// readError returns errMalformedResponse if the response violates the protocol or its size limits, and err itself if
-// the connection failed.
+// readError classifies err, which ended the reading of a response. It returns err if the connection failed. It
+// returns errMalformedResponse if the response violates the protocol or, as limitReached says, the size limits.
 func readError(err error, limitReached bool) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) || !limitReached && errors.Is(err, io.ErrUnexpectedEOF) {
@@ -30,8 +30,8 @@
 	return errMalformedResponse
 }
 
-// failureCode returns the outcome of an attempt that got no response. mayRun is set if the last byte of the request may
-// have been written, so that the server may have run it.
+// failureCode returns the outcome of an attempt that got no response because of err. mayRun is true if the last byte
+// of the request may have been written. The server may have run the request only then.
 func failureCode(ctx context.Context, err error, mayRun bool) policy.Code {
 	code := outcome.FailureCode(ctx, mayRun)
 	if code == policy.Reset && errors.Is(err, errMalformedResponse) {
--- a/transport/http1/head.go
+++ b/transport/http1/head.go
@@ -9,10 +9,10 @@
 	"cobaltward/internal/ascii"
 )
 
-// responseHead is the part of a response's head that the transport uses.
+// responseHead contains the parts of a response head that the transport uses.
 type responseHead struct {
 	status      int
-	length      int  // of the body, in bytes; -1: unknown
+	length      int  // bytes of the body; -1: unknown
 	closeAfter  bool // the connection must be closed after this response
 	contentType string
 	loadReport  string // value of the X-Load header
@@ -21,17 +21,18 @@
 
 const (
 	protocolPrefix   = "HTTP/1.1 "
-	statusEnd        = len(protocolPrefix) + 3 // index after the three-digit status in a status line
-	maxLengthDigits  = 7                       // digits of a Content-Length that readSimpleHead accepts
+	statusEnd        = len(protocolPrefix) + 3 // index in a status line after the three digits of the status
+	maxLengthDigits  = 7                       // maximum digits of a Content-Length in a simple head
 	headEnd          = "\r\n\r\n"
 	lineEnd          = "\r\n"
 	headerWhitespace = " \t"
 )
 
-// readSimpleHead is the fast path for simple heads. A simple head is complete after the first read, has the version
-// HTTP/1.1, a final status that allows a body, and one Content-Length of digits only, and has no header that could
-// change where the body ends. For any other head it returns false and consumes nothing; the caller then uses net/http.
-// FuzzHead checks that net/http parses every simple head to the same result.
+// readSimpleHead is the fast path for simple heads. For any other head it returns false and consumes nothing; the
+// caller then uses net/http. FuzzHead checks that net/http parses every simple head to the same result.
+//
+// A simple head arrives complete with the first read and has the version HTTP/1.1. Its status is final and allows a
+// body. It has exactly one Content-Length, of digits only. No other header can change where the body ends.
 func readSimpleHead(in *bufio.Reader) (head responseHead, ok bool) {
 	if _, err := in.Peek(1); err != nil {
 		return responseHead{}, false
@@ -60,8 +61,8 @@
 	return parsed.responseHead, err == nil
 }
 
-// parseSimpleStatusLine parses the status line of a simple head. It reports false unless the status is final and allows
-// a body.
+// parseSimpleStatusLine parses line, the status line of a simple head. ok is false unless the status is final and
+// allows a body.
 func parseSimpleStatusLine(line []byte) (status int, ok bool) {
 	if len(line) <= statusEnd || string(line[:len(protocolPrefix)]) != protocolPrefix {
 		return 0, false
@@ -77,7 +78,7 @@
 	return status, true
 }
 
-// simpleHead collects the headers of a simple head.
+// simpleHead collects the headers of a simple head during parsing.
 type simpleHead struct {
 	responseHead
 	seen headerSet
@@ -94,7 +95,7 @@
 	headerContentLength
 )
 
-// addLine parses a header line. It reports false if a simple head cannot have this line.
+// addLine parses line, a header line. It returns false if a simple head cannot contain line.
 func (h *simpleHead) addLine(line []byte) bool {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isPrintableText(line) || !isSimpleHeaderName(line[:colon]) {
@@ -124,7 +125,7 @@
 		!ascii.EqualFold(name, "upgrade")
 }
 
-// isFirst records a header as seen. It reports whether this is its first occurrence.
+// isFirst reports whether header occurs for the first time, and records the occurrence.
 func (h *simpleHead) isFirst(header headerSet) bool {
 	if h.seen&header != 0 {
 		return false
@@ -133,7 +134,7 @@
 	return true
 }
 
-// isPrintableText reports whether a line contains only printable ASCII characters and tabs.
+// isPrintableText reports whether line contains only printable ASCII characters and tabs.
 func isPrintableText(line []byte) bool {
 	for _, char := range line {
 		if char < ' ' && char != '\t' || char > '~' {
@@ -143,7 +144,7 @@
 	return true
 }
 
-// isSimpleHeaderName reports whether a header name contains only letters, digits and dashes.
+// isSimpleHeaderName reports whether name contains only letters, digits and dashes.
 func isSimpleHeaderName(name []byte) bool {
 	for _, char := range name {
 		if (char|0x20 < 'a' || char|0x20 > 'z') && (char < '0' || char > '9') && char != '-' {
@@ -153,7 +154,7 @@
 	return true
 }
 
-// readHead reads a head with net/http, and skips the 1xx responses before it.
+// readHead reads a response head with net/http. It skips 1xx responses before the head.
 func readHead(in *bufio.Reader, limit *io.LimitedReader, method string) (responseHead, *http.Response, error) {
 	for interim := 0; ; interim++ {
 		resp, err := http.ReadResponse(in, &http.Request{Method: method})
@@ -185,7 +186,7 @@
 // finalChunk is the end of a chunked body without trailers.
 var finalChunk = []byte("\r\n0\r\n\r\n")
 
-// hasFinalChunk reports whether the buffered bytes end like a chunked body. Data within a chunk can look the same.
+// hasFinalChunk reports whether the buffered bytes end like a chunked body. Data within a chunk can end the same way.
 func hasFinalChunk(in *bufio.Reader) bool {
 	buffered, _ := in.Peek(in.Buffered())
 	return bytes.HasSuffix(buffered, finalChunk)
--- a/transport/http1/head_test.go
+++ b/transport/http1/head_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// headSeeds are responses: first five with a simple head, then those whose head readSimpleHead has to reject.
+// headSeeds are responses. The first five have a simple head. readSimpleHead must reject the heads of the rest.
 var headSeeds = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	"HTTP/1.1 200 OK\r\ncontent-length:2\r\nConnection: close\r\n\r\nok",
@@ -42,7 +42,7 @@
 	"",
 }
 
-// compareWithNetHTTP checks that readSimpleHead either consumes nothing, or parses raw as net/http does.
+// compareWithNetHTTP checks that readSimpleHead either consumes nothing of raw, or parses raw as net/http does.
 func compareWithNetHTTP(t *testing.T, raw []byte) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(raw))
@@ -79,7 +79,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) { compareWithNetHTTP(t, raw) })
 }
 
-// TestReadSimpleHead_AcceptsOnlySimpleHeads checks that readSimpleHead accepts the first five seeds only.
+// TestReadSimpleHead_AcceptsOnlySimpleHeads checks that readSimpleHead accepts only the first five seeds.
 func TestReadSimpleHead_AcceptsOnlySimpleHeads(t *testing.T) {
 	for i, raw := range headSeeds {
 		_, ok := readSimpleHead(bufio.NewReader(strings.NewReader(raw)))
--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -7,17 +7,17 @@
 	"cobaltward/transport/servers"
 )
 
-// server is one process of a server, with its connection pool.
+// server is one process of a server. State holds its connection pool.
 type server = servers.Server[serverPool]
 
 // serverPool is the connection pool of one server.
 type serverPool struct {
-	idle        []*conn   // idle connections by ascending lastUsed
-	lastRequest time.Time // when a request last asked for a connection
+	idle        []*conn   // idle connections, sorted by ascending lastUsed
+	lastRequest time.Time // time of the last request for a connection
 	connecting  int       // number of preconnects in progress
 }
 
-// closeOldest closes the n connections of a server that have been idle the longest. The caller holds the mutex.
+// closeOldest closes the n connections to s that have been idle the longest. The caller holds the mutex.
 func (t *Transport) closeOldest(s *server, n int) {
 	for _, c := range s.State.idle[:n] {
 		_ = c.Close()
@@ -26,7 +26,7 @@
 	t.openConns -= n
 }
 
-// closeExpired closes connections that have exceeded the idle timeout, that their server has closed, or that are no
+// closeExpired closes idle connections that exceed the idle timeout, that their server has closed, or that are no
 // longer trusted.
 func (t *Transport) closeExpired(now time.Time) {
 	t.mu.Lock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// reserve returns an idle connection to a server. If there is none, it returns a nil connection and counts one more in
-// openConns, which the caller then has to open. forRequest is set if a request needs the connection.
+// reserve returns an idle connection to the server id. If there is none, it returns a nil connection and counts one
+// more connection in openConns, which the caller must open. forRequest is true if a request needs the connection.
 func (t *Transport) reserve(id string, forRequest bool) (*server, *conn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,15 +68,15 @@
 	return srv, nil, nil
 }
 
-// unreserve undoes the count of reserve for a connection that could not be opened.
+// unreserve removes the count that reserve has added, if the connection could not be opened.
 func (t *Transport) unreserve() {
 	t.mu.Lock()
 	t.openConns--
 	t.mu.Unlock()
 }
 
-// takeIdle removes the most recently used idle connection that can be reused from the pool, and returns it; nil if
-// there is none. The caller holds the mutex.
+// takeIdle returns the most recently used idle connection to s that can be reused, and removes it from the pool. It
+// returns nil if there is none. The caller holds the mutex.
 func (t *Transport) takeIdle(s *server, now time.Time) *conn {
 	for i := len(s.State.idle) - 1; i >= 0; i-- {
 		c := s.State.idle[i]
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// closeOldestOfAll closes the connection that has been idle the longest, of all servers. It reports whether there was
-// one. The caller holds the mutex.
+// closeOldestOfAll closes the connection that has been idle the longest among all servers. It returns false if no
+// connection is idle. The caller holds the mutex.
 func (t *Transport) closeOldestOfAll() bool {
 	var oldest *server
 	for _, s := range t.servers.All() {
@@ -114,9 +114,9 @@
 	return true
 }
 
-// release returns a connection to the pool if it can serve another request, and closes it otherwise. It inserts the
-// connection in the order of lastUsed, which an attempt that wrote nothing does not change: for the server, the
-// connection has been idle all the time.
+// release returns connection to the pool of the server id if reusable is true, and closes it otherwise. The pool is
+// sorted by lastUsed. An attempt that wrote nothing does not change lastUsed, because for the server the connection
+// has been idle all the time.
 func (t *Transport) release(connection *conn, id string, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestPool_ReplacesConnClosedByServer checks that a connection which the server closed while idle is not written to.
+// TestPool_ReplacesConnClosedByServer checks that nothing is written to an idle connection that the server has
+// closed.
 func TestPool_ReplacesConnClosedByServer(t *testing.T) {
 	addr := testkit.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		if testkit.ReadFullRequest(r) {
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestUpdate_ClosesIdleConns checks that a change of the endpoint list closes the idle connections to a server that was
-// removed or restarted, and only those.
+// TestUpdate_ClosesIdleConns checks that a change of the endpoint list closes the idle connections to a removed or
+// restarted server. Other idle connections must stay open.
 func TestUpdate_ClosesIdleConns(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	base := testEndpoints(addr)[0]
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestPool_UnsolicitedBytesCloseConn checks that a connection is not reused if the server sends bytes after a response
-// while the connection is idle.
+// TestPool_UnsolicitedBytesCloseConn checks that a connection is not reused if the server sends bytes after a
+// response while the connection is idle.
 func TestPool_UnsolicitedBytesCloseConn(t *testing.T) {
 	const responseHead = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
 	for _, trailing := range []string{responseHead + "x", "noise"} {
@@ -153,8 +154,8 @@
 	}
 }
 
-// TestUpdate_AddressReusedByNewServer checks that requests at an address go to the server that started last, even if
-// the endpoint list still has an older server with the same address.
+// TestUpdate_AddressReusedByNewServer checks that requests at an address go to the server that started last. The
+// endpoint list may still contain an older server with the same address.
 func TestUpdate_AddressReusedByNewServer(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	transport := testTransport(t, addr)
@@ -174,8 +175,8 @@
 	}
 }
 
-// TestAttempt_LocalResourceExhaustion checks that an attempt whose connection fails for lack of a local resource is
-// Superseded: the server is not at fault, and cannot have run the request.
+// TestAttempt_LocalResourceExhaustion checks the outcome of an attempt whose connection fails for lack of a local
+// resource. The outcome is Superseded: the server is not at fault, and cannot have run the request.
 func TestAttempt_LocalResourceExhaustion(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestPool_AbandonedAttemptKeepsIdleTime checks that attempts which write nothing do not extend the idle time of a
-// connection. Otherwise the pool would reuse a connection that the server closes as idle at that moment.
+// TestPool_AbandonedAttemptKeepsIdleTime checks that attempts that write nothing do not extend the idle time of a
+// connection. Otherwise the pool would reuse a connection just as the server closes it.
 func TestPool_AbandonedAttemptKeepsIdleTime(t *testing.T) {
 	const serverIdleTimeout = 600 * time.Millisecond
 	var conns atomic.Int32
@@ -230,8 +231,8 @@
 
 func (abandonedContext) Abandoned() bool { return true }
 
-// TestRelease_KeepsLastUsedOrder checks that the idle connections of a server are sorted by their last use, whatever
-// the order in which they are released.
+// TestRelease_KeepsLastUsedOrder checks that the idle connections of a server stay sorted by their last use,
+// regardless of the order of release.
 func TestRelease_KeepsLastUsedOrder(t *testing.T) {
 	transport := testTransport(t, "127.0.0.1:9")
 	srv := transport.servers.Get("s0")
@@ -242,5 +243,5 @@
 	if !slices.IsSortedFunc(srv.State.idle, func(a, b *conn) int { return a.lastUsed.Compare(b.lastUsed) }) {
 		t.Error("idle connections are not sorted by their last use")
 	}
-	srv.State.idle = nil // the connections of this test have no sockets that could be closed
+	srv.State.idle = nil // the connections of this test have no sockets to close
 }
--- a/transport/http1/preconnect.go
+++ b/transport/http1/preconnect.go
@@ -7,11 +7,11 @@
 	"cobaltward/policy"
 )
 
-// preconnectInterval is the interval between two rounds of preconnects.
+// preconnectInterval is the time between two rounds of preconnects.
 const preconnectInterval = 100 * time.Millisecond
 
-// preconnect opens TLS connections to servers before requests need them, so that requests do not wait for handshakes.
-// It runs until the transport is closed.
+// preconnect opens TLS connections to servers ahead of requests, so that requests do not wait for handshakes. It runs
+// until the transport is closed.
 func (t *Transport) preconnect() {
 	startedAt := time.Now()
 	ticker := time.NewTicker(preconnectInterval)
@@ -28,7 +28,7 @@
 	}
 }
 
-// preconnectTo starts to open a connection to a server, unless one has become idle in the meantime.
+// preconnectTo starts to open a connection to the server id, unless a connection is idle by now.
 func (t *Transport) preconnectTo(id string) {
 	s, c, err := t.reserve(id, false)
 	if err != nil {
@@ -44,7 +44,7 @@
 	t.dials.Go(func() { t.openAhead(s, id) })
 }
 
-// openAhead opens a connection that no request waits for.
+// openAhead opens a connection to s, without a request that waits for it.
 func (t *Transport) openAhead(s *server, id string) {
 	c, err := t.open(t.ctx, t.ctx, s, false)
 	t.mu.Lock()
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-const readAheadChunk = 16 << 10 // bytes of one read from a body
+const readAheadChunk = 16 << 10 // maximum bytes of one read from a body
 
-// readAhead buffers a body of unknown length ahead of its reader, up to maxBuffered bytes. The transport can thus wait
-// for a limited time whether the body ends soon, before it forwards the beginning. Its methods may be called
+// readAhead buffers a body of unknown length ahead of its reader, up to about maxBuffered bytes. The transport can
+// thus wait a limited time for the end of the body before it forwards the beginning. The methods may be called
 // concurrently.
 type readAhead struct {
 	body io.Reader
@@ -17,11 +17,11 @@
 	mu          sync.Mutex
 	changed     sync.Cond // signals changes of the fields below; uses mu
 	buffered    []byte
-	err         error         // error that ended the body, io.EOF included; nil until then
-	ready       chan struct{} // closed when the body has ended, or maxBuffered was reached
+	err         error         // error that ended the body, including io.EOF; nil: not ended
+	ready       chan struct{} // closed when the body has ended or maxBuffered is reached
 	isReady     bool          // ready is closed
-	maxBuffered int           // maximum length of buffered before run waits, in bytes
-	closed      bool          // the reader has gone: waiting goroutines return
+	maxBuffered int           // length of buffered, in bytes, from which run waits
+	closed      bool          // the reader has left: waiting goroutines return
 }
 
 func newReadAhead(body io.Reader) *readAhead {
@@ -30,8 +30,8 @@
 	return a
 }
 
-// run reads until the body ends or, after close, until the next read returns. The caller has to make sure that reads
-// end at some time: by the end of the body, a read deadline, or the close of the connection.
+// run reads until the body ends or, after close, until the next read returns. The caller must ensure that reads end:
+// by the end of the body, a read deadline, or the close of the connection.
 func (a *readAhead) run() {
 	chunk := make([]byte, readAheadChunk)
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// add waits for space in the buffer, and appends data and the error that came with it. It reports whether run has to
+// add waits for space in the buffer, and appends the result of one read: data and err. ended is true if run must
 // stop.
 func (a *readAhead) add(data []byte, err error) (ended bool) {
 	a.mu.Lock()
@@ -62,7 +62,7 @@
 	return err != nil || a.closed
 }
 
-// Read returns buffered bytes, and waits while there are none.
+// Read returns buffered bytes. It waits while the buffer is empty.
 func (a *readAhead) Read(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,8 +84,8 @@
 	return 0, io.ErrClosedPipe
 }
 
-// result returns the body or its error if the body has ended. complete is false if it has not ended, or if it is longer
-// than maxBodyBytes.
+// result returns the body, or its error, if the body has ended. complete is false if the body has not ended or is
+// longer than maxBodyBytes.
 func (a *readAhead) result() (body []byte, complete bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,7 +99,7 @@
 	return nil, true, a.err
 }
 
-// stopHolding lowers maxBuffered to one chunk, since from now on the body is forwarded as it arrives. It reports
+// stopHolding lowers maxBuffered to one chunk, since the body is forwarded as it arrives from now on. hasData reports
 // whether any bytes are buffered.
 func (a *readAhead) stopHolding() (hasData bool) {
 	a.mu.Lock()
@@ -108,8 +108,8 @@
 	return len(a.buffered) > 0
 }
 
-// awaitFirstByte waits for the first byte of the body, or for the end of an empty body. An error before that allows the
-// router to retry the attempt.
+// awaitFirstByte waits for the first byte of the body, or for the end of an empty body. An error before the first
+// byte allows the router to retry the attempt.
 func (a *readAhead) awaitFirstByte() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/http1/request.go
+++ b/transport/http1/request.go
@@ -10,9 +10,11 @@
 	"cobaltward/router"
 )
 
-// writeRequest appends r to out as an HTTP/1.1 request. The body of an upload is written separately. It adds no headers
-// such as User-Agent that the client did not send. It reports false if a field would break the framing of the request,
-// because frontends of other protocols may pass any bytes.
+// writeRequest appends r to out as an HTTP/1.1 request, without the body of an upload. addr is the default host. No
+// headers are added that the client did not send, such as User-Agent.
+//
+// writeRequest returns false if a field would break the framing of the request. Frontends of other protocols may pass
+// any bytes.
 func writeRequest(ctx context.Context, out *bytes.Buffer, addr string, r *router.Request) bool {
 	target, host := r.Target, r.Authority
 	if target == "" {
@@ -46,7 +48,7 @@
 	return true
 }
 
-// writeDeadline writes the time that remains for the request as X-Deadline-Ms, at least 1 ms.
+// writeDeadline writes the remaining time of the request as X-Deadline-Ms, at least 1 ms.
 func writeDeadline(ctx context.Context, out *bytes.Buffer, r *router.Request) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -74,7 +76,7 @@
 	}
 }
 
-// isValidMethod reports whether s consists of ASCII letters, at least one.
+// isValidMethod reports whether s is a non-empty string of ASCII letters.
 func isValidMethod(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if (s[i] < 'A' || s[i] > 'Z') && (s[i] < 'a' || s[i] > 'z') {
@@ -84,8 +86,8 @@
 	return s != ""
 }
 
-// isValidTargetOrHost reports whether s can be a request target or a host: it is not empty, and has no spaces or
-// control characters.
+// isValidTargetOrHost reports whether s can be a request target or a host: not empty, without spaces and control
+// characters.
 func isValidTargetOrHost(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] == 0x7f {
@@ -95,7 +97,7 @@
 	return s != ""
 }
 
-// isValidHeaderValue reports whether s can be the value of a header: it has no control characters except tabs.
+// isValidHeaderValue reports whether s can be the value of a header: without control characters, except tabs.
 func isValidHeaderValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -10,33 +10,35 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10 // maximum body of a response that is not streamed
+	maxBodyBytes        = 64 << 10 // maximum body of a response without a stream
 	maxHeadBytes        = 16 << 10 // maximum head of a response
-	maxInterimResponses = 8        // 1xx responses before the final one
+	maxInterimResponses = 8        // maximum number of 1xx responses before the final response
 )
 
 // statusLinePrefix is the beginning of every response.
 const statusLinePrefix = "HTTP/1."
 
-// response is a response of a server, with either a body or a stream.
+// response is a response of a server. It has either a body or a stream.
 type response struct {
 	head   responseHead
 	body   []byte
-	stream router.Stream // a long body; it owns the connection and the bufio.Reader
+	stream router.Stream // long body; owns the connection and the bufio.Reader
 }
 
 // responseReader reads one response.
 type responseReader struct {
 	transport *Transport
 	in        *bufio.Reader
-	limit     *io.LimitedReader // from which in reads
+	limit     *io.LimitedReader // source of in
 	conn      *conn
 	serverID  string
 }
 
-// readResponse reads one response, within the limits maxHeadBytes and maxBodyBytes. If r accepts a stream, a body that
-// is longer, or that is slow and of unknown length, becomes one. A response is malformed if its body does not match its
-// framing, or if it is followed by bytes that do not begin another response: they may belong to its body.
+// readResponse reads the response to r from c, within the limits maxHeadBytes and maxBodyBytes. If r accepts a
+// stream, a longer body becomes a stream. A slow body of unknown length becomes a stream too.
+//
+// A response is malformed if its body does not match its framing. It is also malformed if it is followed by bytes
+// that do not begin another response, because those bytes may belong to its body.
 func (t *Transport) readResponse(in *bufio.Reader, c *conn, server string, r *router.Request) (response, error) {
 	limit := &io.LimitedReader{R: c, N: maxHeadBytes}
 	in.Reset(limit)
@@ -74,7 +76,8 @@
 	return response{head: head, body: body, stream: stream}, err
 }
 
-// readFixedLength reads a body whose length is in the head, or returns a stream of it if it is too long to buffer.
+// readFixedLength reads a body whose length is in head. It returns a stream if the body is too long to buffer and
+// acceptsStream is true.
 func (rd *responseReader) readFixedLength(head responseHead, acceptsStream bool) (response, error) {
 	if head.length > maxBodyBytes {
 		if !acceptsStream || head.status != http.StatusOK {
@@ -97,7 +100,7 @@
 	return response{head: head, body: body}, nil
 }
 
-// readShortBody reads a body of at most maxBodyBytes with net/http.
+// readShortBody reads the body of resp, at most maxBodyBytes, with net/http.
 func readShortBody(limit *io.LimitedReader, resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodyBytes {
 		return nil, errMalformedResponse
--- a/transport/http1/roundtrip.go
+++ b/transport/http1/roundtrip.go
@@ -15,8 +15,8 @@
 	"cobaltward/transport/secure"
 )
 
-// Attempt sends r to the server once, and waits for the complete response until ctx ends. The end of ctx closes the
-// connection, which tells the server that the request was cancelled.
+// Attempt sends r to server once, and waits for the response until ctx ends. The end of ctx closes the connection,
+// which tells the server that the request was cancelled. A long response is returned as a stream.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	connection, err := t.acquire(ctx, server)
 	switch {
@@ -33,15 +33,15 @@
 		if stop() {
 			return result
 		}
-		_ = stream.Close() // ctx ended while the beginning of the response was read
+		_ = stream.Close() // ctx ended during the reading of the beginning
 		return router.Result{Code: failureCode(ctx, net.ErrClosed, true)}
 	}
 	t.release(connection, server, stop() && reusable)
 	return result
 }
 
-// afterFunc is context.AfterFunc. It avoids the cost of that function for a context that has an AfterFunc method
-// itself, as the router's contexts have.
+// afterFunc is context.AfterFunc. If ctx has an AfterFunc method, as the contexts of the router have, afterFunc calls
+// the method directly. That avoids the cost of context.AfterFunc.
 func afterFunc(ctx context.Context, f func()) (stop func() bool) {
 	if own, ok := ctx.(router.AfterFuncContext); ok {
 		return own.AfterFunc(f)
@@ -49,7 +49,8 @@
 	return context.AfterFunc(ctx, f)
 }
 
-// roundTrip writes r and reads its response. reusable reports whether the connection can serve another request.
+// roundTrip writes r to connection and reads the response. reusable reports whether connection can serve another
+// request.
 func (t *Transport) roundTrip(
 	ctx context.Context, connection *conn, server string, r *router.Request,
 ) (result router.Result, reusable bool) {
@@ -70,8 +71,9 @@
 	return t.resultOf(resp), !resp.head.closeAfter
 }
 
-// send writes r. If sent is false, the last byte was not written, so the server cannot have run the request. In that
-// case failure is the outcome of the attempt, and reusable reports whether the connection can serve another request.
+// send writes r to connection. If sent is false, the last byte was not written, so the server cannot have run the
+// request. failure is then the outcome of the attempt, and reusable reports whether connection can serve another
+// request.
 func (t *Transport) send(
 	ctx context.Context, connection *conn, r *router.Request,
 ) (failure router.Result, sent, reusable bool) {
@@ -81,7 +83,7 @@
 	if !writeRequest(ctx, out, connection.server.Addr, r) {
 		return router.Result{Code: policy.Superseded}, false, true // invalid request: the server is not at fault
 	}
-	// Time may have passed since the router decided on this attempt, for example while the process was paused.
+	// Time may have passed since the router decided on this attempt, for example during a pause of the process.
 	if err := t.beginWrite(ctx, connection.server); err != nil {
 		reusable = errors.Is(err, errServerDraining) || errors.Is(err, outcome.ErrAbandoned)
 		return router.Result{Code: outcome.WriteNotStartedCode(ctx, err)}, false, reusable
@@ -91,7 +93,7 @@
 		return router.Result{Code: policy.Untrusted}, false, false
 	}
 	if r.Upload != nil {
-		outcome.EndWrite(ctx) // upload calls BeginWrite and EndWrite for each part that it writes
+		outcome.EndWrite(ctx) // upload calls BeginWrite and EndWrite for each part
 		failure, sent = t.upload(ctx, connection, out, r)
 		return failure, sent, false
 	}
@@ -103,7 +105,7 @@
 	return router.Result{}, true, false
 }
 
-// beginWrite returns an error if nothing may be written to a server any more. If it returns nil, the caller has to call
+// beginWrite returns an error if nothing more may be written to s. If it returns nil, the caller must call
 // outcome.EndWrite after the write.
 func (t *Transport) beginWrite(ctx context.Context, s *server) error {
 	if err := outcome.BeginWrite(ctx); err != nil {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// resultOf returns the result of an attempt that got a response.
+// resultOf returns the result of an attempt that got resp.
 func (t *Transport) resultOf(resp response) router.Result {
 	result := router.Result{Code: policy.ServerError}
 	if resp.head.loadReport != "" {
@@ -132,7 +134,7 @@
 		result.Code = policy.OK
 		result.Answer = router.Answer{Body: resp.body, ContentType: resp.head.contentType, Stream: resp.stream}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.head.notRun { // without it, the server may have run the request
+		if resp.head.notRun { // without X-Not-Run, the server may have run the request
 			result.Code = policy.Overloaded
 		}
 	}
--- a/transport/http1/roundtrip_test.go
+++ b/transport/http1/roundtrip_test.go
@@ -18,8 +18,8 @@
 	"cobaltward/router"
 )
 
-// TestAttempt_OutcomeByResponse checks the outcome for valid and malformed responses. Only a 503 or 504 with X-Not-Run
-// proves that the request did not run.
+// TestAttempt_OutcomeByResponse checks the outcome for valid and malformed responses. Only a status of 503 or 504
+// with X-Not-Run proves that the request did not run.
 func TestAttempt_OutcomeByResponse(t *testing.T) {
 	tooLongBody := strings.Repeat("x", maxBodyBytes+1)
 	const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -95,7 +95,7 @@
 }
 
 // TestAttempt_BrokenReusedConnIsNotRetried checks that a request is not sent again after its reused connection broke.
-// http.Transport would retry it by itself.
+// http.Transport would retry the request by itself.
 func TestAttempt_BrokenReusedConnIsNotRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		var requests, conns atomic.Int32
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestAttempt_IncompleteWrite checks that the outcome of a request whose write fails says that it did not run.
+// TestAttempt_IncompleteWrite checks that the outcome of a failed write says that the request did not run.
 func TestAttempt_IncompleteWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Writes on the connection fail from now on, although it looks idle.
+	// From now on, writes on the connection fail, although the connection looks idle.
 	if err := tcp.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestAttempt_ForwardsRequestUnchanged checks that the server receives the client's request without added headers, and
-// that proxy settings in the environment are ignored.
+// TestAttempt_ForwardsRequestUnchanged checks that the server receives the client's request without added headers.
+// Proxy settings in the environment must be ignored.
 func TestAttempt_ForwardsRequestUnchanged(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
 	got := make(chan *http.Request, 1)
@@ -233,13 +233,13 @@
 	}
 }
 
-// expiredContext is a context whose deadline has passed although its timer has not fired yet, as on a stalled host.
+// expiredContext is a context whose deadline has passed before its timer fires, as on a stalled host.
 type expiredContext struct{ context.Context }
 
 func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
 // TestAttempt_LateRequestIsNotWritten checks that nothing is written once the deadline has passed, or once the server
-// has been draining for half of the grace, even if the router decided on the attempt before.
+// has been draining for half of the grace. The router may have decided on the attempt before that time.
 func TestAttempt_LateRequestIsNotWritten(t *testing.T) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -247,7 +247,7 @@
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
 		t.Fatalf("first request: code %v, want OK", r.Code)
 	}
-	time.Sleep(2 * reuseDelay) // the connection can be reused, so that no dial fails because of the deadline
+	time.Sleep(2 * reuseDelay) // the connection is reusable: no dial can fail because of the deadline
 	if r := transport.Attempt(
 		expiredContext{t.Context()},
 		"s0",
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxHoldTime is the longest time for which the beginning of a response of unknown length is held back. Until it is
-	// forwarded, the attempt can still be retried if the response fails.
+	// maxHoldTime is the maximum time for which the beginning of a response of unknown length is held back. Until the
+	// beginning is forwarded, the attempt can be retried if the response fails.
 	maxHoldTime = 250 * time.Millisecond
-	// stallTimeout is the longest time without progress of a long body, in either direction.
+	// stallTimeout is the maximum time without progress of a long body, in either direction.
 	stallTimeout = 15 * time.Second
-	// streamSocketBuffer is the socket's receive buffer in bytes. It limits the memory of the kernel for a stream that
-	// the client reads slowly.
+	// streamSocketBuffer is the receive buffer of the socket in bytes. It limits the memory of the kernel for a
+	// stream that the client reads slowly.
 	streamSocketBuffer = 64 << 10
 )
 
-// stream is a long body that is read from its connection on demand. A slow client thus slows the server down, and its
+// stream is a long body that is read from its connection on demand. A slow client thus slows the server down, and the
 // body does not accumulate in memory.
 type stream struct {
 	transport  *Transport
@@ -54,8 +54,8 @@
 	return n, err
 }
 
-// Close ends the stream, and returns its connection to the pool if the body was read to its end. It may be called while
-// another goroutine reads, and more than once.
+// Close ends the stream. If the body was read to its end, the connection returns to the pool. Close may be called
+// during Read, and more than once.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() {
 		complete := s.complete.Load()
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// newFixedLengthStream returns the stream of a body whose length is in the head. It waits for the first byte of the
-// body, since an error before that allows the router to retry the attempt.
+// newFixedLengthStream returns the stream of a body whose length is in head. It waits for the first byte of the body,
+// since an error before that byte allows the router to retry the attempt.
 func (rd *responseReader) newFixedLengthStream(head responseHead) (*stream, error) {
 	rd.limit.N = math.MaxInt64
 	if _, err := rd.in.Peek(1); err != nil {
@@ -119,13 +119,13 @@
 	return n, err
 }
 
-// readUnknownLength reads a body whose length is unknown, or that net/http has to decode. It returns the body if that
-// ends within maxHoldTime, and a stream otherwise.
+// readUnknownLength reads a body whose length is unknown, or that net/http must decode. It returns the body if the
+// body ends within maxHoldTime and fits maxBodyBytes. Otherwise it returns a stream.
 func (rd *responseReader) readUnknownLength(resp *http.Response) ([]byte, router.Stream, error) {
 	rd.limit.N, rd.limit.R = math.MaxInt64, stallTimeoutReader{rd.conn}
 	ahead := newReadAhead(resp.Body)
 	ended := make(chan struct{})
-	go func() { // ends when the body ends or its connection fails
+	go func() { // returns when the body ends or the connection fails
 		defer close(ended)
 		ahead.run()
 	}()
@@ -165,11 +165,11 @@
 type readAheadStream struct {
 	*stream
 	ahead *readAhead
-	ended chan struct{} // closed when the goroutine of ahead has ended
+	ended chan struct{} // closed when the goroutine that runs ahead has returned
 }
 
-// Read returns bytes that were read ahead, and waits while there are none. It sets no timeout of its own: the goroutine
-// that reads from the connection has one.
+// Read returns bytes that were read ahead, and waits while there are none. It sets no timeout, because the goroutine
+// that reads from the connection sets a timeout.
 func (s *readAheadStream) Read(p []byte) (int, error) {
 	n, err := s.ahead.Read(p)
 	if errors.Is(err, io.EOF) {
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -1,5 +1,5 @@
-// Package http1 makes attempts at servers over HTTP/1.1, one request at a time on a connection. It is a
-// router.Transport.
+// Package http1 makes attempts at servers over HTTP/1.1, with one request at a time on a connection. Transport
+// implements router.Transport.
 package http1
 
 import (
@@ -24,26 +24,28 @@
 	// DefaultMaxConns is the default of Config.MaxConns.
 	DefaultMaxConns = 512
 
-	// reuseDelay is the minimum time between a response and the next request on its connection. Responses carry no ID,
-	// so a duplicate of a response would be taken for the response to the next request.
+	// reuseDelay is the minimum time between a response and the next request on its connection. Responses carry no
+	// ID, so a duplicate of a response would be taken for the response to the next request.
 	reuseDelay = 15 * time.Millisecond
-	// tlsReuseDelay replaces reuseDelay with TLS. It is shorter, since another connection costs a handshake.
+	// tlsReuseDelay replaces reuseDelay on TLS connections. It is shorter, since another connection costs a
+	// handshake.
 	tlsReuseDelay = 3 * time.Millisecond
 
-	defaultServerIdleTimeout = 60 * time.Second // servers close idle connections after this time, unless configured
-	sweepInterval            = time.Second      // time between two checks for expired idle connections
+	defaultServerIdleTimeout = 60 * time.Second // idle timeout of servers, unless configured
+	sweepInterval            = time.Second      // time between two checks for expired connections
 )
 
 // Config configures a Transport.
 type Config struct {
-	MaxConns       int               // maximum of connections to all servers, idle ones included; 0: DefaultMaxConns
-	ConnectTimeout time.Duration     // timeout of opening a TCP connection; 0: DefaultConnectTimeout
-	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none. The transport does not close it
+	MaxConns       int               // maximum number of connections, including idle connections; 0: DefaultMaxConns
+	ConnectTimeout time.Duration     // timeout for opening a TCP connection; 0: DefaultConnectTimeout
+	TLS            *secure.ClientTLS // decides which servers use TLS; nil: none; not closed by the transport
 }
 
-// Transport makes attempts over its own connections. It parses responses with the functions of net/http, but does not
-// use http.Transport, which retries some requests by itself and may take bytes after one response for the next
-// response. Its methods may be called concurrently.
+// Transport makes attempts over its own connections. Its methods may be called concurrently.
+//
+// Transport parses responses with net/http, but does not use http.Transport. http.Transport retries some requests by
+// itself, and may take bytes after one response for the next response.
 type Transport struct {
 	dialer     net.Dialer
 	tls        *secure.ClientTLS
@@ -51,7 +53,7 @@
 	writers    sync.Pool // of *bytes.Buffer
 	stop       chan struct{}
 	background sync.WaitGroup
-	dials      sync.WaitGroup  // connections that are being opened with TLS
+	dials      sync.WaitGroup  // goroutines that open TLS connections
 	ctx        context.Context // cancelled by Close
 	cancel     context.CancelFunc
 	written    atomic.Uint64 // attempts that were written completely
@@ -59,10 +61,10 @@
 
 	mu               sync.Mutex
 	servers          servers.Table[serverPool]
-	openConns        int // open connections, including those that are being opened
+	openConns        int // open connections, including connections that are being opened
 	maxConns         int
 	idleTimeout      time.Duration
-	drainWriteTime   time.Duration // time after the start of a drain in which requests may still be written
+	drainWriteTime   time.Duration // time after the start of a drain during which requests may be written
 	loadReportFields []string      // names of the values in a load report, in order
 	closed           bool
 }
@@ -73,7 +75,7 @@
 	_ router.WriteCounter      = (*Transport)(nil)
 )
 
-// New returns a transport without servers; Update adds them. The caller has to close it.
+// New returns a transport without servers. Update adds servers. The caller must close the transport.
 func New(config Config) *Transport {
 	if config.MaxConns <= 0 {
 		config.MaxConns = DefaultMaxConns
@@ -100,8 +102,8 @@
 	return t
 }
 
-// removeServer closes the idle connections and drops the TLS state of a server that left the endpoint list. The caller
-// holds the mutex.
+// removeServer closes the idle connections to s, and drops the TLS state of s, because s left the endpoint list. The
+// caller holds the mutex.
 func (t *Transport) removeServer(s *server) {
 	t.closeOldest(s, len(s.State.idle))
 	if t.tls != nil {
@@ -123,7 +125,7 @@
 	}
 }
 
-// Configure applies the servers' idle timeout, the fields of load reports and the drain grace.
+// Configure applies the idle timeout of servers, the fields of load reports and the drain grace from s.
 func (t *Transport) Configure(s policy.Settings) {
 	serverIdleTimeout := s.Capabilities.ConnIdleTimeout
 	if serverIdleTimeout == 0 {
@@ -131,10 +133,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A request that is written while the server closes the idle connection would end in a reset. Half of the server's
-	// timeout avoids that.
+	// A request that is written while the server closes the idle connection ends in a reset. Half of the server's
+	// timeout avoids such resets.
 	t.idleTimeout = serverIdleTimeout / 2
-	t.drainWriteTime = s.Rules.DrainGrace / 2 // written bytes arrive later, but have to arrive within the grace
+	t.drainWriteTime = s.Rules.DrainGrace / 2 // the other half is left for written bytes to arrive
 	t.loadReportFields = s.LoadReportFields
 }
 
@@ -153,7 +155,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections to one server.
+// CloseIdle closes the idle connections to the server id.
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,15 +164,15 @@
 	}
 }
 
-// Conns returns the number of connections to all servers, including those that are being opened.
+// Conns returns the number of connections to all servers, including connections that are being opened.
 func (t *Transport) Conns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.openConns
 }
 
-// SetMaxConns changes the maximum of open connections. It closes none. At or above the maximum, a new connection is
-// opened only if an idle one can be closed for it.
+// SetMaxConns changes the maximum number of open connections to n. It closes no connection. From the maximum on, a
+// new connection is opened only if an idle connection can be closed for it.
 func (t *Transport) SetMaxConns(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +182,7 @@
 // Written returns the number of attempts that were written completely.
 func (t *Transport) Written() uint64 { return t.written.Load() }
 
-// Close closes all idle connections. Those in use are closed when their attempts end.
+// Close closes all idle connections. Connections in use are closed when their attempts end.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	first := !t.closed
--- a/transport/http1/transport_test.go
+++ b/transport/http1/transport_test.go
@@ -60,7 +60,7 @@
 	return transport.Attempt(ctx, "s0", r)
 }
 
-// counts returns the number of all open connections of the transport, and of the idle connections to s0.
+// counts returns the number of all open connections of the transport, and the number of idle connections to s0.
 func (t *Transport) counts() (open, idle int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// earlyResponseTimeout is the longest wait for the response of a server that no longer reads a request body.
+	// earlyResponseTimeout is the maximum wait for the response of a server that no longer reads a request body.
 	earlyResponseTimeout = 200 * time.Millisecond
-	uploadChunkSize      = 32 << 10 // bytes of one read from the client's body
+	uploadChunkSize      = 32 << 10 // maximum bytes of one read from the body
 )
 
 var uploadChunks = sync.Pool{New: func() any { return new([uploadChunkSize]byte) }}
 
-// upload writes a request head and a body that is still being received. If sent is false, the last byte was not
-// written, so the server cannot have run the request; in that case failure is the outcome of the attempt.
+// upload writes head and the body of r, which may still be arriving. If sent is false, the last byte was not written,
+// so the server cannot have run the request. failure is then the outcome of the attempt.
 func (t *Transport) upload(
 	ctx context.Context, connection *conn, head *bytes.Buffer, r *router.Request,
 ) (failure router.Result, sent bool) {
@@ -48,7 +48,8 @@
 	return uploadBody(ctx, connection, guard, body, r.Upload.Length())
 }
 
-// uploadBody writes a body of the given length. With a negative length, it uses the chunked coding.
+// uploadBody writes body, which has length bytes. A negative length means that the length is unknown: the body is
+// then written with the chunked coding. sent and failure are as for upload.
 func uploadBody(
 	ctx context.Context, connection *conn, guard *writeStallGuard, body io.Reader, length int64,
 ) (failure router.Result, sent bool) {
@@ -59,14 +60,14 @@
 		n, err := body.Read(chunk[:])
 		remaining -= int64(n)
 		if remaining == 0 && n == 0 {
-			return router.Result{}, true // the last byte was written before; the response may have arrived
+			return router.Result{}, true // the last byte was written in the previous round
 		}
 		if !connection.isIdle() {
 			return earlyResponse(ctx, connection, errEarlyResponse), false
 		}
 		isLast := errors.Is(err, io.EOF) || !chunked && remaining == 0
 		if err != nil && !isLast {
-			return router.Result{Code: policy.Superseded}, false // the client disconnected, or its body cannot be read
+			return router.Result{Code: policy.Superseded}, false // the client disconnected, or its body is unreadable
 		}
 		if err := outcome.BeginWrite(ctx); err != nil {
 			return router.Result{Code: failureCode(ctx, err, false)}, false
@@ -84,7 +85,7 @@
 	}
 }
 
-// writeBodyChunk writes a part of a body. In the chunked coding, isLast adds the final chunk.
+// writeBodyChunk writes data, a part of a body, to w. With the chunked coding, isLast adds the final chunk.
 func writeBodyChunk(w io.Writer, data []byte, chunked, isLast bool) error {
 	if !chunked {
 		_, err := w.Write(data)
@@ -103,8 +104,8 @@
 	return err
 }
 
-// earlyResponse returns the outcome of an attempt that was not written completely. It looks for a response, by which
-// the server may say that it did not run the request.
+// earlyResponse returns the outcome of an attempt that was not written completely because of err. It looks for a
+// response on c, by which the server may say that it did not run the request.
 func earlyResponse(ctx context.Context, c *conn, err error) router.Result {
 	_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	in := bufio.NewReader(io.LimitReader(c, maxHeadBytes))
--- a/transport/http1/writestall.go
+++ b/transport/http1/writestall.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// pauseCounter measures for how long this process was paused. pausedetector.Detector implements it.
+// pauseCounter measures how long this process was paused. pausedetector.Detector implements it.
 type pauseCounter interface {
-	// Begin starts the measurement of pauses. Calls may nest; each needs a call of End.
+	// Begin starts the measurement of pauses. Calls may nest. Each call needs a call of End.
 	Begin()
 	End()
-	// Paused returns the total of all pauses so far that fell between a Begin and its End.
+	// Paused returns the total time of all pauses so far between a Begin and its End.
 	Paused() time.Duration
 }
 
-// writeStallGuard aborts a write to a server that makes no progress for a time. A plain write deadline would include
-// the time for which this process was paused, in which it wrote nothing that the server could have read; and package
-// net checks the deadline before it tries the socket. All methods are safe for concurrent use.
+// writeStallGuard aborts a write to a server that makes no progress within a timeout. Pauses of this process do not
+// count toward the timeout, because the process wrote nothing during a pause that the server could have read. A plain
+// write deadline would include pauses, and package net checks the deadline before it tries the socket. The methods
+// are safe for concurrent use.
 type writeStallGuard struct {
 	timeout          time.Duration
 	pauses           pauseCounter
-	setWriteDeadline func(t time.Time) error // method of the connection
+	setWriteDeadline func(t time.Time) error // SetWriteDeadline of the connection
 
 	mu                 sync.Mutex
 	timer              *time.Timer   // calls check
 	writing            bool          // a write is in progress
-	writeStartedAt     time.Time     // when the write in progress began
-	pausedAtWriteStart time.Duration // pauses.Paused() when the write in progress began
+	writeStartedAt     time.Time     // start of the write in progress
+	pausedAtWriteStart time.Duration // pauses.Paused() at the start of the write in progress
 	stopped            bool
 }
 
-// newWriteStallGuard returns a guard for the writes to a connection. The caller has to call stop.
+// newWriteStallGuard returns a guard for the writes to c. The caller must call stop.
 func newWriteStallGuard(c *conn, timeout time.Duration, pauses pauseCounter) *writeStallGuard {
 	guard := &writeStallGuard{timeout: timeout, pauses: pauses, setWriteDeadline: c.SetWriteDeadline}
 	pauses.Begin()
@@ -40,23 +41,23 @@
 	return guard
 }
 
-// beginWrite has to be called before each write.
+// beginWrite must be called before each write.
 func (g *writeStallGuard) beginWrite() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.writing = true
-	g.pausedAtWriteStart = g.pauses.Paused() // read before the clock: a pause between the two lines extends the timeout
+	g.pausedAtWriteStart = g.pauses.Paused() // before the clock: a pause in between extends the timeout
 	g.writeStartedAt = time.Now()
 }
 
-// endWrite has to be called after each write.
+// endWrite must be called after each write.
 func (g *writeStallGuard) endWrite() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.writing = false
 }
 
-// check aborts the write in progress if it has exceeded the timeout, and otherwise sets the timer again.
+// check aborts the write in progress if the write has exceeded the timeout. Otherwise it sets the timer again.
 func (g *writeStallGuard) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/transport/http1/writestall_test.go
+++ b/transport/http1/writestall_test.go
@@ -31,8 +31,8 @@
 }
 
 // TestWriteStallGuard_IgnoresPausesOfProcess checks a write to a server that reads nothing for longer than the stall
-// timeout. If the process was paused for most of that time, the write succeeds once the server reads; otherwise it is
-// aborted after the timeout.
+// timeout. If the process was paused for most of that time, the write succeeds once the server reads. Otherwise the
+// write is aborted after the timeout.
 func TestWriteStallGuard_IgnoresPausesOfProcess(t *testing.T) {
 	const timeout, readDelay = 50 * time.Millisecond, 500 * time.Millisecond
 	const size = 32 << 20 // bytes, more than the socket buffers hold
