--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestCall_RoundTrip checks that a decoded call equals the encoded call. The message arrives in random pieces.
-// Another MessagePack library must decode the same call.
+// TestCall_RoundTrip checks that a decoded call equals the encoded call, even if the stream arrives byte by byte.
+// Another MessagePack library must decode the same ID and body.
 func TestCall_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
--- a/router/action.go
+++ b/router/action.go
@@ -8,13 +8,13 @@
 	"cobaltward/policy"
 )
 
-// notify passes an event to the balancer and carries out the actions that it returns.
+// notify passes ev to the balancer and executes the actions that the balancer returns.
 func (l *loop) notify(ev policy.Event) {
 	l.execute(l.balancer.Handle(l.clock.now(), ev))
 }
 
-// execute carries out actions in order. Only then does it report skipped attempts to the balancer, which reuses the
-// slice of actions for the actions that it returns for them.
+// execute performs actions in order, and then reports skipped attempts to the balancer. The reports come last,
+// because the balancer reuses the slice of actions for the actions that it returns for a report.
 func (l *loop) execute(actions []policy.Action) {
 	for {
 		for i := range actions {
@@ -34,7 +34,7 @@
 	}
 }
 
-// perform carries out one action. It ignores actions for requests that no longer exist.
+// perform performs one action. It ignores actions for requests that no longer exist.
 func (l *loop) perform(action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
@@ -59,12 +59,12 @@
 		l.endpointSource.SetPolling(action.On)
 	case policy.Log:
 		l.log.Info(action.Text)
-	default: // health checks and messages between nodes are not supported here, and the balancer requests none
+	default: // health checks and messages between nodes are not supported; the balancer requests none
 		l.log.Error("balancer requested an unsupported action", "action", action.Kind)
 	}
 }
 
-// failByBalancer answers a request that the balancer has given up on.
+// failByBalancer answers r, which the balancer has given up.
 func (l *loop) failByBalancer(r *request) {
 	outcome := Failed
 	if !l.enforced(safeguards.NoRejectionAfterRun) {
@@ -74,7 +74,7 @@
 	l.removeIfDone(r)
 }
 
-// findAttempt returns an attempt of a request by its number; nil if there is none.
+// findAttempt returns the attempt with the given number of the request id; nil if there is none.
 func (l *loop) findAttempt(id string, number int) *attempt {
 	r := l.requests[id]
 	if r == nil || number >= len(r.attempts) {
--- a/router/admission.go
+++ b/router/admission.go
@@ -8,30 +8,30 @@
 	"cobaltward/policy"
 )
 
-// routerRetryAfter is the Retry-After of requests that the router rejects without asking the balancer.
+// routerRetryAfter is the Retry-After of requests that the router rejects without the balancer.
 const routerRetryAfter = time.Second
 
 const (
-	// queueTimeoutFraction is the longest wait for a connection slot, as a fraction of the shortest class deadline.
+	// queueTimeoutFraction is the maximum wait for a connection slot, as a fraction of the shortest class deadline.
 	// Clients abandon a request after a third of its deadline at the earliest.
 	queueTimeoutFraction = 0.25
-	// maxQueueTimeout limits the wait if all deadlines are long.
+	// maxQueueTimeout limits the wait for a connection slot if all deadlines are long.
 	maxQueueTimeout = 300 * time.Millisecond
 )
 
 // request is an admitted request. The loop keeps it until it is answered and all its attempts have ended.
 type request struct {
 	*call
-	capabilities    policy.Capabilities // in force when it was admitted
-	deadline        policy.Time         // the time by which the balancer must answer
-	dedupWindow     time.Duration       // how long servers detect duplicates of its key; 0 if it has none
+	capabilities    policy.Capabilities // capabilities in force at admission
+	deadline        policy.Time         // time by which the balancer must answer
+	dedupWindow     time.Duration       // time for which servers remember the idempotency key; 0: no key
 	backstop        timer               // answers the request if the balancer does not
-	finished        bool                // it is answered, or its client has left
+	finished        bool                // answered, or the client has left
 	attempts        []*attempt
-	pendingOutcomes int // attempts whose outcome was not reported to the balancer yet
+	pendingOutcomes int // attempts whose outcome is not reported to the balancer yet
 }
 
-// admit admits a call and submits it to the balancer, or answers it at once.
+// admit submits call to the balancer, or answers call at once.
 func (l *loop) admit(call *call) {
 	now := l.clock.now()
 	l.recordLag(now - call.submittedAt)
@@ -51,7 +51,7 @@
 	class := l.class(call.req.Class)
 	r := l.newRequest(call, class)
 	if now >= r.deadline || class.Name != "" && !sameIdempotency(class, &call.class) {
-		// The host delayed the router until the deadline had passed, or a reload changed the class after Do.
+		// The host delayed the router beyond the deadline, or a reload has changed the class since Do.
 		l.deliver(call, Answer{Outcome: Rejected})
 		return
 	}
@@ -63,14 +63,13 @@
 	l.notify(l.balancerRequest(r, now))
 }
 
-// isDuplicate reports whether a request ID is in use or was used recently, and records the ID as used. The balancer
-// would wait for the first request of an ID and never answer a second one; and an earlier request of an ID may have
-// run, even if it is over.
+// isDuplicate reports whether the request ID id is in use or was used recently, and records id as used. The balancer
+// would never answer a second request with the ID of an open request. A recent request with the same ID may have run.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
 	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
 }
 
-// newRequest returns the request of a call under the settings in force.
+// newRequest returns the request for c under the settings in force.
 func (l *loop) newRequest(c *call, class *policy.Class) *request {
 	end := c.receivedAt + c.timeout
 	if c.bodyPending {
@@ -85,8 +84,8 @@
 	return r
 }
 
-// shouldDrop reports whether a request must be dropped, by the drop fractions of the endpoint source or by the level
-// of service, and counts it if so.
+// shouldDrop reports whether r must be rejected by the drop fractions of the endpoint source or by the level of
+// service. It counts the rejection.
 func (l *loop) shouldDrop(r *request, class *policy.Class, now policy.Time) bool {
 	if len(l.drops) > 0 && l.drops.ShouldDrop(class.Pool, r.req.ID) {
 		l.stats.Dropped++
@@ -99,7 +98,7 @@
 	return false
 }
 
-// track adds a request to the table of open requests.
+// track adds r to the open requests.
 func (l *loop) track(r *request) {
 	l.requests[r.req.ID] = r
 	l.pendingAnswers++
@@ -107,7 +106,7 @@
 	heap.Push(&l.timers, &r.backstop)
 }
 
-// balancerRequest returns the event that reports a request to the balancer.
+// balancerRequest returns the event that submits r to the balancer.
 func (l *loop) balancerRequest(r *request, now policy.Time) policy.Request {
 	ev := policy.Request{
 		ID:          r.req.ID,
@@ -125,8 +124,8 @@
 	return ev
 }
 
-// class returns a class of the settings in force; an empty one if a reload has removed the class since Do, in which
-// case the balancer does not know the class either.
+// class returns the class called name from the settings in force. If a reload has removed the class since Do, class
+// returns an empty class: the balancer does not know the class either.
 func (l *loop) class(name string) *policy.Class {
 	if class := findClass(l.config.Settings.Classes, name); class != nil {
 		return class
@@ -134,7 +133,7 @@
 	return &policy.Class{}
 }
 
-// findClass returns the class with a name; nil if there is none.
+// findClass returns the class called name; nil if there is none.
 func findClass(classes []policy.Class, name string) *policy.Class {
 	for i := range classes {
 		if classes[i].Name == name {
@@ -144,7 +143,7 @@
 	return nil
 }
 
-// sameIdempotency reports whether retries of a request are equally safe under both classes.
+// sameIdempotency reports whether retries of a request are equally safe under the classes a and b.
 func sameIdempotency(a, b *policy.Class) bool {
 	if a.Idempotency != b.Idempotency {
 		return false
@@ -155,13 +154,12 @@
 	return a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow
 }
 
-// overloadRetryAfter is the Retry-After of requests that the router rejects without asking the balancer.
+// overloadRetryAfter returns the Retry-After of requests that the router rejects without the balancer.
 func overloadRetryAfter(c policy.Capabilities) time.Duration {
 	return clampRetryAfter(routerRetryAfter, c)
 }
 
-// clampRetryAfter limits a Retry-After: 0 if the settings allow none, and at most the longest wait that clients
-// follow.
+// clampRetryAfter limits wait to the maximum Retry-After of c. It returns 0 if c does not allow Retry-After.
 func clampRetryAfter(wait time.Duration, c policy.Capabilities) time.Duration {
 	switch {
 	case !c.RetryAfter:
@@ -172,7 +170,7 @@
 	return max(0, wait)
 }
 
-// shedAnswer is the answer to a request that is dropped or shed.
+// shedAnswer returns the answer to r, which is dropped or shed.
 func shedAnswer(r *request) Answer {
 	answer := Answer{Outcome: Rejected}
 	if r.capabilities.RetryAfter {
--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/policy"
 )
 
-// Requests that the router rejects without asking the balancer get a Retry-After only if the settings allow it, and
-// at most the maximum of the settings.
+// TestOverload_RetryAfterFollowsSettings checks that requests that the router rejects without the balancer get a
+// Retry-After only if the settings allow it. The Retry-After must not exceed the maximum of the settings.
 func TestOverload_RetryAfterFollowsSettings(t *testing.T) {
 	tests := map[string]struct {
 		capabilities policy.Capabilities
@@ -40,7 +40,8 @@
 	}
 }
 
-// The router answers duplicates and requests beyond the limit itself: the balancer does not see them.
+// TestAdmission_AnswersDuplicatesAndSurplus checks that the router answers duplicates and requests beyond the limit
+// without the balancer.
 func TestAdmission_AnswersDuplicatesAndSurplus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
@@ -58,12 +59,12 @@
 			t.Errorf("the balancer received %d events, want the list and 100 requests", n)
 		}
 		time.Sleep(classDeadline)
-		wantDo(t, r, readRequest("r1"), Conflict) // also after the first request is over
+		wantDo(t, r, readRequest("r1"), Conflict) // also after the first request has ended
 	})
 }
 
-// Of ten thousand concurrent requests against a limit of a hundred, the surplus is rejected at once, and no goroutine
-// of the router is left.
+// TestAdmission_BoundsOpenRequests checks ten thousand concurrent requests against a limit of a hundred. The surplus
+// is rejected at once, and no goroutine of the router is left.
 func TestAdmission_BoundsOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
--- a/router/answer.go
+++ b/router/answer.go
@@ -9,12 +9,12 @@
 // Outcome is the final result of a request.
 type Outcome uint8
 
-// The outcomes. Served, Rejected and Overloaded are definite; Conflict concerns only the request ID; after Failed and
-// Expired the request may have run.
+// The outcomes. After Failed and Expired the request may have run. An idempotent or fully deduplicated request may have
+// run before Rejected, but its retry is harmless. Conflict says nothing about the earlier request with the same ID.
 const (
-	Served     Outcome = iota // a server's complete answer
-	Rejected                  // by the balancer, by load shedding or by a drain; a retry is harmless
-	Overloaded                // by the router, which is at its capacity or drained; a retry is harmless
+	Served     Outcome = iota // answered by a server
+	Rejected                  // rejected by the balancer, by load shedding or by a drain; a retry is harmless
+	Overloaded                // the router is at its capacity or drained; a retry is harmless
 	Failed                    // the request may have run
 	Expired                   // the deadline has passed, and the request may have run
 	Conflict                  // the request ID is in use, or was used recently
@@ -22,7 +22,7 @@
 
 var outcomeNames = [...]string{"served", "refused", "overloaded", "failed", "expired", "conflict"}
 
-// String returns the outcome's name in logs and reports.
+// String returns the name of the outcome in logs and reports.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -35,15 +35,15 @@
 	Outcome     Outcome
 	Body        []byte        // body of a Served answer; owned by the caller
 	ContentType string        // content type of a Served answer
-	RetryAfter  time.Duration // when to retry after Rejected or Overloaded; 0 if the client is not told
-	Stream      Stream        // replaces Body in a Served answer that is forwarded as it arrives
+	RetryAfter  time.Duration // wait before a retry, after Rejected or Overloaded; 0: not specified
+	Stream      Stream        // replaces Body in a Served answer that is forwarded as it arrives; else nil
 }
 
-// Stream is a long answer. The caller reads it until io.EOF or until another error, which means that the answer is
-// incomplete, and must close it in either case. Close may be called during Read. The request counts as served if
-// io.EOF was read, and as failed if the stream was closed before that.
+// Stream is a long answer. The caller reads it until io.EOF or another error, and must then close it. An error other
+// than io.EOF means that the answer is incomplete. Close may be called during Read. The request counts as served if
+// the caller has read io.EOF, and as failed if the caller closes the stream before that.
 type Stream interface {
 	io.ReadCloser
-	// Length returns the length of the whole answer in bytes, or -1 if the server does not report it.
+	// Length returns the length of the whole answer in bytes, or -1 if the server does not report a length.
 	Length() int64
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// The last retry is written dedupMargin before servers forget the idempotency key. For short windows, the margin
-	// is the window divided by dedupMarginDivisor.
+	// The last retry is written at least dedupMargin before servers forget the idempotency key. For short dedup
+	// windows, the margin is the window divided by dedupMarginDivisor.
 	dedupMargin        = 50 * time.Millisecond
 	dedupMarginDivisor = 5
 )
@@ -22,24 +22,24 @@
 	number      int // 0 for the first attempt of the request
 	server      string
 	sentAt      policy.Time
-	sendBy      policy.Time // when it must no longer be written; 0: no limit
+	sendBy      policy.Time // time from which the attempt must not be written; 0: no limit
 	ctx         attemptContext
-	expiry      timer // ends ctx
+	expiry      timer // timer that ends ctx
 	inFlight    bool
-	notExecuted bool   // it has ended or was skipped, and can't have run
+	notExecuted bool   // ended or skipped, and cannot have run
 	result      Result // set by the launcher before the attemptEnded event
 }
 
-// attemptLauncher starts attempts. Its methods must not block or call the loop.
+// attemptLauncher starts attempts. Its methods must not block and must not call the loop.
 type attemptLauncher interface {
-	// launch starts an attempt, and makes the loop call finishAttempt once when the attempt has ended.
+	// launch starts a. When a has ended, the launcher makes the loop call finishAttempt once.
 	launch(a *attempt)
-	// cancelled is called when the context of an attempt in flight was ended.
+	// cancelled is called after the loop has ended the context of a, which is in flight.
 	cancelled(a *attempt)
 }
 
-// goroutineLauncher makes each attempt in a goroutine of its own, which ends when Transport.Attempt returns. The loop
-// waits for all of them when it ends.
+// goroutineLauncher makes each attempt in its own goroutine, which returns after Transport.Attempt. The loop waits
+// for all these goroutines when it ends.
 type goroutineLauncher struct{ loop *loop }
 
 var _ attemptLauncher = goroutineLauncher{}
@@ -51,10 +51,10 @@
 	})
 }
 
-// cancelled does nothing: the transport watches the context.
+// cancelled does nothing, because the transport watches the context.
 func (goroutineLauncher) cancelled(*attempt) {}
 
-// startAttempt sends a request to a server, or skips the attempt if it is no longer allowed.
+// startAttempt starts the attempt that action requests, or skips the attempt if it is no longer allowed.
 func (l *loop) startAttempt(action *policy.Action) {
 	r, now := l.requests[action.ID], l.clock.now()
 	if r == nil {
@@ -81,8 +81,8 @@
 	l.launch(attempt, expiry)
 }
 
-// mayAttempt reports whether an attempt is allowed: it is neither too late nor one too many, and the level of service
-// permits it.
+// mayAttempt reports whether a may start: it is not too late, within the maximum number of attempts, and permitted by
+// the level of service.
 func (l *loop) mayAttempt(a *attempt, now policy.Time) bool {
 	r := a.request
 	switch {
@@ -95,7 +95,7 @@
 	return l.degradation == nil || !l.degradation.forbidsAttempt(r, a.number)
 }
 
-// skipAttempt records that an attempt is not made. The balancer is notified once all its actions are carried out.
+// skipAttempt records that a is not made. execute notifies the balancer after all actions.
 func (l *loop) skipAttempt(a *attempt) {
 	a.notExecuted = true
 	l.stats.Skipped++
@@ -107,7 +107,7 @@
 	})
 }
 
-// launch starts an attempt, whose context ends at expiry at the latest.
+// launch starts attempt, and makes its context end at expiry.
 func (l *loop) launch(attempt *attempt, expiry policy.Time) {
 	l.stats.Attempts++
 	if attempt.number > 0 {
@@ -124,7 +124,7 @@
 	l.launcher.launch(attempt)
 }
 
-// finishAttempt handles the end of an attempt, whose result is set.
+// finishAttempt handles the end of attempt, whose result is set.
 func (l *loop) finishAttempt(attempt *attempt) {
 	r, result := attempt.request, attempt.result
 	attempt.result = Result{}
@@ -137,7 +137,7 @@
 		answer := result.Answer
 		answer.Outcome = Served
 		l.answer(r, answer)
-	} else { // the attempt failed, another one was first, or the client has left
+	} else { // the attempt failed, another attempt was first, or the client has left
 		closeStream(result.Answer)
 	}
 	latency := l.clock.now() - attempt.sentAt
@@ -157,7 +157,7 @@
 	l.removeIfDone(r)
 }
 
-// cancelAttempt ends the context of an attempt in flight.
+// cancelAttempt ends the context of a, which is in flight, with the error cause.
 func (l *loop) cancelAttempt(a *attempt, cause error) {
 	a.ctx.cancel(cause)
 	l.launcher.cancelled(a)
@@ -194,10 +194,10 @@
 	return false
 }
 
-// sendDeadline is the time from which the request must not be sent any more, because servers may have forgotten its
-// idempotency key; 0 if no attempt may have run, or if the request has no key. The window counts from the first
-// attempt that may have run. The margin allows for a retry that takes longer to reach its server than that attempt
-// did.
+// sendDeadline returns the time from which the request must not be sent any more, because servers may have forgotten
+// its idempotency key. It returns 0 if no attempt may have run, or if the request has no key. The dedup window counts
+// from the first attempt that may have run. The margin covers a retry that takes longer to reach its server than that
+// attempt.
 func (r *request) sendDeadline() policy.Time {
 	if r.dedupWindow == 0 {
 		return 0
--- a/router/attempt_context.go
+++ b/router/attempt_context.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// attemptContext is the context of one attempt. The loop ends it by its own heap of timers when the attempt's time is
-// up: a context of the standard library would cost each attempt a timer, two allocations and the lock of a parent
-// context.
+// attemptContext is the context of one attempt. A timer in the heap of the loop ends it. A context of the standard
+// library would cost each attempt a timer, two allocations and the lock of a parent context.
 type attemptContext struct {
 	deadline time.Time
 	sendBy   time.Time
@@ -16,11 +15,11 @@
 	mu           sync.Mutex // guards the fields below, and deadline once the attempt is launched
 	err          error
 	abandoned    bool          // no more bytes may be written
-	writing      bool          // between BeginWrite and EndWrite
-	afterWrite   func()        // called by EndWrite; nil: nothing to call
+	writing      bool          // a write is in progress, between BeginWrite and EndWrite
+	afterWrite   func()        // function that EndWrite calls; nil: none
 	done         chan struct{} // created by the first call of Done
-	afterFunc    func()        // registered by AfterFunc; nil if there is none
-	registration uint64        // number of functions that AfterFunc has registered
+	afterFunc    func()        // function registered by AfterFunc; nil: none
+	registration uint64        // number of functions registered so far
 }
 
 var (
@@ -31,7 +30,7 @@
 	_ WriteGuardContext   = (*attemptContext)(nil)
 )
 
-// closedChan is what Done returns for a context that ended before the first call.
+// closedChan is the result of Done for a context that ended before the first call of Done.
 var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
@@ -45,22 +44,22 @@
 	return c.deadline, true
 }
 
-// setDeadline moves the deadline once the body of the request has arrived.
+// setDeadline replaces the deadline. The loop calls it when the body of the request has arrived.
 func (c *attemptContext) setDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = deadline
 }
 
-// abandon forbids further writes, because the request is answered or its client has disconnected. Bytes that were
-// written before are not affected.
+// abandon forbids further writes. The loop calls it when the request is answered or its client has disconnected.
+// Bytes that were written before are not affected.
 func (c *attemptContext) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abandoned = true
 }
 
-// Abandoned implements AbandonableContext. Transports call it right before they write.
+// Abandoned implements AbandonableContext. Transports call it just before they write.
 func (c *attemptContext) Abandoned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,8 +88,7 @@
 	}
 }
 
-// runAfterWrite registers a function that runs when the write in progress ends; it returns false if there is no write
-// in progress.
+// runAfterWrite makes EndWrite call run if a write is in progress. It returns false if no write is in progress.
 func (c *attemptContext) runAfterWrite(run func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,10 +98,10 @@
 	return c.writing
 }
 
-// SendBy implements SendDeadlineContext. Transports call it right before they write.
+// SendBy implements SendDeadlineContext. Transports call it just before they write.
 func (c *attemptContext) SendBy() time.Time { return c.sendBy }
 
-// Value implements context.Context. The context has no values.
+// Value implements context.Context. It returns nil, because the context has no values.
 func (c *attemptContext) Value(any) any { return nil }
 
 // Err implements context.Context.
@@ -126,9 +124,9 @@
 	return c.done
 }
 
-// AfterFunc implements AfterFuncContext, and context.AfterFunc calls it. It registers one function without starting a
-// goroutine. For a second function at the same time, a goroutine waits until the context ends, which the loop
-// guarantees.
+// AfterFunc implements AfterFuncContext. context.AfterFunc calls it too. The first function is registered without a
+// goroutine. For each further function at the same time, a goroutine waits until the context ends. The loop ends
+// every context.
 func (c *attemptContext) AfterFunc(run func()) (stop func() bool) {
 	if registration, ok := c.register(run); ok {
 		return func() bool { return c.unregister(registration) }
@@ -136,8 +134,8 @@
 	return c.watchDone(run)
 }
 
-// register registers a function that runs when the context ends; it returns false if the context has ended or has a
-// function already.
+// register registers run, which is called when the context ends. It returns false if the context has ended or already
+// has a function.
 func (c *attemptContext) register(run func()) (registration uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,9 +147,9 @@
 	return c.registration, true
 }
 
-// unregister removes the function with a registration number; it returns false if the function has run or was removed
-// before. A context derived from this one may stop its function a second time much later, which must not remove a
-// function that was registered since.
+// unregister removes the function with the number registration. It returns false if that function has run or was
+// removed before. A derived context may stop its function a second time much later. The number protects a function
+// that was registered in the meantime.
 func (c *attemptContext) unregister(registration uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +160,7 @@
 	return true
 }
 
-// watchDone runs a function when Done is closed, or at once if it is closed already.
+// watchDone calls run when Done is closed, or at once if Done is closed already.
 func (c *attemptContext) watchDone(run func()) (stop func() bool) {
 	inner, cancel := context.WithCancel(doneOnlyContext{c})
 	stopInner := context.AfterFunc(inner, run)
@@ -173,11 +171,11 @@
 	}
 }
 
-// doneOnlyContext hides AfterFunc, so that the standard library waits for Done instead.
+// doneOnlyContext hides AfterFunc. The standard library then waits for Done instead.
 type doneOnlyContext struct{ context.Context }
 
-// cancel ends the context; only the first cause counts. The function that AfterFunc registered runs in a goroutine of
-// its own, because the loop must not wait for it.
+// cancel ends the context with the error cause. Only the first call has an effect. The function that AfterFunc
+// registered runs in its own goroutine, because the loop must not wait for the function.
 func (c *attemptContext) cancel(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/attempt_context_test.go
+++ b/router/attempt_context_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// An attempt's context behaves as any other context: everything that waits for its end is notified once.
+// TestAttemptContext_BehavesAsContext checks that the context of an attempt notifies each waiting function and
+// goroutine of its end once, as any other context.
 func TestAttemptContext_BehavesAsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := &attemptContext{deadline: time.Now().Add(time.Second)}
@@ -45,7 +46,8 @@
 	})
 }
 
-// Done returns a closed channel even if the context ended before the first call of Done.
+// TestAttemptContext_DoneAfterCancel checks that Done returns a closed channel if the context ended before the first
+// call of Done.
 func TestAttemptContext_DoneAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
@@ -58,7 +60,8 @@
 	})
 }
 
-// Once a function is stopped, another one can be registered, as a dial and then its connection do.
+// TestAttemptContext_AfterFuncReplacesStopped checks that a function can be registered after the previous function
+// was stopped. A dial and then its connection do that.
 func TestAttemptContext_AfterFuncReplacesStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
@@ -77,8 +80,8 @@
 	})
 }
 
-// The timer of a derived context and its cancel function may both stop the same registration, the second of them
-// after another function was registered: that function must stay registered.
+// TestAttemptContext_SecondStopKeepsOther checks that a second stop of one registration keeps a function that was
+// registered in between. The timer of a derived context and its cancel function may both stop the same registration.
 func TestAttemptContext_SecondStopKeepsOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
--- a/router/attempt_test.go
+++ b/router/attempt_test.go
@@ -9,7 +9,8 @@
 	"cobaltward/policy"
 )
 
-// Attempts beyond the limit are skipped, keep their numbers, and are reported as superseded.
+// TestAttempt_SkippedBeyondMaxAttempts checks that attempts beyond the limit are skipped, keep their numbers, and are
+// reported as superseded.
 func TestAttempt_SkippedBeyondMaxAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: endWith(policy.ServerError)}
@@ -24,7 +25,8 @@
 	})
 }
 
-// After the final answer no attempt is sent, and the outcome of the attempt in flight is still reported.
+// TestAttempt_NoneAfterFinalAnswer checks that no attempt is sent after the final answer. The outcome of the attempt
+// in flight must still be reported.
 func TestAttempt_NoneAfterFinalAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
@@ -43,14 +45,15 @@
 			return nil
 		}
 		r, balancer := newTestRouter(t, transport, respond)
-		wantDo(t, r, readRequest("r1"), Failed) // Fail comes before Reject
+		wantDo(t, r, readRequest("r1"), Failed) // the Fail action comes before the Reject action
 		balancer.wantEvents(t, "list 2", "request r1", "timer 1",
 			outcomeName("r1", 1, policy.Superseded, true), outcomeName("r1", 0, policy.Cancelled, true))
 		transport.wantAttempts(t, 1)
 	})
 }
 
-// An attempt ends before the client's deadline, even if the balancer allows it more time.
+// TestAttempt_TimeoutClippedToDeadline checks that an attempt ends before the client's deadline, even if the balancer
+// allows more time.
 func TestAttempt_TimeoutClippedToDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var timeLeft time.Duration
--- a/router/balancer_state.go
+++ b/router/balancer_state.go
@@ -22,30 +22,30 @@
 	_ endpointViewer      = (*policy.Balancer)(nil)
 )
 
-// StateAdjuster returns the state to restore, made from a stored one. initial returns the in-flight limit with which
-// the balancer would begin at a server, and how long the server's process has been up.
+// StateAdjuster returns the learned state to restore, usually made from a stored state. initial returns the in-flight
+// limit with which the balancer starts for server, and the uptime of the process of server.
 type StateAdjuster func(initial func(server string) (threshold float64, up policy.Time, ok bool)) policy.LearnedState
 
-// ExportState returns what the balancer has learned so far. It returns an error if the balancer does not support
-// that, or ErrClosed.
+// ExportState returns what the balancer has learned so far. It returns ErrClosed after Close, and another error if
+// the balancer does not support exporting.
 func (r *Router) ExportState() (state policy.LearnedState, err error) {
 	err = r.withBalancer(func(b statefulBalancer, _ policy.Time) { state = b.Export() })
 	return state, err
 }
 
-// RestoreState makes the balancer adopt the state that adjust returns. adjust is called in the event loop, and must
-// not call the router. It returns an error in the same cases as ExportState.
+// RestoreState makes the balancer adopt the state that adjust returns. adjust runs in the event loop and must not
+// call the router. The errors are those of ExportState.
 func (r *Router) RestoreState(adjust StateAdjuster) error {
 	return r.withBalancer(func(b statefulBalancer, now policy.Time) { b.Restore(now, adjust(b.InitialThreshold)) })
 }
 
-// SetTrafficShare tells the balancer which share of the node's traffic this process receives, from 0 to 1, while two
-// processes serve as one node. It returns an error in the same cases as ExportState.
+// SetTrafficShare tells the balancer which share of the node's traffic this process receives, from 0 to 1. It is used
+// while two processes serve as one node. The errors are those of ExportState.
 func (r *Router) SetTrafficShare(share float64) error {
 	return r.withBalancer(func(b statefulBalancer, now policy.Time) { b.SetTrafficShare(now, share) })
 }
 
-// withBalancer runs f with the balancer, in the loop.
+// withBalancer calls f with the balancer in the event loop.
 func (r *Router) withBalancer(f func(statefulBalancer, policy.Time)) error {
 	return r.runInLoop(func(l *loop) error { return l.withBalancer(f) })
 }
--- a/router/call.go
+++ b/router/call.go
@@ -8,27 +8,27 @@
 	"cobaltward/policy"
 )
 
-// call is one request on its way from Do to the loop and back. Once it is submitted, only the loop uses it, except
-// for reply and abandoned.
+// call is one request on its way from Do to the loop and back. After its submission, only the loop uses the call,
+// except for reply and abandoned.
 type call struct {
 	req         Request
-	class       policy.Class    // the class under which Do accepted it
-	submittedAt policy.Time     // when Do was called
-	receivedAt  policy.Time     // when the last byte of the request was read
-	timeout     time.Duration   // how long the client waits, counted from receivedAt
-	reply       chan Answer     // buffered for the one answer, so that the loop never waits for the caller
-	onAnswer    func(Answer)    // replaces reply if it is not nil; it must not call the loop
-	ctx         context.Context // the caller's context; nil in a Stepped engine
+	class       policy.Class    // class under which Do accepted the request
+	submittedAt policy.Time     // time of the call of Do
+	receivedAt  policy.Time     // time when the last byte of the request was read
+	timeout     time.Duration   // time that the client waits, counted from receivedAt
+	reply       chan Answer     // buffered for the one answer: the loop never waits for the caller
+	onAnswer    func(Answer)    // replaces reply if not nil; must not call the loop
+	ctx         context.Context // context of the caller; nil in a Stepped engine
 	abandoned   atomic.Bool     // the caller no longer waits for reply
-	bodyPending bool            // the last byte has not arrived; the timeout starts when it does
+	bodyPending bool            // the last byte has not arrived yet; the timeout starts with its arrival
 
-	// bodyReceivedAt is the policy.Time at which the last byte of an upload arrived; 0 until then. The reader of the
-	// body sets it.
+	// bodyReceivedAt is the policy.Time at which the last byte of an upload arrived; 0: not arrived yet. The reader
+	// of the body sets it.
 	bodyReceivedAt atomic.Int64
 }
 
-// completeEarlyBody starts the timeout of a call whose last byte arrived before the call was admitted: the loop may
-// handle the bodyReceived event before the requestSubmitted event of the same call.
+// completeEarlyBody starts the timeout of a call whose last byte arrived before admission. The loop may handle the
+// bodyReceived event of a call before its requestSubmitted event.
 func (c *call) completeEarlyBody() {
 	at := policy.Time(c.bodyReceivedAt.Load())
 	if c.bodyPending && at != 0 {
@@ -37,13 +37,13 @@
 	}
 }
 
-// clientGone reports whether the caller has stopped waiting. The clientLeft event of the call may still be queued.
+// clientGone reports whether the caller no longer waits. The clientLeft event of the call may still be queued.
 func (c *call) clientGone() bool {
 	return c.abandoned.Load() || c.ctx != nil && c.ctx.Err() != nil
 }
 
-// discardAnswer takes an answer for which the caller no longer waits, if there is one, and closes its stream, which
-// holds a connection.
+// discardAnswer takes the answer from reply, if there is one, after the caller has left. It closes the stream of the
+// answer, because the stream holds a connection.
 func (c *call) discardAnswer() {
 	select {
 	case answer := <-c.reply:
@@ -52,7 +52,7 @@
 	}
 }
 
-// closeStream closes the stream of an answer that is not delivered, if it has one.
+// closeStream closes the stream of answer, if it has one. It is called for answers that are not delivered.
 func closeStream(answer Answer) {
 	if answer.Stream != nil {
 		_ = answer.Stream.Close() // there is no caller to report an error to
--- a/router/clock.go
+++ b/router/clock.go
@@ -6,16 +6,17 @@
 	"cobaltward/policy"
 )
 
-// timeOrigin is the policy.Time of the router's start. It is above 0 so that servers that started before the router
-// have a positive start time: 0 means long ago, and would make a server in slow start count as warm.
+// timeOrigin is the policy.Time of the start of the router. It is above 0 so that servers that started before the
+// router have a positive start time. A start time of 0 means long ago, and would make a server in slow start count as
+// warm.
 const timeOrigin = 24 * time.Hour
 
-// clock converts the machine's time to policy.Time. It reads the wall clock once at the start, and later only to
-// detect that the wall clock was stepped.
+// clock converts the time of the machine to policy.Time. It reads the wall clock once at the start. Later it reads
+// the wall clock only to detect steps.
 type clock struct {
 	start   time.Time
-	virtual *policy.Time     // replaces the machine's clock in a Stepped engine; otherwise nil
-	wall    func() time.Time // replaces the wall clock in tests of clock steps; otherwise nil
+	virtual *policy.Time     // time of a Stepped engine; otherwise nil
+	wall    func() time.Time // wall clock in tests of clock steps; otherwise nil
 }
 
 func (c clock) now() policy.Time {
@@ -25,7 +26,8 @@
 	return timeOrigin + time.Since(c.start)
 }
 
-// wallStep is by how much the wall clock was stepped since the start: its advance minus that of the monotonic clock.
+// wallStep returns the total step of the wall clock since the start: its advance minus the advance of the monotonic
+// clock.
 func (c clock) wallStep() time.Duration {
 	elapsed := c.now() - timeOrigin
 	switch {
@@ -37,14 +39,14 @@
 	return time.Now().Round(0).Sub(c.start.Round(0)) - elapsed
 }
 
-// wallTime converts a policy.Time to a time of the machine's clock.
+// wallTime converts t to a time.Time with a monotonic reading.
 func (c clock) wallTime(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
 
-// policyTime converts a time of the machine's monotonic clock; a time before the start counts as the start.
+// policyTime converts t by the monotonic clock. A time before the start counts as the start.
 func (c clock) policyTime(t time.Time) policy.Time { return timeOrigin + max(0, t.Sub(c.start)) }
 
-// serverStart converts the start time of a server. Zero stays 0, and a time before the origin becomes 0, because it
-// is long ago too.
+// serverStart converts t, the start time of a server. A zero t stays 0. A time before the origin becomes 0, because
+// it is long ago too.
 func (c clock) serverStart(t time.Time) policy.Time {
 	if t.IsZero() {
 		return 0
--- a/router/config.go
+++ b/router/config.go
@@ -8,20 +8,20 @@
 	"cobaltward/policy"
 )
 
-// DefaultMaxInFlight is the maximum number of open requests if Config.MaxInFlight is 0.
+// DefaultMaxInFlight is the default of Config.MaxInFlight.
 const DefaultMaxInFlight = 1 << 16
 
-// Config configures a router, at its start by New and later by Reload.
+// Config configures a router. New reads it at the start, and Reload later.
 type Config struct {
-	// Settings are the classes, tenants, limits, capabilities and rules of the balancer.
+	// Settings contains the classes, tenants, limits, capabilities and rules of the balancer.
 	Settings policy.Settings
-	// MaxInFlight is the maximum number of requests without an answer; beyond it, Do answers Overloaded. 0 means
-	// DefaultMaxInFlight.
+	// MaxInFlight is the maximum number of requests without an answer. Do answers Overloaded beyond the maximum. 0
+	// means DefaultMaxInFlight.
 	MaxInFlight int
 	// Seed seeds the random choices of the balancer. Only New reads it.
 	Seed uint64
-	// Endpoints is the last known list of servers. New starts with it and treats it as possibly stale. Reload applies
-	// it if the endpoint source is StaticEndpoints; other sources report their own list.
+	// Endpoints is the last known list of servers. New starts with this list, which may be stale. Reload applies the
+	// list only if the endpoint source is StaticEndpoints, because other sources report their own list.
 	Endpoints []Endpoint
 }
 
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// maxInFlight returns MaxInFlight, or its default if it is 0.
+// maxInFlight returns MaxInFlight or its default.
 func (c Config) maxInFlight() int {
 	if c.MaxInFlight == 0 {
 		return DefaultMaxInFlight
@@ -78,7 +78,7 @@
 	return c.MaxInFlight
 }
 
-// longestDeadline is the longest deadline of any class.
+// longestDeadline returns the longest deadline of all classes.
 func (c Config) longestDeadline() (longest time.Duration) {
 	for i := range c.Settings.Classes {
 		longest = max(longest, c.Settings.Classes[i].Deadline)
--- a/router/counters.go
+++ b/router/counters.go
@@ -8,12 +8,12 @@
 	"cobaltward/policy"
 )
 
-// maxCountedClasses is the maximum number of classes that are counted separately, over all reloads. Further classes
-// are counted together, under an empty name.
+// maxCountedClasses is the maximum number of classes with separate counts, over all reloads. All further classes are
+// counted together under an empty name.
 const maxCountedClasses = 256
 
-// counters holds the counts that Metrics reports, updated where the counted events happen. Its methods are safe for
-// concurrent use.
+// counters holds the counts that Metrics reports. Each count is updated where its events happen. The methods are safe
+// for concurrent use.
 type counters struct {
 	mu                   sync.Mutex // held while classes are added
 	classes              atomic.Pointer[map[string]*classCounters]
@@ -22,12 +22,12 @@
 	unavailableEndpoints atomic.Int64
 }
 
-// classCounters holds the numbers of final answers of a class.
+// classCounters holds the numbers of final answers of one class.
 type classCounters struct {
 	answers [len(outcomeNames)]atomic.Uint64 // by Outcome
 }
 
-// addClasses adds counts, from 0, for the classes that are not counted yet.
+// addClasses adds counts for those of classes that are not counted yet.
 func (c *counters) addClasses(classes []policy.Class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	return classes[""]
 }
 
-// count counts one final answer of a class.
+// count counts one final answer, by its class and outcome.
 func (c *counters) count(class string, outcome Outcome) { c.class(class).answers[outcome].Add(1) }
 
 // answers returns the numbers of final answers of all classes, by Outcome.
@@ -65,7 +65,8 @@
 	return sum
 }
 
-// setEndpoints sets the counts of endpoints. It writes only changed counts, because it is called after each event.
+// setEndpoints sets the numbers of listed and unavailable endpoints. It writes only changed numbers, because it is
+// called after each event.
 func (c *counters) setEndpoints(listed, unavailable int) {
 	if n := int64(unavailable); n != c.unavailableEndpoints.Load() {
 		c.unavailableEndpoints.Store(n)
--- a/router/deadline.go
+++ b/router/deadline.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// answerMargin is how long before the client's deadline the balancer must have answered, so that the answer still
-	// reaches the client. The backstop answers half of the margin before that deadline. For short timeouts, the margin
-	// is the timeout divided by answerMarginDivisor.
+	// answerMargin is the time between the balancer's deadline and the client's deadline, in which the answer reaches
+	// the client. The backstop answers half of the margin before the client's deadline. For short timeouts, the
+	// margin is the timeout divided by answerMarginDivisor.
 	answerMargin        = 20 * time.Millisecond
 	answerMarginDivisor = 5
-	// maxLatenessWithoutMargin is how late answers may be if a rehearsal disables the margin.
+	// maxLatenessWithoutMargin is the maximum lateness of answers if a rehearsal disables the margin.
 	maxLatenessWithoutMargin = time.Second
 
-	// An upload may take minUploadTimeout plus the time of its bytes at minUploadRate bytes a second. Lengths that are
-	// unknown or above maxTimedUpload count as maxTimedUpload.
+	// The maximum time for an upload is minUploadTimeout plus the time for its bytes at minUploadRate bytes a second.
+	// A length that is unknown or above maxTimedUpload counts as maxTimedUpload.
 	minUploadRate    = 32 << 10
 	minUploadTimeout = 5 * time.Second
 	maxTimedUpload   = 32 << 20
 )
 
-// answerTimes returns, for a request whose client stops waiting at end, the time by which the balancer must have
-// answered it, and the time of the backstop.
+// answerTimes returns the deadline of the balancer and the time of the backstop for a request. end is the time at
+// which the client stops waiting. timeout is the total time that the client waits.
 func (l *loop) answerTimes(end policy.Time, timeout time.Duration) (deadline, backstop policy.Time) {
 	margin := min(answerMargin, timeout/answerMarginDivisor)
 	if !l.enforced(safeguards.AnswerDeadline) {
@@ -35,7 +35,7 @@
 	return end - margin, end - margin/2
 }
 
-// uploadTimeout is the longest time for an upload of a length in bytes; a negative length means unknown.
+// uploadTimeout returns the maximum time for an upload of length bytes. A negative length means unknown.
 func uploadTimeout(length int64) time.Duration {
 	if length < 0 || length > maxTimedUpload {
 		length = maxTimedUpload
@@ -43,8 +43,8 @@
 	return minUploadTimeout + time.Duration(length)*time.Second/minUploadRate
 }
 
-// completeBody starts the timeout of a request whose upload is complete: the client counts it from the last byte. No
-// attempt can have run before.
+// completeBody starts the timeout of a request whose upload is complete, because the client counts the timeout from
+// the last byte. No attempt can have run before.
 func (l *loop) completeBody(e bodyReceived) {
 	r := l.requests[e.call.req.ID]
 	if r == nil || r.call != e.call || r.finished || !r.bodyPending {
@@ -72,7 +72,7 @@
 	})
 }
 
-// fireTimers handles the timers that are due.
+// fireTimers fires the timers that are due.
 func (l *loop) fireTimers() {
 	now := l.clock.now()
 	for len(l.timers) > 0 && l.timers[0].due <= now {
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// If the balancer never answers, the backstop answers shortly before the client stops waiting.
+// TestBackstop_AnswersForSilentBalancer checks that the backstop answers shortly before the client stops waiting if
+// the balancer never answers.
 func TestBackstop_AnswersForSilentBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxImmediateRejectionAge is the age up to which a rejection counts as one by the balancer's rate limit: requests
-	// that are rejected later have waited for a server.
+	// maxImmediateRejectionAge is the maximum age at which a rejection counts as a rejection by the rate limit.
+	// Requests that are rejected later have waited for a server.
 	maxImmediateRejectionAge = 10 * time.Millisecond
 	// shedRetrySpread spreads the Retry-After of shed requests from 1 to 1+shedRetrySpread times routerRetryAfter.
 	shedRetrySpread = 4
-	// serviceTimeGain is the weight of one answer in the moving average of a class's service time.
+	// serviceTimeGain is the weight of one answer in the moving average of the service time of a class.
 	serviceTimeGain = 0.1
 	// levelStepInterval is the time between two steps of the levels.
 	levelStepInterval = time.Second
 )
 
-// degradation measures the signals that the levels of service depend on, and applies the measures of the level in
-// force. The loop owns it.
+// degradation measures the signals for the levels of service, and applies the measures of the level in force. The
+// loop owns it.
 type degradation struct {
 	controller   *levels.Controller
 	shedByClass  map[string]uint64
-	shedByTenant map[string]uint64 // by tenant in the settings; all other tenants count under ""
+	shedByTenant map[string]uint64 // by tenant; tenants that are not in the settings count under ""
 	shedWeight   float64           // sum of the priority weights of shed requests
 	classes      map[string]*classWindow
-	quotas       map[string]*quotaBucket // by tenant, for measures that keep tenants to their quotas
+	quotas       map[string]*quotaBucket // by tenant, for levels that limit tenants to their quotas
 }
 
 // classWindow counts the requests of a class within the current second.
@@ -38,13 +38,13 @@
 	priorityWeight   float64
 }
 
-// quotaBucket is a token bucket that holds one second of a tenant's quota.
+// quotaBucket is a token bucket that holds the quota of a tenant for one second.
 type quotaBucket struct {
-	rate, tokens float64 // tokens a second; tokens left
+	rate, tokens float64 // tokens added per second; tokens left
 	refilledAt   policy.Time
 }
 
-// take takes a token; it returns false if there is none.
+// take takes one token at the time now. It returns false if there is no token.
 func (b *quotaBucket) take(now policy.Time) bool {
 	b.tokens = min(max(1, b.rate), b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -69,7 +69,7 @@
 	return d, nil
 }
 
-// reconfigure applies other settings. Classes and tenants that remain keep their counts.
+// reconfigure applies settings. Classes and tenants that remain keep their counts.
 func (d *degradation) reconfigure(settings policy.Settings) {
 	classes := make(map[string]*classWindow, len(settings.Classes))
 	for i := range settings.Classes {
@@ -106,26 +106,26 @@
 	return bucket
 }
 
-// withinQuota takes a token of the tenant's quota, and reports whether there was one. A tenant that is not in the
-// settings has no quota: all its requests are beyond it.
+// withinQuota takes a token from the quota of tenant, and returns false if there is none. A tenant that is not in the
+// settings has no quota: all its requests are beyond the quota.
 func (d *degradation) withinQuota(tenant string, now policy.Time) bool {
 	bucket := d.quotas[tenant]
 	return bucket != nil && bucket.take(now)
 }
 
-// shouldShed counts an offered request, and reports whether the level in force sheds it. In a dry run it only counts,
-// and returns false.
+// shouldShed counts r as offered, and reports whether the level in force sheds r. In a dry run it only counts, and
+// returns false.
 func (d *degradation) shouldShed(r *request, now policy.Time) bool {
 	window := d.classes[r.req.Class]
 	if window == nil { // a reload has removed the class since Do
 		return false
 	}
-	if !r.req.IsRetry { // retries of shed requests would otherwise count as additional demand
+	if !r.req.IsRetry { // retries of shed requests are not additional demand
 		window.Offered++
 	}
 	effect := d.effect(r)
 	within := d.withinQuota(r.req.Tenant, now)
-	// The draw is by request ID. Retries have new IDs and would be admitted sooner or later, so all of them are shed.
+	// The draw is by request ID. A retry has a new ID and would pass the draw sooner or later, so every retry is shed.
 	selected := effect.Shed > 0 && (r.req.IsRetry || dropoverload.Fraction(r.req.ID) < effect.Shed)
 	if !selected && (!effect.WithinQuota || within) {
 		return false
@@ -145,8 +145,8 @@
 	d.shedWeight += window.priorityWeight
 }
 
-// shedRetryAfter spreads the Retry-After of shed requests over some seconds, by their IDs, so that their clients do
-// not all retry at the same time. limit is the maximum; 0: no limit.
+// shedRetryAfter returns the Retry-After of the shed request id. It differs by id, so that clients do not all retry
+// at the same time. limit is the maximum; 0: no limit.
 func shedRetryAfter(id string, limit time.Duration) time.Duration {
 	spread := shedRetrySpread * dropoverload.Fraction("again "+id) * float64(routerRetryAfter)
 	retryAfter := routerRetryAfter + time.Duration(spread)
@@ -156,13 +156,13 @@
 	return retryAfter
 }
 
-// effect returns the effect of the level in force on a request.
+// effect returns the effect of the level in force on r.
 func (d *degradation) effect(r *request) levels.Effect {
 	return d.controller.Effect(r.req.Class, r.req.Tenant)
 }
 
-// restrictions returns what the level in force demands of the balancer for a request: whether to stay in the node's
-// zone, and the longest time in a queue, if maxQueueTime is above 0.
+// restrictions returns the restrictions of the level in force for r. zoneLocal keeps r in the zone of the node. A
+// maxQueueTime above 0 is the maximum time of r in a queue.
 func (d *degradation) restrictions(r *request) (zoneLocal bool, maxQueueTime time.Duration) {
 	if d.controller.DryRun() {
 		return false, 0
@@ -171,7 +171,7 @@
 	return effect.ZoneLocal, effect.MaxQueueTime
 }
 
-// forbidsAttempt reports whether the level in force forbids the attempt with a number.
+// forbidsAttempt reports whether the level in force forbids the attempt of r with the given number.
 func (d *degradation) forbidsAttempt(r *request, number int) bool {
 	if number == 0 || d.controller.DryRun() {
 		return false
@@ -180,18 +180,18 @@
 	if effect.MaxAttempts > 0 && number >= effect.MaxAttempts {
 		return true
 	}
-	return effect.NoHedging && r.hasAttemptInFlight() // it would be a hedged request
+	return effect.NoHedging && r.hasAttemptInFlight() // the attempt would be a hedged request
 }
 
-// recordServiceTime records how long a server took for a request.
+// recordServiceTime records that a server took duration for r.
 func (d *degradation) recordServiceTime(r *request, duration time.Duration) {
 	if window := d.classes[r.req.Class]; window != nil {
 		window.Work += serviceTimeGain * (duration.Seconds() - window.Work)
 	}
 }
 
-// recordAnswer counts an answer as on time or late. A conflict, or a rejection by the rate limit, is not counted,
-// because it says nothing about the servers.
+// recordAnswer counts the answer to r as on time or late. A conflict and a rejection by the rate limit are not
+// counted, because they say nothing about the servers.
 func (d *degradation) recordAnswer(r *request, outcome Outcome, now policy.Time) {
 	window := d.classes[r.req.Class]
 	if window == nil {
@@ -207,8 +207,8 @@
 	}
 }
 
-// step passes the counts of the last second to the controller, and starts new ones. If this changes the level,
-// changed is true and event describes the change.
+// step passes the counts of the last second to the controller, and starts new counts. If the level changes, changed
+// is true and event describes the change.
 func (d *degradation) step(now policy.Time, requests map[string]*request) (event levels.Event, changed bool) {
 	d.countOpen(requests)
 	seconds := make(map[string]levels.Window, len(d.classes))
@@ -226,7 +226,7 @@
 	return events[len(events)-1], true
 }
 
-// countOpen counts the open requests, and those that have had no attempt yet.
+// countOpen counts the open requests, and the open requests without an attempt.
 func (d *degradation) countOpen(requests map[string]*request) {
 	for _, r := range requests {
 		window := d.classes[r.req.Class]
--- a/router/degradation_test.go
+++ b/router/degradation_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// readLevels returns levels with these names; each sheds a part of the class "read".
+// readLevels returns levels called names. Each level sheds a part of the class "read".
 func readLevels(names ...string) *levels.Config {
 	config := &levels.Config{Classes: []levels.Class{{Name: "read"}}}
 	for i, name := range names {
@@ -51,8 +51,8 @@
 	}
 }
 
-// SetLevels changes the levels while the router runs: levels are added, stay in force by their names, are kept if the
-// new ones are invalid, and are removed.
+// TestSetLevels_ReplacesLevels checks that SetLevels adds and removes levels while the router runs. A level in force
+// stays in force by its name. Invalid levels change nothing.
 func TestSetLevels_ReplacesLevels(t *testing.T) {
 	r := newLevelsRouter(t, policy.Settings{Nodes: 1, Classes: []policy.Class{{
 		Name:             "read",
@@ -63,7 +63,7 @@
 	}}})
 	wantNoLevels(t, r)
 	steps := []struct {
-		setBefore int // level to set manually before; 0: none
+		setBefore int // level set manually before the call; 0: none
 		levels    *levels.Config
 		wantLevel int
 		wantName  string
@@ -94,8 +94,9 @@
 	wantNoLevels(t, r)
 }
 
-// The measures of a level are applied: requests of one class are shed with a spread Retry-After and counted by class
-// and tenant, and requests of another class queue for a shorter time. In a dry run they are only counted.
+// TestLevels_ApplyMeasures checks the measures of a level. Requests of one class are shed with a spread Retry-After,
+// and counted by class and tenant. Requests of another class queue for a shorter time. In a dry run, requests are
+// only counted.
 func TestLevels_ApplyMeasures(t *testing.T) {
 	for _, dryRun := range []bool{false, true} {
 		t.Run(fmt.Sprint("dry run ", dryRun), func(t *testing.T) { testLevelMeasures(t, dryRun) })
@@ -132,8 +133,7 @@
 		if len(retryAfters) < 15 {
 			t.Errorf("20 shed requests got %d different Retry-After values, want at least 15", len(retryAfters))
 		}
-		// Without a server the request queues. The measure shortens its wait, which would be half of its latency
-		// objective.
+		// Without a server the request queues. The measure shortens the wait below half of the latency objective.
 		wantDo(t, r, Request{ID: "h", Class: "held", Tenant: "t"}, Rejected)
 	}
 	wantShedCounts(t, r, dryRun)
@@ -172,7 +172,7 @@
 	return r.Do(ctx, req)
 }
 
-// isShed reports whether a request was shed, with a Retry-After of 1 s to 5 s.
+// isShed reports whether the result of Do is a shed request with a Retry-After of 1 s to 5 s.
 func isShed(answer Answer, err error) bool {
 	return err == nil && answer.Outcome == Rejected &&
 		answer.RetryAfter >= time.Second && answer.RetryAfter <= 5*time.Second
--- a/router/do.go
+++ b/router/do.go
@@ -7,10 +7,12 @@
 	"cobaltward/policy"
 )
 
-// Do routes one request and waits for its answer. It returns an error if there is no answer: *InvalidError,
-// ErrDrained and ErrClosed mean that the request was not accepted and reached no server; ctx's error means that ctx
-// ended before the answer, and the request may have run, unless ctx had ended before the call. No request waits
-// longer than its class allows, nor beyond ctx's deadline. The caller must close Answer.Stream if it is not nil.
+// Do routes req and waits for the answer. It waits at most as long as the class of req allows, and not beyond the
+// deadline of ctx. The caller must close Answer.Stream if it is not nil.
+//
+// Do returns an error if there is no answer. After *InvalidError, ErrDrained and ErrClosed, the request was not
+// accepted and reached no server. The error of ctx means that ctx ended before the answer. The request may then have
+// run, unless ctx had ended before the call.
 func (r *Router) Do(ctx context.Context, req Request) (Answer, error) {
 	class, err := r.prepare(&req)
 	if err != nil {
@@ -35,7 +37,7 @@
 	return answer, err
 }
 
-// prepare validates a request, fills in its default method, and returns the class that applies to it.
+// prepare validates req, sets its default method, and returns the class that applies to it.
 func (r *Router) prepare(req *Request) (policy.Class, error) {
 	if err := req.validate(); err != nil {
 		return policy.Class{}, err
@@ -56,7 +58,7 @@
 	return class, nil
 }
 
-// submit passes a valid request to the loop, and waits for its answer.
+// submit passes req, which is valid, to the loop and waits for the answer.
 func (r *Router) submit(ctx context.Context, req *Request, class *policy.Class) (Answer, error) {
 	eventLoop := r.loop
 	switch r.Phase() {
@@ -77,7 +79,7 @@
 	return eventLoop.await(ctx, call)
 }
 
-// newCall returns the call for a request that is submitted now. It runs in the caller's goroutine.
+// newCall returns the call for req, which is submitted now. It runs in the goroutine of the caller.
 func (l *loop) newCall(ctx context.Context, req *Request, class *policy.Class) *call {
 	now := l.clock.now()
 	call := &call{
@@ -107,7 +109,7 @@
 	return call
 }
 
-// await waits for the answer to a call that was sent to the loop. It runs in the caller's goroutine.
+// await waits for the answer to c, which was sent to the loop. It runs in the goroutine of the caller.
 func (l *loop) await(ctx context.Context, c *call) (Answer, error) {
 	select {
 	case answer := <-c.reply:
@@ -123,7 +125,7 @@
 	default:
 	}
 	if !notified {
-		// The loop answers every call that it has admitted before it ends, so it never received this one.
+		// Before the loop ends, it answers every call that it has admitted. It has never received this call.
 		return Answer{}, ErrClosed
 	}
 	return Answer{}, ctx.Err()
--- a/router/do_test.go
+++ b/router/do_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// wantInvalid checks that an error is an *InvalidError for a field.
+// wantInvalid checks that err is an *InvalidError for field.
 func wantInvalid(t *testing.T, err error, field string) {
 	t.Helper()
 	var invalid *InvalidError
@@ -19,7 +19,7 @@
 }
 
 func TestDo_RejectsInvalidRequests(t *testing.T) {
-	tests := map[string]Request{ // by the field that is invalid
+	tests := map[string]Request{ // by invalid field
 		"ID":             {Class: "read"},
 		"Class":          {ID: "a", Class: "other"},
 		"Tenant":         {ID: "a", Class: "read", Tenant: strings.Repeat("x", MaxNameLength+1)},
@@ -39,8 +39,8 @@
 	}
 }
 
-// A request whose context has ended is not accepted. The deadline of the context bounds the wait for an answer;
-// without one, the deadline of the class does.
+// TestDo_HonorsContext checks that a request is not accepted after its context has ended. The deadline of the context
+// limits the wait for an answer. Without that deadline, the deadline of the class limits the wait.
 func TestDo_HonorsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
--- a/router/drain.go
+++ b/router/drain.go
@@ -11,16 +11,19 @@
 // unboundedDrain is the timeout of a drain whose context has no deadline.
 const unboundedDrain = 24 * time.Hour
 
-// Drain shuts the router down gracefully, for good. The router stops being ready at once, keeps serving for a while
-// (WithDrainDelay), makes the listeners stop accepting connections, and waits until no request is open; after that Do
-// accepts no request. If ctx ends first, the open requests are answered (Failed if they may have run, otherwise
-// Rejected), and Drain returns ctx's error. The drain can't be cancelled, and supersedes one that StartDrain has
-// started. A second call waits for the same drain, for which only the ctx of the first call counts. Drain returns
-// ErrClosed if Close ends the drain.
+// Drain shuts the router down gracefully, for good. The router stops being ready at once, but keeps serving for the
+// drain delay. Then its listeners stop accepting connections, and Drain waits until no request is open. Do accepts no
+// request after that. WithDrainDelay sets the drain delay.
+//
+// If ctx ends first, the open requests are answered, and Drain returns the error of ctx. The answer is Failed if the
+// request may have run, and Rejected otherwise. Drain returns ErrClosed if Close ends the drain.
+//
+// The drain cannot be cancelled, and replaces a drain that StartDrain has started. A second call waits for the same
+// drain; only the ctx of the first call limits the drain.
 func (r *Router) Drain(ctx context.Context) error { return r.DrainAfter(ctx, r.drainDelay(), 0) }
 
-// DrainAfter is Drain with other durations. For announce, the router only stops being ready; then, for leave, it
-// still accepts new requests while answers close their client connections.
+// DrainAfter is Drain with other durations. For the duration announce, the router only stops being ready. Then, for
+// the duration leave, it still accepts new requests, but client connections close after their next answer.
 func (r *Router) DrainAfter(ctx context.Context, announce, leave time.Duration) error {
 	order := drain.Order{
 		AnnounceFor: announce,
@@ -46,8 +49,8 @@
 	return errors.As(err, &busy) || errors.Is(err, drain.ErrDrained)
 }
 
-// awaitDrain waits for the drain in progress. first says that the caller has started it: then the end of ctx ends the
-// drain.
+// awaitDrain waits for the drain in progress. first is true if the caller has started the drain. In that case, the
+// end of ctx ends the drain.
 func (r *Router) awaitDrain(ctx context.Context, first bool) error {
 	r.drainMu.Lock()
 	run, status := r.drainRun, r.drainMachine.Status()
@@ -76,7 +79,7 @@
 	return ctx.Err()
 }
 
-// forceDrain moves the deadline of a drain to now, and waits until the drain has ended.
+// forceDrain moves the deadline of the drain run to now, and waits until the drain has ended.
 func (r *Router) forceDrain(run *drainRun) {
 	r.drainMu.Lock()
 	r.drainMachine.ExpireNow(time.Now())
@@ -85,9 +88,9 @@
 	<-run.done
 }
 
-// StartDrain starts a drain, or changes the one in progress, by the rules of drain.Machine.Start, whose errors it
-// returns. After Close it returns ErrClosed. It does not wait; DrainStatus shows the progress. If Order.AnnounceFor
-// or Order.LeaveFor is 0, the state in question is skipped.
+// StartDrain starts a drain by the order o, or changes the drain in progress. drain.Machine.Start defines the rules
+// and the errors. If o.AnnounceFor or o.LeaveFor is 0, the corresponding state is skipped. StartDrain does not wait;
+// DrainStatus shows the progress. After Close it returns ErrClosed.
 func (r *Router) StartDrain(o drain.Order) error {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -108,8 +111,9 @@
 	return nil
 }
 
-// CancelDrain cancels a drain: the router is ready again at once, and its DrainableListeners accept clients again. It
-// returns the errors of drain.Machine.Cancel, ErrClosed, or the errors of listeners that can't resume.
+// CancelDrain cancels a drain at the request of requestedBy. The router is ready again at once, and its
+// DrainableListeners accept clients again. CancelDrain returns the errors of drain.Machine.Cancel, ErrClosed, or the
+// errors of listeners that cannot resume.
 func (r *Router) CancelDrain(requestedBy string) error {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -122,7 +126,7 @@
 	run := r.drainRun
 	run.cancelled.Store(true)
 	run.finish()
-	r.loop.drained.Store(false) // not in the loop, which may be busy: cancelling a drain must not wait
+	r.loop.drained.Store(false) // not set by the loop, which may be busy: CancelDrain must not wait
 	r.resumeServing()
 	var err error
 	if run.acceptingStopped {
@@ -134,22 +138,22 @@
 	return err
 }
 
-// DrainStatus returns the status of the drain in progress, or of the last one.
+// DrainStatus returns the status of the drain in progress, or of the last drain.
 func (r *Router) DrainStatus() drain.Status {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	return r.drainMachine.Status()
 }
 
-// DrainEvents returns the retained events after event number n.
+// DrainEvents returns the retained events after the event with the number n.
 func (r *Router) DrainEvents(n uint64) []drain.Event {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	return append([]drain.Event(nil), r.drainMachine.Events(n)...)
 }
 
-// ClientConnections returns the number of open client connections at the DrainableListeners, and how many of them
-// have a request in progress.
+// ClientConnections returns the number of open client connections of all DrainableListeners. busy is the number of
+// connections with a request in progress.
 func (r *Router) ClientConnections() (open, busy int) {
 	for _, l := range r.drainableListeners() {
 		listenerOpen, listenerBusy := l.Connections()
@@ -159,7 +163,7 @@
 	return open, busy
 }
 
-// pendingFirstRequests is the number of connections whose first request is in progress or may still arrive.
+// pendingFirstRequests returns the number of connections whose first request is in progress or may still arrive.
 func (r *Router) pendingFirstRequests() int {
 	pending := 0
 	for _, l := range r.listeners {
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -9,30 +9,30 @@
 	"cobaltward/drain"
 )
 
-// drainPollInterval is how often the remaining work is counted while the router is closing.
+// drainPollInterval is the time between two counts of the remaining work while the router is closing.
 const drainPollInterval = 10 * time.Millisecond
 
-// drainRun is one drain, from its start until it is over or cancelled. Router.runDrain drives it in a goroutine that
-// Router.Close waits for.
+// drainRun is one drain, from its start until it is over or cancelled. A goroutine runs Router.runDrain for it;
+// Router.Close waits for the goroutine.
 type drainRun struct {
-	wakeup    chan struct{} // signals that the drain machine has changed; buffered for one signal
-	done      chan struct{} // closed once the drain is over, or cancelled
+	wakeup    chan struct{} // signals a change of the drain machine; buffered for one signal
+	done      chan struct{} // closed once the drain is over or cancelled
 	cancelled atomic.Bool   // the loop must ignore the drainEnded event of this drain
 
 	// The fields below are guarded by Router.drainMu. The first three are used only in final drains.
 	shutdownStarted  bool
-	shuttingDown     int                // number of listeners whose Shutdown has not returned
-	cancelShutdown   context.CancelFunc // ends the context of the listeners' Shutdown
-	acceptingStopped bool               // StopAccepting was called, which can be undone
+	shuttingDown     int                // listeners whose Shutdown has not returned
+	cancelShutdown   context.CancelFunc // ends the context of the Shutdown calls
+	acceptingStopped bool               // StopAccepting was called; ResumeAccepting can undo it
 
-	listeners sync.WaitGroup // the goroutines that call Listener.Shutdown
+	listeners sync.WaitGroup // goroutines that call Listener.Shutdown
 }
 
 func newDrainRun() *drainRun {
 	return &drainRun{wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// notify wakes runDrain, so that it steps the machine. It does not block.
+// notify wakes runDrain, which then steps the machine. It does not block.
 func (d *drainRun) notify() {
 	select {
 	case d.wakeup <- struct{}{}:
@@ -40,7 +40,7 @@
 	}
 }
 
-// isDone reports whether the drain is over, or cancelled.
+// isDone reports whether the drain is over or cancelled.
 func (d *drainRun) isDone() bool {
 	select {
 	case <-d.done:
@@ -50,14 +50,14 @@
 	}
 }
 
-// finish marks the run as ended, unless it has ended before. The caller holds Router.drainMu.
+// finish closes done, unless done is closed already. The caller holds Router.drainMu.
 func (d *drainRun) finish() {
 	if !d.isDone() {
 		close(d.done)
 	}
 }
 
-// runDrain drives the drain machine until the drain is over, or cancelled.
+// runDrain steps the drain machine until the drain run is over or cancelled.
 func (r *Router) runDrain(run *drainRun) {
 	defer run.listeners.Wait()
 	timer := time.NewTimer(0)
@@ -83,15 +83,15 @@
 	}
 }
 
-// endDrainRun ends the run, unless the drain was cancelled in the meantime.
+// endDrainRun ends run, unless the drain was cancelled in the meantime.
 func (r *Router) endDrainRun(run *drainRun) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
 	run.finish()
 }
 
-// stepDrain steps the machine and applies its state, unless the run has ended. It returns when it must be called
-// again, and whether the drain is over.
+// stepDrain steps the machine and applies its state, unless run has ended. next is the time of the next step. over
+// reports whether the drain is over.
 func (r *Router) stepDrain(run *drainRun) (next time.Time, over bool) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -109,9 +109,8 @@
 	return next, over
 }
 
-// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned,
-// because the operating system may have accepted connections that the listener has not seen. The caller holds
-// drainMu.
+// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned.
+// The operating system may have accepted connections that the listener has not seen yet. The caller holds drainMu.
 func (r *Router) openWork() drain.Counts {
 	counts := drain.Counts{OpenRequests: int(r.loop.openRequests.Load())}
 	switch run := r.drainRun; {
@@ -126,8 +125,8 @@
 	return counts
 }
 
-// applyDrainState does what the machine's state requires, and reports whether the drain is over. The caller holds
-// drainMu.
+// applyDrainState takes the measures of the state of the machine. over reports whether the drain is over. The caller
+// holds drainMu.
 func (r *Router) applyDrainState(run *drainRun) (over bool) {
 	status := r.drainMachine.Status()
 	switch status.State {
@@ -150,8 +149,8 @@
 	return false
 }
 
-// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It does so once for
-// each kind of drain. The caller holds drainMu.
+// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It acts once for each
+// kind of drain. The caller holds drainMu.
 func (r *Router) stopListeners(run *drainRun, status drain.Status) {
 	switch {
 	case status.Final && !run.shutdownStarted:
@@ -165,8 +164,8 @@
 	}
 }
 
-// shutDownListeners calls each listener's Shutdown in a goroutine. The goroutines end at the deadline or when the
-// drain is over, at the latest; runDrain waits for them. The caller holds drainMu.
+// shutDownListeners calls the Shutdown of each listener in a goroutine. The context of Shutdown ends at deadline or
+// when the drain is over. runDrain waits for the goroutines. The caller holds drainMu.
 func (r *Router) shutDownListeners(run *drainRun, deadline time.Time) {
 	run.shuttingDown = len(r.listeners)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/router/drain_test.go
+++ b/router/drain_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// wantDrainState checks the phase of the router, and how often the listener was shut down.
+// wantDrainState checks the phase of r, and the number of calls of the Shutdown of listener.
 func wantDrainState(t *testing.T, r *Router, listener *fakeListener, phase Phase, shutdowns int32) {
 	t.Helper()
 	if got, n := r.Phase(), listener.shutdowns.Load(); got != phase || n != shutdowns {
@@ -16,7 +16,8 @@
 	}
 }
 
-// A drain keeps serving, then makes its listeners stop accepting, and ends when the last request has ended.
+// TestDrain_PhasesInOrder checks that a drain first keeps serving, then makes its listeners stop accepting, and ends
+// with the last request.
 func TestDrain_PhasesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
@@ -51,8 +52,8 @@
 	})
 }
 
-// A drain without open requests still waits for its listeners: requests on connections that the operating system has
-// accepted for them are served.
+// TestDrain_WaitsForListenersWithoutWork checks that a drain without open requests waits for its listeners. Requests
+// must be served on connections that the operating system has accepted for a listener.
 func TestDrain_WaitsForListenersWithoutWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := &fakeListener{release: make(chan struct{})}
@@ -69,8 +70,8 @@
 	})
 }
 
-// If the drain's deadline comes first, open requests are answered once: as failed if they may have run, otherwise as
-// rejected.
+// TestDrain_DeadlineAnswersOpenRequests checks that open requests are answered once at the deadline of a drain. The
+// answer is Failed if the request may have run, and Rejected otherwise.
 func TestDrain_DeadlineAnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, sendOnceExcept("queued"), WithDrainDelay(0))
--- a/router/endpoint.go
+++ b/router/endpoint.go
@@ -10,7 +10,7 @@
 
 // EndpointSource provides the list of servers and its changes.
 type EndpointSource interface {
-	// Run passes each update to publish until ctx ends. publish may block while the router is busy, and returns at
+	// Run passes each update to publish until ctx ends. publish may block while the router is busy, but returns at
 	// once after the router has ended. The router calls Run once, in a goroutine that Close waits for.
 	Run(ctx context.Context, publish func(EndpointUpdate))
 	// SetPolling turns polling for updates on or off, as the balancer requests. It must not block.
@@ -20,13 +20,13 @@
 // EndpointUpdate is a change of the endpoint list.
 type EndpointUpdate struct {
 	Kind      policy.ListKind
-	Endpoints []Endpoint // only read by the router
-	// Drops, if not nil, replaces the fractions of requests to drop, by pool. The router rejects these requests before
-	// the balancer sees them. The router does not change the map.
+	Endpoints []Endpoint // the router only reads it
+	// Drops, if not nil, replaces the fractions of requests to drop, by pool. The router rejects these requests
+	// without the balancer. The router does not change the map.
 	Drops dropoverload.Fractions
-	// Outage is how long, by the monotonic clock, the source had received no answer before this one because its calls
-	// failed or got no response; 0 if there was no outage. The changes in this update may have happened at any time
-	// during the outage.
+	// Outage is the time, by the monotonic clock, for which the source received no answer before this update, because
+	// its calls failed or got no response. It is 0 if there was no outage. The changes in this update may have
+	// happened at any time during the outage.
 	Outage time.Duration
 	more   bool // other batches of the same update follow
 }
@@ -35,16 +35,16 @@
 type Endpoint struct {
 	ID           string   // stable across updates, and the same on every node
 	Addr         string   // host:port, or another form that the transport accepts
-	Pools        []string // the clusters that it belongs to; nil if there are none
+	Pools        []string // clusters that the server belongs to; nil: none
 	Zone         string
 	Kind         string
 	Cell         int64
 	Weight       float64
-	Started      time.Time // start of its process; zero: long ago
+	Started      time.Time // start of the server process; zero: long ago
 	Availability policy.Availability
 }
 
-// StaticEndpoints is an EndpointSource that never publishes an update; Reload replaces the list.
+// StaticEndpoints is an EndpointSource that never publishes an update. Reload replaces the endpoint list.
 type StaticEndpoints struct{}
 
 var _ EndpointSource = StaticEndpoints{}
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// updateBatchSize is how many entries of an endpoint update the loop handles at a time. It is small enough for the
-	// balancer to sort the entries in place, and for requests to be handled between batches.
+	// updateBatchSize is the number of entries of an endpoint update that the loop handles at a time. The balancer
+	// can sort so few entries in place, and the loop can handle requests between batches.
 	updateBatchSize = 4
-	// maxReusedEndpoints is the largest capacity of loop.endpointBuffer that is kept.
+	// maxReusedEndpoints is the maximum capacity of loop.endpointBuffer that is kept for reuse.
 	maxReusedEndpoints = 4 * updateBatchSize
 )
 
@@ -21,8 +21,9 @@
 	pools        []string
 }
 
-// enqueueUpdate passes an endpoint update to the loop. A large update is split into batches, running servers first,
-// so that at no time there are fewer of them than both before and after the update. It blocks while the loop is busy.
+// enqueueUpdate passes update to the loop. It blocks while the loop is busy. A large update is split into batches,
+// with running servers first. The number of running servers thus never drops below the smaller of its old and new
+// values.
 func (l *loop) enqueueUpdate(update EndpointUpdate) {
 	endpoints := update.Endpoints
 	if update.Kind == policy.ListUpdate && len(endpoints) > updateBatchSize {
@@ -42,7 +43,7 @@
 	l.sendUpdate(update)
 }
 
-// byAvailability returns the endpoints in the order of their availability: running, draining, removed.
+// byAvailability returns endpoints sorted by their availability: running, draining, removed.
 func byAvailability(endpoints []Endpoint) []Endpoint {
 	ordered := make([]Endpoint, 0, len(endpoints))
 	for availability := policy.Running; availability <= policy.Removed; availability++ {
@@ -55,7 +56,7 @@
 	return ordered
 }
 
-// sendUpdate queues one batch; it returns false if the loop has ended.
+// sendUpdate queues update, one batch. It returns false if the loop has ended.
 func (l *loop) sendUpdate(update EndpointUpdate) bool {
 	select {
 	case l.endpointUpdates <- update:
@@ -66,7 +67,7 @@
 }
 
 // applyPendingUpdate applies the queued endpoint update, if there is one, before the event that the loop has taken.
-// If the host has not run the loop for a while, requests have queued up, and none of them may go to a server that is
+// If the host has not run the loop for a while, requests have queued up. None of them may go to a server that is
 // draining.
 func (l *loop) applyPendingUpdate() {
 	select {
@@ -76,7 +77,7 @@
 	}
 }
 
-// updateEndpoints applies an endpoint update: to the transport first, then to the balancer.
+// updateEndpoints applies update, to the transport first and then to the balancer.
 func (l *loop) updateEndpoints(update EndpointUpdate) {
 	if update.Kind == policy.ListUnavailable {
 		l.stats.EndpointList.Failures++
@@ -101,7 +102,7 @@
 	}
 }
 
-// balancerEndpoint converts an endpoint to the form that the balancer uses.
+// balancerEndpoint converts endpoint to the type that the balancer uses.
 func (l *loop) balancerEndpoint(endpoint *Endpoint) policy.Endpoint {
 	online := l.clock.serverStart(endpoint.Started)
 	return policy.Endpoint{
@@ -117,7 +118,7 @@
 	}
 }
 
-// recordEndpoints updates the summaries of endpoints for Stats.
+// recordEndpoints records the summaries of the endpoints in update for Stats.
 func (l *loop) recordEndpoints(update EndpointUpdate) {
 	if update.Kind != policy.ListUpdate {
 		clear(l.endpoints)
--- a/router/endpoint_update_test.go
+++ b/router/endpoint_update_test.go
@@ -8,8 +8,8 @@
 	"cobaltward/policy"
 )
 
-// A large update is applied in batches, so that it does not delay requests, and running servers come before those
-// that are draining or removed.
+// TestEndpointUpdate_LargeUpdateInBatches checks that a large update is applied in batches, which do not delay
+// requests. Running servers must come before draining and removed servers.
 func TestEndpointUpdate_LargeUpdateInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: serveAtOnce}
@@ -33,7 +33,7 @@
 	})
 }
 
-// wantBatches checks the sizes and the order of the batches of an update.
+// wantBatches checks the size and the order of batches, which make up an update with the given number of entries.
 func wantBatches(t *testing.T, batches []EndpointUpdate, entries int) {
 	t.Helper()
 	last, n := policy.Running, 0
--- a/router/event.go
+++ b/router/event.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// event is a message to the event loop. Endpoint updates use a channel of their own.
+// event is a message to the event loop. Endpoint updates have their own channel.
 type event interface{ isEvent() }
 
 // The events of the loop. An event that holds a single pointer is sent without an allocation.
 type (
-	// requestSubmitted submits a call made by Do.
+	// requestSubmitted submits a call of Do.
 	requestSubmitted struct{ call *call }
 	// clientLeft reports that the caller of a call no longer waits.
 	clientLeft struct{ call *call }
@@ -16,11 +16,11 @@
 		call *call
 		at   time.Time
 	}
-	// attemptEnded reports that the transport has returned from an attempt; attempt.result is set.
+	// attemptEnded reports that the transport has returned from an attempt. attempt.result is set.
 	attemptEnded struct{ attempt *attempt }
 	// drainEnded makes the loop answer the open requests, unless the drain was cancelled in the meantime.
 	drainEnded struct{ run *drainRun }
-	// command runs a function in the loop, and sends its error to reply, which must be buffered.
+	// command calls run in the loop, and sends the error of run to reply. reply must be buffered.
 	command struct {
 		run   func(*loop) error
 		reply chan<- error
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -9,7 +9,7 @@
 	"cobaltward/router"
 )
 
-// echo is a transport that answers in the server's place; package transport/http1 has a real transport.
+// echo is a transport that answers in place of the server. Package transport/http1 has a real transport.
 type echo struct{}
 
 func (echo) Attempt(_ context.Context, server string, r *router.Request) router.Result {
@@ -21,7 +21,7 @@
 func (echo) CloseIdle(string)             {}
 func (echo) Close()                       {}
 
-// bookingConfig returns a configuration with one class and no server.
+// bookingConfig returns a configuration with one class and no servers.
 func bookingConfig() router.Config {
 	return router.Config{Settings: policy.Settings{
 		Nodes:   1,
@@ -36,7 +36,7 @@
 	}
 }
 
-// A router is started, routes a request and its duplicate, and is closed.
+// This example starts a router, routes a request and a duplicate of it, and closes the router.
 func Example() {
 	config := router.Config{
 		Settings: policy.Settings{
@@ -61,7 +61,7 @@
 	request := router.Request{ID: "r1", Class: "booking", Tenant: "stol-nitra", Target: "/rooms/7"}
 	answer, err := r.Do(context.Background(), request)
 	if err != nil {
-		fmt.Println(err) // the request was not accepted, or the caller's context has ended
+		fmt.Println(err) // the request was not accepted, or the context has ended
 		return
 	}
 	fmt.Println(answer.Outcome, string(answer.Body))
@@ -74,7 +74,7 @@
 	// conflict <nil>
 }
 
-// An error names the field of an invalid request.
+// The error names the field of an invalid request.
 func ExampleRouter_Do_invalid() {
 	r, err := router.New(bookingConfig(), router.WithTransport(echo{}))
 	if err != nil {
--- a/router/id_history_test.go
+++ b/router/id_history_test.go
@@ -8,7 +8,8 @@
 	"cobaltward/policy"
 )
 
-// IDs are remembered long enough to detect duplicates, and the number of remembered IDs is bounded.
+// TestIDHistory_BoundedRetention checks that IDs are remembered for idRetention, and that the number of remembered
+// IDs is limited.
 func TestIDHistory_BoundedRetention(t *testing.T) {
 	history := idHistory{seed: maphash.MakeSeed()}
 	for i := range 20 {
--- a/router/level_status.go
+++ b/router/level_status.go
@@ -9,7 +9,7 @@
 	"cobaltward/policy"
 )
 
-// LevelStatus is the level of service in force, with the measurements that it depends on.
+// LevelStatus describes the level of service in force, with the measurements that decide the level.
 type LevelStatus struct {
 	Level  int            `json:"level"` // 0: full service
 	Name   string         `json:"name"`
@@ -20,11 +20,11 @@
 	Events []levels.Event `json:"events"`
 
 	ExitConditions []string `json:"lifts,omitempty"` // conditions that would end the level
-	ExitProbing    bool     `json:"trying"`          // its end is being tried: only half as much is shed
-	MaxLevel       int      `json:"most"`            // levels beyond it are not entered automatically; -1: no limit
-	DryRun         bool     `json:"dry_run"`         // the level is only computed; requests are not affected
+	ExitProbing    bool     `json:"trying"`          // the end of the level is being tried: half as much is shed
+	MaxLevel       int      `json:"most"`            // highest level that is entered automatically; -1: no limit
+	DryRun         bool     `json:"dry_run"`         // the level is only computed and does not affect requests
 
-	// Requests shed by the levels since the start; in a dry run, those that would have been shed.
+	// Requests shed by the levels since the start. In a dry run, requests that would have been shed.
 	ShedByClass  map[string]uint64 `json:"shed,omitempty"`
 	ShedByTenant map[string]uint64 `json:"shed_by,omitempty"` // tenants that are not in the settings count under ""
 	ShedWeight   float64           `json:"shed_worth"`        // sum of the priority weights of shed requests
@@ -40,31 +40,31 @@
 	return status, err
 }
 
-// SetLevel puts a level in force manually for a duration d, or until ReleaseLevel if d is 0. requestedBy and reason
-// are recorded in the events. It returns an error if there is no such level, ErrNoLevels or ErrClosed.
+// SetLevel manually puts level in force for the duration d, or until ReleaseLevel if d is 0. The events record
+// requestedBy and reason. SetLevel returns an error if level does not exist, ErrNoLevels or ErrClosed.
 func (r *Router) SetLevel(level int, d time.Duration, requestedBy, reason string) error {
 	return r.withDegradation(func(deg *degradation, now policy.Time) error {
 		return deg.controller.SetManual(now, level, d, requestedBy, reason)
 	})
 }
 
-// SetLevels replaces the levels of service while the router runs; nil means full service always. The level in force
-// stays in force if the new levels have one of the same name. If a value is invalid, SetLevels changes nothing and
-// returns an error that names the value. After Close it returns ErrClosed.
+// SetLevels replaces the levels of service. A nil c means full service always. The level in force stays in force if c
+// has a level with the same name. If a value is invalid, SetLevels changes nothing and returns an error that names
+// the value. After Close it returns ErrClosed.
 func (r *Router) SetLevels(c *levels.Config) error {
 	return r.runInLoop(func(l *loop) error { return l.reconfigureLevels(c) })
 }
 
-// SetMaxLevel prevents levels beyond this one from being entered by their conditions; -1 allows all. requestedBy and
-// reason are recorded in the events. It returns an error if there is no such level, ErrNoLevels or ErrClosed.
+// SetMaxLevel limits the levels that are entered by their conditions to level; -1 allows all levels. The events
+// record requestedBy and reason. SetMaxLevel returns an error if level does not exist, ErrNoLevels or ErrClosed.
 func (r *Router) SetMaxLevel(level int, requestedBy, reason string) error {
 	return r.withDegradation(func(d *degradation, now policy.Time) error {
 		return d.controller.SetMaxLevel(now, level, requestedBy, reason)
 	})
 }
 
-// ReleaseLevel ends the effect of SetLevel: the conditions of the levels decide again. It returns ErrNoLevels or
-// ErrClosed.
+// ReleaseLevel ends the effect of SetLevel. The conditions of the levels decide again. ReleaseLevel returns
+// ErrNoLevels or ErrClosed.
 func (r *Router) ReleaseLevel() error {
 	return r.withDegradation(func(d *degradation, _ policy.Time) error {
 		d.controller.ReleaseManual()
@@ -72,7 +72,7 @@
 	})
 }
 
-// withDegradation runs f in the loop; it returns ErrNoLevels if there are no levels.
+// withDegradation calls f in the loop. It returns ErrNoLevels if there are no levels.
 func (r *Router) withDegradation(f func(*degradation, policy.Time) error) error {
 	return r.runInLoop(func(l *loop) error {
 		if l.degradation == nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// scheduleLevelStep sets the timer of the next step, unless it is set already.
+// scheduleLevelStep sets the timer for the next step of the levels, unless the timer is set already.
 func (l *loop) scheduleLevelStep(now policy.Time) {
 	if l.levelStepScheduled {
 		return
@@ -137,7 +137,7 @@
 	heap.Push(&l.timers, &timer{kind: levelStepTimer, due: now + levelStepInterval})
 }
 
-// stepLevels performs the step that was due, and schedules the next.
+// stepLevels performs the step that was due, and schedules the next step.
 func (l *loop) stepLevels(due policy.Time) {
 	l.levelStepScheduled = false
 	if l.degradation == nil { // SetLevels has removed the levels
--- a/router/listener.go
+++ b/router/listener.go
@@ -4,28 +4,29 @@
 
 // Listener accepts client connections whose requests go to the router. A drain shuts it down.
 type Listener interface {
-	// Shutdown stops accepting connections for good. From then on, connections are closed after their next answer. It
-	// returns when no more requests can arrive, or with an error when ctx ends.
+	// Shutdown stops accepting connections for good. Each open connection is closed after its next answer. Shutdown
+	// returns when no more requests can arrive. If ctx ends first, it returns an error.
 	Shutdown(ctx context.Context) error
 }
 
-// DrainableListener is a Listener that can resume accepting connections after a drain was cancelled. Its methods must
-// not wait for clients.
+// DrainableListener is a Listener that can accept connections again after a cancelled drain. Its methods must not
+// wait for clients.
 type DrainableListener interface {
 	Listener
-	// StopAccepting closes the listening sockets, and the connections without a request.
+	// StopAccepting closes the listening sockets and the connections without a request.
 	StopAccepting()
-	// ResumeAccepting undoes StopAccepting. It returns an error if the listener can't accept connections again.
+	// ResumeAccepting undoes StopAccepting. It returns an error if the listener cannot accept connections again.
 	ResumeAccepting() error
-	// Connections returns the number of open client connections, and how many of them have a request in progress.
+	// Connections returns the number of open client connections. busy is the number of connections with a request in
+	// progress.
 	Connections() (open, busy int)
 }
 
 // FirstRequestListener is a Listener that counts clients that have connected and may be about to send their first
-// request. A drain waits for them, because they could not know of the drain when they connected.
+// request. A drain waits for these clients, because they connected before they could know of the drain.
 type FirstRequestListener interface {
 	Listener
-	// PendingFirstRequests is the number of connections that were accepted before the drain, if there is one, that
-	// have had no response, and on which a first request is in progress or may still arrive.
+	// PendingFirstRequests returns the number of connections that have had no response, and whose first request is in
+	// progress or may still arrive. During a drain, it counts only connections that were accepted before the drain.
 	PendingFirstRequests() int
 }
--- a/router/loop.go
+++ b/router/loop.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// eventBuffer is the capacity of the event queue, so that callers and attempts can send events while the loop is
-	// busy.
+	// eventBuffer is the capacity of the event queue. Callers and attempts can send events while the loop is busy.
 	eventBuffer = 1024
 	// lagGain is the weight of one event in the moving average of the lag.
 	lagGain = 0.05
 )
 
-// loop owns the balancer, the open requests and the timers, in one goroutine. All other goroutines send it events; it
-// waits for nothing but the next event, endpoint update or timer.
+// loop owns the balancer, the open requests and the timers, in one goroutine. All other goroutines send it events. It
+// waits only for the next event, endpoint update or timer.
 type loop struct {
 	clock          clock
 	log            *slog.Logger
@@ -34,29 +33,29 @@
 	endpointSource EndpointSource
 
 	events          chan event
-	endpointUpdates chan EndpointUpdate // handled before events, so that no request delays the drain of a server
+	endpointUpdates chan EndpointUpdate // handled before events: no request delays the drain of a server
 	done            chan struct{}       // closed when the loop has ended
 	ready           chan struct{}       // closed when the last known endpoint list is in force
 
 	requests          map[string]*request
 	recentIDs         idHistory
 	withheld          map[*withheldAnswer]struct{} // rejections that wait for a write in progress
-	drained           atomic.Bool                  // while set, no request is admitted; cleared if the drain is cancelled
+	drained           atomic.Bool                  // no request is admitted; cleared if the drain is cancelled
 	pendingAnswers    int                          // requests without an answer
 	openRequests      atomic.Int64                 // copy of pendingAnswers for other goroutines
 	timers            timerHeap
-	skippedOutcomes   []policy.Outcome // of attempts not made; reported to the balancer after all actions
+	skippedOutcomes   []policy.Outcome // outcomes of skipped attempts; reported after all actions
 	attemptGoroutines sync.WaitGroup
 	attemptsInFlight  int
-	stats             Stats // counted by the loop; other goroutines may read it once done is closed
+	stats             Stats // counted by the loop; other goroutines read it only after done is closed
 	counters          counters
 
-	endpoints      map[string]endpointSummary // the listed endpoints, for Stats
+	endpoints      map[string]endpointSummary // listed endpoints, for Stats
 	starts         startTracker
 	drops          dropoverload.Fractions
 	endpointBuffer []policy.Endpoint // reused for small updates
 
-	degradation        *degradation // nil if there are no levels of service
+	degradation        *degradation // nil: no levels of service
 	levelStepScheduled bool         // the timer for the next step of the levels is set
 }
 
@@ -99,10 +98,10 @@
 	return eventLoop, nil
 }
 
-// enforced reports whether a safeguard is in force. All are, outside of tests and rehearsals.
+// enforced reports whether guard is in force. All safeguards are in force outside of tests and rehearsals.
 func (l *loop) enforced(guard safeguards.Guards) bool { return l.disabledGuards.Enforces(guard) }
 
-// send queues an event; it returns false if the loop has ended.
+// send queues ev. It returns false if the loop has ended.
 func (l *loop) send(ev event) bool {
 	select {
 	case l.events <- ev:
@@ -112,8 +111,8 @@
 	}
 }
 
-// run handles events until ctx ends. Then it answers the open requests, cancels the attempts and waits for them. It
-// applies the last known endpoint list before it handles events, as the balancer expects.
+// run handles events until ctx ends. It first applies the last known endpoint list, as the balancer expects. At the
+// end it answers the open requests, cancels the attempts and waits for them.
 func (l *loop) run(ctx context.Context) {
 	defer l.attemptGoroutines.Wait()
 	defer l.cancelAllAttempts()
@@ -132,7 +131,7 @@
 	l.stats = l.snapshot()
 }
 
-// next waits for an event, an endpoint update or the next timer, and handles the event or update; it returns false if
+// next waits for an event, an endpoint update or the next timer, and handles an event or update. It returns false if
 // ctx has ended.
 func (l *loop) next(ctx context.Context, wakeup *time.Timer) bool {
 	if len(l.timers) > 0 {
@@ -154,7 +153,8 @@
 	return true
 }
 
-// begin applies the configured endpoint list and schedules the first step of the levels, before any event is handled.
+// begin applies the configured endpoint list and schedules the first step of the levels. It runs before any event is
+// handled.
 func (l *loop) begin() {
 	l.updateEndpoints(EndpointUpdate{Kind: policy.ListRestored, Endpoints: l.config.Endpoints})
 	if l.degradation != nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// recordLag records the delay with which the loop handles an event or timer.
+// recordLag records lag, the delay with which the loop handles an event or timer.
 func (l *loop) recordLag(lag time.Duration) {
 	lag = max(0, lag)
 	l.stats.Lag.Last = lag
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -10,8 +10,9 @@
 	"cobaltward/policy"
 )
 
-// The balancer first receives the restored endpoint list. The only outcome of a served request reports that the
-// request is answered.
+// TestLoop_OrderOfBalancerEvents checks the order of events that the balancer receives for one served request. The
+// events are the restored endpoint list, the request, a single outcome with Answered set, and the timer that the
+// balancer requests.
 func TestLoop_OrderOfBalancerEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		respond := func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -33,16 +34,16 @@
 	})
 }
 
-// The host does not run the router for 300 ms: requests that have expired by then get one answer and are not sent, an
-// endpoint update is applied before the requests that were queued ahead of it, and the lag is reported.
+// TestLoop_StalledHost checks the loop after the host has not run it for 300 ms. Expired requests get one answer and
+// are not sent. An endpoint update is applied before requests that were queued ahead of it. The lag is reported.
 func TestLoop_StalledHost(t *testing.T) {
-	for range 10 { // select chooses a ready channel at random, which could be the right one by chance
+	for range 10 { // select chooses a ready channel at random: one run could pass by chance
 		synctest.Test(t, testStalledHost)
 	}
 }
 
-// stallOn returns a respondFunc that sends each request once, and blocks the loop for a time at the request "stall".
-// It appends the IDs of received requests, and "list" for each endpoint list, to order.
+// stallOn returns a respondFunc that sends each request once. At the request "stall" it blocks the loop for the time
+// stall. It appends the IDs of received requests, and "list" for each endpoint list, to order.
 func stallOn(order *[]string, stall time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Metrics holds counts that can be read without waiting, however busy the router is. A request whose caller has left
-// before its answer is not counted.
+// Metrics holds counts that are read without waiting for the event loop. A request whose caller left before the
+// answer is not counted.
 type Metrics struct {
-	Classes              []ClassMetrics // one entry for each class that the settings have or had, sorted by name
+	Classes              []ClassMetrics // all classes that the settings have or had, sorted by name
 	InFlight             int            // requests accepted and not yet finished
 	Endpoints            int            // servers in the endpoint list
 	UnavailableEndpoints int            // servers in the endpoint list that the balancer avoids
@@ -30,11 +30,11 @@
 	return metrics
 }
 
-// InFlight is the number of requests accepted and not yet finished. It does not block.
+// InFlight returns the number of requests accepted and not yet finished. It does not block.
 func (r *Router) InFlight() int { return int(r.loop.counters.inFlight.Load()) }
 
-// CountFailed counts a malformed request of a class as failed. The caller of the router has answered it itself, and
-// the router never received it.
+// CountFailed counts a malformed request of class as failed. Frontends call it for requests that they answer without
+// the router.
 func (r *Router) CountFailed(class string) { r.loop.counters.count(class, Failed) }
 
 func (c *counters) metrics() Metrics {
@@ -62,7 +62,7 @@
 	}
 }
 
-// publishEndpointCounts updates the counts of endpoints. It is called after each event.
+// publishEndpointCounts updates the counts of endpoints. The loop calls it after each event.
 func (l *loop) publishEndpointCounts() {
 	unavailable := 0
 	if balancer, ok := l.balancer.(availabilityCounter); ok {
--- a/router/options.go
+++ b/router/options.go
@@ -22,7 +22,7 @@
 	levels         *levels.Config
 }
 
-// newOptions applies opts to the default options.
+// newOptions returns the default options with transport, changed by opts.
 func newOptions(transport Transport, opts []Option) options {
 	all := options{
 		log:            slog.New(slog.DiscardHandler),
@@ -35,7 +35,8 @@
 	return all
 }
 
-// WithTransport sets the transport that makes the attempts. New requires it. Router.Close closes the transport.
+// WithTransport sets the transport that makes the attempts. New requires this option. Router.Close closes the
+// transport.
 func WithTransport(t Transport) Option { return func(o *options) { o.transport = t } }
 
 // WithEndpointSource sets the source of endpoint updates. The default is StaticEndpoints.
@@ -43,22 +44,22 @@
 	return func(o *options) { o.endpointSource = source }
 }
 
-// WithLogger sets the logger. By default nothing is logged.
+// WithLogger sets the logger. By default, nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithListener adds a listener that a drain shuts down. It may be given more than once. A listener that has no client
-// connections of its own, and only calls Do, need not be added.
+// WithListener adds a listener that a drain shuts down. The option may be repeated. A listener without client
+// connections, which only calls Do, need not be added.
 func WithListener(l Listener) Option {
 	return func(o *options) { o.listeners = append(o.listeners, l) }
 }
 
-// WithDrainDelay sets for how long Drain keeps serving as before while Phase is Draining, so that readiness checks
-// notice the drain. Negative values count as 0. The default is 0.6 times the longest class deadline, of which at most
-// 3 s count.
+// WithDrainDelay sets the time for which Drain keeps serving as before while Phase is Draining. Readiness checks can
+// notice the drain in this time. Negative values count as 0. The default is 0.6 times the longest class deadline,
+// where deadlines above 3 s count as 3 s.
 func WithDrainDelay(d time.Duration) Option {
 	return func(o *options) { o.drainDelay, o.drainDelaySet = max(0, d), true }
 }
 
-// WithLevels enables graceful degradation: while servers can't carry the offered load, the router
-// reduces its service by these levels. By default service is never reduced.
+// WithLevels enables graceful degradation. The router reduces its service by the levels of c while servers cannot
+// carry the offered load. By default, service is never reduced.
 func WithLevels(c levels.Config) Option { return func(o *options) { o.levels = &c } }
--- a/router/phase.go
+++ b/router/phase.go
@@ -15,13 +15,13 @@
 
 var phaseNames = [...]string{"starting", "serving", "leaving", "closing", "drained", "closed"}
 
-// String returns the phase's name in logs and reports.
+// String returns the name of the phase in logs and reports.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Phase returns the router's phase. The router is ready for new clients only while it is Serving.
+// Phase returns the phase of the router. The router is ready for new clients only in the phase Serving.
 func (r *Router) Phase() Phase { return Phase(r.phase.Load()) }
 
-// advancePhase moves on to a later phase; it does nothing if the router is in that phase or a later one.
+// advancePhase moves to the phase to, unless the router is in that phase or a later phase.
 func (r *Router) advancePhase(to Phase) {
 	for {
 		current := r.phase.Load()
@@ -31,7 +31,7 @@
 	}
 }
 
-// resumeServing undoes the phases of a drain.
+// resumeServing returns from any phase of a drain to Serving.
 func (r *Router) resumeServing() {
 	for _, phase := range []Phase{Draining, Closing, Drained} {
 		r.phase.CompareAndSwap(uint32(phase), uint32(Serving))
--- a/router/reload_test.go
+++ b/router/reload_test.go
@@ -14,9 +14,9 @@
 	"cobaltward/policy"
 )
 
-// Twenty reloads a second for ten seconds, under load, change classes, tenants, limits and servers: each request gets
-// one answer, no request of class "pay" is sent again once it may have run, and at the end the newest configuration
-// is in force and no request is left.
+// TestReload_UnderLoad checks twenty reloads a second for ten seconds under load. The reloads change classes,
+// tenants, limits and servers. Each request gets one answer. No request of class "pay" is sent again once it may have
+// run. At the end the newest configuration is in force and no request is left.
 func TestReload_UnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		checker := newRuleChecker(rand.NewPCG(1, 2))
@@ -55,7 +55,7 @@
 	})
 }
 
-// changedConfig returns configuration i of TestReload_UnderLoad.
+// changedConfig returns the configuration with the number i in TestReload_UnderLoad.
 func changedConfig(i int) Config {
 	config := testConfig()
 	config.Endpoints = testEndpoints(3 + i%4)
@@ -66,7 +66,7 @@
 	return config
 }
 
-// loadGenerator runs clients that each send a request every 5 ms, of all classes in turn, until it is stopped.
+// loadGenerator runs clients until it is stopped. Each client sends a request every 5 ms, with all classes in turn.
 type loadGenerator struct {
 	answers [len(outcomeNames)]atomic.Int64 // by Outcome
 	clients sync.WaitGroup
@@ -105,7 +105,8 @@
 	l.clients.Wait()
 }
 
-// An invalid configuration changes nothing, and the error names the field.
+// TestReload_InvalidConfigChangesNothing checks that an invalid configuration changes nothing. The error must name
+// the field.
 func TestReload_InvalidConfigChangesNothing(t *testing.T) {
 	tests := map[string]struct {
 		field  string
@@ -145,7 +146,8 @@
 	}
 }
 
-// A request ID that was used before a reload still counts as used after it.
+// TestReload_KeepsUsedIDs checks that a request ID that was used before a reload still counts as used after the
+// reload.
 func TestReload_KeepsUsedIDs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newTestRouter(t, &fakeTransport{attempt: serveAtOnce}, nil)
@@ -160,7 +162,8 @@
 	})
 }
 
-// A class that a reload has removed is unknown to new requests; open requests of the class end as without the reload.
+// TestReload_RemovesClass checks that a removed class is unknown to new requests. Open requests of the class end as
+// without the reload.
 func TestReload_RemovesClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
--- a/router/reply.go
+++ b/router/reply.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// answer gives a request its one answer; later ones are dropped.
+// answer gives r its one answer. Later answers are dropped.
 func (l *loop) answer(r *request, answer Answer) {
 	if !r.finished {
 		if l.degradation != nil {
@@ -23,20 +23,21 @@
 	}
 }
 
-// deliver counts an answer and passes it to the caller. It is safe for concurrent use.
+// deliver counts answer and passes it to the caller of c. It is safe for concurrent use.
 func (l *loop) deliver(c *call, answer Answer) {
 	l.countAnswer(c, answer)
 	c.sendAnswer(answer)
 }
 
-// countAnswer counts an answer, unless it is streamed: then it is counted when the caller closes the stream.
+// countAnswer counts answer, unless answer is streamed. A streamed answer is counted when the caller closes the
+// stream.
 func (l *loop) countAnswer(c *call, answer Answer) {
 	if answer.Stream == nil {
 		l.counters.count(c.req.Class, answer.Outcome)
 	}
 }
 
-// sendAnswer passes an answer to the caller. It does not block.
+// sendAnswer passes answer to the caller. It does not block.
 func (c *call) sendAnswer(answer Answer) {
 	if c.onAnswer != nil {
 		c.onAnswer(answer)
@@ -48,20 +49,20 @@
 	}
 }
 
-// reject answers a request that the balancer rejects.
+// reject answers r, which the balancer rejects.
 func (l *loop) reject(r *request, retryAfter time.Duration) {
 	l.answer(r, Answer{Outcome: Rejected, RetryAfter: clampRetryAfter(retryAfter, r.capabilities)})
 	l.removeIfDone(r)
 }
 
-// fail answers a request in the balancer's place, and tells the balancer that the caller no longer waits.
+// fail answers r in place of the balancer, and tells the balancer that the caller no longer waits.
 func (l *loop) fail(r *request, outcome Outcome) {
 	l.answer(r, Answer{Outcome: outcome})
 	l.notify(policy.ClientGone{ID: r.req.ID})
 	l.removeIfDone(r)
 }
 
-// handleClientGone handles the event that the caller of a call has left. Another request may use its ID by now.
+// handleClientGone handles the event that the caller of c has left. Another request may use the same ID by now.
 func (l *loop) handleClientGone(c *call) {
 	r := l.requests[c.req.ID]
 	if r == nil || r.call != c || r.finished {
@@ -72,17 +73,17 @@
 	l.removeIfDone(r)
 }
 
-// recordClientGone records that the client of a request no longer waits.
+// recordClientGone records that the client of r no longer waits.
 func (l *loop) recordClientGone(r *request) {
 	l.finishRequest(r)
 	l.stats.ClientsGone++
 }
 
-// finishRequest marks a request as answered, or as abandoned by its client. It must be called once per request.
+// finishRequest marks r as answered, or as abandoned by its client. It must be called once for each request.
 func (l *loop) finishRequest(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
-		// An attempt that still waits for a connection needs no cancellation, which the settings may not allow.
+		// An abandoned attempt that waits for a connection writes nothing, even if the settings forbid its cancellation.
 		if a.inFlight && l.enforced(safeguards.ClientGone) {
 			a.ctx.abandon()
 		}
@@ -92,15 +93,15 @@
 	l.timers.remove(&r.backstop) // the timer would keep the request in memory until its deadline
 }
 
-// removeIfDone drops a request that is finished, once the balancer knows the outcomes of all its attempts.
+// removeIfDone deletes r if r is finished and the balancer knows the outcomes of all its attempts.
 func (l *loop) removeIfDone(r *request) {
 	if r.finished && r.pendingOutcomes == 0 && l.requests[r.req.ID] == r {
 		delete(l.requests, r.req.ID)
 	}
 }
 
-// answerOpenRequests answers all open requests, at the end of a drain or of the router: as failed if they may have
-// run, otherwise as rejected.
+// answerOpenRequests answers all open requests at the end of a drain or of the router. The answer is Failed if the
+// request may have run, and Rejected otherwise.
 func (l *loop) answerOpenRequests() {
 	for _, r := range l.oldestFirst() {
 		if r.finished { // the balancer has answered it in the meantime
@@ -114,7 +115,7 @@
 	}
 }
 
-// oldestFirst returns the open requests in a deterministic order, which iteration over the map does not have.
+// oldestFirst returns the open requests, oldest first. Unlike an iteration over the map, the order is deterministic.
 func (l *loop) oldestFirst() []*request {
 	open := make([]*request, 0, len(l.requests))
 	for _, r := range l.requests {
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -14,7 +14,8 @@
 	"cobaltward/policy"
 )
 
-// A finished request leaves no state and no timer behind, however far off its deadline was.
+// TestRequest_ForgottenOnceFinished checks that a finished request leaves no state and no timer behind, even long
+// before its deadline.
 func TestRequest_ForgottenOnceFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reject := func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -35,7 +36,8 @@
 	})
 }
 
-// The balancer is notified that a client has left, and can cancel the attempts of its request.
+// TestClientGone_NotifiesBalancer checks that the balancer is notified that a client has left. The balancer can then
+// cancel the attempts of the request.
 func TestClientGone_NotifiesBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, balancer := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, sendOnce)
@@ -51,7 +53,7 @@
 	})
 }
 
-// startAndLeave calls Do in a goroutine, and cancels its context once the bubble is idle.
+// startAndLeave calls Do for the request id in a goroutine, and cancels the context of Do once the bubble is idle.
 func startAndLeave(t *testing.T, r *Router, id string) {
 	t.Helper()
 	ctx, leave := context.WithCancel(t.Context())
@@ -61,7 +63,7 @@
 	synctest.Wait()
 }
 
-// wantOneClientGone checks that one client is counted as gone, and that its request is forgotten.
+// wantOneClientGone checks that r counts one client as gone, and that no request is left.
 func wantOneClientGone(t *testing.T, r *Router) {
 	t.Helper()
 	stats := r.Stats()
@@ -71,9 +73,9 @@
 	}
 }
 
-// The event that a client has left may be queued behind others. Meanwhile, its request is not admitted if it was
-// still queued, gets no further attempt, and is not written if its attempt waits for a connection, even if the
-// settings allow no cancellation.
+// TestClientGone_NothingIsSent checks requests whose client has left while the clientLeft event is still queued. A
+// queued request is not admitted. An admitted request gets no further attempt. An attempt that waits for a connection
+// is not written once the client has left or the request is answered, even if the settings allow no cancellation.
 func TestClientGone_NothingIsSent(t *testing.T) {
 	t.Run("while queued", func(t *testing.T) { synctest.Test(t, testClientLeavesWhileQueued) })
 	t.Run("between attempts", func(t *testing.T) { synctest.Test(t, testClientLeavesBetweenAttempts) })
@@ -152,7 +154,8 @@
 	wantNothingLeft(t, r.Stats())
 }
 
-// Close answers each open request once: as failed if it may have run, otherwise as rejected.
+// TestClose_AnswersOpenRequests checks that Close answers each open request once. The answer is Failed if the request
+// may have run, and Rejected otherwise.
 func TestClose_AnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: hangUntilCancelled}
@@ -177,8 +180,8 @@
 	})
 }
 
-// Close is called while requests arrive, end and are abandoned: each call of Do returns once, with an answer or an
-// error.
+// TestClose_UnderLoad checks that each call of Do returns once, with an answer or an error, if Close is called under
+// load. Requests arrive, end and are abandoned during Close.
 func TestClose_UnderLoad(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, testCloseUnderLoad)
@@ -210,8 +213,8 @@
 	}
 }
 
-// TestReject_RetryAfterWithinMaximum checks that the clients of a tenant over a small quota get no longer Retry-After
-// than the maximum of the settings.
+// TestReject_RetryAfterWithinMaximum checks that a Retry-After does not exceed the maximum of the settings for
+// clients of a tenant with a small quota.
 func TestReject_RetryAfterWithinMaximum(t *testing.T) {
 	config := testConfig()
 	config.Settings.Tenants = []policy.Tenant{{Name: "t", Quota: 0.1}} // one token every ten seconds
--- a/router/router.go
+++ b/router/router.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxDrainDelayBase limits how much of the longest class deadline counts for the default drain delay.
+	// maxDrainDelayBase limits the longest class deadline, from which the default drain delay is computed.
 	maxDrainDelayBase = 3 * time.Second
-	// drainDelayShare is the fraction of that time for which a drain keeps serving as before.
+	// drainDelayShare is the default drain delay as a fraction of the limited deadline.
 	drainDelayShare = 0.6
 )
 
@@ -28,13 +28,13 @@
 	classes    atomic.Pointer[classTable]
 
 	stop       context.CancelFunc // ends the loop and the endpoint source
-	goroutines sync.WaitGroup     // the goroutines of the loop, the endpoint source and the drain
+	goroutines sync.WaitGroup     // goroutines of the loop, the endpoint source and the drain
 	closeOnce  sync.Once
-	reloadMu   sync.Mutex // held during Reload, so that reloads run one at a time
+	reloadMu   sync.Mutex // held during Reload: reloads run one at a time
 
 	drainMu      sync.Mutex // guards the fields below
 	drainMachine *drain.Machine
-	drainRun     *drainRun // the drain in progress, or the last one; nil before the first
+	drainRun     *drainRun // drain in progress or last drain; nil: no drain yet
 }
 
 // classTable is the part of the configuration in force that callers of Do read. It is immutable.
@@ -42,10 +42,10 @@
 	classes          map[string]policy.Class
 	longestDeadline  time.Duration
 	shortestDeadline time.Duration
-	overloaded       Answer // the answer to requests for which a listener has no connection slot
+	overloaded       Answer // answer to requests for which a listener has no connection slot
 }
 
-// New starts a router. It returns a wrapped *ConfigError for an invalid field of config.
+// New starts a router. For an invalid field of config it returns a wrapped *ConfigError.
 func New(config Config, opts ...Option) (*Router, error) {
 	resolved := newOptions(nil, opts)
 	if resolved.transport == nil {
@@ -61,7 +61,8 @@
 	return start(eventLoop, config, resolved), nil
 }
 
-// start starts the event loop and the endpoint source in goroutines of their own. Close ends both and waits for them.
+// start starts the event loop and the endpoint source, each in its own goroutine. Close ends both goroutines and
+// waits for them.
 func start(eventLoop *loop, config Config, opts options) *Router {
 	r := &Router{loop: eventLoop, listeners: opts.listeners, drainMachine: drain.New(time.Now())}
 	r.drainDelay = r.defaultDrainDelay
@@ -81,13 +82,13 @@
 	return r
 }
 
-// defaultDrainDelay is the drain delay if WithDrainDelay is not given.
+// defaultDrainDelay returns the drain delay of a router without WithDrainDelay.
 func (r *Router) defaultDrainDelay() time.Duration {
 	base := min(r.classes.Load().longestDeadline, maxDrainDelayBase)
 	return time.Duration(drainDelayShare * float64(base))
 }
 
-// publishClasses makes the classes of a configuration visible to callers of Do.
+// publishClasses makes the classes of c visible to callers of Do.
 func (r *Router) publishClasses(c Config) {
 	table := &classTable{
 		classes:         make(map[string]policy.Class, len(c.Settings.Classes)),
@@ -103,44 +104,46 @@
 	r.classes.Store(table)
 }
 
-// Class returns a class of the configuration in force.
+// Class returns the class called name from the configuration in force.
 func (r *Router) Class(name string) (policy.Class, bool) {
 	class, ok := r.classes.Load().classes[name]
 	return class, ok
 }
 
-// ShortestDeadline is the shortest class deadline of the configuration in force.
+// ShortestDeadline returns the shortest class deadline of the configuration in force.
 func (r *Router) ShortestDeadline() time.Duration { return r.classes.Load().shortestDeadline }
 
-// RejectOverloaded counts a request of a class for which a listener has no connection slot as overloaded, and returns
-// the answer to it.
+// RejectOverloaded counts a request of class as overloaded, and returns the answer to the request. A listener without
+// a free connection slot calls it.
 func (r *Router) RejectOverloaded(class string) Answer {
 	r.loop.counters.count(class, Overloaded)
 	return r.classes.Load().overloaded
 }
 
-// QueueTimeout is the longest time for which a listener may let clients wait for a connection slot. After that, their
-// requests must be rejected at once: how much of its deadline a request has left is not known, and an answer that
-// comes half a second after the deadline is lost.
+// QueueTimeout returns the maximum time for which a listener may let clients wait for a connection slot. After that
+// time, the listener must reject their requests at once. The remaining time of such a request is unknown, and an
+// answer half a second after its deadline is lost.
 func (r *Router) QueueTimeout() time.Duration {
 	return min(maxQueueTimeout, time.Duration(queueTimeoutFraction*float64(r.ShortestDeadline())))
 }
 
-// OverloadRetryAfter is the Retry-After of requests for which a listener has no connection slot; 0 if the settings do
-// not allow Retry-After.
+// OverloadRetryAfter returns the Retry-After of requests for which a listener has no connection slot. It returns 0 if
+// the settings do not allow Retry-After.
 func (r *Router) OverloadRetryAfter() time.Duration { return r.classes.Load().overloaded.RetryAfter }
 
-// Conns is the number of open connections to servers; 0 unless the transport implements ConnectionCounter.
+// Conns returns the number of open connections to servers. It returns 0 unless the transport implements
+// ConnectionCounter.
 func (r *Router) Conns() int { return serverConnections(r.loop.transport) }
 
-// Started returns a channel that is closed once the last known endpoint list is in force; from then on requests can
+// Started returns a channel that is closed once the last known endpoint list is in force. From then on, requests can
 // be served.
 func (r *Router) Started() <-chan struct{} { return r.loop.ready }
 
-// Reload applies another configuration without a restart. Requests that were accepted before keep the classes and
-// limits under which they were accepted; used request IDs, retry budgets and slow start are kept. Config.Seed is
-// ignored. If the configuration is invalid, Reload changes nothing and returns an error that names the invalid field.
-// After Close it returns ErrClosed.
+// Reload applies config without a restart. Requests that were accepted before keep the classes and limits of their
+// admission. Used request IDs, retry budgets and slow start are kept. Config.Seed is ignored.
+//
+// If config is invalid, Reload changes nothing and returns an error that names the invalid field. After Close it
+// returns ErrClosed.
 func (r *Router) Reload(config Config) error {
 	if err := config.validate(); err != nil {
 		return fmt.Errorf("router: reload: %w", err)
@@ -158,9 +161,9 @@
 	return nil
 }
 
-// Close stops the router at once: it answers open requests (Failed if they may have run, otherwise Rejected), cancels
-// attempts, closes the transport, and returns when all goroutines of the router have ended. Calling it again only
-// waits. It always returns nil.
+// Close stops the router at once. It answers open requests: Failed if they may have run, otherwise Rejected. It
+// cancels attempts, waits for all goroutines of the router, and closes the transport. Another call only waits. Close
+// always returns nil.
 func (r *Router) Close() error {
 	r.closeOnce.Do(func() {
 		r.advancePhase(Closed)
@@ -171,7 +174,7 @@
 	return nil
 }
 
-// runInLoop runs f in the event loop and returns its error, or ErrClosed if the loop has ended.
+// runInLoop calls f in the event loop and returns the error of f, or ErrClosed if the loop has ended.
 func (r *Router) runInLoop(f func(*loop) error) error {
 	reply := make(chan error, 1) // buffered: the loop must not wait for the caller
 	if !r.loop.send(command{run: f, reply: reply}) {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// Two routers in one process share nothing: neither the end of one nor its request IDs affect the other.
+// TestRouter_InstancesAreIndependent checks that two routers in one process share nothing. Neither the end of one
+// router nor its request IDs affect the other router.
 func TestRouter_InstancesAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, _ := newTestRouter(t, &fakeTransport{attempt: serveAtOnce}, nil)
--- a/router/rule_checker_test.go
+++ b/router/rule_checker_test.go
@@ -9,8 +9,8 @@
 	"cobaltward/policy"
 )
 
-// ruleChecker makes attempts with random results drawn from a seed, and checks that no request of the class "pay" is
-// sent again once it may have run.
+// ruleChecker makes attempts with results drawn from a seed. It checks that no request of the class "pay" is sent
+// again once it may have run.
 type ruleChecker struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -22,7 +22,7 @@
 	return &ruleChecker{rng: rand.New(source), mayHaveRun: make(map[string]bool)}
 }
 
-// attempt is an attemptFunc with a drawn result.
+// attempt is an attemptFunc with a random result.
 func (c *ruleChecker) attempt(ctx context.Context, _ string, r *Request) Result {
 	code, took := c.draw(r)
 	select {
@@ -33,7 +33,7 @@
 	}
 }
 
-// draw checks an attempt, and draws its result and its duration.
+// draw checks an attempt of r, and draws its result and its duration.
 func (c *ruleChecker) draw(r *Request) (policy.Code, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -7,29 +7,34 @@
 )
 
 const (
-	// maxRecentStartAge is the age by the wall clock above which a server has certainly started long ago. Up to it,
-	// that is uncertain: the wall clock may have been stepped by an hour since the start, and so may the clock that
-	// recorded the start.
+	// maxRecentStartAge is the maximum age, by the wall clock, of a start that may be recent. Above it, the start was
+	// certainly long ago. The margin covers steps of an hour, both of the wall clock since the start and of the clock
+	// that recorded the start.
 	maxRecentStartAge = 2 * time.Hour
-	// maxListDelay is the longest time assumed between a start and the first list that names it. Lists usually come
-	// one to two seconds late. It bounds the error in the duration of slow start that a stepped clock can cause.
+	// maxListDelay is the maximum time assumed between a start and the first endpoint list that names the start.
+	// Lists usually come one to two seconds late. maxListDelay limits the error in the duration of slow start that a
+	// stepped clock can cause.
 	maxListDelay = 2 * time.Second
-	// maxWallStep is how far the wall clock may move against the monotonic clock and still count as steady.
+	// maxWallStep is the maximum movement of the wall clock against the monotonic clock that does not count as a
+	// step.
 	maxWallStep = time.Second
-	// minTrackedStarts is how many servers that are no longer listed are remembered at least.
+	// minTrackedStarts is the minimum number of unlisted servers that are remembered.
 	minTrackedStarts = 1024
 )
 
-// startTracker determines when each server's process started, for slow start, which is a span of real time, although
-// wall clocks may be stepped at any moment. A start that a list names for the first time lies before that list, by at
-// most maxListDelay whatever the wall clock says, unless it is long ago by any clock. After an outage of discovery,
-// whose length the monotonic clock measures, the list may be late by that much more. Only then is the wall clock
-// trusted, for the length of the outage: only for starts after the router's own start, only while no step of the wall
-// clock was seen, and corrected by its lead as shown by the lists that came in time. A start does not change once it
-// is determined. The tracker belongs to the event loop.
+// startTracker determines when the process of each server started. Slow start needs this time. Slow start is a span
+// of real time, although wall clocks may be stepped at any moment. The event loop owns the tracker.
+//
+// A list that names a start for the first time comes at most maxListDelay after the start, regardless of the wall
+// clock. The exception is a start that is long ago by any clock. After an outage of discovery, the list may be late
+// by the length of the outage, which the monotonic clock measures.
+//
+// The wall clock is trusted only after an outage, and only for the length of the outage. It is trusted only for
+// starts after the start of the router, and only while no step of the wall clock was seen. It is corrected by its
+// lead, which the lists without an outage show. A start does not change once it is determined.
 type startTracker struct {
 	bounds    map[string]startBound // by server ID
-	outage    time.Duration         // length of the outage before the current update; 0 if the wall clock is not trusted
+	outage    time.Duration         // outage before the current update; 0 if the wall clock is not trusted
 	stepped   bool                  // a step of the wall clock was seen
 	listDelay listDelay
 }
@@ -37,29 +42,30 @@
 // startBound is the time at which a server is assumed to have started.
 type startBound struct {
 	started time.Time   // start time in the endpoint list
-	since   policy.Time // when slow start begins; 0: long ago
+	since   policy.Time // beginning of slow start; 0: long ago
 }
 
-// listDelay is the smallest age, by the wall clock, at which a list that did not follow an outage named a new start.
-// A start can't be later than its list, so this bounds the lead of the wall clock over the clock that recorded the
-// start.
+// listDelay is the minimum age, by the wall clock, of a new start in a list that did not follow an outage. A list
+// never comes before the starts that it names. The minimum age thus limits the lead of the wall clock over the clock
+// that recorded the start.
 type listDelay struct {
 	minimum time.Duration
 	known   bool
 }
 
-// observe records the age of one start.
+// observe records age, the age of one new start.
 func (s *listDelay) observe(age time.Duration) {
 	if !s.known || age < s.minimum {
 		s.minimum, s.known = age, true
 	}
 }
 
-// excess is the part of the delay that late lists do not explain, and that must be a lead of the wall clock.
+// excess returns the part of the minimum age above maxListDelay. Late lists do not explain that part, so it must be a
+// lead of the wall clock.
 func (s *listDelay) excess() time.Duration { return max(0, s.minimum-maxListDelay) }
 
-// beginUpdate must be called before slowStartSince is called for the starts in an update. outage is how long
-// discovery failed before the update, wallStep by how much the wall clock was stepped since the router's start.
+// beginUpdate must be called before slowStartSince for the starts in an update. outage is the length of the outage of
+// discovery before the update. wallStep is the total step of the wall clock since the start of the router.
 func (t *startTracker) beginUpdate(outage, wallStep time.Duration) {
 	t.stepped = t.stepped || wallStep.Abs() > maxWallStep
 	t.outage = outage
@@ -68,8 +74,8 @@
 	}
 }
 
-// slowStartSince returns the time from which a server's slow start counts; 0 if the server started long ago. started
-// is the start time in the list, wallClockStart the same time converted by the wall clock as it was at the router's
+// slowStartSince returns the time from which the slow start of the server id counts, or 0 if the server started long
+// ago. started is the start time in the list. wallClockStart is started, converted by the wall clock at the router's
 // start.
 func (t *startTracker) slowStartSince(id string, started time.Time, wallClockStart, now policy.Time) policy.Time {
 	if started.IsZero() {
@@ -101,7 +107,7 @@
 	return min(now, max(wallClockStart+t.listDelay.excess(), now-maxAge))
 }
 
-// prune forgets servers that are not listed, if too many are remembered.
+// prune forgets the servers that are not in listed, if too many servers are remembered.
 func (t *startTracker) prune(listed map[string]endpointSummary) {
 	if len(t.bounds) <= 2*len(listed)+minTrackedStarts {
 		return
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/policy"
 )
 
-// countingHost collects attempts until a test finishes them, and counts those to one server.
+// countingHost collects attempts until a test finishes them, and counts the attempts to one server.
 type countingHost struct {
 	server   string
 	attempts int
@@ -26,9 +26,9 @@
 
 func (h *countingHost) CloseIdle(string) {}
 
-// TestSlowStart_WallClockStepped starts a server while a node serves, and steps the wall clock before that. After a
-// step forward, the server must get the same slow start as without a step; after a step back, the same as if the list
-// came maxListDelay late.
+// TestSlowStart_WallClockStepped checks the slow start of a server that starts after a step of the wall clock. After
+// a step forward, slow start is the same as without a step. After a step back, it is the same as with a list that
+// comes maxListDelay late.
 func TestSlowStart_WallClockStepped(t *testing.T) {
 	atOnce, late := countSlowStartAttempts(t, 0), countSlowStartAttempts(t, -maxListDelay)
 	if atOnce == 0 || late <= atOnce {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestStartTracker_BoundNeverMoves passes the same start again and again while the clocks advance, with lists in
-// between that do not name the server, and then another start of the same server.
+// TestStartTracker_BoundNeverMoves checks that the bound of a start does not move while the clocks advance and lists
+// omit the server. Another start of the same server gets its own bound.
 func TestStartTracker_BoundNeverMoves(t *testing.T) {
 	var tracker startTracker
 	first, second := time.UnixMilli(1_000), time.UnixMilli(9_000)
@@ -68,8 +68,8 @@
 	}
 }
 
-// slowStartAge passes a start of an age to a tracker, in an update after an outage, when the router is one minute
-// old, and returns how long before the update slow start counts from.
+// slowStartAge passes to tracker a start with the age ago, in an update after an outage. The router is one minute
+// old. slowStartAge returns the time between the beginning of slow start and the update.
 func slowStartAge(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
 	const now = timeOrigin + time.Minute
 	tracker.beginUpdate(outage, wallStep)
@@ -77,7 +77,7 @@
 	return now - tracker.slowStartSince(id, started, now-ago, now)
 }
 
-// TestStartTracker_AfterOutage passes new starts in the list that ends an outage of discovery.
+// TestStartTracker_AfterOutage checks the bounds of new starts in the list that ends an outage of discovery.
 func TestStartTracker_AfterOutage(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, test := range []struct {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestStartTracker_RemembersClockStep steps the wall clock forth and back. Its value in between is unknown, so it
-// must not be trusted afterwards.
+// TestStartTracker_RemembersClockStep checks that the wall clock is not trusted after a step forth and back. Its
+// value between the steps is unknown.
 func TestStartTracker_RemembersClockStep(t *testing.T) {
 	var tracker startTracker
 	slowStartAge(&tracker, "first", time.Second, 0, time.Hour)
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestSlowStart_OutageReachesEachBatch ends an outage with an update that is larger than a batch.
+// TestSlowStart_OutageReachesEachBatch checks that the outage before a large update applies to each batch of the
+// update.
 func TestSlowStart_OutageReachesEachBatch(t *testing.T) {
 	config := testConfig()
 	wallStart := time.UnixMilli(1_700_000_000_000)
@@ -157,7 +158,7 @@
 	}
 }
 
-// TestClock_WallStep steps the wall clock against the monotonic clock.
+// TestClock_WallStep checks wallStep for steps of the wall clock against the monotonic clock.
 func TestClock_WallStep(t *testing.T) {
 	now := timeOrigin
 	c := clock{start: time.UnixMilli(1_700_000_000_000), virtual: &now}
@@ -173,8 +174,8 @@
 	}
 }
 
-// countSlowStartAttempts returns how many attempts go to a server in the 12 s after its start, which comes when a
-// node has served for 4 s. The start time of the server comes from a wall clock that is off by step.
+// countSlowStartAttempts returns the number of attempts to a server in the 12 s after its start. The server starts
+// when a node has served for 4 s. The start time of the server comes from a wall clock that is off by step.
 func countSlowStartAttempts(t *testing.T, step time.Duration) int {
 	t.Helper()
 	const (
--- a/router/stats.go
+++ b/router/stats.go
@@ -7,31 +7,31 @@
 	"cobaltward/policy"
 )
 
-// Stats holds a router's statistics, counted from its start unless a field says otherwise.
+// Stats holds the statistics of a router, counted from its start unless a field says otherwise.
 type Stats struct {
 	Phase   Phase
 	Answers [len(outcomeNames)]uint64 // number of final answers, by Outcome
 
 	ClientsGone     uint64         // requests whose caller left before the answer
-	OpenByClass     map[string]int // number of requests now without an answer, by class
+	OpenByClass     map[string]int // requests now without an answer, by class
 	Oldest          time.Duration  // age of the oldest request without an answer
-	OldestRemaining time.Duration  // how long the client of the oldest request still waits
-	Queued          int            // open requests that have no attempt in flight
-	Retrying        int            // open requests that have had more than one attempt
+	OldestRemaining time.Duration  // time that the client of the oldest request still waits
+	Queued          int            // open requests without an attempt in flight
+	Retrying        int            // open requests with more than one attempt
 	Retained        int            // requests in memory, including answered ones with attempts in flight
 
 	ServerConns      int    // open connections to servers; 0 if the transport does not count them
 	Attempts         uint64 // attempts started
 	AttemptsInFlight int    // attempts in flight now
 	AttemptsWritten  uint64 // attempts written completely to servers; 0 if the transport does not count them
-	Retries          uint64 // attempts beyond a request's first
-	Skipped          uint64 // attempts that the balancer requested but that were no longer allowed
+	Retries          uint64 // attempts beyond the first attempt of a request
+	Skipped          uint64 // attempts that the balancer requested when they were no longer allowed
 
 	Dropped uint64 // requests rejected by the drop fractions of the endpoint source; included in Answers[Rejected]
 	Shed    uint64 // requests rejected by the level of service; included in Answers[Rejected]
 
-	EndpointsByAvailability map[policy.Availability]int // number of endpoints now listed
-	EndpointsByPool         map[string]int              // number of endpoints now listed, by pool
+	EndpointsByAvailability map[policy.Availability]int // endpoints now listed
+	EndpointsByPool         map[string]int              // endpoints now listed, by pool
 	EndpointList            EndpointListStats
 	Drops                   dropoverload.Fractions // drop fractions now in force; must not be changed
 
@@ -43,14 +43,15 @@
 // EndpointListStats holds the statistics of the endpoint list.
 type EndpointListStats struct {
 	Updates    uint64    `json:"Changes"`
-	Failures   uint64    `json:"Failures"` // times that the source could not be reached
+	Failures   uint64    `json:"Failures"` // failed updates: the source could not be reached
 	LastUpdate time.Time `json:"Changed"`
 }
 
-// Lag is the delay with which the event loop handled requests and timers because the host did not run it in time.
+// Lag is the delay with which the event loop handled requests and timers. It grows when the host does not run the
+// loop in time.
 type Lag struct{ Last, Mean, Max time.Duration }
 
-// Answered returns the number of final answers of all outcomes.
+// Answered returns the total number of final answers.
 func (s Stats) Answered() (total uint64) {
 	for _, n := range s.Answers {
 		total += n
@@ -58,8 +59,8 @@
 	return total
 }
 
-// Stats returns the current statistics. It waits for the event loop, however long the host delays the loop; after
-// Close it returns the statistics at the end.
+// Stats returns the current statistics. It waits for the event loop, however long the host delays the loop. After
+// Close it returns the final statistics.
 func (r *Router) Stats() Stats {
 	var stats Stats
 	err := r.runInLoop(func(l *loop) error {
@@ -73,7 +74,7 @@
 	return stats
 }
 
-// snapshot returns the statistics that the loop counts, completed by those that are derived from its state.
+// snapshot returns the counts of the loop, with the statistics that are derived from its state.
 func (l *loop) snapshot() Stats {
 	stats := l.stats
 	stats.Answers = l.counters.answers()
--- a/router/stepped.go
+++ b/router/stepped.go
@@ -8,17 +8,17 @@
 )
 
 // Stepped is the engine of a Router for a caller that controls time and the network, such as a simulation in virtual
-// time. It has no goroutine, clock or channel: everything happens at the time that a call passes, and
-// deterministically. It is not safe for concurrent use. Times are durations since its start, and must not decrease.
+// time. It has no goroutine, clock or channel. Everything happens deterministically, at the time that the caller
+// passes. Times are durations since the start of the engine, and must not decrease. Stepped is not safe for
+// concurrent use.
 type Stepped struct {
 	loop    *loop
 	now     policy.Time
 	started bool
 }
 
-// NewStepped makes an engine whose time 0 is start on the wall clock; start times of servers are converted
-// accordingly. Of the options, only WithLogger, WithLevels and WithoutGuards have an effect. It returns the same
-// errors as New.
+// NewStepped returns an engine whose time 0 is start on the wall clock. start is used to convert the start times of
+// servers. Only the options WithLogger, WithLevels and WithoutGuards have an effect. The errors are those of New.
 func NewStepped(c Config, host AttemptHost, start time.Time, opts ...Option) (*Stepped, error) {
 	transport := hostTransport{host: host}
 	options := newOptions(transport, opts)
@@ -34,7 +34,7 @@
 	return s, nil
 }
 
-// advanceTo advances the time. Timers that are due by then fire first, each at its own time.
+// advanceTo advances the time to now. Timers that are due by then fire first, each at its own time.
 func (s *Stepped) advanceTo(now time.Duration) {
 	if !s.started { // the last known endpoint list is applied before all events
 		s.started = true
@@ -48,7 +48,7 @@
 	s.now = max(s.now, target)
 }
 
-// Next is when the next timer is due; ok is false if no timer is set.
+// Next returns the time at which the next timer is due. ok is false if no timer is set.
 func (s *Stepped) Next() (at time.Duration, ok bool) {
 	if len(s.loop.timers) == 0 {
 		return 0, false
@@ -56,11 +56,11 @@
 	return s.loop.timers[0].due - timeOrigin, true
 }
 
-// Advance advances the time, and fires the timers that are due by then.
+// Advance advances the time to now, and fires the timers that are due by then.
 func (s *Stepped) Advance(now time.Duration) { s.advanceTo(now) }
 
-// Submit submits a request whose last byte has just arrived. answer is called with its one answer, possibly before
-// Submit returns, and must not call the engine. Submit returns an *InvalidError if the request was not accepted.
+// Submit submits req, whose last byte has just arrived. answer is called once with the answer, possibly before Submit
+// returns, and must not call the engine. Submit returns an *InvalidError if the request was not accepted.
 func (s *Stepped) Submit(now time.Duration, req Request, answer func(Answer)) error {
 	s.advanceTo(now)
 	if err := req.validate(); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// ClientGone reports that the caller of a request no longer waits. An ID that is not open is ignored.
+// ClientGone reports that the caller of the request id no longer waits. It ignores an id that is not open.
 func (s *Stepped) ClientGone(now time.Duration, id string) {
 	s.advanceTo(now)
 	if r := s.loop.requests[id]; r != nil {
@@ -96,20 +96,20 @@
 	}
 }
 
-// UpdateEndpoints applies an endpoint update.
+// UpdateEndpoints applies update at the time now.
 func (s *Stepped) UpdateEndpoints(now time.Duration, update EndpointUpdate) {
 	s.advanceTo(now)
 	s.loop.updateEndpoints(update)
 }
 
-// FinishAttempt reports how an attempt ended. It must be called exactly once for each launched attempt.
+// FinishAttempt reports the result of attempt. It must be called exactly once for each launched attempt.
 func (s *Stepped) FinishAttempt(now time.Duration, attempt Attempt, result Result) {
 	s.advanceTo(now)
 	attempt.attempt.result = result
 	s.loop.finishAttempt(attempt.attempt)
 }
 
-// Reload applies another configuration, as Router.Reload does.
+// Reload applies c, as Router.Reload does.
 func (s *Stepped) Reload(now time.Duration, c Config) error {
 	s.advanceTo(now)
 	if err := c.validate(); err != nil {
@@ -121,7 +121,7 @@
 // Stats returns the current statistics.
 func (s *Stepped) Stats() Stats { return s.loop.snapshot() }
 
-// Views returns what the balancer has learned of each server; nil if the balancer does not support it.
+// Views returns what the balancer has learned of each server; nil if the balancer does not support views.
 func (s *Stepped) Views() []policy.View {
 	if balancer, ok := s.loop.balancer.(endpointViewer); ok {
 		return balancer.Views()
@@ -137,14 +137,15 @@
 	return s.loop.degradation.status(), nil
 }
 
-// ExportState returns what the balancer has learned so far, or an error if the balancer does not support that.
+// ExportState returns what the balancer has learned so far. It returns an error if the balancer does not support
+// exporting.
 func (s *Stepped) ExportState() (state policy.LearnedState, err error) {
 	err = s.loop.withBalancer(func(b statefulBalancer, _ policy.Time) { state = b.Export() })
 	return state, err
 }
 
-// RestoreState makes the balancer adopt the state that adjust returns. It must not be called before the first call
-// that passes a time. It returns an error if the balancer does not support restoring state.
+// RestoreState makes the balancer adopt the state that adjust returns. A method that passes a time must have been
+// called before. RestoreState returns an error if the balancer does not support restoring.
 func (s *Stepped) RestoreState(adjust StateAdjuster) error {
 	return s.loop.withBalancer(func(b statefulBalancer, now policy.Time) { b.Restore(now, adjust(b.InitialThreshold)) })
 }
--- a/router/stepped_host.go
+++ b/router/stepped_host.go
@@ -10,25 +10,26 @@
 
 // AttemptHost makes the attempts of a Stepped engine. Its methods must not call the engine.
 type AttemptHost interface {
-	// Launch starts an attempt. The host must report its end once by Stepped.FinishAttempt, also after Cancel.
+	// Launch starts attempt. The host must report the end of attempt once by Stepped.FinishAttempt, also after
+	// Cancel.
 	Launch(attempt Attempt)
-	// Cancel reports that the result of an attempt is no longer awaited, or that its time is up.
+	// Cancel reports that the result of attempt is no longer awaited, or that the time of attempt is up.
 	Cancel(attempt Attempt)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
 }
 
-// Attempt is one attempt of a Stepped engine. Two values are equal if they stand for the same attempt.
+// Attempt is one attempt of a Stepped engine. Two equal values are the same attempt.
 type Attempt struct {
 	Request  *Request // must not be changed
 	Number   int      // 0 for the first attempt of the request
 	Server   string
-	Deadline time.Duration // when its time is up, counted from the engine's start
-	SendBy   time.Duration // when it must no longer be written, because servers may have forgotten its key; 0: no limit
+	Deadline time.Duration // end of the attempt, counted from the start of the engine
+	SendBy   time.Duration // time from which servers may have forgotten the key: no write from then on; 0: none
 	attempt  *attempt
 }
 
-// Expired reports whether a cancelled attempt was cancelled because its time was up.
+// Expired reports whether the attempt was cancelled because its time was up.
 func (a Attempt) Expired() bool { return errors.Is(a.attempt.ctx.Err(), context.DeadlineExceeded) }
 
 func newAttempt(a *attempt) Attempt {
@@ -47,7 +48,7 @@
 
 // hostTransport passes the attempts of a Stepped engine to its host.
 type hostTransport struct {
-	Transport // nil, because Attempt and Close are never called
+	Transport // nil: Attempt and Close are never called
 	host      AttemptHost
 }
 
--- a/router/stream.go
+++ b/router/stream.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// countedStream counts a streamed answer when its caller closes it: as served if all of it was read, otherwise as
-// failed.
+// countedStream counts a streamed answer when its caller closes it. The answer counts as served if the caller has
+// read all of it, and as failed otherwise.
 type countedStream struct {
 	Stream
 	counters  *counters
@@ -17,7 +17,7 @@
 	closeOnce sync.Once
 }
 
-// Read records whether the end of the answer was reached.
+// Read reads from the stream, and records its end.
 func (s *countedStream) Read(p []byte) (int, error) {
 	n, err := s.Stream.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// Close closes the stream, and counts the request on the first call.
+// Close closes the stream. The first call counts the answer.
 func (s *countedStream) Close() error {
 	err := s.Stream.Close()
 	s.closeOnce.Do(func() {
--- a/router/support_test.go
+++ b/router/support_test.go
@@ -16,13 +16,13 @@
 
 const (
 	ms            = time.Millisecond
-	classDeadline = 9 * time.Second // deadline of every class; in a synctest bubble, waiting for it takes no real time
+	classDeadline = 9 * time.Second // deadline of every class; takes no real time in a synctest bubble
 )
 
 // respondFunc returns the actions of a scriptedBalancer for an event.
 type respondFunc func(now policy.Time, ev policy.Event) []policy.Action
 
-// scriptedBalancer responds to events as a test defines, and records them.
+// scriptedBalancer responds to events by a function of the test, and records the events.
 type scriptedBalancer struct {
 	mu       sync.Mutex
 	received []policy.Event
@@ -40,7 +40,7 @@
 	return nil, nil
 }
 
-// eventNames returns descriptions of the events that the balancer has received.
+// eventNames returns descriptions of the received events.
 func (s *scriptedBalancer) eventNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("outcome %s %d code %d answered %v", id, attempt, code, answered)
 }
 
-// wantEvents waits until the bubble is idle, and checks the events that the balancer has received.
+// wantEvents waits until the bubble is idle, and checks the received events.
 func (s *scriptedBalancer) wantEvents(t *testing.T, want ...string) {
 	t.Helper()
 	synctest.Wait()
@@ -79,12 +79,12 @@
 // attemptFunc makes the attempts of a fakeTransport.
 type attemptFunc func(ctx context.Context, server string, r *Request) Result
 
-// fakeTransport makes attempts by a function of the test, and records what reaches it.
+// fakeTransport makes attempts by a function of the test. It records the attempts, updates and calls of Close.
 type fakeTransport struct {
 	attempt attemptFunc
 
 	mu      sync.Mutex
-	sent    []string // entries of the form "id server"
+	sent    []string // attempts, in the form "id server"
 	updates []EndpointUpdate
 	closed  int
 
@@ -121,7 +121,7 @@
 	return append([]string(nil), f.sent...)
 }
 
-// wantAttempts checks how many attempts have reached the transport.
+// wantAttempts checks the number of attempts that have reached the transport.
 func (f *fakeTransport) wantAttempts(t *testing.T, want int) {
 	t.Helper()
 	if got := f.attemptsMade(); len(got) != want {
@@ -134,7 +134,7 @@
 	return Result{Code: policy.OK, Answer: Answer{Body: []byte("yes")}}
 }
 
-// hangUntilCancelled is an attemptFunc that ends with its context.
+// hangUntilCancelled is an attemptFunc that returns when its context ends.
 func hangUntilCancelled(ctx context.Context, _ string, _ *Request) Result {
 	<-ctx.Done()
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -143,7 +143,7 @@
 	return Result{Code: policy.TimedOut}
 }
 
-// endWith returns an attemptFunc that ends at once with a code.
+// endWith returns an attemptFunc that returns code at once.
 func endWith(code policy.Code) attemptFunc {
 	return func(context.Context, string, *Request) Result { return Result{Code: code} }
 }
@@ -243,7 +243,7 @@
 	return newTestRouterWithConfig(t, testConfig(), transport, respond, opts...)
 }
 
-// newTestRouterWithConfig is newTestRouter with another configuration.
+// newTestRouterWithConfig is newTestRouter with the configuration config.
 func newTestRouterWithConfig(
 	t *testing.T, config Config, transport Transport, respond respondFunc, opts ...Option,
 ) (*Router, *scriptedBalancer) {
@@ -293,14 +293,14 @@
 	return done
 }
 
-// wantResult waits for a result of startDo, and checks its outcome.
+// wantResult waits for a result of startDo, and checks that its outcome is want.
 func wantResult(t *testing.T, name string, done <-chan doResult, want Outcome) {
 	t.Helper()
 	result := <-done
 	wantOutcome(t, name, result.answer, result.err, want)
 }
 
-// wantDo calls Do, and checks the outcome.
+// wantDo calls Do, and checks that the outcome is want.
 func wantDo(t *testing.T, r *Router, req Request, want Outcome) Answer {
 	t.Helper()
 	answer, err := r.Do(t.Context(), req)
@@ -323,7 +323,7 @@
 	}
 }
 
-// sendActions returns actions that send a request n times to "s0".
+// sendActions returns actions that send the request id to "s0" n times.
 func sendActions(id string, n int) []policy.Action {
 	actions := make([]policy.Action, 0, n)
 	for range n {
@@ -342,7 +342,7 @@
 	}
 }
 
-// sendOnce is a respondFunc that sends each request once, and fails those that are not served.
+// sendOnce is a respondFunc that sends each request once, and fails requests that are not served.
 func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	switch ev := ev.(type) {
 	case policy.Request:
@@ -355,7 +355,7 @@
 	return nil
 }
 
-// sendOnceExcept returns a respondFunc like sendOnce that leaves the request with one ID queued.
+// sendOnceExcept returns a respondFunc like sendOnce that leaves the request with the ID queued in the queue.
 func sendOnceExcept(queued string) respondFunc {
 	return func(now policy.Time, ev policy.Event) []policy.Action {
 		if request, ok := ev.(policy.Request); ok && request.ID == queued {
--- a/router/timer.go
+++ b/router/timer.go
@@ -10,7 +10,7 @@
 type timerKind uint8
 
 const (
-	balancerTimer  timerKind = iota // set by the balancer
+	balancerTimer  timerKind = iota // requested by the balancer
 	backstopTimer                   // a request still has no answer shortly before its deadline
 	attemptTimer                    // the time of an attempt is up
 	levelStepTimer                  // the next step of the levels of service is due
@@ -24,12 +24,12 @@
 	token   uint64   // set for a balancerTimer
 	request *request // set for a backstopTimer
 	attempt *attempt // set for an attemptTimer
-	index   int      // position in the heap; -1 once it is removed
+	index   int      // position in the heap; -1: removed
 
 	withheld *withheldAnswer // set for a withheldTimer
 }
 
-// timerHeap orders timers by the time at which they are due. It implements heap.Interface.
+// timerHeap orders timers by their due times. It implements heap.Interface.
 type timerHeap []*timer
 
 var _ heap.Interface = (*timerHeap)(nil)
@@ -65,7 +65,7 @@
 // pop removes and returns the first timer.
 func (h *timerHeap) pop() *timer { return heap.Pop(h).(*timer) }
 
-// remove removes a timer, unless it was removed before.
+// remove removes t, unless t was removed before.
 func (h *timerHeap) remove(t *timer) {
 	if t.index >= 0 {
 		heap.Remove(h, t.index)
--- a/router/upload_test.go
+++ b/router/upload_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// quickUpload is a body whose last byte arrives right after the router has registered for it, before the request is
+// quickUpload is a body whose last byte arrives after the router has called OnComplete, but before the request is
 // submitted.
 type quickUpload struct{}
 
@@ -23,8 +23,8 @@
 	return false
 }
 
-// If a body is complete before its request is admitted, the timeout of the request starts all the same: the request
-// must not keep the longer time that an upload may take.
+// TestUpload_CompleteBeforeAdmission checks that the timeout of a request starts even if its body is complete before
+// admission. The request must not keep the longer time of an upload.
 func TestUpload_CompleteBeforeAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := newTestRouter(t, &fakeTransport{attempt: hangUntilCancelled}, noActions)
--- a/router/withheld.go
+++ b/router/withheld.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxWithheld is the longest time for which a rejection is withheld: a write to a server that does not read may take
-// long.
+// maxWithheld is the maximum time for which a rejection is withheld. A write to a server that does not read may take
+// longer.
 const maxWithheld = 200 * time.Millisecond
 
 // withheldAnswer is a rejection that is delivered once no attempt of its request is being written.
@@ -17,14 +17,13 @@
 	deliver func(*call, Answer) // safe for concurrent use
 
 	mu        sync.Mutex
-	writes    int // number of writes in progress
+	writes    int // writes in progress
 	counting  bool
 	delivered bool
 }
 
-// deliverAfterWrites delivers the answer to a finished request. A rejection waits until no attempt is being written;
-// no write begins after that, because the attempts are abandoned. If a write does not end in time, the answer is
-// Failed.
+// deliverAfterWrites delivers answer to r, which is finished. A rejection waits until no attempt is being written. No
+// write begins after that, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
 func (l *loop) deliverAfterWrites(r *request, answer Answer) {
 	if answer.Outcome != Rejected && answer.Outcome != Overloaded {
 		l.deliver(r.call, answer)
@@ -32,15 +31,15 @@
 	}
 	withheld := &withheldAnswer{call: r.call, answer: answer, deliver: l.deliver, counting: true}
 	for _, a := range r.attempts {
-		withheld.await(&a.ctx) // ended attempts too: a transport may still write them on a shared connection
+		withheld.await(&a.ctx) // also ended attempts: a shared connection may still write them
 	}
 	if withheld.finishCounting() {
 		l.expireLater(withheld, r)
 	}
 }
 
-// expireLater sets the timer of a withheld answer: at most maxWithheld ahead, and not after the time of the backstop,
-// so that the answer still reaches the client in time.
+// expireLater sets the timer of withheld. The timer is due after maxWithheld, or at the time of the backstop if that
+// is earlier. The answer thus reaches the client in time.
 func (l *loop) expireLater(withheld *withheldAnswer, r *request) {
 	now := l.clock.now()
 	l.withheld[withheld] = struct{}{}
@@ -51,20 +50,20 @@
 	})
 }
 
-// expireWithheld ends the wait of an answer.
+// expireWithheld ends the wait of withheld.
 func (l *loop) expireWithheld(withheld *withheldAnswer) {
 	delete(l.withheld, withheld)
 	withheld.expire()
 }
 
-// expireAllWithheld ends the waits of all answers, when the loop ends.
+// expireAllWithheld ends the waits of all withheld answers. The loop calls it at its end.
 func (l *loop) expireAllWithheld() {
 	for withheld := range l.withheld {
 		l.expireWithheld(withheld)
 	}
 }
 
-// await makes the answer wait for the write in progress of an attempt, if there is one.
+// await makes the answer wait for the write in progress of the attempt with the context ctx, if there is one.
 func (w *withheldAnswer) await(ctx *attemptContext) {
 	w.mu.Lock()
 	w.writes++
@@ -74,8 +73,8 @@
 	}
 }
 
-// finishCounting ends the counting of writes, and reports whether the answer has to wait for one. If not, it delivers
-// the answer.
+// finishCounting ends the counting of writes. waits reports whether the answer must wait for a write. If not,
+// finishCounting delivers the answer.
 func (w *withheldAnswer) finishCounting() (waits bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +85,7 @@
 	return w.writes > 0
 }
 
-// writeEnded records the end of a write, and delivers the answer after the last one.
+// writeEnded records the end of a write. The end of the last write delivers the answer.
 func (w *withheldAnswer) writeEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,8 +95,8 @@
 	}
 }
 
-// expire delivers Failed while a write is in progress: the server may still receive the rest of it, so a rejection
-// would wrongly promise that the request does not run.
+// expire delivers Failed while a write is in progress. The server may still receive the rest of the write, so a
+// rejection would wrongly promise that the request does not run.
 func (w *withheldAnswer) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/router/withheld_test.go
+++ b/router/withheld_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// writeOrder records the order in which an attempt's write and the answer to its request happen.
+// writeOrder records the order of the write of an attempt and the answer to its request.
 type writeOrder struct {
 	mu     sync.Mutex
 	events []string
@@ -22,7 +22,8 @@
 	o.events = append(o.events, event)
 }
 
-// delayedWrite returns an attemptFunc that pauses between its decision to write and the write, as on a busy host.
+// delayedWrite returns an attemptFunc that waits for pause between its decision to write and the write, as on a busy
+// host.
 func (o *writeOrder) delayedWrite(pause time.Duration) attemptFunc {
 	return func(ctx context.Context, _ string, _ *Request) Result {
 		guard, guarded := ctx.(interface {
@@ -45,7 +46,7 @@
 	}
 }
 
-// rejectAfter returns a respondFunc that sends each request once, and rejects the request "r1" after a time.
+// rejectAfter returns a respondFunc that sends each request once, and rejects the request "r1" after wait.
 func rejectAfter(wait time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
@@ -58,9 +59,10 @@
 	}
 }
 
-// An attempt pauses between its decision to write and the write while its request is rejected: the client must get
-// the rejection after the write. A write that does not end delays the answer by at most maxWithheld, and never beyond
-// the client's deadline; that answer is no rejection, because the write may still reach the server.
+// TestRejection_NoWriteAfterAnswer checks a rejection while an attempt is between its decision to write and the
+// write. The client gets the rejection after the write. A write that does not end delays the answer by at most
+// maxWithheld, and never beyond the client's deadline. That answer is Failed, because the write may still reach the
+// server.
 func TestRejection_NoWriteAfterAnswer(t *testing.T) {
 	const (
 		timeout  = 500 * ms
@@ -104,8 +106,8 @@
 	}
 }
 
-// A write may go on after its attempt has ended, as on a connection that other calls share: a rejection must wait for
-// it too.
+// TestRejection_WaitsForWriteOfEndedAttempt checks that a rejection waits for a write that goes on after its attempt
+// has ended. That happens on a connection that other calls share.
 func TestRejection_WaitsForWriteOfEndedAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		order := &writeOrder{}
@@ -129,8 +131,8 @@
 	})
 }
 
-// If the router is closed while a rejection is withheld, the answer is Failed: it must not claim that the request did
-// not run.
+// TestClose_AnswersWithheldRejection checks that the answer is Failed if Close is called while a rejection is
+// withheld. The answer must not claim that the request did not run.
 func TestClose_AnswersWithheldRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		order := &writeOrder{}
