--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -24,7 +24,7 @@
 	MethodCall   = "call"   // request [params]
 	MethodCancel = "cancel" // notification [msgid]: the client no longer waits for the reply
 	MethodDrain  = "drain"  // notification []: no new calls are accepted on this connection
-	MethodError  = "error"  // notification [text]: why the connection is about to be closed
+	MethodError  = "error"  // notification [text]: reason why the connection is about to be closed
 )
 
 // Message is one decoded message. The slices share memory with the argument of Parse.
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -263,7 +263,7 @@
 		t.Errorf("the server was notified with method %s, msgid %d, want a cancel of msgid 1", method, id)
 	}
 	conn.mu.Lock()
-	conn.lastID = 0 // as after 2^32 calls
+	conn.lastID = 0 // simulates 2^32 calls
 	conn.mu.Unlock()
 	other := make(chan string, 1)
 	go func() { other <- result(conn.Call(t.Context(), &msgpackrpc.Call{}, nil)) }()
--- a/msgpackrpc/reply.go
+++ b/msgpackrpc/reply.go
@@ -9,7 +9,7 @@
 // Code is the reason why a call was not served. Its values appear on the wire.
 type Code string
 
-// The codes. docs/msgpack-rpc.md specifies what a client may conclude from each of them.
+// The codes. docs/msgpack-rpc.md specifies what a client may conclude from each code.
 const (
 	Rejected    Code = "refused"    // safe to retry; an idempotent or fully deduplicated call may have run
 	Overloaded  Code = "overloaded" // not forwarded; safe to retry
--- a/router/clock.go
+++ b/router/clock.go
@@ -39,7 +39,7 @@
 	return time.Now().Round(0).Sub(c.start.Round(0)) - elapsed
 }
 
-// wallTime converts t to a time.Time with a monotonic reading.
+// wallTime converts t to a time of the machine's clock.
 func (c clock) wallTime(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
 
 // policyTime converts t by the monotonic clock. A time before the start counts as the start.
--- a/router/reload_test.go
+++ b/router/reload_test.go
@@ -43,7 +43,7 @@
 		if class, _ := r.Class("pay"); class.Deadline != want {
 			t.Errorf("pay has the deadline %v, want %v as in the newest configuration", class.Deadline, want)
 		}
-		time.Sleep(time.Minute) // by then all timers of the balancer have fired
+		time.Sleep(time.Minute) // long enough for all timers of the balancer to fire
 		stats := r.Stats()
 		wantNothingLeft(t, stats)
 		if stats.Reloads != 200 || stats.EndpointsByAvailability[policy.Running] != len(newest.Endpoints) {
--- a/router/reply.go
+++ b/router/reply.go
@@ -104,7 +104,7 @@
 // request may have run, and Rejected otherwise.
 func (l *loop) answerOpenRequests() {
 	for _, r := range l.oldestFirst() {
-		if r.finished { // the balancer has answered it in the meantime
+		if r.finished { // the balancer has answered r in the meantime
 			continue
 		}
 		outcome := Rejected
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -91,7 +91,7 @@
 	transport, resume := &fakeTransport{attempt: serveAtOnce}, make(chan struct{})
 	respond := func(now policy.Time, ev policy.Event) []policy.Action {
 		if request, ok := ev.(policy.Request); ok && request.ID == "r1" {
-			<-resume // the loop is busy until then
+			<-resume // blocks the loop until the test closes resume
 		}
 		return sendOnce(now, ev)
 	}
@@ -113,7 +113,7 @@
 			return sendActions(ev.ID, 1)
 		case policy.Outcome:
 			if ev.Attempt == 0 {
-				<-resume // the loop is busy until then
+				<-resume // blocks the loop until the test closes resume
 				return sendActions(ev.ID, 1)
 			}
 		}
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -29,9 +29,9 @@
 // clock. The exception is a start that is long ago by any clock. After an outage of discovery, the list may be late
 // by the length of the outage, which the monotonic clock measures.
 //
-// The wall clock is trusted only after an outage, and only for the length of the outage. It is trusted only for
-// starts after the start of the router, and only while no step of the wall clock was seen. It is corrected by its
-// lead, which the lists without an outage show. A start does not change once it is determined.
+// The start time by the wall clock counts within these limits. Beyond maxListDelay it counts only after an outage,
+// only for starts after the start of the router, and only while no step of the wall clock was seen. It is corrected
+// by the lead of the wall clock, which lists without an outage show. A start does not change once it is determined.
 type startTracker struct {
 	bounds    map[string]startBound // by server ID
 	outage    time.Duration         // outage before the current update; 0 if the wall clock is not trusted
--- a/router/transport.go
+++ b/router/transport.go
@@ -14,9 +14,9 @@
 	// never retries. Result.Code must not claim more than is known. An attempt whose last byte was written may have
 	// run, unless the server reports otherwise.
 	//
-	// Attempt must not write any bytes after any of these events: ctx has ended, the deadline of ctx has passed, the
-	// server has been draining for half of the drain grace of the settings, the time SendBy of a SendDeadlineContext
-	// has come, or Abandoned of an AbandonableContext returns true.
+	// Attempt must not write any bytes once one of these conditions holds: ctx has ended or its deadline has passed;
+	// the server has been draining for half of the drain grace of the settings; the time of SendDeadlineContext has
+	// come; AbandonableContext reports that the attempt is abandoned.
 	Attempt(ctx context.Context, server string, r *Request) Result
 	// Configure passes the settings in force to the transport. The router calls it at the start and at each reload.
 	Configure(s policy.Settings)
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -78,7 +78,7 @@
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
 		t.Fatalf("first request: code %v, want OK", r.Code)
 	}
-	// At the limit, the idle connection to the first server is closed for a new one to the second server.
+	// At the limit, the idle connection to the first server is closed to admit a connection to the second server.
 	done := make(chan router.Result, 1)
 	go func() { done <- transport.Attempt(t.Context(), "s1", testRequest(http.MethodGet, "r2", "")) }()
 	testkit.Await(t, "the eviction", func() bool { open, idle := transport.counts(); return open == 1 && idle == 0 })
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -58,7 +58,7 @@
 }
 
 func (rd *responseReader) read(r *router.Request) (response, error) {
-	if r.Method != http.MethodHead { // the Content-Length of a response to HEAD is not that of its body
+	if r.Method != http.MethodHead { // a response to HEAD may have a Content-Length, but has no body
 		if head, ok := readSimpleHead(rd.in); ok {
 			return rd.readFixedLength(head, r.AcceptsStream)
 		}
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -49,8 +49,8 @@
 type Transport struct {
 	dialer     net.Dialer
 	tls        *secure.ClientTLS
-	readers    sync.Pool // of *bufio.Reader
-	writers    sync.Pool // of *bytes.Buffer
+	readers    sync.Pool // holds *bufio.Reader
+	writers    sync.Pool // holds *bytes.Buffer
 	stop       chan struct{}
 	background sync.WaitGroup
 	dials      sync.WaitGroup  // goroutines that open TLS connections
--- a/transport/http1/upload.go
+++ b/transport/http1/upload.go
@@ -109,7 +109,7 @@
 func earlyResponse(ctx context.Context, c *conn, err error) router.Result {
 	_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	in := bufio.NewReader(io.LimitReader(c, maxHeadBytes))
-	resp, readErr := http.ReadResponse(in, nil) //nolint:bodyclose // its Close would read to the end of the body
+	resp, readErr := http.ReadResponse(in, nil) //nolint:bodyclose // Close would read the rest of the body
 	if readErr == nil && resp.Header.Get("X-Not-Run") == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) {
 		return router.Result{Code: policy.Overloaded}
