--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	rateWindow         = time.Second  // window of limits derived from quotas; also the Retry-After for a quota of zero
-	burstSeconds       = 0.5          // seconds of a quota's rate that its bucket holds, to admit bursts
-	minBurst           = 3            // tokens, so that a small part of a quota still admits a small burst
-	maxBuckets         = 4096         // bounds memory if clients make up tenants; those beyond it share a bucket
-	refillCompensation = 1 / math.Ln2 // refilling whole tokens only admits ln 2 of the rate of Poisson arrivals
+	rateWindow         = time.Second  // window of the limits derived from quotas; also Retry-After for a quota of 0
+	burstSeconds       = 0.5          // bucket capacity for a quota, in seconds of its rate
+	minBurst           = 3            // minimum bucket capacity, so that small quotas still admit a small burst
+	maxBuckets         = 4096         // limits memory if clients invent tenants; further tenants share one bucket
+	refillCompensation = 1 / math.Ln2 // a refill of whole tokens admits only ln 2 of the rate of Poisson arrivals
 
-	rateScaleStep     = 0.02 // relative change per selection; steady while half of them find capacity
-	minRateScale      = 0.3  // below it, faults that shedding can't cure starve traffic within its quota
-	cautiousRateScale = 1.5  // above it, rateScale only rises while few outcomes are bad
-	maxBadRatio       = 0.06 // highest badRatio at which rateScale may exceed cautiousRateScale
-	maxRateScale      = 3.0  // admitting still more gains little
+	rateScaleStep     = 0.02 // relative change per selection; balanced if half of the selections find capacity
+	minRateScale      = 0.3  // a lower scale would starve traffic within quotas during faults that shedding can't cure
+	cautiousRateScale = 1.5  // above this scale, rateScale rises only while few outcomes are bad
+	maxBadRatio       = 0.06 // maximum badRatio at which rateScale may exceed cautiousRateScale
+	maxRateScale      = 3.0  // a higher scale gains little
 )
 
-// refill adds the whole tokens for the time since the last refill, up to the burst. Adding any resets the refill
-// time, so that fractions of tokens are lost.
+// refill adds the whole tokens for the time since the last refill, up to the burst. If it adds any, it resets the
+// refill time, so a fraction of a token is lost.
 func (k *bucket) refill(now Time, perSecond float64, burst int64) {
 	added := math.Floor((now - k.lastRefill).Seconds() * perSecond)
 	if added >= 1 {
@@ -35,7 +35,7 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter returns the Retry-After for a rejected client: the time for one token, rounded up to whole seconds.
+// retryAfter returns the Retry-After for a rejected client: the time to gain one token, rounded up to whole seconds.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
@@ -45,13 +45,14 @@
 }
 
 func (b *Balancer) quotaLimit(quota float64) Limit {
-	rate := quota / float64(b.settings.Nodes) * refillCompensation // this node's fraction of the quota
+	rate := quota / float64(b.settings.Nodes) * refillCompensation // this node's part of the quota
 	burst := max(minBurst, int64(math.Ceil(rate*burstSeconds)))
 	return Limit{PerWindow: rate * rateWindow.Seconds(), Window: rateWindow, Burst: burst}
 }
 
-// resolveLimit returns the limit of a request and the key of its bucket: the limit of the class if there is one, else
-// the tenant's quota or the default, each bounded by RateLimits.Max. If no limit applies, ok is false.
+// resolveLimit returns the limit for a request of tenant and class, and the key of its bucket. The limit of the class
+// takes precedence over the tenant's quota, and the quota over the default limit. RateLimits.Max bounds each of them.
+// If no limit applies, ok is false.
 func (b *Balancer) resolveLimit(tenant, class string) (limit Limit, key bucketKey, ok bool) {
 	key.tenant = tenant
 	if override, found := b.settings.RateLimits.PerClass[class]; found {
@@ -98,7 +99,7 @@
 		r = b.newRequest(event)
 	}
 	b.setDeadlines(r, event)
-	if known { // the last byte of its body has arrived: latencies of its attempts count from now
+	if known { // the last byte of the body has arrived: latencies count from now
 		for i := range r.attempts {
 			r.attempts[i].sentAt = b.now
 		}
@@ -116,7 +117,7 @@
 
 func (b *Balancer) newRequest(e Request) *request {
 	r := &request{id: e.ID, class: b.classes[e.Class], notReplayable: e.BodyPending, zoneLocal: e.ZoneLocal}
-	if r.class == nil { // unknown class: treated as non-idempotent
+	if r.class == nil { // an unknown class is treated as non-idempotent
 		unknown := Class{LatencyObjective: e.ExpiresIn, LateWeightFraction: 1}
 		r.class = &class{Class: unknown, capabilities: b.settings.Capabilities, eligible: &b.pool}
 	}
@@ -126,8 +127,8 @@
 	return r
 }
 
-// setDeadlines sets the deadlines of r. A request is queued for at most half of its objective or remaining time, so
-// that a rejected client has time left to retry elsewhere.
+// setDeadlines sets the deadlines of r. A request is queued for at most half of its objective or of its remaining
+// time. A rejected client then has time left to retry elsewhere.
 func (b *Balancer) setDeadlines(r *request, e Request) {
 	r.deadline, r.bodyPending = b.now+e.ExpiresIn, e.BodyPending
 	objective := r.class.LatencyObjective + time.Duration(r.class.ObjectiveWorkFactor*float64(e.CostHint))
@@ -137,9 +138,9 @@
 	}
 }
 
-// adjustRateScale lowers all bucket rates if the servers lack capacity, and raises them if buckets reject requests
-// while there is capacity. With fixed rates, a slowdown of the fleet would shed nothing, and a node that gets more
-// than an even share of a tenant's traffic would reject requests within the quota.
+// adjustRateScale lowers the rates of all buckets if the servers lack capacity. It raises them if buckets reject
+// requests while there is capacity. With fixed rates, nothing would be shed when all servers slow down. A node that
+// gets more than an even share of a tenant's traffic would also reject requests within the quota.
 func (b *Balancer) adjustRateScale(hasCapacity bool) {
 	switch {
 	case !hasCapacity && b.rateScale <= 1 && b.serversShedLoad():
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -13,7 +13,7 @@
 		r := testRequest(fmt.Sprint(i), "idempotent")
 		r.Tenant = "u"
 		if rejects := actionsOf(b.Handle(ms, r), Reject); len(rejects) == 1 {
-			if i != 8 { // burst of half a second at a quota of 10 requests/s, divided by ln 2
+			if i != 8 { // the burst is half a second at 10 requests/s, divided by ln 2
 				t.Errorf("first rejection after %d requests, want after 8", i)
 			}
 			if rejects[0].Wait != time.Second {
@@ -62,7 +62,8 @@
 	}
 }
 
-// A queued request must lower rateScale only once, not each time that it looks for a server.
+// TestRateScale_QueuedRequestMovesItOnce checks that a queued request lowers rateScale only once, not at each search
+// for a server.
 func TestRateScale_QueuedRequestMovesItOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order[0]
@@ -78,7 +79,8 @@
 	}
 }
 
-// Traffic far beyond the quotas is admitted only while almost no answer is bad, since other nodes may lack capacity.
+// TestRateScale_FarOverQuotasNeedsGoodAnswers checks that traffic far beyond the quotas is admitted only while almost
+// no answer is bad, because other nodes may lack capacity.
 func TestRateScale_FarOverQuotasNeedsGoodAnswers(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	grow := func() {
@@ -106,7 +108,7 @@
 	if k.tokens != 0 || k.lastRefill != 0 {
 		t.Fatalf("time for less than one token: bucket is %+v, want no token and the refill time unchanged", k)
 	}
-	k.refill(1100*ms, 1.667, 100) // 1.83 tokens accrued: one is added, the fraction is lost
+	k.refill(1100*ms, 1.667, 100) // 1.83 tokens accrued: one token is added, the fraction is lost
 	if k.tokens != 1 || k.lastRefill != 1100*ms {
 		t.Fatalf("time for 1.83 tokens: bucket is %+v, want one token and the refill time updated", k)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,23 +1,23 @@
-// Package policy decides, for one node of a reverse proxy, which requests to admit, which server gets each
-// attempt, and when to retry, hedge, reject or fail. It is an event-driven state machine: a host hands each
-// event and the current time to Handle, and carries out the returned actions in order. The package does no I/O,
-// reads no clock and starts no goroutine; its random choices come from the seed, so that the same events always
-// lead to the same actions.
+// Package policy decides, for one node of a reverse proxy, which requests to admit, which server gets each attempt,
+// and when to retry, hedge, reject or fail. It is an event-driven state machine: a host passes each event and the
+// current time to Handle, and carries out the returned actions in order. The package does no I/O, reads no clock and
+// starts no goroutine. Its random choices come from a seed, so the same events always lead to the same actions.
 //
 // Each of these files implements one part of request handling:
 //
 //   - admission.go: rate limits by tenant and class, scaled by the available capacity of the servers;
 //   - placement.go: the servers that a request is allowed to run on;
-//   - selection.go and threshold.go: choosing the server of an attempt, under a learned concurrency limit for
-//     each server; index.go: making the same choice faster among many servers;
+//   - selection.go and threshold.go: selection of the server for an attempt, under a learned concurrency limit for
+//     each server;
+//   - index.go: an index that makes the same selection faster among many servers;
 //   - attempts.go, retry_budget.go and reconnect.go: sending, queueing, retries, hedged requests and outcomes;
 //   - connections.go: closing idle connections that were probably dropped by the network;
 //   - outlier.go: ejection of failing servers, and the probes that reinstate them;
 //   - slow_start.go: limits on the load of servers that have just started;
 //   - endpoints.go: the endpoint list, the order of the servers, and this node's subset of them.
 //
-// policy.go dispatches events and applies settings, state.go and learned_state.go define the state, and this file
-// defines the interface: settings, events and actions.
+// policy.go dispatches events and applies settings. state.go and learned_state.go define the state. This file defines
+// the interface: settings, events and actions.
 package policy
 
 import "time"
@@ -28,7 +28,7 @@
 // Idempotency says whether a request may be sent again after an attempt that may have been executed.
 type Idempotency uint8
 
-// The zero value is the strictest: requests of a class without this setting are never executed twice.
+// The zero value is the strictest. A request of a class without this setting is never executed twice.
 const (
 	NonIdempotent    Idempotency = iota // must never be executed twice
 	IdempotencyKeyed                    // servers within DedupScope discard duplicates for DedupWindow
@@ -49,31 +49,31 @@
 type Class struct {
 	// Name is unique among the classes.
 	Name string
-	// LatencyObjective is the latency up to which an answer has its full value; 0 means Deadline.
+	// LatencyObjective is the maximum latency at which an answer has its full value; 0 means Deadline.
 	LatencyObjective time.Duration
-	// ObjectiveWorkFactor adds this multiple of Request.CostHint to the objective; 0 adds nothing.
+	// ObjectiveWorkFactor is the multiple of Request.CostHint that is added to the objective; 0 adds nothing.
 	ObjectiveWorkFactor float64
-	// Deadline is the total time that a client waits, over all its retries; must be more than zero.
+	// Deadline is the total time that a client waits, including its own retries. It must be more than zero.
 	Deadline time.Duration
 	// Idempotency says whether a request may be sent again after it may have been executed.
 	Idempotency Idempotency
 	// DedupScope says which servers discard duplicates; only used with IdempotencyKeyed.
 	DedupScope DedupScope
-	// DedupWindow is how long those servers discard duplicates, counted from the first attempt that may have been
-	// executed; only used with IdempotencyKeyed.
+	// DedupWindow is how long those servers discard duplicates. It starts at the first attempt that may have been
+	// executed. Only used with IdempotencyKeyed.
 	DedupWindow time.Duration
-	// LateWeightFraction, from 0 to 1, is the fraction of its value that an answer keeps between objective and
-	// deadline. At 0, no attempt is made after the objective.
+	// LateWeightFraction is the fraction (0 to 1) of its value that an answer keeps between objective and deadline.
+	// At 0, no attempt is sent after the objective.
 	LateWeightFraction float64
 	// PriorityWeight is the value of one answer relative to answers of other classes. No decision reads it.
 	PriorityWeight float64
-	// Stream says that answers are streamed; FirstByte reports the start of each.
+	// Stream says that answers are streamed. A FirstByte event reports the start of each streamed answer.
 	Stream bool
-	// Kinds are the only kinds of server that requests may be sent to; empty for any.
+	// Kinds lists the kinds of servers that requests may be sent to; empty: any kind.
 	Kinds []string
-	// Zones are the only zones that requests may be sent to; empty for any.
+	// Zones lists the zones that requests may be sent to; empty: any zone.
 	Zones []string
-	// Pool is the only pool of servers that requests may be sent to; empty for any.
+	// Pool is the pool of servers that requests may be sent to; empty: any server.
 	Pool string
 }
 
@@ -84,18 +84,18 @@
 	Share float64 // fraction of the total traffic, 0 to 1; no decision reads it
 }
 
-// Limit is a token bucket limit: the bucket holds up to Burst tokens and gains PerWindow tokens each Window.
+// Limit defines a token bucket. The bucket holds up to Burst tokens and gains PerWindow tokens each Window.
 type Limit struct {
-	PerWindow float64       // requests; 0 or less admits only the initial burst
-	Window    time.Duration // refill period; 0 or less disables refill
-	Burst     int64         // bucket capacity, in requests
+	PerWindow float64       // tokens per Window; 0 or less: only the initial burst is admitted
+	Window    time.Duration // refill period; 0 or less: no refill
+	Burst     int64         // bucket capacity, in tokens
 }
 
 // RateLimits holds the rate limits that apply besides the tenants' quotas. All are optional.
 type RateLimits struct {
-	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit without tenants
-	PerClass map[string]Limit // by class, replacing the tenant's limit; each tenant has its own bucket for it
-	Max      float64          // upper bound of PerWindow and Burst in every limit; 0 for none
+	Default  *Limit           // limit for tenants without a quota; nil: smallest quota of a tenant, if any
+	PerClass map[string]Limit // by class: limit that replaces the tenant's; each tenant has its own bucket
+	Max      float64          // maximum of PerWindow and Burst in every limit; 0: none
 }
 
 // Capabilities says what a node is allowed to do at this site.
@@ -103,32 +103,32 @@
 	Cancel     bool // the node may cancel attempts in flight
 	Hedge      bool // a second attempt may be sent while the first is in flight
 	Probe      bool // the host may probe servers; no decision reads it
-	Peers      bool // nodes may send messages to one another; no decision reads it
-	RetryAfter bool // clients honor the wait time of a Reject
+	Peers      bool // nodes may send messages to each other; no decision reads it
+	RetryAfter bool // clients honor the wait time of a Reject; no decision reads it
 
 	MaxAttempts     int           // attempts per request, including the first; 0 means 1
-	MaxRetryAfter   time.Duration // longest wait time that clients honor
-	ConnIdleTimeout time.Duration // how long a connection may be idle before it is closed; 0 if unknown
+	MaxRetryAfter   time.Duration // maximum wait time that clients honor; no decision reads it
+	ConnIdleTimeout time.Duration // idle time after which a connection is closed; 0: unknown
 }
 
-// RetryBudget limits a node's retries and hedged requests: within any Window it sends at most MinRetries plus
-// RetryRatio times the number of requests that it received in that Window.
+// RetryBudget limits the retries and hedged requests of a node. Within any Window, the node may send at most
+// MinRetries plus RetryRatio times the number of requests received in that Window.
 type RetryBudget struct {
-	MinRetries float64       // retries allowed at any request rate; 0 or more
-	RetryRatio float64       // further retries allowed per received request; 0 or more
+	MinRetries float64       // retries allowed per Window at any request rate; 0 or more
+	RetryRatio float64       // additional retries allowed per received request; 0 or more
 	Window     time.Duration // length of the sliding window; must be more than zero
 }
 
 // Rules holds the operating rules that the site sets for a node. All numbers must be zero or more.
 type Rules struct {
-	AnswerGrace      time.Duration // how long after the deadline a final answer still counts as in time
-	DrainGrace       time.Duration // how long attempts may still be sent to a server after it began to drain
-	SlowStartShare   float64       // minimum fraction of its capacity that a server has at its start; 0 to 1
-	SlowStartWindow  time.Duration // time after its start by which a server has its full capacity
-	OverloadFactor   float64       // multiple of its current capacity at which a server in slow start fails
-	OverloadDuration time.Duration // how long the load must exceed OverloadFactor for the server to fail
-	MaxPollInterval  time.Duration // longest time between polls of the endpoint list without a subscription
-	RetryBudget      *RetryBudget  // nil if the site sets none, so that a default applies
+	AnswerGrace      time.Duration // time after the deadline in which an answer is in time; no decision reads it
+	DrainGrace       time.Duration // time after a drain starts in which sends are allowed; no decision reads it
+	SlowStartShare   float64       // minimum capacity of a server at its start, as a fraction of its full capacity
+	SlowStartWindow  time.Duration // time from the start of a server until it has full capacity
+	OverloadFactor   float64       // load at which a server in slow start fails, as a multiple of its current capacity
+	OverloadDuration time.Duration // time that the load must exceed OverloadFactor for the server to fail
+	MaxPollInterval  time.Duration // maximum time between polls of the endpoint list without a subscription
+	RetryBudget      *RetryBudget  // nil: default budget
 }
 
 // Settings is the configuration of a Balancer.
@@ -141,10 +141,10 @@
 	RateLimits   RateLimits
 	Capabilities Capabilities
 	Rules        Rules
-	Subscribe    bool // the node must subscribe to the endpoint list to get updates
-	KeyAffinity  bool // prefer a key's sticky servers, since serving a key again costs a server less
-	WeightByWork bool // an answer's value is counted per unit of work, not per request; no decision reads it
-	// LoadReportFields names the values in load reports, in their order. No decision reads them.
+	Subscribe    bool // the node gets updates of the endpoint list only if it subscribes
+	KeyAffinity  bool // prefer a key's sticky servers, because a server serves a repeated key at a lower cost
+	WeightByWork bool // the value of an answer is proportional to its work; no decision reads it
+	// LoadReportFields lists the names of the values in load reports, in their order. No decision reads them.
 	LoadReportFields []string
 }
 
@@ -163,16 +163,16 @@
 	Server      string // unique name
 	Zone        string
 	Kind        string
-	Pools       []string // pools that the server belongs to
-	Cell        int64    // group of servers that share a deduplication table, for DedupCell
+	Pools       []string // pools that contain the server
+	Cell        int64    // ID of the group of servers that share a deduplication table, for DedupCell
 	Weight      float64  // relative capacity; no decision reads it
-	OnlineSince Time     // when its process started; 0 for long ago
-	// SlowStartAt is when slow start begins, by a clock that is never stepped; 0 means at OnlineSince.
+	OnlineSince Time     // start time of the process; 0: long ago
+	// SlowStartAt is the start time of slow start, by a clock that is never stepped; 0 means OnlineSince.
 	SlowStartAt  Time
 	Availability Availability
 }
 
-// Event is one of Request, FirstByte, Outcome, ClientGone, Timer, EndpointList, ProbeResult and PeerMessage.
+// Event is a Request, FirstByte, Outcome, ClientGone, Timer, EndpointList, ProbeResult or PeerMessage.
 type Event any
 
 // ListKind says how to interpret an EndpointList.
@@ -182,37 +182,38 @@
 const (
 	ListReplace     ListKind = iota // the complete list
 	ListUpdate                      // only the changed entries
-	ListRestored                    // the last known complete list, possibly stale
-	ListUnavailable                 // a poll failed or a watch ended; no entries
+	ListRestored                    // the complete list as last known, possibly stale
+	ListUnavailable                 // a poll failed or a watch ended; the list has no entries
 )
 
-// EndpointList is an update of the endpoint list. Endpoints is never modified, so that nodes may share it.
+// EndpointList is an update of the endpoint list. Endpoints is never modified, so nodes may share the slice.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
-	More      bool // further parts of the same change follow; queued requests wait for the last part
+	More      bool // more parts of the same change follow; queued requests wait for the last part
 }
 
-// Request is a client's request, which gets exactly one final answer. A request with BodyPending may be sent before
-// its whole body has arrived: the body is streamed through to one attempt at a time, and no server can have executed
-// the request yet. The host hands the request in again without BodyPending when the last byte of the body has
-// arrived; its durations count from then on.
+// Request is a client's request. Each request gets exactly one final answer.
+//
+// A request with BodyPending may be sent before its whole body has arrived. The body is then streamed to one attempt
+// at a time, and no server can have executed the request yet. When the last byte of the body arrives, the host passes
+// the request again without BodyPending. The durations in the request count from then on.
 type Request struct {
 	ID     string // unique among the requests in flight
 	Class  string // name of a Class; a request of an unknown class is never executed twice
 	Tenant string
-	Key    string // resource that the request concerns, for KeyAffinity; empty for none
+	Key    string // resource that the request concerns, for KeyAffinity; empty: none
 
 	ExpiresIn    time.Duration // time until the client gives up
-	CostHint     time.Duration // estimated CPU time of the request; 0 if unknown
+	CostHint     time.Duration // estimated CPU time of the request; 0: unknown
 	Retry        bool          // the client has sent this request before; no decision reads it
 	Write        bool          // the request modifies data; no decision reads it
 	BodyPending  bool          // the last byte of the body has not arrived yet
 	ZoneLocal    bool          // the request must stay in this node's zone while that zone has a running server
-	MaxQueueTime time.Duration // upper bound of the time in the queue; 0 for no bound specific to this request
+	MaxQueueTime time.Duration // maximum time in the queue; 0: the default of the policy
 }
 
-// queueTime returns limit, or MaxQueueTime if that is set and shorter.
+// queueTime returns the smaller of limit and MaxQueueTime. A MaxQueueTime of 0 is ignored.
 func (e Request) queueTime(limit time.Duration) time.Duration {
 	if e.MaxQueueTime > 0 {
 		return min(limit, e.MaxQueueTime)
@@ -220,7 +221,7 @@
 	return limit
 }
 
-// FirstByte reports the start of a streamed answer, after which no other attempt can answer the client.
+// FirstByte reports the start of a streamed answer. After it, no other attempt can answer the client.
 type FirstByte struct {
 	ID      string
 	Server  string
@@ -231,16 +232,16 @@
 // Code is the result of an attempt.
 type Code uint8
 
-// Result codes of attempts. NotExecuted tells which of them prove that the server never executed the request.
+// Result codes of attempts. NotExecuted reports which codes prove that the server never executed the request.
 const (
 	OK            Code = iota
-	ServerError        // the server answered with an error of its own
+	ServerError        // the server answered with an error
 	Overloaded         // the server rejected the request for lack of capacity
-	TimedOut           // no answer before the attempt's time-out
+	TimedOut           // no answer before the time-out of the attempt
 	ConnectFailed      // no connection could be established, so nothing was sent
-	Reset              // the connection broke during the attempt
-	Cancelled          // the node cancelled it with a Cancel action
-	Superseded         // the node abandoned it before sending it, which says nothing about the server
+	Reset              // the connection was reset during the attempt
+	Cancelled          // the node cancelled the attempt with a Cancel action
+	Superseded         // the node abandoned the attempt before sending it; no fault of the server
 	Untrusted          // the server failed to authenticate itself, so nothing was sent
 )
 
@@ -257,8 +258,8 @@
 	Code         Code
 	Latency      time.Duration // time since the attempt was sent
 	Answered     bool          // the client has received the final answer
-	BodyConsumed bool          // the request's body can't be replayed, so that no further attempt is possible
-	LoadReport   []float64     // values in the order of Settings.LoadReportFields; nil for none
+	BodyConsumed bool          // the body can't be replayed, so no further attempt is possible
+	LoadReport   []float64     // values in the order of Settings.LoadReportFields; nil: no report
 }
 
 // ClientGone reports that the client has disconnected and needs no answer.
@@ -267,7 +268,7 @@
 // Timer reports that the timer set by a SetTimer action has expired.
 type Timer struct{ Token uint64 }
 
-// ProbeResult reports the end of one Probe. No decision reads it.
+// ProbeResult reports the end of a probe. No decision reads it.
 type ProbeResult struct {
 	Server     string
 	Code       Code
@@ -275,7 +276,7 @@
 	LoadReport []float64
 }
 
-// PeerMessage is a message from another node. Such messages can be lost, delayed or corrupted. No decision reads it.
+// PeerMessage is a message from another node. Messages can be lost, delayed or corrupted. No decision reads them.
 type PeerMessage struct {
 	From int
 	Body string
@@ -284,15 +285,15 @@
 // ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of actions. Each comment lists the fields of Action that the kind uses.
+// Kinds of actions. Each comment lists the fields of Action that are set.
 const (
 	Send           ActionKind = iota // ID, Server, Until: send an attempt to the server
-	Reject                           // ID, Wait: reject; not executed or safe to duplicate, so the client may retry
-	Fail                             // ID: fail the request; it may have been executed, so a retry is unsafe
+	Reject                           // ID, Wait: reject the request; the client may retry it safely
+	Fail                             // ID: fail the request; a retry is unsafe, because a server may have executed it
 	Cancel                           // ID, Attempt: cancel the attempt
-	SetTimer                         // Wait, Token: hand in a Timer with the token after the wait
-	Probe                            // Server: probe the server, and hand in a ProbeResult
-	SendToPeer                       // Peer (-1 for all), Text: send the text to another node
+	SetTimer                         // Wait, Token: pass a Timer with the token to Handle after the wait
+	Probe                            // Server: probe the server, and pass a ProbeResult to Handle
+	SendToPeer                       // Peer, Text: send the text to the node Peer; -1: to all nodes
 	CloseIdle                        // Server: close the idle connections to the server
 	Log                              // Text: log the text
 	WatchEndpoints                   // On: subscribe to the endpoint list if true
@@ -304,8 +305,8 @@
 	Kind    ActionKind
 	ID      string // ID of the request
 	Server  string
-	Until   Time          // when the attempt times out; 0 for the client's deadline
-	Wait    time.Duration // time until the timer expires, or the Retry-After of a rejected client; 0 for none
+	Until   Time          // time at which the attempt times out; 0: the client's deadline
+	Wait    time.Duration // time until the timer expires, or Retry-After of a rejected request; 0: none
 	Token   uint64        // identifies the timer
 	Attempt int           // number of the attempt, from 0
 	Peer    int
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	queuePollInterval = 20 * time.Millisecond // interval at which queued requests look for a server again
-	tailQuantile      = 0.95                  // quantile of a class's latency that tailLatency estimates
+	queuePollInterval = 20 * time.Millisecond // interval between dispatches of queued requests
+	tailQuantile      = 0.95                  // quantile of the latency of a class that tailLatency estimates
 	tailGain          = 0.1                   // relative step size of the tailLatency estimate
 	slowAttemptFactor = 1.2                   // multiple of tailLatency after which an attempt counts as slow
 )
@@ -19,7 +19,7 @@
 		return
 	}
 	s, hasCapacity := b.selectNext(r)
-	if !r.wasQueued { // a request adjusts rateScale only once, however long it is queued
+	if !r.wasQueued { // each request adjusts rateScale only once
 		b.adjustRateScale(hasCapacity)
 	}
 	switch {
@@ -53,8 +53,8 @@
 	b.scheduleSlowCheck(r)
 }
 
-// scheduleSlowCheck schedules the check of r's newest attempt. Checks of a class share one timer, since all are due
-// after about the same delay.
+// scheduleSlowCheck schedules the check of r's newest attempt. All checks of a class share one timer, because their
+// delays are about the same.
 func (b *Balancer) scheduleSlowCheck(r *request) {
 	if c := r.class; c.timerToken > 0 && len(r.attempts) > 0 && !r.bodyPending {
 		due := b.now + time.Duration(slowAttemptFactor*float64(c.tailLatency))
@@ -70,9 +70,9 @@
 	}
 }
 
-// checkSlowAttempts checks the attempts of a class that have become slow. If the server has answered nothing since
-// the attempt was sent, it records a fault of the server, unless the connection had been idle before, and hedges the
-// request where possible.
+// checkSlowAttempts checks the attempts of a class that have become slow. It skips an attempt if the server has
+// answered any request since the attempt was sent. Otherwise it records a fault of the server, unless the connection
+// had been idle, and hedges the request where possible.
 func (b *Balancer) checkSlowAttempts(class *class) {
 	class.slowTimerSet = false
 	for len(class.slowChecks) > 0 && class.slowChecks[0].due <= b.now {
@@ -82,7 +82,7 @@
 		r := check.request
 		a := &r.attempts[check.attempt]
 		if a.done || a.server.lastAnswer >= a.sentAt {
-			continue // the server answers others, so the request is expensive, and would be elsewhere too
+			continue // the server answers other requests, so this request is expensive at any server
 		}
 		if a.idleOctave == 0 {
 			b.recordFault(a.server, silenceWeight)
@@ -123,7 +123,8 @@
 	}
 }
 
-// giveUp ends r without an answer from a server: rejected if a retry by the client is safe, else failed.
+// giveUp ends r without an answer from a server. It rejects r if the client can retry it safely, and fails r
+// otherwise.
 func (b *Balancer) giveUp(r *request) {
 	if r.pending > 0 {
 		return // another attempt is in flight and may still answer
@@ -172,7 +173,7 @@
 	r := b.requests[outcome.ID]
 	number := outcome.Attempt
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].done {
-		return // a late or duplicate outcome
+		return // late or duplicate outcome
 	}
 	a := &r.attempts[number]
 	a.done, a.notExecuted = true, outcome.Code.NotExecuted()
@@ -188,7 +189,7 @@
 	switch {
 	case outcome.Answered || r.answered || outcome.Code == OK:
 		b.finish(r)
-	case r.pending > 0: // another attempt may still answer
+	case r.pending > 0: // wait for the outcomes of other attempts
 	case outcome.Code == Superseded || outcome.BodyConsumed || b.now >= r.deadline || r.streaming ||
 		r.firstMaybeExecuted != nil && r.class.Idempotency == NonIdempotent:
 		b.giveUp(r)
@@ -206,7 +207,7 @@
 	case Superseded, Untrusted:
 		return
 	case Cancelled:
-		if !ended.probe { // no fault of the server; but a cancelled probe counts as failed
+		if !ended.probe { // no fault of the server; a cancelled probe counts as failed
 			return
 		}
 	case OK, ServerError, Overloaded:
@@ -227,7 +228,7 @@
 	b.updateHealth(ended, code)
 }
 
-// recordLatency moves the estimate of the tailQuantile of the latency towards an observed latency.
+// recordLatency moves tailLatency, the estimate of the tailQuantile of the latency, towards an observed latency.
 func (c *class) recordLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// queueTimeWithoutServer returns how long a request is queued until it ends when there is no server.
+// queueTimeWithoutServer returns the time until a queued request ends without any server. maximum is its
+// MaxQueueTime.
 func queueTimeWithoutServer(t *testing.T, maximum time.Duration) time.Duration {
 	t.Helper()
 	b := startBalancer(t, testSettings(1), nil)
@@ -106,8 +107,8 @@
 	}
 }
 
-// A slow attempt is hedged only if its server answers nothing else either. If the server answers others, the request
-// itself is expensive, and would be elsewhere too.
+// TestHedge_OnlyForSilentServers checks that a slow attempt is hedged only if its server has answered no other
+// request either. If the server answers other requests, the slow request is expensive at any server.
 func TestHedge_OnlyForSilentServers(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		t.Run(fmt.Sprintf("silent=%v", silent), func(t *testing.T) {
@@ -124,7 +125,8 @@
 	}
 }
 
-// A queued request is rejected while its client still has half of its time left to retry elsewhere.
+// TestQueue_RejectsWithinHalfOfRequestTime checks that a queued request is rejected within half of its time. The
+// client then has time left to retry elsewhere.
 func TestQueue_RejectsWithinHalfOfRequestTime(t *testing.T) {
 	b := startBalancer(t, testSettings(1), nil)
 	r := testRequest("x", "idempotent")
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// busyBalancer returns a balancer with n servers, the first busy of which are above their thresholds. Its only class
-// is restricted to the zones, if any are given.
+// busyBalancer returns a balancer with n servers. The first busy servers are above their thresholds. Its only class
+// is restricted to zones, if any are given.
 func busyBalancer(b testing.TB, n, busy int, zones ...string) *Balancer {
 	b.Helper()
 	settings := reconfigurableSettings()
@@ -46,7 +46,7 @@
 	})
 }
 
-// applyOneChange drains one server and returns it to service in turn.
+// applyOneChange alternately drains one server and returns it to service.
 func applyOneChange(b *testing.B, node *Balancer, n int, linear bool) {
 	node.linearScan = linear
 	endpoint := Endpoint{Server: fmt.Sprintf("s%06d", n/2), Zone: "a", Weight: 1}
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkOneChangeBound is like BenchmarkOneChange, but with a class that is restricted to a zone, which contains
+// BenchmarkOneChangeBound is like BenchmarkOneChange, with a class that is restricted to a zone. The zone contains
 // all servers.
 func BenchmarkOneChangeBound(b *testing.B) {
 	runVariants(b, []int{1000, 10_000}, func(b *testing.B, n int, linear bool) {
@@ -65,7 +65,7 @@
 }
 
 // BenchmarkRequestAmongBusy measures a request and its outcome while all servers are above their thresholds. The
-// outcome is Cancelled, from which nothing is learned, so that they stay so.
+// outcome is Cancelled, so the balancer learns nothing and the servers stay above their thresholds.
 func BenchmarkRequestAmongBusy(b *testing.B) {
 	runVariants(b, []int{20, 1000, 10_000}, func(b *testing.B, n int, linear bool) {
 		node := busyBalancer(b, n, n)
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	minIdleTime          = 250 * time.Millisecond // a connection that was idle for less counts as in use
+	minIdleTime          = 250 * time.Millisecond // connections with a shorter idle time count as in use
 	unansweredGain       = 0.2                    // weight of one outcome in the moving average unansweredRatio
 	staleUnansweredRatio = 0.3                    // minimum unansweredRatio at which idle connections are closed
-	staleFactor          = 3                      // and its minimum multiple of the ratio of connections in use
+	staleFactor          = 3                      // also required: this multiple of the ratio of connections in use
 	staleDecay           = 0.98                   // factor on the ratio at each close, so that closing stops in time
 )
 
-// recordConnectionUse records that s.inFlight connections to s are in use now.
+// recordConnectionUse records that s.inFlight connections to s are in use at time now.
 func (s *server) recordConnectionUse(now Time) {
 	for len(s.connectionLastUsed) < s.inFlight {
 		s.connectionLastUsed = append(s.connectionLastUsed, now)
@@ -22,8 +22,9 @@
 }
 
 // prepareConnection returns the idle time of the connection for the next send to target, as an octave (power of two)
-// of minIdleTime; 0 stands for a connection in use. If sends on connections that were idle for as long go unanswered
-// far more often than others, the network probably drops such connections silently, so that it closes the idle ones.
+// of minIdleTime. Octave 0 is a connection in use. If sends at an octave go unanswered far more often than sends on
+// connections in use, the network probably drops such connections silently. prepareConnection then closes the idle
+// connections and returns 0.
 func (b *Balancer) prepareConnection(target *server) (idleOctave int) {
 	if target.inFlight >= len(target.connectionLastUsed) {
 		return 0
@@ -47,8 +48,8 @@
 	b.emit(Action{Kind: CloseIdle, Server: s.Server})
 }
 
-// lostStaleConnection reports whether an attempt went unanswered on a connection that had been idle, which says
-// nothing about the server. It then closes the server's idle connections.
+// lostStaleConnection reports whether attempt a went unanswered on a connection that had been idle. Such a loss says
+// nothing about the server. If so, lostStaleConnection closes the idle connections of the server.
 func (b *Balancer) lostStaleConnection(a *attempt, unanswered bool) bool {
 	updateRatio(&b.unansweredRatio[a.idleOctave], unansweredGain, unanswered)
 	isStale := unanswered && a.idleOctave > 0
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Networks can drop idle connections silently, so that sends on them go unanswered. Once that has been seen,
-// connections that were idle for as long are closed before a send, and the lost attempts don't count as faults of the
-// server. Time-outs on fresh connections still count.
+// TestConnections_StaleOnesAreClosedBeforeSend guards against networks that silently drop idle connections, so that
+// sends on them go unanswered. After such losses, connections with a similar idle time are closed before a send. The
+// lost attempts do not count as faults of the server, but time-outs on fresh connections do.
 func TestConnections_StaleOnesAreClosedBeforeSend(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	target, now := b.order[0], Time(0)
-	// attempt makes an attempt after an idle time, and returns how many CloseIdle actions came with the send.
+	// attempt makes an attempt after an idle time, and returns the number of CloseIdle actions that came with the
+	// send.
 	attempt := func(idle time.Duration, code Code) (closed int) {
 		t.Helper()
 		now += idle
@@ -52,7 +53,7 @@
 		t.Error("connections are closed before each of 80 sends; the unanswered ratio never decays")
 	}
 	attempt(900*ms, TimedOut)
-	for range 2 { // on fresh connections, as the idle ones were closed
+	for range 2 { // on fresh connections, because the idle ones were closed
 		attempt(50*ms, TimedOut)
 	}
 	if !target.health.ejected && target.health.faultScore == 0 {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const watchRetryDelay = 2 * time.Second // mean delay before repeating a failed watch; randomized per node
+const watchRetryDelay = 2 * time.Second // mean delay before a failed watch is repeated; randomized
 
 func (b *Balancer) watchEndpoints() { b.emit(Action{Kind: WatchEndpoints, On: true}) }
 
@@ -21,7 +21,7 @@
 	case list.Kind == ListRestored && b.settings.Subscribe:
 		b.watchEndpoints()
 	}
-	if list.Kind != ListUpdate { // servers that are missing from a complete list are removed
+	if list.Kind != ListUpdate { // remove servers that are missing from a complete list
 		former := b.servers
 		b.servers = make(map[string]*server, len(list.Endpoints))
 		for _, endpoint := range list.Endpoints {
@@ -39,7 +39,7 @@
 		}
 		b.rebuildOrder()
 	}
-	if !list.More { // otherwise the rest of the change may drain a server
+	if !list.More { // a later part of the change may drain a server
 		b.dispatchQueued()
 	}
 }
@@ -50,19 +50,19 @@
 		return
 	}
 	s := b.servers[entry.Server]
-	if s == nil || s.OnlineSince != entry.OnlineSince { // a new server or a new process: nothing is learned yet
+	if s == nil || s.OnlineSince != entry.OnlineSince { // new server or new process: nothing is learned yet
 		latency := b.settings.Classes[0].LatencyObjective.Seconds() / 4
 		s = &server{lastLatency: latency, nameHash: hashString(entry.Server)}
-		// Start with a random fraction of a token, so that nodes that discover the server together don't all send at
-		// once.
+		// Start with a random fraction of a token. Otherwise nodes that discover the server together would all send
+		// at once.
 		s.slowStart = slowStartBucket{tokens: b.rng.Float64(), lastRefill: b.now}
 		b.servers[entry.Server] = s
 	}
 	s.Endpoint = entry
 }
 
-// rebuildOrder rebuilds all pools. Servers in this node's zone come first, since traffic between zones is costly; each
-// group in the order of IDs from the node's offset on.
+// rebuildOrder rebuilds all pools. Servers in this node's zone come first, because traffic between zones is costly.
+// The servers of each group are ordered by ID, starting at the node's offset.
 func (b *Balancer) rebuildOrder() {
 	b.runningByZone = make(map[string]int)
 	for p := range b.pools {
@@ -84,7 +84,7 @@
 		wasInService := former.inService()
 		if wasInService && entry.Availability == Running && former.OnlineSince == entry.OnlineSince &&
 			former.Zone == entry.Zone && former.Kind == entry.Kind && slices.Equal(former.Pools, entry.Pools) {
-			former.Endpoint = entry // weight and cell don't affect the order
+			former.Endpoint = entry // the other fields don't affect the order
 			continue
 		}
 		if wasInService {
@@ -105,7 +105,7 @@
 }
 
 // updateOrder recomputes the order of each pool after servers were added or removed, and assigns this node's subset.
-// added lists the added servers; nil stands for all.
+// added lists the added servers; nil: all servers.
 func (b *Balancer) updateOrder(added []*server) {
 	b.forgetRetiredClasses()
 	formerSubset, coveredZone := b.order[:b.subsetSize], b.subsetSize == b.localCount
@@ -115,7 +115,7 @@
 	b.zoneCount = len(b.runningByZone)
 	evenShare := (b.localCount*b.zoneCount + b.settings.Nodes - 1) / b.settings.Nodes
 	b.subsetSize = min(b.localCount, max(minSubsetSize, evenShare))
-	if b.settings.KeyAffinity { // all nodes of a zone send a key to the same sticky servers
+	if b.settings.KeyAffinity { // all nodes of a zone send a key to the same servers
 		b.subsetSize = b.localCount
 	}
 	if added == nil {
@@ -124,7 +124,7 @@
 		}
 		return
 	}
-	if !coveredZone || b.subsetSize < b.localCount { // otherwise the subset was and is the whole zone
+	if !coveredZone || b.subsetSize < b.localCount { // the subset is not the whole zone before and after
 		b.replaceSubset(formerSubset)
 	}
 	slices.SortFunc(added, func(x, y *server) int { return b.position(x) - b.position(y) })
@@ -140,7 +140,7 @@
 		s.inNewSubset = true
 	}
 	for _, s := range former {
-		if !s.inNewSubset && b.servers[s.Server] == s && s.inService() { // replaced processes are left unchanged
+		if !s.inNewSubset && b.servers[s.Server] == s && s.inService() { // skip servers whose process was replaced
 			s.inSubset = false
 		}
 	}
@@ -150,11 +150,12 @@
 	}
 }
 
-// assignSubset sets whether s is in this node's subset, and its threshold if it joins the subset or has none yet.
+// assignSubset records whether s is in this node's subset. It sets the threshold of s if s joins the subset or has no
+// threshold yet.
 func (b *Balancer) assignSubset(s *server, inSubset bool) {
 	wasInSubset := s.inSubset
 	s.inSubset = inSubset
-	if inSubset && !wasInSubset { // the nodes that sent it most of its load may be gone, or have another subset
+	if inSubset && !wasInSubset { // the nodes that sent s most of its load may no longer do so
 		s.threshold = max(s.threshold, b.initialThreshold(s))
 	}
 	if s.threshold == 0 {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A change of the endpoint list changes a node's subset. Servers that join it must not keep the small threshold of
-// servers outside the subset; otherwise, a rolling update leaves the node without capacity.
+// TestSubset_NewServersGetInitialThreshold checks that servers that join a node's subset get its initial threshold.
+// If they kept the small threshold of servers outside the subset, a rolling update would leave the node without
+// capacity.
 func TestSubset_NewServersGetInitialThreshold(t *testing.T) {
 	b := startBalancer(t, testSettings(12), testEndpoints(12))
 	first := b.order[0].Server
@@ -23,8 +24,8 @@
 	}
 }
 
-// After a failed poll or watch, the endpoint list is requested again after a random delay, so that nodes don't retry
-// at the same time. A short MaxPollInterval shortens the delay.
+// TestEndpointList_FailedWatchIsRepeatedWithJitter checks that a node requests the endpoint list again after a random
+// delay, so that nodes do not retry at the same time. A short MaxPollInterval shortens the delay.
 func TestEndpointList_FailedWatchIsRepeatedWithJitter(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 8 {
@@ -33,7 +34,7 @@
 		within := 4 * watchRetryDelay
 		if n >= 4 {
 			settings.Rules.MaxPollInterval = 500 * ms
-			within = 4 * settings.Rules.MaxPollInterval // mean delay is twice MaxPollInterval
+			within = 4 * settings.Rules.MaxPollInterval // the mean delay is twice MaxPollInterval
 		}
 		b, err := New(settings, 0, 7)
 		if err != nil {
@@ -56,8 +57,8 @@
 	}
 }
 
-// A change that comes in parts may add a server and drain it in a later part. A queued request must not be sent to
-// the server in between.
+// TestEndpointList_QueueWaitsForWholeChange checks that queued requests wait for the last part of a change. An
+// earlier part may add a server that a later part drains.
 func TestEndpointList_QueueWaitsForWholeChange(t *testing.T) {
 	b := startBalancer(t, testSettings(1), nil)
 	if sends := actionsOf(b.Handle(ms, testRequest("r", "idempotent")), Send); len(sends) != 0 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,8 +7,8 @@
 	"cobaltward/policy"
 )
 
-// The example hands a Balancer its settings, the endpoint list, a request with its outcomes, and timers. A Balancer
-// holds no resources, so it needs no closing.
+// The example passes settings, the endpoint list, a request with its outcomes, and timers to a Balancer. A Balancer
+// holds no resources, so it needs no Close.
 func Example() {
 	const ms = time.Millisecond
 	b, err := policy.New(policy.Settings{
@@ -23,7 +23,7 @@
 		fmt.Println(err)
 		return
 	}
-	// The host carries out actions in order; here it only prints those that concern a request.
+	// The host carries out the actions in order. Here it only prints the actions that concern a request.
 	carryOut := func(acts []policy.Action) {
 		for _, a := range acts {
 			switch a.Kind {
@@ -31,7 +31,7 @@
 				fmt.Println("send", a.ID, "to", a.Server, "until", a.Until)
 			case policy.Reject:
 				fmt.Println("reject", a.ID, "for", a.Wait)
-			case policy.SetTimer: // a host hands in policy.Timer{Token: a.Token} after a.Wait
+			case policy.SetTimer: // a host passes policy.Timer{Token: a.Token} to Handle after a.Wait
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 		ID: "r1", Attempt: 1, Server: "two", Code: policy.OK, Latency: 20 * ms, Answered: true,
 	}))
 
-	// With no server in service, a request is queued, and rejected while its client is still waiting.
+	// With no server in service, a request is queued. It is rejected while its client is still waiting.
 	carryOut(b.Handle(now, policy.EndpointList{Kind: policy.ListReplace}))
 	carryOut(b.Handle(now, policy.Request{ID: "r2", Class: "read", Tenant: "acme", ExpiresIn: time.Second}))
 	for range 6 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// testEndpoints returns n servers that alternate between two zones, and cycle through three kinds and four cells.
+// testEndpoints returns n servers. They alternate between two zones, and cycle through three kinds and four cells.
 func testEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -58,7 +58,7 @@
 	return b
 }
 
-// actionsOf returns the actions of one kind.
+// actionsOf returns the actions of the given kind.
 func actionsOf(acts []Action, kind ActionKind) []Action {
 	var out []Action
 	for _, a := range acts {
@@ -73,7 +73,7 @@
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
 }
 
-// sentServer returns the server of the only Send action.
+// sentServer returns the server of the only Send action in acts.
 func sentServer(t *testing.T, acts []Action) string {
 	t.Helper()
 	sends := actionsOf(acts, Send)
@@ -87,7 +87,7 @@
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, Answered: code == OK}
 }
 
-// handle returns a copy of the actions, since the next call of Handle would overwrite them.
+// handle passes an event to b and returns a copy of the actions, because the next call of Handle overwrites them.
 func handle(b *Balancer, now Time, event Event) []Action {
 	return append([]Action(nil), b.Handle(now, event)...)
 }
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -10,13 +10,13 @@
 
 const (
 	hotRestartStart    = 24 * time.Hour // balancer time at which a run starts
-	warmingOnlineMS    = 2500           // ms into a run at which a server in slow start is added
-	replacementStartMS = 3000           // ms into a run at which the second process starts
+	warmingOnlineMS    = 2500           // time in a run at which a server in slow start is added, in ms
+	replacementStartMS = 3000           // time in a run at which the second process starts, in ms
 )
 
-// hotRestart simulates a node whose process is replaced by a second one. The fraction of requests that go to the
-// second process grows from 0 to 1, the two exchange reports every 100 ms, and the second starts with the buckets of
-// the first. With singleProcess, the first process serves throughout.
+// hotRestart simulates a node whose process is replaced by a second process. The second process starts with the
+// buckets of the first. The fraction of requests that go to the second process grows from 0 to 1. The two processes
+// exchange reports every 100 ms. With singleProcess, the first process serves throughout.
 type hotRestart struct {
 	singleProcess  bool
 	processes      [2]*Balancer
@@ -24,7 +24,7 @@
 	acceptedCounts [2]uint64
 	list           EndpointList
 	dueOutcomes    []dueOutcome
-	admittedCount  int // number of admitted requests of tenant t
+	admittedCount  int // number of admitted requests of the tenant "t"
 	warmingSends   []Time
 	requestCount   int
 }
@@ -78,7 +78,7 @@
 	return b
 }
 
-// runHotRestart simulates six seconds. The first process starts alone, a server in slow start is added after 2.5 s,
+// runHotRestart simulates six seconds. The first process starts alone. A server in slow start is added after 2.5 s,
 // and the second process starts after 3 s.
 func runHotRestart(t *testing.T, perSecond int, tenant string, singleProcess bool) *hotRestart {
 	t.Helper()
@@ -101,7 +101,7 @@
 	return run
 }
 
-// step hands in the outcomes that are due, and performs the changes scheduled for this millisecond.
+// step passes on the outcomes that are due, and makes the changes scheduled for this millisecond of the run.
 func (h *hotRestart) step(t *testing.T, elapsed int) {
 	t.Helper()
 	now := hotRestartStart + Time(elapsed)*ms
@@ -130,7 +130,8 @@
 	}
 }
 
-// While one process replaces another, a tenant over its quota must not get much more than with a single process.
+// TestTrafficShare_BucketsHoldOverTwoProcesses checks that a tenant over its quota gets not much more while one
+// process replaces another than with a single process.
 func TestTrafficShare_BucketsHoldOverTwoProcesses(t *testing.T) {
 	one, two := runHotRestart(t, 1000, "t", true), runHotRestart(t, 1000, "t", false)
 	t.Logf("one process admitted %d of %d requests, two processes %d",
@@ -141,8 +142,8 @@
 	}
 }
 
-// Both processes together must not overload a server in slow start, whose full capacity is taken as the mean rate per
-// server.
+// TestTrafficShare_SlowStartHoldsOverTwoProcesses checks that both processes together do not overload a server in
+// slow start. The full capacity of that server is assumed to be the mean rate per server.
 func TestTrafficShare_SlowStartHoldsOverTwoProcesses(t *testing.T) {
 	const perSecond = 400
 	rules := hotRestartSettings().Rules
--- a/policy/index.go
+++ b/policy/index.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// The index selects exactly the same servers as a scan of all servers; see TestIndex_SelectsAsLinearScan.
+// The index selects exactly the same servers as a scan of all servers. TestIndex_SelectsAsLinearScan checks this.
 const (
 	blockSize             = 64   // servers per block
-	maxUnindexedServers   = 128  // number of servers up to which a scan is cheaper than the index
-	maxIncrementalChanges = 16   // number of changed endpoints up to which the order is not rebuilt
+	maxUnindexedServers   = 128  // maximum number of servers for which a scan is cheaper than the index
+	maxIncrementalChanges = 16   // maximum number of changed endpoints that are applied without a rebuild of the order
 	roundingSlack         = 1e-9 // relative tolerance for floating-point results computed in a different order
 )
 
-// block summarizes consecutive servers of an order, without ejected ones. In the arrays, element 0 covers the servers
-// that are not shared, element 1 the shared ones (see isShared).
+// block summarizes consecutive servers of an order, except ejected ones. In the arrays, element 0 covers the servers
+// that are not shared, and element 1 the shared servers (see isShared).
 type block struct {
-	fresh         bool       // load and projectedLoad, computed without sharedThresholdScale, are up to date
+	fresh         bool       // load and projectedLoad are up to date; both ignore sharedThresholdScale
 	load          [2]float64 // lowest ratio of attempts in flight to threshold
-	projectedLoad [2]float64 // lowest ratio with one more attempt in flight
+	projectedLoad [2]float64 // lowest such ratio with one more attempt in flight
 }
 
 // blocksOf returns the index of a pool, or nil if a scan of the pool is cheaper.
@@ -53,12 +53,12 @@
 		}
 		summary.load[i] = min(summary.load[i], float64(s.inFlight)/s.threshold)
 		summary.projectedLoad[i] = min(summary.projectedLoad[i], float64(s.inFlight+1)/s.threshold)
-		summary.fresh = summary.fresh && b.slowStartFraction(s) >= 1 // in slow start, capacity changes with time
+		summary.fresh = summary.fresh && b.slowStartFraction(s) >= 1 // during slow start, capacity changes with time
 	}
 }
 
-// canSkip tells whether a block is known to have neither a server with capacity nor one with a projected load below
-// leastLoad.
+// canSkip reports whether the block summary rules out any server with capacity, and any server with a projected load
+// below leastLoad.
 func (b *Balancer) canSkip(summary *block, leastLoad float64) bool {
 	margin := 1 - roundingSlack
 	if b.sharedThresholdScale == 1 {
@@ -68,7 +68,7 @@
 		min(summary.projectedLoad[0], summary.projectedLoad[1]/b.sharedThresholdScale*margin) >= leastLoad
 }
 
-// pools yields the pool of all servers, and the pool of each restricted class.
+// pools yields the pool of all servers and the pool of each restricted class.
 func (b *Balancer) pools(yield func(*pool) bool) {
 	if !yield(&b.pool) {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// updateIndex marks the blocks that contain s as stale, and adds ejected, which is 1, -1 or 0, to the number of
-// ejected servers of each pool that contains s.
+// updateIndex marks the blocks that contain s as stale. It adds ejected (1, -1 or 0) to the number of ejected servers
+// of each pool that contains s.
 func (b *Balancer) updateIndex(s *server, ejected int) {
 	for p := range b.pools {
 		if len(p.blocks) == 0 && ejected == 0 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// position returns the index of s in the order, or -1.
+// position returns the index of s in the order of the pool, or -1.
 func (p *pool) position(s *server) int {
 	start := 0
 	for i, partition := range p.partitions {
@@ -161,8 +161,8 @@
 	}
 }
 
-// arrangePool computes the order of a pool from its partitions. It reuses the buffer of the order before the last
-// one, so as not to allocate memory.
+// arrangePool computes the order of a pool from its partitions. It writes into the buffer of the order before the
+// current one, to avoid an allocation.
 func (b *Balancer) arrangePool(p *pool) {
 	next := p.spareOrder[:0]
 	for i, partition := range p.partitions {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -9,14 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// indexComparison hands the same events to two balancers with the same seed. One uses the index and incremental
-// changes of the order, the other scans all servers and rebuilds the order; both must return the same actions.
+// indexComparison passes the same events to two balancers with the same seed. One balancer uses the index and changes
+// the order incrementally. The other balancer scans all servers and rebuilds the order. Both must return the same
+// actions.
 type indexComparison struct {
 	t        *rapid.T
 	indexed  *Balancer
 	linear   *Balancer
 	now      Time
-	inFlight []Action // Send actions without an outcome yet
+	inFlight []Action // Send actions without an outcome
 	attempts map[string]int
 	requests int
 	servers  int
@@ -66,7 +67,7 @@
 	return endpoints
 }
 
-// handle hands an event to both balancers and compares their actions.
+// handle passes an event to both balancers and compares their actions.
 func (c *indexComparison) handle(event Event) {
 	got, want := handle(c.indexed, c.now, event), handle(c.linear, c.now, event)
 	if !reflect.DeepEqual(got, want) {
@@ -98,7 +99,7 @@
 	case 2:
 		tokens := []uint64{queueTimerToken, firstClassTimerToken, firstClassTimerToken + 1}
 		c.handle(Timer{Token: rapid.SampledFrom(tokens).Draw(t, "timer")})
-	case 3, 4, 5: // a burst, large enough to bring servers to their thresholds
+	case 3, 4, 5: // a burst that can bring servers to their thresholds
 		for range rapid.IntRange(1, c.servers/4+2).Draw(t, "burst") {
 			c.requests++
 			c.handle(Request{
@@ -140,7 +141,7 @@
 	})
 }
 
-// compareOrder compares counts of the two balancers, and the state of each server in their orders.
+// compareOrder compares counts of the two balancers and the state of each server in their orders.
 func (c *indexComparison) compareOrder() {
 	indexed, linear := c.indexed, c.linear
 	if indexed.ejectedCount != linear.ejectedCount || indexed.localCount != linear.localCount ||
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// This file exports and restores the learned state of a balancer; it makes no decisions. State that is old or comes
-// from another node must be discounted by the caller, before Restore.
+// This file exports and restores the learned state of a Balancer. It makes no decisions. The caller must discount old
+// state and the state of another node before it calls Restore.
 
-// LearnedState is the state that a balancer has learned. It contains neither requests in flight nor the endpoint
-// list. The JSON keys are part of the format of stored data.
+// LearnedState is the state that a Balancer has learned. It contains neither requests in flight nor the endpoint
+// list. The JSON keys are part of the stored format.
 type LearnedState struct {
 	RateScale            float64       `json:"pace"`    // factor applied to the refill rates of all buckets
 	SharedThresholdScale float64       `json:"trust"`   // factor applied to the thresholds of shared servers; 1 or more
@@ -21,21 +21,21 @@
 // ServerState is the learned state of one process of a server.
 type ServerState struct {
 	Server           string        `json:"server"`
-	Uptime           time.Duration `json:"up"`        // time since the process started; 0 for long ago
+	Uptime           time.Duration `json:"up"`        // time since the process started; 0: long ago
 	Threshold        float64       `json:"threshold"` // learned concurrency limit, in attempts in flight
 	ThresholdReduced bool          `json:"felt"`      // the threshold has been reduced at least once
 	Latency          float64       `json:"latency"`   // latency of the last answer or time-out, in seconds
-	FaultRate        float64       `json:"faults"`    // moving average: fraction of outcomes that are faults
+	FaultRate        float64       `json:"faults"`    // moving average of the fraction of outcomes that are faults
 	FaultScore       float64       `json:"score"`     // fault score of the circuit breaker
-	Ejected          bool          `json:"out"`       // ejected or half-open
-	EjectedFor       time.Duration `json:"for"`       // time until it may be probed; negative if that has passed
-	Ejections        int           `json:"times"`     // consecutive ejections
+	Ejected          bool          `json:"out"`       // ejected, or half-open and waiting for probes
+	EjectedFor       time.Duration `json:"for"`       // time until the server may be probed; negative: already possible
+	Ejections        int           `json:"times"`     // number of consecutive ejections
 }
 
 // BucketState is the level of one token bucket.
 type BucketState struct {
 	Tenant string        `json:"tenant"`
-	Class  string        `json:"class,omitempty"` // empty for the bucket of all classes without a limit of their own
+	Class  string        `json:"class,omitempty"` // empty: the bucket shared by all classes without their own limit
 	Tokens int64         `json:"tokens"`
 	Idle   time.Duration `json:"idle"` // time since tokens were last added
 }
@@ -79,7 +79,7 @@
 	return state
 }
 
-// uptime returns the time since a server's start, or 0 if that is unknown or long ago.
+// uptime returns the time since the start of s, or 0 if the start is unknown or long ago.
 func (b *Balancer) uptime(s *server) time.Duration {
 	if s.OnlineSince <= 0 {
 		return 0
@@ -87,8 +87,8 @@
 	return max(1, b.now-s.OnlineSince)
 }
 
-// InitialThreshold returns the threshold that a server starts with at this balancer, and the uptime of the server's
-// process; ok is false if the server is not in service.
+// InitialThreshold returns the initial threshold of the server id at this Balancer, and the uptime of the server's
+// process. ok is false if the server is not in service.
 func (b *Balancer) InitialThreshold(id string) (threshold float64, uptime time.Duration, ok bool) {
 	s := b.servers[id]
 	if !s.inService() {
@@ -97,7 +97,8 @@
 	return b.initialThreshold(s), b.uptime(s), true
 }
 
-// Restore adopts the state unchanged. It ignores servers that are not in service, and buckets beyond maxBuckets.
+// Restore adopts state without discounting it. It ignores servers that are not in service, and new buckets beyond
+// maxBuckets.
 func (b *Balancer) Restore(now Time, state LearnedState) {
 	b.now = max(now, b.now)
 	if state.RateScale > 0 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -4,16 +4,16 @@
 
 const (
 	failureWeight      = 0.3             // weight of a failure in the fault score; two in a row eject a server
-	silenceWeight      = 0.15            // weight of a slow attempt at a silent server; it may just be expensive
-	overloadWeight     = 0.2             // weight of an overload answer; a server that gives only these is ejected
+	silenceWeight      = 0.15            // weight of a slow attempt at a silent server; the request may be expensive
+	overloadWeight     = 0.2             // weight of an overload answer; a server that only rejects is ejected
 	ejectionScore      = 0.5             // fault score above which a server is ejected
-	baseEjectionTime   = time.Second     // duration of the first ejection, doubled at each further one
-	maxEjectionTime    = 8 * time.Second // upper bound of the duration of an ejection
-	maxEjectedFraction = 0.4             // fraction of the servers; if more seem faulty, the cause lies elsewhere
-	probesToRecover    = 3               // consecutive probes, since half pass at a server that fails half of them
+	baseEjectionTime   = time.Second     // duration of the first ejection; doubled at each further ejection
+	maxEjectionTime    = 8 * time.Second // maximum duration of an ejection
+	maxEjectedFraction = 0.4             // if more of the servers seem faulty, the cause is elsewhere
+	probesToRecover    = 3               // probes in a row; half of them pass at a server that fails half
 )
 
-// updateHealth updates the circuit breaker of a server by the outcome of an attempt.
+// updateHealth updates the circuit breaker of a server after an attempt ended with code.
 func (b *Balancer) updateHealth(ended *attempt, code Code) {
 	target, breaker := ended.server, &ended.server.health
 	switch {
@@ -23,8 +23,8 @@
 			target.threshold = b.initialThreshold(target)
 			b.updateIndex(target, -1)
 		}
-	case breaker.ejected && ended.probe: // failed, also if overloaded: a hung server rejects work beyond its capacity
-		if code.isFault() && b.faultWeight < 1 { // the fault is common to most servers, so don't lengthen the ejection
+	case breaker.ejected && ended.probe: // failed probe; also if overloaded, because a hung server rejects excess work
+		if code.isFault() && b.faultWeight < 1 { // a fault common to most servers does not lengthen the ejection
 			breaker.ejections = 0
 		}
 		b.eject(target)
@@ -35,12 +35,13 @@
 		b.recordFault(target, overloadWeight)
 	case code.isFault():
 		b.recordFault(target, failureWeight*b.faultWeight)
-	case target.lastAnswer < ended.sentAt: // a server that answers others is not hung
+	case target.lastAnswer < ended.sentAt: // a server that answers other requests is not hung
 		b.recordFault(target, failureWeight)
 	}
 }
 
-// recordFault raises the fault score of s, and ejects s above ejectionScore.
+// recordFault raises the fault score of s by weight. It ejects s if the score exceeds ejectionScore and mayEject
+// allows it.
 func (b *Balancer) recordFault(s *server, weight float64) {
 	h := &s.health
 	h.faultScore += weight * (1 - h.faultScore)
@@ -49,8 +50,8 @@
 	}
 }
 
-// mayEject applies maxEjectedFraction to the eligible servers of each class that may use s, so that a class
-// restricted to a few servers doesn't lose all of them.
+// mayEject reports whether s may be ejected. It applies maxEjectedFraction separately to each class that may use s,
+// so a class that is restricted to a few servers does not lose all of them.
 func (b *Balancer) mayEject(s *server) bool {
 	for _, c := range b.activeClasses {
 		if c.permits(s) && float64(c.eligible.ejectedCount+1) > maxEjectedFraction*float64(len(c.eligible.order)) {
@@ -70,8 +71,8 @@
 	h.ejections++
 }
 
-// probeTarget returns an ejected server that is due for a probe by r, or nil. Among the classes that may use a
-// server, only those that are the safest to repeat probe it.
+// probeTarget returns an ejected server that is due for a probe by r, or nil. A server is only probed by those of its
+// classes whose requests are the safest to repeat.
 func (b *Balancer) probeTarget(r *request) *server {
 	eligible := r.class.eligible
 	if eligible.ejectedCount == 0 || len(r.attempts) > 0 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A probe that is cancelled because a hedged request answered first must not block later probes.
+// TestProbe_RepeatedAfterHedgeAnswersFirst checks that a probe that is cancelled after the answer of a hedged request
+// does not block later probes.
 func TestProbe_RepeatedAfterHedgeAnswersFirst(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -25,7 +26,8 @@
 	}
 }
 
-// A hung server that is full rejects a probe immediately. The next probe must wait all the same.
+// TestProbe_OverloadPostponesNext checks that an overload answer to a probe postpones the next probe. A hung server
+// at its capacity limit rejects a probe immediately.
 func TestProbe_OverloadPostponesNext(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -38,7 +40,8 @@
 	}
 }
 
-// A time-out at a server that answers other requests doesn't mean that the server hangs.
+// TestOutlier_TimeoutAtAnsweringServerIsNoFault checks that a time-out does not count as a fault of a server that
+// answers other requests.
 func TestOutlier_TimeoutAtAnsweringServerIsNoFault(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -69,7 +72,8 @@
 	b.send(b.requests[id], s, probe)
 }
 
-// runCommonFaults makes 1200 attempts, of which one in ten fails at every server, always two in a row.
+// runCommonFaults makes 1200 attempts in turn at six servers. One in ten attempts fails at every server, always two
+// in a row.
 func (r *attemptRunner) runCommonFaults(t *testing.T) {
 	t.Helper()
 	b := r.balancer
@@ -85,8 +89,9 @@
 	}
 }
 
-// Faults that are common to all servers neither reduce thresholds much nor eject servers. A server with many more
-// faults than the others is still ejected, and if the others have none, after two in a row.
+// TestOutlier_CommonFaultsCountLess checks that faults that are common to all servers neither reduce thresholds much
+// nor eject servers. A server with many more faults than the other servers is still ejected. If the other servers
+// have no faults, two faults in a row eject a server.
 func TestOutlier_CommonFaultsCountLess(t *testing.T) {
 	t.Run("common faults", func(t *testing.T) {
 		b := startBalancer(t, testSettings(1), testEndpoints(6))
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// permits tells whether s satisfies the restrictions of the class to zones, kinds and a pool.
+// permits reports whether requests of the class may be sent to s, given the zones, kinds and pool of the class.
 func (c *class) permits(s *server) bool {
 	return (c.Pool == "" || slices.Contains(s.Pools, c.Pool)) &&
 		(len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone))
 }
 
-// mayRunOn tells whether r may be sent to candidate. If an earlier attempt may have been executed, a request that is
-// not idempotent may only go where the duplicate would be discarded.
+// mayRunOn reports whether r may be sent to candidate. If an earlier attempt may have been executed, a request that
+// is not idempotent may only be sent to a server that would discard the duplicate.
 func (b *Balancer) mayRunOn(r *request, candidate *server) bool {
 	if !r.class.permits(candidate) || b.violatesZoneLocal(r, candidate) || r.excludes(candidate) {
 		return false
@@ -30,7 +30,7 @@
 	return candidate.Cell == r.firstMaybeExecuted.server.Cell
 }
 
-// updateFirstMaybeExecuted sets firstMaybeExecuted. Attempts without an outcome may have been executed.
+// updateFirstMaybeExecuted recomputes firstMaybeExecuted. An attempt without an outcome may have been executed.
 func (r *request) updateFirstMaybeExecuted() {
 	r.firstMaybeExecuted = nil
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notExecuted }); i >= 0 {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Requests of a restricted class are only sent to its servers, retries included. If none of these is in service,
-// requests are queued and then rejected. The limit on ejected servers applies to the class's servers by themselves.
+// TestPlacement_HoldsForEveryAttempt checks that requests and retries of a restricted class are only sent to servers
+// of the class. If none of these servers is in service, requests are queued and then rejected. The limit on ejected
+// servers applies separately to the servers of the class.
 func TestPlacement_HoldsForEveryAttempt(t *testing.T) {
 	settings := testSettings(1)
 	settings.Classes[0].Kinds = []string{"k1"} // s01, s04 and s07 of the nine servers
@@ -45,7 +46,8 @@
 	}
 }
 
-// Requests of a class that is restricted to a pool only go to servers that currently belong to the pool.
+// TestPlacement_PoolRestrictsClass checks that requests of a class that is restricted to a pool are only sent to the
+// current servers of the pool.
 func TestPlacement_PoolRestrictsClass(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Pool = "rooms"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-const queueTimerToken, endpointTimerToken, firstClassTimerToken = 1, 2, 8 // one per class from the last one on
+// Tokens of timers. Each class gets its own token, from firstClassTimerToken on.
+const queueTimerToken, endpointTimerToken, firstClassTimerToken = 1, 2, 8
 
-// New returns a Balancer for one node. The seed determines its random choices.
+// New returns a Balancer for one node. seed determines its random choices.
 func New(settings Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
@@ -43,7 +44,7 @@
 		b.classes[c.Name] = current
 	}
 	b.defaultLimit = settings.RateLimits.Default
-	for _, tenant := range settings.Tenants { // without a default limit, tenants without a quota get the smallest one
+	for _, tenant := range settings.Tenants { // the smallest quota is the default limit if none is set
 		limit := b.quotaLimit(tenant.Quota)
 		b.tenantLimits[tenant.Name] = limit
 		isSmallest := b.defaultLimit == nil || limit.PerWindow < b.defaultLimit.PerWindow
@@ -66,15 +67,15 @@
 	return c
 }
 
-// Reconfigure replaces the settings and returns the resulting actions; on an error nothing has changed. Requests in
-// flight keep their class and its capabilities. Servers, buckets, health, retry budget and slow start carry over, so
-// that requests under old and new settings together stay within the limits.
+// Reconfigure replaces the settings and returns the resulting actions. If it returns an error, nothing has changed.
+// Requests in flight keep their class and its capabilities. Servers, buckets, health, retry budget and slow start
+// state are kept. Requests under old and new settings together therefore stay within the limits.
 func (b *Balancer) Reconfigure(now Time, settings Settings) ([]Action, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
 	}
 	b.now, b.actions = max(now, b.now), b.actions[:0]
-	for key, bucket := range b.buckets { // tokens up to now accrue at the old rates
+	for key, bucket := range b.buckets { // until now, tokens accrue at the old rates
 		if limit, current, ok := b.resolveLimit(key.tenant, key.class); ok && current == key {
 			bucket.refill(b.now, limit.perSecond()*b.rateScale, limit.Burst)
 		}
@@ -111,7 +112,7 @@
 	b.retiredClasses = slices.DeleteFunc(b.retiredClasses, func(c *class) bool { return !used[c] })
 }
 
-// Handle processes an event and returns the resulting actions. The slice is valid until the next call.
+// Handle processes an event at time now and returns the resulting actions. The slice is valid until the next call.
 func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch typed := event.(type) {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// workload hands random valid events to one balancer and checks its invariants: one final answer in time, no
-// forbidden retry or rejection, no send to a server beyond its drain grace, placement, and the retry budget. It does
-// its own bookkeeping and shares no code with the balancer.
+// workload passes random valid events to one balancer and checks its invariants: one final answer in time, no
+// forbidden retry or rejection, no send to a server after its drain grace, placement, and the retry budget. It keeps
+// its own state and shares no code with the balancer.
 type workload struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -19,18 +19,18 @@
 	balancer        *Balancer
 	now             Time
 	endpoints       map[string]Endpoint
-	drainingSince   map[string]Time // when a server was first listed as draining
+	drainingSince   map[string]Time // time at which a server was first listed as draining
 	trackedRequests map[string]*trackedRequest
 	lastID          int
 	tasks           []task // scheduled outcomes, timers and probe results
 	log             []string
 
-	faultDivisor  int // about 5 of this many attempts fail, besides time-outs
-	maxLatency    int // upper bound of the latency of an attempt, in ms
-	arrivalPeriod int // mean number of steps between arrivals of requests
+	faultDivisor  int // about 5 of faultDivisor attempts fail, in addition to time-outs
+	maxLatency    int // maximum latency of an attempt, in ms
+	arrivalPeriod int // mean number of steps between requests
 
-	accepted []Time // when each request was received
-	retries  []Time // when each attempt after the first of a request was sent
+	accepted []Time // times of the received requests
+	retries  []Time // times of the sends after the first send of a request
 }
 
 // trackedRequest is a request as its client sees it, with the attempts that the balancer sent.
@@ -92,7 +92,7 @@
 	if seed%2 == 1 {
 		settings.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range settings.Classes { // shorter than the time in which retries are possible
+	for i := range settings.Classes { // DedupWindow is shorter than the time in which retries are possible
 		settings.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	switch seed % 3 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// checkSend checks that the attempt is allowed at this time and at this server.
+// checkSend checks that the attempt is allowed now and at its server.
 func (w *workload) checkSend(tracked *trackedRequest, action Action) {
 	endpoint, listed := w.endpoints[action.Server]
 	if since, ok := w.drainingSince[action.Server]; ok && w.now > since+w.settings.Rules.DrainGrace {
@@ -184,8 +184,8 @@
 	}
 }
 
-// checkRetry checks an attempt against the earlier ones: no request may be executed twice unless its class allows
-// that, and hedged requests and the number of attempts must conform to the capabilities.
+// checkRetry checks an attempt against the earlier attempts of the request. No request may be executed twice unless
+// its class allows this. Hedged requests and the number of attempts must conform to the capabilities.
 func (w *workload) checkRetry(tracked *trackedRequest, endpoint Endpoint, action Action) {
 	pending := 0
 	for _, former := range tracked.attempts {
@@ -243,7 +243,7 @@
 	})
 }
 
-// checkRetryBudget records a retry and checks the retry budget with a count of its own.
+// checkRetryBudget records a retry and checks the retry budget with its own count.
 func (w *workload) checkRetryBudget() {
 	w.retries = append(w.retries, w.now)
 	budget := w.settings.Rules.RetryBudget
@@ -280,7 +280,7 @@
 
 func (w *workload) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
-	stall := w.rng.IntN(400) == 0 // the balancer gets no events for a while, then all that are due at once
+	stall := w.rng.IntN(400) == 0 // the balancer gets no events for a while, then all events that are due
 	if stall {
 		w.now += time.Duration(w.rng.IntN(900)) * ms
 	}
@@ -294,7 +294,7 @@
 		}
 		k.run()
 	}
-	for id, tracked := range w.trackedRequests { // the order doesn't matter: requests are only checked and deleted
+	for id, tracked := range w.trackedRequests { // requests are only checked and deleted, so the map order does not matter
 		if !tracked.ended && w.now > tracked.deadline+5*ms && !stall {
 			w.t.Fatalf("request %s of class %s got no answer in time", id, tracked.class.Name)
 		}
@@ -343,7 +343,7 @@
 	}
 }
 
-// changeEndpoints drains, removes, restarts or adds a server, and sends the change or the complete list.
+// changeEndpoints drains, removes, restarts or adds a server, and passes on the change or the complete list.
 func (w *workload) changeEndpoints() {
 	id := fmt.Sprintf("s%02d", w.rng.IntN(10))
 	endpoint, listed := w.endpoints[id]
@@ -396,7 +396,7 @@
 	}
 }
 
-// The state kept for a request is released once the request has ended.
+// TestBalancer_ForgetsFinishedRequests checks that the state of a request is released after the request has ended.
 func TestBalancer_ForgetsFinishedRequests(t *testing.T) {
 	w := newWorkload(t, 4)
 	for range 3000 {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -14,19 +14,20 @@
 	}
 }
 
-// requestOf returns a request of tenant t that expires in a second.
+// requestOf returns a request of tenant "t" that expires in a second.
 func requestOf(class, id string) Request {
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: time.Second}
 }
 
-// endAttempt hands in the outcome of an attempt, and returns the resulting actions.
+// endAttempt passes the outcome of an attempt to b, and returns the resulting actions.
 func endAttempt(b *Balancer, now Time, id string, attempt int, code Code) []Action {
 	server := b.requests[id].attempts[attempt].server.Server
 	return handle(b, now, testOutcome(id, attempt, server, code, ms))
 }
 
-// A request keeps the class settings that were active when it was accepted: one that was accepted as non-idempotent
-// is not sent again, even if its class is idempotent in the new settings.
+// TestReconfigure_RequestsKeepTheirClass checks that a request keeps the class settings that were active when it was
+// accepted. A request accepted as non-idempotent is not sent again, even if its class is idempotent in the new
+// settings.
 func TestReconfigure_RequestsKeepTheirClass(t *testing.T) {
 	b, err := New(reconfigurableSettings(), 0, 1)
 	if err != nil {
@@ -59,7 +60,8 @@
 	}
 }
 
-// Retries before Reconfigure count in the retry budget after it, even if the new window is longer than the old one.
+// TestReconfigure_KeepsRetryBudget checks that retries before Reconfigure count in the retry budget after it, even if
+// the new window is longer than the old one.
 func TestReconfigure_KeepsRetryBudget(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Rules.RetryBudget = &RetryBudget{MinRetries: 4.5, Window: time.Second}
@@ -95,7 +97,7 @@
 		t.Fatalf("%d retries in two windows, want 8", retries)
 	}
 	now = 2900 * ms
-	retry(1) // the only retry within the old window
+	retry(1) // the only retry in the old window
 	longer := settings
 	longer.Rules.RetryBudget = &RetryBudget{MinRetries: 9.5, Window: 10 * time.Second}
 	reconfigure(t, b, now, longer)
@@ -105,7 +107,7 @@
 	}
 }
 
-// Reconfigure must not reset the slow start bucket of a server.
+// TestReconfigure_KeepsSlowStartBudget checks that Reconfigure does not reset the slow start bucket of a server.
 func TestReconfigure_KeepsSlowStartBudget(t *testing.T) {
 	sent := func(reloads bool) (n int) {
 		settings := reconfigurableSettings()
@@ -130,8 +132,8 @@
 	}
 }
 
-// A server that drains after Reconfigure gets no retry of a request that was accepted before, even if the request's
-// restricted class is not in the new settings.
+// TestReconfigure_DrainingAppliesToRetiredClasses checks that a server that drains after Reconfigure gets no retry of
+// a request accepted before. The new settings lack the restricted class of that request.
 func TestReconfigure_DrainingAppliesToRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Zones = []string{"a"}
@@ -151,8 +153,8 @@
 	}
 }
 
-// Reconfigure keeps the buckets: used tokens stay used, a lower burst reduces the remaining tokens, and the buckets of
-// a removed limit are deleted.
+// TestReconfigure_KeepsBuckets checks that Reconfigure keeps the buckets. Used tokens stay used, a lower burst
+// reduces the remaining tokens, and the buckets of a removed limit are deleted.
 func TestReconfigure_KeepsBuckets(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Tenants = []Tenant{{Name: "t", Quota: 0}}
@@ -191,7 +193,8 @@
 	}
 }
 
-// Invalid settings change nothing, and classes of former settings are deleted once they have no requests.
+// TestReconfigure_RejectsInvalidAndForgetsRetiredClasses checks that invalid settings change nothing, and that
+// classes of former settings are deleted once they have no requests.
 func TestReconfigure_RejectsInvalidAndForgetsRetiredClasses(t *testing.T) {
 	b, _ := New(reconfigurableSettings(), 0, 1)
 	b.Handle(0, twoEndpoints())
@@ -222,7 +225,8 @@
 	}
 }
 
-// Slow attempts of a class that Reconfigure has replaced are still checked and hedged.
+// TestReconfigure_HedgesRetiredClasses checks that slow attempts of a class that Reconfigure has replaced are still
+// checked and hedged.
 func TestReconfigure_HedgesRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Capabilities.Hedge = true
--- a/policy/reconnect.go
+++ b/policy/reconnect.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	reconnectBackoff    = 100 * time.Millisecond // after a request's first failed connect; doubles each time
+	reconnectBackoff    = 100 * time.Millisecond // backoff after the first failed connect of a request; doubled each time
 	maxBackoffDoublings = 10                     // limits the backoff to 102.4 s
 )
 
-// selectNext selects the server of r's next attempt. Each server gets at most one attempt of r, except that a server
-// that failed to connect may get another once no untried server is left.
+// selectNext selects the server of r's next attempt. Each server gets at most one attempt of r. If no untried server
+// is left, a server that failed to connect may get another attempt.
 func (b *Balancer) selectNext(r *request) (selected *server, hasCapacity bool) {
 	r.reconnecting = b.mayReconnect(r)
 	selected, hasCapacity = b.selectServer(r)
@@ -19,8 +19,8 @@
 	return selected, hasCapacity
 }
 
-// mayReconnect tells whether r may be sent again to servers that failed to connect: the backoff is over, and all
-// other servers that r may go to are ejected.
+// mayReconnect reports whether r may be sent again to servers that failed to connect. The backoff must be over, and
+// all other servers that r may be sent to must be ejected.
 func (b *Balancer) mayReconnect(r *request) bool {
 	if r.reconnectAt == 0 || b.now < r.reconnectAt {
 		return false
@@ -30,7 +30,8 @@
 	})
 }
 
-// recordFailedConnect starts the backoff before r may be sent again to a server that failed to connect.
+// recordFailedConnect marks the attempt as failed to connect. It starts the backoff before r may be sent again to
+// such a server.
 func (b *Balancer) recordFailedConnect(r *request, failed *attempt) {
 	failed.connectFailed = true
 	failures := 0
@@ -42,7 +43,7 @@
 	r.reconnectAt = b.now + reconnectBackoff<<min(failures-1, maxBackoffDoublings)
 }
 
-// excludes tells whether r must not be sent to s because of an earlier attempt there.
+// excludes reports whether an earlier attempt of r prevents another attempt at s.
 func (r *request) excludes(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return a.server == s && (!a.connectFailed || !r.reconnecting)
--- a/policy/reconnect_test.go
+++ b/policy/reconnect_test.go
@@ -16,9 +16,9 @@
 	return settings
 }
 
-// runRequest hands in a request and runs it to its end. Each attempt ends after a millisecond with the next code, and
-// with OK after the last code. It returns the times of the sends, and the time and kind of the final action, Send for
-// OK.
+// runRequest passes a request to b and runs it to its end. Each attempt ends after a millisecond with the next code,
+// and with OK after the last code. runRequest returns the times of the sends, and the time and kind of the final
+// action. The kind is Send after OK.
 func runRequest(b *Balancer, class string, codes ...Code) (sends []Time, endedAt Time, end ActionKind) {
 	r := testRequest("x", class)
 	r.ExpiresIn = 8 * time.Second
@@ -47,8 +47,8 @@
 	return sends, 8 * time.Second, Fail
 }
 
-// If no untried server is left, a request is sent again to a server that failed to connect, but not to one that
-// rejected the request.
+// TestRetry_ReconnectsWhereNoServerIsLeft checks that a request without an untried server is sent again to a server
+// that failed to connect, but not to a server that rejected it.
 func TestRetry_ReconnectsWhereNoServerIsLeft(t *testing.T) {
 	const reconnectTime = 150 * ms
 	failures := []Code{ConnectFailed, ConnectFailed, ConnectFailed, ConnectFailed}
@@ -64,7 +64,7 @@
 		{"both fail to connect", 2, []Code{ConnectFailed, ConnectFailed}, 3, Send, 2 * reconnectTime},
 		{"one rejects", 2, []Code{Overloaded, ConnectFailed}, 3, Send, reconnectTime},
 		{"the other rejects", 2, []Code{ConnectFailed, Overloaded}, 3, Send, reconnectTime},
-		{"both reject", 2, []Code{Overloaded, Overloaded}, 2, Reject, 2 * time.Second}, // queued, as a server may join
+		{"both reject", 2, []Code{Overloaded, Overloaded}, 2, Reject, 2 * time.Second}, // queued, because a server may join
 		{"an untried server comes first", 3, []Code{ConnectFailed, ConnectFailed}, 3, Send, 10 * ms},
 		{"attempts are bounded", 1, failures, 4, Reject, time.Second},
 	} {
@@ -81,8 +81,8 @@
 	}
 }
 
-// The backoff before a server is tried again doubles, so that the attempts outlast a restart of some hundred
-// milliseconds.
+// TestRetry_ReconnectBacksOff checks that the backoff before another attempt at a server doubles. The attempts then
+// outlast a restart of a few hundred milliseconds.
 func TestRetry_ReconnectBacksOff(t *testing.T) {
 	b := startBalancer(t, reconnectSettings(), testEndpoints(1))
 	sends, _, _ := runRequest(b, "single", ConnectFailed, ConnectFailed, ConnectFailed, ConnectFailed)
@@ -94,7 +94,8 @@
 	}
 }
 
-// Reconnecting neither repeats a request that may have been executed, nor exceeds the retry budget.
+// TestRetry_ReconnectKeepsBounds checks that reconnecting neither repeats a request that may have been executed, nor
+// exceeds the retry budget.
 func TestRetry_ReconnectKeepsBounds(t *testing.T) {
 	for _, code := range []Code{Reset, TimedOut, ServerError} {
 		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
@@ -114,7 +115,8 @@
 	})
 }
 
-// An untried but ejected server does not prevent a reconnect to the server that failed to connect.
+// TestRetry_ReconnectsBesideEjectedServer checks that an untried but ejected server does not prevent another attempt
+// at the server that failed to connect.
 func TestRetry_ReconnectsBesideEjectedServer(t *testing.T) {
 	b := startBalancer(t, reconnectSettings(), testEndpoints(2))
 	b.eject(b.servers["s01"])
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	sheddingRetryCost = 0.15        // part of a retry that is charged while servers shed load
-	retryHistory      = time.Minute // how long retries are remembered, for new settings with a longer window
+	sheddingRetryCost = 0.15        // cost of a retry while servers shed load
+	retryHistory      = time.Minute // time that retries are kept, for new settings with a longer window
 )
 
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// retryBudgetAllows tells whether the retry budget, counted exactly over its sliding window, allows another retry. It
-// prevents retry storms.
+// retryBudgetAllows reports whether the retry budget allows another retry. The budget prevents retry storms. Requests
+// and retries are counted exactly over the sliding window.
 func (b *Balancer) retryBudgetAllows() bool {
 	from := b.now - b.retryBudget.Window
 	retries := dropBefore(b.retries, from)
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The retry budget counts all received requests, including rejected ones, and each retry.
+// TestRetryBudget_CountsExactly checks that the retry budget counts all received requests, including rejected
+// requests, and each retry.
 func TestRetryBudget_CountsExactly(t *testing.T) {
 	settings := testSettings(1)
 	settings.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
@@ -21,7 +22,7 @@
 		}
 		return sent
 	}
-	if got := countRetries(ms, 0, 4); got > 4 { // MinRetries of 2, and half of the 4 requests
+	if got := countRetries(ms, 0, 4); got > 4 { // MinRetries is 2, plus half of the 4 requests
 		t.Errorf("%d retries for 4 requests, at most 4 allowed", got)
 	}
 	b.retries, b.accepted = nil, []Time{0, 1, 2, 3}
@@ -35,7 +36,7 @@
 		}
 		b.retries = append(b.retries, b.now)
 	}
-	b.now = time.Second + 4 // the requests have left the window, the retries have not
+	b.now = time.Second + 4 // the requests have left the window, but not the retries
 	if b.retryBudgetAllows() {
 		t.Error("more than MinRetries allowed for requests that have left the window")
 	}
@@ -45,8 +46,8 @@
 	}
 }
 
-// A retry is charged only in part if servers shed load, the request can't have been executed, and the site sets no
-// budget.
+// TestRetryBudget_ChargesLessWhereServersShedLoad checks that a retry is charged only in part if servers shed load,
+// the request can't have been executed, and the site sets no budget.
 func TestRetryBudget_ChargesLessWhereServersShedLoad(t *testing.T) {
 	stated := &RetryBudget{MinRetries: 50, Window: time.Second}
 	for _, test := range []struct {
@@ -82,7 +83,8 @@
 	}
 }
 
-// The recorded times of requests are bounded, even if there is never a retry.
+// TestRetryBudget_ForgetsAcceptedRequests checks that the number of recorded request times is bounded, even without
+// retries.
 func TestRetryBudget_ForgetsAcceptedRequests(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	for i := range 5000 {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	maxUnstaggeredNodes = 3             // with more, nodes start at different servers, to avoid overloading one
-	maxProjectedLoad    = 2.0           // above it no server is selected, as the answer would be late
-	stickyServersPerKey = 3             // servers in each zone that are preferred for a key
+	maxUnstaggeredNodes = 3             // with more nodes, the nodes start at different servers, to spread the load
+	maxProjectedLoad    = 2.0           // above this load no server is selected, because the answer would be late
+	stickyServersPerKey = 3             // number of preferred servers for a key in each zone
 	fnvPrime            = 1099511628211 // prime of the 64-bit FNV hash
 )
 
-// selectServer returns the first usable server with capacity: a sticky server, or else the first one in order. If
-// none has capacity, it returns the server with the least projected load; that is nil above maxProjectedLoad, unless
-// servers shed load. hasCapacity is also true if the threshold of the least loaded server was never reduced.
+// selectServer returns the first usable server with capacity. Sticky servers come first, then the servers in order.
+// If no server has capacity, it returns the server with the least projected load. It returns nil if that load is
+// above maxProjectedLoad and servers do not shed load. hasCapacity is also true if the threshold of the least loaded
+// server was never reduced.
 func (b *Balancer) selectServer(r *request) (selected *server, hasCapacity bool) {
 	for _, s := range b.stickyServers(r) {
 		if s != nil && b.isUsable(r, s) && b.hasCapacity(s) {
@@ -46,8 +47,8 @@
 	return leastLoaded, leastLoaded != nil && !leastLoaded.thresholdReduced
 }
 
-// stickyServers returns the preferred servers in this zone for r's key, best first. They are chosen by rendezvous
-// hashing, so that all nodes of a zone send a key to the same servers, which then have it cached.
+// stickyServers returns the preferred servers in this zone for the key of r, best first. They are chosen by
+// rendezvous hashing, so all nodes of a zone send a key to the same servers, which then have the key cached.
 func (b *Balancer) stickyServers(r *request) (best [stickyServersPerKey]*server) {
 	if r.keyHash == 0 {
 		return best
@@ -67,8 +68,8 @@
 }
 
 // projectedLoad returns the ratio of attempts in flight to the threshold of s after one more attempt. A threshold
-// below 1 is the fraction of time during which an attempt may be in flight: the next one is due once the last latency
-// is at most that fraction of the time since the last send.
+// below 1 is the fraction of the time in which an attempt may be in flight. The next attempt is then due once the
+// last latency is at most that fraction of the time since the last send.
 func (b *Balancer) projectedLoad(s *server) float64 {
 	threshold := b.effectiveThreshold(s)
 	if s.inFlight == 0 && threshold < 1 {
@@ -89,8 +90,8 @@
 func (b *Balancer) isStaggered() bool           { return b.settings.Nodes > maxUnstaggeredNodes }
 func (b *Balancer) nodesOutnumberServers() bool { return b.settings.Nodes > len(b.order) }
 
-// startOffset returns the index in a partition at which this node's order starts. Multiples of the golden ratio
-// spread evenly, whichever nodes share a zone.
+// startOffset returns the index at which this node's order starts in a partition with the given number of servers.
+// Offsets at multiples of the golden ratio are evenly spread, whichever nodes share a zone.
 func (b *Balancer) startOffset(servers int) int {
 	if !b.isStaggered() {
 		return 0
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// Nodes start at different servers, but all nodes of a zone use the same sticky server for a key.
+// TestSelection_StaggersNodesAndSharesStickyServers checks that nodes start at different servers, but that all nodes
+// of a zone use the same sticky server for a key.
 func TestSelection_StaggersNodesAndSharesStickyServers(t *testing.T) {
 	firsts := map[string]bool{}
 	sticky := map[string]bool{}
@@ -41,7 +42,8 @@
 	}
 }
 
-// If a key's first sticky server is ejected, all nodes of a zone use the same second one.
+// TestStickyServers_SecondTakesOverAtAllNodes checks that all nodes of a zone use the same second sticky server for a
+// key if the first is ejected.
 func TestStickyServers_SecondTakesOverAtAllNodes(t *testing.T) {
 	seen := map[string]bool{}
 	for n := range 6 {
@@ -62,14 +64,14 @@
 	}
 }
 
-// If nodes outnumber servers, each node must spread its requests over several servers. If it allowed two attempts in
-// flight at the first server of its order, that server would get all requests of all nodes that start there, while
-// others are idle.
+// TestSelection_SpreadsWhereNodesOutnumberServers checks that each node spreads its requests over several servers if
+// nodes outnumber servers. With two attempts in flight allowed at the first server of an order, that server would get
+// all requests of the nodes that start there. Other servers would be idle.
 func TestSelection_SpreadsWhereNodesOutnumberServers(t *testing.T) {
 	const requests = 40
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	sent := make(map[string]int)
-	for i := range requests { // one at a time, 10 per second, before much is learned
+	for i := range requests { // one at a time, 10 per second, before the node has learned much
 		now, id := time.Duration(i)*100*ms, fmt.Sprint(i)
 		server := sentServer(t, b.Handle(now, testRequest(id, "idempotent")))
 		sent[server]++
@@ -82,8 +84,9 @@
 	}
 }
 
-// A node that sends little to each of many servers must react to a single slow answer. Otherwise all nodes would keep
-// overloading a slow server until each has seen many slow answers.
+// TestSelection_SendsLessAfterFirstSlowAnswer checks that a node that sends little to each of many servers reacts to
+// a single slow answer. Otherwise all nodes would keep overloading a slow server until each node has seen many slow
+// answers.
 func TestSelection_SendsLessAfterFirstSlowAnswer(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	const from = 10 * time.Second // all servers have capacity by then
@@ -101,8 +104,8 @@
 	}
 }
 
-// An answer with a latency of zero, as from an in-memory transport, must not make a server's projected load NaN,
-// because comparisons with NaN are always false.
+// TestProjectedLoad_IsNumberAfterZeroLatency checks that an answer with a latency of zero, as from an in-memory
+// transport, does not make the projected load NaN. Comparisons with NaN are always false.
 func TestProjectedLoad_IsNumberAfterZeroLatency(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	server := sentServer(t, b.Handle(ms, testRequest("1", "idempotent")))
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,8 +9,8 @@
 // ErrInvalidSettings is matched by every error that New and Reconfigure return.
 var ErrInvalidSettings = errors.New("invalid settings")
 
-// SettingError reports an invalid setting. Setting is a name in the terms of the settings files, such as aim for
-// LatencyObjective. Errors that wrap it name the class, the tenant or the section of the setting.
+// SettingError reports an invalid setting. Setting is the name in the settings file, for example "aim" for
+// LatencyObjective. Errors that wrap a SettingError name the class, the tenant or the section of the setting.
 type SettingError struct {
 	Setting string
 	Reason  string
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	slowStartMargin  = 0.7 // part of the overload factor above 1 that is used; the rest absorbs variation
-	minSlowStartRate = 1.0 // requests/s of all nodes to a server in slow start, before a rate is known
+	slowStartMargin  = 0.7 // used part of the overload factor above 1; the rest absorbs variation
+	minSlowStartRate = 1.0 // assumed rate of a server before a rate is known, in requests/s over all nodes
 
-	completionRateWindow = 3 * time.Second // time constant of the completion rate
+	completionRateWindow = 3 * time.Second // time constant of the moving average completionRate
 )
 
-// slowStartFraction returns the minimum fraction of its full capacity that s has now; 1 after slow start.
+// slowStartFraction returns the minimum fraction of its full capacity that s has now. It returns 1 after slow start.
 func (b *Balancer) slowStartFraction(s *server) float64 {
 	started, rules := cmp.Or(s.SlowStartAt, s.OnlineSince), &b.settings.Rules
 	age := b.now - started
@@ -22,9 +22,9 @@
 	return rules.SlowStartShare + (1-rules.SlowStartShare)*max(0, age.Seconds())/rules.SlowStartWindow.Seconds()
 }
 
-// hasSlowStartCapacity tells whether s may be sent an attempt without being overloaded during slow start. A server at
-// full capacity gets this node's mean rate per server, summed over all nodes, so that s may get a fraction of that
-// rate.
+// hasSlowStartCapacity reports whether s may get an attempt without being overloaded during slow start. A server at
+// full capacity is assumed to get the mean rate per server from each node. The rate of s is a fraction of this node's
+// mean rate.
 func (b *Balancer) hasSlowStartCapacity(s *server) bool {
 	fraction := b.slowStartFraction(s)
 	if fraction >= 1 {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A server in slow start gets, over all nodes, at most half as many requests as the average server.
+// TestSlowStart_DoesNotOverloadServer checks that a server in slow start gets, from all nodes together, at most half
+// as many requests as the average server.
 func TestSlowStart_DoesNotOverloadServer(t *testing.T) {
 	list := testEndpoints(8)
 	list[0].OnlineSince = 1000 * ms
@@ -34,8 +35,8 @@
 	}
 }
 
-// In multiples of its current capacity, the rate to a server in slow start is 0.7 of the overload factor less 1, or
-// 0.35 if that is more. The rest of the factor absorbs random variation.
+// TestSlowStart_RateLeavesMargin checks the rate to a server in slow start, as a multiple of its current capacity.
+// The rate is 0.7 of the overload factor minus 1, but at least 0.35. The rest of the factor absorbs random variation.
 func TestSlowStart_RateLeavesMargin(t *testing.T) {
 	for factor, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		t.Run(fmt.Sprintf("factor=%v", factor), func(t *testing.T) {
@@ -44,7 +45,7 @@
 			settings.Rules.SlowStartShare, settings.Rules.SlowStartWindow = 0.5, time.Hour
 			b := startBalancer(t, settings, testEndpoints(1))
 			b.now = time.Second
-			b.completionRate, b.completionRateAt = 100, b.now // 100 answers per second, from one server
+			b.completionRate, b.completionRateAt = 100, b.now // 100 answers per second from one server
 			warming := b.order[0]
 			warming.OnlineSince = b.now
 			warming.slowStart = slowStartBucket{lastRefill: b.now - 10*ms}
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,120 +9,120 @@
 	"time"
 )
 
-// This file defines the state of a Balancer; it makes no decisions.
+// This file defines the state of a Balancer. It makes no decisions.
 
-// Balancer makes the decisions of one node. It isn't safe for concurrent use. Use New to create one.
+// Balancer makes the decisions of one node. It is not safe for concurrent use. New creates a Balancer.
 type Balancer struct {
 	settings Settings
 	now      Time
 	rng      *rand.Rand
-	actions  []Action // resulting from the current event
+	actions  []Action // actions that result from the current event
 
 	classes        map[string]*class
 	activeClasses  []*class // in the order of the settings
-	retiredClasses []*class // removed by Reconfigure, but with requests in flight
+	retiredClasses []*class // classes removed by Reconfigure that may still have requests
 	nextTimerToken uint64   // timer token for the next class
 
 	tenantLimits map[string]Limit
-	defaultLimit *Limit // for tenants without a quota; nil: no limit
+	defaultLimit *Limit // limit for tenants without a quota; nil: no limit
 	buckets      map[bucketKey]*bucket
 	rateScale    float64 // factor applied to the refill rates of all buckets
-	trafficShare float64 // this process's fraction of each bucket while two processes serve as one node
+	trafficShare float64 // fraction of each bucket for this process while two processes serve as one node
 	rateLimited  bool    // a bucket rejected a request since the last selection of a server
 
-	sharedThresholdScale float64 // factor applied to the thresholds of shared servers, see isShared
-	faultWeight          float64 // weight of a fault; below 1 while faults are common to most servers
-	overloadRatio        float64 // moving average: fraction of bad outcomes that are overload answers
-	badRatio             float64 // moving average: fraction of all outcomes that are bad
-	timeoutRatio         float64 // moving average: fraction of time-outs among outcomes other than overload answers
+	sharedThresholdScale float64 // factor applied to the thresholds of shared servers (see isShared)
+	faultWeight          float64 // weight of a fault; below 1 while most servers have faults
+	overloadRatio        float64 // moving average of the fraction of bad outcomes that are overload answers
+	badRatio             float64 // moving average of the fraction of outcomes that are bad
+	timeoutRatio         float64 // moving average of the fraction of time-outs, without overload answers
 
-	servers           map[string]*server // all listed servers, in service or not
-	pool                                 // all servers that are in service
+	servers           map[string]*server // all listed servers, including those not in service
+	pool                                 // servers in service
 	runningByZone     map[string]int     // number of servers in service in each zone
 	zoneCount         int                // number of zones with servers in service
 	shortestObjective time.Duration      // shortest latency objective of the active classes
-	subsetSize        int                // number of servers, from the start of the order, that form this node's subset
-	linearScan        bool               // set by tests: scan all servers, and rebuild the order at each change
+	subsetSize        int                // size of this node's subset, at the start of the order
+	linearScan        bool               // set by tests: scan all servers and rebuild the order at each change
 
 	requests      map[string]*request
-	queued        []*request // waiting for a usable server, oldest first
+	queued        []*request // requests that wait for a usable server, oldest first
 	queueTimerSet bool
 
 	retryBudget    RetryBudget
-	retryDebt      float64 // fraction of a retry that has not been charged yet
-	accepted       []Time  // when requests were received within the budget's window, oldest first
-	retries        []Time  // when retries and hedged requests were charged within that window, oldest first
-	expiredRetries []Time  // retries that have left the window, kept for a longer window in new settings
+	retryDebt      float64 // fraction of a retry not charged yet
+	accepted       []Time  // times of the requests received within the window of the budget, oldest first
+	retries        []Time  // times of the retries and hedged requests charged within the window, oldest first
+	expiredRetries []Time  // retries before the window, kept for new settings with a longer window
 
 	completionRate   float64 // successful answers per second, as of completionRateAt
 	completionRateAt Time
-	unansweredRatio  [6]float64 // moving averages: fraction of unanswered sends, by idle octave of the connection
+	unansweredRatio  [6]float64 // by idle octave of the connection: moving average of unanswered sends
 }
 
-// pool is an ordered set of servers in service: all of them, or those that a class is restricted to.
+// pool is an ordered set of servers in service: all servers in service, or those that a class is restricted to.
 type pool struct {
-	class        *class       // the class that is restricted to this pool; nil in the pool of all servers
-	partitions   [2][]*server // sorted by ID: servers in this node's zone, and all others
+	class        *class       // class that is restricted to this pool; nil: pool of all servers
+	partitions   [2][]*server // servers in this node's zone, and all other servers; each sorted by ID
 	offsets      [2]int       // index in each partition at which the order starts
-	order        []*server    // both partitions, each rotated to start at its offset
+	order        []*server    // both partitions in turn, each rotated to start at its offset
 	spareOrder   []*server    // buffer reused for the next order
 	localCount   int          // number of servers in this node's zone
 	ejectedCount int          // number of ejected servers
-	blocks       []block      // index over order, used if it is long
+	blocks       []block      // index over order, used if order is long
 }
 
 // class is a request class and its learned state.
 type class struct {
 	Class
-	capabilities Capabilities  // capabilities of the settings that defined this class
+	capabilities Capabilities  // capabilities in the settings that defined this class
 	eligible     *pool         // servers that requests of the class may be sent to
-	timerToken   uint64        // token of the timer for slow checks; 0 for a class that is not in the settings
-	tailLatency  time.Duration // estimated tailQuantile of the class's latency
+	timerToken   uint64        // token of the timer for slow checks; 0: class is not in the settings
+	tailLatency  time.Duration // estimated tailQuantile of the latency of the class
 	slowChecks   []slowCheck   // pending checks for slow attempts, earliest first
 	slowTimerSet bool          // the timer for the first of slowChecks is set
 }
 
-// server is a listed server with this node's load on it and its learned state.
+// server is a listed server, with its load from this node and its learned state.
 type server struct {
 	Endpoint
 	nameHash           uint64      // hash of the server's name, for sticky servers
-	probeIdempotency   Idempotency // highest of the classes that may use it; only those classes probe it
+	probeIdempotency   Idempotency // highest Idempotency of its classes; only classes with this value probe it
 	inFlight           int         // this node's attempts in flight
 	threshold          float64     // learned concurrency limit, in attempts in flight
-	thresholdReduced   bool        // threshold has been reduced at least once
+	thresholdReduced   bool        // the threshold was reduced at least once
 	inSubset           bool        // the server is in this node's subset
 	inNewSubset        bool        // temporary mark used by replaceSubset
-	connectionLastUsed []Time      // element i: when more than i connections were last in use
+	connectionLastUsed []Time      // element i: time at which more than i connections were last in use
 	lastSend           Time
-	lastAnswer         Time    // when the server last gave any answer
+	lastAnswer         Time    // time of the last answer, of any kind
 	lastLatency        float64 // latency of the last answer or time-out, in seconds
-	faultRatio         float64 // moving average: fraction of outcomes that are faults
+	faultRatio         float64 // moving average of the fraction of outcomes that are faults
 	health             health
 	slowStart          slowStartBucket
 }
 
-// inService tells whether s is listed as running.
+// inService reports whether s is listed as running. It is false for a nil server.
 func (s *server) inService() bool { return s != nil && s.Availability == Running }
 
 // request is a client request that is unanswered or still has attempts in flight.
 type request struct {
 	id                 string
 	class              *class
-	deadline           Time   // when the client gives up
-	valueDeadline      Time   // after this time an answer has no value
-	queueDeadline      Time   // when the request is rejected if it is still queued
-	keyHash            uint64 // hash of the request's key; 0 for none
+	deadline           Time   // time at which the client gives up
+	valueDeadline      Time   // time after which an answer has no value
+	queueDeadline      Time   // time at which a queued request is rejected
+	keyHash            uint64 // hash of the key; 0: no key
 	attempts           []attempt
 	pending            int      // number of attempts in flight
-	firstMaybeExecuted *attempt // first attempt that a server may have executed; nil if there is none
+	firstMaybeExecuted *attempt // first attempt that a server may have executed; nil: none
 	answered           bool     // the request has its final answer
 	streaming          bool     // a streamed answer has begun
 	wasQueued          bool     // the request has waited in the queue
-	bodyPending        bool     // the last byte of the request's body has not arrived yet
-	notReplayable      bool     // the body is streamed through, so that the request can't be hedged
+	bodyPending        bool     // the last byte of the body has not arrived yet
+	notReplayable      bool     // the body is streamed, so the request can't be hedged
 	zoneLocal          bool     // the request must stay in this node's zone while that zone has a running server
-	reconnectAt        Time     // when the backoff after a failed connect ends; 0 for none
-	reconnecting       bool     // set during selection: servers that failed to connect may get another attempt
+	reconnectAt        Time     // end of the backoff after a failed connect; 0: none
+	reconnecting       bool     // set during a selection in which servers that failed to connect are allowed
 }
 
 // attempt is one attempt of a request at a server.
@@ -133,7 +133,7 @@
 	notExecuted   bool // the outcome proves that the server never executed the request
 	connectFailed bool // no connection was established, so nothing was sent
 	probe         bool // the attempt probes an ejected server
-	idleOctave    int  // octave of the connection's idle time before the send; 0 if it was in use
+	idleOctave    int  // octave of the idle time of the connection before the send; 0: in use
 }
 
 type bucketKey struct{ tenant, class string }
@@ -144,7 +144,7 @@
 	lastRefill Time
 }
 
-// slowCheck is a scheduled check of an attempt, due when the attempt counts as slow.
+// slowCheck is a scheduled check of an attempt. It is due when the attempt counts as slow.
 type slowCheck struct {
 	request *request
 	attempt int
@@ -156,19 +156,19 @@
 	faultScore    float64
 	ejected       bool // ejected, or half-open once ejectedUntil has passed
 	ejectedUntil  Time
-	ejections     int // consecutive ejections
-	goodProbes    int // consecutive successful probes
+	ejections     int // number of consecutive ejections
+	goodProbes    int // number of consecutive successful probes
 	probeInFlight bool
 }
 
-// slowStartBucket is a token bucket with fractional tokens, refilled at the rate that this node may send to a server
+// slowStartBucket is a token bucket with fractional tokens. It limits the rate at which this node sends to a server
 // in slow start.
 type slowStartBucket struct {
 	tokens     float64
 	lastRefill Time
 }
 
-// updateRatio updates an exponential moving average of the fraction of hits with one observation.
+// updateRatio adds one observation, hit or not, to an exponential moving average of the fraction of hits.
 func updateRatio(ratio *float64, gain float64, hit bool) {
 	*ratio -= gain * *ratio
 	if hit {
@@ -176,7 +176,7 @@
 	}
 }
 
-// dropBefore returns times, which are in ascending order, without those before moment.
+// dropBefore returns the part of times from moment on. times must be in ascending order.
 func dropBefore(times []Time, moment Time) []Time {
 	for len(times) > 0 && times[0] < moment {
 		times = times[1:]
@@ -184,7 +184,7 @@
 	return times
 }
 
-// hashString returns the 64-bit FNV-1a hash of a string, which is the same at every node.
+// hashString returns the 64-bit FNV-1a hash of text. The hash is the same at every node.
 func hashString(text string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(text)) // a hash never returns a write error
@@ -195,15 +195,15 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// currentCompletionRate returns the rate of successful answers per second, decayed since the last one.
+// currentCompletionRate returns the rate of successful answers per second, decayed since the last answer.
 func (b *Balancer) currentCompletionRate() float64 {
 	return b.completionRate * math.Exp(-(b.now-b.completionRateAt).Seconds()/completionRateWindow.Seconds())
 }
 
-// isFault tells whether an attempt ended with an error answer, a broken connection or a failed connect.
+// isFault reports whether c is an error answer, a broken connection or a failed connect.
 func (c Code) isFault() bool { return c == ServerError || c == Reset || c == ConnectFailed }
 
-// violatesZoneLocal tells whether sending r to s would make a ZoneLocal request leave a zone with running servers.
+// violatesZoneLocal reports whether r is ZoneLocal, s is in another zone, and this node's zone has a running server.
 func (b *Balancer) violatesZoneLocal(r *request, s *server) bool {
 	return r.zoneLocal && s.Zone != b.settings.Zone && b.runningByZone[b.settings.Zone] > 0
 }
@@ -228,13 +228,13 @@
 	return views
 }
 
-// UnavailableEndpoints returns the number of listed servers that get no regular requests, because they are draining
-// or ejected.
+// UnavailableEndpoints returns the number of listed servers that get no regular requests because they are draining or
+// ejected.
 func (b *Balancer) UnavailableEndpoints() int { return len(b.servers) - len(b.order) + b.ejectedCount }
 
-// SetTrafficShare sets the fraction of the node's traffic, from 0 to 1, that this process gets while two processes
-// serve as one node, as in a hot restart. The process then admits requests at that fraction of each bucket's rate and
-// burst.
+// SetTrafficShare sets the fraction (0 to 1) of the node's traffic that this process gets while two processes serve
+// as one node, as in a hot restart. The process then admits requests at that fraction of the rate and burst of each
+// bucket.
 func (b *Balancer) SetTrafficShare(now Time, share float64) {
 	b.now = max(now, b.now)
 	b.trafficShare = min(1, max(0, share))
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	initialThresholdFewNodes      = 6.0  // summed over all nodes, if these are at most maxUnstaggeredNodes
-	initialThresholdInSubset      = 2.0  // summed over the nodes with the server in their subset
-	initialThresholdOutsideSubset = 1.0  // summed over the nodes without the server in their subset
-	initialThresholdOutnumbered   = 0.05 // summed likewise, if each attempt would need a new connection
-	minSubsetSize                 = 4    // minimum number of servers in a node's subset, unless the zone has fewer
+	initialThresholdFewNodes      = 6.0  // sum over all nodes, with at most maxUnstaggeredNodes nodes
+	initialThresholdInSubset      = 2.0  // sum over the nodes with the server in their subset
+	initialThresholdOutsideSubset = 1.0  // sum over the nodes without the server in their subset
+	initialThresholdOutnumbered   = 0.05 // the same sum if each attempt would need a new connection
+	minSubsetSize                 = 4    // minimum size of a node's subset, unless the zone has fewer servers
 	minThresholdFraction          = 0.25 // lower bound of a threshold, as a fraction of its initial value
-	thresholdIncrease             = 0.05 // attempts per good answer; 1/5 of slowDecrease, so a sixth may be slow
+	thresholdIncrease             = 0.05 // attempts per good answer; balanced if a sixth of the answers are slow
 	slowDecrease                  = 0.25 // attempts per slow answer
 	failureDecrease               = 0.3  // attempts per overload answer or failure
 	slowLatencyFraction           = 0.6  // fraction of the latency objective above which an answer is slow
 	sharedScaleIncrease           = 0.02 // relative increase of sharedThresholdScale per good answer of a shared server
-	sharedScaleDecrease           = 0.1  // relative decrease per bad answer; 5 increases, so a sixth may be bad
-	maxSharedScale                = 8.0  // upper bound of sharedThresholdScale
+	sharedScaleDecrease           = 0.1  // relative decrease per bad answer; balanced if a sixth of the answers are bad
+	maxSharedScale                = 8.0  // maximum of sharedThresholdScale
 	faultRatioGain                = 0.05 // weight of one outcome in the moving average faultRatio
 	commonFaultRatio              = 0.08 // median faultRatio at which faultWeight would reach 0
 	minFaultWeight                = 0.25 // lower bound of faultWeight
 	overloadRatioGain             = 0.02 // weight of one bad outcome in the moving average overloadRatio
 	answerRatioGain               = 0.01 // weight of one outcome in the moving averages badRatio and timeoutRatio
-	sheddingOverload              = 0.2  // minimum overloadRatio at which servers count as shedding load
-	maxSheddingTimeouts           = 0.1  // timeoutRatio from which they don't, whatever the overloadRatio
+	sheddingOverload              = 0.2  // minimum overloadRatio at which servers are considered to shed load
+	maxSheddingTimeouts           = 0.1  // timeoutRatio at which servers are not considered to shed load
 )
 
-// initialThreshold returns this node's part of the total initial threshold of s.
+// initialThreshold returns this node's part of the initial threshold of s, which is set as a sum over several nodes.
 func (b *Balancer) initialThreshold(s *server) float64 {
 	switch {
 	case !b.isStaggered():
@@ -42,16 +42,16 @@
 	}
 }
 
-// idleConnectionsExpire tells whether a connection to a server outside the subset is closed as idle before its next
-// use. With a threshold of 1/Nodes, an attempt is in flight for that fraction of the time, so that the next one is
-// due after Nodes times the latency. The latency is assumed to be the shortest objective.
+// idleConnectionsExpire reports whether a connection to a server outside the subset is closed as idle before its next
+// use. With a threshold of 1/Nodes, an attempt is in flight for 1/Nodes of the time, so the next attempt is due after
+// Nodes times the latency. The latency is assumed to be the shortest objective.
 func (b *Balancer) idleConnectionsExpire() bool {
 	idleTimeout := b.settings.Capabilities.ConnIdleTimeout
 	return idleTimeout == 0 || time.Duration(b.settings.Nodes)*b.shortestObjective >= idleTimeout
 }
 
-// effectiveThreshold returns the threshold of s, scaled by sharedThresholdScale if s is shared. The scale is common
-// to all shared servers, because a node gets too few answers of each to learn its threshold in time.
+// effectiveThreshold returns the threshold of s, scaled by sharedThresholdScale if s is shared. All shared servers
+// have the same scale, because a node gets too few answers from each of them to learn separate thresholds in time.
 func (b *Balancer) effectiveThreshold(s *server) float64 {
 	if b.isShared(s) {
 		return s.threshold * b.sharedThresholdScale
@@ -59,28 +59,28 @@
 	return s.threshold
 }
 
-// isShared tells whether s gets most of its load from other nodes, because it is outside this node's subset or
-// because sticky servers are used by all nodes.
+// isShared reports whether s gets most of its load from other nodes: s is outside this node's subset, or all nodes
+// use the same sticky servers.
 func (b *Balancer) isShared(s *server) bool {
 	return b.isStaggered() && (!s.inSubset || b.settings.KeyAffinity)
 }
 
-// serversShedLoad tells whether servers reject excess requests early, rather than let them time out. In that case,
-// the node sends beyond maxProjectedLoad, doesn't lower bucket rates below the quotas, and ejects no server for
+// serversShedLoad reports whether servers reject excess requests early instead of letting them time out. The node
+// then sends beyond maxProjectedLoad, does not lower bucket rates below the quotas, and ejects no server for
 // overload.
 func (b *Balancer) serversShedLoad() bool {
 	return b.overloadRatio >= sheddingOverload && b.timeoutRatio < maxSheddingTimeouts
 }
 
-// updateThreshold adjusts the threshold of a server after an outcome. Below 1, steps are proportional to the
-// threshold, so that a threshold of any size settles where thresholdIncrease/(thresholdIncrease+slowDecrease) of the
-// answers are slow.
+// updateThreshold adjusts the threshold of target after an outcome of a request of class c. Below 1, steps are
+// proportional to the threshold. A threshold of any size therefore settles where
+// thresholdIncrease/(thresholdIncrease+slowDecrease) of the answers are slow.
 func (b *Balancer) updateThreshold(target *server, c *class, outcome Outcome) {
 	updateRatio(&target.faultRatio, faultRatioGain, outcome.Code.isFault())
 	step := b.thresholdStep(target, c, outcome)
 	isBad := step <= -slowDecrease // excludes faults that are common to most servers
 
-	if isBad && (outcome.Code != Overloaded || target.health.faultScore < silenceWeight) { // a hung server also rejects
+	if isBad && (outcome.Code != Overloaded || target.health.faultScore < silenceWeight) { // a hung server rejects, too
 		updateRatio(&b.overloadRatio, overloadRatioGain, outcome.Code == Overloaded)
 	}
 	updateRatio(&b.badRatio, answerRatioGain, isBad)
@@ -97,7 +97,7 @@
 	target.threshold = max(minThreshold, target.threshold+step*min(1, target.threshold))
 }
 
-// thresholdStep returns the change of a threshold of 1 or more after an outcome.
+// thresholdStep returns the change of the threshold of s after outcome e, for thresholds of 1 or more.
 func (b *Balancer) thresholdStep(s *server, c *class, e Outcome) float64 {
 	switch {
 	case e.Code.isFault():
@@ -107,14 +107,14 @@
 		return -failureDecrease
 	case e.Latency > durationFromSeconds(slowLatencyFraction*c.LatencyObjective.Seconds()):
 		return -slowDecrease
-	case float64(s.inFlight+1) >= b.effectiveThreshold(s): // a threshold is only raised if the load reached it
+	case float64(s.inFlight+1) >= b.effectiveThreshold(s): // raise a threshold only if the load reached it
 		return thresholdIncrease
 	}
 	return 0
 }
 
-// updateFaultWeight reduces faultWeight by the median fault ratio of the servers, so that faults that are common to
-// all of them don't eject some at random.
+// updateFaultWeight sets faultWeight, which falls as the median fault ratio of the servers rises. Otherwise faults
+// that are common to all servers would eject some of them at random.
 func (b *Balancer) updateFaultWeight() {
 	var ratios []float64
 	for _, s := range b.order {
--- a/policy/threshold_test.go
+++ b/policy/threshold_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// If nodes outnumber servers, servers outside a node's subset start at a reduced threshold, but only if each attempt
-// there would need a new connection, because an idle one is closed before its next use.
+// TestInitialThreshold_WhereNodesOutnumberServers checks that servers outside a node's subset start at a reduced
+// threshold if nodes outnumber servers and each attempt would need a new connection. An attempt needs a new
+// connection if an idle connection is closed before its next use.
 func TestInitialThreshold_WhereNodesOutnumberServers(t *testing.T) {
 	const (
 		objective             = 250 * ms // shortest latency objective in testSettings
