--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 
 const (
 	rateWindow         = time.Second  // window of the limits derived from quotas; also Retry-After for a quota of 0
-	burstSeconds       = 0.5          // bucket capacity for a quota, in seconds of its rate
+	burstSeconds       = 0.5          // bucket capacity for a quota, in seconds of its rate; admits bursts
 	minBurst           = 3            // minimum bucket capacity, so that small quotas still admit a small burst
 	maxBuckets         = 4096         // limits memory if clients invent tenants; further tenants share one bucket
 	refillCompensation = 1 / math.Ln2 // a refill of whole tokens admits only ln 2 of the rate of Poisson arrivals
