--- a/levels/check.go
+++ b/levels/check.go
@@ -21,7 +21,7 @@
 // check validates the configuration. It returns the first problem found, as a *ConfigError.
 func (c *Config) check() error {
 	names := make(map[string]bool)
-	shed := make(map[string]float64) // by class: the largest fraction shed of all tenants by the levels checked so far
+	shed := make(map[string]float64) // by class: maximum shed for all tenants, over the levels so far
 	for i := range c.Levels {
 		if err := c.checkLevel(i, names, shed); err != nil {
 			return &ConfigError{Level: i, Problem: err.Error()}
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// checkLevel checks one level. names and shed cover the levels before it; checkLevel adds this level to them.
+// checkLevel checks the level with the given index. names and shed describe the levels before it; checkLevel adds
+// this level to both.
 func (c *Config) checkLevel(index int, names map[string]bool, shed map[string]float64) error {
 	level := &c.Levels[index]
 	if err := level.checkParts(names); err != nil {
@@ -51,7 +52,7 @@
 	return c.checkShedLast(shed)
 }
 
-// checkParts checks that a level has a unique name, conditions and measures.
+// checkParts checks that the level has a unique name, conditions and measures. It adds the name to names.
 func (l *Level) checkParts(names map[string]bool) error {
 	switch {
 	case l.Name == "" || l.Name == fullServiceName:
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// checkReachable checks that no entry condition of a level holds before the same condition of the level before it:
-// levels are entered one after another, so the lower threshold would have no effect.
+// checkReachable checks that no entry condition of a level holds before the same condition of the level before it.
+// Levels are entered one after another, so such a threshold would have no effect.
 func (c *Config) checkReachable(index int) error {
 	if index == 0 {
 		return nil
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// checkMeasures checks a level's measures, and updates the fraction of each class that is shed of all tenants.
+// checkMeasures checks the measures of a level. In shed, it updates the fraction of each class that is shed for all
+// tenants.
 func (c *Config) checkMeasures(level *Level, shed map[string]float64) error {
 	for i := range level.Measures {
 		measure := &level.Measures[i]
--- a/levels/config.go
+++ b/levels/config.go
@@ -1,8 +1,7 @@
-// Package levels decides at which level of reduced service (degradation level) a node works while its servers can't
-// handle all of the offered load. A level says which fraction of each class is shed, and limits how the remaining
-// requests are served. The package is a state machine without I/O or a clock: callers pass in counts and times, and
-// get the level and the reason for it. A level is applied before the rate limits of package policy, and does not
-// change them.
+// Package levels chooses the level of reduced service (degradation level) of a node whose servers can't handle all of
+// the offered load. A level defines the fraction of each class that is shed, and limits how the remaining requests
+// are served. The package is a state machine without I/O or a clock: callers pass in counts and times, and get the
+// level and the reason for it. A level is applied before the rate limits of package policy, and does not change them.
 package levels
 
 import (
@@ -13,11 +12,11 @@
 // Signal identifies a measured value that conditions compare with a threshold.
 type Signal uint8
 
-// The signals. Each is computed from the counts of every second and smoothed exponentially.
+// The signals. Each signal is computed from the counts of every second and smoothed exponentially.
 const (
-	// Demand is the offered work, including shed work, divided by the estimated capacity: the work that servers have
-	// recently completed within the latency objectives. Shedding does not lower it, so that no level ends by its own
-	// effect.
+	// Demand is the offered work, including shed work, divided by the estimated capacity. The capacity is the work
+	// that servers have recently completed within the latency objectives. Shedding does not lower Demand, so no level
+	// ends because of its own effect.
 	Demand Signal = iota
 	// SlowAnswers is the fraction of requests whose response missed its latency objective, or that got no response.
 	SlowAnswers
@@ -30,16 +29,16 @@
 // String returns the name of the signal in the settings.
 func (s Signal) String() string { return signalNames[s] }
 
-// Condition compares a signal with a threshold. It holds once the signal has been above the threshold (to enter a
-// level) or below it (to leave one) for the whole duration For.
+// Condition compares a signal with a threshold. An entry condition holds once the signal has been above the threshold
+// for the whole duration For. An exit condition holds once the signal has been below it for that duration.
 type Condition struct {
 	Signal    Signal
-	Class     string // class whose signal is compared; empty: the signal of all classes together
+	Class     string // class whose signal is compared; empty: all classes together
 	Threshold float64
 	For       time.Duration
 }
 
-// String returns the condition as text, for errors and as a key.
+// String returns the condition as text, for errors and as a map key.
 func (c Condition) String() string {
 	return fmt.Sprintf("%s %.4g for %v", c.label(), c.Threshold, c.For)
 }
@@ -55,42 +54,42 @@
 // Measure describes how a level restricts the requests of a class.
 type Measure struct {
 	Class        string
-	Tenants      []string      // tenants that it applies to; nil: all
-	Shed         float64       // fraction of requests that are rejected at once, 0 to 1
+	Tenants      []string      // tenants whose requests are restricted; nil: all
+	Shed         float64       // fraction of requests that are rejected immediately, 0 to 1
 	NoHedging    bool          // no hedged requests are sent
-	MaxAttempts  int           // per request; 0: as many as the settings allow
+	MaxAttempts  int           // maximum attempts per request; 0: no limit by this measure
 	WithinQuota  bool          // requests beyond a tenant's quota are rejected
-	MaxQueueTime time.Duration // how long a request may wait for a server; 0: as the policy decides
+	MaxQueueTime time.Duration // maximum time that a request waits for a server; 0: no limit by this measure
 	ZoneLocal    bool          // requests stay in the node's zone while it has a server
-	// FollowDemand makes Shed an upper limit: each second, the fraction shed is set to the load that still exceeds
-	// the capacity of the servers after the measures before this one. Demand includes shed work, so this does not
-	// oscillate.
+	// FollowDemand makes Shed an upper limit. Each second, the fraction shed is set to the load that still exceeds
+	// the capacity of the servers after the measures before this measure. Demand includes shed work, so the fraction
+	// does not oscillate.
 	FollowDemand bool
 }
 
-// Level is one level of reduced service: when it is entered and left, and what it restricts.
+// Level is one level of reduced service: the conditions to enter and leave it, and its restrictions.
 type Level struct {
 	Name     string
-	Enter    []Condition // the level is entered when any of them holds
-	Exit     []Condition // the level is left when all of them hold
-	Measures []Measure   // they apply in addition to those of the levels before it
+	Enter    []Condition // the level is entered when any of these conditions holds
+	Exit     []Condition // the level is left when all of these conditions hold
+	Measures []Measure   // measures in addition to those of the levels before this level
 }
 
 // Class is a class of requests that levels may restrict.
 type Class struct {
 	Name     string
-	ShedLast bool // no level may shed more of it than of a class without ShedLast
+	ShedLast bool // no level may shed more of this class than of a class without ShedLast
 }
 
-// Config is a sequence of levels. Level 0 is full service; the measures of each further level apply in addition to
-// those of the levels before it.
+// Config is a sequence of levels. Level 0 is full service. The measures of each level apply in addition to those of
+// the levels before it.
 type Config struct {
 	Levels  []Level
 	Classes []Class
 	DryRun  bool // levels are decided and counted, but not applied to requests
-	// MinInterval is the minimum time between two changes of the level; 0: 30 s. When a level is entered again
-	// within 2 minutes after it was left, its minimum time in force doubles, up to eight times MinInterval, so that
-	// load near a threshold does not make the level oscillate.
+	// MinInterval is the minimum time between two changes of the level; 0: 30 s. The minimum time in force of a level
+	// doubles when the level is entered again within 2 minutes after it was left. It grows up to eight times
+	// MinInterval, so that load near a threshold does not make the level oscillate.
 	MinInterval time.Duration
 }
 
@@ -98,7 +97,7 @@
 type Event struct {
 	At       time.Duration
 	From, To int
-	Name     string // name of level To; "full" for level 0
+	Name     string // name of the level To; "full" for level 0
 	Reason   string
 }
 
@@ -108,7 +107,7 @@
 	Shed    float64 // requests shed by a level
 	Work    float64 // mean work per request, in any unit that is the same for all classes
 	OnTime  float64 // responses within their latency objective
-	Late    float64 // responses after it, and requests that failed or were rejected because there was no server
-	Queued  float64 // requests that are waiting for a server at the end of the second
+	Late    float64 // responses after it, and requests failed or rejected for lack of a server
+	Queued  float64 // requests waiting for a server at the end of the second
 	Open    float64 // requests without a response at the end of the second
 }
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -17,29 +17,28 @@
 type Controller struct {
 	config Config
 
-	level      int // the level in force; 0: full service
+	level      int // number of the level in force; 0: full service
 	reason     string
 	changedAt  time.Duration
 	hasChanged bool           // changedAt is set
 	history    []levelHistory // by level number
 	events     []Event
-	maxLevel   int // conditions enter no level beyond it; negative: no limit
+	maxLevel   int // highest level that conditions may enter; negative: no limit
 
 	manual      bool          // an operator has set the level
-	manualUntil time.Duration // 0: until ReleaseManual
+	manualUntil time.Duration // end of the manual level; 0: until ReleaseManual
 
-	// While the exit of the level in force is probed, half of the load that it sheds in addition to the levels before
-	// it is let through.
+	// While the exit of the level in force is probed, half of the load that only this level sheds is admitted.
 	exitProbing    bool
 	exitProbeStart time.Duration
 
 	signals            map[signalKey]float64
 	capacity           float64                  // estimated work per second that servers complete in time
-	conditionHeldSince map[string]time.Duration // by condition text: since when it has held
-	shed               [][]float64              // by level and measure: the fraction that is shed now
+	conditionHeldSince map[string]time.Duration // by condition text: time since which the condition has held
+	shed               [][]float64              // by level and measure: fraction that is shed now
 }
 
-// levelHistory records when a level was last left, and how long it has to stay in force.
+// levelHistory records when a level was last left, and its minimum time in force.
 type levelHistory struct {
 	minStayFactor float64 // minimum time in force, as a multiple of MinInterval
 	leftAt        time.Duration
@@ -72,15 +71,15 @@
 	return controller, nil
 }
 
-// Level returns the level in force (0 for full service), its name, and the reason of the last change.
+// Level returns the number of the level in force (0: full service), its name, and the reason of the last change.
 func (c *Controller) Level() (level int, name, reason string) {
 	return c.level, c.config.levelName(c.level), c.reason
 }
 
-// Events returns the last changes of the level, oldest first, 100 at most. Callers must not modify the slice.
+// Events returns the last 100 changes of the level, oldest first. Callers must not modify the slice.
 func (c *Controller) Events() []Event { return c.events }
 
-// Value returns the smoothed value of a signal. An empty class stands for all classes together.
+// Value returns the smoothed value of a signal for a class. An empty class means all classes together.
 func (c *Controller) Value(signal Signal, class string) float64 {
 	return c.signals[signalKey{signal, class}]
 }
@@ -107,8 +106,8 @@
 	return descriptions
 }
 
-// SetManual sets the level on behalf of an operator. Conditions do not change it for the given duration, or until
-// ReleaseManual if the duration is 0.
+// SetManual sets the level on behalf of the operator requestedBy. Conditions do not change the level until duration
+// has passed, or until ReleaseManual if duration is 0.
 func (c *Controller) SetManual(now time.Duration, level int, duration time.Duration, requestedBy, reason string) error {
 	if level < 0 || level > len(c.config.Levels) {
 		return fmt.Errorf("want a level from 0 to %d, got %d", len(c.config.Levels), level)
@@ -124,8 +123,8 @@
 // ReleaseManual lets conditions change the level again, starting from the level in force.
 func (c *Controller) ReleaseManual() { c.manual = false }
 
-// SetMaxLevel sets the highest level that conditions may enter; a negative value removes the limit. If the level in
-// force is higher, it is lowered to maxLevel at once, unless an operator has set it.
+// SetMaxLevel sets the highest level that conditions may enter. A negative maxLevel removes the limit. A higher level
+// in force is lowered to maxLevel immediately, unless an operator has set it.
 func (c *Controller) SetMaxLevel(now time.Duration, maxLevel int, requestedBy, reason string) error {
 	if maxLevel > len(c.config.Levels) {
 		return fmt.Errorf("want a level from 0 to %d, or -1 for no limit, got %d", len(c.config.Levels), maxLevel)
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// changeTo changes the level, or only the reason if the level is already in force.
+// changeTo changes the level. If the level is already in force, it only changes the reason.
 func (c *Controller) changeTo(now time.Duration, level int, reason string) {
 	former := c.level
 	if former == level {
@@ -146,11 +145,11 @@
 		return
 	}
 	c.level, c.changedAt, c.hasChanged = level, now, true
-	clear(c.conditionHeldSince) // conditions have to hold for their whole time under the new level
+	clear(c.conditionHeldSince) // conditions must hold for their whole duration under the new level
 	c.record(Event{At: now, From: former, To: level, Name: c.config.levelName(level), Reason: reason})
 }
 
-// record appends an event, and drops the oldest one beyond maxEvents.
+// record appends an event. It drops the oldest event if there are more than maxEvents.
 func (c *Controller) record(event Event) {
 	c.reason = event.Reason
 	c.events = append(c.events, event)
@@ -159,7 +158,7 @@
 	}
 }
 
-// levelName returns the name of a level by its number.
+// levelName returns the name of the level with the given number.
 func (c *Config) levelName(level int) string {
 	if level == 0 {
 		return fullServiceName
@@ -167,7 +166,7 @@
 	return c.Levels[level-1].Name
 }
 
-// levelOf returns the number of the level with a name; 0 if there is none.
+// levelOf returns the number of the level with the given name, or 0 if there is none.
 func (c *Config) levelOf(name string) int {
 	return slices.IndexFunc(c.Levels, func(level Level) bool { return level.Name == name }) + 1
 }
--- a/levels/effect.go
+++ b/levels/effect.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Effect is what the level in force does to the requests of a class and a tenant. Its fields are those of Measure.
+// Effect is the effect of the level in force on the requests of a class and a tenant. Its fields are those of
+// Measure.
 type Effect struct {
-	Shed         float64 // fraction of these requests that are rejected at once, 0 to 1
+	Shed         float64 // fraction of the requests that are rejected immediately, 0 to 1
 	NoHedging    bool
 	MaxAttempts  int // 0: the level sets no limit
 	WithinQuota  bool
@@ -15,8 +16,8 @@
 	ZoneLocal    bool
 }
 
-// Effect returns what the level in force does to requests of a class and a tenant. If several measures apply, the
-// strictest value of each field is used.
+// Effect returns the effect of the level in force on requests of class and tenant. If several measures apply, each
+// field has the strictest of their values.
 func (c *Controller) Effect(class, tenant string) Effect {
 	var effect Effect
 	passed := 1.0 // fraction of requests that are not shed
@@ -28,7 +29,7 @@
 			}
 			shed := c.shed[i][j]
 			probed := c.exitProbing && i == c.level-1
-			if probed && 1-shed < passed { // let half of the load through that this level sheds in addition
+			if probed && 1-shed < passed { // admit half of the load that this level sheds in addition
 				shed -= (shed - (1 - passed)) / 2
 			}
 			passed = min(passed, 1-shed)
@@ -43,7 +44,7 @@
 	return m.Class == class && (m.Tenants == nil || slices.Contains(m.Tenants, tenant))
 }
 
-// tighten applies the limits of a measure where they are stricter.
+// tighten applies the limits of measure that are stricter than those of e.
 func (e *Effect) tighten(measure *Measure) {
 	e.ZoneLocal = e.ZoneLocal || measure.ZoneLocal
 	e.NoHedging = e.NoHedging || measure.NoHedging
--- a/levels/manual_test.go
+++ b/levels/manual_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestManualLevel_RestartsConditionTimes guards against a condition that counts as held while an operator sets the
-// level. The condition holds shortly before, and its signal is below the threshold meanwhile; after ReleaseManual, it
-// has to hold for its whole time again.
+// TestManualLevel_RestartsConditionTimes checks that a condition does not count as held while an operator sets the
+// level. The condition holds shortly before the manual level, and its signal is below the threshold meanwhile. After
+// ReleaseManual, the condition must hold for its whole duration again.
 func TestManualLevel_RestartsConditionTimes(t *testing.T) {
 	controller := newController(t, testConfig())
 	simulateSecond := func(now int, late float64) {
--- a/levels/model_test.go
+++ b/levels/model_test.go
@@ -14,9 +14,9 @@
 	manualUntil time.Duration
 }
 
-// TestController_MatchesModel checks, for random counts, that the level changes by one at a time and not more often
-// than the minimum interval allows (except by operators), that each change is recorded as an event with a reason,
-// that ShedLast classes are never shed more than others, and that a level set by an operator stays for its duration.
+// TestController_MatchesModel checks, for random counts, that the level changes by one at a time and respects the
+// minimum interval, except for changes by operators. Each change is recorded as an event with a reason. Classes with
+// ShedLast are never shed more than other classes. A level set by an operator stays for its duration.
 func TestController_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller, err := New(testConfig())
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// Reconfigure replaces the configuration. If the new configuration has a level with the name of the one in force,
-// that level stays in force. Otherwise the controller changes to the nearest level before it that also exists in the
-// new configuration, so that shedding does not increase. Signals, the time since the last change and operators'
-// settings are kept; conditions have to hold for their whole time again. changed reports whether the level in force
-// is now another one. If the configuration is invalid, Reconfigure returns a *ConfigError and changes nothing.
+// Reconfigure replaces the configuration. A level in force stays in force if the new configuration has a level of the
+// same name. Otherwise the controller changes to the nearest level before it whose name exists in the new
+// configuration, so that shedding does not increase. changed reports whether this has happened.
+//
+// Signals, events and the maximum level are kept. The time of the last change and a manual level are kept if the
+// level in force stays. A probe of an exit ends, and conditions must hold for their whole duration again. If the
+// configuration is invalid, Reconfigure returns a *ConfigError and changes nothing.
 func (c *Controller) Reconfigure(now time.Duration, config Config) (changed bool, err error) {
 	next, err := New(config)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return !keepsLevel, nil
 }
 
-// inherit copies the state that is kept when the configuration is replaced.
+// inherit copies the state of former that is kept when the configuration is replaced.
 func (c *Controller) inherit(former *Controller) {
 	c.changedAt, c.hasChanged = former.changedAt, former.hasChanged
 	c.capacity, c.signals = former.capacity, former.signals
--- a/levels/reconfigure_test.go
+++ b/levels/reconfigure_test.go
@@ -16,8 +16,8 @@
 	lastChange time.Duration
 }
 
-// TestReconfigure_KeepsLevel replaces the configuration at random times. The level in force has to stay if the new
-// configuration has a level of that name; otherwise the nearest level before it that still exists has to be entered.
+// TestReconfigure_KeepsLevel replaces the configuration at random times. The level in force must stay if the new
+// configuration has a level of that name. Otherwise the nearest level before it that still exists must be entered.
 // The minimum interval between two changes still applies.
 func TestReconfigure_KeepsLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,7 +69,7 @@
 	}
 	want := 0
 	for level := before; level > 0 && want == 0; level-- {
-		// The lookup is written out here, because Config.levelOf is under test.
+		// The test looks up the level itself, because Config.levelOf is under test.
 		sameName := func(other Level) bool { return other.Name == r.config.Levels[level-1].Name }
 		want = slices.IndexFunc(next.Levels, sameName) + 1
 	}
--- a/levels/signals.go
+++ b/levels/signals.go
@@ -4,17 +4,17 @@
 	smoothing          = 0.25 // weight of the newest second in the exponential smoothing
 	capacityDecay      = 0.02 // fraction by which the capacity estimate shrinks each second
 	saturatedSlowRatio = 0.15 // fraction of slow responses above which servers count as saturated
-	unsaturatedGrowth  = 1.1  // limit of the capacity estimate of unsaturated servers, as a multiple of completed work
-	fullDemand         = 1.0  // the demand at which the offered work equals the capacity
+	unsaturatedGrowth  = 1.1  // limit of the capacity estimate without saturation, as a multiple of completed work
+	fullDemand         = 1.0  // demand at which the offered work equals the capacity
 )
 
-// signalKey identifies a signal of a class, or of all classes together if the class is empty.
+// signalKey identifies a signal of a class. An empty class means all classes together.
 type signalKey struct {
 	signal Signal
 	class  string
 }
 
-// updateSignals updates all signals, the capacity and the shed fractions from the counts of one second.
+// updateSignals updates all signals, the capacity and the shed fractions with the counts of one second, by class.
 func (c *Controller) updateSignals(windows map[string]Window) {
 	var total Window // sums over all classes
 	var offeredWork, completedWork float64
@@ -40,10 +40,10 @@
 	c.updateShed()
 }
 
-// updateCapacity estimates the work per second that servers can complete within the latency objectives: the largest
-// amount completed recently, decaying with time. While many responses are slow, the estimate falls toward the work
-// completed now. While few are, nothing shows that servers could not handle the offered work, so the estimate rises
-// to it, up to unsaturatedGrowth times the work completed now.
+// updateCapacity estimates the work per second that servers can complete within the latency objectives. The estimate
+// is the largest amount completed recently, decaying with time. While many responses are slow, it falls toward the
+// work completed now. While few responses are slow, servers may be able to handle all of the offered work. The
+// estimate then rises to the offered work, up to unsaturatedGrowth times the work completed now.
 func (c *Controller) updateCapacity(offeredWork, completedWork float64) {
 	saturated := c.signals[signalKey{SlowAnswers, ""}] > saturatedSlowRatio
 	c.capacity *= 1 - capacityDecay
@@ -60,7 +60,7 @@
 // remains after the measures before it.
 func (c *Controller) updateShed() {
 	excess := c.signals[signalKey{Demand, ""}] - fullDemand
-	shedOfClass := make(map[string]float64) // by class: the fraction shed by the measures so far
+	shedOfClass := make(map[string]float64) // by class: fraction shed by the measures so far
 	for i := range c.config.Levels {
 		for j := range c.config.Levels[i].Measures {
 			measure := &c.config.Levels[i].Measures[j]
@@ -77,7 +77,7 @@
 }
 
 // shedFor returns the fraction of its class that a measure sheds. alreadyShed is the fraction shed by the measures
-// before it, demand the demand of the class, and excess the remaining demand of all classes beyond the capacity.
+// before it. demand is the demand of the class. excess is the remaining demand of all classes beyond the capacity.
 func (m *Measure) shedFor(alreadyShed, demand, excess float64) float64 {
 	if !m.FollowDemand {
 		return m.Shed
--- a/levels/simulation_test.go
+++ b/levels/simulation_test.go
@@ -8,13 +8,14 @@
 
 var testClasses = []Class{{Name: "hladanie"}, {Name: "rezervacia", ShedLast: true}, {Name: "zrusenie"}}
 
-// slowAbove returns the condition that the fraction of slow responses is beyond the threshold for the duration.
+// slowAbove returns a condition on SlowAnswers with the given threshold and duration. Entry and exit conditions use
+// it.
 func slowAbove(threshold float64, duration time.Duration) []Condition {
 	return []Condition{{Signal: SlowAnswers, Threshold: threshold, For: duration}}
 }
 
-// testConfig returns two levels: the first sheds searches (hladanie), the second also cancellations (zrusenie).
-// Bookings (rezervacia) are never shed.
+// testConfig returns two levels. The first level sheds searches (hladanie), and the second also sheds cancellations
+// (zrusenie). Bookings (rezervacia) are never shed.
 func testConfig() Config {
 	exit := slowAbove(0.05, 10*time.Second)
 	return Config{
@@ -41,12 +42,12 @@
 	return controller
 }
 
-// servers simulates servers that complete a fixed amount of work per second in time. Work beyond it is late,
-// whichever class it belongs to, and leaves a backlog that delays later work as well.
+// servers simulates servers that complete a fixed amount of work per second in time. Work beyond that amount is late,
+// whichever its class, and leaves a backlog that delays later work.
 type servers struct{ capacity, backlog float64 }
 
-// simulateSecond returns the counts of one second. load is the number of requests by class, work the work per
-// request. The controller decides how much is shed; nil means that nothing is.
+// simulateSecond returns the counts of one second. load is the number of requests by class, and work is the work per
+// request by class. controller decides how much is shed; nil: nothing.
 func (s *servers) simulateSecond(controller *Controller, load, work map[string]float64) map[string]Window {
 	windows := make(map[string]Window)
 	demanded := s.backlog
@@ -68,17 +69,17 @@
 	return windows
 }
 
-// splitByClass splits a number of requests per second among the classes.
+// splitByClass splits total requests per second among the classes.
 func splitByClass(total float64) map[string]float64 {
 	return map[string]float64{"hladanie": total * 0.5, "rezervacia": total * 0.3, "zrusenie": total * 0.2}
 }
 
 var equalWork = map[string]float64{"hladanie": 1, "rezervacia": 1, "zrusenie": 1}
 
-// loadFunc returns the requests of a second and the work per request, by class.
+// loadFunc returns, by class, the requests of a second and the work per request.
 type loadFunc func(second int) (load, work map[string]float64)
 
-// simulate runs a load for a number of seconds, and returns the fractions of bookings and of all requests that were
+// simulate runs a load for a number of seconds. It returns the fraction of bookings, and of all requests, that were
 // served in time.
 func simulate(controller *Controller, seconds int, load loadFunc) (bookings, all float64) {
 	simulated := servers{capacity: 100}
--- a/levels/stability_test.go
+++ b/levels/stability_test.go
@@ -10,9 +10,9 @@
 	"cobaltward/dropoverload"
 )
 
-// TestController_DoesNotOscillate simulates 20 minutes of loads near a threshold, loads that swing across it, and
-// loads far beyond it. It checks that there are never two changes within 30 s and few changes in all, and that
-// bookings are served no worse than without levels.
+// TestController_DoesNotOscillate simulates 20 minutes of loads near a threshold, across a threshold and far beyond
+// it. Two changes must be at least 30 s apart, and there may be at most 24 changes. Bookings must be served no worse
+// than without levels.
 func TestController_DoesNotOscillate(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, total := range map[string]func(second int) float64{
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkIntervals checks that changes are at least 30 s apart, and that each is by one level.
+// checkIntervals checks that changes are at least 30 s apart and that each change is by one level.
 func checkIntervals(t *testing.T, events []Event) {
 	t.Helper()
 	last := -time.Hour
@@ -58,7 +58,7 @@
 }
 
 // TestController_CostIncreaseOfOneClass triples the work per request of one class for three minutes, at a constant
-// number of requests. A level has to be entered within 20 s, and full service has to be in force again at the end.
+// number of requests. A level must be entered within 20 s, and full service must be in force at the end.
 func TestController_CostIncreaseOfOneClass(t *testing.T) {
 	controller := newController(t, testConfig())
 	costlySearches := map[string]float64{"hladanie": 3, "rezervacia": 1, "zrusenie": 1}
@@ -84,9 +84,9 @@
 	t.Logf("bookings in time: %.3f (%.3f without levels); events: %+v", bookings, bookingsWithout, events)
 }
 
-// TestController_EveryPeriod swings the load around the capacity of the servers, as a sine with noise, with periods
-// from 1 s to 120 s and 20 seeds each. It checks that there are never two changes within 30 s, never a change by two
-// levels at once, and at most 40 changes in 20 minutes.
+// TestController_EveryPeriod varies the load around the capacity of the servers, as a sine with noise, for periods
+// from 1 s to 120 s with 20 seeds each. Two changes must be at least 30 s apart, and each change must be by one
+// level. At most 40 changes may occur in 20 minutes.
 func TestController_EveryPeriod(t *testing.T) {
 	for _, period := range []float64{1, 2, 5, 10, 20, 30, 45, 60, 90, 120} {
 		t.Run(fmt.Sprintf("%vs", period), func(t *testing.T) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestShedding_FairToTenants checks that shedding by request id lets about the same fraction of each tenant's
-// requests through: Jain's fairness index of the fractions of 20 tenants is at least 0.99.
+// TestShedding_FairToTenants checks that shedding by request id admits about the same fraction of each tenant's
+// requests. Jain's fairness index over the fractions of 20 tenants must be at least 0.99.
 func TestShedding_FairToTenants(t *testing.T) {
 	const tenants, requests = 20, 2000
 	var sum, squares float64
--- a/levels/step.go
+++ b/levels/step.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// reentryWindow is the time after leaving a level in which entering it again shows that it was left too early.
-	// Its minimum time in force is then doubled.
+	// reentryWindow is the time after leaving a level in which entering the level again shows that it was left too
+	// early. The minimum time in force of the level is then doubled.
 	reentryWindow = 2 * time.Minute
-	// maxStayFactor limits the minimum time in force after such doublings, as a multiple of MinInterval.
+	// maxStayFactor limits the doubled minimum time in force, as a multiple of MinInterval.
 	maxStayFactor = 8
-	// exitProbeTime is how long half of the load that a level sheds is let through before the level ends. It spans
-	// some seconds, so that the smoothed signals show the effect.
+	// exitProbeTime is the duration of an exit probe, in which half of the load that a level sheds is admitted. It
+	// spans several seconds, so that the smoothed signals show the effect.
 	exitProbeTime = 5 * time.Second
 )
 
-// Step updates the signals with the counts of one second, by class, and changes the level by at most one.
+// Step updates the signals with the counts of one second, by class. It changes the level by at most one.
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
-		clear(c.conditionHeldSince) // conditions are not evaluated now, so their times start again later
+		clear(c.conditionHeldSince) // conditions are not evaluated now, so their durations start again later
 		return
 	}
 	c.manual = false
@@ -31,7 +31,7 @@
 	c.exitCurrent(now)
 }
 
-// enterNext enters the next level if one of its conditions holds.
+// enterNext enters the next level if one of its entry conditions holds. It reports whether the level has changed.
 func (c *Controller) enterNext(now time.Duration) bool {
 	next := c.level + 1
 	if next > len(c.config.Levels) || c.maxLevel >= 0 && next > c.maxLevel {
@@ -53,7 +53,7 @@
 	return true
 }
 
-// exitCurrent leaves the level in force in two steps: once the exit conditions hold, the exit is probed; if they
+// exitCurrent leaves the level in force in two steps. Once the exit conditions hold, the exit is probed. If they
 // still hold at the end of the probe, the level before it is entered.
 func (c *Controller) exitCurrent(now time.Duration) {
 	if c.level == 0 {
@@ -63,7 +63,7 @@
 	history := &c.history[c.level]
 	reason, hold := c.allHold(now, exit)
 	switch {
-	case c.exitProbing && c.anyExceeded(exit): // even half of the shed load is too much for the servers
+	case c.exitProbing && c.anyExceeded(exit): // the servers can't handle half of the shed load
 		c.exitProbing = false
 	case c.exitProbing && now-c.exitProbeStart >= exitProbeTime && hold:
 		c.exitProbing = false
@@ -74,7 +74,7 @@
 	}
 }
 
-// mayChange reports whether at least stayFactor minimum intervals have passed since the last change.
+// mayChange reports whether at least stayFactor times MinInterval has passed since the last change.
 func (c *Controller) mayChange(now time.Duration, stayFactor float64) bool {
 	interval := time.Duration(stayFactor * float64(c.config.MinInterval))
 	return !c.hasChanged || now-c.changedAt >= interval
@@ -85,15 +85,15 @@
 	return c.signals[signalKey{condition.Signal, condition.Class}]
 }
 
-// anyExceeded reports whether the signal of any condition is at its threshold or above.
+// anyExceeded reports whether the signal of any condition is at or above its threshold.
 func (c *Controller) anyExceeded(conditions []Condition) bool {
 	return slices.ContainsFunc(conditions, func(condition Condition) bool {
 		return c.value(condition) >= condition.Threshold
 	})
 }
 
-// anyHolds reports whether any entry condition has held for its duration, and describes the first that has. It
-// evaluates all of them, since the time that each has held is tracked separately.
+// anyHolds reports whether any entry condition has held for its duration, and describes the first such condition. It
+// evaluates every condition, because heldLongEnough tracks the duration of each.
 func (c *Controller) anyHolds(now time.Duration, conditions []Condition) (reason string, holds bool) {
 	for _, condition := range conditions {
 		value := c.value(condition)
@@ -105,7 +105,7 @@
 	return reason, holds
 }
 
-// allHold reports whether every exit condition has held for its duration. The reason describes only the last one.
+// allHold reports whether every exit condition has held for its duration. reason describes only the last condition.
 func (c *Controller) allHold(now time.Duration, conditions []Condition) (reason string, hold bool) {
 	hold = len(conditions) > 0
 	for _, condition := range conditions {
@@ -118,13 +118,13 @@
 	return reason, hold
 }
 
-// describe returns a reason for an event: the condition that holds, and the value of its signal.
+// describe returns the reason for an event: the condition that holds, and the value of its signal.
 func (c Condition) describe(relation string, value float64) string {
 	return fmt.Sprintf("%s %s %.4g for %v: %.4g", c.label(), relation, c.Threshold, c.For, value)
 }
 
-// heldLongEnough records whether the named condition holds now, and reports whether it has held without interruption
-// for the duration.
+// heldLongEnough records whether the named condition holds now. It reports whether the condition has held without
+// interruption for the duration.
 func (c *Controller) heldLongEnough(now time.Duration, name string, holds bool, duration time.Duration) bool {
 	if !holds {
 		delete(c.conditionHeldSince, name)
