--- a/dropoverload/dropoverload.go
+++ b/dropoverload/dropoverload.go
@@ -1,15 +1,15 @@
-// Package dropoverload decides which requests are rejected because the control plane asks for a fraction of a pool's
-// requests to be dropped (Envoy's drop_overloads). It does no I/O and keeps no state: all nodes make the same
-// decision for a request id.
+// Package dropoverload decides which requests are rejected when the control plane asks to drop a fraction of the
+// requests of a pool (drop_overloads in Envoy). It does no I/O and keeps no state. All nodes make the same decision
+// for a request id.
 package dropoverload
 
 import "math"
 
-// Fractions holds the fraction of requests to be dropped, 0 to 1, by pool.
+// Fractions holds, by pool, the fraction (0 to 1) of requests to drop.
 type Fractions map[string]float64
 
-// ShouldDrop reports whether to drop the request with the given id. pool is the pool that the class of the request is
-// bound to; it is empty for a class without a pool, whose requests are never dropped.
+// ShouldDrop reports whether to drop the request id. pool is the pool that the class of the request is bound to.
+// Requests of a class without a pool, for which pool is empty, are never dropped.
 func (f Fractions) ShouldDrop(pool, id string) bool {
 	fraction := f[pool]
 	return fraction > 0 && pool != "" && Fraction(id) < fraction
@@ -29,7 +29,7 @@
 	return true
 }
 
-// Merge combines the fractions of several sources: each pool gets the highest fraction of any source.
+// Merge combines the fractions of several sources. Each pool gets its highest fraction in any source.
 func Merge(sources ...Fractions) Fractions {
 	merged := make(Fractions)
 	for _, source := range sources {
@@ -51,8 +51,9 @@
 	discardedHashBits = 64 - mantissaBits
 )
 
-// Fraction maps a request id to a value in [0, 1). Values are evenly distributed, and the same on every node. The
-// hash is finalized after FNV-1a, which alone spreads consecutive ids badly: they differ in their last bits only.
+// Fraction maps a request id to a value in [0, 1). The values are evenly distributed and the same on every node.
+// FNV-1a alone spreads consecutive ids badly, because they differ only in their last bits. The hash is therefore
+// finalized after FNV-1a.
 func Fraction(id string) float64 {
 	hash := uint64(fnvOffset)
 	for i := 0; i < len(id); i++ {
--- a/dropoverload/dropoverload_test.go
+++ b/dropoverload/dropoverload_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestShouldDrop_DropsTheFraction checks that the requested fraction of many ids is dropped, and that an id that is
-// dropped at a fraction is also dropped at a higher one.
+// TestShouldDrop_DropsTheFraction checks that the requested fraction of many ids is dropped. An id that is dropped at
+// a fraction must also be dropped at a higher fraction.
 func TestShouldDrop_DropsTheFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1).Draw(t, "part")
@@ -36,7 +36,7 @@
 	})
 }
 
-// TestFraction_StableAcrossVersions compares the hash with values of earlier versions, so that nodes of two versions
+// TestFraction_StableAcrossVersions compares the hash with values of earlier versions. Nodes of two versions must
 // drop the same requests.
 func TestFraction_StableAcrossVersions(t *testing.T) {
 	for id, want := range map[string]float64{
