--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,6 +1,6 @@
-// Package drain implements the graceful shutdown of a router as a state machine. It decides when the router goes from
-// one state to the next, and whether an order may start, shorten or cancel a drain. It does no I/O and reads no
-// clock: the caller passes in orders, counts and times, reads the resulting state and events, and acts on them.
+// Package drain implements the graceful shutdown of a router as a state machine. The machine decides when the router
+// enters the next state, and whether an order may start, shorten or cancel a drain. It does no I/O and reads no
+// clock. The caller passes in orders, counts and times, and acts on the resulting state and events.
 package drain
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Order is a request to start a drain, or to change the one in progress.
+// Order is a request to start a drain, or to change the drain in progress.
 type Order struct {
 	AnnounceFor time.Duration // time in state Announced
 	LeaveFor    time.Duration // time in state Leaving
 	Timeout     time.Duration // maximum duration of the whole drain
 	Reason      string
 	RequestedBy string
-	Final       bool // the drain can't be cancelled, because the process exits after it
+	Final       bool // the drain can't be cancelled, because the process exits after the drain
 	Force       bool // the order may shorten the deadline of a drain in progress
 }
 
@@ -28,13 +28,13 @@
 // Status describes the state of a router and its drain, if there is one.
 type Status struct {
 	State          State     `json:"state"`
-	Since          time.Time `json:"since,omitzero"` // when the state was entered
-	StartedAt      time.Time `json:"began,omitzero"` // when the drain started
+	Since          time.Time `json:"since,omitzero"` // time at which the state was entered
+	StartedAt      time.Time `json:"began,omitzero"` // time at which the drain started
 	Deadline       time.Time `json:"deadline,omitzero"`
 	Reason         string    `json:"reason,omitempty"`
 	RequestedBy    string    `json:"who,omitempty"`
 	Final          bool      `json:"final,omitempty"`
-	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // requests still open at the deadline, if Forced
+	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // requests open at the deadline, in state Forced
 }
 
 // Machine is the drain state machine of one router. It is not safe for concurrent use. The times passed to its
@@ -42,7 +42,7 @@
 type Machine struct {
 	status     Status
 	order      Order     // the order that started the drain in progress
-	phaseEnd   time.Time // when the state ends; zero: only at the deadline, or when nothing is open
+	phaseEnd   time.Time // end of Announced or Leaving; zero in other states
 	events     []Event
 	lastNumber uint64 // number of the last event
 }
@@ -50,12 +50,12 @@
 // New returns a machine in state Serving.
 func New(now time.Time) *Machine { return &Machine{status: Status{Since: now}} }
 
-// Status returns the current state, and the drain that led to it.
+// Status returns the current state and the drain in progress or completed, if any.
 func (m *Machine) Status() Status { return m.status }
 
-// Start starts a drain, or changes the one in progress: a final order supersedes an order that is not final, and
-// shortens the deadline if its own is earlier. Other orders can only shorten the deadline, and need Force for that.
-// Start returns ErrInvalidTimeout, ErrDrained or *InProgressError.
+// Start starts a drain, or changes the drain in progress. A final order supersedes an order that is not final, and
+// shortens the deadline if its own deadline is earlier. Other orders can only shorten the deadline, and only with
+// Force. Start returns ErrInvalidTimeout, ErrDrained or *InProgressError.
 func (m *Machine) Start(now time.Time, order Order, counts Counts) error {
 	if order.Timeout <= 0 {
 		return ErrInvalidTimeout
@@ -90,7 +90,7 @@
 	return &InProgressError{m.status}
 }
 
-// supersede makes the drain final, with the reason and the requester of the new order.
+// supersede makes the drain final, with the reason and requester of the new order.
 func (m *Machine) supersede(now time.Time, order Order, counts Counts) {
 	m.status.Final = true
 	m.status.Reason, m.status.RequestedBy = order.Reason, order.RequestedBy
@@ -123,8 +123,8 @@
 	})
 }
 
-// Cancel ends a drain, even a completed one, and returns to state Serving. Its errors wrap ErrNotDraining or
-// ErrFinal.
+// Cancel ends a drain in progress or a completed drain, and returns to state Serving. It returns ErrNotDraining, or
+// an error that wraps ErrFinal.
 func (m *Machine) Cancel(now time.Time, requestedBy string, counts Counts) error {
 	former := m.status
 	switch {
@@ -142,17 +142,17 @@
 	return nil
 }
 
-// ExpireNow moves the deadline of the drain in progress to now, so that the next Step forces the end of the drain.
+// ExpireNow moves the deadline of the drain in progress to now. The next Step then forces the end of the drain.
 func (m *Machine) ExpireNow(now time.Time) {
 	if m.inProgress() && now.Before(m.status.Deadline) {
 		m.status.Deadline = now
 	}
 }
 
-// inProgress reports whether a drain has started and is not over.
+// inProgress reports whether a drain has started and has not ended.
 func (m *Machine) inProgress() bool { return m.status.State != Serving && !m.status.State.Done() }
 
-// Step enters all states that are due at this time, given the remaining work.
+// Step enters all states that are due at time now. counts is the remaining work.
 func (m *Machine) Step(now time.Time, counts Counts) {
 	for m.inProgress() {
 		state := m.status.State
@@ -171,8 +171,8 @@
 	}
 }
 
-// Next returns the time at which Step has to be called next if the counts and orders do not change. ok is false if no
-// drain is in progress.
+// Next returns the time at which Step must be called next if counts and orders do not change. ok is false if no drain
+// is in progress.
 func (m *Machine) Next() (at time.Time, ok bool) {
 	if !m.inProgress() {
 		return time.Time{}, false
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -17,10 +17,10 @@
 	lastEvent uint64 // number of the last event that was checked
 }
 
-// TestMachine_MatchesModel checks for random orders, cancellations, counts and times that states only go forward
-// except by a cancellation, that a completed drain stays completed unless it is cancelled, that nothing is open in
-// Drained, that Forced is entered exactly at the deadline, that a final drain can't be cancelled, and that each
-// change of the state is recorded as an event.
+// TestMachine_MatchesModel checks the machine with random orders, cancellations, counts and times. States only go
+// forward, except when a drain is cancelled. A completed drain stays completed unless it is cancelled. Nothing is
+// open in Drained. Forced is never entered before the deadline, and always by the first Step at or after the
+// deadline. A final drain can't be cancelled. Each change of the state is recorded as an event.
 func TestMachine_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_800_000_000, 0)
@@ -72,7 +72,7 @@
 	m.final = after.Final
 }
 
-// startAsExpected reports whether Start returned the expected error and state for an order.
+// startAsExpected reports whether Start returned the expected error and state for order.
 func startAsExpected(now time.Time, before, after Status, order Order, err error) bool {
 	if order.Timeout == 0 {
 		return errors.Is(err, ErrInvalidTimeout)
@@ -119,7 +119,8 @@
 	}
 }
 
-// checkEvents checks that events are numbered without a gap, and that the last one records a change of the state.
+// checkEvents checks that events are numbered without a gap, and that a change of the state is recorded by the last
+// event.
 func (m *modelTest) checkEvents(t *rapid.T, before Status) {
 	for _, event := range m.machine.Events(m.lastEvent) {
 		if event.Number != m.lastEvent+1 || event.At.After(m.now) {
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestState_TextRoundTrip checks that each state's name is decoded to the same state, and an unknown name is
-// rejected.
+// TestState_TextRoundTrip checks that the name of each state is decoded to the same state, and that an unknown name
+// is rejected.
 func TestState_TextRoundTrip(t *testing.T) {
 	for state := Serving; state <= Forced; state++ {
 		t.Run(state.String(), func(t *testing.T) {
--- a/drain/event.go
+++ b/drain/event.go
@@ -10,7 +10,7 @@
 	ChangeStarted    Change = "started"
 	ChangeSuperseded Change = "took over" // a final order superseded the drain in progress or completed
 	ChangeShortened  Change = "shortened" // an order moved the deadline to an earlier time
-	ChangePhase      Change = "phase"     // the time of a state was over, and the next state was entered
+	ChangePhase      Change = "phase"     // the duration of a state ended, and the next state was entered
 	ChangeCancelled  Change = "cancelled"
 	ChangeDrained    Change = "drained"
 	ChangeForced     Change = "forced" // the deadline passed before the drain was complete
@@ -18,7 +18,7 @@
 
 // Event records a change of the state or of the order of a drain.
 type Event struct {
-	Number       uint64    `json:"n"` // 1, 2, ...: a gap means that older events were dropped
+	Number       uint64    `json:"n"` // 1, 2, ...; a gap means that older events were dropped
 	At           time.Time `json:"at"`
 	From         State     `json:"from"`
 	To           State     `json:"to"`
@@ -26,13 +26,13 @@
 	Reason       string    `json:"reason,omitempty"`
 	RequestedBy  string    `json:"who,omitempty"`
 	Deadline     time.Time `json:"deadline,omitzero"`
-	OpenRequests int       `json:"open"` // requests without a response at that time
+	OpenRequests int       `json:"open"` // requests without a response at time At
 }
 
-// maxEvents is the number of events that are kept; older ones are dropped.
+// maxEvents is the maximum number of events that are kept. Older events are dropped.
 const maxEvents = 128
 
-// Events returns the kept events with a number above after, oldest first. Callers must not modify the slice.
+// Events returns the kept events with a number greater than after, oldest first. Callers must not modify the slice.
 func (m *Machine) Events(after uint64) []Event {
 	for i := range m.events {
 		if m.events[i].Number > after {
