--- a/body/budget.go
+++ b/body/budget.go
@@ -1,5 +1,5 @@
 // Package body buffers request bodies between a client and the servers that a request is sent to. All buffers share
-// one memory budget; once it is used up, bodies are passed on unbuffered as they arrive.
+// one memory budget. Once the budget is used up, bodies are passed on unbuffered as they arrive.
 package body
 
 import (
@@ -10,15 +10,15 @@
 // ChunkSize is the size in bytes of the chunks that buffers are made of.
 const ChunkSize = 32 << 10
 
-// Budget limits the memory that all bodies together may use for buffers. It is counted in whole chunks. Its methods
-// are safe for concurrent use.
+// Budget limits the memory that the buffers of all bodies together may use. It counts whole chunks. Its methods are
+// safe for concurrent use.
 type Budget struct {
 	limit atomic.Int64
 	used  atomic.Int64
 	pool  sync.Pool // unused chunks, as *[ChunkSize]byte
 }
 
-// NewBudget returns a budget of limit bytes, but of at least one chunk.
+// NewBudget returns a budget of limit bytes, or of one chunk if limit is smaller.
 func NewBudget(limit int64) *Budget {
 	b := new(Budget)
 	b.SetLimit(limit)
@@ -26,14 +26,14 @@
 	return b
 }
 
-// SetLimit changes the limit to a number of bytes, but to at least one chunk. Chunks in use beyond it stay in use
+// SetLimit sets the limit in bytes. The limit is at least one chunk. Chunks in use beyond the new limit stay in use
 // until they are released.
 func (b *Budget) SetLimit(limit int64) { b.limit.Store(max(ChunkSize, limit)) }
 
 // Limit returns the number of bytes that may be buffered.
 func (b *Budget) Limit() int64 { return b.limit.Load() }
 
-// Used returns the number of bytes in the chunks that are in use.
+// Used returns the total size of the chunks in use, in bytes.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
 // acquireChunk returns a chunk, or nil if the budget is used up.
--- a/body/reader.go
+++ b/body/reader.go
@@ -7,14 +7,14 @@
 	"cobaltward/router"
 )
 
-// reader reads a body once, from its start. A single reader is not safe for concurrent use; several readers of one
-// Upload are.
+// reader reads a body once, from its start. A single reader is not safe for concurrent use, but several readers of
+// one Upload may be used concurrently.
 type reader struct {
 	upload *Upload
 	offset int64 // bytes read so far
 }
 
-// Read reads the buffered bytes first, and then from the source.
+// Read returns the buffered bytes first, and then reads from the source.
 func (r *reader) Read(buf []byte) (int, error) {
 	if len(buf) == 0 {
 		return 0, nil
@@ -25,7 +25,7 @@
 	return r.readSource(buf)
 }
 
-// readBuffered copies buffered bytes. done is false if the source has to be read instead.
+// readBuffered copies buffered bytes to buf. done is false if Read must read from the source instead.
 func (r *reader) readBuffered(buf []byte) (n int, done bool, err error) {
 	u := r.upload
 	u.mu.Lock()
@@ -46,7 +46,7 @@
 }
 
 // readSource reads from the source. It returns router.ErrBodyConsumed if another reader has already read the bytes at
-// this offset.
+// the offset of r.
 func (r *reader) readSource(buf []byte) (int, error) {
 	upload := r.upload
 	upload.reading.Lock()
--- a/body/upload.go
+++ b/body/upload.go
@@ -11,29 +11,29 @@
 )
 
 var (
-	// ErrTooLong is returned for a body of more than Limits.MaxLength bytes.
+	// ErrTooLong is returned for a body that is longer than Limits.MaxLength.
 	ErrTooLong = errors.New("body: longer than the limit")
-	// ErrClosed is returned by the readers of an Upload that was closed.
+	// ErrClosed is returned by the readers of a closed Upload.
 	ErrClosed = errors.New("body: upload is closed")
 )
 
-// Limits limits the length of bodies and how much of them is buffered.
+// Limits limits the length of bodies and the part of them that is buffered.
 type Limits struct {
 	MaxLength   int64   // maximum length of one body, in bytes
-	MaxBuffered int64   // maximum number of bytes of one body that are buffered
-	Budget      *Budget // shared by all bodies
+	MaxBuffered int64   // maximum buffered bytes of one body; rounded up to whole chunks
+	Budget      *Budget // budget shared by all bodies
 }
 
 // Timestamped may be implemented by the source of an Upload. The Upload calls LastByteAt as soon as the source has
 // returned io.EOF.
 type Timestamped interface {
-	// LastByteAt returns when the last byte arrived, which can be long before it was read.
+	// LastByteAt returns the time at which the last byte arrived, which can be long before the byte was read.
 	LastByteAt() time.Time
 }
 
-// Upload is the body of one request. FillBuffer buffers as much of it as the limits allow. The rest is passed on to
-// the first reader that gets there; from then on the body can't be read from its start again. Its methods are safe
-// for concurrent use.
+// Upload is the body of one request. FillBuffer buffers as much of the body as the limits allow. The rest is passed
+// on to the reader that asks for it first. From then on the body can't be read from its start again. Its methods are
+// safe for concurrent use.
 type Upload struct {
 	source      io.Reader
 	length      int64 // -1: unknown
@@ -41,25 +41,25 @@
 	maxBuffered int64
 	budget      *Budget
 
-	reading  sync.Mutex // held while source is read
-	readErr  error      // guarded by reading: the error that source returned, other than io.EOF
+	reading  sync.Mutex // held during reads of source
+	readErr  error      // guarded by reading: error from source other than io.EOF
 	received int64      // guarded by reading: bytes read from source
 
 	mu          sync.Mutex
 	chunks      []*[ChunkSize]byte
-	buffered    int64 // bytes in chunks, counted from the start of the body
+	buffered    int64 // number of bytes in chunks, from the start of the body
 	complete    bool  // source returned io.EOF
 	completedAt time.Time
 	onComplete  func(time.Time)
 	closed      bool
 
-	consumed atomic.Bool // bytes that are not buffered were passed on
+	consumed atomic.Bool // unbuffered bytes were passed on to a reader
 }
 
 var _ router.Upload = (*Upload)(nil)
 
-// New returns the upload of a body of length bytes; -1 means that the length is unknown. source has to end with
-// io.EOF, and to keep returning it.
+// New returns the upload of a body of length bytes; -1 means an unknown length. source must end with io.EOF, and must
+// keep returning io.EOF.
 func New(source io.Reader, length int64, limits Limits) *Upload {
 	return &Upload{
 		source: source, length: length,
@@ -67,8 +67,8 @@
 	}
 }
 
-// FillBuffer reads the body to its end, or until no more of it may be buffered. It returns ErrTooLong, or the error
-// of a source that failed before the end of the body.
+// FillBuffer reads the body to its end, or until the limits allow no more buffering. It returns ErrTooLong, or the
+// error of a source that failed before the end of the body.
 func (u *Upload) FillBuffer() error {
 	u.reading.Lock()
 	defer u.reading.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// storeChunk stores a chunk with n bytes, or releases it if it is empty or the upload is closed.
+// storeChunk stores a chunk with n bytes. It releases the chunk if n is 0 or the upload is closed.
 func (u *Upload) storeChunk(chunk *[ChunkSize]byte, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,14 +107,15 @@
 	u.buffered += int64(n)
 }
 
-// atEOF reports whether the body has ended. io.ReadFull returns io.ErrUnexpectedEOF for a body that ends within a
-// chunk and for a source that breaks off there, but only the former returns io.EOF on the next read.
+// atEOF reports whether the body has ended. io.ReadFull returns io.ErrUnexpectedEOF both for a body that ends within
+// a chunk and for a source that fails there with io.ErrUnexpectedEOF. Only in the first case does the next read
+// return io.EOF.
 func (u *Upload) atEOF() bool {
 	n, err := u.source.Read(make([]byte, 1))
 	return n == 0 && errors.Is(err, io.EOF)
 }
 
-// finish marks the body as complete, and notifies the caller of OnComplete.
+// finish marks the body as complete, and calls the function registered by OnComplete.
 func (u *Upload) finish() {
 	u.mu.Lock()
 	u.complete, u.completedAt = true, u.lastByteAt()
@@ -133,8 +134,8 @@
 	return time.Now()
 }
 
-// Close releases the buffer and makes all further reads fail. If the source is being read, Close calls interrupt,
-// which has to make that read return soon. Close returns once the source is no longer read.
+// Close releases the buffer and makes all further reads fail. If a read of the source is running, Close calls
+// interrupt, which must make that read return soon. Close returns when no read of the source is running.
 func (u *Upload) Close(interrupt func()) {
 	u.mu.Lock()
 	u.closed, u.onComplete = true, nil
@@ -154,7 +155,7 @@
 	u.chunks, u.buffered = nil, 0
 }
 
-// Length returns the length of the whole body in bytes; -1 means that it is unknown.
+// Length returns the length of the whole body in bytes, or -1 if it is unknown.
 func (u *Upload) Length() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -165,7 +166,7 @@
 }
 
 // OnComplete registers f to be called once, with the time at which the last byte arrived. If the body is already
-// complete, OnComplete returns true and does not call f.
+// complete, OnComplete returns true and does not register f.
 func (u *Upload) OnComplete(f func(at time.Time)) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -176,24 +177,24 @@
 	return false
 }
 
-// CompletedAt returns when the last byte arrived; the zero time if it has not arrived yet.
+// CompletedAt returns the time at which the last byte arrived. It returns the zero time if the body is not complete.
 func (u *Upload) CompletedAt() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.completedAt
 }
 
-// Complete reports whether the last byte has arrived.
+// Complete reports whether the last byte has arrived and the end of the body was read.
 func (u *Upload) Complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.complete
 }
 
-// Consumed reports whether bytes that are not buffered have been passed on to a reader.
+// Consumed reports whether unbuffered bytes have been passed on to a reader.
 func (u *Upload) Consumed() bool { return u.consumed.Load() }
 
-// Bytes returns a copy of the body if all of it is buffered and it has at most limit bytes.
+// Bytes returns a copy of the body. ok is false if the body is not fully buffered or is longer than limit bytes.
 func (u *Upload) Bytes(limit int64) (all []byte, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -207,8 +208,9 @@
 	return all, true
 }
 
-// Open returns a reader that starts at the first byte, or router.ErrBodyConsumed. Bytes that are not buffered go to
-// the first reader that asks for them; every other reader gets router.ErrBodyConsumed at that offset.
+// Open returns a reader that starts at the first byte. It returns router.ErrBodyConsumed if unbuffered bytes have
+// been passed on. Unbuffered bytes go to the first reader that asks for them. While the body is incomplete, every
+// other reader gets router.ErrBodyConsumed at that offset.
 func (u *Upload) Open() (io.Reader, error) {
 	if u.consumed.Load() {
 		return nil, router.ErrBodyConsumed
--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawUpload returns an upload and its content, with random limits, length and source.
+// drawUpload returns an upload with random limits, length and source, and the content of its body.
 func drawUpload(t *rapid.T) (upload *Upload, content []byte) {
 	content = make([]byte, rapid.IntRange(0, 5*ChunkSize).Draw(t, "size"))
 	for i := range content {
@@ -35,9 +35,9 @@
 	return New(source, length, Limits{MaxLength: 1 << 30, MaxBuffered: maxBuffered, Budget: budget}), content
 }
 
-// TestUpload_AnyBudget reads bodies twice under random budgets. The first reader has to get the whole body; the
-// second one gets it too, or router.ErrBodyConsumed. Either OnComplete reports a complete body, or its function is
-// called exactly once, and Close releases the budget.
+// TestUpload_AnyBudget reads bodies twice under random budgets. The first reader must get the whole body. The second
+// reader must get the whole body or router.ErrBodyConsumed. Either OnComplete reports a complete body, or its
+// function is called exactly once. Close must release the budget.
 func TestUpload_AnyBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		upload, content := drawUpload(t)
@@ -61,7 +61,7 @@
 	})
 }
 
-// readTwice checks that two readers get the content, except that the second one may fail if the body is consumed.
+// readTwice checks that two readers get the content. The second reader may fail if the body is consumed.
 func readTwice(t *rapid.T, upload *Upload, content []byte) {
 	for i := range 2 {
 		r, err := upload.Open()
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestUpload_SourceBreaksOff checks that a source that fails within a chunk or between two chunks is not taken for
+// TestUpload_SourceBreaksOff checks that a source that fails within a chunk or between two chunks is not mistaken for
 // the end of the body.
 func TestUpload_SourceBreaksOff(t *testing.T) {
 	errBroken := errors.New("broken")
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestUpload_TooLong checks the error if a body exceeds MaxLength in the part that is not buffered.
+// TestUpload_TooLong checks the error for a body that exceeds MaxLength in its unbuffered part.
 func TestUpload_TooLong(t *testing.T) {
 	limits := Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)}
 	upload := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, limits)
@@ -127,8 +127,7 @@
 	return err
 }
 
-// TestClose_WhileReading checks that Close interrupts a reader that is waiting for the client, and that later reads
-// fail.
+// TestClose_WhileReading checks that Close interrupts a reader that waits for the client, and that later reads fail.
 func TestClose_WhileReading(t *testing.T) {
 	in, out := io.Pipe()
 	upload := New(in, -1, Limits{MaxLength: 1 << 20, MaxBuffered: 0, Budget: NewBudget(ChunkSize)})
