--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -9,23 +9,23 @@
 	"cobaltward/internal/sockets"
 )
 
-// MaxHandshakeBytes limits the bytes that a peer may send during its handshake. It keeps excessive certificate chains
-// from taking memory and CPU time.
+// MaxHandshakeBytes is the maximum number of bytes that a peer may send during its handshake. It keeps excessive
+// certificate chains from taking memory and CPU time.
 const MaxHandshakeBytes = 64 << 10
 
 // ErrHandshakeTooLarge is returned by Read if the peer has sent more than MaxHandshakeBytes.
 var ErrHandshakeTooLarge = errors.New("peer sent more than 64 KiB during the handshake")
 
 // Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run
-// under a CPUScheduler. After EndHandshake it only passes reads and writes on. As with crypto/tls, one goroutine may
-// read while another writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at any time
-// by any goroutine.
+// under a CPUScheduler. After EndHandshake it only passes on reads and writes. As with crypto/tls, one goroutine may
+// read while another goroutine writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at
+// any time by any goroutine.
 type Conn struct {
 	net.Conn // provides the methods that Conn does not define
 	TCP      *net.TCPConn
 	reader   *sockets.DeadlineReader
-	// AbortIfPeerCloses makes the handshake fail once the peer has closed, without processing the data that was read
-	// last.
+	// AbortIfPeerCloses makes the handshake fail once the peer has closed the connection. The data of the last read
+	// is then not processed.
 	AbortIfPeerCloses bool
 	// TrackRecords makes blocking reads track TLS records, for WithinRecord.
 	TrackRecords bool
@@ -34,25 +34,25 @@
 
 	cpu            *CPUScheduler
 	task           Task
-	deadline       time.Time       // end of the time allowed for the handshake
+	deadline       time.Time       // deadline of the handshake
 	cancelled      <-chan struct{} // closed when the handshake is no longer wanted
 	inHandshake    bool
 	holdsCPU       bool
-	taskStart      time.Time // valid while holdsCPU
+	taskStart      time.Time // valid while holdsCPU is true
 	handshakeBytes int       // bytes received during the handshake
 	computeTime    time.Duration
 
-	records           recordTracker // used by the reading goroutine only
+	records           recordTracker // used only by the reading goroutine
 	withinRecord      atomic.Bool
 	readsNonBlocking  bool
 	writesNonBlocking atomic.Bool
 	received          atomic.Bool
 	computing         atomic.Bool               // a handshake computation is queued or running
-	lastComputed      atomic.Pointer[time.Time] // the end of the last computation; nil: none yet
+	lastComputed      atomic.Pointer[time.Time] // end of the last computation; nil: none yet
 }
 
-// NewConn returns the connection of a handshake that starts now. urgent says that a request is waiting for it. The
-// handshake fails at the deadline, or when cancelled is closed.
+// NewConn returns the connection of a handshake that starts now. urgent says that a request is waiting for the
+// handshake. The handshake fails at the deadline, or when cancelled is closed.
 func NewConn(tcp *net.TCPConn, cpu *CPUScheduler, urgent bool, deadline time.Time, cancelled <-chan struct{}) *Conn {
 	return &Conn{
 		Conn:        tcp,
@@ -66,18 +66,19 @@
 	}
 }
 
-// EndHandshake ends the handshake and the scheduling of its computations. It returns the total time that they took.
+// EndHandshake ends the handshake and the scheduling of its computations. It returns the total time of the
+// computations.
 func (c *Conn) EndHandshake() (computeTime time.Duration) {
 	c.releaseCPU()
 	c.inHandshake, c.cancelled = false, nil
 	return c.computeTime
 }
 
-// HasReceived reports whether the peer has sent anything during the handshake. A failed read counts as well.
+// HasReceived reports whether a read of the handshake has returned. A failed read counts as well.
 func (c *Conn) HasReceived() bool { return c.received.Load() }
 
 // IsComputing reports whether a computation of the handshake is queued or running, or ended less than SilentAfter
-// ago, which is how long a nearby peer may take to reply.
+// ago. A nearby peer may take up to SilentAfter to reply.
 func (c *Conn) IsComputing() bool {
 	if c.computing.Load() {
 		return true
@@ -86,8 +87,8 @@
 	return lastComputed != nil && time.Since(*lastComputed) < SilentAfter
 }
 
-// BeginCompute waits until a computation may run. A TLS client calls it before its first read, since it generates its
-// key share then.
+// BeginCompute waits until a computation may run. A TLS client calls BeginCompute before its first read, because it
+// generates its key share before that read.
 func (c *Conn) BeginCompute() error {
 	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
 		return err
@@ -108,8 +109,8 @@
 	c.cpu.release(&c.task, c.taskStart)
 }
 
-// Read reads from the connection. During the handshake it returns only when the CPU is available for the computation
-// that follows.
+// Read reads from the connection. During the handshake it returns only when the CPU is available for the next
+// computation.
 func (c *Conn) Read(p []byte) (int, error) {
 	switch {
 	case c.readsNonBlocking:
@@ -125,7 +126,7 @@
 	return n, err
 }
 
-// WithinRecord reports whether a TLS record has been read in part only. It is always false without TrackRecords.
+// WithinRecord reports whether a TLS record has been read only in part. It is always false without TrackRecords.
 func (c *Conn) WithinRecord() bool { return c.withinRecord.Load() }
 
 func (c *Conn) trackRecords(received []byte) {
@@ -172,12 +173,12 @@
 	return c.TCP.Write(p)
 }
 
-// DropBlockingWrites makes all further writes drop the data that can't be written without blocking. It keeps the
-// alert that closes a TLS connection from blocking.
+// DropBlockingWrites makes all further writes drop the data that can't be written without blocking. The alert that
+// closes a TLS connection then can't block.
 func (c *Conn) DropBlockingWrites() { c.writesNonBlocking.Store(true) }
 
-// ReadAvailable calls read with the connection in non-blocking mode. It reports whether read failed because no data
-// was available.
+// ReadAvailable calls read while reads of c are non-blocking. It reports whether read failed because no data was
+// available.
 func (c *Conn) ReadAvailable(read func() error) (wouldBlock bool) {
 	c.readsNonBlocking = true
 	err := read()
@@ -185,9 +186,10 @@
 	return errors.Is(err, errWouldBlock)
 }
 
-// RemoteAlert returns the TLS alert that the peer sent to end the handshake; empty if err is not caused by one.
+// RemoteAlert returns the text of the TLS alert with which the peer ended the handshake. It returns "" if err is not
+// caused by an alert.
 func RemoteAlert(err error) string {
-	// crypto/tls wraps a received alert, whose type it does not export, in a net.OpError.
+	// crypto/tls wraps a received alert in a net.OpError. It does not export the type of the alert.
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "remote error" {
 		return opErr.Err.Error()
--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -8,31 +8,31 @@
 // DefaultCPUShare is the fraction of the CPU that handshake computations may take while requests are in flight.
 const DefaultCPUShare = 0.25
 
-// maxPause limits the pause after one task, so that a clock step or a descheduled process does not stop handshakes.
+// maxPause is the maximum pause after one task. A clock step or a descheduled process then can't stop handshakes.
 const maxPause = 50 * time.Millisecond
 
 // Task is one computation of a handshake: the work between two reads from the peer.
 type Task struct {
-	Urgent bool // a request in flight waits for it: it runs before others, without a pause after it
+	Urgent bool // a request in flight waits for the task: it runs first, without a pause after it
 
 	running bool
 }
 
-// CPUBudget shares the CPU between handshake computations and all other work. At most one task per core runs at a
-// time. While requests are in flight, each task that is not urgent is followed by a pause that keeps such tasks
-// within their share. It is not safe for concurrent use.
+// CPUBudget divides the CPU between handshake computations and all other work. At most one task per core runs at a
+// time. While requests are in flight, each normal task is followed by a pause that keeps normal tasks within their
+// share. CPUBudget is not safe for concurrent use.
 type CPUBudget struct {
 	share      float64
 	cores      int
 	running    int
 	pauseUntil time.Duration // earliest start of a normal task while requests are in flight
 	urgent     []*Task       // queued urgent tasks, in order of arrival
-	normal     []*Task       // queued tasks that are not urgent, in order of arrival
+	normal     []*Task       // queued normal (not urgent) tasks, in order of arrival
 	finished   uint64        // number of finished tasks
-	busyTime   time.Duration // total duration of all finished tasks
+	busyTime   time.Duration // total duration of the finished tasks
 }
 
-// NewCPUBudget returns a budget of a share (0 to 1) of the given number of cores. A share outside of that range means
+// NewCPUBudget returns a budget of a share (0 to 1) of the given number of cores. An invalid share is replaced by
 // DefaultCPUShare.
 func NewCPUBudget(share float64, cores int) *CPUBudget {
 	if !(share > 0 && share <= 1) {
@@ -41,7 +41,7 @@
 	return &CPUBudget{share: share, cores: max(1, cores)}
 }
 
-// Enqueue adds a task to its queue. Next returns the task when it may run.
+// Enqueue adds a task to its queue. Next returns the task when the task may run.
 func (b *CPUBudget) Enqueue(task *Task) {
 	queue := b.queueOf(task)
 	*queue = append(*queue, task)
@@ -54,8 +54,8 @@
 	return &b.normal
 }
 
-// Next returns the tasks that start now. inFlight says whether requests are in flight, with which the CPU is shared.
-// If wait is positive, Next has to be called again after that time.
+// Next returns the tasks that start at time now. inFlight says whether requests are in flight, which share the CPU.
+// If wait is positive, Next must be called again after that time.
 func (b *CPUBudget) Next(now time.Duration, inFlight bool) (started []*Task, wait time.Duration) {
 	for len(b.urgent) > 0 && b.running < b.cores {
 		started = append(started, b.start(&b.urgent))
@@ -69,7 +69,7 @@
 	return started, 0
 }
 
-// start removes the first task from a queue and marks it as running.
+// start removes the first task from queue and marks the task as running.
 func (b *CPUBudget) start(queue *[]*Task) *Task {
 	task := (*queue)[0]
 	(*queue)[0], *queue = nil, (*queue)[1:]
@@ -78,7 +78,7 @@
 	return task
 }
 
-// Finish ends a running task and charges it the elapsed time. It has no effect on a task that is not running.
+// Finish ends a running task and charges elapsed to the budget. It ignores a task that is not running.
 func (b *CPUBudget) Finish(now time.Duration, task *Task, elapsed time.Duration) {
 	if !task.running {
 		return
@@ -94,8 +94,8 @@
 	}
 }
 
-// Cancel removes a queued task that is no longer wanted. It reports whether the task is already running, in which
-// case the caller has to call Finish.
+// Cancel removes a task from its queue. It reports whether the task is already running. The caller must call Finish
+// for a running task.
 func (b *CPUBudget) Cancel(task *Task) (running bool) {
 	queue := b.queueOf(task)
 	*queue = slices.DeleteFunc(*queue, func(queued *Task) bool { return queued == task })
--- a/handshakes/cpu_budget_test.go
+++ b/handshakes/cpu_budget_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestCPUBudget_StaysWithinShare checks that normal tasks take their share of the time while requests are in
-// flight, and that they run without pauses if there are no requests, as urgent tasks always do.
+// TestCPUBudget_StaysWithinShare checks that normal tasks take only their share of the time while requests are in
+// flight. Without requests in flight, normal tasks run without pauses. Urgent tasks always run without pauses.
 func TestCPUBudget_StaysWithinShare(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		inFlight, urgent bool
-		atLeast, atMost  time.Duration // total time of 100 tasks of 2 ms, with a share of 0.25
+		atLeast, atMost  time.Duration // bounds of the total time of 100 tasks of 2 ms, with a share of 0.25
 	}{
 		{"requests in flight", true, false, 790 * time.Millisecond, 810 * time.Millisecond},
 		{"no requests", false, false, 200 * time.Millisecond, 200 * time.Millisecond},
@@ -56,8 +56,8 @@
 	return now
 }
 
-// TestCPUBudget_PauseIsBounded checks that the pause after a very long task is at most maxPause, that urgent
-// tasks ignore it, and that a cancelled task never starts.
+// TestCPUBudget_PauseIsBounded checks that the pause after a very long task is at most maxPause, that urgent tasks
+// ignore the pause, and that a cancelled task never starts.
 func TestCPUBudget_PauseIsBounded(t *testing.T) {
 	budget := NewCPUBudget(0.01, 1)
 	first, second, urgent := &Task{}, &Task{}, &Task{Urgent: true}
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -15,12 +15,12 @@
 
 	mu         sync.Mutex
 	budget     *CPUBudget
-	granted    map[*Task]chan struct{} // by queued task; closed when the task may run
-	pauseTimer *time.Timer             // fires at the end of a pause of the budget
+	granted    map[*Task]chan struct{} // by queued task: closed when the task may run
+	pauseTimer *time.Timer             // expires at the end of a pause of the budget
 }
 
 // NewCPUScheduler returns a scheduler for the given number of cores. While hasRequests reports requests in flight,
-// handshakes that are not urgent take at most the given share (0 to 1) of the CPU time of these cores.
+// normal handshakes take at most share (0 to 1) of the CPU time of these cores.
 func NewCPUScheduler(share float64, cores int, hasRequests func() bool) *CPUScheduler {
 	return &CPUScheduler{
 		hasRequests: hasRequests,
@@ -30,8 +30,8 @@
 	}
 }
 
-// acquire waits until the task may run. It fails with os.ErrDeadlineExceeded at the deadline, and with net.ErrClosed
-// when cancelled is closed.
+// acquire waits until the task may run. It returns os.ErrDeadlineExceeded at the deadline, and net.ErrClosed when
+// cancelled is closed.
 func (s *CPUScheduler) acquire(task *Task, deadline time.Time, cancelled <-chan struct{}) error {
 	if s == nil {
 		return nil
@@ -56,7 +56,7 @@
 	}
 }
 
-// enqueue queues a task, and returns the channel that is closed when the task may run.
+// enqueue queues a task. The returned channel is closed when the task may run.
 func (s *CPUScheduler) enqueue(task *Task) (granted chan struct{}) {
 	granted = make(chan struct{})
 	s.mu.Lock()
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -1,18 +1,22 @@
 // Package handshakes limits the resources that TLS handshakes with clients and servers may take from a node.
 //
-// The decisions are made by state machines without I/O, clocks or goroutines, which are not safe for concurrent use:
-// how many handshakes with servers run at once (Limiter), which share of the CPU handshake computations may take from
-// requests in flight (CPUBudget), when an untrusted server is checked again (UntrustedBackoff), and to which servers
-// connections are opened ahead of requests (PreconnectTargets). CPUScheduler and Conn apply a CPUBudget to
-// connections; they use clocks and may be shared by goroutines as their documentation says.
+// State machines without I/O, clocks or goroutines make the decisions. They are not safe for concurrent use.
+//
+//   - Limiter decides how many handshakes with servers run at once.
+//   - CPUBudget decides which share of the CPU handshake computations may take from requests in flight.
+//   - UntrustedBackoff decides when an untrusted server is checked again.
+//   - PreconnectTargets decides to which servers connections are opened ahead of requests.
+//
+// CPUScheduler and Conn apply a CPUBudget to connections. They use clocks, and goroutines may share them as their
+// documentation says.
 package handshakes
 
-// Limits limits the handshakes with servers that run at once. A field that is 0 or negative takes its default.
+// Limits limits the handshakes with servers that run at once. A field of 0 or less takes its default.
 type Limits struct {
-	MaxConcurrent       int // running handshakes with all servers together
-	MaxPerServer        int // running handshakes with one server
-	MaxPerWarmingServer int // the same for a server that is warming up, whose capacity is left to requests
-	MaxQueued           int // handshakes that wait for a slot; further ones are rejected
+	MaxConcurrent       int // maximum number of running handshakes
+	MaxPerServer        int // maximum number of running handshakes with one server
+	MaxPerWarmingServer int // MaxPerServer for a server that is warming up; leaves its capacity to requests
+	MaxQueued           int // maximum number of queued handshakes; further handshakes are rejected
 }
 
 // Defaults of Limits.
@@ -43,14 +47,14 @@
 const (
 	Proceed Decision = iota // the handshake may start now
 	Queue                   // the handshake waits until Release returns its reservation
-	Reject                  // the handshake may not start: the queue is full, or it is speculative
+	Reject                  // the handshake may not start: the queue is full, or the handshake is speculative
 )
 
 // Reservation is a handshake that runs or is queued.
 type Reservation struct {
 	Server      string
 	WarmingUp   bool // the server is warming up
-	Speculative bool // no request waits for the handshake: it is never queued, and never overtakes a queued one
+	Speculative bool // no request waits for the handshake: it neither queues nor overtakes
 
 	started, released bool
 }
@@ -68,8 +72,7 @@
 	return &Limiter{limits: limits.withDefaults(), perServer: make(map[string]int)}
 }
 
-// Acquire requests a slot for a handshake. Unless the decision is Reject, the reservation has to be passed to
-// Release.
+// Acquire requests a slot for a handshake. Unless the decision is Reject, the caller must pass r to Release.
 func (l *Limiter) Acquire(r *Reservation) Decision {
 	blocked := r.Speculative && len(l.queue) > 0 || l.hasQueuedFor(r.Server)
 	if !blocked && l.hasCapacity(r) {
@@ -106,9 +109,9 @@
 	l.perServer[r.Server]++
 }
 
-// Release ends a reservation whose handshake has ended or is no longer wanted. It returns the queued reservations
+// Release ends a reservation when its handshake has ended or is no longer wanted. It returns the queued reservations
 // whose handshakes may start now, in order of arrival. A server at its limit does not block reservations for other
-// servers. Releasing a reservation a second time has no effect.
+// servers. Further calls for the same reservation have no effect.
 func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
 	if r.released {
 		return nil
@@ -137,5 +140,5 @@
 	return admitted
 }
 
-// Usage returns the numbers of running and of queued handshakes.
+// Usage returns the numbers of running and queued handshakes.
 func (l *Limiter) Usage() (running, queued int) { return l.total, len(l.queue) }
--- a/handshakes/limiter_test.go
+++ b/handshakes/limiter_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// limiterModel tracks the reservations that a Limiter is expected to have running and queued.
+// limiterModel records the reservations that a Limiter is expected to have running and queued.
 type limiterModel struct {
 	limits  Limits
 	limiter *Limiter
@@ -16,8 +16,9 @@
 	queued  []*Reservation
 }
 
-// TestLimiter_StaysWithinLimits checks for random sequences of calls that no limit is exceeded, no reservation is
-// left queued while there is capacity for it, and queued reservations of the same kind start in order of arrival.
+// TestLimiter_StaysWithinLimits checks the Limiter with random sequences of calls. No limit is exceeded. No
+// reservation stays queued while there is capacity for it. Queued reservations of the same kind start in order of
+// arrival.
 func TestLimiter_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
--- a/handshakes/nonblocking.go
+++ b/handshakes/nonblocking.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// errWouldBlock is returned by a non-blocking read if no data is available. It is marked as temporary, because
-// crypto/tls keeps a connection usable only after a temporary error.
+// errWouldBlock is returned by a non-blocking read if no data is available. It is temporary, because crypto/tls keeps
+// a connection usable only after a temporary error.
 var errWouldBlock = wouldBlockError{}
 
 type wouldBlockError struct{}
@@ -32,15 +32,15 @@
 	case errors.Is(readErr, syscall.EAGAIN):
 		return 0, errWouldBlock
 	case readErr != nil:
-		return 0, readErr // not wrapped, because crypto/tls checks its type
+		return 0, readErr // not wrapped, because crypto/tls checks the type of the error
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// writeNonBlocking writes as much as fits into the system's send buffer. It drops the rest, but reports all of it as
-// written.
+// writeNonBlocking writes the part of p that fits into the system's send buffer. It drops the rest, but reports all
+// of p as written.
 func (c *Conn) writeNonBlocking(p []byte) (n int, err error) {
 	raw, err := c.TCP.SyscallConn()
 	if err != nil {
@@ -56,8 +56,8 @@
 	return len(p), nil
 }
 
-// peerClosed reports whether the peer has closed its side of the connection, or the connection is broken or closed on
-// this side.
+// peerClosed reports whether the peer has closed its side of the connection. It also returns true if the connection
+// is broken or closed on this side.
 func (c *Conn) peerClosed() bool {
 	raw, err := c.TCP.SyscallConn()
 	if err != nil {
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	recentUseWindow = 10 * time.Second // a server with a request in this time is expected to get another one
-	// replacementWindow is the time over which connections that presented an old certificate of this node are
-	// replaced after a certificate change, so that they are not all reopened at once. Replacing them is not urgent,
-	// since servers still accept them.
+	recentUseWindow = 10 * time.Second // a server with a request in this time is expected to get another request
+	// replacementWindow is the time after a certificate change in which connections that presented the old
+	// certificate of this node are replaced. Spreading the replacements avoids reopening all connections at once.
+	// Replacement is not urgent, because servers still accept these connections.
 	replacementWindow = 30 * time.Second
-	maxPreconnects    = 4   // connections that one call of PreconnectTargets may start
-	maxOpenFraction   = 0.5 // fraction of the connection limit beyond which none are opened ahead of requests
+	maxPreconnects    = 4   // maximum number of connections that one call of PreconnectTargets may start
+	maxOpenFraction   = 0.5 // maximum open connections for a preconnect, as a fraction of their limit
 )
 
 // PoolState is the state of a transport's connection pool for one server.
 type PoolState struct {
 	Server      string
-	Idle        int           // connections that could take a request now
+	Idle        int           // number of connections that could take a request now
 	LastUsed    time.Duration // time of the last request
-	EverUsed    bool          // the server has received a request, so LastUsed is valid
+	EverUsed    bool          // the server has received a request; LastUsed is valid
 	Unavailable bool          // the server is draining or untrusted
-	Connecting  int           // connections that are being opened ahead of requests
+	Connecting  int           // number of connections being opened ahead of requests
 }
 
-// PreconnectTargets returns the servers to which a connection should be opened ahead of requests: those that were
-// used recently and have no idle connection, the most recently used first. open is the number of the transport's open
-// connections, maxConns their maximum.
+// PreconnectTargets returns the servers to which a connection should be opened ahead of requests. These servers were
+// used recently and have no idle connection. The most recently used server comes first. open is the number of open
+// connections of the transport, and maxConns is their maximum.
 func PreconnectTargets(now time.Duration, pools []PoolState, open, maxConns int) (servers []string) {
 	slots := min(maxPreconnects, int(maxOpenFraction*float64(maxConns))-open)
 	if slots <= 0 {
@@ -51,9 +51,9 @@
 	return servers
 }
 
-// ShouldReplace reports whether a connection to a server should be replaced by now. sinceChange is the time since the
-// certificate that this node presented on the connection was replaced. Each server has its own fixed point in time
-// within replacementWindow, derived from its hash.
+// ShouldReplace reports whether a connection to server should be replaced by now. The connection presented a
+// certificate of this node that has been replaced. sinceChange is the time since that replacement. Each server has
+// its own fixed point in time within replacementWindow, derived from a hash of its name.
 func ShouldReplace(server string, sinceChange time.Duration) bool {
 	return sinceChange >= time.Duration(hashFraction(server)*float64(replacementWindow))
 }
--- a/handshakes/preconnect_test.go
+++ b/handshakes/preconnect_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestShouldReplace_SpreadsOverWindow checks that about half of the servers' connections are replaced in the first
-// half of the window, and all of them by its end.
+// TestShouldReplace_SpreadsOverWindow checks that about half of the connections are replaced in the first half of the
+// window, and all connections by its end.
 func TestShouldReplace_SpreadsOverWindow(t *testing.T) {
 	early := 0
 	for i := range 100 {
--- a/handshakes/records.go
+++ b/handshakes/records.go
@@ -11,11 +11,11 @@
 // recordTracker tracks the boundaries of TLS records in a stream of bytes.
 type recordTracker struct {
 	header     [recordHeaderSize]byte
-	headerSize int // bytes of the current header received so far
-	remaining  int // bytes of the current record's content not yet received
+	headerSize int // number of received bytes of the current header
+	remaining  int // number of missing bytes of the current record's content
 }
 
-// advance processes the next bytes of the stream, and reports whether they end within a record.
+// advance processes the next bytes of the stream. It reports whether these bytes end within a record.
 func (t *recordTracker) advance(data []byte) (within bool) {
 	for len(data) > 0 {
 		if t.remaining > 0 {
--- a/handshakes/untrusted.go
+++ b/handshakes/untrusted.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	initialBackoff = 500 * time.Millisecond // before the first recheck of a server; doubled after each failed recheck
+	initialBackoff = 500 * time.Millisecond // backoff before the first recheck; doubled after each failed recheck
 	maxBackoff     = 4 * time.Second
-	jitterFraction = 0.25 // largest deviation of a backoff, as a fraction of it; spreads the rechecks of servers
-	// recheckAllWithin is the time within which the rechecks of all servers are due after a change of the trust
-	// store.
+	jitterFraction = 0.25 // maximum deviation of a backoff, as a fraction; spreads the rechecks
+	// recheckAllWithin is the time after a change of the trust store within which the rechecks of all servers are
+	// due.
 	recheckAllWithin = time.Second
-	maxBackoffShift  = 16 // keeps the doubling from overflowing
+	maxBackoffShift  = 16 // maximum number of doublings; prevents an overflow
 	// MaxConcurrentRechecks is the maximum number of rechecks that run at once.
 	MaxConcurrentRechecks = 4
 	// MaxUntrustedServers is the maximum number of servers in an UntrustedBackoff. Further untrusted servers are not
-	// recorded, so that each attempt at one of them fails in its own handshake.
+	// recorded, so each attempt at such a server fails in its own handshake.
 	MaxUntrustedServers = 10_000
 )
 
@@ -27,17 +27,18 @@
 	Server   string        `json:"server"`
 	Reason   string        `json:"why"`
 	Since    time.Duration `json:"-"`
-	Rechecks int           `json:"looks"` // failed rechecks since then
+	Rechecks int           `json:"looks"` // number of failed rechecks since Since
 
 	nextRecheck time.Duration
 	rechecking  bool
 }
 
-// UntrustedBackoff holds the servers that failed verification. They get no requests; each is rechecked by a handshake
-// without a request, with an exponential backoff. It is not safe for concurrent use.
+// UntrustedBackoff holds the servers that failed verification. These servers get no requests. Each server is
+// rechecked by a handshake without a request, with an exponential backoff. UntrustedBackoff is not safe for
+// concurrent use.
 type UntrustedBackoff struct {
 	servers    map[string]*UntrustedServer
-	rechecking int // number of servers whose recheck is running
+	rechecking int // number of running rechecks
 }
 
 // NewUntrustedBackoff returns an UntrustedBackoff without servers.
@@ -45,7 +46,7 @@
 	return &UntrustedBackoff{servers: make(map[string]*UntrustedServer)}
 }
 
-// Reason reports whether a server is untrusted, and why.
+// Reason reports whether server is untrusted, and the reason.
 func (b *UntrustedBackoff) Reason(server string) (reason string, untrusted bool) {
 	if entry := b.servers[server]; entry != nil {
 		return entry.Reason, true
@@ -53,7 +54,8 @@
 	return "", false
 }
 
-// RecordFailure records that a server failed verification. It reports whether the server was trusted until now.
+// RecordFailure records that server failed verification. It reports whether server is newly recorded as untrusted. It
+// returns false for a server beyond MaxUntrustedServers.
 func (b *UntrustedBackoff) RecordFailure(now time.Duration, server, reason string) (first bool) {
 	entry := b.servers[server]
 	if entry == nil {
@@ -68,7 +70,8 @@
 	}
 	b.endRecheck(entry)
 	entry.Reason = reason
-	// Handshakes that were already running when the server became untrusted do not postpone its recheck.
+	// Handshakes that were already running when the server became untrusted do not postpone the recheck of the
+	// server.
 	if first || now >= entry.nextRecheck {
 		backoff := min(maxBackoff, initialBackoff<<min(entry.Rechecks, maxBackoffShift))
 		entry.nextRecheck = now + withJitter(server, backoff)
@@ -76,7 +79,7 @@
 	return first
 }
 
-// endRecheck ends the recheck of a server if one is running.
+// endRecheck ends the running recheck of a server, if any.
 func (b *UntrustedBackoff) endRecheck(entry *UntrustedServer) {
 	if entry.rechecking {
 		entry.rechecking = false
@@ -84,7 +87,7 @@
 	}
 }
 
-// RecordSuccess records that a server passed verification. It reports whether the server was untrusted until now.
+// RecordSuccess records that server passed verification. It reports whether server was untrusted until now.
 func (b *UntrustedBackoff) RecordSuccess(server string) (recovered bool) {
 	entry := b.servers[server]
 	if entry == nil {
@@ -95,7 +98,8 @@
 	return true
 }
 
-// RecordInconclusive ends a recheck without a result: the server did not answer, or the handshake was not admitted.
+// RecordInconclusive ends a recheck without a result. It is called if the server did not answer, or the handshake was
+// not admitted.
 func (b *UntrustedBackoff) RecordInconclusive(now time.Duration, server string) {
 	if entry := b.servers[server]; entry != nil && entry.rechecking {
 		b.endRecheck(entry)
@@ -103,11 +107,11 @@
 	}
 }
 
-// Forget drops a server that was removed from the endpoint list or has restarted.
+// Forget removes a server that was removed from the endpoint list or has restarted.
 func (b *UntrustedBackoff) Forget(server string) { b.RecordSuccess(server) }
 
-// RecheckAll is called after a change of the trust store. It resets the backoff of all servers and spreads their
-// rechecks over a short time.
+// RecheckAll resets the backoff of all servers and spreads their rechecks over a short time. It is called after a
+// change of the trust store.
 func (b *UntrustedBackoff) RecheckAll(now time.Duration) {
 	for _, entry := range b.servers {
 		entry.Rechecks = 0
@@ -116,9 +120,9 @@
 	}
 }
 
-// StartDue marks the rechecks that are due as running, the longest overdue first, as far as MaxConcurrentRechecks
-// allows, and returns their servers. Each has to be ended by RecordFailure, RecordSuccess, RecordInconclusive or
-// Forget.
+// StartDue marks the rechecks that are due as running and returns their servers, the longest overdue first. At most
+// MaxConcurrentRechecks run at once. The caller must end each recheck with RecordFailure, RecordSuccess,
+// RecordInconclusive or Forget.
 func (b *UntrustedBackoff) StartDue(now time.Duration) (servers []string) {
 	if b.rechecking >= MaxConcurrentRechecks {
 		return nil
@@ -151,14 +155,14 @@
 	return list
 }
 
-// hashFraction maps a server to a fixed value in [0, 1), by a hash of its name.
+// hashFraction maps the name of a server to a fixed value in [0, 1) by a hash.
 func hashFraction(server string) float64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(server))
 	return float64(hash.Sum32()) / (1 << 32)
 }
 
-// withJitter changes a duration by up to jitterFraction of it in either direction, depending on a hash of the server.
+// withJitter changes d by up to jitterFraction in either direction. The change depends on a hash of server.
 func withJitter(server string, d time.Duration) time.Duration {
 	return d + time.Duration(jitterFraction*(2*hashFraction(server)-1)*float64(d))
 }
--- a/handshakes/untrusted_test.go
+++ b/handshakes/untrusted_test.go
@@ -10,8 +10,8 @@
 
 const tickInterval = 50 * time.Millisecond
 
-// TestUntrustedBackoff_RecheckIntervals checks for random numbers of untrusted servers that at most
-// MaxConcurrentRechecks run at once, that each server is rechecked within seconds, and not before its backoff ends.
+// TestUntrustedBackoff_RecheckIntervals checks the rechecks of random numbers of untrusted servers. At most
+// MaxConcurrentRechecks run at once. Each server is rechecked within seconds, but not before its backoff ends.
 func TestUntrustedBackoff_RecheckIntervals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backoff, servers := NewUntrustedBackoff(), rapid.IntRange(1, 40).Draw(t, "servers")
@@ -49,8 +49,8 @@
 	}
 }
 
-// checkRecheckAll checks that all servers are rechecked within 3 s after a change of the trust store, and are trusted
-// once they have passed.
+// checkRecheckAll checks that all servers are rechecked within 3 s after a change of the trust store, and that
+// servers that pass are trusted again.
 func checkRecheckAll(t *rapid.T, backoff *UntrustedBackoff, servers int) {
 	backoff.RecheckAll(time.Minute)
 	rechecked := make(map[string]bool)
