--- a/internal/sockets/arrival_test.go
+++ b/internal/sockets/arrival_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestArrival_EarliestNeverAfterArrival checks that Earliest is never later than the actual arrival of a request,
-// however it arrives and is read.
+// however the request arrives and is read.
 func TestArrival_EarliestNeverAfterArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -12,28 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// DeadlineReader reads a TCP connection and, at a read deadline, still returns the bytes that the kernel has received
-// by then. Package net checks the deadline before the socket, so that a process that was paused until the deadline
-// would lose bytes that came in time. The number of these bytes is determined once for each deadline, so that a peer
-// cannot extend the deadline by sending more. One goroutine may read while others set the deadline.
+// DeadlineReader reads a TCP connection. After a read deadline, it still returns the bytes that the kernel received
+// by the deadline. Package net checks the deadline before the socket, so a process that is paused until the deadline
+// would lose these bytes. Their number is determined once for each deadline, so a peer cannot extend the deadline by
+// sending more. One goroutine may read while other goroutines set the deadline.
 type DeadlineReader struct {
 	tcp      *net.TCPConn
 	openedAt time.Time
 
 	mu             sync.Mutex
 	deadline       time.Time // zero: none
-	checked        bool      // receivedInTime is determined for this deadline
-	receivedInTime int       // bytes that had arrived by the deadline and are unread
+	checked        bool      // receivedInTime is set for this deadline
+	receivedInTime int       // number of unread bytes that had arrived by the deadline
 }
 
-// NewDeadlineReader returns a reader of an open connection. From then on the connection's read deadline must only be
-// set by SetReadDeadline of the reader.
+// NewDeadlineReader returns a reader of an open connection. After this call, only SetReadDeadline of the reader may
+// set the read deadline of the connection.
 func NewDeadlineReader(tcp *net.TCPConn) *DeadlineReader {
 	return &DeadlineReader{tcp: tcp, openedAt: time.Now()}
 }
 
-// SetReadDeadline sets the deadline of Read; the zero time means none. A time before the reader was created ends a
-// Read at once, even if bytes have been received: net/http interrupts its background reads this way.
+// SetReadDeadline sets the deadline of Read; the zero time means no deadline. A time before the creation of the
+// reader ends a Read immediately, even if bytes have been received. net/http interrupts its background reads in this
+// way.
 func (r *DeadlineReader) SetReadDeadline(t time.Time) error {
 	r.mu.Lock()
 	if !r.deadline.Equal(t) {
@@ -43,7 +44,7 @@
 	return r.tcp.SetReadDeadline(t)
 }
 
-// Read reads from the connection.
+// Read reads from the connection. At the deadline it still returns bytes that were received in time.
 func (r *DeadlineReader) Read(p []byte) (int, error) {
 	n, err := r.tcp.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.hasReceivedInTime() {
@@ -52,8 +53,8 @@
 	return n, err
 }
 
-// hasReceivedInTime reports whether there are unread bytes that the kernel had received when the read deadline was
-// first found to have passed. The reading goroutine calls it after a read that failed at the deadline.
+// hasReceivedInTime reports whether there are unread bytes that the kernel had received when a read first failed at
+// the read deadline. The reading goroutine calls it after each read that failed at the deadline.
 func (r *DeadlineReader) hasReceivedInTime() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,14 +67,15 @@
 	return r.receivedInTime > 0
 }
 
-// recordRead records that n of the bytes that were received in time were read.
+// recordRead records that n of the bytes received in time were read.
 func (r *DeadlineReader) recordRead(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.receivedInTime -= min(n, r.receivedInTime)
 }
 
-// readReceivedInTime reads bytes that were received in time. It returns timeoutErr if there are none.
+// readReceivedInTime reads bytes that were received in time into buf. It returns timeoutErr if there are no such
+// bytes.
 func (r *DeadlineReader) readReceivedInTime(buf []byte, timeoutErr error) (n int, err error) {
 	raw, err := r.tcp.SyscallConn()
 	if err != nil {
@@ -98,8 +100,8 @@
 	return n, nil
 }
 
-// Unread returns the number of bytes of a connection that have arrived and are unread; 0 if the kernel does not
-// report it.
+// Unread returns the number of received but unread bytes of a connection. It returns 0 if the kernel does not report
+// the number.
 func Unread(c syscall.Conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/sockets/deadlinereader_test.go
+++ b/internal/sockets/deadlinereader_test.go
@@ -28,7 +28,7 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// send writes text at the peer's end, and waits until all of it has arrived at the local end.
+// send writes text at the peer's end. It waits until the whole text has arrived at the local end.
 func send(t *testing.T, local, peer *net.TCPConn, text string) {
 	t.Helper()
 	before := Unread(local)
@@ -40,7 +40,7 @@
 	}
 }
 
-// wantTimeout checks that a read returns no bytes and a timeout.
+// wantTimeout checks that a read returns a timeout and no bytes.
 func wantTimeout(t *testing.T, reader *DeadlineReader) {
 	t.Helper()
 	if n, err := reader.Read(make([]byte, 10)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestDeadlineReader_ReadsBytesReceivedInTime checks that bytes that came by the read deadline are read after it,
-// also in pieces, and that bytes that came later are not: a peer must not extend the deadline by sending more.
+// TestDeadlineReader_ReadsBytesReceivedInTime checks that bytes that arrived by the read deadline can be read after
+// it, also in pieces. Bytes that arrived later are not returned, because a peer must not extend the deadline by
+// sending more.
 func TestDeadlineReader_ReadsBytesReceivedInTime(t *testing.T) {
 	local, peer := tcpPair(t)
 	reader := NewDeadlineReader(local)
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestDeadlineReader_NothingReceivedInTime checks that a read at the deadline times out if no bytes came in time,
-// also after others come late.
+// TestDeadlineReader_NothingReceivedInTime checks that a read at the deadline times out if no bytes arrived in time,
+// even if bytes arrive later.
 func TestDeadlineReader_NothingReceivedInTime(t *testing.T) {
 	local, peer := tcpPair(t)
 	reader := NewDeadlineReader(local)
@@ -88,8 +89,8 @@
 	wantTimeout(t, reader)
 }
 
-// TestDeadlineReader_PastDeadlineInterrupts checks that a deadline long ago ends a read at once, as net/http
-// interrupts its background reads, and leaves the bytes for the next read.
+// TestDeadlineReader_PastDeadlineInterrupts checks that a deadline long ago ends a read immediately, and leaves the
+// bytes for the next read. net/http interrupts its background reads with such a deadline.
 func TestDeadlineReader_PastDeadlineInterrupts(t *testing.T) {
 	local, peer := tcpPair(t)
 	reader := NewDeadlineReader(local)
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// maxDialReturnDelay limits the time from the establishment of a connection in the kernel until its dial returns.
+	// maxDialReturnDelay is the maximum time from the establishment of a connection in the kernel until its dial
+	// returns.
 	maxDialReturnDelay = time.Second
-	// maxTimerDelay is by how much a timer may be late in a process that was not paused.
+	// maxTimerDelay is the maximum delay of a timer in a process that was not paused.
 	maxTimerDelay = time.Millisecond
-	// minExtension is the least additional time for a connect whose timeout came late.
+	// minExtension is the minimum additional time for a connect whose timeout fired late.
 	minExtension = 20 * time.Millisecond
 )
 
-// DialTCP opens a TCP connection as dialer.DialContext does. At a timeout, which is that of the dialer or the
-// deadline of ctx, it checks the socket once more: if the process was paused until the timeout, package net would
-// discard a connection that was established in time. The error at a timeout wraps os.ErrDeadlineExceeded or ctx's
-// error.
+// DialTCP opens a TCP connection as dialer.DialContext does. The timeout is that of dialer or the deadline of ctx. At
+// the timeout, DialTCP checks the socket once more. If the process was paused until the timeout, package net would
+// discard a connection that was established in time. The error at a timeout wraps os.ErrDeadlineExceeded or the error
+// of ctx.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	dialCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
@@ -63,12 +64,13 @@
 
 	mu        sync.Mutex
 	sockets   []syscall.RawConn
-	extension *time.Timer // ends a connect whose timeout was extended; nil: it was not
+	extension *time.Timer // timer that ends an extended connect; nil: not extended
 }
 
 type controlFunc = func(ctx context.Context, network, address string, socket syscall.RawConn) error
 
-// recordSockets returns a ControlContext that records the sockets of the attempt and then calls that of the dialer.
+// recordSockets returns a ControlContext function that records the sockets of the attempt. The function then calls
+// ControlContext or Control of dialer, if set.
 func (a *connectAttempt) recordSockets(dialer *net.Dialer) controlFunc {
 	return func(ctx context.Context, network, address string, socket syscall.RawConn) error {
 		a.mu.Lock()
@@ -84,7 +86,8 @@
 	}
 }
 
-// endWithContext ends the attempt when ctx ends: at its deadline as expire does, and at once if it was cancelled.
+// endWithContext ends the attempt when ctx ends. At the deadline of ctx it calls expire. If ctx was cancelled, it
+// ends the attempt immediately.
 func (a *connectAttempt) endWithContext(ctx context.Context) {
 	due, hasDeadline := ctx.Deadline()
 	if hasDeadline && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -94,15 +97,15 @@
 	a.cancel(ctx.Err())
 }
 
-// expire ends the attempt at a timeout that was due, unless a socket is connected, so that the dial is about to
-// return. If the timeout fires late, as after a pause of the process, the attempt gets more time once: it may not
-// have sent its SYN yet.
+// expire ends the attempt at a timeout that was due at the time due, unless a socket is connected and the dial is
+// about to return. A timeout fires late after a pause of the process. The attempt may then not have sent its SYN yet,
+// so expire extends it once.
 func (a *connectAttempt) expire(cause error, due time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	late := time.Since(due)
 	switch {
-	case a.extension != nil: // another timeout has extended the attempt
+	case a.extension != nil: // another timeout has already extended the attempt
 	case slices.ContainsFunc(a.sockets, isConnected):
 		a.extension = time.AfterFunc(maxDialReturnDelay, func() { a.cancel(cause) })
 	case late > maxTimerDelay:
@@ -123,7 +126,7 @@
 	a.extension = time.AfterFunc(maxDialReturnDelay, func() { a.cancel(cause) })
 }
 
-// stopExtension stops the timer of an extension.
+// stopExtension stops the timer of an extension, if any.
 func (a *connectAttempt) stopExtension() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -132,7 +135,7 @@
 	}
 }
 
-// isConnected reports whether the kernel has established the connection of a socket. It does not block.
+// isConnected reports whether the kernel has established the connection of socket. It does not block.
 func isConnected(socket syscall.RawConn) bool {
 	connected := false
 	err := socket.Control(func(fd uintptr) {
--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// dialHelperEnv is the environment variable with which the test binary runs as a helper process: it dials the
-	// address in it instead of running tests.
+	// dialHelperEnv is the environment variable that makes the test binary run as a helper process. The helper dials
+	// the address in the variable instead of running tests.
 	dialHelperEnv = "SOCKETS_DIAL_HELPER"
-	// dialHelperTimeout is the timeout of the helper process's dial.
+	// dialHelperTimeout is the timeout of the dial in the helper process.
 	dialHelperTimeout = 1200 * time.Millisecond
-	// synRetransmission is the time after which the kernel has sent a SYN again: 1 s, with some slack.
+	// synRetransmission is the time after which the kernel has sent a second SYN: 1 s, with some slack.
 	synRetransmission = 1100 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// runDialHelper prints that it starts, dials the address, and prints the result.
+// runDialHelper prints that the helper starts, dials addr, and prints the result.
 func runDialHelper(addr string) (status int) {
 	fmt.Println("dialing")
 	conn, err := DialTCP(context.Background(), &net.Dialer{Timeout: dialHelperTimeout}, addr)
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// fullListener listens with a full accept queue: the kernel drops further SYNs until accept is called.
+// fullListener listens with a full accept queue. The kernel drops further SYNs until accept is called.
 func fullListener(t *testing.T) (addr string, accept func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestDialTCP_PausedUntilTimeout pauses a process before its connection is established, and until after the timeout
-// of the dial. The dial must succeed, since the connection was established in time.
+// TestDialTCP_PausedUntilTimeout pauses a process from before its connection is established until after the timeout
+// of the dial. The dial must succeed, because the connection is established in time.
 func TestDialTCP_PausedUntilTimeout(t *testing.T) {
 	addr, accept := fullListener(t)
 	helper := exec.Command(os.Args[0])
@@ -99,7 +99,7 @@
 	defer func() { _ = helper.Process.Kill() }()
 	lines := bufio.NewScanner(output)
 	lines.Scan()
-	time.Sleep(100 * time.Millisecond) // by now its SYN has been sent and dropped
+	time.Sleep(100 * time.Millisecond) // by now the SYN of the helper has been sent and dropped
 	if err := helper.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestDialTCP_Timeout checks that a connection that is not established in time fails at the dialer's timeout, at the
-// context's deadline, and when the context is cancelled.
+// TestDialTCP_Timeout checks that a dial without a connection in time fails at the timeout of the dialer, at the
+// deadline of the context, and when the context is cancelled.
 func TestDialTCP_Timeout(t *testing.T) {
 	addr, _ := fullListener(t)
 	const timeout = 150 * time.Millisecond
@@ -156,7 +156,7 @@
 }
 
 // TestConnectAttempt_LateTimeout checks that a timeout that fires late extends an attempt that has not begun to
-// connect, once, and that a punctual timeout ends the attempt.
+// connect, but only once. A punctual timeout ends the attempt.
 func TestConnectAttempt_LateTimeout(t *testing.T) {
 	for _, late := range []time.Duration{0, 5 * time.Millisecond} {
 		ctx, cancel := context.WithCancelCause(t.Context())
@@ -165,7 +165,7 @@
 		if ended := ctx.Err() != nil; ended != (late == 0) {
 			t.Errorf("timeout late by %v: attempt ended %v", late, ended)
 		}
-		attempt.expire(context.DeadlineExceeded, time.Now()) // the context's deadline at the same time
+		attempt.expire(context.DeadlineExceeded, time.Now()) // the deadline of the context passes at the same time
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Minute):
--- a/internal/sockets/idle.go
+++ b/internal/sockets/idle.go
@@ -1,5 +1,5 @@
-// Package sockets provides what package net lacks for TCP: the kernel's state of connections, inherited listening
-// sockets, and listeners that continue after errors.
+// Package sockets provides functions for TCP that package net lacks: the kernel's state of connections, inherited
+// listening sockets, and listeners that continue after errors.
 package sockets
 
 import (
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// IsIdle reports whether a connection is open and has no unread bytes. It does not block, and may be called while
+// IsIdle reports whether a connection is open and has no unread bytes. It does not block. It may be called while
 // another goroutine reads.
 func IsIdle(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
--- a/internal/sockets/inherited.go
+++ b/internal/sockets/inherited.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// acceptTimeout limits an accept that blocks in the kernel, which a close would not interrupt.
+// acceptTimeout is the maximum duration of an accept that blocks in the kernel. Closing the listener would not
+// interrupt such an accept.
 const acceptTimeout = 100 * time.Millisecond
 
-// InheritedListener returns a listener for a listening TCP socket that this process has inherited as the descriptor
-// with the given decimal number. It closes that descriptor. Closing the listener does not close the socket in other
-// processes that share it.
+// InheritedListener returns a listener for an inherited listening TCP socket. number is the decimal number of its
+// descriptor. InheritedListener closes that descriptor if it is a listening socket. Closing the listener does not
+// close the socket in other processes that share it.
 func InheritedListener(number string) (*net.TCPListener, error) {
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < 0 {
@@ -28,9 +29,9 @@
 	case err != nil || listens == 0:
 		return nil, fmt.Errorf("descriptor %d is not a listening socket", fd)
 	}
-	// O_NONBLOCK is shared by all processes that have the socket. If another process clears it, an accept blocks in
-	// the kernel, and closing the listener would wait for the next client. The timeout ends such an accept; after it,
-	// the runtime polls the socket again.
+	// O_NONBLOCK is shared by all processes that have the socket. If another process clears O_NONBLOCK, an accept
+	// blocks in the kernel. Closing the listener would then wait for the next client. The timeout ends such an
+	// accept, and the runtime then polls the socket again.
 	timeout := syscall.NsecToTimeval(int64(acceptTimeout))
 	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &timeout); err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -16,11 +16,11 @@
 	maxAcceptBackoff = 20 * time.Millisecond
 )
 
-// acceptLogInterval is the time without a failed accept after which the next failure is logged.
+// acceptLogInterval is the minimum time without a failed accept before another failure is logged.
 const acceptLogInterval = 10 * time.Second
 
-// PersistentListener is a listener whose Accept fails only after Close, or at its deadline. Servers such as that of
-// net/http end at the first error of accept(2), although many errors are temporary: a lack of memory, or a network
+// PersistentListener is a listener whose Accept fails only after Close or at its deadline. Servers such as the server
+// of net/http end at the first error of accept(2). Many of these errors are temporary: a lack of memory, or a network
 // error of the connection to be accepted.
 type PersistentListener struct {
 	net.Listener
@@ -30,11 +30,11 @@
 	closed    chan struct{}
 	closeErr  error
 
-	lastFailure time.Time // used by Accept only
+	lastFailure time.Time // used only by Accept
 }
 
 // NewPersistentListener returns a listener that retries after errors of inner. If log is not nil, an error is logged
-// unless another one occurred in the ten seconds before. Accept must not be called concurrently.
+// unless another error occurred in the ten seconds before. Accept must not be called concurrently.
 func NewPersistentListener(inner net.Listener, log *slog.Logger) *PersistentListener {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Close implements net.Listener. Later calls return the result of the first one.
+// Close implements net.Listener. Later calls return the result of the first call.
 func (l *PersistentListener) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -99,7 +99,7 @@
 	}
 }
 
-// logFailure logs an error, unless the previous one was less than acceptLogInterval ago.
+// logFailure logs an error, unless the previous error was less than acceptLogInterval ago.
 func (l *PersistentListener) logFailure(err error) {
 	now := time.Now()
 	if l.lastFailure.IsZero() || now.Sub(l.lastFailure) > acceptLogInterval {
--- a/internal/sockets/peek.go
+++ b/internal/sockets/peek.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Peek copies the unread bytes of a connection into buf, as many as fit, and returns that part of buf. It neither
-// blocks nor consumes the bytes.
+// Peek copies the unread bytes of a connection into buf, as many as fit. It returns the filled part of buf. It
+// neither blocks nor consumes the bytes.
 func Peek(c *net.TCPConn, buf []byte) []byte {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/sockets/peerclosed.go
+++ b/internal/sockets/peerclosed.go
@@ -2,7 +2,8 @@
 
 import "net"
 
-// The kernel's numbers of the TCP states in which the peer has closed its side, or the whole connection is closed.
+// Numbers of TCP states in the kernel. In these states the peer has closed its side, or the whole connection is
+// closed.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -11,8 +12,8 @@
 	tcpTimeWait  = 6
 )
 
-// PeerClosed reports whether the peer has closed its side of a connection, or reset it, even if earlier bytes are
-// still unread. It does not block. If the kernel does not report the state, it returns false.
+// PeerClosed reports whether the peer has closed its side of a connection or reset the connection, even if earlier
+// bytes are still unread. It does not block. It returns false if the kernel does not report the state.
 func PeerClosed(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -20,11 +21,11 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) { closed = isClosedByPeer(fd) })
-	return closed || err != nil // Control fails if this side has closed the connection
+	return closed || err != nil // Control returns an error if this side has closed the connection
 }
 
 // AwaitPeerClose waits until the peer has closed its side of a connection. It returns an error if the read deadline
-// passes first. It reads no bytes. No Read may run at the same time.
+// passes first. It reads no bytes. No Read may run concurrently.
 func AwaitPeerClose(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -33,8 +34,8 @@
 	return raw.Read(isClosedByPeer)
 }
 
-// isClosedByPeer asks the kernel for the state of a connection. A read could not tell, because unread bytes precede
-// the end of the stream.
+// isClosedByPeer reports whether the kernel's state of a connection is one of the above. A read would not detect the
+// close, because unread bytes precede the end of the stream.
 func isClosedByPeer(fd uintptr) bool {
 	var info tcpInfo
 	if !info.read(fd, stateSize) {
--- a/internal/sockets/queue.go
+++ b/internal/sockets/queue.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxPeekedBytes limits how many unread bytes are examined to find out whether a request or a TLS ClientHello is
-	// complete.
+	// maxPeekedBytes is the maximum number of unread bytes that are examined to determine whether a request or a TLS
+	// ClientHello is complete.
 	maxPeekedBytes = 4 << 10
-	// kernelClockTick is the longest tick of the clock with which the kernel records the times of a connection.
+	// kernelClockTick is the maximum tick of the clock with which the kernel records the times of a connection.
 	kernelClockTick = 10 * time.Millisecond
 )
 
-// HasQueuedConn reports whether a connection waits in a listener's accept queue. known is false if the kernel does
-// not report it, or the listener has no descriptor. It does not block.
+// HasQueuedConn reports whether a connection waits in the accept queue of listener. known is false if the kernel does
+// not report this, or listener has no descriptor. HasQueuedConn does not block.
 func HasQueuedConn(listener net.Listener) (queued, known bool) {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -37,21 +37,22 @@
 	return queued, known && err == nil
 }
 
-// AcceptQueue determines a bound for the age of the connections in a listener's accept queue. It is not safe for
+// AcceptQueue determines a maximum age of the connections in the accept queue of a listener. It is not safe for
 // concurrent use.
 type AcceptQueue struct {
 	emptyAt time.Time
 }
 
-// NewAcceptQueue returns an AcceptQueue for a listener that was opened just now.
+// NewAcceptQueue returns an AcceptQueue for a listener that was just opened.
 func NewAcceptQueue() AcceptQueue { return AcceptQueue{emptyAt: time.Now()} }
 
-// EmptyAt returns when the queue was last known to be empty. Connections that are accepted later cannot have arrived
-// before that time.
+// EmptyAt returns the last time at which the queue was known to be empty. A connection accepted later cannot have
+// arrived before that time.
 func (q *AcceptQueue) EmptyAt() time.Time { return q.emptyAt }
 
-// Accept accepts a connection. A call that took long waited on an empty queue, unless the kernel had reported a
-// queued connection before it: then the process may have been paused during the call.
+// Accept accepts a connection from listener. A long call to listener.Accept counts as a wait on an empty queue,
+// unless the kernel had reported a queued connection before the call. In that case, the process may have been paused
+// during the call.
 func (q *AcceptQueue) Accept(listener net.Listener) (net.Conn, error) {
 	queued, known := HasQueuedConn(listener)
 	began := time.Now()
@@ -70,9 +71,9 @@
 	return conn, nil
 }
 
-// recordEstablished records when an accepted connection was established, if the kernel reports it: connections behind
-// it in the queue came later. This also corrects the time if the connection seen in the queue went to another process
-// that shares the socket, and the accepted one came long after it.
+// recordEstablished records when an accepted connection was established, if the kernel reports the time. Connections
+// behind it in the queue arrived later. The record also corrects EmptyAt if another process that shares the socket
+// took the connection seen in the queue, and the accepted connection arrived long after it.
 func (q *AcceptQueue) recordEstablished(conn net.Conn, now time.Time) {
 	tcp := underlyingTCP(conn)
 	if tcp == nil {
@@ -95,11 +96,13 @@
 	return nil
 }
 
-// WaitingSince returns the time since which the client of a connection has waited for the connection to be read. If
-// nothing has come, that is when the connection was established. If isComplete reports that the received bytes are
-// all that is expected, it is when the last of them came. Otherwise it is queuedSince, the earliest time at which the
-// connection can have come: a client that sends byte by byte must not look as if it had just come. queuedSince is
-// also returned if it is later, or the kernel does not report the times.
+// WaitingSince returns the time since which the client of a connection has waited for the connection to be read.
+//
+// If no byte has arrived, WaitingSince returns the time at which the connection was established. If isComplete
+// reports that the received bytes are complete, it returns the arrival time of the last byte. Otherwise it returns
+// queuedSince, the earliest time at which the connection can have arrived. A client that sends byte by byte then does
+// not look as if it had just arrived. WaitingSince also returns queuedSince if queuedSince is later, or if the kernel
+// does not report the times.
 func WaitingSince(tcp *net.TCPConn, queuedSince time.Time, isComplete func(received []byte) bool) time.Time {
 	age, known := SinceConnect(tcp)
 	if !known {
@@ -115,8 +118,8 @@
 	return queuedSince
 }
 
-// IsClientHello reports whether the bytes are exactly the first record of a TLS handshake, after which a client waits
-// for the server.
+// IsClientHello reports whether received is exactly the first record of a TLS handshake. A client waits for the
+// server after that record.
 func IsClientHello(received []byte) bool {
 	const headerSize, handshakeRecord, lengthAt = 5, 22, 3
 	return len(received) > headerSize && received[0] == handshakeRecord &&
--- a/internal/sockets/queue_test.go
+++ b/internal/sockets/queue_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// pausedListener sleeps within Accept, as if the process had been paused on a busy host.
+// pausedListener sleeps within Accept, as if the process were paused on a busy host.
 type pausedListener struct {
 	*net.TCPListener
 }
@@ -18,8 +18,8 @@
 	return l.TCPListener.Accept()
 }
 
-// TestAcceptQueue_PauseNotTakenForEmptyQueue checks that a pause of the process within accept is not taken for a wait
-// on an empty queue: connections behind it would count as new.
+// TestAcceptQueue_PauseNotTakenForEmptyQueue checks that a pause of the process within accept does not count as a
+// wait on an empty queue. Otherwise connections further back in the queue would count as new.
 func TestAcceptQueue_PauseNotTakenForEmptyQueue(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // sharedSocketListener simulates another process that shares the socket and takes the connection seen in the queue.
-// Another client connects only after that.
+// Another client connects only after that connection is taken.
 type sharedSocketListener struct {
 	*net.TCPListener
 	connectLater func()
@@ -67,8 +67,8 @@
 	return l.TCPListener.Accept()
 }
 
-// TestAcceptQueue_SharedSocket checks that the age of a connection that another process took from the shared queue is
-// not attributed to the connection that came long after it.
+// TestAcceptQueue_SharedSocket checks the case in which another process takes a connection from the shared queue. The
+// age of that connection must not be attributed to a connection that arrives long after it.
 func TestAcceptQueue_SharedSocket(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sockets/tcpinfo.go
+++ b/internal/sockets/tcpinfo.go
@@ -8,7 +8,7 @@
 	"unsafe"
 )
 
-// Offsets and sizes, in bytes, in the kernel's struct tcp_info. Kernels only append to that struct.
+// Offsets and sizes, in bytes, in struct tcp_info of the kernel. Kernels only append to that struct.
 const (
 	stateSize           = 1
 	lastDataRecvOffset  = 52 // milliseconds since data was last received
@@ -23,7 +23,8 @@
 // tcpInfo is the beginning of a struct tcp_info.
 type tcpInfo [receiveTimesSize]byte
 
-// read reads the first size bytes of the struct from the kernel. It returns false if the kernel has fewer.
+// read reads the first size bytes of the struct from the kernel. It returns false if the struct of the kernel is
+// shorter.
 func (i *tcpInfo) read(fd uintptr, size uint32) bool {
 	got := size
 	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -31,9 +32,9 @@
 	return errno == 0 && got >= size
 }
 
-// SinceLastReceived returns the time since the kernel received the newest bytes of a connection, read or not. It
-// returns false if none were received, or the kernel does not report the time. The resolution is a tick of the
-// kernel's clock, 10 ms at most.
+// SinceLastReceived returns the time since the kernel received the newest bytes of a connection, read or unread. It
+// returns false if no bytes were received, or the kernel does not report the time. The resolution is a tick of the
+// kernel's clock, at most 10 ms.
 func SinceLastReceived(c *net.TCPConn) (time.Duration, bool) {
 	info, known := readReceiveTimes(c)
 	if !known || !info.hasReceived() {
@@ -43,7 +44,7 @@
 }
 
 // SinceConnect returns the time since an accepted connection was established. It returns false if the client has sent
-// any bytes, or the kernel does not report the time. The resolution is that of SinceLastReceived.
+// any bytes, or the kernel does not report the time. The resolution is the same as that of SinceLastReceived.
 func SinceConnect(c *net.TCPConn) (time.Duration, bool) {
 	info, known := readReceiveTimes(c)
 	if !known || info.hasReceived() {
@@ -65,7 +66,7 @@
 // hasReceived reports whether any bytes were received.
 func (i *tcpInfo) hasReceived() bool { return binary.NativeEndian.Uint64(i[bytesReceivedOffset:]) > 0 }
 
-// millisecondsAt returns the number of milliseconds at an offset as a duration.
+// millisecondsAt returns the milliseconds stored at offset, with size bytes, as a duration.
 func (i *tcpInfo) millisecondsAt(offset, size int) time.Duration {
 	return time.Duration(binary.NativeEndian.Uint32(i[offset:offset+size])) * time.Millisecond
 }
