--- a/policy/api.go
+++ b/policy/api.go
@@ -40,8 +40,8 @@
 
 // The zero value is the narrowest scope.
 const (
-	DedupCell DedupScope = iota // servers with the same Cell as the first server that may have executed it
-	DedupZone                   // servers in the same Zone as that server
+	DedupCell DedupScope = iota // servers in the Cell of the first server that may have executed the request
+	DedupZone                   // servers in the Zone of that server
 	DedupAll                    // all servers
 )
 
@@ -91,9 +91,9 @@
 	Burst     int64         // bucket capacity, in tokens
 }
 
-// RateLimits holds the rate limits that apply besides the tenants' quotas. All are optional.
+// RateLimits holds the rate limits in addition to the quotas of the tenants. Each field is optional.
 type RateLimits struct {
-	Default  *Limit           // limit for tenants without a quota; nil: smallest quota of a tenant, if any
+	Default  *Limit           // limit for tenants without a quota; nil: smallest quota, or no limit without tenants
 	PerClass map[string]Limit // by class: limit that replaces the tenant's; each tenant has its own bucket
 	Max      float64          // maximum of PerWindow and Burst in every limit; 0: none
 }
@@ -239,7 +239,7 @@
 	Overloaded         // the server rejected the request for lack of capacity
 	TimedOut           // no answer before the time-out of the attempt
 	ConnectFailed      // no connection could be established, so nothing was sent
-	Reset              // the connection was reset during the attempt
+	Reset              // the connection failed during the attempt
 	Cancelled          // the node cancelled the attempt with a Cancel action
 	Superseded         // the node abandoned the attempt before sending it; no fault of the server
 	Untrusted          // the server failed to authenticate itself, so nothing was sent
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -143,7 +143,7 @@
 	b.finish(r)
 }
 
-// finish marks r as answered, cancels its attempts, and deletes r once none is in flight.
+// finish marks r as answered, cancels its attempts, and deletes r once no attempt is in flight.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
 		r.answered = true
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -39,7 +39,7 @@
 		}
 		b.rebuildOrder()
 	}
-	if !list.More { // a later part of the change may drain a server
+	if !list.More { // wait for all parts, because a later part may drain a server
 		b.dispatchQueued()
 	}
 }
@@ -124,7 +124,7 @@
 		}
 		return
 	}
-	if !coveredZone || b.subsetSize < b.localCount { // the subset is not the whole zone before and after
+	if !coveredZone || b.subsetSize < b.localCount { // skip if the subset was and still is the whole zone
 		b.replaceSubset(formerSubset)
 	}
 	slices.SortFunc(added, func(x, y *server) int { return b.position(x) - b.position(y) })
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -9,8 +9,8 @@
 	ejectionScore      = 0.5             // fault score above which a server is ejected
 	baseEjectionTime   = time.Second     // duration of the first ejection; doubled at each further ejection
 	maxEjectionTime    = 8 * time.Second // maximum duration of an ejection
-	maxEjectedFraction = 0.4             // if more of the servers seem faulty, the cause is elsewhere
-	probesToRecover    = 3               // probes in a row; half of them pass at a server that fails half
+	maxEjectedFraction = 0.4             // maximum fraction of ejected servers; beyond it, the cause is elsewhere
+	probesToRecover    = 3               // successful probes required in a row; a server that fails half passes half
 )
 
 // updateHealth updates the circuit breaker of a server after an attempt ended with code.
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestSlowStart_RateLeavesMargin checks the rate to a server in slow start, as a multiple of its current capacity.
-// The rate is 0.7 of the overload factor minus 1, but at least 0.35. The rest of the factor absorbs random variation.
+// The rate is 0.7 * max(0.5, overload factor - 1). The rest of the factor absorbs random variation.
 func TestSlowStart_RateLeavesMargin(t *testing.T) {
 	for factor, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		t.Run(fmt.Sprintf("factor=%v", factor), func(t *testing.T) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -34,7 +34,7 @@
 	faultWeight          float64 // weight of a fault; below 1 while most servers have faults
 	overloadRatio        float64 // moving average of the fraction of bad outcomes that are overload answers
 	badRatio             float64 // moving average of the fraction of outcomes that are bad
-	timeoutRatio         float64 // moving average of the fraction of time-outs, without overload answers
+	timeoutRatio         float64 // moving average of the fraction of time-outs; overload answers are not counted
 
 	servers           map[string]*server // all listed servers, including those not in service
 	pool                                 // servers in service
