--- a/levels/config.go
+++ b/levels/config.go
@@ -60,7 +60,7 @@
 	MaxAttempts  int           // maximum attempts per request; 0: no limit by this measure
 	WithinQuota  bool          // requests beyond a tenant's quota are rejected
 	MaxQueueTime time.Duration // maximum time that a request waits for a server; 0: no limit by this measure
-	ZoneLocal    bool          // requests stay in the node's zone while it has a server
+	ZoneLocal    bool          // requests stay in the node's zone while the zone has a server
 	// FollowDemand makes Shed an upper limit. Each second, the fraction shed is set to the load that still exceeds
 	// the capacity of the servers after the measures before this measure. Demand includes shed work, so the fraction
 	// does not oscillate.
@@ -103,11 +103,11 @@
 
 // Window holds the counts of one class in one second.
 type Window struct {
-	Offered float64 // requests, including shed ones
+	Offered float64 // requests received, including shed requests
 	Shed    float64 // requests shed by a level
 	Work    float64 // mean work per request, in any unit that is the same for all classes
 	OnTime  float64 // responses within their latency objective
-	Late    float64 // responses after it, and requests failed or rejected for lack of a server
+	Late    float64 // late responses, and requests failed or rejected for lack of a server
 	Queued  float64 // requests waiting for a server at the end of the second
 	Open    float64 // requests without a response at the end of the second
 }
--- a/levels/signals.go
+++ b/levels/signals.go
@@ -41,9 +41,9 @@
 }
 
 // updateCapacity estimates the work per second that servers can complete within the latency objectives. The estimate
-// is the largest amount completed recently, decaying with time. While many responses are slow, it falls toward the
-// work completed now. While few responses are slow, servers may be able to handle all of the offered work. The
-// estimate then rises to the offered work, up to unsaturatedGrowth times the work completed now.
+// is the largest amount completed recently, decaying with time. While many responses are slow, the estimate falls
+// toward the work completed now. While few responses are slow, servers may be able to handle all of the offered work.
+// The estimate then rises to the offered work, up to unsaturatedGrowth times the work completed now.
 func (c *Controller) updateCapacity(offeredWork, completedWork float64) {
 	saturated := c.signals[signalKey{SlowAnswers, ""}] > saturatedSlowRatio
 	c.capacity *= 1 - capacityDecay
