--- a/drain/drain.go
+++ b/drain/drain.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// enter changes the state, sets the time at which it ends, and records an event.
+// enter changes the state, sets the end of the new state, and records an event.
 func (m *Machine) enter(now time.Time, state State, change Change, counts Counts) {
 	former := m.status.State
 	m.status.State, m.status.Since = state, now
