--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -34,7 +34,7 @@
 
 	cpu            *CPUScheduler
 	task           Task
-	deadline       time.Time       // deadline of the handshake
+	deadline       time.Time       // time at which the handshake fails
 	cancelled      <-chan struct{} // closed when the handshake is no longer wanted
 	inHandshake    bool
 	holdsCPU       bool
--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -19,8 +19,8 @@
 }
 
 // CPUBudget divides the CPU between handshake computations and all other work. At most one task per core runs at a
-// time. While requests are in flight, each normal task is followed by a pause that keeps normal tasks within their
-// share. CPUBudget is not safe for concurrent use.
+// time. While requests are in flight, each task that is not urgent is followed by a pause that keeps these tasks
+// within their share. CPUBudget is not safe for concurrent use.
 type CPUBudget struct {
 	share      float64
 	cores      int
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -20,7 +20,7 @@
 }
 
 // NewCPUScheduler returns a scheduler for the given number of cores. While hasRequests reports requests in flight,
-// normal handshakes take at most share (0 to 1) of the CPU time of these cores.
+// handshakes that are not urgent take at most share (0 to 1) of the CPU time of these cores.
 func NewCPUScheduler(share float64, cores int, hasRequests func() bool) *CPUScheduler {
 	return &CPUScheduler{
 		hasRequests: hasRequests,
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -54,7 +54,7 @@
 type Reservation struct {
 	Server      string
 	WarmingUp   bool // the server is warming up
-	Speculative bool // no request waits for the handshake: it neither queues nor overtakes
+	Speculative bool // no request waits for the handshake; it never queues or overtakes a queued handshake
 
 	started, released bool
 }
