--- a/internal/sockets/peerclosed.go
+++ b/internal/sockets/peerclosed.go
@@ -34,8 +34,8 @@
 	return raw.Read(isClosedByPeer)
 }
 
-// isClosedByPeer reports whether the kernel's state of a connection is one of the above. A read would not detect the
-// close, because unread bytes precede the end of the stream.
+// isClosedByPeer reports whether the kernel's state of a connection is one of the states above. A read would not
+// detect the close, because unread bytes precede the end of the stream.
 func isClosedByPeer(fd uintptr) bool {
 	var info tcpInfo
 	if !info.read(fd, stateSize) {
