--- a/transport/http1/roundtrip.go
+++ b/transport/http1/roundtrip.go
@@ -86,7 +86,7 @@
 	// Time may have passed since the router decided on this attempt, for example during a pause of the process.
 	if err := t.beginWrite(ctx, connection.server); err != nil {
 		reusable = errors.Is(err, errServerDraining) || errors.Is(err, outcome.ErrAbandoned)
-		return router.Result{Code: outcome.WriteNotStartedCode(ctx, err)}, false, reusable
+		return router.Result{Code: outcome.NotBegunCode(ctx, err)}, false, reusable
 	}
 	if !connection.isTrusted(time.Now()) {
 		outcome.EndWrite(ctx)
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -76,10 +76,10 @@
 	return policy.Reset
 }
 
-// WriteNotStartedCode returns the outcome of an attempt that had a connection but was not written because of err. err
+// NotBegunCode returns the outcome of an attempt that had a connection but was not written because of err. err
 // comes from BeginWrite or from a check after it. If the deadline passed before the write, this process was late and
 // the server is not at fault.
-func WriteNotStartedCode(ctx context.Context, err error) policy.Code {
+func NotBegunCode(ctx context.Context, err error) policy.Code {
 	code := FailureCode(ctx, false)
 	if code == policy.ConnectFailed && errors.Is(err, context.DeadlineExceeded) {
 		return policy.Superseded
