--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -9,8 +9,8 @@
 // Result is the outcome of one entry.
 type Result struct {
 	Position     Position
-	FencingToken FencingToken // token of the lease that the entry concerns; 0 if it concerns no lease
-	Err          error        // why the entry was rejected; nil if it was accepted
+	FencingToken FencingToken // token of the entry's lease; 0: the entry concerns no lease
+	Err          error        // reason for the rejection; nil: the entry was accepted
 }
 
 // kindSpec describes how entries of one kind are applied.
@@ -44,15 +44,16 @@
 	KindEnableServers:   {1, withoutToken((*State).applyEnableServers)},
 }
 
-// withoutToken adapts the apply method of a kind whose entries concern no lease, so that their results carry no
+// withoutToken adapts the apply method of a kind whose entries concern no lease. The results of such entries have no
 // fencing token.
 func withoutToken(apply func(*State, Entry) error) func(*State, Entry) (FencingToken, error) {
 	return func(state *State, entry Entry) (FencingToken, error) { return 0, apply(state, entry) }
 }
 
-// Apply applies the entry at a position of the log, and returns the resulting state and the outcome of the entry.
-// Bytes that cannot be decoded are rejected like an invalid entry. The only error is ErrUnsupportedFormat: the entry
-// needs a newer version of the program, and the caller must not apply any further entry.
+// Apply applies the encoded entry raw, whose position in the log is position. It returns the resulting state and the
+// outcome of the entry. Bytes that cannot be decoded are rejected like an invalid entry. The only error is
+// ErrUnsupportedFormat: the entry needs a newer version of the program. After that error the caller must not apply
+// any further entry.
 func (s *State) Apply(position Position, raw []byte) (*State, Result, error) {
 	result := Result{Position: position}
 	var entry Entry
@@ -86,8 +87,8 @@
 	return &next
 }
 
-// lookupKind returns how an entry is applied. Its error is the reason to reject the entry, or ErrUnsupportedFormat if
-// the format version of the state allows the entry but this program does not support it.
+// lookupKind returns how an entry is applied, or the reason to reject the entry. It returns ErrUnsupportedFormat if
+// the format version of the state allows the entry but this program does not support the entry.
 func (s *State) lookupKind(entry Entry) (kindSpec, error) {
 	if max(entry.FormatVersion, 1) > s.FormatVersion {
 		return kindSpec{}, ErrFormatTooNew
@@ -102,8 +103,8 @@
 	return kindSpec{}, ErrUnsupportedFormat
 }
 
-// apply applies an entry to s, a copy of the previous state. The copy shares its maps with that state, so a map that
-// changes is replaced and never written.
+// apply applies an entry to s, a copy of the previous state. The copy shares its maps with the previous state, so
+// apply methods replace a map instead of writing to it.
 func (s *State) apply(spec kindSpec, entry Entry) (FencingToken, error) {
 	for _, text := range []string{entry.Reason, entry.Detail, entry.RequestedBy, entry.Holder, entry.Resource} {
 		if len(text) > maxTextLength {
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// mustApply applies entries at consecutive positions, and returns the resulting state and the last result.
+// mustApply applies entries at consecutive positions. It returns the resulting state and the last result.
 func mustApply(t *testing.T, state *State, entries ...Entry) (*State, Result) {
 	t.Helper()
 	var result Result
@@ -21,15 +21,15 @@
 	return state, result
 }
 
-// step is one entry of a sequence, and the error with which the state must reject it; a nil error means that the
-// entry must be accepted.
+// step is one entry of a sequence, and the error with which the state must reject the entry; nil: the entry must be
+// accepted.
 type step struct {
 	name  string
 	entry Entry
 	want  error
 }
 
-// applySequence applies the entries of steps in order, and checks the outcome of each.
+// applySequence applies the entries of steps in order, and checks the outcome of each entry.
 func applySequence(t *testing.T, state *State, steps []step) (*State, Result) {
 	t.Helper()
 	var result Result
@@ -44,8 +44,8 @@
 	return state, result
 }
 
-// While members support different format versions, all of them reject entries that the oldest one does not support.
-// Otherwise their states would diverge. A program that is too old for the log must stop applying entries.
+// TestApply_EntriesOfNewerFormats checks that a state rejects entries of a format that not all members support.
+// Otherwise the states of the members would diverge. A program that is too old for the log must stop applying entries.
 func TestApply_EntriesOfNewerFormats(t *testing.T) {
 	state := NewState(1).WithMembers(1, map[uint64]Member{
 		1: {ID: 1, SupportedFormat: 1},
@@ -134,8 +134,9 @@
 	}
 }
 
-// Only the holder of the lease may record steps. The state itself limits how many nodes are drained at a time, because
-// a holder may not know which of its entries are in the log.
+// TestApply_JobStepsAndLimits checks that only the holder of the lease may record steps, and that the state limits
+// how many nodes are drained at a time. A holder cannot enforce the limit, because it may not know which of its
+// entries are in the log.
 func TestApply_JobStepsAndLimits(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollingUpdate, Nodes: []string{"a", "b"}, MaxUnavailable: 1}
 	state, result := mustApply(t, NewState(1),
@@ -178,7 +179,8 @@
 	}
 }
 
-// A rollout publishes, promotes in stages, retires and clears versions, and never leaves more than two in use.
+// TestApply_RolloutLifecycle checks the entries of a rollout: a version is published, promoted in stages, retired and
+// cleared. At most two versions may be in use at any time.
 func TestApply_RolloutLifecycle(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollout, Artifact: "settings", Digest: "v2", Stages: [][]string{{"a"}}}
 	grant := Entry{Kind: KindGrantLease, Resource: ResourceRollout, Holder: "x", LeaseDuration: time.Second}
@@ -218,8 +220,8 @@
 	}
 }
 
-// BenchmarkApply applies an entry to a state of 1,000 nodes. A renewal copies only the small map of leases, and a
-// registration copies the map of nodes.
+// BenchmarkApply measures a renewal and a registration in a state of 1,000 nodes. A renewal copies only the small map
+// of leases. A registration copies the map of nodes.
 func BenchmarkApply(b *testing.B) {
 	register := func(name, address string) Entry {
 		return Entry{Kind: KindRegisterNode, Node: &Node{Name: name, Address: address, Incarnation: "r"}}
--- a/fleet/applyjob.go
+++ b/fleet/applyjob.go
@@ -10,7 +10,7 @@
 	case s.Jobs[entry.JobID] != nil:
 		return ErrAlreadyExists
 	case s.OpenJob(spec.Kind) != nil:
-		return ErrConflict // one open job of a kind at a time
+		return ErrConflict // only one job of a kind may be open at a time
 	}
 	s.putJob(&Job{
 		ID:          entry.JobID,
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// mayBegin reports whether a step can begin without making more nodes unavailable than the job allows. The state checks
-// the limit because the holder of the lease cannot: if its last proposal got no answer, it may not know that the entry
+// mayBegin reports whether a step can begin without making more nodes unavailable than the job allows. The holder of
+// the lease cannot check this limit: if its last proposal got no answer, the holder does not know whether the entry
 // is in the log.
 func (j *Job) mayBegin(key StepKey) bool {
 	if key.Action != ActionDrain && key.Action != ActionRollbackDrain {
@@ -100,15 +100,15 @@
 		return err
 	}
 	if job.Spec.Kind == JobRollout && s.Artifacts[job.Spec.Artifact].InTransition() {
-		return ErrConflict // more than one version may be in use until the retired one is cleared
+		return ErrConflict // more than one version may be in use until the retired version is cleared
 	}
 	job.CloseReason, job.Detail = CloseReason(entry.Outcome), entry.Detail
 	s.putJob(job)
 	return nil
 }
 
-// jobForEntry returns a copy of the job that an entry concerns. The only entry that a closed job accepts is the first
-// command to roll it back, which reopens the copy.
+// jobForEntry returns a copy of the job that an entry concerns. A closed job accepts only the first command to roll
+// it back. For that command the returned copy is open again.
 func (s *State) jobForEntry(entry Entry) (*Job, error) {
 	current := s.Jobs[entry.JobID]
 	if current == nil {
@@ -130,7 +130,7 @@
 }
 
 // jobForHolder is like jobForEntry, for entries that only the holder of the job's lease may propose. It rejects the
-// entries of former holders; the receivers of effects reject the requests of former holders.
+// entries of former holders. The receivers of effects reject the requests of former holders.
 func (s *State) jobForHolder(entry Entry) (*Job, error) {
 	job, err := s.jobForEntry(entry)
 	if err != nil {
@@ -144,7 +144,7 @@
 
 func (s *State) putJob(job *Job) { s.Jobs = withKey(s.Jobs, job.ID, job) }
 
-// pruneJobs removes the oldest closed jobs beyond maxJobs. Open jobs are kept.
+// pruneJobs removes the oldest closed jobs while the state has more than maxJobs jobs. It never removes an open job.
 func (s *State) pruneJobs() {
 	for len(s.Jobs) > maxJobs {
 		oldest := ""
--- a/fleet/artifact.go
+++ b/fleet/artifact.go
@@ -2,15 +2,14 @@
 
 import "slices"
 
-// Artifact is something versioned that nodes act on, such as settings, routes or a build. At no time may nodes act on
-// more than two of its versions: the state rejects a third one.
+// Artifact is something versioned that nodes act on, such as settings, routes or a build. Nodes may act on at most
+// two of its versions at a time: the state rejects a third version.
 type Artifact struct {
 	Name    string  `json:"name"`
-	Current Version `json:"now"` // the version of every node that may not act on Next yet
-	// Next is the version that a rollout is introducing; nil if there is none.
+	Current Version `json:"now"` // version of every node that may not act on Next yet
+	// Next is the version that a rollout is introducing; nil: none.
 	Next *Version `json:"next,omitempty"`
-	// Retiring is a version of which no further leases are granted, but whose last lease may still be valid; nil if
-	// there is none.
+	// Retiring is a version that gets no further leases but whose last lease may still be valid; nil: none.
 	Retiring       *Version `json:"gone,omitempty"`
 	NextNodes      []string `json:"on,omitempty"`  // names of the nodes that may act on Next
 	NextEverywhere bool     `json:"all,omitempty"` // whether every node may act on Next
@@ -22,10 +21,10 @@
 	Position Position `json:"at"`     // position of the entry that published, promoted or retired the version
 }
 
-// InTransition reports whether nodes may be acting on more than one version. A nil artifact is not in transition.
+// InTransition reports whether nodes may act on more than one version. A nil artifact is not in transition.
 func (a *Artifact) InTransition() bool { return a != nil && (a.Next != nil || a.Retiring != nil) }
 
-// AllowedVersions returns the digests of the versions that a node may get a lease of, the preferred one first.
+// AllowedVersions returns the digests of the versions for which a node may get a lease, the preferred version first.
 func (a *Artifact) AllowedVersions(node string) []string {
 	if a.Next != nil && (a.NextEverywhere || slices.Contains(a.NextNodes, node)) {
 		return []string{a.Next.Digest, a.Current.Digest}
@@ -36,8 +35,8 @@
 // DesiredVersion returns the digest of the version that a node should act on.
 func (a *Artifact) DesiredVersion(node string) string { return a.AllowedVersions(node)[0] }
 
-// canStartRollout reports whether a rollout may start: its version differs from the current one, and no other version
-// is being introduced or retired.
+// canStartRollout reports whether a rollout may start. Its version must differ from the current version, and no other
+// version may be in introduction or retirement.
 func (s *State) canStartRollout(spec *JobSpec) bool {
 	artifact := s.Artifacts[spec.Artifact]
 	if artifact == nil || artifact.InTransition() {
@@ -91,10 +90,10 @@
 		return ErrNotFound
 	case entry.Digest == artifact.Current.Digest:
 		if !artifact.NextEverywhere {
-			return ErrConflict // some nodes may act on the current version only
+			return ErrConflict // some nodes may act only on the current version
 		}
 		artifact.Current = *next
-	case entry.Digest != next.Digest: // to retire Next is to roll back
+	case entry.Digest != next.Digest: // a rollback retires Next
 		return ErrNotFound
 	}
 	artifact.Retiring = &Version{entry.Digest, s.Position}
@@ -116,8 +115,8 @@
 	return nil
 }
 
-// rolloutForEntry returns a copy of the artifact that an entry concerns, and the open rollout of that artifact. Only
-// the holder of the lease of rollouts may propose such an entry.
+// rolloutForEntry returns a copy of the artifact that an entry concerns, and the open rollout of that artifact. It
+// rejects the entry unless the entry has the fencing token of the lease of rollouts.
 func (s *State) rolloutForEntry(entry Entry) (*Artifact, *Job, error) {
 	current := s.Artifacts[entry.Artifact]
 	if current == nil {
--- a/fleet/disable.go
+++ b/fleet/disable.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// DisableOrder takes servers out of use at all nodes until a point in time.
+// DisableOrder takes servers out of use at all nodes until a given time.
 type DisableOrder struct {
 	ID      string   `json:"id"`
 	Servers []string `json:"servers,omitempty"`
-	// Zones disables the servers of these zones, too. Each node looks up a server's zone in its own endpoint list.
+	// Zones are the zones whose servers are also disabled. Each node looks up the zone of a server in its own endpoint
+	// list.
 	Zones []string `json:"zones,omitempty"`
-	// Until is the time at which the order ends, by the wall clock of each process that carries it out.
+	// Until is the time at which the order ends, by the wall clock of each process that carries out the order.
 	Until       time.Time `json:"until"`
 	RequestedBy string    `json:"who,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Kind is the kind of an entry of the log. Its values are stored and transmitted, and must not change.
+// Kind is the kind of an entry of the log. The values are stored and transmitted, and must not change.
 type Kind string
 
 // The kinds of entries.
 const (
 	KindUpgradeFormat   Kind = "raise"   // raises the format version of the state
 	KindAnnounceFormat  Kind = "speak"   // records the newest format version that a member supports
-	KindRegisterNode    Kind = "join"    // registers a node, or a new incarnation of it
+	KindRegisterNode    Kind = "join"    // registers a node or a new incarnation of a node
 	KindRemoveNode      Kind = "forget"  // removes a node that will not register again
 	KindGrantLease      Kind = "acquire" // grants the lease of a resource
 	KindRenewLease      Kind = "renew"   // renews a lease
 	KindExpireLease     Kind = "expire"  // ends a lease that was not renewed in time
-	KindReleaseLease    Kind = "release" // ends a lease that its holder gives up
+	KindReleaseLease    Kind = "release" // ends a lease that its holder releases
 	KindRequestStepDown Kind = "ask"     // asks a holder to release its lease
 	KindRevokeLease     Kind = "push"    // forbids further renewals of a lease
 	KindStartJob        Kind = "start"   // starts a job
-	KindControlJob      Kind = "order"   // changes the command of a job: run, pause, abort, roll back
+	KindControlJob      Kind = "order"   // changes the command of a job (see JobCommand)
 	KindBeginStep       Kind = "begin"   // records that a step of a job is about to be carried out
 	KindFinishStep      Kind = "done"    // records the outcome of a step
-	KindCloseJob        Kind = "close"   // ends a job
+	KindCloseJob        Kind = "close"   // closes a job
 	KindPublishVersion  Kind = "offer"   // publishes the first version of an artifact
-	KindPromoteVersion  Kind = "stage"   // lets the next stage of nodes use a job's version
-	KindRetireVersion   Kind = "retire"  // stops further leases of a version from being granted
+	KindPromoteVersion  Kind = "stage"   // lets another stage of nodes act on a rollout's version
+	KindRetireVersion   Kind = "retire"  // stops granting leases of a version
 	KindClearVersion    Kind = "clear"   // records that the last lease of a retired version has expired
 	KindDisableServers  Kind = "hold"    // disables servers at all nodes
 	KindEnableServers   Kind = "lift"    // ends a disable order
 )
 
-// Entry is one entry of the log. Which fields are used depends on its kind.
+// Entry is one entry of the log. The kind determines which fields are used.
 type Entry struct {
 	Kind Kind `json:"kind"`
-	// FormatVersion is the lowest format version of the state at which the entry is valid; 0 means 1.
+	// FormatVersion is the minimum format version of the state for which the entry is valid; 0 means 1.
 	FormatVersion int `json:"level,omitempty"`
 	// SupportedFormat is the newest format version that the member supports (KindAnnounceFormat).
 	SupportedFormat int    `json:"knows,omitempty"`
 	Resource        string `json:"work,omitempty"`
-	// Holder identifies one incarnation of a process: its name, a slash, and an identifier unique to the incarnation.
+	// Holder identifies one incarnation of a process: the name of the process, a slash, and an ID that is unique to the
+	// incarnation.
 	Holder       string       `json:"holder,omitempty"`
 	FencingToken FencingToken `json:"token,omitempty"`
-	// Argument is a number whose meaning depends on the kind. KindExpireLease: how many renewals the proposer has
-	// seen; KindAnnounceFormat: the ID of the member; KindUpgradeFormat: the new format version; KindPromoteVersion:
-	// the index of the stage; KindClearVersion: the position at which the version was retired.
+	// Argument is a number whose meaning depends on the kind. KindExpireLease: number of renewals that the proposer has
+	// seen. KindAnnounceFormat: ID of the member. KindUpgradeFormat: new format version. KindPromoteVersion: index of
+	// the stage. KindClearVersion: position at which the version was retired.
 	Argument      uint64        `json:"seq,omitempty"`
 	LeaseDuration time.Duration `json:"lease,omitempty"`
 	Node          *Node         `json:"node,omitempty"`
@@ -73,6 +74,6 @@
 	return raw
 }
 
-// Deferrable reports whether watchers may receive the entry later, together with the next entry that is not
-// deferrable. Otherwise every renewal of a lease would wake all watchers.
+// Deferrable reports whether watchers may receive the entry together with the next entry that is not deferrable.
+// Renewals of leases are deferrable, because otherwise each renewal would wake all watchers.
 func (e Entry) Deferrable() bool { return e.Kind == KindRenewLease }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -2,25 +2,26 @@
 
 import "errors"
 
-// RejectionError is the reason for which the state rejects an entry. A rejected entry changes only the position.
+// RejectionError is the reason why the state rejects an entry. A rejected entry changes only the position.
 type RejectionError struct {
 	wireText string // identifies the error in answers to proposals; must not change
 	message  string
 }
 
-// Error returns a message for operators.
+// Error returns the message for operators.
 func (e *RejectionError) Error() string { return e.message }
 
-// WireText returns the text that identifies the error in answers to proposals, for all versions of the program.
+// WireText returns the text that identifies the error in answers to proposals. The text is the same in all versions
+// of the program.
 func (e *RejectionError) WireText() string { return e.wireText }
 
 var (
-	// ErrConflict rejects an entry because another holder has the lease, or another job or version change is open.
+	// ErrConflict rejects an entry that conflicts with a lease, a job or a version change in the state.
 	ErrConflict error = &RejectionError{
 		"another has the work", "the lease, job or version change conflicts with one that is open",
 	}
-	// ErrLeaseLost rejects an entry because its fencing token is not that of the current lease, because the lease is
-	// revoked, or because the job is closed.
+	// ErrLeaseLost rejects an entry whose fencing token is not that of the current lease, whose lease is revoked, or
+	// whose job is closed.
 	ErrLeaseLost error = &RejectionError{
 		"the ownership is over", "the lease is lost or revoked, or the job is closed",
 	}
@@ -28,7 +29,8 @@
 	ErrNotFound error = &RejectionError{
 		"there is no such thing", "the subject of the entry does not exist",
 	}
-	// ErrAlreadyExists rejects an entry that would create something that exists, or repeat a finished step.
+	// ErrAlreadyExists rejects an entry that would create something that exists, repeat a finished step, or upgrade to a
+	// format version that is already reached.
 	ErrAlreadyExists error = &RejectionError{
 		"it is there already", "the subject of the entry exists already, or the step is finished",
 	}
@@ -41,7 +43,7 @@
 	ErrLimitExceeded error = &RejectionError{
 		"there is no more room", "the entry exceeds a limit of the state or of the job",
 	}
-	// ErrInvalidEntry rejects an entry that is malformed, or whose fields contradict its kind.
+	// ErrInvalidEntry rejects an entry that is malformed or whose fields contradict its kind.
 	ErrInvalidEntry error = &RejectionError{
 		"the entry makes no sense", "the entry is malformed, or its fields contradict its kind",
 	}
@@ -54,8 +56,8 @@
 	}
 }
 
-// RejectionWireText returns the text that identifies err in an answer to a proposal: its wire text if it is a
-// RejectionError, else its message.
+// RejectionWireText returns the text that identifies err in an answer to a proposal: the wire text of a
+// RejectionError, or the message of another error.
 func RejectionWireText(err error) string {
 	var rejection *RejectionError
 	if errors.As(err, &rejection) {
@@ -64,8 +66,8 @@
 	return err.Error()
 }
 
-// ParseRejection returns the rejection error that a text in an answer to a proposal identifies. A text that this
-// version of the program does not know becomes a new error with that text.
+// ParseRejection returns the rejection error that wireText identifies. For a text that this version of the program
+// does not know, it returns a new error with that text.
 func ParseRejection(wireText string) error {
 	for _, err := range RejectionErrors() {
 		if RejectionWireText(err) == wireText {
@@ -76,5 +78,5 @@
 }
 
 // ErrUnsupportedFormat reports a log or snapshot whose format version is newer than FormatVersion. The process must
-// stop applying entries, or its state would diverge from that of the other members.
+// stop applying entries. Otherwise its state would diverge from the state of the other members.
 var ErrUnsupportedFormat = errors.New("fleet: the format version of the log is newer than this program supports")
--- a/fleet/internal/jsontest/jsontest.go
+++ b/fleet/internal/jsontest/jsontest.go
@@ -1,5 +1,5 @@
-// Package jsontest has checks of stored and transmitted JSON for the tests of several fleet packages. Only tests may
-// import it.
+// Package jsontest checks stored and transmitted JSON in the tests of several fleet packages. Only tests may import
+// it.
 package jsontest
 
 import (
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// RoundTrip decodes raw into the value that to points to, encodes that value again, and fails the test unless the two
-// encodings are byte-identical except for white space. It also fails the test if raw has fields that the value lacks.
+// RoundTrip decodes raw into the value that to points to, and encodes that value again. It fails the test if the two
+// encodings differ in more than white space, or if raw has fields that the value lacks.
 func RoundTrip(t testing.TB, raw []byte, to any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(raw))
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -7,25 +7,25 @@
 	Resource     string       `json:"work"`
 	Holder       string       `json:"holder"` // see Entry.Holder
 	FencingToken FencingToken `json:"token"`
-	// Duration is how long the holder may act, counted from its request for the newest renewal.
+	// Duration is the time for which the holder may act, counted from the request of the newest renewal.
 	Duration time.Duration `json:"lease"`
 	Renewals uint64        `json:"renewals"`
-	// StepDownRequestedBy names who asked the holder to step down, and the reason; empty if nobody did.
+	// StepDownRequestedBy is the requester and the reason of a request that the holder step down; empty: none.
 	StepDownRequestedBy string `json:"asked,omitempty"`
-	// RevokedBy names the operator who has revoked the lease, and the reason; empty if nobody has. A revoked lease
-	// cannot be renewed, and expires.
+	// RevokedBy is the operator who revoked the lease, and the reason; empty: not revoked. A revoked lease cannot be
+	// renewed, so it expires.
 	RevokedBy string   `json:"pushed,omitempty"`
 	GrantedAt Position `json:"since"`
 }
 
-// holdsLease reports whether a fencing token is that of the current lease of a resource.
+// holdsLease reports whether token is the fencing token of the current lease of resource.
 func (s *State) holdsLease(resource string, token FencingToken) bool {
 	current, ok := s.Leases[resource]
 	return ok && current.FencingToken == token
 }
 
-// leaseForEntry returns the lease that an entry concerns. It returns ErrLeaseLost if the entry's token is not that of
-// the lease.
+// leaseForEntry returns the lease that an entry concerns. It returns ErrLeaseLost if the entry does not have the
+// fencing token of the lease.
 func (s *State) leaseForEntry(entry Entry) (Lease, error) {
 	current, ok := s.Leases[entry.Resource]
 	if !ok || entry.FencingToken != current.FencingToken {
@@ -34,7 +34,8 @@
 	return current, nil
 }
 
-// leaseForOperator is like leaseForEntry, for the entries of operators, which may lack the token.
+// leaseForOperator is like leaseForEntry, but accepts entries without a token, because operators may not know the
+// token.
 func (s *State) leaseForOperator(entry Entry) (Lease, error) {
 	if entry.FencingToken == 0 {
 		entry.FencingToken = s.Leases[entry.Resource].FencingToken
@@ -86,7 +87,7 @@
 		return 0, err
 	}
 	if entry.Argument != current.Renewals {
-		return 0, ErrConflict // the lease was renewed after the expiry was proposed
+		return 0, ErrConflict // the lease was renewed after the proposer last saw a renewal
 	}
 	s.Leases = withoutKey(s.Leases, entry.Resource)
 	return current.FencingToken, nil
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -9,14 +9,14 @@
 )
 
 // FormatVersion is the newest format version of entries and states that this program supports. An entry of
-// KindUpgradeFormat raises the version of the state once every member supports a newer one. All members reject an
-// entry whose version is above that of the state.
+// KindUpgradeFormat raises the version of the state once every member supports a newer version. All members reject an
+// entry whose version is above the version of the state.
 const FormatVersion = 1
 
-// Limits of a state. An entry that would exceed one is rejected.
+// Limits of a state. An entry that would exceed a limit is rejected, except that maxJobs removes closed jobs instead.
 const (
 	maxNodes         = 10_000
-	maxJobs          = 64 // if there are more, closed jobs are removed, oldest first
+	maxJobs          = 64 // above it, closed jobs are removed, oldest first
 	maxDisableOrders = 1_000
 	maxResources     = 64
 	maxArtifacts     = 64
@@ -24,7 +24,7 @@
 	maxNameLength    = 64    // bytes
 )
 
-// Node is a node of the fleet, as registered by the agent that runs beside it.
+// Node is a node of the fleet, as registered by its agent.
 type Node struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone,omitempty"`
@@ -32,22 +32,22 @@
 	Capacity float64 `json:"capacity"`
 	// LeaseCandidate reports whether the agent may hold leases.
 	LeaseCandidate bool `json:"owns,omitempty"`
-	// Incarnation identifies the run of the agent process that has registered the node.
+	// Incarnation identifies the run of the agent process that registered the node.
 	Incarnation string `json:"run"`
 }
 
 // Member is one member of the consensus group.
 type Member struct {
-	ID      uint64 `json:"id"` // created with the member's storage: a member that lost its storage has a new ID
+	ID      uint64 `json:"id"` // created with the storage: a member that lost its storage has a new ID
 	Name    string `json:"name"`
 	Address string `json:"address"`           // IP:port
-	Learner bool   `json:"learner,omitempty"` // whether the member receives the log without a vote
-	// SupportedFormat is the newest format version that the member's program supports; 0 until it is announced.
+	Learner bool   `json:"learner,omitempty"` // the member receives the log but has no vote
+	// SupportedFormat is the newest format version that the member's program supports; 0: not announced yet.
 	SupportedFormat int `json:"level,omitempty"`
 }
 
-// State is the agreed state of the fleet. It is immutable: Apply, WithMembers and NextEpoch return a new one. States
-// share their maps and the values that these point to, so nobody may write to them.
+// State is the agreed state of the fleet. A State is immutable: Apply, WithMembers and NextEpoch return a new State.
+// States share their maps and the values behind pointers, so nothing may write to these maps and values.
 type State struct {
 	Position      Position                 `json:"at"`    // position of the last entry applied
 	Epoch         uint64                   `json:"epoch"` // raised whenever an operator forces a new cluster
@@ -85,20 +85,20 @@
 	return raw
 }
 
-// NewerThan reports whether s is newer than other: it is of a later epoch, or further in the log of the same epoch.
+// NewerThan reports whether s has a later epoch than other, or a later position in the same epoch.
 func (s *State) NewerThan(other *State) bool {
 	return s.Epoch > other.Epoch || s.Epoch == other.Epoch && s.Position > other.Position
 }
 
-// WithMembers returns the state at a position of the log where the membership changes to members.
+// WithMembers returns the state after the log entry at position, which changes the membership to members.
 func (s *State) WithMembers(position Position, members map[uint64]Member) *State {
 	next := *s
 	next.Position, next.Members = position, members
 	return &next
 }
 
-// NextEpoch returns the state of the new cluster that an operator forces with a single member. All leases end, and
-// fencing tokens granted from then on are higher than all earlier ones.
+// NextEpoch returns the state of a new cluster that an operator forces with member as the only member. All leases
+// end. Fencing tokens that are granted in the new epoch are higher than all earlier tokens.
 func (s *State) NextEpoch(member Member) *State {
 	next := *s
 	next.Epoch++
@@ -107,8 +107,9 @@
 	return &next
 }
 
-// FormatProposals returns the entries about format versions that a member proposes on its own: the announcement of the
-// version that it supports, and, if it is the leader, the upgrade to the newest version that all members support.
+// FormatProposals returns the entries about format versions that the member memberID proposes on its own. The member
+// announces the version that it supports. If isLeader is set, the member also proposes the upgrade to the newest
+// version that all members support.
 func (s *State) FormatProposals(memberID uint64, isLeader bool) []Entry {
 	var proposals []Entry
 	if member, ok := s.Members[memberID]; ok && member.SupportedFormat != FormatVersion {
@@ -125,7 +126,7 @@
 	return proposals
 }
 
-// OpenJob returns the job of a kind that is not closed; nil if there is none.
+// OpenJob returns the open job of a kind; nil if there is none.
 func (s *State) OpenJob(kind JobKind) *Job {
 	for _, id := range slices.Sorted(maps.Keys(s.Jobs)) {
 		if job := s.Jobs[id]; job.Open() && job.Spec.Kind == kind {
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// ActiveDisableOrders returns the disable orders that have not ended at now, a time of the caller's wall clock, ordered
-// by ID.
+// ActiveDisableOrders returns the disable orders that have not ended at now, ordered by ID. now is a time of the
+// caller's wall clock.
 func (s *State) ActiveDisableOrders(now time.Time) []*DisableOrder {
 	var active []*DisableOrder
 	for _, id := range slices.Sorted(maps.Keys(s.DisableOrders)) {
--- a/fleet/stored_test.go
+++ b/fleet/stored_test.go
@@ -10,15 +10,15 @@
 )
 
 // The files in testdata were written by an earlier version of the program, and guard the stored format against
-// changes: a state with every field set, a log with accepted and rejected entries of all kinds, and the state after
-// that log.
+// changes. They have a state with every field set, a log with accepted and rejected entries of all kinds, and the
+// state after that log.
 const (
 	storedSnapshot = "testdata/snapshot.json"
 	storedEntries  = "testdata/entries.json"
 	storedState    = "testdata/state.json"
 )
 
-// storedEntry is one entry of the stored log, and its outcome when it was stored.
+// storedEntry is one entry of the stored log, with the outcome that the earlier program stored.
 type storedEntry struct {
 	Raw      string       `json:"raw"`
 	Position Position     `json:"position"`
@@ -53,7 +53,7 @@
 	storedSpareToken    = 281474976710664
 )
 
-// storedSpec returns the specification of the rolling update round-1.
+// storedSpec returns the specification of the rolling update round-1 in the stored log.
 func storedSpec() JobSpec {
 	return JobSpec{
 		Kind:           "round",
@@ -67,12 +67,12 @@
 	}
 }
 
-// storedRolloutSpec returns the specification of a stored rollout.
+// storedRolloutSpec returns the specification of a rollout in the stored log.
 func storedRolloutSpec(digest string, maxStragglers int, stages ...[]string) JobSpec {
 	return JobSpec{Kind: "rollout", Artifact: "settings", Digest: digest, Stages: stages, MaxStragglers: maxStragglers}
 }
 
-// storedNode returns the node n3.
+// storedNode returns the node n3 as the stored log registers it.
 func storedNode() Node {
 	return Node{
 		Name:           "n3",
@@ -177,7 +177,7 @@
 	}
 }
 
-// storedResult returns the state that must follow from the stored log.
+// storedResult returns the expected state after the stored log.
 func storedResult() *State {
 	order := storedOrder()
 	order.RequestedBy, order.Reason, order.Position = "ann", "cables", 79
@@ -291,7 +291,8 @@
 	}
 }
 
-// Stored entries of every kind must decode to the same fields as in the earlier program, and encode to the same bytes.
+// TestStoredEntries_DecodeAndEncodeUnchanged checks that stored entries of every kind decode to the expected fields,
+// and encode to the stored bytes.
 func TestStoredEntries_DecodeAndEncodeUnchanged(t *testing.T) {
 	want := storedLog()
 	stored := readStoredEntries(t)
@@ -322,8 +323,8 @@
 	}
 }
 
-// Applied to the stored snapshot, the stored log must lead to the stored state, and each entry must have the same
-// outcome as in the earlier program.
+// TestStoredLog_AppliesToStoredState checks that the stored log, applied to the stored snapshot, leads to the stored
+// state. Each entry must have the stored outcome.
 func TestStoredLog_AppliesToStoredState(t *testing.T) {
 	raw := readStored(t, storedSnapshot)
 	state, err := UnmarshalState(raw)
