--- a/fleet/lease/effect.go
+++ b/fleet/lease/effect.go
@@ -9,13 +9,13 @@
 	"cobaltward/fleet"
 )
 
-// EffectRequest is a request of the holder of a lease that the receiver of a node carries out a step.
+// EffectRequest asks the receiver of a node to carry out a step. The holder of a lease sends it.
 type EffectRequest struct {
 	Resource     string             `json:"work"`
 	FencingToken fleet.FencingToken `json:"token"`
 	JobID        string             `json:"job"`
 	Step         fleet.StepKey      `json:"step"`
-	// IdempotencyKey identifies the effect of the step. It is the same for all holders that request it.
+	// IdempotencyKey identifies the effect of the step. All holders use the same key for the same step.
 	IdempotencyKey string `json:"key"`
 	// Retry reports whether the effect may have been requested before.
 	Retry        bool          `json:"again,omitempty"`
@@ -26,32 +26,32 @@
 // EffectResponse is the progress of an effect.
 type EffectResponse struct {
 	Running bool              `json:"running,omitempty"`
-	Outcome fleet.StepOutcome `json:"outcome,omitempty"` // empty: the effect has not ended
+	Outcome fleet.StepOutcome `json:"outcome,omitempty"` // empty: not ended
 	Detail  string            `json:"detail,omitempty"`
 	// HighestToken is the highest fencing token of the resource that the receiver has seen.
 	HighestToken fleet.FencingToken `json:"seen"`
 }
 
-// Effect is the record of an effect that a receiver has begun.
+// Effect records an effect that a receiver has started.
 type Effect struct {
-	Sequence     uint64             `json:"n"` // 1, 2, ... in the order in which effects were begun
+	Sequence     uint64             `json:"n"` // 1, 2, ... in the order in which effects are started
 	Resource     string             `json:"work"`
-	FencingToken fleet.FencingToken `json:"token"` // token under which the effect was last begun
+	FencingToken fleet.FencingToken `json:"token"` // token under which the effect was last started
 	Running      bool               `json:"running"`
 	Outcome      fleet.StepOutcome  `json:"outcome,omitempty"`
 	Detail       string             `json:"detail,omitempty"`
 }
 
-// maxEffects is the number of effects that an EffectLog keeps. If there are more, the oldest is removed.
+// maxEffects is the maximum number of effects that an EffectLog keeps. Above it, the oldest effect is removed.
 const maxEffects = 4096
 
-// EffectLog records the effects of a receiver, so that a repeated request gets the outcome of the first one.
+// EffectLog records the effects of a receiver. A repeated request gets the outcome that the log has for the effect.
 type EffectLog struct {
 	Effects      map[string]Effect `json:"effects"` // by idempotency key
 	LastSequence uint64            `json:"n"`       // sequence number of the newest effect
 }
 
-// Start records that an effect is about to be carried out.
+// Start records, under key, that an effect on resource is about to be carried out under token.
 func (l *EffectLog) Start(key, resource string, token fleet.FencingToken) {
 	if l.Effects == nil {
 		l.Effects = make(map[string]Effect)
@@ -69,15 +69,15 @@
 	})
 }
 
-// Finish records the outcome of an effect.
+// Finish records the outcome and the detail of the effect with the given key.
 func (l *EffectLog) Finish(key string, outcome fleet.StepOutcome, detail string) {
 	effect := l.Effects[key]
 	effect.Running, effect.Outcome, effect.Detail = false, outcome, detail
 	l.Effects[key] = effect
 }
 
-// interrupted returns the keys of the effects that were running when the process ended. The receiver must verify
-// whether they were carried out.
+// interrupted returns the keys of the effects that were running when the previous process ended. The receiver must
+// verify whether these effects were carried out.
 func (l *EffectLog) interrupted() []string {
 	var keys []string
 	for key, effect := range l.Effects {
--- a/fleet/lease/expiry.go
+++ b/fleet/lease/expiry.go
@@ -8,32 +8,33 @@
 	"cobaltward/fleet"
 )
 
-// MaxClockDrift is the fraction by which one clock may run faster than another while a lease is valid.
+// MaxClockDrift is the maximum fraction by which one clock may run faster than another while a lease is valid.
 const MaxClockDrift = 0.2
 
 const (
-	// expiryMarginDivisor sets the margin that is added to the delay of an expiry: the lease's duration divided by it.
+	// expiryMarginDivisor sets the margin in the delay of an expiry: the lease duration divided by expiryMarginDivisor.
 	expiryMarginDivisor = 20
-	// unsafeExpiryDivisor sets the delay of an expiry with SkipExpiryDelay: the lease's duration divided by it.
+	// unsafeExpiryDivisor sets the delay of an expiry with SkipExpiryDelay: the lease duration divided by it.
 	unsafeExpiryDivisor = 4
 )
 
-// ExpiryDelay returns how long a process must see no renewal, by its own clock, before a lease of a duration has
-// expired for certain: the duration, the maximum clock drift, and a margin of a twentieth of the duration.
+// ExpiryDelay returns the time after which a lease of the given duration has expired for certain. A process measures
+// this time by its own clock, from the last renewal that it has seen. The delay is the duration, plus the maximum
+// clock drift, plus a margin of a twentieth of the duration.
 func ExpiryDelay(duration time.Duration) time.Duration {
 	drift := time.Duration(MaxClockDrift * float64(duration))
 	return duration + drift + duration/expiryMarginDivisor
 }
 
-// ExpiryTracker determines which leases have expired. Each member of the consensus group has one, so that a new leader
-// need not begin a wait of its own: it has observed the renewals itself. It observes a renewal when it applies the
-// entry, which is always after the holder's request. ExpiryTracker is not safe for concurrent use.
+// ExpiryTracker determines which leases have expired. Each member of the consensus group has a tracker, so a new
+// leader has observed the renewals itself and need not restart the wait. A member observes a renewal when it applies
+// the entry, which is always after the holder's request. ExpiryTracker is not safe for concurrent use.
 type ExpiryTracker struct {
 	Unsafe   UnsafeOptions
 	observed map[string]observation // by resource
 }
 
-// observation is the newest renewal of a lease that the tracker has seen, and when it was first seen.
+// observation is the newest renewal of a lease that the tracker has seen, and the time when it was first seen.
 type observation struct {
 	token    fleet.FencingToken
 	renewals uint64
@@ -59,7 +60,8 @@
 	}
 }
 
-// Expired returns an entry that ends each lease that has expired, ordered by resource. Only the leader proposes them.
+// Expired returns, ordered by resource, the entries that end the leases that have expired at now. Only the leader
+// proposes these entries.
 func (t *ExpiryTracker) Expired(now time.Duration) []fleet.Entry {
 	var expired []fleet.Entry
 	for _, resource := range slices.Sorted(maps.Keys(t.observed)) {
--- a/fleet/lease/expiry_test.go
+++ b/fleet/lease/expiry_test.go
@@ -16,7 +16,7 @@
 	return state
 }
 
-// checkExpired fails the test unless the tracker proposes to end exactly the leases of resources, in order.
+// checkExpired fails the test unless the tracker proposes to end exactly the leases of resources, in that order.
 func checkExpired(t *testing.T, tracker *ExpiryTracker, now time.Duration, resources ...string) []fleet.Entry {
 	t.Helper()
 	entries := tracker.Expired(now)
@@ -44,7 +44,7 @@
 	checkExpired(t, &tracker, 5*time.Second-1)
 	lease.Renewals = 1
 	tracker.Observe(stateWith(lease), 2*time.Second)
-	tracker.Observe(stateWith(lease), 3*time.Second) // the same renewal, which must not restart the wait
+	tracker.Observe(stateWith(lease), 3*time.Second) // the same renewal must not restart the wait
 	checkExpired(t, &tracker, 7*time.Second-1)
 	entry := checkExpired(t, &tracker, 7*time.Second, "w")[0]
 	if entry.FencingToken != 7 || entry.Argument != 1 {
@@ -59,5 +59,5 @@
 		fleet.Lease{Resource: "w", FencingToken: 8, Duration: time.Second}), 0)
 	checkExpired(t, &tracker, time.Minute, "w", "x")
 	tracker.Observe(stateWith(fleet.Lease{Resource: "x", FencingToken: 9, Duration: time.Second}), time.Minute)
-	checkExpired(t, &tracker, time.Minute) // the lease of w has ended, and that of x was granted anew
+	checkExpired(t, &tracker, time.Minute) // the lease of w has ended; the lease of x was granted again
 }
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -6,44 +6,45 @@
 	"cobaltward/fleet"
 )
 
-// Divisors of a lease's duration that give the times at which a holder makes requests and stops acting.
+// Divisors of the lease duration. The quotients are the times at which a holder makes requests and stops acting.
 const (
 	responseTimeoutDivisor = 2  // time after which a request without an answer may be repeated
 	renewalDivisor         = 4  // time from one renewal to the next
-	conflictBackoffDivisor = 4  // wait before the next request while another holder has the lease
-	lostBackoffDivisor     = 10 // wait before the next request after the lease was lost
-	unknownBackoffDivisor  = 20 // wait before the next request after one of unknown outcome
-	safetyMarginDivisor    = 10 // time before the end of the lease at which the holder stops acting
+	conflictBackoffDivisor = 4  // backoff while another holder has the lease
+	lostBackoffDivisor     = 10 // backoff after the lease was lost
+	unknownBackoffDivisor  = 20 // backoff after a request of unknown outcome
+	safetyMarginDivisor    = 10 // minimum remaining time of the lease for the holder to act
 )
 
-// Holder is a process that holds the lease of a resource, or competes for it. Times are of the process's own monotonic
-// clock. It is not safe for concurrent use.
+// Holder is a process that holds the lease of a resource or competes for it. All times are those of the process's own
+// monotonic clock. Holder is not safe for concurrent use.
 type Holder struct {
 	Resource string
 	Identity string // identifies this incarnation of the process; see fleet.Entry.Holder
 	Duration time.Duration
 	Unsafe   UnsafeOptions
 
-	token        fleet.FencingToken // token of the lease; 0: the process does not hold it
+	token        fleet.FencingToken // token of the lease; 0: not held
 	expiresAt    time.Duration      // time from which the process must not act
 	requestedAt  time.Duration      // time of the newest request
-	inFlight     bool               // whether the newest request has no answer yet
+	inFlight     bool               // the newest request has no answer yet
 	nextRequest  time.Duration      // earliest time of the next request
 	steppingDown bool
-	newestToken  fleet.FencingToken // highest token so far, so that a late answer cannot bring back an older one
-	releasing    fleet.FencingToken // token of a lease that is being released: nothing is done under it any more
+	newestToken  fleet.FencingToken // highest token so far; a late answer must not bring back an older token
+	releasing    fleet.FencingToken // token of the lease that is being released; nothing may be done under it
 }
 
-// NextProposal returns the entry to propose now; ok is false if there is none.
+// NextProposal returns the entry to propose at now. ok is false if there is nothing to propose.
 func (h *Holder) NextProposal(now time.Duration) (entry fleet.Entry, ok bool) {
 	awaitingAnswer := h.inFlight && now-h.requestedAt < h.Duration/responseTimeoutDivisor
 	if awaitingAnswer || now < h.nextRequest {
 		return entry, false
 	}
 	if h.token != 0 && now >= h.expiresAt {
-		h.token = 0 // even if the lease has not expired in the log yet
+		h.token = 0 // the lease may still be in the log
 	}
-	if h.steppingDown && h.token != 0 { // stop before the release is proposed: after it another holder may act at once
+	// The holder stops before it proposes the release: after the release another holder may act at once.
+	if h.steppingDown && h.token != 0 {
 		h.releasing, h.token = h.token, 0
 	}
 	if h.steppingDown && (h.releasing == 0 || now >= h.expiresAt) {
@@ -53,7 +54,7 @@
 	return h.proposal(), true
 }
 
-// proposal returns the entry that the holder needs: the release, grant or renewal of its lease.
+// proposal returns the entry that releases, requests or renews the lease.
 func (h *Holder) proposal() fleet.Entry {
 	if h.steppingDown {
 		return fleet.Entry{Kind: fleet.KindReleaseLease, Resource: h.Resource, FencingToken: h.releasing}
@@ -70,8 +71,8 @@
 	return fleet.Entry{Kind: fleet.KindRenewLease, Resource: h.Resource, FencingToken: h.token}
 }
 
-// HandleResult records the outcome of an entry proposed at requestedAt. If known is false, the outcome is unknown, and
-// result is ignored.
+// HandleResult records the outcome, at now, of an entry that was proposed at requestedAt. If known is false, the
+// outcome is unknown and result is ignored.
 func (h *Holder) HandleResult(requestedAt, now time.Duration, entry fleet.Entry, result fleet.Result, known bool) {
 	if requestedAt == h.requestedAt {
 		h.inFlight = false
@@ -79,7 +80,7 @@
 	switch {
 	case !known:
 		h.nextRequest = max(h.nextRequest, now+h.Duration/unknownBackoffDivisor)
-	case entry.Kind == fleet.KindReleaseLease: // the lease is released, or was lost before
+	case entry.Kind == fleet.KindReleaseLease: // the lease is released or was lost before
 		if entry.FencingToken == h.releasing {
 			h.releasing = 0
 		}
@@ -121,8 +122,8 @@
 	h.nextRequest = requestedAt + h.Duration/renewalDivisor
 }
 
-// FencingToken returns the token under which to act now. ok is false if the process must not act, or must stop because
-// no more than a tenth of the lease is left.
+// FencingToken returns the token under which the process may act at now. ok is false if the process must not act: it
+// holds no lease, steps down, or has no more than a tenth of the lease duration left.
 func (h *Holder) FencingToken(now time.Duration) (token fleet.FencingToken, ok bool) {
 	if h.token == 0 || h.steppingDown || now >= h.expiresAt-h.Duration/safetyMarginDivisor {
 		return 0, false
@@ -130,13 +131,13 @@
 	return h.token, true
 }
 
-// SetStepDown sets whether the holder steps down: while it does, it releases the lease, does not request it again, and
-// must not act.
+// SetStepDown sets whether the holder steps down. A holder that steps down releases the lease, does not request it
+// again, and must not act.
 func (h *Holder) SetStepDown(stepDown bool) {
 	if h.steppingDown != stepDown {
 		h.steppingDown, h.nextRequest = stepDown, 0
 	}
 }
 
-// HoldsLease reports whether the process holds the lease, as far as it knows.
+// HoldsLease reports whether the process holds the lease, as far as the process knows.
 func (h *Holder) HoldsLease() bool { return h.token != 0 }
--- a/fleet/lease/holder_test.go
+++ b/fleet/lease/holder_test.go
@@ -13,7 +13,8 @@
 	return &Holder{Resource: "w", Identity: "a/1", Duration: testDuration}
 }
 
-// mustPropose returns the entry that a holder proposes, and fails the test unless it is of a kind.
+// mustPropose returns the entry that a holder proposes at now. It fails the test unless the entry is of the given
+// kind.
 func mustPropose(t *testing.T, holder *Holder, now time.Duration, kind fleet.Kind) fleet.Entry {
 	t.Helper()
 	entry, ok := holder.NextProposal(now)
@@ -23,14 +24,14 @@
 	return entry
 }
 
-// grant has a holder request the lease at requestedAt, and get the token at answeredAt.
+// grant makes a holder request the lease at requestedAt and handle the grant of token at answeredAt.
 func grant(t *testing.T, holder *Holder, requestedAt, answeredAt time.Duration, token fleet.FencingToken) {
 	t.Helper()
 	entry := mustPropose(t, holder, requestedAt, fleet.KindGrantLease)
 	holder.HandleResult(requestedAt, answeredAt, entry, fleet.Result{FencingToken: token}, true)
 }
 
-// checkToken fails the test unless a holder may act under the token want; 0 means that it must not act.
+// checkToken fails the test unless the holder may act at now under the token want; 0: the holder must not act.
 func checkToken(t *testing.T, holder *Holder, now time.Duration, want fleet.FencingToken) {
 	t.Helper()
 	got, ok := holder.FencingToken(now)
@@ -43,7 +44,7 @@
 	holder := newTestHolder()
 	grant(t, holder, 0, 4*time.Second, 7)
 	checkToken(t, holder, 9*time.Second-1, 7)
-	checkToken(t, holder, 9*time.Second, 0) // a tenth of the duration before the lease ends
+	checkToken(t, holder, 9*time.Second, 0) // a tenth of the duration is left
 }
 
 func TestHolder_RenewalExtendsLease(t *testing.T) {
@@ -95,7 +96,7 @@
 	mustPropose(t, holder, 9*time.Second, fleet.KindGrantLease)
 }
 
-// The answer to an old request may arrive after that of a newer one. It must not bring back the older token.
+// TestHolder_IgnoresLateAnswers checks that a late answer to an old request does not bring back an older token.
 func TestHolder_IgnoresLateAnswers(t *testing.T) {
 	holder := newTestHolder()
 	late := mustPropose(t, holder, 0, fleet.KindGrantLease)
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -2,43 +2,43 @@
 
 import "cobaltward/fleet"
 
-// Decision is a receiver's decision on a request.
+// Decision is what a receiver does with a request.
 type Decision uint8
 
 // The decisions.
 const (
-	Reject      Decision = iota // the fencing token is stale, or the job is closed
-	Defer                       // the receiver has not seen enough of the log yet: the holder has to retry
-	Report                      // the effect is running or has ended: respond with its progress
+	Reject      Decision = iota // the fencing token is stale or the job is closed
+	Defer                       // the receiver lacks entries of the log; the holder retries
+	Report                      // the effect is running or has ended; respond with its progress
 	Execute                     // carry out the effect
-	VerifyFirst                 // verify whether the effect was carried out before, and carry it out if it was not
+	VerifyFirst                 // carry out the effect unless a verification shows that it was carried out before
 )
 
-// ReceiverState is the part of a receiver that is stored, so that it survives the process.
+// ReceiverState is the part of a receiver that is stored and survives the process.
 type ReceiverState struct {
 	Gate            FencingGate `json:"gate"`
 	EffectLog       EffectLog   `json:"ledger"`
-	DisabledServers []string    `json:"holds"` // servers that the fleet's disable orders have disabled at the node
+	DisabledServers []string    `json:"holds"` // servers that the agent has disabled at the node for disable orders
 }
 
-// FencedReceiver decides which effects are carried out at a node. Whenever a method reports that the stored state has
-// changed, the caller must store it before it carries out an effect or responds. FencedReceiver is not safe for
-// concurrent use.
+// FencedReceiver decides which effects are carried out at a node. When a method reports that the stored state has
+// changed, the caller must store the state before it carries out an effect or responds. FencedReceiver is not safe
+// for concurrent use.
 //
-// The stored state may lack what an earlier process has done: a disk can be lost, or restored from a copy. Therefore a
-// process carries out no effect before it has seen its own registration in the log. The entries of every token granted
-// and every step finished before the process was started precede the registration, so they are known by then.
+// The stored state may lack what an earlier process has done: a disk can be lost or restored from a copy. Therefore a
+// process carries out no effect before it has seen its own registration in the log. All tokens that were granted and
+// all steps that were finished before the process started precede the registration in the log.
 type FencedReceiver struct {
 	ReceiverState
 	node         string
 	incarnation  string
 	unsafe       UnsafeOptions
-	registeredAt fleet.Position  // position of the first state seen with the process's registration; 0: none yet
-	unverified   map[string]bool // keys of effects that may have been carried out by an earlier process
+	registeredAt fleet.Position  // position of the first state with the process's registration; 0: none yet
+	unverified   map[string]bool // keys of effects that are recorded as running but that this process does not carry out
 }
 
-// Restore returns a receiver with the state that an earlier process has stored. This process registers the node under
-// the given name and incarnation.
+// Restore returns a receiver with the state that an earlier process stored. This process registers node under
+// incarnation.
 func Restore(stored ReceiverState, node, incarnation string, unsafe UnsafeOptions) *FencedReceiver {
 	receiver := &FencedReceiver{
 		ReceiverState: stored,
@@ -53,7 +53,8 @@
 	return receiver
 }
 
-// Registered reports whether the process has seen its own registration. state is the newest one that it has.
+// Registered reports whether the process has seen its own registration. state is the newest state that the process
+// has.
 func (r *FencedReceiver) Registered(state *fleet.State) bool {
 	if r.registeredAt == 0 && state.Nodes[r.node].Incarnation == r.incarnation {
 		r.registeredAt = state.Position
@@ -61,9 +62,9 @@
 	return r.registeredAt != 0
 }
 
-// Decide decides on a request, given the newest state that the process has, which may be behind the log. changed
-// reports whether the stored state has changed. With the decision Execute or VerifyFirst, the effect is recorded as
-// running.
+// Decide returns the response to a request and the decision on it. state is the newest state that the process has,
+// and may be behind the log. changed reports whether the stored state has changed. If the decision is Execute or
+// VerifyFirst, the effect is recorded as running.
 func (r *FencedReceiver) Decide(
 	request EffectRequest, state *fleet.State,
 ) (response EffectResponse, decision Decision, changed bool) {
@@ -97,7 +98,7 @@
 	return response, decision, true
 }
 
-// admit checks the token of a request at the gate, after it has raised the gate to the highest token in the log.
+// admit raises the gate to the highest token in the log, and then checks the token of a request at the gate.
 func (r *FencedReceiver) admit(request EffectRequest, state *fleet.State) (admitted, changed bool) {
 	resource := request.Resource
 	_, raisedByLog := r.Gate.Admit(resource, state.HighestTokens[resource])
@@ -108,8 +109,8 @@
 	return admitted, raisedByLog || raised
 }
 
-// checkStep checks a request against the log. The effect may be carried out only if the log has the step as begun and
-// not finished, and the job as open.
+// checkStep checks a request against the log. The effect may be carried out only while the step is begun and not
+// finished and the job is open.
 func (r *FencedReceiver) checkStep(request EffectRequest, state *fleet.State, response *EffectResponse) Decision {
 	intentExpected := !r.unsafe.RecordIntentLate
 	job := state.Jobs[request.JobID]
@@ -134,8 +135,8 @@
 	return Execute
 }
 
-// HandleSaveFailure records that the state could not be stored after the decision on an effect, so that the effect was
-// not carried out. The next request for it is decided on again.
+// HandleSaveFailure records that the state could not be stored after the decision to carry out an effect. The effect
+// was not carried out, and the receiver decides again on the next request for it.
 func (r *FencedReceiver) HandleSaveFailure(key string) {
 	if r.EffectLog.Effects[key].Running {
 		r.unverified[key] = true
--- a/fleet/lease/receiver_test.go
+++ b/fleet/lease/receiver_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// fixture is a receiver of node n1, and a state in which a rolling update is open and its lease is granted.
+// fixture is a receiver of node n1 and a state with an open rolling update whose lease is granted.
 type fixture struct {
 	t        *testing.T
 	state    *fleet.State
@@ -83,7 +83,7 @@
 	}).FencingToken
 }
 
-// restart starts another process of the node with a stored state. The process is not registered yet.
+// restart starts another process of the node with a stored state. The new process is not registered yet.
 func (f *fixture) restart(stored ReceiverState, incarnation string) {
 	f.receiver = Restore(stored, "n1", incarnation, UnsafeOptions{})
 }
@@ -127,7 +127,7 @@
 	setup.begin()
 	setup.check(setup.request(), Defer)
 	setup.register("run-1")
-	setup.check(setup.request(), VerifyFirst) // an earlier process may have carried out a step begun before registration
+	setup.check(setup.request(), VerifyFirst) // an earlier process may have carried out the step
 }
 
 func TestFencedReceiver_DefersUntilStepIsBegun(t *testing.T) {
@@ -186,7 +186,8 @@
 	}
 }
 
-// The next process verifies, once, the effects that were running when the previous process ended.
+// TestFencedReceiver_VerifiesInterruptedEffects checks that the next process verifies, once, each effect that was
+// running when the previous process ended.
 func TestFencedReceiver_VerifiesInterruptedEffects(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
@@ -199,8 +200,8 @@
 	setup.check(setup.request(), Report)
 }
 
-// If the record of an effect could not be stored, the effect was not carried out, and the next request must not get the
-// response that it is running.
+// TestFencedReceiver_RepeatsDecisionAfterSaveFailure checks that a receiver decides again after the record of an
+// effect could not be stored. The effect was not carried out, so the receiver must not respond that it is running.
 func TestFencedReceiver_RepeatsDecisionAfterSaveFailure(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
