--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -7,23 +7,24 @@
 	"cobaltward/fleet"
 )
 
-// NodeStatus is the status of a node as the holder of the lease of rollouts observes it.
+// NodeStatus is the status of a node as observed by the holder of the lease of rollouts.
 type NodeStatus struct {
-	Versions VersionVector // versions that the node reports to act on; nil: it has no valid version lease
-	// Straggler reports whether the node has lagged behind, or has not answered, for longer than the rollout waits.
+	Versions VersionVector // versions on which the node acts; nil: the node has no valid version lease
+	// Straggler reports whether the node has lagged behind or has not answered for longer than the rollout waits.
 	Straggler bool
 }
 
-// View is the view of the fleet that the holder of the lease of rollouts has.
+// View is what the holder of the lease of rollouts knows about the fleet.
 type View struct {
 	Nodes map[string]NodeStatus // by name
 	// Cleared is the retired version on which no node acts any more, as reported by a member of the consensus group.
 	Cleared fleet.Version
-	// RollbackReason is the reason to roll back without a command of an operator; empty if there is none.
+	// RollbackReason is the reason for a rollback without a command of an operator; empty: no rollback.
 	RollbackReason string
 }
 
-// Next returns the entry that the holder of the lease of rollouts proposes now; ok is false while it has to wait.
+// Next returns the entry that the holder of the lease of rollouts proposes for job. token is the fencing token of
+// that lease. ok is false while the holder has to wait.
 func Next(job *fleet.Job, state *fleet.State, token fleet.FencingToken, view View) (entry fleet.Entry, ok bool) {
 	artifact := state.Artifacts[job.Spec.Artifact]
 	if !job.Open() || artifact == nil {
@@ -59,9 +60,9 @@
 	return entry, true
 }
 
-// stageComplete reports whether the nodes that may act on the next version do so, except for stragglers, of which the
-// job tolerates a limited number. The rollout does not wait for a straggler, because the node's lease of the former
-// version expires once that version is retired.
+// stageComplete reports whether all nodes that may act on the next version do so, except for at most MaxStragglers
+// stragglers. The rollout need not wait for a straggler: its lease of the former version expires once that version is
+// retired.
 func stageComplete(
 	job *fleet.Job, artifact *fleet.Artifact, state *fleet.State, nodes map[string]NodeStatus,
 ) bool {
@@ -81,7 +82,7 @@
 	return stragglers <= job.Spec.MaxStragglers
 }
 
-// stagesInForce returns the number of stages of a rollout whose nodes may all act on the next version.
+// stagesInForce returns the number of stages in which all nodes may act on the next version.
 func stagesInForce(job *fleet.Job, artifact *fleet.Artifact) int {
 	count := 0
 	for _, stage := range job.Spec.Stages {
@@ -93,8 +94,8 @@
 	return count
 }
 
-// Stragglers describes the nodes that do not act on their desired versions, in lines ordered by the nodes' names. A
-// node without a valid version lease has one line, another node one for each artifact whose version is wrong.
+// Stragglers describes, one per line, the nodes that do not act on their desired versions. The lines are sorted. A
+// node without a valid version lease has one line. Any other node has one line for each wrong version.
 func Stragglers(state *fleet.State, nodes map[string]NodeStatus) []string {
 	var lines []string
 	for name := range state.Nodes {
--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -7,16 +7,16 @@
 	"cobaltward/fleet/lease"
 )
 
-// RetirementTracker determines when the last lease of a retired version has expired. Like lease.ExpiryTracker, each
-// member of the consensus group has one, so that a new leader need not wait again for a version whose retirement it has
-// already observed. It is not safe for concurrent use.
+// RetirementTracker determines when the last lease of a retired version has expired. Each member of the consensus
+// group has a tracker, so a new leader need not restart the wait for a retirement that it has observed.
+// RetirementTracker is not safe for concurrent use.
 type RetirementTracker struct {
 	LeaseDuration time.Duration // duration of version leases
 	Unsafe        UnsafeOptions
 	observed      map[string]retirement // by artifact
 }
 
-// retirement is a retired version, and the time at which the tracker first observed its retirement.
+// retirement is a retired version and the time at which the tracker first observed its retirement.
 type retirement struct {
 	version fleet.Version
 	seenAt  time.Duration
@@ -37,8 +37,8 @@
 	}
 }
 
-// Cleared returns the retired version of an artifact on which no process acts any more. It returns the zero Version
-// while a process may still act on it, or if no version is retired.
+// Cleared returns the retired version of artifact if no process acts on that version any more at now. Otherwise, or
+// if no version is retired, it returns the zero Version.
 func (t *RetirementTracker) Cleared(artifact string, now time.Duration) fleet.Version {
 	retired, ok := t.observed[artifact]
 	if !ok {
--- a/fleet/rollout/rollout_test.go
+++ b/fleet/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 	testToken    = fleet.FencingToken(9)
 )
 
-// testState returns a state of the nodes a and b with one artifact.
+// testState returns a state with the nodes a and b and one artifact.
 func testState(artifact fleet.Artifact) *fleet.State {
 	artifact.Name, artifact.Current.Digest = testArtifact, "v1"
 	state := fleet.NewState(1)
@@ -35,7 +35,7 @@
 	retiringVersion = fleet.Version{Digest: "v0", Position: 4}
 )
 
-// nextTests are rollouts, with the entry that the holder of their lease proposes next.
+// nextTests are rollouts and the entries that Next must return for them.
 var nextTests = []struct {
 	name     string
 	artifact fleet.Artifact
@@ -197,8 +197,9 @@
 	}
 }
 
-// A lease of other versions must replace the current one at once, even if a late answer leaves it less time. A repeated
-// answer to an earlier request must not bring back the former versions.
+// TestVersionLease_OfOtherVersionsReplacesFormer checks that a lease of other versions replaces the current lease at
+// once, even if its answer is late and leaves less time. A repeated answer to an earlier request must not bring back
+// the former versions.
 func TestVersionLease_OfOtherVersionsReplacesFormer(t *testing.T) {
 	lease := VersionLease{Duration: 3 * time.Second}
 	first, _ := lease.NextRequest(0, VersionVector{testArtifact: "v1"})
@@ -222,7 +223,7 @@
 	retired := fleet.Version{Digest: "v0", Position: 4}
 	state := testState(fleet.Artifact{Retiring: &retired})
 	tracker.Observe(state, time.Second)
-	tracker.Observe(state, 2*time.Second) // the same retirement, which must not restart the wait
+	tracker.Observe(state, 2*time.Second) // the same retirement must not restart the wait
 	if got := tracker.Cleared(testArtifact, 6*time.Second-1); got != (fleet.Version{}) {
 		t.Errorf("%v is cleared while a lease of it may be valid", got)
 	}
--- a/fleet/rollout/vector.go
+++ b/fleet/rollout/vector.go
@@ -7,13 +7,13 @@
 	"cobaltward/fleet"
 )
 
-// VersionVector is a set of versions, one of each artifact: it maps the artifact's name to the version's digest.
+// VersionVector maps the name of each artifact to the digest of one version of the artifact.
 type VersionVector map[string]string
 
 // Clone returns a copy of the vector.
 func (v VersionVector) Clone() VersionVector { return maps.Clone(v) }
 
-// DesiredVersions returns the versions that a node should act on.
+// DesiredVersions returns the versions on which a node should act.
 func DesiredVersions(state *fleet.State, node string) VersionVector {
 	desired := make(VersionVector, len(state.Artifacts))
 	for name, artifact := range state.Artifacts {
@@ -22,8 +22,8 @@
 	return desired
 }
 
-// Allows reports whether a node may get a lease of versions. The state must include all entries that were committed
-// before the lease was requested (see consensus.Core.Read).
+// Allows reports whether node may get a lease of versions. state must include all entries that were committed before
+// the lease was requested (see consensus.Core.Read).
 func Allows(state *fleet.State, node string, versions VersionVector) bool {
 	for name, artifact := range state.Artifacts {
 		if !slices.Contains(artifact.AllowedVersions(node), versions[name]) {
