--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -9,26 +9,26 @@
 	"cobaltward/fleet/lease"
 )
 
-// stepDownLeaseDurations is for how many lease durations a controller that has stepped down does not request the lease
-// again.
+// stepDownLeaseDurations is the number of lease durations for which a controller that has stepped down does not
+// request the lease.
 const stepDownLeaseDurations = 3
 
-// Controller competes for the lease of a kind of job on behalf of one process, and runs the open job while it holds the
-// lease: from the state it decides which entries to propose and which effects to request. Times are of the process's
-// own monotonic clock. It is not safe for concurrent use.
+// Controller competes for the lease of a kind of job on behalf of one process, and runs the open job while it holds
+// the lease. It decides from the state which entries to propose and which effects to request. All times are those of
+// the process's own monotonic clock. Controller is not safe for concurrent use.
 type Controller struct {
 	kind fleet.JobKind
-	node string // name of the node that runs beside the process
+	node string // name of the node beside the process
 
 	holder           lease.Holder
-	token            fleet.FencingToken // newest token that the controller has had
-	lastOwnPosition  fleet.Position     // position of its newest entry: it makes no decisions on an older state
-	steppedDownUntil time.Duration      // time until which it does not request the lease
-	requested        map[string]bool    // idempotency keys of the open job's effects that it has requested
+	token            fleet.FencingToken // newest token of the lease
+	lastOwnPosition  fleet.Position     // position of the controller's newest entry; older states are ignored
+	steppedDownUntil time.Duration      // time until which the controller does not request the lease
+	requested        map[string]bool    // idempotency keys of the requested effects of the open job
 }
 
-// NewController returns a controller. identity identifies this incarnation of the process (see fleet.Entry.Holder),
-// node is the name of the node beside it, and duration that of the lease.
+// NewController returns a controller of jobs of the given kind. identity identifies this incarnation of the process
+// (see fleet.Entry.Holder). node is the name of the node beside the process, and duration is the lease duration.
 func NewController(
 	kind fleet.JobKind, identity, node string, duration time.Duration, unsafe lease.UnsafeOptions,
 ) *Controller {
@@ -45,9 +45,10 @@
 	}
 }
 
-// NextProposal returns the entry to propose now to get, renew or release the lease; ok is false if there is none. A
-// controller that is asked to step down releases the lease, and requests it again after stepDownLeaseDurations. It
-// proposes nothing while the state names another holder, since the state shows when the lease is free.
+// NextProposal returns the entry that requests, renews or releases the lease at now. ok is false if there is none. A
+// controller that is asked to step down releases the lease, and requests it again after stepDownLeaseDurations. While
+// the state names another holder, a controller without the lease proposes nothing, because the state shows when the
+// lease is free.
 func (c *Controller) NextProposal(now time.Duration, state *fleet.State) (entry fleet.Entry, ok bool) {
 	current, held := state.Leases[c.kind.Resource()]
 	mine := held && current.Holder == c.holder.Identity
@@ -61,8 +62,8 @@
 	return c.holder.NextProposal(now)
 }
 
-// HandleResult records the outcome of an entry of NextProposal that was proposed at requestedAt. known is false if the
-// outcome is unknown.
+// HandleResult records the outcome, at now, of an entry of NextProposal that was proposed at requestedAt. known is
+// false if the outcome is unknown.
 func (c *Controller) HandleResult(requestedAt, now time.Duration, entry fleet.Entry, result fleet.Result, known bool) {
 	c.holder.HandleResult(requestedAt, now, entry, result, known)
 	if entry.Kind == fleet.KindGrantLease && known && result.Err == nil {
@@ -78,23 +79,24 @@
 	c.steppedDownUntil = now + stepDownLeaseDurations*c.holder.Duration
 }
 
-// HoldsLease reports whether the process holds the lease, as far as it knows, and the newest token that it has had.
+// HoldsLease returns the newest token of the lease. It reports whether the process holds the lease, as far as the
+// process knows.
 func (c *Controller) HoldsLease() (fleet.FencingToken, bool) { return c.token, c.holder.HoldsLease() }
 
-// FencingToken returns the token under which to act now; ok is false if the process must not act. Callers must call it
-// again right before each effect.
+// FencingToken returns the token under which the process may act at now. ok is false if the process must not act.
+// Callers call FencingToken again right before each effect.
 func (c *Controller) FencingToken(now time.Duration) (token fleet.FencingToken, ok bool) {
 	return c.holder.FencingToken(now)
 }
 
-// Task is an entry to propose or an effect to request. Exactly one of its fields is set.
+// Task is either an entry to propose or an effect to request. Exactly one field is set.
 type Task struct {
 	Entry   *fleet.Entry         // entry to propose
-	Request *lease.EffectRequest // request to send to the node of its step
+	Request *lease.EffectRequest // request to send to the agent of the step's node
 }
 
-// Next returns the tasks to do now, given a state and the observed nodes. There are none while the process must not
-// act, or while the state lacks the process's own newest entry.
+// Next returns the tasks to do at now, given a state and a view of the nodes. It returns none while the process must
+// not act, or while the state lacks the newest entry of this process.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
 	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
@@ -119,7 +121,7 @@
 
 func (c *Controller) task(job *fleet.Job, token fleet.FencingToken, action Action) Task {
 	entry := fleet.Entry{JobID: job.ID, FencingToken: token}
-	// A step begun under an earlier token is begun again under the current one before it is requested.
+	// A step that was begun under an earlier token is begun again under the current token before it is requested.
 	takeOver := action.Operation == RequestStep && job.Steps[action.Step].FencingToken != token
 	begin := action.Operation == StartStep && !c.holder.Unsafe.RecordIntentLate
 	switch {
@@ -149,15 +151,15 @@
 	return request
 }
 
-// HandleWrite records the outcome of an entry of Next or HandleResponse. It reports whether the entry was rejected
+// HandleWrite records the outcome of an entry from Next or HandleResponse. It reports whether the entry was rejected
 // because the lease is lost or the job is closed.
 func (c *Controller) HandleWrite(result fleet.Result) (leaseLost bool) {
 	c.lastOwnPosition = max(c.lastOwnPosition, result.Position)
 	return errors.Is(result.Err, fleet.ErrLeaseLost)
 }
 
-// HandleResponse returns the entries to propose after the response to a request. There are none until the effect has
-// ended.
+// HandleResponse returns the entries to propose after response, the response to request. It returns none until the
+// effect has ended.
 func (c *Controller) HandleResponse(request lease.EffectRequest, response lease.EffectResponse) []fleet.Entry {
 	if response.Running || response.Outcome == "" {
 		return nil
--- a/fleet/rollingupdate/controller_test.go
+++ b/fleet/rollingupdate/controller_test.go
@@ -32,7 +32,7 @@
 	return driver
 }
 
-// start replaces the controller with that of another process, which runs beside a node.
+// start replaces the controller with the controller of another process, which runs beside node.
 func (c *controllerTest) start(identity, node string) {
 	c.controller = NewController(fleet.JobRollingUpdate, identity, node, leaseDuration, lease.UnsafeOptions{})
 }
@@ -48,7 +48,7 @@
 }
 
 // proposeForLease applies the entry that the controller proposes for its lease. It fails the test unless the entry is
-// of the kind want; an empty kind means that there must be none.
+// of the kind want; empty: the controller must propose nothing.
 func (c *controllerTest) proposeForLease(want fleet.Kind) {
 	c.t.Helper()
 	entry, ok := c.controller.NextProposal(c.now, c.state)
@@ -90,7 +90,7 @@
 	return *task.Request
 }
 
-// completeSteps completes all steps of a node with success, and fails the test unless the node is the next one.
+// completeSteps completes all steps of a node with success. It fails the test unless the node is the next node.
 func (c *controllerTest) completeSteps(node string) {
 	c.t.Helper()
 	for _, action := range []fleet.StepAction{fleet.ActionDrain, fleet.ActionPatch, fleet.ActionResume} {
@@ -161,7 +161,8 @@
 	}
 }
 
-// A step that a former holder has begun must be begun again under the new token before the new holder requests it.
+// TestController_TakesOverSteps checks that a new holder begins a step of a former holder again under its own token
+// before it requests the step.
 func TestController_TakesOverSteps(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.proposeForLease(fleet.KindGrantLease)
@@ -194,7 +195,7 @@
 	driver.proposeForLease(fleet.KindGrantLease)
 }
 
-// A holder does not drain its own node: it releases the lease, so that another holder does.
+// TestController_LeavesOwnNodeToOthers checks that a holder releases the lease instead of draining its own node.
 func TestController_LeavesOwnNodeToOthers(t *testing.T) {
 	driver := newControllerTest(t)
 	driver.start("a/1", "a")
--- a/fleet/rollingupdate/drain.go
+++ b/fleet/rollingupdate/drain.go
@@ -4,10 +4,10 @@
 	"slices"
 )
 
-// drainNext returns actions that drain those nodes of notStarted that may be drained now. No more nodes are unavailable
-// at a time than the job allows, and the serving nodes keep the job's minimum capacity. If the job is by zone, one zone
-// is finished before the next begins. The holder's own node is the last: if another node's agent can take the lease,
-// the holder releases it, and leaves its own node to the next holder.
+// drainNext returns the actions that drain those nodes of notStarted that may be drained now. The job limits the
+// number of unavailable nodes and the minimum capacity of the serving nodes. If the job is by zone, one zone is
+// finished before the next begins. The holder's own node comes last. If the agent of another node can take the lease,
+// the holder releases the lease and leaves its own node to the next holder.
 func (p *planner) drainNext(notStarted []string) []Action {
 	if p.job.Spec.ByZone {
 		zone := p.currentZone()
@@ -18,7 +18,7 @@
 	for _, node := range p.orderSelfLast(notStarted) {
 		status := p.view.Nodes[node]
 		switch {
-		case p.unavailable[node]: // not resumed before the rollback, so it is already counted as unavailable
+		case p.unavailable[node]: // not resumed before the rollback, so already counted as unavailable
 		case len(p.unavailable)+len(actions) >= p.job.Spec.MaxUnavailable:
 			continue
 		case !status.Serving || capacity-status.Capacity < p.job.Spec.MinCapacity:
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// servingCapacity returns the total capacity of the nodes that are serving and not made unavailable by the job.
+// servingCapacity returns the total capacity of the nodes that serve and that the job has not made unavailable.
 func (p *planner) servingCapacity() float64 {
 	capacity := 0.0
 	for name, node := range p.view.Nodes {
@@ -54,7 +54,7 @@
 	return capacity
 }
 
-// orderSelfLast moves the holder's own node, if it is among nodes, to the end.
+// orderSelfLast moves the holder's own node to the end of nodes, if nodes contains it.
 func (p *planner) orderSelfLast(nodes []string) []string {
 	isSelf := func(node string) bool { return node == p.view.Self }
 	if !slices.ContainsFunc(nodes, isSelf) {
@@ -63,7 +63,7 @@
 	return append(slices.DeleteFunc(nodes, isSelf), p.view.Self)
 }
 
-// otherCandidateServes reports whether another node is serving whose agent may hold the lease.
+// otherCandidateServes reports whether the agent of another serving node may hold the lease.
 func (p *planner) otherCandidateServes() bool {
 	for name, node := range p.view.Nodes {
 		if name != p.view.Self && node.LeaseCandidate && node.Serving {
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -9,16 +9,16 @@
 	"cobaltward/fleet"
 )
 
-// NodeStatus is the status of a node as the holder of the lease observes it.
+// NodeStatus is the status of a node as observed by the holder of the lease.
 type NodeStatus struct {
 	Zone     string
 	Capacity float64 // in the unit of fleet.Node.Capacity
-	Serving  bool    // whether the node's agent responds and reports that the node is serving
+	Serving  bool    // the node's agent responds and reports that the node is serving
 	// LeaseCandidate reports whether the node's agent may hold the lease of rolling updates.
 	LeaseCandidate bool
 }
 
-// ClusterView is the holder's view of the nodes.
+// ClusterView is the status of all nodes as observed by the holder of the lease.
 type ClusterView struct {
 	Nodes map[string]NodeStatus // by name
 	Self  string                // name of the holder's own node
@@ -30,24 +30,24 @@
 // The operations.
 const (
 	StartStep    Operation = iota // record in the log that a step begins
-	RequestStep                   // request a step that was begun from its node
+	RequestStep                   // request a step that was begun, from the agent of its node
 	CloseJob                      // record in the log that the job is closed
-	ReleaseLease                  // release the lease, so that another process drains the holder's own node
+	ReleaseLease                  // let another process drain the holder's own node
 )
 
-// Action is an action that the holder of the lease takes next.
+// Action is the next action of the holder of the lease.
 type Action struct {
 	Operation   Operation
 	Step        fleet.StepKey // set for StartStep and RequestStep
-	Retry       bool          // set for RequestStep if an earlier holder may have requested the step
+	Retry       bool          // set for RequestStep: an earlier holder may have requested the step
 	CloseReason fleet.CloseReason
 	Detail      string // details of CloseReason
 }
 
-// IdempotencyKey returns the key of a step's effect, the same for all holders.
+// IdempotencyKey returns the idempotency key of a step's effect. All holders use the same key.
 func IdempotencyKey(jobID string, step fleet.StepKey) string { return jobID + "/" + step.String() }
 
-// sequence is the three step actions that a node goes through, in order.
+// sequence has the three actions that each node goes through, in order.
 type sequence struct{ drain, change, resume fleet.StepAction }
 
 var (
@@ -59,16 +59,17 @@
 	return [3]fleet.StepAction{s.drain, s.change, s.resume}
 }
 
-// planner holds the data from which one call of Next derives the actions.
+// planner holds the input from which Next derives the actions.
 type planner struct {
 	job         *fleet.Job
 	view        ClusterView
 	unavailable map[string]bool
 	sequence    sequence
-	nodes       []string // nodes that go through the sequence, in order
+	nodes       []string // nodes that go through the sequence
 }
 
-// Next returns the actions that the holder of the lease takes now. Each call requests the steps in progress again.
+// Next returns the actions that the holder of the lease takes now. Steps in progress are requested again at each
+// call.
 func Next(job *fleet.Job, view ClusterView) []Action {
 	if !job.Open() {
 		return nil
@@ -97,7 +98,7 @@
 		return plan
 	}
 	plan.sequence, plan.nodes = rollback, nil
-	for _, node := range slices.Backward(job.Spec.Nodes) { // only nodes that may be patched, starting with the last
+	for _, node := range slices.Backward(job.Spec.Nodes) { // only nodes that may be patched, the last node first
 		if plan.step(node, fleet.ActionPatch).StartedAt != 0 {
 			plan.nodes = append(plan.nodes, node)
 		}
@@ -109,8 +110,8 @@
 	return p.job.Steps[fleet.StepKey{Node: node, Action: action}]
 }
 
-// closeOnUnknownOutcome returns an action that closes the job if the outcome of one of its steps is unknown. An
-// operator then has to check the node, and may roll back the job.
+// closeOnUnknownOutcome returns an action that closes the job if a step of the current sequence has an unknown
+// outcome. An operator then has to check the node, and may roll back the job.
 func (p *planner) closeOnUnknownOutcome() (action Action, found bool) {
 	actions := p.sequence.actions()
 	for key, step := range p.job.Steps {
@@ -122,8 +123,8 @@
 	return action, false
 }
 
-// finishForward returns the actions that are needed before the rollback can begin: each step in progress is finished,
-// and each drained node is resumed.
+// finishForward returns the actions that are needed before the rollback can begin. They finish each step in progress
+// and resume each drained node.
 func (p *planner) finishForward() []Action {
 	var actions []Action
 	for _, node := range p.job.Spec.Nodes {
@@ -152,15 +153,16 @@
 	return Action{Operation: RequestStep, Step: key, Retry: p.job.Steps[key].Attempts > 1}
 }
 
-// nextStep returns the first action of the sequence that a node has not finished, and whether it has begun. pending is
-// false if the node has finished the sequence.
+// nextStep returns the first action of the sequence that a node has not finished. begun reports whether the action
+// has begun. pending is false if the node has finished the sequence.
 func (p *planner) nextStep(node string) (action fleet.StepAction, begun, pending bool) {
 	for _, action := range p.sequence.actions() {
 		step := p.step(node, action)
 		if step.FinishedAt == 0 {
 			return action, step.StartedAt != 0, true
 		}
-		if action == p.sequence.drain && step.Outcome != fleet.OutcomeOK { // a node not drained is only resumed
+		// A node whose drain has failed is only resumed.
+		if action == p.sequence.drain && step.Outcome != fleet.OutcomeOK {
 			resume := p.step(node, p.sequence.resume)
 			return p.sequence.resume, resume.StartedAt != 0, resume.FinishedAt == 0
 		}
@@ -168,11 +170,11 @@
 	return "", false, false
 }
 
-// progress is the progress of the plan's nodes through the sequence.
+// progress is the progress of the planner's nodes through the sequence.
 type progress struct {
 	actions    []Action // next actions of the nodes in progress
-	inProgress int      // number of nodes that have begun but not finished the sequence
-	done       int      // number of nodes that have finished the sequence
+	inProgress int      // nodes that have begun but not finished the sequence
+	done       int      // nodes that have finished the sequence
 	notStarted []string // nodes that have not begun the sequence
 }
 
@@ -190,7 +192,7 @@
 			result.notStarted = append(result.notStarted, node)
 		case p.job.Command == fleet.CommandPause:
 			result.inProgress++
-		default: // a drained node must not stay drained, even if the job is stopping
+		default: // resume drained nodes even if the job is stopping
 			result.inProgress++
 			result.actions = append(result.actions, startStep(node, action))
 		}
@@ -212,15 +214,16 @@
 		return []Action{{Operation: CloseJob, CloseReason: p.doneReason(), Detail: p.closeDetail("")}}
 	}
 	actions := slices.Concat(current.actions, p.drainNext(current.notStarted))
-	if len(actions) == 0 && len(p.unavailable) > 0 { // nodes that were not resumed use up the job's limits
+	// Nodes that were not resumed use up the limits of the job.
+	if len(actions) == 0 && len(p.unavailable) > 0 {
 		names := strings.Join(slices.Sorted(maps.Keys(p.unavailable)), " ")
 		return []Action{{Operation: CloseJob, CloseReason: fleet.ClosedStopped, Detail: names + " did not come back"}}
 	}
 	return actions
 }
 
-// nodeNotResumed returns the last node whose resume step has failed; empty if there is none. After such a failure no
-// further node may be drained.
+// nodeNotResumed returns the last node whose resume step has failed; empty if there is none. After such a failure the
+// job drains no further node.
 func (p *planner) nodeNotResumed() string {
 	notResumed := ""
 	for _, node := range p.nodes {
--- a/fleet/rollingupdate/plan_test.go
+++ b/fleet/rollingupdate/plan_test.go
@@ -11,7 +11,7 @@
 	"cobaltward/fleet"
 )
 
-// describe formats actions, each as an operation and its step or close reason.
+// describe formats each action as its operation and its step or close reason.
 func describe(actions []Action) string {
 	var lines []string
 	for _, action := range actions {
@@ -30,8 +30,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// parseSteps parses a list of steps: "a/out ok" is a finished step with its outcome, "a/out" is a step in progress, and
-// "a/out 2" is one that two holders have begun.
+// parseSteps parses a list of steps. "a/out ok" is a finished step with its outcome. "a/out" is a step in progress.
+// "a/out 2" is a step that two holders have begun.
 func parseSteps(t *testing.T, list string) map[fleet.StepKey]fleet.Step {
 	t.Helper()
 	steps := make(map[fleet.StepKey]fleet.Step)
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// viewOf returns the view of the holder beside the node self: the nodes a and b are in one zone, c and d in another,
-// and those in down are not serving.
+// viewOf returns the view of the holder beside the node self. The nodes a and b are in one zone, c and d in another.
+// The nodes in down are not serving.
 func viewOf(self string, down ...string) ClusterView {
 	view := ClusterView{Self: self, Nodes: make(map[string]NodeStatus)}
 	for i, name := range []string{"a", "b", "c", "d"} {
@@ -72,7 +72,7 @@
 	return view
 }
 
-// The steps of nodes that are finished or rolled back, and of nodes whose patch or resume has failed.
+// Steps of nodes that are finished or rolled back, or whose patch or resume has failed.
 const (
 	aDone       = "a/out ok, a/patch ok, a/in ok"
 	bDone       = "b/out ok, b/patch ok, b/in ok"
@@ -87,7 +87,7 @@
 func oneAtOnce(spec *fleet.JobSpec) { spec.MaxUnavailable = 1 }
 func byZone(spec *fleet.JobSpec)    { spec.ByZone, spec.MinCapacity = true, 0 }
 
-// nextTests are jobs and views of the nodes, with the actions that the holder of the lease takes next.
+// nextTests are jobs and views of the nodes, with the actions that Next must return.
 var nextTests = []struct {
 	name     string
 	change   func(*fleet.JobSpec) // changes the specification of TestNext_OfJob; nil: no change
@@ -186,7 +186,7 @@
 	}
 }
 
-// modelJob is a state with one job, whose steps get random outcomes.
+// modelJob is a state with one job whose steps get random outcomes.
 type modelJob struct {
 	t     *rapid.T
 	state *fleet.State
@@ -244,7 +244,7 @@
 	}
 }
 
-// checkLimits fails the test if the job has too many nodes unavailable, or too little serving capacity.
+// checkLimits fails the test if too many nodes are unavailable or the serving capacity is too low.
 func (m *modelJob) checkLimits() {
 	unavailable := m.job().UnavailableNodes()
 	serving := float64(len(m.spec.Nodes) - len(unavailable))
@@ -253,7 +253,8 @@
 	}
 }
 
-// Whatever the outcomes of steps, the limits of the job must hold, and the job must be closed eventually.
+// TestNext_LimitsHoldUntilClosed checks with random outcomes of steps that the limits of the job hold and that the
+// job is closed eventually.
 func TestNext_LimitsHoldUntilClosed(t *testing.T) {
 	const maxTurns = 200
 	commands := []fleet.JobCommand{fleet.CommandAbort, fleet.CommandRollBack}
