--- a/fleet/job.go
+++ b/fleet/job.go
@@ -53,7 +53,7 @@
 const (
 	ClosedDone       CloseReason = "done"
 	ClosedAborted    CloseReason = "aborted" // an operator aborted the job
-	ClosedStopped    CloseReason = "stopped" // stopped by too many failures, an unknown outcome, or a node that was not resumed
+	ClosedStopped    CloseReason = "stopped" // too many failures, an unknown outcome or a node not resumed
 	ClosedRolledBack CloseReason = "back"
 )
 
