--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -16,18 +16,18 @@
 type AppliedEntry struct {
 	ProposalID uint64 // 0: no caller waits for the outcome
 	Entry      fleet.Entry
-	Raw        []byte // the encoded entry as in the log, without the proposal ID; nil: an internal entry of raft
+	Raw        []byte // encoded entry without the proposal ID; nil: an entry of raft itself or a membership change
 	Result     fleet.Result
 }
 
-// ApplyResult is the result of a write batch: how it has changed the state, and the snapshot to store after it.
+// ApplyResult describes how a write batch has changed the state, and the snapshot to store after the batch.
 type ApplyResult struct {
 	Applied  []AppliedEntry
-	Restored bool // whether the state was replaced by a snapshot, or the membership has changed
-	// ConfirmedReads are the IDs of reads (see Core.Read) for which the state is now new enough.
+	Restored bool // a snapshot replaced the state, or the membership has changed
+	// ConfirmedReads are the IDs of the reads (see Core.Read) for which the state is now new enough.
 	ConfirmedReads []uint64
 	Snapshot       *raftpb.Snapshot // snapshot to store in place of the log before it; nil: none
-	FirstRetained  fleet.Position   // first log entry to keep once Snapshot is stored; 0: all are kept
+	FirstRetained  fleet.Position   // first log entry to keep once Snapshot is stored; 0: all
 }
 
 // Ready returns the next write batch; nil if there is none.
@@ -47,8 +47,9 @@
 }
 
 // Advance tells the core that a write batch is stored, and applies the committed entries. now is the time of the
-// replica's monotonic clock. The expiry of leases counts from it: a replica whose process was paused has not seen an
-// entry before it applies it. After an error the core must not be used any more.
+// replica's monotonic clock, from which the expiry of leases counts. The caller reads the clock after the write,
+// because a paused process has not seen an entry before it applies the entry. After an error the core must not be
+// used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
 	if err := c.updateMemoryStorage(batch, &result); err != nil {
@@ -61,7 +62,7 @@
 	c.confirmReads(batch.ready.ReadStates, &result)
 	c.expiry.Observe(c.state, c.now)
 	c.node.Advance(batch.ready)
-	// A learner cannot start from a snapshot whose membership lacks it.
+	// A learner cannot start from a snapshot that lacks the learner in its membership.
 	if c.snapshotDue() || membershipChanged {
 		err = c.takeSnapshot(&result)
 	}
@@ -84,7 +85,7 @@
 	return c.storage.Append(batch.Entries)
 }
 
-// applyCommitted applies committed entries, and adds them to result.
+// applyCommitted applies committed entries, and adds their outcomes to result.
 func (c *Core) applyCommitted(entries []*raftpb.Entry, result *ApplyResult) (membershipChanged bool, err error) {
 	for _, entry := range entries {
 		applied, err := c.applyEntry(entry)
@@ -99,14 +100,15 @@
 	return membershipChanged, nil
 }
 
-// applyEntry applies one committed entry, which may be one of raft's own.
+// applyEntry applies one committed entry: an entry of the fleet, a membership change, or the empty entry of a new
+// leader.
 func (c *Core) applyEntry(entry *raftpb.Entry) (AppliedEntry, error) {
 	position := fleet.Position(entry.GetIndex())
 	if entry.GetType() != raftpb.EntryNormal {
 		return c.applyMembership(entry, position)
 	}
 	applied := AppliedEntry{Result: fleet.Result{Position: position}}
-	if len(entry.GetData()) < proposalIDSize { // the empty entry with which a leader begins its term
+	if len(entry.GetData()) < proposalIDSize { // the empty entry at the start of a leader's term
 		next := *c.state
 		next.Position = position
 		c.state = &next
@@ -123,8 +125,8 @@
 	return applied, nil
 }
 
-// confirmReads adds the reads that the leader has confirmed to the pending ones, and moves those whose position is
-// applied to the result.
+// confirmReads adds the reads that the leader has confirmed to the pending reads. It moves each pending read whose
+// position is applied to the result.
 func (c *Core) confirmReads(confirmed []raft.ReadState, result *ApplyResult) {
 	for _, read := range confirmed {
 		c.pendingReads = append(c.pendingReads, pendingRead{decodeID(read.RequestCtx), read.Index})
@@ -142,7 +144,7 @@
 	return uint64(c.state.Position) >= c.snapshotIndex+trailingDivisor*c.trailingEntries
 }
 
-// takeSnapshot makes a snapshot of the state, and drops the entries before it except the newest trailingEntries.
+// takeSnapshot takes a snapshot of the state, and drops all log entries before it except the newest trailingEntries.
 func (c *Core) takeSnapshot(result *ApplyResult) error {
 	position := uint64(c.state.Position)
 	snapshot, err := c.storage.CreateSnapshot(position, c.confState, c.state.Marshal())
--- a/fleet/consensus/boltstorage.go
+++ b/fleet/consensus/boltstorage.go
@@ -21,14 +21,13 @@
 // storageFile is the name of the database in a replica's directory.
 const storageFile = "council.db"
 
-// recoveredSuffix is added to the database's name for the copy that RecoverStorage writes, until the copy replaces the
-// database.
+// recoveredSuffix is the suffix of the copy that RecoverStorage writes before the copy replaces the database.
 const recoveredSuffix = ".recovered"
 
-// lockTimeout is how long OpenStorage waits for another process to close the database.
+// lockTimeout is the maximum time that OpenStorage waits for another process to close the database.
 const lockTimeout = time.Second
 
-// The buckets and keys of the database. Keys of the log bucket are the indexes of its entries, big-endian.
+// The buckets and keys of the database. The keys of the log bucket are the indexes of the entries, big-endian.
 var (
 	metaBucket   = []byte("meta")
 	logBucket    = []byte("log")
@@ -40,8 +39,8 @@
 // boltStorage implements Storage with a bbolt database.
 type boltStorage struct{ db *bbolt.DB }
 
-// OpenStorage opens the storage of a replica in a directory. If there is none, it creates one with a new ID. Only one
-// process can have the storage open at a time.
+// OpenStorage opens the storage of a replica in a directory. If the directory has no storage, OpenStorage creates it
+// with a new ID. Only one process can have the storage open at a time.
 func OpenStorage(dir string) (Storage, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -60,9 +59,9 @@
 	return &boltStorage{db}, nil
 }
 
-// RecoverStorage opens the storage of a replica whose process continues after its storage has failed. It first writes
-// and syncs a copy of everything that can be read: after a failed sync, data that is read may exist only in the page
-// cache, and a later sync can succeed without writing it.
+// RecoverStorage opens the storage of a replica that continues after its storage has failed. It first writes and
+// syncs a copy of everything that can be read. After a failed sync, data that is read may exist only in the page
+// cache, and a later sync can succeed without writing that data.
 func RecoverStorage(dir string) (Storage, error) {
 	path := filepath.Join(dir, storageFile)
 	if err := rewriteFile(path); err != nil {
@@ -104,7 +103,7 @@
 	return file.Sync()
 }
 
-// syncDir syncs the entries of a directory, such as the name of a renamed file.
+// syncDir syncs a directory, for example to persist the name of a renamed file.
 func syncDir(dir string) (err error) {
 	file, err := os.Open(dir)
 	if err != nil {
@@ -114,7 +113,7 @@
 	return file.Sync()
 }
 
-// initialize creates the buckets and the ID if they are missing.
+// initialize creates the buckets and the ID of the replica if they are missing.
 func initialize(tx *bbolt.Tx) error {
 	if _, err := tx.CreateBucketIfNotExists(logBucket); err != nil {
 		return err
@@ -196,8 +195,8 @@
 	})
 }
 
-// putEntries stores entries. They replace all stored entries from their first index on, which come from an earlier
-// leader and were not committed.
+// putEntries stores entries, and removes all stored entries from their first index on. The removed entries come from
+// an earlier leader and were not committed.
 func putEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -221,9 +220,9 @@
 	return bucket.Put(key, raw)
 }
 
-// deleteEntries removes the entries with indexes from first to last, both included.
+// deleteEntries removes the entries whose indexes are at least first and at most last.
 func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
-	var keys [][]byte // collected before any is deleted, since a deletion would move the cursor
+	var keys [][]byte // collected first, since each deletion would move the cursor
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(encodeID(first)); key != nil && decodeID(key) <= last; key, _ = cursor.Next() {
 		keys = append(keys, bytes.Clone(key))
--- a/fleet/consensus/bootstrap.go
+++ b/fleet/consensus/bootstrap.go
@@ -15,8 +15,9 @@
 	return singleMemberState(member, state, 1, 1)
 }
 
-// ForceNewCluster returns the storage contents of the single member with which an operator forces a new cluster. They
-// keep everything that the member has stored, in a new epoch. Entries that only lost members had stored are lost.
+// ForceNewCluster returns the initial storage contents of member, the only member of a cluster that an operator
+// forces. The new cluster has a new epoch and keeps everything in persisted, the storage of the member. Entries that
+// only lost members had stored are lost.
 func ForceNewCluster(persisted PersistentState, member fleet.Member) (PersistentState, error) {
 	core, err := NewCore(persisted, lease.UnsafeOptions{}, CompactAfter, 0, DiscardLogger)
 	if err != nil {
@@ -33,10 +34,10 @@
 	return singleMemberState(member, core.state.NextEpoch(member), max(last, 1)+1, term+1), nil
 }
 
-// applyUncommitted applies every entry that the storage holds, committed or not, and returns the index of the last one.
-// This keeps each entry whose proposer got an answer, unless only lost members had stored it.
+// applyUncommitted applies every entry in the storage, committed or not, and returns the index of the last entry.
+// This keeps each entry whose proposer got an answer, unless only lost members had stored the entry.
 func (c *Core) applyUncommitted() (last uint64, err error) {
-	last, _ = c.storage.LastIndex() // in-memory storage returns no error here
+	last, _ = c.storage.LastIndex() // in-memory storage returns no error
 	first, _ := c.storage.FirstIndex()
 	if last < first {
 		return last, nil
@@ -56,8 +57,8 @@
 	return last, nil
 }
 
-// singleMemberState returns storage contents of a single-member cluster that consist of a snapshot of a state, at an
-// index and a term, and no log.
+// singleMemberState returns the storage contents of a cluster whose only member is member. The contents are a
+// snapshot of state at index and term, without a log.
 func singleMemberState(member fleet.Member, state *fleet.State, index, term uint64) PersistentState {
 	state = state.WithMembers(fleet.Position(index), state.Members)
 	return PersistentState{
--- a/fleet/consensus/clock.go
+++ b/fleet/consensus/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Clock is the clock of a process. Its functions are fields so that tests can make a clock drift and jump. They may be
-// called from several goroutines at once.
+// Clock is the clock of a process. Its functions are fields, so that tests can make a clock drift and jump. Several
+// goroutines may call the functions at once.
 type Clock struct {
 	Monotonic func() time.Duration // time since a fixed moment in the past
 	Wall      func() time.Time
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	electionTicks  = 10 // ticks without a leader after which a replica asks for votes
-	heartbeatTicks = 2  // ticks between the heartbeats of a leader
+	electionTicks  = 10 // ticks without a leader before a replica asks for votes
+	heartbeatTicks = 2  // ticks between two heartbeats of a leader
 
-	// maintenanceTicks is the number of ticks between the proposals that a replica makes on its own.
+	// maintenanceTicks is the number of ticks between the times at which a replica makes proposals on its own.
 	maintenanceTicks = 5
 
-	maxMessageSize      = 256 << 10 // bytes of entries in one message
-	maxInflightMessages = 64        // messages sent to a replica and not acknowledged yet
-	maxUncommittedSize  = 4 << 20   // bytes of proposals that are not committed
+	maxMessageSize      = 256 << 10 // maximum bytes of entries in one message
+	maxInflightMessages = 64        // maximum unacknowledged messages to one replica
+	maxUncommittedSize  = 4 << 20   // maximum bytes of uncommitted proposals
 
-	// CompactAfter is the number of entries that are applied between two snapshots.
+	// CompactAfter is the approximate number of entries that are applied between two snapshots.
 	CompactAfter = 2000
-	// trailingDivisor sets how many entries before a snapshot are kept for slow replicas: CompactAfter divided by it.
+	// trailingDivisor sets the number of entries before a snapshot that are kept for slow replicas: the number of
+	// entries between two snapshots divided by trailingDivisor.
 	trailingDivisor = 4
 
 	// proposalIDSize is the length in bytes of the proposal ID that precedes each entry in the log.
 	proposalIDSize = 8
 )
 
-// ErrNoLeader reports that the replica knows of no leader to which it could propose. Nothing was proposed.
+// ErrNoLeader reports that the replica knows of no leader. Nothing was proposed.
 var ErrNoLeader = errors.New("consensus: no leader is known")
 
-// Core is one replica as a state machine: it handles messages, proposals and ticks, and produces write batches. It does
-// no I/O and reads no clock, and is not safe for concurrent use.
+// Core is one replica as a state machine. It handles messages, proposals and ticks, and produces write batches. It
+// does no I/O and reads no clock. Core is not safe for concurrent use.
 type Core struct {
 	id            uint64
 	node          *raft.RawNode
@@ -46,18 +47,18 @@
 	state         *fleet.State
 	expiry        lease.ExpiryTracker
 	ticks         int
-	now           time.Duration // time of the replica's monotonic clock, as last passed to Tick or Advance
+	now           time.Duration // newest time of the replica's monotonic clock
 	snapshotIndex uint64        // log index of the newest snapshot
 	pendingReads  []pendingRead
 	// trailingEntries is the number of entries before a snapshot that are kept for slow replicas.
 	trailingEntries uint64
 }
 
-// pendingRead is a read that the leader has confirmed, but whose position is not applied yet.
+// pendingRead is a read that the leader has confirmed at a position that is not applied yet.
 type pendingRead struct{ id, position uint64 }
 
-// NewCore returns a replica that continues from its stored state. It takes a snapshot about every compactAfter entries,
-// and keeps a quarter as many entries before the snapshot. now is the time of the replica's monotonic clock.
+// NewCore returns a replica that continues from persisted. The replica takes a snapshot about every compactAfter
+// entries, and keeps a quarter as many entries before the snapshot. now is the time of the replica's monotonic clock.
 func NewCore(
 	persisted PersistentState, unsafe lease.UnsafeOptions, compactAfter int, now time.Duration, logger raft.Logger,
 ) (*Core, error) {
@@ -94,7 +95,7 @@
 	return core, nil
 }
 
-// load initializes the core from its stored state.
+// load initializes the core from persisted.
 func (c *Core) load(persisted PersistentState) error {
 	if persisted.Snapshot != nil {
 		if err := c.restore(persisted.Snapshot); err != nil {
@@ -109,7 +110,7 @@
 	return c.storage.Append(persisted.Entries)
 }
 
-// restore replaces the state with that of a snapshot.
+// restore replaces the state with the state of a snapshot.
 func (c *Core) restore(snapshot *raftpb.Snapshot) error {
 	if err := c.storage.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -124,16 +125,16 @@
 	return nil
 }
 
-// State returns the agreed state, as far as this replica has applied it.
+// State returns the agreed state that this replica has applied.
 func (c *Core) State() *fleet.State { return c.state }
 
 // ID returns the ID of the replica.
 func (c *Core) ID() uint64 { return c.id }
 
-// Leader returns the ID of the leader, as far as this replica knows; 0 if there is none.
+// Leader returns the ID of the leader that this replica knows; 0: none.
 func (c *Core) Leader() uint64 { return c.node.BasicStatus().Lead }
 
-// Status returns raft's status of the replica.
+// Status returns the status of the replica in raft.
 func (c *Core) Status() raft.Status { return c.node.Status() }
 
 // ReportUnreachable tells raft that messages to a replica were lost.
@@ -148,8 +149,8 @@
 	c.node.ReportSnapshot(id, status)
 }
 
-// Tick tells the core that one tick has passed. now is the time of the replica's monotonic clock, wall that of its wall
-// clock.
+// Tick tells the core that one tick has passed. now is the time of the replica's monotonic clock, and wall the time
+// of its wall clock.
 func (c *Core) Tick(now time.Duration, wall time.Time) {
 	c.now = now
 	c.node.Tick()
@@ -167,14 +168,14 @@
 	c.promoteLearner()
 }
 
-// proposeAll proposes entries for which no caller waits. Lost ones are proposed again at a later tick.
+// proposeAll proposes entries for which no caller waits. A later tick proposes lost entries again.
 func (c *Core) proposeAll(entries []fleet.Entry) {
 	for _, entry := range entries {
 		_ = c.Propose(0, entry)
 	}
 }
 
-// endedDisableOrders returns an entry that ends each disable order whose end time has passed.
+// endedDisableOrders returns the entries that remove the disable orders whose end time has passed at wall.
 func (c *Core) endedDisableOrders(wall time.Time) []fleet.Entry {
 	var entries []fleet.Entry
 	for id, order := range c.state.DisableOrders {
@@ -196,8 +197,8 @@
 	return c.node.Step(message)
 }
 
-// Propose proposes an entry. id identifies the proposal in AppliedEntry and must be unique; 0 means that no caller
-// waits for the outcome. It returns ErrNoLeader, or an error of raft, if nothing was proposed.
+// Propose proposes an entry. id identifies the proposal in AppliedEntry and must be unique; 0: no caller waits for
+// the outcome. Propose returns ErrNoLeader, or an error of raft, if nothing was proposed.
 func (c *Core) Propose(id uint64, entry fleet.Entry) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
@@ -206,7 +207,7 @@
 }
 
 // Read requests a linearizable read. ApplyResult.ConfirmedReads contains id once the state includes all entries that
-// were committed before the call. That may never happen: a request can be lost.
+// were committed before the call. A request can be lost, and then its id never appears.
 func (c *Core) Read(id uint64) { c.node.ReadIndex(encodeID(id)) }
 
 func encodeID(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// proposeTimeout is how long a request waits for its proposal to be applied.
+	// proposeTimeout is the maximum time that a request waits for its proposal to be applied.
 	proposeTimeout = 5 * time.Second
-	// maxRequestBody is the maximum size of the request bodies of agents and operators, in bytes.
+	// maxRequestBody is the maximum size in bytes of a request body from an agent or operator.
 	maxRequestBody = 64 << 10
 )
 
-// ProposeResponse is the answer to a proposal.
+// ProposeResponse is the answer to a proposal or to a membership request.
 type ProposeResponse struct {
 	Position     fleet.Position     `json:"at,omitempty"`
 	FencingToken fleet.FencingToken `json:"token,omitempty"`
 	Error        string             `json:"error,omitempty"` // wire text of one of fleet.RejectionErrors
 }
 
-// MembershipRequest asks to add or to remove a member.
+// MembershipRequest asks to add or remove a member.
 type MembershipRequest struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
@@ -35,8 +35,8 @@
 	Remove  bool   `json:"remove,omitempty"`
 }
 
-// Handler returns the HTTP interface for replicas, agents and operators. It checks no bearer token: the caller must
-// wrap it in a handler that does.
+// Handler returns the HTTP interface for replicas, agents and operators. It does not check bearer tokens: the caller
+// must wrap it in a handler that does.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+messagePath, r.handleMessages)
@@ -49,15 +49,16 @@
 	return mux
 }
 
-// handleMessages queues the messages of another replica. Messages that exceed the queue are dropped; raft sends them
-// again.
+// handleMessages queues the messages of another replica. It drops messages that exceed the queue, because raft sends
+// them again.
 func (r *Replica) handleMessages(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxMessageBody))
 	if err != nil {
 		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// Replicas of the old cluster that are no members of a forced new cluster would still vote, and overwrite its log.
+	// Messages of another epoch are rejected. Otherwise replicas of the old cluster would still vote and overwrite the
+	// log of a forced new cluster.
 	ownEpoch, senderEpoch := r.View().State.Epoch, req.Header.Get(epochHeader)
 	if ownEpoch != 0 && senderEpoch != "0" && senderEpoch != strconv.FormatUint(ownEpoch, 10) {
 		message := fmt.Sprintf("this cluster has epoch %d, but the message has epoch %s", ownEpoch, senderEpoch)
@@ -74,7 +75,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// enqueue queues the messages of a body, up to the first one that is invalid or exceeds the queue.
+// enqueue queues the messages of a body. It stops at the first message that is invalid or exceeds the queue.
 func (r *Replica) enqueue(body []byte) (status int, err error) {
 	for len(body) > 0 {
 		message, rest, err := decodeMessage(body)
@@ -95,8 +96,8 @@
 	return 0, nil
 }
 
-// readRequest decodes the request body of an agent or operator. If it cannot, it responds with an error and returns
-// false.
+// readRequest decodes the request body of an agent or operator into the value that to points to. If decoding fails,
+// readRequest responds with an error and returns false.
 func readRequest(w http.ResponseWriter, r *http.Request, to any) bool {
 	r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
 	return adminapi.ReadJSON(w, r, to)
@@ -108,7 +109,7 @@
 		return
 	}
 	switch entry.Kind {
-	case fleet.KindUpgradeFormat, fleet.KindAnnounceFormat, fleet.KindExpireLease: // proposed by replicas only
+	case fleet.KindUpgradeFormat, fleet.KindAnnounceFormat, fleet.KindExpireLease: // only replicas propose these kinds
 		adminapi.WriteError(w, http.StatusForbidden, fmt.Sprintf("only members may propose entries of kind %q", entry.Kind))
 		return
 	}
@@ -135,7 +136,8 @@
 	respond(w, result, err)
 }
 
-// memberID returns the ID in a request. If a request to remove a member has no ID, it looks the member up by name.
+// memberID returns the ID in a request. For a request to remove a member without an ID, memberID looks up the member
+// by name.
 func (r *Replica) memberID(request MembershipRequest) (id uint64, status int, err error) {
 	if request.ID != "" {
 		id, err := strconv.ParseUint(request.ID, 16, 64)
--- a/fleet/consensus/membership.go
+++ b/fleet/consensus/membership.go
@@ -13,23 +13,23 @@
 	"cobaltward/fleet"
 )
 
-// maxLearnerLag is the number of committed entries that a learner may lack when it becomes a voter.
+// maxLearnerLag is the maximum number of committed entries that a learner may lack when it becomes a voter.
 const maxLearnerLag = 100
 
-// MembershipError reports why a change of the membership is not possible. Nothing was proposed.
+// MembershipError reports why the membership cannot be changed as requested. Nothing was proposed.
 type MembershipError struct{ Reason string }
 
 func (e *MembershipError) Error() string { return "consensus: " + e.Reason }
 
-// membershipContext is the data that an entry with a change of the membership carries in the log.
+// membershipContext is the data in the log entry of a membership change.
 type membershipContext struct {
 	ProposalID uint64       `json:"id"`
 	Member     fleet.Member `json:"member"`
 }
 
-// ProposeMembership proposes to add a member or to remove it. A new member is added as a learner first, and becomes a
-// voter later. id identifies the proposal, as in Propose. It returns ErrNoLeader, a *MembershipError, or an error of
-// raft, if nothing was proposed.
+// ProposeMembership proposes to add a member or, if remove is set, to remove it. A new member is first added as a
+// learner, and becomes a voter later. id identifies the proposal, as in Propose. If nothing was proposed,
+// ProposeMembership returns ErrNoLeader, a *MembershipError, or an error of encoding or of raft.
 func (c *Core) ProposeMembership(id uint64, member fleet.Member, remove bool) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
@@ -48,7 +48,8 @@
 	})
 }
 
-// membershipChange returns raft's type of a change, or a *MembershipError if the change is not possible.
+// membershipChange returns raft's type of a membership change. It returns a *MembershipError if the change is not
+// possible.
 func (c *Core) membershipChange(member fleet.Member, remove bool) (raftpb.ConfChangeType, error) {
 	current, exists := c.state.Members[member.ID]
 	switch {
@@ -66,8 +67,8 @@
 	return raftpb.ConfChangeAddLearnerNode, c.checkLearner(member)
 }
 
-// checkLearner returns a *MembershipError if a learner cannot be added: another member has its name or address, or
-// another learner is being added.
+// checkLearner returns a *MembershipError if member cannot be added as a learner: another member has the same name or
+// address, or another learner is being added.
 func (c *Core) checkLearner(member fleet.Member) error {
 	for _, other := range c.state.Members {
 		switch {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// promoteLearner proposes to make a learner a voter once it has caught up with the log.
+// promoteLearner proposes to make a learner a voter if the learner has caught up with the log.
 func (c *Core) promoteLearner() {
 	status := c.node.Status()
 	for id, progress := range status.Progress {
@@ -91,13 +92,13 @@
 		}
 		if progress.Match > 0 && progress.Match+maxLearnerLag >= status.GetCommit() {
 			member.Learner = false
-			_ = c.ProposeMembership(0, member, false) // if it fails, a later tick proposes the change again
+			_ = c.ProposeMembership(0, member, false) // a later tick retries after a failure
 			return
 		}
 	}
 }
 
-// applyMembership applies a committed change of the membership.
+// applyMembership applies the committed membership change at position.
 func (c *Core) applyMembership(entry *raftpb.Entry, position fleet.Position) (AppliedEntry, error) {
 	applied := AppliedEntry{Result: fleet.Result{Position: position}}
 	if entry.GetType() == raftpb.EntryConfChange {
@@ -125,8 +126,8 @@
 	return applied, nil
 }
 
-// inConfState reports whether a replica is a voter or learner in raft's configuration, which decides over the context
-// of a change.
+// inConfState reports whether a replica is a voter or learner in raft's configuration. The configuration takes
+// precedence over the context of a membership change.
 func (c *Core) inConfState(id uint64) bool {
 	return slices.Contains(c.confState.GetVoters(), id) || slices.Contains(c.confState.GetLearners(), id)
 }
--- a/fleet/consensus/propose.go
+++ b/fleet/consensus/propose.go
@@ -10,34 +10,36 @@
 
 // Errors of proposals.
 var (
-	// ErrOutcomeUnknown reports that the outcome of a proposal is unknown: it may have been applied, or may be later.
+	// ErrOutcomeUnknown reports that the outcome of a proposal is unknown: the entry may have been applied, or may be
+	// applied later.
 	ErrOutcomeUnknown = errors.New("consensus: the outcome of the proposal is unknown")
-	// ErrTooManyProposals reports that maxPendingProposals proposals wait for their outcome. Nothing was proposed.
+	// ErrTooManyProposals reports that maxPendingProposals proposals already wait for their outcome. Nothing was
+	// proposed.
 	ErrTooManyProposals = errors.New("consensus: too many proposals are waiting")
 	// ErrStopped reports that the replica has stopped. Nothing was proposed.
 	ErrStopped = errors.New("consensus: the replica has stopped")
 )
 
-// proposal is an entry or a change of the membership that a caller of the replica proposes.
+// proposal is an entry or a membership change that a caller of the replica proposes.
 type proposal struct {
 	id       uint64
 	submit   func(core *Core, id uint64) error
-	accepted chan error // receives the error of submit; buffered, so that sending never blocks
+	accepted chan error // receives the error of submit; buffered, so sending never blocks
 }
 
-// Propose proposes an entry, and waits until this replica has applied it. A caller can conclude nothing from
-// ErrOutcomeUnknown or from the end of ctx: the entry may still be applied.
+// Propose proposes an entry, and waits until this replica has applied it. After ErrOutcomeUnknown or the error of
+// ctx, a caller can conclude nothing: the entry may still be applied.
 func (r *Replica) Propose(ctx context.Context, entry fleet.Entry) (fleet.Result, error) {
 	return r.await(ctx, func(core *Core, id uint64) error { return core.Propose(id, entry) })
 }
 
-// ChangeMembership adds or removes a member, and waits like Propose. It returns a *MembershipError if the change is not
-// possible.
+// ChangeMembership adds member or, if remove is set, removes it. It waits like Propose. It returns a *MembershipError
+// if the change is not possible.
 func (r *Replica) ChangeMembership(ctx context.Context, member fleet.Member, remove bool) (fleet.Result, error) {
 	return r.await(ctx, func(core *Core, id uint64) error { return core.ProposeMembership(id, member, remove) })
 }
 
-// await passes a proposal to the run goroutine, which submits it, and waits for its outcome.
+// await passes a proposal to the run goroutine, which calls submit, and waits for the outcome of the proposal.
 func (r *Replica) await(ctx context.Context, submit func(*Core, uint64) error) (fleet.Result, error) {
 	id, err := newProposalID()
 	if err != nil {
@@ -52,7 +54,7 @@
 	select {
 	case r.proposals <- next:
 	case <-ctx.Done():
-		return fleet.Result{}, ctx.Err() // nothing was proposed, but callers need not distinguish that
+		return fleet.Result{}, ctx.Err() // nothing was proposed, but callers need not know
 	case <-r.done:
 		return fleet.Result{}, ErrStopped
 	}
@@ -73,7 +75,7 @@
 	return fleet.Result{}, ErrOutcomeUnknown
 }
 
-// newProposalID returns a random ID, which is never 0.
+// newProposalID returns a random ID other than 0.
 func newProposalID() (uint64, error) {
 	raw := encodeID(0)
 	if _, err := rand.Read(raw); err != nil {
@@ -82,7 +84,7 @@
 	return decodeID(raw) | 1, nil
 }
 
-// register returns the channel that receives the outcome of a proposal.
+// register returns the channel that receives the outcome of the proposal id.
 func (r *Replica) register(id uint64) (<-chan fleet.Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +104,7 @@
 
 func (r *Replica) submit(next proposal) { next.accepted <- next.submit(r.core, next.id) }
 
-// submitWaiting submits the proposals that are waiting, at most maxBatch of them.
+// submitWaiting submits up to maxBatch waiting proposals.
 func (r *Replica) submitWaiting() {
 	for range maxBatch {
 		select {
--- a/fleet/consensus/raftlog.go
+++ b/fleet/consensus/raftlog.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// raftLogger implements raft.Logger. It logs raft's warnings and lower levels as debug, and raft's errors as warnings,
-// since the protocol recovers from them by itself. Fatal and Panic panic, because raft calls them when one of its
+// raftLogger implements raft.Logger. It logs raft's warnings and lower levels as debug. It logs raft's errors as
+// warnings, because the protocol recovers from them. Fatal and Panic panic, because raft calls them when one of its
 // invariants is broken.
 type raftLogger struct{ log *slog.Logger }
 
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -17,9 +17,9 @@
 // Config configures a replica.
 type Config struct {
 	Name    string
-	Address string // IP:port under which the other replicas reach this one
-	// AddressOverrides maps the addresses of other replicas to those under which this process reaches them, where the
-	// two differ.
+	Address string // IP:port at which other replicas reach this replica
+	// AddressOverrides maps the address of another replica to the address at which this process reaches it, if the two
+	// differ.
 	AddressOverrides map[string]string
 	AuthToken        string      // bearer token of calls to other replicas
 	TLS              *tls.Config // TLS settings of calls to other replicas; nil: calls are not encrypted
@@ -31,36 +31,36 @@
 
 // Limits of a replica.
 const (
-	maxInbox            = 1024 // messages queued for the core; raft sends dropped ones again
-	maxBatch            = 64   // proposals, or messages of one call, that are handled together
+	maxInbox            = 1024 // maximum messages queued for the core; raft repeats dropped messages
+	maxBatch            = 64   // maximum proposals, or messages of one call, that are handled together
 	maxPendingProposals = 1024
-	maxWatchers         = 2048   // watch requests that wait at the same time
-	maxReports          = 10_000 // agents whose last report is kept
+	maxWatchers         = 2048   // maximum watch requests that wait at the same time
+	maxReports          = 10_000 // maximum agents whose last report is kept
 )
 
-// Replica runs one Core with its Storage and its network transport. Its methods may be called from several goroutines
-// at once.
+// Replica runs one Core with its Storage and its network transport. Its methods are safe for concurrent use.
 type Replica struct {
 	config    Config
 	storage   Storage
-	core      *Core // only the run goroutine may use it, except for ID
+	core      *Core // used only by the run goroutine, except for ID
 	inbox     chan *raftpb.Message
 	proposals chan proposal
 	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
-	done      chan struct{} // closed when the run goroutine has ended
-	err       error         // why the run goroutine has ended; valid once done is closed
+	done      chan struct{} // closed when the run goroutine ends
+	err       error         // why the run goroutine ended; valid once done is closed
 	transport *transport
-	watchers  chan struct{} // semaphore: holds one value for each waiting watch request
+	watchers  chan struct{} // semaphore: one value for each waiting watch request
 
 	mu             sync.Mutex
 	pendingResults map[uint64]chan fleet.Result // by proposal ID
 	view           View
-	updated        chan struct{}          // closed and replaced when watchers should look at the view again
+	updated        chan struct{}          // closed and replaced to make watchers read the view again
 	reports        map[string]AgentReport // by name of the agent
 }
 
-// Start starts a replica on a storage, which it closes when it stops. The caller stops it with Close.
+// Start starts a replica on storage. The caller stops the replica with Close. The replica closes storage when it
+// stops.
 func Start(config Config, storage Storage) (*Replica, error) {
 	persisted, err := storage.Load()
 	if err != nil {
@@ -94,22 +94,22 @@
 	return replica, nil
 }
 
-// ID returns the ID of the replica, which is stored in its storage.
+// ID returns the ID of the replica, as recorded in its storage.
 func (r *Replica) ID() uint64 { return r.core.ID() }
 
-// Done returns a channel that is closed when the replica has stopped, because of Close or of an error, such as failed
-// storage.
+// Done returns a channel that is closed when the replica has stopped. A replica stops after Close or after an error,
+// such as failed storage.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Close stops the replica. It returns the error for which the replica had stopped before, if any, and that of closing
-// the storage.
+// Close stops the replica. It returns the error that had stopped the replica before, if any, joined with the error of
+// closing the storage.
 func (r *Replica) Close() error {
 	r.cancel()
 	<-r.done
 	return r.err
 }
 
-// run is the event loop of the goroutine that owns the core, the run goroutine.
+// run is the event loop of the run goroutine, which owns the core.
 func (r *Replica) run() {
 	defer close(r.done)
 	defer r.shutDown()
@@ -130,8 +130,9 @@
 	r.err = errors.Join(r.err, r.storage.Close())
 }
 
-// handleNext waits for the next event and passes it to the core; it returns false once the replica must stop. Messages
-// or proposals that wait behind the first one are passed along, so that they share one write to storage.
+// handleNext waits for the next event and passes it to the core. It returns false once the replica must stop.
+// Messages or proposals that wait behind the first one are handled together with it, so all share one write to
+// storage.
 func (r *Replica) handleNext(ticks <-chan time.Time) bool {
 	select {
 	case <-r.ctx.Done():
@@ -150,7 +151,7 @@
 	return true
 }
 
-// handleMessage passes a message to the core: one from another replica, or a report of the transport.
+// handleMessage passes a message of another replica, or a report of the transport, to the core.
 func (r *Replica) handleMessage(message *raftpb.Message) {
 	switch message.GetType() {
 	case raftpb.MsgSnapStatus:
@@ -165,8 +166,8 @@
 	}
 }
 
-// processReady stores and applies each write batch of the core, and then sends its messages: no message may be sent
-// before the write.
+// processReady stores and applies each write batch of the core, and then sends the messages of the batch. No message
+// may be sent before the write.
 func (r *Replica) processReady() error {
 	for batch := r.core.Ready(); batch != nil; batch = r.core.Ready() {
 		if err := r.processBatch(batch); err != nil {
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -21,7 +21,8 @@
 
 const testTick = 10 * time.Millisecond
 
-// startReplica starts a replica on new storage, whose contents rewrite sets. The replica is stopped when the test ends.
+// startReplica starts a replica on new storage with the contents that rewrite returns. The replica stops when the
+// test ends.
 func startReplica(t *testing.T, rewrite func(PersistentState) (PersistentState, error)) *Replica {
 	t.Helper()
 	dir := t.TempDir()
@@ -279,7 +280,7 @@
 
 func TestHandler_WatchWaitsForChange(t *testing.T) {
 	replica := startLeader(t)
-	// The replica proposes the announcement of its format on its own. After that it proposes nothing more.
+	// The replica announces its format on its own. After that it proposes nothing more.
 	testkit.Await(t, "the announcement of the format", func() bool {
 		return replica.View().State.Members[replica.ID()].SupportedFormat == fleet.FormatVersion
 	})
@@ -291,7 +292,7 @@
 		err    error
 	}
 	proposed := make(chan outcome, 1)
-	go func() { // stops waiting for the watcher when the test's context ends
+	go func() { // also ends when the context of the test ends
 		for len(replica.watchers) == 0 && t.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
--- a/fleet/consensus/status.go
+++ b/fleet/consensus/status.go
@@ -9,14 +9,14 @@
 	"cobaltward/fleet"
 )
 
-// Status is the status of a replica, and of the cluster as far as the replica knows it.
+// Status is the status of a replica, and what the replica knows about the cluster.
 type Status struct {
 	Name       string `json:"name"`
 	ID         string `json:"id"`          // in hexadecimal
-	IsMember   bool   `json:"member"`      // whether the replica is a member of the cluster
-	LeaderID   string `json:"leader"`      // in hexadecimal; empty if the replica knows of no leader
-	LeaderName string `json:"leader_name"` // empty if the replica knows of no leader
-	// LeaderlessFor is how long the replica has known of no leader.
+	IsMember   bool   `json:"member"`      // the replica is a member of the cluster
+	LeaderID   string `json:"leader"`      // in hexadecimal; empty: no known leader
+	LeaderName string `json:"leader_name"` // empty: no known leader
+	// LeaderlessFor is the time since the replica last knew of a leader; 0 while it knows of one.
 	LeaderlessFor time.Duration  `json:"silent"`
 	Term          uint64         `json:"term"`
 	Position      fleet.Position `json:"at"`
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -12,10 +12,10 @@
 
 // PersistentState is the contents of a replica's storage.
 type PersistentState struct {
-	ID        uint64 // random, chosen when the storage is created, and never changed
+	ID        uint64 // random, created with the storage, never changed
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry // entries of the log after the snapshot
+	Entries   []*raftpb.Entry // log entries after the snapshot
 }
 
 // Empty reports whether the storage has never belonged to a cluster.
@@ -23,8 +23,8 @@
 	return p.Snapshot == nil && p.HardState == nil && len(p.Entries) == 0
 }
 
-// WriteBatch is the output of a core. Everything except the messages must be stored and synced before the messages are
-// sent.
+// WriteBatch is the output of a core. The caller must store and sync everything except the messages before it sends
+// the messages.
 type WriteBatch struct {
 	HardState *raftpb.HardState // nil: unchanged
 	Entries   []*raftpb.Entry
@@ -34,8 +34,8 @@
 	ready raft.Ready
 }
 
-// StorageError reports that storage has failed, and that its replica has stopped, because the stored state is unknown
-// until it is read again. A replica that is started on the result of RecoverStorage can continue.
+// StorageError reports that storage has failed and that its replica has stopped. The stored state is unknown until it
+// is read again. A replica can continue on the storage that RecoverStorage returns.
 type StorageError struct {
 	Operation string
 	Err       error
@@ -49,21 +49,21 @@
 // Unwrap returns the underlying error of the storage.
 func (e *StorageError) Unwrap() error { return e.Err }
 
-// Storage is the durable storage of a replica: its ID, raft's hard state, a snapshot and the log. Save and Compact
+// Storage is the durable storage of a replica: the ID, raft's hard state, a snapshot and the log. Save and Compact
 // return once everything is synced. After an error the stored state is unknown, and the replica must stop.
 type Storage interface {
 	// Load returns the stored state.
 	Load() (PersistentState, error)
 	// Save stores a write batch.
 	Save(batch *WriteBatch) error
-	// Compact stores a snapshot, and drops the entries before firstRetained; 0 keeps all entries.
+	// Compact stores a snapshot, and drops the entries before firstRetained; 0: all entries are kept.
 	Compact(snapshot *raftpb.Snapshot, firstRetained fleet.Position) error
 	// Close closes the storage, which must not be used afterwards.
 	Close() error
 }
 
-// RewriteStorage replaces the contents of the storage in a directory with the result of rewrite, which is Bootstrap for
-// the first member of a cluster, or ForceNewCluster. If rewrite fails, nothing changes.
+// RewriteStorage replaces the contents of the storage in dir with the result of rewrite. Operators' commands call it
+// with Bootstrap or ForceNewCluster in rewrite. If rewrite fails, nothing changes.
 func RewriteStorage(dir string, rewrite func(PersistentState) (PersistentState, error)) (err error) {
 	storage, err := OpenStorage(dir)
 	if err != nil {
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -17,8 +17,8 @@
 	storedPosition   = 89     // position of the last stored entry
 )
 
-// openStored opens a copy of storage that a replica of an earlier version of the program wrote. It guards the stored
-// format against changes.
+// openStored opens a copy of the storage of a replica of an earlier version of the program. The copy guards the
+// stored format against changes.
 func openStored(t *testing.T) Storage {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", storageFile))
@@ -50,7 +50,7 @@
 	return persisted
 }
 
-// readShared reads a file of package fleet's testdata, which the tests of that package check field by field.
+// readShared reads a file of package fleet's testdata. The tests of package fleet check the fields of that file.
 func readShared(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "testdata", name))
@@ -60,7 +60,8 @@
 	return raw
 }
 
-// Storage written by an earlier version of the program must load with the same ID, vote, snapshot and log.
+// TestStoredStorage_LoadsUnchanged checks that storage of an earlier version of the program loads with the same ID,
+// vote, snapshot and log.
 func TestStoredStorage_LoadsUnchanged(t *testing.T) {
 	persisted := loadStored(t)
 	if persisted.ID != storedID {
@@ -99,7 +100,7 @@
 	}
 }
 
-// saveAndApplyBatches saves and applies write batches until a core has none left.
+// saveAndApplyBatches saves and applies the write batches of a core until it has none left.
 func saveAndApplyBatches(t *testing.T, core *Core, storage Storage) {
 	t.Helper()
 	for batch := core.Ready(); batch != nil; batch = core.Ready() {
@@ -126,8 +127,8 @@
 	t.Fatal("the replica did not become the leader")
 }
 
-// A replica started on storage of an earlier version of the program must reach the stored state, and grant higher
-// tokens than before.
+// TestStoredStorage_RestoresState checks that a replica on storage of an earlier version of the program reaches the
+// stored state, and grants higher tokens than before.
 func TestStoredStorage_RestoresState(t *testing.T) {
 	storage := openStored(t)
 	persisted, err := storage.Load()
@@ -140,7 +141,7 @@
 	}
 	electLeader(t, core, storage)
 	state := core.State()
-	if state.Position != storedPosition+1 { // one more than stored: the empty entry of the new leader's term
+	if state.Position != storedPosition+1 { // one more: the empty entry of the new leader's term
 		t.Fatalf("the state is at position %d, want one past the last stored entry", state.Position)
 	}
 	stored := *state
@@ -163,8 +164,8 @@
 	}
 }
 
-// A new cluster forced on storage of an earlier version of the program must keep the state except the leases and the
-// other members, and grant higher tokens than before.
+// TestStoredStorage_ForcesNewCluster checks a new cluster that is forced on storage of an earlier version of the
+// program. It must keep the state except for the leases and the other members, and grant higher tokens than before.
 func TestStoredStorage_ForcesNewCluster(t *testing.T) {
 	persisted := loadStored(t)
 	forced, err := ForceNewCluster(persisted, fleet.Member{ID: persisted.ID, Name: "c1", Address: "10.0.0.1:7600"})
@@ -184,7 +185,8 @@
 	}
 }
 
-// Messages written by an earlier version of the program must decode, and encode to the same bytes.
+// TestStoredMessages_DecodeAndEncodeUnchanged checks that messages of an earlier version of the program decode, and
+// encode to the same bytes.
 func TestStoredMessages_DecodeAndEncodeUnchanged(t *testing.T) {
 	messages := jsontest.ReadMessages(t, filepath.Join("testdata", "wire.json"))
 	for name, to := range map[string]any{
--- a/fleet/consensus/transport.go
+++ b/fleet/consensus/transport.go
@@ -18,34 +18,34 @@
 // Headers of calls between replicas.
 const (
 	fromHeader    = "X-Fleet-From"    // ID of the sender, in hexadecimal
-	addressHeader = "X-Fleet-Address" // address under which the sender is reached
+	addressHeader = "X-Fleet-Address" // address at which the sender is reached
 	epochHeader   = "X-Fleet-Epoch"   // epoch of the sender's state, in decimal
 )
 
 const (
 	messagePath = "/v1/log"
 
-	maxPeerQueue    = 256      // messages that wait to be sent to one replica
-	maxMessageBody  = 64 << 20 // bytes in the body of a call between replicas, which may carry a snapshot
-	maxStalePeers   = 8        // queues in excess of the number of members, before those of non-members are closed
-	maxIgnoredBody  = 4096     // bytes of a response that are discarded so that its connection can be reused
-	maxIdlePeer     = 2        // idle connections to one replica
+	maxPeerQueue    = 256      // maximum messages queued for one replica
+	maxMessageBody  = 64 << 20 // maximum bytes of a body, which may carry a snapshot
+	maxStalePeers   = 8        // maximum surplus of queues over members; above it, queues of non-members are closed
+	maxIgnoredBody  = 4096     // maximum bytes of a response that are discarded to reuse its connection
+	maxIdlePeer     = 2        // maximum idle connections to one replica
 	peerTimeout     = 2 * time.Second
 	snapshotTimeout = 30 * time.Second
 	idlePeerTimeout = time.Minute
 )
 
-// transport sends messages to other replicas: one call at a time to each, from a bounded queue. Messages that exceed
-// the queue are dropped, since raft repeats lost messages. Only the run goroutine of the replica may call send and
-// close.
+// transport sends messages to other replicas from bounded queues, one call at a time to each replica. Messages that
+// exceed a queue are dropped, because raft repeats lost messages. Only the run goroutine of the replica may call send
+// and close.
 type transport struct {
 	replica *Replica
 	client  *http.Client
 	scheme  string
-	peers   map[uint64]chan *raftpb.Message // queues of messages, by ID of the receiving replica
+	peers   map[uint64]chan *raftpb.Message // queues of messages, by ID of the receiver
 	senders sync.WaitGroup
-	// addresses are the addresses that senders of messages have given, by ID. They are needed to call a replica that is
-	// not in the state's members yet.
+	// addresses maps replica IDs to the addresses that senders of messages have given. The transport needs these
+	// addresses to call a replica that is not in the state's members yet.
 	addresses sync.Map
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// close closes all queues and waits for the goroutines that send from them.
+// close closes all queues, and waits until the sender goroutines end.
 func (t *transport) close() {
 	for _, queue := range t.peers {
 		close(queue)
@@ -76,7 +76,8 @@
 	t.client.CloseIdleConnections()
 }
 
-// send queues messages for their receivers. A message that exceeds the queue is reported to the core as undelivered.
+// send queues messages for their receivers. It reports each message that exceeds its queue to the core as
+// undelivered.
 func (t *transport) send(messages []*raftpb.Message) {
 	core := t.replica.core
 	for _, message := range messages {
@@ -93,7 +94,8 @@
 	t.closeStalePeers()
 }
 
-// queue returns the queue of messages to a replica, and starts its sender if there is none.
+// queue returns the queue of messages to the replica id. It creates the queue and its sender goroutine if there is
+// none.
 func (t *transport) queue(id uint64) chan<- *raftpb.Message {
 	queue := t.peers[id]
 	if queue == nil {
@@ -104,8 +106,8 @@
 	return queue
 }
 
-// closeStalePeers closes the queues to replicas that are not members, once the queues outnumber the members by more
-// than maxStalePeers.
+// closeStalePeers closes queues to replicas that are not members while the queues outnumber the members by more than
+// maxStalePeers.
 func (t *transport) closeStalePeers() {
 	core := t.replica.core
 	members := core.State().Members
@@ -118,8 +120,8 @@
 	}
 }
 
-// sendQueued sends the messages of a queue until it is closed, and reports undelivered ones to the core. Messages that
-// wait are sent together in one call.
+// sendQueued sends the messages of a queue to the replica id until the queue is closed. Waiting messages are sent
+// together in one call. Undelivered messages are reported to the core.
 func (t *transport) sendQueued(id uint64, queue <-chan *raftpb.Message) {
 	for first := range queue {
 		batch := []*raftpb.Message{first}
@@ -143,15 +145,16 @@
 		}
 		select {
 		case t.replica.inbox <- report:
-		default: // the inbox is full, and raft detects the loss by itself
+		default: // the inbox is full; raft detects the loss itself
 		}
 	}
 }
 
-// encodeMessages encodes messages as the body of a call. Each is preceded by its length as an unsigned varint.
+// encodeMessages encodes messages as the body of a call. Each message is preceded by its length as an unsigned
+// varint. hasSnapshot reports whether the body has a snapshot.
 func encodeMessages(messages []*raftpb.Message) (body []byte, hasSnapshot bool) {
 	for _, message := range messages {
-		if message == nil { // received from a queue that was closed in the meantime
+		if message == nil { // received from a queue after it was closed
 			continue
 		}
 		raw, err := proto.Marshal(message)
@@ -164,7 +167,7 @@
 	return body, hasSnapshot
 }
 
-// decodeMessage decodes the first message of a body, and returns it and the rest of the body.
+// decodeMessage returns the first message of a body and the rest of the body.
 func decodeMessage(body []byte) (message *raftpb.Message, rest []byte, err error) {
 	size, used := binary.Uvarint(body)
 	if used <= 0 || size > uint64(len(body)-used) {
@@ -178,10 +181,10 @@
 	return message, body[end:], nil
 }
 
-// learnAddress records the address that a replica gives in its messages.
+// learnAddress records the address that the replica id gives in its messages.
 func (t *transport) learnAddress(id uint64, address string) { t.addresses.Store(id, address) }
 
-// address returns the address under which a replica is reached; empty if it is unknown.
+// address returns the address at which the replica id is reached; empty if it is unknown.
 func (t *transport) address(id uint64) string {
 	address := ""
 	if member, ok := t.replica.View().State.Members[id]; ok {
@@ -195,7 +198,7 @@
 	return address
 }
 
-// post sends a body to a replica. The call is canceled when the replica of this process stops.
+// post sends a body to the replica id. The call is canceled when the replica of this process stops.
 func (t *transport) post(id uint64, body []byte, timeout time.Duration) error {
 	address := t.address(id)
 	if address == "" {
@@ -215,7 +218,7 @@
 	if err != nil {
 		return fmt.Errorf("consensus: sending to replica %x: %w", id, err)
 	}
-	defer func() { _ = response.Body.Close() }() // the error does not matter, since nothing more is read
+	defer func() { _ = response.Body.Close() }() // nothing more is read, so the error does not matter
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
 	if response.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("consensus: sending to replica %x: unexpected status %s", id, response.Status)
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -12,8 +12,10 @@
 )
 
 const (
-	maxRecentEntries = 4096 // newest entries that are kept, so that watchers need not fetch the whole state
-	// maxRecentExcess is how many entries beyond maxRecentEntries may accumulate before the oldest ones are dropped.
+	// maxRecentEntries is the number of newest entries that a view keeps, so that watchers need not fetch the whole
+	// state.
+	maxRecentEntries = 4096
+	// maxRecentExcess is the maximum number of entries beyond maxRecentEntries before the oldest entries are dropped.
 	maxRecentExcess = maxRecentEntries / 4
 )
 
@@ -26,12 +28,12 @@
 // View is an immutable view of the replica's state, its recent entries and its raft status.
 type View struct {
 	State       *fleet.State
-	Recent      []LogEntry     // the newest entries, oldest first
+	Recent      []LogEntry     // newest entries, oldest first
 	RecentAfter fleet.Position // Recent has all entries after this position
 	// NotifyPosition is the position of the newest entry that watchers should receive at once.
 	NotifyPosition fleet.Position
 	Raft           raft.Status
-	LeaderSeen     time.Duration // when the replica last had a leader, by its monotonic clock
+	LeaderSeen     time.Duration // newest time at which the replica had a leader, by its monotonic clock
 }
 
 func newView(core *Core) View {
@@ -46,7 +48,7 @@
 	return r.view
 }
 
-// publish updates the view after entries were applied, resolves the proposals that wait for them, and wakes the
+// publish updates the view after entries were applied, and resolves the proposals of these entries. It wakes the
 // watchers unless all entries are deferrable.
 func (r *Replica) publish(result ApplyResult) {
 	if len(result.Applied) == 0 && !result.Restored {
@@ -67,7 +69,7 @@
 		}
 	}
 	r.view.State = r.core.State()
-	if result.Restored { // watchers cannot reach this state by applying entries, and need the whole state
+	if result.Restored { // watchers need the whole state: no entries lead to it
 		r.view.Recent, r.view.RecentAfter = nil, r.view.State.Position
 		r.view.NotifyPosition = r.view.State.Position
 	}
@@ -78,8 +80,8 @@
 	}
 }
 
-// trim drops the oldest recent entries once there are too many. It copies the rest, since views that were returned
-// share the old slice.
+// trim drops the oldest recent entries once there are too many. It copies the remaining entries, because views that
+// were returned before share the old slice.
 func (v *View) trim() {
 	surplus := len(v.Recent) - maxRecentEntries
 	if surplus <= maxRecentExcess {
@@ -89,7 +91,7 @@
 	v.Recent = slices.Clone(v.Recent[surplus:])
 }
 
-// resolve sends the outcome of an entry to the caller that waits for its proposal, if any.
+// resolve sends the outcome of an entry to the caller that waits for it, if any.
 func (r *Replica) resolve(applied AppliedEntry) {
 	outcome, ok := r.pendingResults[applied.ProposalID]
 	if !ok || applied.ProposalID == 0 {
@@ -99,7 +101,8 @@
 	outcome <- applied.Result // does not block: the channel is buffered
 }
 
-// logApplied logs an entry unless it is routine: an announcement of a format, a renewal or a registration.
+// logApplied logs an entry unless it is routine: an announcement of a format, a renewal or a registration. Rejected
+// entries are logged as debug.
 func (r *Replica) logApplied(applied AppliedEntry) {
 	entry, result := applied.Entry, applied.Result
 	switch entry.Kind {
@@ -111,7 +114,7 @@
 			"position", result.Position, "error", result.Err)
 		return
 	}
-	// The operators' documentation refers to these log lines by the kinds of entries.
+	// The operators' documentation refers to these log lines by the kinds of the entries.
 	r.config.Log.Info("fleet: "+string(entry.Kind), "position", result.Position, "work", entry.Resource,
 		"holder", entry.Holder, "job", entry.JobID, "step", entry.Step.String(),
 		"token", max(entry.FencingToken, result.FencingToken), "outcome", entry.Outcome,
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -10,34 +10,35 @@
 	"cobaltward/internal/adminapi"
 )
 
-// maxWatchWait is the longest time for which a watch request may wait for a change.
+// maxWatchWait is the maximum time for which a watch request waits for a change.
 const maxWatchWait = 30 * time.Second
 
 // AgentReport is the report of an agent about itself, which each watch request carries.
 type AgentReport struct {
 	Name        string         `json:"name"`
 	Incarnation string         `json:"run"`
-	Epoch       uint64         `json:"epoch"` // epoch of the state that the agent has
-	Position    fleet.Position `json:"at"`    // position of the state that the agent has
+	Epoch       uint64         `json:"epoch"` // epoch of the agent's state
+	Position    fleet.Position `json:"at"`    // position of the agent's state
 	// ActiveDisableOrders are the IDs of the disable orders that are in force at the agent's node.
 	ActiveDisableOrders []string  `json:"holds,omitempty"`
-	SeenAt              time.Time `json:"seen,omitzero"` // when the report arrived, by the replica's wall clock
+	SeenAt              time.Time `json:"seen,omitzero"` // arrival time, by the replica's wall clock
 }
 
 // WatchRequest asks for the changes since the state that an agent has.
 type WatchRequest struct {
 	AgentReport
-	Wait time.Duration `json:"wait"` // how long to wait for a change, at most maxWatchWait
+	Wait time.Duration `json:"wait"` // maximum time to wait for a change; limited to maxWatchWait
 }
 
-// WatchResponse is the response to a WatchRequest: the entries after the agent's state, or the whole state.
+// WatchResponse is the response to a WatchRequest. It has either the entries after the agent's state or the whole
+// state.
 type WatchResponse struct {
 	Entries   []LogEntry   `json:"entries,omitempty"`
 	State     *fleet.State `json:"state,omitempty"`
-	HasLeader bool         `json:"leader"` // whether the replica knows of a leader
+	HasLeader bool         `json:"leader"` // the replica knows of a leader
 }
 
-// handleWatch responds to a watch request once there is a change, or when its waiting time is over.
+// handleWatch responds to a watch request once there is a change or the waiting time has passed.
 func (r *Replica) handleWatch(w http.ResponseWriter, req *http.Request) {
 	var request WatchRequest
 	if !readRequest(w, req, &request) {
@@ -46,7 +47,7 @@
 	select {
 	case r.watchers <- struct{}{}:
 		defer func() { <-r.watchers }()
-	default: // the agent retries, here or at another replica
+	default: // the agent retries here or at another replica
 		w.Header().Set("Retry-After", "1")
 		adminapi.WriteError(w, http.StatusServiceUnavailable, "too many watch requests are waiting")
 		return
@@ -72,7 +73,7 @@
 	}
 }
 
-// recordReport records the report of an agent. It returns the view, and the channel that is closed when the view
+// recordReport records the report of an agent. It returns the view and the channel that is closed when the view
 // changes.
 func (r *Replica) recordReport(report AgentReport) (View, <-chan struct{}) {
 	r.mu.Lock()
@@ -85,7 +86,7 @@
 	return r.view, r.updated
 }
 
-// responseTo returns the response that brings the agent from the state in its request to the state of the view.
+// responseTo returns the response that takes the agent from the state in its request to the state of the view.
 func (v View) responseTo(request WatchRequest) WatchResponse {
 	response := WatchResponse{HasLeader: v.Raft.Lead != 0}
 	if request.Epoch != v.State.Epoch || request.Position < v.RecentAfter {
