--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -18,24 +18,25 @@
 )
 
 // Commands holds the command lines that the operator has configured for rolling updates. The commands get the
-// environment variables WAYHOLD_NODE, WAYHOLD_KEY, WAYHOLD_TOKEN and WAYHOLD_STEP, and are killed when the agent's
+// environment variables WAYHOLD_NODE, WAYHOLD_KEY, WAYHOLD_TOKEN and WAYHOLD_STEP. They are killed when the agent's
 // process ends.
 type Commands struct {
 	Patch  []string // applies the patch
-	Verify []string // exit status 0: the patch is applied; 1: it is not; any other: unknown
+	Verify []string // exit status 0: patch applied; 1: not applied; any other: unknown
 	Revert []string // removes the patch
 }
 
 // Config configures an agent.
 type Config struct {
 	Self     fleet.Node
-	Dir      string // directory of the state that must survive a restart of the process
+	Dir      string // directory of the state that survives a restart
 	Commands Commands
-	Timeout  time.Duration // of a command, of a drain, and of waiting for a node to serve again
-	Clock    consensus.Clock
-	Unsafe   lease.UnsafeOptions
-	Log      *slog.Logger
-	// FailPoint is called at points where tests may kill or pause the process; nil: there are no such points.
+	// Timeout is the timeout for each effect: a drain, a resume, or a command and its verification.
+	Timeout time.Duration
+	Clock   consensus.Clock
+	Unsafe  lease.UnsafeOptions
+	Log     *slog.Logger
+	// FailPoint is called at points where tests may kill or pause the process; nil: no such points.
 	FailPoint func(point string)
 }
 
@@ -48,28 +49,29 @@
 	tasks   sync.WaitGroup
 
 	mu              sync.Mutex
-	ctx             context.Context // of Run; nil before Run is called
+	ctx             context.Context // context of Run; nil before Run is called
 	receiver        *lease.FencedReceiver
 	activeOrders    []string // IDs of the disable orders in force at the node
-	rejectedEffects uint64   // number of effects rejected because of a stale token
+	rejectedEffects uint64   // effects rejected because of a stale token or a closed job
 }
 
 const (
-	// stateFile is the name of the file with the receiver's state, in Config.Dir.
+	// stateFile is the name of the file in Config.Dir with the state of the receiver.
 	stateFile = "receiver.json"
-	// reconcileInterval is the time between checks of the disable orders and of the registration, in addition to a
-	// check at each new state.
+	// reconcileInterval is the maximum time between two checks of the disable orders and of the registration. Each new
+	// state also triggers a check.
 	reconcileInterval = time.Second
-	// registerInterval is the time between two registrations while another process registers the same name, or after
-	// a delayed earlier registration has replaced the current one.
+	// registerInterval is the minimum time between two registrations after the first. Further registrations are needed
+	// while another process registers the same name, or after a delayed earlier registration has replaced the current
+	// one.
 	registerInterval = 5 * time.Second
-	// nodeTimeout limits the calls to the node of one reconciliation, and the status call for a request.
+	// nodeTimeout is the timeout for the calls to the node in one reconciliation, and for the status call in a request.
 	nodeTimeout = 2 * time.Second
-	// proposeTimeout limits a proposal to the consensus group.
+	// proposeTimeout is the timeout for each proposal to the consensus group.
 	proposeTimeout = 2 * time.Second
 )
 
-// New returns an agent that continues from the state that an earlier process stored in Config.Dir, if any.
+// New returns an agent that continues from the state in Config.Dir that an earlier process stored, if any.
 func New(config Config, node Node, client *Client) (*Agent, error) {
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
@@ -77,7 +79,7 @@
 	agent := &Agent{config: config, node: node, client: client}
 	stored, err := readState(agent.stateFile())
 	if err != nil {
-		// Without the stored state, an effect of a former lease holder could not be distinguished from a newer one.
+		// Without the stored state, the agent could not tell effects of a former lease holder from newer effects.
 		return nil, fmt.Errorf("%s: %w: restore the file before starting this agent", agent.stateFile(), err)
 	}
 	agent.receiver = lease.Restore(stored, config.Self.Name, config.Self.Incarnation, config.Unsafe)
@@ -85,7 +87,7 @@
 	return agent, nil
 }
 
-// readState reads the stored state of a receiver; without a file the state is empty.
+// readState reads the stored state of a receiver. Without a file it returns the empty state.
 func readState(path string) (stored lease.ReceiverState, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -100,7 +102,8 @@
 
 func (a *Agent) stateFile() string { return filepath.Join(a.config.Dir, stateFile) }
 
-// save stores the receiver's state. The caller must hold the mutex, so that no effect is decided on meanwhile.
+// save stores the receiver's state. The caller must hold the mutex, which prevents a decision on an effect before the
+// state is stored.
 func (a *Agent) save() error {
 	raw, err := json.Marshal(a.receiver.ReceiverState)
 	if err != nil {
@@ -112,8 +115,8 @@
 // Watcher returns the watcher through which the agent follows the state of the fleet.
 func (a *Agent) Watcher() *StateWatcher { return a.watcher }
 
-// Run follows the state, keeps the node registered and reconciles disabled servers until ctx is done. Then it waits for
-// effects in progress.
+// Run follows the state, keeps the node registered and reconciles disabled servers until ctx is done. After that, it
+// waits for the effects in progress.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
 	a.mu.Lock()
@@ -143,7 +146,7 @@
 			lastProposal = time.Now()
 			a.proposeRegistration(ctx)
 		}
-		updates := a.watcher.Updates() // after the proposal, because its outcome may arrive late
+		updates := a.watcher.Updates() // obtained after the proposal, whose entry may arrive later
 		select {
 		case <-updates:
 		case <-time.After(reconcileInterval):
@@ -152,8 +155,9 @@
 	}
 }
 
-// registrationDue reports whether the state lacks the registration of this process. If another process has registered
-// the same name, it logs an error and allows a new registration every registerInterval only.
+// registrationDue reports whether to propose the registration of this process, because the state lacks it. After the
+// first registration it allows a proposal only every registerInterval. It logs an error if another process has
+// registered the same name.
 func (a *Agent) registrationDue(lastProposal time.Time) bool {
 	state, lastResponse := a.watcher.State()
 	a.mu.Lock()
@@ -184,7 +188,7 @@
 	}
 }
 
-// report returns the report on this agent that each watch request carries.
+// report returns the agent's report for a watch request.
 func (a *Agent) report() consensus.AgentReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -195,7 +199,7 @@
 	}
 }
 
-// failPoint calls the FailPoint hook, if any, for the named point.
+// failPoint calls Config.FailPoint, if set, with the name of a point.
 func (a *Agent) failPoint(point string) {
 	if a.config.FailPoint != nil {
 		a.config.FailPoint(point)
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -23,7 +23,7 @@
 	drains    int
 	disabled  []string
 	zones     map[string][]string
-	changeErr error // returned by all calls that change the node
+	changeErr error // error of all calls that change the node
 }
 
 // Serving implements Node.
@@ -71,7 +71,7 @@
 // ServersByZone implements Node.
 func (n *fakeNode) ServersByZone(context.Context) (map[string][]string, error) { return n.zones, nil }
 
-// newTestAgent returns an agent of node n1. The agent does not run; the test sets the state that it knows.
+// newTestAgent returns an agent of node n1. The agent does not run: the test sets the state that the agent knows.
 func newTestAgent(t *testing.T, node Node, dir string) *Agent {
 	t.Helper()
 	client := NewClient([]string{"127.0.0.1:1"}, nil, "", nil)
@@ -89,8 +89,8 @@
 	return agent
 }
 
-// applyAll applies entries to the state that an agent knows, and returns the result of the last one. All entries must
-// be accepted.
+// applyAll applies entries to the state that an agent knows, and returns the result of the last entry. All entries
+// must be accepted.
 func applyAll(t *testing.T, agent *Agent, entries ...fleet.Entry) fleet.Result {
 	t.Helper()
 	var result fleet.Result
@@ -136,10 +136,11 @@
 	order := &fleet.DisableOrder{ID: "first"}
 	applyAll(t, agent, fleet.Entry{Kind: fleet.KindEnableServers, DisableOrder: order})
 	agent.reconcileDisabled(t.Context())
-	checkDisabled(t, node, "by-hand", "s2", "s3") // a server that an operator disabled stays disabled
+	checkDisabled(t, node, "by-hand", "s2", "s3") // an operator disabled by-hand, so it stays disabled
 }
 
-// An agent must enable servers that an earlier process has disabled for an order that has ended.
+// TestReconcileDisabled_ContinuesAfterRestart checks that an agent enables the servers that an earlier process
+// disabled for an order that has ended.
 func TestReconcileDisabled_ContinuesAfterRestart(t *testing.T) {
 	node, dir := &fakeNode{}, t.TempDir()
 	agent := newTestAgent(t, node, dir)
@@ -171,7 +172,8 @@
 	checkDisabled(t, node)
 }
 
-// prepareEffect makes an agent know of a step that was begun in an open job, and returns the request for its effect.
+// prepareEffect adds an open job with a begun step to the state that an agent knows. It returns the request for the
+// effect of the step.
 func prepareEffect(t *testing.T, agent *Agent, action fleet.StepAction) lease.EffectRequest {
 	t.Helper()
 	spec := &fleet.JobSpec{Kind: fleet.JobRollingUpdate, Nodes: []string{"n1"}, MaxUnavailable: 1}
@@ -181,7 +183,7 @@
 		fleet.Entry{Kind: fleet.KindStartJob, JobID: "j", Spec: spec},
 		fleet.Entry{Kind: fleet.KindGrantLease, Resource: resource, Holder: "h/1", LeaseDuration: time.Second})
 	state, _ := agent.watcher.State()
-	agent.receiver.Registered(state) // must happen before the step is begun
+	agent.receiver.Registered(state) // required before the step is begun
 	token := granted.FencingToken
 	applyAll(t, agent, fleet.Entry{Kind: fleet.KindBeginStep, JobID: "j", Step: key, FencingToken: token})
 	return lease.EffectRequest{
@@ -193,7 +195,7 @@
 	}
 }
 
-// startAccepting makes an agent accept effects until the test ends, without following the state of a replica.
+// startAccepting lets an agent accept effects until the test ends. The agent does not follow the state of a replica.
 func startAccepting(t *testing.T, agent *Agent) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -251,7 +253,7 @@
 	for _, test := range []struct {
 		name          string
 		patch, verify []string
-		retry         bool // whether the effect may have been carried out before
+		retry         bool // the effect may have been carried out before
 		want          fleet.StepOutcome
 	}{
 		{"succeeds", shell("exit 0"), shell("exit 9"), false, fleet.OutcomeOK},
@@ -299,7 +301,8 @@
 	}
 }
 
-// A client must return the same rejection error that the replica had, so that errors.Is works.
+// TestClient_ProposeReturnsRejectionErrors checks that a client returns the same rejection errors as the replica, so
+// that errors.Is matches them.
 func TestClient_ProposeReturnsRejectionErrors(t *testing.T) {
 	for _, want := range fleet.RejectionErrors() {
 		t.Run(want.Error(), func(t *testing.T) {
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -20,29 +20,29 @@
 
 // Errors that the methods of Client wrap.
 var (
-	// ErrNoResponse reports that there was no valid response. The request may or may not have been carried out.
+	// ErrNoResponse reports that there was no valid response. The request may have been carried out.
 	ErrNoResponse = errors.New("no answer")
-	// ErrRejected reports that the request was rejected, and not carried out.
+	// ErrRejected reports that the request was rejected and not carried out.
 	ErrRejected = errors.New("call rejected")
 )
 
 const (
-	maxResponseBody    = 64 << 20 // bytes that are read of a response
+	maxResponseBody    = 64 << 20 // maximum bytes read of a response
 	maxIdleConns       = 4        // per host
 	maxConns           = 32       // per host
 	idleConnTimeout    = 30 * time.Second
-	firstErrorStatus   = 300 // HTTP status from which on the request was not carried out
-	firstUnknownStatus = 500 // HTTP status from which on the request may have been carried out
+	firstErrorStatus   = 300 // lowest status of requests that were not carried out
+	firstUnknownStatus = 500 // lowest status of requests that may have been carried out
 )
 
-// Client calls the replicas of the consensus group, and agents. It is safe for concurrent use.
+// Client calls agents and the replicas of the consensus group. It is safe for concurrent use.
 type Client struct {
 	Replicas []string // addresses of the replicas
-	// AddressOverrides maps an address to the one under which this process reaches it, if that differs.
+	// AddressOverrides maps an address to the address at which this process reaches it, if the two differ.
 	AddressOverrides map[string]string
 	AuthToken        string // bearer token of all calls
 	HTTP             *http.Client
-	UseTLS           bool // whether calls use TLS, with the configuration of HTTP
+	UseTLS           bool // calls use TLS, with the configuration of HTTP
 
 	lastResponder atomic.Int64 // index of the replica that gets the next proposal
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// Call sends body as JSON to a path at an address, and decodes the response into the value that result points to.
-// Errors wrap ErrNoResponse or ErrRejected, except those from creating the request.
+// Call sends body as JSON to path at address, and decodes the response into the value that result points to. Its
+// errors wrap ErrNoResponse or ErrRejected, except for errors of creating the request.
 func (c *Client) Call(ctx context.Context, method, address, path string, body, result any) error {
 	if override := c.AddressOverrides[address]; override != "" {
 		address = override
@@ -116,12 +116,12 @@
 		return fmt.Errorf("%w: %s returned %s: %s", ErrNoResponse, address, response.Status, bytes.TrimSpace(raw))
 	}
 	var body adminapi.ErrorBody
-	_ = json.Unmarshal(raw, &body) // without a decodable body, the error has the HTTP status only
+	_ = json.Unmarshal(raw, &body) // without a decodable body, the error has only the HTTP status
 	return fmt.Errorf("%w by %s: %s", ErrRejected, address, cmp.Or(body.Message, response.Status))
 }
 
-// Propose proposes an entry to the replica that responded last. An error means that the outcome is unknown, or that the
-// entry was not proposed; the next call then goes to another replica.
+// Propose proposes an entry to the replica that responded last. An error means that the outcome is unknown or that
+// the entry was not proposed. After an error the next call goes to another replica.
 func (c *Client) Propose(ctx context.Context, entry fleet.Entry) (fleet.Result, error) {
 	index := c.lastResponder.Load()
 	address := c.Replicas[int(index)%len(c.Replicas)]
@@ -137,7 +137,7 @@
 	return result, nil
 }
 
-// Statuses requests the status of all replicas. The result has the status of those that responded, by address.
+// Statuses requests the status of all replicas. It returns the status of each replica that responds, by address.
 func (c *Client) Statuses(ctx context.Context) map[string]consensus.Status {
 	type answer struct {
 		address string
@@ -146,7 +146,7 @@
 	}
 	answers := make(chan answer, len(c.Replicas))
 	for _, address := range c.Replicas {
-		go func() { // ends when ctx is done at the latest; its result is received below
+		go func() { // ends when ctx is done, or earlier
 			result := answer{address: address}
 			result.err = c.Call(ctx, http.MethodGet, address, "/status", nil, &result.status)
 			answers <- result
--- a/fleet/agent/command.go
+++ b/fleet/agent/command.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxOutput = 4 << 10         // number of bytes kept from the end of a command's output
-	killDelay = 5 * time.Second // from SIGTERM to SIGKILL
+	maxOutput = 4 << 10         // maximum bytes kept from the end of a command's output
+	killDelay = 5 * time.Second // time from SIGTERM to SIGKILL
 )
 
 // tailBuffer keeps the last maxOutput bytes that are written to it.
@@ -28,12 +28,13 @@
 	return len(p), nil
 }
 
-// runCommand runs a command, and returns its exit status and the end of its output. If ctx is done first, the command
-// gets SIGTERM, and SIGKILL after killDelay. It also gets SIGKILL when this process dies, so that it does not continue
-// as an orphan while the next process verifies the outcome.
+// runCommand runs the command line words with env added to the environment. It returns the exit status and the end of
+// the output. If ctx is done first, the command gets SIGTERM, and SIGKILL after killDelay. The command also gets
+// SIGKILL when this process dies. Otherwise an orphaned command could still run while the next process verifies the
+// outcome.
 func runCommand(ctx context.Context, words, env []string) (status int, output string, err error) {
-	// Pdeathsig is sent when the thread that started the command dies, so this goroutine keeps its thread until the
-	// command has ended.
+	// Pdeathsig is sent when the thread that started the command dies. Therefore this goroutine keeps its thread until
+	// the command has ended.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, words[0], words[1:]...)
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -7,8 +7,8 @@
 	"cobaltward/fleet"
 )
 
-// reconcileDisabled disables the servers at the node that active disable orders name. It enables a server that no order
-// names any more only if the agent itself has disabled it before.
+// reconcileDisabled disables the servers at the node that active disable orders name. If no order names a server any
+// more, reconcileDisabled enables it only if the agent itself has disabled it.
 func (a *Agent) reconcileDisabled(ctx context.Context) {
 	state, _ := a.watcher.State()
 	orders := state.ActiveDisableOrders(a.config.Clock.Wall())
@@ -24,7 +24,7 @@
 	zones, err := a.zonesOf(ctx, orders)
 	disabledNow, statusErr := a.node.DisabledServers(ctx)
 	if err != nil || statusErr != nil {
-		a.setActiveOrders(nil) // which orders are in force is unknown
+		a.setActiveOrders(nil) // the orders in force are unknown
 		return
 	}
 	disabled := setOf(disabledNow)
@@ -38,7 +38,7 @@
 	a.setActiveOrders(ordersInForce(orders, zones, disabled))
 }
 
-// zonesOf returns the servers of the node's endpoint list by zone. It returns nil if no order names a zone.
+// zonesOf returns the servers of the node's endpoint list, by zone. It returns nil if no order names a zone.
 func (a *Agent) zonesOf(ctx context.Context, orders []*fleet.DisableOrder) (map[string][]string, error) {
 	namesZone := func(order *fleet.DisableOrder) bool { return len(order.Zones) > 0 }
 	if !slices.ContainsFunc(orders, namesZone) {
@@ -47,7 +47,7 @@
 	return a.node.ServersByZone(ctx)
 }
 
-// desiredServers returns the servers that the orders disable, including all servers of the zones that they name.
+// desiredServers returns the servers that orders disable, including all servers of the zones that orders name.
 func desiredServers(orders []*fleet.DisableOrder, zones map[string][]string) map[string]bool {
 	desired := make(map[string]bool)
 	for _, order := range orders {
@@ -63,8 +63,8 @@
 	return desired
 }
 
-// enableSurplus enables the servers that the agent has disabled and that no order names any more. It returns those that
-// could not be enabled, so that the next reconciliation retries them.
+// enableSurplus enables the servers that the agent has disabled and that no order names any more. It returns the
+// servers that could not be enabled, which the next reconciliation retries.
 func (a *Agent) enableSurplus(ctx context.Context, ownDisabled []string, desired, disabled map[string]bool) []string {
 	var failed []string
 	for _, server := range ownDisabled {
@@ -75,8 +75,8 @@
 	return failed
 }
 
-// rememberDisabled stores which servers the agent disables, before it disables them, so that a later process can enable
-// them again. Servers that an operator has disabled by hand are left out, because the agent must not enable them.
+// rememberDisabled stores which servers the agent disables, before it disables them. A later process can then enable
+// these servers. Servers that an operator has disabled are left out, because the agent must not enable them.
 func (a *Agent) rememberDisabled(failed, ownDisabled []string, desired, disabled map[string]bool) error {
 	next := failed
 	for server := range desired {
@@ -123,7 +123,7 @@
 	return inForce
 }
 
-// setActiveOrders records the disable orders in force, and sends a new report if they have changed.
+// setActiveOrders records the IDs of the disable orders in force. If they have changed, the agent sends a new report.
 func (a *Agent) setActiveOrders(ids []string) {
 	a.mu.Lock()
 	changed := !slices.Equal(a.activeOrders, ids)
--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -11,25 +11,25 @@
 
 // Errors that HandleEffect returns.
 var (
-	// ErrStaleToken reports that an effect was rejected because its fencing token is stale or its job is closed.
+	// ErrStaleToken reports that an effect was rejected, because its fencing token is stale or its job is closed.
 	ErrStaleToken = errors.New("effect rejected")
-	// ErrNotReady reports that the agent does not know the step yet, or is not running. The request may be repeated
+	// ErrNotReady reports that the agent does not know the step yet or is not running. The caller may repeat the request
 	// later.
 	ErrNotReady = errors.New("the agent is not ready for the effect, try again later")
 )
 
-// maxDetail is the maximum length of the detail text of an outcome, in bytes.
+// maxDetail is the maximum size in bytes of an outcome's detail text, without the ellipsis of a truncated text.
 const maxDetail = 512
 
-// Exit statuses of the operator's Verify command. Any other status means that the result is unknown.
+// Exit statuses of Commands.Verify. Any other status means that the result is unknown.
 const (
 	verifyPatched    = 0 // the patch is applied
 	verifyNotPatched = 1 // the patch is not applied
 )
 
-// HandleEffect accepts or rejects an effect. An accepted effect is carried out in the background; the caller repeats
-// the request to get its outcome. Errors wrap ErrStaleToken, ErrNotReady, or the reason why the state could not be
-// stored.
+// HandleEffect accepts or rejects the request for an effect. The agent carries out an accepted effect in the
+// background, and the caller repeats the request to get the outcome. HandleEffect returns ErrNotReady, an error that
+// wraps ErrStaleToken, or the error of storing the state.
 func (a *Agent) HandleEffect(request lease.EffectRequest) (lease.EffectResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,7 +51,7 @@
 		return response, a.reject(request, response)
 	case lease.Defer:
 		return response, ErrNotReady
-	case lease.Report: // the response already has the outcome
+	case lease.Report: // the response has the progress or the outcome
 	case lease.Execute, lease.VerifyFirst:
 		ctx := a.ctx
 		a.tasks.Go(func() { a.execute(ctx, request, decision == lease.VerifyFirst) })
@@ -68,8 +68,8 @@
 		ErrStaleToken, request.FencingToken, response.HighestToken)
 }
 
-// execute carries out an effect, and stores its outcome. If ctx is done meanwhile, it stores no outcome: the next
-// process verifies whether the effect took place.
+// execute carries out an effect, and stores its outcome. If ctx is done before the outcome is known, execute stores
+// nothing. The next process then verifies whether the effect was carried out.
 func (a *Agent) execute(ctx context.Context, request lease.EffectRequest, verifyFirst bool) {
 	action := string(request.Step.Action)
 	a.failPoint("before " + action)
@@ -90,7 +90,8 @@
 		"outcome", outcome, "detail", detail)
 }
 
-// perform carries out the action of a request's step, and returns its outcome.
+// perform carries out the action of the step in request, and returns the outcome. verifyFirst is set if the action
+// may have been carried out before.
 func (a *Agent) perform(
 	ctx context.Context, request lease.EffectRequest, verifyFirst bool,
 ) (outcome fleet.StepOutcome, detail string) {
@@ -114,9 +115,9 @@
 	return fleet.OutcomeOK, ""
 }
 
-// performCommand runs an operator's command, which does not check fencing tokens. If the command may have run
-// already, the Verify command runs first: if it exits with doneStatus, the command has run and is not repeated; if it
-// can't tell, the outcome is unknown.
+// performCommand runs the operator's command words, which does not check fencing tokens. If verifyFirst is set, the
+// command may have run already, so Commands.Verify runs first. If Verify exits with doneStatus, the command has run
+// and is not repeated. If Verify cannot tell, the outcome is unknown.
 func (a *Agent) performCommand(
 	ctx context.Context, request lease.EffectRequest, words []string, verifyFirst bool, doneStatus int,
 ) (outcome fleet.StepOutcome, detail string) {
@@ -149,7 +150,7 @@
 	return fleet.OutcomeOK, ""
 }
 
-// truncate limits a text to maxDetail bytes.
+// truncate cuts a text that is longer than maxDetail bytes.
 func truncate(text string) string {
 	if len(text) > maxDetail {
 		return text[:maxDetail] + "…"
--- a/fleet/agent/handler.go
+++ b/fleet/agent/handler.go
@@ -10,16 +10,16 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Status is the status of an agent and its node, for lease holders.
+// Status is the status of an agent and its node, as reported to lease holders.
 type Status struct {
 	Name           string         `json:"name"`
 	Serving        bool           `json:"serving"`
-	Position       fleet.Position `json:"at"` // log position of the state that the agent knows
+	Position       fleet.Position `json:"at"` // log position of the agent's state
 	LeaseCandidate bool           `json:"owns"`
-	Rejected       uint64         `json:"refused"` // number of effects with a stale token, since the agent started
+	Rejected       uint64         `json:"refused"` // effects rejected since the agent started: stale token or closed job
 }
 
-// Mount adds the HTTP handlers that lease holders call to a mux.
+// Mount adds to mux the HTTP handlers that lease holders call.
 func (a *Agent) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/effect", a.handleEffect)
 	mux.HandleFunc("GET /v1/node", a.handleStatus)
--- a/fleet/agent/nodeclient.go
+++ b/fleet/agent/nodeclient.go
@@ -15,19 +15,20 @@
 	"cobaltward/internal/node"
 )
 
-// Node is the node that an agent controls. The node itself does not know about the fleet.
+// Node is the node that an agent controls. The node does not know about the fleet.
 type Node interface {
 	// Serving reports whether the node answers and accepts requests.
 	Serving(ctx context.Context) bool
-	// Drain takes the node out of service. It returns nil once no request is open, or an error if that is not reached.
+	// Drain takes the node out of service for the given reason, and waits until no request is open. It returns an error
+	// if requests are still open after deadline, or if ctx is done first.
 	Drain(ctx context.Context, deadline time.Duration, reason string) error
-	// Resume puts the node back in service. It returns once the node serves, or when ctx is done.
+	// Resume puts the node back in service on behalf of who. It returns once the node serves, or when ctx is done.
 	Resume(ctx context.Context, who string) error
 	// DisableServer disables one server at the node.
 	DisableServer(ctx context.Context, server string) error
-	// EnableServer reverts DisableServer. It returns nil if the server is enabled already.
+	// EnableServer reverts DisableServer. It returns nil if the server is already enabled.
 	EnableServer(ctx context.Context, server string) error
-	// DisabledServers returns the servers that are disabled at the node, by the agent or by an operator.
+	// DisabledServers returns the servers that the agent or an operator has disabled at the node.
 	DisabledServers(ctx context.Context) ([]string, error)
 	// ServersByZone returns the servers of the node's endpoint list, by zone.
 	ServersByZone(ctx context.Context) (map[string][]string, error)
@@ -40,15 +41,16 @@
 }
 
 const (
-	// pollInterval is the time between two status requests while waiting for a node.
+	// pollInterval is the time between two status requests while the client waits for a node.
 	pollInterval = 50 * time.Millisecond
-	// socketHost is a placeholder for the host part of request URLs over a Unix socket.
+	// socketHost is the placeholder for the host in request URLs over a Unix socket.
 	socketHost = "door"
-	// requester is the name of the operator that the agent gives when it drains the node.
+	// requester is the name of the operator that the agent gives in its drain requests.
 	requester = "fleet"
 )
 
-// NewNodeClient returns a client of the admin API at the path of a Unix socket, or at IP:port with a bearer token.
+// NewNodeClient returns a client of the admin API at address, which is the path of a Unix socket or IP:port.
+// authToken is the bearer token.
 func NewNodeClient(address, authToken string) *NodeClient {
 	httpClient, _ := adminapi.NewClient(address, authToken, nil)
 	base := address
@@ -73,8 +75,8 @@
 	return err == nil && status.Drain.State == drain.Serving
 }
 
-// Drain implements Node. If a drain is already in progress, from an earlier request or an operator, it waits for that
-// one.
+// Drain implements Node. If an earlier request or an operator has already started a drain, Drain waits for the end of
+// that drain.
 func (c *NodeClient) Drain(ctx context.Context, deadline time.Duration, reason string) error {
 	order := node.DrainRequest{Timeout: deadline.String(), RequestedBy: requester, Reason: reason}
 	for ctx.Err() == nil {
@@ -96,7 +98,7 @@
 	return fmt.Errorf("draining the node: %w", ctx.Err())
 }
 
-// Resume implements Node. If the node was restarted meanwhile, it serves already, and there is no drain to cancel.
+// Resume implements Node. If the node was restarted, it already serves, and there is no drain to cancel.
 func (c *NodeClient) Resume(ctx context.Context, who string) error {
 	for ctx.Err() == nil {
 		status, err := c.status(ctx)
@@ -104,7 +106,7 @@
 			if status.Drain.State == drain.Serving {
 				return nil
 			}
-			// An error needs no handling: the next status shows whether the node serves.
+			// An error needs no handling, because the next status shows whether the node serves.
 			_ = c.call(ctx, http.MethodDelete, "/drain", node.DrainRequest{RequestedBy: who}, new(node.Status))
 		}
 		waitPollInterval(ctx)
@@ -134,7 +136,7 @@
 	}
 	disabled, statusErr := c.DisabledServers(ctx)
 	if statusErr == nil && !slices.Contains(disabled, server) {
-		return nil // enabled already
+		return nil // already enabled
 	}
 	return err
 }
--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -19,13 +19,13 @@
 
 const nodeToken = "a token of the node" // bearer token of the admin API
 
-// fakeAdminAPI is the admin API of a fake node, whose drain goes through a list of states.
+// fakeAdminAPI is the admin API of a fake node whose drain goes through a list of states.
 type fakeAdminAPI struct {
 	mu       sync.Mutex
-	states   []string // drain states, one for each status request; the last one is repeated
+	states   []string // drain state of each status request; the last one repeats
 	disabled []string
 	calls    []string // requests that change the node, with their bodies
-	reject   bool     // whether requests that change the node are rejected
+	reject   bool     // rejects requests that change the node
 }
 
 func (a *fakeAdminAPI) status(w http.ResponseWriter, _ *http.Request) {
@@ -55,7 +55,7 @@
 	adminapi.WriteJSON(w, http.StatusOK, map[string]any{})
 }
 
-// serve serves the API until the test ends, and returns a client for it.
+// serve serves the API until the test ends, and returns a client of the API.
 func (a *fakeAdminAPI) serve(t *testing.T) *NodeClient {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -72,7 +72,7 @@
 	return client
 }
 
-// checkCalls checks that the calls that changed the node begin, in order, with the wanted texts.
+// checkCalls checks the calls that changed the node: the text of each call must begin with the wanted text, in order.
 func (a *fakeAdminAPI) checkCalls(t *testing.T, want ...string) {
 	t.Helper()
 	a.mu.Lock()
@@ -157,8 +157,8 @@
 	}
 }
 
-// If the node rejects the request, EnableServer returns nil if the server is enabled already, and an error if it is
-// still disabled.
+// TestNodeClient_EnableServerRejected checks EnableServer after the node rejects the request. It must return nil if
+// the server is already enabled, and an error if the server is still disabled.
 func TestNodeClient_EnableServerRejected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	agentTimeout   = 2 * time.Second        // of a call to an agent
-	releaseTimeout = time.Second            // of releasing the lease when the runner ends
-	viewInterval   = 500 * time.Millisecond // how long a view of the nodes is used before it is requested again
-	maxStatusCalls = 32                     // maximum number of concurrent status calls to agents
+	agentTimeout   = 2 * time.Second        // timeout for one effect request, or for the status requests of one view
+	releaseTimeout = time.Second            // timeout for the release of the lease when the runner ends
+	viewInterval   = 500 * time.Millisecond // maximum age of a view that is used again
+	maxStatusCalls = 32                     // maximum concurrent status calls to agents
 
-	leaseChecksPerDuration = 40 // how often a runner checks its lease in one lease duration
-	reconcilesPerDuration  = 50 // how often a runner reconciles its job in one lease duration
+	leaseChecksPerDuration = 40 // checks of the lease in one lease duration
+	reconcilesPerDuration  = 50 // reconciliations of the job in one lease duration
 	minReconcileInterval   = 20 * time.Millisecond
 )
 
 // ControllerConfig configures a ControllerRunner.
 type ControllerConfig struct {
 	Kind          fleet.JobKind
-	Identity      string // under which this incarnation of the process holds leases; see fleet.Entry.Holder
-	Node          string // name of the node beside which the process runs
+	Identity      string // identity of this incarnation of the process; see fleet.Entry.Holder
+	Node          string // name of the node beside the process
 	LeaseDuration time.Duration
 	Clock         consensus.Clock
 	Unsafe        lease.UnsafeOptions
 	Log           *slog.Logger
-	// FailPoint is called at points where tests may kill or pause the process; nil: there are no such points.
+	// FailPoint is called at points where tests may kill or pause the process; nil: no such points.
 	FailPoint func(point string)
-	// ObserveProposal is called with each proposal about the lease before it is sent. The function that it returns is
-	// called with the result; known is false if the outcome is unknown. nil: proposals are not observed.
+	// ObserveProposal is called with each proposal about the lease before it is sent. The returned function is called
+	// with the result of the proposal; known is false if the outcome is unknown. nil: proposals are not observed.
 	ObserveProposal func(entry fleet.Entry) func(result fleet.Result, known bool)
 }
 
-// ControllerRunner drives a rollingupdate.Controller: it proposes its entries and requests its effects from agents.
+// ControllerRunner runs a rollingupdate.Controller: it proposes the controller's entries, and requests the
+// controller's effects from agents.
 type ControllerRunner struct {
 	config     ControllerConfig
 	client     *Client
@@ -52,11 +53,11 @@
 	mu         sync.Mutex
 	controller *rollingupdate.Controller
 
-	viewedAt time.Time                 // when view was requested; used by reconcileLoop only
-	view     rollingupdate.ClusterView // used by reconcileLoop only
+	viewedAt time.Time                 // time when view was requested; used only by reconcileLoop
+	view     rollingupdate.ClusterView // used only by reconcileLoop
 }
 
-// NewControllerRunner returns a runner that follows the state through a watcher.
+// NewControllerRunner returns a runner that makes its calls with client and follows the state through watcher.
 func NewControllerRunner(config ControllerConfig, client *Client, watcher *StateWatcher) *ControllerRunner {
 	return &ControllerRunner{
 		config:  config,
@@ -67,10 +68,11 @@
 	}
 }
 
-// HoldsLease reports whether the process holds the lease, as of its last proposal.
+// HoldsLease reports whether the process holds the lease, as of the outcome of its last proposal.
 func (r *ControllerRunner) HoldsLease() bool { return r.holdsLease.Load() }
 
-// Run competes for the lease, and runs the job while it holds the lease, until ctx is done. Then it releases the lease.
+// Run competes for the lease until ctx is done, and runs the open job while the process holds the lease. At the end
+// it releases the lease.
 func (r *ControllerRunner) Run(ctx context.Context) {
 	var reconciler sync.WaitGroup
 	defer reconciler.Wait()
@@ -88,7 +90,7 @@
 	}
 }
 
-// release gives up the lease after ctx is done, with a timeout of its own.
+// release gives up the lease after ctx is done. It has its own timeout.
 func (r *ControllerRunner) release(ctx context.Context) {
 	r.mu.Lock()
 	r.controller.Resign()
@@ -98,7 +100,7 @@
 	r.maintainLease(ctx)
 }
 
-// maintainLease makes the next proposal about the lease, if one is due, and waits for its outcome.
+// maintainLease makes the next proposal about the lease, if any, and waits for its outcome.
 func (r *ControllerRunner) maintainLease(ctx context.Context) {
 	state, _ := r.watcher.State()
 	r.mu.Lock()
@@ -119,26 +121,26 @@
 	observeResult(result, err == nil)
 }
 
-// handleResult records the outcome of a proposal about the lease.
+// handleResult records the outcome of a proposal about the lease that was made at requestedAt.
 func (r *ControllerRunner) handleResult(requestedAt time.Duration, entry fleet.Entry, result fleet.Result, known bool) {
 	r.mu.Lock()
 	r.controller.HandleResult(requestedAt, r.config.Clock.Monotonic(), entry, result, known)
 	token, holds := r.controller.HoldsLease()
 	r.mu.Unlock()
-	if held := r.holdsLease.Swap(holds); holds != held { // the lease may have expired between two proposals
+	if held := r.holdsLease.Swap(holds); holds != held { // the lease may have expired since the last proposal
 		r.config.Log.Info("fleet: lease changed", "work", r.config.Kind, "holder", r.config.Identity, "owns", holds,
 			"token", token, "position", result.Position)
 	}
 }
 
-// fencingToken returns the fencing token to act under now. If ok is false, the process must not act.
+// fencingToken returns the token under which the process may act now. If ok is false, the process must not act.
 func (r *ControllerRunner) fencingToken() (token fleet.FencingToken, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controller.FencingToken(r.config.Clock.Monotonic())
 }
 
-// reconcileLoop carries out the open job while the process holds the lease, until ctx is done.
+// reconcileLoop runs the open job while the process holds the lease, until ctx is done.
 func (r *ControllerRunner) reconcileLoop(ctx context.Context) {
 	ticker := time.NewTicker(max(r.config.LeaseDuration/reconcilesPerDuration, minReconcileInterval))
 	defer ticker.Stop()
@@ -152,7 +154,8 @@
 	}
 }
 
-// reconcile executes the next steps of the open job, if the process holds the lease, and waits for them.
+// reconcile carries out the controller's next tasks, and waits for them. It does nothing unless the process holds the
+// lease and a job is open.
 func (r *ControllerRunner) reconcile(ctx context.Context) {
 	state, _ := r.watcher.State()
 	if _, ok := r.fencingToken(); !ok || state.OpenJob(r.config.Kind) == nil {
@@ -175,7 +178,7 @@
 	running.Wait()
 }
 
-// observe returns a view of the nodes, which it requests from their agents at most once per viewInterval.
+// observe returns a view of the nodes. It requests a new view from their agents at most once per viewInterval.
 func (r *ControllerRunner) observe(ctx context.Context, state *fleet.State) rollingupdate.ClusterView {
 	if time.Since(r.viewedAt) < viewInterval {
 		return r.view
@@ -213,8 +216,8 @@
 	}
 }
 
-// requestEffect requests an effect from the agent of a node, and proposes its outcome. If the node is not registered,
-// the job waits until it is, or until an operator aborts the job.
+// requestEffect requests an effect from the agent of a node. If the effect has ended, requestEffect proposes its
+// outcome. If the node is not registered, requestEffect does nothing, and the job waits until the node is registered.
 func (r *ControllerRunner) requestEffect(ctx context.Context, state *fleet.State, request lease.EffectRequest) {
 	node, ok := state.Nodes[request.Step.Node]
 	if !ok {
@@ -224,7 +227,7 @@
 		return
 	}
 	if r.config.FailPoint != nil {
-		r.config.FailPoint("effect") // between the check of the lease and the effect
+		r.config.FailPoint("effect") // between the check of the lease and the request
 	}
 	ctx, cancel := context.WithTimeout(ctx, agentTimeout)
 	defer cancel()
--- a/fleet/agent/runner_test.go
+++ b/fleet/agent/runner_test.go
@@ -16,13 +16,13 @@
 	"cobaltward/internal/testkit"
 )
 
-// cluster is a consensus group of one replica and the agents of fake nodes, all in this process.
+// cluster is a consensus group of one replica, and the agents of fake nodes. All run in this process.
 type cluster struct {
 	t       *testing.T
 	replica *consensus.Replica
-	address string // of the replica
+	address string // address of the replica
 	nodes   map[string]*fakeNode
-	runners map[string]*ControllerRunner // by name of the node
+	runners map[string]*ControllerRunner // by node name
 	tasks   sync.WaitGroup
 	ctx     context.Context
 }
@@ -68,7 +68,7 @@
 	return group
 }
 
-// startAgent starts the agent of a node, and a runner that competes for the lease of rolling updates.
+// startAgent starts the agent of a node and a runner that competes for the lease of rolling updates.
 func (c *cluster) startAgent(name string) {
 	c.t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -127,7 +127,8 @@
 	}
 }
 
-// A rolling update must drain, patch and resume each node once. The lease holder steps down before its own node's turn.
+// TestControllerRunner_RunsRollingUpdate checks that a rolling update drains, patches and resumes each node once. The
+// lease holder must step down before its own node's turn.
 func TestControllerRunner_RunsRollingUpdate(t *testing.T) {
 	names := []string{"n1", "n2", "n3"}
 	group := startCluster(t, names...)
@@ -157,7 +158,8 @@
 	}
 }
 
-// After a lease is revoked, it is granted again with a newer fencing token, and its holder knows.
+// TestControllerRunner_LosesRevokedLease checks that a revoked lease is granted again with a newer fencing token, and
+// that the new holder knows that it holds the lease.
 func TestControllerRunner_LosesRevokedLease(t *testing.T) {
 	group := startCluster(t, "n1", "n2")
 	held := func(state *fleet.State) bool { return state.Leases[fleet.ResourceRollingUpdate].Holder != "" }
@@ -177,7 +179,8 @@
 	})
 }
 
-// Disable orders take effect at the nodes, and the replica gets reports on where they are in force.
+// TestAgent_DisablesServersForTheFleet checks that disable orders take effect at the nodes, and that the agents
+// report to the replica where the orders are in force.
 func TestAgent_DisablesServersForTheFleet(t *testing.T) {
 	group := startCluster(t, "n1", "n2")
 	group.propose(disableEntry("order", time.Now().Add(time.Hour), []string{"s1"}, nil))
@@ -203,7 +206,8 @@
 	})
 }
 
-// TestControllerRunner_LogsLossOfLease lets a lease expire between two proposals, and checks that this is logged.
+// TestControllerRunner_LogsLossOfLease checks that a runner logs the loss of a lease that expires between two
+// proposals.
 func TestControllerRunner_LogsLossOfLease(t *testing.T) {
 	var log bytes.Buffer
 	var now time.Duration
@@ -224,7 +228,7 @@
 	if !strings.Contains(log.String(), "owns=true") {
 		t.Fatalf("acquiring the lease is not logged: %s", &log)
 	}
-	now = 10 * time.Second // the lease has expired, because no proposal was committed meanwhile
+	now = 10 * time.Second // the lease has expired without a renewal
 	runner.handleResult(now, propose(), fleet.Result{Position: 2, Err: fleet.ErrConflict}, true)
 	if runner.HoldsLease() || !strings.Contains(log.String(), "owns=false") {
 		t.Errorf("the loss of the lease is not logged: %s", &log)
--- a/fleet/agent/stored_test.go
+++ b/fleet/agent/stored_test.go
@@ -16,7 +16,8 @@
 // storedToken is the fencing token in testdata/receiver.json.
 const storedToken = 562949953421315
 
-// The state of a receiver that an earlier version stored must be decoded correctly, and encoded to the same bytes.
+// TestStoredReceiver_LoadsAndSavesUnchanged checks that the stored receiver state of an earlier version decodes
+// correctly, and encodes to the same bytes.
 func TestStoredReceiver_LoadsAndSavesUnchanged(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", stateFile))
 	if err != nil {
@@ -68,7 +69,8 @@
 	}
 }
 
-// Messages of an earlier version must be decoded, and encoded again unchanged.
+// TestStoredMessages_DecodeAndEncodeUnchanged checks that messages of an earlier version decode, and encode to the
+// same bytes.
 func TestStoredMessages_DecodeAndEncodeUnchanged(t *testing.T) {
 	messages := jsontest.ReadMessages(t, filepath.Join("testdata", "wire.json"))
 	for name, to := range map[string]any{
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	watchTimeout = 10 * time.Second       // how long a replica may wait for a newer state before it responds
-	watchSlack   = 3 * time.Second        // how long after watchTimeout a request without a response fails
+	watchTimeout = 10 * time.Second       // maximum time that a replica waits for a newer state before it responds
+	watchSlack   = 3 * time.Second        // time beyond watchTimeout after which a request fails
 	minBackoff   = 200 * time.Millisecond // before jitter
 	maxBackoff   = 10 * time.Second       // before jitter
 )
 
-// errReportChanged is the cause of canceling a request whose report is outdated.
+// errReportChanged is the cause when a request with an outdated report is canceled.
 var errReportChanged = errors.New("the report has changed")
 
-// StateWatcher follows the state of the fleet with watch requests to the replicas, and keeps the newest state that any
-// of them has returned. It is safe for concurrent use.
+// StateWatcher follows the state of the fleet with watch requests to the replicas. It keeps the newest state that any
+// replica has returned. It is safe for concurrent use.
 type StateWatcher struct {
 	client        *Client
-	report        func() consensus.AgentReport // returns the report on this process for each request
+	report        func() consensus.AgentReport // returns the report for each request
 	log           *slog.Logger
 	watchTimeout  time.Duration
-	reportChanged chan struct{} // has a buffer of one, which is full if the report has changed
+	reportChanged chan struct{} // has a buffer of one, full if the report has changed
 
 	mu           sync.Mutex
 	state        *fleet.State
@@ -38,8 +38,8 @@
 	updated      chan struct{} // closed and replaced when there is a newer state
 }
 
-// NewStateWatcher returns a watcher that starts with the empty state. report returns the report on this process that
-// each request carries.
+// NewStateWatcher returns a watcher that starts with the empty state. report returns the report on this process for
+// each request.
 func NewStateWatcher(client *Client, report func() consensus.AgentReport, log *slog.Logger) *StateWatcher {
 	return &StateWatcher{
 		client:        client,
@@ -52,21 +52,21 @@
 	}
 }
 
-// State returns the newest state, and when a replica last responded; the zero time if none has.
+// State returns the newest state, and the time at which a replica last responded; zero: none has responded.
 func (w *StateWatcher) State() (state *fleet.State, lastResponse time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state, w.lastResponse
 }
 
-// Updates returns a channel that is closed when there is a newer state than the current one.
+// Updates returns a channel that is closed when a state newer than the current one arrives.
 func (w *StateWatcher) Updates() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.updated
 }
 
-// WaitFor waits until the state is at a position or beyond it. It returns the error of ctx if ctx is done first.
+// WaitFor waits until the state has reached position. It returns the error of ctx if ctx is done first.
 func (w *StateWatcher) WaitFor(ctx context.Context, position fleet.Position) error {
 	for {
 		updates := w.Updates()
@@ -81,7 +81,8 @@
 	}
 }
 
-// ReportChanged cancels the waiting request, which carries an outdated report, and sends the next one at once.
+// ReportChanged makes the watcher cancel the waiting request, whose report is outdated, and send the next request at
+// once.
 func (w *StateWatcher) ReportChanged() {
 	select {
 	case w.reportChanged <- struct{}{}:
@@ -89,9 +90,9 @@
 	}
 }
 
-// Run follows the state until ctx is done. It begins with a random replica, and changes to the next one after a
-// failure. Failures are followed by exponential backoff with jitter, so that recovered replicas do not get the
-// requests of all watchers at once.
+// Run follows the state until ctx is done. It begins with a random replica, and changes to the next replica after a
+// failure. After each failure it waits with exponential backoff and jitter. Otherwise recovered replicas would get
+// the requests of all watchers at once.
 func (w *StateWatcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	next := rand.IntN(max(1, len(w.client.Replicas)))
@@ -109,7 +110,8 @@
 	}
 }
 
-// poll sends one watch request to a replica. ok means that the next request may follow without backoff.
+// poll sends one watch request to the replica at address. It reports whether the next request may follow without
+// backoff.
 func (w *StateWatcher) poll(ctx context.Context, address string) (ok bool) {
 	select {
 	case <-w.reportChanged: // this request carries the new report
@@ -138,14 +140,15 @@
 		w.log.Debug("fleet: watch request failed", "replica", address, "error", err)
 		return false
 	}
-	// A replica without a leader has no newer state. A replica may also respond at once without a newer state,
-	// because it has an older epoch or runs a newer program; without backoff it would get requests in a busy loop.
+	// Back off after a response without a leader, because the replica then has no newer state. Also back off if the
+	// replica responded early without a newer state: it may have an older epoch or run a newer program. Without backoff
+	// the watcher would send requests in a busy loop.
 	advanced := w.updateState(state, response)
 	return response.HasLeader && (advanced || time.Since(start) >= w.watchTimeout/2)
 }
 
-// updateState applies a response to the state from which it was requested, and adopts the result if it is newer than
-// the current state. It reports whether it is.
+// updateState applies a response to from, the state that the request named. It adopts the result if it is newer than
+// the current state, and reports whether it did.
 func (w *StateWatcher) updateState(from *fleet.State, response consensus.WatchResponse) bool {
 	next, err := applyResponse(from, response)
 	if err != nil {
@@ -164,8 +167,8 @@
 	return true
 }
 
-// applyResponse returns the state after a response: the state or the entries that it has, applied to from. It returns
-// from if the response has nothing newer.
+// applyResponse returns the state after a response: either the state in the response, or its entries applied to from.
+// It returns from if the response has nothing newer.
 func applyResponse(from *fleet.State, response consensus.WatchResponse) (*fleet.State, error) {
 	if response.State != nil {
 		if response.State.NewerThan(from) {
--- a/fleet/agent/watcher_test.go
+++ b/fleet/agent/watcher_test.go
@@ -14,14 +14,14 @@
 	"cobaltward/internal/testkit"
 )
 
-// If a replica responds at once without a newer state, the watcher must back off before the next request. The watcher
-// must never return to a state of an older epoch.
+// TestStateWatcher_BacksOffWithoutNews checks that a watcher backs off if a replica responds at once without a newer
+// state. The watcher must never return to a state of an older epoch.
 func TestStateWatcher_BacksOffWithoutNews(t *testing.T) {
 	var requests atomic.Int64
 	address := testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		state := fleet.NewState(2).WithMembers(7, nil)
 		if requests.Add(1) > 1 {
-			state = fleet.NewState(1).WithMembers(9, nil) // of a replica that is not in the new cluster
+			state = fleet.NewState(1).WithMembers(9, nil) // state of a replica outside the new cluster
 		}
 		adminapi.WriteJSON(w, http.StatusOK, consensus.WatchResponse{State: state, HasLeader: true})
 	})
