--- a/internal/fleetcli/agent.go
+++ b/internal/fleetcli/agent.go
@@ -13,11 +13,11 @@
 	"cobaltward/internal/nodeconfig"
 )
 
-// incarnationSize is the length, in bytes, of the random ID that identifies one run of a process.
+// incarnationSize is the size in bytes of the random ID of one run of a process.
 const incarnationSize = 8
 
-// runAgent runs the agent of a node until SIGTERM. For each kind of lease that its file allows it to hold, it also
-// runs a controller that competes for the lease.
+// runAgent runs the agent of a node until SIGTERM or SIGINT. It also runs a controller for each kind of lease that
+// the configuration file allows the agent to hold.
 func runAgent(cfg *settings, hooks TestHooks) error {
 	if len(cfg.Replicas) == 0 {
 		return errors.New("fleet.council: missing: an agent needs the addresses of the replicas")
@@ -66,10 +66,10 @@
 	return hex.EncodeToString(raw), err
 }
 
-// identity returns the identity under which an incarnation of this process holds leases.
+// identity returns the identity under which this process holds leases in the given incarnation.
 func (s *settings) identity(incarnation string) string { return s.Name + "/" + incarnation }
 
-// nodeClient returns a client for the admin API of the agent's node.
+// nodeClient returns a client of the admin API of the agent's node.
 func (s *settings) nodeClient() (*agent.NodeClient, error) {
 	if s.nodeAdmin.Socket != "" {
 		return agent.NewNodeClient(s.nodeAdmin.Socket, ""), nil
--- a/internal/fleetcli/calls.go
+++ b/internal/fleetcli/calls.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	callTimeout   = 8 * time.Second        // of a call that proposes an entry or changes the membership
-	statusTimeout = 4 * time.Second        // of requesting the status of all replicas
-	pollInterval  = 200 * time.Millisecond // between two requests of a command that waits
+	callTimeout   = 8 * time.Second        // timeout for a call that proposes an entry or changes the membership
+	statusTimeout = 4 * time.Second        // timeout for the status requests to all replicas
+	pollInterval  = 200 * time.Millisecond // time between two requests of a command that waits
 )
 
-// propose proposes an entry, and prints the position at which it was committed.
+// propose proposes an entry, and prints the position at which the entry was committed.
 func (c *operatorCommands) propose(client *agent.Client, entry fleet.Entry) error {
 	result, err := c.commit(client, entry)
 	if err != nil {
@@ -41,14 +41,14 @@
 	return c.println(fmt.Sprintf("agreed on at position %d", result.Position))
 }
 
-// println writes one line to the command's output.
+// println writes one line to the output of the command.
 func (c *operatorCommands) println(line string) error {
 	_, err := fmt.Fprintln(c.out, line)
 	return err
 }
 
-// commit proposes an entry to one replica after another, until one reports the outcome. It adds the operator and the
-// reason to the entry.
+// commit proposes an entry to one replica after another until a replica reports the outcome or rejects the call. It
+// adds the operator and the reason to the entry.
 func (c *operatorCommands) commit(client *agent.Client, entry fleet.Entry) (fleet.Result, error) {
 	entry.RequestedBy, entry.Reason = c.requestedBy, c.reason
 	var lastErr error
@@ -75,7 +75,8 @@
 	return client.Propose(ctx, entry)
 }
 
-// newestState returns the status of each replica that responds, by address, and the newest state among them.
+// newestState returns the status of each replica that responds, by address, and the newest state among these
+// replicas.
 func newestState(client *agent.Client) (map[string]consensus.Status, *fleet.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return statuses, newest, nil
 }
 
-// newestReports returns the newest report of each agent, from whichever replica has it, by the agent's name.
+// newestReports returns the newest report of each agent from all replicas, by the agent's name.
 func newestReports(statuses map[string]consensus.Status) map[string]consensus.AgentReport {
 	newest := make(map[string]consensus.AgentReport)
 	for _, status := range statuses {
@@ -107,16 +108,16 @@
 	return newest
 }
 
-// condition reports whether the state that a command waits for has been reached, and describes the progress in one
+// condition reports whether the state for which a command waits is reached. It also describes the progress in one
 // line.
 type condition func(statuses map[string]consensus.Status, state *fleet.State) (met bool, progress string)
 
-// newID returns a random ID. It does not depend on the clock, so it is unique even among commands of the same instant,
-// and after the wall clock was set back.
+// newID returns a random ID that begins with kind. The ID does not depend on the clock. It is therefore unique among
+// commands of the same instant, and after the wall clock is set back.
 func newID(kind string) string { return kind + "-" + strings.ToLower(rand.Text()) }
 
-// pollUntil polls the state until a condition is met or a timeout has passed, and prints the progress when it changes.
-// goal names the condition in the error text.
+// pollUntil polls the state until isMet reports that the condition is met, and prints the progress when it changes.
+// After timeout it returns an error that names the condition as goal.
 func (c *operatorCommands) pollUntil(client *agent.Client, goal string, timeout time.Duration, isMet condition) error {
 	lastProgress := ""
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
--- a/internal/fleetcli/disable.go
+++ b/internal/fleetcli/disable.go
@@ -13,15 +13,15 @@
 	"cobaltward/fleet/consensus"
 )
 
-// defaultDisableDuration is how long servers are disabled unless --for says otherwise.
+// defaultDisableDuration is the time for which servers are disabled without --for.
 const defaultDisableDuration = 10 * time.Minute
 
-// disableFlags are the flags of the command that disables servers.
+// disableFlags holds the flags of the command that disables servers.
 type disableFlags struct {
 	id       string
 	zones    []string
 	duration time.Duration
-	timeout  time.Duration // how long to wait until the order is in force at all nodes; 0: do not wait
+	timeout  time.Duration // maximum time to wait until the order is in force at all nodes; 0: do not wait
 }
 
 func (c *operatorCommands) disableCommand() *cobra.Command {
--- a/internal/fleetcli/membership.go
+++ b/internal/fleetcli/membership.go
@@ -41,7 +41,7 @@
 	return c.changeMembership(client, consensus.MembershipRequest{Name: args[0], Remove: true})
 }
 
-// changeMembership sends the request to one replica after another, until one accepts or rejects it.
+// changeMembership sends request to one replica after another until a replica accepts or rejects it.
 func (c *operatorCommands) changeMembership(client *agent.Client, request consensus.MembershipRequest) error {
 	var lastErr error
 	for _, address := range client.Replicas {
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -12,13 +12,13 @@
 	"cobaltward/internal/adminapi"
 )
 
-// Bounds of the backoff between attempts to restart a replica after a storage failure.
+// Bounds of the backoff before each attempt to restart a replica after a storage failure.
 const (
 	minRestartBackoff = 50 * time.Millisecond
 	maxRestartBackoff = 2 * time.Second
 )
 
-// runReplica runs a replica of the consensus group until SIGTERM.
+// runReplica runs a replica of the consensus group until SIGTERM or SIGINT.
 func runReplica(cfg *settings, hooks TestHooks) error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -26,7 +26,7 @@
 }
 
 // serveReplica runs a replica until ctx is done. After each storage failure it restarts the replica from the stored
-// state, because a disk may be full or fail only for a while.
+// state, because a disk may be full or fail only for a while. Any other failure of the replica is returned.
 func serveReplica(ctx context.Context, cfg *settings, hooks TestHooks) error {
 	replica, err := startReplica(cfg, hooks, consensus.OpenStorage)
 	if err != nil {
@@ -52,13 +52,13 @@
 		}
 		cfg.log.Error("fleet: storage failed, restarting the replica", "error", err)
 		if replica, err = restartReplica(ctx, cfg, hooks); err != nil {
-			return nil // the only error is that ctx is done
+			return nil // restartReplica fails only when ctx is done
 		}
 		handler.replace(replica)
 	}
 }
 
-// startReplica opens the storage of this process with open, and starts a replica on it.
+// startReplica opens the storage of this process with open, and starts a replica on that storage.
 func startReplica(
 	cfg *settings, hooks TestHooks, open func(dir string) (consensus.Storage, error),
 ) (*consensus.Replica, error) {
@@ -77,7 +77,8 @@
 	return replica, nil
 }
 
-// restartReplica starts a replica on recovered storage, and retries with backoff until that succeeds or ctx is done.
+// restartReplica starts a replica on recovered storage. It retries with backoff until the start succeeds or ctx is
+// done.
 func restartReplica(ctx context.Context, cfg *settings, hooks TestHooks) (*consensus.Replica, error) {
 	lastProblem := ""
 	for backoff := minRestartBackoff; ; backoff = min(2*backoff, maxRestartBackoff) {
@@ -90,18 +91,18 @@
 		if err == nil {
 			return replica, nil
 		}
-		if problem := err.Error(); problem != lastProblem { // log each distinct error once, not at every retry
+		if problem := err.Error(); problem != lastProblem { // not at every retry
 			lastProblem = problem
 			cfg.log.Error("fleet: replica restart failed, retrying", "error", err)
 		}
 	}
 }
 
-// replicaHandler forwards HTTP requests to the running replica, which changes when the replica is restarted.
+// replicaHandler forwards HTTP requests to the running replica, which changes at each restart.
 type replicaHandler struct{ current atomic.Pointer[http.Handler] }
 
-// replace sets the replica that gets further requests. After replace(nil), requests are rejected with 503 until the
-// next replica is set.
+// replace sets the replica that gets further requests. After replace(nil), requests are rejected with status 503
+// until the next replica is set.
 func (h *replicaHandler) replace(replica *consensus.Replica) {
 	if replica == nil {
 		h.current.Store(nil)
--- a/internal/fleetcli/replica_test.go
+++ b/internal/fleetcli/replica_test.go
@@ -20,17 +20,17 @@
 	"cobaltward/internal/testkit"
 )
 
-// failingStorage returns errors from Save while an error is set in faults. Every second failed save is stored
+// failingStorage returns an error from Save while faults has an error. Every second failed save is stored
 // nevertheless, as by a disk that reports an error after the write.
 type failingStorage struct {
 	consensus.Storage
 	faults *storageFaults
 }
 
-// storageFaults controls the errors of all failingStorages that one process opens in turn.
+// storageFaults sets the error of all instances of failingStorage that one process opens in turn.
 type storageFaults struct {
 	mu     sync.Mutex
-	err    error // of each Save; nil: saves succeed
+	err    error // error of each Save; nil: saves succeed
 	failed int   // number of saves that returned err
 }
 
@@ -66,8 +66,9 @@
 	return err
 }
 
-// TestReplica_SurvivesStorageErrors makes the storage of a replica fail for a while, twice. It checks that the replica
-// acknowledges nothing meanwhile, then restarts by itself with all acknowledged entries and accepts further ones.
+// TestReplica_SurvivesStorageErrors checks that a replica survives two periods in which its storage fails. The
+// replica must acknowledge nothing while the storage fails. After that it must restart with all acknowledged entries
+// and accept further entries.
 func TestReplica_SurvivesStorageErrors(t *testing.T) {
 	addresses := make(chan string, 1)
 	loaded := bootstrapSettings(t, slog.New(addressHandler{slog.DiscardHandler, addresses}))
@@ -122,7 +123,7 @@
 	}
 }
 
-// bootstrapSettings creates the storage of a new cluster with one replica, and returns the settings of the replica.
+// bootstrapSettings creates the storage of a new cluster with one replica, and returns the settings of that replica.
 func bootstrapSettings(t *testing.T, log *slog.Logger) *settings {
 	t.Helper()
 	cfg := &settings{
--- a/internal/fleetcli/rollingupdate.go
+++ b/internal/fleetcli/rollingupdate.go
@@ -22,12 +22,12 @@
 	defaultUpdateTimeout  = time.Hour
 )
 
-// rollingUpdateFlags are the flags of the command that starts a rolling update.
+// rollingUpdateFlags holds the flags of the command that starts a rolling update.
 type rollingUpdateFlags struct {
 	spec fleet.JobSpec
-	id   string // of the job; empty: a new one
-	wait bool   // for the end of the job
-	// timeout is how long to wait for the end of the job, if wait is set.
+	id   string // ID of the job; empty: a new ID
+	wait bool   // wait for the end of the job
+	// timeout is the maximum time to wait for the end of the job if wait is set.
 	timeout time.Duration
 }
 
@@ -101,8 +101,8 @@
 	return c.pollUntil(client, "the end of the rolling update", options.timeout, closed)
 }
 
-// selectNodes returns the named nodes, each of which must be known and named only once. Without names it returns all
-// known nodes.
+// selectNodes returns names if each name is a known node and occurs only once. Without names it returns all known
+// nodes.
 func selectNodes(state *fleet.State, names []string) ([]string, error) {
 	known := slices.Sorted(maps.Keys(state.Nodes))
 	if len(names) == 0 {
--- a/internal/fleetcli/rollingupdate_test.go
+++ b/internal/fleetcli/rollingupdate_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// startUpdatingReplica serves a fake replica that accepts every proposal. Its job "r" is open for the first openFor
-// requests for the status, and closed afterwards.
+// startUpdatingReplica serves a fake replica that accepts every proposal. Its job "r" is open in the first openFor
+// status responses and closed afterwards.
 func startUpdatingReplica(t *testing.T, openFor int64) string {
 	t.Helper()
 	var requests atomic.Int64
@@ -34,7 +34,8 @@
 	return testkit.HTTPServer(t, mux.ServeHTTP)
 }
 
-// With --wait and without --for, the timeout of the command must be the default, not zero.
+// TestStartCommand_WaitsWithDefaultTimeout checks that with --wait and without --for the command has the default
+// timeout, not zero.
 func TestStartCommand_WaitsWithDefaultTimeout(t *testing.T) {
 	out, err := execute(t, startUpdatingReplica(t, 3), "round", "start", "--id", "r", "--wait")
 	if err != nil {
@@ -66,7 +67,8 @@
 	}
 }
 
-// Revoking a lease, disabling servers and forcing a new cluster require a --reason.
+// TestCommands_RequireReason checks that the commands that revoke a lease, disable servers or force a new cluster
+// require --reason.
 func TestCommands_RequireReason(t *testing.T) {
 	address := startUpdatingReplica(t, 0)
 	for _, words := range [][]string{{"push", "round"}, {"hold", "s1"}, {"recover"}} {
--- a/internal/fleetcli/root.go
+++ b/internal/fleetcli/root.go
@@ -12,14 +12,14 @@
 	"cobaltward/fleet/agent"
 )
 
-// Exit statuses other than 0 and 1. They have the same meaning as those of wayhold ctl.
+// Exit statuses other than 0 and 1. They have the same meanings as in wayhold ctl.
 const (
 	exitUnavailable = 4 // no replica responds
-	exitTimeout     = 5 // the state that a command waits for was not reached in time
+	exitTimeout     = 5 // the awaited state was not reached in time
 	exitRejected    = 7 // the fleet rejects the change
 )
 
-// exitError adds an exit status of the program to an error.
+// exitError is an error with the exit status of the program.
 type exitError struct {
 	error
 	status int
@@ -42,7 +42,7 @@
 	return 1
 }
 
-// operatorCommands holds the flags that all commands share, and the writer for their output.
+// operatorCommands holds the flags that all commands share, and the writer for the commands' output.
 type operatorCommands struct {
 	configPath  string
 	asJSON      bool
@@ -80,13 +80,13 @@
 	return root
 }
 
-// withAliases adds aliases to a command. Documentation and scripts use the primary name, which is in Use.
+// withAliases adds aliases to a command. Documentation and scripts use the primary name in Use.
 func withAliases(command *cobra.Command, aliases ...string) *cobra.Command {
 	command.Aliases = aliases
 	return command
 }
 
-// processCommands returns the commands that run a replica or an agent, or that write the storage of a replica.
+// processCommands returns the commands that run a replica or an agent, or write the storage of a replica.
 func (c *operatorCommands) processCommands(hooks TestHooks) []*cobra.Command {
 	process := func(use, short string, run func(*settings, TestHooks) error) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -112,7 +112,7 @@
 	}
 }
 
-// leaseCommands returns the commands that list leases and end them.
+// leaseCommands returns the commands that list, release or revoke leases.
 func (c *operatorCommands) leaseCommands() []*cobra.Command {
 	list := c.clientCommand("owners", "Print the leases and their holders", cobra.NoArgs, c.leases)
 	stepDown := c.clientCommand("step-down WORK", "Ask the holder of a lease to release it",
@@ -122,7 +122,7 @@
 	return []*cobra.Command{withAliases(list, "leases"), stepDown, withAliases(revoke, "revoke")}
 }
 
-// clientCommand returns a command that calls the replicas. run gets a client for them, and the arguments.
+// clientCommand returns a command that calls the replicas. run gets a client of the replicas, and the arguments.
 func (c *operatorCommands) clientCommand(
 	use, short string, args cobra.PositionalArgs, run func(*agent.Client, []string) error,
 ) *cobra.Command {
--- a/internal/fleetcli/root_test.go
+++ b/internal/fleetcli/root_test.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// commandPaths returns all descendants of a command by path, which is the names of the commands that lead to it, joined
-// with spaces.
+// commandPaths returns all descendants of a command by path. A path is the names of the commands that lead to the
+// descendant, joined with spaces.
 func commandPaths(command *cobra.Command) map[string]*cobra.Command {
 	paths := make(map[string]*cobra.Command)
 	for _, child := range command.Commands() {
@@ -20,7 +20,8 @@
 	return paths
 }
 
-// The commands and flags that documentation and scripts use must keep their names.
+// TestRootCommand_KeepsDocumentedCommands checks that the commands and flags that documentation and scripts use keep
+// their names.
 func TestRootCommand_KeepsDocumentedCommands(t *testing.T) {
 	paths := commandPaths(rootCommand(TestHooks{}))
 	for path, flags := range map[string][]string{
@@ -44,7 +45,8 @@
 	}
 }
 
-// Each alias must find the same command as the documented name.
+// TestRootCommand_AliasesReachDocumentedCommands checks that each alias finds the same command as the documented
+// name.
 func TestRootCommand_AliasesReachDocumentedCommands(t *testing.T) {
 	root := rootCommand(TestHooks{})
 	for _, test := range []struct{ alias, documented []string }{
--- a/internal/fleetcli/serve.go
+++ b/internal/fleetcli/serve.go
@@ -27,11 +27,11 @@
 	Storage   func(consensus.Storage) consensus.Storage
 	Unsafe    lease.UnsafeOptions
 	FailPoint func(point string) // see agent.Config and agent.ControllerConfig
-	// ObserveProposal is called for each proposal about a lease; see agent.ControllerConfig.
+	// ObserveProposal is called with each proposal about a lease; see agent.ControllerConfig.
 	ObserveProposal func(entry fleet.Entry, holder string) func(result fleet.Result, known bool)
 }
 
-// clock returns the clock that the process uses: the one of the hooks, or the system clock.
+// clock returns the clock of the hooks if set, otherwise the system clock.
 func (h TestHooks) clock() consensus.Clock {
 	if h.Clock.Monotonic == nil {
 		return consensus.SystemClock()
@@ -45,8 +45,8 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// serveHTTP serves HTTP on the process's listen address until stop is called. stop returns once all goroutines have
-// ended. Request contexts are derived from ctx.
+// serveHTTP serves HTTP on the process's listen address until the caller calls stop. stop returns once all goroutines
+// have ended. Request contexts are derived from ctx.
 func serveHTTP(ctx context.Context, cfg *settings, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return serveOn(ctx, listener, cfg, handler), nil
 }
 
-// serveOn serves HTTP on a listener, as serveHTTP does on the configured address.
+// serveOn is like serveHTTP, on the given listener.
 func serveOn(ctx context.Context, listener net.Listener, cfg *settings, handler http.Handler) (stop func()) {
 	listener = sockets.NewPersistentListener(listener, cfg.log)
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/fleetcli/serve_test.go
+++ b/internal/fleetcli/serve_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestServeOn_SurvivesAcceptErrors makes accept of a fleet process fail with every error that Linux documents for it.
-// The server must keep accepting, so that the next request is served.
+// TestServeOn_SurvivesAcceptErrors checks that a server of the fleet keeps accepting connections after every error
+// that Linux documents for accept.
 func TestServeOn_SurvivesAcceptErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -13,16 +13,16 @@
 	"cobaltward/internal/standalone"
 )
 
-// settings holds what a process of the fleet reads from its configuration file.
+// settings holds the configuration of a process of the fleet, as read from its file.
 type settings struct {
 	*standalone.Fleet
 	token     string              // bearer token of all calls within the fleet
 	mutualTLS *mutualTLS          // nil: calls are not encrypted
-	nodeAdmin nodeconfig.AdminAPI // how an agent reaches the admin API of its node
+	nodeAdmin nodeconfig.AdminAPI // address and token of the admin API of the agent's node
 	log       *slog.Logger
 }
 
-// load reads the configuration file of a process. The logger that it returns in the settings writes to logs.
+// load reads the configuration file of a process. The logger in the returned settings writes to logs.
 func load(path string, logs io.Writer) (*settings, error) {
 	if path == "" {
 		return nil, errors.New("no configuration file: name it with --config or WAYHOLD_CONFIG")
@@ -62,7 +62,7 @@
 	return slog.New(slog.NewTextHandler(logs, options))
 }
 
-// clientTLS returns the TLS configuration for calls of this process; nil if calls are not encrypted.
+// clientTLS returns the TLS configuration for calls to other processes; nil: calls are not encrypted.
 func (s *settings) clientTLS() *tls.Config {
 	if s.mutualTLS == nil {
 		return nil
--- a/internal/fleetcli/status.go
+++ b/internal/fleetcli/status.go
@@ -24,21 +24,21 @@
 // table prints rows of cells in aligned columns.
 type table struct {
 	writer *tabwriter.Writer
-	err    error // the first write error
+	err    error // first write error
 }
 
 func newTable(out io.Writer) *table {
 	return &table{writer: tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)}
 }
 
-// row adds a row. After an error it does nothing.
+// row adds a row to the table. After an error it does nothing.
 func (t *table) row(cells ...string) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintln(t.writer, strings.Join(cells, "\t"))
 	}
 }
 
-// flush prints the rows. It also returns an error of an earlier row.
+// flush prints the rows. It returns the errors of earlier rows and of the write.
 func (t *table) flush() error { return errors.Join(t.err, t.writer.Flush()) }
 
 func (c *operatorCommands) statusCommand() *cobra.Command {
@@ -81,7 +81,7 @@
 	return status.IsMember && status.LeaderID != "" && status.LeaderID == status.ID
 }
 
-// replicaLine describes the state of one replica in one line.
+// replicaLine describes a replica in one line. answered reports whether the replica has responded with status.
 func replicaLine(status consensus.Status, answered bool) string {
 	switch {
 	case !answered:
--- a/internal/fleetcli/storage.go
+++ b/internal/fleetcli/storage.go
@@ -9,18 +9,19 @@
 	"cobaltward/fleet/consensus"
 )
 
-// storageDir is the name of the directory with a replica's storage, in the data directory of its process.
+// storageDir is the name of the directory with the storage of a replica. The directory is in the data directory of
+// the process.
 const storageDir = "council"
 
 func (s *settings) storagePath() string { return filepath.Join(s.Dir, storageDir) }
 
-// member describes this process as a member of the consensus group with the given ID.
+// member returns this process as a member of the consensus group with the given ID.
 func (s *settings) member(id uint64) fleet.Member {
 	return fleet.Member{ID: id, Name: s.Name, Address: s.Address}
 }
 
-// bootstrap initializes the storage of this process as that of the first member of a new cluster. Storage that is in
-// use is not changed.
+// bootstrap initializes the storage of this process as the storage of the first member of a new cluster. It does not
+// change storage that already belongs to a cluster.
 func (c *operatorCommands) bootstrap(cfg *settings, _ TestHooks) error {
 	rewrite := func(persisted consensus.PersistentState) (consensus.PersistentState, error) {
 		if !persisted.Empty() {
@@ -31,8 +32,8 @@
 	return consensus.RewriteStorage(cfg.storagePath(), rewrite)
 }
 
-// forceNewCluster makes this process the only member of a new cluster, for when most members have lost their storage.
-// Entries that only those members stored are lost.
+// forceNewCluster makes this process the only member of a new cluster. Operators use it when most members have lost
+// their storage. Entries that only the lost members had stored are lost.
 func (c *operatorCommands) forceNewCluster(cfg *settings, _ TestHooks) error {
 	if c.reason == "" {
 		return errors.New("recover: --reason is missing: entries that only the lost members stored are lost for good")
--- a/internal/fleetcli/tls.go
+++ b/internal/fleetcli/tls.go
@@ -11,18 +11,19 @@
 	"cobaltward/certificates"
 )
 
-// reloadInterval is the time between checks whether the files with keys and certificates have changed.
+// reloadInterval is the time between two checks for changed files of keys and certificates.
 const reloadInterval = time.Second
 
-// mutualTLS authenticates the processes of the fleet to one another: each presents a certificate for a name that all
-// processes share, issued by an authority that all trust. Keys and authorities may be replaced while processes run.
+// mutualTLS authenticates the processes of the fleet to one another. Each process presents a certificate for a name
+// that all processes share. The certificate is issued by an authority that all processes trust. Keys and authorities
+// may be replaced while processes run.
 type mutualTLS struct {
 	store      *certificates.Store
-	serverName string // the name that all certificates of the fleet have
+	serverName string // name in all certificates of the fleet
 	log        *slog.Logger
 }
 
-// server returns the TLS configuration of a listener that only accepts processes of the fleet.
+// server returns the TLS configuration of a listener that accepts only processes of the fleet.
 func (m *mutualTLS) server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
@@ -46,7 +47,8 @@
 	}
 }
 
-// verify returns a function that verifies a peer's certificate against the authorities at the time of the handshake.
+// verify returns a function that verifies the certificate of a peer. The function uses the authorities that are
+// trusted at the time of the handshake.
 func (m *mutualTLS) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(connection tls.ConnectionState) error {
 		if len(connection.PeerCertificates) == 0 {
@@ -66,7 +68,7 @@
 	}
 }
 
-// watch reloads the files when they change, until ctx is done.
+// watch reloads changed files of keys and certificates until ctx is done.
 func (m *mutualTLS) watch(ctx context.Context) {
 	watcher := m.store.Watch()
 	ticker := time.NewTicker(reloadInterval)
--- a/internal/fleetcli/tls_test.go
+++ b/internal/fleetcli/tls_test.go
@@ -37,7 +37,8 @@
 	return path
 }
 
-// issue returns the TLS of a process with a certificate for host from authority, which trusts the authority trusted.
+// issue returns the TLS settings of a process. The process has a certificate for host from authority, and trusts the
+// authority trusted.
 func (f keyFiles) issue(name string, authority, trusted *pki.Authority, host string) *mutualTLS {
 	f.t.Helper()
 	pair := authority.Issue(pki.Leaf{Names: []string{host}})
@@ -71,7 +72,7 @@
 	return <-addresses
 }
 
-// call makes one call on a new connection.
+// call makes one call on a new connection, and returns its error.
 func call(t *testing.T, address string, config *tls.Config) error {
 	t.Helper()
 	client := agent.NewClient(nil, nil, testToken, config)
@@ -81,8 +82,9 @@
 	return client.Call(ctx, http.MethodGet, address, "/x", struct{}{}, new(map[string]int))
 }
 
-// The server must reject clients without a certificate, with one of another authority, or with one for another name. A
-// client must not call a server whose authority it does not trust.
+// TestMutualTLS_RejectsPeersOutsideTheFleet checks that the server rejects clients without a certificate, with a
+// certificate of another authority, or with a certificate for another name. A client must not call a server whose
+// authority the client does not trust.
 func TestMutualTLS_RejectsPeersOutsideTheFleet(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
 	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
@@ -107,8 +109,8 @@
 	}
 }
 
-// Trusted authorities that are reloaded while the server runs apply from the next handshake on: clients of the removed
-// authority are rejected, and clients of the added one are accepted.
+// TestMutualTLS_FollowsReloadedTrust checks that reloaded authorities apply from the next handshake on. Clients of
+// the removed authority must be rejected, and clients of the added authority accepted.
 func TestMutualTLS_FollowsReloadedTrust(t *testing.T) {
 	files := keyFiles{t, t.TempDir()}
 	ours, theirs := pki.NewAuthority("ours"), pki.NewAuthority("theirs")
@@ -130,7 +132,7 @@
 	}
 }
 
-// addressHandler is a log handler that sends each logged attribute "address" to a channel.
+// addressHandler is a log handler that sends the value of each attribute "address" to a channel.
 type addressHandler struct {
 	slog.Handler
 	addresses chan string
--- a/internal/fleetcli/wait.go
+++ b/internal/fleetcli/wait.go
@@ -14,7 +14,7 @@
 	"cobaltward/fleet/consensus"
 )
 
-// defaultWaitTimeout is how long the wait command waits unless --for says otherwise.
+// defaultWaitTimeout is the maximum time that the wait command waits without --for.
 const defaultWaitTimeout = time.Minute
 
 func (c *operatorCommands) waitCommand() *cobra.Command {
@@ -27,7 +27,8 @@
 	return command
 }
 
-// waitForPosition waits until all agents have the state of a log position: the named one, or the newest at the start.
+// waitForPosition waits until all agents have the state of a log position. The position is the argument, if any,
+// otherwise the newest position at the start.
 func (c *operatorCommands) waitForPosition(client *agent.Client, args []string, timeout time.Duration) error {
 	var position fleet.Position
 	if len(args) > 0 {
@@ -49,8 +50,8 @@
 	return c.pollUntil(client, "all nodes at the position", timeout, met)
 }
 
-// nodesNotSatisfying returns the nodes, ordered by name, whose agent's newest report does not satisfy a condition. A
-// node without a report is checked as one with an empty report.
+// nodesNotSatisfying returns, ordered by name, the nodes whose agent's newest report does not satisfy the condition
+// satisfies. For a node without a report, the condition gets an empty report.
 func nodesNotSatisfying(
 	statuses map[string]consensus.Status, state *fleet.State, satisfies func(consensus.AgentReport) bool,
 ) []string {
--- a/internal/fleetcli/wait_test.go
+++ b/internal/fleetcli/wait_test.go
@@ -17,7 +17,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// execute runs an operator's command with the replica at an address, and returns the command's output.
+// execute runs an operator's command with the replica at address, and returns the output of the command.
 func execute(t *testing.T, address string, args ...string) (string, error) {
 	t.Helper()
 	files := keyFiles{t, t.TempDir()}
@@ -39,7 +39,7 @@
 	return out.String(), err
 }
 
-// startLaggingReplica serves the status of a fake replica at position 7 with one node. The node's agent reports
+// startLaggingReplica serves the status of a fake replica at position 7 with one node. The agent of the node reports
 // position 6 in the first behindFor responses, and position 7 afterwards.
 func startLaggingReplica(t *testing.T, behindFor int64) string {
 	t.Helper()
@@ -56,7 +56,7 @@
 	})
 }
 
-// Without --for, the timeout of the command must be the default, not zero.
+// TestWaitCommand_WaitsWithDefaultTimeout checks that without --for the command has the default timeout, not zero.
 func TestWaitCommand_WaitsWithDefaultTimeout(t *testing.T) {
 	out, err := execute(t, startLaggingReplica(t, 2), "wait")
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestNewID_UniqueFasterThanClock creates IDs faster than the clock advances, and checks that they are unique.
+// TestNewID_UniqueFasterThanClock checks that IDs are unique when they are created faster than the clock advances.
 func TestNewID_UniqueFasterThanClock(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 1000 {
