--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -136,7 +136,7 @@
 	order := &fleet.DisableOrder{ID: "first"}
 	applyAll(t, agent, fleet.Entry{Kind: fleet.KindEnableServers, DisableOrder: order})
 	agent.reconcileDisabled(t.Context())
-	checkDisabled(t, node, "by-hand", "s2", "s3") // an operator disabled by-hand, so it stays disabled
+	checkDisabled(t, node, "by-hand", "s2", "s3") // by-hand stays disabled: an operator disabled it
 }
 
 // TestReconcileDisabled_ContinuesAfterRestart checks that an agent enables the servers that an earlier process
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -28,8 +28,8 @@
 
 const (
 	maxResponseBody    = 64 << 20 // maximum bytes read of a response
-	maxIdleConns       = 4        // per host
-	maxConns           = 32       // per host
+	maxIdleConns       = 4        // maximum idle connections per host
+	maxConns           = 32       // maximum connections per host
 	idleConnTimeout    = 30 * time.Second
 	firstErrorStatus   = 300 // lowest status of requests that were not carried out
 	firstUnknownStatus = 500 // lowest status of requests that may have been carried out
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -18,7 +18,7 @@
 const (
 	agentTimeout   = 2 * time.Second        // timeout for one effect request, or for the status requests of one view
 	releaseTimeout = time.Second            // timeout for the release of the lease when the runner ends
-	viewInterval   = 500 * time.Millisecond // maximum age of a view that is used again
+	viewInterval   = 500 * time.Millisecond // maximum age of a view of the nodes
 	maxStatusCalls = 32                     // maximum concurrent status calls to agents
 
 	leaseChecksPerDuration = 40 // checks of the lease in one lease duration
--- a/fleet/agent/runner_test.go
+++ b/fleet/agent/runner_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestControllerRunner_LosesRevokedLease checks that a revoked lease is granted again with a newer fencing token, and
-// that the new holder knows that it holds the lease.
+// TestControllerRunner_LosesRevokedLease checks that a revoked lease is granted again with a newer fencing token. The
+// runner of the new holder must report that it holds the lease.
 func TestControllerRunner_LosesRevokedLease(t *testing.T) {
 	group := startCluster(t, "n1", "n2")
 	held := func(state *fleet.State) bool { return state.Leases[fleet.ResourceRollingUpdate].Holder != "" }
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -147,8 +147,8 @@
 	return response.HasLeader && (advanced || time.Since(start) >= w.watchTimeout/2)
 }
 
-// updateState applies a response to from, the state that the request named. It adopts the result if it is newer than
-// the current state, and reports whether it did.
+// updateState applies response to from, the state from which the watcher requested it. If the resulting state is
+// newer than the current state, updateState adopts it and returns true.
 func (w *StateWatcher) updateState(from *fleet.State, response consensus.WatchResponse) bool {
 	next, err := applyResponse(from, response)
 	if err != nil {
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -46,10 +46,9 @@
 	return batch
 }
 
-// Advance tells the core that a write batch is stored, and applies the committed entries. now is the time of the
-// replica's monotonic clock, from which the expiry of leases counts. The caller reads the clock after the write,
-// because a paused process has not seen an entry before it applies the entry. After an error the core must not be
-// used any more.
+// Advance tells the core that batch is stored, and applies the committed entries. now is the time of the replica's
+// monotonic clock after the write. The expiry of leases counts from now, because a process that was paused has not
+// seen an entry before it applies the entry. After an error the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
 	if err := c.updateMemoryStorage(batch, &result); err != nil {
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -17,7 +17,7 @@
 	electionTicks  = 10 // ticks without a leader before a replica asks for votes
 	heartbeatTicks = 2  // ticks between two heartbeats of a leader
 
-	// maintenanceTicks is the number of ticks between the times at which a replica makes proposals on its own.
+	// maintenanceTicks is the number of ticks from one set of the replica's own proposals to the next.
 	maintenanceTicks = 5
 
 	maxMessageSize      = 256 << 10 // maximum bytes of entries in one message
--- a/fleet/consensus/doc.go
+++ b/fleet/consensus/doc.go
@@ -7,8 +7,8 @@
 // Clocks: none is trusted for the agreed state. For the expiry of leases, the monotonic clock of the leader is
 // trusted to drift by at most lease.MaxClockDrift.
 //
-// Missing answers: a client whose proposal got no answer can conclude nothing. The entry may be in the log, or be added
-// to it later.
+// Missing answers: a client whose proposal got no answer can conclude nothing. The entry may be in the log, or may be
+// added to the log later.
 //
 // A Core is one replica as a state machine, without I/O. A Replica runs a Core with its Storage and its network
 // transport.
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -32,7 +32,7 @@
 // Limits of a replica.
 const (
 	maxInbox            = 1024 // maximum messages queued for the core; raft repeats dropped messages
-	maxBatch            = 64   // maximum proposals, or messages of one call, that are handled together
+	maxBatch            = 64   // maximum messages in one call, and proposals submitted after the first
 	maxPendingProposals = 1024
 	maxWatchers         = 2048   // maximum watch requests that wait at the same time
 	maxReports          = 10_000 // maximum agents whose last report is kept
@@ -131,8 +131,8 @@
 }
 
 // handleNext waits for the next event and passes it to the core. It returns false once the replica must stop.
-// Messages or proposals that wait behind the first one are handled together with it, so all share one write to
-// storage.
+// Messages or proposals that wait behind the first are handled together with the first, so that all share one write
+// to storage.
 func (r *Replica) handleNext(ticks <-chan time.Time) bool {
 	select {
 	case <-r.ctx.Done():
--- a/fleet/consensus/status.go
+++ b/fleet/consensus/status.go
@@ -16,7 +16,7 @@
 	IsMember   bool   `json:"member"`      // the replica is a member of the cluster
 	LeaderID   string `json:"leader"`      // in hexadecimal; empty: no known leader
 	LeaderName string `json:"leader_name"` // empty: no known leader
-	// LeaderlessFor is the time since the replica last knew of a leader; 0 while it knows of one.
+	// LeaderlessFor is the time since the replica last knew of a leader; 0 while the replica knows of a leader.
 	LeaderlessFor time.Duration  `json:"silent"`
 	Term          uint64         `json:"term"`
 	Position      fleet.Position `json:"at"`
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -62,8 +62,8 @@
 	Close() error
 }
 
-// RewriteStorage replaces the contents of the storage in dir with the result of rewrite. Operators' commands call it
-// with Bootstrap or ForceNewCluster in rewrite. If rewrite fails, nothing changes.
+// RewriteStorage replaces the contents of the storage in dir with the result of rewrite, which calls Bootstrap or
+// ForceNewCluster. If rewrite fails, the contents do not change.
 func RewriteStorage(dir string, rewrite func(PersistentState) (PersistentState, error)) (err error) {
 	storage, err := OpenStorage(dir)
 	if err != nil {
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxRecentEntries is the number of newest entries that a view keeps, so that watchers need not fetch the whole
-	// state.
+	// maxRecentEntries is the minimum number of recent entries that a view keeps after it drops the oldest entries. With
+	// recent entries, watchers need not fetch the whole state.
 	maxRecentEntries = 4096
 	// maxRecentExcess is the maximum number of entries beyond maxRecentEntries before the oldest entries are dropped.
 	maxRecentExcess = maxRecentEntries / 4
--- a/fleet/lease/expiry.go
+++ b/fleet/lease/expiry.go
@@ -14,13 +14,14 @@
 const (
 	// expiryMarginDivisor sets the margin in the delay of an expiry: the lease duration divided by expiryMarginDivisor.
 	expiryMarginDivisor = 20
-	// unsafeExpiryDivisor sets the delay of an expiry with SkipExpiryDelay: the lease duration divided by it.
+	// unsafeExpiryDivisor sets the delay of an expiry with SkipExpiryDelay: the lease duration divided by
+	// unsafeExpiryDivisor.
 	unsafeExpiryDivisor = 4
 )
 
 // ExpiryDelay returns the time after which a lease of the given duration has expired for certain. A process measures
-// this time by its own clock, from the last renewal that it has seen. The delay is the duration, plus the maximum
-// clock drift, plus a margin of a twentieth of the duration.
+// this time by its own clock, from the last renewal that the process has seen. The delay is the sum of the duration,
+// the maximum clock drift and a margin of a twentieth of the duration.
 func ExpiryDelay(duration time.Duration) time.Duration {
 	drift := time.Duration(MaxClockDrift * float64(duration))
 	return duration + drift + duration/expiryMarginDivisor
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -135,8 +135,8 @@
 	return Execute
 }
 
-// HandleSaveFailure records that the state could not be stored after the decision to carry out an effect. The effect
-// was not carried out, and the receiver decides again on the next request for it.
+// HandleSaveFailure records that the state could not be stored after the decision to carry out the effect with the
+// given key. The effect was not carried out. The receiver decides again on the next request for the effect.
 func (r *FencedReceiver) HandleSaveFailure(key string) {
 	if r.EffectLog.Effects[key].Running {
 		r.unverified[key] = true
--- a/fleet/lease/receiver_test.go
+++ b/fleet/lease/receiver_test.go
@@ -201,7 +201,7 @@
 }
 
 // TestFencedReceiver_RepeatsDecisionAfterSaveFailure checks that a receiver decides again after the record of an
-// effect could not be stored. The effect was not carried out, so the receiver must not respond that it is running.
+// effect could not be stored. The effect was not carried out, so the receiver must not report the effect as running.
 func TestFencedReceiver_RepeatsDecisionAfterSaveFailure(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
--- a/internal/fleetcli/replica.go
+++ b/internal/fleetcli/replica.go
@@ -91,7 +91,7 @@
 		if err == nil {
 			return replica, nil
 		}
-		if problem := err.Error(); problem != lastProblem { // not at every retry
+		if problem := err.Error(); problem != lastProblem { // log an error only if it differs from the last one
 			lastProblem = problem
 			cfg.log.Error("fleet: replica restart failed, retrying", "error", err)
 		}
