--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -55,8 +55,8 @@
 
 	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
-	// DrainMarkerFile is the path of the drain marker file, which exists during a drain by request. A restarted process that
-	// finds the file drains again. If the path is empty, a restarted process serves.
+	// DrainMarkerFile is the path of the drain marker file, which exists during a drain by request. A restarted process
+	// that finds the file drains again. If the path is empty, a restarted process serves.
 	DrainMarkerFile string
 
 	// State says where the node saves its learned state; the zero value disables saving.
