--- a/certificates/file.go
+++ b/certificates/file.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// readFile reads a file of at most maxFileSize bytes.
+// readFile returns the content of a file. It returns an error if the file is larger than maxFileSize.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return raw, err
 }
 
-// checkOwnerOnly verifies that a file with secrets is accessible only to its owner.
+// checkOwnerOnly returns an error if users other than the owner of a file have access to the file.
 func checkOwnerOnly(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// inode returns the inode number of a file, or 0 if that is unknown. It distinguishes files with the same path, size
-// and modification time.
+// inode returns the inode number of a file, or 0 if the number is unknown. The number distinguishes two files that
+// have the same path, size and modification time.
 func inode(info os.FileInfo) uint64 {
 	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
 		return stat.Ino
--- a/certificates/load.go
+++ b/certificates/load.go
@@ -1,6 +1,6 @@
 // Package certificates loads and reloads TLS certificates with their private keys, trusted authorities, and session
-// ticket keys. Input is validated before it is used, and a Set is replaced as a whole, so that an error in one file
-// leaves the previous Set in use.
+// ticket keys. Input is validated before use. A Set is replaced as a whole: an error in one file leaves the previous
+// Set in use.
 package certificates
 
 import (
@@ -25,7 +25,7 @@
 
 // Pair is a certificate with its chain and its private key.
 type Pair struct {
-	Source string // the path of the certificate's file, or a name for another source
+	Source string // path of the certificate's file, or the name of another source
 	Cert   tls.Certificate
 	Leaf   *x509.Certificate
 }
@@ -41,8 +41,8 @@
 	return earliest
 }
 
-// LoadPair reads a certificate chain and its private key from files. The chain has to be valid at now, the key has to
-// match it, and the key's file must be accessible to its owner only. Errors name the file.
+// LoadPair reads a certificate chain and its private key from files. The chain must be valid at now, and the key must
+// match the chain. The key's file must be accessible to its owner only. Errors name the file.
 func LoadPair(certPath, keyPath string, now time.Time) (*Pair, error) {
 	rawChain, err := readFile(certPath)
 	if err != nil {
@@ -58,13 +58,14 @@
 	return newPair(certPath, keyPath, rawChain, rawKey, now)
 }
 
-// ParsePair is like LoadPair for PEM that does not come from files. Errors contain source.
+// ParsePair returns a pair from PEM data that does not come from files, by the rules of LoadPair. Errors contain
+// source.
 func ParsePair(source string, cert, key []byte, now time.Time) (*Pair, error) {
 	return newPair(source, source, cert, key, now)
 }
 
-// newPair decodes a chain and its key, each from the named source, and verifies that they are valid and belong
-// together.
+// newPair decodes a chain and its key, and verifies that the chain is valid at now and that the key matches the
+// chain. certSource and keySource name the origins in errors.
 func newPair(certSource, keySource string, rawChain, rawKey []byte, now time.Time) (*Pair, error) {
 	chain, err := decodeCertificates(rawChain)
 	if err != nil {
@@ -111,8 +112,8 @@
 	return names
 }
 
-// LoadTrust reads a bundle of CA certificates and returns those that are valid at now, at least one. Errors name the
-// file.
+// LoadTrust reads a bundle of CA certificates and returns those that are valid at now. It returns an error if none is
+// valid. Errors name the file.
 func LoadTrust(path string, now time.Time) ([]*x509.Certificate, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return ParseTrust(path, raw, now)
 }
 
-// ParseTrust is like LoadTrust for PEM that does not come from a file. Errors contain source.
+// ParseTrust returns the valid CA certificates in PEM data, by the rules of LoadTrust. Errors contain source.
 func ParseTrust(source string, raw []byte, now time.Time) ([]*x509.Certificate, error) {
 	authorities, err := decodeAuthorities(raw, now)
 	if err != nil {
@@ -130,8 +131,8 @@
 	return authorities, nil
 }
 
-// LoadDir reads a directory that has, for each certificate, a subdirectory (or a symbolic link to one) with the files
-// cert.pem and key.pem. Names that begin with a dot are skipped.
+// LoadDir reads a directory of certificates. Each certificate has a subdirectory, or a symbolic link to one, with the
+// files cert.pem and key.pem. Names that begin with a dot are skipped.
 func LoadDir(dir string, now time.Time) ([]*Pair, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/certificates/load_test.go
+++ b/certificates/load_test.go
@@ -36,7 +36,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw})
 }
 
-// replaceFile removes a file if it exists, and writes a new one with the same path.
+// replaceFile writes a file and removes any previous file with the same path.
 func replaceFile(t testing.TB, path string, mode os.FileMode, parts ...[]byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -56,7 +56,8 @@
 	return s.String()
 }
 
-// testSources returns the paths of a certificate, its key and a bundle of authorities in a temporary directory.
+// testSources returns the paths of a certificate, its key and a bundle of authorities in a temporary directory. The
+// files do not exist yet.
 func testSources(t *testing.T) Sources {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,8 +68,8 @@
 	}
 }
 
-// TestStoreReload_InvalidFiles checks that a reload of invalid files fails with an error of one line that contains the
-// reason, and that the previous set stays in use.
+// TestStoreReload_InvalidFiles checks that a reload of invalid files fails and that the previous set stays in use.
+// The error must be one line that contains the reason.
 func TestStoreReload_InvalidFiles(t *testing.T) {
 	ca := newAuthority(t, "one", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
 	otherCA := newAuthority(t, "two", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
@@ -163,8 +164,8 @@
 	}
 }
 
-// TestStoreReload_DuringHandshakes replaces the certificate of a listener again and again between handshakes. It checks
-// that each handshake succeeds with the certificate in use, and that a reload reports whether the authorities changed.
+// TestStoreReload_DuringHandshakes checks that handshakes succeed while a listener's certificate is replaced
+// repeatedly. Each handshake must use the certificate in use. A reload must report whether the authorities changed.
 func TestStoreReload_DuringHandshakes(t *testing.T) {
 	ca := newAuthority(t, "one", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
 	from := testSources(t)
@@ -206,7 +207,7 @@
 	}
 }
 
-// startEchoServer starts a TLS server that sends back all that it reads, until the test ends.
+// startEchoServer starts a TLS server that sends all received bytes back, until the test ends.
 func startEchoServer(t *testing.T, config *tls.Config) (addr string) {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", config)
@@ -233,7 +234,7 @@
 	return ln.Addr().String()
 }
 
-// FuzzBundles checks that an input decodes as certificates or as a private key, but never as both.
+// FuzzBundles checks that no input decodes both as certificates and as a private key.
 func FuzzBundles(f *testing.F) {
 	ca := newAuthority(f, "one", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
 	cert, key := ca.issue(testNow, testNow.AddDate(0, 0, 1), "a.example")
@@ -250,8 +251,8 @@
 	})
 }
 
-// FuzzKeys checks that no input makes the decoders panic, that a decoded bundle has a valid number of certificates, and
-// that a decoded key has a public key.
+// FuzzKeys checks that no input makes the decoders panic. A decoded bundle must have a valid number of certificates,
+// and a decoded key must have a public key.
 func FuzzKeys(f *testing.F) {
 	ca := newAuthority(f, "one", testNow.AddDate(-1, 0, 0), testNow.AddDate(1, 0, 0))
 	cert, key := ca.issue(testNow.Add(-time.Hour), testNow.AddDate(0, 0, 30), "a.example")
--- a/certificates/pem.go
+++ b/certificates/pem.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// decodeCertificates reads PEM that holds nothing but certificates, at least one. Trailing data, such as an incomplete
-// block of a file that is being written, is an error.
+// decodeCertificates reads PEM data that consists of one or more certificates. Trailing data is an error, for example
+// the incomplete block of a file that is being written.
 func decodeCertificates(raw []byte) (chain []*x509.Certificate, err error) {
 	for len(bytes.TrimSpace(raw)) > 0 {
 		block, rest := pem.Decode(raw)
@@ -36,7 +36,7 @@
 	return chain, nil
 }
 
-// decodePrivateKey reads PEM that holds exactly one private key, which is able to sign.
+// decodePrivateKey reads PEM data that consists of exactly one private key. The key must be able to sign.
 func decodePrivateKey(raw []byte) (crypto.Signer, error) {
 	block, rest := pem.Decode(raw)
 	if block == nil || len(bytes.TrimSpace(rest)) > 0 {
@@ -64,8 +64,9 @@
 	return signer, nil
 }
 
-// decodeAuthorities reads PEM that holds only CA certificates, and returns those that are valid at now. Expired ones
-// are left out, because the old and the new authority are trusted together during a rotation.
+// decodeAuthorities reads PEM data that consists of CA certificates, and returns those that are valid at now.
+// Certificates outside their validity period are left out, because a rotation trusts the old and the new authority
+// together.
 func decodeAuthorities(raw []byte, now time.Time) ([]*x509.Certificate, error) {
 	authorities, err := decodeCertificates(raw)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return valid, nil
 }
 
-// checkChain verifies that each certificate of a chain is valid at now, and signed by the next one.
+// checkChain verifies that each certificate of a chain is valid at now and is signed by the next certificate.
 func checkChain(chain []*x509.Certificate, now time.Time) error {
 	for i, cert := range chain {
 		switch {
--- a/certificates/set.go
+++ b/certificates/set.go
@@ -10,25 +10,26 @@
 	"time"
 )
 
-// Sources says where certificates and authorities are read from. Empty fields are not used.
+// Sources names the files of certificates and authorities. Empty fields are not used.
 type Sources struct {
 	Dir       string // path of a directory in the format of LoadDir
 	Cert, Key string // paths of one certificate with its chain, and of its private key
 	Trust     string // path of a bundle of CA certificates
 }
 
-// Set is the certificates and authorities in use at one time. It is immutable.
+// Set contains the certificates and authorities that are in use together. It is immutable.
 type Set struct {
 	Pairs       []*Pair
 	Trust       []*x509.Certificate
-	Pool        *x509.CertPool // contains Trust; nil if that is empty
+	Pool        *x509.CertPool // contains Trust; nil if Trust is empty
 	TrustDigest string         // digest of Trust; a session verified under another digest must not be resumed
 	OwnDigest   string         // digest of Pairs; a session with another certificate of this node must not be resumed
 
 	byName map[string]*Pair
 }
 
-// Load reads all sources. What it reads has to be valid at now.
+// Load reads all sources. Certificates must be valid at now. In a bundle of authorities, at least one must be valid
+// at now.
 func Load(from Sources, now time.Time) (*Set, error) {
 	if (from.Cert == "") != (from.Key == "") {
 		return nil, errors.New("a certificate and its key go together")
@@ -65,7 +66,8 @@
 	for _, pair := range pairs {
 		own.Write(pair.Leaf.Raw)
 		for _, name := range pair.dnsNames() {
-			// During a rotation, two certificates can have the same name; the one that expires later is the new one.
+			// During a rotation, two certificates can have the same name. The certificate that expires later is the
+			// new one.
 			if other := set.byName[name]; other == nil || pair.ExpiresAt().After(other.ExpiresAt()) {
 				set.byName[name] = pair
 			}
@@ -84,8 +86,8 @@
 	return set
 }
 
-// PairFor returns the pair for a server name: an exact match, else a wildcard match, else nil. For an empty name, as
-// from a client without SNI, it returns the first pair.
+// PairFor returns the pair for serverName: an exact match, otherwise a wildcard match, otherwise nil. For an empty
+// name, which clients without SNI have, it returns the first pair.
 func (s *Set) PairFor(serverName string) *Pair {
 	serverName = strings.ToLower(strings.TrimSuffix(serverName, "."))
 	if pair := s.byName[serverName]; pair != nil {
@@ -110,7 +112,7 @@
 	ExpiresAt time.Time `json:"ends"`
 }
 
-// Summaries describes all certificates and authorities, by ascending expiry.
+// Summaries returns a summary of each certificate and authority, by ascending expiry.
 func (s *Set) Summaries() []Summary {
 	var all []Summary
 	for _, pair := range s.Pairs {
--- a/certificates/store.go
+++ b/certificates/store.go
@@ -13,7 +13,7 @@
 	set     atomic.Pointer[Set]
 }
 
-// Open returns a store with the set that it loads from the sources.
+// Open loads a set from the sources and returns a store with this set.
 func Open(from Sources, now time.Time) (*Store, error) {
 	set, err := Load(from, now)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return store, nil
 }
 
-// NewEmptyStore returns a store without sources, which is filled by Replace. Until then it has no certificate and
+// NewEmptyStore returns a store without sources. Until the first call of Replace, the store has no certificate and
 // trusts no authority.
 func NewEmptyStore() *Store {
 	store := &Store{}
@@ -32,8 +32,8 @@
 	return store
 }
 
-// Reload reads the sources again and replaces the set; on an error the current set stays in use. trustChanged reports
-// whether the trusted authorities have changed; if so, peers that were verified before have to be verified again.
+// Reload reads the sources again and replaces the set. After an error, the current set stays in use. trustChanged
+// reports whether the trusted authorities have changed. If they have, peers must be verified again.
 func (s *Store) Reload(now time.Time) (trustChanged bool, err error) {
 	set, err := Load(s.sources, now)
 	if err != nil {
@@ -42,14 +42,14 @@
 	return s.set.Swap(set).TrustDigest != set.TrustDigest, nil
 }
 
-// Replace makes set the one in use.
+// Replace puts set into use.
 func (s *Store) Replace(set *Set) { s.set.Store(set) }
 
 // Set returns the set in use.
 func (s *Store) Set() *Set { return s.set.Load() }
 
-// GetCertificate is the GetCertificate callback of a listener's tls.Config. It selects from the set that is in use when
-// the handshake takes place.
+// GetCertificate is the GetCertificate callback of a listener's tls.Config. It selects the certificate from the set
+// in use at the time of the handshake.
 func (s *Store) GetCertificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	pair := s.Set().PairFor(hello.ServerName)
 	if pair == nil {
--- a/certificates/ticketkeys.go
+++ b/certificates/ticketkeys.go
@@ -18,19 +18,19 @@
 )
 
 // Tickets holds the keys for TLS session tickets, from a file that several nodes may share. The file has one key per
-// line, as 64 hexadecimal digits. The first key encrypts, all keys decrypt. It is safe for concurrent use.
+// line, as 64 hexadecimal digits. The first key encrypts, and all keys decrypt. Tickets is safe for concurrent use.
 type Tickets struct {
 	path string
 	keys atomic.Pointer[[][ticketKeySize]byte]
 }
 
-// OpenTickets reads the keys from a file.
+// OpenTickets returns Tickets with the keys in the file at path.
 func OpenTickets(path string) (*Tickets, error) {
 	tickets := &Tickets{path: path}
 	return tickets, tickets.Reload()
 }
 
-// Reload reads the file again; on an error the current keys stay in use.
+// Reload reads the file again. After an error, the current keys stay in use.
 func (t *Tickets) Reload() error {
 	keys, err := readTicketKeys(t.path)
 	if err != nil {
@@ -74,11 +74,11 @@
 	return keys, nil
 }
 
-// NextTicketKeys returns the keys after a rotation. The last key of current, which all nodes have had time to load,
-// encrypts from now on. The other keys continue to decrypt, until there are too many. fresh is added as the last key,
-// which will encrypt after the next rotation.
+// NextTicketKeys returns the keys after a rotation. The last key of current becomes the encrypting key, because all
+// nodes have had time to load it. The other keys still decrypt, up to a maximum number of keys. fresh becomes the
+// last key, which will encrypt after the next rotation.
 func NextTicketKeys(current [][ticketKeySize]byte, fresh [ticketKeySize]byte) [][ticketKeySize]byte {
-	if len(current) < 2 { // no other node has loaded the fresh key yet, so it must not encrypt
+	if len(current) < 2 { // no other node has loaded the fresh key yet, so the fresh key must not encrypt
 		return append(current[:len(current):len(current)], fresh)
 	}
 	last := len(current) - 1
@@ -86,7 +86,7 @@
 	return append(next[:min(len(next), maxTicketKeys/2)], fresh)
 }
 
-// RotateTickets atomically replaces the file with one that has the next keys, or creates it.
+// RotateTickets atomically replaces the file at path with a file of the next keys. It creates a missing file.
 func RotateTickets(path string) error {
 	current, err := readTicketKeys(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -102,17 +102,17 @@
 }
 
 func newTicketKey() (key [ticketKeySize]byte) {
-	_, _ = rand.Read(key[:]) // never returns an error, by its documentation
+	_, _ = rand.Read(key[:]) // documented to return no error
 	return key
 }
 
-// writeSecret replaces a file atomically. The new file has mode 0600, because os.CreateTemp creates files with it.
+// writeSecret replaces a file atomically. The new file has mode 0600, the mode of files created by os.CreateTemp.
 func writeSecret(path string, content []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".tickets-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(tmp.Name()) }() // fails after a successful rename, because the file is gone then
+	defer func() { _ = os.Remove(tmp.Name()) }() // after a successful rename, the removal fails because the file is gone
 	_, err = tmp.Write(content)
 	if err := errors.Join(err, tmp.Sync(), tmp.Close()); err != nil {
 		return err
--- a/certificates/ticketkeys_test.go
+++ b/certificates/ticketkeys_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestRotateTickets checks that a key encrypts only if it was in the file before the rotation, so that all nodes could
-// load it, that it still decrypts after the next rotation, and that the file must be accessible to its owner only.
+// TestRotateTickets checks that a key encrypts only if it was in the file before the rotation. Otherwise some nodes
+// could not have loaded the key. A key must still decrypt after the next rotation, and the file must be accessible to
+// its owner only.
 func TestRotateTickets(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tickets")
 	firstEncrypts := make(map[[ticketKeySize]byte]int) // the rotation in which a key first encrypts
--- a/certificates/watch.go
+++ b/certificates/watch.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// retryInterval is the time after which rejected files are read again although they have not changed, since a
-// certificate may have become valid in the meantime.
+// retryInterval is the time after which rejected files are read again even if they have not changed. A certificate
+// may have become valid in the meantime.
 const retryInterval = 10 * time.Second
 
-// PollResult is the result of one FileWatcher.Poll.
+// PollResult is the result of a call of FileWatcher.Poll.
 type PollResult struct {
 	Source       string
 	Changed      bool  // the new content is in use
-	TrustChanged bool  // Changed is set, and the trusted authorities are different
-	Err          error // why the new content was rejected; reported once for each state of the files
+	TrustChanged bool  // the trusted authorities have changed; only together with Changed
+	Err          error // why the new content was rejected; reported once per state of the files
 }
 
-// FileWatcher reloads files that have changed. It is not safe for concurrent use.
+// FileWatcher polls files and reloads changed content. It is not safe for concurrent use.
 type FileWatcher struct {
 	source string
 	files  func() []string
@@ -30,7 +30,7 @@
 
 	loadedFingerprint   string // fingerprint of the files whose content is in use
 	lastFingerprint     string // fingerprint at the last Poll
-	rejectedFingerprint string // fingerprint of the files that were rejected last; empty: none since the last success
+	rejectedFingerprint string // fingerprint of the last rejected files; empty: none since the last success
 	rejectedAt          time.Time
 }
 
@@ -46,8 +46,8 @@
 	return newFileWatcher(s.sources.String(), s.sources.files, s.Reload)
 }
 
-// Poll reloads the files if they have changed, but only once they are the same as at the previous Poll: a certificate
-// and its key are not replaced at the same instant.
+// Poll reloads changed files once two successive polls have found them in the same state. The delay is needed because
+// a certificate and its key are not replaced at the same instant.
 func (w *FileWatcher) Poll(now time.Time) PollResult {
 	result := PollResult{Source: w.source}
 	state := w.fingerprint()
@@ -101,7 +101,7 @@
 	return paths
 }
 
-// String returns a name for the sources in logs.
+// String returns the name of the sources for logs.
 func (s Sources) String() string {
 	return cmp.Or(s.Dir, s.Cert, s.Trust)
 }
--- a/certificates/watch_test.go
+++ b/certificates/watch_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pollFixture is a store that is loaded from files, and a watcher of these files that poll polls at a simulated time.
+// pollFixture is a store that is loaded from files, with a watcher of these files and a simulated time.
 type pollFixture struct {
 	ca      authority
 	from    Sources
@@ -41,8 +41,8 @@
 
 func (f *pollFixture) serial() string { return f.store.Set().Pairs[0].Leaf.SerialNumber.String() }
 
-// poll advances the simulated time by a second, polls the watcher, and compares the result with want. It does not
-// compare the text of the error. condition describes the state of the files in error messages.
+// poll advances the simulated time by a second, polls the watcher, and compares the result with want, except for the
+// text of the error. condition describes the state of the files in error messages.
 func (f *pollFixture) poll(t *testing.T, condition string, want PollResult) {
 	t.Helper()
 	f.now = f.now.Add(time.Second)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestFileWatcherPoll_RetriesRejectedFiles checks that rejected files are reported once, and that they are loaded again
-// after retryInterval although they have not changed.
+// TestFileWatcherPoll_RetriesRejectedFiles checks that rejected files are reported once. After retryInterval, they
+// must be loaded again even if they have not changed.
 func TestFileWatcherPoll_RetriesRejectedFiles(t *testing.T) {
 	fixture := newPollFixture(t)
 	before := fixture.serial()
@@ -94,7 +94,7 @@
 	fixture.poll(t, "another authority, file unchanged since the last poll", PollResult{Changed: true, TrustChanged: true})
 }
 
-// TestExpiryWarningsDue checks that there is one warning at each lead time, and one at expiry.
+// TestExpiryWarningsDue checks that there is one warning at each lead time and one at expiry.
 func TestExpiryWarningsDue(t *testing.T) {
 	now := time.Now()
 	warnings := NewExpiryWarnings([]time.Duration{time.Hour, 24 * time.Hour})
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -20,7 +20,7 @@
 // bufferSize is the size in bytes of the buffers of standard input and output. A batch can have several megabytes.
 const bufferSize = 1 << 20
 
-// gcPercent trades memory for CPU time: the live heap is small, and CPU time per request is scarce.
+// gcPercent trades memory for CPU time. The live heap is small, and CPU time per request is scarce.
 const gcPercent = 800
 
 func main() {
@@ -78,7 +78,8 @@
 	return w.Flush()
 }
 
-// readLine returns the next line without its line ending. longLine holds lines that exceed the reader's buffer.
+// readLine returns the next line without its line ending. longLine is the buffer for lines that exceed the reader's
+// buffer.
 func readLine(r *bufio.Reader, longLine *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -116,7 +117,7 @@
 	case simprotocol.Shutdown:
 		delete(h.nodes, message.Node)
 	case simprotocol.Event:
-		// Events for a node that was shut down are dropped.
+		// Events for an instance that was shut down are dropped.
 		if balancer := h.nodes[message.Node]; balancer != nil {
 			h.deliver(message.Node, balancer, message.Event)
 		}
@@ -124,8 +125,8 @@
 	return false, nil
 }
 
-// deliver passes one event to an instance and appends its actions to the reply. An instance that panics is reported
-// and removed, without effect on the others.
+// deliver passes one event to an instance and appends the resulting actions to the reply. An instance that panics is
+// reported and removed. Other instances are not affected.
 func (h *host) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// Instances that share a process make the same decisions as instances in processes of their own.
+// TestServe_InstancesAreIndependent checks that instances in one process make the same decisions as instances in
+// separate processes.
 func TestServe_InstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, list}
@@ -94,7 +95,8 @@
 	}
 }
 
-// A panic of an instance is reported with its message, and the instance is removed.
+// TestDeliver_ReportsPanic checks that a panic of an instance is reported with its message and that the instance is
+// removed.
 func TestDeliver_ReportsPanic(t *testing.T) {
 	h := host{nodes: map[int]*policy.Balancer{3: nil}}
 	h.deliver(3, nil, policy.Timer{})
--- a/cmd/wayhold-xds/main.go
+++ b/cmd/wayhold-xds/main.go
@@ -1,6 +1,6 @@
-// Command wayhold-xds is wayhold with support for xDS: clusters and endpoints come from an Envoy control plane or from
-// files, configured by the table [xds] in the operator's own file. It is a separate program because gRPC increases the
-// memory use of an idle node.
+// Command wayhold-xds is wayhold with support for xDS. Clusters and endpoints come from an Envoy control plane or
+// from files, as configured by the table [xds] in the operator's own file. It is a separate program because gRPC
+// increases the memory use of an idle node.
 package main
 
 import (
@@ -31,8 +31,8 @@
 	}
 }
 
-// newEndpointSource returns the xDS source that the operator's own file configures. It is merged with the platform's
-// discovery unless the file disables that.
+// newEndpointSource returns the xDS source that the operator's own file configures, merged with the platform's
+// discovery. If the file disables the platform's discovery, only the xDS source is returned.
 func newEndpointSource(
 	file nodeconfig.File, config node.Config, platform router.EndpointSource, log *slog.Logger,
 ) (router.EndpointSource, error) {
@@ -54,11 +54,11 @@
 	return both, nil
 }
 
-// secretUpdaters maps the name of each SDS secret to the function that installs its certificates.
+// secretUpdaters maps the name of each SDS secret to the function that installs the certificates of the secret.
 type secretUpdaters = map[string]func(*certificates.Set)
 
-// newXDSSource returns a source that reads the configured files or, if there are none, subscribes to the configured
-// control planes.
+// newXDSSource returns a source that reads the configured files. If no files are configured, the source subscribes to
+// the configured control planes.
 func newXDSSource(table nodeconfig.XDS, secrets secretUpdaters, log *slog.Logger) (router.EndpointSource, error) {
 	if len(table.Files) > 0 {
 		return xds.NewFileSource(table.Files, log)
@@ -71,7 +71,7 @@
 	return xds.New(config)
 }
 
-// loadBootstrap reads the configured bootstrap file, and returns the configuration of a source for its control planes.
+// loadBootstrap reads the configured bootstrap file and returns the source configuration for its control planes.
 func loadBootstrap(table nodeconfig.XDS) (xds.Config, error) {
 	raw, err := os.ReadFile(table.Bootstrap)
 	if err != nil {
--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -26,8 +26,8 @@
 	"go.uber.org/goleak"
 )
 
-// runAsProgramEnv is the environment variable that makes the test binary run as the program itself, which a rehearsal
-// starts as its nodes.
+// runAsProgramEnv is the environment variable that makes the test binary run as the program itself. A rehearsal
+// starts the test binary as its nodes.
 const runAsProgramEnv = "WAYHOLD_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// A rehearsal reports itself void, regardless of the rules, if the host delayed its load generator.
+// Output and limit of a rehearsal that is void because the host delayed its load generator. Such a rehearsal is void
+// regardless of the rules.
 const (
 	voidByLoadGenerator    = "rehearse: void: the load generator sent"
 	loadGeneratorLateAfter = 20 * time.Millisecond
@@ -71,8 +72,8 @@
 for = "1s"
 `
 
-// A rehearsal whose nodes get their servers only from xDS, with crashes, drains and an unreachable control plane, must
-// keep all rules.
+// TestRehearsalByXDS checks that a rehearsal keeps all rules if its nodes get their servers only from xDS. The script
+// contains crashes, drains and an unreachable control plane.
 func TestRehearsalByXDS(t *testing.T) {
 	t.Setenv(runAsProgramEnv, "1")
 	calm, err := filepath.Abs("../../scenarios/calm.toml")
@@ -123,7 +124,7 @@
 	}
 }
 
-// writeOwnFile writes an operator's own file that configures the control plane. more contains further lines of the
+// writeOwnFile writes an operator's own file that configures the control plane. more contains additional lines of the
 // table [xds].
 func writeOwnFile(t testing.TB, plane *standin.ControlPlane, more string) (path string) {
 	t.Helper()
@@ -178,7 +179,7 @@
 	return config
 }
 
-// requestSender sends requests to a node, each over a connection of its own.
+// requestSender sends requests to a node, each over a separate connection.
 type requestSender struct {
 	addr   string
 	client http.Client
@@ -208,8 +209,9 @@
 	return fmt.Sprint(resp.StatusCode, " ", string(body))
 }
 
-// A node gets servers both from a control plane and from the platform's discovery. A class that is bound to a cluster
-// is served by the servers of the cluster, the other class by any server.
+// TestNode_MergesXDSWithPlatformDiscovery checks that a node gets servers both from a control plane and from the
+// platform's discovery. Servers of a cluster must serve the class that is bound to the cluster. Any server may serve
+// the other class.
 func TestNode_MergesXDSWithPlatformDiscovery(t *testing.T) {
 	startServer := func(name string) string {
 		return testkit.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, name) })
@@ -290,7 +292,8 @@
 	}
 }
 
-// The output of dump says for each endpoint whether it is used or why not, and for each rejected resource the reason.
+// TestDump_SaysWhyUnused checks that the output of dump states for each endpoint whether it is used, or why not. For
+// each rejected resource, the output must contain the reason.
 func TestDump_SaysWhyUnused(t *testing.T) {
 	draining := newEndpoint(t, "10.0.0.2:1")
 	draining.HealthStatus = xdspb.HealthStatus_DRAINING
--- a/cmd/wayhold-xds/status.go
+++ b/cmd/wayhold-xds/status.go
@@ -13,7 +13,7 @@
 	"cobaltward/discovery/xds/ads"
 )
 
-// resourceTypes lists the resource types in a status, with their names in the output.
+// resourceTypes lists the resource types in a status with their names in the output.
 var resourceTypes = []struct {
 	id   ads.Type
 	name string
--- a/cmd/wayhold-xds/xds.go
+++ b/cmd/wayhold-xds/xds.go
@@ -25,7 +25,7 @@
 	statusPollInterval = 20 * time.Millisecond
 )
 
-// xdsCommand returns the command xds, whose subcommands read control planes and files as a node would.
+// xdsCommand returns the command xds. Its subcommands read control planes and files as a node would.
 func xdsCommand() *cobra.Command {
 	root := &cobra.Command{Use: "xds", Short: "Inspect a control plane or DiscoveryResponse files as a node would"}
 	root.AddCommand(dumpCommand(), watchCommand(), checkCommand())
@@ -102,8 +102,8 @@
 	}
 }
 
-// loadOwnFile reads the operator's own file, which --config names. It returns an error if the file does not configure
-// xDS.
+// loadOwnFile reads the operator's own file, which the flag --config names. It returns an error if the file does not
+// configure xDS.
 func loadOwnFile(cmd *cobra.Command) (nodeconfig.File, error) {
 	path, err := cmd.Flags().GetString("config")
 	if err != nil {
@@ -116,7 +116,7 @@
 	return file, err
 }
 
-// withSource calls inspect while a source that subscribes to the configured control planes is running.
+// withSource runs a source that subscribes to the configured control planes, and calls inspect meanwhile.
 func withSource(cmd *cobra.Command, inspect func(context.Context, *xds.Source, io.Writer) error) error {
 	file, err := loadOwnFile(cmd)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return inspect(ctx, source, cmd.OutOrStdout())
 }
 
-// waitComplete waits until the source's endpoint list is complete.
+// waitComplete waits until the endpoint list of source is complete. It returns an error if ctx ends first.
 func waitComplete(ctx context.Context, source *xds.Source) error {
 	tick := time.NewTicker(statusPollInterval)
 	defer tick.Stop()
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -1,4 +1,4 @@
-// Command wayhold runs a node that routes requests, and has the tools for operating it.
+// Command wayhold runs a node that routes requests, and provides the tools for operating the node.
 package main
 
 import (
--- a/cmd/xds-standin/main.go
+++ b/cmd/xds-standin/main.go
@@ -1,5 +1,5 @@
 // Command xds-standin is a scripted control plane for tests and rehearsals. It serves xDS on the loopback interface,
-// and can write every request that it receives to a file.
+// and can record every received request in a file.
 package main
 
 import (
@@ -115,7 +115,7 @@
 	return script, nil
 }
 
-// serverOptions returns the TLS credentials for gRPC if the flags name a certificate.
+// serverOptions returns the gRPC option for TLS if the flags name a certificate.
 func (o options) serverOptions() ([]grpc.ServerOption, error) {
 	if o.cert == "" && o.key == "" {
 		return nil, nil
@@ -127,8 +127,8 @@
 	return []grpc.ServerOption{grpc.Creds(creds)}, nil
 }
 
-// recordRequests writes every request to a file, as JSON. The returned function stops the control plane, and flushes
-// and closes the file.
+// recordRequests writes every received request to the file at path, as JSON. finish stops the control plane, flushes
+// the buffered requests and closes the file.
 func recordRequests(controlPlane *standin.ControlPlane, path string) (finish func() error, err error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -137,7 +137,7 @@
 	w := bufio.NewWriter(file)
 	lines := json.NewEncoder(w)
 	controlPlane.OnRequest(func(request standin.RecordedRequest) {
-		_ = lines.Encode(request) // the buffered writer returns write errors again on Flush
+		_ = lines.Encode(request) // w keeps the first write error, and Flush returns it
 	})
 	return func() error {
 		controlPlane.Stop()
