--- a/certificates/ticketkeys.go
+++ b/certificates/ticketkeys.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(tmp.Name()) }() // after a successful rename, the removal fails because the file is gone
+	defer func() { _ = os.Remove(tmp.Name()) }() // fails after a successful rename: the file is gone
 	_, err = tmp.Write(content)
 	if err := errors.Join(err, tmp.Sync(), tmp.Close()); err != nil {
 		return err
--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -37,8 +37,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// Output and limit of a rehearsal that is void because the host delayed its load generator. Such a rehearsal is void
-// regardless of the rules.
+// A rehearsal is void, regardless of the rules, if the host delayed its load generator.
 const (
 	voidByLoadGenerator    = "rehearse: void: the load generator sent"
 	loadGeneratorLateAfter = 20 * time.Millisecond
--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -1,6 +1,6 @@
 // Package disabled takes servers out of service at a single node, regardless of their state in the endpoint list. A
-// server that an operator has disabled stays out of service until it is enabled again; a server that could not prove
-// its identity stays out until it can. Source wraps another endpoint source.
+// server that an operator has disabled stays out of service until an operator enables it again. A server that could
+// not prove its identity stays out of service until its identity is proven. Source wraps another endpoint source.
 package disabled
 
 import (
@@ -18,7 +18,7 @@
 // MaxDisabled is the maximum number of servers that may be disabled at the same time.
 const MaxDisabled = 1000
 
-// Errors of Disable and Enable. A call that returns one of them has changed nothing.
+// Errors of Disable and Enable. A call that returns one of these errors changes nothing.
 var (
 	// ErrUnknownServer is returned if the endpoint list does not contain the server.
 	ErrUnknownServer = errors.New("no such server in the list")
@@ -37,11 +37,11 @@
 	disabled      map[string]bool            // ids of servers that an operator has disabled
 	untrusted     map[string]bool            // ids of servers that could not prove their identity
 	endpoints     map[string]router.Endpoint // by id, as last published by the wrapped source
-	pending       []string                   // ids whose state changed here but is not published yet, without duplicates
-	pendingSignal chan struct{}              // holds a token while pending is not empty
+	pending       []string                   // ids of servers with unpublished changes, without duplicates
+	pendingSignal chan struct{}              // contains a token while pending is not empty
 }
 
-// New returns a source that wraps another source, with no servers disabled.
+// New returns a source that wraps another source. Initially no servers are disabled.
 func New(wrapped router.EndpointSource) *Source {
 	return &Source{
 		EndpointSource: wrapped,
@@ -52,7 +52,7 @@
 	}
 }
 
-// SetInitial sets the endpoints that the router knows before the wrapped source has published any.
+// SetInitial sets the endpoints that the router knows before the first update of the wrapped source.
 func (s *Source) SetInitial(endpoints []router.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,9 +61,9 @@
 	}
 }
 
-// Run publishes the updates of the wrapped source, and the changes made by Disable, Enable and SetUntrusted, until ctx
-// ends. All updates are published by the calling goroutine, in order. The goroutine that runs the wrapped source has
-// ended when Run returns.
+// Run publishes the updates of the wrapped source and the changes made by Disable, Enable and SetUntrusted. It
+// returns when ctx ends, after the wrapped source has returned. All updates are published by the calling goroutine,
+// in order.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	updates := make(chan router.EndpointUpdate)
 	var wrapped sync.WaitGroup
@@ -90,7 +90,8 @@
 	}
 }
 
-// applyUpdate stores an update of the wrapped source and returns it with disabled and untrusted servers as draining.
+// applyUpdate stores an update of the wrapped source. It returns the update with disabled and untrusted servers as
+// draining.
 func (s *Source) applyUpdate(update router.EndpointUpdate) router.EndpointUpdate {
 	if update.Kind == policy.ListUnavailable {
 		return update
@@ -117,7 +118,7 @@
 	return update
 }
 
-// override returns the endpoint with the availability to publish: a disabled or untrusted server is draining.
+// override returns the endpoint with the availability to publish. A disabled or untrusted server is draining.
 func (s *Source) override(endpoint router.Endpoint) router.Endpoint {
 	if (s.disabled[endpoint.ID] || s.untrusted[endpoint.ID]) && endpoint.Availability == policy.Running {
 		endpoint.Availability = policy.Draining
@@ -125,7 +126,7 @@
 	return endpoint
 }
 
-// pendingUpdate returns the update for all pending ids, and clears them.
+// pendingUpdate returns the update for all pending ids and clears the pending ids.
 func (s *Source) pendingUpdate() router.EndpointUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +140,8 @@
 	return update
 }
 
-// Disable takes a server out of service until Enable is called. Disabling a disabled server changes nothing.
+// Disable takes the server with an id out of service until Enable is called. Disabling a disabled server has no
+// effect.
 func (s *Source) Disable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// Enable reverses Disable: the server gets the availability from the endpoint list again.
+// Enable reverses Disable. The server gets the availability from the endpoint list again.
 func (s *Source) Enable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +171,8 @@
 	return nil
 }
 
-// SetUntrusted takes a server that could not prove its identity out of service, or puts it back into service once it
-// could. It does not block.
+// SetUntrusted takes the server with an id out of service if untrusted is set, which means that the server could not
+// prove its identity. Otherwise it puts the server back into service. It does not wait for Run.
 func (s *Source) SetUntrusted(id string, untrusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/disabled/disabled_test.go
+++ b/discovery/disabled/disabled_test.go
@@ -31,7 +31,7 @@
 
 func (s *listSource) SetPolling(bool) {}
 
-// routerView tracks the availability of each endpoint as the router would.
+// routerView records the availability of each endpoint, as a router does.
 type routerView struct {
 	mu     sync.Mutex
 	states map[string]policy.Availability
@@ -104,7 +104,7 @@
 	delete(m.disabled, id)
 }
 
-// publish makes the wrapped source publish a random state of an endpoint, as a change or as a complete list.
+// publish makes the wrapped source publish a random state of an endpoint, either as a change or as a complete list.
 func (m *model) publish(t *rapid.T, list *listSource, id string) {
 	state := policy.Availability(rapid.IntRange(0, 2).Draw(t, "state"))
 	kind := policy.ListUpdate
@@ -120,12 +120,13 @@
 	if state == policy.Removed {
 		delete(m.list, id)
 	}
-	// The source handles updates one by one: once it has received this one, it has applied the previous one.
+	// The source handles updates one by one. Once it has received this empty update, it has applied the update
+	// before.
 	list.updates <- router.EndpointUpdate{Kind: policy.ListUpdate}
 }
 
-// TestSource_MatchesModel compares a source with a model under random list updates and operator commands, in any
-// order: the router must see each endpoint with its availability from the list, except that disabled endpoints are
+// TestSource_MatchesModel checks a source against a model, with random list updates and operator commands in any
+// order. The router must see each endpoint with its availability from the list, except that disabled endpoints are
 // draining.
 func TestSource_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery contains the code that the endpoint sources in its subpackages share. Each of them implements
+// Package discovery contains the code that the endpoint sources in its subpackages share. Each subpackage implements
 // router.EndpointSource: registry polls wayhold's own registry over HTTP, file watches a file, and xds subscribes to
-// an Envoy control plane. merge combines several sources into one, and disabled lets operators take servers out of
-// service at a single node.
+// an Envoy control plane. merge combines several sources. disabled lets operators take servers out of service at a
+// single node.
 package discovery
 
 import (
@@ -10,8 +10,8 @@
 	"cobaltward/router"
 )
 
-// Equal reports whether two endpoints are equal in every field, so that publishing the second after the first would
-// change nothing. Start times are compared as instants, regardless of their time zones.
+// Equal reports whether a and b are equal in every field. Publishing b after a would then change nothing. Start times
+// are compared as instants, regardless of their time zones.
 func Equal(a, b router.Endpoint) bool {
 	return a.ID == b.ID &&
 		a.Addr == b.Addr &&
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/router"
 )
 
-// TestEqual_EveryField changes each field of an endpoint in turn and expects Equal to notice each change.
+// TestEqual_EveryField checks that Equal detects a change of each field of an endpoint.
 func TestEqual_EveryField(t *testing.T) {
 	started := time.UnixMilli(5000)
 	base := func() router.Endpoint {
--- a/discovery/file/file.go
+++ b/discovery/file/file.go
@@ -1,4 +1,5 @@
-// Package file provides an endpoint source that reads its list from a file, and again whenever the file changes.
+// Package file provides an endpoint source that reads its list from a file and reads the file again after each
+// change.
 package file
 
 import (
@@ -12,18 +13,18 @@
 	"cobaltward/router"
 )
 
-// ReadFunc reads the complete list of endpoints. If it returns an error, the source keeps its current list.
+// ReadFunc reads the complete list of endpoints. After an error, the source keeps its current list.
 type ReadFunc func() ([]router.Endpoint, error)
 
-// pollInterval is how often the file is checked for changes. A drain written to the file takes effect up to this much
-// later.
+// pollInterval is the interval between checks of the file for changes. It is the maximum delay before a drain in the
+// file takes effect.
 const pollInterval = 200 * time.Millisecond
 
 // Source publishes the list of a file. Its methods are safe for concurrent use.
 type Source struct {
-	path   string // of the file to watch; empty: no file is watched
+	path   string // file to watch; empty: no file is watched
 	log    *slog.Logger
-	reload chan struct{} // buffers one request of Reload
+	reload chan struct{} // buffers one pending reload
 
 	mu   sync.Mutex
 	read ReadFunc
@@ -31,14 +32,14 @@
 
 var _ router.EndpointSource = (*Source)(nil)
 
-// New returns a source with an empty list; the list is first read when Run is called. path is the file to watch. If
-// path is empty, the list is read again only on Reload.
+// New returns a source with an empty list. Run reads the list for the first time. path is the file to watch. If path
+// is empty, the list is read again only after Reload.
 func New(path string, read ReadFunc, log *slog.Logger) *Source {
 	return &Source{path: path, read: read, log: log, reload: make(chan struct{}, 1)}
 }
 
-// Reload makes the source read the list again, even if the file has not changed. A non-nil read replaces the function
-// that reads the list. Reload does not wait for the list to be read.
+// Reload makes the source read the list again, even if the file has not changed. If read is not nil, it replaces the
+// function that reads the list. Reload does not wait for the list to be read.
 func (s *Source) Reload(read ReadFunc) {
 	s.mu.Lock()
 	if read != nil {
@@ -51,11 +52,11 @@
 	}
 }
 
-// SetPolling does nothing: file changes are published without a request from the router.
+// SetPolling does nothing. File changes are published without a request from the router.
 func (s *Source) SetPolling(bool) {}
 
-// Run publishes the list, and each change to it, until ctx ends. If the file can't be read, the last list stays in
-// effect and the failure is reported once for each state of the file.
+// Run publishes the list and each change to the list until ctx ends. If the list cannot be read, the last list stays
+// in effect. The failure is reported once for each state of the file.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -77,7 +78,7 @@
 	}
 }
 
-// publish reads the list and publishes it, or reports that it is unavailable.
+// publish reads the list and publishes it. If the list cannot be read, it publishes that the list is unavailable.
 func (s *Source) publish(publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	read := s.read
@@ -94,12 +95,12 @@
 	publish(router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: endpoints})
 }
 
-// fileStamp identifies a state of the file: it differs after the file has changed.
+// fileStamp identifies a state of the file. A change of the file changes the stamp.
 type fileStamp struct {
 	exists   bool
 	size     int64 // bytes
 	modified time.Time
-	inode    any // differs after another file was renamed into place
+	inode    any // differs after another file is renamed into place
 }
 
 // currentStamp returns the current state of the watched file.
--- a/discovery/file/file_test.go
+++ b/discovery/file/file_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The list is published at the start, after each change of the file, and on Reload. A missing or malformed file is
-// reported as unavailable, and the next valid list is published.
+// TestSource_PublishesChanges checks that the list is published at the start, after each change of the file, and
+// after Reload. A missing or malformed file must be reported as unavailable. The next valid list must be published.
 func TestSource_PublishesChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers")
 	writeList := func(text string) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// run runs a source until the test ends. The returned channel receives each update as the concatenated ids of its
-// endpoints, or as "unavailable".
+// run runs a source until the test ends. The returned channel receives the concatenated ids of the endpoints in each
+// update, or "unavailable".
 func run(t *testing.T, source *Source) <-chan string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,7 @@
-// Package merge combines several endpoint sources into one. A server is identified by its address: if several sources
-// list the same address, they describe one server, whose id is taken from the first of these sources. A server gets no
-// new work once any source drains it or removes it from its list, because that source is assumed to be more up to date
-// than the others. Data about a later process at the same address replaces the data of the earlier process.
+// Package merge combines several endpoint sources into one. A server is identified by its address. If several sources
+// list the same address, they describe the same server, and its id comes from the first of these sources. A server
+// gets no new work after any source drains or removes it, because that source is assumed to be the most up to date.
+// Data about a later process at the same address replaces the data of the earlier process.
 package merge
 
 import (
@@ -22,13 +22,13 @@
 
 	mu        sync.Mutex
 	servers   map[string]*mergedServer // by address
-	addresses []map[string]string      // per source: the address of each endpoint id that it lists
-	drops     []dropoverload.Fractions // the last drop fractions of each source
+	addresses []map[string]string      // address of each listed endpoint id, by index of the source
+	drops     []dropoverload.Fractions // last drop fractions of each source
 }
 
 var _ router.EndpointSource = (*Source)(nil)
 
-// New merges sources. If several sources list a server, the first of them in this order determines its id.
+// New merges sources. If several sources list a server, the first of these sources determines its id.
 func New(sources ...router.EndpointSource) *Source {
 	s := &Source{
 		sources: sources,
@@ -41,20 +41,21 @@
 	return s
 }
 
-// SetPolling forwards the router's request to every source.
+// SetPolling passes the router's request to every source.
 func (s *Source) SetPolling(on bool) {
 	for _, source := range s.sources {
 		source.SetPolling(on)
 	}
 }
 
-// SetInitial treats the list that the router starts with as already published by the source with this index.
+// SetInitial records endpoints, the list that the router starts with, as already published by the source with an
+// index.
 func (s *Source) SetInitial(source int, endpoints []router.Endpoint) {
 	update := router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: endpoints}
 	s.apply(source, update, func(router.EndpointUpdate) {})
 }
 
-// Run runs every source in a goroutine of its own. It returns once ctx has ended and all sources have returned.
+// Run runs every source in a separate goroutine. It returns after ctx has ended and all sources have returned.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	var running sync.WaitGroup
 	for i, source := range s.sources {
@@ -65,8 +66,8 @@
 	running.Wait()
 }
 
-// apply stores an update from one source and publishes the resulting changes. The lock is held while publishing, so
-// that updates are published in the order in which they were applied.
+// apply stores an update of the source with an index and publishes the resulting changes. It holds the lock while
+// publishing. Updates are therefore published in the order in which they are applied.
 func (s *Source) apply(source int, update router.EndpointUpdate, publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,8 +92,8 @@
 	}
 }
 
-// removeUnlisted marks the servers as removed that a source has listed before and that are missing from its new
-// complete list.
+// removeUnlisted marks the servers as removed that a source has listed earlier and that its complete list no longer
+// contains. endpoints is that complete list.
 func (s *Source) removeUnlisted(source int, endpoints []router.Endpoint, touched map[string]bool) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -106,7 +107,7 @@
 	}
 }
 
-// applyEndpoint stores what a source reports about one endpoint.
+// applyEndpoint stores the data that a source reports about one endpoint.
 func (s *Source) applyEndpoint(source int, endpoint router.Endpoint, touched map[string]bool) {
 	removed := endpoint.Availability == policy.Removed
 	former, had := s.addresses[source][endpoint.ID]
@@ -136,8 +137,8 @@
 	touched[addr] = true
 }
 
-// changes returns the endpoints to publish for the touched addresses. Removals come first, because a removed server's
-// id may now belong to another server.
+// changes returns the endpoints to publish for the touched addresses. Removals come first, because the id of a
+// removed server may now belong to another server.
 func (s *Source) changes(touched map[string]bool) []router.Endpoint {
 	var removals, others []router.Endpoint
 	for addr := range touched {
--- a/discovery/merge/merge_test.go
+++ b/discovery/merge/merge_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// routerView applies published updates as the router would.
+// routerView applies published updates as a router does.
 type routerView struct {
 	t         *testing.T
 	source    *Source
@@ -61,8 +61,8 @@
 	update, replace            = policy.ListUpdate, policy.ListReplace
 )
 
-// A server that two sources list is published once, under the id from the first source. Servers that only one source
-// lists are published as well.
+// TestSource_OneServerPerAddress checks that a server in the lists of two sources is published once, under its id
+// from the first source. Servers in the list of only one source must be published as well.
 func TestSource_OneServerPerAddress(t *testing.T) {
 	view := newView(t)
 	view.apply(1, update, newEndpoint("x1", "a:1", running), newEndpoint("x2", "b:1", running))
@@ -71,8 +71,8 @@
 	view.assertPublished("s1@a:1 runs, s3@c:1 runs, x2@b:1 runs")
 }
 
-// A server that any source drains or removes is published as draining until that source lists it again. It is removed
-// once no source lists it.
+// TestSource_AnyDrainWins checks that a server that any source drains or removes is published as draining, until that
+// source lists the server as running again. The server must be removed once no source lists it.
 func TestSource_AnyDrainWins(t *testing.T) {
 	view := newView(t)
 	view.apply(0, replace, newEndpoint("s1", "a:1", running), newEndpoint("s2", "b:1", running))
@@ -92,7 +92,8 @@
 	}
 }
 
-// A new process at an address inherits neither the draining state nor the start time of the old process.
+// TestSource_NewProcessResetsState checks that a new process at an address inherits neither the draining state nor
+// the start time of the old process.
 func TestSource_NewProcessResetsState(t *testing.T) {
 	view := newView(t)
 	view.apply(0, replace, newEndpoint("s1", "a:1", running))
@@ -112,7 +113,8 @@
 	}
 }
 
-// A server that moves to another address is no longer published at its old address.
+// TestSource_ServerMoves checks that a server is no longer published at its old address after it moves to another
+// address.
 func TestSource_ServerMoves(t *testing.T) {
 	view := newView(t)
 	view.apply(0, replace, newEndpoint("s1", "a:1", running))
@@ -120,7 +122,8 @@
 	view.assertPublished("s1@b:1 runs")
 }
 
-// Failures of a polled source are published, and the pools of a server are the union of what the sources report.
+// TestSource_PassesOnFailuresAndPools checks that failures of a polled source are published. The pools of a server
+// must be the union of the pools in all reports.
 func TestSource_PassesOnFailuresAndPools(t *testing.T) {
 	view := newView(t)
 	published := 0
--- a/discovery/merge/server.go
+++ b/discovery/merge/server.go
@@ -8,15 +8,15 @@
 	"cobaltward/router"
 )
 
-// mergedServer collects what the sources report about the server at one address.
+// mergedServer contains the reports of all sources about the server at one address.
 type mergedServer struct {
 	reports     []sourceReport  // one per source
-	published   router.Endpoint // the endpoint as last published to the router
-	isPublished bool            // the router knows the server
+	published   router.Endpoint // endpoint as last published
+	isPublished bool            // published is known to the router
 }
 
-// sourceReport is what one source reports about a server. After the source has removed the server, the endpoint is
-// kept with Availability Removed.
+// sourceReport is the data that one source reports about a server. After the source has removed the server, the
+// report keeps the endpoint with Availability Removed.
 type sourceReport struct {
 	known    bool // the source has listed the server at least once
 	endpoint router.Endpoint
@@ -55,7 +55,7 @@
 	return merged, true
 }
 
-// latestStart returns the start time of the newest process that the sources list at the address.
+// latestStart returns the start time of the newest process that any source lists at the address.
 func (m *mergedServer) latestStart() (latest time.Time) {
 	for _, report := range m.reports {
 		if report.known && report.endpoint.Availability != policy.Removed && report.endpoint.Started.After(latest) {
--- a/discovery/registry/list.go
+++ b/discovery/registry/list.go
@@ -10,10 +10,10 @@
 	"cobaltward/router"
 )
 
-// List is the registry's complete list of endpoints, or the changes to it since an earlier revision.
+// List is the registry's complete list of endpoints, or the changes since an earlier revision.
 type List struct {
 	Revision  int64
-	Full      bool // Endpoints is the complete list, not only the changes
+	Full      bool // Endpoints is the complete list, not the changes
 	Endpoints []router.Endpoint
 }
 
@@ -36,15 +36,15 @@
 	UpSince  float64  `json:"up_since_ms"`
 }
 
-// availabilities maps the phases of the registry to availabilities.
+// availabilities maps the registry's phases to availabilities.
 var availabilities = map[string]policy.Availability{
 	"up":       policy.Running,
 	"draining": policy.Draining,
 	"removed":  policy.Removed,
 }
 
-// maxUpSince is the exclusive upper bound of a start time, in milliseconds since 1970: larger numbers are not exact as
-// JSON numbers.
+// maxUpSince is the exclusive upper bound of a start time, in milliseconds since 1970. Larger numbers are not exact
+// as JSON numbers.
 const maxUpSince = 1 << 53
 
 // ParseList parses a list in the registry's JSON form. One invalid entry makes the whole list invalid, because a
@@ -68,7 +68,7 @@
 	return list, nil
 }
 
-// endpoint validates an entry and converts it to an endpoint.
+// endpoint validates an entry and returns it as an endpoint.
 func (e *endpointJSON) endpoint() (router.Endpoint, error) {
 	availability, known := availabilities[e.Phase]
 	switch {
@@ -76,7 +76,7 @@
 		return router.Endpoint{}, errors.New("id: missing")
 	case !known:
 		return router.Endpoint{}, fmt.Errorf("phase: unknown value %q", e.Phase)
-	case !(e.UpSince >= 0 && e.UpSince < maxUpSince): // written so that NaN is out of range too
+	case !(e.UpSince >= 0 && e.UpSince < maxUpSince): // this form also rejects NaN
 		return router.Endpoint{}, errors.New("up_since_ms: out of range")
 	}
 	if availability != policy.Removed {
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -1,10 +1,10 @@
 // Package registry provides the endpoint source for wayhold's own registry. It watches the list of endpoints by HTTP
 // long polling: the registry holds each call until something changes.
 //
-// Config.Subscribe distinguishes two kinds of registry. If it is false, an agent on the node's machine pushes the
-// list: the source watches all the time and retries failed calls by itself. If it is true, one registry serves all
-// nodes: the source watches only while the router has requested it with SetPolling, and reports each failure; the
-// router then decides when to ask again.
+// Config.Subscribe distinguishes two kinds of registry. If Subscribe is false, an agent on the node's machine pushes
+// the list: the source watches all the time and retries failed calls by itself. If Subscribe is true, one registry
+// serves all nodes: the source watches only after a request by SetPolling, and reports each failure to the router.
+// The router then decides when to ask again.
 package registry
 
 import (
@@ -26,14 +26,14 @@
 type Config struct {
 	Addr      string // host:port of the registry
 	Revision  int64  // revision of the list that the router starts with
-	Subscribe bool   // watch only while the router requests it, and report failures to the router
-	// DrainGrace is how long a server may still get work after its drain is known; 0: unknown. It bounds the pauses
-	// after failed calls.
+	Subscribe bool   // watch only at the router's request, and report failures to the router
+	// DrainGrace is the time for which a server may still get work after its drain is known; 0: unknown. It bounds
+	// the pauses after failed calls.
 	DrainGrace time.Duration
 	Log        *slog.Logger // nil: nothing is logged
 }
 
-// Source watches the list of endpoints over one connection of its own.
+// Source watches the list of endpoints over a separate connection.
 type Source struct {
 	client       *http.Client
 	log          *slog.Logger
@@ -42,15 +42,15 @@
 	pollRequests chan bool // buffers the newest value passed to SetPolling
 	publish      func(router.EndpointUpdate)
 
-	// Only the goroutine of Run uses these.
+	// Only the goroutine of Run uses the following fields.
 	addr          string
 	revision      int64
 	fullRequested bool // the next call asks for the complete list
-	polling       bool // the last value received from pollRequests
+	polling       bool // last value received from pollRequests
 	outage        outage
 
 	mu         sync.Mutex
-	newAddr    string             // set by SetAddress; empty once Run uses it
+	newAddr    string             // address set by SetAddress; empty: Run already uses it
 	cancelCall context.CancelFunc // cancels the call in flight or the pause between two calls
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// newClient returns a client with a transport of its own: no proxy is used, and no other requests share its
+// newClient returns a client with a separate transport. The client uses no proxy, and no other requests share its
 // connection.
 func newClient() *http.Client {
 	return &http.Client{
@@ -86,8 +86,8 @@
 	}
 }
 
-// SetPolling tells the source whether the router wants to be notified of changes. A newer call replaces one that Run
-// has not handled yet. Only the router calls it; it does not block.
+// SetPolling tells the source whether the router wants to be notified of changes. A new value replaces a value that
+// Run has not handled yet. Only the router calls SetPolling. It does not block.
 func (s *Source) SetPolling(on bool) {
 	select {
 	case <-s.pollRequests:
@@ -96,8 +96,8 @@
 	s.pollRequests <- on
 }
 
-// SetAddress makes the source switch to another registry immediately. A call in flight is cancelled, because the
-// former registry may never answer it.
+// SetAddress makes the source switch to another registry immediately. It cancels a call in flight, because the former
+// registry may never answer.
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	backoff := time.Duration(0)
 	for ctx.Err() == nil {
 		roundCtx, cancel, moved := s.beginRound(ctx)
-		if moved { // a failure at the former address says nothing about the new one
+		if moved { // a failure at the former address says nothing about the new address
 			backoff = 0
 			watching = watching || s.polling
 		}
@@ -136,15 +136,15 @@
 	if moved {
 		s.log.Info("discovery: moved", "address", s.newAddr)
 		s.addr, s.newAddr = s.newAddr, ""
-		s.fullRequested = true // revisions of two registries can't be compared
+		s.fullRequested = true // revisions of two registries cannot be compared
 		s.client.CloseIdleConnections()
 	}
 	roundCtx, s.cancelCall = context.WithCancel(ctx)
 	return roundCtx, s.cancelCall, moved
 }
 
-// poll makes one call and, if it fails, pauses. It returns whether to continue watching, and the length of the pause
-// if the call failed.
+// poll makes one call and, if the call fails, pauses. watching reports whether to continue watching. nextPause is the
+// length of the pause, or 0 if there was none.
 func (s *Source) poll(ctx context.Context, backoff time.Duration) (watching bool, nextPause time.Duration) {
 	list, err := s.watch(ctx)
 	switch {
@@ -164,7 +164,7 @@
 		s.publish(router.EndpointUpdate{Kind: policy.ListUnavailable})
 		return false, 0
 	}
-	// The list is pushed: the last one stays in effect, and the failure is not reported to the router.
+	// The list is pushed, so the last list stays in effect. The failure is not reported to the router.
 	if backoff == 0 {
 		s.log.Warn("discovery: registry unreachable, keeping the last endpoint list", "err", err)
 	}
@@ -173,13 +173,13 @@
 	return true, backoff
 }
 
-// outage tracks the time without an answer while calls fail or time out.
+// outage records the time since the last answer while calls fail or time out.
 type outage struct {
 	lastAnswer time.Time // initially the start of Run
 	inProgress bool      // a call has failed since the last answer
 }
 
-// end records an answer and returns the length of the outage that it ended, or 0 if there was none.
+// end records an answer and returns the length of the outage that ended. Without an outage, it returns 0.
 func (o *outage) end(answered time.Time) time.Duration {
 	length := answered.Sub(o.lastAnswer)
 	if !o.inProgress {
@@ -189,8 +189,8 @@
 	return length
 }
 
-// pollingRequested returns whether the router wants to watch. It waits for the router's next request only if the
-// source is not watching.
+// pollingRequested returns whether the router wants the source to watch. If the source is not watching, it waits for
+// the next request of the router.
 func (s *Source) pollingRequested(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
@@ -210,8 +210,8 @@
 }
 
 // apply publishes a list. An empty change is published only if the router waits for an answer. A change with a
-// revision below the current one means that the registry has restarted its revisions: the list that the change
-// applies to is unknown, so the complete list is requested.
+// revision below the current one means that the registry has restarted its revisions. The list that such a change
+// applies to is unknown, so the source requests the complete list.
 func (s *Source) apply(list List) {
 	if !list.Full && list.Revision < s.revision {
 		s.log.Warn("discovery: registry restarted its revisions, requesting the complete list",
--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -25,9 +25,9 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, strings.Join(entries, ","))
 }
 
-// runWithAnswers runs a source against a registry that returns answers to the first calls, one each, and holds all
-// further calls. It returns the published updates and the "index" parameter of each call. An answer that is not a JSON
-// object is sent with status 503.
+// runWithAnswers runs a source against a test registry. The registry returns one of answers to each of the first
+// calls, and holds all further calls. An answer that is not a JSON object is sent with status 503. queries receives
+// the "index" parameter of each call.
 func runWithAnswers(
 	t *testing.T, subscribe bool, answers ...string,
 ) (source *Source, published chan router.EndpointUpdate, queries chan string) {
@@ -88,7 +88,8 @@
 	assertIndexes(t, queries, "7", "8", "9", "10", "11")
 }
 
-// Without Subscribe, a failed call or an invalid list leaves the last list in effect and publishes nothing.
+// TestSource_FailuresKeepLastList checks that without Subscribe, a failed call or an invalid list publishes nothing.
+// The last list must stay in effect.
 func TestSource_FailuresKeepLastList(t *testing.T) {
 	_, published, queries := runWithAnswers(t, false,
 		"down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
@@ -102,8 +103,7 @@
 	}
 }
 
-// TestSource_ReportsOutageLength lets calls fail between two answers: the update after the failures must report the
-// length of the outage.
+// TestSource_ReportsOutageLength checks that the first update after failed calls reports the length of the outage.
 func TestSource_ReportsOutageLength(t *testing.T) {
 	_, published, _ := runWithAnswers(t, false, delta(8, entry("s1", "up")), "down", "down", delta(9, entry("s2", "up")),
 		delta(10, entry("s3", "up")))
@@ -116,7 +116,8 @@
 	}
 }
 
-// With Subscribe, the source calls only after the router requests it, and reports each failure once.
+// TestSource_SubscribeReportsFailures checks that with Subscribe, the source calls only after a request of the
+// router. It must report each failure once.
 func TestSource_SubscribeReportsFailures(t *testing.T) {
 	source, published, queries := runWithAnswers(t, true, "down", delta(8, entry("s1", "up")), delta(8))
 	source.SetPolling(true)
@@ -134,9 +135,9 @@
 	assertIndexes(t, queries, "7", "8", "8")
 }
 
-// After a failure, a new address makes the source call again without a request from the router. The policy does not
-// know of the move and would still wait because of the failure, but the new registry's list counts as known 4 s after
-// the move.
+// TestSetAddress_WhileNotPolling checks that after a failure, a new address makes the source call again without a
+// request of the router. The policy does not know of the move and would still wait because of the failure. The new
+// registry's list, however, counts as known 4 s after the move.
 func TestSetAddress_WhileNotPolling(t *testing.T) {
 	source, published, queries := runWithAnswers(t, true, "down")
 	source.SetPolling(true)
@@ -154,8 +155,9 @@
 	}
 }
 
-// Nodes that start together must not keep calling a shared registry at the same moments, so each watch uses a random
-// wait. The wait at an agent on the node's own machine is constant.
+// TestSharedRegistry_WatchTimeoutsAreSpread checks that each watch of a shared registry uses a random wait. Otherwise
+// nodes that start together would keep calling the registry at the same moments. The wait at an agent on the node's
+// own machine must be constant.
 func TestSharedRegistry_WatchTimeoutsAreSpread(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		waits := make(chan time.Duration, 8)
@@ -187,8 +189,9 @@
 	}
 }
 
-// An agent that is back after a failure may already hold a drain. A node that pauses for longer than the drain grace
-// would keep sending requests to the draining server.
+// TestBackoff_WithinDrainGrace checks that pauses after failures stay within the drain grace. An agent that is back
+// after a failure may already have received a drain. A node that pauses longer than the drain grace would keep
+// sending requests to the draining server.
 func TestBackoff_WithinDrainGrace(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
@@ -208,8 +211,8 @@
 	}
 }
 
-// A change with a lower revision is not applied, since the registry has restarted its revisions; the source requests
-// the complete list instead.
+// TestSource_RevisionsStartOver checks that a change with a lower revision is not applied, because the registry has
+// restarted its revisions. The source must request the complete list.
 func TestSource_RevisionsStartOver(t *testing.T) {
 	_, published, queries := runWithAnswers(t, false, delta(8, entry("s1", "up")), delta(3, entry("s2", "up")),
 		`{"revision":3,"complete":true,"members":[`+entry("s3", "up")+`]}`)
@@ -221,9 +224,10 @@
 	assertIndexes(t, queries, "7", "8", "", "3")
 }
 
-// A watch that gets no answer is reopened before the changes that it misses count as known to the node: 2 s after the
-// end of its wait, or 6 s after the call if it asked for the complete list, as after SetAddress. No failure is
-// reported, and the router need not request the new call. The registry keeps the connection open.
+// TestSource_UnansweredWatchIsReopened checks that a watch without an answer is reopened before the missed changes
+// count as known to the node. They count as known 2 s after the end of the wait. After a call for the complete list,
+// as after SetAddress, they count as known 6 s after the call. The source must report no failure and need no request
+// of the router. The registry keeps the connection open.
 func TestSource_UnansweredWatchIsReopened(t *testing.T) {
 	for name, test := range map[string]struct{ subscribe, moved bool }{
 		"pushed":                    {},
@@ -286,8 +290,9 @@
 	}
 }
 
-// SetAddress ends the call in flight and its connection, and requests the complete list from the new address, because
-// revisions of two registries can't be compared. After two calls of SetAddress in a row the last address is used.
+// TestSetAddress_RequestsFullList checks that SetAddress ends the call in flight and its connection. The source must
+// request the complete list from the new address, because revisions of two registries cannot be compared. After two
+// successive calls of SetAddress, the last address must be used.
 func TestSetAddress_RequestsFullList(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		closed := make(chan struct{}, 10)
@@ -327,7 +332,8 @@
 	}
 }
 
-// The registry at the old address may never answer, so SetAddress cancels the call in flight.
+// TestSetAddress_CancelsCallInFlight checks that SetAddress cancels the call in flight. The registry at the old
+// address may never answer.
 func TestSetAddress_CancelsCallInFlight(t *testing.T) {
 	called, closed := make(chan struct{}), make(chan struct{})
 	old := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// watchTimeout is how long a registry on the node's own machine may hold a call while nothing changes. It is
-	// short so that a registry that no longer answers is noticed soon.
+	// watchTimeout is the time for which a registry on the node's own machine may hold a call while nothing changes.
+	// It is short because a registry that no longer answers must be noticed soon.
 	watchTimeout = 5 * time.Second
-	// responseGrace is how long after watchTimeout an unanswered call is given up and repeated. The site expects a
-	// node to respect a drain from 2 s after its watch should have ended, even if the node has not received it, and
-	// the repeated call needs part of these 2 s.
+	// responseGrace is the time after watchTimeout at which an unanswered call is given up and repeated. The site
+	// expects a node to respect a drain from 2 s after the end of its watch, even if the node has not received the
+	// drain. The repeated call needs part of these 2 s.
 	responseGrace = time.Second
-	// sharedWatchTimeout is the longest time for which a registry that serves all nodes may hold a call. Each call
-	// uses a random time between half of it and all of it. Otherwise nodes that start together would keep calling at
-	// the same moments and overload the registry.
+	// sharedWatchTimeout is the maximum time for which a registry that serves all nodes may hold a call. Each call
+	// uses a random time between half of sharedWatchTimeout and all of it. Otherwise nodes that start together would
+	// keep calling at the same moments and overload the registry.
 	sharedWatchTimeout = 20 * time.Second
-	// sharedResponseGrace is how long to wait for the complete list from a registry that serves all nodes. Such a
-	// registry handles calls one after the other, and a call that is given up early costs it as much as an answered
-	// one. The site expects a node to know the changes that an unanswered call missed 6 s after it began, so the next
-	// call follows without a pause.
+	// sharedResponseGrace is the maximum time to wait for the complete list from a registry that serves all nodes.
+	// Such a registry handles calls one after the other, and an abandoned call costs as much as an answered call. The
+	// site expects a node to know the changes that an unanswered call missed 6 s after the start of the call. The
+	// next call therefore follows without a pause.
 	sharedResponseGrace = 5 * time.Second
 
-	maxListSize = 8 << 20 // of one response, in bytes
+	maxListSize = 8 << 20 // maximum size of a response, in bytes
 	watchPath   = "/registry/instances"
 )
 
-// errWatchTimeout is returned for a call that timed out without an answer or an error.
+// errWatchTimeout is returned for a call that timed out without an answer or a connection error.
 var errWatchTimeout = errors.New("the watch timed out without an answer")
 
 // call describes one call to the registry.
 type call struct {
-	wait  time.Duration // how long the registry may hold the call; 0: it must answer immediately
-	grace time.Duration // how long to wait for the answer after wait has passed
+	wait  time.Duration // maximum time for which the registry may hold the call; 0: it must answer immediately
+	grace time.Duration // maximum time to wait for the answer after wait has passed
 	query url.Values
 }
 
-// nextCall returns a call for the complete list, or for the changes since the current revision.
+// nextCall returns a call for the complete list or for the changes since the current revision.
 func (s *Source) nextCall() call {
 	next := call{wait: watchTimeout, grace: responseGrace, query: url.Values{}}
 	if s.subscribe {
@@ -62,8 +62,8 @@
 	return next
 }
 
-// watch makes one call and returns its list. The error is errWatchTimeout if the call got no answer in time although
-// the registry may still be up.
+// watch makes one call and returns the list in the answer. It returns errWatchTimeout if the call timed out but the
+// registry may still be up.
 func (s *Source) watch(ctx context.Context) (List, error) {
 	next := s.nextCall()
 	callCtx, cancel := context.WithTimeout(ctx, next.wait+next.grace)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return List{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // a failure to close a response that was only read is harmless
+	defer func() { _ = response.Body.Close() }() // closing a response that was only read cannot lose data
 	if response.StatusCode != http.StatusOK {
 		return List{}, fmt.Errorf("registry answered %s", response.Status)
 	}
