--- a/discovery/xds/ads/ads.go
+++ b/discovery/xds/ads/ads.go
@@ -1,6 +1,6 @@
-// Package ads implements the client side of Envoy's Aggregated Discovery Service (ADS) as a state machine: it takes
-// the responses of the control plane, returns the requests to send, and provides the clusters in effect. It does no
-// I/O, reads no clock and decodes no bytes.
+// Package ads implements the client side of Envoy's Aggregated Discovery Service (ADS) as a state machine. The
+// machine takes the responses of the control plane, returns the requests to send, and provides the clusters in
+// effect. The package does no I/O, reads no clock and decodes no bytes.
 //
 // It follows "xDS REST and gRPC protocol" in Envoy's documentation, in both the state-of-the-world and the
 // incremental variant.
@@ -15,11 +15,11 @@
 // Type is a type of resource.
 type Type uint8
 
-// The types that a router subscribes to, in the order in which a control plane should send them.
+// The types that a router subscribes to, in the order in which a control plane should send their resources.
 const (
 	Clusters  Type = iota
-	Endpoints      // assignments, by the service names of the clusters
-	Secrets        // certificates and authorities, by names in the configuration
+	Endpoints      // assignments, by service name of the cluster
+	Secrets        // certificates and authorities, by name in the configuration
 	// NumTypes is the number of types.
 	NumTypes
 )
@@ -33,34 +33,34 @@
 	Delta                // incremental
 )
 
-// Resource is one resource of a response, decoded.
+// Resource is one decoded resource of a response.
 type Resource struct {
 	Name    string
 	Version string        // incremental variant only
 	TTL     time.Duration // 0: the resource does not expire
-	// Value is a *resource.Cluster, a *resource.Assignment or a *certificates.Set. It is nil for a heartbeat, which
-	// only renews the TTL, and for a rejected resource.
+	// Value is a *resource.Cluster, a *resource.Assignment or a *certificates.Set. It is nil for a rejected resource,
+	// and for a heartbeat, which only renews the TTL.
 	Value any
 	Err   error // why the resource is rejected; nil: the resource is valid
 }
 
-// Response is a response of the control plane, decoded.
+// Response is a decoded response of the control plane.
 type Response struct {
 	Type      Type
 	Version   string // state-of-the-world variant only
 	Nonce     string
 	Resources []Resource
 	Removed   []string // names of removed resources; incremental variant only
-	Err       error    // why the whole response is rejected; nil: each resource is accepted or rejected on its own
+	Err       error    // why the whole response is rejected; nil: each resource is accepted or rejected separately
 }
 
 // Request is a request to send to the control plane.
 type Request struct {
 	Type          Type
-	IncludeNode   bool     // the request is the first of its stream and identifies the node
-	Version       string   // the version that was accepted last; state-of-the-world variant only
-	Nonce         string   // of the response that the request answers; empty: it answers none
-	ErrorDetail   string   // the reason of a NACK; empty: the request is an ACK or answers no response
+	IncludeNode   bool     // the request is the first on its stream and identifies the node
+	Version       string   // last accepted version; state-of-the-world variant only
+	Nonce         string   // nonce of the answered response; empty: the request answers none
+	ErrorDetail   string   // reason of a NACK; empty: the request is an ACK or answers no response
 	ResourceNames []string // all names subscribed to; state-of-the-world variant only
 	// Subscribe, Unsubscribe and InitialVersions are used in the incremental variant only.
 	Subscribe, Unsubscribe []string
@@ -70,18 +70,18 @@
 // AppliedCluster is a cluster in effect.
 type AppliedCluster struct {
 	Cluster        *resource.Cluster
-	Assignment     *resource.Assignment // nil: none has been received yet
-	Warming        bool                 // the current assignment is missing; the former one stays in effect
-	PendingRemoval bool                 // missing from the newest list; in effect until that list is complete
+	Assignment     *resource.Assignment // nil: no assignment has been received yet
+	Warming        bool                 // the current assignment is missing; the former assignment stays in effect
+	PendingRemoval bool                 // missing from the newest list; in effect until the newest list is complete
 }
 
-// Status describes the subscription to a type.
+// Status describes the subscription to one type of resource.
 type Status struct {
-	Version       string            // the version that was accepted last; state-of-the-world variant only
-	Nonce         string            // of the last response on the stream
-	UpdatedAt     time.Time         // when the last readable response was received
-	NACKReason    string            // why the last response was answered with a NACK; empty: with an ACK
-	Rejected      map[string]string // rejection reasons of resources whose newest version is invalid, by name
-	ResourceNames []string          // names subscribed to; nil for clusters, which are all subscribed to
+	Version       string            // last accepted version; state-of-the-world variant only
+	Nonce         string            // nonce of the last response on the stream
+	UpdatedAt     time.Time         // time of the last readable response
+	NACKReason    string            // reason of the NACK for the last response; empty: the answer was an ACK
+	Rejected      map[string]string // rejection reasons of resources with an invalid newest version, by name
+	ResourceNames []string          // names subscribed to; nil for clusters, because all clusters are subscribed to
 	Versions      map[string]string // versions of the accepted resources, by name
 }
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -30,7 +30,7 @@
 	return Resource{Name: name, Value: a}
 }
 
-// appliedAddresses returns the addresses in effect for each cluster, separated by blanks.
+// appliedAddresses returns the addresses in effect for each cluster, separated by spaces.
 func appliedAddresses(m *Machine) map[string]string {
 	got := make(map[string]string)
 	for name, a := range m.Applied() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// singleRequest checks that there is exactly one request, and returns it.
+// singleRequest fails the test unless there is exactly one request, and returns that request.
 func singleRequest(t *testing.T, rs []Request) Request {
 	t.Helper()
 	if len(rs) != 1 {
@@ -140,7 +140,8 @@
 	}
 }
 
-// An invalid resource is rejected and keeps its former version; the valid resources in the same response take effect.
+// TestMachine_NACKsInvalidResources checks that an invalid resource is rejected and keeps its former version. The
+// valid resources in the same response must take effect.
 func TestMachine_NACKsInvalidResources(t *testing.T) {
 	for _, variant := range []Variant{SotW, Delta} {
 		machine := New(variant)
@@ -195,8 +196,9 @@
 	}
 }
 
-// Make before break: a cluster that is replaced, by one of the same name or of another name, keeps its endpoints until
-// the endpoints of the new cluster have been received. An empty list of endpoints is applied.
+// TestMachine_MakeBeforeBreak checks that a replaced cluster keeps its endpoints until the endpoints of the new
+// cluster have been received. The new cluster has the same name or another name. An empty list of endpoints must be
+// applied.
 func TestMachine_MakeBeforeBreak(t *testing.T) {
 	for _, variant := range []Variant{SotW, Delta} {
 		machine := New(variant)
@@ -249,7 +251,8 @@
 	}
 }
 
-// Versions are opaque: a response with a lower version, or with the same version and other content, is applied.
+// TestMachine_VersionsAreNotCompared checks that versions are opaque. A response with a lower version must be
+// applied, and so must a response with the same version and other content.
 func TestMachine_VersionsAreNotCompared(t *testing.T) {
 	machine := New(SotW)
 	machine.Connected()
@@ -267,7 +270,7 @@
 	}
 }
 
-// A resource with a TTL expires unless a heartbeat renews it.
+// TestMachine_TTL checks that a resource with a TTL expires unless a heartbeat renews the TTL.
 func TestMachine_TTL(t *testing.T) {
 	machine := New(Delta)
 	machine.Connected()
@@ -295,8 +298,8 @@
 	assertApplied(t, machine, map[string]string{"c": ""})
 }
 
-// A nonce is valid only on its stream: the request for endpoints that follows the clusters on a new stream must not
-// carry a nonce of the old stream.
+// TestMachine_NewStreamDropsNonces checks that the request for endpoints after the clusters on a new stream carries
+// no nonce of the old stream. A nonce is valid only on its own stream.
 func TestMachine_NewStreamDropsNonces(t *testing.T) {
 	machine := New(SotW)
 	machine.Connected()
@@ -319,7 +322,8 @@
 	}
 }
 
-// A resource that was not requested is not applied, and a response of a type that was not requested is not answered.
+// TestMachine_IgnoresUnrequestedResponses checks that a resource that was not requested is not applied. A response of
+// a type that was not requested must not be answered.
 func TestMachine_IgnoresUnrequestedResponses(t *testing.T) {
 	machine := New(SotW)
 	if got := machine.HandleResponse(t0, Response{Type: Clusters, Nonce: "a"}); got != nil {
@@ -340,19 +344,19 @@
 	assertApplied(t, machine, map[string]string{"c": "none yet"})
 }
 
-// modelControlPlane is an in-memory control plane that follows the specification. It holds the newest list, the state
-// of the client's stream and the responses in flight.
+// modelControlPlane is an in-memory control plane that follows the specification. It contains the newest list, the
+// state of the client's stream, and the responses in flight.
 type modelControlPlane struct {
 	variant        Variant
 	version        int
 	clusters       map[string]string          // service name of each cluster, by cluster name
 	addresses      map[string][]string        // by service name
 	versions       map[string]int             // version of each assignment, by service name
-	addressHistory map[string]map[string]bool // every list of addresses that a service has ever had
+	addressHistory map[string]map[string]bool // every list of addresses that a service has had, by service name
 
 	// State of the client's stream.
 	subscribedNames map[string]bool
-	heldVersions    [NumTypes]map[string]int // versions that the client has been sent, by name; -1: removed
+	heldVersions    [NumTypes]map[string]int // versions sent to the client, by name; -1: removed
 	nonce           int
 	inFlight        []Response
 }
@@ -465,9 +469,9 @@
 	}
 }
 
-// Random interleavings of changes, disconnections and reconnections must end with the newest list of the control
-// plane in effect. Meanwhile no partial assignment may ever be in effect, and not all endpoints may disappear while
-// the newest list is incomplete.
+// TestMachine_ConvergesToNewestList checks that random changes, disconnections and reconnections end with the control
+// plane's newest list in effect. No partial assignment may ever be in effect. While the newest list is incomplete,
+// not all endpoints may disappear.
 func TestMachine_ConvergesToNewestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		variant := Variant(rapid.IntRange(0, 1).Draw(t, "variant"))
@@ -493,7 +497,7 @@
 	})
 }
 
-// modelRun combines a machine with the control plane that it subscribes to.
+// modelRun is a machine together with the control plane that the machine subscribes to.
 type modelRun struct {
 	*rapid.T
 	controlPlane *modelControlPlane
@@ -548,7 +552,7 @@
 	}
 }
 
-// connect opens a stream unless one is open.
+// connect opens a stream unless a stream is open.
 func (r *modelRun) connect() {
 	if r.connected {
 		return
@@ -564,7 +568,7 @@
 	}
 }
 
-// deliver passes the next response to the machine, and checks the clusters in effect after it.
+// deliver passes the next response to the machine and checks the clusters in effect afterwards.
 func (r *modelRun) deliver() {
 	response := r.controlPlane.inFlight[0]
 	r.controlPlane.inFlight = r.controlPlane.inFlight[1:]
@@ -585,8 +589,8 @@
 	}
 }
 
-// hasAssignment reports whether any cluster has an assignment. Without endpoints in effect, it can only be an empty
-// assignment, which is a valid reason for having no endpoints.
+// hasAssignment reports whether any cluster has an assignment. If no endpoints are in effect, such an assignment is
+// empty. An empty assignment is a valid reason for having no endpoints.
 func hasAssignment(m *Machine) bool {
 	for _, cluster := range m.Applied() {
 		if cluster.Assignment != nil {
--- a/discovery/xds/ads/applied.go
+++ b/discovery/xds/ads/applied.go
@@ -2,7 +2,7 @@
 
 import "cobaltward/discovery/xds/resource"
 
-// Applied returns the clusters in effect, by name. The map must not be changed.
+// Applied returns the clusters in effect, by name. The caller must not change the map.
 func (m *Machine) Applied() map[string]AppliedCluster { return m.applied }
 
 // Complete reports whether the endpoints of all clusters in the newest list have been received.
@@ -18,9 +18,9 @@
 	return true
 }
 
-// recomputeApplied derives the clusters in effect, make before break: a cluster whose new endpoints have not been
-// received keeps its former ones. While the newest list is incomplete, clusters that are missing from it stay in
-// effect if no cluster would have endpoints otherwise.
+// recomputeApplied derives the clusters in effect, make before break. A cluster keeps its former endpoints until its
+// new endpoints have been received. If the newest list is incomplete and none of its clusters has endpoints, clusters
+// that are missing from the list stay in effect.
 func (m *Machine) recomputeApplied() {
 	next := make(map[string]AppliedCluster, len(m.applied))
 	warming, hasEndpoints := false, false
--- a/discovery/xds/ads/machine.go
+++ b/discovery/xds/ads/machine.go
@@ -11,13 +11,13 @@
 type Machine struct {
 	variant       Variant
 	connected     bool // a stream is open
-	nodeUnsent    bool // the stream has no request yet, so the next one must identify the node
+	nodeUnsent    bool // no request has been sent on the stream, so the next request must identify the node
 	subscriptions [NumTypes]subscription
-	applied       map[string]AppliedCluster // replaced on each change, never modified
+	applied       map[string]AppliedCluster // replaced at each change, never modified
 }
 
-// New returns a machine without any resources. It subscribes to all clusters, to their endpoints, and to the secrets
-// with these names.
+// New returns a machine without any resources. The machine subscribes to all clusters, to the endpoints of these
+// clusters, and to the secrets in secretNames.
 func New(variant Variant, secretNames ...string) *Machine {
 	m := &Machine{variant: variant, applied: make(map[string]AppliedCluster)}
 	for t := range m.subscriptions {
@@ -27,7 +27,7 @@
 	return m
 }
 
-// Connected starts a new stream, and returns the first requests to send on it.
+// Connected starts a new stream and returns the first requests to send on the stream.
 func (m *Machine) Connected() []Request {
 	m.connected, m.nodeUnsent = true, true
 	for t := range m.subscriptions {
@@ -45,7 +45,7 @@
 // Disconnected ends the stream. All resources stay in effect.
 func (m *Machine) Disconnected() { m.connected = false }
 
-// initialRequest returns the first request for a type on a stream.
+// initialRequest returns the first request for type t on the stream.
 func (m *Machine) initialRequest(t Type) Request {
 	s := &m.subscriptions[t]
 	s.requested = true
@@ -60,8 +60,8 @@
 	return request
 }
 
-// HandleResponse applies the valid resources of a response and returns the requests to send: an ACK or a NACK first,
-// then changes of subscriptions. A response of a type that was not requested on this stream is ignored.
+// HandleResponse applies the valid resources of a response and returns the requests to send. The ACK or NACK comes
+// first, followed by changes of subscriptions. A response of a type that was not requested on this stream is ignored.
 func (m *Machine) HandleResponse(now time.Time, response Response) []Request {
 	if !m.connected || response.Type >= NumTypes {
 		return nil
@@ -84,7 +84,8 @@
 	return requests
 }
 
-// acceptResources stores the valid resources of a response and deletes the removed ones.
+// acceptResources stores the valid resources of a response and deletes the resources that the response lists as
+// removed.
 func (m *Machine) acceptResources(now time.Time, s *subscription, response Response) {
 	s.updatedAt = now
 	for _, r := range response.Resources {
@@ -111,8 +112,8 @@
 	return request
 }
 
-// updateEndpointSubscription subscribes to the endpoints of the current clusters. Assignments that are no longer
-// subscribed to stay in effect as long as recomputeApplied needs them.
+// updateEndpointSubscription subscribes to the endpoints of the current clusters. An assignment that is no longer
+// subscribed to stays in effect as long as recomputeApplied needs the assignment.
 func (m *Machine) updateEndpointSubscription() []Request {
 	s := &m.subscriptions[Endpoints]
 	former, names := s.resourceNames, m.endpointNames()
@@ -132,7 +133,7 @@
 	return []Request{request}
 }
 
-// endpointNames returns the sorted names of the assignments that the clusters get by EDS.
+// endpointNames returns the sorted names of the assignments of all clusters with EDS.
 func (m *Machine) endpointNames() []string {
 	var names []string
 	for _, accepted := range m.subscriptions[Clusters].accepted {
@@ -144,8 +145,8 @@
 	return slices.Compact(names)
 }
 
-// ExpireResources removes resources whose TTL has passed, and reports whether there were any. next is the time of the
-// next call, or zero for never.
+// ExpireResources removes resources whose TTL has passed. changed reports whether any resource was removed. next is
+// the time at which to call ExpireResources again; zero: never.
 func (m *Machine) ExpireResources(now time.Time) (changed bool, next time.Time) {
 	for t := range m.subscriptions {
 		s := &m.subscriptions[t]
@@ -164,5 +165,5 @@
 	return changed, next
 }
 
-// Status returns the state of the subscription to a type.
+// Status returns the state of the subscription to type t.
 func (m *Machine) Status(t Type) Status { return m.subscriptions[t].status() }
--- a/discovery/xds/ads/subscription.go
+++ b/discovery/xds/ads/subscription.go
@@ -17,15 +17,15 @@
 
 // subscription is the state of the subscription to one type.
 type subscription struct {
-	version       string   // the version that was accepted last; state-of-the-world variant only
-	nonce         string   // of the last response on this stream
+	version       string   // last accepted version; state-of-the-world variant only
+	nonce         string   // nonce of the last response on this stream
 	requested     bool     // the type has been requested on this stream
 	resourceNames []string // sorted
 	accepted      map[string]acceptedResource
 	absent        map[string]bool   // names that are subscribed to but do not exist at the control plane
-	rejected      map[string]string // rejection reasons, by name; until a valid version or a removal
-	nackReason    string            // why the last response was answered with a NACK
-	updatedAt     time.Time         // when the last readable response was received
+	rejected      map[string]string // rejection reasons, by name; kept until a valid version or a removal
+	nackReason    string            // reason of the NACK for the last response; empty: the answer was an ACK
+	updatedAt     time.Time         // time of the last readable response
 }
 
 func newSubscription() subscription {
@@ -36,7 +36,7 @@
 	}
 }
 
-// accept stores one resource of a response. A rejected resource keeps its former version.
+// accept stores one resource of a response. If the resource is rejected, its former version is kept.
 func (s *subscription) accept(now time.Time, r Resource) {
 	if r.Err != nil {
 		s.rejected[r.Name] = r.Err.Error()
@@ -57,8 +57,8 @@
 	delete(s.absent, r.Name)
 }
 
-// timeToLive returns the TTL of a resource or, for an assignment, its endpoint_stale_after if that is shorter. 0 means
-// that the resource does not expire.
+// timeToLive returns the TTL of a resource; 0: the resource does not expire. For an assignment, it returns
+// endpoint_stale_after if that is shorter.
 func timeToLive(r Resource) time.Duration {
 	assignment, ok := r.Value.(*resource.Assignment)
 	if ok && assignment.StaleAfter > 0 && (r.TTL <= 0 || assignment.StaleAfter < r.TTL) {
@@ -67,7 +67,7 @@
 	return r.TTL
 }
 
-// expiryTime returns when a TTL that starts now ends; zero means never.
+// expiryTime returns the end of a TTL that starts at now; zero: never.
 func expiryTime(now time.Time, ttl time.Duration) time.Time {
 	if ttl <= 0 {
 		return time.Time{}
@@ -75,7 +75,7 @@
 	return now.Add(ttl)
 }
 
-// remove deletes a resource.
+// remove deletes the resource with a name and the reason of a rejection.
 func (s *subscription) remove(name string) {
 	delete(s.accepted, name)
 	delete(s.rejected, name)
@@ -91,7 +91,7 @@
 	maps.DeleteFunc(s.rejected, func(name, _ string) bool { return !names[name] })
 }
 
-// setNames replaces the sorted names subscribed to, and deletes the resources of all other names.
+// setNames replaces the names subscribed to, and deletes the resources of all other names. names must be sorted.
 func (s *subscription) setNames(names []string) {
 	for _, name := range difference(s.resourceNames, names) {
 		s.remove(name)
@@ -115,7 +115,7 @@
 }
 
 // expire removes resources whose TTL has passed and returns their names. next is the earliest end of the remaining
-// TTLs, or zero if there are none.
+// TTLs; zero: no TTL remains.
 func (s *subscription) expire(now time.Time) (expired []string, next time.Time) {
 	for name, accepted := range s.accepted {
 		switch {
@@ -130,7 +130,7 @@
 	return expired, next
 }
 
-// initialVersions returns the versions received on earlier streams, by name, or nil if there are none.
+// initialVersions returns the versions of the resources from earlier streams, by name, or nil if there are none.
 func (s *subscription) initialVersions() map[string]string {
 	if len(s.accepted) == 0 {
 		return nil
--- a/discovery/xds/bootstrap.go
+++ b/discovery/xds/bootstrap.go
@@ -24,7 +24,7 @@
 	credentialsTLS      = "tls"
 )
 
-// bootstrapJSON contains the keys of the standard bootstrap file that are used.
+// bootstrapJSON contains the keys of the standard bootstrap file that this package uses.
 type bootstrapJSON struct {
 	Servers []serverJSON    `json:"xds_servers"`
 	Node    json.RawMessage `json:"node"`
@@ -40,10 +40,11 @@
 	Type string `json:"type"`
 }
 
-// ParseBootstrap parses the standard bootstrap JSON of gRPC clients (gRFC A27). It reads node and xds_servers, a list
-// of control planes in order of preference; for each server it uses the first supported entry of channel_creds. Other
-// keys are ignored. caFile is a PEM file of the certificate authorities that the certificates of control planes are
-// verified against; if it is empty, the authorities of the system are used. Errors name the invalid key.
+// ParseBootstrap parses the standard bootstrap JSON of gRPC clients (gRFC A27). It reads the keys node and
+// xds_servers. xds_servers lists control planes in order of preference, and for each control plane the first
+// supported entry of channel_creds is used. Other keys are ignored. caFile is a PEM file of the authorities that
+// verify the certificates of control planes. If caFile is empty, the system's authorities are used. Errors name the
+// invalid key.
 func ParseBootstrap(raw []byte, caFile string) (Config, error) {
 	var parsed bootstrapJSON
 	if err := jsonconfig.Unmarshal(raw, &parsed); err != nil {
@@ -69,7 +70,7 @@
 	return config, nil
 }
 
-// server converts an entry to a Server. key is the path of the entry, for errors.
+// server returns the Server for an entry. key is the path of the entry, for errors.
 func (s serverJSON) server(key, caFile string) (Server, error) {
 	if err := jsonconfig.CheckAddress(s.URI); err != nil {
 		return Server{}, fmt.Errorf("%s.server_uri: %w", key, err)
@@ -90,8 +91,8 @@
 	return Server{}, fmt.Errorf("%s.channel_creds: want %s or %s", key, credentialsInsecure, credentialsTLS)
 }
 
-// certPool returns the certificate authorities of a PEM file. It returns nil, which stands for the authorities of the
-// system, if caFile is empty.
+// certPool returns the certificate authorities in a PEM file. If caFile is empty, it returns nil, which means the
+// system's authorities.
 func certPool(caFile string) (*x509.CertPool, error) {
 	if caFile == "" {
 		return nil, nil
--- a/discovery/xds/cache.go
+++ b/discovery/xds/cache.go
@@ -22,15 +22,15 @@
 	maxCacheSize  = 256 << 20       // bytes
 )
 
-// cachedList is the last complete list, cached on disk. The file has a header line with the format and a checksum of
-// the rest, followed by this struct as JSON. The field names of cachedList, resource.Assignment and resource.Endpoint
-// are keys in the file.
+// cachedList is the last complete list, cached on disk. The first line of the file contains the format and a checksum
+// of the rest. The rest is this struct as JSON. The field names of cachedList, resource.Assignment and
+// resource.Endpoint are keys in the file.
 type cachedList struct {
 	Saved    time.Time
 	Clusters map[string]*resource.Assignment
 }
 
-// writeCache replaces the cached list atomically.
+// writeCache atomically replaces the cached list in dir.
 func writeCache(dir string, list cachedList) error {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return cacheFormat + " " + hex.EncodeToString(sum[:])
 }
 
-// readCache reads the cached list. It returns an error if the file is truncated, altered or in another format.
+// readCache reads the cached list in dir. It returns an error if the file is truncated, altered or in another format.
 func readCache(dir string) (cachedList, error) {
 	path := filepath.Join(dir, cacheFileName)
 	raw, err := readLimited(path, maxCacheSize)
@@ -80,14 +80,15 @@
 	return list, nil
 }
 
-// readLimited reads a file of at most limit bytes. Errors name the file.
+// readLimited returns the content of a file. It returns an error if the file is larger than limit bytes. Errors name
+// the file.
 func readLimited(path string, limit int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	raw, err := io.ReadAll(io.LimitReader(f, limit+1))
-	_ = f.Close() // a failure to close a file that was only read is harmless
+	_ = f.Close() // closing a file that was only read cannot lose data
 	if err == nil && int64(len(raw)) > limit {
 		err = fmt.Errorf("larger than %d bytes", limit)
 	}
@@ -97,8 +98,8 @@
 	return raw, nil
 }
 
-// fillMissingAssignments returns the applied clusters, with the cached assignment for each cluster that has not
-// received one yet.
+// fillMissingAssignments returns the applied clusters. A cluster that has not received an assignment yet has the
+// cached assignment instead.
 func (c cachedList) fillMissingAssignments(applied map[string]ads.AppliedCluster) map[string]ads.AppliedCluster {
 	merged := make(map[string]ads.AppliedCluster, len(applied)+len(c.Clusters))
 	for name, assignment := range c.Clusters {
@@ -112,8 +113,8 @@
 	return merged
 }
 
-// cacheWriter writes lists to disk in a goroutine of its own, so that a slow disk does not delay updates. If several
-// lists are waiting, only the newest one is written.
+// cacheWriter writes lists to disk in a separate goroutine. A slow disk therefore does not delay updates. If several
+// lists are waiting, only the newest list is written.
 type cacheWriter struct {
 	dir     string
 	pending chan cachedList // buffers the newest list; closed to stop run
@@ -132,7 +133,7 @@
 	w.pending <- list
 }
 
-// run writes lists until pending is closed, and calls failed for each list that could not be written.
+// run writes lists until pending is closed. It calls failed after each failed write.
 func (w *cacheWriter) run(failed func(error)) {
 	for list := range w.pending {
 		if err := writeCache(w.dir, list); err != nil {
--- a/discovery/xds/config.go
+++ b/discovery/xds/config.go
@@ -16,12 +16,12 @@
 const (
 	// defaultBackoffBase is the pause after the first failed round of connection attempts, before jitter.
 	defaultBackoffBase = time.Second
-	// defaultBackoffMax is the longest pause between rounds of connection attempts, before jitter.
+	// defaultBackoffMax is the maximum pause between rounds of connection attempts, before jitter.
 	defaultBackoffMax = 30 * time.Second
-	// defaultResponseTimeout is how long the first response on a stream may take.
+	// defaultResponseTimeout is the timeout for the first response on a stream.
 	defaultResponseTimeout = 15 * time.Second
-	// defaultFailbackInterval is how often a source that uses a less preferred control plane checks whether the
-	// preferred one is available again.
+	// defaultFailbackInterval is the interval between checks whether the preferred control plane is available again.
+	// The checks run while a less preferred control plane is in use.
 	defaultFailbackInterval = time.Minute
 )
 
@@ -37,19 +37,20 @@
 type Config struct {
 	Servers []Server    // control planes in order of preference; at least one
 	Node    *xdspb.Node // identifies this node; sent with the first request of each stream
-	Delta   bool        // use the incremental variant of the protocol, not state of the world
-	// CacheDir is the directory of the cached list, which is read at the start. Empty: nothing is cached.
+	Delta   bool        // use the incremental variant of the protocol instead of state of the world
+	// CacheDir is the directory of the cached list, which is read at the start; empty: nothing is cached.
 	CacheDir string
 	Log      *slog.Logger // nil: nothing is logged
 	// Secrets maps the name of each secret to subscribe to, to the function that receives every accepted version of
-	// it. The functions must not block. A secret that the control plane removes stays in use.
+	// the secret. The functions must not block. A secret that the control plane removes stays in use.
 	Secrets map[string]func(*certificates.Set)
 
-	// Intervals that tests override; 0: use the default.
+	// Intervals that tests override; 0: the default.
 	backoffBase, backoffMax, responseTimeout, failbackInterval time.Duration
 }
 
-// withDefaults returns the configuration with all defaults filled in, or errNoServers if it has no servers.
+// withDefaults returns the configuration with defaults filled in. If no servers are configured, it returns
+// errNoServers.
 func (c Config) withDefaults() (Config, error) {
 	if len(c.Servers) == 0 {
 		return c, errNoServers
--- a/discovery/xds/connection.go
+++ b/discovery/xds/connection.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	maxResponseSize  = 64 << 20         // of one response, in bytes
-	keepaliveTime    = 30 * time.Second // without traffic, after which a connection is pinged
-	keepaliveTimeout = 10 * time.Second // for the reply to a ping
+	maxResponseSize  = 64 << 20         // maximum size of a response, in bytes
+	keepaliveTime    = 30 * time.Second // time without traffic after which a connection is pinged
+	keepaliveTimeout = 10 * time.Second // timeout for the reply to a ping
 )
 
-// connections holds at most one connection per control plane, created on first use. Only the goroutine of Source.Run
-// uses it.
+// connections contains at most one connection per control plane, created at the first use. Only the goroutine of
+// Source.Run uses connections.
 type connections struct {
 	servers []Server
-	conns   []*grpc.ClientConn // parallel to servers; nil: not created yet
+	conns   []*grpc.ClientConn // by index of the server; nil: not created yet
 }
 
 func newConnections(servers []Server) *connections {
 	return &connections{servers: servers, conns: make([]*grpc.ClientConn, len(servers))}
 }
 
-// get returns the connection to a server, and creates it on first use.
+// get returns the connection to the server with an index, and creates the connection at the first use.
 func (c *connections) get(index int) (*grpc.ClientConn, error) {
 	if c.conns[index] == nil {
 		conn, err := dial(c.servers[index])
--- a/discovery/xds/decode.go
+++ b/discovery/xds/decode.go
@@ -14,21 +14,21 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// typeURLs are the type URLs of the resource types on the wire.
+// typeURLs contains the type URL of each resource type on the wire.
 var typeURLs = [ads.NumTypes]string{
 	ads.Clusters:  resource.ClusterURL,
 	ads.Endpoints: resource.AssignmentURL,
 	ads.Secrets:   resource.SecretURL,
 }
 
-// Errors for resources whose name can't be read. They reject the whole response.
+// Errors for resources without a readable name. They reject the whole response.
 var (
 	errNotCluster  = errors.New("not a Cluster")
 	errNotSecret   = errors.New("not a Secret")
 	errNameMissing = errors.New("name: missing")
 )
 
-// typeFromURL returns the type with a type URL. ok is false for a type that is never subscribed to.
+// typeFromURL returns the type with a type URL. ok is false for types that are never subscribed to.
 func typeFromURL(url string) (t ads.Type, ok bool) {
 	for t, known := range typeURLs {
 		if known == url {
@@ -38,9 +38,9 @@
 	return 0, false
 }
 
-// decodeSotW decodes a response of the state-of-the-world variant. ok is false if its type is unknown. A resource
-// whose name can't be read rejects the whole response, since it is unknown which resource would have to keep its old
-// version.
+// decodeSotW decodes a response of the state-of-the-world variant. ok is false if the type of the response is
+// unknown. A resource without a readable name rejects the whole response, because it is unknown which resource must
+// keep its old version.
 func decodeSotW(message *xdspb.DiscoveryResponse) (response ads.Response, ok bool) {
 	response.Type, ok = typeFromURL(message.GetTypeUrl())
 	if !ok {
@@ -59,7 +59,7 @@
 	return response, true
 }
 
-// decodeDelta decodes a response of the incremental variant. ok is false if its type is unknown.
+// decodeDelta decodes a response of the incremental variant. ok is false if the type of the response is unknown.
 func decodeDelta(message *xdspb.DeltaDiscoveryResponse) (response ads.Response, ok bool) {
 	response.Type, ok = typeFromURL(message.GetTypeUrl())
 	if !ok {
@@ -79,8 +79,8 @@
 	return response, true
 }
 
-// decodeWrapped decodes a resource of the incremental variant. A resource without a body is a heartbeat. index is its
-// position in the response, for errors.
+// decodeWrapped decodes a resource of the incremental variant. A resource without a body is a heartbeat. index is the
+// position of the resource in the response, for errors.
 func decodeWrapped(t ads.Type, wrapped *xdspb.Resource, index int) (ads.Resource, error) {
 	decoded := ads.Resource{Name: wrapped.GetName()}
 	if wrapped.GetResource() != nil {
@@ -99,7 +99,8 @@
 	return decoded, nil
 }
 
-// checkDuplicates rejects a response with several resources of the same name, since it is unknown which one applies.
+// checkDuplicates rejects a response with several resources of the same name, because it is unknown which of them
+// applies.
 func checkDuplicates(resources []ads.Resource) error {
 	seen := make(map[string]bool, len(resources))
 	for _, r := range resources {
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// decodeResource decodes one resource. An invalid resource is returned with its name and with the reason in Err. An
-// error is returned only if the name can't be read.
+// decodeResource decodes one resource. An invalid resource is returned with its name, and with the reason in Err.
+// decodeResource returns an error only if the name is not readable.
 func decodeResource(t ads.Type, packed *anypb.Any) (ads.Resource, error) {
 	if packed.GetTypeUrl() != typeURLs[t] {
 		return ads.Resource{}, fmt.Errorf("type_url: want %s, got %q", typeURLs[t], packed.GetTypeUrl())
--- a/discovery/xds/encode.go
+++ b/discovery/xds/encode.go
@@ -8,11 +8,11 @@
 const (
 	// maxErrorDetail is the maximum length of the reason in a NACK, in bytes.
 	maxErrorDetail = 4096
-	// codeInvalidArgument is INVALID_ARGUMENT of google.rpc.Code.
+	// codeInvalidArgument is the code INVALID_ARGUMENT of google.rpc.Code.
 	codeInvalidArgument = 3
 )
 
-// encodeSotW converts a request to the message of the state-of-the-world variant.
+// encodeSotW returns a request as a message of the state-of-the-world variant.
 func encodeSotW(request ads.Request, node *xdspb.Node) *xdspb.DiscoveryRequest {
 	message := &xdspb.DiscoveryRequest{
 		VersionInfo:   request.Version,
@@ -27,7 +27,7 @@
 	return message
 }
 
-// encodeDelta converts a request to the message of the incremental variant.
+// encodeDelta returns a request as a message of the incremental variant.
 func encodeDelta(request ads.Request, node *xdspb.Node) *xdspb.DeltaDiscoveryRequest {
 	message := &xdspb.DeltaDiscoveryRequest{
 		TypeUrl:                  typeURLs[request.Type],
@@ -43,7 +43,8 @@
 	return message
 }
 
-// errorDetail returns the error_detail of a NACK with a reason, or nil for an ACK, whose reason is empty.
+// errorDetail returns the error_detail of a NACK with the given reason. For an ACK, whose reason is empty, it returns
+// nil.
 func errorDetail(reason string) *xdspb.Status {
 	if reason == "" {
 		return nil
--- a/discovery/xds/file.go
+++ b/discovery/xds/file.go
@@ -20,10 +20,10 @@
 // maxFileSize is the maximum size of a DiscoveryResponse file, in bytes.
 const maxFileSize = 64 << 20
 
-// typeResolver resolves Envoy's type URLs to the messages of package xdspb, so that protojson can decode Any values.
+// typeResolver resolves Envoy's type URLs to the messages of package xdspb. protojson needs it to decode Any values.
 type typeResolver struct{ *protoregistry.Types }
 
-// FindMessageByURL implements the Resolver of protojson.UnmarshalOptions.
+// FindMessageByURL implements the Resolver interface of protojson.UnmarshalOptions.
 func (r typeResolver) FindMessageByURL(url string) (protoreflect.MessageType, error) {
 	switch url {
 	case resource.ClusterURL:
@@ -40,8 +40,8 @@
 	Endpoints []ads.Resource
 }
 
-// ParseFile parses a DiscoveryResponse in JSON or YAML, the format of Envoy's path_config_source. One invalid resource
-// makes the whole file invalid. An error is a single line that names the resource and the field.
+// ParseFile parses a DiscoveryResponse in JSON or YAML, the format of Envoy's path_config_source. One invalid
+// resource makes the whole file invalid. Errors are one line, which names the resource and the field.
 func ParseFile(text []byte) (FileResources, error) {
 	raw, err := yaml.YAMLToJSONStrict(text) // also accepts JSON, a subset of YAML
 	if err != nil {
@@ -74,7 +74,7 @@
 	return resources, nil
 }
 
-// CheckFiles reads and validates files together, and returns the servers that they define, in order of id.
+// CheckFiles reads and validates the files together, and returns their servers in order of id.
 func CheckFiles(paths []string) ([]router.Endpoint, error) {
 	resources, err := readFiles(paths)
 	if err != nil {
@@ -83,14 +83,14 @@
 	return EndpointsOf(resources), nil
 }
 
-// EndpointsOf returns the servers that the resources of files define, in order of id.
+// EndpointsOf returns the servers that the resources define, in order of id.
 func EndpointsOf(resources FileResources) []router.Endpoint {
 	s := newSnapshot()
 	s.apply(resources.appliedClusters())
 	return s.endpoints()
 }
 
-// readFiles reads files and validates their resources together.
+// readFiles returns the resources of all files, validated together.
 func readFiles(paths []string) (FileResources, error) {
 	var all FileResources
 	for _, path := range paths {
@@ -116,7 +116,7 @@
 	return errors.Join(checkDuplicates(r.Clusters), checkDuplicates(r.Endpoints))
 }
 
-// addImpliedClusters adds a cluster for each assignment if the files contain no clusters.
+// addImpliedClusters adds a cluster for each assignment if there are no clusters.
 func (r *FileResources) addImpliedClusters() {
 	if len(r.Clusters) > 0 {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkReferences rejects clusters whose assignment is in none of the files.
+// checkReferences rejects clusters whose assignment is missing from the files.
 func (r *FileResources) checkReferences() error {
 	assignments := make(map[string]bool, len(r.Endpoints))
 	for _, endpoints := range r.Endpoints {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// appliedClusters returns the clusters that are in effect once all of the resources have been received.
+// appliedClusters returns the clusters that are in effect once all resources have been received.
 func (r *FileResources) appliedClusters() map[string]ads.AppliedCluster {
 	machine := ads.New(ads.SotW)
 	machine.Connected()
@@ -151,8 +151,8 @@
 	return machine.Applied()
 }
 
-// firstLine returns the first line of an error's text. It replaces non-breaking spaces, which protobuf inserts at
-// random to keep its error texts unstable.
+// firstLine returns the first line of an error's text, with non-breaking spaces replaced by spaces. protobuf inserts
+// non-breaking spaces at random to keep its error texts unstable.
 func firstLine(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	text, _, _ = strings.Cut(text, "\n")
--- a/discovery/xds/file_source.go
+++ b/discovery/xds/file_source.go
@@ -13,27 +13,27 @@
 	"cobaltward/router"
 )
 
-// pollInterval is how often files are checked for changes. A drain written to a file takes effect up to this much
-// later.
+// pollInterval is the interval between checks of the files for changes. It is the maximum delay before a drain in a
+// file takes effect.
 const pollInterval = 100 * time.Millisecond
 
 var errNoFiles = errors.New("xds: no file is configured")
 
-// FileSource is an endpoint source that reads DiscoveryResponse files, for sites without a control plane. It polls the
-// files for changes, and applies them only if all of them are valid.
+// FileSource is an endpoint source that reads DiscoveryResponse files, for sites without a control plane. It polls
+// the files and applies changes only if all files are valid.
 type FileSource struct {
 	paths []string
 	log   *slog.Logger
 
 	mu       sync.Mutex // guards the fields below; only the goroutine of Run writes them
 	snapshot *snapshot
-	readErr  error // why the current files are rejected; nil: they are in effect
+	readErr  error // why the current files are rejected; nil: the files are in effect
 }
 
 var _ router.EndpointSource = (*FileSource)(nil)
 
-// NewFileSource returns a source that reads the files. It returns an error if a file is missing or invalid; if that
-// happens later, the source keeps its last list. If log is nil, nothing is logged.
+// NewFileSource returns a source that reads the files at paths. It returns an error if a file is missing or invalid.
+// If a file becomes invalid later, the source keeps its last list. If log is nil, nothing is logged.
 func NewFileSource(paths []string, log *slog.Logger) (*FileSource, error) {
 	if len(paths) == 0 {
 		return nil, errNoFiles
@@ -47,10 +47,10 @@
 	return &FileSource{paths: paths, log: log, snapshot: newSnapshot()}, nil
 }
 
-// SetPolling does nothing: file changes are published without a request from the router.
+// SetPolling does nothing. File changes are published without a request from the router.
 func (s *FileSource) SetPolling(bool) {}
 
-// Run publishes the list, and each change to it, until ctx ends.
+// Run publishes the list and each change to the list until ctx ends.
 func (s *FileSource) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -70,7 +70,7 @@
 	}
 }
 
-// fileStamp identifies a state of a file: it differs after the file has changed.
+// fileStamp identifies a state of a file. A change of the file changes the stamp.
 type fileStamp struct {
 	exists   bool
 	size     int64 // bytes
--- a/discovery/xds/file_test.go
+++ b/discovery/xds/file_test.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// fileOf returns resources as a DiscoveryResponse file in JSON.
+// fileOf returns the resources as a DiscoveryResponse file in JSON.
 func fileOf(t testing.TB, all ...proto.Message) string {
 	t.Helper()
 	p := &xdspb.DiscoveryResponse{VersionInfo: "1"}
@@ -42,7 +42,7 @@
 	return string(text)
 }
 
-// replaceFile replaces a file atomically by a rename, as Envoy requires for its own files.
+// replaceFile atomically replaces a file by a rename, as Envoy requires for its own files.
 func replaceFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Files are applied only if all of them are valid. An invalid one keeps the last list and is reported in a single line
-// that names the reason.
+// TestFileSource_InvalidFileKeepsList checks that files are applied only if all of them are valid. An invalid file
+// must keep the last list in effect. The error must be one line that names the reason.
 func TestFileSource_InvalidFileKeepsList(t *testing.T) {
 	dir := t.TempDir()
 	clusters, endpoints := filepath.Join(dir, "cds.json"), filepath.Join(dir, "eds.json")
@@ -137,7 +137,8 @@
 	published.await(t, "10.0.0.4:1")
 }
 
-// After a restart without a control plane, the cached assignments are used until the first list is complete.
+// TestSource_StartsWithCachedList checks that after a restart without a control plane, the cached assignments are
+// used until the first list is complete.
 func TestSource_StartsWithCachedList(t *testing.T) {
 	dir, controlPlane := t.TempDir(), startControlPlane(t)
 	controlPlane.Set(cluster("rooms"), assignment("rooms", "10.0.0.1:1", "10.0.0.2:1"))
@@ -157,7 +158,8 @@
 	afterRestart.await(t, "10.0.0.2:1")
 }
 
-// A cache file that is truncated, altered or in another format is rejected, and the source works without it.
+// TestReadCache_RejectsInvalidFile checks that a truncated or altered cache file, or one in another format, is
+// rejected. The source must work without the cache.
 func TestReadCache_RejectsInvalidFile(t *testing.T) {
 	dir := t.TempDir()
 	if err := writeCache(dir, cachedList{Saved: time.Now(), Clusters: map[string]*resource.Assignment{"rooms": {
@@ -237,8 +239,8 @@
 	}
 }
 
-// ParseFile must not panic on any input, its errors must be a single line, and endpoints of a valid file must have an
-// id and an address.
+// FuzzFile checks that ParseFile does not panic on any input and that its errors are a single line. Endpoints of a
+// valid file must have an id and an address.
 func FuzzFile(f *testing.F) {
 	f.Add([]byte(yamlFile))
 	f.Add([]byte(fileOf(f, cluster("c"), assignment("c", "10.0.0.1:1"))))
--- a/discovery/xds/inode.go
+++ b/discovery/xds/inode.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// inodeOf returns the inode number of a file, or 0 if there is none. The number changes when another file is renamed
-// into place.
+// inodeOf returns the inode number of a file, or 0 if the system has no inodes. The number changes when another file
+// is renamed into place.
 func inodeOf(info fs.FileInfo) uint64 {
 	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
 		return stat.Ino
--- a/discovery/xds/priority/priority.go
+++ b/discovery/xds/priority/priority.go
@@ -1,19 +1,19 @@
 // Package priority decides which endpoints of a cluster are eligible for new work. Endpoints of a lower priority
-// level are eligible only if the levels above do not have enough healthy ones. The package does no I/O and keeps no
-// state: equal assignments get equal decisions.
+// level are eligible only if the levels above have too few healthy endpoints. The package does no I/O and keeps no
+// state. Equal assignments get equal decisions.
 //
-// It follows Envoy's priority levels: the availability of a level is its fraction of healthy endpoints times the
-// overprovisioning factor. Unlike Envoy, it makes whole levels eligible instead of splitting traffic by percentages;
-// the load balancer distributes work over the eligible endpoints.
+// It follows Envoy's priority levels. The availability of a level is its fraction of healthy endpoints times the
+// overprovisioning factor. Unlike Envoy, the package makes whole levels eligible instead of splitting traffic by
+// percentages. The load balancer distributes work over the eligible endpoints.
 package priority
 
 import "cobaltward/discovery/xds/resource"
 
-// fullAvailability is slightly below 1 to allow for rounding: 5 of 7 healthy endpoints with a factor of 1.4 are full
-// availability.
+// fullAvailability is slightly below 1 to allow for rounding. For example, 5 of 7 healthy endpoints with a factor of
+// 1.4 are full availability.
 const fullAvailability = 1 - 1e-9
 
-// level is the number of all endpoints, and of healthy ones, in one priority level.
+// level counts the endpoints, and the healthy endpoints, of one priority level.
 type level struct{ all, healthy int }
 
 // availability returns the fraction of all traffic that the level can take.
@@ -27,8 +27,8 @@
 // Eligible returns whether each endpoint of an assignment may get new work, by the index of the endpoint.
 //
 // Levels are used in order until their availabilities add up to full availability. Degraded endpoints of these levels
-// are eligible only if the availabilities of all levels add up to less. If no endpoint is healthy or degraded, none
-// is eligible: the control plane has reported that none should be used.
+// are eligible only if the availabilities of all levels add up to less. If no endpoint of these levels is healthy or
+// degraded, no endpoint is eligible: the control plane has reported that none should be used.
 func Eligible(assignment *resource.Assignment) []bool {
 	overprovisioning := assignment.Overprovisioning
 	if overprovisioning <= 0 {
@@ -48,7 +48,7 @@
 	return eligible
 }
 
-// countLevels counts the endpoints of each level, and how many of them are healthy.
+// countLevels counts the endpoints, and the healthy endpoints, of each level.
 func countLevels(endpoints []resource.Endpoint) []level {
 	var levels []level
 	for i := range endpoints {
@@ -64,7 +64,7 @@
 	return levels
 }
 
-// isHealthy reports whether an endpoint counts as healthy. An endpoint with unknown health does.
+// isHealthy reports whether an endpoint with the given health counts as healthy. Unknown health counts as healthy.
 func isHealthy(health resource.Health) bool {
 	return health == resource.Healthy || health == resource.Unknown
 }
--- a/discovery/xds/priority/priority_test.go
+++ b/discovery/xds/priority/priority_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// assignment parses a text into an assignment. Each letter is an endpoint (H healthy, K unknown, U unhealthy, T timed
-// out, D draining, G degraded), and blanks separate the priority levels.
+// assignment returns the assignment that text describes. Each letter is an endpoint: H healthy, K unknown, U
+// unhealthy, T timed out, D draining, G degraded. Spaces separate the priority levels.
 func assignment(factor float64, text string) *resource.Assignment {
 	states := map[rune]resource.Health{
 		'H': resource.Healthy, 'K': resource.Unknown, 'U': resource.Unhealthy,
@@ -43,7 +43,7 @@
 		{1.4, "UUUU UU", ".... .."},
 		{1.4, "KKKK H", "xxxx ."},
 		{1.4, "HHHG H", "xxx. ."},
-		{1.4, "HUGU", "x.x."}, // too few healthy endpoints in all levels: the degraded one is eligible
+		{1.4, "HUGU", "x.x."}, // too few healthy endpoints in all levels, so the degraded endpoint is eligible
 		{1.4, "GGG HH", "... xx"},
 		{1.4, "GGG", "xxx"},
 		{1.4, "", ""},
@@ -67,8 +67,9 @@
 	}
 }
 
-// For any endpoints: none that is unhealthy or draining is eligible; if any is healthy, at least one is eligible; and
-// an endpoint that recovers never makes a non-degraded endpoint of its own or a higher priority level ineligible.
+// TestEligible_Invariants checks three invariants for random endpoints. No unhealthy or draining endpoint is
+// eligible. If any endpoint is healthy, at least one endpoint is eligible. An endpoint that recovers makes no
+// non-degraded endpoint of its own or a higher priority level ineligible.
 func TestEligible_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(
