--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -50,7 +50,7 @@
 	outage        outage
 
 	mu         sync.Mutex
-	newAddr    string             // address set by SetAddress; empty: Run already uses it
+	newAddr    string             // address from SetAddress that Run does not use yet; empty: none
 	cancelCall context.CancelFunc // cancels the call in flight or the pause between two calls
 }
 
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// publishCached publishes the cached list if it contains any servers.
+// publishCached publishes the cached list if there is one.
 func (s *Source) publishCached(publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	update := s.pendingUpdate()
--- a/discovery/xds/status.go
+++ b/discovery/xds/status.go
@@ -22,7 +22,7 @@
 	Complete  bool      // all endpoints of the newest list of clusters have been received
 	Types     [ads.NumTypes]ads.Status
 	Endpoints []router.Endpoint      // as last published, in order of id
-	Drops     dropoverload.Fractions // fraction of the requests to drop, by cluster to which the requests are bound
+	Drops     dropoverload.Fractions // fraction of requests to drop in classes bound to a cluster, by cluster
 	// EndpointStatuses contains the endpoints of all clusters, in order of cluster and address.
 	EndpointStatuses []EndpointStatus
 }
--- a/internal/identity/anonymous.go
+++ b/internal/identity/anonymous.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// SharedTenant is the tenant of all anonymous clients for which AnonymousTenants has no name left.
+// SharedTenant is the tenant of anonymous clients without a name of their own, after AnonymousTenants has reached its
+// maximum number of names.
 const SharedTenant = "anonymous"
 
-// AnonymousTenants assigns tenant names to anonymous clients, so that one client does not use up the quota of
-// another. It keeps a bounded number of names; further clients share SharedTenant. It is safe for concurrent use. The
-// caller passes the current time as the duration since a fixed start.
+// AnonymousTenants assigns tenant names to anonymous clients. Separate names keep one client from using up the quota
+// of another. The number of names is bounded, and further clients share SharedTenant. AnonymousTenants is safe for
+// concurrent use. The caller passes the current time as the duration since a fixed start.
 type AnonymousTenants struct {
 	seed   maphash.Seed
 	shards [shardCount]shard
@@ -21,20 +22,21 @@
 
 const shardCount = 16
 
-// shard has two generations of names. The previous generation is dropped as a whole, so that expiry does not have to
-// scan the entries for their age.
+// shard has two generations of names. The previous generation is dropped as a whole. Expiry therefore does not scan
+// the entries for their age.
 type shard struct {
 	mu        sync.Mutex
-	maxNames  int // in both generations together
+	maxNames  int // maximum number of names in both generations together
 	lifetime  time.Duration
 	startedAt time.Duration // start of the current generation
 	current   map[netip.Prefix]uint32
 	previous  map[netip.Prefix]uint32
 	lastID    uint32
-	prefix    string // of the names that the shard assigns
+	prefix    string // prefix of the names that the shard assigns
 }
 
-// NewAnonymousTenants keeps about maxNames names, each for one to two lifetimes after its last use.
+// NewAnonymousTenants returns AnonymousTenants for about maxNames names. A name is kept for one to two lifetimes
+// after its last use.
 func NewAnonymousTenants(maxNames int, lifetime time.Duration) *AnonymousTenants {
 	tenants := &AnonymousTenants{seed: maphash.MakeSeed()}
 	for i := range tenants.shards {
@@ -47,7 +49,7 @@
 	return tenants
 }
 
-// Tenant returns the tenant name of an anonymous client, which its network identifies.
+// Tenant returns the tenant name of the anonymous client that network identifies.
 func (a *AnonymousTenants) Tenant(network netip.Prefix, now time.Duration) string {
 	s := &a.shards[maphash.Comparable(a.seed, network)%shardCount]
 	s.mu.Lock()
@@ -60,7 +62,7 @@
 	return s.prefix + strconv.FormatUint(uint64(id), 36)
 }
 
-// expire starts a new generation if the current one has reached its lifetime. The caller holds s.mu.
+// expire starts a new generation if the current generation has reached its lifetime. The caller holds s.mu.
 func (s *shard) expire(now time.Duration) {
 	age := now - s.startedAt
 	if age < s.lifetime {
@@ -73,8 +75,8 @@
 	s.startedAt = now
 }
 
-// id returns the ID of a network. It moves an ID of the previous generation to the current one, and assigns a new ID
-// if there is space. The caller holds s.mu.
+// id returns the ID of a network. It moves an ID of the previous generation to the current generation. For an unknown
+// network, it assigns a new ID, or returns false if the shard is full. The caller holds s.mu.
 func (s *shard) id(network netip.Prefix) (id uint32, ok bool) {
 	if id, ok := s.current[network]; ok {
 		return id, true
@@ -92,7 +94,7 @@
 	return id, true
 }
 
-// Len returns the number of names that are in use.
+// Len returns the number of names in use.
 func (a *AnonymousTenants) Len() (n int) {
 	for i := range a.shards {
 		s := &a.shards[i]
--- a/internal/identity/anonymous_test.go
+++ b/internal/identity/anonymous_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A client keeps its name while it is active, no two clients have the same name except SharedTenant, and the number of
-// names is bounded.
+// TestAnonymousTenants_Invariants checks that a client keeps its name while the client is active. No two clients may
+// have the same name except SharedTenant. The number of names must be bounded.
 func TestAnonymousTenants_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxNames := rapid.IntRange(16, 200).Draw(t, "maxNames")
@@ -46,8 +46,8 @@
 	})
 }
 
-// With a million distinct clients, the number of names and their memory stay within bounds, and the names are released
-// once the clients send no more requests.
+// TestAnonymousTenants_MemoryIsBounded checks that a million distinct clients keep the number of names and their
+// memory within bounds. The names must be released after the clients stop sending requests.
 func TestAnonymousTenants_MemoryIsBounded(t *testing.T) {
 	tenants := NewAnonymousTenants(10_000, time.Minute)
 	heap := func() float64 {
@@ -59,7 +59,7 @@
 	before, shared := heap(), 0
 	for i := range 1_000_000 {
 		network := netip.PrefixFrom(netip.AddrFrom16([16]byte{0x20, 1, byte(i >> 16), byte(i >> 8), byte(i)}), 64)
-		if tenants.Tenant(network, time.Duration(i)*100*time.Microsecond) == SharedTenant { // 10,000 clients a second
+		if tenants.Tenant(network, time.Duration(i)*100*time.Microsecond) == SharedTenant { // 10,000 clients per second
 			shared++
 		}
 	}
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -1,9 +1,10 @@
 // Package identity determines which tenant a request belongs to. It tries layers in the operator's order: a header, a
 // session cookie, a bearer token, an API key, the client's address, or a client certificate. The result is a
-// configured tenant, or an anonymous one. The package does no I/O and reads no clock.
+// configured tenant or an anonymous client. The package does no I/O and reads no clock.
 //
-// Secrets are stored as SHA-256 hashes only. A header that names the tenant is accepted from trusted proxies only. A
-// client's address is the one that the last trusted hop has seen; the forwarding header is read from right to left.
+// Secrets are stored only as SHA-256 hashes. A header that names the tenant is accepted only from trusted proxies.
+// The client's address is the address that the last trusted hop has seen. The forwarding header is read from right to
+// left.
 package identity
 
 import (
@@ -21,12 +22,12 @@
 
 // The kinds of layer.
 const (
-	Header      Kind = iota // a header whose value is the tenant's name; accepted from trusted proxies only
-	Cookie                  // a session cookie, listed by its hash
-	Bearer                  // the bearer token in the Authorization header, listed by its hash
-	APIKey                  // a header whose value is a key, listed by its hash
-	Address                 // the client's address, listed by network prefix
-	Certificate             // a name in the client's certificate
+	Header      Kind = iota // header whose value is the tenant's name; accepted only from trusted proxies
+	Cookie                  // session cookie, listed by its hash
+	Bearer                  // bearer token in the Authorization header, listed by its hash
+	APIKey                  // header whose value is a key, listed by its hash
+	Address                 // client's address, listed by network prefix
+	Certificate             // name in the client's certificate
 )
 
 var kindNames = [...]string{"header", "cookie", "bearer", "api key", "address", "certificate"}
@@ -45,14 +46,14 @@
 
 // Config configures a Resolver.
 type Config struct {
-	Layers  []Layer  // in order; the first layer that finds a tenant determines it
+	Layers  []Layer  // in order; the first layer that finds a tenant applies
 	Tenants []string // names of all tenants
-	Trusted []string // prefixes and addresses of proxies whose tenant and forwarding headers are believed
-	// Forwarded is the header that lists the hops: "X-Forwarded-For", "Forwarded", or empty for none. Only one is read,
-	// because a proxy passes on the headers that it does not set itself, which a client may have forged.
+	Trusted []string // prefixes and addresses of proxies with trusted tenant and forwarding headers
+	// Forwarded is the header that lists the hops: "X-Forwarded-For", "Forwarded", or empty for none. Only one header
+	// is read. A proxy passes on the headers that it does not set itself, and a client may have forged them.
 	Forwarded string
 	IPv4Bits  int // bits of an IPv4 address that identify an anonymous client; 0: 32
-	IPv6Bits  int // bits of an IPv6 address that do so; 0: 64, the usual prefix of one subscriber
+	IPv6Bits  int // bits of an IPv6 address that identify an anonymous client; 0: 64, one subscriber's usual prefix
 }
 
 const (
@@ -60,7 +61,7 @@
 	minIPv4Bits, minIPv6Bits         = 8, 16
 )
 
-// layer is a Layer with its lists compiled for lookups.
+// layer is a Layer whose lists are compiled for lookups.
 type layer struct {
 	Layer
 	secrets  map[[sha256.Size]byte]string // tenant by hash
@@ -72,7 +73,7 @@
 	tenant string
 }
 
-// New compiles a configuration. Errors name the field, and the layer by its index if one is concerned.
+// New compiles a configuration. Errors name the field and, for errors in a layer, the index of the layer.
 func New(config Config) (*Resolver, error) {
 	resolver := &Resolver{tenants: make(map[string]bool)}
 	if err := resolver.setPrefixBits(config.IPv4Bits, config.IPv6Bits); err != nil {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// compileLayer validates a layer and compiles its lists. Errors begin with the name of the key.
+// compileLayer validates a layer and compiles its lists. Errors begin with the name of the invalid key.
 func (r *Resolver) compileLayer(source Layer) (layer, error) {
 	compiled := layer{Layer: source, secrets: make(map[[sha256.Size]byte]string)}
 	needsName := source.Kind == Header || source.Kind == Cookie || source.Kind == APIKey
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// parsePrefix parses a prefix whose host bits are zero, or an address as a prefix of full length.
+// parsePrefix parses a prefix without host bits. An address is parsed as a prefix of full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if !strings.Contains(text, "/") {
 		addr, err := netip.ParseAddr(text)
--- a/internal/identity/forwarded.go
+++ b/internal/identity/forwarded.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// maxHops is the number of hops of a forwarding header that are read. It bounds the work for a request.
+// maxHops is the maximum number of hops that are read from a forwarding header. It bounds the work for a request.
 const maxHops = 32
 
-// clientAddress returns the address that the last trusted hop has seen. Hops are read from right to left, and a hop is
-// accepted if the one that reports it is trusted. Reading stops at a hop that cannot be parsed, and the last accepted
-// address is the result.
+// clientAddress returns the address that the last trusted hop has seen. Hops are read from right to left. A hop is
+// accepted if the hop that reports it is trusted. Reading stops at a hop that cannot be parsed. The result is the
+// last accepted address.
 func (r *Resolver) clientAddress(peer netip.Addr, header map[string][]string) netip.Addr {
 	if r.forwarded == "" {
 		return peer
@@ -34,7 +34,7 @@
 	return client
 }
 
-// cutLast splits s at the last separator. If there is none, found is false and after is all of s.
+// cutLast splits s at the last separator. Without a separator, found is false and after is all of s.
 func cutLast(s string, separator byte) (before, after string, found bool) {
 	at := strings.LastIndexByte(s, separator)
 	if at < 0 {
@@ -66,8 +66,8 @@
 	return addr.Unmap(), true
 }
 
-// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), which is empty if there
-// is none. ok is false if there are several.
+// forwardedNode returns the value of "for" in an element of the Forwarded header (RFC 7239), or an empty string if
+// there is none. ok is false if "for" occurs several times.
 func forwardedNode(element string) (node string, ok bool) {
 	for _, pair := range strings.Split(element, ";") {
 		key, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/identity/resolve.go
+++ b/internal/identity/resolve.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxSecretSize is the size in bytes beyond which a secret is not hashed, and so never matches.
+// maxSecretSize is the maximum size of a secret in bytes. Larger secrets are not hashed and never match.
 const maxSecretSize = 16 << 10
 
 // Resolver determines the tenants of requests. It is immutable and safe for concurrent use.
@@ -14,23 +14,23 @@
 	layers    []layer
 	tenants   map[string]bool
 	trusted   []netip.Prefix
-	forwarded string // name of the forwarding header; empty: none is read
+	forwarded string // name of the forwarding header; empty: no header is read
 	ipv4Bits  int
 	ipv6Bits  int
 }
 
-// Request holds the attributes of a request that a Resolver reads.
+// Request contains the attributes of a request that a Resolver reads.
 type Request struct {
 	Peer   netip.Addr          // remote address of the connection
 	Header map[string][]string // by canonical name
-	Names  []string            // names in the client's certificate, if it was verified
+	Names  []string            // names in the client's certificate, if the certificate was verified
 }
 
 // Identity is the result of Resolve: the tenant of a request, or the network of an anonymous client.
 type Identity struct {
 	Tenant  string       // empty for an anonymous client
 	Layer   int          // index of the layer that found Tenant; -1 for an anonymous client
-	Kind    Kind         // kind of that layer
+	Kind    Kind         // kind of the layer that found Tenant
 	Client  netip.Addr   // address that the last trusted hop has seen
 	Network netip.Prefix // prefix of Client that identifies an anonymous client
 }
@@ -57,7 +57,7 @@
 	return found
 }
 
-// tenantByLayer returns the tenant that one layer finds, or an empty string.
+// tenantByLayer returns the tenant that the layer finds, or an empty string.
 func (r *Resolver) tenantByLayer(by *layer, req *Request, trusted bool, client netip.Addr) string {
 	switch by.Kind {
 	case Header:
@@ -78,8 +78,8 @@
 	return ""
 }
 
-// tenantBySecret looks a secret up by its hash, so that the time that the lookup takes reveals nothing about the
-// listed secrets.
+// tenantBySecret returns the tenant of a secret, or an empty string. It looks the secret up by hash: the duration of
+// the lookup then reveals nothing about the listed secrets.
 func (l *layer) tenantBySecret(secret string) string {
 	if secret == "" || len(secret) > maxSecretSize {
 		return ""
@@ -87,8 +87,8 @@
 	return l.secrets[sha256.Sum256([]byte(secret))]
 }
 
-// tenantByCertificate returns the tenant to which the names in a certificate belong. If they belong to different
-// tenants, it returns an empty string.
+// tenantByCertificate returns the tenant of the names in a certificate. If the names belong to different tenants, it
+// returns an empty string.
 func (l *layer) tenantByCertificate(names []string) string {
 	found := ""
 	for _, name := range names {
@@ -113,8 +113,8 @@
 	return ""
 }
 
-// singleValue returns the value of a header that occurs once. If it occurs several times, the result is empty, because
-// the server behind the router might use another of the values.
+// singleValue returns the value of a header that occurs once. If the header occurs several times, the result is
+// empty, because the server behind the router might use another value.
 func singleValue(header map[string][]string, name string) string {
 	if values := header[name]; len(values) == 1 {
 		return values[0]
@@ -131,8 +131,8 @@
 	return strings.TrimSpace(value[len(scheme):])
 }
 
-// singleCookie returns the value of a cookie that occurs exactly once in all Cookie headers together, or an empty
-// string.
+// singleCookie returns the value of a cookie that occurs exactly once in all Cookie headers together. Otherwise it
+// returns an empty string.
 func singleCookie(header map[string][]string, name string) (value string) {
 	count := 0
 	for _, line := range header["Cookie"] {
--- a/internal/identity/resolve_test.go
+++ b/internal/identity/resolve_test.go
@@ -37,7 +37,7 @@
 
 type header = map[string][]string
 
-// Addresses of peers, and the networks that identify them as anonymous clients.
+// Addresses of peers, and the networks that identify the peers as anonymous clients.
 const (
 	client, proxy                   = "203.0.113.5", "10.1.2.3"
 	clientNet, proxyNet, anotherNet = client + "/32", proxy + "/32", "203.0.113.9/32"
@@ -46,7 +46,7 @@
 type resolveTest struct {
 	forwarded, peer string
 	header          header
-	want            string // the tenant, or the network of an anonymous client
+	want            string // tenant, or network of an anonymous client
 }
 
 func runResolveTests(t *testing.T, tests map[string]resolveTest) {
@@ -67,7 +67,8 @@
 	}
 }
 
-// Each kind of layer identifies clients, and a client cannot impersonate another tenant.
+// TestResolve_Layers checks that each kind of layer identifies clients and that a client cannot impersonate another
+// tenant.
 func TestResolve_Layers(t *testing.T) {
 	longSecret := strings.Repeat("x", 16<<10+1)
 	bearer := []string{"Bearer token-stol"}
@@ -95,7 +96,8 @@
 	})
 }
 
-// The client's address is read from the configured forwarding header, as far as its hops are trusted.
+// TestResolve_ForwardingHeaders checks that the client's address is read from the configured forwarding header, as
+// far as the hops are trusted.
 func TestResolve_ForwardingHeaders(t *testing.T) {
 	const xffName = "X-Forwarded-For"
 	manyHops := "198.51.100.1" + strings.Repeat(", 10.0.0.1", 10000)
--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -1,41 +1,41 @@
 // Package nodeconfig reads the settings in the operator's own file, deploy/wayhold.toml, that the platform's
-// configuration does not have. All of them are optional, and an empty file changes nothing. Package standalone reads
-// the tables of a standalone node, which has no platform.
+// configuration does not contain. All settings are optional, and an empty file changes nothing. Package standalone
+// reads the tables of a standalone node, which has no platform.
 package nodeconfig
 
 import "reflect"
 
-// File holds the settings that this package reads from the operator's own file.
+// File contains the settings that this package reads from the operator's own file.
 type File struct {
 	Log      Log
 	Drain    Drain
 	XDS      XDS
 	Msgpack  Msgpack
 	AdminAPI AdminAPI // the table [door]
-	TLS      any      // the decoded table, to detect changes; package standalone interprets it
+	TLS      any      // decoded table, for the detection of changes; package standalone interprets it
 }
 
 // Log configures logging.
 type Log struct {
-	Level  Level  // info if not set
-	Format Format // text if not set
+	Level  Level  // not set: info
+	Format Format // not set: text
 }
 
 // Drain configures the drain after SIGTERM and drains requested over the admin API.
 type Drain struct {
-	AnnounceFor Duration // how long a draining node still serves as before; not set: the node's default
-	Timeout     Duration // limit for the whole drain; not set: the node's default
-	StateFile   string   // exists during a drain requested over the admin API, so that a restarted node continues it
+	AnnounceFor Duration // time for which a draining node still serves as before; not set: the node's default
+	Timeout     Duration // timeout for the whole drain; not set: the node's default
+	StateFile   string   // exists during a drain requested over the admin API; a restarted node continues the drain
 }
 
-// XDS configures the discovery of servers by xDS, either from a control plane or from files.
+// XDS configures the discovery of servers by xDS, from a control plane or from files.
 type XDS struct {
 	Bootstrap       string            // path of the xDS bootstrap file (JSON) of a control plane
-	CAFile          string            // PEM, for channel_creds tls; empty: the system's authorities
+	CAFile          string            // PEM file for channel_creds tls; empty: the system's authorities
 	Delta           bool              // use incremental (delta) xDS
-	CacheDir        string            // directory where the last endpoint list is stored; empty: it is not stored
+	CacheDir        string            // directory of the last endpoint list; empty: the list is not stored
 	Files           []string          // DiscoveryResponse files, instead of a control plane
-	WithoutPlatform bool              // servers come from xDS only, not from the platform's registry as well
+	WithoutPlatform bool              // servers come only from xDS, not also from the platform's registry
 	ClusterByClass  map[string]string // name of the cluster that serves a class, by class
 }
 
@@ -44,24 +44,24 @@
 
 // Msgpack configures MessagePack-RPC.
 type Msgpack struct {
-	Listen          string   // IP:port, or the absolute path of a Unix socket; empty: no listener for clients
-	MaxConns        int      // open client connections; 0: the node's default
-	MaxCallsPerConn int      // concurrent calls on one client connection; 0: the node's default
+	Listen          string   // IP:port, or absolute path of a Unix socket; empty: no listener for clients
+	MaxConns        int      // maximum open client connections; 0: the node's default
+	MaxCallsPerConn int      // maximum concurrent calls on one client connection; 0: the node's default
 	ServerKinds     []string // kinds of app servers that are called over MessagePack-RPC
 }
 
 // Enabled reports whether clients or servers use MessagePack-RPC.
 func (m Msgpack) Enabled() bool { return m.Listen != "" || len(m.ServerKinds) > 0 }
 
-// AdminAPI configures where the admin API listens.
+// AdminAPI configures the listeners of the admin API.
 type AdminAPI struct {
 	Socket    string // absolute path of a Unix socket
 	Listen    string // IP:port on loopback; requires TokenFile
-	TokenFile string // its first line is the bearer token that requests over Listen need
+	TokenFile string // file whose first line is the bearer token for requests over Listen
 }
 
-// RestartKeys returns the keys that take effect only at a restart and whose values differ between the running
-// configuration and a reloaded file.
+// RestartKeys returns the keys that take effect only at a restart and whose values differ between running and
+// reloaded.
 func RestartKeys(running, reloaded File) (keys []string) {
 	for _, setting := range []struct {
 		key          string
--- a/internal/nodeconfig/file_test.go
+++ b/internal/nodeconfig/file_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestParse_EmptyFile checks that an empty file, or no file, sets nothing, and that a duration of 0 differs from a
-// duration that is not set.
+// TestParse_EmptyFile checks that an empty or missing file sets nothing. A duration of 0 must differ from a duration
+// that is not set.
 func TestParse_EmptyFile(t *testing.T) {
 	for _, text := range []string{"", "# only words\n", "[log]\n[drain]\n"} {
 		if file, err := Parse([]byte(text)); err != nil || !reflect.DeepEqual(file, File{}) {
@@ -40,7 +40,7 @@
 }
 
 // TestParse_ErrorsNameLineAndKey checks that errors are one line, which names the line and the key. Errors of Load
-// name the file, too.
+// must also name the file.
 func TestParse_ErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                           "2: log.level: ",
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestLoad_ShippedFileSetsNothing checks that deploy/wayhold.toml has comments only.
+// TestLoad_ShippedFileSetsNothing checks that deploy/wayhold.toml contains only comments.
 func TestLoad_ShippedFileSetsNothing(t *testing.T) {
 	file, err := Load(filepath.Join("..", "..", "deploy", "wayhold.toml"))
 	if err != nil || !reflect.DeepEqual(file, File{}) {
--- a/internal/nodeconfig/lines.go
+++ b/internal/nodeconfig/lines.go
@@ -9,8 +9,8 @@
 // lineFinder finds the line numbers of keys in the text of a file.
 type lineFinder struct{ text []byte }
 
-// errorf returns an error about a key of a table. The error begins with the line number and the key, and is cut after
-// its first line.
+// errorf returns an error about a key of a table. The error begins with the line number and the key. Only its first
+// line is kept.
 func (l lineFinder) errorf(table, key, format string, args ...any) error {
 	err := fmt.Errorf("%d: %s.%s: %w", l.lineOf(table, key), table, key, fmt.Errorf(format, args...))
 	if message := err.Error(); strings.Contains(message, "\n") {
@@ -19,8 +19,8 @@
 	return err
 }
 
-// lineOf returns the number of the line on which a key of a table is set, or that of the table's header if the key is
-// empty. It returns 1 if no such line is found, as for dotted keys.
+// lineOf returns the number of the line that sets a key of a table. If key is empty, it returns the line of the
+// table's header. If no such line is found, as for dotted keys, it returns 1.
 func (l lineFinder) lineOf(table, key string) int {
 	current := ""
 	for i, line := range strings.Split(string(l.text), "\n") {
--- a/internal/nodeconfig/msgpack.go
+++ b/internal/nodeconfig/msgpack.go
@@ -1,8 +1,8 @@
 package nodeconfig
 
-const maxMsgpackLimit = 10_000 // highest value of the keys connections and calls
+const maxMsgpackLimit = 10_000 // maximum value of the keys connections and calls
 
-// read reads the keys of the table [msgpack] that are not strings. readStrings must have been called before.
+// read reads the keys of the table [msgpack] that are not strings. The caller must have called readStrings.
 func (m *Msgpack) read(lines lineFinder, doc *document) error {
 	table := doc.Msgpack
 	for _, number := range []struct {
--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// document is the decoded TOML document. Its values are decoded as any and converted afterwards, because the decoder
-// reports no line number for errors of an UnmarshalText method.
+// document is the decoded TOML document. Its values are decoded as any and converted afterwards, because the TOML
+// decoder reports no line number for errors of an UnmarshalText method.
 type document struct {
-	// Tables that package standalone reads. They are decoded here only so that they are not unknown keys.
+	// Tables that package standalone reads. They are declared here because the decoder rejects unknown keys.
 	Node     any `toml:"node"`
 	Listen   any `toml:"listen"`
 	Limits   any `toml:"limits"`
@@ -66,8 +66,8 @@
 	Servers     any `toml:"servers"`
 }
 
-// Load reads the file at a path. An empty path means an empty file. Errors are one line, which names the file, the
-// line and the key.
+// Load reads the file at path. An empty path means an empty file. Errors are one line, which names the file, the line
+// and the key.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
@@ -100,7 +100,7 @@
 	return file, nil
 }
 
-// decode decodes a text as TOML and rejects unknown keys.
+// decode decodes text as TOML and rejects unknown keys.
 func decode(text []byte) (*document, error) {
 	var doc document
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&doc)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// readStringList reads a list of strings; it returns nil if the key is not set.
+// readStringList returns a list of strings, or nil if the key is not set.
 func readStringList(from any) (texts []string, err error) {
 	if from == nil {
 		return nil, nil
--- a/internal/nodeconfig/token.go
+++ b/internal/nodeconfig/token.go
@@ -11,8 +11,8 @@
 	otherUsersMode = 0o077 // permission bits of all users except the file's owner
 )
 
-// ReadToken reads a bearer token from the first line of a file. It returns an error if the file's mode gives other
-// users any access, or if the token is shorter than 16 characters.
+// ReadToken returns the bearer token in the first line of a file. It returns an error if other users have any access
+// to the file, or if the token is shorter than 16 characters.
 func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/nodeconfig/values.go
+++ b/internal/nodeconfig/values.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-const maxDuration = 24 * time.Hour // upper bound of every duration in the file
+const maxDuration = 24 * time.Hour // maximum of each duration in the file
 
-// Duration is a duration that is written with its unit, as in "1.5s".
+// Duration is a duration with a unit in the file, as in "1.5s".
 type Duration struct {
 	time.Duration
-	Set bool // the file sets the key; the value may be 0
+	Set bool // the file contains the key; the value may be 0
 }
 
 // UnmarshalText parses a duration of 0 to 24 h.
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Level is a log level.
+// Level is the minimum level of logged messages.
 type Level struct{ slog.Level }
 
 // UnmarshalText accepts debug, info, warn or error.
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// loopbackAddress is IP:port on a loopback interface, which only this machine can reach.
+// loopbackAddress is IP:port on a loopback interface. Only this machine can reach it.
 type loopbackAddress string
 
 // UnmarshalText accepts IP:port with a loopback IP.
--- a/internal/nodeconfig/xds.go
+++ b/internal/nodeconfig/xds.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// read reads the keys of the table [xds] that are not strings, and validates the whole table. readStrings must have
-// been called before.
+// read reads the keys of the table [xds] that are not strings and validates the whole table. The caller must have
+// called readStrings.
 func (x *XDS) read(lines lineFinder, doc *document) error {
 	table := doc.XDS
 	for _, flag := range []struct {
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Match returns the index of the first route that matches a request, or -1 if none does.
+// Match returns the index of the first route that matches a request, or -1 if no route matches.
 func (t *Table) Match(req *Request) int {
 	search := search{table: t, req: req, best: int32(len(t.routes))}
 	if index := t.hosts[req.Host]; index != nil {
@@ -21,11 +21,11 @@
 	return int(search.best)
 }
 
-// search is the state of one Match call, which looks for the first route whose conditions all hold.
+// search is the state of one call of Match, which looks for the first route whose conditions all hold.
 type search struct {
 	table *Table
 	req   *Request
-	best  int32 // lowest index of a matching route found so far; len(table.routes) if none
+	best  int32 // lowest index of a matching route so far; len(table.routes) if there is none
 }
 
 // searchWildcards searches the routes of every wildcard host that matches the request's host.
@@ -50,7 +50,7 @@
 	}
 }
 
-// searchNode searches the routes of a trie node and of the nodes below it that match the rest of the path. done
+// searchNode searches the routes of node n and of the nodes below it that match rest, the rest of the path. done
 // reports whether the whole path has been consumed.
 func (s *search) searchNode(n *node, rest string, done bool) {
 	s.matchFirst(n.prefixes)
@@ -67,8 +67,8 @@
 	}
 }
 
-// matchFirst looks for the first route whose remaining conditions hold. The host and the path of the listed routes
-// already match, except for regular expressions.
+// matchFirst finds the first of the listed routes whose remaining conditions hold. The host and the path of the
+// listed routes already match, except for regular expressions.
 func (s *search) matchFirst(indexes []int32) {
 	for _, i := range indexes {
 		if i >= s.best {
@@ -81,7 +81,7 @@
 	}
 }
 
-// conditionsHold reports whether a route's conditions hold that the index does not check.
+// conditionsHold reports whether the conditions of route i hold that the index does not check.
 func (t *Table) conditionsHold(i int, req *Request) bool {
 	route := &t.routes[i]
 	if route.Listener != "" && route.Listener != req.Listener {
@@ -119,8 +119,8 @@
 	return len(values) == 1 && values[0] == c.Value
 }
 
-// matchesQuery reports whether a condition holds for a query string. As with headers, a repeated parameter matches no
-// Value.
+// matchesQuery reports whether a condition holds for a query string. A parameter that occurs several times matches no
+// Value, as with headers.
 func (c *Condition) matchesQuery(query string) bool {
 	count, equal := 0, false
 	for query != "" {
@@ -172,8 +172,8 @@
 	return hashFraction(r.HashSalt, input) < r.Fraction
 }
 
-// hashFraction hashes an input to a number in [0, 1), which is the same on every node. It uses FNV-1a with the
-// finalizer of MurmurHash3.
+// hashFraction hashes salt and input to a number in [0, 1). The number is the same on every node. The hash is FNV-1a
+// with the finalizer of MurmurHash3.
 func hashFraction(salt, input string) float64 {
 	const (
 		fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
--- a/internal/routes/path.go
+++ b/internal/routes/path.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// ErrAmbiguousPath is the error for a path that servers may interpret differently, depending on whether they clean or
-// decode it.
+// ErrAmbiguousPath is the error for a path that servers may interpret differently. The interpretation depends on
+// whether a server cleans or decodes the path.
 var ErrAmbiguousPath = errors.New("the path can be read in two ways")
 
-// CheckPath rejects paths that a server may interpret differently from Table: paths with empty segments, plain or
-// encoded dot segments, encoded slashes, backslashes, NULs or percent signs, or bytes that are not allowed in a path.
-// A path that passes is matched and forwarded unchanged. Errors wrap ErrAmbiguousPath, except for a path that does
-// not begin with a slash.
+// CheckPath rejects paths that a server may interpret differently from Table. These are paths with empty segments,
+// with plain or encoded dot segments, or with bytes that are not allowed in a path. Encoded slashes, backslashes,
+// NULs and percent signs are rejected as well. An accepted path is matched and forwarded unchanged. Errors wrap
+// ErrAmbiguousPath, unless the path does not begin with a slash.
 func CheckPath(path string) error {
 	if path == "" || path[0] != '/' {
 		return fmt.Errorf("want a path from /, got %q", path)
@@ -67,7 +67,7 @@
 	return dots == 1 || dots == 2
 }
 
-// checkSegments checks the syntax of Route.Segments: names in braces must be unique and not empty.
+// checkSegments checks the syntax of Route.Segments. Names in braces must be unique and not empty.
 func checkSegments(path string) error {
 	names := make(map[string]bool)
 	for _, segment := range strings.Split(path[1:], "/") {
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -1,6 +1,6 @@
 // Package routes matches requests against an ordered table of routes. The first route whose conditions all hold
 // determines the request's class, pool and timeout. The package does no I/O and reads no clock. A table is compiled
-// once; matching a request allocates nothing, and its cost hardly grows with the number of routes.
+// once. Matching a request allocates nothing, and the cost hardly grows with the number of routes.
 package routes
 
 import (
@@ -15,32 +15,32 @@
 	Line int // line in the configuration, for error messages and explanations
 
 	Listener string
-	Host     string   // exact, as in rooms.example, or *.example for all its subdomains; without a port
-	Methods  []string // the method is one of these
-	// At most one of Path, Prefix, Segments and Regexp is set. Each is compared byte by byte with the path as received,
-	// which is neither decoded nor cleaned.
-	Path     string // equals the whole path
-	Prefix   string // of whole segments: /a matches /a and /a/b, but not /ab
-	Segments string // as in /rooms/{id}/book, where a name in braces matches one segment that is not empty
-	Regexp   string // in RE2 syntax; matches the whole path
+	Host     string   // exact, as in rooms.example, or *.example for all subdomains; without a port
+	Methods  []string // allowed methods; empty: all
+	// At most one of Path, Prefix, Segments and Regexp is set. The path is compared byte by byte as received, neither
+	// decoded nor cleaned.
+	Path     string // whole path
+	Prefix   string // whole segments: /a matches /a and /a/b, but not /ab
+	Segments string // as in /rooms/{id}/book; a name in braces matches one segment that is not empty
+	Regexp   string // RE2 syntax; matches the whole path
 	Headers  []Condition
 	Query    []Condition
-	// Fraction is the fraction of requests, from 0 to 1, that the route matches; 0 means 1. Requests are selected by a
-	// hash of the tenant, the key or the ID, so that a client always gets the same route. Routes with different values
-	// of HashSalt select independently of one another.
+	// Fraction is the fraction of requests, from 0 to 1, that the route matches; 0: 1. A hash of the tenant, the key
+	// or the ID selects the requests. A client therefore always gets the same route. Routes with different values of
+	// HashSalt select requests independently.
 	Fraction float64
 	HashBy   HashInput
 	HashSalt string
 
 	Class   string
 	Pool    string
-	Timeout time.Duration // of the request; 0: the deadline of its class
+	Timeout time.Duration // timeout of the request; 0: the deadline of its class
 }
 
 // HashInput is the attribute of a request that is hashed for Route.Fraction.
 type HashInput uint8
 
-// The hash inputs. A request without a key is hashed by its tenant, and one without a tenant by its ID.
+// The hash inputs. A request without a key is hashed by its tenant. A request without a tenant is hashed by its ID.
 const (
 	HashByTenant HashInput = iota
 	HashByKey
@@ -50,12 +50,12 @@
 // Condition is a condition on a header or a query parameter.
 type Condition struct {
 	Name    string
-	Value   string // required value, if neither Present nor Missing is set
+	Value   string // required value if neither Present nor Missing is set
 	Present bool   // any value is accepted
 	Missing bool   // the header or parameter must be absent
 }
 
-// Request holds the attributes of a request that routes match.
+// Request contains the attributes of a request that routes match.
 type Request struct {
 	Listener string
 	Host     string // without a port, in lower case
@@ -68,14 +68,14 @@
 	ID       string
 }
 
-// Error describes an invalid route, or two routes that conflict.
+// Error describes an invalid route or two routes that conflict.
 type Error struct {
-	RouteIndex, OtherIndex int // OtherIndex is -1 if there is no conflict
+	RouteIndex, OtherIndex int // OtherIndex is -1 without a conflict
 	Line, OtherLine        int // lines of the two routes in the configuration
 	Problem                string
 }
 
-// Error returns the problem with the lines of the routes.
+// Error returns the problem and the lines of the routes.
 func (e *Error) Error() string {
 	if e.OtherIndex < 0 {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Problem)
@@ -83,8 +83,8 @@
 	return fmt.Sprintf("line %d: %s line %d", e.Line, e.Problem, e.OtherLine)
 }
 
-// check validates a route by itself. The syntax of Segments and Regexp is checked when the route is added to an
-// index.
+// check validates a route without regard to other routes. The syntax of Segments and Regexp is checked later, when
+// the route is added to an index.
 func (r *Route) check() error {
 	if err := r.checkPaths(); err != nil {
 		return err
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// checkPaths checks that at most one path condition is set. Unless it is a regular expression, it must be a path that
-// CheckPath accepts.
+// checkPaths checks that at most one path condition is set. CheckPath must accept the condition, unless it is a
+// regular expression.
 func (r *Route) checkPaths() error {
 	count := 0
 	for _, condition := range [...]struct{ key, value string }{
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// linearMatch is the reference implementation of Table.Match: it checks the routes one by one.
+// linearMatch is the reference implementation of Table.Match. It checks the routes one by one.
 func linearMatch(all []Route, req *Request) int {
 	return slices.IndexFunc(all, func(route Route) bool {
 		return linearHostMatches(route.Host, req.Host) &&
@@ -53,7 +53,7 @@
 }
 
 func linearConditionsHold(route *Route, req *Request) bool {
-	query, _ := url.ParseQuery(req.Query) // despite an error, the result has the parameters that could be parsed
+	query, _ := url.ParseQuery(req.Query) // despite an error, the result contains the parameters that could be parsed
 	return linearAllHold(route.Headers, req.Header) && linearAllHold(route.Query, query)
 }
 
@@ -162,8 +162,8 @@
 	return req
 }
 
-// A compiled table finds the same routes as a linear search. The environment variable REQUESTS sets the number of
-// requests.
+// TestMatch_EqualsLinearSearch checks that a compiled table finds the same routes as a linear search. The environment
+// variable REQUESTS sets the number of requests.
 func TestMatch_EqualsLinearSearch(t *testing.T) {
 	want := 20_000
 	if n, err := strconv.Atoi(os.Getenv("REQUESTS")); err == nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-// reachable reports whether no route is shadowed by an earlier one. All routes must be valid.
+// reachable reports whether no route is shadowed by an earlier route. All routes must be valid.
 func reachable(t *testing.T, all []Route) bool {
 	t.Helper()
 	_, err := New(all)
@@ -213,7 +213,7 @@
 	return err == nil
 }
 
-// If New rejects a route as unreachable, no request may match it.
+// TestNew_UnreachableRoutes checks that no request matches a route that New rejects as unreachable.
 func TestNew_UnreachableRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
@@ -274,7 +274,8 @@
 	}
 }
 
-// A route matches its fraction of the tenants, and still matches the same tenants when the fraction grows.
+// TestMatch_Fraction checks that a route matches its fraction of the tenants. When the fraction grows, the route must
+// still match the same tenants.
 func TestMatch_Fraction(t *testing.T) {
 	matchedTenants := func(fraction float64) (tenants map[string]bool) {
 		tenants = make(map[string]bool)
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// checkShadowed returns an *Error for the first shadowed route, which no request can reach because an earlier route
-// matches all its requests. Routes with different fixed first segments cannot shadow one another, so each route is
-// compared only with earlier ones that have the same first segment or a variable one.
+// checkShadowed returns an *Error for the first shadowed route. No request can reach a shadowed route, because an
+// earlier route matches all its requests. Routes with different fixed first segments cannot shadow each other. Each
+// route is therefore compared only with earlier routes that have the same first segment or a variable first segment.
 func (t *Table) checkShadowed() error {
 	bySegment := make(map[string][]int32) // routes by their fixed first segment
 	var anySegment []int32                // routes without a fixed first segment
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// shadowedError returns the error for a route that an earlier one covers.
+// shadowedError returns the error for the route later, which the route earlier covers.
 func (t *Table) shadowedError(later, earlier int) error {
 	route, other := &t.routes[later], &t.routes[earlier]
 	problem := "unreachable: all its requests match the route of"
@@ -47,8 +47,8 @@
 	return merged
 }
 
-// firstSegment returns the first segment of the paths that a route matches. fixed is false if the route matches paths
-// with different first segments.
+// firstSegment returns the first segment of the paths that a route matches. fixed is false if the first segments of
+// these paths differ.
 func (r *Route) firstSegment() (segment string, fixed bool) {
 	path := r.Path + r.Prefix + r.Segments
 	if len(path) < 2 {
@@ -58,8 +58,8 @@
 	return segment, segment[0] != '{'
 }
 
-// covers reports whether r matches every request that other matches. It may return false for a route that does,
-// because it does not compare different regular expressions.
+// covers reports whether r matches every request that other matches. It may return false for a route that r covers,
+// because different regular expressions are not compared.
 func (r *Route) covers(other *Route) bool {
 	if r.Fraction < 1 && (r.Fraction < other.Fraction || r.HashBy != other.HashBy || r.HashSalt != other.HashSalt) {
 		return false
@@ -87,7 +87,7 @@
 	return len(other) > 0 && !slices.ContainsFunc(other, isMissing)
 }
 
-// conditionsCover reports whether each of the conditions holds for every request for which all of other hold.
+// conditionsCover reports whether all of conditions hold for every request for which all of other hold.
 func conditionsCover(conditions, other []Condition) bool {
 	for _, condition := range conditions {
 		implied := func(o Condition) bool {
@@ -115,8 +115,9 @@
 	return segmentsCover(r.Segments, other.Path+other.Segments)
 }
 
-// segmentsCover reports whether a pattern of segments matches a path, or every path that another pattern matches. The
-// path is empty for a route with Prefix or Regexp, which is not covered because it may match paths of any length.
+// segmentsCover reports whether pattern, a value of Route.Segments, matches path. If path is also a pattern, every path
+// that it matches must match pattern. path is empty for a route with Prefix or Regexp. Such a route is not covered,
+// because it may match paths of any length.
 func segmentsCover(pattern, path string) bool {
 	if path == "" {
 		return false
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -10,20 +10,20 @@
 // Table is a compiled table of routes. It is immutable and safe for concurrent use.
 type Table struct {
 	routes    []Route
-	regexps   []*regexp.Regexp  // by index of the route; nil if it has no Regexp
+	regexps   []*regexp.Regexp  // by index of the route; nil: the route has no Regexp
 	hosts     map[string]*index // by exact host
-	wildcards map[string]*index // by the part of the wildcard after "*."
+	wildcards map[string]*index // by part of the wildcard after "*."
 	anyHost   index
 }
 
-// index finds the routes that may match a path. Each list holds indexes of routes in ascending order.
+// index finds the routes that may match a path. Each list contains indexes of routes in ascending order.
 type index struct {
 	exact map[string][]int32
 	trie  node
 	other []int32 // routes without a path condition, and those whose Regexp has no literal prefix of whole segments
 }
 
-// node is a node of a trie whose edges are path segments.
+// node is a node of a trie. The edges of the trie are path segments.
 type node struct {
 	children  map[string]*node
 	parameter *node   // child for any segment that is not empty
@@ -31,8 +31,9 @@
 	prefixes  []int32 // routes whose Prefix, or the literal prefix of whose Regexp, ends here
 }
 
-// New compiles a table. It returns an *Error for an invalid route, for a route that no request can reach because an
-// earlier route matches all its requests, and for two routes with the same conditions but different results.
+// New compiles a table. It returns an *Error for an invalid route and for two routes with the same conditions but
+// different results. It also returns an *Error for a route that no request can reach because an earlier route matches
+// all its requests.
 func New(all []Route) (*Table, error) {
 	table := &Table{
 		routes:    slices.Clone(all),
@@ -51,13 +52,13 @@
 	return table, nil
 }
 
-// Route returns the route at an index that Match has returned.
+// Route returns the route with index n, as returned by Match.
 func (t *Table) Route(n int) *Route { return &t.routes[n] }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// add validates and normalizes a route, and adds it to the index of its host.
+// add validates and normalizes the route with index i, and adds the route to the index of its host.
 func (t *Table) add(i int) error {
 	route := &t.routes[i]
 	if err := route.check(); err != nil {
@@ -72,7 +73,7 @@
 	return t.addPath(t.hostIndex(route.Host), route, i)
 }
 
-// hostIndex returns the index of a host, and creates it if it does not exist.
+// hostIndex returns the index of a host. It creates a missing index.
 func (t *Table) hostIndex(host string) *index {
 	if host == "" {
 		return &t.anyHost
@@ -88,7 +89,8 @@
 	return byName[name]
 }
 
-// addPath adds a route to the lists of an index that fit its path condition.
+// addPath adds a route to the list of an index that fits the path condition of the route. i is the index of the
+// route.
 func (t *Table) addPath(index *index, route *Route, i int) error {
 	number := int32(i)
 	switch {
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// addRegexp compiles a route's regular expression. If it begins with whole literal segments, the route is added to
-// their node, so that only paths below it are matched against the expression.
+// addRegexp compiles a route's regular expression. If the expression begins with whole literal segments, the route is
+// added to the node of these segments. Only paths below this node are then matched against the expression.
 func (t *Table) addRegexp(index *index, text string, number int32) error {
 	anchored, err := regexp.Compile(`\A(?:` + text + `)\z`)
 	if err != nil {
@@ -141,7 +143,7 @@
 	end.prefixes = append(end.prefixes, number)
 }
 
-// descend returns the node of a path. It creates the nodes on the way that do not exist.
+// descend returns the node of a path. It creates missing nodes on the way.
 func (n *node) descend(path string) *node {
 	for _, segment := range strings.Split(path[1:], "/") {
 		if strings.HasPrefix(segment, "{") {
--- a/internal/simprotocol/args.go
+++ b/internal/simprotocol/args.go
@@ -8,11 +8,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxInterned limits the number of interned strings. Without a limit, names of servers that no longer exist would
+// maxInterned is the maximum number of interned strings. Without a limit, names of servers that no longer exist would
 // accumulate.
 const maxInterned = 1 << 14
 
-// args reads the values of a message by index and records the first error.
+// args reads the values of a message by index. It records the first error.
 type args struct {
 	values  []*fastjson.Value
 	decoder *Decoder
@@ -25,8 +25,8 @@
 	}
 }
 
-// optional returns the value at index i, or nil if it is absent or null. A value of another type is an error and also
-// returns nil.
+// optional returns the value at index i, or nil if the value is absent or null. For a value of another type, it
+// records an error and returns nil.
 func (a *args) optional(i int, field string, want fastjson.Type) *fastjson.Value {
 	if i >= len(a.values) || a.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -62,7 +62,7 @@
 	return string(v.GetStringBytes())
 }
 
-// internedStr reads a string that occurs often, and interns it.
+// internedStr reads a string that occurs often and interns the string.
 func (a *args) internedStr(i int, field string) string {
 	return a.decoder.intern(a.required(i, field, fastjson.TypeString))
 }
@@ -131,11 +131,10 @@
 	return fromMillis(ms)
 }
 
-// maxMillis is the longest time that is accepted, in milliseconds: half of the range of time.Duration, about 146
-// years.
+// maxMillis is the maximum accepted time in milliseconds: half of the range of time.Duration, about 146 years.
 const maxMillis = math.MaxInt64 / 2e6
 
-// fromMillis converts milliseconds to a duration, rounded to the protocol's resolution of a microsecond.
+// fromMillis returns ms milliseconds as a duration, rounded to a microsecond, the protocol's resolution.
 func fromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1e3)) * time.Microsecond
 }
@@ -161,7 +160,7 @@
 	}
 	report := make([]float64, 0, len(v.GetArray()))
 	for _, element := range v.GetArray() {
-		n := math.NaN() // null means that the value is absent
+		n := math.NaN() // null: the value is absent
 		if element.Type() == fastjson.TypeNumber {
 			n = element.GetFloat64()
 		} else if element.Type() != fastjson.TypeNull {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,5 +1,6 @@
-// Package simprotocol translates between the simulator's line protocol and the types of package policy, and parses the
-// protocol's settings. It makes no decisions about requests. The protocol's names occur in this package only.
+// Package simprotocol translates between the simulator's line protocol and the types of package policy. It also
+// parses the protocol's settings. It makes no decisions about requests. The names of the protocol occur only in this
+// package.
 package simprotocol
 
 import (
@@ -20,7 +21,7 @@
 const (
 	BatchStart Kind = iota // begins a batch; Now is set
 	BatchEnd               // ends a batch
-	ListStored             // the line contained an endpoint list, which the decoder has stored
+	ListStored             // the line contained an endpoint list, which is now stored in the decoder
 	Configure              // Node, Seed and Settings are set
 	Shutdown               // Node is set
 	Event                  // Node and Event are set
@@ -30,7 +31,7 @@
 type Line struct {
 	Kind     Kind
 	Now      policy.Time
-	Node     int // number of the instance that the line is for
+	Node     int // number of the instance that receives the line
 	Seed     uint64
 	Settings policy.Settings
 	Event    policy.Event
@@ -41,7 +42,7 @@
 type Decoder struct {
 	parser        fastjson.Parser
 	endpointLists [maxLists][]policy.Endpoint
-	received      [maxLists]bool // whether the list at an index was received
+	received      [maxLists]bool // lists that were received, by index
 	interned      map[string]string
 }
 
@@ -104,14 +105,14 @@
 	return line, nil
 }
 
-// printableName returns a message's name as printable characters on one line, cut to a maximum length.
+// printableName returns a message's name as printable characters on one line, cut to maxLength.
 func printableName(name string) string {
-	const maxLength = 60 // bytes; more than any name of the protocol has
+	const maxLength = 60 // bytes; all names of the protocol are shorter
 	quoted := strings.Trim(strconv.Quote(name), `"`)
 	return quoted[:min(len(quoted), maxLength)]
 }
 
-// firstLine cuts a parser's error to its first line and a maximum length.
+// firstLine returns the first line of a parser's error, cut to maxLength.
 func firstLine(err error) error {
 	const maxLength = 200 // bytes; the parser may quote a whole line of input
 	text := err.Error()
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -8,14 +8,14 @@
 	"cobaltward/policy"
 )
 
-// actionNames are the protocol's names of actions, by kind.
+// actionNames contains the protocol's name of each action, by kind.
 var actionNames = [...]string{
 	policy.Send: "handOff", policy.Reject: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
 	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendToPeer: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchEndpoints: "listen", policy.FetchEndpoints: "readList",
 }
 
-// AppendAction appends the line for an action of an instance.
+// AppendAction appends the line for an action of the instance with number node.
 func AppendAction(b []byte, node int, action policy.Action) []byte {
 	b = append(b, `["`...)
 	b = append(b, actionNames[action.Kind]...)
@@ -50,7 +50,7 @@
 	return append(b, "]\n"...)
 }
 
-// AppendCrash appends the line that reports a panic of an instance.
+// AppendCrash appends the line that reports a panic of the instance with number node. text is the panic's message.
 func AppendCrash(b []byte, node int, text string) []byte {
 	b = strconv.AppendInt(append(b, `["broken",`...), int64(node), 10)
 	return append(appendString(b, text), "]\n"...)
@@ -67,7 +67,7 @@
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(s) // cannot fail for a string
+			quoted, _ := json.Marshal(s) // never fails for a string
 			return append(b, quoted...)
 		}
 	}
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxLists is the number of endpoint lists that the protocol can store; it numbers them from 0.
+// maxLists is the number of endpoint lists that the protocol can store. The lists are numbered from 0.
 const maxLists = 16
 
 func (d *Decoder) listIndex(args *args, i int) int {
@@ -26,7 +26,7 @@
 	if args.err != nil {
 		return args.err
 	}
-	// Always allocates a new slice, because instances may still read the previous one.
+	// Instances may still read the previous slice, so each list gets a new slice.
 	endpoints := make([]policy.Endpoint, 0, len(records.GetArray()))
 	for i, record := range records.GetArray() {
 		endpoint, err := d.parseEndpoint(record)
--- a/internal/simprotocol/object.go
+++ b/internal/simprotocol/object.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// object reads the values of a JSON object by key and records the first error. Unknown keys are ignored, and an absent
-// key reads as the zero value.
+// object reads the values of a JSON object by key. It records the first error. Unknown keys are ignored, and an
+// absent key reads as the zero value.
 type object struct {
 	value *fastjson.Value
 	path  string // prefix of keys in errors
@@ -103,7 +103,7 @@
 	return v != nil && v.Type() == fastjson.TypeTrue
 }
 
-// enumValue looks the string at a key up in a table. An absent key reads as the empty string.
+// enumValue returns the table's value for the string at a key. An absent key reads as the empty string.
 func enumValue[T any](o object, key string, table map[string]T) T {
 	s := o.str(key)
 	t, ok := table[s]
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// The protocol's names for values of enumerations.
+// The protocol's names for the values of enumerations.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"": policy.NonIdempotent, "single_shot": policy.NonIdempotent,
@@ -22,7 +22,7 @@
 	weightings    = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ParseSettings parses the JSON of a settings object, as contained in the configuration of a node.
+// ParseSettings parses the JSON of a settings object, which a node's configuration contains.
 func ParseSettings(raw []byte) (policy.Settings, error) {
 	conf, err := fastjson.ParseBytes(raw)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return parseSettings(conf)
 }
 
-// parseSettings parses a settings object, as contained in a configure message.
+// parseSettings parses a settings object, which a configure message contains.
 func parseSettings(conf *fastjson.Value) (policy.Settings, error) {
 	var err error
 	root := object{value: conf, err: &err}
@@ -98,7 +98,7 @@
 	}
 }
 
-// parseRetryBudget returns the retry budget, or nil if none of its fields is present.
+// parseRetryBudget returns the retry budget, or nil if all its fields are absent.
 func parseRetryBudget(guarantees object) *policy.RetryBudget {
 	isPresent := func(key string) bool { return guarantees.get(key, fastjson.TypeNumber) != nil }
 	if !isPresent("minExtra") && !isPresent("budgetShare") && !isPresent("ratioSpan") {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// ParseSettings returns the same settings as the decoder does for a configure message.
+// TestParseSettings checks that ParseSettings returns the same settings as the decoder does for a configure message.
 func TestParseSettings(t *testing.T) {
 	const conf = `{"position":1,"groupSize":4,"services":[{"name":"x","deadline":600,"repeat":"free"}]}`
 	got, err := ParseSettings([]byte(conf))
@@ -190,7 +190,8 @@
 	}
 }
 
-// A list that reuses a number must not change the previous list, which instances may still read.
+// TestDecode_ListNumberReused checks that a list that reuses a number does not change the previous list. Instances
+// may still read the previous list.
 func TestDecode_ListNumberReused(t *testing.T) {
 	var decoder Decoder
 	decode(t, &decoder, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
@@ -233,7 +234,7 @@
 	}
 }
 
-// For any input, the decoder returns a line of the protocol or an error that is a single line of text.
+// FuzzDecode checks that the decoder returns a line of the protocol or a single-line error for any input.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`["mark",1]`, `["ingress",3,"id","c","t","k",240.0,12.0,true,true]`,
--- a/internal/standalone/check.go
+++ b/internal/standalone/check.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// checkPlatform checks that the file of a node with a platform has no tables for standalone nodes.
+// checkPlatform rejects tables for standalone nodes in the file of a node with a platform.
 func (f *File) checkPlatform() error {
 	for _, table := range []struct {
 		key   string
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// checkClassReferences checks that the classes that routes and buckets refer to exist.
+// checkClassReferences checks that all classes in routes and buckets exist.
 func (f *File) checkClassReferences() error {
 	names := make([]string, 0, len(f.Classes))
 	for _, class := range f.Classes {
--- a/internal/standalone/class.go
+++ b/internal/standalone/class.go
@@ -7,7 +7,7 @@
 	"cobaltward/policy"
 )
 
-// Class is a table [[class]], a class of requests.
+// Class is a table [[class]], which defines a class of requests.
 type Class struct {
 	Name               string        `toml:"name" need:"1"`
 	LatencyObjective   time.Duration `toml:"aim" min:"1ms" max:"1h"`
@@ -16,20 +16,20 @@
 	DedupScope         string        `toml:"group" one:"all|zone|cell"` // empty: all
 	DedupWindow        time.Duration `toml:"window" min:"0s" max:"24h"`
 	PriorityWeight     float64       `toml:"worth" min:"0"`              // 0: 1
-	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"` // part of PriorityWeight after LatencyObjective
+	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"` // fraction of PriorityWeight after LatencyObjective
 	Zones              []string      `toml:"zones"`
 	Kinds              []string      `toml:"kinds"`
 	Pool               string        `toml:"pool"`
 }
 
-// idempotencies maps the values of the key repeat.
+// idempotencies maps the values of the key repeat to the values of package policy.
 var idempotencies = map[string]policy.Idempotency{
 	"free":    policy.Idempotent,
 	"guarded": policy.IdempotencyKeyed,
 	"never":   policy.NonIdempotent,
 }
 
-// dedupScopes maps the values of the key group.
+// dedupScopes maps the values of the key group to the values of package policy.
 var dedupScopes = map[string]policy.DedupScope{
 	"":     policy.DedupAll,
 	"all":  policy.DedupAll,
@@ -37,7 +37,7 @@
 	"cell": policy.DedupCell,
 }
 
-// settings converts the class to the type of package policy.
+// settings returns the class as the type of package policy.
 func (c *Class) settings() policy.Class {
 	return policy.Class{
 		Name:               c.Name,
@@ -54,21 +54,21 @@
 	}
 }
 
-// Tenant is a customer with a quota.
+// Tenant is a table [[tenant]], which defines a customer with a quota.
 type Tenant struct {
 	Name  string  `toml:"name" need:"1"`
 	Quota float64 `toml:"quota" min:"0"` // requests per second over all nodes
 	Share float64 `toml:"share" min:"0" max:"1"`
 }
 
-// Buckets configures the token buckets for rate limits.
+// Buckets configures the token buckets of the rate limits.
 type Buckets struct {
 	Default *Bucket           `toml:"default"` // for tenants without a quota
-	Classes map[string]Bucket `toml:"classes"` // by class
+	Classes map[string]Bucket `toml:"classes"` // by name of the class
 	Max     float64           `toml:"max" min:"0"`
 }
 
-// Bucket is a token bucket.
+// Bucket configures a token bucket.
 type Bucket struct {
 	Rate  float64       `toml:"rate" need:"1" min:"0"`   // requests per Per
 	Per   time.Duration `toml:"per" min:"1ms" max:"24h"` // 0: 1 s
@@ -79,7 +79,7 @@
 	return policy.Limit{PerWindow: b.Rate, Window: cmp.Or(b.Per, time.Second), Burst: b.Burst}
 }
 
-// rateLimits converts the buckets to the type of package policy.
+// rateLimits returns the buckets as the type of package policy.
 func (b *Buckets) rateLimits() policy.RateLimits {
 	limits := policy.RateLimits{Max: b.Max}
 	if b.Default != nil {
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -1,6 +1,6 @@
 // Package standalone reads the configuration of a standalone node, which has no platform, from the operator's own
-// file: the listener, classes, tenants and servers, the routes that assign classes to requests, and the layers that
-// identify tenants. Its Frontend converts clients' requests to the router's protocol.
+// file. The configuration contains the listener, classes, tenants and servers, the routes that assign classes to
+// requests, and the layers that identify tenants. Frontend converts clients' requests to the router's protocol.
 package standalone
 
 import (
@@ -15,8 +15,8 @@
 	"cobaltward/policy"
 )
 
-// File is the operator's own file. Package nodeconfig reads the tables of type any; the others are read by this
-// package.
+// File is the operator's own file. Package nodeconfig reads the tables of type any, and this package reads the other
+// tables.
 type File struct {
 	Node         Node         `toml:"node"`
 	Listen       []Listen     `toml:"listen"`
@@ -58,29 +58,29 @@
 	Address string `toml:"address" need:"1"`
 }
 
-// Limits bounds the resources of the process and the attempts for a request.
+// Limits bounds the resources of the process and the attempts for each request.
 type Limits struct {
-	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // file descriptors; 0: 1024
-	MemoryMB        int           `toml:"memory_mb" min:"16"`             // memory of the process; 0: 192
+	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // maximum file descriptors; 0: 1024
+	MemoryMB        int           `toml:"memory_mb" min:"16"`             // maximum memory of the process; 0: 192
 	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // CPU cores of the process; 0: 1
-	MaxOpen         int           `toml:"open" min:"1"`                   // limit of unanswered requests
+	MaxOpen         int           `toml:"open" min:"1"`                   // maximum unanswered requests
 	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // timeout for connecting to a server; 0: 250 ms
-	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // attempts for one request; 0: 4
-	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // upper bound of the header Retry-After; 0: 10 s
+	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // maximum attempts for one request; 0: 4
+	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // maximum of the header Retry-After; 0: 10 s
 	Hedging         bool          `toml:"second_copies"`
 	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers' idle timeout; 0: 60 s
 	DrainGrace      time.Duration `toml:"drain_grace" min:"0s" max:"1m"`
 }
 
-// State configures where a node stores its learned state for the next start.
+// State configures the file in which a node stores its learned state for the next start.
 type State struct {
 	File         string        `toml:"file"`
 	SaveInterval time.Duration `toml:"every" min:"100ms" max:"1h"` // 0: 2 s
-	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age at which its weight has halved; 0: 1 min
-	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // age from which the state is ignored; 0: 10 min
+	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age at which the state has half its weight; 0: 1 min
+	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // maximum age; an older state is ignored; 0: 10 min
 }
 
-// Rules of the policy on a standalone node that the file cannot set.
+// Rules of the policy for a standalone node that the file cannot set.
 const (
 	answerGrace       = 50 * time.Millisecond
 	defaultDrainGrace = 500 * time.Millisecond
@@ -96,8 +96,8 @@
 	defaultConnIdleTimeout = time.Minute
 )
 
-// Load reads the file at a path. An empty path means an empty file. Errors are one line, which names the file, the
-// line and the key.
+// Load reads the file at path. An empty path means an empty file. Errors are one line, which names the file, the line
+// and the key.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
@@ -116,20 +116,20 @@
 	return file, nil
 }
 
-// Path returns the path from which the file was read.
+// Path returns the path of the file that Load has read.
 func (f *File) Path() string { return f.path }
 
 // Standalone reports whether the file configures a standalone node.
 func (f *File) Standalone() bool { return len(f.Listen) > 0 }
 
-// Equal reports whether two files have the same settings, whatever their paths and layout.
+// Equal reports whether two files have the same settings, regardless of their paths and layout.
 func (f *File) Equal(other *File) bool {
 	a, b := *f, *other
 	a.lines, a.path, b.lines, b.path = nil, "", nil, ""
 	return reflect.DeepEqual(a, b)
 }
 
-// resolvePath resolves a path in the file. Relative paths are relative to the file's directory.
+// resolvePath returns the path that name means in the file. A relative path is relative to the file's directory.
 func (f *File) resolvePath(name string) string {
 	if name == "" || filepath.IsAbs(name) {
 		return name
@@ -137,7 +137,7 @@
 	return filepath.Join(filepath.Dir(f.path), name)
 }
 
-// Settings returns the settings of the policy that the file configures.
+// Settings returns the policy settings that the file configures.
 func (f *File) Settings() policy.Settings {
 	settings := policy.Settings{
 		Node:  f.Node.Index,
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Fleet is the table [fleet]. It configures a process of the fleet: a replica of its log, or an agent that runs beside
-// a node. This package only validates it; wayhold-fleet uses it.
+// Fleet is the table [fleet]. It configures a process of the fleet: a replica of the fleet's log, or an agent beside
+// a node. This package only validates the table. wayhold-fleet uses the table.
 type Fleet struct {
 	Name             string            `toml:"name" need:"1"`
 	Zone             string            `toml:"zone"`
 	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls between processes of the fleet
-	Address          string            `toml:"address"`             // at which other processes connect; empty: Listen
-	TokenFile        string            `toml:"token_file" need:"1"` // its first line is the bearer token for all calls
+	Address          string            `toml:"address"`             // address at which other processes connect; empty: Listen
+	TokenFile        string            `toml:"token_file" need:"1"` // file whose first line is the bearer token for all calls
 	Cert             string            `toml:"cert"`                // certificate chain of this process; empty: no TLS
 	Key              string            `toml:"key"`
 	Trust            string            `toml:"trust"`                      // authorities of the processes' certificates
-	TLSName          string            `toml:"tls_name"`                   // in all certificates; empty: wayhold-fleet
+	TLSName          string            `toml:"tls_name"`                   // name in all certificates; empty: wayhold-fleet
 	Dir              string            `toml:"dir" need:"1"`               // directory of durable data
 	Replicas         []string          `toml:"council"`                    // addresses of 1, 3 or 5 replicas
 	AddressOverrides map[string]string `toml:"via"`                        // address to dial instead, by address
@@ -28,10 +28,10 @@
 	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after ten ticks; 0: 100 ms
 	Capacity         float64           `toml:"capacity" min:"0"`           // capacity of the agent's node; 0: 1
 	LeaseKinds       []string          `toml:"owns" one:"round"`           // kinds of leases that this process may hold
-	PatchCommand     []string          `toml:"patch"`                      // command line; run by a rolling update
+	PatchCommand     []string          `toml:"patch"`                      // command line of a patch in a rolling update
 	CheckCommand     []string          `toml:"look"`                       // exit status 0: patched; 1: not patched
-	RevertCommand    []string          `toml:"revert"`                     // undoes PatchCommand
-	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // of each command and of a drain; 0: 10 min
+	RevertCommand    []string          `toml:"revert"`                     // command line that undoes PatchCommand
+	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // timeout for each command and each drain; 0: 10 min
 }
 
 // Defaults of the table [fleet].
@@ -73,8 +73,8 @@
 	return checkFleetAddress(file, "address", t.Address)
 }
 
-// checkFleetAddress checks that an address is IP:port, and that it is not the address of the node's listener. Port 0
-// is allowed for the key listen only.
+// checkFleetAddress checks that an address is IP:port and differs from the address of the node's listener. Port 0 is
+// allowed only for the key listen.
 func checkFleetAddress(file *File, key, value string) error {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || (address.Port() == 0 && key != "listen") {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// checkFleetName checks that a name is safe to use in paths and logs.
+// checkFleetName checks that a name is safe in paths and logs.
 func checkFleetName(name string) error {
 	if name == "" || len(name) > maxFleetNameLen || strings.ContainsFunc(name, notAllowedInFleetName) {
 		return fmt.Errorf("want 1 to %d letters, digits, dots, dashes and underscores, got %q", maxFleetNameLen, name)
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -28,15 +28,16 @@
 // anonymousNameTTL is the minimum time for which an anonymous client keeps its tenant name after its last request.
 const anonymousNameTTL = 10 * time.Minute
 
-// Frontend converts clients' requests to the router's protocol: it sets the class by the routes, the tenant by the
-// identity layers, and the deadline and the request ID. Its methods may be called from several goroutines at once.
+// Frontend converts clients' requests to the router's protocol. The routes determine the class, and the identity
+// layers determine the tenant. Frontend also sets the deadline and the request ID. Its methods are safe for
+// concurrent use.
 type Frontend struct {
 	tables    atomic.Pointer[tables]
 	anonymous *identity.AnonymousTenants
 	startedAt time.Time
 }
 
-// tables are the compiled settings that apply to a request. Reload replaces all of them at once.
+// tables contains the compiled settings that apply to a request. Reload replaces all settings at once.
 type tables struct {
 	routes     *routes.Table
 	identities *identity.Resolver
@@ -52,7 +53,7 @@
 	return frontend, frontend.Reload(file)
 }
 
-// Reload applies another file to all requests that arrive afterwards. If it returns an error, the previous file still
+// Reload applies another file to all requests that arrive afterwards. After an error, the previous file still
 // applies.
 func (f *Frontend) Reload(file *File) error {
 	loaded := &tables{deadlines: make(map[string]time.Duration)}
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// Handler returns a handler that converts requests to the router's protocol and passes them to next. A GET of
-// readyPath is passed unchanged.
+// Handler returns a handler that converts requests to the router's protocol and passes them to next. It passes a GET
+// of readyPath unchanged.
 func (f *Frontend) Handler(next http.Handler, readyPath string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == readyPath && r.Method == http.MethodGet {
@@ -109,7 +110,7 @@
 	})
 }
 
-// tenant returns the tenant of a request, or the tenant name of an anonymous client.
+// tenant returns the tenant of a request. For an anonymous client, it returns the client's assigned tenant name.
 func (f *Frontend) tenant(current *tables, r *http.Request) string {
 	peer, _ := netip.ParseAddrPort(r.RemoteAddr) // the zero value for a client on a Unix socket
 	names := secure.PeerNames(r.Context())
@@ -120,7 +121,7 @@
 	return f.anonymous.Tenant(found.Network, time.Since(f.startedAt))
 }
 
-// requestID returns the ID that the client has set if it is valid, or a new one.
+// requestID returns the ID that the client has set. If this ID is missing or invalid, it returns a new ID.
 func requestID(r *http.Request) string {
 	if id := singleHeader(r, headerID); router.ValidID(id) {
 		return id
@@ -128,8 +129,8 @@
 	return rand.Text()
 }
 
-// requestTimeout returns the shortest of three timeouts: the deadline of the request's class, the timeout of the
-// route, and the deadline in the client's header.
+// requestTimeout returns the shortest of three times: timeout, which is the deadline of the request's class, the
+// timeout of the route, and the deadline in the client's header.
 func requestTimeout(r *http.Request, route *routes.Route, timeout time.Duration) time.Duration {
 	if route.Timeout > 0 {
 		timeout = min(timeout, route.Timeout)
@@ -150,7 +151,7 @@
 	return host
 }
 
-// singleHeader returns the value of a header that occurs exactly once, or an empty string.
+// singleHeader returns the value of a header that occurs exactly once. Otherwise it returns an empty string.
 func singleHeader(r *http.Request, name string) string {
 	if values := r.Header[name]; len(values) == 1 {
 		return values[0]
--- a/internal/standalone/identity.go
+++ b/internal/standalone/identity.go
@@ -10,10 +10,10 @@
 
 // Identity configures how the tenants of requests are identified.
 type Identity struct {
-	Trusted   []string `toml:"trusted"` // networks of proxies whose tenant and forwarding headers are believed
+	Trusted   []string `toml:"trusted"` // networks of proxies with trusted tenant and forwarding headers
 	Forwarded string   `toml:"forwarded" one:"X-Forwarded-For|Forwarded"`
 	Layers    []Layer  `toml:"layer"`
-	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // names for clients that no layer identifies; 0: 10000
+	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // maximum number of names for clients that no layer identifies; 0: 10000
 }
 
 // Layer is one way to identify a tenant.
@@ -27,7 +27,7 @@
 
 const byCertificate = "certificate"
 
-// layerKinds maps the values of the key by.
+// layerKinds maps the values of the key by to kinds of layers.
 var layerKinds = map[string]identity.Kind{
 	"header":      identity.Header,
 	"cookie":      identity.Cookie,
@@ -37,7 +37,7 @@
 	byCertificate: identity.Certificate,
 }
 
-// IdentityResolver compiles the layers to a resolver of tenants.
+// IdentityResolver returns a resolver of tenants, compiled from the layers.
 func (f *File) IdentityResolver() (*identity.Resolver, error) {
 	config := identity.Config{Trusted: f.Identity.Trusted, Forwarded: f.Identity.Forwarded}
 	for _, tenant := range f.Tenants {
@@ -55,5 +55,5 @@
 	return identity.New(config)
 }
 
-// AnonymousNames returns the number of tenant names for clients that no layer identifies.
+// AnonymousNames returns the maximum number of tenant names for clients that no layer identifies.
 func (f *File) AnonymousNames() int { return cmp.Or(f.Identity.Anonymous, defaultAnonymousNames) }
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -10,14 +10,14 @@
 	"cobaltward/policy"
 )
 
-// Service has the settings that all levels of reduced service share.
+// Service contains the settings that all levels of reduced service share.
 type Service struct {
-	ShedLast    []string      `toml:"guarded"`                 // classes of which no level may shed more than of others
-	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // time between changes of the level; 0: 30 s
+	ShedLast    []string      `toml:"guarded"`                 // classes of which no level may shed more than of other classes
+	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // minimum time between changes of the level; 0: 30 s
 	DryRun      bool          `toml:"dry_run"`                 // levels are computed and counted, but not applied
 }
 
-// Level is a level of reduced service, with the conditions to enter and to leave it.
+// Level is a level of reduced service, with the conditions for entering and leaving the level.
 type Level struct {
 	Name     string      `toml:"name" need:"1"`
 	Enter    []Condition `toml:"enter" need:"1"`
@@ -25,7 +25,7 @@
 	Measures []Measure   `toml:"measure" need:"1"`
 }
 
-// Condition compares a signal with a threshold. It holds once the comparison has been true for some time.
+// Condition compares a signal with a threshold. It holds after the comparison has been true for the time For.
 type Condition struct {
 	Signal    string        `toml:"signal" need:"1" one:"demand|slow|held"`
 	Class     string        `toml:"class"`
@@ -36,7 +36,7 @@
 // Measure is a restriction that a level applies to a class.
 type Measure struct {
 	Class       string   `toml:"class" need:"1"`
-	Tenants     []string `toml:"tenants"` // empty: all
+	Tenants     []string `toml:"tenants"` // empty: all tenants
 	Shed        float64  `toml:"shed" min:"0" max:"1"`
 	NoHedging   bool     `toml:"no_copies"`
 	MaxAttempts int      `toml:"attempts" min:"1"`
@@ -47,15 +47,15 @@
 	FollowDemand bool          `toml:"follow"` // shed the excess of demand over capacity, and at most Shed
 }
 
-// signals maps the values of the key signal.
+// signals maps the values of the key signal to the signals of package levels.
 var signals = map[string]levels.Signal{
 	"demand": levels.Demand,
 	"slow":   levels.SlowAnswers,
 	"held":   levels.Queued,
 }
 
-// LevelsConfig returns the configuration of the levels for a node's classes, or nil if the file has no levels. Errors
-// name the line.
+// LevelsConfig returns the configuration of the levels for a node's classes, or nil if the file contains no levels.
+// Errors name the line.
 func (f *File) LevelsConfig(classes []policy.Class) (*levels.Config, error) {
 	if len(f.Levels) == 0 {
 		return nil, nil
@@ -83,7 +83,7 @@
 	return config, nil
 }
 
-// config converts the level to the type of package levels.
+// config returns the level as the type of package levels.
 func (l *Level) config() levels.Level {
 	level := levels.Level{Name: l.Name, Enter: toConditions(l.Enter), Exit: toConditions(l.Exit)}
 	for _, measure := range l.Measures {
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -16,12 +16,12 @@
 type Route struct {
 	Listener string            `toml:"listener"`
 	Host     string            `toml:"host"`
-	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the class's method
+	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the method of the class
 	Path     string            `toml:"path"`
 	Prefix   string            `toml:"prefix"`
 	Segments string            `toml:"segments"`
 	Regexp   string            `toml:"regexp"`
-	Headers  map[string]string `toml:"headers"` // "*": present with any value; "!": not present
+	Headers  map[string]string `toml:"headers"` // "*": present with any value; "!": absent
 	Query    map[string]string `toml:"query"`   // values as in Headers
 	Fraction float64           `toml:"share" min:"0" max:"1"`
 	HashBy   string            `toml:"by" one:"tenant|key|id"` // empty: tenant
@@ -36,8 +36,8 @@
 	valueMissing = "!"
 )
 
-// RouteTable returns the compiled table of routes. If the file has no routes, a single route assigns the first class
-// to all requests.
+// RouteTable returns the compiled table of routes. If the file contains no routes, the only route assigns the first
+// class to all requests.
 func (f *File) RouteTable() (*routes.Table, error) {
 	all := make([]routes.Route, 0, len(f.Routes))
 	for i := range f.Routes {
@@ -66,7 +66,8 @@
 	return nil, &stricttoml.Error{Line: invalid.Line, Key: key, Message: message}
 }
 
-// compileRoute converts a route to the type of package routes. It checks that the class allows the route's methods.
+// compileRoute returns the route with an index as the type of package routes. It checks that the class allows the
+// route's methods.
 func (f *File) compileRoute(index int) (routes.Route, error) {
 	route, key := f.Routes[index], fmt.Sprintf("route[%d]", index)
 	allowed, methods := f.classMethod(route.Class), route.Methods
@@ -114,7 +115,7 @@
 	return fields
 }
 
-// class returns the class with a name, or the zero value if there is none.
+// class returns the class with a name, or the zero value if there is no such class.
 func (f *File) class(name string) Class {
 	for _, class := range f.Classes {
 		if class.Name == name {
@@ -124,7 +125,7 @@
 	return Class{}
 }
 
-// classMethod returns the HTTP method that requests of a class have.
+// classMethod returns the HTTP method of the requests of a class.
 func (f *File) classMethod(name string) string {
 	class := f.class(name)
 	return router.Method(class.settings())
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -11,9 +11,9 @@
 	"cobaltward/router"
 )
 
-// Server is a table [[server]], an app server.
+// Server is a table [[server]], which defines an app server.
 type Server struct {
-	ID       string   `toml:"id"` // empty: its address
+	ID       string   `toml:"id"` // empty: Address
 	Address  string   `toml:"address" need:"1"`
 	Zone     string   `toml:"zone"`
 	Kind     string   `toml:"kind"`
@@ -23,13 +23,13 @@
 	Draining bool     `toml:"drain"`
 }
 
-// ServerSource configures a further source of servers.
+// ServerSource configures an additional source of servers.
 type ServerSource struct {
-	File string `toml:"file"` // TOML with [[server]]; read again when it changes
+	File string `toml:"file"` // TOML file with [[server]]; read again when it changes
 }
 
-// Endpoints returns the servers in the file and those in the file of servers that it names. It returns an error if two
-// of them have the same ID.
+// Endpoints returns the servers in this file and in the file of servers that this file names. It returns an error if
+// two servers have the same ID.
 func (f *File) Endpoints() ([]router.Endpoint, error) {
 	endpoints, err := toEndpoints(f.lines, f.Servers)
 	if err != nil || f.ServerSource.File == "" {
@@ -47,10 +47,11 @@
 	return append(endpoints, further...), nil
 }
 
-// ServersPath returns the path of the file of servers, or an empty string if there is none.
+// ServersPath returns the path of the file of servers, or an empty string if no such file is configured.
 func (f *File) ServersPath() string { return f.resolvePath(f.ServerSource.File) }
 
-// ReadServers reads a file of [[server]] tables. Errors are one line, which names the file, the line and the key.
+// ReadServers returns the servers in a file of [[server]] tables. Errors are one line, which names the file, the line
+// and the key.
 func ReadServers(path string) ([]router.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -12,14 +12,14 @@
 	"cobaltward/transport/secure"
 )
 
-// TLS is the table [tls]. It configures which connections use TLS, and with which certificates. Limits that are zero
-// take the defaults of package handshakes.
+// TLS is the table [tls]. It configures which connections use TLS, and with which certificates. Limits of zero mean
+// the defaults of package handshakes.
 type TLS struct {
 	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // interval between checks of the files; 0: 1 s
-	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // before expiry; empty: 30 days, 7 days, 1 day
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // lead times of warnings of expiry; empty: 30 days, 7 days, 1 day
 	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // fraction of a core for handshakes under load
 	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
-	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // concurrent handshakes with all servers
+	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // maximum concurrent handshakes with all servers
 	MaxPerServer        int             `toml:"per_server" min:"1" max:"1000"`
 	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // for a server that has just started
 	Servers             []TLSServers    `toml:"servers"`
@@ -40,7 +40,7 @@
 	Trust string   `toml:"trust"`
 	Cert  string   `toml:"cert"`
 	Key   string   `toml:"key"`
-	// Names of secrets that the control plane sends, instead of files.
+	// Names of secrets from the control plane, which replace files.
 	TrustSDS string `toml:"trust_sds"`
 	CertSDS  string `toml:"cert_sds"`
 
@@ -64,14 +64,14 @@
 
 const defaultTLSPollInterval = time.Second
 
-// defaultExpiryWarnings returns the times before a certificate's expiry at which the node warns.
+// defaultExpiryWarnings returns the default lead times of warnings of a certificate's expiry.
 func defaultExpiryWarnings() []time.Duration {
 	const day = 24 * time.Hour
 	return []time.Duration{30 * day, 7 * day, day}
 }
 
-// NodeTLS reads the files that the table [tls] names, and returns the node's TLS configuration. It is nil if the file
-// has no such table. Errors name the line.
+// NodeTLS reads the files that the table [tls] names, and returns the node's TLS configuration. It returns nil if
+// there is no table [tls]. Errors name the line.
 func (f *File) NodeTLS(now time.Time) (*node.TLS, error) {
 	table := f.TLS
 	if table == nil {
@@ -119,7 +119,7 @@
 	return config, nil
 }
 
-// serverRule converts a table [[tls.servers]] to a rule, and opens the certificate files that it names.
+// serverRule returns the rule for a table [[tls.servers]], with the certificate files of the table opened.
 func (f *File) serverRule(stores *storeSet, key string, servers TLSServers) (secure.Rule, error) {
 	rule := secure.Rule{
 		Servers:       servers.IDs,
@@ -147,7 +147,7 @@
 	return rule, nil
 }
 
-// storeSet holds the certificate stores that are open, so that each source is opened once.
+// storeSet contains the open certificate stores. Each source is opened only once.
 type storeSet struct {
 	file      *File // resolves relative paths
 	now       time.Time
@@ -165,7 +165,7 @@
 	}
 }
 
-// open returns the store of files or of a secret of the control plane, or nil if neither is named.
+// open returns the store of files or of a control plane's secret. If neither is named, it returns nil.
 func (s *storeSet) open(sources certificates.Sources, secret string) (*certificates.Store, error) {
 	if secret != "" {
 		if sources != (certificates.Sources{}) {
@@ -194,7 +194,7 @@
 	return store, nil
 }
 
-// openSecret returns the store of a secret. It is empty until the control plane sends the secret.
+// openSecret returns the store of a secret. The store is empty until the control plane sends the secret.
 func (s *storeSet) openSecret(secret string) *certificates.Store {
 	if s.bySecret[secret] == nil {
 		s.bySecret[secret] = certificates.NewEmptyStore()
@@ -203,7 +203,7 @@
 	return s.bySecret[secret]
 }
 
-// openListener converts the configuration of a listener, and opens the files that it names.
+// openListener returns the TLS configuration of a listener, with the files of the configuration opened.
 func (s *storeSet) openListener(from *TLSListener) (*node.TLSListener, error) {
 	own, err := s.open(certificates.Sources{Dir: from.Dir, Cert: from.Cert, Key: from.Key}, from.CertSDS)
 	if err != nil {
--- a/internal/standalone/tls_test.go
+++ b/internal/standalone/tls_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/internal/pki"
 )
 
-// writeCertificates writes a CA, a certificate with its key, and a file that is not PEM to a directory.
+// writeCertificates writes a CA, a certificate, the key of the certificate, and a file that is not PEM to dir.
 func writeCertificates(t *testing.T, dir string) {
 	t.Helper()
 	ca := pki.NewAuthority("ours")
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestNodeTLS_Errors checks that errors in the table [tls], or in the files that it names, name the line or the file.
+// TestNodeTLS_Errors checks that errors in the table [tls], or in the files of the table, name the line or the file.
 func TestNodeTLS_Errors(t *testing.T) {
 	dir := t.TempDir()
 	writeCertificates(t, dir)
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,9 +1,9 @@
 // Package stricttoml decodes TOML into structs. It rejects unknown keys and values that are not allowed. An error is
 // one line, which names the line number, the key and the allowed values.
 //
-// The struct tag toml names a field's key. Further tags restrict its values: min and max are bounds of numbers and
-// durations, one lists the allowed strings, separated by |, and need makes the key mandatory unless the field has a
-// default. The tags of a list or a map apply to its elements.
+// The struct tag toml names the key of a field. Further tags restrict the values. min and max are bounds of numbers
+// and durations, and one lists the allowed strings, separated by |. need makes the key mandatory, unless the field
+// has a default. The tags of a list or a map apply to the elements.
 package stricttoml
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a text into the struct that to points to. Fields whose keys are not in the text keep their values.
-// Decode returns the lines of the keys, for further checks by the caller. Errors in the text are of type *Error.
+// Decode decodes text into the struct that to points to. Fields whose keys are missing from text keep their values.
+// Decode returns the line numbers of the keys for further checks by the caller. Errors in text are of type *Error.
 func Decode(text []byte, to any) (Lines, error) {
 	var table map[string]any
 	if err := toml.Unmarshal(text, &table); err != nil {
@@ -26,7 +26,7 @@
 	return lines, decoder{lines}.decodeStruct("", table, reflect.ValueOf(to).Elem())
 }
 
-// syntaxError converts an error of the TOML parser to an *Error with the first line of its message.
+// syntaxError returns a TOML parser's error as an *Error with the first line of the parser's message.
 func syntaxError(err error) error {
 	line := 1
 	var syntax *toml.DecodeError
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// checkUnknown returns an error for the first line of a table whose key is not among the names.
+// checkUnknown returns an error for the first key of a table that is not among names.
 func (d decoder) checkUnknown(key string, table map[string]any, names []string) error {
 	var unknown []string
 	for name := range table {
@@ -85,7 +85,7 @@
 	return d.lines.Errorf(first, "unknown key; allowed are %s", strings.Join(names, ", "))
 }
 
-// decodeMap sets a map from a table.
+// decodeMap sets the map val.target from a table.
 func (d decoder) decodeMap(val value) error {
 	table, ok := val.parsed.(map[string]any)
 	if !ok {
--- a/internal/stricttoml/decode_test.go
+++ b/internal/stricttoml/decode_test.go
@@ -29,7 +29,8 @@
 	Size int    `toml:"size"`
 }
 
-// TestDecode_SetsFields checks the decoded values, the defaults and the lines of a text with a value of each type.
+// TestDecode_SetsFields checks the decoded values, the defaults and the line numbers for a text with a value of each
+// type.
 func TestDecode_SetsFields(t *testing.T) {
 	const text = `text = "green"
 flag = true
--- a/internal/stricttoml/lines.go
+++ b/internal/stricttoml/lines.go
@@ -10,12 +10,12 @@
 
 // Error is an error in a TOML text.
 type Error struct {
-	Line    int    // from 1
+	Line    int    // starting from 1
 	Key     string // dotted key; empty if the error concerns no key
 	Message string
 }
 
-// Error returns the line, the key and the message, so that a caller can put the file's name and a colon in front.
+// Error returns the line, the key and the message. A caller can put the file's name and a colon in front.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%d: %s", e.Line, e.Message)
@@ -26,7 +26,8 @@
 // Lines maps the dotted keys of values and tables, as in "fault[2].at", to line numbers.
 type Lines map[string]int
 
-// At returns the line of a key. If it is unknown, At returns the line of the innermost known table around it, or 1.
+// At returns the line of a key. If the line is unknown, At returns the line of the innermost known table around the
+// key, or 1.
 func (l Lines) At(key string) int {
 	for key != "" {
 		if line, ok := l[key]; ok {
@@ -41,15 +42,15 @@
 	return 1
 }
 
-// Errorf returns an *Error for a key, with its line.
+// Errorf returns an *Error with the line of key.
 func (l Lines) Errorf(key, format string, args ...any) error {
 	return &Error{Line: l.At(key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// compare orders keys by line.
+// compare orders two keys by line.
 func (l Lines) compare(a, b string) int { return l.At(a) - l.At(b) }
 
-// indexLines returns the lines of the keys in a text, which must be valid TOML.
+// indexLines returns the lines of the keys in text, which must be valid TOML.
 func indexLines(text []byte) Lines {
 	x := &indexer{text: text, lines: make(Lines), counts: make(map[string]int), current: make(map[string]string)}
 	var parser unstable.Parser
@@ -64,9 +65,9 @@
 type indexer struct {
 	text    []byte
 	lines   Lines
-	counts  map[string]int    // number of elements so far, by the array of tables
-	current map[string]string // key of the last element, by the array of tables
-	table   string            // key of the table to which the following keys belong
+	counts  map[string]int    // number of elements so far, by array of tables
+	current map[string]string // key of the last element, by array of tables
+	table   string            // key of the table that contains the following keys
 }
 
 func (x *indexer) addExpression(expression *unstable.Node) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// addValue adds a key and, if its value is an inline table, the keys in it.
+// addValue adds a key. If the value is an inline table, it also adds the keys in this table.
 func (x *indexer) addValue(key string, value *unstable.Node, line int) {
 	x.lines[key] = line
 	if value.Kind != unstable.InlineTable {
@@ -101,8 +102,8 @@
 	}
 }
 
-// resolve joins the parts of a key to a dotted key within a table, and also returns the node of the first part. A part
-// that names an array of tables refers to the array's last element, unless it is the last part.
+// resolve joins the parts of a key to a dotted key within a table, and returns the node of the first part in first. A
+// part that names an array of tables means the array's last element, unless the part is the last part of the key.
 func (x *indexer) resolve(parts unstable.Iterator, table string) (key string, first *unstable.Node) {
 	key = table
 	for parts.Next() {
--- a/internal/stricttoml/value.go
+++ b/internal/stricttoml/value.go
@@ -13,7 +13,7 @@
 // Range is a fixed number, as in 3, or the bounds of a random number, as in [2, 4].
 type Range struct{ Lo, Hi float64 }
 
-// Interpolate returns the number at a fraction, 0 to 1, of the way from the lower bound to the upper one.
+// Interpolate returns the number at a fraction, from 0 to 1, of the way from Lo to Hi.
 func (r Range) Interpolate(fraction float64) float64 { return r.Lo + (r.Hi-r.Lo)*fraction }
 
 var (
@@ -21,15 +21,15 @@
 	rangeType    = reflect.TypeFor[Range]()
 )
 
-// value is a value in the text, together with the Go value to which it is decoded.
+// value is a value in the text, together with the Go value that receives it.
 type value struct {
-	key    string // dotted
+	key    string // dotted key
 	parsed any    // as returned by the TOML parser
 	target reflect.Value
 	tag    reflect.StructTag
 }
 
-// decodeValue decodes one value. It panics if the type of its Go value is not supported.
+// decodeValue decodes one value. It panics if the type of the target is not supported.
 func (d decoder) decodeValue(val value) error {
 	switch val.target.Type() {
 	case durationType:
@@ -38,7 +38,7 @@
 		return d.decodeRange(val)
 	}
 	switch val.target.Kind() {
-	case reflect.Interface: // stores the parsed value as it is
+	case reflect.Interface: // the parsed value is stored unchanged
 		val.target.Set(reflect.ValueOf(val.parsed))
 		return nil
 	case reflect.Pointer:
@@ -68,7 +68,7 @@
 	panic("stricttoml: unsupported field type " + val.target.Type().String())
 }
 
-// mismatchError returns the error for a value of the wrong type, or one that is not allowed.
+// mismatchError returns the error for a value that has the wrong type or is not allowed.
 func (d decoder) mismatchError(val value, want string) error {
 	return d.lines.Errorf(val.key, "want %s, got %s", want, format(val.parsed))
 }
@@ -203,7 +203,7 @@
 	return 0, false
 }
 
-// format formats a value for an error message, roughly as TOML does.
+// format returns a value as text for an error message, similar to its TOML form.
 func format(from any) string {
 	switch from := from.(type) {
 	case string:
