--- a/certificates/load.go
+++ b/certificates/load.go
@@ -64,8 +64,8 @@
 	return newPair(source, source, cert, key, now)
 }
 
-// newPair decodes a chain and its key, and verifies that the chain is valid at now and that the key matches the
-// chain. certSource and keySource name the origins in errors.
+// newPair decodes a chain and its key. The chain must be valid at now, and the key must match the chain. certSource
+// and keySource name the origins in errors.
 func newPair(certSource, keySource string, rawChain, rawKey []byte, now time.Time) (*Pair, error) {
 	chain, err := decodeCertificates(rawChain)
 	if err != nil {
--- a/certificates/watch_test.go
+++ b/certificates/watch_test.go
@@ -41,8 +41,8 @@
 
 func (f *pollFixture) serial() string { return f.store.Set().Pairs[0].Leaf.SerialNumber.String() }
 
-// poll advances the simulated time by a second, polls the watcher, and compares the result with want, except for the
-// text of the error. condition describes the state of the files in error messages.
+// poll advances the simulated time by a second, polls the watcher, and compares the result with want. The text of the
+// error is not compared. condition describes the state of the files in error messages.
 func (f *pollFixture) poll(t *testing.T, condition string, want PollResult) {
 	t.Helper()
 	f.now = f.now.Add(time.Second)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
 // Command simhost runs instances of package policy for the simulator. It reads batches of messages of the simulator's
-// protocol from standard input, delivers their events to the instances, and writes the resulting actions to standard
+// protocol from standard input and delivers their events to the instances. The resulting actions go to standard
 // output.
 package main
 
--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// SetUntrusted takes the server with an id out of service if untrusted is set, which means that the server could not
-// prove its identity. Otherwise it puts the server back into service. It does not wait for Run.
+// SetUntrusted records whether the server with an id could not prove its identity. An untrusted server is out of
+// service. SetUntrusted does not wait for Run.
 func (s *Source) SetUntrusted(id string, untrusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,5 +1,5 @@
 // Package discovery contains the code that the endpoint sources in its subpackages share. Each subpackage implements
-// router.EndpointSource: registry polls wayhold's own registry over HTTP, file watches a file, and xds subscribes to
+// router.EndpointSource. registry polls wayhold's own registry over HTTP, file watches a file, and xds subscribes to
 // an Envoy control plane. merge combines several sources. disabled lets operators take servers out of service at a
 // single node.
 package discovery
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,7 @@
 // Package merge combines several endpoint sources into one. A server is identified by its address. If several sources
 // list the same address, they describe the same server, and its id comes from the first of these sources. A server
-// gets no new work after any source drains or removes it, because that source is assumed to be the most up to date.
-// Data about a later process at the same address replaces the data of the earlier process.
+// gets no new work after any source drains or removes it. That source is assumed to be the most up to date. Data
+// about a later process at the same address replaces the data of the earlier process.
 package merge
 
 import (
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -2,9 +2,9 @@
 // long polling: the registry holds each call until something changes.
 //
 // Config.Subscribe distinguishes two kinds of registry. If Subscribe is false, an agent on the node's machine pushes
-// the list: the source watches all the time and retries failed calls by itself. If Subscribe is true, one registry
-// serves all nodes: the source watches only after a request by SetPolling, and reports each failure to the router.
-// The router then decides when to ask again.
+// the list. The source then watches all the time and retries failed calls by itself. If Subscribe is true, one
+// registry serves all nodes. The source then watches only after a request by SetPolling, and reports each failure to
+// the router. The router decides when to ask again.
 package registry
 
 import (
@@ -128,7 +128,8 @@
 	}
 }
 
-// beginRound switches to a new address if SetAddress has set one, and returns the context of the next call or pause.
+// beginRound switches to the address that SetAddress has set, if any. It returns the context of the next call or
+// pause. moved reports whether the address has changed.
 func (s *Source) beginRound(ctx context.Context) (roundCtx context.Context, cancel context.CancelFunc, moved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -17,17 +17,17 @@
 	// It is short because a registry that no longer answers must be noticed soon.
 	watchTimeout = 5 * time.Second
 	// responseGrace is the time after watchTimeout at which an unanswered call is given up and repeated. The site
-	// expects a node to respect a drain from 2 s after the end of its watch, even if the node has not received the
-	// drain. The repeated call needs part of these 2 s.
+	// expects a node to respect a drain from 2 s after the end of its watch, even without having received it. The
+	// repeated call needs part of these 2 s.
 	responseGrace = time.Second
 	// sharedWatchTimeout is the maximum time for which a registry that serves all nodes may hold a call. Each call
 	// uses a random time between half of sharedWatchTimeout and all of it. Otherwise nodes that start together would
 	// keep calling at the same moments and overload the registry.
 	sharedWatchTimeout = 20 * time.Second
 	// sharedResponseGrace is the maximum time to wait for the complete list from a registry that serves all nodes.
-	// Such a registry handles calls one after the other, and an abandoned call costs as much as an answered call. The
-	// site expects a node to know the changes that an unanswered call missed 6 s after the start of the call. The
-	// next call therefore follows without a pause.
+	// Such a registry handles calls one after the other, and an abandoned call costs as much as an answered call. An
+	// unanswered call misses changes. The site expects a node to know these changes 6 s after the start of the call,
+	// so the next call follows without a pause.
 	sharedResponseGrace = 5 * time.Second
 
 	maxListSize = 8 << 20 // maximum size of a response, in bytes
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestMachine_VersionsAreNotCompared checks that versions are opaque. A response with a lower version must be
-// applied, and so must a response with the same version and other content.
+// TestMachine_VersionsAreNotCompared checks that versions are opaque. A response with a lower version, or with the
+// same version and other content, must be applied.
 func TestMachine_VersionsAreNotCompared(t *testing.T) {
 	machine := New(SotW)
 	machine.Connected()
--- a/discovery/xds/priority/priority.go
+++ b/discovery/xds/priority/priority.go
@@ -28,7 +28,7 @@
 //
 // Levels are used in order until their availabilities add up to full availability. Degraded endpoints of these levels
 // are eligible only if the availabilities of all levels add up to less. If no endpoint of these levels is healthy or
-// degraded, no endpoint is eligible: the control plane has reported that none should be used.
+// degraded, no endpoint is eligible. In that case the control plane has reported that none should be used.
 func Eligible(assignment *resource.Assignment) []bool {
 	overprovisioning := assignment.Overprovisioning
 	if overprovisioning <= 0 {
--- a/discovery/xds/resource/decode.go
+++ b/discovery/xds/resource/decode.go
@@ -100,8 +100,8 @@
 	return parseEndpoint(&message)
 }
 
-// decodeSimpleEndpoint decodes an endpoint of the simplest form: an IP address, a port, and optionally a health
-// status and a weight, each at most once. ok is false for all other endpoints, valid or not.
+// decodeSimpleEndpoint decodes an endpoint of the simplest form: an IP address and a port, optionally with a health
+// status and a weight. Each field occurs at most once. ok is false for all other endpoints, valid or not.
 func decodeSimpleEndpoint(raw []byte) (endpoint Endpoint, ok bool) {
 	var host, health, weight []byte
 	if !decodeFields(raw, &host, &health, nil, &weight) {
@@ -148,7 +148,8 @@
 }
 
 // decodeFields splits a message into its fields and stores field number i in targets[i-1]. It returns false for a
-// field that has no target, has a nil target, occurs twice, is empty, or is neither bytes nor a varint.
+// field with no target or a nil target, and for a second occurrence of a field. It also returns false for an empty
+// field, and for a field that is neither bytes nor a varint.
 func decodeFields(raw []byte, targets ...*[]byte) bool {
 	for len(raw) > 0 {
 		number, wireType, n := protowire.ConsumeTag(raw)
--- a/discovery/xds/standin/stream.go
+++ b/discovery/xds/standin/stream.go
@@ -32,7 +32,7 @@
 	resendCount   int // faults.resendCount at the last resend on this stream
 }
 
-// serve handles one stream until the client or a fault ends it.
+// serve handles one stream until the client or a fault ends the stream.
 func (p *ControlPlane) serve(stream grpc.ServerStream, delta bool) error {
 	id := p.Streams.Add(1)
 	requests := receiveRequests(stream, delta)
--- a/internal/identity/anonymous.go
+++ b/internal/identity/anonymous.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// SharedTenant is the tenant of anonymous clients without a name of their own, after AnonymousTenants has reached its
-// maximum number of names.
+// SharedTenant is the tenant of further anonymous clients after AnonymousTenants has reached its maximum number of
+// names.
 const SharedTenant = "anonymous"
 
 // AnonymousTenants assigns tenant names to anonymous clients. Separate names keep one client from using up the quota
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -1,6 +1,6 @@
-// Package identity determines which tenant a request belongs to. It tries layers in the operator's order: a header, a
-// session cookie, a bearer token, an API key, the client's address, or a client certificate. The result is a
-// configured tenant or an anonymous client. The package does no I/O and reads no clock.
+// Package identity determines which tenant a request belongs to. It tries layers in the operator's order. A layer
+// examines a header, a session cookie, a bearer token, an API key, the client's address, or a client certificate. The
+// result is a configured tenant or an anonymous client. The package does no I/O and reads no clock.
 //
 // Secrets are stored only as SHA-256 hashes. A header that names the tenant is accepted only from trusted proxies.
 // The client's address is the address that the last trusted hop has seen. The forwarding header is read from right to
--- a/internal/standalone/class.go
+++ b/internal/standalone/class.go
@@ -16,7 +16,7 @@
 	DedupScope         string        `toml:"group" one:"all|zone|cell"` // empty: all
 	DedupWindow        time.Duration `toml:"window" min:"0s" max:"24h"`
 	PriorityWeight     float64       `toml:"worth" min:"0"`              // 0: 1
-	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"` // fraction of PriorityWeight after LatencyObjective
+	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"` // share of PriorityWeight after LatencyObjective
 	Zones              []string      `toml:"zones"`
 	Kinds              []string      `toml:"kinds"`
 	Pool               string        `toml:"pool"`
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -1,6 +1,6 @@
 // Package standalone reads the configuration of a standalone node, which has no platform, from the operator's own
-// file. The configuration contains the listener, classes, tenants and servers, the routes that assign classes to
-// requests, and the layers that identify tenants. Frontend converts clients' requests to the router's protocol.
+// file. The file defines the listener, classes, tenants and servers. It also defines the routes that assign classes
+// to requests, and the layers that identify tenants. Frontend converts clients' requests to the router's protocol.
 package standalone
 
 import (
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -15,12 +15,12 @@
 	Name             string            `toml:"name" need:"1"`
 	Zone             string            `toml:"zone"`
 	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls between processes of the fleet
-	Address          string            `toml:"address"`             // address at which other processes connect; empty: Listen
-	TokenFile        string            `toml:"token_file" need:"1"` // file whose first line is the bearer token for all calls
+	Address          string            `toml:"address"`             // address for other processes; empty: Listen
+	TokenFile        string            `toml:"token_file" need:"1"` // file with the bearer token in its first line
 	Cert             string            `toml:"cert"`                // certificate chain of this process; empty: no TLS
 	Key              string            `toml:"key"`
 	Trust            string            `toml:"trust"`                      // authorities of the processes' certificates
-	TLSName          string            `toml:"tls_name"`                   // name in all certificates; empty: wayhold-fleet
+	TLSName          string            `toml:"tls_name"`                   // name in certificates; empty: wayhold-fleet
 	Dir              string            `toml:"dir" need:"1"`               // directory of durable data
 	Replicas         []string          `toml:"council"`                    // addresses of 1, 3 or 5 replicas
 	AddressOverrides map[string]string `toml:"via"`                        // address to dial instead, by address
@@ -31,7 +31,7 @@
 	PatchCommand     []string          `toml:"patch"`                      // command line of a patch in a rolling update
 	CheckCommand     []string          `toml:"look"`                       // exit status 0: patched; 1: not patched
 	RevertCommand    []string          `toml:"revert"`                     // command line that undoes PatchCommand
-	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // timeout for each command and each drain; 0: 10 min
+	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // timeout per command and drain; 0: 10 min
 }
 
 // Defaults of the table [fleet].
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -129,8 +129,8 @@
 	return rand.Text()
 }
 
-// requestTimeout returns the shortest of three times: timeout, which is the deadline of the request's class, the
-// timeout of the route, and the deadline in the client's header.
+// requestTimeout returns the shortest of three times: timeout, the timeout of the route, and the deadline in the
+// client's header. timeout is the deadline of the request's class.
 func requestTimeout(r *http.Request, route *routes.Route, timeout time.Duration) time.Duration {
 	if route.Timeout > 0 {
 		timeout = min(timeout, route.Timeout)
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -12,7 +12,7 @@
 
 // Service contains the settings that all levels of reduced service share.
 type Service struct {
-	ShedLast    []string      `toml:"guarded"`                 // classes of which no level may shed more than of other classes
+	ShedLast    []string      `toml:"guarded"`                 // classes that no level may shed more than other classes
 	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // minimum time between changes of the level; 0: 30 s
 	DryRun      bool          `toml:"dry_run"`                 // levels are computed and counted, but not applied
 }
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -16,7 +16,7 @@
 type Route struct {
 	Listener string            `toml:"listener"`
 	Host     string            `toml:"host"`
-	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the method of the class
+	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the class's method
 	Path     string            `toml:"path"`
 	Prefix   string            `toml:"prefix"`
 	Segments string            `toml:"segments"`
