--- a/discovery/xds/standin/record.go
+++ b/discovery/xds/standin/record.go
@@ -68,8 +68,8 @@
 	return append(recorded[max(0, len(recorded)+1-maxRecorded):], next)
 }
 
-// receiveRequests returns a channel with the requests of a stream. At the end of the stream, the channel is closed
-// and its goroutine ends.
+// receiveRequests returns a channel with the requests of a stream. A goroutine feeds the channel and closes it at the
+// end of the stream.
 func receiveRequests(stream grpc.ServerStream, delta bool) <-chan RecordedRequest {
 	receive := receiveSotW
 	if delta {
--- a/internal/standalone/class.go
+++ b/internal/standalone/class.go
@@ -71,7 +71,7 @@
 // Bucket configures a token bucket.
 type Bucket struct {
 	Rate  float64       `toml:"rate" need:"1" min:"0"`   // requests per Per
-	Per   time.Duration `toml:"per" min:"1ms" max:"24h"` // 0: 1 s
+	Per   time.Duration `toml:"per" min:"1ms" max:"24h"` // time window of Rate; 0: 1 s
 	Burst int64         `toml:"burst" need:"1" min:"1"`
 }
 
