--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -1,22 +1,22 @@
 // Package framing checks the framing of a client's HTTP/1.1 requests. It rejects requests whose end two parsers could
-// place differently, because that allows request smuggling: one parser treats bytes as a body that the other treats
-// as the next request. It does no I/O, and buffers at most one line of a head.
+// place differently. Such a request allows request smuggling: one parser treats bytes as a body that the other treats
+// as the next request. The package does no I/O, and buffers only the start of one line.
 package framing
 
 const (
-	maxLineBytes    = 128     // bytes buffered of a line; valid headers that affect the framing are shorter
-	maxTrailerBytes = 8 << 10 // limit for all trailers of a request together
-	maxSizeDigits   = 15      // hexadecimal digits of a chunk size
-	maxLengthDigits = 18      // decimal digits of a Content-Length
+	maxLineBytes    = 128     // maximum of bytes buffered of a line; valid headers that affect the framing are shorter
+	maxTrailerBytes = 8 << 10 // maximum total size of the trailers of a request
+	maxSizeDigits   = 15      // maximum of hexadecimal digits of a chunk size
+	maxLengthDigits = 18      // maximum of decimal digits of a Content-Length
 )
 
 // Guard checks the bytes of one connection, starting with its first byte. The zero value expects the start of a
 // request. It is not safe for concurrent use.
 type Guard struct {
 	state         state
-	remaining     uint64 // bytes of the current body or chunk that are still to come
-	completeHeads uint64 // number of heads that were complete and well-formed so far
-	line          []byte // buffered part of the current line: a header's name, then its value if it affects the framing
+	remaining     uint64 // bytes of the current body or chunk that have not arrived yet
+	completeHeads uint64 // number of complete, well-formed heads so far
+	line          []byte // start of the current line: a header's name, or the value of a header that affects the framing
 	problem       string
 
 	hasRequestLine      bool
@@ -54,8 +54,8 @@
 	stateTrailerCR
 )
 
-// Check checks the next bytes of the connection, and returns how many of them are well-formed. If it returns fewer
-// than len(data), nothing more may be read from the connection; Problem says why.
+// Check checks the next bytes of the connection, and returns how many of them are well-formed. If Check returns fewer
+// than len(data), Problem returns the reason, and the caller must not read from the connection again.
 func (g *Guard) Check(data []byte) int {
 	for i := 0; i < len(data); {
 		if g.problem != "" {
@@ -80,7 +80,7 @@
 	return len(data)
 }
 
-// skipBody skips the available bytes of a body or chunk, and returns their number.
+// skipBody skips at most available bytes of a body or chunk, and returns the number of bytes skipped.
 func (g *Guard) skipBody(available int) int {
 	n := min(g.remaining, uint64(available))
 	g.remaining -= n
@@ -95,7 +95,7 @@
 	return int(n)
 }
 
-// skipLine skips the part of a line that need not be checked byte by byte, and returns its length. It is kept small
+// skipLine skips the start of p that need not be checked byte by byte, and returns its length. The function is small
 // enough for the compiler to inline it.
 func (g *Guard) skipLine(p []byte) (n int) {
 	switch {
@@ -112,24 +112,24 @@
 	return n
 }
 
-// Problem describes the framing error that Check found; it is empty if there is none.
+// Problem returns a description of the framing error that Check found, or an empty string.
 func (g *Guard) Problem() string { return g.problem }
 
-// InHead reports whether the next byte belongs to a request's head or starts one.
+// InHead reports whether the next byte continues or starts a request's head.
 func (g *Guard) InHead() bool { return g.state == stateHead || g.state == stateHeadCR }
 
-// HasPartialHead reports whether a head has been received in part.
+// HasPartialHead reports whether a head has begun but is not complete.
 func (g *Guard) HasPartialHead() bool {
 	return g.state == stateHeadCR || g.state == stateHead && (g.hasRequestLine || len(g.line) > 0)
 }
 
-// IsCompleteRequest reports whether the bytes are exactly one well-formed request with its body.
+// IsCompleteRequest reports whether data is exactly one well-formed request with its body.
 func IsCompleteRequest(data []byte) bool {
 	var guard Guard
 	return guard.Check(data) == len(data) && guard.completeHeads == 1 && guard.InHead() && !guard.HasPartialHead()
 }
 
-// Heads returns the number of complete heads that were received.
+// Heads returns the number of complete heads received on the connection.
 func (g *Guard) Heads() uint64 { return g.completeHeads }
 
 // reset prepares the guard for the next request on the connection.
--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// checkInSteps passes text to the guard, n bytes at a time, and returns how many bytes are well-formed.
+// checkInSteps passes text to the guard, n bytes at a time, and returns the number of well-formed bytes.
 func checkInSteps(guard *Guard, text string, n int) int {
 	done := 0
 	for done < len(text) {
@@ -114,8 +114,8 @@
 	})
 }
 
-// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard comes to the
-// same result whether it gets the text byte by byte or all at once.
+// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard's result for
+// the whole text equals the result byte by byte.
 func requestEnds(t *testing.T, text []byte) (ends []int) {
 	t.Helper()
 	var guard, atOnce Guard
--- a/internal/frontend/framing/head.go
+++ b/internal/frontend/framing/head.go
@@ -16,7 +16,7 @@
 		g.problem = "bare line feed in the head"
 	case char == 0:
 		g.problem = "zero byte in the head"
-	case !g.hasRequestLine: // the content of the request line does not affect the framing
+	case !g.hasRequestLine: // the request line does not affect the framing
 		if len(g.line) < maxLineBytes {
 			g.line = append(g.line, char)
 		}
--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxBodySize = 64 << 10 // bytes of a call's body
+	maxBodySize = 64 << 10 // maximum size of a call's body, in bytes
 	maxTimeout  = time.Hour
 )
 
-// parseRequest converts a call to a router request. If the call is invalid, it returns a reply that names the
+// parseRequest converts message to a router request. If the call is invalid, it returns a reply that describes the
 // problem.
 func (c *conn) parseRequest(message msgpackrpc.Message, receivedAt time.Time) (router.Request, msgpackrpc.Reply) {
 	malformed := func(text string) (router.Request, msgpackrpc.Reply) {
@@ -48,7 +48,7 @@
 	}, msgpackrpc.Reply{}
 }
 
-// ReplyFromAnswer converts the answer and the error of Engine.Do to a reply.
+// ReplyFromAnswer converts the results of Engine.Do to a reply.
 func ReplyFromAnswer(answer router.Answer, err error) msgpackrpc.Reply {
 	var invalid *router.InvalidError
 	switch {
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -14,58 +14,58 @@
 )
 
 const (
-	// lingerTimeout limits how long the server reads from a connection after closing its write side. Closing the
-	// connection with unread bytes would reset it, and the client could lose the last answers.
+	// lingerTimeout limits how long the server reads from a connection after closing its write side. Closing a
+	// connection with unread bytes resets it, and the client could lose the last answers.
 	lingerTimeout = time.Second
-	// lateCallTimeout is how long after the drain notification the server still answers calls, because the client may
-	// have sent them before it received the notification.
+	// lateCallTimeout is how long the server still answers calls after the drain notification. The client may have sent
+	// such calls before it received the notification.
 	lateCallTimeout = 200 * time.Millisecond
-	// drainFirstCallGrace is how long after it was accepted a connection without any call stays open during a drain,
-	// because its first call may be on its way.
+	// drainFirstCallGrace is the time after accept during which a drain keeps a connection without calls open. The
+	// first call may be on its way.
 	drainFirstCallGrace = 2500 * time.Millisecond
-	// drainRecheckInterval is how often a drain checks again whether such a connection can be closed.
+	// drainRecheckInterval is how often a drain checks whether a connection without calls can be closed.
 	drainRecheckInterval = 100 * time.Millisecond
 )
 
-// conn is a connection of one client. One goroutine reads, one writes, and one per open call waits for the engine's
-// answer.
+// conn is a client's connection. One goroutine reads and another one writes. Each open call has a goroutine that
+// waits for the engine's answer.
 type conn struct {
 	server      *Server
 	nc          net.Conn
 	reader      deadlineReader // reads from nc
-	callSlots   chan struct{}  // semaphore: one element per open call and per unwritten answer
+	callSlots   chan struct{}  // semaphore with one element for each open call and each unwritten answer
 	writeSignal stream.Signal
 	writerDone  chan struct{}
 	calls       sync.WaitGroup
 
-	arrivalTimes sockets.Arrival // when the bytes read last can have arrived; used only by the reading goroutine
+	arrivalTimes sockets.Arrival // arrival times of the latest bytes; used only by the reading goroutine
 
 	overflow bool // the connection was accepted beyond MaxConns; guarded by server.mu
 
 	mu                sync.Mutex
-	cancelFuncs       map[uint32]context.CancelFunc // of the open calls, by msgid
-	queuedAnswers     []answer                      // answers to be written; callSlots limits their number
+	cancelFuncs       map[uint32]context.CancelFunc // cancel functions of the open calls, by msgid
+	queuedAnswers     []answer                      // answers to write; callSlots limits their number
 	unwrittenAnswers  int                           // number of answers that are queued or being written
-	idleSince         time.Time                     // when the connection last had an open call, or was accepted
-	messageStartedAt  time.Time                     // when the current, incomplete message began; zero: there is none
-	openedAt          time.Time                     // when the connection was accepted
+	idleSince         time.Time                     // end of the last open call, or time of the accept
+	messageStartedAt  time.Time                     // start of the incomplete message; zero: there is none
+	openedAt          time.Time                     // time of the accept
 	callSeen          bool                          // at least one call has been received
 	answerWritten     bool                          // at least one answer has been written
 	lastReadAt        time.Time
-	notifications     []byte // encoded, not yet written
+	notifications     []byte // encoded notifications that are not written yet
 	draining          bool
 	drainNotifiedAt   time.Time
-	closing           bool // no further message is handled; the writer closes the write side once no call is open
-	writeClosed       bool // no further call is answered; whatever still arrives is discarded
-	evicted           bool // the reader closes the write side as soon as the connection is idle
+	closing           bool // no more messages are handled; the writer closes the write side after the last answer
+	writeClosed       bool // no more calls are answered; bytes that arrive are discarded
+	evicted           bool // the reader closes the write side once the connection is idle
 	endCause          endCause
-	lingerUntil       time.Time // when reading ends after the write side was closed
-	closedWithUnread  bool      // the server closed the connection although bytes were unread
-	answerWriteFailed bool      // writing one or more answers failed
-	lostCallCounted   bool      // a call lost to the end of the connection has been counted
+	lingerUntil       time.Time // time at which reading ends after the write side was closed
+	closedWithUnread  bool      // the server closed the connection while bytes were unread
+	answerWriteFailed bool      // writing at least one answer failed
+	lostCallCounted   bool      // the connection has been counted for a lost call
 }
 
-// deadlineReader is the part of net.Conn that reads.
+// deadlineReader is the reading half of net.Conn.
 type deadlineReader interface {
 	Read(p []byte) (int, error)
 	SetReadDeadline(t time.Time) error
@@ -87,7 +87,7 @@
 		idleSince:   time.Now(),
 		openedAt:    time.Now(),
 	}
-	client.reader = nc // a TLS connection itself returns bytes that were received before the deadline
+	client.reader = nc // a TLS connection returns bytes received before the deadline without a DeadlineReader
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		client.reader = sockets.NewDeadlineReader(tcp)
 	}
@@ -113,7 +113,7 @@
 	return !c.isIdle()
 }
 
-// firstCallPending reports whether no call has been answered yet and the first one is open or may be on its way.
+// firstCallPending reports whether no answer has been written and the first call is open or may be on its way.
 func (c *conn) firstCallPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,9 +125,10 @@
 	return !c.callSeen && !c.closing && !c.writeClosed && time.Since(c.openedAt) < drainFirstCallGrace
 }
 
-// evictableSince returns the time since which the connection has been idle, and whether it may be evicted. The time
-// is zero if the write side is closed already. An overflow connection may also be evicted if the client has stalled
-// in the middle of a message, but not while its first call may be arriving.
+// evictableSince returns the time since which the connection has been idle, and whether the connection may be
+// evicted. The time is zero if the write side is closed. An overflow connection may also be evicted if its client has
+// stalled in the middle of a message. An overflow connection may not be evicted during firstCallGrace, while its
+// first call may be arriving.
 func (c *conn) evictableSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +153,7 @@
 		c.server.count(&c.server.stats.ProtocolErrors)
 		c.finish(msgpackrpc.AppendError(nil, violation.Problem))
 		<-c.writerDone
-	} else { // the client has disconnected, or timed out: its open calls are cancelled
+	} else { // the client has disconnected or timed out: open calls are cancelled
 		c.countIncompleteMessage(err)
 		c.closeSocket()
 		c.finish(nil)
@@ -165,8 +166,8 @@
 	c.server.release(c)
 }
 
-// countIncompleteMessage counts the connection in the server's statistics if reading ended with err in the middle of
-// a message.
+// countIncompleteMessage counts the connection in the server's statistics if reading ended in the middle of a
+// message. err is the error that ended reading.
 func (c *conn) countIncompleteMessage(err error) {
 	c.mu.Lock()
 	ended := c.writeClosed
@@ -183,7 +184,7 @@
 	}
 }
 
-// countLostAnswers counts the connection if its write side was closed before the last answers were written.
+// countLostAnswers counts the connection if its write side was closed before all answers were written.
 func (c *conn) countLostAnswers() {
 	c.mu.Lock()
 	lost := c.writeClosed && (c.answerWriteFailed || len(c.queuedAnswers) > 0)
@@ -193,8 +194,7 @@
 	}
 }
 
-// finish tells the writer to send a last notification, which may be empty, and to close the write side once no call
-// is open.
+// finish makes the writer send notification, which may be empty, and close the write side once no call is open.
 func (c *conn) finish(notification []byte) {
 	c.mu.Lock()
 	c.notifications = append(c.notifications, notification...)
@@ -215,8 +215,8 @@
 	c.writeSignal.Notify()
 }
 
-// recheckDrain wakes the writer, so that it checks whether a drain can close the connection. It repeats the check
-// later as long as the first call may still arrive.
+// recheckDrain makes the writer check whether a drain can close the connection. It repeats the check while the first
+// call may still arrive.
 func (c *conn) recheckDrain() {
 	c.mu.Lock()
 	awaiting := c.awaitsFirstCall()
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -7,7 +7,7 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is the reason why the server closed a connection on which the client may still have sent calls.
+// endCause is the reason for which the server ended a connection. The client may still have sent calls.
 type endCause uint8
 
 const (
@@ -17,8 +17,8 @@
 	endedByEviction
 )
 
-// handleReadDeadline handles an expired read deadline, and reports whether the reader continues. It continues after
-// the idle timeout, to receive bytes that are on their way, and if the deadline no longer applies.
+// handleReadDeadline handles an expired read deadline, and reports whether the reader continues. The reader continues
+// after the idle timeout, because bytes may be on their way. It also continues if the deadline no longer applies.
 func (c *conn) handleReadDeadline() bool {
 	keepReading := c.endIfIdle()
 	if c.hasEnded() {
@@ -34,8 +34,8 @@
 	return c.writeClosed
 }
 
-// endIfIdle closes the write side if the connection is idle and no bytes have arrived. It holds c.mu from the check
-// of the socket to the close, so that no other goroutine acts in between. It reports whether the reader continues.
+// endIfIdle closes the write side if the connection is idle and has no unread bytes. It holds c.mu from the check of
+// the socket to the close, so that no other goroutine acts in between. It returns whether the reader continues.
 func (c *conn) endIfIdle() (keepReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,9 +46,9 @@
 		return false
 	case c.draining || !c.isIdle(): // the writer closes the connection or sets the next deadline
 		_ = c.reader.SetReadDeadline(time.Time{})
-	case c.hasUnread(): // bytes arrived since the read failed; with TLS they may be part of a record
+	case c.hasUnread(): // bytes have arrived since the read failed; with TLS they may be part of a record
 		_ = c.reader.SetReadDeadline(c.messageDeadline())
-	case c.evicted: // a message that the client has not completed is lost
+	case c.evicted: // an incomplete message is lost
 		c.closeWriteSide(endedByEviction)
 	default:
 		c.closeWriteSide(endedByIdleTimeout)
@@ -56,7 +56,7 @@
 	return true
 }
 
-// idleDeadline returns the read deadline of a connection that becomes idle now. c.mu is held.
+// idleDeadline returns the read deadline for a connection that becomes idle now. c.mu is held.
 func (c *conn) idleDeadline() time.Time {
 	if c.evicted {
 		return time.Now()
@@ -64,8 +64,8 @@
 	return time.Now().Add(c.server.config.IdleTimeout)
 }
 
-// messageDeadline returns the time by which the current message must be complete. If none has begun, it assumes that
-// one begins now. c.mu is held.
+// messageDeadline returns the time by which the current message must be complete. If there is no current message, a
+// message is assumed to begin now. c.mu is held.
 func (c *conn) messageDeadline() time.Time {
 	startedAt := c.messageStartedAt
 	if startedAt.IsZero() {
@@ -74,13 +74,13 @@
 	return startedAt.Add(c.server.config.MessageTimeout)
 }
 
-// messageTimedOut reports whether an expired read deadline was that of a message. c.mu is held.
+// messageTimedOut reports whether the read deadline that expired was the deadline of a message. c.mu is held.
 func (c *conn) messageTimedOut() bool {
 	return !c.messageStartedAt.IsZero() && (!c.evicted || !time.Now().Before(c.messageDeadline()))
 }
 
-// evict makes the reader close the connection as soon as it is idle; a call that has arrived already is answered
-// first. It returns false if the write side is closed already.
+// evict makes the reader close the connection once it is idle. A call that has already arrived is answered first.
+// evict returns false if the write side is already closed.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	c.evicted, c.endCause = true, endedByEviction
 	handshake, ok := c.nc.(interface{ Handshaking() bool })
 	switch {
-	case ok && handshake.Handshaking(): // no call can have arrived before the handshake is done
+	case ok && handshake.Handshaking(): // no call arrives before the handshake is done
 		c.closeSocket()
 	case c.hasUnread():
 		_ = c.reader.SetReadDeadline(c.messageDeadline())
@@ -100,7 +100,7 @@
 	return true
 }
 
-// hasUnread reports whether the socket has received bytes that have not been read.
+// hasUnread reports whether the socket holds received bytes that have not been read.
 func (c *conn) hasUnread() bool {
 	if tcp := tcpConn(c.nc); tcp != nil {
 		return sockets.Unread(tcp) > 0
@@ -109,7 +109,7 @@
 	return ok && sockets.Unread(socket) > 0
 }
 
-// closeWriteSide closes the write side, and gives the client lingerTimeout to close its own. All answers must have
+// closeWriteSide closes the write side, and gives the client lingerTimeout to close its side. All answers must have
 // been written. c.mu is held.
 func (c *conn) closeWriteSide(cause endCause) {
 	c.writeClosed, c.endCause = true, cause
@@ -121,8 +121,7 @@
 	c.closeSocket()
 }
 
-// closeLingering closes a connection that the server has ended or evicted, without waiting for the client to close
-// its side.
+// closeLingering closes a lingering connection without waiting for the client to close its side.
 func (c *conn) closeLingering() {
 	c.mu.Lock()
 	c.writeClosed, c.closedWithUnread = true, c.hasUnread()
@@ -130,8 +129,8 @@
 	c.closeSocket()
 }
 
-// countLostCall counts the connection, at most once, because a call or part of one arrived that the server cannot
-// answer after it has ended the connection.
+// countLostCall counts the connection, at most once. It is called when the server has ended the connection and cannot
+// answer a call that arrived in whole or in part.
 func (c *conn) countLostCall() {
 	c.mu.Lock()
 	counted := c.lostCallCounted
@@ -143,7 +142,7 @@
 	}
 }
 
-// endCounter returns the counter of connections that lost a call after they were ended for the given cause.
+// endCounter returns the counter of the connections that lost a call and were ended for the given cause.
 func (s *Stats) endCounter(cause endCause) *uint64 {
 	switch cause {
 	case endedByIdleTimeout:
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -13,10 +13,11 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// clientCheckInterval is how often a connection with the maximum of open calls is checked for a disconnect.
+// clientCheckInterval is how often the server checks whether a client with the maximum number of open calls has
+// disconnected.
 const clientCheckInterval = 50 * time.Millisecond
 
-// read handles messages until the client disconnects, violates the protocol or times out, or the connection is
+// read handles messages until the client disconnects, violates the protocol or times out, or until the connection is
 // closed.
 func (c *conn) read(ctx context.Context) error {
 	in := msgpackrpc.NewReader(c)
@@ -24,7 +25,7 @@
 	return stream.ReadMessages(in, func(message msgpackrpc.Message) error { return c.handle(ctx, message) })
 }
 
-// setReadDeadline sets the deadline of the next read. partial says whether a message has been read in part.
+// setReadDeadline sets the deadline of the next read. partial is true if a message has been read in part.
 func (c *conn) setReadDeadline(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// readOnce reads from the client once, and records the earliest time at which the returned bytes can have arrived.
+// readOnce reads from the client once, and records the earliest possible arrival time of the returned bytes.
 func (c *conn) readOnce(p []byte) (int, error) {
 	began := time.Now()
 	n, err := c.reader.Read(p)
@@ -68,7 +69,7 @@
 		c.arrivalTimes.RecordRead(began, now, n < len(p))
 	}
 	c.mu.Lock()
-	c.lastReadAt = now // set before evictableSince can regard these bytes as a stalled message
+	c.lastReadAt = now // set before evictableSince can treat these bytes as a stalled message
 	c.mu.Unlock()
 	return n, err
 }
@@ -77,7 +78,7 @@
 	switch message.Kind {
 	case msgpackrpc.Response:
 		return &msgpackrpc.ProtocolError{Problem: "unexpected response"}
-	case msgpackrpc.Notification: // unknown methods are ignored: they may belong to a later version
+	case msgpackrpc.Notification: // unknown methods are ignored: later protocol versions may define them
 		if id, ok := msgpackrpc.CancelledID(message); ok && message.Method == msgpackrpc.MethodCancel {
 			c.cancel(id)
 		}
@@ -95,8 +96,8 @@
 	}
 }
 
-// startCall passes a call to the engine, or answers it directly. If the client has the maximum of open calls, it
-// waits, and nothing more is read from the connection meanwhile.
+// startCall passes a call to the engine or answers it directly. If the client has the maximum number of open calls,
+// startCall blocks, and nothing more is read from the connection.
 func (c *conn) startCall(ctx context.Context, message msgpackrpc.Message) error {
 	receivedAt := c.arrivalTimes.Earliest()
 	if err := c.acquireCallSlot(); err != nil {
@@ -115,7 +116,7 @@
 	case reply.Code != "":
 	case admission == callRejectedByEviction:
 		reply = c.server.overloadedReply(req.Class)
-	case admission == callRejectedByDrain: // the call arrived after the drain notification was sent: it is not forwarded
+	case admission == callRejectedByDrain: // the drain notification was sent before the call arrived
 		reply = msgpackrpc.Reply{Code: msgpackrpc.Overloaded, Text: "the node is draining"}
 	case c.server.rejectsOverflow(c):
 		reply = c.server.overloadedReply(req.Class)
@@ -134,19 +135,19 @@
 	return nil
 }
 
-// callAdmission says how the server treats a call that has arrived.
+// callAdmission is the server's decision on a call that has arrived.
 type callAdmission uint8
 
 const (
 	callAdmitted           callAdmission = iota
-	callRejectedByDrain                  // a drain had begun: the answer is Overloaded
-	callRejectedByEviction               // its connection was being evicted: the answer is Overloaded
-	callDuplicate                        // its msgid is in use: this violates the protocol
+	callRejectedByDrain                  // a drain has begun: the answer is Overloaded
+	callRejectedByEviction               // the connection is being evicted: the answer is Overloaded
+	callDuplicate                        // protocol violation: the msgid is in use
 	callTooLate                          // the write side is closed: the call is neither run nor answered
 )
 
-// register decides how a call is treated, and adds it to the open calls if it will be run or answered. The first call
-// of a connection is admitted even during a drain, because its client could not know of the drain.
+// register decides how to treat the call id, and adds the call to the open calls if it will be run or answered. A
+// drain admits the first call of a connection, because the client could not know of the drain.
 func (c *conn) register(id uint32, cancel context.CancelFunc) callAdmission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,8 +169,8 @@
 	return callAdmitted
 }
 
-// handleUnansweredCall handles a call that is neither run nor answered. It returns an error if the client has
-// violated the protocol.
+// handleUnansweredCall handles a call that is neither run nor answered. It returns an error if the client violated
+// the protocol.
 func (c *conn) handleUnansweredCall(admission callAdmission) error {
 	if admission == callDuplicate {
 		return &msgpackrpc.ProtocolError{Problem: "duplicate msgid"}
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// finishCall ends an open call and queues its answer.
+// finishCall ends the open call id and queues reply as its answer.
 func (c *conn) finishCall(id uint32, reply msgpackrpc.Reply) {
 	c.mu.Lock()
 	cancel := c.removeCall(id)
@@ -189,7 +190,7 @@
 	c.writeSignal.Notify()
 }
 
-// finishCancelled ends an open call without an answer, because the client no longer waits for one.
+// finishCancelled ends the open call id without an answer, because the client no longer waits for the answer.
 func (c *conn) finishCancelled(id uint32) {
 	c.mu.Lock()
 	cancel := c.removeCall(id)
@@ -200,7 +201,7 @@
 	c.server.connIdle()
 }
 
-// removeCall removes an open call, and returns its cancel function. c.mu is held.
+// removeCall removes the open call id, and returns its cancel function. c.mu is held.
 func (c *conn) removeCall(id uint32) context.CancelFunc {
 	cancel := c.cancelFuncs[id]
 	delete(c.cancelFuncs, id)
@@ -208,8 +209,8 @@
 	return cancel
 }
 
-// acquireCallSlot waits until the client may have another open call. Nothing is read meanwhile, so it asks the kernel
-// whether the client has disconnected: a call of a disconnected client must not be forwarded.
+// acquireCallSlot blocks until the client may have another open call. Nothing is read meanwhile, so acquireCallSlot
+// asks the kernel whether the client has disconnected. A call of a disconnected client must not be forwarded.
 func (c *conn) acquireCallSlot() error {
 	select {
 	case c.callSlots <- struct{}{}:
@@ -232,7 +233,7 @@
 	}
 }
 
-// tcpConn returns the TCP connection under nc; nil if there is none.
+// tcpConn returns the TCP connection under nc, or nil if there is none.
 func tcpConn(nc net.Conn) *net.TCPConn {
 	switch nc := nc.(type) {
 	case *net.TCPConn:
--- a/internal/frontend/msgpack/connread_test.go
+++ b/internal/frontend/msgpack/connread_test.go
@@ -13,8 +13,8 @@
 	"cobaltward/msgpackrpc"
 )
 
-// TestRead_BytesReceivedBeforeDeadline starts a read after its deadline, as happens if the process was paused. Bytes
-// that arrived before the deadline are returned, later ones are not.
+// TestRead_BytesReceivedBeforeDeadline checks that a read after its deadline returns the bytes that arrived before
+// the deadline, and no later bytes. Such a read happens if the process was paused.
 func TestRead_BytesReceivedBeforeDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,9 +45,8 @@
 }
 
 // TestWaitingSince_ExcludesTimeUntilCallArrived checks since when a client counts as waiting. If nothing or exactly
-// one complete call has arrived, the age of the accept queue does not count, because the client can have just
-// connected. It counts if part of a call or several calls have arrived, because those may have arrived at any time
-// since.
+// one complete call has arrived, the age of the accept queue does not count. The client may have just connected. If
+// part of a call or several calls have arrived, the age of the accept queue counts.
 func TestWaitingSince_ExcludesTimeUntilCallArrived(t *testing.T) {
 	const queueAge = 300 * time.Millisecond
 	call := msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "r1", Class: "read", Timeout: time.Minute})
--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -7,7 +7,7 @@
 	"cobaltward/msgpackrpc/stream"
 )
 
-// write writes notifications and answers, in batches, until the write side is closed or a write fails.
+// write writes notifications and answers in batches until the write side is closed or a write fails.
 func (c *conn) write() {
 	defer close(c.writerDone)
 	var buf []byte
@@ -36,7 +36,7 @@
 	}
 }
 
-// takeQueued removes and returns the queued notifications, encoded, and the queued answers. It reuses both buffers.
+// takeQueued removes and returns the queued notifications, encoded, and the queued answers. It reuses buf and batch.
 func (c *conn) takeQueued(buf []byte, batch []answer) ([]byte, []answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,8 @@
 	return buf, batch
 }
 
-// flush writes buf, and frees the call slots of the answers in it. It returns false if the write fails.
+// flush writes buf, which contains the given number of answers, and frees their call slots. It returns false if the
+// write fails.
 func (c *conn) flush(buf []byte, answers int) bool {
 	if len(buf) == 0 {
 		return true
@@ -73,7 +74,7 @@
 	return err == nil
 }
 
-// endIfFinished closes the write side if the connection is finished. It reports whether the write side is closed.
+// endIfFinished closes the write side if the connection is finished. It returns whether the write side is closed.
 func (c *conn) endIfFinished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +84,7 @@
 	return c.writeClosed
 }
 
-// isFinished reports whether the connection is to be closed and has nothing left to write. c.mu is held.
+// isFinished reports whether the connection should close and has nothing left to write. c.mu is held.
 func (c *conn) isFinished() bool {
 	if !c.isIdle() || len(c.notifications) > 0 {
 		return false
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// awaitIdle waits until the server has the given number of connections, and all are idle.
+// awaitIdle waits until the server has exactly conns connections, and all are idle.
 func (s *hookedServer) awaitIdle(t *testing.T, conns int) {
 	t.Helper()
 	testkit.Await(t, "the idle connections", func() bool {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestEvict_PrefersConnectionWithoutCall sends a call on the connection that has been idle for longest, and delays
-// the read of it. Another connection is evicted instead.
+// TestEvict_PrefersConnectionWithoutCall checks that a connection with an unread call is not evicted if another
+// connection is idle. The test sends a call on the connection that has been idle for longest, and delays its read.
 func TestEvict_PrefersConnectionWithoutCall(t *testing.T) {
 	for _, withTLS := range []bool{false, true} {
 		for _, bodySize := range []int{0, 60 << 10} {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestEvict_ConcurrentCall sends a call while its connection is evicted. If the call arrived before the connection is
-// closed, it is rejected as overloaded. If it arrives later, the client sees an orderly end, never a reset, and the
-// loss is counted. In both cases the slot is free at once.
+// TestEvict_ConcurrentCall checks a call that is sent while its connection is evicted. If the call arrives before the
+// connection is closed, it is rejected as overloaded. If the call arrives later, the client sees an orderly end,
+// never a reset, and the loss is counted. In both cases the slot is free at once.
 func TestEvict_ConcurrentCall(t *testing.T) {
 	for _, test := range []evictionCase{
 		{name: "before a delayed read", hook: func(c *hookedConn) *func() { return &c.beforeIdleRead }, readerHeld: true},
@@ -84,11 +84,11 @@
 	}
 }
 
-// evictionCase is a moment, during the eviction of a connection, at which a call is sent.
+// evictionCase is a moment in the eviction of a connection at which a call is sent.
 type evictionCase struct {
 	name       string
 	hook       func(c *hookedConn) *func()
-	readerHeld bool // the hook blocks the reader until the eviction has begun; the call is answered then
+	readerHeld bool // the hook blocks the reader until the eviction has begun; the call is answered
 	callSent   bool // the call is sent before the hook runs
 	afterClose bool // the hook runs after the close
 }
@@ -119,14 +119,14 @@
 	if e.readerHeld {
 		testkit.Receive(t, "the call", arrived)
 	}
-	server.dial(t) // gets its answer while the reader of the evicted connection is blocked
+	server.dial(t) // answered while the reader of the evicted connection is blocked
 	close(release)
 	testkit.Receive(t, "the call", arrived)
 	server.checkEviction(t, evicted, e.readerHeld)
 }
 
-// checkEviction checks that a client's second call is rejected as overloaded if answered is set, and counted as lost
-// otherwise, and that the connection then ends without a reset.
+// checkEviction checks that a client's second call is rejected as overloaded if answered is set, and is counted as
+// lost otherwise. It also checks that the connection then ends without a reset.
 func (s *hookedServer) checkEviction(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	wantCount := uint64(1)
@@ -144,8 +144,9 @@
 	}
 }
 
-// TestEvict_ClosedBeforeAnswer closes an evicted connection, to make room for another one, before the answer to a
-// call that arrived during the eviction is written. The lost call is counted.
+// TestEvict_ClosedBeforeAnswer checks that a call is counted as lost if its evicted connection closes before the
+// answer is written. The call arrives during the eviction. The server closes the connection to make room for another
+// one.
 func TestEvict_ClosedBeforeAnswer(t *testing.T) {
 	clients, arrived, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
 	var server *hookedServer
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestEvict_LimitsDescriptors evicts connections whose clients do not close them. There are never more open
-// connections than with all slots and overflow connections in use.
+// TestEvict_LimitsDescriptors checks the limit on open connections while clients do not close evicted connections.
+// There are never more than MaxConns+overflowConns open connections.
 func TestEvict_LimitsDescriptors(t *testing.T) {
 	const maxConns, clientCount = 1, 3 * (1 + overflowConns)
 	server := startHookedServer(t, false, &stubEngine{}, Config{MaxConns: maxConns}, func(*hookedConn) {})
@@ -195,8 +196,9 @@
 	}
 }
 
-// TestEvict_OverflowConnectionWithStalledMessage evicts an overflow connection whose client has stalled in the middle
-// of its first message. The client sees an orderly end, and the loss is counted as one of an eviction.
+// TestEvict_OverflowConnectionWithStalledMessage checks the eviction of an overflow connection whose client has
+// stalled in the middle of its first message. The client sees an orderly end, and the loss is counted as one of an
+// eviction.
 func TestEvict_OverflowConnectionWithStalledMessage(t *testing.T) {
 	held := make(chan struct{})
 	server := startHookedServer(t, false, &stubEngine{do: answerAfter(held)}, Config{MaxConns: 1}, func(*hookedConn) {})
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -23,8 +23,8 @@
 	"cobaltward/policy"
 )
 
-// hookedConn is the server's side of a connection, with hooks: functions that are called at most once each, on the
-// goroutine that reads, writes or closes the connection.
+// hookedConn is the server's side of a connection, with hooks. Each hook is a function that is called at most once,
+// on the goroutine that reads, writes or closes the connection.
 type hookedConn struct {
 	net.Conn // a *net.TCPConn or *secure.Conn
 	tcp      *net.TCPConn
@@ -34,20 +34,20 @@
 	deadline atomic.Pointer[time.Time]
 	ending   sync.Once
 
-	beforeIdleRead func() // before the read that follows the first call
-	afterIdleRead  func() // after that read has returned, before its result is handled
-	afterTimeout   func() // after a read has failed at its deadline
-	beforeEnd      func() // before the write side or the connection is closed
-	afterEnd       func() // after the write side or the connection was closed
+	beforeIdleRead func() // called before the read that follows the first call
+	afterIdleRead  func() // called when the read that follows the first call has returned
+	afterTimeout   func() // called after a read has failed at its deadline
+	beforeEnd      func() // called before the write side or the connection is closed
+	afterEnd       func() // called after the write side or the connection was closed
 
-	beforeSecondWrite func() // before the second answer is written
-	beforeLingerRead  func() // before the first read after the write side was closed
+	beforeSecondWrite func() // called before the second answer is written
+	beforeLingerRead  func() // called before the first read after the write side was closed
 	ended             atomic.Bool
 }
 
 func (c *hookedConn) TCP() *net.TCPConn { return c.tcp }
 
-// SetReadDeadline implements net.Conn. It ignores deadlines before the first read, so that the idle timeout does not
+// SetReadDeadline implements net.Conn. It ignores deadlines before the first read. Otherwise the idle timeout could
 // expire before the first call on a busy machine.
 func (c *hookedConn) SetReadDeadline(t time.Time) error {
 	if c.reads.Load() == 0 {
@@ -177,7 +177,7 @@
 	return e.stubEngine.Class(name)
 }
 
-// newTerminator returns a TLS terminator, and the root certificates by which clients can verify it.
+// newTerminator returns a TLS terminator, and the root certificates with which clients verify it.
 func newTerminator(t *testing.T) (*secure.Terminator, *x509.CertPool) {
 	t.Helper()
 	authority := pki.NewAuthority("ours")
@@ -217,7 +217,7 @@
 	return client
 }
 
-// sendCall sends a call. It may be called on the goroutine of a hook, so it reports errors without ending the test.
+// sendCall sends a call. It reports errors without ending the test, because hooks call it on other goroutines.
 func sendCall(t testing.TB, client rawClient, bodySize int) {
 	frame := msgpackrpc.AppendCall(nil, 2, &msgpackrpc.Call{
 		ID: "r2", Class: "write", Timeout: time.Minute, Body: make([]byte, bodySize),
@@ -232,9 +232,9 @@
 	testkit.Await(t, "the call", func() bool { return sockets.Unread(c.tcp) > 0 })
 }
 
-// TestIdleEnd_ConcurrentCall sends a call while its connection reaches the idle timeout. If the call arrived before
-// the server decided to close the connection, it is answered. If it arrives later, the client sees an orderly end,
-// never a reset, and the loss is counted.
+// TestIdleEnd_ConcurrentCall checks a call that is sent while its connection reaches the idle timeout. If the call
+// arrives before the server decides to close the connection, it is answered. If the call arrives later, the client
+// sees an orderly end, never a reset, and the loss is counted.
 func TestIdleEnd_ConcurrentCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -272,8 +272,8 @@
 	}
 }
 
-// checkIdleEnd checks that a client's second call is answered if answered is set, and otherwise that the connection
-// ends without a reset and the call is counted as lost.
+// checkIdleEnd checks that a client's second call is answered if answered is set. Otherwise it checks that the
+// connection ends without a reset and the call is counted as lost.
 func (s *hookedServer) checkIdleEnd(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	want, wantCount := "EOF", uint64(1)
@@ -290,8 +290,8 @@
 	}
 }
 
-// TestIdleEnd_MessageTimeoutOfLastCall sends the first byte of a call as the idle timeout expires, and the rest byte
-// by byte. The call has MessageTimeout from its first byte, and no longer.
+// TestIdleEnd_MessageTimeoutOfLastCall checks that a call which begins as the idle timeout expires must be complete
+// within MessageTimeout of its first byte. The test sends the rest of the call byte by byte.
 func TestIdleEnd_MessageTimeoutOfLastCall(t *testing.T) {
 	clients, sent := make(chan rawClient, 1), make(chan struct{})
 	config := Config{IdleTimeout: 50 * time.Millisecond, MessageTimeout: 300 * time.Millisecond}
@@ -330,8 +330,8 @@
 	}
 }
 
-// TestIdleEnd_ReadsCallOnUnixSocket sends a call on a Unix socket, and starts the read only after the idle timeout:
-// the call is still read.
+// TestIdleEnd_ReadsCallOnUnixSocket checks that a call on a Unix socket is read if it arrives before the idle timeout
+// and the read starts after the timeout.
 func TestIdleEnd_ReadsCallOnUnixSocket(t *testing.T) {
 	address := filepath.Join(t.TempDir(), "socket")
 	ln, err := net.Listen("unix", address)
@@ -361,8 +361,9 @@
 	c.closeSocket()
 }
 
-// TestIdleEnd_LimitsDescriptors lets connections reach the idle timeout whose clients do not close them. They hold no
-// slots, and there are never more open connections than with all slots and overflow connections in use.
+// TestIdleEnd_LimitsDescriptors checks the limit on open connections while clients do not close connections that
+// reached the idle timeout. These connections hold no slots. There are never more than MaxConns+overflowConns open
+// connections.
 func TestIdleEnd_LimitsDescriptors(t *testing.T) {
 	const maxConns = 1
 	config := Config{MaxConns: maxConns, IdleTimeout: 20 * time.Millisecond}
@@ -389,8 +390,8 @@
 	}
 }
 
-// TestIdleEnd_CountsUnreadCallAtClose closes a lingering connection, as the server does to make room for another one,
-// while a call on it is unread. The lost call is counted.
+// TestIdleEnd_CountsUnreadCallAtClose checks that an unread call is counted as lost when the server closes its
+// lingering connection. The server closes such a connection to make room for another one.
 func TestIdleEnd_CountsUnreadCallAtClose(t *testing.T) {
 	clients, closed := make(chan rawClient, 1), make(chan struct{})
 	var server *hookedServer
@@ -416,8 +417,8 @@
 	}
 }
 
-// TestDrainLinger_DiscardsCalls sends a call after a drain has closed the write side of its connection. The call is
-// not run, and counted as lost.
+// TestDrainLinger_DiscardsCalls checks that a call is not run and is counted as lost if it arrives after a drain has
+// closed the write side.
 func TestDrainLinger_DiscardsCalls(t *testing.T) {
 	for _, bodySize := range []int{0, 60 << 10} {
 		clients, sent := make(chan rawClient, 1), make(chan struct{})
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -17,20 +17,20 @@
 	"cobaltward/router"
 )
 
-// Engine is the part of *router.Router that a server requires. If it also has the methods QueueTimeout and
-// RejectOverloaded of *router.Router, the server uses them.
+// Engine is the part of *router.Router that a server requires. If an engine also has the methods QueueTimeout and
+// RejectOverloaded of *router.Router, the server calls them.
 type Engine interface {
 	Do(ctx context.Context, req router.Request) (router.Answer, error)
 	Class(name string) (policy.Class, bool)
 }
 
-// Config limits the resources that clients may use. Fields that are zero have the stated defaults.
+// Config limits the resources that clients may use. A limit that is not positive has the stated default.
 type Config struct {
-	MaxConns       int           // maximum of connections; default 256
-	MaxCalls       int           // open calls on a connection at which reading from it stops; default 64
-	IdleTimeout    time.Duration // limit for a connection without an open call; default 15s
-	MessageTimeout time.Duration // limit from the first byte of a message to its last; default 2.5s
-	WriteTimeout   time.Duration // limit for a write to a client that does not read; default 5s
+	MaxConns       int           // maximum number of connections; default 256
+	MaxCalls       int           // maximum number of open calls per connection; default 64
+	IdleTimeout    time.Duration // maximum time that a connection is idle; default 15s
+	MessageTimeout time.Duration // maximum time from the first byte of a message to its last; default 2.5s
+	WriteTimeout   time.Duration // maximum time for a write to a client that does not read; default 5s
 	Log            *slog.Logger  // nil: nothing is logged
 }
 
@@ -61,40 +61,41 @@
 // ErrClosed is the error that Serve returns after Shutdown, StopAccepting or Close.
 var ErrClosed = errors.New("msgpack server: closed")
 
-// Server accepts connections and answers the calls that arrive on them. It is safe for concurrent use.
+// Server accepts connections and answers the calls that clients send. It is safe for concurrent use.
 type Server struct {
 	engine Engine
 	config Config
 
 	mu             sync.Mutex
-	slotFreed      sync.Cond              // signaled when a connection ends or becomes idle, and when accepting stops
+	slotFreed      sync.Cond              // signaled when a connection ends or becomes idle, or accepting stops
 	waitingForSlot atomic.Int32           // number of accepted connections that wait for a slot
 	listeners      map[*net.Listener]bool // keyed by pointer, because a listener's type need not be comparable
 	conns          map[*conn]bool
-	lingering      []*conn // evicted or ended by the server, not yet closed; they hold no slots; oldest first
+	lingering      []*conn // connections that the server has ended but not closed, oldest first; they hold no slots
 	draining       bool
 	closed         bool
-	serving        sync.WaitGroup // counts the listeners and the connections that are served
+	serving        sync.WaitGroup // counts the listeners and the served connections
 	stats          Stats
 }
 
 // Stats holds the counters of a server.
 type Stats struct {
-	Conns, Open    int    // current connections, including those that linger, and current open calls
+	Conns, Open    int    // current connections, including lingering ones, and open calls
 	Calls          uint64 // calls received
 	ProtocolErrors uint64 // connections closed because the client violated the protocol
-	Timeouts       uint64 // connections closed because a message was not complete in time
+	Timeouts       uint64 // connections closed because a message took longer than MessageTimeout
 	Incomplete     uint64 // connections that the client closed in the middle of a message
-	Evicted        uint64 // connections ended to free a slot: idle ones, and stalled overflow connections
+	Evicted        uint64 // idle connections and stalled overflow connections ended to free a slot
 
-	// The following fields count connections on which a call, or part of one, arrived after the server had ended them
-	// and was not answered, by the cause of the end. These connections are not counted in Timeouts or Incomplete.
+	// The following fields count connections by the reason for which the server ended them. A connection is counted if
+	// a call, or part of one, arrived after the end and was not answered. Timeouts and Incomplete do not count these
+	// connections.
 	IdleEnds     uint64 // ended after the idle timeout
-	EvictionEnds uint64 // ended by an eviction, possibly in the middle of a message on which the client had stalled
-	DrainEnds    uint64 // ended by a drain, after the time for late calls had passed
+	EvictionEnds uint64 // ended by an eviction, possibly in the middle of a stalled message
+	DrainEnds    uint64 // ended by a drain, after lateCallTimeout
 }
 
-// New returns a server that passes calls to an engine.
+// New returns a server that passes calls to engine.
 func New(engine Engine, config Config) *Server {
 	server := &Server{
 		engine:    engine,
@@ -106,10 +107,10 @@
 	return server
 }
 
-// acceptQueueDrainTimeout is how long a listener waits for a further queued connection before it closes.
+// acceptQueueDrainTimeout is how long a closing listener waits for another queued connection.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
-// extendAcceptDeadline lets Accept wait for at most acceptQueueDrainTimeout from now.
+// extendAcceptDeadline sets the deadline of ln.Accept to acceptQueueDrainTimeout from now.
 func extendAcceptDeadline(ln net.Listener) error {
 	listener, ok := ln.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -119,7 +120,7 @@
 }
 
 // Serve accepts connections until Shutdown, StopAccepting or Close is called, and then returns ErrClosed. It closes
-// the listener. After StopAccepting it first accepts the connections that are in the accept queue.
+// ln. After StopAccepting, Serve accepts the connections in the accept queue before it returns.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = sockets.NewPersistentListener(ln, s.config.Log)
 	defer func() { _ = ln.Close() }()
@@ -133,7 +134,7 @@
 		if err != nil {
 			queued, _ := sockets.HasQueuedConn(ln)
 			if errors.Is(err, os.ErrDeadlineExceeded) && queued && extendAcceptDeadline(ln) == nil {
-				continue // the kernel has accepted connections that closing the listener would reset
+				continue // closing the listener would reset the connections in the accept queue
 			}
 			if s.isStopped() {
 				return ErrClosed
@@ -147,7 +148,7 @@
 	}
 }
 
-// addListener registers a listener. It returns false if the server no longer accepts connections.
+// addListener registers ln. It returns false if the server no longer accepts connections.
 func (s *Server) addListener(ln *net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +160,7 @@
 	return true
 }
 
-// removeListener closes and removes a listener. During a drain, clients are notified once the last one is removed.
+// removeListener closes and removes ln. During a drain, the removal of the last listener notifies the clients.
 func (s *Server) removeListener(ln *net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +205,8 @@
 	*counter++
 }
 
-// Connections returns the number of connections, and how many of them have an open call or an unwritten answer.
+// Connections returns the number of connections. busy is the number of connections with an open call or an unwritten
+// answer.
 func (s *Server) Connections() (open, busy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,8 +220,8 @@
 	return open, busy
 }
 
-// PendingFirstRequests returns the number of connections on which no call has been answered and the first one is open
-// or may be on its way. During a drain it also counts each listener whose accept queue may not be empty.
+// PendingFirstRequests returns the number of connections without a written answer whose first call is open or may be
+// on its way. During a drain it also counts each open listener, whose accept queue may not be empty.
 func (s *Server) PendingFirstRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,8 +237,8 @@
 	return pending
 }
 
-// Shutdown stops accepting, as StopAccepting does, and returns when all connections have ended. If ctx ends first, it
-// closes the remaining connections, and returns ctx's error.
+// Shutdown calls StopAccepting, and returns when all connections have ended. If ctx ends first, Shutdown closes the
+// remaining connections and returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StopAccepting()
 	err := s.AwaitEnd(ctx)
@@ -246,10 +248,10 @@
 	return err
 }
 
-// AwaitEnd waits until all connections have ended or ctx ends. StopAccepting must have been called before.
+// AwaitEnd blocks until all connections have ended or ctx ends. The caller must have called StopAccepting.
 func (s *Server) AwaitEnd(ctx context.Context) error {
 	ended := make(chan struct{})
-	go func() { // returns at the latest after Close
+	go func() { // returns after Close, if not before
 		s.serving.Wait()
 		close(ended)
 	}()
@@ -261,10 +263,10 @@
 	}
 }
 
-// StopAccepting starts a drain: the listeners close once their accept queues are empty, and then clients are
-// notified. It does not wait. Open calls are answered, and each connection ends with its last answer. Calls that
-// arrive later are rejected, except for the first call of a connection, because its client could not know of the
-// drain.
+// StopAccepting starts a drain, and returns without waiting for its end. Each listener closes once its accept queue
+// is empty. When all listeners are closed, clients are notified. Open calls are answered, and each connection ends
+// after its last answer. Calls that arrive later are rejected. The first call of a connection is not rejected,
+// because the client could not know of the drain.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -278,8 +280,8 @@
 	s.slotFreed.Broadcast()
 }
 
-// ResumeAccepting ends a drain, so that Serve can be called again with another listener. Connections that were
-// notified of the drain still end with their last answer.
+// ResumeAccepting ends a drain. Serve can then be called again with another listener. Connections that were notified
+// of the drain still end after their last answer.
 func (s *Server) ResumeAccepting() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,7 +289,7 @@
 	return nil
 }
 
-// Close closes all listeners and connections, which cancels open calls, and waits until they have ended.
+// Close closes all listeners and connections, and waits until they have ended. Open calls are cancelled.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -44,7 +44,8 @@
 	return policy.Class{Name: name, Idempotency: policy.Idempotent}, name == "read"
 }
 
-// answerAfter returns a function for stubEngine.do that answers a call once until is closed or the call is cancelled.
+// answerAfter returns a function for stubEngine.do. The function answers a call after until is closed or the call is
+// cancelled.
 func answerAfter(until chan struct{}) func(context.Context, router.Request) (router.Answer, error) {
 	return func(ctx context.Context, r router.Request) (router.Answer, error) {
 		select {
@@ -102,7 +103,7 @@
 	}
 }
 
-// next returns a description of the next message, or the text of the error if there is none.
+// next returns a description of the next message, or the text of the error if no message arrives.
 func (r rawClient) next() string {
 	frame, err := r.in.Next()
 	if err != nil {
@@ -131,8 +132,8 @@
 	}
 }
 
-// A protocol violation is answered with an error notification, and the connection ends once its open calls have been
-// answered. Other connections are not affected.
+// TestServe_ProtocolViolations checks that the server answers a protocol violation with an error notification. The
+// connection ends once its open calls have been answered, and other connections are not affected.
 func TestServe_ProtocolViolations(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: answerAfter(until)}
@@ -177,7 +178,8 @@
 	good.expect(t, "2 r2")
 }
 
-// A connection without an open call is closed after the idle timeout; a connection with one is not.
+// TestIdleTimeout_SparesOpenCalls checks that the idle timeout closes a connection without an open call, and does not
+// close a connection with an open call.
 func TestIdleTimeout_SparesOpenCalls(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: answerAfter(until)}
@@ -190,8 +192,8 @@
 	busy.expect(t, "1 r1", "EOF")
 }
 
-// While a connection has the maximum of open calls, it is not read. Answers arrive in any order. A cancelled call is
-// no longer open.
+// TestMaxCalls_BackpressureAndCancel checks that a connection with the maximum number of open calls is not read.
+// Answers arrive in any order. A cancelled call is no longer open.
 func TestMaxCalls_BackpressureAndCancel(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: func(ctx context.Context, r router.Request) (router.Answer, error) {
@@ -240,7 +242,8 @@
 	testkit.Await(t, "the end of the calls", func() bool { return stub.open.Load() == 0 && server.Stats().Conns == 0 })
 }
 
-// A client that does not read its answers is disconnected after the write timeout. Others are served meanwhile.
+// TestSlowReader_IsDisconnected checks that a client that does not read its answers is disconnected after the write
+// timeout. Other clients are served meanwhile.
 func TestSlowReader_IsDisconnected(t *testing.T) {
 	stub := &stubEngine{do: func(context.Context, router.Request) (router.Answer, error) {
 		return router.Answer{Body: make([]byte, 60<<10)}, nil
@@ -263,8 +266,8 @@
 	testkit.Await(t, "the disconnect of the slow client", func() bool { return server.Stats().Conns == 1 })
 }
 
-// If all slots are in use, a new connection replaces the one that has been idle for longest, or waits if none is
-// idle.
+// TestServe_EvictsIdleConnections checks that a new connection evicts the longest idle connection if all slots are in
+// use. If no connection is idle, the new connection waits.
 func TestServe_EvictsIdleConnections(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: answerAfter(until)}
@@ -287,8 +290,8 @@
 	fourth.expect(t, "4 r4")
 }
 
-// During a drain clients are notified, open calls are answered, and calls that arrive after the notification was sent
-// are rejected. Each connection ends with its last answer.
+// TestShutdown_AnswersOpenCalls checks that a drain notifies clients, answers open calls, and rejects calls that
+// arrive after the notification. Each connection ends after its last answer.
 func TestShutdown_AnswersOpenCalls(t *testing.T) {
 	until := make(chan struct{})
 	stub := &stubEngine{do: answerAfter(until)}
@@ -316,7 +319,8 @@
 	}
 }
 
-// The first call is answered on a connection that is in the accept queue when the server stops accepting.
+// TestStopAccepting_ServesQueuedConnections checks that a connection in the accept queue gets an answer to its first
+// call after the server stops accepting.
 func TestStopAccepting_ServesQueuedConnections(t *testing.T) {
 	stub := &stubEngine{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -330,7 +334,7 @@
 	client := dial(t, ln.Addr().String())
 	testkit.Await(t, "Serve to accept", held.called.Load)
 	server.StopAccepting()
-	time.Sleep(2 * acceptQueueDrainTimeout) // the accept loop is blocked meanwhile
+	time.Sleep(2 * acceptQueueDrainTimeout) // the accept loop is blocked
 	close(held.proceed)
 	client.call(t, 1)
 	received := []string{client.next(), client.next()} // the drain notification may come before or after the answer
@@ -358,7 +362,8 @@
 	return l.TCPListener.Accept()
 }
 
-// If the context of a shutdown ends first, open connections are closed and their calls cancelled.
+// TestShutdown_ClosesAtDeadline checks that open connections are closed and their calls cancelled if the context of a
+// shutdown ends.
 func TestShutdown_ClosesAtDeadline(t *testing.T) {
 	stub := &stubEngine{do: answerAfter(make(chan struct{}))}
 	server, addr := startServer(t, stub, Config{})
@@ -371,9 +376,10 @@
 	}
 }
 
-// Clients that violate the protocol do not slow down the others. The environment variable NEIGHBOURS sets a number of
-// rounds, in each of which the test compares the 99th percentile of the latency with and without such clients; the
-// median ratio must not exceed 1.2. Without the variable it runs one round, and checks only that calls are answered.
+// TestNeighbours checks that clients that violate the protocol do not slow down other clients. The environment
+// variable NEIGHBOURS sets the number of rounds. Each round compares the 99th percentile of the latency with and
+// without such clients. The median ratio must be at most 1.2. Without the variable, the test runs one round and
+// checks only that calls are answered.
 func TestNeighbours(t *testing.T) {
 	rounds, err := strconv.Atoi(os.Getenv("NEIGHBOURS"))
 	limitChecked := err == nil && rounds > 0
@@ -430,8 +436,8 @@
 	}
 }
 
-// All slots are in use by connections with open calls, and further connections are idle or have sent part of a
-// message. Calls of other clients are still rejected as overloaded in time.
+// TestServe_RejectsCallsInTimeWhenFull checks that calls are rejected as overloaded in time if connections with open
+// calls use all slots. Other connections are idle or have sent part of a message.
 func TestServe_RejectsCallsInTimeWhenFull(t *testing.T) {
 	const busy, soon = 2, 600 * time.Millisecond
 	for _, partial := range []bool{false, true} {
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// overflowConns is how many connections are accepted beyond MaxConns, in order to reject their calls with an
-	// answer.
+	// overflowConns is the maximum number of connections accepted beyond MaxConns. Their calls are answered with a
+	// rejection.
 	overflowConns = 4
-	// firstCallGrace is how long an overflow connection without a call, or in the middle of one, is protected from
-	// eviction.
+	// firstCallGrace protects overflow connections from eviction. It applies after the accept until the first call
+	// arrives, and after each read in the middle of a message.
 	firstCallGrace = 100 * time.Millisecond
-	// slotRecheckInterval is the shortest interval between checks whether an overflow connection may be accepted.
+	// slotRecheckInterval is the minimum interval between checks whether an overflow connection may be accepted.
 	slotRecheckInterval = 5 * time.Millisecond
-	// defaultQueueTimeout is how long a connection waits for a slot if the engine has no method QueueTimeout.
+	// defaultQueueTimeout is how long a connection waits for a slot if the engine does not have the method
+	// QueueTimeout.
 	defaultQueueTimeout = 300 * time.Millisecond
 )
 
-// admit starts serving a connection that arrived at earliest or later. If all slots are in use, it waits until a
-// connection ends or can be evicted, or until overflow connections are accepted. It returns false if the server is
-// closed meanwhile.
+// admit starts serving nc, a connection that arrived at earliest or later. If all slots are in use, admit blocks
+// until a connection ends or can be evicted, or until an overflow connection is allowed. It returns false if the
+// server is closed meanwhile.
 func (s *Server) admit(nc net.Conn, earliest time.Time) bool {
 	conn := newConn(s, nc, earliest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waitingForSlot.Add(1) // before evict searches, so that connIdle reports a connection that becomes idle afterwards
+	s.waitingForSlot.Add(1) // before evict searches: connIdle then reports later idle connections
 	s.awaitSlot(conn, earliest)
 	s.waitingForSlot.Add(-1)
 	if s.closed {
@@ -42,9 +43,9 @@
 	return true
 }
 
-// awaitSlot waits until there is a slot for a connection. After the engine's queue timeout, up to overflowConns
-// connections are accepted without a slot and their calls rejected, so that clients in the listen backlog get an
-// answer in time.
+// awaitSlot blocks until there is a slot for conn. After the engine's queue timeout, up to overflowConns connections
+// are accepted without a slot. The server rejects their calls, so that clients in the listen backlog get an answer in
+// time.
 func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
 	for len(s.conns) >= s.config.MaxConns && !s.draining && !s.closed {
 		if s.evict() {
@@ -61,8 +62,8 @@
 	}
 }
 
-// waitingSince returns the time since which an accepted connection's client has been waiting for the server. The
-// connection arrived at earliest or later.
+// waitingSince returns the time since which the client has been waiting for the server. The connection arrived at
+// earliest or later.
 func (c *conn) waitingSince(earliest time.Time) time.Time {
 	switch nc := c.nc.(type) {
 	case *net.TCPConn:
@@ -80,8 +81,8 @@
 	return defaultQueueTimeout
 }
 
-// rejectsOverflow reports whether a connection is an overflow connection and must reject calls. If a slot has become
-// free since, the connection stops being an overflow connection.
+// rejectsOverflow reports whether conn is an overflow connection, whose calls are rejected. If a slot is free, conn
+// stops being an overflow connection.
 func (s *Server) rejectsOverflow(conn *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,14 +101,14 @@
 	return ReplyFromAnswer(answer, nil)
 }
 
-// recheckSlots wakes awaitSlot, so that it checks its conditions again.
+// recheckSlots makes awaitSlot check its conditions again.
 func (s *Server) recheckSlots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slotFreed.Broadcast()
 }
 
-// connIdle is called when a connection has become idle, so that it may be evicted for a waiting one.
+// connIdle is called when a connection has become idle. A waiting connection may then evict it.
 func (s *Server) connIdle() {
 	if s.waitingForSlot.Load() > 0 {
 		s.recheckSlots()
@@ -115,7 +116,7 @@
 }
 
 // evict frees the slot of the connection that has been idle for longest. It selects a connection with unread bytes
-// only if all idle connections have some. It returns false if no connection may be evicted. s.mu is held.
+// only if every idle connection has unread bytes. It returns false if no connection may be evicted. s.mu is held.
 func (s *Server) evict() bool {
 	oldest := s.longestIdle(false)
 	if oldest == nil {
@@ -131,8 +132,8 @@
 	return true
 }
 
-// longestIdle returns, of the connections that may be evicted, the one that has been idle for longest; nil if there
-// is none. includeUnread includes connections with unread bytes. s.mu is held.
+// longestIdle returns the evictable connection that has been idle for longest, or nil if there is none. It considers
+// connections with unread bytes only if includeUnread is set. s.mu is held.
 func (s *Server) longestIdle(includeUnread bool) *conn {
 	var oldest *conn
 	var oldestIdleSince time.Time
@@ -145,7 +146,7 @@
 	return oldest
 }
 
-// linger frees the slot, if any, of a connection whose write side the server has closed but which it still reads.
+// linger frees the slot, if any, of a connection that the server still reads after closing the write side.
 func (s *Server) linger(conn *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,15 +156,15 @@
 	}
 }
 
-// freeSlot moves a connection that the server has ended or evicted to the lingering ones. s.mu is held.
+// freeSlot moves conn, which the server has ended, to the lingering connections. s.mu is held.
 func (s *Server) freeSlot(conn *conn) {
 	delete(s.conns, conn)
 	s.lingering = append(s.lingering, conn)
 	s.limitLingering()
 }
 
-// limitLingering closes the oldest lingering connections, so that there are never more than MaxConns+overflowConns
-// connections in total. s.mu is held.
+// limitLingering closes the oldest lingering connections until there are at most MaxConns+overflowConns connections
+// in total. s.mu is held.
 func (s *Server) limitLingering() {
 	for len(s.lingering) > 0 && len(s.conns)+len(s.lingering) > s.config.MaxConns+overflowConns {
 		s.lingering[0].closeLingering()
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -12,8 +12,8 @@
 	"cobaltward/handshakes"
 )
 
-// Conn is the server's side of a client's TLS connection. One goroutine may read while another writes; all other
-// methods are safe for concurrent use.
+// Conn is the server's side of a client's TLS connection. One goroutine may read while another goroutine writes. All
+// other methods are safe for concurrent use.
 type Conn struct {
 	terminator      *Terminator
 	tcp             *net.TCPConn
@@ -22,26 +22,26 @@
 	transport       atomic.Pointer[handshakes.Conn] // wraps tcp and carries tls; nil before the handshake
 
 	handshakeMu sync.Mutex  // held during the handshake
-	done        atomic.Bool // the handshake has succeeded or failed; tls, err and peerNames do not change any more
+	done        atomic.Bool // the handshake has succeeded or failed; tls, err and peerNames no longer change
 	tls         *tls.Conn
 	err         error // error of a failed handshake; nil otherwise
 	peerNames   []string
 
 	deadlineMu   sync.Mutex
-	readDeadline time.Time // set by SetReadDeadline; the end of the handshake adds the handshake's duration
+	readDeadline time.Time // set by SetReadDeadline; the handshake adds its duration when it ends
 }
 
 var _ net.Conn = (*Conn)(nil)
 
-// OnReceive registers f to be called after each read that returned bytes after the handshake, whether or not they can
-// be decrypted yet. It must be called before the first Read.
+// OnReceive registers f to be called after each read that returns bytes after the handshake. f is called even if the
+// bytes cannot be decrypted yet. OnReceive must be called before the first Read.
 func (c *Conn) OnReceive(f func()) { c.onReceive = f }
 
-// Handshaking reports whether the handshake has not yet succeeded or failed; it may not even have begun.
+// Handshaking reports whether the handshake has not succeeded or failed yet. The handshake may not have begun.
 func (c *Conn) Handshaking() bool { return !c.done.Load() }
 
-// HandshakeOnCPU reports whether the handshake is waiting for the CPU, using it, or has just used it. Otherwise an
-// unfinished handshake waits for the client.
+// HandshakeOnCPU reports whether the handshake is waiting for the CPU, using the CPU, or has just used the CPU. If it
+// returns false, an unfinished handshake is waiting for the client.
 func (c *Conn) HandshakeOnCPU() bool {
 	transport := c.transport.Load()
 	return c.Handshaking() && transport != nil && transport.IsComputing()
@@ -60,7 +60,7 @@
 }
 
 // PeerNames returns the names in the client's certificate: URIs, DNS names, then the common name. It returns nil if
-// the client has presented no certificate, or the handshake is not done.
+// the client presented no certificate or the handshake is not done.
 func (c *Conn) PeerNames() []string {
 	if c.Handshaking() {
 		return nil
@@ -71,7 +71,8 @@
 // isEstablished reports whether the handshake has succeeded.
 func (c *Conn) isEstablished() bool { return c.done.Load() && c.err == nil }
 
-// Read implements net.Conn. The first Read or Write performs the handshake. After a failed one Read returns io.EOF.
+// Read implements net.Conn. The first Read or Write performs the handshake. If the handshake failed, Read returns
+// io.EOF.
 func (c *Conn) Read(p []byte) (int, error) {
 	if err := c.ensureHandshake(); err != nil {
 		return 0, err
@@ -79,7 +80,7 @@
 	return c.tls.Read(p)
 }
 
-// Write implements net.Conn. After a failed handshake it returns net.ErrClosed.
+// Write implements net.Conn. If the handshake failed, Write returns net.ErrClosed.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.ensureHandshake(); err != nil {
 		return 0, net.ErrClosed
@@ -87,7 +88,7 @@
 	return c.tls.Write(p)
 }
 
-// Close closes the connection without blocking. The close_notify alert is dropped if the send buffer is full.
+// Close closes the connection without blocking. If the send buffer is full, the close_notify alert is dropped.
 func (c *Conn) Close() error {
 	if c.isEstablished() {
 		c.transport.Load().DropBlockingWrites()
@@ -96,7 +97,7 @@
 	return c.tcp.Close()
 }
 
-// CloseWrite closes the write side without blocking. The close_notify alert is dropped if the send buffer is full.
+// CloseWrite closes the write side without blocking. If the send buffer is full, the close_notify alert is dropped.
 func (c *Conn) CloseWrite() error {
 	if c.isEstablished() {
 		c.transport.Load().DropBlockingWrites()
@@ -107,7 +108,7 @@
 	return c.tcp.CloseWrite()
 }
 
-// TCP returns the connection under TLS, which must not be read from or written to.
+// TCP returns the connection under TLS. The caller must not read from the returned connection or write to it.
 func (c *Conn) TCP() *net.TCPConn { return c.tcp }
 
 // LocalAddr implements net.Conn.
@@ -116,13 +117,13 @@
 // RemoteAddr implements net.Conn.
 func (c *Conn) RemoteAddr() net.Addr { return c.tcp.RemoteAddr() }
 
-// SetDeadline implements net.Conn, as SetReadDeadline and SetWriteDeadline do.
+// SetDeadline implements net.Conn by calling SetReadDeadline and SetWriteDeadline.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline implements net.Conn. The handshake has its own deadline. A deadline that is set before the
-// handshake is done applies afterwards, later by the duration of the handshake.
+// SetReadDeadline implements net.Conn. The handshake has its own deadline. If t is set before the handshake is done,
+// it applies afterwards and is extended by the duration of the handshake.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -136,7 +137,8 @@
 	return c.tcp.SetReadDeadline(t)
 }
 
-// SetWriteDeadline implements net.Conn. It has no effect before the end of the handshake, which has its own deadline.
+// SetWriteDeadline implements net.Conn. It has no effect before the end of the handshake. The handshake has its own
+// deadline.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	if c.Handshaking() {
 		return nil
@@ -146,12 +148,12 @@
 
 type connKey struct{}
 
-// WithConn adds the connection to the context of its requests, for use in http.Server.ConnContext.
+// WithConn returns a copy of ctx that holds c. It is for use in http.Server.ConnContext.
 func WithConn(ctx context.Context, c *Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// PeerNames returns Conn.PeerNames of the connection that WithConn added to the context; nil if there is none.
+// PeerNames returns the result of Conn.PeerNames for the connection that WithConn added to ctx, or nil without one.
 func PeerNames(ctx context.Context) []string {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		return c.PeerNames()
--- a/internal/frontend/secure/handshake.go
+++ b/internal/frontend/secure/handshake.go
@@ -13,7 +13,7 @@
 	"cobaltward/handshakes"
 )
 
-// ensureHandshake performs the handshake if it has not been performed yet, and returns its error.
+// ensureHandshake performs the handshake if it has not been performed yet. It returns the handshake's error.
 func (c *Conn) ensureHandshake() error {
 	if c.done.Load() {
 		return c.err
@@ -36,8 +36,8 @@
 	return err
 }
 
-// handshake performs the handshake and counts its outcome. It returns any failure as io.EOF, because no request can
-// be read or answered.
+// handshake performs the handshake and counts its outcome. It returns io.EOF for every failure, because no request
+// can be read or answered.
 func (c *Conn) handshake() error {
 	term := c.terminator
 	began := time.Now()
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// endHandshake replaces the handshake's deadlines by the read deadline that the caller has set, and sets done.
+// endHandshake replaces the handshake's deadlines with the caller's read deadline, and sets done. elapsed is the
+// duration of the handshake.
 func (c *Conn) endHandshake(elapsed time.Duration) {
 	_ = c.tcp.SetWriteDeadline(time.Time{})
 	c.deadlineMu.Lock()
@@ -74,8 +75,8 @@
 	c.done.Store(true)
 }
 
-// failureReason returns the key under which Stats.Failures counts a failed handshake. To a client that sent plain
-// HTTP it also sends an error response.
+// failureReason returns the key under which Stats.Failures counts the failed handshake. It sends an error response to
+// a client that sent plain HTTP.
 func (c *Conn) failureReason(err error) string {
 	var header tls.RecordHeaderError
 	var netErr net.Error
@@ -100,7 +101,7 @@
 	return "no agreement"
 }
 
-// rejectPlainHTTP answers a request without TLS with status 400, unless the write would block.
+// rejectPlainHTTP answers a plain HTTP request with status 400, unless the write would block.
 func (c *Conn) rejectPlainHTTP() {
 	const body = "this port takes TLS alone\n"
 	response := fmt.Sprintf("HTTP/1.1 400 Bad Request\r\n"+
@@ -110,7 +111,7 @@
 	_, _ = transport.Write([]byte(response))
 }
 
-// isHTTP reports whether the first bytes of a connection are the start of an HTTP request.
+// isHTTP reports whether head, the first bytes of a connection, starts an HTTP request.
 func isHTTP(head [5]byte) bool {
 	switch string(head[:]) {
 	case "GET /", "HEAD ", "POST ", "PUT /", "OPTIO", "DELET", "PATCH":
@@ -119,7 +120,7 @@
 	return false
 }
 
-// certificateNames returns the URIs, DNS names and common name of the first certificate of a chain.
+// certificateNames returns the URIs, DNS names and common name of the first certificate in chain.
 func certificateNames(chain []*x509.Certificate) (names []string) {
 	if len(chain) == 0 {
 		return nil
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -1,6 +1,6 @@
-// Package secure terminates the TLS connections of clients. It selects the certificate by server name, resumes
-// sessions, and verifies client certificates, whose names identify the client. The first Read or Write of a
-// connection performs its handshake; package handshakes limits the CPU time that handshakes use.
+// Package secure terminates the TLS connections of clients. It selects the certificate by server name and resumes
+// sessions. It verifies client certificates, whose names identify the client. The first Read or Write of a connection
+// performs the handshake. Package handshakes limits the CPU time of handshakes.
 package secure
 
 import (
@@ -19,7 +19,7 @@
 	"cobaltward/handshakes"
 )
 
-// DefaultTimeout limits a handshake, including its wait for the CPU.
+// DefaultTimeout is the default time limit for a handshake, including the wait for the CPU.
 const DefaultTimeout = 2500 * time.Millisecond
 
 // Config configures a Terminator.
@@ -27,15 +27,15 @@
 	Certificates *certificates.Store      // certificates of the listener; required
 	Trust        *certificates.Store      // authorities of client certificates; nil: no client certificate is requested
 	Require      bool                     // reject clients without a certificate; needs Trust
-	Tickets      *certificates.Tickets    // keys of session tickets; nil: keys that only this process has
+	Tickets      *certificates.Tickets    // keys of session tickets; nil: keys known only to this process
 	TLS12        bool                     // accept TLS 1.2 as well as 1.3
 	ALPN         []string                 // application protocols, in order of preference
-	Timeout      time.Duration            // limit for a handshake; 0: DefaultTimeout
-	CPU          *handshakes.CPUScheduler // schedules the computations of handshakes
+	Timeout      time.Duration            // time limit for a handshake; 0: DefaultTimeout
+	CPU          *handshakes.CPUScheduler // scheduler of the computations of handshakes
 	Log          *slog.Logger             // nil: nothing is logged
 }
 
-// Terminator terminates TLS on connections of clients. It is safe for concurrent use.
+// Terminator terminates the TLS connections of clients. It is safe for concurrent use.
 type Terminator struct {
 	config    Config
 	tlsConfig *tls.Config
@@ -71,7 +71,7 @@
 	if config.TLS12 {
 		term.tlsConfig.MinVersion = tls.VersionTLS12
 	}
-	switch { // verifyClient verifies the certificate, also in resumed sessions, by the authorities trusted at that time
+	switch { // verifyClient verifies the certificate, also in resumed sessions, by the current authorities
 	case config.Require:
 		term.tlsConfig.ClientAuth = tls.RequireAnyClientCert
 	case config.Trust != nil:
@@ -93,10 +93,10 @@
 
 func (t *Terminator) verifyClient(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return nil // allowed: if a certificate were required, crypto/tls would have rejected the client
+		return nil // allowed: crypto/tls has already rejected the client if a certificate is required
 	}
 	pool := t.config.Trust.Set().Pool // Trust is not nil if a certificate was requested
-	if pool == nil {                  // no authority is known yet; Verify would use the system's pool instead of nil
+	if pool == nil {                  // no authority is known yet; Verify would replace nil by the system's pool
 		return errUntrustedClient
 	}
 	options := x509.VerifyOptions{
@@ -113,13 +113,14 @@
 	return nil
 }
 
-// Wrap returns a connection that uses TLS over tcp. It reads nothing before the first Read or Write. onHandshakeDone,
-// if not nil, is called once, when the handshake has succeeded or failed.
+// Wrap returns a connection that uses TLS over tcp. It reads nothing before the first Read or Write. If
+// onHandshakeDone is not nil, it is called once, after the handshake has succeeded or failed.
 func (t *Terminator) Wrap(tcp *net.TCPConn, onHandshakeDone func()) *Conn {
 	return &Conn{terminator: t, tcp: tcp, onHandshakeDone: onHandshakeDone}
 }
 
-// Listener returns a listener that wraps each accepted TCP connection. Connections of Unix sockets are not wrapped.
+// Listener returns a listener that wraps each TCP connection that ln accepts. It does not wrap connections of Unix
+// sockets.
 func (t *Terminator) Listener(ln net.Listener) net.Listener { return &listener{ln, t} }
 
 type listener struct {
@@ -138,7 +139,7 @@
 	return conn, nil
 }
 
-// SetDeadline sets the deadline of Accept, as PersistentListener does.
+// SetDeadline sets the deadline of Accept. It returns errors.ErrUnsupported if the inner listener has no deadline.
 func (l *listener) SetDeadline(t time.Time) error {
 	inner, ok := l.Listener.(interface{ SetDeadline(t time.Time) error })
 	if !ok {
@@ -147,7 +148,7 @@
 	return inner.SetDeadline(t)
 }
 
-// SyscallConn implements syscall.Conn, as PersistentListener does.
+// SyscallConn implements syscall.Conn. It returns errors.ErrUnsupported if the inner listener does not implement it.
 func (l *listener) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := l.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -52,7 +52,7 @@
 	f.write(dir+"/key.pem", p.KeyPEM())
 }
 
-// certificates opens a store of the certificates issued so far.
+// certificates opens a store with the certificates issued so far.
 func (f *fixture) certificates() *certificates.Store {
 	return f.store(certificates.Sources{Dir: f.path("certs")})
 }
@@ -74,7 +74,8 @@
 	f.write("clients.pem", pki.PEM(all...))
 }
 
-// startServer starts a TLS server that answers each line with the names in the client's certificate.
+// startServer starts a TLS server that answers each line with the names in the client's certificate. It returns the
+// terminator and the server's address.
 func startServer(t testing.TB, c Config) (*Terminator, string) {
 	t.Helper()
 	terminator, err := New(c)
@@ -110,7 +111,8 @@
 	return strings.TrimSpace(answer), c.ConnectionState(), err
 }
 
-// The certificate is selected by server name. An unknown server name, protocol or TLS version fails the handshake.
+// TestHandshake_SelectsCertificateByServerName checks that the server name selects the certificate. The handshake
+// fails for an unknown server name, protocol or TLS version.
 func TestHandshake_SelectsCertificateByServerName(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -136,7 +138,8 @@
 	testkit.Await(t, "the three failures", func() bool { return terminator.Stats().Failures["no agreement"] == 3 })
 }
 
-// A client that sends plain HTTP gets status 400. One that sends other bytes, or nothing, is disconnected.
+// TestHandshake_ClientWithoutTLS checks that a client that sends plain HTTP gets status 400. A client that sends
+// other bytes, or nothing, is disconnected.
 func TestHandshake_ClientWithoutTLS(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -163,8 +166,8 @@
 	testkit.Await(t, "the end of all handshakes", func() bool { return terminator.Stats().InProgress == 0 })
 }
 
-// A session can be resumed at another node that shares the file of ticket keys, also after a rotation, as long as the
-// key of its ticket is known there.
+// TestSessionTickets_SharedByNodes checks that a session can be resumed at another node that shares the file of
+// ticket keys. After a rotation, resumption still works if the other node knows the key of the ticket.
 func TestSessionTickets_SharedByNodes(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -204,8 +207,8 @@
 	}{
 		{func() {}, 0, false},
 		{func() {}, 1, true},
-		{func() { rotate(); reload(1) }, 1, true}, // encrypted with the previous key
-		{func() {}, 0, true},                      // encrypted with the next key, which this node has known from the start
+		{func() { rotate(); reload(1) }, 1, true}, // ticket encrypted with the previous key
+		{func() {}, 0, true},                      // ticket encrypted with the next key, which this node already knows
 		{func() { reload(0) }, 1, true},
 		{func() { terminators[0].tlsConfig.SetSessionTicketKeys([][32]byte{{1}}) }, 0, false},
 	} {
@@ -221,7 +224,8 @@
 	}
 }
 
-// A client certificate is accepted as long as its authority is trusted, in resumed sessions too.
+// TestClientCertificates_FollowTrust checks that a client certificate is accepted while its authority is trusted,
+// also in resumed sessions.
 func TestClientCertificates_FollowTrust(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -274,8 +278,8 @@
 	}
 }
 
-// Many concurrent handshakes share the CPU. All succeed except those of clients that disconnect, which are counted as
-// failed.
+// TestHandshakes_ShareTheCPU checks that many concurrent handshakes share the CPU and succeed. Clients that
+// disconnect are counted as failed handshakes.
 func TestHandshakes_ShareTheCPU(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
@@ -312,7 +316,7 @@
 	}
 }
 
-// eofConn is a connection that writes normally, but whose reads return io.EOF.
+// eofConn is a connection with working writes whose reads return io.EOF.
 type eofConn struct{ net.Conn }
 
 func (o *eofConn) Read([]byte) (int, error) { return 0, io.EOF }
@@ -329,7 +333,8 @@
 	}
 }
 
-// Accept returns a connection without waiting for its handshake, so a silent client does not block the others.
+// TestListener_AcceptsBeforeHandshake checks that Accept returns a connection without waiting for its handshake.
+// Otherwise a silent client would block the other clients.
 func TestListener_AcceptsBeforeHandshake(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
