--- a/middleware/answer.go
+++ b/middleware/answer.go
@@ -12,10 +12,11 @@
 	"cobaltward/router"
 )
 
-// answerStallTimeout limits the write of each part of a streamed answer, and so how long a client may read nothing.
+// answerStallTimeout is the maximum time for writing one part of a streamed answer. It limits how long a client may
+// read nothing.
 const answerStallTimeout = 15 * time.Second
 
-// streamBuffers holds the buffers through which streamed answers are copied.
+// streamBuffers holds the buffers for copying streamed answers.
 var streamBuffers = sync.Pool{New: func() any { return new([body.ChunkSize]byte) }}
 
 // Status returns the HTTP status of an answer.
@@ -38,7 +39,7 @@
 	return http.StatusBadGateway
 }
 
-// FormatRetryAfter returns the value of a Retry-After header: seconds, with decimals if needed.
+// FormatRetryAfter returns wait as the value of a Retry-After header, in seconds, with decimals if needed.
 func FormatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', -1, 64)
 }
@@ -54,8 +55,8 @@
 	header["Content-Length"] = []string{strconv.Itoa(len(answer.Body))}
 }
 
-// addCloseHeader makes the answer close its connection if the router is closing. It is called just before the answer
-// is written, so that a drain that began during the request does not have to wait for the connection.
+// addCloseHeader makes the answer close the connection if the router is closing. It is called just before the answer
+// is written. A drain that began during the request then does not wait for the connection.
 func (f *Frontend) addCloseHeader(w http.ResponseWriter) {
 	if f.engine.Phase() >= router.Closing {
 		w.Header().Set("Connection", "close")
@@ -73,11 +74,11 @@
 	}
 	setAnswerHeaders(w.Header(), answer)
 	w.WriteHeader(Status(answer))
-	_, _ = w.Write(answer.Body) // the client may have disconnected; the request is over either way
+	_, _ = w.Write(answer.Body) // fails only if the client has disconnected
 }
 
-// writeStream copies a long answer to the client as it arrives. If the answer breaks off, the connection is aborted,
-// so that the client can tell that the answer is incomplete.
+// writeStream copies a long answer to the client as it arrives. If the answer breaks off, writeStream aborts the
+// connection, which shows the client that the answer is incomplete.
 func (f *Frontend) writeStream(w http.ResponseWriter, answer router.Answer) {
 	stream := answer.Stream
 	defer func() { _ = stream.Close() }()
@@ -105,7 +106,7 @@
 	}
 }
 
-// writeAndFlush writes a part of an answer, with a write deadline of answerStallTimeout.
+// writeAndFlush writes part, a part of an answer, with a write deadline of answerStallTimeout.
 func writeAndFlush(w http.ResponseWriter, conn *http.ResponseController, part []byte) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(answerStallTimeout))
 	if _, err := w.Write(part); err != nil {
--- a/middleware/body_test.go
+++ b/middleware/body_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/middleware"
 )
 
-// TestBody_ReadByEarlierHandler checks that a body that an earlier handler has read, in part or to its end, is
-// rejected and not taken for a shorter one. A handler that replaces r.Body after reading it is accepted.
+// TestBody_ReadByEarlierHandler checks that a body is rejected if an earlier handler has read any of it. Otherwise
+// the router would forward a shorter body. A handler that replaces r.Body after reading it is accepted.
 func TestBody_ReadByEarlierHandler(t *testing.T) {
 	var served atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
@@ -42,7 +42,7 @@
 }
 
 // TestHostReadTimeout_BindsBodyOnly checks that the ReadTimeout of the host's server does not disconnect a client
-// that waits for its answer longer than that.
+// that waits longer for its answer.
 func TestHostReadTimeout_BindsBodyOnly(t *testing.T) {
 	addr := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRejection_WhileSendingIsNotReset checks that a client that sends Connection: close, and is still sending its
-// body when it is rejected, reads the answer and then EOF, not a connection reset.
+// TestRejection_WhileSendingIsNotReset checks that a client that is rejected while sending its body reads the answer
+// and then EOF, not a connection reset. The client sends Connection: close.
 func TestRejection_WhileSendingIsNotReset(t *testing.T) {
 	var served atomic.Int32
 	url := serve(t, middleware.New(newRouter(t, newEchoServer(t, &served))))
@@ -80,7 +80,7 @@
 	if resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Fatalf("status %d, want 413", resp.StatusCode)
 	}
-	time.Sleep(50 * time.Millisecond) // by now a server that does not read on has closed the connection
+	time.Sleep(50 * time.Millisecond) // a server that stops reading has closed the connection by now
 	for sent := 0; sent < size; sent += 1 << 10 {
 		if _, err := conn.Write(make([]byte, min(1<<10, size-sent))); err != nil {
 			t.Fatalf("write failed after %d bytes: %v", sent, err)
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -28,7 +28,7 @@
 	}, router.WithTransport(http1.New(http1.Config{})))
 }
 
-// Booking requests go through the engine, and the application serves its other pages itself.
+// The Frontend answers booking requests, and the application serves its other pages itself.
 func ExampleFrontend_Handler() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, "two rooms are free")
@@ -67,7 +67,7 @@
 	// /api/rooms?town=nitra 200 two rooms are free
 }
 
-// The application's own calls go through the engine, too. They get a request ID and a deadline.
+// The application's own requests go through the engine. They get a request ID and a deadline.
 func ExampleFrontend_RoundTripper() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintf(w, "%s for %s", r.URL.Path, strings.ToUpper(r.Host))
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -12,14 +12,14 @@
 
 const (
 	maxDeadlineMs = 3_600_000
-	maxShortBody  = 64 << 10 // bytes; limit of a body without WithBodyLimits
+	maxShortBody  = 64 << 10 // maximum size of a body without WithBodyLimits, in bytes
 )
 
-// Extractor reads one field of a request. Its error goes to the client, with status 400.
+// Extractor reads one field of a request. The client gets an error with status 400.
 type Extractor func(*http.Request) (string, error)
 
-// Header returns an Extractor of the header. A header that occurs twice is an error: the router and a server might
-// use different values.
+// Header returns an Extractor that reads the header name. A header that occurs twice is an error, because the router
+// and a server might use different values.
 func Header(name string) Extractor {
 	name = http.CanonicalHeaderKey(name)
 	errTwice := errors.New(name + ": given twice")
@@ -34,17 +34,18 @@
 	}
 }
 
-// Fixed returns an Extractor that yields the same value for every request.
+// Fixed returns an Extractor that returns value for every request.
 func Fixed(value string) Extractor { return func(*http.Request) (string, error) { return value, nil } }
 
-// Extractors says where the fields of a request are found. A nil Extractor reads the header named beside it.
+// Extractors holds the Extractor of each field of a request. A nil Extractor reads the header in the comment of its
+// field.
 type Extractors struct {
 	ID             Extractor // X-Request-Id
 	Class          Extractor // X-Class
 	Tenant         Extractor // X-Tenant
 	Key            Extractor // X-Key
 	IdempotencyKey Extractor // Idempotency-Key
-	Deadline       Extractor // X-Deadline-Ms: how many milliseconds the client waits, above 0
+	Deadline       Extractor // X-Deadline-Ms: how long the client waits, in milliseconds; positive
 }
 
 func (e Extractors) withDefaults() Extractors {
@@ -66,14 +67,14 @@
 	return e
 }
 
-// requestError describes why a request is malformed, and the status to answer it with.
+// requestError is the reason for rejecting a malformed request, and the status of the answer.
 type requestError struct {
 	status int
 	text   string
 	allow  string // value of the Allow header if the request has the wrong method
 }
 
-// Texts of requestErrors that several checks share.
+// Texts of requestErrors that several checks return.
 const (
 	bodyOfGet      = "a GET has no body"
 	bodyUnreadable = "the body can't be read"
@@ -88,7 +89,7 @@
 	return &requestError{status: http.StatusRequestEntityTooLarge, text: text}
 }
 
-// parseHead reads everything but the body.
+// parseHead reads everything of r except the body.
 func (f *Frontend) parseHead(r *http.Request) (req router.Request, problem *requestError) {
 	var deadline string
 	for _, field := range []struct {
@@ -138,13 +139,13 @@
 	return req, nil
 }
 
-// allowsMethod reports whether a class with the method classMethod accepts a request with the other one. Where GET is
-// accepted, so is HEAD.
+// allowsMethod reports whether a class whose method is classMethod accepts a request with the given method. A class
+// that accepts GET also accepts HEAD.
 func allowsMethod(classMethod, method string) bool {
 	return method == classMethod || method == http.MethodHead && classMethod == http.MethodGet
 }
 
-// costHint returns the client's estimate of the request's cost; 0 if there is none, or it is not a number.
+// costHint returns the client's estimate of the request's cost, or 0 if the client gave no number.
 func costHint(r *http.Request) time.Duration {
 	values := r.Header["X-Cost-Hint"]
 	if len(values) == 0 {
--- a/middleware/frontend.go
+++ b/middleware/frontend.go
@@ -11,7 +11,7 @@
 	"cobaltward/router"
 )
 
-// DefaultBodyTimeout is the default of WithBodyTimeout.
+// DefaultBodyTimeout is the body timeout of a Frontend without WithBodyTimeout.
 const DefaultBodyTimeout = 2500 * time.Millisecond
 
 // Engine is the part of *router.Router that a Frontend uses.
@@ -23,14 +23,13 @@
 
 // FailureCounter is an optional interface of an Engine. *router.Router implements it.
 type FailureCounter interface {
-	// CountFailed counts a malformed request of the class that the Frontend answered without the Engine.
+	// CountFailed counts a malformed request of the class. The Frontend has answered the request without the Engine.
 	CountFailed(class string)
 }
 
 // OverloadRejecter is an optional interface of an Engine. *router.Router implements it.
 type OverloadRejecter interface {
-	// RejectOverloaded counts a request of the class that came on an overflow connection, and returns the answer to
-	// it.
+	// RejectOverloaded counts a request of the class on an overflow connection, and returns the answer.
 	RejectOverloaded(class string) router.Answer
 }
 
@@ -40,7 +39,7 @@
 	_ OverloadRejecter = (*router.Router)(nil)
 )
 
-// Frontend answers booking requests through an Engine. It has no state of its own, and is safe for concurrent use.
+// Frontend answers booking requests through an Engine. It holds no state of requests, and is safe for concurrent use.
 type Frontend struct {
 	engine           Engine
 	matches          func(*http.Request) bool
@@ -49,97 +48,98 @@
 	isServing        func() bool
 	bodyTimeout      time.Duration // 0: the read timeout of the host's server applies
 	writeTimeout     time.Duration // 0: the write timeout of the host's server applies
-	timeout          time.Duration // for answering a request; 0: only the client's deadline applies
+	timeout          time.Duration // maximum time for answering a request; 0: only the client's deadline applies
 	newID            func() string
 	bodyLimits       *body.Limits // nil: bodies are limited to maxShortBody and read in full before forwarding
 	disconnected     func(context.Context) bool
 	arrivalAge       func(context.Context) time.Duration
 	isOverflow       func(context.Context) bool
-	setBodyDeadlines BodyDeadlineSetter // nil: a read deadline is set on the connection for each Read of a body
+	setBodyDeadlines BodyDeadlineSetter // nil: each Read of a body sets a read deadline on the connection
 }
 
 // Option changes a default of New.
 type Option func(*Frontend)
 
-// WithMatcher sets which requests are booking requests. The default is those with an X-Class header.
+// WithMatcher sets the function that selects booking requests. By default, requests with an X-Class header are
+// booking requests.
 func WithMatcher(match func(*http.Request) bool) Option {
 	return func(f *Frontend) { f.matches = match }
 }
 
-// WithExtractors sets where the fields of a request are found.
+// WithExtractors sets the Extractors that read the fields of a request.
 func WithExtractors(e Extractors) Option { return func(f *Frontend) { f.extract = e.withDefaults() } }
 
-// WithReadyPath makes the Frontend answer GET requests for the path: with 200 while the router is serving, else with
-// 503.
+// WithReadyPath makes the Frontend answer GET requests for path. The status is 200 while the router is serving, and
+// 503 otherwise.
 func WithReadyPath(path string) Option { return func(f *Frontend) { f.readyPath = path } }
 
-// WithReadiness sets the function that decides the answer at the path of WithReadyPath. By default it reports whether
-// the router is serving.
+// WithReadiness sets the function that decides between the two answers of WithReadyPath. By default the function
+// reports whether the router is serving.
 func WithReadiness(isServing func() bool) Option {
 	return func(f *Frontend) { f.isServing = isServing }
 }
 
-// WithBodyTimeout limits how long a request's body may take to arrive. The default is DefaultBodyTimeout; 0 leaves
-// the limit to the host's server.
+// WithBodyTimeout limits the time for receiving a request's body. The default is DefaultBodyTimeout. With 0, the read
+// timeout of the host's server applies.
 func WithBodyTimeout(timeout time.Duration) Option {
 	return func(f *Frontend) { f.bodyTimeout = timeout }
 }
 
-// WithWriteTimeout limits how long writing an answer may take. By default the limit is that of the host's server.
+// WithWriteTimeout limits the time for writing an answer. By default the write timeout of the host's server applies.
 func WithWriteTimeout(timeout time.Duration) Option {
 	return func(f *Frontend) { f.writeTimeout = timeout }
 }
 
-// WithTimeout limits the time from the last byte of a booking request to its answer by the router; 0, the default,
-// leaves the limit to the client's deadline. Use it instead of an http.TimeoutHandler around the middleware, which
-// may answer 503 although the request has run: behind such a handler, only requests of idempotent classes are
-// forwarded.
+// WithTimeout limits the time from the last byte of a booking request to the router's answer. With 0, the default,
+// only the client's deadline applies. Do not put an http.TimeoutHandler around the middleware: it may answer 503
+// although the request has run. Behind such a handler, only requests of idempotent classes are forwarded.
 func WithTimeout(timeout time.Duration) Option {
 	return func(f *Frontend) { f.timeout = timeout }
 }
 
-// WithBodyLimits accepts bodies and answers of any length within the limits. The host must reject requests that have
-// both a Transfer-Encoding and a Content-Length header: net/http ignores the Content-Length of such a request, so
-// that the Frontend cannot recognize it.
+// WithBodyLimits accepts bodies and answers of any length within limits. The host must reject requests with both a
+// Transfer-Encoding and a Content-Length header. The Frontend cannot recognize such requests, because net/http
+// ignores their Content-Length.
 func WithBodyLimits(limits body.Limits) Option { return func(f *Frontend) { f.bodyLimits = &limits } }
 
-// WithDisconnectCheck sets a function that reports, by a request's context, whether the client has disconnected. It
-// is called just before the request is forwarded, since the request may have waited unread until then, and must not
-// block. By default no client counts as disconnected.
+// WithDisconnectCheck sets a function that reports whether the client of a request has disconnected. The argument is
+// the request's context. The Frontend calls the function just before it forwards the request, because the request may
+// have waited unread. The function must not block. By default no client counts as disconnected.
 func WithDisconnectCheck(disconnected func(context.Context) bool) Option {
 	return func(f *Frontend) { f.disconnected = disconnected }
 }
 
-// WithArrivalAge sets a function that returns, by a request's context, the time since the last byte of the request
-// arrived. It is called as soon as the request is read: the request may have waited unread, and its deadline counts
-// from its arrival. The function must not block. By default a request counts as arrived when it is read.
+// WithArrivalAge sets a function that returns the time since the last byte of a request arrived. The argument is the
+// request's context. The Frontend calls the function as soon as it has read the request. The request may have waited
+// unread, and its deadline counts from its arrival. The function must not block. By default a request counts as
+// arrived when it is read.
 func WithArrivalAge(age func(context.Context) time.Duration) Option {
 	return func(f *Frontend) { f.arrivalAge = age }
 }
 
-// WithOverflow sets a function that reports, by a request's context, whether its connection is an overflow
-// connection, which was accepted only to reject its requests. Each of them is rejected at once, and the connection is
-// closed after the answer. By default no connection is an overflow connection.
+// WithOverflow sets a function that reports whether a request came on an overflow connection. The argument is the
+// request's context. An overflow connection is accepted only to reject its requests. The Frontend rejects such a
+// request at once and closes the connection after the answer. By default no connection is an overflow connection.
 func WithOverflow(isOverflow func(context.Context) bool) Option {
 	return func(f *Frontend) { f.isOverflow = isOverflow }
 }
 
 // WithBodyDeadlineSetter sets the function that limits the time of reads of a request's body. By default the Frontend
-// sets a read deadline for each Read of the body, which may take many reads of the connection for a chunked body.
+// sets a read deadline for each Read of the body. For a chunked body, one Read may take many reads of the connection.
 func WithBodyDeadlineSetter(set BodyDeadlineSetter) Option {
 	return func(f *Frontend) { f.setBodyDeadlines = set }
 }
 
-// Path returns a matcher of requests for the path and everything below it.
+// Path returns a matcher that matches requests for path and for every path below it.
 func Path(path string) func(*http.Request) bool {
 	below := strings.TrimSuffix(path, "/") + "/"
 	return func(r *http.Request) bool { return r.URL.Path == path || strings.HasPrefix(r.URL.Path, below) }
 }
 
-// Any is a matcher of every request.
+// Any matches every request.
 func Any(*http.Request) bool { return true }
 
-// New returns a Frontend that forwards booking requests to the engine.
+// New returns a Frontend that forwards booking requests to engine.
 func New(engine Engine, opts ...Option) *Frontend {
 	frontend := &Frontend{
 		engine: engine, extract: Extractors{}.withDefaults(), bodyTimeout: DefaultBodyTimeout, newID: newID,
@@ -162,7 +162,7 @@
 	return f.readyPath != "" && r.Method == http.MethodGet && r.URL.Path == f.readyPath
 }
 
-// Handler returns the middleware: it answers booking requests, and passes all others to next unchanged.
+// Handler returns the middleware. It answers booking requests, and passes other requests to next unchanged.
 func (f *Frontend) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !f.Handles(r) {
--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -23,8 +23,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// TestHandler_LeavesOtherRequestsToApplication checks that the application gets a request that is not a booking
-// request unchanged, with its body, and gets no booking request.
+// TestHandler_LeavesOtherRequestsToApplication checks that the application gets other requests unchanged, with their
+// bodies, and gets no booking request.
 func TestHandler_LeavesOtherRequestsToApplication(t *testing.T) {
 	var served, passedOn atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestHandler_PassesPanicsOn checks that a panic of the application is not recovered, and that later requests are
-// served.
+// TestHandler_PassesPanicsOn checks that the handler does not recover a panic of the application, and serves later
+// requests.
 func TestHandler_PassesPanicsOn(t *testing.T) {
 	var served, panics atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -83,8 +83,8 @@
 	expectServed(t, request(t, url+"/api/x", "GET", "read", "r1", ""), "served r1")
 }
 
-// TestServeHTTP_ResponseWriterFails checks that a request whose ResponseWriter fails is written once and ends, and
-// that the next request is served.
+// TestServeHTTP_ResponseWriterFails checks that the answer is written only once if the ResponseWriter fails, and that
+// the next request is served.
 func TestServeHTTP_ResponseWriterFails(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -117,7 +117,7 @@
 	return 0, errors.New("broken pipe")
 }
 
-// TestServeHTTP_RouterClosed checks that requests and readiness checks get 503 once the router is closed.
+// TestServeHTTP_RouterClosed checks that requests and readiness checks get status 503 after the router is closed.
 func TestServeHTTP_RouterClosed(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
@@ -135,7 +135,7 @@
 	}
 }
 
-// pausingEngine delays each answer, as on a host that is slow to schedule the handler.
+// pausingEngine delays each answer, like a host that schedules the handler late.
 type pausingEngine struct {
 	*router.Router
 	pause time.Duration
@@ -148,9 +148,9 @@
 	return answer, err
 }
 
-// TestTimeoutHandler_NeverRejectsAcceptedRequest guards against a false rejection: http.TimeoutHandler answers 503 at
-// its timeout, which would tell the client that a retry is safe although the request may have run. However late the
-// host is, a request that must not run twice is not forwarded behind such a handler, while an idempotent one is.
+// TestTimeoutHandler_NeverRejectsAcceptedRequest checks that only idempotent requests are forwarded behind an
+// http.TimeoutHandler, however late the host is. The timeout handler answers 503 at its timeout, although the request
+// may have run. That status would tell the client that a retry is safe.
 func TestTimeoutHandler_NeverRejectsAcceptedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	hosts := map[string]func(*middleware.Frontend) http.Handler{
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestWithTimeout_AnswersForwardedRequest checks that WithTimeout answers a request that may have run with 502 or
-// 504, which do not call a retry safe, also if the host is late.
+// TestWithTimeout_AnswersForwardedRequest checks that WithTimeout answers a request that may have run with status 502
+// or 504, even if the host is late. These statuses do not call a retry safe.
 func TestWithTimeout_AnswersForwardedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, pause := range []time.Duration{0, 2 * timeout} {
@@ -209,7 +209,7 @@
 }
 
 // TestHostDeadline_ForwardsWithoutTimeoutHandler checks that a request whose context has a deadline is forwarded if
-// no timeout handler of the host can answer in place of the middleware.
+// the host has no timeout handler.
 func TestHostDeadline_ForwardsWithoutTimeoutHandler(t *testing.T) {
 	addr, received := newHungServer(t)
 	handler := middleware.New(newRouter(t, addr)).Handler(http.NotFoundHandler())
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestRoundTrip_ClientDeadline checks that a caller whose own timeout passes gets an error, never a rejection of a
-// request that may have run.
+// TestRoundTrip_ClientDeadline checks that a caller gets an error when its own timeout passes. The caller must not
+// get a rejection, because the request may have run.
 func TestRoundTrip_ClientDeadline(t *testing.T) {
 	addr, received := newHungServer(t)
 	engine := newRouter(t, addr)
@@ -245,8 +245,8 @@
 	}
 }
 
-// TestHTTP2_BodyWithoutLengthAndReset checks that a body over HTTP/2 needs no length, and that a stream reset by its
-// client counts as a disconnect.
+// TestHTTP2_BodyWithoutLengthAndReset checks that a body over HTTP/2 needs no length. It also checks that a stream
+// reset by the client counts as a disconnect.
 func TestHTTP2_BodyWithoutLengthAndReset(t *testing.T) {
 	bodies, aborted := make(chan string, 10), make(chan struct{}, 10)
 	engine := newRouter(t, testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -288,13 +288,13 @@
 	testkit.Await(t, "the disconnect to be counted", func() bool { return engine.Stats().ClientsGone == 1 })
 }
 
-// TestHostRetry_GetsConflict checks that retry middleware of the host can't make a request run twice: its second
-// attempt with the same ID gets 409, as from the daemon.
+// TestHostRetry_GetsConflict checks that retry middleware of the host cannot make a request run twice. The second
+// attempt with the same ID gets status 409, as from the daemon.
 func TestHostRetry_GetsConflict(t *testing.T) {
 	var served atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
 		if testkit.ReadFullRequest(r) {
-			served.Add(1) // the connection is then closed without an answer: the request may have run
+			served.Add(1) // the connection is closed without an answer: the request may have run
 		}
 	})
 	frontend := middleware.New(newRouter(t, addr, addr))
@@ -309,7 +309,7 @@
 	}
 }
 
-// TestExtractors_CustomFields checks that fields are read where the extractors say, and that a field given twice is
+// TestExtractors_CustomFields checks that the configured extractors read the fields, and that a field given twice is
 // rejected.
 func TestExtractors_CustomFields(t *testing.T) {
 	var served atomic.Int32
@@ -346,7 +346,7 @@
 	}
 }
 
-// TestDisconnectCheck_BeforeEngine checks that a request is not forwarded if its client has disconnected before.
+// TestDisconnectCheck_BeforeEngine checks that a request is not forwarded if its client has already disconnected.
 func TestDisconnectCheck_BeforeEngine(t *testing.T) {
 	var served atomic.Int32
 	var disconnected atomic.Bool
--- a/middleware/host_test.go
+++ b/middleware/host_test.go
@@ -19,9 +19,9 @@
 	"cobaltward/router"
 )
 
-// TestServeHTTP_HostOverloaded keeps all threads busy with goroutines of the host that also cause garbage collection.
-// It checks that each request gets one answer that agrees with how often it ran, and that the event loop's lag is
-// measured.
+// TestServeHTTP_HostOverloaded checks that each request gets one answer that agrees with how often the request ran.
+// It also checks that the event loop's lag is measured. Goroutines of the host keep all threads busy and cause
+// garbage collection.
 func TestServeHTTP_HostOverloaded(t *testing.T) {
 	var mu sync.Mutex
 	executions := make(map[string]int)
@@ -64,10 +64,10 @@
 	}
 }
 
-// lastBuffer holds the latest buffer of keepBusyUntil, which forces the buffers onto the heap.
+// lastBuffer holds the latest buffer of keepBusyUntil. Storing the buffers here forces them onto the heap.
 var lastBuffer atomic.Pointer[[]byte]
 
-// keepBusyUntil occupies a thread and allocates garbage.
+// keepBusyUntil occupies a thread until end, and allocates garbage.
 func keepBusyUntil(end time.Time) {
 	for n := 0; time.Now().Before(end); n++ {
 		buf := make([]byte, 32<<10)
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestReload_LeaksNothing reloads the settings and a changing set of servers over real sockets. It checks that no
-// descriptor and no goroutine leaks, and that the last endpoint list is in force. The environment variable RELOADS
-// sets the number of reloads.
+// TestReload_LeaksNothing checks that reloads leak no descriptors and no goroutines, and that the last endpoint list
+// is in force. The test reloads the settings and a changing set of servers over real sockets. The environment
+// variable RELOADS sets the number of reloads.
 func TestReload_LeaksNothing(t *testing.T) {
 	reloads := 30
 	if n, err := strconv.Atoi(os.Getenv("RELOADS")); err == nil && n > 0 {
@@ -129,7 +129,7 @@
 	return len(all)
 }
 
-// sendUntilStopped sends requests from four clients, and requires a status of 200 or 503 for each.
+// sendUntilStopped sends requests from four clients until stop is called. Each answer must have status 200 or 503.
 func sendUntilStopped(t *testing.T, handler http.Handler) (stop func()) {
 	t.Helper()
 	var clients sync.WaitGroup
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxInlineBody = 16 << 10 // bytes; longest body that is kept as one slice, outside the Budget of body.Limits
-	// minUploadRate is the lowest expected rate of a client, in bytes a second. The time in which a body must arrive
-	// is extended by its length at this rate.
+	maxInlineBody = 16 << 10 // maximum size of a body that is kept outside the Budget of body.Limits
+	// minUploadRate is the minimum expected upload rate of a client, in bytes per second. The time limit for a body is
+	// extended by the time that the body takes at this rate.
 	minUploadRate      = 32 << 10
-	maxDiscardedUpload = 64 << 20 // bytes of a body that are read and discarded after the answer
+	maxDiscardedUpload = 64 << 20 // maximum of bytes of a body that are discarded after the answer
 )
 
 var errBodyUnreadable = errors.New(bodyUnreadable)
@@ -29,12 +29,12 @@
 	body         timedBody
 	disconnected func(context.Context) bool
 	arrivedAt    func(context.Context) time.Time
-	ctx          context.Context // derived from the request's context; also cancelled when the body breaks off
+	ctx          context.Context // derived from the request's context; also cancelled if the body breaks off
 	cancel       context.CancelCauseFunc
 }
 
 // Read reads from the client, unless the client has disconnected. net/http does not notice a disconnect while a body
-// waits unread, and the part received before would be forwarded nevertheless.
+// is unread. Without the check, the part received before the disconnect would be forwarded.
 func (u *upload) Read(p []byte) (int, error) {
 	if u.disconnected(u.request.Context()) {
 		u.cancel(errBodyUnreadable)
@@ -47,11 +47,11 @@
 	return n, err
 }
 
-// LastByteAt implements body.Timestamped. It is called when the end of the body was read just now.
+// LastByteAt implements body.Timestamped. It is called just after the end of the body was read.
 func (u *upload) LastByteAt() time.Time { return u.arrivedAt(u.request.Context()) }
 
-// startUpload fills the buffer of a long body. A body that is complete then, and short, is stored in req, and no
-// upload is returned. A returned upload must be closed by the caller.
+// startUpload fills the buffer of a long body. If the buffer then holds a complete, short body, startUpload stores
+// the body in req and returns no upload. The caller must close a returned upload.
 func (f *Frontend) startUpload(w http.ResponseWriter, r *http.Request, req *router.Request) (*upload, *requestError) {
 	length := r.ContentLength
 	switch {
@@ -99,7 +99,7 @@
 	return newUpload
 }
 
-// bodyDeadlineSetter binds the BodyDeadlineSetter to the request's context; nil if none is set.
+// bodyDeadlineSetter returns the BodyDeadlineSetter with the context of r bound, or nil if none is set.
 func (f *Frontend) bodyDeadlineSetter(r *http.Request) func(timeout time.Duration, deadline time.Time) bool {
 	if f.setBodyDeadlines == nil {
 		return nil
@@ -109,8 +109,8 @@
 	}
 }
 
-// close ends the upload. If the answer came before the end of the body, the rest of the body is read and discarded:
-// closing the connection while bytes are unread would reset it before the client has read the answer.
+// close ends the upload. If the answer came before the end of the body, close reads and discards the rest of the
+// body. Closing a connection with unread bytes would reset it before the client has read the answer.
 func (u *upload) close() {
 	u.Close(func() { _ = u.conn.SetReadDeadline(time.Now()) })
 	brokeOff := u.ctx.Err() != nil
--- a/middleware/roundtrip.go
+++ b/middleware/roundtrip.go
@@ -15,12 +15,12 @@
 )
 
 // RoundTripper returns an http.RoundTripper that sends the application's own requests through the engine. The scheme
-// of the URL is ignored, and its host becomes the Host header. A request without X-Request-Id gets a new ID; one
-// without X-Deadline-Ms waits until its context's deadline, or for as long as its class allows.
+// of the URL is ignored, and the URL's host becomes the Host header. A request without X-Request-Id gets a new ID. A
+// request without X-Deadline-Ms waits until its context's deadline, or for as long as its class allows.
 //
-// The response is the one that a client of the middleware would get. An error is returned if the request is malformed
-// (*router.InvalidError, among others), the router is drained or closed, or the request's context has ended. The
-// RoundTripper itself never retries.
+// The response is the one that a client of the middleware would get. RoundTrip returns an error if the request is
+// malformed (for example a *router.InvalidError), the router is drained or closed, or the request's context has
+// ended. The RoundTripper does not retry.
 func (f *Frontend) RoundTripper() http.RoundTripper { return roundTripper{f} }
 
 type roundTripper struct{ frontend *Frontend }
@@ -29,7 +29,7 @@
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
 	defer func() {
 		if out.Body != nil {
-			_ = out.Body.Close() // http.RoundTripper must close the body
+			_ = out.Body.Close() // an http.RoundTripper must close the body
 		}
 	}()
 	r, err := t.withDefaults(out)
@@ -57,7 +57,7 @@
 	return newResponse(out, answer), nil
 }
 
-// withDefaults returns a copy of the request in which the fields that an application may leave out are set.
+// withDefaults returns a copy of out with defaults for the fields that an application may omit.
 func (t roundTripper) withDefaults(out *http.Request) (*http.Request, error) {
 	r := *out
 	r.Header = out.Header.Clone()
@@ -83,7 +83,7 @@
 	return &r, nil
 }
 
-// readOutgoingBody returns the body; nil if the request has none.
+// readOutgoingBody returns the body of out, or nil if there is none.
 func readOutgoingBody(out *http.Request, method string) ([]byte, error) {
 	if out.Body == nil || out.Body == http.NoBody {
 		return nil, nil
--- a/middleware/roundtrip_test.go
+++ b/middleware/roundtrip_test.go
@@ -15,8 +15,8 @@
 	"cobaltward/router"
 )
 
-// TestRoundTripper checks that the application's own client is routed through the engine, and gets the same answers
-// as a client of the middleware.
+// TestRoundTripper checks that the engine routes the requests of the application's own client. The client gets the
+// same answers as a client of the middleware.
 func TestRoundTripper(t *testing.T) {
 	var served atomic.Int32
 	engine := newRouter(t, newEchoServer(t, &served))
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -12,10 +12,10 @@
 	"cobaltward/router"
 )
 
-// maxDiscardedBody limits the bytes of a body that are read and discarded after its request was rejected.
+// maxDiscardedBody is the maximum number of bytes of a body that are discarded after the request was rejected.
 const maxDiscardedBody = 256 << 10
 
-// ServeHTTP answers r, even if the matcher does not match it.
+// ServeHTTP answers r, even if the matcher of the Frontend does not match r.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !f.hasUnambiguousFraming(r) {
 		f.rejectMalformed(w, r, "", badRequest("want version 1.1, and Content-Length for a body"))
@@ -51,15 +51,15 @@
 	}
 }
 
-// hasUnambiguousFraming reports whether the router and a server find the end of the request's body at the same place.
-// net/http ignores Content-Length if there is a Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0. With
-// WithBodyLimits the host has checked the Transfer-Encoding.
+// hasUnambiguousFraming reports whether the router and a server agree on the end of the request's body. net/http
+// ignores Content-Length if there is a Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0. With
+// WithBodyLimits, the host has checked the Transfer-Encoding.
 func (f *Frontend) hasUnambiguousFraming(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && (len(r.TransferEncoding) == 0 || f.bodyLimits != nil)
 }
 
-// readRequest reads the request's head, and its body to the end if it is short. A long body is left to the returned
-// upload.
+// readRequest reads the request's head. It also reads a short body to the end. The returned upload receives a long
+// body.
 func (f *Frontend) readRequest(w http.ResponseWriter, r *http.Request) (router.Request, *upload, *requestError) {
 	req, problem := f.parseHead(r)
 	if problem != nil {
@@ -83,12 +83,12 @@
 		f.rejectMalformed(w, r, req.Class, badRequest(invalid.Field+": "+invalid.Problem))
 	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // the request was not accepted
 		f.writeAnswer(w, router.Answer{Outcome: router.Overloaded})
-	default: // the context has ended, usually by a disconnect: the answer must not look like success
+	default: // the context has ended, usually by a disconnect: the answer must not be a success
 		f.writeAnswer(w, router.Answer{Outcome: router.Expired})
 	}
 }
 
-// overloadAnswer returns the answer to a request on an overflow connection.
+// overloadAnswer returns the answer to a request of the class on an overflow connection.
 func (f *Frontend) overloadAnswer(class string) router.Answer {
 	if engine, ok := f.engine.(OverloadRejecter); ok {
 		return engine.RejectOverloaded(class)
@@ -96,7 +96,7 @@
 	return router.Answer{Outcome: router.Overloaded}
 }
 
-// readBody reads a short body to its end.
+// readBody reads a short body to its end, and stores it in req.
 func (f *Frontend) readBody(w http.ResponseWriter, r *http.Request, req *router.Request) *requestError {
 	if r.ContentLength > maxShortBody {
 		return bodyTooLong(maxShortBody)
@@ -122,18 +122,18 @@
 		}
 		req.Body = content
 	}
-	// From now on net/http reads in the background to notice a disconnect, and removes the read deadline itself.
+	// net/http now reads in the background to notice a disconnect, and removes the read deadline.
 	req.ReceivedAt = f.arrivedAt(r.Context())
 	return nil
 }
 
-// arrivedAt returns the arrival time of the last byte of a request that was read just now.
+// arrivedAt returns the arrival time of the last byte of a request that has just been read.
 func (f *Frontend) arrivedAt(ctx context.Context) time.Time {
 	return time.Now().Add(-f.arrivalAge(ctx))
 }
 
-// rejectMalformed answers a malformed request, and closes its connection: the end of its body is in doubt, so bytes
-// that follow must not be taken for a request.
+// rejectMalformed answers a malformed request and closes its connection. The end of the request's body is in doubt,
+// so the bytes that follow must not be parsed as a request.
 func (f *Frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, class string, problem *requestError) {
 	if _, known := f.engine.Class(class); known {
 		if counter, ok := f.engine.(FailureCounter); ok {
@@ -148,16 +148,15 @@
 	if r.ContentLength == 0 {
 		return
 	}
-	// Closing the connection while bytes are unread would reset it before the client has read the answer, and
-	// net/http discards no unread bytes if the client itself sent Connection: close. A read error means that the
-	// connection is gone.
+	// Closing a connection with unread bytes would reset it before the client has read the answer. net/http does not
+	// discard unread bytes if the client sent Connection: close. A read error means that the connection is gone.
 	conn := http.NewResponseController(w)
 	_ = conn.Flush()
 	_ = conn.SetReadDeadline(time.Now().Add(DefaultBodyTimeout))
 	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBody)
 }
 
-// writeError writes an error with its Content-Length, so that the answer is complete once it is flushed.
+// writeError writes an error with a Content-Length. The answer is then complete once it is flushed.
 func writeError(w http.ResponseWriter, problem *requestError) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -174,7 +173,7 @@
 		return
 	}
 	f.addCloseHeader(w)
-	status := http.StatusOK // written explicitly: a framework such as gin may have preset 404
+	status := http.StatusOK // written explicitly, because a framework such as gin may have preset 404
 	if !f.isServing() {
 		status = http.StatusServiceUnavailable
 	}
--- a/middleware/support_test.go
+++ b/middleware/support_test.go
@@ -25,7 +25,8 @@
 	}))
 }
 
-// settings returns settings with a class of each kind: read is idempotent, pay is not, undo has idempotency keys.
+// settings returns settings with a class of each kind. The class read is idempotent, pay is not idempotent, and undo
+// has idempotency keys.
 func settings() policy.Settings {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{
@@ -55,7 +56,7 @@
 	return all
 }
 
-// newRouter returns a router for the servers at the addresses. It is closed when the test ends.
+// newRouter returns a router for the servers at addrs. The router is closed when the test ends.
 func newRouter(t testing.TB, addrs ...string) *router.Router {
 	t.Helper()
 	config := router.Config{Settings: settings(), Endpoints: endpoints(addrs)}
@@ -67,8 +68,8 @@
 	return engine
 }
 
-// request returns a request with the headers that clients send. headers are pairs of names and values; an empty value
-// removes the header.
+// request returns a request with the headers that clients send. headers holds pairs of names and values. An empty
+// value removes the header.
 func request(t testing.TB, url, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -88,7 +89,7 @@
 	return req
 }
 
-// serve runs the application's HTTP server until the test ends, and returns its URL.
+// serve runs an HTTP server with handler until the test ends, and returns the server's URL.
 func serve(t testing.TB, handler http.Handler, configure ...func(*httptest.Server)) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
@@ -101,7 +102,7 @@
 	return server.URL
 }
 
-// send sends a request over a new connection.
+// send sends req over a new connection, and returns the status and body of the answer.
 func send(t testing.TB, req *http.Request) (status int, body string) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -117,7 +118,7 @@
 	return resp.StatusCode, string(content)
 }
 
-// expectServed sends a request over a new connection and requires status 200 and the body.
+// expectServed sends req over a new connection, and requires status 200 and wantBody.
 func expectServed(t testing.TB, req *http.Request, wantBody string) {
 	t.Helper()
 	if status, body := send(t, req); status != 200 || body != wantBody {
@@ -125,8 +126,8 @@
 	}
 }
 
-// newEchoServer starts an app server that answers with the request ID it gets and counts requests. It returns the
-// address.
+// newEchoServer starts an app server that answers with the request ID and counts requests in served. It returns the
+// server's address.
 func newEchoServer(t testing.TB, served *atomic.Int32) string {
 	return testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -135,7 +136,7 @@
 	})
 }
 
-// newHungServer starts an app server that never answers. received gets the ID of each request.
+// newHungServer starts an app server that never answers. The channel received gets the ID of each request.
 func newHungServer(t testing.TB) (addr string, received chan string) {
 	received = make(chan string, 100)
 	return testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
