--- a/internal/cli/adminclient.go
+++ b/internal/cli/adminclient.go
@@ -19,15 +19,15 @@
 	"github.com/spf13/cobra"
 )
 
-const adminTimeout = 10 * time.Second // for a complete response; event streams have no time limit
+const adminTimeout = 10 * time.Second // time limit for a complete response; event streams have none
 
 // adminClient calls the admin API of a running node.
 type adminClient struct {
-	configPath *string // operator's configuration file, which gives the address if no flag does
-	address    string  // path of a Unix socket, or IP:port; empty: as in the file
+	configPath *string // operator's configuration file; gives the address if no flag does
+	address    string  // path of a Unix socket, or IP:port; empty: the address in the file
 	tokenFile  string  // file with the bearer token; empty: no token
 	caFile     string  // PEM file of trusted certificate authorities; empty: no TLS
-	serverName string  // expected in the node's certificate; empty: the host of the address
+	serverName string  // name expected in the node's certificate; empty: the host of the address
 }
 
 // addFlags adds the flags that configure how to reach the admin API.
@@ -40,7 +40,7 @@
 	flags.StringVar(&a.serverName, "name", "", "name in its certificate; else its address")
 }
 
-// connect returns an HTTP client for the node's admin API, and the base URL to which paths are appended.
+// connect returns an HTTP client for the node's admin API, and the base URL of all paths.
 func (a *adminClient) connect() (client *http.Client, baseURL string, err error) {
 	address, tokenFile := a.address, a.tokenFile
 	if address == "" && *a.configPath != "" {
@@ -83,8 +83,8 @@
 	return &tls.Config{RootCAs: set.Pool, ServerName: a.serverName, MinVersion: tls.VersionTLS13}, nil
 }
 
-// call sends a request with a JSON body; nil means an empty body. It returns the body of the response, and decodes it
-// into the value that result points to, unless result is nil.
+// call sends a request with body encoded as JSON, or with an empty body if body is nil. It returns the body of the
+// response. Unless result is nil, call also decodes the body into the value that result points to.
 func (a *adminClient) call(method, path string, body, result any) ([]byte, error) {
 	client, baseURL, err := a.connect()
 	if err != nil {
@@ -144,7 +144,7 @@
 	return statusError{fmt.Errorf("ctl: no node answers: %w", errors.Unwrap(err)), errUnreachable}
 }
 
-// rejectionError returns the error for a response with an error status.
+// rejectionError returns the error for response, which has an error status and the body answer.
 func rejectionError(response *http.Response, answer []byte) error {
 	var body adminapi.ErrorBody
 	if json.Unmarshal(answer, &body) != nil || body.Message == "" {
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -55,7 +55,7 @@
 	return command
 }
 
-// readBody returns the text itself, or for "@FILE" the content of FILE.
+// readBody returns text, or the content of FILE if text is "@FILE".
 func readBody(text string) ([]byte, error) {
 	if path, ok := strings.CutPrefix(text, "@"); ok {
 		return os.ReadFile(path)
@@ -63,8 +63,7 @@
 	return []byte(text), nil
 }
 
-// makeCall makes a call, and prints the body of the reply. Errors wrap the exit status that says whether a retry is
-// safe.
+// makeCall makes a call and prints the body of the reply. The exit status of an error says whether a retry is safe.
 func makeCall(ctx context.Context, out io.Writer, address string, call msgpackrpc.Call) error {
 	rpc := client.New(networkOf(address), address)
 	defer rpc.Close()
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -27,8 +27,8 @@
 // certificateCheck holds the flags of certs check.
 type certificateCheck struct {
 	sources certificates.Sources
-	asOf    string        // date at which validity is checked, as 2027-01-31; empty: now
-	within  time.Duration // certificates that expire within it are reported; 0: none are
+	asOf    string        // date of the validity check, for example 2027-01-31; empty: now
+	within  time.Duration // certificates that expire within this time are reported; 0: none
 }
 
 func certsCheckCommand(configPath *string) *cobra.Command {
@@ -86,8 +86,8 @@
 	return errors.Join(errExpiring, out.err, errOut.err)
 }
 
-// loadSummaries reads the certificates of the sources or, if no source is given, of the table [tls] of the operator's
-// configuration file. It returns them in order of expiry.
+// loadSummaries reads the certificates of sources. If sources is empty, it reads those of the table [tls] in the
+// operator's configuration file. It returns the certificates in order of expiry.
 func loadSummaries(sources certificates.Sources, configPath string, now time.Time) ([]certificates.Summary, error) {
 	if sources != (certificates.Sources{}) {
 		set, err := certificates.Load(sources, now)
--- a/internal/cli/certs_test.go
+++ b/internal/cli/certs_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Certificates that expire within the --within duration give the error errExpiring with its own text, not the text of
-// an unserved request.
+// TestCertsCheck_Expiring checks that certificates that expire within the --within duration give errExpiring. The
+// error has its own text, not the text of an unserved request.
 func TestCertsCheck_Expiring(t *testing.T) {
 	dir := t.TempDir()
 	leaf := pki.NewAuthority("front").Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
--- a/internal/cli/certsprobe.go
+++ b/internal/cli/certsprobe.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	probeTimeout       = 5 * time.Second        // for connecting and the TLS handshake
-	ticketTimeout      = 100 * time.Millisecond // for the session ticket, which follows the handshake
-	ticketPollInterval = 5 * time.Millisecond   // time between checks for a session ticket
+	probeTimeout       = 5 * time.Second        // time limit for connecting and the TLS handshake
+	ticketTimeout      = 100 * time.Millisecond // maximum wait for a session ticket after the handshake
+	ticketPollInterval = 5 * time.Millisecond   // interval of the checks for a session ticket
 )
 
 // certificateProbe holds the flags of certs probe.
@@ -29,7 +29,7 @@
 	server     router.Endpoint
 }
 
-// certsProbeCommand returns the command that makes handshakes with a server.
+// certsProbeCommand returns the command that tests TLS handshakes with a server.
 func certsProbeCommand() *cobra.Command {
 	var probe certificateProbe
 	command := &cobra.Command{
@@ -105,7 +105,7 @@
 	case err != nil:
 		return err
 	}
-	defer func() { _ = conn.Close() }() // no data was sent, so the error does not matter
+	defer func() { _ = conn.Close() }() // the error does not matter, because no data was sent
 	duration := time.Since(startedAt).Round(durationPrecision)
 	for end := time.Now().Add(ticketTimeout); time.Now().Before(end) && conn.IsIdle(); {
 		time.Sleep(ticketPollInterval)
--- a/internal/cli/certsshow.go
+++ b/internal/cli/certsshow.go
@@ -76,7 +76,7 @@
 	return table.flush()
 }
 
-// printHandshakes prints a row with the handshake counts and mean times of one side (servers, clients, and so on).
+// printHandshakes prints a row with the handshake counts and mean times of one side, for example servers or clients.
 func printHandshakes(table *table, side string, full, resumed handshakes.Histogram, failures map[string]uint64) {
 	compute := handshakes.Histogram{Count: full.Count + resumed.Count, TotalTime: full.ComputeTime + resumed.ComputeTime}
 	table.printf("%s\t%d\t%d\t%v\t%v\t%v\t%s\n", side, full.Count, resumed.Count,
@@ -90,7 +90,7 @@
 	return (histogram.TotalTime / time.Duration(histogram.Count)).Round(durationPrecision)
 }
 
-// printServers prints a row for each server with its certificate and, if it is untrusted, the reason.
+// printServers prints a row for each server, with the certificate and, if the server is untrusted, the reason.
 func printServers(table *table, servers *secure.Stats, now time.Time) {
 	table.printf("\nserver\tserial\tends\t\n")
 	for _, server := range servers.Servers {
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%d days left", int(validity.Hours()/24))
 }
 
-// formatCounts formats counts by name, sorted by name; it returns a dash if there are none.
+// formatCounts formats counts by name, sorted by name. It returns a dash if there are none.
 func formatCounts(counts map[string]uint64) string {
 	if len(counts) == 0 {
 		return "-"
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -43,8 +43,8 @@
 	return command
 }
 
-// check validates the operator's configuration file and the platform's configuration, if they are named, and prints
-// their content. For a standalone node it ignores the platform's configuration.
+// check validates and describes the files at path and platformPath. An empty path names no file. For a standalone
+// node, check ignores the platform's configuration.
 func check(out io.Writer, path, platformPath string, extensions Extensions) error {
 	var options nodeconfig.File
 	file := &standalone.File{}
@@ -66,7 +66,7 @@
 	return checkPlatform(out, platformPath, options, file)
 }
 
-// loadOperatorFile reads the operator's configuration file and the certificates that it names.
+// loadOperatorFile reads the operator's configuration file and the certificates that the file names.
 func loadOperatorFile(path string, extensions Extensions) (nodeconfig.File, *standalone.File, error) {
 	options, err := nodeconfig.Load(path)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return options, file, nil
 }
 
-// checkPlatform validates the platform's configuration together with the options of the operator's file, and prints it.
+// checkPlatform validates the platform's configuration with the options of the operator's file, and prints a summary.
 func checkPlatform(out io.Writer, path string, options nodeconfig.File, file *standalone.File) error {
 	config, err := node.LoadConfig(func(name string) string {
 		if name == configVariable {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli implements the command line of wayhold and of wayhold-xds. Features that need more memory than some nodes
-// have, such as xDS and HTML reports, are linked into wayhold-xds only, which passes them as Extensions.
+// Package cli implements the command line of wayhold and wayhold-xds. Some features, such as xDS and HTML reports,
+// need more memory than some nodes have. Only wayhold-xds links these features, and passes them as Extensions.
 package cli
 
 import (
@@ -22,19 +22,19 @@
 	"github.com/spf13/cobra"
 )
 
-// NewEndpointSource returns the endpoint source that the operator's configuration file asks for. The source may
-// combine its endpoints with those of the parameter platform, the source for the platform's registry; a nil result
-// means the registry alone.
+// NewEndpointSource returns the endpoint source for the operator's configuration file. The parameter platform is the
+// source for the platform's registry. The result may combine its endpoints with those of platform. A nil result means
+// platform alone.
 type NewEndpointSource func(
 	options nodeconfig.File, config node.Config, platform router.EndpointSource, log *slog.Logger,
 ) (router.EndpointSource, error)
 
-// Extensions are optional features that a program adds to those of wayhold.
+// Extensions holds the optional features that a program adds to those of wayhold.
 type Extensions struct {
 	NewXDSSource    NewEndpointSource
-	WriteHTML       func(out io.Writer, measured *result.Result) error // writes a rehearsal's result with plots
-	NewControlPlane realtime.NewAgent                                  // starts a node's control plane for rehearsals
-	Commands        []*cobra.Command                                   // further subcommands
+	WriteHTML       func(out io.Writer, measured *result.Result) error // writes the result of a rehearsal with plots
+	NewControlPlane realtime.NewAgent                                  // starts the control plane of a node for rehearsals
+	Commands        []*cobra.Command                                   // additional subcommands
 }
 
 // Main runs the command line with the arguments of the process, and returns the exit status.
@@ -51,7 +51,7 @@
 	return 1
 }
 
-// rootCommand returns the root of all commands. Without a subcommand it serves, because the platform starts the program
+// rootCommand returns the root command. Without a subcommand it serves, because the platform starts the program
 // without one.
 func rootCommand(extensions Extensions) *cobra.Command {
 	var configPath string
@@ -114,7 +114,8 @@
 	}
 }
 
-// version returns the module version and the Go version. A build from a checkout has a pseudo-version with its commit.
+// version returns the module version and the Go version. A build from a checkout has a pseudo-version that contains
+// the commit.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,15 +15,16 @@
 	"cobaltward/internal/testkit"
 )
 
-// platformText is a format string for a platform configuration; its argument is the address of the registry.
+// platformText is a format string for a platform configuration. The argument is the address of the registry.
 const platformText = `{"name":"n","listen":"127.0.0.1:0","discovery":"%s","seed":"1",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 	"settings":{"position":0,"groupSize":1,"services":[{"name":"pay","deadline":600}]}}`
 
-// noRegistry is an address that refuses connections: nothing listens on it.
+// noRegistry is an address that refuses connections, because nothing listens on it.
 const noRegistry = "127.0.0.1:9"
 
-// startRegistry starts a registry with an empty server list. The channel receives the query string of each request.
+// startRegistry starts a registry with an empty server list. The channel queries receives the query string of each
+// request.
 func startRegistry(t *testing.T) (address string, queries chan string) {
 	t.Helper()
 	queries = make(chan string, 100)
@@ -39,8 +40,8 @@
 	return server.Listener.Addr().String(), queries
 }
 
-// TestServe_Reload checks that SIGHUP switches the node to the registry that the changed file names, although
-// ROUTER_DISCOVERY named another at the start; that an invalid file changes nothing; and that SIGTERM ends the program.
+// TestServe_Reload checks that SIGHUP switches the node to the registry in the changed file, although
+// ROUTER_DISCOVERY named another registry at the start. An invalid file changes nothing. SIGTERM ends the program.
 func TestServe_Reload(t *testing.T) {
 	first, firstQueries := startRegistry(t)
 	second, secondQueries := startRegistry(t)
@@ -74,7 +75,7 @@
 		t.Errorf("readiness after the reloads: status %v, error %v", status, err)
 	}
 	signalSelf(t, syscall.SIGTERM)
-	signalSelf(t, syscall.SIGHUP) // must be harmless during a drain
+	signalSelf(t, syscall.SIGHUP) // must not disturb a drain
 	if err := testkit.Receive(t, "the end of the program", ended); err != nil {
 		t.Error(err)
 	}
@@ -85,7 +86,7 @@
 	}
 }
 
-// TestCheck checks that the check command describes valid files, and reports an error as one line that names the file.
+// TestCheck checks that the check command describes valid files. It reports an error as one line that names the file.
 func TestCheck(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	dir := t.TempDir()
@@ -130,7 +131,7 @@
 	}
 }
 
-// levelsTable is TOML that defines one level of reduced service, for the class of platformText.
+// levelsTable is TOML text that defines one level of reduced service for the class in platformText.
 const levelsTable = `
 [[level]]
 name = "less"
@@ -139,8 +140,8 @@
 measure = [{class = "pay", shed = 0.5}]
 `
 
-// TestReloader_ReadsOwnFile checks that a reload applies those keys of the operator's configuration file that can
-// change in a running node, logs those that need a restart, and changes nothing at all if the file is invalid.
+// TestReloader_ReadsOwnFile checks that a reload applies the keys of the operator's configuration file that can
+// change in a running node. A reload logs the keys that need a restart. An invalid file changes nothing.
 func TestReloader_ReadsOwnFile(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("ROUTER_CONFIG", writeFile(t, dir, "config.json", fmt.Sprintf(platformText, noRegistry)))
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -23,22 +23,22 @@
 	defaultCores       = 1
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
-	noDiscovery        = "127.0.0.1:9" // node.Config requires an address, but a standalone node never calls it
+	noDiscovery        = "127.0.0.1:9" // never called; node.Config requires an address
 )
 
 var errNoListener = errors.New(
 	"listen: the file no longer has a listener; a standalone node cannot change that without a restart")
 
-// configSource is where a node's configuration comes from: the platform or, for a standalone node, the operator's
-// configuration file. A nil pointer means the platform.
+// configSource is the origin of a node's configuration: the platform, or the operator's configuration file for a
+// standalone node. A nil pointer means the platform.
 type configSource struct {
-	operatorFile *standalone.File // as read at the start
-	standalone   *standalone.File // operatorFile, if the node is standalone; nil: the platform's configuration applies
+	operatorFile *standalone.File // the file as read at the start
+	standalone   *standalone.File // operatorFile of a standalone node; nil: the platform's configuration applies
 	frontend     *standalone.Frontend
 	serverList   *file.Source
 }
 
-// loadConfigSource reads the operator's configuration file, which decides whether the node is standalone.
+// loadConfigSource reads the operator's configuration file. The file decides whether the node is standalone.
 func loadConfigSource(path string) (*configSource, error) {
 	operatorFile, err := standalone.Load(path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return &configSource{operatorFile: operatorFile, standalone: operatorFile, frontend: frontend}, err
 }
 
-// nodeConfig returns the node's configuration at the start, with its state file and levels of reduced service.
+// nodeConfig returns the node's configuration at the start, including its state file and levels of reduced service.
 func (c *configSource) nodeConfig() (config node.Config, err error) {
 	if c.standalone == nil {
 		config, err = node.LoadConfig(os.Getenv)
@@ -72,7 +72,7 @@
 	return config, err
 }
 
-// levelsConfig returns the levels of reduced service that a file defines for a node's classes.
+// levelsConfig returns the levels of reduced service that file defines for classes.
 func levelsConfig(file *standalone.File, classes []policy.Class) (*levels.Config, error) {
 	config, err := file.LevelsConfig(classes)
 	if err != nil {
@@ -119,9 +119,9 @@
 	config.NewEndpointSource = func(router.EndpointSource) (router.EndpointSource, error) { return c.serverList, nil }
 }
 
-// reload reads the configuration again. The caller must call apply once all other checks have passed: it activates the
-// new routes, identities and servers of a standalone node. A running node cannot switch between the platform's
-// configuration and a standalone one.
+// reload reads the configuration again. The caller must call apply after all other checks have passed. For a
+// standalone node, apply activates the new routes, identities and servers. A running node cannot switch between the
+// platform's configuration and a standalone one.
 func (c *configSource) reload(path string) (config node.Config, apply func() error, err error) {
 	operatorFile, err := standalone.Load(path)
 	if err != nil {
--- a/internal/cli/ctllevel.go
+++ b/internal/cli/ctllevel.go
@@ -17,9 +17,9 @@
 	"github.com/spf13/cobra"
 )
 
-const noMaxLevel = -1 // value of the maximum level that allows all levels
+const noMaxLevel = -1 // maximum level that allows all levels
 
-// levelCommand returns the command that shows and sets the level of reduced service.
+// levelCommand returns the command that prints and sets the level of reduced service.
 func (a *adminClient) levelCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use: "level", Short: "Print the level of service, and why it is in force", Args: cobra.NoArgs,
@@ -78,7 +78,7 @@
 	return command
 }
 
-// callLevel sends a request to a level endpoint of the admin API, and prints the level status that it returns.
+// callLevel sends a request to a level endpoint of the admin API, and prints the returned level status.
 func (a *adminClient) callLevel(out io.Writer, method, path string, body any) error {
 	var status router.LevelStatus
 	if _, err := a.call(method, path, body, &status); err != nil {
@@ -114,7 +114,7 @@
 	return output.err
 }
 
-// printShed prints the number of shed requests for each class or tenant.
+// printShed prints the number of shed requests by name. kind is class or tenant.
 func printShed(output *printer, kind string, shed map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(shed)) {
 		output.printf("shed of %s %s: %d\n", kind, cmp.Or(name, "(others)"), shed[name])
--- a/internal/cli/ctlstatus.go
+++ b/internal/cli/ctlstatus.go
@@ -11,7 +11,7 @@
 	"cobaltward/internal/node"
 )
 
-// progressLine summarizes the node's state, open requests and connections in one line.
+// progressLine returns the node's state, open requests and connections as one line.
 func progressLine(status node.Status) string {
 	requests := status.Requests
 	line := fmt.Sprintf("%s  %d in flight", status.Drain.State, requests.Open)
--- a/internal/cli/ctlwatch.go
+++ b/internal/cli/ctlwatch.go
@@ -18,13 +18,13 @@
 const (
 	maxEventLine  = 1 << 20    // maximum length of a line of the event stream, in bytes
 	eraseLine     = "\r\x1b[K" // terminal control sequence that clears the current line
-	eventPrefix   = "event: "  // starts the line with an event's name
-	payloadPrefix = "data: "   // starts the line with an event's JSON payload
+	eventPrefix   = "event: "  // prefix of the line with an event's name
+	payloadPrefix = "data: "   // prefix of the line with an event's JSON payload
 )
 
-// watch prints the node's events until interrupted: on a terminal as text with a status line that is updated in
-// place, otherwise as a line of JSON for each event. With untilDrained it returns when the drain has ended, with the
-// error of drainOutcome.
+// watch prints the node's events until it is interrupted. On a terminal it prints text, with a status line that is
+// updated in place. Otherwise it prints a line of JSON for each event. With untilDrained, watch returns the error of
+// drainOutcome when the drain has ended.
 func (a *adminClient) watch(out io.Writer, untilDrained bool) error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // the stream is only read, so the error does not matter
+	defer func() { _ = stream.Close() }() // the error does not matter, because the stream is only read
 	view := &eventView{
 		printer:      printer{out: out},
 		isTerminal:   demo.IsTerminal(os.Stdout),
@@ -67,7 +67,7 @@
 	untilDrained bool
 }
 
-// show prints one event. done means that the drain has ended and no more events are to be printed.
+// show prints one event. done is true if the drain has ended and the view prints no more events.
 func (v *eventView) show(event, payload string) (done bool, err error) {
 	if !v.isTerminal {
 		v.printf("{\"event\":%q,\"data\":%s}\n", event, payload)
@@ -111,8 +111,8 @@
 	return done, err
 }
 
-// drainOutcome reports whether a drain has ended. The error is nil if no request was open at the deadline; otherwise
-// it carries the exit status of a passed deadline or a canceled drain.
+// drainOutcome reports whether a drain has ended. The error is nil if no request was open at the deadline. Otherwise
+// the error has the exit status for a passed deadline or a canceled drain.
 func drainOutcome(status node.Status) (done bool, err error) {
 	switch status.Drain.State {
 	case drain.Drained:
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -14,7 +14,7 @@
 	defaultDemoRate     = 300 // requests per second
 )
 
-// demoCommand returns the command that runs a node among emulated servers and prints a summary.
+// demoCommand returns the command that runs a node with emulated servers and prints a summary.
 func demoCommand() *cobra.Command {
 	var config demo.Config
 	command := &cobra.Command{
--- a/internal/cli/describe.go
+++ b/internal/cli/describe.go
@@ -49,7 +49,7 @@
 	return "only if it never ran"
 }
 
-// describeLevels prints the levels of reduced service as a table, if there are any.
+// describeLevels prints the levels of reduced service as a table. It prints nothing if there are none.
 func describeLevels(out io.Writer, file *standalone.File, classes []policy.Class) error {
 	config, err := levelsConfig(file, classes)
 	if config == nil || err != nil {
--- a/internal/cli/exitstatus.go
+++ b/internal/cli/exitstatus.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// exitStatusError is an error that sets the exit status of the program, so that scripts can tell outcomes apart.
+// exitStatusError is an error that sets the exit status of the program. Scripts use the status to distinguish
+// outcomes.
 type exitStatusError int
 
 // Exit statuses other than 0 (success) and 1 (any other error).
@@ -10,11 +11,11 @@
 	errNotRun         exitStatusError = 2 // call: the request was not executed, so a retry is safe
 	errMayHaveRun     exitStatusError = 3 // call: the request may have been executed
 	errUnreachable    exitStatusError = 4 // ctl: no node answers
-	errDeadlinePassed exitStatusError = 5 // ctl drain: requests were answered because the deadline passed
+	errDeadlinePassed exitStatusError = 5 // ctl drain: the deadline passed with requests open
 	errDrainCancelled exitStatusError = 6 // ctl drain: the drain was canceled
-	errConflict       exitStatusError = 7 // ctl: the node rejects the request in its present state
+	errConflict       exitStatusError = 7 // ctl: the node rejects the request in its current state
 	errExpiring       exitStatusError = 8 // certs check: a certificate expires soon
-	errServerRejected exitStatusError = 9 // certs probe: a node would not use the server
+	errServerRejected exitStatusError = 9 // certs probe: a node would reject the server
 )
 
 func (s exitStatusError) Error() string {
@@ -29,7 +30,7 @@
 	return "exit status " + strconv.Itoa(int(s))
 }
 
-// statusError adds an exit status to an error, without changing its text.
+// statusError adds an exit status to an error, and keeps the error's text.
 type statusError struct {
 	error
 	status exitStatusError
--- a/internal/cli/expect.go
+++ b/internal/cli/expect.go
@@ -15,7 +15,7 @@
 
 var errExpectationsNotMet = errors.New("expect: expectations are not met")
 
-// expectCommand returns the command that checks a configuration against the expectations in files, without traffic.
+// expectCommand returns the command that checks a configuration against files of expectations, without traffic.
 func expectCommand(configPath *string) *cobra.Command {
 	var format string
 	command := &cobra.Command{
@@ -37,7 +37,7 @@
 	return command
 }
 
-// expectationResult is the result of one expectation, with the path of the file that has it.
+// expectationResult is the result of one expectation, with the path of the expectation's file.
 type expectationResult struct {
 	path string
 	expect.Result
@@ -47,7 +47,7 @@
 
 func (e *expectationResult) failed() bool { return len(e.Failures) > 0 }
 
-// runExpectations checks a standalone configuration against all expectations of the files.
+// runExpectations checks a standalone configuration against all expectations in the files at paths.
 func runExpectations(configPath string, paths []string) ([]expectationResult, error) {
 	config, err := standalone.Load(configPath)
 	if err != nil {
@@ -118,7 +118,7 @@
 		if expectations[i].failed() {
 			not = "not "
 		}
-		title := strings.ReplaceAll(expectations[i].title(), "#", "\\#") // an unescaped # would begin a directive
+		title := strings.ReplaceAll(expectations[i].title(), "#", "\\#") // an unescaped # begins a directive
 		output.printf("%sok %d - %s\n", not, i+1, title)
 		for _, failure := range expectations[i].Failures {
 			output.printf("  # %s\n", failure)
@@ -146,7 +146,7 @@
 	Text    string `xml:",chardata"`
 }
 
-// printJUnit prints the results as JUnit XML, with only the elements that all readers of the format support.
+// printJUnit prints the results as JUnit XML. It uses only the elements that all readers of the format support.
 func printJUnit(out io.Writer, expectations []expectationResult, failed int) error {
 	suite := junitSuite{Name: "expectations", Tests: len(expectations), Failures: failed}
 	for i := range expectations {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -9,10 +9,10 @@
 	"github.com/spf13/cobra"
 )
 
-const fleetProgram = "wayhold-fleet" // file name, in the directory of the running program
+const fleetProgram = "wayhold-fleet" // name of a file in the directory of the running program
 
-// fleetCommand returns the command that replaces this process with the separate program wayhold-fleet, whose code is
-// not linked into this one.
+// fleetCommand returns the command that replaces this process with the program wayhold-fleet. The code of that
+// program is not linked into this one.
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "fleet",
--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -25,19 +25,20 @@
 type process struct {
 	command    *exec.Cmd
 	operations string       // address of the operations endpoint
-	logs       bytes.Buffer // must not be read before the process has ended
+	logs       bytes.Buffer // log output; must not be read before the process has ended
 }
 
-// nodeUnderTest is a node whose successive processes share a listening socket and a directory for coordination.
+// nodeUnderTest is a node that runs as a succession of processes. The processes share a listening socket and a
+// directory for coordination.
 type nodeUnderTest struct {
 	t      *testing.T
-	dir    string   // TMPDIR of the processes, in which they coordinate
+	dir    string   // TMPDIR of the processes, for coordination
 	config string   // path of the platform's configuration file
 	socket *os.File // listening socket for clients
 }
 
-// freeAddress returns an address at which nothing listens. Its IP address is derived from the process ID, so that no
-// test in another process is given the same port before it is used, as could happen on 127.0.0.1.
+// freeAddress returns an address on which nothing listens. The process ID determines the IP address. On 127.0.0.1, a
+// test in another process could get the same port before this test uses it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -74,7 +75,7 @@
 	return started
 }
 
-// call sends a request to the operations endpoint, and returns the status of the response; 0 if there is none.
+// call sends a request to the operations endpoint. It returns the status of the response, or 0 without a response.
 func (p *process) call(method, path string) int {
 	request, err := http.NewRequest(method, "http://"+p.operations+path, nil)
 	if err != nil {
@@ -104,11 +105,11 @@
 	_ = p.command.Wait()
 }
 
-// newNodeUnderTest returns a node with one server, and its address for clients. No process runs yet.
+// newNodeUnderTest returns a node with one server, and the node's address for clients. No process is running yet.
 func newNodeUnderTest(t *testing.T, server string) (node *nodeUnderTest, address string) {
 	t.Helper()
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // as the platform's socket: accept on a multipath socket ignores timeouts
+	config.SetMultipathTCP(false) // like the platform's socket; accept on a multipath socket ignores timeouts
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +128,7 @@
 	return &nodeUnderTest{t: t, dir: t.TempDir(), socket: socket, config: configPath}, listener.Addr().String()
 }
 
-// isReady requests the readiness path on a new connection, and reports whether the response is 200.
+// isReady requests the readiness path on a new connection, and reports whether the status is 200.
 func isReady(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -145,12 +146,12 @@
 // outcomes counts the requests of all clients by outcome.
 type outcomes struct {
 	served, rejected, failed atomic.Int64 // requests that got a response
-	retried                  atomic.Int64 // requests sent again, because the node had closed the idle connection
-	unconnected, lost        atomic.Int64 // requests without a connection, and without a response
+	retried                  atomic.Int64 // requests sent again because the node closed the idle connection
+	unconnected, lost        atomic.Int64 // requests without a connection; requests without a response
 }
 
-// requestSender sends non-idempotent requests one after another on a persistent connection. As HTTP allows, it sends a
-// request again if a connection that was used before is closed before the first byte of the response.
+// requestSender sends non-idempotent requests, one after another, on a persistent connection. It sends a request
+// again if a reused connection closes before the first byte of the response. HTTP allows such a retry.
 type requestSender struct {
 	address string
 	conn    net.Conn
@@ -177,11 +178,11 @@
 	}
 }
 
-// exchange sends a request and reads the response. done is false if the request must be sent again, which is never the
-// case on a fresh connection.
+// exchange sends a request and reads the response. done is false if the request must be sent again. On a fresh
+// connection, done is always true.
 func (s *requestSender) exchange(id string, fresh bool) (done bool) {
 	_ = s.conn.SetDeadline(time.Now().Add(20 * time.Second))
-	// A write error also makes the following read fail.
+	// After a write error, the following read also fails.
 	_, _ = fmt.Fprintf(s.conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 		"X-Deadline-Ms: 400\r\nContent-Length: 1\r\n\r\nx", id)
 	response, err := http.ReadResponse(s.reader, nil)
@@ -217,7 +218,7 @@
 	}
 }
 
-// executions is the handler of a server, which counts how often it executes each request.
+// executions is a server's handler that counts how often the server executes each request.
 type executions struct {
 	mu   sync.Mutex
 	byID map[string]int
@@ -240,9 +241,9 @@
 	return count
 }
 
-// TestHotRestart_UnderLoad replaces the process twenty times under load. It checks that every request gets one
-// response, that none is executed twice, and that every connection is accepted. A client sends a request again if the
-// node closed the idle connection before it arrived.
+// TestHotRestart_UnderLoad checks that hot restarts lose no request. The test replaces the process twenty times under
+// load. Every request gets one response, no request is executed twice, and every connection is accepted. A client
+// sends a request again if the node closed the idle connection before the request arrived.
 func TestHotRestart_UnderLoad(t *testing.T) {
 	executed := &executions{byID: make(map[string]int)}
 	node, address := newNodeUnderTest(t, testkit.HTTPServer(t, executed.ServeHTTP))
@@ -256,7 +257,7 @@
 			defer sender.close()
 			for i := 0; !stop.Load(); i++ {
 				sender.send(fmt.Sprintf("r%d-%d", k, i))
-				if k%3 == 0 { // a third of the connections are idle for longer
+				if k%3 == 0 { // a third of the connections are idle for a longer time
 					time.Sleep(time.Duration(100+37*k) * time.Millisecond)
 				} else {
 					time.Sleep(3 * time.Millisecond)
@@ -290,8 +291,8 @@
 	}
 }
 
-// awaitReadiness waits until the node's readiness has been as wanted for 500 ms without interruption. That is longer
-// than a process takes to learn of an order, so the result holds whichever process accepts the connection.
+// awaitReadiness waits until the node's readiness has been want for 500 ms without interruption. A process learns of
+// an order within that time, so the result holds for every process that accepts connections.
 func awaitReadiness(t *testing.T, address string, want bool) {
 	t.Helper()
 	since := time.Now()
@@ -303,9 +304,9 @@
 	})
 }
 
-// TestHotRestart_Failures checks that a standby order that one process receives reaches the other one and the next
-// successor. It also checks that the node keeps working after truncated coordination files, a successor that is killed
-// before it takes over, and a predecessor that is killed.
+// TestHotRestart_Failures checks that a standby order to one process reaches the other process and the next
+// successor. It also checks that the node keeps working after three faults. The coordination files are truncated, a
+// successor is killed before it takes over, and a predecessor is killed.
 func TestHotRestart_Failures(t *testing.T) {
 	server := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, address := newNodeUnderTest(t, server)
@@ -322,8 +323,8 @@
 	if code := second.call(http.MethodPut, "/standby"); code != http.StatusOK {
 		t.Fatalf("PUT /standby: status %d", code)
 	}
-	awaitReadiness(t, address, false) // both processes accept connections, so both must report it
-	second.kill()                     // before it has made the first process end
+	awaitReadiness(t, address, false) // both processes accept connections, so neither may be ready
+	second.kill()                     // killed before the first process has ended
 	third := node.start()
 	for range 10 {
 		if isReady(address) {
@@ -347,7 +348,8 @@
 	}
 }
 
-// writeSameAddresses writes a copy of a configuration, in which the addresses for clients and operations are the same.
+// writeSameAddresses writes a copy of the configuration at path, and returns the path of the copy. In the copy, the
+// addresses for clients and operations are the same.
 func writeSameAddresses(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -365,8 +367,8 @@
 	return writeFile(t, t.TempDir(), "same.json", string(raw))
 }
 
-// TestServe_InvalidAddresses checks that the program ends on an invalid operations address or inherited descriptor,
-// with an error of one line that names it.
+// TestServe_InvalidAddresses checks that the program ends on an invalid operations address or inherited descriptor.
+// The error is one line that names the invalid value.
 func TestServe_InvalidAddresses(t *testing.T) {
 	notASocket, err := os.Open(os.DevNull)
 	if err != nil {
--- a/internal/cli/listeners.go
+++ b/internal/cli/listeners.go
@@ -20,8 +20,8 @@
 	inheritedListenerVariable = "ROUTER_ACCEPT_FD" // file descriptor of the listening socket for clients
 )
 
-// listenForClients returns the listener for clients: the listening socket that the platform passes to the process, if
-// any, else a new one at the configured address.
+// listenForClients returns the listener for clients. If the platform passes a listening socket to the process, the
+// listener uses that socket. Otherwise it listens on the configured address.
 func listenForClients(config *node.Config, getenv func(string) string) (net.Listener, error) {
 	descriptor := getenv(inheritedListenerVariable)
 	if descriptor == "" {
@@ -39,7 +39,7 @@
 	return listener, nil
 }
 
-// adminAPIConfig returns the configuration of the admin API, with the bearer token read from its file.
+// adminAPIConfig returns the configuration of the admin API. It reads the bearer token from the token's file.
 func adminAPIConfig(options nodeconfig.AdminAPI) (adminapi.Config, error) {
 	config := adminapi.Config{Socket: options.Socket, Listen: options.Listen}
 	if options.TokenFile == "" {
@@ -76,8 +76,8 @@
 	return config, nil
 }
 
-// networkOf returns the network name that net.Listen and net.Dial need for an address: unix for an absolute path, else
-// tcp.
+// networkOf returns the network of address for net.Listen and net.Dial. The network is unix for an absolute path, and
+// tcp otherwise.
 func networkOf(address string) string {
 	if strings.HasPrefix(address, "/") {
 		return "unix"
@@ -85,7 +85,8 @@
 	return "tcp"
 }
 
-// removeStaleSocket removes the file of a Unix socket on which no process listens. It returns an error if one does.
+// removeStaleSocket removes the file of a Unix socket on which no process listens. It returns an error if a process
+// listens on the socket.
 func removeStaleSocket(path string) error {
 	conn, err := net.Dial("unix", path)
 	if err == nil {
@@ -93,7 +94,7 @@
 		return fmt.Errorf("%s: another process listens there", path)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		_ = os.Remove(path) // on an error, listening fails and reports it
+		_ = os.Remove(path) // if the removal fails, net.Listen returns an error
 	}
 	return nil
 }
--- a/internal/cli/msgpack_test.go
+++ b/internal/cli/msgpack_test.go
@@ -16,7 +16,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// startMsgpackServer starts an emulated app server that serves MessagePack-RPC, and returns its address.
+// startMsgpackServer starts an emulated app server for MessagePack-RPC, and returns the server's address.
 func startMsgpackServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return server.Addr
 }
 
-// leaveStaleSocket creates a Unix socket file at a path and closes its listener, as a killed process leaves it.
+// leaveStaleSocket leaves a Unix socket file without a listener at path, as a killed process does.
 func leaveStaleSocket(t *testing.T, path string) {
 	t.Helper()
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestServe_MessagePack checks a node with the table [msgpack]: it replaces a stale Unix socket and serves calls on it,
-// forwards calls to app servers by MessagePack-RPC, serves HTTP as well, and stops serving both on SIGTERM.
+// TestServe_MessagePack checks a node with the table [msgpack]. The node replaces a stale Unix socket and serves
+// calls on it. It forwards calls to app servers by MessagePack-RPC, and also serves HTTP. SIGTERM stops both.
 func TestServe_MessagePack(t *testing.T) {
 	server, dir := startMsgpackServer(t), t.TempDir()
 	socket := filepath.Join(dir, "calls.sock")
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkCalls checks the results of a valid call, of one with a repeated ID and of one with an unknown class.
+// checkCalls checks the results of a valid call, a call with a repeated ID, and a call with an unknown class.
 func checkCalls(t *testing.T, call func(args ...string) (string, error)) {
 	t.Helper()
 	out, err := call("r2", "--class", "read", "--tenant", "t", "--target", "/x")
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// printer writes formatted text. After the first error it writes nothing more, and keeps that error.
+// printer writes formatted text. After the first error it writes nothing, and keeps that error.
 type printer struct {
 	out io.Writer
 	err error
@@ -31,10 +31,10 @@
 	return &table{printer{out: columns}, columns}
 }
 
-// flush aligns the columns and writes the table. It also returns an error of an earlier printf.
+// flush aligns the columns and writes the table. It also returns the error of an earlier printf.
 func (t *table) flush() error { return errors.Join(t.err, t.columns.Flush()) }
 
-// createFile creates a file and calls write to fill it. With an empty path it does nothing.
+// createFile creates the file at path and calls write to fill it. If path is empty, it does nothing.
 func createFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -16,7 +16,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// programVariable is an environment variable. If it is set, the test binary runs the program instead of the tests.
+// programVariable is the name of an environment variable. If the variable is set, the test binary runs the program,
+// not the tests.
 const programVariable = "WAYHOLD_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -38,7 +39,7 @@
 	return l.text.Write(p)
 }
 
-// address returns the address at which the program listens, from its log; empty until it is logged.
+// address returns the address on which the program listens. It is empty until the program logs it.
 func (l *logBuffer) address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +50,14 @@
 	return string(match[1])
 }
 
-// programCommand returns a command that runs the program in a new process, by means of the test binary.
+// programCommand returns a command that runs the program in a new process of the test binary.
 func programCommand(environment []string, args ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0], args...)
 	command.Env = append(append(os.Environ(), programVariable+"=1"), environment...)
 	return command
 }
 
-// startProgram runs the program until the test ends. It returns once the node is ready, with its address.
+// startProgram runs the program until the test ends. It returns the node's address once the node is ready.
 func startProgram(t *testing.T, args ...string) (address string, command *exec.Cmd) {
 	t.Helper()
 	command = programCommand([]string{"ROUTER_CONFIG="}, args...)
@@ -79,7 +80,7 @@
 	return address, command
 }
 
-// startInProcess runs the command line in this process. The channel receives its error when it has ended.
+// startInProcess runs the command line in this process. The channel ended receives the error of the command.
 func startInProcess(args ...string) (ended <-chan error, logs *logBuffer) {
 	result, logs := make(chan error, 1), &logBuffer{}
 	go func() { // ends when the command returns
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -26,15 +26,15 @@
 
 var errNoHTML = errors.New("rehearse: --html: this program writes no HTML; run wayhold-xds instead")
 
-// rehearsal holds the flags of rehearse.
+// rehearsal holds the flags of the rehearse command.
 type rehearsal struct {
-	seed         uint64 // of the random numbers; 0: the script's seed
+	seed         uint64 // seed of the random numbers; 0: the script's seed
 	jsonPath     string // output file for the result as JSON; empty: none
 	htmlPath     string // output file for the result as HTML; empty: none
 	outcomesPath string // output file with a line for each request; empty: none
 	levelsPath   string // file with the levels of reduced service; empty: none
-	mutant       string // name of the safeguard-disabling variant of the engine; empty: the real engine
-	realTime     bool   // on real sockets in real time, instead of virtual time
+	mutant       string // name of the variant of the engine without one safeguard; empty: the real engine
+	realTime     bool   // run on real sockets in real time, not in virtual time
 	compare      bool   // compare two stored results instead of running a script
 	quiet        bool   // show no progress
 }
@@ -90,7 +90,7 @@
 	return report.Compare(command.OutOrStdout(), resultA, resultB)
 }
 
-// run executes the script at a path, and writes the results.
+// run executes the script at path, and writes the results.
 func (r *rehearsal) run(command *cobra.Command, path string, extensions Extensions) error {
 	if r.htmlPath != "" && extensions.WriteHTML == nil {
 		return errNoHTML
@@ -137,7 +137,7 @@
 	return r.writeResults(command, measured, extensions)
 }
 
-// play executes a plan in virtual time, or in real time with nodes as processes of this program.
+// play executes a plan in virtual time or in real time. In real time, the nodes are processes of this program.
 func (r *rehearsal) play(
 	ctx context.Context, runPlan *plan.Plan, options sim.Options, levelsText string, extensions Extensions,
 ) (*result.Result, error) {
@@ -166,8 +166,8 @@
 		progressbar.OptionShowCount())
 }
 
-// loadLevels reads the file with the levels of reduced service, and returns them as a configuration for the script's
-// classes and as TOML text. Without a file it returns nil and an empty string.
+// loadLevels reads the file with the levels of reduced service. It returns the levels as a configuration for the
+// script's classes, and the file's TOML text. Without a file it returns nil and an empty string.
 func (r *rehearsal) loadLevels(runPlan *plan.Plan) (*levels.Config, string, error) {
 	if r.levelsPath == "" {
 		return nil, "", nil
@@ -195,7 +195,8 @@
 	return config, "\n" + string(text), nil
 }
 
-// findMutant returns the simulation options that disable the safeguard of a mutant; an empty name disables none.
+// findMutant returns the simulation options of the mutant name, which disables a safeguard. If name is empty, no
+// safeguard is disabled.
 func findMutant(name string) (sim.Options, error) {
 	if name == "" {
 		return sim.Options{}, nil
--- a/internal/cli/rehearseoutput.go
+++ b/internal/cli/rehearseoutput.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 )
 
-// writeResults prints a result and writes it to the files that flags name. It returns an error if the result is invalid
-// or a rule was broken.
+// writeResults prints a result and writes it to the files given by flags. It returns an error if the result is
+// invalid or a rule was broken.
 func (r *rehearsal) writeResults(command *cobra.Command, measured *result.Result, extensions Extensions) error {
 	if err := report.Text(command.OutOrStdout(), measured); err != nil {
 		return err
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// outcomeWriter writes a CSV file with a line for each request. close does nothing on a nil pointer.
+// outcomeWriter writes a CSV file with a line for each request. The method close does nothing on a nil pointer.
 type outcomeWriter struct {
 	printer
 	plan   *plan.Plan
@@ -47,7 +47,7 @@
 	buffer *bufio.Writer
 }
 
-// newOutcomeWriter creates the file and writes the header line; with an empty path it returns nil.
+// newOutcomeWriter creates the file at path and writes the header line. If path is empty, it returns nil.
 func newOutcomeWriter(path string, runPlan *plan.Plan) (*outcomeWriter, error) {
 	if path == "" {
 		return nil, nil
@@ -62,7 +62,7 @@
 	return writer, nil
 }
 
-// add writes the line of one request.
+// add writes the line for one request.
 func (w *outcomeWriter) add(request *plan.Request, outcome result.Outcome) {
 	var faults []string
 	for _, fault := range outcome.Faults {
@@ -75,7 +75,7 @@
 		latencyMS, outcome.ClientAttempts, outcome.ServerAttempts, strings.Join(faults, "; "))
 }
 
-// close flushes and closes the file. It also returns an error of an earlier write.
+// close flushes and closes the file. It also returns the error of an earlier write.
 func (w *outcomeWriter) close() error {
 	if w == nil {
 		return nil
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -8,17 +8,18 @@
 	"cobaltward/internal/nodeconfig"
 )
 
-// reloader reads the platform's configuration and the operator's configuration file again, and applies both or neither.
+// reloader reads the platform's configuration and the operator's configuration file again. It applies both or
+// neither.
 type reloader struct {
-	path    string          // of the operator's configuration file
-	running nodeconfig.File // options as read at the start, some of which change only with a restart
+	path    string          // path of the operator's configuration file
+	running nodeconfig.File // options at the start; some change only with a restart
 	level   *slog.LevelVar
 	log     *slog.Logger
 	source  *configSource
 }
 
-// run reads the files again after each signal until done is closed, and sends the configuration to reloads. That
-// channel must have a buffer of one: a configuration that was not received yet is replaced by the newer one.
+// run reads the files again after each signal until done is closed, and sends the configuration to reloads. reloads
+// must have a buffer of one. A newer configuration replaces one that has not been received yet.
 func (r *reloader) run(hangups <-chan os.Signal, reloads chan node.Config, done <-chan struct{}) {
 	for {
 		select {
@@ -32,14 +33,15 @@
 			continue
 		}
 		select {
-		case <-reloads: // discard a configuration that was not received yet
+		case <-reloads: // discard a configuration that has not been received yet
 		default:
 		}
 		reloads <- config
 	}
 }
 
-// read reads the files, applies what the node does not apply itself, and returns the rest as the node's configuration.
+// read reads the files, and returns the node's configuration. It applies the settings that the node does not apply
+// itself.
 func (r *reloader) read() (node.Config, error) {
 	options, err := nodeconfig.Load(r.path)
 	if err != nil {
@@ -50,7 +52,7 @@
 		return node.Config{}, err
 	}
 	applyDrain(options, &config)
-	if r.running.XDS.Enabled() { // without xDS at the start, the node has no clusters to bind
+	if r.running.XDS.Enabled() { // a node that started without xDS has no clusters to bind
 		if err := bindClusters(options, &config); err != nil {
 			return node.Config{}, err
 		}
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-const defaultPeer = "192.0.2.1" // address of a range that is reserved for documentation
+const defaultPeer = "192.0.2.1" // address in a range reserved for documentation
 
 // routeCommand returns the parent of the commands that inspect routes.
 func routeCommand(configPath *string) *cobra.Command {
@@ -59,7 +59,7 @@
 	return command
 }
 
-// explainedRequest is the request, given on the command line, whose routing is explained.
+// explainedRequest is the request on the command line whose routing is explained.
 type explainedRequest struct {
 	method string
 	url    *url.URL
@@ -86,7 +86,7 @@
 	return request, nil
 }
 
-// explainRequest prints the tenant, client and route of a request, or why it would be rejected.
+// explainRequest prints the tenant, client and route of a request, or the reason for its rejection.
 func explainRequest(out io.Writer, file *standalone.File, request explainedRequest) error {
 	routeTable, err := file.RouteTable()
 	if err != nil {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -17,10 +17,11 @@
 	"cobaltward/internal/operations"
 )
 
-// heapFraction is the part of the memory limit that is given to Go's heap; the rest is for thread stacks and sockets.
+// heapFraction is the fraction of the node's memory that the Go runtime may use. The rest is for thread stacks and
+// sockets.
 const heapFraction = 0.6
 
-// serve runs the node with the operator's configuration file at a path, until a signal ends it.
+// serve runs the node with the operator's configuration file at path until a signal ends the node.
 func serve(path string, logs io.Writer, extensions Extensions) error {
 	// A buffer of one is enough: the files are read after the signal is received, so one signal covers several changes.
 	hangups := make(chan os.Signal, 1)
@@ -67,8 +68,7 @@
 	return node.Run(ctx, config, listener, reloads, log)
 }
 
-// applyOptions adds the options of the operator's file to the node's configuration, and opens the listener for
-// MessagePack-RPC.
+// applyOptions adds the options of the operator's file to config, and opens the listener for MessagePack-RPC.
 func applyOptions(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
 	applyDrain(options, config)
 	config.DrainMarkerFile = options.Drain.StateFile
@@ -93,7 +93,7 @@
 	}
 }
 
-// loadTLS returns the TLS configuration from the table [tls] of the operator's file, with the certificates read.
+// loadTLS returns the TLS configuration from the table [tls] of the operator's file. It reads the certificates.
 func loadTLS(path string, source *configSource, options nodeconfig.File) (*node.TLS, error) {
 	config, err := source.operatorFile.NodeTLS(time.Now())
 	if err != nil {
@@ -105,7 +105,7 @@
 	return config, nil
 }
 
-// setRuntimeLimits sets the memory limit and GOMAXPROCS of this process. It is not done in package node, because a
+// setRuntimeLimits sets the memory limit and GOMAXPROCS of this process. Package node does not set them, because a
 // library must not change them.
 func setRuntimeLimits(config *node.Config) {
 	heapLimit := heapFraction * float64(config.MemoryMB) * (1 << 20)
@@ -115,7 +115,8 @@
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(config.Cores))))
 }
 
-// newLogger returns a logger in the configured format, and sets level, which the logger follows, to the configured one.
+// newLogger returns a logger in the configured format. The logger follows level, which newLogger sets to the
+// configured level.
 func newLogger(config nodeconfig.Log, level *slog.LevelVar, logs io.Writer) *slog.Logger {
 	level.Set(config.Level.Level)
 	options := &slog.HandlerOptions{Level: level}
--- a/internal/cli/standalone_test.go
+++ b/internal/cli/standalone_test.go
@@ -13,7 +13,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// startNamedServer starts an app server whose responses contain its name and the request. It returns its address.
+// startNamedServer starts an app server whose responses contain the server's name and the request. It returns the
+// server's address.
 func startNamedServer(t *testing.T, name string) string {
 	t.Helper()
 	return testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -22,7 +23,7 @@
 	})
 }
 
-// sendTarget sends a request whose target is not normalized by the client. header holds pairs of a name and a value.
+// sendTarget sends a request whose target the client does not normalize. header holds pairs of names and values.
 func sendTarget(t *testing.T, address, method, target string, header ...string) (status int, body string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address, nil)
@@ -40,8 +41,9 @@
 	return status, body
 }
 
-// TestServe_Standalone checks the first steps of an operator: init, serve, and requests, with no other file. The node
-// ignores routing headers that clients send, such as X-Class. SIGHUP applies changed routes and a changed server list.
+// TestServe_Standalone checks the first steps of an operator: init, serve and requests, without another file. The
+// node ignores routing headers from clients, such as X-Class. SIGHUP applies changed routes and a changed server
+// list.
 func TestServe_Standalone(t *testing.T) {
 	t.Parallel()
 	one, two := startNamedServer(t, "one"), startNamedServer(t, "two")
@@ -79,7 +81,7 @@
 	})
 }
 
-// checkAnswers checks the responses of a node with the routes of the example configuration.
+// checkAnswers checks the responses of a node that has the routes of the example configuration.
 func checkAnswers(t *testing.T, address string) {
 	t.Helper()
 	forged := []string{"X-Class", "write", "X-Tenant", "somebody", "X-Deadline-Ms", "0"}
@@ -105,8 +107,8 @@
 	}
 }
 
-// TestLoad_StandaloneErrors checks that an error is one line with the file, the line and the key. Each case changes the
-// example configuration in one place.
+// TestLoad_StandaloneErrors checks that an error is one line with the file, the line and the key. Each case changes
+// one place of the example configuration.
 func TestLoad_StandaloneErrors(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ old, replacement, want string }{
@@ -151,8 +153,8 @@
 	}
 }
 
-// TestLevels checks levels of reduced service in the operator's configuration file: check prints them, ctl sets them,
-// and a level whose exit threshold is above its enter threshold is rejected with an error of one line.
+// TestLevels checks levels of reduced service in the operator's configuration file. check prints the levels, and ctl
+// sets them. A level whose exit threshold is above its enter threshold is rejected with an error of one line.
 func TestLevels(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/cli/xds.go
+++ b/internal/cli/xds.go
@@ -12,10 +12,10 @@
 	"cobaltward/router"
 )
 
-// errNoXDS reports that the configuration file asks for xDS, but this program is built without it.
+// errNoXDS is the error for a configuration file that requires xDS in a program without xDS.
 var errNoXDS = errors.New("xds: this program is built without xDS; run wayhold-xds instead")
 
-// applyXDS makes xDS the node's endpoint source, if the operator's file asks for it.
+// applyXDS makes xDS the node's endpoint source if the operator's file configures xDS.
 func applyXDS(options nodeconfig.File, config *node.Config, extensions Extensions, log *slog.Logger) error {
 	if !options.XDS.Enabled() {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// bindClusters sets the server pool of each class to the xDS cluster that the operator's file names for it.
+// bindClusters sets the server pool of each class to the xDS cluster that the operator's file assigns to the class.
 func bindClusters(options nodeconfig.File, config *node.Config) error {
 	classes := config.Settings.Classes
 	for name, cluster := range options.XDS.ClusterByClass {
