--- a/examples/app/firstrequest_test.go
+++ b/examples/app/firstrequest_test.go
@@ -13,11 +13,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// clientIdleTime is less than idleTimeout, but more than servers usually allow for a request head.
+// clientIdleTime is shorter than idleTimeout, and longer than the usual time limit for a request head.
 const clientIdleTime = 3500 * time.Millisecond
 
-// TestRun_ServesLateFirstRequest checks that the first request on a connection is served even if the client sends it
-// late, within the idle timeout.
+// TestRun_ServesLateFirstRequest checks that the first request on a connection is served if the client sends it late,
+// but within the idle timeout.
 func TestRun_ServesLateFirstRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +44,7 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
-	_ = conn.Close() // so that the shutdown does not wait for this connection
+	_ = conn.Close() // otherwise the shutdown waits for this connection
 	stop()
 	if err := testkit.Receive(t, "run to return", ended); err != nil {
 		t.Error(err)
--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -1,11 +1,11 @@
-// Command app is a small workspace application that embeds the router: it serves pages of its own, routes booking
-// requests of its clients under /api, sends a booking request itself, and shuts down gracefully.
+// Command app is a small workspace application that embeds the router. It serves its own pages, and routes booking
+// requests of its clients under /api. It also sends a booking request itself, and shuts down gracefully.
 //
 //	go run ./examples/app                                    # on 127.0.0.1:8080
 //	curl -H 'X-Request-Id: 1' -H 'X-Class: hladanie' -H 'X-Deadline-Ms: 2000' 127.0.0.1:8080/api/rooms
 //	curl 127.0.0.1:8080/
 //
-// Its only app server runs in the same process. A real application would configure its servers, or get them from a
+// The only app server runs in the same process. A real application would configure its servers, or get them from a
 // registry with discovery/registry.
 package main
 
@@ -44,13 +44,13 @@
 
 const (
 	idleTimeout = 15 * time.Second
-	// readHeaderTimeout must not be shorter: on a new connection net/http counts it from the accept, and a client may
-	// wait as long before its first request as between later ones.
+	// readHeaderTimeout must not be shorter than idleTimeout. On a new connection net/http counts it from the accept,
+	// and a client may wait as long before the first request as between later requests.
 	readHeaderTimeout = idleTimeout
-	drainTimeout      = 3 * time.Second // time at shutdown for requests in flight
+	drainTimeout      = 3 * time.Second // maximum time for requests in flight at shutdown
 )
 
-// run serves requests on the listener until ctx ends, and then shuts down gracefully.
+// run serves requests on ln until ctx ends, and then shuts down gracefully.
 func run(ctx context.Context, ln net.Listener, log *slog.Logger) (err error) {
 	bookingServer, err := startBookingServer()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return server.Close()
 }
 
-// startBookingServer starts the only app server. The Addr field of the returned server is its address.
+// startBookingServer starts the only app server. The field Addr of the returned server is the server's address.
 func startBookingServer() (*http.Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,7 +99,8 @@
 	return server, nil
 }
 
-// newRouter returns a router with one server. Its Drain also stops the application's own listener.
+// newRouter returns a router with one server. Drain of the router also stops listener, the application's own HTTP
+// server.
 func newRouter(bookingServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
 	settings := policy.Settings{
 		Nodes: 1,
@@ -121,7 +122,7 @@
 		router.WithTransport(http1.New(http1.Config{})), router.WithLogger(log), router.WithListener(listener))
 }
 
-// newPages returns the handler of the application's own pages, which show the app server's response to a booking
+// newPages returns the handler of the application's own pages. The pages show the app server's response to a booking
 // request of the application.
 func newPages(client *http.Client) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -11,13 +11,13 @@
 // socketHost is the Host header of requests over a Unix socket. The server ignores it.
 const socketHost = "door"
 
-// clientIdleTimeout is how long a client keeps an idle connection. It is well below the server's idleTimeout, because
-// the server might otherwise close a connection on which a POST is being sent, and http.Transport does not retry a
-// POST.
+// clientIdleTimeout is how long a client keeps an idle connection. It is well below the server's idleTimeout.
+// Otherwise the server could close a connection while a POST is being sent, and http.Transport does not retry a POST.
 const clientIdleTimeout = idleTimeout / 2
 
-// NewClient returns a client for the server at an address, and the base URL of all paths. The address is the path of a
-// Unix socket, or IP:port with a token. tlsConfig applies to IP:port only; if it is nil, the client uses plain HTTP.
+// NewClient returns a client for the server at address, and the base URL of all paths. The address is the path of a
+// Unix socket, or IP:port with a token. tlsConfig applies to IP:port only. If tlsConfig is nil, the client uses plain
+// HTTP.
 func NewClient(address, token string, tlsConfig *tls.Config) (client *http.Client, baseURL string) {
 	transport := &http.Transport{
 		DisableCompression: true, TLSClientConfig: tlsConfig, IdleConnTimeout: clientIdleTimeout,
@@ -42,7 +42,7 @@
 	token string
 }
 
-// RoundTrip adds the token, if there is one, to a copy of the request and sends it.
+// RoundTrip sends a copy of the request, with the token if there is one.
 func (t tokenTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if t.token != "" {
 		r = r.Clone(r.Context())
--- a/internal/adminapi/client_test.go
+++ b/internal/adminapi/client_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestNewClient_ClosesIdleConnectionsBeforeServer checks that a client closes its idle connections well before the
-// server does. If the server closes a connection while the client sends a POST on it, the POST fails.
+// server does. A POST fails if the server closes the connection while the client sends it.
 func TestNewClient_ClosesIdleConnectionsBeforeServer(t *testing.T) {
 	client, _ := NewClient("/nowhere", "", nil)
 	kept := client.Transport.(tokenTransport).IdleConnTimeout
--- a/internal/adminapi/events.go
+++ b/internal/adminapi/events.go
@@ -14,8 +14,8 @@
 }
 
 // StreamEvents responds to a request with a stream of server-sent events. It calls next at once and then once per
-// interval. next must not block; it returns the events since its last call, and whether more may follow. The stream
-// ends when more is false, when the client disconnects or does not read for ioTimeout, or when the server is closed.
+// interval. next must not block. It returns the events since its last call, and whether more events may follow. The
+// stream ends if more is false, if the client disconnects or does not read for ioTimeout, or if the server is closed.
 func (s *Server) StreamEvents(
 	w http.ResponseWriter, r *http.Request, interval time.Duration, next func() (events []Event, more bool),
 ) {
@@ -28,14 +28,14 @@
 		return
 	}
 	conn := http.NewResponseController(w)
-	_ = conn.SetReadDeadline(time.Time{}) // clients send nothing during a stream; an error recurs at the next write
+	_ = conn.SetReadDeadline(time.Time{}) // clients send nothing during a stream; the next write returns the same error
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		events, more := next()
-		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // an error recurs at the write
+		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // the write returns the same error
 		if writeEvents(w, events) != nil || conn.Flush() != nil || !more {
 			return
 		}
--- a/internal/adminapi/json.go
+++ b/internal/adminapi/json.go
@@ -26,7 +26,7 @@
 }
 
 // ReadJSON decodes the body of a request into the value that to points to, and reports whether it succeeded. Unknown
-// fields and further values are errors; an empty body counts as an empty object. If it returns false, it has already
+// fields and additional values are errors. An empty body counts as an empty object. If ReadJSON returns false, it has
 // written an error response.
 func ReadJSON(w http.ResponseWriter, r *http.Request, to any) bool {
 	decoder := json.NewDecoder(r.Body)
--- a/internal/adminapi/limit.go
+++ b/internal/adminapi/limit.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// limitedListener limits the number of open connections to cap(slots). Further connections wait in the kernel's accept
-// queue.
+// limitedListener limits the number of open connections to cap(slots). Further connections wait in the kernel's
+// accept queue.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{} // one element for each open connection
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,5 +1,6 @@
-// Package adminapi serves the admin API of a process: a versioned JSON interface over HTTP, on a Unix socket or on a
-// loopback address with a bearer token. Other packages register the handlers. The package also provides a client.
+// Package adminapi serves the admin API of a process, a versioned JSON interface over HTTP. The API is served on a
+// Unix socket, or on a loopback address with a bearer token. Other packages register the handlers. The package also
+// provides a client.
 package adminapi
 
 import (
@@ -21,27 +22,26 @@
 const Version = "v1"
 
 const (
-	maxConns        = 96       // maximum of open connections per listener
-	maxRequestBody  = 64 << 10 // bytes
+	maxConns        = 96       // maximum number of open connections per listener
+	maxRequestBody  = 64 << 10 // maximum size of a request body, in bytes
 	ioTimeout       = 5 * time.Second
 	idleTimeout     = time.Minute
-	maxEventStreams = 64 // maximum of open event streams per server
+	maxEventStreams = 64 // maximum number of open event streams per server
 )
 
-// Config configures where a server listens.
+// Config holds the addresses on which a server listens, and how it secures them.
 type Config struct {
 	Socket string // path of a Unix socket
 	Listen string // IP:port on loopback; requires Token
-	Token  string // bearer token that requests over Listen need
+	Token  string // bearer token required on Listen
 	// WrapListener adds TLS to the listener at Listen. If it is nil, the listener serves plain HTTP.
 	WrapListener func(net.Listener) net.Listener
 }
 
-// Enabled reports whether an address to listen on is configured.
+// Enabled reports whether an address is configured.
 func (c Config) Enabled() bool { return c.Socket != "" || c.Listen != "" }
 
-// Server serves the admin API. Handle must not be called after Start. All other methods may be called from several
-// goroutines at once.
+// Server serves the admin API. Handle must not be called after Start. The other methods are safe for concurrent use.
 type Server struct {
 	mux       *http.ServeMux
 	methods   map[string][]string // allowed methods, by path
@@ -53,7 +53,7 @@
 	log       *slog.Logger
 }
 
-// Listen opens the configured listeners. Errors begin with the key of the setting.
+// Listen opens the configured listeners. The text of an error begins with the key of the setting.
 func Listen(config Config, log *slog.Logger) (*Server, error) {
 	server := &Server{
 		mux:     http.NewServeMux(),
@@ -84,7 +84,7 @@
 	return server, nil
 }
 
-// listenLoopback listens on config.Listen.
+// listenLoopback listens on config.Listen, which must be a loopback address.
 func listenLoopback(config Config) (net.Listener, error) {
 	address, err := netip.ParseAddrPort(config.Listen)
 	if err != nil || !address.Addr().IsLoopback() {
@@ -115,14 +115,14 @@
 	})
 }
 
-// Start begins to serve. All handlers must have been registered before.
+// Start begins to serve. All handlers must be registered before Start.
 func (s *Server) Start() {
 	for i, listener := range s.listeners {
 		s.tasks.Go(func() { s.serve(s.servers[i], listener) })
 	}
 }
 
-// serve serves a listener until Close is called.
+// serve serves listener until Close is called.
 func (s *Server) serve(server *http.Server, listener net.Listener) {
 	err := server.Serve(&limitedListener{
 		Listener: sockets.NewPersistentListener(listener, s.log),
@@ -134,8 +134,8 @@
 	}
 }
 
-// Handle registers a handler for one method of a path. The path is given without the version. Requests with a method
-// that is not registered get the status 405 and the list of allowed methods.
+// Handle registers a handler for one method of a path without the version. A request with an unregistered method gets
+// status 405 and the list of allowed methods.
 func (s *Server) Handle(method, path string, handler http.HandlerFunc) {
 	path = "/" + Version + path
 	s.mux.HandleFunc(method+" "+path, handler)
@@ -150,8 +150,8 @@
 	})
 }
 
-// Close closes the listeners and all connections, and waits until the goroutines of the server have ended. It must be
-// called exactly once, even for a server that was never started.
+// Close closes the listeners and all connections, and waits until the server's goroutines have ended. It must be
+// called exactly once, even if the server was never started.
 func (s *Server) Close() {
 	close(s.done)
 	for _, server := range s.servers {
@@ -163,7 +163,7 @@
 	s.tasks.Wait()
 }
 
-// RequireToken wraps a handler so that only requests with the bearer token reach it. Others get the status 401.
+// RequireToken returns a handler that passes requests with the bearer token to next. Other requests get status 401.
 func RequireToken(next http.Handler, token string) http.Handler {
 	want := []byte("Bearer " + token)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 	})
 }
 
-// limitBody wraps a handler so that it can read at most maxRequestBody bytes of a request's body.
+// limitBody returns a handler that limits the request body that next can read to maxRequestBody bytes.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBody)
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -21,7 +21,8 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// startServer starts a server with a path that echoes the body of a POST and streams large events to a GET.
+// startServer starts a server with one path. The path echoes the body of a POST, and streams large events in response
+// to a GET.
 func startServer(t *testing.T, config Config) *Server {
 	t.Helper()
 	server, err := Listen(config, discardLog())
@@ -57,8 +58,8 @@
 	return string(raw)
 }
 
-// TestServer_AnswersErrorsAsJSON checks that responses to valid and invalid requests over a Unix socket have the right
-// status and a JSON body.
+// TestServer_AnswersErrorsAsJSON checks the responses to valid and invalid requests over a Unix socket. Each response
+// must have the right status and a JSON body.
 func TestServer_AnswersErrorsAsJSON(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	startServer(t, Config{Socket: socket, Listen: "127.0.0.1:0", Token: "correct horse battery"})
@@ -70,7 +71,7 @@
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
-		want               string // contained in the response's body
+		want               string // substring of the response's body
 	}{
 		"good":     {"POST", "/thing", `{"Name":"x"}`, 200, `"Name":"x"`},
 		"no body":  {"POST", "/thing", "", 200, `"Name":""`},
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestListen_Errors checks the errors for addresses that cannot be used. Listen must not remove files that are not
-// sockets, or sockets on which another process listens, but it replaces a socket without a listener.
+// TestListen_Errors checks the errors for unusable addresses. Listen must not remove a file that is not a socket, or
+// a socket on which another process listens. Listen replaces a socket without a listener.
 func TestListen_Errors(t *testing.T) {
 	dir := t.TempDir()
 	file, stale, used := filepath.Join(dir, "file"), filepath.Join(dir, "stale"), filepath.Join(dir, "used")
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestStreamEvents_SlowReaders checks that clients that do not read their event streams block no other requests, that
-// the number of streams is limited, and that no goroutine outlives the server (TestMain detects leaks).
+// TestStreamEvents_SlowReaders checks that clients that do not read their event streams block no other requests. The
+// number of streams is limited. No goroutine outlives the server, which TestMain checks.
 func TestStreamEvents_SlowReaders(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	server := startServer(t, Config{Socket: socket})
--- a/internal/adminapi/unixsocket.go
+++ b/internal/adminapi/unixsocket.go
@@ -13,13 +13,13 @@
 
 const socketDialTimeout = time.Second
 
-// listenUnix listens on a Unix socket that only its owner may use. It replaces a socket on which no process listens,
-// and returns an error if there is any other file at the path.
+// listenUnix listens on a Unix socket that only the owner may use. It replaces a socket on which no process listens.
+// It returns an error if another kind of file exists at path.
 func listenUnix(path string) (net.Listener, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
 	}
-	// The socket gets its final name only after its mode is set, so that no other user can connect before that.
+	// The socket gets its final name after its mode is set, so that no other user can connect before.
 	temporary := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
 	listener, err := net.Listen("unix", temporary)
 	if err != nil {
@@ -28,14 +28,15 @@
 	listener.(*net.UnixListener).SetUnlinkOnClose(false)
 	file, err := publishSocket(temporary, path)
 	if err != nil {
-		_ = listener.Close() // the error of publishSocket is returned
+		_ = listener.Close() // the caller gets the error of publishSocket
 		_ = os.Remove(temporary)
 		return nil, err
 	}
 	return &unlinkingListener{Listener: listener, path: path, file: file}, nil
 }
 
-// publishSocket sets the mode of a socket, renames it to its final name, and returns the identity of its file.
+// publishSocket sets the mode of the socket at temporary, renames the socket to path, and returns the identity of its
+// file.
 func publishSocket(temporary, path string) (os.FileInfo, error) {
 	if err := os.Chmod(temporary, 0o600); err != nil {
 		return nil, err
@@ -47,11 +48,11 @@
 	return file, os.Rename(temporary, path)
 }
 
-// removeStaleSocket removes a socket on which no process listens. Any other file at the path is an error.
+// removeStaleSocket removes a socket on which no process listens. It returns an error for any other file at path.
 func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // the file does not exist; any other error recurs in net.Listen
+		return nil // the file does not exist, or net.Listen returns the same error
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s exists and is not a socket", path)
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// unlinkingListener removes the file of its socket when it is closed.
+// unlinkingListener is a listener that removes its socket's file when it is closed.
 type unlinkingListener struct {
 	net.Listener
 	path   string
--- a/internal/adminapi/unixsocket_test.go
+++ b/internal/adminapi/unixsocket_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestUnixSocket_KeepsFileOfSuccessor replaces a socket by that of another listener before the first listener is
-// closed. The first one must not remove the other's file, and the second one must remove its own.
+// TestUnixSocket_KeepsFileOfSuccessor checks that a closed listener removes its own socket's file, and no file of
+// another listener. The test replaces the first listener's socket before it closes the first listener.
 func TestUnixSocket_KeepsFileOfSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "socket")
 	first, err := listenUnix(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(path); err != nil { // as if an operator removed the socket and started another process
+	if err := os.Remove(path); err != nil { // as when an operator removes the socket and starts another process
 		t.Fatal(err)
 	}
 	second, err := listenUnix(path)
--- a/internal/ascii/ascii.go
+++ b/internal/ascii/ascii.go
@@ -1,7 +1,7 @@
-// Package ascii provides what the parsers of HTTP/1.1 heads share: comparing and parsing bytes without allocations.
+// Package ascii compares and parses bytes without allocations, for the parsers of HTTP/1.1 heads.
 package ascii
 
-// EqualFold reports whether b equals the lower-case word, ignoring the case of ASCII letters in b.
+// EqualFold reports whether b equals lower, ignoring the case of ASCII letters in b. lower must be in lower case.
 func EqualFold(b []byte, lower string) bool {
 	return len(b) == len(lower) && equalFoldSameLength(b, lower)
 }
@@ -18,8 +18,8 @@
 	return true
 }
 
-// ParseDecimal parses a number of at least one and at most maxDigits digits, without a sign. The number cannot
-// overflow if maxDigits is at most 18.
+// ParseDecimal parses a number of 1 to maxDigits digits, without a sign. The number cannot overflow if maxDigits is
+// at most 18.
 func ParseDecimal(digits []byte, maxDigits int) (number uint64, ok bool) {
 	if len(digits) == 0 || len(digits) > maxDigits {
 		return 0, false
--- a/internal/ascii/ascii_test.go
+++ b/internal/ascii/ascii_test.go
@@ -16,7 +16,7 @@
 		{"content-lengtH", true},
 		{"content-lengt", false},
 		{"content-length ", false},
-		{"content\rlength", false}, // '\r' and '-' differ only in the bit 0x20, as do letters of different case
+		{"content\rlength", false}, // '\r' and '-' differ only in the bit 0x20, like 'a' and 'A'
 		{"", false},
 	} {
 		if got := EqualFold([]byte(test.text), "content-length"); got != test.want {
--- a/internal/cpuyield/yielder.go
+++ b/internal/cpuyield/yielder.go
@@ -1,20 +1,20 @@
-// Package cpuyield keeps long computations from delaying requests when there are few CPUs.
+// Package cpuyield prevents long computations from delaying requests when there are few CPUs.
 package cpuyield
 
 import "time"
 
 const (
-	maxBurst      = 200 * time.Microsecond // longest computation without a sleep
+	maxBurst      = 200 * time.Microsecond // maximum duration of a computation without a sleep
 	sleepDuration = 50 * time.Microsecond  // timers make the actual sleep longer
 )
 
 // Yielder interrupts a long computation with short sleeps. runtime.Gosched is not enough: while any goroutine can
-// run, the scheduler polls the network only every 10 ms, which delays the data that requests wait for. The zero value
-// is ready to use. It is not safe for concurrent use.
+// run, the scheduler polls the network only every 10 ms. Such polling delays the data that requests wait for. The
+// zero value is ready to use. A Yielder is not safe for concurrent use.
 type Yielder struct{ burstStartedAt time.Time }
 
-// YieldIfDue sleeps if the computation has run for maxBurst since the last sleep. Call it every few steps of the
-// computation.
+// YieldIfDue sleeps if the computation has run for maxBurst since the last sleep. The computation calls it every few
+// steps.
 func (y *Yielder) YieldIfDue() {
 	now := time.Now()
 	switch {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo demonstrates a node on loopback: emulated app servers in three zones, of which one is slow and one
-// fails for a while, a discovery server with a fixed list, and some seconds of mixed traffic.
+// Package demo runs a demonstration of a node on loopback. It emulates app servers in three zones, of which one is
+// slow and one fails for a while. A discovery server has a fixed list. Clients send mixed traffic for some seconds.
 package demo
 
 import (
@@ -22,7 +22,7 @@
 
 // Config configures a demonstration.
 type Config struct {
-	Duration time.Duration // of the traffic; default: 6 s
+	Duration time.Duration // duration of the traffic; default: 6 s
 	Rate     float64       // requests per second; default: 300
 	Seed     uint64
 }
@@ -40,16 +40,16 @@
 // demonstration holds the node, its servers and the results of the requests.
 type demonstration struct {
 	config       Config
-	trafficStart time.Time // when the traffic started; before that, when the servers were started
+	trafficStart time.Time // start of the traffic; before that, start of the servers
 	servers      []*server
-	nodeAddr     string // address that the node listens on
+	nodeAddr     string // address on which the node listens
 
 	mu           sync.Mutex
 	classes      map[string]*classResult
 	attempts     map[string]int  // number of attempts by request ID
 	bookings     map[string]bool // set of the request IDs of bookings
 	executions   map[string]int  // number of executions by request ID; filled when the servers stop
-	deduplicated int             // requests that servers dropped as duplicates by their idempotency key
+	deduplicated int             // requests that servers dropped because of a repeated idempotency key
 	inFlight     int
 	sent         int
 }
@@ -65,8 +65,9 @@
 	return d
 }
 
-// Run runs a demonstration and writes its progress and its result to out; on a terminal, progress stays on one line.
-// It returns an error if a request was lost, if a booking was executed twice, or if something could not be started.
+// Run runs a demonstration, and writes its progress and result to out. If terminal is set, progress stays on one
+// line. Run returns an error if a request was lost, if a booking was executed twice, or if something could not be
+// started.
 func Run(ctx context.Context, config Config, out io.Writer, terminal bool) error {
 	if config.Duration <= 0 {
 		config.Duration = defaultDuration
@@ -91,8 +92,8 @@
 	return demo.report(out)
 }
 
-// start starts the servers, the discovery server and the node. The returned function shuts the node down and then
-// stops the others.
+// start starts the servers, the discovery server and the node. The returned function shuts the node down, and then
+// stops the servers and the discovery server.
 func (d *demonstration) start() (stop func() error, err error) {
 	var closers []func()
 	closeAll := func() {
@@ -177,7 +178,7 @@
 	return fmt.Errorf("demo: node not ready after %d checks", maxReadyChecks)
 }
 
-// serveUnchangedList answers the node's long poll to the discovery server: the list never changes.
+// serveUnchangedList answers the node's long poll to the discovery server. The list never changes.
 func serveUnchangedList(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -186,7 +187,7 @@
 	}
 }
 
-// IsTerminal reports whether the file is a terminal.
+// IsTerminal reports whether file is a character device, such as a terminal.
 func IsTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/goleak"
 )
 
-// A demonstration ends by itself without a lost request or a booking that is executed twice, reports on each class, and
-// leaks no goroutine.
+// TestRun_ReportsEachClass checks that a demonstration ends by itself, loses no request, and executes no booking
+// twice. It reports on each class and leaks no goroutine.
 func TestRun_ReportsEachClass(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var out bytes.Buffer
@@ -28,7 +28,8 @@
 	}
 }
 
-// The report returns an error for a booking that was executed twice and for a lost request.
+// TestReport_FailsOnBrokenRule checks that the report returns an error for a booking that was executed twice, and for
+// a lost request.
 func TestReport_FailsOnBrokenRule(t *testing.T) {
 	for name, breakRule := range map[string]func(*demonstration){
 		"twice": func(d *demonstration) { d.bookings["b1"], d.executions["b1"] = true, 2 },
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// classResult counts the requests of one class by their result.
+// classResult counts the requests of one class by result.
 type classResult struct {
 	served, rejected, failed, lost int
 	retried                        int // requests with more than one attempt
@@ -42,8 +42,8 @@
 	d.attempts[id]++
 }
 
-// writeProgress writes the counts so far. On a terminal it overwrites the previous line; elsewhere it writes one line
-// per second.
+// writeProgress writes the current counts. On a terminal it overwrites the previous line. Otherwise it writes one
+// line per second.
 func (d *demonstration) writeProgress(out io.Writer, terminal bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// report writes the results by class and the number of bookings that the servers executed. It returns an error if a
+// report writes the results by class, and the number of bookings that the servers executed. It returns an error if a
 // request was not answered or a booking was executed twice.
 func (d *demonstration) report(out io.Writer) error {
 	var text bytes.Buffer // its writes return no errors
@@ -111,7 +111,7 @@
 	return lost
 }
 
-// formatQuantile returns a quantile of sorted durations in milliseconds, or a dash if there are none.
+// formatQuantile returns the quantile q of sorted in milliseconds, or a dash if sorted is empty.
 func formatQuantile(sorted []time.Duration, q float64) string {
 	if len(sorted) == 0 {
 		return "-"
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -15,16 +15,16 @@
 const (
 	faultyServer, slowServer = 0, 2 // indexes of servers; both are in the node's own zone
 
-	// The faulty server fails faultShare of its requests between faultStart and faultEnd, which are fractions of the
-	// traffic's duration.
+	// The faulty server fails faultShare of its requests between faultStart and faultEnd. Both times are fractions of
+	// the traffic's duration.
 	faultStart, faultEnd = 0.25, 0.6
 	faultShare           = 0.8
 
 	meanWork     = 40 * time.Millisecond  // mean work of a request, exponentially distributed
 	slowMeanWork = 250 * time.Millisecond // mean work of a request at the slow server
 
-	serverSlots = 8  // requests that a server executes concurrently
-	serverQueue = 32 // requests that may wait for a slot; further ones are rejected
+	serverSlots = 8  // maximum number of requests that a server executes concurrently
+	serverQueue = 32 // maximum number of requests that wait for a slot; further requests are rejected
 )
 
 // server is an emulated app server.
@@ -34,8 +34,8 @@
 	frontend *serverprotocol.HTTPServer
 }
 
-// startServer runs the n-th server on loopback. A server drops requests that another server of its group has executed
-// with the same idempotency key.
+// startServer starts the n-th server on loopback. The server drops a request if another server of group has executed
+// a request with the same idempotency key.
 func startServer(n int, demo *demonstration, group *servermodel.Group) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return started, nil
 }
 
-// drawFault randomly decides whether the faulty server fails a request at this point of the traffic.
+// drawFault randomly decides whether the faulty server fails a request that arrives now.
 func (d *demonstration) drawFault() bool {
 	elapsed := time.Since(d.trafficStart).Seconds() / d.config.Duration.Seconds()
 	return elapsed >= faultStart && elapsed < faultEnd && rand.Float64() < faultShare
@@ -79,7 +79,7 @@
 	}
 }
 
-// startHTTP serves HTTP on loopback with the handler until stop is called.
+// startHTTP serves HTTP on loopback with handler until stop is called.
 func startHTTP(handler http.Handler) (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -20,18 +20,19 @@
 	cancelDeadline = 4000 * time.Millisecond
 )
 
-// dedupWindow is how long servers remember the idempotency key of a cancellation and drop requests that repeat it.
+// dedupWindow is how long servers remember the idempotency key of a cancellation. Servers drop requests that repeat a
+// remembered key.
 const dedupWindow = 4 * time.Second
 
-// mainTenant sends more than its quota; otherTenants share the rest of the traffic.
+// mainTenant sends more than its quota. otherTenants send the rest of the traffic.
 const mainTenant = "dielna-bystrica"
 
 var otherTenants = []string{"kancel-presov", "stol-nitra", "podkrovie-zvolen", "mlyn-poprad"}
 
-// zones are the names of the data centers. The node is in the first one.
+// zones holds the names of the data centers. The node is in the first zone.
 var zones = []string{"bystrica", "presov", "nitra"}
 
-// Settings returns the settings of the demonstration's node: three classes, five tenants, three zones.
+// Settings returns the settings of the demonstration's node, with three classes, five tenants and three zones.
 func Settings() policy.Settings {
 	const ms = time.Millisecond
 	tenants := []policy.Tenant{{Name: mainTenant, Quota: 100, Share: 0.43}}
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -14,10 +14,11 @@
 const (
 	progressInterval = 200 * time.Millisecond
 
-	// maxInFlight limits the requests in flight. When it is reached, requests are sent later than the rate demands.
+	// maxInFlight is the maximum number of requests in flight. At the maximum, requests are sent later than the rate
+	// requires.
 	maxInFlight = 2048
 
-	// responseGrace is how long after a request's deadline the clients wait before they count it as lost.
+	// responseGrace is how long clients wait after a request's deadline before they count the request as lost.
 	responseGrace = time.Second
 )
 
@@ -27,8 +28,8 @@
 	deadline               time.Duration
 }
 
-// drawRequest generates the n-th request at random: half are searches, three in ten are bookings, two in ten are
-// cancellations. The main tenant sends three in five.
+// drawRequest generates the n-th request at random. Of ten requests, on average five are searches, three are bookings
+// and two are cancellations. The main tenant sends six of ten requests.
 func drawRequest(random *rand.Rand, n int) request {
 	drawn := request{
 		id: fmt.Sprintf("demo-%d-%x", n, random.Uint32()), class: classSearch, tenant: mainTenant, deadline: searchDeadline,
@@ -45,8 +46,7 @@
 	return drawn
 }
 
-// runTraffic sends requests at the configured rate without waiting for earlier ones, and returns after the last
-// response.
+// runTraffic sends requests at the configured rate without waiting for responses. It returns after the last response.
 func (d *demonstration) runTraffic(ctx context.Context, out io.Writer, terminal bool) {
 	random := rand.New(rand.NewPCG(d.config.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -71,7 +71,7 @@
 	}
 }
 
-// waitUntil waits for the time of the next request or the end of ctx, and writes the progress while it waits.
+// waitUntil waits until next or until ctx ends. It writes the progress at each tick.
 func (d *demonstration) waitUntil(
 	ctx context.Context, next time.Time, tick <-chan time.Time, out io.Writer, terminal bool,
 ) {
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -13,7 +13,7 @@
 
 func (f *failures) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
 
-// check compares the requests sent so far with the expectation and returns the parts that are not met.
+// check compares the requests sent so far with want, and returns the parts that are not met.
 func (s *simulation) check(want *Want) failures {
 	var found failures
 	s.checkServers(want, &found)
@@ -23,7 +23,7 @@
 	return found
 }
 
-// checkServers checks the zone and server of the first attempt, and that no attempt was sent to an excluded zone.
+// checkServers checks the zone and server of the first attempts, and that no attempt was sent to an excluded zone.
 func (s *simulation) checkServers(want *Want, found *failures) {
 	firstServer, destination := "", "nowhere"
 	if len(s.firstServers) > 0 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkAttempts reports at most one request that had too many attempts.
+// checkAttempts checks the number of attempts of each request. It reports at most one request with too many attempts.
 func (s *simulation) checkAttempts(want *Want, found *failures) {
 	if want.MaxAttempts == 0 {
 		return
--- a/internal/expect/evaluate.go
+++ b/internal/expect/evaluate.go
@@ -18,11 +18,12 @@
 	defaultRequests = 100
 	defaultInterval = 50 * time.Millisecond
 
-	// settleTime is the virtual time that passes after the last request, so that every request ends.
+	// settleTime is the virtual time that passes after the last request. Every request ends within this time.
 	settleTime = time.Minute
 )
 
-// defaultPeer is the client address of a case that sets none. It belongs to a network reserved for documentation.
+// defaultPeer is the client address of a case without one. The address belongs to a network reserved for
+// documentation.
 var defaultPeer = netip.MustParseAddr("192.0.2.1")
 
 // evaluation holds the request of one case and the failures found so far.
@@ -35,7 +36,7 @@
 	header       http.Header
 	tenant       string
 
-	description string // method and URL of the request, which start each failure message
+	description string // method and URL of the request; prefix of each failure message
 	failures    []string
 }
 
@@ -43,8 +44,8 @@
 	e.failures = append(e.failures, e.description+": "+fmt.Sprintf(format, args...))
 }
 
-// evaluate checks one case and returns a message for each part of it that is not met. An error means that the case
-// can't be evaluated.
+// evaluate checks one case, and returns a message for each part of the case that is not met. It returns an error if
+// the case cannot be evaluated.
 func evaluate(
 	conf *standalone.File, table *routes.Table, resolver *identity.Resolver, tested *Case,
 ) (failures []string, err error) {
@@ -99,7 +100,8 @@
 	return eval, nil
 }
 
-// checkPath checks whether the path is accepted, as the case expects. It reports whether routes are to be matched.
+// checkPath checks whether the path is accepted or rejected, as the case expects. It returns whether the path is
+// accepted.
 func (e *evaluation) checkPath() (accepted bool) {
 	wantRejected := e.want.Route == wantPathRejected
 	if err := routes.CheckPath(e.path); err != nil {
@@ -114,7 +116,7 @@
 	return true
 }
 
-// checkTenant determines the request's tenant and compares it with the expected one.
+// checkTenant determines the request's tenant, and compares it with the expected tenant.
 func (e *evaluation) checkTenant(resolver *identity.Resolver) {
 	found := resolver.Resolve(&identity.Request{Peer: e.peer, Header: e.header})
 	e.tenant = found.Tenant
@@ -129,7 +131,7 @@
 	}
 }
 
-// checkRoute matches the first request against the routes and compares the result with the expected route and class.
+// checkRoute matches the first request against the routes, and compares the result with the expected route and class.
 // It returns nil if no route matches.
 func (e *evaluation) checkRoute(table *routes.Table) *routes.Route {
 	wantNone := e.want.Route == wantNoRoute
@@ -163,8 +165,8 @@
 	}
 }
 
-// sendRequests sends the case's requests to a simulation. Each request is matched against the routes by itself, because
-// a route may apply to a fraction of the request IDs.
+// sendRequests sends the case's requests to a simulation. It matches each request against the routes, because a route
+// may apply to a fraction of the request IDs.
 func (e *evaluation) sendRequests(sim *simulation, table *routes.Table, tested *Case) {
 	count, interval := tested.Requests, tested.Interval
 	if count == 0 {
@@ -187,7 +189,8 @@
 	sim.advance(settleTime)
 }
 
-// uniqueKey returns an idempotency key for the n-th request: requests with the same key would be treated as duplicates.
+// uniqueKey returns an idempotency key for the n-th request. Requests with equal keys would be treated as duplicates.
+// An empty key stays empty.
 func uniqueKey(key string, n int) string {
 	if key == "" {
 		return ""
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -1,6 +1,6 @@
-// Package expect checks a configuration against its operator's expectations: which class, tenant and zone a request
-// is assigned, including while zones are unavailable or tenants exceed their quotas. It runs the production route
-// table, engine and policy module in virtual time, without opening a socket.
+// Package expect checks a configuration against its operator's expectations. An expectation states the class, tenant
+// and zone of a request, also while zones are unavailable or tenants exceed their quotas. The package runs the
+// production route table, engine and policy module in virtual time. It opens no sockets.
 package expect
 
 import (
@@ -20,8 +20,8 @@
 	path  string
 }
 
-// Case is one expectation: a request, the state of the servers and the node, and the expected result. The request is
-// sent several times.
+// Case is one expectation. It has a request, which is sent several times, the state of the servers and the node, and
+// the expected result.
 type Case struct {
 	Name     string            `toml:"name" need:"1"`
 	Method   string            `toml:"method"` // default: GET
@@ -30,7 +30,7 @@
 	From     string            `toml:"from"` // client address; default: 192.0.2.1
 	State    State             `toml:"state"`
 	Requests int               `toml:"draws" min:"1" max:"100000"` // default: 100
-	Interval time.Duration     `toml:"every" min:"0s" max:"1m"`    // between two requests; default: 50ms
+	Interval time.Duration     `toml:"every" min:"0s" max:"1m"`    // interval between requests; default: 50ms
 	Seed     uint64            `toml:"seed"`
 	Want     Want              `toml:"want"`
 }
@@ -40,11 +40,11 @@
 	MissingZones   []string `toml:"zones_gone"`
 	MissingServers []string `toml:"servers_gone"`
 	Draining       []string `toml:"drained"`
-	Response       string   `toml:"answer" one:"served|failing|full"` // of every server; default: served
+	Response       string   `toml:"answer" one:"served|failing|full"` // response of every server; default: served
 	NodeZone       string   `toml:"node_zone"`                        // default: the zone in the configuration
 }
 
-// Want is the expected result. A field with its zero value is not checked.
+// Want is the expected result. A field with the zero value is not checked.
 type Want struct {
 	Class       string   `toml:"class"`
 	Tenant      string   `toml:"tenant"` // "anonymous" for a tenant that is not configured
@@ -54,15 +54,15 @@
 	FirstServer string   `toml:"first_server"`
 	// ZoneShare is the expected fraction of the first attempts that go to each zone.
 	ZoneShare map[string]float64 `toml:"zone_share"`
-	// Tolerance is the accepted deviation from each value of ZoneShare; the default is 0.05.
+	// Tolerance is the accepted deviation from each value of ZoneShare. The default is 0.05.
 	Tolerance float64 `toml:"within" min:"0" max:"1"`
 	// Outcome is the expected outcome of every request.
 	Outcome string `toml:"outcome" one:"served|refused|failed"`
-	// Rejected is the range that the fraction of rejected requests has to be in.
+	// Rejected is the expected range of the fraction of rejected requests.
 	Rejected *stricttoml.Range `toml:"refused"`
-	// RetryAfter requires a Retry-After of every rejection.
+	// RetryAfter requires every rejection to have a Retry-After.
 	RetryAfter bool `toml:"retry_after"`
-	// MaxAttempts is the greatest number of attempts that a request may have.
+	// MaxAttempts is the maximum number of attempts of each request.
 	MaxAttempts int `toml:"at_most_attempts" min:"1"`
 }
 
@@ -85,16 +85,17 @@
 	return file, nil
 }
 
-// Result tells whether one expectation is met.
+// Result records whether one expectation is met.
 type Result struct {
 	Name string
-	Line int // line of the expectation in its file
-	// Failures has a message for each part that is not met: the expected value, the actual value, and the line of the
-	// configuration that led to it. It is empty if the expectation is met.
+	Line int // line number of the expectation in its file
+	// Failures has a message for each part that is not met. A message contains the expected value, the actual value,
+	// and the line of the configuration that caused the actual value. Failures is empty if the expectation is met.
 	Failures []string
 }
 
-// Run checks a configuration against the file's expectations. An expectation that can't be evaluated is an error.
+// Run checks a configuration against the file's expectations. It returns an error if an expectation cannot be
+// evaluated.
 func (f *File) Run(conf *standalone.File) ([]Result, error) {
 	table, err := conf.RouteTable()
 	if err != nil {
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -162,7 +162,7 @@
 route = "none"
 `
 
-// load writes a configuration and expectations to files, and loads them.
+// load writes a configuration and expectations to files, and loads both files.
 func load(t *testing.T, conf, expectations string) (*standalone.File, *File) {
 	t.Helper()
 	dir := t.TempDir()
@@ -182,7 +182,7 @@
 	return loaded, file
 }
 
-// allFailures runs all expectations and returns their failures, each prefixed with the expectation's name.
+// allFailures runs all expectations and returns their failures. Each failure is prefixed with the expectation's name.
 func allFailures(t *testing.T, conf, expectations string) (all []string) {
 	t.Helper()
 	loaded, file := load(t, conf, expectations)
@@ -198,8 +198,8 @@
 	return all
 }
 
-// brokenConfigurations are changes of the configuration by text replacement. Each makes the expectation whose name
-// starts with the field expectation fail with a message that contains wantText.
+// brokenConfigurations holds changes of the configuration by text replacement. Each change must fail the expectation
+// whose name starts with the field expectation. The message must contain wantText.
 var brokenConfigurations = map[string]struct{ old, replacement, expectation, wantText string }{
 	"node in another zone": {
 		old:         `zone = "presov"` + "\n[[class]]",
@@ -324,8 +324,8 @@
 	},
 }
 
-// The original configuration meets all expectations. Each broken one fails the expectation that covers the change, and
-// the message names the request.
+// TestRun_FindsBrokenConfigurations checks that the original configuration meets all expectations. Each broken
+// configuration must fail the expectation for the changed part, and the message must name the request.
 func TestRun_FindsBrokenConfigurations(t *testing.T) {
 	if all := allFailures(t, conf, expectations); len(all) > 0 {
 		t.Fatalf("the original configuration fails expectations: %q", all)
@@ -348,7 +348,8 @@
 	}
 }
 
-// An expectation that can't be evaluated makes Run return an error instead of a failure.
+// TestRun_UnknownZoneIsAnError checks that Run returns an error, not a failure, for an expectation that cannot be
+// evaluated.
 func TestRun_UnknownZoneIsAnError(t *testing.T) {
 	unknown := strings.Replace(expectations, `zones_gone = ["presov"]`, `zones_gone = ["kosice"]`, 1)
 	loaded, file := load(t, conf, unknown)
@@ -363,7 +364,8 @@
 	}
 }
 
-// A thousand expectations for a thousand routes are all met. The test logs the time that takes.
+// TestRun_ThousandExpectations checks that a thousand expectations for a thousand routes are met. The test logs the
+// duration of the run.
 func TestRun_ThousandExpectations(t *testing.T) {
 	var routes, cases strings.Builder
 	for i := range 1000 {
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -10,7 +10,7 @@
 	"cobaltward/router"
 )
 
-// responseTime is how long every server takes to respond.
+// responseTime is the response time of every server.
 const responseTime = 10 * time.Millisecond
 
 // Outcomes of requests, with the names that Want.Outcome uses.
@@ -20,25 +20,25 @@
 	outcomeFailed   = "failed"
 )
 
-// responseCodes maps State.Response to the result code of every attempt.
+// responseCodes maps each value of State.Response to the result code of every attempt.
 var responseCodes = map[string]policy.Code{
 	"": policy.OK, "served": policy.OK, "failing": policy.ServerError, "full": policy.Overloaded,
 }
 
-// simulation runs an engine in virtual time with servers that all give the same response. It implements the engine's
+// simulation runs an engine in virtual time with servers that all give the same response. It is the engine's
 // transport.
 type simulation struct {
 	engine   *router.Stepped
 	now      time.Duration
 	response policy.Code
-	inFlight []pendingAttempt  // in the order in which they end
-	zones    map[string]string // by server ID
+	inFlight []pendingAttempt  // attempts in flight, in the order in which they end
+	zones    map[string]string // zone of each server, by server ID
 
 	firstServers []string       // server of each request's first attempt
 	zoneAttempts map[string]int // number of attempts by zone
 	attempts     map[string]int // number of attempts by request ID
 	outcomes     map[string]int
-	retryAfters  []time.Duration // of each rejected request; 0: no Retry-After
+	retryAfters  []time.Duration // Retry-After of each rejected request; 0: none
 }
 
 // pendingAttempt is an attempt that has no result yet.
@@ -72,7 +72,7 @@
 	return sim, err
 }
 
-// checkNames returns an error if the case names a zone or server that the configuration doesn't have.
+// checkNames returns an error if the case names a zone or server that the configuration does not contain.
 func (c *Case) checkNames(endpoints []router.Endpoint) error {
 	ids, zones := make(map[string]bool), make(map[string]bool)
 	for _, endpoint := range endpoints {
@@ -127,8 +127,8 @@
 // CloseIdle does nothing: there are no connections.
 func (s *simulation) CloseIdle(string) {}
 
-// submit sends a request to the engine and counts its outcome. A request that the engine refuses as invalid is counted
-// under its error.
+// submit sends a request to the engine and counts the outcome. If the engine rejects the request as invalid, submit
+// counts the request under the error.
 func (s *simulation) submit(request router.Request) {
 	err := s.engine.Submit(s.now, request, func(answer router.Answer) {
 		switch answer.Outcome {
--- a/internal/jsonconfig/jsonconfig.go
+++ b/internal/jsonconfig/jsonconfig.go
@@ -1,4 +1,4 @@
-// Package jsonconfig decodes JSON configurations, with errors that name the field by its JSON path.
+// Package jsonconfig decodes JSON configurations. Its errors name the field by the JSON path.
 package jsonconfig
 
 import (
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Unmarshal is json.Unmarshal, but its type errors name the field by its JSON path.
+// Unmarshal decodes JSON like json.Unmarshal. Its type errors name the field by the JSON path.
 func Unmarshal(raw []byte, target any) error {
 	err := json.Unmarshal(raw, target)
 	var mismatch *json.UnmarshalTypeError
--- a/internal/operations/handler.go
+++ b/internal/operations/handler.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// endpoint is the handler of one path, with the only method that it accepts.
+// endpoint is the handler of one path, with the only method that the path accepts.
 type endpoint struct {
 	method string
 	handle func(w http.ResponseWriter)
@@ -50,7 +50,8 @@
 	}
 }
 
-// commandHandler returns a handler that executes a command, and responds with the text done if it was accepted.
+// commandHandler returns a handler that calls execute. If execute returns no error, the handler responds with the
+// text done.
 func commandHandler(execute func() error, done string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		if err := execute(); err != nil {
--- a/internal/operations/listener.go
+++ b/internal/operations/listener.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// evictingListener limits the number of open connections. At the limit, a new connection replaces the oldest one
-// whose request is still incomplete, so that clients that never complete a request cannot lock out others. If all
-// requests are complete, Accept waits until one has been answered.
+// evictingListener limits the number of open connections. At the limit, a new connection replaces the oldest
+// connection whose request is incomplete. Clients that never complete a request therefore cannot lock out other
+// clients. If all requests are complete, Accept waits until one has been answered.
 type evictingListener struct {
 	net.Listener
 	maxConns int
 
 	mu              sync.Mutex
 	slotFreed       sync.Cond
-	open            map[net.Conn]*list.Element // element of incompleteConns; nil once the request is complete
+	open            map[net.Conn]*list.Element // element of incompleteConns; nil if the request is complete
 	incompleteConns list.List                  // connections (net.Conn) whose request is incomplete, oldest first
 	closed          bool
 }
@@ -43,7 +43,7 @@
 	return conn, nil
 }
 
-// evictOldest closes the oldest connection whose request is incomplete, and reports whether there was one. The caller
+// evictOldest closes the oldest connection whose request is incomplete. It returns false if there is none. The caller
 // holds l.mu.
 func (l *evictingListener) evictOldest() bool {
 	oldest := l.incompleteConns.Front()
@@ -79,7 +79,7 @@
 	}
 }
 
-// release removes a connection from the open ones. The caller holds l.mu.
+// release removes conn from the open connections. The caller holds l.mu.
 func (l *evictingListener) release(conn net.Conn) {
 	element, ok := l.open[conn]
 	if !ok {
--- a/internal/operations/server.go
+++ b/internal/operations/server.go
@@ -1,6 +1,6 @@
-// Package operations serves the operations endpoint, a second address of a node. There operators query whether the
-// process can serve, read its metrics, and drain the node or cancel the drain. No handler waits for clients' requests
-// in flight: the node prepares the metrics in advance and drains in the background.
+// Package operations serves the operations endpoint, a second address of a node. Operators query there whether the
+// process can serve, read its metrics, and drain the node or cancel the drain. No handler waits for requests in
+// flight: the node prepares the metrics in advance and drains in the background.
 package operations
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	readTimeout     = time.Second // bounds how long a stalled client can keep its connection
+	readTimeout     = time.Second // maximum time that a stalled client keeps its connection
 	writeTimeout    = time.Second
-	shutdownTimeout = 100 * time.Millisecond // for requests that are being answered when Close is called
+	shutdownTimeout = 100 * time.Millisecond // maximum wait of Close for requests that are being answered
 	maxHeaderBytes  = 4 << 10
-	maxConns        = 12 // maximum of open connections
+	maxConns        = 12 // maximum number of open connections
 )
 
-// MaxDescriptors is the maximum number of file descriptors that a server uses: its connections, its listener, and a
-// connection that is being accepted.
+// MaxDescriptors is the maximum number of file descriptors that a server uses. It counts maxConns connections, the
+// listener, and a connection that is being accepted.
 const MaxDescriptors = maxConns + 2
 
-// Node is the node that the endpoint reports on and controls. Its methods must not block, and may be called from
-// several goroutines at once.
+// Node is the node that the endpoint reports on and controls. Its methods must not block, and must be safe for
+// concurrent use.
 type Node interface {
 	Serving() bool                    // reports whether this process can serve
 	AppendMetrics(page []byte) []byte // appends the metrics, one line each
@@ -36,14 +36,14 @@
 	Active() error                    // cancels the drain
 }
 
-// Server serves the operations endpoint. Serve starts one.
+// Server serves the operations endpoint. Serve returns a running Server.
 type Server struct {
 	listener *evictingListener
 	http     *http.Server
 	stopped  chan struct{} // closed when the serving goroutine has ended
 }
 
-// Listen listens on an address. Connections wait in the accept queue until Serve is called.
+// Listen listens on address. Connections wait in the accept queue until Serve is called.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return listener, nil
 }
 
-// Serve starts to serve a listener. The caller must close the server, which also closes the listener.
+// Serve starts to serve listener. The caller must close the server, which also closes listener.
 func Serve(listener net.Listener, node Node, log *slog.Logger) *Server {
 	evicting := newEvictingListener(sockets.NewPersistentListener(listener, log), maxConns)
 	server := &Server{
@@ -78,7 +78,7 @@
 	return server
 }
 
-// Close stops the server. It waits up to shutdownTimeout for requests that are being answered.
+// Close stops the server. It waits at most shutdownTimeout for requests that are being answered.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/operations/server_test.go
+++ b/internal/operations/server_test.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// startServer starts a server for a node and returns its address. The server is closed when the test ends.
+// startServer starts a server for node and returns the server's address. The server is closed when the test ends.
 func startServer(t *testing.T, node Node) string {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// exchange sends a request, and returns everything that it receives until the server closes the connection.
+// exchange sends request, and returns everything that the server sends until it closes the connection.
 func exchange(t *testing.T, address, request string) string {
 	t.Helper()
 	conn := dial(t, address)
@@ -120,8 +120,9 @@
 	}
 }
 
-// TestServer_StalledClients opens three times as many connections as the limit allows, none with a complete request.
-// It checks that complete requests are still answered, and that the server eventually closes all stalled connections.
+// TestServer_StalledClients checks that stalled clients do not lock out other clients. The test opens three times as
+// many connections as the limit allows, none with a complete request. Complete requests are still answered. The
+// server eventually closes all stalled connections.
 func TestServer_StalledClients(t *testing.T) {
 	node := new(fakeNode)
 	node.serving.Store(true)
@@ -149,8 +150,8 @@
 	}
 }
 
-// TestEvictingListener_KeepsCompleteRequests checks that a new connection replaces the oldest one whose request is
-// incomplete, and that it waits if all requests are complete.
+// TestEvictingListener_KeepsCompleteRequests checks that a new connection replaces the oldest connection whose
+// request is incomplete. If all requests are complete, the new connection waits.
 func TestEvictingListener_KeepsCompleteRequests(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki issues certificates for tests and benchmarks. The daemon does not link it. It panics if crypto/x509
-// rejects a certificate, which is a mistake in the test.
+// Package pki issues certificates for tests and benchmarks. The daemon does not link it. The package panics if
+// crypto/x509 rejects a certificate, because that is a fault of the test.
 package pki
 
 import (
@@ -42,7 +42,7 @@
 	return v
 }
 
-// NewKey returns a new key of the kind; of P256 if the kind is unknown.
+// NewKey returns a new key of the kind. An unknown kind gives a P256 key.
 func NewKey(kind string) crypto.Signer {
 	switch kind {
 	case RSA2048:
@@ -67,7 +67,7 @@
 	}
 }
 
-// NewAuthorityBetween returns a self-signed authority that is valid between the two times.
+// NewAuthorityBetween returns a self-signed authority that is valid between from and to.
 func NewAuthorityBetween(name string, from, to time.Time) *Authority {
 	a := &Authority{Key: NewKey(P256)}
 	tmpl := authorityTemplate(name, from, to)
@@ -80,15 +80,15 @@
 	return NewAuthorityBetween(name, time.Now().AddDate(-1, 0, 0), time.Now().AddDate(1, 0, 0))
 }
 
-// NewIntermediate returns an intermediate authority whose certificate is signed by a and has the same validity as
-// that of a.
+// NewIntermediate returns an intermediate authority. Its certificate is signed by a, and is valid for the same time
+// as the certificate of a.
 func (a *Authority) NewIntermediate(name string) *Authority {
 	intermediate := &Authority{Key: NewKey(P256)}
 	intermediate.Cert = sign(authorityTemplate(name, a.Cert.NotBefore, a.Cert.NotAfter), intermediate.Key.Public(), a)
 	return intermediate
 }
 
-// CrossSign returns a certificate for the key of another authority, signed by a.
+// CrossSign returns a certificate for the key of other, signed by a.
 func (a *Authority) CrossSign(other *Authority) *x509.Certificate {
 	return sign(authorityTemplate(other.Cert.Subject.CommonName, a.Cert.NotBefore, a.Cert.NotAfter), other.Key.Public(), a)
 }
@@ -99,7 +99,7 @@
 	Names    []string  // subject alternative names: DNS names, IP addresses and URIs
 	KeyKind  string    // empty: P256
 	Subject  string    // common name
-	Padding  int       // bytes of an extension that makes the certificate larger
+	Padding  int       // size in bytes of an extension that makes the certificate larger
 }
 
 // Pair is a certificate with its key.
@@ -109,10 +109,10 @@
 }
 
 // paddingExtension is the object identifier of the padding, in the range for private enterprises. Verifiers ignore
-// it.
+// the extension.
 var paddingExtension = []int{1, 3, 6, 1, 4, 1, 99999, 1}
 
-// addName adds a subject alternative name of the type that fits the text: a URI, an IP address or a DNS name.
+// addName adds name as a subject alternative name. The type is URI, IP address or DNS name, depending on name.
 func addName(tmpl *x509.Certificate, name string) {
 	if u, err := url.Parse(name); err == nil && u.Scheme != "" && u.Host != "" {
 		tmpl.URIs = append(tmpl.URIs, u)
@@ -145,7 +145,7 @@
 	return Pair{sign(tmpl, key.Public(), a), key}
 }
 
-// PEM returns the certificates in PEM, in the given order.
+// PEM returns certs in PEM, in the given order.
 func PEM(certs ...*x509.Certificate) (text []byte) {
 	for _, c := range certs {
 		text = append(text, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
@@ -161,7 +161,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: must(x509.MarshalPKCS8PrivateKey(p.Key))})
 }
 
-// TLS returns the pair, followed by the certificates of its chain, for crypto/tls.
+// TLS returns the pair for crypto/tls, followed by the certificates of chain.
 func (p Pair) TLS(chain ...*x509.Certificate) tls.Certificate {
 	cert := tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
 	for _, issuer := range chain {
--- a/internal/safeguards/safeguards.go
+++ b/internal/safeguards/safeguards.go
@@ -1,6 +1,6 @@
 // Package safeguards names the checks with which the engine enforces its guarantees to clients and servers, whatever
-// the policy decides. A rehearsal can disable one to show that the checker of that guarantee detects its violation.
-// The package is internal, so that other programs cannot disable any.
+// the policy decides. A rehearsal can disable a safeguard to show that the checker detects the violation. The package
+// is internal, so that other programs cannot disable safeguards.
 package safeguards
 
 import "cobaltward/policy"
@@ -10,11 +10,11 @@
 
 // The safeguards that can be disabled.
 const (
-	SingleAnswer             Guards = 1 << iota // an answered request is not answered again
+	SingleAnswer             Guards = 1 << iota // no answered request is answered again
 	NoAttemptAfterAnswer                        // no attempt starts for an answered request
-	UniqueID                                    // a request ID that is in use, or was recently, is rejected
-	BackstopAnswer                              // a request that the policy leaves unanswered is answered before its deadline
-	AnswerDeadline                              // an answer is sent early enough to reach the client by the deadline
+	UniqueID                                    // a request ID that is in use, or was recently in use, is rejected
+	BackstopAnswer                              // the engine answers before the deadline if the policy has not
+	AnswerDeadline                              // an answer is sent in time to reach the client by the deadline
 	DedupWindow                                 // no retry is sent once servers may have forgotten the idempotency key
 	NoRejectionAfterRun                         // a request that may have run is not rejected
 	NoAttemptAfterDisconnect                    // no attempt starts for a request whose client has disconnected
@@ -29,7 +29,7 @@
 // Overrides modifies an engine for a rehearsal. The zero value modifies nothing.
 type Overrides struct {
 	Disabled   Guards                                // safeguards that are not enforced
-	Settings   func(policy.Settings) policy.Settings // returns the settings that the policy gets; nil: unchanged
+	Settings   func(policy.Settings) policy.Settings // returns the policy's settings; nil: unchanged
 	WrapPolicy func(Policy) Policy                   // may alter the policy's events and actions; nil: unchanged
 }
 
--- a/internal/testkit/failinglistener.go
+++ b/internal/testkit/failinglistener.go
@@ -7,25 +7,25 @@
 	"syscall"
 )
 
-// AcceptErrors are the errors of accept4(2) after which the listening socket remains usable: errors of the process,
-// of the system, and of the connection to be accepted.
+// AcceptErrors holds the errors of accept4(2) after which the listening socket remains usable. They are errors of the
+// process, of the system, or of the connection to be accepted.
 var AcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPERM, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.ENETDOWN, syscall.ENETUNREACH,
 	syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET, syscall.EOPNOTSUPP, syscall.ETIMEDOUT, syscall.EAGAIN,
 }
 
-// FailingListener is a listener whose Accept can be made to fail. The connection to be accepted is kept for a later
-// call, as when accept4 fails because no descriptor is left. Only one goroutine at a time may call Accept.
+// FailingListener is a listener whose Accept can be made to fail. A later call of Accept returns the connection, as
+// after a lack of descriptors. Only one goroutine at a time may call Accept.
 type FailingListener struct {
 	net.Listener
 
 	mu       sync.Mutex
 	failures []syscall.Errno
-	accepted net.Conn // accepted from the inner listener, not yet returned
+	accepted net.Conn // connection from the inner listener that Accept has not returned yet
 }
 
-// FailNext makes Accept fail the given number of further times when it would return a connection.
+// FailNext makes Accept fail the given number of additional times when a connection is available.
 func (l *FailingListener) FailNext(errno syscall.Errno, times int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 
 // Accept implements net.Listener.
 func (l *FailingListener) Accept() (net.Conn, error) {
-	if l.accepted == nil { // without the lock: only the accepting goroutine uses it
+	if l.accepted == nil { // without the lock: only the accepting goroutine uses accepted
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
--- a/internal/testkit/pauses.go
+++ b/internal/testkit/pauses.go
@@ -9,9 +9,8 @@
 // pauseProbeInterval is the interval at which MeasurePauses checks for delays.
 const pauseProbeInterval = time.Millisecond
 
-// MeasurePauses measures until the end of the test how late goroutines of this process run after they are due. The
-// returned function returns the longest delay so far. A test that depends on timing, such as that of a client that
-// sends at a given time, uses it to tell a slow host from a fault.
+// MeasurePauses measures, until the test ends, how late goroutines of this process run. The function longest returns
+// the longest delay so far. Tests that depend on timing use it to distinguish a slow host from a fault.
 func MeasurePauses(t testing.TB) (longest func() time.Duration) {
 	t.Helper()
 	var (
@@ -47,7 +46,7 @@
 	}
 }
 
-// LogPausesOnFailure makes a failing test log how late goroutines of this process ran during it.
+// LogPausesOnFailure makes a failing test log the longest delay with which goroutines of this process ran.
 func LogPausesOnFailure(t testing.TB) {
 	t.Helper()
 	longest := MeasurePauses(t)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit provides what tests of several packages need: servers that work on raw connections, a listener that
-// fails on request, and waits with a time limit. Only tests link it.
+// Package testkit provides helpers for the tests of several packages. It has servers on raw connections, a listener
+// that fails on request, and waits with a time limit. Only tests link it.
 package testkit
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// MaxWait is longer than any step of a test should take. Only a failing test waits that long.
+// MaxWait is longer than the expected duration of any step of a test. Only a failing test waits that long.
 const MaxWait = 30 * time.Second
 
-// RawServer starts a TCP server that calls serve for each connection in a separate goroutine, and returns its
-// address. When the test ends, it closes the connections and waits for the calls to return.
+// RawServer starts a TCP server and returns its address. The server calls serve for each connection in a separate
+// goroutine. When the test ends, RawServer closes the connections and waits until the calls have returned.
 func RawServer(t testing.TB, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +74,8 @@
 	return err == nil
 }
 
-// HTTPServer starts an HTTP server with the handler that runs until the test ends, and returns its address.
+// HTTPServer starts an HTTP server with handler h, and returns the server's address. The server runs until the test
+// ends.
 func HTTPServer(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -85,8 +86,8 @@
 	return s.Listener.Addr().String()
 }
 
-// Await polls until ok returns true. After MaxWait the test fails with a message that names the awaited state by
-// what.
+// Await calls ok until it returns true. After MaxWait the test fails with a message that contains what, the name of
+// the awaited state.
 func Await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(MaxWait); !ok(); time.Sleep(2 * time.Millisecond) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// Receive waits for a value from the channel. After MaxWait the test fails with a message that names the value by
-// what.
+// Receive waits for a value from the channel. After MaxWait the test fails with a message that contains what, the
+// name of the value.
 func Receive[T any](t testing.TB, what string, from <-chan T) T {
 	t.Helper()
 	select {
