--- a/examples/app/main_test.go
+++ b/examples/app/main_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestRun_ServesPagesAndBookings checks that the example serves its own pages and booking requests, and shuts down
-// without an error.
+// TestRun_ServesPagesAndBookings checks that the example serves its own pages and booking requests. The example shuts
+// down without an error.
 func TestRun_ServesPagesAndBookings(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -36,7 +36,7 @@
 	return &http.Client{Transport: tokenTransport{transport, token}}, baseURL + "/" + Version
 }
 
-// tokenTransport adds a bearer token to each request.
+// tokenTransport is an http.RoundTripper that adds a bearer token to each request.
 type tokenTransport struct {
 	*http.Transport
 	token string
--- a/internal/adminapi/events.go
+++ b/internal/adminapi/events.go
@@ -28,14 +28,14 @@
 		return
 	}
 	conn := http.NewResponseController(w)
-	_ = conn.SetReadDeadline(time.Time{}) // clients send nothing during a stream; the next write returns the same error
+	_ = conn.SetReadDeadline(time.Time{}) // clients send nothing during a stream; if this fails, the next write fails too
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		events, more := next()
-		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // the write returns the same error
+		_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout)) // if this fails, the write fails too
 		if writeEvents(w, events) != nil || conn.Flush() != nil || !more {
 			return
 		}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -55,7 +55,7 @@
 	write := func(text string) string { return writeFile(t, dir, "config.json", text) }
 	t.Setenv("ROUTER_CONFIG", write(config(first)))
 	t.Setenv("ROUTER_DISCOVERY", first)
-	ended, logs := startInProcess() // without arguments, as the platform starts it
+	ended, logs := startInProcess() // without arguments, like a start by the platform
 	if query := testkit.Receive(t, "the first request to the registry", firstQueries); query != "index=1&wait=5000" {
 		t.Errorf("the query of the first request is %q", query)
 	}
--- a/internal/cli/exitstatus.go
+++ b/internal/cli/exitstatus.go
@@ -36,7 +36,7 @@
 	status exitStatusError
 }
 
-// As implements the interface of errors.As for targets of type *exitStatusError.
+// As sets target to the exit status if target is an *exitStatusError. errors.As calls it.
 func (e statusError) As(target any) bool {
 	status, ok := target.(*exitStatusError)
 	if ok {
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -83,7 +83,7 @@
 // startInProcess runs the command line in this process. The channel ended receives the error of the command.
 func startInProcess(args ...string) (ended <-chan error, logs *logBuffer) {
 	result, logs := make(chan error, 1), &logBuffer{}
-	go func() { // ends when the command returns
+	go func() { // this goroutine ends when the command returns
 		command := rootCommand(Extensions{})
 		command.SetArgs(args)
 		command.SetErr(logs)
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -17,7 +17,7 @@
 	latencies                      []time.Duration
 }
 
-// record counts a request by its status. A request that ended with an error counts as lost.
+// record counts a request by status. A request that ended with an error counts as lost.
 func (r *classResult) record(status int, err error, latency time.Duration, attempts int) {
 	switch {
 	case err != nil:
--- a/internal/demo/servers.go
+++ b/internal/demo/servers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	faultyServer, slowServer = 0, 2 // indexes of servers; both are in the node's own zone
+	faultyServer, slowServer = 0, 2 // indexes of servers in the node's own zone
 
 	// The faulty server fails faultShare of its requests between faultStart and faultEnd. Both times are fractions of
 	// the traffic's duration.
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -44,7 +44,7 @@
 }
 
 func (s *simulation) checkZoneShares(want *Want, found *failures) {
-	firstAttempts := make(map[string]int) // count by zone
+	firstAttempts := make(map[string]int) // number of first attempts by zone
 	for _, server := range s.firstServers {
 		firstAttempts[s.zones[server]]++
 	}
--- a/internal/expect/evaluate.go
+++ b/internal/expect/evaluate.go
@@ -31,7 +31,7 @@
 	want *Want
 
 	peer         netip.Addr
-	method, path string // the path is escaped
+	method, path string // path is escaped
 	url          *url.URL
 	header       http.Header
 	tenant       string
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// apply returns the endpoints without the missing ones, and marks those that drain.
+// apply returns endpoints without the missing zones and servers. It marks the draining endpoints.
 func (s *State) apply(endpoints []router.Endpoint) (present []router.Endpoint) {
 	for _, endpoint := range endpoints {
 		if slices.Contains(s.MissingZones, endpoint.Zone) || slices.Contains(s.MissingServers, endpoint.ID) {
--- a/internal/frontend/framing/chunked.go
+++ b/internal/frontend/framing/chunked.go
@@ -1,6 +1,6 @@
 package framing
 
-// stepChunkSize processes one byte of a chunk-size line. The size is hexadecimal, and an extension may follow it.
+// stepChunkSize processes one byte of a chunk-size line: the hexadecimal size or an extension after the size.
 func (g *Guard) stepChunkSize(char byte) {
 	value, isDigit := hexDigit(char)
 	switch {
--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -4,14 +4,14 @@
 package framing
 
 const (
-	maxLineBytes    = 128     // maximum of bytes buffered of a line; valid headers that affect the framing are shorter
+	maxLineBytes    = 128     // maximum number of buffered bytes per line; valid framing headers are shorter
 	maxTrailerBytes = 8 << 10 // maximum total size of the trailers of a request
-	maxSizeDigits   = 15      // maximum of hexadecimal digits of a chunk size
-	maxLengthDigits = 18      // maximum of decimal digits of a Content-Length
+	maxSizeDigits   = 15      // maximum number of hexadecimal digits of a chunk size
+	maxLengthDigits = 18      // maximum number of decimal digits of a Content-Length
 )
 
-// Guard checks the bytes of one connection, starting with its first byte. The zero value expects the start of a
-// request. It is not safe for concurrent use.
+// Guard checks the bytes of one connection, starting with the first byte. The zero value expects the start of a
+// request. A Guard is not safe for concurrent use.
 type Guard struct {
 	state         state
 	remaining     uint64 // bytes of the current body or chunk that have not arrived yet
@@ -24,13 +24,13 @@
 	header              headerKind // kind of the header on the current line
 	hasContentLength    bool       // the head has a Content-Length header
 	hasTransferEncoding bool       // the head has a Transfer-Encoding header
-	parsedNumber        uint64     // value of Content-Length, or of the current chunk size
+	parsedNumber        uint64     // value of Content-Length or of the current chunk size
 	sizeDigits          int        // digits read of the current chunk size
 	sizeEnded           bool       // the chunk size is complete; the rest of its line is an extension
 	trailerBytes        int
 }
 
-// headerKind distinguishes the headers that affect the framing from all others.
+// headerKind is the kind of a header: one of the two that affect the framing, or another.
 type headerKind uint8
 
 const (
--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -30,7 +30,7 @@
 
 var guardTests = map[string]struct {
 	text    string
-	problem string // substring of the expected problem; empty: well-formed, and the guard expects the next request
+	problem string // substring of the expected problem; empty: the text is well-formed and complete
 }{
 	"no body":      {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
 	"length":       {requestStart + "Content-Length: 3\r\n\r\nabc", ""},
--- a/internal/frontend/framing/head.go
+++ b/internal/frontend/framing/head.go
@@ -65,7 +65,7 @@
 // endHeadLine processes the line break at the end of a line of the head.
 func (g *Guard) endHeadLine() {
 	switch {
-	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines only before the first request
+	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines only after a POST
 		g.problem = "empty line before the request"
 	case !g.hasRequestLine:
 		g.hasRequestLine = true
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -87,7 +87,7 @@
 		idleSince:   time.Now(),
 		openedAt:    time.Now(),
 	}
-	client.reader = nc // a TLS connection returns bytes received before the deadline without a DeadlineReader
+	client.reader = nc // a TLS connection needs no DeadlineReader to return bytes received before the deadline
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		client.reader = sockets.NewDeadlineReader(tcp)
 	}
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -23,7 +23,7 @@
 	keepReading := c.endIfIdle()
 	if c.hasEnded() {
 		c.server.linger(c)
-		c.writeSignal.Notify() // the writer returns
+		c.writeSignal.Notify() // makes the writer return
 	}
 	return keepReading
 }
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -146,8 +146,8 @@
 	callTooLate                          // the write side is closed: the call is neither run nor answered
 )
 
-// register decides how to treat the call id, and adds the call to the open calls if it will be run or answered. A
-// drain admits the first call of a connection, because the client could not know of the drain.
+// register decides how to treat the call with the msgid id. It adds the call to the open calls if the call will be
+// run or answered. A drain admits the first call of a connection, because the client could not know of the drain.
 func (c *conn) register(id uint32, cancel context.CancelFunc) callAdmission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// finishCall ends the open call id and queues reply as its answer.
+// finishCall ends the open call with the msgid id, and queues reply as its answer.
 func (c *conn) finishCall(id uint32, reply msgpackrpc.Reply) {
 	c.mu.Lock()
 	cancel := c.removeCall(id)
@@ -190,7 +190,7 @@
 	c.writeSignal.Notify()
 }
 
-// finishCancelled ends the open call id without an answer, because the client no longer waits for the answer.
+// finishCancelled ends the open call with the msgid id. The call gets no answer, because the client no longer waits.
 func (c *conn) finishCancelled(id uint32) {
 	c.mu.Lock()
 	cancel := c.removeCall(id)
@@ -201,7 +201,7 @@
 	c.server.connIdle()
 }
 
-// removeCall removes the open call id, and returns its cancel function. c.mu is held.
+// removeCall removes the open call with the msgid id, and returns its cancel function. c.mu is held.
 func (c *conn) removeCall(id uint32) context.CancelFunc {
 	cancel := c.cancelFuncs[id]
 	delete(c.cancelFuncs, id)
--- a/internal/frontend/msgpack/connwrite.go
+++ b/internal/frontend/msgpack/connwrite.go
@@ -61,7 +61,7 @@
 	c.answerWritten = c.answerWritten || answers > 0
 	c.answerWriteFailed = c.answerWriteFailed || answers > 0 && err != nil
 	idle := c.isIdle()
-	if idle && c.messageStartedAt.IsZero() && !c.writeClosed { // the reader may be blocked without a deadline
+	if idle && c.messageStartedAt.IsZero() && !c.writeClosed { // the reader may wait without a deadline
 		_ = c.reader.SetReadDeadline(c.idleDeadline())
 	}
 	c.mu.Unlock()
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// prepareFirst returns a function that calls prepare for the first connection only.
+// prepareFirst returns a function that calls prepare for the first connection and does nothing for later connections.
 func prepareFirst(prepare func(c *hookedConn)) func(c *hookedConn) {
 	var accepted atomic.Int32
 	return func(c *hookedConn) {
@@ -216,7 +216,7 @@
 			conn.mu.Lock()
 			withinMessage := !conn.messageStartedAt.IsZero()
 			conn.mu.Unlock()
-			if withinMessage && server.longestIdle(false) == conn { // evictable because its message stalled
+			if withinMessage && server.longestIdle(false) == conn { // conn is evictable because its message has stalled
 				return true
 			}
 		}
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -450,7 +450,7 @@
 		testkit.Await(t, "the open calls", func() bool { return stub.open.Load() == busy })
 		for range 2 * busy {
 			if client := dial(t, addr); partial {
-				_, _ = client.Write([]byte{0x94}) // the first byte of a message
+				_, _ = client.Write([]byte{0x94}) // first byte of a message
 			}
 		}
 		for i := range uint32(3) {
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -17,7 +17,7 @@
 	// firstCallGrace protects overflow connections from eviction. It applies after the accept until the first call
 	// arrives, and after each read in the middle of a message.
 	firstCallGrace = 100 * time.Millisecond
-	// slotRecheckInterval is the minimum interval between checks whether an overflow connection may be accepted.
+	// slotRecheckInterval is the minimum interval between checks for a slot.
 	slotRecheckInterval = 5 * time.Millisecond
 	// defaultQueueTimeout is how long a connection waits for a slot if the engine does not have the method
 	// QueueTimeout.
@@ -31,7 +31,7 @@
 	conn := newConn(s, nc, earliest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waitingForSlot.Add(1) // before evict searches: connIdle then reports later idle connections
+	s.waitingForSlot.Add(1) // set before evict searches, so that connIdle wakes awaitSlot later
 	s.awaitSlot(conn, earliest)
 	s.waitingForSlot.Add(-1)
 	if s.closed {
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -137,8 +137,8 @@
 	return c.tcp.SetReadDeadline(t)
 }
 
-// SetWriteDeadline implements net.Conn. It has no effect before the end of the handshake. The handshake has its own
-// deadline.
+// SetWriteDeadline implements net.Conn. It has no effect before the end of the handshake, because the handshake has
+// its own deadline.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	if c.Handshaking() {
 		return nil
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -88,14 +88,14 @@
 	}
 }
 
-// errUntrustedClient is the reason for rejecting a client certificate that could not be verified.
+// errUntrustedClient is the error for a client certificate that cannot be verified.
 var errUntrustedClient = errors.New("client certificate is not trusted")
 
 func (t *Terminator) verifyClient(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return nil // allowed: crypto/tls has already rejected the client if a certificate is required
 	}
-	pool := t.config.Trust.Set().Pool // Trust is not nil if a certificate was requested
+	pool := t.config.Trust.Set().Pool // Trust is not nil, because a certificate was requested
 	if pool == nil {                  // no authority is known yet; Verify would replace nil by the system's pool
 		return errUntrustedClient
 	}
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -290,7 +290,7 @@
 	var all sync.WaitGroup
 	for i := range 60 {
 		all.Go(func() {
-			if i%3 == 0 { // disconnects after its ClientHello
+			if i%3 == 0 { // the client disconnects after its ClientHello
 				nc, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Error(err)
--- a/internal/operations/handler.go
+++ b/internal/operations/handler.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// commandHandler returns a handler that calls execute. If execute returns no error, the handler responds with the
-// text done.
+// commandHandler returns a handler that calls execute. If execute succeeds, the handler responds with the text done.
 func commandHandler(execute func() error, done string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		if err := execute(); err != nil {
--- a/internal/operations/server.go
+++ b/internal/operations/server.go
@@ -61,7 +61,7 @@
 			Handler:           newHandler(node),
 			ReadTimeout:       readTimeout,
 			ReadHeaderTimeout: readTimeout,
-			WriteTimeout:      readTimeout + writeTimeout, // the server counts it from the end of the header
+			WriteTimeout:      readTimeout + writeTimeout, // net/http counts it from the end of the header
 			MaxHeaderBytes:    maxHeaderBytes,
 			ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 			ConnState:         evicting.handleStateChange,
--- a/internal/operations/server_test.go
+++ b/internal/operations/server_test.go
@@ -180,7 +180,7 @@
 	}
 	listener.handleStateChange(third, http.StateActive)
 	accepted := make(chan net.Conn)
-	go func() { // ends when the fourth connection is accepted
+	go func() { // this goroutine ends when the fourth connection is accepted
 		client, err := net.Dial("tcp", inner.Addr().String())
 		if err == nil {
 			defer func() { _ = client.Close() }()
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -93,7 +93,7 @@
 	return sign(authorityTemplate(other.Cert.Subject.CommonName, a.Cert.NotBefore, a.Cert.NotAfter), other.Key.Public(), a)
 }
 
-// Leaf describes an end-entity certificate, for clients and servers alike.
+// Leaf describes an end-entity certificate that clients and servers can present.
 type Leaf struct {
 	From, To time.Time // validity; zero: from an hour ago until 30 days from now
 	Names    []string  // subject alternative names: DNS names, IP addresses and URIs
--- a/internal/safeguards/safeguards.go
+++ b/internal/safeguards/safeguards.go
@@ -20,7 +20,7 @@
 	NoAttemptAfterDisconnect                    // no attempt starts for a request whose client has disconnected
 )
 
-// Policy decides how requests are handled, as policy.Balancer does.
+// Policy decides how requests are handled. policy.Balancer is a Policy.
 type Policy interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 	Reconfigure(now policy.Time, set policy.Settings) ([]policy.Action, error)
@@ -30,7 +30,7 @@
 type Overrides struct {
 	Disabled   Guards                                // safeguards that are not enforced
 	Settings   func(policy.Settings) policy.Settings // returns the policy's settings; nil: unchanged
-	WrapPolicy func(Policy) Policy                   // may alter the policy's events and actions; nil: unchanged
+	WrapPolicy func(Policy) Policy                   // wraps the policy to alter its events and actions; nil: unchanged
 }
 
 // Enforces reports whether a safeguard is enforced.
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -71,7 +71,7 @@
 type requestError struct {
 	status int
 	text   string
-	allow  string // value of the Allow header if the request has the wrong method
+	allow  string // value of the Allow header for a wrong method; empty: no header
 }
 
 // Texts of requestErrors that several checks return.
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -16,7 +16,7 @@
 	// minUploadRate is the minimum expected upload rate of a client, in bytes per second. The time limit for a body is
 	// extended by the time that the body takes at this rate.
 	minUploadRate      = 32 << 10
-	maxDiscardedUpload = 64 << 20 // maximum of bytes of a body that are discarded after the answer
+	maxDiscardedUpload = 64 << 20 // maximum number of bytes of a body discarded after the answer
 )
 
 var errBodyUnreadable = errors.New(bodyUnreadable)
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -40,7 +40,7 @@
 	}
 	switch {
 	case f.disconnected(ctx):
-		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // not 200: a proxy may still read it
+		f.writeAnswer(w, router.Answer{Outcome: router.Expired}) // not 200, because a proxy may still read the answer
 	case f.isOverflow(ctx):
 		w.Header().Set("Connection", "close")
 		f.writeAnswer(w, f.overloadAnswer(req.Class))
