--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// checkInSteps passes text to the guard, n bytes at a time, and returns how many bytes are well-formed.
+// checkInSteps passes text to the guard, n bytes at a time, and returns the number of well-formed bytes.
 func checkInSteps(guard *Guard, text string, n int) int {
 	done := 0
 	for done < len(text) {
@@ -30,7 +30,7 @@
 
 var guardTests = map[string]struct {
 	text    string
-	problem string // substring of the expected problem; empty: well-formed, and the guard expects the next request
+	problem string // substring of the expected problem; empty: the text is well-formed and complete
 }{
 	"no body":      {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
 	"length":       {requestStart + "Content-Length: 3\r\n\r\nabc", ""},
@@ -114,8 +114,8 @@
 	})
 }
 
-// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard comes to the
-// same result whether it gets the text byte by byte or all at once.
+// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard's result for
+// the whole text equals the result byte by byte.
 func requestEnds(t *testing.T, text []byte) (ends []int) {
 	t.Helper()
 	var guard, atOnce Guard
--- a/internal/frontend/framing/head.go
+++ b/internal/frontend/framing/head.go
@@ -16,7 +16,7 @@
 		g.problem = "bare line feed in the head"
 	case char == 0:
 		g.problem = "zero byte in the head"
-	case !g.hasRequestLine: // the content of the request line does not affect the framing
+	case !g.hasRequestLine: // the request line does not affect the framing
 		if len(g.line) < maxLineBytes {
 			g.line = append(g.line, char)
 		}
@@ -65,7 +65,7 @@
 // endHeadLine processes the line break at the end of a line of the head.
 func (g *Guard) endHeadLine() {
 	switch {
-	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines only before the first request
+	case !g.hasRequestLine && len(g.line) == 0: // net/http skips empty lines only after a POST
 		g.problem = "empty line before the request"
 	case !g.hasRequestLine:
 		g.hasRequestLine = true
