--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -1,7 +1,7 @@
-// Package checker checks the traffic of nodes against the platform's four rules. It uses what clients, servers and
-// discovery observe, not what the nodes report about themselves. It does no I/O and reads no clock: its input is
-// observations with their times, its output a verdict with evidence. It forgets a request some seconds after the
-// request's deadline.
+// Package checker checks the traffic of nodes against the platform's four rules. It uses the observations of clients,
+// servers and discovery, not the nodes' own reports. It does no I/O and reads no clock: its input is observations
+// with their times, and its output is a verdict with evidence. It forgets a request lateAttemptWindow and the class's
+// deduplication window after the request's deadline.
 package checker
 
 import (
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxViolations     = 200              // violations recorded with evidence; further ones are only counted
-	lateAttemptWindow = 10 * time.Second // how long after a request's deadline its attempts may still reach servers
+	maxViolations     = 200              // maximum number of violations recorded with evidence; further violations are only counted
+	lateAttemptWindow = 10 * time.Second // time after a request's deadline during which its attempts may still reach servers
 )
 
 // Class holds the properties of a request class that the rules depend on.
@@ -29,23 +29,22 @@
 	Classes     map[string]Class
 	AnswerGrace time.Duration
 	DrainGrace  time.Duration
-	// Slack is the largest error of observed times; 0 in virtual time, where they are exact.
+	// Slack is the largest error of observed times. It is 0 in virtual time, where times are exact.
 	Slack time.Duration
-	// Locate returns the zone and the cell of a server, which can be scopes of deduplication. If it is nil, all servers
-	// are in the same scope.
+	// Locate returns the zone and the cell of a server, for the scopes of deduplication. If Locate is nil, all
+	// servers are in the same scope.
 	Locate func(server string) (zone string, cell int64)
 }
 
-// Checker checks one run. It isn't safe for concurrent use. Times of successive calls must not decrease by more than
-// Config.Slack.
+// Checker checks one run. It isn't safe for concurrent use. The times of successive calls must not decrease by more
+// than Config.Slack.
 type Checker struct {
 	config  Config
 	verdict Verdict
 	open    map[requestKey]*request
-	byID    map[string]*request // the first request with each ID, to which all attempts with the ID are attributed
+	byID    map[string]*request // first open request with each ID; all attempts with the ID are attributed to it
 	expiry  []*request          // requests in the order in which they were received
-	// unavailableSince holds the time at which a node was notified that a server is draining or gone, by node and
-	// server.
+	// unavailableSince holds the time of the notification that a server is draining or gone, by node and server.
 	unavailableSince map[[2]string]time.Duration
 }
 
@@ -60,7 +59,7 @@
 	}
 }
 
-// report counts a violation, and records its evidence up to maxViolations.
+// report counts a violation. It records the evidence of the first maxViolations violations.
 func (c *Checker) report(violation Violation) {
 	c.verdict.Count[violation.Rule]++
 	if len(c.verdict.Violations) < maxViolations {
@@ -68,7 +67,7 @@
 	}
 }
 
-// RequestReceived records that a node has received a complete request. The client waits for the answer until deadline.
+// RequestReceived records that node has received a complete request. Its client waits for the answer until deadline.
 func (c *Checker) RequestReceived(at time.Duration, node, id, class string, deadline time.Duration) {
 	c.expire(at)
 	r := &request{
@@ -86,8 +85,8 @@
 	c.expiry = append(c.expiry, r)
 }
 
-// ResponseReceived records that a client has received the last byte of the response to the n-th request with the ID at
-// the node. rejected reports whether the node rejected the request.
+// ResponseReceived records that a client has received the last byte of a response. The request is the n-th (from 0)
+// with the ID at the node. rejected reports whether the node rejected the request.
 func (c *Checker) ResponseReceived(at time.Duration, node, id string, n int, rejected bool) {
 	r := c.open[requestKey{node, id, n}]
 	if r == nil {
@@ -112,15 +111,15 @@
 	}
 }
 
-// ClientLeft records that the client of the n-th request with the ID at the node has disconnected.
+// ClientLeft records that the client of the n-th request (from 0) with the ID at the node has disconnected.
 func (c *Checker) ClientLeft(node, id string, n int) {
 	if r := c.open[requestKey{node, id, n}]; r != nil {
 		r.answerNotDue = true
 	}
 }
 
-// NodeDown records that a node was killed. It no longer has to answer its requests, and it starts again without the
-// notifications about servers that it had.
+// NodeDown records that a node was killed. The node no longer has to answer its requests, and after a restart it
+// doesn't have its earlier notifications about servers.
 func (c *Checker) NodeDown(node string) {
 	for _, r := range c.expiry {
 		if r.node == node {
@@ -134,8 +133,8 @@
 	}
 }
 
-// EndpointUpdated records that a node was notified about a server: available reports whether the server accepts new
-// work; otherwise it is draining or gone.
+// EndpointUpdated records that node was notified about server. available reports whether the server accepts new work;
+// otherwise the server is draining or gone.
 func (c *Checker) EndpointUpdated(at time.Duration, node, server string, available bool) {
 	key := [2]string{node, server}
 	if available {
@@ -147,7 +146,7 @@
 	}
 }
 
-// AttemptSent records that the n-th attempt (from 0) for an ID was sent completely to a server.
+// AttemptSent records that node has sent the n-th attempt (from 0) for the ID completely to server.
 func (c *Checker) AttemptSent(at time.Duration, node, id string, n int, server string) {
 	c.verdict.Checked[RuleDrainGrace]++
 	since, unavailable := c.unavailableSince[[2]string{node, server}]
@@ -169,8 +168,9 @@
 	r.setAttempt(n, attempt{server: server, sent: at})
 }
 
-// checkRetry checks that a new attempt can't repeat the effect of the first earlier attempt that may have run.
-// Idempotent requests may be retried at any server and time.
+// checkRetry checks that a new attempt at server can't repeat the effect of an earlier attempt. It compares the new
+// attempt with the first earlier attempt that may have run. Idempotent requests may be retried at any server and
+// time.
 func (c *Checker) checkRetry(at time.Duration, r *request, server string) {
 	class := c.config.Classes[r.class]
 	for i, earlier := range r.attempts {
@@ -197,7 +197,7 @@
 	}
 }
 
-// sameScope reports whether two servers share a table of idempotency keys in a deduplication scope.
+// sameScope reports whether the servers a and b share a table of idempotency keys within a deduplication scope.
 func (c *Checker) sameScope(scope policy.DedupScope, a, b string) bool {
 	if scope == policy.DedupAll || c.config.Locate == nil {
 		return true
@@ -207,7 +207,7 @@
 	return zoneA == zoneB && (scope == policy.DedupZone || cellA == cellB)
 }
 
-// Attempts returns the number of attempts that were sent so far for an ID.
+// Attempts returns the number of attempts sent so far for an ID.
 func (c *Checker) Attempts(id string) int {
 	if r := c.byID[id]; r != nil {
 		return len(r.attempts)
@@ -215,15 +215,15 @@
 	return 0
 }
 
-// AttemptNotRun records that the server or the network has proven to the node that the n-th attempt did not run.
+// AttemptNotRun records that the server or the network has proven to node that the n-th attempt (from 0) did not run.
 func (c *Checker) AttemptNotRun(node, id string, n int) {
 	if r := c.byID[id]; r != nil && r.node == node {
 		r.setNotRun(n)
 	}
 }
 
-// ServerExecuted records that a server has started to execute a request with the ID. discarded reports whether the
-// server recognized it as a duplicate, so that it had no effect.
+// ServerExecuted records that server has started to execute a request with the ID. discarded reports whether the
+// server recognized the request as a duplicate, which has no effect.
 func (c *Checker) ServerExecuted(at time.Duration, server, id string, discarded bool) {
 	r := c.byID[id]
 	if r == nil || discarded {
@@ -243,8 +243,8 @@
 	}
 }
 
-// ServerOverloaded records that a server crashed while it was warming up, and the IDs of the requests that overloaded
-// it.
+// ServerOverloaded records that server crashed while it was warming up. requests holds the IDs of the requests that
+// overloaded the server.
 func (c *Checker) ServerOverloaded(at time.Duration, server string, requests []string) {
 	last := ""
 	if len(requests) > 0 {
@@ -258,7 +258,7 @@
 	c.report(Violation{RuleSlowStart, at, last, node, server, description})
 }
 
-// ServerStarted counts the start of a server that warms up.
+// ServerStarted counts the start of a server that warms up, as one observation for RuleSlowStart.
 func (c *Checker) ServerStarted() { c.verdict.Checked[RuleSlowStart]++ }
 
 // expire finalizes and forgets the requests whose forgetAt has passed.
@@ -270,7 +270,7 @@
 	}
 }
 
-// finalize reports a request that was never answered, and removes it.
+// finalize removes a request, and reports a violation if the request is due an answer but has none.
 func (c *Checker) finalize(r *request) {
 	if !r.answered && !r.answerNotDue {
 		c.verdict.Checked[RuleOneAnswer]++
@@ -291,7 +291,7 @@
 	}
 }
 
-// PendingRequests returns the number of requests that the checker has not forgotten.
+// PendingRequests returns the number of requests that the checker still tracks.
 func (c *Checker) PendingRequests() int { return len(c.expiry) }
 
 // Finish finalizes the remaining requests and returns the verdict, with the violations ordered by time.
--- a/emulator/checker/request.go
+++ b/emulator/checker/request.go
@@ -11,26 +11,26 @@
 	n        int
 }
 
-// request is a client request that a node has received, with the node's attempts at servers.
+// request is a client request that a node has received. It includes the node's attempts at servers.
 type request struct {
 	node, id, class string
 	deadline        time.Duration
 	forgetAt        time.Duration
 	answered        bool
-	answerNotDue    bool // the client has disconnected or the node was killed
+	answerNotDue    bool // true after the client has disconnected or the node was killed
 	rejected        bool
 	attempts        []attempt
 	executions      int // executions by servers that had an effect
-	firstMayRun     int // index of the first attempt that may have run; -1: none
+	firstMayRun     int // index of the first attempt that may have run; -1: no such attempt
 }
 
 type attempt struct {
 	server string
 	sent   time.Duration
-	notRun bool // the attempt is proven not to have run
+	notRun bool // true if the attempt provably did not run
 }
 
-// setAttempt records the n-th attempt. Earlier attempts that were not recorded didn't reach a server and did not run.
+// setAttempt records the n-th attempt. An earlier attempt that was never recorded reached no server and did not run.
 func (r *request) setAttempt(n int, a attempt) {
 	for len(r.attempts) <= n {
 		r.attempts = append(r.attempts, attempt{notRun: true})
--- a/emulator/checker/verdict.go
+++ b/emulator/checker/verdict.go
@@ -5,7 +5,7 @@
 // Rule is one of the platform's four rules.
 type Rule int
 
-// The rules, with their numbers in docs/rehearse.md.
+// The rules, as numbered in docs/rehearse.md.
 const (
 	RuleOneAnswer  Rule = 1 + iota // each request gets one final answer in time, and no attempt is sent after it
 	RuleAtMostOnce                 // no request has its effect twice
@@ -25,7 +25,7 @@
 type Violation struct {
 	Rule        Rule          `json:"rule"`
 	At          time.Duration `json:"at"`
-	ID          string        `json:"request"` // ID of the request; with several requests, of the last one
+	ID          string        `json:"request"` // ID of the request; the last one if several requests are involved
 	Node        string        `json:"node,omitempty"`
 	Server      string        `json:"server,omitempty"`
 	Description string        `json:"what"`
