--- a/emulator/clustersim/administrator.go
+++ b/emulator/clustersim/administrator.go
@@ -6,8 +6,8 @@
 	"cobaltward/fleet"
 )
 
-// administer is one turn of the fleet's administrator, who keeps a rolling update running until the faults end, and
-// adds replicas that lost their disks to the cluster again.
+// administer runs one turn of the fleet's administrator. The administrator keeps a rolling update running until the
+// faults end. It also adds replicas that lost their disks to the cluster again.
 func (s *simulation) administer() {
 	state := s.newestState()
 	if state == nil {
@@ -52,14 +52,15 @@
 	s.proposeAsAdministrator(leader, fleet.Entry{Kind: fleet.KindStartJob, JobID: s.updateID, Spec: spec})
 }
 
-// proposeAsAdministrator proposes an entry without waiting for its result. While the state lacks the entry, the
-// administrator proposes it again on each turn.
+// proposeAsAdministrator proposes an entry without waiting for its result. The administrator proposes the entry again
+// on each turn until the state contains it.
 func (s *simulation) proposeAsAdministrator(leader *process, entry fleet.Entry) {
 	_ = leader.core.Propose(0, entry)
 }
 
-// restoreMembers proposes that replicas with new disks replace the members of the same names. The addition is
-// rejected until the removal is applied, and is proposed again on the next turn.
+// restoreMembers replaces members whose replicas have new disks: it proposes to remove the old member and to add the
+// replica as a learner. The addition is rejected until the removal is applied, and is proposed again on the next
+// turn.
 func (s *simulation) restoreMembers(state *fleet.State, leader *process) {
 	for _, p := range s.replicas {
 		id := p.disk.synced.ID
@@ -76,7 +77,7 @@
 	}
 }
 
-// leader returns the running replica that leads in the highest term; nil if none leads.
+// leader returns the running leader with the highest term; nil if no replica leads.
 func (s *simulation) leader() *process {
 	var leader *process
 	for _, p := range s.replicas {
--- a/emulator/clustersim/agent.go
+++ b/emulator/clustersim/agent.go
@@ -11,7 +11,7 @@
 	"cobaltward/fleet/rollingupdate"
 )
 
-// pollState fetches the state from a replica, and registers the node if the state lacks it.
+// pollState fetches the state from a random replica. It registers the node if the state lacks the node.
 func (p *process) pollState() {
 	sim := p.sim
 	to, incarnation := sim.randomReplica(), p.incarnation
@@ -33,8 +33,8 @@
 	})
 }
 
-// runController is one turn of the rolling-update controller, which acquires or renews its lease and then executes
-// the next steps of the job.
+// runController runs one turn of the rolling-update controller: it acquires or renews the lease, then executes the
+// next steps of the job.
 func (p *process) runController() {
 	sim, sentAt := p.sim, p.monotonic()
 	if entry, ok := p.controller.NextProposal(sentAt, p.state); ok {
@@ -49,7 +49,7 @@
 			p.proposeForController(*step.Entry)
 			continue
 		}
-		// The delay lets a pause of the process fall between its check of the lease and the effect.
+		// The delay allows the process to pause between its check of the lease and the effect.
 		request := *step.Request
 		sim.after(sim.randomExp(ms), p, func() { p.requestEffect(request) })
 	}
@@ -69,12 +69,13 @@
 	return view
 }
 
-// proposeForController proposes an entry and passes its result to the controller.
+// proposeForController proposes an entry and passes the result to the controller.
 func (p *process) proposeForController(entry fleet.Entry) {
 	p.propose(p.sim.randomReplica(), entry, func(result fleet.Result) { p.controller.HandleWrite(result) })
 }
 
-// requestEffect sends a request for an effect to the agent of its node, whose receiver decides whether to execute it.
+// requestEffect sends an effect request to the agent of the node. The receiver of that agent decides whether to
+// execute the effect.
 func (p *process) requestEffect(request lease.EffectRequest) {
 	sim, incarnation := p.sim, p.incarnation
 	isTarget := func(agent *process) bool { return agent.name == request.Step.Node }
@@ -101,8 +102,9 @@
 	})
 }
 
-// executeEffect applies an effect to the node after a delay, and records its outcome after another one: a crash in
-// between leaves the effect without an outcome. With verify, a patch that was applied before is not applied again.
+// executeEffect applies an effect to the node after a delay, and records the outcome after a second delay. A crash
+// between the two leaves the effect without an outcome. If verify is true, a patch that was already applied is not
+// applied again.
 func (p *process) executeEffect(request lease.EffectRequest, verify bool) {
 	sim := p.sim
 	drawDuration := func() time.Duration { return 20*ms + sim.randomExp(300*ms) }
@@ -120,8 +122,8 @@
 	})
 }
 
-// saveReceiver writes the receiver's state to the agent's disk. At random it keeps the previous copy as the stale
-// one, which a crash may restore.
+// saveReceiver writes the receiver's state to the agent's disk. At random, it first keeps the previous copy as the
+// stale copy, which a crash may restore.
 func (p *process) saveReceiver() {
 	if p.sim.rand.IntN(8) == 0 {
 		p.staleReceiverDisk = p.receiverDisk
--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -1,9 +1,9 @@
-// Package clustersim simulates a fleet in virtual time. It runs the state machines of the real processes (consensus
-// replicas, rolling-update controllers, fenced receivers) on simulated disks, links and clocks, whose faults follow a
-// schedule drawn from a seed. The same seed gives the same schedule.
+// Package clustersim simulates a fleet in virtual time. It runs the state machines of the real processes: consensus
+// replicas, rolling-update controllers and fenced receivers. Their disks, links and clocks are simulated, and faults
+// follow a schedule drawn from a seed. The same seed gives the same schedule.
 //
 // Processes crash, pause or are partitioned. Messages are lost, delayed or duplicated. Clocks drift apart by up to
-// lease.MaxClockDrift, or jump with Config.ClockJumps. HTTP, the file system and goroutines are not simulated;
+// lease.MaxClockDrift; with Config.ClockJumps they also jump. HTTP, the file system and goroutines are not simulated;
 // package multiprocess tests them with real processes.
 package clustersim
 
@@ -21,7 +21,7 @@
 	statePollInterval     = 250 * ms
 	controllerInterval    = 100 * ms
 	entriesPerSnapshot    = 40
-	recoveryTimeout       = 90 * time.Second // from the last fault until the last rolling update has to end
+	recoveryTimeout       = 90 * time.Second // maximum time from the last fault to the end of the last rolling update
 	maxDuplicateDelay     = 20 * time.Second
 	snapshotReportDelay   = 300 * ms
 	administratorInterval = 300 * ms
@@ -31,14 +31,14 @@
 type Config struct {
 	Seed            uint64
 	Replicas        int
-	Nodes           int // each with an agent and a receiver
+	Nodes           int // number of nodes, each with an agent and a receiver
 	LeaseCandidates int // number of nodes whose agents may hold leases
 	Length          time.Duration
-	ClockJumps      bool                  // clocks jump and run at any rate; only the invariants of receivers are checked
-	Unsafe          lease.UnsafeOptions   // disabled safeguards of leases
+	ClockJumps      bool                  // clocks jump and run at any rate; only the invariants of receivers and of the log are checked
+	Unsafe          lease.UnsafeOptions   // safeguards of leases to disable
 	NoSync          bool                  // terms and votes are synced only together with entries or snapshots
 	Rollouts        bool                  // rollouts run, and nodes act under version leases
-	UnsafeRollouts  rollout.UnsafeOptions // disabled safeguards of version leases, with Rollouts
-	Faults          []FaultKind           // the kinds of faults to draw; nil: all
+	UnsafeRollouts  rollout.UnsafeOptions // safeguards of version leases to disable; used only with Rollouts
+	Faults          []FaultKind           // kinds of faults to draw; nil: all kinds
 	Trace           func(string)          // called with each line of the trace; nil: no trace
 }
--- a/emulator/clustersim/events.go
+++ b/emulator/clustersim/events.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// event is a function to run at a virtual time. With a target, it runs at that process.
+// event is a function to run at a virtual time. An event with a target runs at the target process.
 type event struct {
 	at          time.Duration
 	seq         uint64 // orders events of the same time
 	target      *process
-	incarnation int // of the target; if the target has another one by then, the event is dropped; 0: any
+	incarnation int // incarnation of the target that receives the event; 0: any; other incarnations drop the event
 	run         func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events. The earliest event comes first.
 type eventQueue []event
 
 // Len returns the number of events.
@@ -28,10 +28,10 @@
 // Swap exchanges two events.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push appends an event; use heap.Push.
+// Push appends an event. Call heap.Push instead.
 func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
-// Pop removes the last event; use heap.Pop.
+// Pop removes the last event. Call heap.Pop instead.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -39,8 +39,8 @@
 	return last
 }
 
-// after schedules a function after a delay. With a target, the function runs at that process in its current
-// incarnation, and a pause of the process delays it.
+// after schedules run after a delay. If target isn't nil, run executes only in the target's current incarnation, and
+// a pause of the target delays it.
 func (s *simulation) after(delay time.Duration, target *process, run func()) {
 	incarnation := 0
 	if target != nil {
@@ -55,8 +55,9 @@
 	heap.Push(&s.events, next)
 }
 
-// runEvents runs events in order until an invariant is broken, or the faults are over and the last rolling update has
-// ended. Between events it checks that at most one process holds the lease.
+// runEvents runs events in order until an invariant is broken, or until the last rolling update has ended after the
+// faults. The recoveryTimeout after the faults also ends the run. Unless clocks jump, runEvents checks after each
+// event of a lease candidate that at most one process holds the lease.
 func (s *simulation) runEvents() {
 	end := s.cfg.Length + recoveryTimeout
 	for len(s.events) > 0 && len(s.result.Violations) == 0 {
--- a/emulator/clustersim/faults.go
+++ b/emulator/clustersim/faults.go
@@ -7,8 +7,8 @@
 	"cobaltward/fleet/consensus"
 )
 
-// FaultKind is a kind of fault that a schedule may contain. Each value is equally likely to be drawn; a kind that is
-// twice as likely has a second value, its alias.
+// FaultKind is a kind of fault that a schedule may contain. Unless Config.Faults is set, all values are equally
+// likely. A kind that is twice as likely has a second value, its alias.
 type FaultKind int
 
 // The kinds of faults.
@@ -23,20 +23,20 @@
 	FaultLoss
 	FaultDelay
 	FaultDuplicates
-	FaultAllReplicasCrash // with Config.ClockJumps: a clock jumps instead
+	FaultAllReplicasCrash // with Config.ClockJumps: a clock jumps instead of the crash
 	FaultDelayedCandidate // a lease candidate receives messages late, and is then isolated
-	FaultBridgingVoter    // two replicas are separated, and a third that reaches both restarts repeatedly
+	FaultBridgingVoter    // separates two replicas while a third replica that reaches both restarts repeatedly
 	FaultDelayedNode      // the last node receives messages late
 	faultKinds
 )
 
-// fault is one fault of a schedule, which begins at a time and lasts for a length of time.
+// fault is one fault of a schedule, with its start, its duration and its processes.
 type fault struct {
 	at, length   time.Duration
 	target, peer *process
 }
 
-// scheduleFaults draws the faults of the schedule, and schedules them and the administrator's turns.
+// scheduleFaults draws and schedules the faults. It also schedules the administrator's turns.
 func (s *simulation) scheduleFaults() {
 	all := slices.Concat(s.replicas, s.agents)
 	var administer func()
@@ -94,14 +94,14 @@
 	}
 }
 
-// during schedules the functions that begin and end a fault.
+// during schedules begin at the time at, and end after a further length.
 func (s *simulation) during(at, length time.Duration, begin, end func()) {
 	s.after(at, nil, begin)
 	s.after(at+length, nil, end)
 }
 
-// schedulePause schedules a pause of a process. The pause of an agent is longer by half a lease duration, or by 10 or
-// 150 lease durations.
+// schedulePause schedules a pause of a process. The pause of an agent is longer by 0.5, 10 or 150 lease durations,
+// but ends with the schedule at the latest.
 func (s *simulation) schedulePause(f fault) {
 	spans := []time.Duration{leaseDuration / 2, 10 * leaseDuration, 150 * leaseDuration}
 	span, length := spans[s.rand.IntN(len(spans))], f.length
@@ -147,14 +147,14 @@
 	}
 }
 
-// isPair returns a function that reports whether two processes are these two, in either order.
+// isPair returns a function that reports whether a and b are left and right, in either order.
 func isPair(left, right *process) func(a, b *process) bool {
 	return func(a, b *process) bool { return a == left && b == right || a == right && b == left }
 }
 
 func (s *simulation) randomDirection() direction { return direction(s.rand.IntN(int(directions))) }
 
-// drawLongDelay draws a delay of messages with which a round trip takes most of a lease duration.
+// drawLongDelay draws a message delay. A round trip with this delay takes most of a lease duration.
 func (s *simulation) drawLongDelay() time.Duration {
 	return time.Duration((0.3 + 0.18*s.rand.Float64()) * float64(leaseDuration))
 }
@@ -171,8 +171,8 @@
 	}
 }
 
-// crash ends a process. With diskLost, a replica starts again with an empty disk if the cluster tolerates the loss,
-// and an agent starts again with an earlier copy of its disk.
+// crash ends a process. If diskLost is true, a replica restarts with an empty disk if the cluster tolerates the loss.
+// An agent then restarts with an earlier copy of its disk.
 func (s *simulation) crash(target *process, diskLost bool) {
 	target.crash()
 	if !diskLost {
@@ -191,8 +191,8 @@
 	}
 }
 
-// toleratesLostDisk reports whether a replica may lose its disk: all other replicas have theirs, and all members are
-// voters.
+// toleratesLostDisk reports whether a replica may lose its disk. The cluster must have at least 3 replicas, all of
+// them members and voters, and no other replica may have an empty disk.
 func (s *simulation) toleratesLostDisk(p *process) bool {
 	state := s.newestState()
 	if len(s.replicas) < 3 || state == nil || len(state.Members) < len(s.replicas) {
--- a/emulator/clustersim/invariants.go
+++ b/emulator/clustersim/invariants.go
@@ -9,8 +9,8 @@
 	"cobaltward/fleet/rollingupdate"
 )
 
-// applyEffect applies an effect to a node, and checks the invariants of effects: tokens never decrease at a node, at
-// most maxUnavailable nodes are drained, only drained nodes are patched, and each patch is applied once.
+// applyEffect applies an effect to a node and checks the invariants of effects. Tokens never decrease at a node. At
+// most maxUnavailable nodes are drained. Only drained nodes are patched. Each patch is applied once.
 func (s *simulation) applyEffect(target *node, request lease.EffectRequest) {
 	action, token, key := request.Step.Action, request.FencingToken, request.IdempotencyKey
 	if action == fleet.ActionDrain && target.drained || action == fleet.ActionResume && !target.drained {
@@ -72,8 +72,8 @@
 	}
 }
 
-// checkUpdateEnded reports whether the last rolling update has ended, and checks that every node was patched once and
-// resumed.
+// checkUpdateEnded reports whether the last rolling update has ended. If so, it checks that every node was patched
+// once and resumed.
 func (s *simulation) checkUpdateEnded() bool {
 	state := s.newestState()
 	if state == nil || state.Jobs[s.updateID] == nil || state.Jobs[s.updateID].CloseReason == "" {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// newestState returns the newest state that any running replica has; nil if none runs.
+// newestState returns the newest state among the running replicas; nil if no replica runs.
 func (s *simulation) newestState() *fleet.State {
 	var newest *fleet.State
 	for _, p := range s.replicas {
--- a/emulator/clustersim/network.go
+++ b/emulator/clustersim/network.go
@@ -10,12 +10,12 @@
 // send sends a message to a process. Any incarnation of the process receives it.
 func (s *simulation) send(from, to *process, deliver func()) { s.transmit(from, to, 0, deliver) }
 
-// reply sends a response to the incarnation that sent the request. No other incarnation receives it.
+// reply sends a response to the incarnation that sent the request. Other incarnations don't receive the response.
 func (s *simulation) reply(from, to *process, incarnation int, deliver func()) {
 	s.transmit(from, to, incarnation, deliver)
 }
 
-// transmit delivers a message after a random latency. The active faults may lose, delay or duplicate it.
+// transmit delivers a message after a random latency. Active faults may lose, delay or duplicate the message.
 func (s *simulation) transmit(from, to *process, incarnation int, deliver func()) {
 	s.result.Messages++
 	if s.blockedLinks[[2]int{from.index, to.index}] > 0 || s.rand.Float64() < s.lossRate {
@@ -35,7 +35,7 @@
 	return ms + s.randomExp(3*ms) + s.randomExp(s.extraDelay) + to.extraDelay
 }
 
-// propose proposes an entry at a replica. The result, if one comes back, is passed to done.
+// propose proposes an entry at the replica to. If a result comes back, propose passes it to done.
 func (p *process) propose(to *process, entry fleet.Entry, done func(fleet.Result)) {
 	sim := p.sim
 	id, incarnation := sim.nextRequestID(), p.incarnation
@@ -50,13 +50,14 @@
 	})
 }
 
-// nextRequestID returns a new ID for a proposal or a read. It is never 0, which marks entries that nobody waits for.
+// nextRequestID returns a new ID for a proposal or a read. The ID is never 0: 0 marks entries for which no process
+// waits.
 func (s *simulation) nextRequestID() uint64 {
 	s.lastRequest++
 	return s.lastRequest<<1 | 1
 }
 
-// direction selects which messages between the two sides of a partition are lost.
+// direction selects the messages that a partition loses.
 type direction int
 
 const (
@@ -66,8 +67,8 @@
 	directions
 )
 
-// partition blocks the links between separated pairs of processes for a length of time, which begins after the delay
-// at.
+// partition blocks the links between pairs of processes for which separated returns true. The block starts after the
+// delay at and lasts for length.
 func (s *simulation) partition(at, length time.Duration, separated func(a, b *process) bool, blocked direction) {
 	var links [][2]int
 	all := slices.Concat(s.replicas, s.agents)
--- a/emulator/clustersim/process.go
+++ b/emulator/clustersim/process.go
@@ -48,7 +48,7 @@
 	patches      map[string]int // by idempotency key
 }
 
-// monotonic reads the process's own clock.
+// monotonic returns the time of the process's own clock.
 func (p *process) monotonic() time.Duration {
 	return time.Duration(float64(p.sim.now)*p.clockRate) + p.clockOffset
 }
@@ -107,7 +107,7 @@
 // identity returns the name under which this incarnation of the process holds leases.
 func (p *process) identity() string { return fmt.Sprintf("%s/%d", p.name, p.incarnation) }
 
-// repeat runs a function at an interval of the process's own clock until the incarnation of the process changes.
+// repeat calls run at an interval of the process's own clock until the process's incarnation changes.
 func (p *process) repeat(interval time.Duration, run func()) {
 	var next func()
 	next = func() {
@@ -117,7 +117,7 @@
 	p.sim.after(p.sim.randomBetween(0, interval), p, next)
 }
 
-// crash ends the process, which loses what its disk has not synced.
+// crash ends the process. Data that its disk has not synced is lost.
 func (p *process) crash() {
 	if !p.up {
 		return
--- a/emulator/clustersim/replica.go
+++ b/emulator/clustersim/replica.go
@@ -15,7 +15,7 @@
 	unsynced *pb.HardState // lost in a crash; only with Config.NoSync
 }
 
-// save writes a batch. Without sync, a term and a vote are synced only together with later entries or a snapshot.
+// save writes a batch. If sync is false, a term and a vote are synced only together with entries or a snapshot.
 func (d *disk) save(batch *consensus.WriteBatch, sync bool) {
 	if batch.Snapshot != nil {
 		d.synced.Snapshot, d.synced.Entries = batch.Snapshot, nil
@@ -31,7 +31,7 @@
 	}
 }
 
-// replaceFrom removes the stored entries from the index of the first new entry on, and appends the new ones.
+// replaceFrom removes the stored entries from the index of the first new entry on, and appends the new entries.
 func (d *disk) replaceFrom(entries []*pb.Entry) {
 	first := entries[0].GetIndex()
 	prefix := d.synced.Entries[:0:0]
@@ -49,7 +49,7 @@
 	}
 }
 
-// compact replaces the entries that a snapshot covers with the snapshot.
+// compact stores a snapshot and removes the entries that the snapshot covers.
 func (d *disk) compact(snapshot *pb.Snapshot) {
 	d.synced.Snapshot = snapshot
 	d.syncHardState()
@@ -58,7 +58,7 @@
 	d.synced.Entries = slices.DeleteFunc(slices.Clone(d.synced.Entries), covered)
 }
 
-// processReady carries out the work that the replica's core has ready: writes, messages and results.
+// processReady processes the pending work of the replica's core: writes, messages and results.
 func (p *process) processReady() {
 	for batch := p.core.Ready(); batch != nil; batch = p.core.Ready() {
 		p.disk.save(batch, !p.sim.cfg.NoSync)
@@ -85,8 +85,8 @@
 	}
 }
 
-// sendRaft sends a Raft message to the replica that has the ID in it. A replica that lost its disk has a new ID, and
-// does not receive messages to the old one.
+// sendRaft sends a Raft message to the replica with the message's target ID. A replica that lost its disk has a new
+// ID and doesn't receive messages to the old ID.
 func (p *process) sendRaft(message *pb.Message) {
 	sim := p.sim
 	to := sim.replicaByID(message.GetTo())
@@ -94,7 +94,7 @@
 		return
 	}
 	if message.GetType() == pb.MsgSnap {
-		// This reports the transfer of the snapshot only; raft sends again what the receiver lacks.
+		// This reports only that the snapshot was transferred; raft resends entries that the receiver lacks.
 		sim.after(snapshotReportDelay, p, func() { p.core.ReportSnapshot(message.GetTo(), true) })
 	}
 	sim.send(p, to, func() {
@@ -106,8 +106,8 @@
 	})
 }
 
-// handleApplied compares an applied entry with the one that other replicas applied at the same position, and responds
-// to the proposal of the entry.
+// handleApplied checks that all replicas applied the same entry at the same position. It also responds to the
+// proposal of the entry.
 func (p *process) handleApplied(applied consensus.AppliedEntry) {
 	sim, position := p.sim, applied.Result.Position
 	hash := fnv.New64a()
@@ -126,7 +126,7 @@
 	}
 }
 
-// replicaByID returns the replica that has an ID now; nil if none has.
+// replicaByID returns the replica that currently has an ID; nil if no replica has it.
 func (s *simulation) replicaByID(id uint64) *process {
 	for _, p := range s.replicas {
 		if p.core != nil && p.core.ID() == id {
--- a/emulator/clustersim/result.go
+++ b/emulator/clustersim/result.go
@@ -6,8 +6,8 @@
 type Result struct {
 	Violations []string // descriptions of broken invariants, each with seed and time
 
-	Effects, Tokens         int // effects on nodes, and fencing tokens under which there were effects
-	LateEffects             int // effects under an older token than one that another node had seen
+	Effects, Tokens         int // effects on nodes, and fencing tokens of those effects
+	LateEffects             int // effects with a token older than the highest token at any node
 	Rejected                int // effects that a receiver rejected
 	RollingUpdates, Patches int
 	Crashes                 int
@@ -17,7 +17,7 @@
 	ClockJumps              int
 	LostDisks               int // replicas that lost their disk
 	StaleReceiverDisks      int // agents whose disk was replaced by an earlier copy
-	Decisions, Rollouts     int // requests decided under version leases, and rollouts; with Config.Rollouts
+	Decisions, Rollouts     int // requests decided under version leases, and rollouts; only with Config.Rollouts
 	Messages                int
 }
 
--- a/emulator/clustersim/rollout.go
+++ b/emulator/clustersim/rollout.go
@@ -17,13 +17,12 @@
 	versionLeaseRequestInterval = 100 * ms
 )
 
-// versionAgent is the part of an agent that acts under version leases and, if the agent is a lease candidate, runs
-// rollouts.
+// versionAgent is the part of an agent that acts under version leases. In a lease candidate it also runs rollouts.
 type versionAgent struct {
 	lease          rollout.VersionLease
 	rolloutLease   lease.Holder
 	observed       map[string]rollout.NodeStatus
-	laggingSince   map[string]time.Duration // by node: time since which it does not act on its desired version
+	laggingSince   map[string]time.Duration // by node: time since which the node does not act on its desired version
 	clearedVersion fleet.Version
 }
 
@@ -44,7 +43,7 @@
 	}
 }
 
-// requestVersionLease requests a lease on the versions that the process should act on according to the state that it
+// requestVersionLease requests a lease on the process's desired versions, according to the state that the process
 // knows.
 func (p *process) requestVersionLease() {
 	sim := p.sim
@@ -70,15 +69,15 @@
 	})
 }
 
-// decideRequest decides a request under the version lease, if the process has a valid one, and checks that the
-// running nodes act on at most two versions.
+// decideRequest decides a request if the process has a valid version lease. It then checks that the running nodes act
+// on at most two versions.
 func (p *process) decideRequest() {
 	sim := p.sim
 	if _, ok := p.versions.lease.Valid(p.monotonic()); !ok {
 		return
 	}
 	sim.result.Decisions++
-	active := make(map[string]string) // name of one node that acts on a version, by version
+	active := make(map[string]string) // by version: name of a node that acts on it
 	for _, agent := range sim.agents {
 		if agent.versions == nil || !agent.up || agent.pausedUntil > sim.now {
 			continue
@@ -92,7 +91,7 @@
 	}
 }
 
-// runRollout is one turn of the rollout controller of a lease candidate, which acquires or renews its lease and then
+// runRollout runs one turn of the rollout controller of a lease candidate: it acquires or renews the lease, then
 // executes the next step of the job.
 func (p *process) runRollout() {
 	sim, versions, sentAt := p.sim, p.versions, p.monotonic()
@@ -125,8 +124,8 @@
 	})
 }
 
-// observeNodes asks a random replica which version has been cleared and a random node which versions it acts on, and
-// updates which nodes are stragglers.
+// observeNodes asks a random replica for the cleared version and a random node for its active versions. It then
+// updates the stragglers.
 func (p *process) observeNodes() {
 	sim, versions, incarnation := p.sim, p.versions, p.incarnation
 	replica := sim.randomReplica()
@@ -153,7 +152,7 @@
 	}
 }
 
-// updateStraggler marks a node as a straggler if it has not acted on its desired version for longer than
+// updateStraggler marks a node as a straggler once the node has not acted on its desired version for
 // stragglerTimeout.
 func (v *versionAgent) updateStraggler(published *fleet.Artifact, name string, now time.Duration) {
 	status := v.observed[name]
@@ -167,7 +166,7 @@
 	v.observed[name] = status
 }
 
-// administerRollouts publishes the first version, then starts one rollout after another, and rolls some back.
+// administerRollouts publishes the first version, then starts one rollout after another. It rolls back some rollouts.
 func (s *simulation) administerRollouts(state *fleet.State, leader *process) {
 	published, open := state.Artifacts[artifact], state.OpenJob(fleet.JobRollout)
 	switch {
@@ -181,7 +180,7 @@
 	}
 }
 
-// proposeRollout proposes a rollout in three stages: one node, two nodes, then the others.
+// proposeRollout proposes a rollout in three stages: one node, two nodes, then the remaining nodes.
 func (s *simulation) proposeRollout(state *fleet.State, leader *process) {
 	if s.rolloutCount == 0 || state.Jobs[fmt.Sprint("v", s.rolloutCount)] != nil {
 		s.rolloutCount++
--- a/emulator/clustersim/simulation_test.go
+++ b/emulator/clustersim/simulation_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// shardEnv is the environment variable with the first seed of a shard, for the processes that
-// TestManySchedules_NoViolations starts.
+// shardEnv is the environment variable that holds the first seed of a shard. TestManySchedules_NoViolations sets it
+// for the processes that it starts.
 const shardEnv = "CLUSTERSIM_SHARD"
 
 var (
@@ -57,8 +57,8 @@
 	return cfg
 }
 
-// faultsBySafeguard lists the faults from which a safeguard protects. Without the safeguard only these are drawn, so
-// that few schedules suffice to break an invariant.
+// faultsBySafeguard lists the faults against which a safeguard protects. Without the safeguard only these faults are
+// drawn, which breaks an invariant within few schedules.
 var faultsBySafeguard = map[string][]FaultKind{
 	"token":  {faultCrashAlias, faultCrashAlias, FaultDuplicates, FaultPause},
 	"asking": {FaultDelayedCandidate},
@@ -66,7 +66,8 @@
 	"sync":   {FaultBridgingVoter},
 }
 
-// runSchedules runs schedules until one breaks an invariant, and returns its seed; 0 if none does.
+// runSchedules runs schedules until one breaks an invariant. It returns the seed of that schedule; 0 if none breaks
+// an invariant.
 func runSchedules(from uint64, count int, disabledSafeguard string, clockJumps bool) (total Result, failedSeed uint64) {
 	for seed := from; seed < from+uint64(count); seed++ {
 		result := Run(configFor(seed, disabledSafeguard, clockJumps))
@@ -83,8 +84,9 @@
 	os.Exit(m.Run())
 }
 
-// Schedules with all kinds of faults break no invariant. Where clocks jump, receivers still reject effects of an old
-// lease holder after those of a newer one, and no patch is applied twice.
+// TestSchedules_NoViolations checks that schedules with all kinds of faults break no invariant. With clock jumps,
+// receivers must still reject effects of an old lease holder after those of a newer one, and no patch may be applied
+// twice.
 func TestSchedules_NoViolations(t *testing.T) {
 	if *replay {
 		cfg := configFor(*firstSeed, *disabledSafeguardFlag, *replayClockJumps)
@@ -107,7 +109,8 @@
 	}
 }
 
-// Without one of the safeguards, some schedule breaks the invariant that the safeguard protects.
+// TestGuards_ViolationWithoutEach checks that each safeguard is needed: without it, some schedule breaks the
+// invariant that the safeguard protects.
 func TestGuards_ViolationWithoutEach(t *testing.T) {
 	for _, test := range []struct {
 		without, violation string
@@ -133,8 +136,8 @@
 	}
 }
 
-// Rollouts make progress during all faults, and nodes act on at most two versions at a time. Without one of the
-// safeguards, some schedule has more than two active versions.
+// TestVersions_AtMostTwoActive checks that rollouts make progress during all faults while nodes act on at most two
+// versions at a time. Without a safeguard, some schedule must have more than two active versions.
 func TestVersions_AtMostTwoActive(t *testing.T) {
 	var total Result
 	for seed := *firstSeed; seed < *firstSeed+uint64(*scheduleCount/4); seed++ {
@@ -150,7 +153,7 @@
 		t.Errorf("the schedules covered too little: %v", total)
 	}
 	t.Log(total)
-	// Each search starts shortly before a seed whose schedule breaks the invariant.
+	// Each search starts shortly before a seed that breaks the invariant.
 	for without, from := range map[string]uint64{"right": 58, "behind": 12, "clear": 9} {
 		result, failed := runSchedules(from, 1000, without, false)
 		if failed == 0 || !strings.Contains(result.Violations[0], "versions are active") {
@@ -175,7 +178,7 @@
 	}
 }
 
-// TestManySchedules_NoViolations runs many schedules on all cores, in one process per core, and prints its progress:
+// TestManySchedules_NoViolations runs many schedules, in one process per core, and prints the progress:
 //
 //	go test ./emulator/clustersim -run TestManySchedules_NoViolations -schedules 100000 -timeout 2h -v
 func TestManySchedules_NoViolations(t *testing.T) {
@@ -204,7 +207,7 @@
 	}
 }
 
-// runShard runs the schedules of one process of TestManySchedules_NoViolations. In every third batch, clocks jump.
+// runShard runs the schedules of one process of TestManySchedules_NoViolations. Clocks jump in every third batch.
 func runShard(t *testing.T, shard string) {
 	t.Helper()
 	from, err := strconv.ParseUint(shard, 10, 64)
--- a/emulator/clustersim/world.go
+++ b/emulator/clustersim/world.go
@@ -14,23 +14,23 @@
 	"cobaltward/fleet/lease"
 )
 
-// simulation is the state of one simulated schedule. A single goroutine runs all of it.
+// simulation is the state of one simulated schedule. A single goroutine runs the whole simulation.
 type simulation struct {
 	cfg         Config
 	rand        *mrand.Rand
 	now         time.Duration
 	events      eventQueue
 	eventSeq    uint64
-	lastRequest uint64 // increased for the ID of each proposal and read
+	lastRequest uint64 // counter for the IDs of proposals and reads
 	result      Result
 
 	replicas, agents        []*process
 	nodes                   []*node
-	blockedLinks            map[[2]int]int // number of faults that block a link, by the indexes of its ends
+	blockedLinks            map[[2]int]int // number of faults that block a link, by the process indexes of its ends
 	lossRate, duplicateRate float64
 	extraDelay              time.Duration
 
-	appliedHashes  map[fleet.Position]uint64 // hash of the entry that was applied first at a position
+	appliedHashes  map[fleet.Position]uint64 // hash of the first entry applied at each position
 	maxUnavailable int
 	highestToken   fleet.FencingToken
 	tokens         map[fleet.FencingToken]bool
@@ -39,13 +39,13 @@
 	rolloutCount   int
 }
 
-// randReader replaces crypto/rand's reader, so that the random choices of raft depend on the seed.
+// randReader replaces crypto/rand's reader, which makes the random choices of raft depend on the seed.
 type randReader struct{ source *mrand.ChaCha8 }
 
 // Read fills p with random bytes; it never fails.
 func (r randReader) Read(p []byte) (int, error) { return r.source.Read(p) }
 
-// Run simulates one schedule. Meanwhile it replaces crypto/rand's process-wide reader, from which raft draws.
+// Run simulates one schedule. During the run it replaces crypto/rand's process-wide reader, from which raft draws.
 // Therefore only one simulation may run in a process at a time.
 func Run(cfg Config) (result Result) {
 	var key [32]byte
@@ -89,12 +89,12 @@
 	}
 }
 
-// randomBetween draws a duration from lo up to hi.
+// randomBetween draws a duration between lo and hi.
 func (s *simulation) randomBetween(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rand.Float64()*float64(hi-lo))
 }
 
-// randomExp draws a duration of the given mean from the exponential distribution.
+// randomExp draws an exponentially distributed duration with the given mean.
 func (s *simulation) randomExp(mean time.Duration) time.Duration {
 	return time.Duration(s.rand.ExpFloat64() * float64(mean))
 }
@@ -114,8 +114,8 @@
 	}
 }
 
-// drawClockRate draws a rate within the drift that leases allow for; with Config.ClockJumps the rate may be outside
-// of it.
+// drawClockRate draws a rate within the drift that leases tolerate. With Config.ClockJumps the rate may exceed the
+// drift.
 func (s *simulation) drawClockRate() float64 {
 	if !s.cfg.ClockJumps {
 		return 1 - lease.MaxClockDrift/2 + lease.MaxClockDrift*s.rand.Float64()
@@ -126,8 +126,8 @@
 	return 1
 }
 
-// startProcesses starts all processes. The replicas start with a snapshot in which all of them are voters and all
-// nodes are known.
+// startProcesses starts all processes. The replicas start with a snapshot that contains all replicas as voters and
+// all nodes.
 func (s *simulation) startProcesses() {
 	members := make(map[uint64]fleet.Member)
 	var voters []uint64
