--- a/emulator/model/capacity.go
+++ b/emulator/model/capacity.go
@@ -7,7 +7,7 @@
 )
 
 // warmUpStep is the interval at which the capacity of a warming server is recomputed. The steps count from the
-// server's start, so that the capacity doesn't depend on the times at which the caller advances the server.
+// server's start, so the capacity doesn't depend on when the caller advances the server.
 const warmUpStep = time.Millisecond
 
 // arrival is the work of a request and the time at which it arrived.
@@ -17,8 +17,8 @@
 	id   string
 }
 
-// Capacity returns the fraction of the server's full capacity that is available now. Warming up, thrashing, open
-// connections and pauses reduce it.
+// Capacity returns the fraction of the server's full capacity that is currently available. Warming up, thrashing,
+// open connections and pauses reduce the fraction.
 func (s *Server) Capacity() float64 {
 	if s.down || s.now < s.pauseEnd {
 		return 0
@@ -34,7 +34,7 @@
 	return fraction
 }
 
-// updateWarmFraction computes the fraction of its capacity that a warming server has until the next step.
+// updateWarmFraction computes the available fraction of a warming server's capacity until the next step.
 func (s *Server) updateWarmFraction() {
 	warmUp := &s.config.WarmUp
 	s.nextWarmUpdate = math.MaxInt64
@@ -51,7 +51,7 @@
 	}
 }
 
-// fullRate returns the work per second of a warm server.
+// fullRate returns the work per second of a warm server at full load.
 func (s *Server) fullRate() float64 { return float64(s.config.Cores) * s.config.Speed }
 
 // rate returns the work per second that the server does for each running request.
@@ -62,7 +62,7 @@
 	return s.Capacity() * s.config.Speed * min(1, float64(s.config.Cores)/float64(len(s.running)))
 }
 
-// recordArrival adds up the work that a warming server receives, and crashes the server if it is overloaded.
+// recordArrival records the work that a warming server receives. It crashes the server if that work overloads it.
 func (s *Server) recordArrival(r Request) {
 	warmUp := &s.config.WarmUp
 	if warmUp.OverloadFactor <= 0 || s.warmFraction >= 1 {
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -1,5 +1,5 @@
-// Package model simulates an application server: cores, slots, a queue, slow start, pauses, and overload. It does no
-// I/O and reads no clock: given the same requests and times it returns the same completions.
+// Package model simulates an application server: cores, slots, a queue, slow start, pauses and overload. It does no
+// I/O and reads no clock. The same requests and times always give the same completions.
 package model
 
 import "time"
@@ -14,12 +14,12 @@
 	CancelAll            // removes queued requests and stops running ones
 )
 
-// Config describes a kind of server. Durations are measured by the server's own clock; work is in seconds of a core
-// of speed 1.
+// Config describes a kind of server. Durations are measured by the server's own clock. Work is measured in seconds of
+// a core of speed 1.
 type Config struct {
 	Cores int
 	Speed float64 // work per second of each core
-	Slots int     // limit of running requests, which share the cores evenly; FIFO if equal to Cores
+	Slots int     // limit of running requests, which share the cores evenly; first in, first out if equal to Cores
 	Queue int     // limit of queued requests; further requests are rejected
 
 	// The capacity is divided by 1 + ThrashFactor × (requests in flight per core - ThrashThreshold).
@@ -34,25 +34,25 @@
 
 	ConnSetupWork float64 // work to set up a new connection
 	MaxConns      int     // 0: unlimited
-	ConnOverhead  float64 // fraction of the capacity lost with MaxConns connections, in proportion to their number
+	ConnOverhead  float64 // fraction of the capacity lost at MaxConns connections; proportionally less at fewer connections
 }
 
 // WarmUp describes the capacity of a server after its start. With the zero value, the server starts warm.
 type WarmUp struct {
 	InitialCapacity float64       // fraction of the full capacity at the start; 0: the server starts warm
 	Duration        time.Duration // time until the server is warm
-	// ByWork makes the capacity grow with the work done instead of with time. The server is warm once it has done the
-	// work that it can do within Duration at full capacity.
+	// ByWork makes the capacity grow with the work done instead of with time. The server is warm after it has done
+	// the work of Duration at full capacity.
 	ByWork bool
-	// A server that receives, within OverloadWindow, more than OverloadFactor times the work that it can currently do
-	// in that time crashes and stays down.
+	// A warming server crashes and stays down if the work that it receives within OverloadWindow is too high. The
+	// limit is OverloadFactor times the work that the server can currently do in OverloadWindow.
 	OverloadFactor float64 // 0: no crash
 	OverloadWindow time.Duration
 }
 
 // Pause describes periodic pauses, such as those of a garbage collector. With the zero value there are none.
 type Pause struct {
-	Interval time.Duration // from the end of a pause to the start of the next
+	Interval time.Duration // time from the end of a pause to the start of the next pause
 	Duration time.Duration
-	Growth   float64 // relative growth of a pause for each request in flight per core at its start
+	Growth   float64 // relative growth of a pause for each request in flight per core at the start of the pause
 }
--- a/emulator/model/draw.go
+++ b/emulator/model/draw.go
@@ -23,7 +23,7 @@
 	CV   float64 // coefficient of variation, used by Lognormal and Pareto
 }
 
-// Draw returns the work of the request with the given ID, which is the same in each replay and at each server.
+// Draw returns the work of the request with the given ID. The work depends only on the seed and the ID.
 func (w Work) Draw(seed uint64, id string) float64 {
 	u := Uniform(seed, id)
 	switch w.Dist {
@@ -39,7 +39,7 @@
 	return w.Mean
 }
 
-// Uniform returns a number above 0 and below 1 that depends only on the seed and the ID.
+// Uniform returns a number between 0 and 1, exclusive, that depends only on the seed and the ID.
 func Uniform(seed uint64, id string) float64 {
 	hash := fnv.New64a()
 	var b [8]byte
--- a/emulator/model/events.go
+++ b/emulator/model/events.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// job is a running request, or the setup of a connection, which has no ID.
+// job is a running request or the setup of a connection. The setup of a connection has no ID.
 type job struct {
 	Request
 	finishAt  float64 // value of Server.attained at which the job completes
@@ -14,7 +14,7 @@
 	heapIndex int
 }
 
-// jobHeap is a heap whose root is the job that completes next.
+// jobHeap is a heap of jobs. Its root is the job that completes next.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
@@ -38,8 +38,8 @@
 	return j
 }
 
-// nextEvent returns the time of the next event; ok is false if there is none. If completes is true, a request
-// completes then; otherwise the server's rate changes.
+// nextEvent returns the time of the next event; ok is false if there is none. If completes is true, a job completes
+// at that time; otherwise the server's rate changes.
 func (s *Server) nextEvent() (at time.Duration, completes bool, ok bool) {
 	if s.down {
 		return 0, false, false
@@ -49,8 +49,8 @@
 		return min(s.pauseEnd, at), false, true
 	}
 	if len(s.running) > 0 {
-		// The span is rounded up, since an event at the current time would repeat forever. Subtracting 0.01 ns first
-		// keeps rounding errors of float sums from adding a nanosecond.
+		// The span is rounded up: an event at the current time would repeat forever. Subtracting 0.01 ns first keeps
+		// float rounding errors from adding a nanosecond.
 		span := math.Ceil(max(0, s.running[0].finishAt-s.attained)/s.rate()*float64(time.Second) - 0.01)
 		if span <= float64(at-s.now) && span < math.MaxInt64/2 {
 			return s.now + time.Duration(max(0, span)), true, true
@@ -59,14 +59,14 @@
 	return at, false, at != math.MaxInt64
 }
 
-// Next returns the time at which the next request completes unless the server is used before; ok is false if no
-// request is running. The time may be too early: then Advance returns nothing, and Next returns a later time.
+// Next returns the time at which the next job completes, unless the server is used before; ok is false if no job is
+// running. The time may be too early. Advance then returns nothing, and Next returns a later time.
 func (s *Server) Next() (at time.Duration, ok bool) {
 	at, _, ok = s.nextEvent()
 	return at, ok && len(s.running) > 0
 }
 
-// Advance moves the server's time to now and returns the requests that have ended since the last call, in order. The
+// Advance moves the server's time to now. It returns the requests that have ended since the last call, in order. The
 // slice is valid until the next call.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.advance(now)
@@ -96,7 +96,7 @@
 			s.startPause()
 		}
 	}
-	for len(s.running) > 0 && s.now >= s.pauseEnd && s.running[0].finishAt <= s.attained { // those without work
+	for len(s.running) > 0 && s.now >= s.pauseEnd && s.running[0].finishAt <= s.attained { // jobs without remaining work
 		s.completeNext()
 	}
 }
--- a/emulator/model/keytable.go
+++ b/emulator/model/keytable.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Deduplicator decides which requests are duplicates within a group of servers: a *KeyTable, or a table shared by
-// several servers.
+// Deduplicator decides which requests are duplicates within a group of servers. KeyTable implements it for one group;
+// servers may also share another implementation.
 type Deduplicator interface {
-	// IsDuplicate reports whether the key was seen within the window, and records it if not.
+	// IsDuplicate reports whether the key was seen within the window. It records the key if not.
 	IsDuplicate(key string, now time.Duration) bool
 }
 
-// KeyTable is the table of idempotency keys of a group of servers. It isn't safe for concurrent use.
+// KeyTable holds the idempotency keys of a group of servers. It isn't safe for concurrent use.
 type KeyTable struct {
 	Window    time.Duration // time for which a key is remembered
 	firstSeen map[string]time.Duration
 	order     []string // keys, oldest first
 }
 
-// IsDuplicate reports whether the key was seen within the window, and records it if not.
+// IsDuplicate reports whether the key was seen within the window. It records the key if not.
 func (k *KeyTable) IsDuplicate(key string, now time.Duration) bool {
 	if k.firstSeen == nil {
 		k.firstSeen = make(map[string]time.Duration)
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// meanTime offers a server n Poisson arrivals at a load and returns their mean time in the system, in units of the mean
-// work.
+// meanTime offers a server n Poisson arrivals at the given load. It returns their mean time in the system, in units
+// of the mean work.
 func meanTime(config Config, work Work, load float64, n int) float64 {
 	r := rand.New(rand.NewPCG(7, uint64(load*100)))
 	server := New(config, nil, 0)
@@ -41,7 +41,7 @@
 	return total / float64(count) / work.Mean * config.Speed
 }
 
-// erlangC is the probability that a request waits in M/M/c.
+// erlangC returns the probability that a request waits in an M/M/c queue.
 func erlangC(c int, load float64) float64 {
 	a, sum, term := load*float64(c), 0.0, 1.0
 	for k := range c {
@@ -52,8 +52,9 @@
 	return last / (sum + last)
 }
 
-// Mean times in the system agree with queueing theory within 12%. The environment variable THEORY sets another number
-// of arrivals for a longer run, whose random variation is smaller; the tolerance is then 2%.
+// TestServer_MeanTimesAgreeWithTheory checks that mean times in the system agree with queueing theory within 12%. The
+// environment variable THEORY sets another number of arrivals, and the tolerance is then 2%. More arrivals reduce the
+// random variation.
 func TestServer_MeanTimesAgreeWithTheory(t *testing.T) {
 	n, within := 60_000, 0.12
 	if more, err := strconv.Atoi(os.Getenv("THEORY")); err == nil && more > 0 {
@@ -104,7 +105,8 @@
 	}
 }
 
-// The distributions have the configured mean and variation, and a draw depends only on seed and ID.
+// TestWorkDraw_MeanAndVariation checks the mean and the variation of the distributions. A draw must depend only on
+// seed and ID.
 func TestWorkDraw_MeanAndVariation(t *testing.T) {
 	const n = 400_000
 	for _, w := range []Work{{Exponential, 2, 1}, {Lognormal, 0.5, 1.2}, {Pareto, 3, 0.5}, {Fixed, 1, 0}} {
@@ -124,12 +126,13 @@
 	}
 }
 
-// A server that warms up by time or by work does the work that the closed-form solution gives.
+// TestWarmUp_FollowsClosedForm checks that a server that warms up by time or by work follows the closed-form
+// solution.
 func TestWarmUp_FollowsClosedForm(t *testing.T) {
 	const from, warm = 0.4, 4.0
 	for byWork, want := range map[bool]func(t float64) float64{
 		false: func(t float64) float64 { return from*t + (1-from)*t*t/(2*warm) },
-		// dW/dt = from + (1-from) W/warm, from W = 0 on
+		// dW/dt = from + (1-from) W/warm, with W = 0 at the start
 		true: func(t float64) float64 { return from * warm / (1 - from) * math.Expm1((1-from)*t/warm) },
 	} {
 		c := Config{Cores: 1, Speed: 1, Slots: 1, Queue: 1 << 20}
@@ -148,9 +151,9 @@
 	}
 }
 
-// A warming server that receives more work than the overload factor allows crashes at the time that the closed form
-// gives, loses its requests and stays down. At a lower rate it does not crash, and without an overload factor it
-// never does.
+// TestOverload_CrashesWarmingServer checks that a warming server crashes when it receives more work than the overload
+// factor allows. It must crash at the time of the closed form, lose its requests and stay down. At a lower rate, or
+// without an overload factor, it must not crash.
 func TestOverload_CrashesWarmingServer(t *testing.T) {
 	crashTime := func(rate float64, warmUp WarmUp) time.Duration {
 		s := New(Config{Cores: 2, Speed: 1, Slots: 2, Queue: 1 << 20, WarmUp: warmUp}, nil, 0)
@@ -166,8 +169,8 @@
 		return -1
 	}
 	warmUp := WarmUp{InitialCapacity: 0.5, Duration: 8 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
-	// Within the first window of 1 s, the work received by the time t at a rate r is r·t. It exceeds the limit of
-	// 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375). Later, the work within the window is r.
+	// Within the first window of 1 s, the work received by time t at rate r is r·t. It exceeds the limit of 3·(0.5 +
+	// t/16)·2·1 s at t = 3/(r - 0.375). After that, the work within the window stays at r.
 	for _, rate := range []float64{3.6, 4.5, 9} {
 		want := 3 / (rate - 0.375)
 		if got := crashTime(rate, warmUp).Seconds(); math.Abs(got/want-1) > 0.01 {
@@ -183,8 +186,8 @@
 	}
 }
 
-// Pauses stop the work for their duration, which grows with the requests in flight. Thrashing and open connections
-// slow the server down.
+// TestServer_Slowdowns checks that pauses stop the work for their duration, which grows with the requests in flight.
+// Thrashing and open connections must slow the server down.
 func TestServer_Slowdowns(t *testing.T) {
 	lastEnd := func(config Config, requests, conns int) float64 {
 		server := New(config, nil, 0)
@@ -219,7 +222,7 @@
 	}
 }
 
-// The limit on connections holds, and a closed connection no longer counts.
+// TestConnect_AtLimit checks the connection limit. A closed connection must no longer count.
 func TestConnect_AtLimit(t *testing.T) {
 	s := New(Config{MaxConns: 1}, nil, 0)
 	if !s.Connect(0) || s.Connect(0) {
@@ -230,7 +233,7 @@
 	}
 }
 
-// Cancellations and expired deadlines remove the requests that the configuration says.
+// TestCancel_RemovesAsConfigured checks which requests cancellations and expired deadlines remove.
 func TestCancel_RemovesAsConfigured(t *testing.T) {
 	run := func(cancel Cancel, drop bool) string {
 		server := New(Config{Slots: 1, Queue: 2, Cancel: cancel, DropExpired: drop}, nil, 0)
@@ -262,7 +265,8 @@
 	}
 }
 
-// Servers that share a table discard repeats of a key within the window, but not after it.
+// TestKeyTable_SharedByServers checks that servers that share a table discard repeats of a key only within the
+// window.
 func TestKeyTable_SharedByServers(t *testing.T) {
 	group := &KeyTable{Window: 4 * time.Second}
 	one, other := New(Config{Slots: 9}, group, 0), New(Config{Slots: 9}, group, 0)
@@ -278,8 +282,9 @@
 	}
 }
 
-// Whatever requests a server receives, each accepted one that is not cancelled completes once, executions are
-// recorded for accepted requests only, and completions do not depend on the steps in which time advances.
+// TestServer_EveryAcceptedRequestEnds checks that each accepted request that is not cancelled completes once.
+// Executions must be recorded for accepted requests only. Completions must not depend on the steps in which time
+// advances.
 func TestServer_EveryAcceptedRequestEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checkSteps(t, drawConfig(t))
@@ -305,8 +310,8 @@
 	return config
 }
 
-// checkSteps makes the same requests and cancellations at two servers and checks their completions. The second server
-// advances in steps of at most 3 ms.
+// checkSteps sends the same requests and cancellations to two servers and compares their completions. The second
+// server advances in steps of at most 3 ms.
 func checkSteps(t *rapid.T, config Config) {
 	coarse, fine := New(config, nil, 0), New(config, nil, 0)
 	open, cancelled := make(map[string]bool), make(map[string]bool)
@@ -345,8 +350,8 @@
 	}
 }
 
-// checkCompletions compares the completions of both servers and requires one for each accepted request that was not
-// cancelled.
+// checkCompletions compares the completions of both servers. Each accepted request that was not cancelled must
+// complete once.
 func checkCompletions(t *rapid.T, coarse, fine []Completion, open, cancelled map[string]bool) {
 	if len(coarse) != len(fine) {
 		t.Fatalf("%d completions, but %d in finer steps", len(coarse), len(fine))
--- a/emulator/model/request.go
+++ b/emulator/model/request.go
@@ -13,7 +13,7 @@
 // Admission is the server's immediate decision on a request.
 type Admission uint8
 
-// The decisions. After Rejected and Down the request never runs.
+// The decisions. A request never runs after Rejected or Down.
 const (
 	Accepted Admission = iota
 	Rejected           // the queue is full
--- a/emulator/model/server.go
+++ b/emulator/model/server.go
@@ -15,32 +15,32 @@
 	now       time.Duration
 	startedAt time.Duration
 	down      bool
-	workDone  float64 // total since the start
+	workDone  float64 // total work since the start
 
-	// attained is the work that has been done for a request that has been running since attained was last 0. Running
-	// requests share the cores evenly, so each is complete once attained has grown by its work.
+	// attained is the work done for each running request since the server last had none. All running requests get
+	// equal shares of the cores, so a request completes once attained has grown by the request's work.
 	attained float64
 	running  jobHeap
 	queue    []Request
 	jobs     map[string]*job // running requests by ID
 
-	warmFraction   float64       // fraction of the capacity that the server has while warming up; 1: warm
-	nextWarmUpdate time.Duration // time at which warmFraction is recomputed
+	warmFraction   float64       // available fraction of the capacity while warming up; 1: warm
+	nextWarmUpdate time.Duration // time at which warmFraction is next recomputed
 	pauseEnd       time.Duration
 	nextPause      time.Duration
 	conns          int
-	recentArrivals []arrival // within the overload window, while warming up
+	recentArrivals []arrival // arrivals within the overload window, while warming up
 	recentWork     float64   // sum of the work of recentArrivals
 
 	executions  []Execution
 	onExecution func(Execution)
 	overloading []string     // IDs of the requests that overloaded the server
-	completed   []Completion // ended since the last call of Advance
-	returned    []Completion // returned by the last call of Advance
+	completed   []Completion // requests ended since the last call of Advance
+	returned    []Completion // slice returned by the last call of Advance
 }
 
-// New returns a server started at now. Several servers may share a deduplicator; without one, duplicates are not
-// discarded.
+// New returns a server that starts at now. Several servers may share a deduplicator. If dedup is nil, duplicates are
+// not discarded.
 func New(c Config, dedup Deduplicator, now time.Duration) *Server {
 	c.Cores, c.Slots = max(1, c.Cores), max(1, c.Slots)
 	if c.Speed <= 0 {
@@ -59,7 +59,7 @@
 // InFlight returns the number of running and queued requests.
 func (s *Server) InFlight() int { return len(s.running) + len(s.queue) }
 
-// Load returns the values of a load report: the requests in flight, how many of them are queued, and the busy
+// Load returns the values of a load report: the requests in flight, the queued requests among them, and the busy
 // fraction of the cores.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	return s.InFlight(), len(s.queue), min(1, float64(len(s.running))/float64(s.config.Cores))
@@ -68,12 +68,12 @@
 // Down reports whether the server has crashed or stopped.
 func (s *Server) Down() bool { return s.down }
 
-// OverloadingRequests returns the IDs of the requests that overloaded a warming server, oldest first; empty if none
-// did.
+// OverloadingRequests returns the IDs of the requests that overloaded a warming server, oldest first. It is empty if
+// the server was not overloaded.
 func (s *Server) OverloadingRequests() []string { return s.overloading }
 
 // OnExecution makes the server call f at the start of each execution. The server then keeps no record of executions,
-// which would take memory for each.
+// which saves memory.
 func (s *Server) OnExecution(f func(Execution)) { s.onExecution = f }
 
 // Executions returns the recorded executions, oldest first.
@@ -100,7 +100,7 @@
 	return Accepted
 }
 
-// Connect opens a connection, or returns false if the server is at its connection limit or down.
+// Connect opens a connection. It returns false if the server is down or at its connection limit.
 func (s *Server) Connect(now time.Duration) bool {
 	s.advance(now)
 	if s.down || s.config.MaxConns > 0 && s.conns >= s.config.MaxConns {
@@ -119,7 +119,7 @@
 	s.conns = max(0, s.conns-1)
 }
 
-// Cancel cancels a request. Config.Cancel determines whether that has an effect.
+// Cancel cancels a request. Config.Cancel determines whether the cancellation has an effect.
 func (s *Server) Cancel(now time.Duration, id string) {
 	s.advance(now)
 	if s.config.Cancel == CancelIgnored {
@@ -144,7 +144,7 @@
 	}
 }
 
-// crash takes the server down; all its requests are lost.
+// crash takes the server down. All its requests are lost.
 func (s *Server) crash() {
 	s.down = true
 	for _, j := range s.running {
