--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxViolations     = 200              // maximum number of violations recorded with evidence; further violations are only counted
-	lateAttemptWindow = 10 * time.Second // time after a request's deadline during which its attempts may still reach servers
+	maxViolations     = 200              // maximum number of violations with evidence; further violations are only counted
+	lateAttemptWindow = 10 * time.Second // time after a deadline during which attempts may still reach servers
 )
 
 // Class holds the properties of a request class that the rules depend on.
--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -34,7 +34,7 @@
 	Nodes           int // number of nodes, each with an agent and a receiver
 	LeaseCandidates int // number of nodes whose agents may hold leases
 	Length          time.Duration
-	ClockJumps      bool                  // clocks jump and run at any rate; only the invariants of receivers and of the log are checked
+	ClockJumps      bool                  // clocks jump and run at any rate; not all invariants are checked then
 	Unsafe          lease.UnsafeOptions   // safeguards of leases to disable
 	NoSync          bool                  // terms and votes are synced only together with entries or snapshots
 	Rollouts        bool                  // rollouts run, and nodes act under version leases
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -34,7 +34,7 @@
 
 	ConnSetupWork float64 // work to set up a new connection
 	MaxConns      int     // 0: unlimited
-	ConnOverhead  float64 // fraction of the capacity lost at MaxConns connections; proportionally less at fewer connections
+	ConnOverhead  float64 // fraction of the capacity lost at MaxConns connections; proportional to their number
 }
 
 // WarmUp describes the capacity of a server after its start. With the zero value, the server starts warm.
