--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -136,12 +136,12 @@
 	return status
 }
 
-// updateToken returns the fencing token of the rolling-update lease; 0 if no process holds it.
+// updateToken returns the fencing token of the rolling-update lease; 0 if no process holds the lease.
 func updateToken(state *fleet.State) fleet.FencingToken {
 	return state.Leases[fleet.ResourceRollingUpdate].FencingToken
 }
 
-// loseDisks restarts c1 and c2 with empty disks, and returns the path of a copy of the previous disk of c1.
+// loseDisks restarts c1 and c2 with empty disks. It returns the path of a copy of c1's previous disk.
 func loseDisks(t *testing.T, harness *Harness) (oldDisk string) {
 	t.Helper()
 	oldDisk = filepath.Join(harness.dir, "c1.old")
@@ -159,7 +159,7 @@
 	return oldDisk
 }
 
-// recoverCluster runs the recover command at c3, which starts a new cluster, and adds the other replicas to it.
+// recoverCluster starts a new cluster with the recover command at c3, and adds c1 and c2 to it.
 func recoverCluster(t *testing.T, harness *Harness) {
 	t.Helper()
 	if output, err := harness.runCommand("c3", "recover"); err == nil || !strings.Contains(output, "--reason") {
@@ -193,9 +193,10 @@
 	harness.mustStart(t, "c1")
 }
 
-// After two of three replicas have lost their disks, the third one reports that it has no leader, and does not start
-// a new cluster by itself. The recover command makes it start one, and requires a reason. Fencing tokens keep
-// increasing across the recovery, and a replica with a disk of the former cluster cannot unseat the new leader.
+// TestRecover_MajorityOfDisksLost checks the recovery of a cluster after two of three replicas have lost their disks.
+// The third replica must report that it has no leader, and must not start a new cluster by itself. The recover
+// command starts a new cluster and requires a reason. Fencing tokens must keep increasing across the recovery. A
+// replica with a disk of the former cluster must not unseat the new leader.
 func TestRecover_MajorityOfDisksLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
@@ -234,8 +235,8 @@
 	}
 }
 
-// A server that the administrator disables is disabled at all nodes, and the command reports this. The order expires
-// on time even while no replica runs.
+// TestDisabledServers_AtAllNodesUntilExpiry checks that a server that the administrator disables is disabled at all
+// nodes. The command must report the number of nodes. The order must expire on time even while no replica runs.
 func TestDisabledServers_AtAllNodesUntilExpiry(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/emulator/multiprocess/checker.go
+++ b/emulator/multiprocess/checker.go
@@ -14,7 +14,7 @@
 	"cobaltward/drain"
 )
 
-// effectKind is what an effect does to a node.
+// effectKind is a kind of effect on a node.
 type effectKind string
 
 const (
@@ -24,7 +24,7 @@
 	effectPatchCommit effectKind = "patch commit"
 )
 
-// effect is one drain, resume or patch of a node, as its stand-in or the patch command reported it.
+// effect is one drain, resume or patch of a node. The node's stand-in or the patch command reported it.
 type effect struct {
 	at    time.Duration
 	node  string
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("%8.3fs %s %s token %d %s", e.at.Seconds(), e.node, e.kind, e.token, e.key)
 }
 
-// effectChecker records the effects that the admin APIs of the node stand-ins receive and that the patch commands
-// report, and checks the invariants: a node never sees an older fencing token after a newer one, as many nodes stay
-// available as the script requires, only drained nodes are patched, and each patch is applied once.
+// effectChecker records effects and checks the invariants. The admin APIs of the node stand-ins and the patch
+// commands report the effects. A node never sees an older fencing token after a newer one. As many nodes stay
+// available as the script requires. Only drained nodes are patched. Each patch is applied once.
 type effectChecker struct {
 	harness  *Harness
 	listener net.Listener
@@ -85,12 +85,12 @@
 
 var tokenSuffix = regexp.MustCompile(`token (\d+)$`)
 
-// record records an effect and checks the invariants. The fencing token is at the end of text, which is the reason or
-// the requester that came with the effect. The caller holds the mutex.
+// record records an effect and checks the invariants. text ends with the fencing token; it is the reason or the
+// requester of the effect. The caller holds the mutex.
 func (c *effectChecker) record(node *nodeStandIn, kind effectKind, text, key string) {
 	received := effect{at: c.harness.elapsed(), node: node.name, kind: kind, key: key}
 	if match := tokenSuffix.FindStringSubmatch(text); match != nil {
-		received.token, _ = strconv.ParseUint(match[1], 10, 64) // the match has digits only; out of range: the maximum
+		received.token, _ = strconv.ParseUint(match[1], 10, 64) // the match has digits only; a token out of range becomes the maximum
 	}
 	c.effects = append(c.effects, received)
 	fail := func(format string, args ...any) {
@@ -119,8 +119,8 @@
 	}
 }
 
-// checkAvailability checks that no more nodes are drained, and no fewer serve, than the script allows. The caller
-// holds the mutex.
+// checkAvailability checks the number of drained nodes and of serving nodes against the limits of the script. The
+// caller holds the mutex.
 func (c *effectChecker) checkAvailability(fail func(format string, args ...any)) {
 	script, drained := c.harness.script, 0
 	for _, node := range c.nodes {
@@ -136,7 +136,7 @@
 	}
 }
 
-// recordReport records an effect that a patch command reports, and returns the HTTP status of the response.
+// recordReport records the effect that a patch command reports. It returns the HTTP status of the response.
 func (c *effectChecker) recordReport(r *http.Request, kind effectKind) (status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +169,7 @@
 	return c.recordReport(r, effectPatchCommit)
 }
 
-// handleVerify returns 200 if the patch with the given key was applied, and 404 otherwise.
+// handleVerify returns 200 if the patch with the request's key was applied, and 404 otherwise.
 func (c *effectChecker) handleVerify(r *http.Request) (status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,8 +209,8 @@
 	return slices.Clone(c.effects)
 }
 
-// addTo adds the violations and the counts to the result of the run. An effect under an older token than one that
-// another node has seen breaks no invariant, and is counted as late.
+// addTo adds the violations and the counts to result. An effect with a token older than the highest token of another
+// node breaks no invariant. It is counted as late.
 func (c *effectChecker) addTo(result *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/multiprocess/child.go
+++ b/emulator/multiprocess/child.go
@@ -10,12 +10,12 @@
 	"cobaltward/fleet/lease"
 )
 
-// Environment variables that tell a process its role and its faults, in addition to its settings file.
+// Environment variables that define a process's role and faults, in addition to the settings file.
 const (
 	roleEnv               = "WAYHOLD_HARNESS_ROLE"
 	checkerEnv            = "WAYHOLD_HARNESS_CHECKER"       // address of the effect checker
 	leaseHistoryEnv       = "WAYHOLD_HARNESS_LEASE_HISTORY" // file in which the process records its lease requests
-	diskFaultEnv          = "WAYHOLD_HARNESS_DISK_FAULT"    // file that makes all writes to the disk fail while it exists
+	diskFaultEnv          = "WAYHOLD_HARNESS_DISK_FAULT"    // path of a file; writes to storage fail while it exists
 	argumentsEnv          = "WAYHOLD_HARNESS_ARGUMENTS"     // arguments for roleCommand, one per line
 	disabledSafeguardsEnv = "WAYHOLD_HARNESS_WITHOUT"       // safeguards to disable, separated by spaces
 	configEnv             = "WAYHOLD_CONFIG"                // path of the settings file; read by the program itself
@@ -27,8 +27,8 @@
 	roleAgent   = "agent"   // subcommand of the fleet program
 	roleNode    = "node"
 	roleCommand = "tool"  // an administrator's command, with the arguments in argumentsEnv
-	rolePatch   = "patch" // the command with which an agent patches its node
-	roleVerify  = "look"  // the command with which an agent checks whether a patch was applied
+	rolePatch   = "patch" // command with which an agent patches its node
+	roleVerify  = "look"  // command with which an agent checks whether a patch was applied
 )
 
 // exitUsage is the exit status of a process whose environment variables are invalid.
@@ -36,22 +36,22 @@
 
 // FleetHooks replace or observe parts of the fleet program in tests.
 type FleetHooks struct {
-	Clock           consensus.Clock // zero value: the clock of the system
+	Clock           consensus.Clock // zero value: the system clock
 	Storage         func(consensus.Storage) consensus.Storage
 	Unsafe          lease.UnsafeOptions
 	ObserveProposal func(entry fleet.Entry, holder string) func(result fleet.Result, known bool)
 }
 
-// Programs holds the main functions of the programs, which read os.Args and return the exit status. The caller of
-// Child supplies them, so that this package does not depend on the command line.
+// Programs holds the main functions of the programs. They read os.Args and return the exit status. The caller of
+// Child supplies them, so this package doesn't depend on the command line.
 type Programs struct {
 	Node  func() int
 	Fleet func(FleetHooks) int
 }
 
-// Child runs the program for this process's role if a harness has started the process. The program uses a clock and a
-// disk that faults can disturb, and runs without the safeguards that the harness disables. In any other process
-// isChild is false, and the caller continues with its own work.
+// Child runs the program for this process's role if a harness started the process. The clock and the disk of a fleet
+// program can be disturbed by faults, and the program runs without the safeguards that the harness disables. isChild
+// is false if no harness started the process; the caller then continues with its own work.
 func Child(programs Programs) (status int, isChild bool) {
 	switch role := os.Getenv(roleEnv); role {
 	case "":
--- a/emulator/multiprocess/childfaults.go
+++ b/emulator/multiprocess/childfaults.go
@@ -14,10 +14,10 @@
 	"cobaltward/fleet/consensus"
 )
 
-// Signals with which the harness makes the clock of a process jump or run fast.
+// Signals with which the harness makes a process's clock jump or run fast.
 const (
 	clockJumpSignal = syscall.SIGUSR1
-	clockRateSignal = syscall.SIGUSR2 // the clock runs fast until the next one
+	clockRateSignal = syscall.SIGUSR2 // switches the clock between its normal and its fast rate
 )
 
 const (
@@ -30,11 +30,11 @@
 	mu      sync.Mutex
 	started time.Time
 	rate    float64
-	base    time.Duration // reading of the clock at the last signal
-	baseAt  time.Duration // real time from started to the last signal
+	base    time.Duration // time shown by the clock at the last signal
+	baseAt  time.Duration // real time between started and the last signal
 }
 
-// newFaultyClock returns a clock that reacts to signals until the process ends.
+// newFaultyClock returns a clock that reacts to the signals until the process ends.
 func newFaultyClock() consensus.Clock {
 	clock := &faultyClock{started: time.Now(), rate: 1}
 	signals := make(chan os.Signal, 8)
@@ -66,7 +66,7 @@
 	return c.now()
 }
 
-// now returns the clock's reading. The caller holds the mutex.
+// now returns the time that the clock shows. The caller holds the mutex.
 func (c *faultyClock) now() time.Duration {
 	return c.base + time.Duration(c.rate*float64(time.Since(c.started)-c.baseAt))
 }
@@ -79,7 +79,7 @@
 
 var errDiskFault = errors.New("write to storage: injected fault: no space left on device")
 
-// Save writes a batch, or fails while the fault is active.
+// Save writes a batch. It fails while the fault is active.
 func (s *faultyStorage) Save(batch *consensus.WriteBatch) error {
 	if _, err := os.Stat(s.faultFile); err == nil {
 		return errDiskFault
@@ -87,7 +87,7 @@
 	return s.Storage.Save(batch)
 }
 
-// Compact replaces entries by a snapshot, or fails while the fault is active.
+// Compact replaces entries by a snapshot. It fails while the fault is active.
 func (s *faultyStorage) Compact(snapshot *pb.Snapshot, first fleet.Position) error {
 	if _, err := os.Stat(s.faultFile); err == nil {
 		return errDiskFault
--- a/emulator/multiprocess/cluster.go
+++ b/emulator/multiprocess/cluster.go
@@ -24,7 +24,7 @@
 	errAdditionPending = errors.New("the addition of the replica is not applied yet")
 )
 
-// Client returns a client that bypasses the proxies and sends to the current addresses of the processes.
+// Client returns a client that bypasses the proxies. The client sends to the current addresses of the processes.
 func (h *Harness) Client() *agent.Client {
 	overrides := make(map[string]string)
 	for name := range h.processes {
@@ -38,7 +38,8 @@
 	}
 }
 
-// State returns the newest state that any replica reports, nil if none responds, and whether one of them leads.
+// State returns the newest state among the responses of the replicas; nil if no replica responds. hasLeader reports
+// whether one of them leads.
 func (h *Harness) State(ctx context.Context) (state *fleet.State, hasLeader bool) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -51,7 +52,8 @@
 	return state, hasLeader
 }
 
-// awaitState waits until a replica leads and the newest state satisfies met. The error names the condition.
+// awaitState waits until a replica leads and met returns true for the newest state. condition names the awaited
+// condition in the error.
 func (h *Harness) awaitState(ctx context.Context, condition string, met func(*fleet.State) bool) error {
 	for ctx.Err() == nil {
 		if state, hasLeader := h.State(ctx); state != nil && hasLeader && met(state) {
@@ -62,8 +64,8 @@
 	return fmt.Errorf("wait for %s: %w", condition, ctx.Err())
 }
 
-// addMember adds a replica to the cluster as an administrator does: it first removes a member of the same name that
-// has another ID, from before the replica lost its disk. It returns once the replica is a voter.
+// addMember adds a replica to the cluster, as an administrator does. A member with the same name and another ID stems
+// from before the replica lost its disk, and is removed first. addMember returns once the replica is a voter.
 func (h *Harness) addMember(ctx context.Context, name string) error {
 	var err error
 	for ctx.Err() == nil {
@@ -110,7 +112,7 @@
 	return errAdditionPending
 }
 
-// changeMembership sends a membership request to one replica after another until one accepts it.
+// changeMembership sends a membership request to the replicas in turn until one accepts it.
 func changeMembership(ctx context.Context, client *agent.Client, request consensus.MembershipRequest) error {
 	var err error
 	for _, address := range client.Replicas {
--- a/emulator/multiprocess/draw.go
+++ b/emulator/multiprocess/draw.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// pick draws between one and limit names from a list, and returns them sorted.
+// pick draws at least one and at most limit names from a list, and sorts them.
 func (d *faultDrawer) pick(from []string, limit int) []string {
 	count := 1 + d.rand.IntN(min(limit, len(from)))
 	var picked []string
@@ -119,7 +119,7 @@
 	return time.Duration((lo + (hi-lo)*d.rand.Float64()) * float64(time.Second)).Round(time.Millisecond)
 }
 
-// Shrink removes faults from a failing script, one after another, and keeps each removal after which the script still
+// Shrink removes faults from a failing script, one at a time. It keeps each removal after which the script still
 // fails.
 func Shrink(script *Script, fails func(*Script) bool) *Script {
 	for i := len(script.Faults) - 1; i >= 0; i-- {
--- a/emulator/multiprocess/faults.go
+++ b/emulator/multiprocess/faults.go
@@ -12,8 +12,8 @@
 	"cobaltward/fleet"
 )
 
-// injectFault waits for the start of a fault, injects it, and lifts it at its end. The index identifies the fault
-// among those of the script.
+// injectFault waits for the start of a fault, injects the fault, and lifts it at its end. index identifies the fault
+// within the script.
 func (h *Harness) injectFault(ctx context.Context, index int, fault Fault) {
 	waitUntil(ctx, h.startTime().Add(fault.At))
 	end := h.startTime().Add(fault.At + fault.Duration)
@@ -80,14 +80,14 @@
 
 func (h *Harness) repairDisks(ctx context.Context, fault Fault) {
 	for _, name := range fault.Targets {
-		_ = os.Remove(h.processes[name].diskFaultFile) // absent if it could not be written, which has failed the run
+		_ = os.Remove(h.processes[name].diskFaultFile) // absent if writing the file failed, which has already failed the run
 		h.processes[name].kill()                       // most processes exit by themselves after a disk error
 		h.restartAfterFault(ctx, name)
 	}
 }
 
-// resolveNames replaces the names of roles with the processes that have the role now, and drops a role that no
-// process has.
+// resolveNames replaces each role name with the names of the processes that currently have the role. A role without a
+// process is dropped.
 func (h *Harness) resolveNames(ctx context.Context, names []string) (resolved []string) {
 	for _, name := range names {
 		switch name {
@@ -112,14 +112,14 @@
 	return resolved
 }
 
-// leaseHolder returns the name of the process that holds the rolling-update lease; empty if none does.
+// leaseHolder returns the name of the process that holds the rolling-update lease; empty if no process holds it.
 func leaseHolder(state *fleet.State) string {
 	name, _, _ := strings.Cut(state.Leases[fleet.ResourceRollingUpdate].Holder, "/")
 	return name
 }
 
-// restartAfterFault starts a process again once no other fault keeps it down. A replica whose disk is new is added to
-// the cluster again.
+// restartAfterFault starts a process again unless another fault keeps the process down. It then adds a replica with a
+// new disk to the cluster.
 func (h *Harness) restartAfterFault(ctx context.Context, name string) {
 	p := h.processes[name]
 	if p.adjustActiveFaults(-1) > 0 || ctx.Err() != nil {
@@ -141,7 +141,7 @@
 	})
 }
 
-// damageDisk changes the disk of a stopped process in the way that the fault specifies.
+// damageDisk changes the disk of a stopped process as specified by damage.
 func (h *Harness) damageDisk(name, damage string) error {
 	dir := h.processes[name].dir
 	switch damage {
@@ -150,20 +150,20 @@
 	case diskTorn:
 		return tearDatabase(filepath.Join(dir, "council", "council.db"))
 	case diskOlder:
-		// The receiver starts without its saved state, as at its first start. The log still has the newer fencing
-		// tokens.
+		// The receiver starts without its saved state, as at its first start. The log still contains the newer
+		// fencing tokens.
 		return os.Remove(filepath.Join(dir, "receiver.json"))
 	}
 	return nil
 }
 
-// tearDatabase overwrites a part of the database, as a write that a crash cut short would. Two meta pages locate the
-// root of the tree, and each transaction overwrites the older of them. Only that page is damaged, so that no synced
-// data is lost.
+// tearDatabase overwrites a part of the database, like a write that a crash interrupts. The database has two meta
+// pages that locate the root of the tree, and each transaction overwrites the older page. Only the older page is
+// damaged, so no synced data is lost.
 func tearDatabase(path string) (err error) {
 	const (
 		pageHeader    = 16
-		transactionID = pageHeader + 48 // offset of the transaction ID, the eighth field of a meta page
+		transactionID = pageHeader + 48 // offset of the transaction ID, which is the eighth field of a meta page
 		tornOffset    = pageHeader + 8
 	)
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
--- a/emulator/multiprocess/harness.go
+++ b/emulator/multiprocess/harness.go
@@ -1,10 +1,10 @@
-// Package multiprocess is a test harness: it starts many real processes of the program on loopback, puts a
-// fault-injecting proxy on each link between two of them, injects the faults of a script, and checks the effects that
-// stand-ins for nodes receive.
+// Package multiprocess is a test harness that starts many real processes of the program on loopback. It puts a
+// fault-injecting proxy on each link over which a process sends requests. It injects the faults of a script and
+// checks the effects on the nodes.
 //
-// A process may exit by itself without failing the run. The only clock on which the harness relies is the machine's
-// monotonic clock. A process that does not respond breaks no invariant until the script has ended, its faults are
-// lifted and the recovery timeout has passed.
+// A process may exit by itself without failing the run. The harness relies on the machine's monotonic clock; only the
+// lease history has wall-clock times. A process that doesn't respond breaks no invariant before the end of the
+// script. After the script's faults are lifted, the processes have the recovery timeout to respond.
 package multiprocess
 
 import (
@@ -26,21 +26,21 @@
 
 const (
 	startTimeout    = 20 * time.Second
-	recoveryTimeout = 60 * time.Second // from the last fault until the current rolling update has to end
+	recoveryTimeout = 60 * time.Second // maximum time from the last fault to the end of the current rolling update
 	pollInterval    = 20 * time.Millisecond
 	listenAddress   = "127.0.0.1:0"
 	authToken       = "a-secret-of-the-harness"
 	tokenFile       = "token"
-	headerTimeout   = 5 * time.Second // limit for reading the headers of a request
+	headerTimeout   = 5 * time.Second // timeout for reading the headers of a request
 )
 
 // Options are the settings of a run that its script does not contain.
 type Options struct {
 	Command    []string // command line of a program that calls Child
-	SkipGuards string   // safeguards that are disabled in all processes, separated by spaces
+	SkipGuards string   // safeguards to disable in all processes, separated by spaces
 }
 
-// Harness holds the processes of a run, and the proxies and stand-ins around them.
+// Harness holds the processes of a run with their proxies and stand-ins.
 type Harness struct {
 	Messages MessageCounts
 
@@ -63,8 +63,8 @@
 	updatesEnded int
 }
 
-// Run runs a script. When it returns, everything that it started has ended. An error means that the script could not
-// be run; broken invariants are in the result.
+// Run runs a script. Everything that it starts has ended when it returns. An error means that the script could not be
+// run. Broken invariants are in the result.
 func Run(ctx context.Context, script *Script, options Options) (*Result, error) {
 	harness, err := Start(ctx, script, options)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return result, ctx.Err()
 }
 
-// Start starts all processes of a script without injecting its faults. The caller must call Close.
+// Start starts all processes of a script without injecting the script's faults. The caller must call Close.
 func Start(ctx context.Context, script *Script, options Options) (*Harness, error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -120,7 +120,7 @@
 	return h, nil
 }
 
-// start starts all processes, and waits until all replicas are members and all nodes are registered.
+// start starts all processes. It waits until all replicas are members and all nodes are registered.
 func (h *Harness) start(ctx context.Context) error {
 	var err error
 	if h.checker, err = newEffectChecker(h); err != nil {
@@ -160,7 +160,8 @@
 	})
 }
 
-// createProxies opens a proxy on each link over which a process sends requests. Replicas send no requests to agents.
+// createProxies opens a proxy on each link over which a process sends requests. Replicas send requests only to other
+// replicas.
 func (h *Harness) createProxies() error {
 	names := h.script.Names()
 	seed := h.script.Seed
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// createProcesses writes the settings files of all processes, and opens the admin APIs of the node stand-ins.
+// createProcesses writes the settings files of all processes and opens the admin APIs of the node stand-ins.
 func (h *Harness) createProcesses() error {
 	h.client = agent.NewClient(nil, make(map[string]string), authToken, nil)
 	for _, name := range h.script.Names() {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// Close ends everything that was started, and removes the files of the run.
+// Close ends everything that Start started, and removes the files of the run.
 func (h *Harness) Close() {
 	close(h.closing)
 	for _, p := range h.processes {
@@ -257,18 +258,18 @@
 	return p.currentAddress()
 }
 
-// isReplica reports whether a process is a consensus replica; all others are agents of nodes.
+// isReplica reports whether a process is a consensus replica. All other processes are agents of nodes.
 func isReplica(name string) bool { return name[0] == 'c' }
 
-// processNumber returns the number in a process's name, such as 2 for "n2". The names come from numberedNames, so
-// that Sscanf can't fail.
+// processNumber returns the number in a process's name, such as 2 for "n2". Sscanf can't fail, because the names come
+// from numberedNames.
 func processNumber(name string) (number int) {
 	_, _ = fmt.Sscanf(name[1:], "%d", &number)
 	return number
 }
 
-// canonicalAddress returns the address that the settings of all processes contain for a process. Nothing listens
-// there: each process reaches it through a proxy.
+// canonicalAddress returns the address of a process in the settings of all processes. No process listens on it: each
+// sender reaches the process through a proxy.
 func canonicalAddress(name string) string {
 	subnet := 1
 	if !isReplica(name) {
@@ -277,7 +278,7 @@
 	return net.JoinHostPort(fmt.Sprintf("127.99.%d.%d", subnet, processNumber(name)), "7600")
 }
 
-// waitUntil waits until a time, or until the context ends.
+// waitUntil waits until the given time or until the context ends.
 func waitUntil(ctx context.Context, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
--- a/emulator/multiprocess/harness_test.go
+++ b/emulator/multiprocess/harness_test.go
@@ -47,7 +47,7 @@
 
 func testOptions() Options { return Options{Command: []string{os.Args[0]}, SkipGuards: *skipGuards} }
 
-// runScript runs a script, and adds a violation if no valid order explains the lease history.
+// runScript runs a script. It adds a violation if no valid order explains the lease history.
 func runScript(t *testing.T, script *Script) *Result {
 	t.Helper()
 	result, err := Run(context.Background(), script, testOptions())
@@ -106,8 +106,8 @@
 	}
 }
 
-// Under random faults of all kinds, each node receives effects in the order of their fencing tokens, and no patch is
-// lost or applied twice.
+// TestMixedFaults_EffectsInTokenOrder checks schedules of random faults of all kinds. Each node must receive effects
+// in the order of their fencing tokens. No patch may be lost or applied twice.
 func TestMixedFaults_EffectsInTokenOrder(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
@@ -131,7 +131,7 @@
 	}
 }
 
-// Without faults, a rolling update patches each node once, and ends.
+// TestRollingUpdate_WithoutFaults checks that, without faults, a rolling update patches each node once and ends.
 func TestRollingUpdate_WithoutFaults(t *testing.T) {
 	script := &Script{
 		Title: "without faults", Seed: 1, Replicas: 3, Nodes: 4,
@@ -146,7 +146,8 @@
 	t.Log(result)
 }
 
-// The same seed draws the same script, Parse reads what TOML writes, and Shrink keeps only the faults that matter.
+// TestScripts_DrawParseAndShrink checks that a seed always draws the same script and that Parse reads the output of
+// TOML. Shrink must keep only the faults that matter.
 func TestScripts_DrawParseAndShrink(t *testing.T) {
 	script, redrawn := Draw(7, 3, 5, time.Minute), Draw(7, 3, 5, time.Minute)
 	if fmt.Sprint(script) != fmt.Sprint(redrawn) || len(script.Faults) < 5 {
@@ -173,8 +174,9 @@
 	}
 }
 
-// In rolling updates of real nodes under load, while the lease holder is killed every five seconds, each node is
-// patched once, no request is lost, no booking is executed twice, and enough nodes are always ready.
+// TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled checks rolling updates of real nodes under load. The lease
+// holder is killed every five seconds. Each node must be patched once, no request may be lost, no booking may be
+// executed twice, and enough nodes must stay ready.
 func TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/emulator/multiprocess/leasehistory.go
+++ b/emulator/multiprocess/leasehistory.go
@@ -12,15 +12,15 @@
 	"cobaltward/fleet"
 )
 
-// leaseState is the state of the lease model.
+// leaseState is a state of the lease model.
 type leaseState struct {
 	token   fleet.FencingToken // 0: no holder, or a holder that did not receive its grant
 	highest fleet.FencingToken
 }
 
-// leaseModel defines which responses the requests of several processes may get if each request takes effect at one
-// moment between its sending and its response. A lease may expire at any time without a request. A request without a
-// response may take effect at any time after its sending, or never, and so may one that the network duplicates.
+// leaseModel defines the valid responses to the lease requests of several processes. Each request takes effect at one
+// moment between its sending and its response. A request without a response may take effect at any time after its
+// sending, or never. The same holds for a duplicated request. A lease may expire at any time without a request.
 var leaseModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, output any) []any {
@@ -29,7 +29,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// nextLeaseStates returns the states that may follow a request with its response; none if the response is invalid.
+// nextLeaseStates returns the states that may follow a request with the given response; none if the response is
+// invalid.
 func nextLeaseStates(state leaseState, request, response LeaseRequest) []any {
 	free := leaseState{highest: state.highest}
 	succeeded := response.OutcomeKnown && response.Error == ""
@@ -55,16 +56,16 @@
 	case response.granted() && response.GrantedToken > state.highest: // the previous lease may have expired
 		return []any{leaseState{response.GrantedToken, response.GrantedToken}}
 	case response.granted():
-		return nil // tokens have to increase
+		return nil // tokens must increase
 	case response.OutcomeKnown: // another process holds or held the lease
 		return []any{state}
 	}
 	return []any{state, leaseState{highest: state.highest}}
 }
 
-// CheckLeaseHistory checks that the responses to the lease requests of all processes are those of a lease with one
-// holder at a time. A search that exceeds the timeout reports no violation. The error names the first token that is
-// out of order, if there is one.
+// CheckLeaseHistory checks that the responses to all lease requests are consistent with one lease holder at a time.
+// It reports no violation if the search exceeds the timeout. The error names the first token that is out of order, if
+// any.
 func CheckLeaseHistory(requests []LeaseRequest, timeout time.Duration) error {
 	history := leaseOperations(requests)
 	if porcupine.CheckOperationsTimeout(leaseModel, history, timeout) != porcupine.Illegal {
@@ -87,7 +88,7 @@
 	return fmt.Errorf("lease history: no order of the %d requests explains their responses", len(history))
 }
 
-// leaseOperations converts requests to operations of the model. It leaves out renewals without a response, which
+// leaseOperations converts requests to operations of the model. It omits renewals without a response, because they
 // change nothing in the model.
 func leaseOperations(requests []LeaseRequest) (operations []porcupine.Operation) {
 	clients := make(map[string]int)
--- a/emulator/multiprocess/leaserequests.go
+++ b/emulator/multiprocess/leaserequests.go
@@ -11,16 +11,16 @@
 	"cobaltward/fleet"
 )
 
-// LeaseRequest is a proposal to grant, renew or release a lease, as the process that proposed it recorded it. Times
-// are Unix times of the machine, in nanoseconds.
+// LeaseRequest is a proposal to grant, renew or release a lease, as recorded by the proposing process. Times are Unix
+// times of the machine, in nanoseconds.
 type LeaseRequest struct {
-	Number       uint64             `json:"n"` // sequence number among the requests of a process
+	Number       uint64             `json:"n"` // sequence number among the requests of the process
 	Holder       string             `json:"holder"`
 	Kind         fleet.Kind         `json:"kind"`
 	Resource     string             `json:"work"`
 	Token        fleet.FencingToken `json:"token"`
 	SentAt       int64              `json:"called"`
-	RespondedAt  int64              `json:"back"`  // 0: no response, or the process ended before it came
+	RespondedAt  int64              `json:"back"`  // 0: no response before the process ended
 	OutcomeKnown bool               `json:"known"` // whether the process learned the outcome of the proposal
 	GrantedToken fleet.FencingToken `json:"got"`
 	Error        string             `json:"error"`
@@ -38,7 +38,7 @@
 	number uint64
 }
 
-// newLeaseRecorder returns a recorder that appends to a file, which stays open until the process ends.
+// newLeaseRecorder returns a recorder that appends to a file. The file stays open until the process ends.
 func newLeaseRecorder(path string) (*leaseRecorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return &leaseRecorder{file: file}, nil
 }
 
-// observe records a request before it is sent, and returns a function that records it again with its response.
+// observe records a request before the request is sent. The returned function records the request again with its
+// response.
 func (r *leaseRecorder) observe(entry fleet.Entry, holder string) func(fleet.Result, bool) {
 	r.mu.Lock()
 	r.number++
@@ -79,12 +80,12 @@
 	}
 }
 
-// readLeaseRequests reads what a process recorded: each request once, with its response if there was one. It skips
-// lines that a crash cut short.
+// readLeaseRequests returns the requests that a process recorded. Each request appears once, with its response if
+// there was one. Lines that a crash cut short are skipped.
 func readLeaseRequests(path string) (requests []LeaseRequest) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil // the process recorded none
+		return nil // the process recorded no requests
 	}
 	defer func() { _ = file.Close() }()
 	indexes := make(map[string]int)
--- a/emulator/multiprocess/linkfault.go
+++ b/emulator/multiprocess/linkfault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// linkFault describes what a fault does to the messages on a link.
+// linkFault describes the effect of a fault on the messages of a link.
 type linkFault struct {
 	loseRequests, loseResponses bool
 	lossRate, duplicateRate     float64
@@ -14,7 +14,7 @@
 	flapInterval                time.Duration // all messages are lost in every other interval of this length
 }
 
-// messageFaults are the faults that one message meets.
+// messageFaults are the faults that affect one message.
 type messageFaults struct {
 	reset, stall              bool
 	loseRequest, loseResponse bool
@@ -22,8 +22,8 @@
 	delay, duplicateDelay     time.Duration
 }
 
-// combine returns the combined effect of f and other. The elapsed time of the run decides whether a flapping link
-// loses messages now.
+// combine returns the combined effect of f and other. A flapping link loses messages or not depending on elapsed, the
+// elapsed time of the run.
 func (f linkFault) combine(other linkFault, elapsed time.Duration) linkFault {
 	flapped := other.flapInterval > 0 && (elapsed/other.flapInterval)%2 == 0
 	return linkFault{
@@ -37,7 +37,7 @@
 	}
 }
 
-// drawMessageFaults draws which of the active faults one message meets.
+// drawMessageFaults draws which of the active faults affect one message.
 func (p *proxy) drawMessageFaults() messageFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +66,8 @@
 	delete(p.faults, index)
 }
 
-// InjectLinkFault injects a fault into the links between its targets and their peers until LiftLinkFault is called
-// with the same index. Without peers it affects the links to all other processes.
+// InjectLinkFault injects a fault into the links between the fault's targets and peers. The fault stays until
+// LiftLinkFault is called with the same index. A fault without peers affects the links to all other processes.
 func (h *Harness) InjectLinkFault(index int, fault Fault) {
 	peers := fault.Peers
 	if len(peers) == 0 {
@@ -86,21 +86,21 @@
 	}
 }
 
-// LiftLinkFault lifts a fault from all links.
+// LiftLinkFault lifts the fault with the given index from all links.
 func (h *Harness) LiftLinkFault(index int) {
 	for _, proxy := range h.proxies {
 		proxy.liftFault(index)
 	}
 }
 
-// onLink returns what the fault does to a link that leads from a target to a peer (outbound) or from a peer to a
-// target (inbound).
+// onLink returns the effect of the fault on a link. outbound means that the link leads from a target to a peer,
+// inbound that it leads from a peer to a target.
 func (f Fault) onLink(outbound, inbound bool) linkFault {
 	seconds := time.Duration(f.Value * float64(time.Second))
 	switch f.Kind {
 	case FaultPartition:
 		return linkFault{loseRequests: true, loseResponses: true}
-	case FaultAsymmetricPartition: // only the messages that targets send are lost
+	case FaultAsymmetricPartition: // only messages sent by targets are lost
 		return linkFault{loseRequests: outbound, loseResponses: inbound}
 	case FaultResponseLoss:
 		return linkFault{loseResponses: true}
--- a/emulator/multiprocess/measurements.go
+++ b/emulator/multiprocess/measurements.go
@@ -42,8 +42,8 @@
 	return latencies
 }
 
-// ProxyAddresses returns the addresses of the proxies through which a process reaches the others, by canonical
-// address. They stay the same when the other processes restart.
+// ProxyAddresses returns the addresses of the proxies through which a process reaches other processes, by canonical
+// address. The addresses stay the same when the other processes restart.
 func (h *Harness) ProxyAddresses(name string) map[string]string {
 	addresses := make(map[string]string)
 	for ends, proxy := range h.proxies {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return 0, err
 	}
-	const user, system = 11, 12 // indexes of fields after the command's name
+	const user, system = 11, 12 // field indexes after the command name
 	stat := string(raw)
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= system {
--- a/emulator/multiprocess/nodecommand.go
+++ b/emulator/multiprocess/nodecommand.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Paths of the effect checker to which the commands of a rolling update report.
+// Paths of the effect checker to which the patch and verify commands report.
 const (
 	patchBeginPath  = "/begin"
 	patchApplyPath  = "/replace"
@@ -16,7 +16,7 @@
 	patchVerifyPath = "/look"
 )
 
-// Exit statuses with which the commands tell the agent the outcome.
+// Exit statuses that tell the agent the outcome of a command.
 const (
 	exitApplied        = 0
 	exitNotApplied     = 1
@@ -25,13 +25,13 @@
 
 const (
 	patchDuration = 60 * time.Millisecond
-	// patchExitDelay delays the exit of the command after the patch was applied. An agent that is killed in this time
-	// has not recorded that the patch was applied.
+	// patchExitDelay delays the exit of the command after the patch was applied. An agent that is killed during this
+	// delay has not recorded the patch as applied.
 	patchExitDelay = 20 * time.Millisecond
 )
 
 // runNodeCommand stands in for the command with which an agent patches its node or checks whether a patch was
-// applied. It only reports to the effect checker.
+// applied. The stand-in only reports to the effect checker.
 func runNodeCommand(role string) (status int) {
 	if role == roleVerify {
 		return report(patchVerifyPath)
@@ -48,7 +48,7 @@
 	return status
 }
 
-// report posts the command's environment to the effect checker, and converts the response to an exit status.
+// report posts the command's environment to the effect checker. It converts the response to an exit status.
 func report(path string) (status int) {
 	form := url.Values{}
 	for _, key := range []string{"NODE", "KEY", "TOKEN", "STEP"} {
--- a/emulator/multiprocess/nodestandin.go
+++ b/emulator/multiprocess/nodestandin.go
@@ -12,11 +12,11 @@
 	"cobaltward/internal/node"
 )
 
-// standInDrainDuration is the time that the drain of a stand-in takes.
+// standInDrainDuration is the duration of a stand-in's drain.
 const standInDrainDuration = 40 * time.Millisecond
 
-// nodeStandIn is the checker's record of a node. Unless the node is a real process, it also serves the node's admin
-// API. The checker's mutex guards its state.
+// nodeStandIn is the checker's record of a node. Unless the node is a real process, the stand-in also serves the
+// node's admin API. The checker's mutex guards the stand-in's state.
 type nodeStandIn struct {
 	checker         *effectChecker
 	name            string
@@ -28,7 +28,7 @@
 	drainActive     bool // true from a drain until the node resumes
 }
 
-// addNode adds a node, and opens its admin API unless the node is a real process.
+// addNode adds a node. It opens the node's admin API unless the node is a real process.
 func (c *effectChecker) addNode(name, socket string) error {
 	added := &nodeStandIn{checker: c, name: name, disabledServers: make(map[string]bool)}
 	if c.harness.script.RequestRate == 0 {
@@ -60,7 +60,7 @@
 		n.handleDisable(w, r, false)
 	})
 	server.Handle(http.MethodGet, "/servers", func(w http.ResponseWriter, _ *http.Request) {
-		servers := map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}} // IDs by zone
+		servers := map[string][]string{"bystrica": {"b-1", "b-2"}, "nitra": {"s-7"}} // server IDs by zone
 		adminapi.WriteJSON(w, http.StatusOK, servers)
 	})
 	server.Start()
--- a/emulator/multiprocess/process.go
+++ b/emulator/multiprocess/process.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	maxLogLines        = 400 // kept for each process
+	maxLogLines        = 400 // maximum number of log lines kept for each process
 	leaseHistorySuffix = ".lease-requests"
 )
 
-// process is a named process of the run. It may be killed and started again.
+// process is a named process of the run. It can be killed and started again.
 type process struct {
 	harness       *Harness
 	name          string
 	role          string
 	dir           string
-	diskFaultFile string // while the file exists, writes to the disk fail
+	diskFaultFile string // writes to storage fail while the file exists
 
-	lifecycle sync.Mutex // held while the process is started or stopped
+	lifecycle sync.Mutex // held while the process is being started or stopped
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
@@ -50,7 +50,7 @@
 
 var listeningLine = regexp.MustCompile(`msg=listening .*address=(\S+)`)
 
-// start starts the process, and waits until it listens.
+// start starts the process and waits until it listens.
 func (p *process) start() error {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// readLog reads the process's log until its end. It keeps the last lines, and sends the address on which the process
-// listens.
+// readLog reads the process's log to its end and keeps the last lines. It sends the process's listening address to
+// listening.
 func (p *process) readLog(stderr io.Reader, listening chan<- string) {
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
@@ -116,10 +116,10 @@
 		}
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, stderr) // drains what follows a line that is too long for the scanner
+	_, _ = io.Copy(io.Discard, stderr) // drains the output after a line that is too long for the scanner
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits for it to end.
 func (p *process) kill() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -131,7 +131,7 @@
 	<-exited
 }
 
-// stop shuts the process down gracefully, and kills it if it takes longer than startTimeout.
+// stop shuts the process down gracefully. If the shutdown takes longer than startTimeout, stop kills the process.
 func (p *process) stop() {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -148,8 +148,8 @@
 	}
 }
 
-// lastCommand returns the command that was started last, nil before the first start, and a channel that is closed
-// when its process ends.
+// lastCommand returns the last started command, or nil before the first start. The channel closes when the command's
+// process ends.
 func (p *process) lastCommand() (cmd *exec.Cmd, exited <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,14 +177,14 @@
 	p.address = address
 }
 
-// currentAddress returns the address on which the process listens; empty while it is down.
+// currentAddress returns the address on which the process listens; empty while the process is down.
 func (p *process) currentAddress() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.address
 }
 
-// adjustActiveFaults changes the number of faults that keep the process down, and returns the new number.
+// adjustActiveFaults adds change to the number of faults that keep the process down. It returns the new number.
 func (p *process) adjustActiveFaults(change int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +198,7 @@
 	return slices.Clone(p.log)
 }
 
-// runCommand runs an administrator's command with the settings of a process, and returns its output.
+// runCommand runs an administrator's command with the settings of a process. It returns the command's output.
 func (h *Harness) runCommand(name string, arguments ...string) (string, error) {
 	command := h.options.Command
 	cmd := exec.Command(command[0], command[1:]...)
--- a/emulator/multiprocess/processconfig.go
+++ b/emulator/multiprocess/processconfig.go
@@ -38,8 +38,7 @@
 	return os.WriteFile(p.configPath(), []byte(text.String()), 0o600)
 }
 
-// writeAgentConfig writes an agent's zone, the leases that it may hold, and the commands with which it patches its
-// node.
+// writeAgentConfig writes an agent's zone, the leases that it may hold, and the commands that patch its node.
 func (p *process) writeAgentConfig(text *strings.Builder) {
 	script, number := p.harness.script, processNumber(p.name)
 	fmt.Fprintf(text, "zone = \"z%d\"\n", (number-1)%zones)
@@ -56,7 +55,7 @@
 	}
 }
 
-// nodeConfig is the settings file of a real node without its list of servers. The format arguments are the node's
+// nodeConfig is the settings file of a real node without the list of servers. The format arguments are the node's
 // name and the path of its admin API socket.
 const nodeConfig = `[[listen]]
 address = "127.0.0.1:0"
--- a/emulator/multiprocess/proxy.go
+++ b/emulator/multiprocess/proxy.go
@@ -25,11 +25,11 @@
 
 var errProcessDown = errors.New("the process is down")
 
-// link is a pair of processes: from sends requests, and to responds to them.
+// link is a pair of processes: from sends requests to to.
 type link struct{ from, to string }
 
-// proxy forwards the requests on one link and injects faults. A fault affects a whole message, which is a request or
-// its response.
+// proxy forwards the requests on one link and injects faults. A fault affects a whole message: a request or its
+// response.
 type proxy struct {
 	link    link
 	harness *Harness
@@ -42,8 +42,8 @@
 	rand   *rand.Rand
 }
 
-// MessageCounts counts the requests on all links and the messages that met a fault. Bytes is the size of all request
-// and response bodies.
+// MessageCounts counts the requests on all links and the messages affected by each fault. Bytes is the total size of
+// request and response bodies.
 type MessageCounts struct {
 	Requests, Bytes, LostRequests, LostResponses atomic.Int64
 	Delayed, Duplicated, Stalled, Reset          atomic.Int64
@@ -113,8 +113,8 @@
 	p.forward(w, request, body)
 }
 
-// forward sends a request to the target process and returns the response, subject to the faults that are active by
-// then.
+// forward sends a request to the target process and returns the response. It draws the faults of the response after
+// the response has arrived.
 func (p *proxy) forward(w http.ResponseWriter, request *http.Request, body []byte) {
 	response, err := p.send(request.Context(), request, body)
 	if err != nil {
@@ -147,8 +147,7 @@
 	_, _ = w.Write(responseBody) // fails if the sender has given up
 }
 
-// sendDuplicate sends a request once more after a delay, whatever the outcome of the original, and discards the
-// response.
+// sendDuplicate sends a request again after a delay, whatever the outcome of the original. It discards the response.
 func (p *proxy) sendDuplicate(request *http.Request, body []byte, delay time.Duration) {
 	select {
 	case <-time.After(delay):
--- a/emulator/multiprocess/requests.go
+++ b/emulator/multiprocess/requests.go
@@ -17,12 +17,12 @@
 	readinessTimeout  = time.Second
 	bookTimeout       = 1500 * time.Millisecond
 	searchTimeout     = 3 * time.Second
-	lossGrace         = time.Second // after its deadline a request counts as lost once this time has passed
+	lossGrace         = time.Second // time after a request's deadline until the request counts as lost
 	maxInFlight       = 4000
 	bookingFraction   = 0.4
 )
 
-// run sends requests to the ready nodes at the script's rate until the context ends. It starts once all nodes are
+// run sends requests to the ready nodes at the script's rate until the context ends. It starts after all nodes are
 // ready.
 func (t *traffic) run(ctx context.Context) {
 	var tasks sync.WaitGroup
@@ -57,8 +57,8 @@
 	}
 }
 
-// checkReadiness runs the health checks of the emulated load balancer, which sends requests only to nodes whose last
-// health check succeeded.
+// checkReadiness runs the health checks of the emulated load balancer. The balancer sends requests only to nodes
+// whose last health check succeeded.
 func (t *traffic) checkReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: readinessTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -88,7 +88,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// send sends one request to a ready node or, if that node accepts no connection, to the next one.
+// send sends one request to a ready node. If that node accepts no connection, send tries the next ready node.
 func (t *traffic) send(id string, isBooking bool, firstNode int) {
 	sentAt := time.Now()
 	t.mu.Lock()
@@ -117,8 +117,8 @@
 	}
 }
 
-// sendTo sends a request to one node. The status is 0 if no complete response arrived; connected is false if the node
-// accepted no connection, so that the request was not sent.
+// sendTo sends a request to one node. status is 0 if no complete response arrived. connected is false if the node
+// accepted no connection; the request was then not sent.
 func (t *traffic) sendTo(name, id string, isBooking bool) (status int, connected bool) {
 	method, timeout := http.MethodGet, searchTimeout
 	if isBooking {
@@ -144,7 +144,7 @@
 	return response.StatusCode, address != ""
 }
 
-// isDialError reports whether a connection could not be opened.
+// isDialError reports whether err means that a connection could not be opened.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/emulator/multiprocess/result.go
+++ b/emulator/multiprocess/result.go
@@ -12,7 +12,7 @@
 	"cobaltward/fleet/agent"
 )
 
-// maxReportedLogLines is the number of lines of each process's log that the result of a failed run contains.
+// maxReportedLogLines is the maximum number of log lines of each process in the result of a failed run.
 const maxReportedLogLines = 60
 
 // Result is the outcome of a run.
@@ -20,15 +20,15 @@
 	Script         *Script
 	Violations     []string // descriptions of the broken invariants
 	Effects        int
-	Tokens         int    // number of fencing tokens under which there were effects
-	LateEffects    int    // effects under an older token than one that another node had seen
+	Tokens         int    // number of different fencing tokens of the effects
+	LateEffects    int    // effects with a token older than the highest token at any node
 	Rejected       uint64 // effects that agents rejected
 	Patches        int
 	RollingUpdates int            // rolling updates that ended
 	Faults         map[string]int // number of injected faults by kind
-	MessageSummary string         // counts of the messages between processes
+	MessageSummary string         // counts of messages between processes
 	LeaseRequests  []LeaseRequest
-	Log            string // all effects and the last log lines; empty unless an invariant is broken
+	Log            string // all effects and the last log lines; empty if no invariant is broken
 	Traffic        string // counts of the requests to real nodes; empty for stand-ins
 }
 
@@ -44,7 +44,7 @@
 		strings.Join(faults, ", "), r.MessageSummary+r.Traffic)
 }
 
-// result gathers the counts of the run.
+// result collects the counts of the run.
 func (h *Harness) result() *Result {
 	h.mu.Lock()
 	result := &Result{Script: h.script, Faults: maps.Clone(h.injected), RollingUpdates: h.updatesEnded}
@@ -67,7 +67,7 @@
 	return result
 }
 
-// logs returns all effects, and the last log lines of each process.
+// logs returns all effects and the last log lines of each process.
 func (h *Harness) logs() string {
 	var text strings.Builder
 	if h.checker != nil {
--- a/emulator/multiprocess/script.go
+++ b/emulator/multiprocess/script.go
@@ -9,8 +9,8 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// Script defines which processes are started and which faults are injected. Replicas are named c1, c2, and so on;
-// nodes are named n1, n2, and so on. Each node has an agent, and the nodes are spread over zones.
+// Script defines the processes to start and the faults to inject. Replicas are named c1, c2, and so on; nodes are
+// named n1, n2, and so on. Each node has an agent. The nodes are spread over zones.
 type Script struct {
 	Title           string        `toml:"title"`
 	Seed            uint64        `toml:"seed"`
@@ -26,7 +26,7 @@
 	Faults          []Fault       `toml:"fault"`
 }
 
-// Fault is one fault, which begins at a time of the script and lasts for a duration.
+// Fault is one fault, with its start time in the script and its duration.
 type Fault struct {
 	At       time.Duration `toml:"at" min:"0s"`
 	Duration time.Duration `toml:"for" min:"0s" max:"1h"`
@@ -34,8 +34,8 @@
 	Kind string `toml:"kind" need:"1" one:"cut|one_way|answers|loss|delay|repeat|stall|reset|flap|kill|stop|sync|jump|rate"` //nolint:lll // a tag can't be wrapped
 
 	Targets []string `toml:"on" need:"1"`                     // names of processes or roles
-	Peers   []string `toml:"with"`                            // processes at the other link ends; empty: all others
-	Value   float64  `toml:"value" min:"0"`                   // a fraction or seconds, depending on Kind
+	Peers   []string `toml:"with"`                            // processes at the other ends of links; empty: all others
+	Value   float64  `toml:"value" min:"0"`                   // fraction or seconds, depending on Kind
 	Disk    string   `toml:"disk" one:"same|older|none|torn"` // state of the disk after a kill
 }
 
@@ -66,8 +66,8 @@
 	diskTorn  = "torn"
 )
 
-// Names of roles, which may stand among the names of processes. A role stands for the processes that have it when the
-// fault begins.
+// Names of roles, which may appear in place of process names. A role stands for the processes that have the role when
+// the fault begins.
 const (
 	leaseHolderName = "owner" // holder of the rolling-update lease
 	leaderName      = "leader"
@@ -110,7 +110,7 @@
 	return text
 }
 
-// Parse reads a script from TOML. Its errors name the line.
+// Parse reads a script from TOML. Errors name the line.
 func Parse(text []byte) (*Script, error) {
 	script := &Script{Lease: time.Second, Tick: 25 * time.Millisecond, MaxUnavailable: 1}
 	lines, err := stricttoml.Decode(text, script)
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -26,19 +26,19 @@
 	maxIdleConnsPerNode = 64
 )
 
-// traffic is a set of real nodes under load: processes of the node program, emulated app servers, and clients behind
-// an emulated load balancer that checks whether the nodes are ready.
+// traffic is a set of real nodes under load. It consists of processes of the node program, emulated app servers, and
+// clients behind an emulated load balancer that checks the readiness of the nodes.
 type traffic struct {
 	harness  *Harness
 	servers  []*servermodel.Server
 	handlers []*serverprotocol.HTTPServer
 	nodes    map[string]*process
-	clients  map[string]*http.Client // by name of the node
+	clients  map[string]*http.Client // by node name
 	inFlight sync.WaitGroup
 
 	mu         sync.Mutex
 	readyNodes []string
-	minReady   int // lowest number of ready nodes since all were ready for the first time
+	minReady   int // lowest number of ready nodes at a health check; the first check counts only if all nodes were ready
 	counts     requestCounts
 	isBooking  map[string]bool // by request ID
 	latencies  []time.Duration // latencies of the served requests
@@ -47,7 +47,7 @@
 // requestCounts counts requests by their outcome.
 type requestCounts struct {
 	sent, served, rejected, failed int
-	lost                           int // sent to a node but not answered
+	lost                           int // sent to a node without a response
 	unroutable                     int // no node accepted a connection
 }
 
@@ -58,7 +58,7 @@
 		harness: h, nodes: make(map[string]*process), clients: make(map[string]*http.Client),
 		minReady: h.script.Nodes, isBooking: make(map[string]bool),
 	}
-	h.traffic = t // set first, so that Close also stops it after an error
+	h.traffic = t // set first, because Close must stop the traffic even after an error
 	serverConfig, err := t.startServers()
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// startServers starts the app servers, and returns the part of the nodes' settings that lists them.
+// startServers starts the app servers. It returns the part of the nodes' settings that lists the servers.
 func (t *traffic) startServers() (config string, err error) {
 	var text strings.Builder
 	for i := range appServers {
@@ -120,8 +120,8 @@
 	}
 }
 
-// isDrained reports whether a node's admin API says that the node is drained. A node that does not respond has ended,
-// and counts as drained.
+// isDrained reports whether a node is drained according to its admin API. A node that doesn't respond has ended and
+// counts as drained.
 func (t *traffic) isDrained(name string) bool {
 	client, base := adminapi.NewClient(t.harness.socket(name), "", nil)
 	defer client.CloseIdleConnections()
@@ -139,7 +139,7 @@
 	return json.Unmarshal(raw, &status) == nil && status.Drain.State == drain.Drained
 }
 
-// restartNode shuts a node down gracefully and starts it again, as a patch does.
+// restartNode shuts a node down gracefully and starts it again, like a patch.
 func (t *traffic) restartNode(name string) error {
 	p := t.nodes[name]
 	if p == nil {
@@ -149,7 +149,7 @@
 	return p.start()
 }
 
-// check waits for the last responses, and returns descriptions of the broken invariants.
+// check waits for the last responses and returns descriptions of the broken invariants.
 func (t *traffic) check() (violations []string) {
 	t.inFlight.Wait()
 	t.mu.Lock()
@@ -176,7 +176,7 @@
 	return violations
 }
 
-// String returns the counts of requests, formatted as the end of the line that Result.String returns.
+// String returns the counts of requests, formatted as the end of the line from Result.String.
 func (t *traffic) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/emulator/multiprocess/updates.go
+++ b/emulator/multiprocess/updates.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// runUpdate starts a rolling update unless it is already started, and waits for its end. It returns false if the
+// runUpdate starts a rolling update unless it has already started, and waits for it to end. It returns false if the
 // context ends first.
 func (h *Harness) runUpdate(ctx context.Context, id string) bool {
 	recorded := false
@@ -57,8 +57,8 @@
 	return false
 }
 
-// proposeUpdate proposes a rolling update to one replica after another until one responds. A lost response does no
-// harm, since the next proposal has the same job ID.
+// proposeUpdate proposes a rolling update to the replicas in turn until one accepts it. A lost response does no harm,
+// because the next proposal has the same job ID.
 func (h *Harness) proposeUpdate(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, updateProposalTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	}
 }
 
-// checkUpdate compares a rolling update that has ended with the recorded effects.
+// checkUpdate compares an ended rolling update with the recorded effects.
 func (h *Harness) checkUpdate(job *fleet.Job) {
 	h.mu.Lock()
 	h.updatesEnded++
@@ -92,8 +92,8 @@
 	}
 }
 
-// awaitRecovery runs after the last fault. It starts the processes that are down, and waits for the current rolling
-// update to end. It returns descriptions of the broken invariants.
+// awaitRecovery runs after the last fault. It starts the processes that are down, resumes paused processes, and waits
+// for the current rolling update to end. It returns descriptions of the broken invariants.
 func (h *Harness) awaitRecovery(ctx context.Context) (violations []string) {
 	for _, name := range h.processNames() {
 		p := h.processes[name]
@@ -119,7 +119,7 @@
 		id, recoveryTimeout, hasLeader, text)}
 }
 
-// lastUpdateID returns the ID of the rolling update that was started last; the first ID if none was started.
+// lastUpdateID returns the ID of the last started rolling update; the first ID if none was started.
 func (h *Harness) lastUpdateID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
