--- a/emulator/plan/arrivals.go
+++ b/emulator/plan/arrivals.go
@@ -10,22 +10,22 @@
 	"cobaltward/emulator/script"
 )
 
-// Request is a client's request with the random choices that were made for it.
+// Request is a client's request with the random choices made for it.
 type Request struct {
 	Number     int
 	At         time.Duration
-	ID         string  // ID of its first attempt
+	ID         string  // ID of the first attempt
 	Class      int     // index in Script.Classes
 	Tenant     int     // index in Script.Tenants
 	Zone       string  // zone of the client
-	Node       int     // node to which a fault directs the request; -1: chosen by the balancer
+	Node       int     // node to which a fault directs the request; -1: the balancer chooses the node
 	Key        string  // idempotency key; empty if the class has none
 	CostFactor float64 // factor by which faults multiply the work
-	CostFault  int     // index of the last fault that multiplies the work; -1: none
-	OverQuota  bool    // the tenant exceeds its quota with this request
+	CostFault  int     // index of the last fault that multiplies the work; -1: no such fault
+	OverQuota  bool    // the request exceeds the tenant's quota
 }
 
-// AttemptID returns the ID of a client's n-th retry of a request; retry 0 is the first attempt.
+// AttemptID returns the ID of a client's n-th retry of the request. n is 0 for the first attempt.
 func (r *Request) AttemptID(n int) string {
 	if n == 0 {
 		return r.ID
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%s.%d", r.ID, n)
 }
 
-// Arrivals generates the requests in the order of their arrival, independently of the outcome of earlier requests. It
-// isn't safe for concurrent use.
+// Arrivals generates the requests in the order of their arrival, independently of the outcomes of earlier requests.
+// It isn't safe for concurrent use.
 type Arrivals struct {
 	plan       *Plan
 	rng        *rand.Rand
@@ -66,7 +66,8 @@
 	return arrivals
 }
 
-// trafficFactor returns the factor by which a fault multiplies the traffic at a time; 1 while the fault is inactive.
+// trafficFactor returns the factor by which a fault multiplies the traffic at the time at; 1 while the fault is
+// inactive.
 func trafficFactor(fault *script.Fault, at time.Duration) float64 {
 	if at < fault.At || at >= fault.End() {
 		return 1
@@ -78,7 +79,7 @@
 	return 1 + (fault.Factor-1)*progress
 }
 
-// demand returns the relative load of each tenant at a time, and the total rate in requests per second.
+// demand returns the relative load of each tenant and the total rate in requests per second, at the time at.
 func (a *Arrivals) demand(at time.Duration) (byTenant []float64, rate float64) {
 	source := a.plan.Script
 	base := 0.0
@@ -104,7 +105,7 @@
 	return byTenant, shapedRate(rate, source, at) * sum
 }
 
-// shapedRate returns the rate at a time after the shape of the script's traffic is applied.
+// shapedRate returns rate adjusted to the shape of the script's traffic at the time at.
 func shapedRate(rate float64, source *script.Script, at time.Duration) float64 {
 	amplitude := source.Traffic.Amplitude
 	period := source.Traffic.PeriodOf(source.Duration).Seconds()
@@ -123,12 +124,12 @@
 	return rate
 }
 
-// Next returns the next request; ok is false once there are no more.
+// Next returns the next request; ok is false after the last request.
 func (a *Arrivals) Next() (request Request, ok bool) {
 	source := a.plan.Script
 	for {
-		// Thinning: arrivals are drawn at the upper bound of the rate, and each is kept with the probability that
-		// yields the rate at its time.
+		// Thinning: arrivals are drawn at the upper bound of the rate. Each arrival is kept with the probability that
+		// yields the rate at the arrival's time.
 		a.at += time.Duration(a.rng.ExpFloat64() / (source.Traffic.Rate * a.peakFactor) * float64(time.Second))
 		if a.at >= source.Duration {
 			return Request{}, false
@@ -140,8 +141,8 @@
 	}
 }
 
-// draw returns a request that arrives at the current time. The order of the random draws must not change, or the same
-// seed would give other requests.
+// draw returns a request that arrives at the current time. The order of the random draws must not change: a seed
+// would then give other requests.
 func (a *Arrivals) draw(byTenant []float64) Request {
 	source := a.plan.Script
 	request := Request{Number: a.count, At: a.at, Node: -1, CostFactor: 1, CostFault: -1}
@@ -159,7 +160,7 @@
 	return request
 }
 
-// applyFaults applies the active faults to a request; random draws decide which of them affect it.
+// applyFaults applies the active faults to a request. Random draws decide which of these faults affect the request.
 func (a *Arrivals) applyFaults(request *Request) {
 	class := a.plan.Script.Classes[request.Class].Name
 	for i := range a.plan.Faults {
@@ -177,7 +178,7 @@
 	}
 }
 
-// takeToken takes a token of a tenant's quota; it returns false if the tenant exceeds the quota.
+// takeToken takes a token of a tenant's quota. It returns false if the tenant exceeds the quota.
 func (a *Arrivals) takeToken(tenant int) bool {
 	quota := a.plan.Settings.Tenants[tenant].Quota
 	a.tokens[tenant] = min(quota, a.tokens[tenant]+quota*(a.at-a.lastRefill[tenant]).Seconds())
@@ -189,7 +190,7 @@
 	return true
 }
 
-// weightedIndex draws an index with a probability proportional to its weight.
+// weightedIndex draws an index with a probability proportional to the index's weight.
 func weightedIndex(rng *rand.Rand, weights []float64) int {
 	return weightedIndexFunc(rng, weights, func(w float64) float64 { return w })
 }
--- a/emulator/plan/balancer.go
+++ b/emulator/plan/balancer.go
@@ -1,7 +1,7 @@
 package plan
 
-// Balancer is the load balancer in front of the nodes. It distributes clients round-robin among the nodes of their
-// zone. It isn't safe for concurrent use.
+// Balancer is the load balancer in front of the nodes. It distributes clients round-robin among the nodes of a
+// client's zone. It isn't safe for concurrent use.
 type Balancer struct {
 	next        map[string]int   // round-robin position by zone; the key "" stands for all zones
 	nodesByZone map[string][]int // node indices by zone; the key "" stands for all zones
@@ -18,11 +18,11 @@
 	return b
 }
 
-// SetDown sets whether the balancer treats a node as down and avoids it.
+// SetDown sets whether the balancer avoids a node because the node is down.
 func (b *Balancer) SetDown(node int, down bool) { b.down[node] = down }
 
-// Next returns the index of the node for a client of a zone: a node of that zone, or of any zone if those are down. It
-// returns -1 if all nodes are down.
+// Next returns the index of the node for a client of a zone. If all nodes of the zone are down, Next chooses a node
+// of any zone. It returns -1 if all nodes are down.
 func (b *Balancer) Next(zone string) int {
 	for _, z := range []string{zone, ""} {
 		for range b.nodesByZone[z] {
--- a/emulator/plan/fault.go
+++ b/emulator/plan/fault.go
@@ -8,7 +8,7 @@
 	"cobaltward/emulator/script"
 )
 
-// Fault is a fault of the script with the servers and nodes that it affects.
+// Fault is a fault of the script with the servers and nodes that the fault affects.
 type Fault struct {
 	*script.Fault
 	Index   int   // in Plan.Faults
@@ -16,13 +16,13 @@
 	Nodes   []int // indices in Plan.Nodes
 }
 
-// ActiveAt reports whether the fault is active at a time.
+// ActiveAt reports whether the fault is active at the time at.
 func (f *Fault) ActiveAt(at time.Duration) bool { return f.At <= at && at < f.End() }
 
-// reservations holds, for each index of a server, the faults that end its process.
+// reservations holds the faults that end a server's process, by server index.
 type reservations map[int][]*script.Fault
 
-// add records the servers that a fault affects, if the fault ends their processes.
+// add records the servers that a fault affects. It ignores faults that don't end processes.
 func (r reservations) add(fault *script.Fault, servers []int) {
 	if !fault.EndsProcess() {
 		return
@@ -32,15 +32,15 @@
 	}
 }
 
-// conflicts reports whether a fault can't affect a server because both it and an overlapping fault end its process.
+// conflicts reports whether fault and an overlapping reserved fault would both end the server's process.
 func (r reservations) conflicts(fault *script.Fault, server int) bool {
 	return fault.EndsProcess() && slices.ContainsFunc(r[server], func(other *script.Fault) bool {
 		return fault.At < other.End() && other.At < fault.End()
 	})
 }
 
-// drawFaults selects the servers and nodes that the faults affect. It reserves those that the script names before it
-// draws others at random, so that the draws can avoid them.
+// drawFaults selects the servers and nodes that the faults affect. It reserves the servers named in the script before
+// it draws random servers, so the draws can avoid the named servers.
 func (p *Plan) drawFaults() error {
 	faults, reserved := p.Script.Faults, make(reservations)
 	p.Faults = make([]Fault, len(faults))
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// namedTargets returns a fault with the servers and nodes that the script names for it.
+// namedTargets returns a fault with the servers and nodes that the script names for the fault.
 func (p *Plan) namedTargets(index int) Fault {
 	fault := Fault{Fault: &p.Script.Faults[index], Index: index}
 	for _, name := range fault.Fault.Servers {
@@ -72,7 +72,7 @@
 	return fault
 }
 
-// drawTargets selects servers or nodes at random for a fault that has a count or a share.
+// drawTargets selects random servers or nodes for a fault that has a count or a share.
 func (p *Plan) drawTargets(fault *Fault, reserved reservations) error {
 	if len(fault.Servers)+len(fault.Nodes) > 0 || fault.Count == 0 && fault.Share == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// targetCount returns how many servers or nodes a fault affects. all is the number of candidates.
+// targetCount returns the number of servers or nodes that a fault affects. all is the number of candidates.
 func targetCount(fault *script.Fault, all int) int {
 	if fault.Count > 0 {
 		return fault.Count
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan makes the random choices for a script: the speed of each server, the servers that a fault affects, the
-// arrival and the work of each request. The same script and seed give the same plan in virtual and in real time.
+// Package plan makes the random choices for a script: the speed of each server, the servers that a fault affects, and
+// the arrival and the work of each request. The same script and seed give the same plan in virtual and in real time.
 package plan
 
 import (
@@ -12,8 +12,8 @@
 	"cobaltward/policy"
 )
 
-// Each subject has its own stream of random numbers, so that a change in the draws for one subject doesn't affect the
-// draws for the others.
+// Each subject has its own stream of random numbers. A change in the draws for one subject then doesn't affect the
+// draws for other subjects.
 const (
 	streamServers = iota + 1
 	streamFaults
@@ -46,17 +46,17 @@
 	Weight        float64
 	Config        model.Config
 	ErrorRate     float64
-	SpeaksMsgpack bool // serves MessagePack-RPC; real time only
+	SpeaksMsgpack bool // server uses MessagePack-RPC; real time only
 }
 
 // Node describes one instance of the router.
 type Node struct {
 	Name           string
 	Zone           string
-	DiscoveryDelay time.Duration // until a change of the endpoint list reaches the node
+	DiscoveryDelay time.Duration // time until a change of the endpoint list reaches the node
 }
 
-// New returns the plan of a script. Seed 0 stands for the seed in the script.
+// New returns the plan of a script. Seed 0 selects the seed in the script.
 func New(source *script.Script, seed uint64) (*Plan, error) {
 	if seed == 0 {
 		seed = source.Seed
@@ -106,7 +106,7 @@
 	}
 }
 
-// drawConfig draws the configuration of a server. The order of the random draws must not change, or the same seed would
+// drawConfig draws the configuration of a server. The order of the random draws must not change: a seed would then
 // give another configuration.
 func drawConfig(rng *rand.Rand, kind *script.ServerKind, rules *script.Rules) model.Config {
 	cores := float64(kind.Cores)
@@ -131,8 +131,8 @@
 	}
 }
 
-// apportion distributes n items among zones in proportion to their weights, and returns the zone of each item. The
-// zones are interleaved evenly.
+// apportion distributes n items among zones in proportion to the zones' weights. It returns the zone of each item,
+// with the zones interleaved evenly.
 func apportion(n int, zones []string, weights map[string]float64) []string {
 	counts := make([]float64, len(zones))
 	all := make([]string, 0, n)
@@ -150,7 +150,7 @@
 	return all
 }
 
-// weight returns the weight of a zone. If no weights are given, every zone has the weight 1.
+// weight returns the weight of a zone. Without weights, every zone has the weight 1.
 func weight(weights map[string]float64, zone string) float64 {
 	if len(weights) == 0 {
 		return 1
--- a/emulator/plan/settings.go
+++ b/emulator/plan/settings.go
@@ -63,8 +63,8 @@
 	return settings
 }
 
-// DedupTable returns the name of the table in which a server looks up the idempotency keys of a class, and how long the
-// table remembers a key.
+// DedupTable returns the name of the table in which server looks up the idempotency keys of class. window is the time
+// for which the table remembers a key.
 func (p *Plan) DedupTable(class string, server *Server) (name string, window time.Duration) {
 	for i := range p.Settings.Classes {
 		settings := &p.Settings.Classes[i]
