--- a/emulator/realtime/agent.go
+++ b/emulator/realtime/agent.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Endpoint is a server in the JSON format of the platform's discovery protocol.
+// Endpoint is an endpoint list entry in the JSON format of the platform's discovery protocol.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"host_port"`
@@ -33,22 +33,22 @@
 
 // Agent is the discovery service of one node. Its methods are safe for concurrent use.
 type Agent interface {
-	Addr() string                  // address of the service, for the platform's configuration
+	Addr() string                  // address of the discovery service, for the platform's configuration
 	NodeConfig() string            // TOML to add to the node's own configuration
 	Update(e Endpoint)             // adds or changes a server
-	SetSilent(silent bool)         // stops or resumes sending updates to the node
-	Snapshot() ([]Endpoint, int64) // the current list, for a node that starts, and its revision
+	SetSilent(silent bool)         // stops or resumes updates to the node
+	Snapshot() ([]Endpoint, int64) // current endpoints for a node that starts, and the revision of the list
 	Stop()
 }
 
-// NewAgent starts an agent with a list of endpoints and a directory for its files. The agent calls notified for each
-// endpoint that it sends to the node, before or while it writes the endpoint.
+// NewAgent starts an agent with a list of endpoints and a directory for the agent's files. The agent calls notified
+// for each endpoint that it sends to the node, before or during the write.
 type NewAgent func(dir string, endpoints []Endpoint, notified func(id string, available bool)) (Agent, error)
 
-// maxWatchWait is the longest time for which the agent holds a request for changes.
+// maxWatchWait is the maximum time for which the agent holds a request for changes.
 const maxWatchWait = time.Minute
 
-// agent is an Agent that uses the platform's discovery protocol.
+// agent implements Agent with the platform's discovery protocol.
 type agent struct {
 	addr     string
 	server   *http.Server
@@ -58,7 +58,7 @@
 	mu        sync.Mutex
 	revision  int64
 	endpoints map[string]Endpoint
-	changedAt map[string]int64 // revision of each endpoint's last change, which may be its removal
+	changedAt map[string]int64 // revision of each endpoint's last change, including a removal
 	changes   chan struct{}    // closed and replaced at each change
 	silent    bool
 }
@@ -97,7 +97,7 @@
 	a.wakeWatches()
 }
 
-// wakeWatches makes waiting requests check the state again. The caller must hold a.mu.
+// wakeWatches makes waiting requests check the state again. The caller holds a.mu.
 func (a *agent) wakeWatches() {
 	close(a.changes)
 	a.changes = make(chan struct{})
@@ -110,8 +110,8 @@
 	a.wakeWatches()
 }
 
-// list returns the endpoints that have changed after a revision, sorted by ID, or the complete list if after is
-// negative, and the current revision. The caller must hold a.mu.
+// list returns endpoints sorted by ID, and the current revision. If after is negative, list returns all endpoints
+// that are not removed; otherwise the endpoints changed after that revision. The caller holds a.mu.
 func (a *agent) list(after int64) (all []Endpoint, revision int64) {
 	for id, endpoint := range a.endpoints {
 		complete := after < 0
@@ -129,8 +129,8 @@
 	return a.list(-1)
 }
 
-// handle answers a request for the complete list at once, and a request for changes when there are any or its wait time
-// is over.
+// handle answers a request for the complete list at once. It answers a request for changes after a change or at the
+// end of the request's wait time.
 func (a *agent) handle(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -155,7 +155,7 @@
 		}
 		select {
 		case <-changes:
-		case <-timer.C: // fires once; if the agent is silent then, it answers when the silence ends
+		case <-timer.C: // fires once; a silent agent then answers when the silence ends
 			expired = true
 		case <-r.Context().Done():
 			return
@@ -163,8 +163,8 @@
 	}
 }
 
-// parseWatch returns the revision after which a request asks for changes, or -1 if it asks for the complete list, and
-// the longest time to wait for changes.
+// parseWatch returns the revision after which a request asks for changes, or -1 if the request asks for the complete
+// list. wait is the maximum time to wait for changes.
 func parseWatch(r *http.Request) (after int64, wait time.Duration, err error) {
 	text := r.URL.Query().Get("index")
 	if text == "" {
@@ -187,5 +187,5 @@
 	for _, endpoint := range endpoints {
 		a.notified(endpoint.ID, endpoint.Phase == PhaseUp)
 	}
-	_, _ = w.Write(raw) // fails if the node was killed; after its restart it requests the list again
+	_, _ = w.Write(raw) // fails if the node was killed; after its restart the node requests the list again
 }
--- a/emulator/realtime/client.go
+++ b/emulator/realtime/client.go
@@ -13,8 +13,8 @@
 	"cobaltward/emulator/script"
 )
 
-// generateLoad sends the requests of the plan at their scheduled times, independently of the outcome of earlier
-// requests, and waits for all outcomes.
+// generateLoad sends the requests of the plan at their scheduled times, independently of the outcomes of earlier
+// requests. It returns after the last outcome.
 func (r *rehearsal) generateLoad(ctx context.Context) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -58,7 +58,7 @@
 	retryAfter time.Duration // Retry-After of a rejection; 0: none
 }
 
-// runClient sends a request, with retries, until it is answered or the client gives up.
+// runClient sends a request and its retries until the request is answered or the client gives up.
 func (r *rehearsal) runClient(ctx context.Context, request *request) {
 	_, disconnectAfter := r.plan.ClientBehavior(&request.Request)
 	for attempts := 1; ; attempts++ {
@@ -72,7 +72,8 @@
 	}
 }
 
-// awaitRetry waits until the client's next attempt is due; it returns false if the client doesn't retry or ctx is done.
+// awaitRetry waits until the client's next attempt is due. It returns false if the client doesn't retry or ctx is
+// done.
 func (r *rehearsal) awaitRetry(ctx context.Context, request *request, attempts int, outcome attemptOutcome) bool {
 	switch outcome.status {
 	case result.Rejected, result.Unreachable, result.Failed:
@@ -96,7 +97,8 @@
 	}
 }
 
-// chooseNode returns the index of the node for an attempt; -1 if the balancer knows of none that is up.
+// chooseNode returns the index of the node for an attempt. It returns -1 if all nodes are down according to the
+// balancer.
 func (r *rehearsal) chooseNode(request *request, retry int) int {
 	if request.Node >= 0 && retry == 0 {
 		return request.Node
@@ -106,8 +108,8 @@
 	return r.balancer.Next(request.Zone)
 }
 
-// attempt sends a request once; retry 0 is the first attempt. The client disconnects after the fraction disconnectAfter
-// of the attempt's timeout; 0: it waits for the whole timeout.
+// attempt sends a request once. retry is 0 for the first attempt. The client disconnects after the fraction
+// disconnectAfter of the attempt's timeout; 0: the client waits for the whole timeout.
 func (r *rehearsal) attempt(request *request, retry int, disconnectAfter float64) attemptOutcome {
 	index := r.chooseNode(request, retry)
 	if index < 0 {
@@ -145,7 +147,7 @@
 	return r.answeredOutcome(n, id, response)
 }
 
-// newRequest returns the HTTP request of an attempt, which sends it to the node at addr.
+// newRequest returns the HTTP request of an attempt to the node at addr.
 func (r *rehearsal) newRequest(
 	ctx context.Context, request *request, addr string, retry int, timeout time.Duration,
 ) (*http.Request, error) {
@@ -172,8 +174,8 @@
 	return httpRequest, nil
 }
 
-// noAnswerOutcome returns the outcome of an attempt without an answer. incarnation is that of the node at the start
-// of the attempt. left reports whether the client has disconnected.
+// noAnswerOutcome returns the outcome of an attempt without an answer. incarnation is the node's incarnation at the
+// start of the attempt. left reports whether the client has disconnected.
 func (r *rehearsal) noAnswerOutcome(request *request, node int, id string, incarnation int, left bool) attemptOutcome {
 	n := r.nodes[node]
 	_, _, currentIncarnation := n.state()
@@ -181,14 +183,14 @@
 		r.observer.clientLeft(n.spec.Name, id)
 	}
 	if left || currentIncarnation == incarnation {
-		// If the client waited for its whole timeout on a running node, the checker reports the missing answer.
+		// The checker reports the missing answer if the client waited for its whole timeout on a running node.
 		return attemptOutcome{status: result.ClientLeft, mayHaveRun: true}
 	}
 	r.addNodeFaults(request, node)
 	return attemptOutcome{status: result.Unreachable, mayHaveRun: true}
 }
 
-// answeredOutcome records an answer and returns the outcome of the attempt.
+// answeredOutcome records the answer to an attempt and returns the outcome of the attempt.
 func (r *rehearsal) answeredOutcome(n *node, id string, response *http.Response) attemptOutcome {
 	rejected := response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable
 	r.observer.answered(n.spec.Name, id, rejected)
@@ -205,7 +207,7 @@
 	return attemptOutcome{status: result.Failed, mayHaveRun: true}
 }
 
-// addNodeFaults records in a request the faults that killed its node during the request.
+// addNodeFaults records the faults that killed the request's node during the request.
 func (r *rehearsal) addNodeFaults(request *request, node int) {
 	now := r.now()
 	for i := range r.plan.Faults {
--- a/emulator/realtime/config.go
+++ b/emulator/realtime/config.go
@@ -17,7 +17,7 @@
 // milliseconds returns a duration in milliseconds, the unit of the platform's configuration.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// platformOptions are the values of a node's platform configuration that don't come from the plan.
+// platformOptions are the values of a node's platform configuration that aren't part of the plan.
 type platformOptions struct {
 	node              int
 	listen, discovery string // addresses
@@ -26,7 +26,7 @@
 	incarnation       int
 }
 
-// platformConfig returns the platform's configuration of a node, in the format of the file that ROUTER_CONFIG names.
+// platformConfig returns a node's platform configuration, in the format of the file named by ROUTER_CONFIG.
 func platformConfig(p *plan.Plan, options platformOptions) ([]byte, error) {
 	seed := p.Seed + uint64(options.node)*1000 + uint64(options.incarnation)
 	return json.Marshal(object{
@@ -80,7 +80,7 @@
 	}
 }
 
-// nodeConfig returns the start of a node's own configuration: the given TOML and the table of MessagePack servers.
+// nodeConfig returns the start of a node's own configuration: toml and the table of MessagePack servers.
 func nodeConfig(p *plan.Plan, toml string) string {
 	var kinds []string
 	for _, kind := range p.Script.ServerKinds {
--- a/emulator/realtime/control/control.go
+++ b/emulator/realtime/control/control.go
@@ -1,5 +1,5 @@
-// Package control provides discovery by xDS for rehearsals: one Envoy control plane for each node, which sends the node
-// all its endpoints.
+// Package control provides discovery by xDS for rehearsals. Each node has its own Envoy control plane, which sends
+// the node all its endpoints.
 package control
 
 import (
@@ -16,13 +16,13 @@
 	"cobaltward/emulator/realtime"
 )
 
-// cluster is the name of the only cluster, which holds all endpoints.
+// cluster is the name of the only cluster. This cluster holds all endpoints.
 const cluster = "site"
 
-// unusedAddr is an address at which no discovery service listens.
+// unusedAddr is an address without a discovery service.
 const unusedAddr = "127.0.0.1:9"
 
-// agent is a realtime.Agent that sends endpoints through a control plane.
+// agent implements realtime.Agent with an Envoy control plane.
 type agent struct {
 	plane     *standin.ControlPlane
 	bootstrap string // path of the node's bootstrap file
@@ -35,7 +35,7 @@
 	pending   []realtime.Endpoint // updates received while the agent is silent
 }
 
-// New starts an agent whose control plane serves a list of endpoints. It is a realtime.NewAgent.
+// New starts an agent whose control plane serves a list of endpoints. New has the type realtime.NewAgent.
 func New(
 	dir string, endpoints []realtime.Endpoint, notified func(id string, available bool),
 ) (realtime.Agent, error) {
@@ -59,7 +59,7 @@
 	return started, nil
 }
 
-// writeBootstrap writes an xDS bootstrap file that names the control plane at an address, and returns its path.
+// writeBootstrap writes an xDS bootstrap file that names the control plane at addr. It returns the file's path.
 func writeBootstrap(dir, addr string) (path string, err error) {
 	file, err := os.CreateTemp(dir, "bootstrap-*.json")
 	if err != nil {
@@ -70,15 +70,15 @@
 	return file.Name(), errors.Join(err, file.Close())
 }
 
-// Addr returns an address without a service: the node's own configuration makes xDS its only endpoint source.
+// Addr returns an address without a service. The node's own configuration makes xDS the node's only endpoint source.
 func (a *agent) Addr() string { return unusedAddr }
 
-// NodeConfig returns the TOML table that makes the node use the control plane.
+// NodeConfig returns the TOML table that connects the node to the control plane.
 func (a *agent) NodeConfig() string {
 	return fmt.Sprintf("[xds]\nbootstrap = %q\nalone = true\n", filepath.ToSlash(a.bootstrap))
 }
 
-// Update sends a change of a server, or keeps it for later while the agent is silent.
+// Update sends a change of a server. While the agent is silent, Update keeps the change for later.
 func (a *agent) Update(e realtime.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +91,7 @@
 	a.push()
 }
 
-// push sends all endpoints as a complete endpoint assignment. The caller must hold a.mu, unless the agent is not yet
+// push sends all endpoints as a complete endpoint assignment. The caller holds a.mu, unless the agent is not yet
 // shared.
 func (a *agent) push() {
 	a.revision++
@@ -123,7 +123,8 @@
 	return text
 }
 
-// SetSilent stops or resumes the control plane's responses. At the end of a silence it sends the pending updates.
+// SetSilent stops or resumes the control plane's responses. At the end of a silence, SetSilent sends the pending
+// updates.
 func (a *agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	a.silent = silent
--- a/emulator/realtime/fault.go
+++ b/emulator/realtime/fault.go
@@ -9,7 +9,7 @@
 	"cobaltward/emulator/script"
 )
 
-// announce reports the state of a server to discovery, which passes it on to each node after the node's discovery delay
+// announce reports the state of a server to discovery. Discovery notifies each node after the node's discovery delay
 // and the delays of active faults.
 func (r *rehearsal) announce(s *server, phase string) {
 	r.delaysMu.Lock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// crashNode kills a node. The balancer notices after the script's failure detection time.
+// crashNode kills a node. The balancer notices the crash after the script's failure detection time.
 func (r *rehearsal) crashNode(index int) {
 	n := r.nodes[index]
 	n.kill()
@@ -103,8 +103,8 @@
 	}
 }
 
-// endServerFault restarts, replaces or announces a server at the end of a fault that ended its process or removed it
-// from the endpoint list. Other faults need no action.
+// endServerFault restarts, replaces or announces a server at the end of a fault that ended the server's process or
+// removed the server from the endpoint list. Other faults need no action.
 func (r *rehearsal) endServerFault(fault *plan.Fault, target *server) error {
 	var err error
 	switch fault.Kind {
--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	startTimeout   = 20 * time.Second // limit for a started node to listen, and then again to be ready
+	startTimeout   = 20 * time.Second // timeout for a started node to listen, and again to be ready
 	readyInterval  = 10 * time.Millisecond
-	requestTimeout = time.Second // of readiness and admin requests to a node
-	maxLogLines    = 200         // last lines kept of a node's log
+	requestTimeout = time.Second // timeout for readiness and admin requests to a node
+	maxLogLines    = 200         // maximum number of log lines kept of a node
 )
 
-// node is one instance of the router, which runs in its own process.
+// node is one instance of the router. It runs in its own process.
 type node struct {
 	rehearsal *rehearsal
 	index     int
@@ -39,16 +39,16 @@
 	addr        string
 	cmd         *exec.Cmd
 	exited      chan struct{}
-	killed      bool // killed by a fault or at the end of the run; another exit is a failure
+	killed      bool // killed by a fault or at the end of the run; any other exit is a failure
 	incarnation int
 	up          bool
 	log         []string // last maxLogLines lines
 }
 
-// listening matches the log line with which a node reports its address.
+// listening matches the log line that contains a node's address.
 var listening = regexp.MustCompile(`msg=listening .*address=(\S+)`)
 
-// addNode adds a node with its discovery agent and its HTTP client, and starts it.
+// addNode adds and starts a node with its discovery agent and its HTTP client.
 func (r *rehearsal) addNode(ctx context.Context, index int) error {
 	n := &node{rehearsal: r, index: index, spec: &r.plan.Nodes[index]}
 	var endpoints []Endpoint
@@ -74,7 +74,7 @@
 	return n.start(ctx)
 }
 
-// start runs the process and waits until it is ready.
+// start starts the process and waits until the node is ready.
 func (n *node) start(ctx context.Context) error {
 	configPath, nodeConfigPath, err := n.writeConfigs()
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// writeConfigs writes the platform's configuration of the node and the node's own configuration.
+// writeConfigs writes the node's platform configuration and the node's own configuration.
 func (n *node) writeConfigs() (configPath, nodeConfigPath string, err error) {
 	r := n.rehearsal
 	endpoints, revision := n.agent.Snapshot()
@@ -136,8 +136,8 @@
 	return configPath, nodeConfigPath, os.WriteFile(nodeConfigPath, []byte(ownConfig), 0o600)
 }
 
-// followLog reads the log of a process until its end, sends the address on which it listens, and reports an exit that
-// the run did not cause.
+// followLog reads the log of a process to its end. It sends the process's listening address to addrs. It reports an
+// exit that the run did not cause.
 func (n *node) followLog(cmd *exec.Cmd, logs io.Reader, addrs chan<- string, exited chan<- struct{}) {
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
@@ -153,7 +153,7 @@
 		}
 		n.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, logs) // drain the log if the scanner stopped at a line that is too long
+	_, _ = io.Copy(io.Discard, logs) // drains the log if the scanner stopped at a line that is too long
 	err := cmd.Wait()
 	n.mu.Lock()
 	crashed := !n.killed
@@ -165,8 +165,8 @@
 	}
 }
 
-// adminConfig returns the table that enables the node's admin API, from which the level of reduced service is read;
-// empty if the node has no levels.
+// adminConfig returns the table that enables the node's admin API, which reports the level of reduced service. The
+// table is empty if the node has no levels.
 func (n *node) adminConfig() string {
 	if n.rehearsal.options.Levels == "" {
 		return ""
@@ -176,7 +176,7 @@
 
 func (n *node) adminSocket() string { return filepath.Join(n.rehearsal.dir, n.spec.Name+".sock") }
 
-// level reads the node's level of reduced service; ok is false if the node doesn't answer.
+// level returns the node's level of reduced service; ok is false if the node doesn't answer.
 func (n *node) level() (level result.Level, ok bool) {
 	client, baseURL := n.rehearsal.options.AdminClient(n.adminSocket())
 	defer client.CloseIdleConnections()
@@ -193,7 +193,7 @@
 	return result.Level{Level: status.Level, Demand: status.Demand, Slow: status.Slow}, true
 }
 
-// awaitReady waits until the node at an address reports that it is ready, and then marks it as up.
+// awaitReady waits until the node at addr is ready, and then marks the node as up.
 func (n *node) awaitReady(ctx context.Context, addr string) error {
 	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
@@ -222,7 +222,7 @@
 	return n.log[len(n.log)-1]
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits for it to end.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -236,7 +236,7 @@
 	<-exited
 }
 
-// state returns the node's address, whether it is up, and how often it has been killed.
+// state returns the node's address, whether the node is up, and the number of times it has been killed.
 func (n *node) state() (addr string, up bool, incarnation int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/emulator/realtime/observer.go
+++ b/emulator/realtime/observer.go
@@ -10,10 +10,11 @@
 	"cobaltward/emulator/result"
 )
 
-// forgetAfter is how long a finished client attempt is remembered, since attempts of its node may still reach servers.
+// forgetAfter is the time for which a finished client attempt is remembered. The node's own attempts may still reach
+// servers during this time.
 const forgetAfter = 15 * time.Second
 
-// observer passes observations from many goroutines to the checker and the recorder, which aren't safe for concurrent
+// observer passes observations from many goroutines to the checker and the recorder. Neither is safe for concurrent
 // use.
 type observer struct {
 	plan      *plan.Plan
@@ -31,11 +32,11 @@
 	at time.Duration
 }
 
-// request is a client's request with all its attempts. The observer's lock guards the fields below work.
+// request is a client's request with all its attempts. The observer's lock guards the fields after work.
 type request struct {
 	plan.Request
 	work           float64
-	startedWork    float64 // work of the last attempt that a server started
+	startedWork    float64 // work of the last attempt started by a server
 	serverAttempts int
 	faults         []int // indices of the faults that affected the request, ascending
 }
@@ -47,7 +48,7 @@
 	}
 }
 
-// restartClock makes the current time the start of the script.
+// restartClock sets the start of the script to the current time.
 func (o *observer) restartClock() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,7 +57,7 @@
 
 func (o *observer) now() time.Duration { return time.Since(o.startedAt) }
 
-// do calls f with the time since the start of the script while it holds the lock.
+// do calls f with the time since the start of the script. It holds the lock during the call.
 func (o *observer) do(f func(now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +92,7 @@
 	})
 }
 
-// attemptFinished records the end of a client's attempt, and forgets attempts that ended long ago.
+// attemptFinished records the end of a client's attempt. It forgets attempts that ended more than forgetAfter ago.
 func (o *observer) attemptFinished(id string) {
 	o.do(func(now time.Duration) {
 		o.finished = append(o.finished, finishedAttempt{id, now})
@@ -110,8 +111,8 @@
 	o.do(func(time.Duration) { o.checker.ClientLeft(node, id, 0) })
 }
 
-// serverReceived records that an attempt of a node has reached a server. It returns the client's request, or nil if it
-// is forgotten, and the number of earlier attempts for the same ID.
+// serverReceived records that an attempt of a node has reached a server. It returns the client's request, or nil if
+// the request is forgotten. attempt is the number of earlier attempts for the ID.
 func (o *observer) serverReceived(node int, id, server string, crossZone bool) (r *request, attempt int) {
 	o.do(func(now time.Duration) {
 		r, attempt = o.requests[id], o.checker.Attempts(id)
@@ -124,7 +125,8 @@
 	return r, attempt
 }
 
-// serverRejected records that a server rejected the last attempt for an ID, which proves that it did not run.
+// serverRejected records that a server rejected the last attempt for an ID. The rejection proves that the attempt did
+// not run.
 func (o *observer) serverRejected(node int, id string) {
 	o.do(func(time.Duration) { o.checker.AttemptNotRun(o.plan.Nodes[node].Name, id, o.checker.Attempts(id)-1) })
 }
@@ -157,7 +159,8 @@
 
 func (o *observer) nodeDown(node string) { o.do(func(time.Duration) { o.checker.NodeDown(node) }) }
 
-// endpointUpdated records that a node was notified that a server is available, or that it is draining or removed.
+// endpointUpdated records that a node was notified about a server. available reports whether the server accepts new
+// work; otherwise it is draining or removed.
 func (o *observer) endpointUpdated(node, server string, available bool) {
 	o.do(func(now time.Duration) { o.checker.EndpointUpdated(now, node, server, available) })
 }
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -1,6 +1,6 @@
-// Package realtime runs a plan in real time on loopback sockets: nodes are processes of the daemon, emulated servers
-// use real protocols, discovery uses the platform's protocol or xDS, and clients send an open-loop load. The
-// differences from virtual time are listed in docs/rehearse.md.
+// Package realtime runs a plan in real time on loopback sockets. Nodes are processes of the daemon. Emulated servers
+// use real protocols, discovery uses the platform's protocol or xDS, and clients send an open-loop load.
+// docs/rehearse.md lists the differences from virtual time.
 package realtime
 
 import (
@@ -24,23 +24,24 @@
 	slack             = 100 * time.Millisecond // tolerance for times observed through sockets and goroutines
 	maxServers        = 400
 	maxNodes          = 24
-	maxInFlight       = 20000                 // requests; with more the load generator can't keep up
+	maxInFlight       = 20000                 // maximum requests in flight; the load generator can't keep up with more
 	lateThreshold     = 20 * time.Millisecond // lag after which a request counts as sent late
-	maxLateShare      = 0.01                  // a larger fraction of requests sent late makes a run invalid
+	maxLateShare      = 0.01                  // maximum fraction of requests sent late in a valid run
 	overloadPoll      = 50 * time.Millisecond // interval of checks for servers that crashed under overload
 	levelPoll         = time.Second           // interval of reads of the first node's level of reduced service
 	protocolXDS       = "xds"                 // value of discovery.form
-	replacementSuffix = "r"                   // appended to the ID of a server that replaces another one
+	replacementSuffix = "r"                   // suffix of the ID of a server that replaces another server
 )
 
 // Options configure a run.
 type Options struct {
-	Command         []string // starts a node, such as `wayhold serve`; the environment names its configuration files
+	Command         []string // command that starts a node, such as `wayhold serve`; the environment names the configuration files
 	NewControlPlane NewAgent // starts an agent that uses xDS; nil if the program has no xDS
 	Levels          string   // TOML tables [service] and [[level]] for every node's configuration; empty: no levels
-	// AdminClient returns a client of the admin API on a Unix socket, and its base URL. It is needed with Levels.
+	// AdminClient returns a client of the admin API on a Unix socket, and the API's base URL. Levels require
+	// AdminClient.
 	AdminClient func(socket string) (client *http.Client, baseURL string)
-	OnProgress  func(at time.Duration) // may be nil
+	OnProgress  func(at time.Duration) // nil: no progress reports
 	OnDone      func(*plan.Request, result.Outcome)
 }
 
@@ -67,12 +68,12 @@
 	keyTables map[string]*model.KeyTable
 
 	errMu sync.Mutex
-	err   error // the first failure, which ends the run
+	err   error // first failure, which ends the run
 
 	delaysMu   sync.Mutex
-	listDelays []time.Duration // extra delays of endpoint list updates, by active faults
+	listDelays []time.Duration // extra delays of endpoint list updates by active faults
 
-	// The fields below are used only by the load generator; finish reads the counts after it has returned.
+	// Only the load generator uses the fields below. finish reads the counts after generateLoad has returned.
 	inFlight  chan struct{}
 	sentCount int
 	lateCount int
@@ -91,8 +92,8 @@
 	r.stop()
 }
 
-// Run runs a plan to its end, stops all servers and processes that it has started, and returns the result. It fails if
-// ctx is done, or if a server or node fails for another reason than a fault of the plan.
+// Run runs a plan to its end, stops all servers and processes that it has started, and returns the result. It fails
+// if ctx is done, or if a server or node fails for a reason other than a fault of the plan.
 func Run(ctx context.Context, source *plan.Plan, options Options) (*result.Result, error) {
 	if err := checkLimits(source, &options); err != nil {
 		return nil, err
@@ -126,7 +127,8 @@
 	return r.finish(), nil
 }
 
-// checkLimits returns an error if the plan is too large for real time or needs a discovery that the program lacks.
+// checkLimits returns an error if the plan is too large for real time, or if the program lacks the plan's discovery
+// protocol.
 func checkLimits(p *plan.Plan, options *Options) error {
 	if len(p.Servers) > maxServers || len(p.Nodes) > maxNodes {
 		return fmt.Errorf("%d servers and %d nodes: real time allows at most %d and %d; use virtual time",
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// start starts servers, nodes and the background tasks, and schedules the faults.
+// start starts the servers, the nodes and the background tasks. It also schedules the faults.
 func (r *rehearsal) start(ctx context.Context) error {
 	for i := range r.plan.Servers {
 		s := &server{rehearsal: r, spec: &r.plan.Servers[i], index: i}
@@ -161,11 +163,11 @@
 	if r.options.Levels != "" {
 		r.tasks.Go(r.recordLevels)
 	}
-	r.timers.Go(r.pollServers) // in timers, since it adds timers: that must not race with timers.Wait
+	r.timers.Go(r.pollServers) // in timers, because pollServers adds timers, which must not race with timers.Wait
 	return nil
 }
 
-// shutdown stops clients, nodes and servers, in the reverse order of their start.
+// shutdown closes the clients' idle connections and stops nodes and servers in the reverse order of their start.
 func (r *rehearsal) shutdown() {
 	for _, client := range r.clients {
 		client.CloseIdleConnections()
@@ -179,7 +181,7 @@
 	}
 }
 
-// finish returns the result after the last request. The run is invalid if too many requests were sent late.
+// finish returns the result after the last request. Too many requests sent late make the run invalid.
 func (r *rehearsal) finish() *result.Result {
 	if r.lateCount > int(maxLateShare*float64(r.sentCount)) {
 		r.observer.invalidate(fmt.Sprintf("the load generator sent %d of %d requests more than %v late: "+
@@ -188,7 +190,7 @@
 	return r.observer.finish()
 }
 
-// schedule calls do at a time after the start of the script, unless the run ends before.
+// schedule calls do at a time after the start of the script, unless the run ends first.
 func (r *rehearsal) schedule(at time.Duration, do func()) {
 	r.timers.Go(func() {
 		timer := time.NewTimer(time.Until(r.observer.startedAt.Add(at)))
@@ -202,7 +204,7 @@
 }
 
 // recordLevels records the first node's level of reduced service until the end of the run. While the node doesn't
-// answer, it repeats the last known level.
+// answer, recordLevels repeats the last known level.
 func (r *rehearsal) recordLevels() {
 	ticker := time.NewTicker(levelPoll)
 	defer ticker.Stop()
@@ -220,7 +222,8 @@
 	}
 }
 
-// pollServers ends the processes of servers whose model crashed under overload, until the end of the run.
+// pollServers ends the processes of servers whose model crashed under overload, and reports progress. It runs until
+// the end of the run.
 func (r *rehearsal) pollServers() {
 	ticker := time.NewTicker(overloadPoll)
 	defer ticker.Stop()
@@ -239,8 +242,8 @@
 	}
 }
 
-// newLocator returns a function that looks up the zone and the cell of a server; a replacement has those of its
-// original.
+// newLocator returns a function that looks up the zone and the cell of a server. A replacement has the zone and the
+// cell of its original.
 func newLocator(p *plan.Plan) func(id string) (zone string, cell int64) {
 	servers := make(map[string]*plan.Server)
 	for i := range p.Servers {
@@ -254,7 +257,7 @@
 	}
 }
 
-// checkerConfig returns the checker's configuration of virtual time with the tolerance that real time needs.
+// checkerConfig returns the checker's configuration for virtual time, with the tolerance for real time.
 func checkerConfig(p *plan.Plan) checker.Config {
 	config := sim.CheckerConfig(p, newLocator(p))
 	config.Slack = slack
--- a/emulator/realtime/realtime_test.go
+++ b/emulator/realtime/realtime_test.go
@@ -17,7 +17,7 @@
 // runAsNodeEnv is the environment variable that makes the test binary run as a node.
 const runAsNodeEnv = "WAYHOLD_TEST_NODE"
 
-// TestMain runs a node if runAsNodeEnv is set, so that tests can start their own binary as nodes.
+// TestMain runs a node if runAsNodeEnv is set. Tests start their own binary as nodes.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsNodeEnv) != "" {
 		os.Exit(cli.Main(cli.Extensions{}))
@@ -120,8 +120,8 @@
 for = "1s"
 `
 
-// A run with a killed node and many faults at once, in each protocol, must violate no rule and leave no goroutine, and
-// the faults must affect requests.
+// TestRun_KeepsRulesUnderFaults checks a run with a killed node and many faults at once, in each protocol. The run
+// must violate no rule and leave no goroutine, and the faults must affect requests.
 func TestRun_KeepsRulesUnderFaults(t *testing.T) {
 	t.Run("http", func(t *testing.T) { t.Parallel(); rehearse(t, site) })
 	t.Run("msgpack", func(t *testing.T) {
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -15,7 +15,8 @@
 	"cobaltward/emulator/serverprotocol"
 )
 
-// server is one server machine. It listens on a separate address for each node, which tells it the sender of a request.
+// server is one server machine. It listens on a separate address for each node, which identifies the sender of a
+// request.
 type server struct {
 	rehearsal *rehearsal
 	spec      *plan.Server
@@ -29,7 +30,7 @@
 	startedAt int64 // Unix time in milliseconds; 0: the process started before the run
 }
 
-// start starts a process, which warms up unless warm is set. A restart uses the same addresses.
+// start starts a process. The process warms up unless warm is set. A restart uses the same addresses.
 func (s *server) start(id string, warm bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// listen serves the process on the address for a node. The caller must hold s.mu.
+// listen serves requests of a node on that node's address. The caller holds s.mu.
 func (s *server) listen(node int) error {
 	source := s.rehearsal.plan
 	addr := fmt.Sprintf("127.%d.%d.%d:0", 20+node, s.index/200, s.index%200+1)
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// crash ends the process. Its connections are reset, and new connections are refused.
+// crash ends the process. It closes the listeners and the open connections.
 func (s *server) crash() {
 	s.mu.Lock()
 	listeners, backend := s.listeners, s.backend
@@ -121,7 +122,7 @@
 	s.rehearsal.announce(s, PhaseRemoved)
 }
 
-// behavior records a request of a node and returns how the server handles it under the active faults.
+// behavior records a request of a node. It returns the server's handling of the request under the active faults.
 func (s *server) behavior(node int, id string, delay time.Duration) serverprotocol.Behavior {
 	source := s.rehearsal.plan
 	s.mu.Lock()
@@ -151,8 +152,8 @@
 	return behavior
 }
 
-// applyFault applies an active fault to the behavior for a request of a node in nodeZone. It returns false if the fault
-// doesn't affect the request.
+// applyFault applies an active fault to the behavior for a request. nodeZone is the zone of the node that sent the
+// request. applyFault returns false if the fault doesn't affect the request.
 func (s *server) applyFault(fault *plan.Fault, nodeZone string, behavior *serverprotocol.Behavior) bool {
 	if fault.Kind == script.FaultZoneCut && (fault.Zone == s.spec.Zone) != (fault.Zone == nodeZone) {
 		behavior.Hang = true
@@ -184,7 +185,7 @@
 	return true
 }
 
-// endpoint returns the server's entry in the endpoint list of a node.
+// endpoint returns the server's entry in a node's endpoint list.
 func (s *server) endpoint(node int, phase string) Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,7 +195,7 @@
 	}
 }
 
-// requestID returns the ID of the request to which an attempt at a server belongs.
+// requestID returns the ID of the request to which an attempt belongs.
 func requestID(attemptID string) string {
 	id, _, _ := strings.Cut(attemptID, "/")
 	return id
@@ -203,15 +204,15 @@
 // keySeparator separates the class of a request from its idempotency key.
 const keySeparator = "\x00"
 
-// serverKeys looks up idempotency keys for one server, in the table of the server's deduplication scope for the class
-// of the request.
+// serverKeys looks up idempotency keys for one server. The table depends on the class of the request and on the
+// server's deduplication scope for that class.
 type serverKeys struct {
 	rehearsal *rehearsal
 	spec      *plan.Server
 }
 
-// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey is the class,
-// keySeparator, and the key.
+// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey consists of
+// the class, keySeparator and the key.
 func (k *serverKeys) IsDuplicate(classAndKey string, _ time.Duration) bool {
 	class, key, _ := strings.Cut(classAndKey, keySeparator)
 	name, window := k.rehearsal.plan.DedupTable(class, k.spec)
