--- a/emulator/report/compare.go
+++ b/emulator/report/compare.go
@@ -37,7 +37,7 @@
 	return err
 }
 
-// compareService returns a table row for each class, tenant and zone that is in either result.
+// compareService returns a table row for each class, tenant and zone in either result.
 func compareService(as, bs []Row) (rows []string) {
 	for _, a := range as {
 		i := slices.IndexFunc(bs, func(b Row) bool { return b.Name == a.Name })
--- a/emulator/report/page/page.go
+++ b/emulator/report/page/page.go
@@ -1,5 +1,5 @@
-// Package page writes the result of a rehearsal as an HTML page with plots over time. The page loads nothing from the
-// network.
+// Package page writes the result of a rehearsal as an HTML page with plots over time. The page loads no resources
+// from the network.
 package page
 
 import (
@@ -29,7 +29,7 @@
 	Plots  []plotData
 }
 
-// ruleData is the verdict on one rule, as the page shows it.
+// ruleData is the verdict on one rule for the page.
 type ruleData struct {
 	Rule       checker.Rule
 	Checked    int
@@ -53,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", chart.title, err)
 		}
-		// Marking the SVG as safe HTML is correct: the plot escapes names, and everything else in it is a number.
+		// The SVG is safe to mark as HTML: the plot escapes names, and all other values in the SVG are numbers.
 		data.Plots = append(data.Plots, plotData{chart.title, template.HTML(svg)})
 	}
 	return page.Execute(w, data)
--- a/emulator/report/page/plot.go
+++ b/emulator/report/page/plot.go
@@ -20,7 +20,7 @@
 
 const (
 	width, height = 24 * vg.Centimeter, 7 * vg.Centimeter
-	maxServers    = 80   // servers whose thresholds are drawn
+	maxServers    = 80   // maximum number of servers whose thresholds are drawn
 	headroom      = 1.15 // upper end of the y-axis, as a multiple of the highest value
 )
 
@@ -30,9 +30,9 @@
 	lines       []series
 }
 
-// series is a line with a value for each second; NaN stands for an unknown value.
+// series is a line with one value per second. NaN marks an unknown value.
 type series struct {
-	name   string // name in the legend; empty: not listed there
+	name   string // name in the legend; empty: not in the legend
 	values []float64
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// thresholds returns a series with the learned threshold of each server, sorted by server ID, for at most maxServers
-// servers.
+// thresholds returns a series with the learned threshold of each server, sorted by server ID. It returns at most
+// maxServers series.
 func thresholds(r *result.Result) (lines []series) {
 	byServer := make(map[string][]float64)
 	for second, samples := range r.Samples {
@@ -87,7 +87,7 @@
 	chartPlot.X.Label.Text, chartPlot.Y.Label.Text = "seconds", c.unit
 	chartPlot.Y.Min, chartPlot.Legend.Top = 0, true
 	chartPlot.Y.Max = highest(c.lines) * headroom
-	for _, fault := range r.Faults { // added before the lines, so that the lines are drawn above the shading
+	for _, fault := range r.Faults { // added first, because the lines are drawn above the shading
 		if err := addFault(chartPlot, &fault); err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 	return append([]byte("<svg"), svg...), nil
 }
 
-// highest returns the largest known value of all series, but at least 1.
+// highest returns the largest known value of all series, and at least 1.
 func highest(lines []series) float64 {
 	value := 1.0
 	for _, line := range lines {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// addSeries draws a series in the color with the given index. The line has gaps where values are unknown.
+// addSeries draws a series in the color with the given index. Unknown values leave gaps in the line.
 func addSeries(p *plot.Plot, index int, s series) error {
 	for i, points := range segments(s.values) {
 		line, err := plotter.NewLine(points)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// segments returns the points of each run of consecutive known values.
+// segments splits values into runs of consecutive known values, and returns the points of each run.
 func segments(values []float64) (all []plotter.XYs) {
 	var run plotter.XYs
 	for x, y := range values {
--- a/emulator/report/report.go
+++ b/emulator/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the result of a rehearsal as text, as JSON, or in comparison with another result. Package page
-// writes it as an HTML page with plots.
+// Package report writes the result of a rehearsal as text, as JSON, or in comparison with another result. Package
+// page writes the result as an HTML page with plots.
 package report
 
 import (
@@ -22,7 +22,7 @@
 	return encoder.Encode(r)
 }
 
-// Load reads a result from a file that JSON wrote.
+// Load reads a result from a file written by JSON.
 func Load(path string) (*result.Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return r, nil
 }
 
-// Row is the summary of a named set of requests: of all, or of a class, tenant or zone.
+// Row is the summary of a named set of requests: all requests, or those of a class, tenant or zone.
 type Row struct {
 	Name string
 	*result.Service
--- a/emulator/report/text.go
+++ b/emulator/report/text.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	maxShownViolations = 10 // violations listed for each rule
-	maxShownTargets    = 4  // servers and nodes listed for each fault
+	maxShownViolations = 10 // maximum number of violations listed for each rule
+	maxShownTargets    = 4  // maximum number of servers and nodes listed for each fault
 )
 
-// text is a buffer in which a report is built. Writes to it never fail.
+// text is a buffer that collects a report. Writes to the buffer never fail.
 type text struct{ bytes.Buffer }
 
 func (t *text) printf(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) }
 
-// table appends a table whose rows are lines with cells separated by tabs.
+// table appends a table. Each row is a line whose cells are separated by tabs.
 func (t *text) table(flags uint, rows []string) {
 	table := tabwriter.NewWriter(t, 0, 0, 2, ' ', flags)
 	_, _ = io.WriteString(table, strings.Join(rows, "\n")+"\n")
-	_ = table.Flush() // fails only if a write to the buffer does
+	_ = table.Flush() // fails only if a write to the buffer fails
 }
 
 // Text writes a result as plain text with tables.
@@ -54,7 +54,7 @@
 	return err
 }
 
-// service appends the table of outcomes of all requests and by class, tenant and zone.
+// service appends the table of outcomes: for all requests, and by class, tenant and zone.
 func (t *text) service(r *result.Result) {
 	rows := []string{"service\toffered\tin aim\tlate\trefused\tfailed\tmissed\tgave up\tworth kept\t" +
 		"in share, in aim\tp50 ms\tp99 ms\t"}
@@ -70,7 +70,7 @@
 	t.table(tabwriter.AlignRight, rows)
 }
 
-// faults appends the table of the faults with their effect on requests.
+// faults appends the table of the faults and their effects on requests.
 func (t *text) faults(r *result.Result) {
 	rows := []string{"fault\tfrom\tto\thit\trequests that met it\tserved\tmet it alone\tserved"}
 	for _, f := range r.Faults {
@@ -100,7 +100,8 @@
 	}
 }
 
-// abbreviate joins names with spaces. If there are more than maxShownTargets, it replaces the last ones by their count.
+// abbreviate joins names with spaces. It replaces the last names by their count if there are more than
+// maxShownTargets.
 func abbreviate(names []string) string {
 	if len(names) > maxShownTargets {
 		shown := maxShownTargets - 1
