--- a/emulator/result/recorder.go
+++ b/emulator/result/recorder.go
@@ -16,13 +16,13 @@
 // Outcome is the outcome of a client's request after all its attempts.
 type Outcome struct {
 	Status         Status
-	Latency        time.Duration // since the scheduled arrival of the request
+	Latency        time.Duration // time since the scheduled arrival of the request
 	ClientAttempts int
 	ServerAttempts int
 	Faults         []int // indices of the faults that affected the request, ascending
 }
 
-// Recorder collects the result of a run while it goes on. It isn't safe for concurrent use.
+// Recorder collects the result of a run during the run. It isn't safe for concurrent use.
 type Recorder struct {
 	plan       *plan.Plan
 	result     *Result
@@ -30,11 +30,11 @@
 	inFlight   int
 	usefulWork float64
 	onDone     func(request *plan.Request, outcome Outcome)
-	scratch    []byte // buffer that addToDigest reuses
+	scratch    []byte // buffer reused by addToDigest
 }
 
-// NewRecorder returns a recorder for a run of a plan. clock is "virtual" or "real". onDone, unless it is nil, is called
-// with the outcome of each request.
+// NewRecorder returns a recorder for a run of a plan. clock is "virtual" or "real". If onDone isn't nil, the recorder
+// calls onDone with the outcome of each request.
 func NewRecorder(source *plan.Plan, clock string, onDone func(*plan.Request, Outcome)) *Recorder {
 	scenario := source.Script
 	result := &Result{
@@ -68,7 +68,7 @@
 	return Fault{Label: fault.Label(), Kind: fault.Kind, From: fault.At, To: fault.End(), Targets: targets}
 }
 
-// second returns the figures of the second to which a time belongs.
+// second returns the figures of the second that contains now.
 func (r *Recorder) second(now time.Duration) *Second {
 	n := int(max(0, now) / time.Second)
 	for len(r.result.Seconds) <= n {
@@ -89,7 +89,7 @@
 // ClientAttempt records an attempt of a client at a node.
 func (r *Recorder) ClientAttempt() { r.result.ClientAttempts++ }
 
-// ServerAttempt records the n-th attempt of a node at a server, from 0, for one client attempt.
+// ServerAttempt records the n-th attempt (from 0) of a node at a server for one client attempt.
 func (r *Recorder) ServerAttempt(now time.Duration, n int, crossZone bool) {
 	r.result.ServerAttempts++
 	if n > 0 {
@@ -106,10 +106,11 @@
 // Connected records that a node opens a new connection to a server.
 func (r *Recorder) Connected() { r.result.Connections++ }
 
-// WorkStarted records the work of an attempt that a server starts to execute.
+// WorkStarted records the work of an attempt when a server starts to execute the attempt.
 func (r *Recorder) WorkStarted(work float64) { r.result.Work += work }
 
-// WorkUseful records the started work of an attempt whose answer has reached the client. The rest is wasted work.
+// WorkUseful records the started work of an attempt whose answer has reached the client. All other started work is
+// wasted.
 func (r *Recorder) WorkUseful(work float64) { r.usefulWork += work }
 
 // RequestDone records the outcome of a request.
@@ -148,7 +149,7 @@
 	_, _ = r.digest.Write(r.scratch) // a hash's Write never fails
 }
 
-// Sample records the state that the first node has learned of its servers, once a second.
+// Sample records the state that the first node has learned of its servers. It is called once a second.
 func (r *Recorder) Sample(views []policy.View) {
 	row := make([]Sample, 0, len(views))
 	for _, v := range views {
@@ -157,10 +158,10 @@
 	r.result.Samples = append(r.result.Samples, row)
 }
 
-// Level records the level of reduced service of the first node, once a second.
+// Level records the first node's level of reduced service. It is called once a second.
 func (r *Recorder) Level(level Level) { r.result.Levels = append(r.result.Levels, level) }
 
-// GeneratorLag records by how much a request was sent after its scheduled arrival.
+// GeneratorLag records the time between a request's scheduled arrival and its sending.
 func (r *Recorder) GeneratorLag(lag time.Duration) { r.result.MaxLag = max(r.result.MaxLag, lag) }
 
 // Invalidate marks the rehearsal as invalid and records the reason.
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the result of a rehearsal: the verdict, the outcomes by class, tenant and zone, the attempts and
-// the work that they took, and the figures of each second. A Recorder collects the result during the rehearsal.
+// Package result holds the result of a rehearsal: the verdict, the outcomes by class, tenant and zone, the attempts
+// and their work, and the figures of each second. A Recorder collects the result during the rehearsal.
 package result
 
 import (
@@ -17,7 +17,7 @@
 	Servers        int                 `json:"servers"`
 	Nodes          int                 `json:"nodes"`
 	Zones          []string            `json:"zones"`
-	InvalidReason  string              `json:"void,omitempty"` // why the rehearsal is invalid; empty: it is valid
+	InvalidReason  string              `json:"void,omitempty"` // reason why the rehearsal is invalid; empty: valid
 	Verdict        *checker.Verdict    `json:"verdict"`
 	All            *Service            `json:"all"`
 	Classes        map[string]*Service `json:"classes"`
@@ -25,11 +25,11 @@
 	ByZone         map[string]*Service `json:"by_zone"`
 	ClientAttempts int                 `json:"tries"`
 	ServerAttempts int                 `json:"attempts"`
-	Retries        int                 `json:"repeats"`   // server attempts after the first one of each client attempt
+	Retries        int                 `json:"repeats"`   // server attempts after the first attempt for each client attempt
 	CrossZone      int                 `json:"crossings"` // server attempts at servers outside the node's zone
 	Connections    int                 `json:"connections"`
 	Work           float64             `json:"work_s"`  // work started by servers, in seconds on a core of speed 1
-	WastedWork     float64             `json:"waste_s"` // part of Work whose answer reached no client
+	WastedWork     float64             `json:"waste_s"` // part of Work whose answers reached no client
 	OfferedWork    float64             `json:"work_offered_s"`
 	Seconds        []Second            `json:"seconds"`
 	Samples        [][]Sample          `json:"samples"`          // learned state of the first node, by second
@@ -42,7 +42,7 @@
 // Second holds the figures of one second of a rehearsal.
 type Second struct {
 	Offered   int `json:"offered"`
-	Served    int `json:"served"` // requests that arrived in this second and were served; likewise Rejected and Failed
+	Served    int `json:"served"` // served requests among those that arrived in this second; likewise Rejected and Failed
 	Rejected  int `json:"refused"`
 	Failed    int `json:"failed"` // requests neither served nor rejected
 	InFlight  int `json:"in_flight"`
@@ -50,7 +50,7 @@
 	CrossZone int `json:"crossing"` // attempts at servers outside the node's zone
 }
 
-// Sample is the state that a node has learned of a server.
+// Sample is the state that a node has learned about a server.
 type Sample struct {
 	Server    string  `json:"server"`
 	InFlight  int     `json:"in_flight"`
@@ -58,7 +58,7 @@
 	Ejected   bool    `json:"ejected,omitempty"`
 }
 
-// Level is the level of reduced service of a node, with the signals that determine it.
+// Level is a node's level of reduced service with the signals that determine the level.
 type Level struct {
 	Level  int     `json:"level"`
 	Demand float64 `json:"demand"`
@@ -78,7 +78,7 @@
 	AffectedAloneServed int           `json:"met_it_alone_and_served"`
 }
 
-// add counts a request that the fault affected. alone reports whether no other fault affected the request.
+// add counts a request that the fault affected. alone reports that no other fault affected the request.
 func (f *Fault) add(served, alone bool) {
 	f.Affected++
 	if served {
--- a/emulator/result/service.go
+++ b/emulator/result/service.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// overQuotaValue is the value of a request that exceeds its tenant's quota; the value of other requests is 1.
+// overQuotaValue is the value of a request that exceeds the tenant's quota. Other requests have the value 1.
 const overQuotaValue = 0.05
 
 // Status is the final status of a request after all its attempts.
@@ -17,7 +17,7 @@
 	Served Status = iota
 	Rejected
 	Failed      // answered with an error; the request may have run
-	Unreachable // in the last attempt no node was up, or the node crashed
+	Unreachable // no node was up at the last attempt, or the node crashed
 	ClientLeft
 	statusCount // number of statuses
 )
@@ -58,7 +58,8 @@
 	return s.Value / s.OfferedValue
 }
 
-// add counts a request with its outcome. lateValue is the fraction of the request's value that a late answer has.
+// add counts a request with its outcome. lateValue is the fraction of the request's value that remains if the answer
+// is late.
 func (s *Service) add(outcome *Outcome, overQuota, onTime bool, lateValue float64) {
 	value := 1.0
 	if overQuota {
@@ -94,18 +95,18 @@
 }
 
 const (
-	maxLatency    = int64(time.Hour / time.Microsecond) // in microseconds; longer latencies count as this
+	maxLatency    = int64(time.Hour / time.Microsecond) // in microseconds; longer latencies are recorded as maxLatency
 	latencyDigits = 2                                   // significant digits
 )
 
-// histogram records latencies in microseconds with a bounded use of memory.
+// histogram records latencies in microseconds with bounded memory.
 type histogram struct{ *hdrhistogram.Histogram }
 
 func (h histogram) add(d time.Duration) {
 	_ = h.RecordValue(min(maxLatency, max(1, d.Microseconds()))) // the value is never out of range
 }
 
-// quantile returns the q-quantile of the latencies in milliseconds; 0 if there are none.
+// quantile returns the q-quantile of the latencies in milliseconds; 0 without latencies.
 func (h histogram) quantile(q float64) float64 {
 	return float64(h.ValueAtQuantile(100*q)) / 1000
 }
