--- a/emulator/script/check.go
+++ b/emulator/script/check.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// shareTolerance is the rounding error that is allowed in a sum of shares.
+// shareTolerance is the allowed rounding error in a sum of shares.
 const shareTolerance = 1e-6
 
-// check returns an error if a value of the script is invalid or contradicts another one.
+// check returns an error if a value of the script is invalid or contradicts another value.
 func (s *Script) check() error {
 	if len(s.Network.Zones) == 0 {
 		return s.lines.Errorf("net.zones", "want one zone or more")
@@ -98,7 +98,7 @@
 	return names
 }
 
-// checkNames returns an error for the first name that is invalid or a duplicate.
+// checkNames returns an error for the first invalid or duplicate name.
 func (s *Script) checkNames(at, field string, names []string) error {
 	for i, name := range names {
 		key := fmt.Sprintf("%s[%d]%s", at, i, field)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkZones returns an error if a weight belongs to an unknown zone, or if weights are given and none is above 0.
+// checkZones returns an error if a weight belongs to an unknown zone, or if there are weights but none is above 0.
 func (s *Script) checkZones(at string, weights map[string]float64) error {
 	sum := 0.0
 	for _, zone := range sortedKeys(weights) {
@@ -130,7 +130,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// checkKnown returns an error if a name is neither empty nor one of names. what says what the name stands for.
+// checkKnown returns an error if name is neither empty nor in names. what describes the named thing in the error.
 func (s *Script) checkKnown(key, what, name string, names []string) error {
 	if name == "" || slices.Contains(names, name) {
 		return nil
--- a/emulator/script/checkfault.go
+++ b/emulator/script/checkfault.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// checkFault returns an error if the fault with the given index is invalid or contradicts an earlier one.
+// checkFault returns an error if the fault with the given index is invalid or contradicts an earlier fault.
 func (s *Script) checkFault(index int) error {
 	fault, at := &s.Faults[index], fmt.Sprintf("fault[%d]", index)
 	kind, ok := faultKinds[fault.Kind]
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// checkFaultKeys checks that a fault has all keys that its kind requires and only keys that its kind allows.
+// checkFaultKeys checks that a fault has all required keys of its kind, and only allowed keys.
 func (s *Script) checkFaultKeys(fault *Fault, at string, kind faultKind) error {
 	for _, key := range faultKeys {
 		_, present := s.lines[at+"."+key]
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// checkFaultNames checks that every zone, class, tenant, server and node that the fault names exists in the script.
+// checkFaultNames checks that the script contains every zone, class, tenant, server and node that the fault names.
 func (s *Script) checkFaultNames(fault *Fault, at string, _ faultKind) error {
 	for _, check := range []struct {
 		key, what, name string
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// checkFaultSelection checks that a fault of servers or nodes selects them in exactly one way, and that a delay of the
-// endpoint list is above 0.
+// checkFaultSelection checks that a fault of servers or nodes uses exactly one way to select them. It also checks
+// that a delay of the endpoint list is above 0.
 func (s *Script) checkFaultSelection(fault *Fault, at string, kind faultKind) error {
 	if kind.target == targetServers || kind.target == targetNodes {
 		selections := 0
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// checkFaultOverlap returns an error if the fault overlaps an earlier one with which it can't be active at the same
-// time. For servers, only selections by name are compared: the random selection avoids conflicts.
+// checkFaultOverlap returns an error if fault overlaps an earlier fault with which it can't be active at the same
+// time. Only servers selected by name are compared: the random selection avoids conflicts.
 func (s *Script) checkFaultOverlap(fault, other *Fault, at string, kind faultKind) error {
 	if !fault.overlaps(other) {
 		return nil
--- a/emulator/script/fault.go
+++ b/emulator/script/fault.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Fault describes one fault. Which of its keys are allowed depends on its kind.
+// Fault describes one fault. The kind of the fault determines the allowed keys.
 type Fault struct {
 	Name     string        `toml:"name"`
 	Kind     string        `toml:"kind" need:"1"`
 	At       time.Duration `toml:"at" need:"1" min:"0s"`
 	Duration time.Duration `toml:"for" min:"0s"`
 
-	Servers    []string `toml:"servers"` // selected by name; empty: selected at random
+	Servers    []string `toml:"servers"` // names of servers; empty: random selection
 	Count      int      `toml:"count" min:"1"`
 	Share      float64  `toml:"share" min:"0" max:"1"`
 	Zone       string   `toml:"zone"`
 	ServerKind string   `toml:"of"`
 
-	Fraction     float64       `toml:"part" min:"0" max:"1"` // fraction of requests that are affected
+	Fraction     float64       `toml:"part" min:"0" max:"1"` // fraction of affected requests
 	Factor       float64       `toml:"factor" min:"0" max:"1000"`
 	Delay        time.Duration `toml:"delay" min:"0s" max:"10m"`
 	Class        string        `toml:"class"`
 	Tenant       string        `toml:"tenant"`
 	Nodes        []string      `toml:"nodes"`
-	RampDuration time.Duration `toml:"rise" min:"0s"` // of traffic to the full factor and, at the end, back
+	RampDuration time.Duration `toml:"rise" min:"0s"` // duration of the change to the full factor, and of the change back at the end
 
 	line int
 }
@@ -64,7 +64,7 @@
 	FaultSurge         = "surge"
 )
 
-// faultKind describes the target of a kind of fault, and which keys it allows and requires. The keys name, kind, at and
+// faultKind describes the target of a kind of fault, and its allowed and required keys. The keys name, kind, at and
 // for are always allowed.
 type faultKind struct {
 	target   faultTarget
@@ -72,7 +72,7 @@
 	required []string
 }
 
-// faultKeys are the keys that depend on the kind of the fault, in the order in which they are checked.
+// faultKeys are the keys that depend on the kind of a fault, in the order of their checks.
 var faultKeys = []string{
 	"servers", "count", "share", "zone", "of", "part", "factor", "delay", "class", "tenant", "nodes", "rise", "for",
 }
@@ -111,8 +111,8 @@
 	}
 }
 
-// EndsProcess reports whether the fault ends a server's process, drains it, or removes it from the endpoint list. Two
-// such faults can't overlap at one server.
+// EndsProcess reports whether the fault ends a server's process, drains the server, or removes the server from the
+// endpoint list. Two such faults can't overlap at one server.
 func (f *Fault) EndsProcess() bool {
 	return f.Kind == FaultCrash || f.Kind == FaultReplaced || f.Kind == FaultDrain || f.Kind == FaultListWrong
 }
@@ -120,7 +120,7 @@
 // End returns the time at which the fault ends, counted from the start of the traffic.
 func (f *Fault) End() time.Duration { return f.At + f.Duration }
 
-// overlaps reports whether there is a time at which both faults are active.
+// overlaps reports whether f and other are active at the same time at any point.
 func (f *Fault) overlaps(other *Fault) bool { return f.At < other.End() && other.At < f.End() }
 
 // Label returns the name of the fault in reports.
@@ -131,10 +131,10 @@
 	return fmt.Sprintf("%s at %v", f.Kind, f.At)
 }
 
-// Line returns the number of the line at which the fault begins in the script.
+// Line returns the number of the line at which the fault starts in the script.
 func (f *Fault) Line() int { return f.line }
 
-// Errorf returns an error with the path of the script and the line and label of the fault, for errors that are found
+// Errorf returns an error with the path of the script and the line and label of the fault. It is for errors found
 // after the script was read.
 func (s *Script) Errorf(f *Fault, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s: %s", s.path, f.line, f.Label(), fmt.Sprintf(format, args...))
--- a/emulator/script/parse.go
+++ b/emulator/script/parse.go
@@ -12,7 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads the script at path. An error is one line of text with the file, the line, and what is allowed there.
+// Load reads the script at path. An error about the content is one line of text with the file, the line and the
+// allowed values.
 func Load(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +22,7 @@
 	return Parse(filepath.ToSlash(path), text)
 }
 
-// Parse reads a script from its text. Errors name path, and a relative base is relative to its directory.
+// Parse reads a script from its text. Errors name path. The path of a base is relative to the directory of path.
 func Parse(path string, text []byte) (*Script, error) {
 	script := withDefaults(path)
 	if err := script.decodeBase(text); err != nil {
@@ -39,7 +40,7 @@
 	return script, nil
 }
 
-// withDefaults returns a script with the defaults of all tables that occur once.
+// withDefaults returns a script with the defaults of all tables that occur at most once.
 func withDefaults(path string) *Script {
 	return &Script{
 		Title: strings.TrimSuffix(filepath.Base(path), ".toml"), Seed: 1, path: path,
@@ -62,7 +63,8 @@
 	}
 }
 
-// decodeBase decodes the base of a script, if its text names one, into s, except for the base's title and faults.
+// decodeBase decodes the base of a script into s, except for the base's title and faults. It does nothing if text
+// names no base.
 func (s *Script) decodeBase(text []byte) error {
 	base := baseOf(text)
 	if base == "" {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// baseOf returns the path of the base that a script names; empty if it names none.
+// baseOf returns the path of the base named in a script; empty if the script has no base.
 func baseOf(text []byte) string {
 	var b struct {
 		Base string `toml:"base"`
@@ -99,8 +101,8 @@
 	return b.Base
 }
 
-// fillDefaults sets the defaults of list items and of keys whose default depends on other keys, and the lines of the
-// faults.
+// fillDefaults sets the defaults of list items, and of keys whose default depends on other keys. It also sets the
+// lines of the faults.
 func (s *Script) fillDefaults() {
 	for i := range s.ServerKinds {
 		s.ServerKinds[i].fillDefaults()
@@ -131,7 +133,7 @@
 	}
 }
 
-// setDefault sets an unset range to a single value.
+// setDefault sets an unset range to the single value.
 func setDefault(r *stricttoml.Range, value float64) {
 	if *r == (stricttoml.Range{}) {
 		*r = stricttoml.Range{Lo: value, Hi: value}
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -1,5 +1,5 @@
-// Package script reads the scripts of rehearsals. A script describes a site, its traffic, and the faults that occur in
-// it. The format is described in docs/rehearse.md.
+// Package script reads the scripts of rehearsals. A script describes a site, its traffic and its faults.
+// docs/rehearse.md describes the format.
 package script
 
 import (
@@ -9,7 +9,7 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// Script is the script of a rehearsal. Times in it count from the start of the traffic.
+// Script is the script of a rehearsal. Its times count from the start of the traffic.
 type Script struct {
 	Title        string        `toml:"title"`
 	Base         string        `toml:"base"` // path of a script to override: tables by key, lists as a whole
@@ -32,13 +32,13 @@
 	path  string
 }
 
-// Network describes the network. All delays are one-way delays.
+// Network describes the network. All delays are one-way.
 type Network struct {
 	Zones          []string      `toml:"zones"`
 	SameZoneDelay  time.Duration `toml:"same" min:"0s" max:"1s"`
 	CrossZoneDelay time.Duration `toml:"cross" min:"0s" max:"1s"`
 	ClientDelay    time.Duration `toml:"client" min:"0s" max:"1s"`
-	Jitter         float64       `toml:"jitter" min:"0" max:"1"` // largest extra delay, as a fraction of the delay
+	Jitter         float64       `toml:"jitter" min:"0" max:"1"` // maximum extra delay, as a fraction of the delay
 	ConnectTimeout time.Duration `toml:"connect" min:"1ms" max:"10s"`
 	HandshakeRTTs  int           `toml:"handshake_rtts" min:"1" max:"4"`
 }
@@ -46,7 +46,7 @@
 // Nodes describes the instances of the router.
 type Nodes struct {
 	Count            int           `toml:"count" min:"1" max:"200"`
-	FailureDetection time.Duration `toml:"notice" min:"0s" max:"1m"` // until the load balancer avoids a dead node
+	FailureDetection time.Duration `toml:"notice" min:"0s" max:"1m"` // time until the load balancer avoids a dead node
 	MaxConns         int           `toml:"max_conns" min:"1"`        // connections of one node to all servers
 	MaxOpen          int           `toml:"max_open" min:"1"`         // requests in flight at one node
 }
@@ -54,9 +54,9 @@
 // Discovery describes how changes of the endpoint list reach the nodes.
 type Discovery struct {
 	Delay    time.Duration `toml:"delay" min:"0s" max:"1m"`
-	Spread   time.Duration `toml:"spread" min:"0s" max:"1m"` // largest random extra delay of a node
+	Spread   time.Duration `toml:"spread" min:"0s" max:"1m"` // maximum random extra delay of a node
 	Protocol string        `toml:"form" one:"own|xds"`       // real time only; own: the platform's protocol
-	// SilenceTimeout is the time after which a server that sends nothing is removed from the endpoint list; 0: never.
+	// SilenceTimeout is the time after which a silent server is removed from the endpoint list; 0: never.
 	SilenceTimeout time.Duration `toml:"silent" min:"0s" max:"1h"`
 }
 
@@ -64,7 +64,7 @@
 type ServerKind struct {
 	Name            string             `toml:"name" need:"1"`
 	Count           int                `toml:"count" need:"1" min:"1" max:"5000"`
-	Zones           map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: all the same
+	Zones           map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: equal weights
 	Cores           int                `toml:"cores" min:"1" max:"256"`
 	Speed           stricttoml.Range   `toml:"speed" min:"0.001" max:"1000"`
 	Slots           stricttoml.Range   `toml:"slots" min:"0.01" max:"1000"`   // per core
@@ -86,7 +86,7 @@
 	Protocol        string             `toml:"protocol" one:"http|msgpack"` // real time only
 }
 
-// Class describes a class of requests: its work, its time limits, and whether and where it may be retried.
+// Class describes a class of requests: their work, their time limits, and the conditions for retries.
 type Class struct {
 	Name               string        `toml:"name" need:"1"`
 	Share              float64       `toml:"share" need:"1" min:"0"`
@@ -117,15 +117,15 @@
 
 // Traffic describes the open-loop load that clients offer.
 type Traffic struct {
-	Rate float64 `toml:"rate" need:"1" min:"0.1" max:"1000000"` // first attempts per second, of all tenants
-	// Quota is the sum of all quotas in requests per second, which the tenants' shares divide; 0: the same as Rate.
+	Rate float64 `toml:"rate" need:"1" min:"0.1" max:"1000000"` // first attempts per second of all tenants
+	// Quota is the sum of all quotas in requests per second. The tenants' shares divide it; 0: same as Rate.
 	Quota float64            `toml:"quota" min:"0"`
-	Zones map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: all the same
+	Zones map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: equal weights
 	Shape string             `toml:"shape" one:"steady|wave|ramp|square"`
-	// Period is the period of the shapes wave and square; 0: half of the script's duration.
+	// Period is the period of the shapes wave and square; 0: half the script's duration.
 	Period time.Duration `toml:"period" min:"100ms" max:"1h"`
-	// Amplitude is the largest relative change of the rate in the shapes wave and square. The shape ramp goes from
-	// 1 - Amplitude to 1 + Amplitude times the rate.
+	// Amplitude is the maximum relative change of the rate in the shapes wave and square. The shape ramp goes from 1
+	// - Amplitude to 1 + Amplitude times the rate.
 	Amplitude float64 `toml:"swing" min:"0" max:"1"`
 }
 
@@ -137,19 +137,19 @@
 	return duration / 2
 }
 
-// Clients describes how long clients wait and when they retry. Fractions are between 0 and 1.
+// Clients describes the timeouts and the retries of clients. Fractions are between 0 and 1.
 type Clients struct {
 	Retries                int           `toml:"retries" min:"0" max:"10"`
 	AttemptTimeoutFraction float64       `toml:"try_share" min:"0.05" max:"1"` // timeout as a fraction of the deadline
 	Backoff                string        `toml:"backoff" one:"none|fixed|exponential"`
 	BackoffDelay           time.Duration `toml:"wait" min:"0s" max:"1m"`
 	HonorFraction          float64       `toml:"honour" min:"0" max:"1"`        // clients that obey Retry-After
-	MaxRetryAfter          time.Duration `toml:"max_retry_after" min:"0s"`      // longest Retry-After that clients obey
+	MaxRetryAfter          time.Duration `toml:"max_retry_after" min:"0s"`      // maximum Retry-After that clients obey
 	EarlyLeaveFraction     float64       `toml:"impatient" min:"0" max:"1"`     // requests whose client disconnects early
 	DuplicateIDFraction    float64       `toml:"duplicate_ids" min:"0" max:"1"` // attempts sent twice with the same ID
 }
 
-// Capabilities lists what the site allows nodes to do.
+// Capabilities lists the actions that the site allows nodes to take.
 type Capabilities struct {
 	Cancel      bool          `toml:"cancel"`
 	Hedge       bool          `toml:"second_copies"`
@@ -158,7 +158,7 @@
 	ConnIdle    time.Duration `toml:"conn_idle" min:"1s" max:"1h"`
 }
 
-// Rules holds the parameters of the platform's four rules, against which the checker checks a run.
+// Rules holds the parameters of the platform's four rules. The checker checks each run against these rules.
 type Rules struct {
 	DrainGrace       time.Duration `toml:"drain_grace" min:"0s"`
 	OverloadFactor   float64       `toml:"fall_multiple" min:"1"`
@@ -166,7 +166,7 @@
 	AnswerGrace      time.Duration `toml:"answer_grace" min:"0s"`
 }
 
-// ServerNames returns the names by which faults select servers: s-0001, s-0002 and so on.
+// ServerNames returns the server names that faults can select: s-0001, s-0002 and so on.
 func (s *Script) ServerNames() (all []string) {
 	for _, kind := range s.ServerKinds {
 		for range kind.Count {
@@ -176,7 +176,7 @@
 	return all
 }
 
-// NodeNames returns the names by which faults select nodes: n1, n2 and so on.
+// NodeNames returns the node names that faults can select: n1, n2 and so on.
 func (s *Script) NodeNames() (all []string) {
 	for i := range s.Nodes.Count {
 		all = append(all, fmt.Sprintf("n%d", i+1))
--- a/emulator/script/script_test.go
+++ b/emulator/script/script_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// errorCase is a change of a valid script that makes it invalid.
+// errorCase is a change that makes a valid script invalid.
 type errorCase struct {
 	change func(string) string
 	line   int      // line number in the error; 0: not checked
@@ -37,7 +37,8 @@
 	return func(s string) string { return strings.Replace(s, from, to, 1) }
 }
 
-// check parses the changed script and checks the error, which must be a single line that begins with the file's name.
+// check parses the changed script and checks the error. The error must be a single line that starts with the file's
+// name.
 func (c *errorCase) check(t *testing.T, valid string) {
 	t.Helper()
 	text := c.change(valid)
