--- a/emulator/servermodel/server.go
+++ b/emulator/servermodel/server.go
@@ -1,4 +1,4 @@
-// Package servermodel runs a model of a server on the wall clock: callers wait for the completion of their requests.
+// Package servermodel runs a model of a server on the wall clock. Callers wait for the completion of their requests.
 // Simulations in virtual time advance the model themselves and don't need this package.
 package servermodel
 
@@ -10,24 +10,24 @@
 	"cobaltward/emulator/model"
 )
 
-// ErrServerDown is returned by Do if a request may have run but did not complete: the server crashed or stopped, or
-// the request was cancelled.
+// ErrServerDown is returned by Do if a request may have run but did not complete. Either the server crashed or
+// stopped, or the request was cancelled.
 var ErrServerDown = errors.New("server down")
 
 // Server is one emulated server. Its methods are safe for concurrent use: a single goroutine owns the model and
-// executes their commands.
+// executes the commands of all methods.
 type Server struct {
 	commands  chan func(now time.Duration)
 	stop      chan struct{}
 	tasks     sync.WaitGroup
 	startedAt time.Time
 
-	// Only the goroutine of run uses these fields until it ends.
+	// Until run returns, only the goroutine of run uses the fields below.
 	state   *model.Server
 	waiters map[string]chan model.Completion // by request ID
 }
 
-// Start starts a server with the given configuration. Several servers may share a group; without a group, duplicates
+// Start starts a server with the given configuration. Several servers may share a group. If group is nil, duplicates
 // are not discarded.
 func Start(c model.Config, group *Group) *Server {
 	var dedup model.Deduplicator
@@ -37,8 +37,8 @@
 	return StartObserved(c, dedup, nil)
 }
 
-// StartObserved is Start with any deduplicator. If onExecution is not nil it is called for each execution, and the
-// server keeps no record of executions itself. onExecution must not call the server.
+// StartObserved is Start with any deduplicator. If onExecution isn't nil, the server calls it for each execution and
+// keeps no record of executions. onExecution must not call the server.
 func StartObserved(c model.Config, dedup model.Deduplicator, onExecution func(model.Execution)) *Server {
 	s := &Server{
 		commands: make(chan func(time.Duration)), stop: make(chan struct{}), startedAt: time.Now(),
@@ -52,7 +52,7 @@
 	return s
 }
 
-// run advances the model at each completion and each command, until Stop.
+// run advances the model at each completion and each command until Stop is called.
 func (s *Server) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -79,7 +79,7 @@
 	}
 }
 
-// deliver passes completions to the callers of Do that wait for them.
+// deliver passes completions to the waiting callers of Do.
 func (s *Server) deliver(all []model.Completion) {
 	for _, c := range all {
 		if w := s.waiters[c.ID]; w != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// execute runs a function on the goroutine that owns the model; it returns false if that goroutine has ended.
+// execute calls do on the goroutine that owns the model. It returns false if that goroutine has ended.
 func (s *Server) execute(do func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
@@ -101,8 +101,9 @@
 	}
 }
 
-// Do sends the server a request and waits for its completion, or cancels it once cancelled is closed. An admission
-// other than model.Accepted means that the request never runs, and ErrServerDown that it may have run.
+// Do sends the server a request and waits for the request's completion. It cancels the request when cancelled is
+// closed. An admission other than model.Accepted means that the request never runs. ErrServerDown means that the
+// request may have run.
 func (s *Server) Do(r model.Request, cancelled <-chan struct{}) (model.Completion, model.Admission, error) {
 	admission, completion := model.Down, make(chan model.Completion, 1)
 	s.execute(func(now time.Duration) {
@@ -128,12 +129,12 @@
 	}
 }
 
-// Crash simulates a crash: the requests of the server are lost, and it stays down.
+// Crash simulates a crash. The server loses its requests and stays down.
 func (s *Server) Crash() {
 	s.execute(func(now time.Duration) { s.state.Stop(now) })
 }
 
-// Connect opens a connection, or returns false if the server is at its connection limit or down.
+// Connect opens a connection. It returns false if the server is down or at its connection limit.
 func (s *Server) Connect() (ok bool) {
 	s.execute(func(now time.Duration) { ok = s.state.Connect(now) })
 	return ok
@@ -151,13 +152,14 @@
 	return down
 }
 
-// OverloadingRequests returns the IDs of the requests that overloaded a warming server; empty if none did.
+// OverloadingRequests returns the IDs of the requests that overloaded a warming server. It is empty if the server was
+// not overloaded.
 func (s *Server) OverloadingRequests() (ids []string) {
 	s.execute(func(time.Duration) { ids = s.state.OverloadingRequests() })
 	return ids
 }
 
-// Load returns the values of a load report: the requests in flight, how many of them are queued, and the busy
+// Load returns the values of a load report: the requests in flight, the queued requests among them, and the busy
 // fraction of the cores.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	s.execute(func(time.Duration) { inflight, queue, util = s.state.Load() })
@@ -179,7 +181,7 @@
 	return all
 }
 
-// Stop ends the server as Crash does and waits for its goroutine. It must be called once.
+// Stop ends the server like Crash and waits for its goroutine. Stop must be called exactly once.
 func (s *Server) Stop() {
 	close(s.stop)
 	s.tasks.Wait()
