--- a/emulator/serverprotocol/behavior.go
+++ b/emulator/serverprotocol/behavior.go
@@ -1,5 +1,5 @@
-// Package serverprotocol serves an emulated server over the protocols that nodes use: HTTP/1.1, with headers such as
-// X-Request-Id and X-Not-Run, and MessagePack-RPC.
+// Package serverprotocol serves an emulated server over the protocols that nodes use. The protocols are
+// MessagePack-RPC and HTTP/1.1 with headers such as X-Request-Id and X-Not-Run.
 package serverprotocol
 
 import (
@@ -12,29 +12,30 @@
 	"cobaltward/emulator/servermodel"
 )
 
-// WorkFunc returns the work of a request, in seconds of a core of speed 1, by its path and ID.
+// WorkFunc returns the work of a request, in seconds of a core of speed 1, from the request's path and ID.
 type WorkFunc func(target, id string) float64
 
-// Behavior defines how the server treats one request. The zero value answers without work.
+// Behavior defines how the server handles one request. The zero value answers without work.
 type Behavior struct {
 	Work         float64       // seconds of a core of speed 1
-	ID           string        // ID in the record of executions; empty: that of the request
-	Key          string        // idempotency key; empty: that of the request
+	ID           string        // ID in the record of executions; empty: ID of the request
+	Key          string        // idempotency key; empty: key of the request
 	NetworkDelay time.Duration // delay in each direction
-	Fail         bool          // answered with an error, although the request may have been executed
+	Fail         bool          // answered with an error, even if the request was executed
 	Hang         bool          // read but never answered
 	Reset        bool          // the connection is reset after the last byte of the request, which still runs
 	Truncate     bool          // the connection is closed in the middle of the answer
 	Malform      bool          // the framing of the answer is invalid
 }
 
-// BehaviorFunc returns the behavior for a request by its path and ID. It is called after the last byte has arrived.
+// BehaviorFunc returns the behavior for a request from the request's path and ID. It is called after the request's
+// last byte has arrived.
 type BehaviorFunc func(target, id string) Behavior
 
 // Options configure a protocol server.
 type Options struct {
 	Behavior   BehaviorFunc
-	OnRejected func(id string) // called for each request that the server rejects; may be nil
+	OnRejected func(id string) // called for each request that the server rejects; nil: not called
 	LoadFields []string        // values of the load report in answers: inflight, queue, util; nil: no report
 }
 
@@ -65,8 +66,8 @@
 	}
 }
 
-// plainBehavior returns a function that does the work of each request, or fails the request if fails is not nil and
-// returns true.
+// plainBehavior returns a function that does the work of each request. The function fails a request if fails isn't
+// nil and returns true.
 func plainBehavior(work WorkFunc, fails func() bool) BehaviorFunc {
 	return func(target, id string) Behavior {
 		behavior := Behavior{Work: work(target, id)}
@@ -77,7 +78,7 @@
 	}
 }
 
-// request returns the model's form of a request with the given ID and idempotency key.
+// request returns the model's form of a request. id and key are the request's own ID and idempotency key.
 func (b *Behavior) request(id, key string) model.Request {
 	request := model.Request{ID: b.ID, Key: b.Key, Work: b.Work}
 	if request.ID == "" {
@@ -89,7 +90,7 @@
 	return request
 }
 
-// reset closes a connection with a TCP reset, as the operating system does for a process that ends.
+// reset closes a connection with a TCP reset, like the operating system when a process ends.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a closed connection
@@ -97,7 +98,7 @@
 	_ = conn.Close()
 }
 
-// sleep waits for d; it returns false if cancelled is closed earlier.
+// sleep waits for d. It returns false if cancelled is closed first.
 func sleep(d time.Duration, cancelled <-chan struct{}) bool {
 	if d <= 0 {
 		return true
--- a/emulator/serverprotocol/http.go
+++ b/emulator/serverprotocol/http.go
@@ -15,8 +15,8 @@
 	"cobaltward/emulator/servermodel"
 )
 
-// HTTPServer serves an emulated server over HTTP/1.1. It answers 200 once the work of the request is done, 503 with
-// X-Not-Run if the server rejects it, and resets the connection if the server crashes.
+// HTTPServer serves an emulated server over HTTP/1.1. It answers 200 after the work of the request is done, and 503
+// with X-Not-Run if the server rejects the request. It resets the connection if the server crashes.
 type HTTPServer struct {
 	Addr string
 
@@ -29,13 +29,13 @@
 	conns map[net.Conn]bool // connections that the backend counts as open
 }
 
-// ServeHTTP1 serves a backend on a listener until Close, which doesn't stop the backend. If fails is not nil, each
-// request for which it returns true is answered 500 at once, although it may have been executed.
+// ServeHTTP1 serves a backend on a listener until Close is called. Close doesn't stop the backend. If fails isn't
+// nil, each request for which it returns true does no work and is answered 500.
 func ServeHTTP1(ln net.Listener, backend *servermodel.Server, work WorkFunc, fails func() bool) *HTTPServer {
 	return ServeHTTP1WithOptions(ln, backend, Options{Behavior: plainBehavior(work, fails)})
 }
 
-// ServeHTTP1WithOptions is ServeHTTP1 with a behavior that the options select for each request.
+// ServeHTTP1WithOptions is ServeHTTP1 with a separate behavior for each request, selected by options.
 func ServeHTTP1WithOptions(ln net.Listener, backend *servermodel.Server, options Options) *HTTPServer {
 	s := &HTTPServer{Addr: ln.Addr().String(), backend: backend, options: options, conns: make(map[net.Conn]bool)}
 	s.server = &http.Server{
@@ -46,14 +46,15 @@
 	return s
 }
 
-// connKey is the key of the connection in the context of its requests.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connState reports new and closed connections to the backend, and resets those that it does not accept.
+// connState reports new and closed connections to the backend. It resets connections that the backend does not
+// accept.
 func (s *HTTPServer) connState(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -69,7 +70,7 @@
 	}
 }
 
-// disconnect closes a connection at the backend if the backend counts it as open.
+// disconnect reports a closed connection to the backend if the backend counts the connection as open.
 func (s *HTTPServer) disconnect(conn net.Conn) {
 	s.mu.Lock()
 	counted := s.conns[conn]
@@ -100,7 +101,7 @@
 		return
 	}
 	if behavior.Reset {
-		go func() { _, _, _ = s.backend.Do(request, nil) }() // returns at the latest when the backend stops
+		go func() { _, _, _ = s.backend.Do(request, nil) }() // returns when the backend stops, or earlier
 		abort(r)
 	}
 	_, admission, err := s.backend.Do(request, cancelled)
@@ -128,7 +129,7 @@
 	}
 }
 
-// writeInvalid sends a truncated response or one with a malformed length, and closes the connection.
+// writeInvalid sends a truncated response or a response with a malformed length, and closes the connection.
 func (s *HTTPServer) writeInvalid(w http.ResponseWriter, malformed bool) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -144,13 +145,13 @@
 	s.disconnect(conn) // net/http doesn't report the end of a hijacked connection
 }
 
-// abort resets the connection of a request and ends its handler, so that the request gets no answer.
+// abort resets the connection of a request and ends the request's handler. The request gets no answer.
 func abort(r *http.Request) {
 	reset(r.Context().Value(connKey{}).(net.Conn))
 	panic(http.ErrAbortHandler)
 }
 
-// Close resets all connections and waits for the server's goroutine.
+// Close closes all connections and waits for the server's goroutine.
 func (s *HTTPServer) Close() {
 	_ = s.server.Close()
 	s.tasks.Wait()
--- a/emulator/serverprotocol/msgpack.go
+++ b/emulator/serverprotocol/msgpack.go
@@ -10,7 +10,8 @@
 	"cobaltward/msgpackrpc"
 )
 
-// MsgpackServer serves an emulated server over MessagePack-RPC as described for app servers in docs/msgpack-rpc.md.
+// MsgpackServer serves an emulated server over MessagePack-RPC. docs/msgpack-rpc.md describes the protocol for app
+// servers.
 type MsgpackServer struct {
 	Addr string
 
@@ -24,12 +25,12 @@
 	closed bool
 }
 
-// ServeMsgpack serves a backend on a listener until Close, which doesn't stop the backend.
+// ServeMsgpack serves a backend on a listener until Close is called. Close doesn't stop the backend.
 func ServeMsgpack(ln net.Listener, backend *servermodel.Server, work WorkFunc) *MsgpackServer {
 	return ServeMsgpackWithOptions(ln, backend, Options{Behavior: plainBehavior(work, nil)})
 }
 
-// ServeMsgpackWithOptions is ServeMsgpack with a behavior that the options select for each call.
+// ServeMsgpackWithOptions is ServeMsgpack with a separate behavior for each call, selected by options.
 func ServeMsgpackWithOptions(ln net.Listener, backend *servermodel.Server, options Options) *MsgpackServer {
 	s := &MsgpackServer{
 		Addr: ln.Addr().String(), backend: backend, options: options, listener: ln, conns: make(map[net.Conn]bool),
@@ -38,7 +39,7 @@
 	return s
 }
 
-// accept serves the connections of the listener until Close closes it.
+// accept serves the connections of the listener until Close closes the listener.
 func (s *MsgpackServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -60,7 +61,7 @@
 	}
 }
 
-// msgpackConn is one connection with its open calls.
+// msgpackConn is one connection with its pending calls.
 type msgpackConn struct {
 	net.Conn
 	server *MsgpackServer
@@ -71,7 +72,7 @@
 	pending map[uint32]chan struct{} // by call ID; closed when the call is cancelled
 }
 
-// serveConn reads calls until the connection ends. Calls run concurrently and are answered as they complete.
+// serveConn reads calls until the connection ends. Calls run concurrently. Each call is answered when it completes.
 func (s *MsgpackServer) serveConn(conn net.Conn) {
 	if !s.backend.Connect() {
 		reset(conn)
@@ -95,7 +96,7 @@
 	}
 }
 
-// receive handles one message; it returns false if its parameters are invalid.
+// receive handles one message. It returns false if the message's parameters are invalid.
 func (c *msgpackConn) receive(message *msgpackrpc.Message) bool {
 	if message.Kind == msgpackrpc.Notification && message.Method == msgpackrpc.MethodCancel {
 		if id, ok := msgpackrpc.CancelledID(*message); ok {
@@ -137,7 +138,7 @@
 	clear(c.pending)
 }
 
-// complete removes a call; it returns false if the call was cancelled.
+// complete removes a call. It returns false if the call was cancelled.
 func (c *msgpackConn) complete(id uint32, cancelled chan struct{}) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +147,7 @@
 	return wasPending
 }
 
-// run executes one call and writes its reply.
+// run executes one call and writes the reply.
 func (c *msgpackConn) run(id uint32, call *msgpackrpc.Call, cancelled chan struct{}) {
 	options, backend := &c.server.options, c.server.backend
 	behavior := options.Behavior(call.Target, call.ID)
@@ -167,7 +168,7 @@
 	c.write(msgpackrpc.AppendReply(nil, id, &reply), &behavior)
 }
 
-// do passes a call to the backend, subject to its behavior.
+// do passes a call to the backend as specified by behavior.
 func (c *msgpackConn) do(call *msgpackrpc.Call, behavior *Behavior, cancelled chan struct{}) (model.Admission, error) {
 	backend := c.server.backend
 	request := behavior.request(call.ID, call.IdempotencyKey)
@@ -178,7 +179,7 @@
 		<-cancelled
 		return model.Accepted, nil
 	case behavior.Reset:
-		c.calls.Go(func() { _, _, _ = backend.Do(request, nil) }) // returns at the latest when the backend stops
+		c.calls.Go(func() { _, _, _ = backend.Do(request, nil) }) // returns when the backend stops, or earlier
 		return model.Accepted, servermodel.ErrServerDown
 	}
 	_, admission, err := backend.Do(request, cancelled)
@@ -187,8 +188,8 @@
 	return admission, err
 }
 
-// write sends an encoded reply. After a truncated or malformed one it resets the connection, which cannot be used any
-// more.
+// write sends an encoded reply. After a truncated or malformed reply it resets the connection, which can't be used
+// any more.
 func (c *msgpackConn) write(raw []byte, behavior *Behavior) {
 	c.writes.Lock()
 	defer c.writes.Unlock()
@@ -201,7 +202,7 @@
 	_, _ = c.Write(raw) // fails if the client has disconnected
 }
 
-// Close closes the listener and all connections and waits for their goroutines.
+// Close closes the listener and all connections. It waits for their goroutines.
 func (s *MsgpackServer) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/emulator/serverprotocol/protocol_test.go
+++ b/emulator/serverprotocol/protocol_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// protocols maps the name of each protocol to the function that serves it and the transport that uses it.
+// protocols holds, by protocol name, the function that serves the protocol and the transport for it.
 var protocols = map[string]struct {
 	serve     func(ln net.Listener, backend *servermodel.Server, work WorkFunc) (addr string, end func())
 	transport func() router.Transport
@@ -43,7 +43,7 @@
 	},
 }
 
-// start runs a server with a protocol until the test ends, and returns its address.
+// start runs a server with a protocol until the test ends. It returns the server and its address.
 func start(
 	t testing.TB, protocol string, config model.Config, group *servermodel.Group, work WorkFunc,
 ) (*servermodel.Server, string) {
@@ -58,7 +58,7 @@
 	return backend, addr
 }
 
-// attempt makes one attempt at the server and returns a name for its outcome.
+// attempt makes one attempt at the server and returns the name of the outcome.
 func attempt(t testing.TB, transport router.Transport, id, key string, timeout time.Duration) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -70,7 +70,7 @@
 	}[r.Code])
 }
 
-// slowWork returns an hour of work for paths that start with /slow, and a millisecond for others.
+// slowWork returns an hour of work for paths that start with /slow, and a millisecond for all other paths.
 func slowWork(target, _ string) float64 {
 	if strings.HasPrefix(target, "/slow") {
 		return 3600
@@ -78,8 +78,8 @@
 	return 0.001
 }
 
-// With each protocol, the transport reports the outcome that the model gives a request: answered, rejected, timed out
-// and cancelled, or reset by a crash.
+// TestProtocols_OutcomesOfTheModel checks that each protocol's transport reports the outcome of the model: answered,
+// rejected, timed out and cancelled, or reset by a crash.
 func TestProtocols_OutcomesOfTheModel(t *testing.T) {
 	for name := range protocols {
 		t.Run(name, func(t *testing.T) { testOutcomes(t, name) })
@@ -110,7 +110,7 @@
 		})
 	}
 	executed := func(n int) bool { return len(backend.Executions()) == n }
-	slow("slow1", "timed out", 300*time.Millisecond) // its cancellation frees the slot
+	slow("slow1", "timed out", 300*time.Millisecond) // cancelled after its timeout, which frees the slot
 	testkit.Await(t, "the first request to run", func() bool { return executed(3) })
 	slow("slow2", "reset", testkit.MaxWait)
 	testkit.Await(t, "the second request to arrive", func() bool { return backend.InFlight() == 2 || executed(4) })
@@ -130,8 +130,8 @@
 	}
 }
 
-// A fresh server among warm ones gets more load than it can take at first. With slow start it stays up; without slow
-// start it is overloaded and crashes.
+// TestSlowStart_KeepsWarmingServerUp checks a fresh server among warm servers that gets more load than it can take at
+// first. With slow start the fresh server must stay up. Without slow start it must be overloaded and crash.
 func TestSlowStart_KeepsWarmingServerUp(t *testing.T) {
 	for _, slowStart := range []bool{true, false} {
 		t.Run(fmt.Sprint("slow_start=", slowStart), func(t *testing.T) {
@@ -155,8 +155,8 @@
 		endpoints = append(endpoints, router.Endpoint{ID: fmt.Sprint("w", i), Zone: "a", Addr: addr, Weight: 1})
 	}
 	fresh, addr := start(t, "http", cold, nil, cost)
-	endpoint := router.Endpoint{ID: "a-fresh", Zone: "a", Addr: addr, Weight: 1} // sorts before the warm ones
-	if slowStart {                                                               // otherwise it counts as warm
+	endpoint := router.Endpoint{ID: "a-fresh", Zone: "a", Addr: addr, Weight: 1} // sorts before the warm servers
+	if slowStart {                                                               // without a start time, the server counts as warm
 		endpoint.Started = time.Now()
 	}
 	node := startNode(t, append(endpoints, endpoint))
@@ -179,7 +179,7 @@
 	t.Logf("%d executions at the fresh server", len(fresh.Executions()))
 }
 
-// startNode runs a node with the endpoints until the test ends, and waits until the node serves.
+// startNode runs a node with the endpoints until the test ends. It returns when the node serves.
 func startNode(t *testing.T, endpoints []router.Endpoint) *router.Router {
 	t.Helper()
 	node, err := router.New(router.Config{Endpoints: endpoints, Settings: policy.Settings{
