--- a/emulator/sim/attempt.go
+++ b/emulator/sim/attempt.go
@@ -11,8 +11,8 @@
 	"cobaltward/router"
 )
 
-// faultAttributionWindow is how long after its end a fault of a server process still counts as the cause of broken
-// connections.
+// faultAttributionWindow is the time after the end of a fault of a server process during which the fault still counts
+// as the cause of broken connections.
 const faultAttributionWindow = time.Second
 
 // responseBody is the body of every successful response.
@@ -22,16 +22,16 @@
 type attempt struct {
 	node          *node
 	engineAttempt router.Attempt
-	request       *request // the client's request; nil once it is deleted from simulation.requestsByAttempt
-	server        *server  // nil if no server has the ID that the engine chose
+	request       *request // the client's request; nil if already deleted from simulation.requestsByAttempt
+	server        *server  // nil if no server has the ID chosen by the engine
 	conn          *conn
-	id            string // request ID, "/", last digit of the attempt number, and "+" if it has several digits
+	id            string // request ID, "/", last digit of the attempt number, and "+" for numbers with several digits
 	key           string
 	class         string
 	work          float64
 	deadline      time.Duration
 	delay         time.Duration // one-way network delay
-	countsConn    bool          // the connection being opened is already part of node.connCount
+	countsConn    bool          // the connection being opened is included in node.connCount
 	sent          bool          // the request has been written completely
 	cancelled     bool          // the engine called Cancel
 	finished      bool
@@ -54,14 +54,15 @@
 	}
 }
 
-// addFault records in the request that a fault affected it.
+// addFault records in the client's request that a fault affected the request.
 func (a *attempt) addFault(fault *plan.Fault) {
 	if a.request != nil {
 		a.request.addFault(fault.Index)
 	}
 }
 
-// addProcessFaults records in the request the current and recent faults that ended the server's process.
+// addProcessFaults records in the request the faults that ended the server's process, if they are active or ended
+// within faultAttributionWindow.
 func (a *attempt) addProcessFaults() {
 	sim := a.node.sim
 	original := strings.TrimRight(a.server.id, replacementSuffix)
@@ -75,7 +76,8 @@
 	}
 }
 
-// addDiscoveryFaults records in the request the active faults that may have made the node use an unavailable server.
+// addDiscoveryFaults records in the request the active faults of the endpoint list. Such a fault may have made the
+// node use an unavailable server.
 func (a *attempt) addDiscoveryFaults() {
 	sim := a.node.sim
 	for i := range sim.plan.Faults {
@@ -85,7 +87,8 @@
 	}
 }
 
-// blocked reports whether faults block all traffic between the node and the server, and records them in the request.
+// blocked reports whether faults block all traffic between the node and the server. It records these faults in the
+// request.
 func (a *attempt) blocked() bool {
 	sim := a.node.sim
 	for _, fault := range a.server.silentFaults {
@@ -102,7 +105,7 @@
 	return true
 }
 
-// connect opens a connection and sends the request over it.
+// connect opens a connection and sends the request on it.
 func (a *attempt) connect() {
 	sim := a.node.sim
 	sim.recorder.Connected()
@@ -117,7 +120,8 @@
 	})
 }
 
-// accept makes the server accept the connection, or refuse it if no process accepts connections.
+// accept makes the server accept the connection. The server refuses the connection if it has no process that accepts
+// connections.
 func (a *attempt) accept() {
 	sim, p := a.node.sim, a.server.process
 	if p == nil || !p.model.Connect(sim.now) {
@@ -137,7 +141,7 @@
 	})
 }
 
-// send writes the request, or finishes the attempt if the request may no longer be sent.
+// send writes the request. It finishes the attempt if the request may no longer be sent.
 func (a *attempt) send() {
 	sim, n := a.node.sim, a.node
 	if code, ok := a.maySend(); !ok {
@@ -158,7 +162,7 @@
 	sim.after(a.delay, func() { p.receive(a) })
 }
 
-// maySend reports whether the request may still be sent; if not, code is the result of the attempt.
+// maySend reports whether the request may still be sent. If not, code is the result of the attempt.
 func (a *attempt) maySend() (code policy.Code, ok bool) {
 	sim := a.node.sim
 	since, unavailable := a.node.unavailableSince[a.server.id]
@@ -173,7 +177,8 @@
 	return policy.OK, true
 }
 
-// reply calls do once a response of the server reaches the node. If a fault blocks the response, the attempt is stuck.
+// reply calls do when a response of the server reaches the node. If a fault blocks the response, the attempt is
+// stuck.
 func (a *attempt) reply(do func()) {
 	if a.blocked() {
 		a.stuck = true
@@ -200,7 +205,7 @@
 	})
 }
 
-// reject sends a rejection, which proves to the node that the request did not run.
+// reject sends a rejection. The rejection proves to the node that the request did not run.
 func (a *attempt) reject() {
 	a.reply(func() {
 		a.node.sim.checker.AttemptNotRun(a.node.spec.Name, a.engineAttempt.Request.ID, a.engineAttempt.Number)
@@ -223,7 +228,7 @@
 	})
 }
 
-// finish passes the result to the engine and keeps or closes the connection. Later calls have no effect.
+// finish passes the result to the engine, and keeps or closes the connection. Later calls have no effect.
 func (a *attempt) finish(code policy.Code) {
 	n := a.node
 	if a.finished || n.inFlight[a.engineAttempt] != a {
@@ -240,7 +245,8 @@
 	})
 }
 
-// releaseConn returns the connection of a finished attempt to the idle pool, or closes it if it can't be reused.
+// releaseConn returns the connection of a finished attempt to the idle pool. It closes a connection that can't be
+// reused.
 func (a *attempt) releaseConn(code policy.Code) {
 	used := a.conn
 	if used == nil {
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -22,7 +22,7 @@
 	serverAttempts int
 	faults         []int // indices of the faults that affected the request, ascending
 
-	// The remaining fields describe the client's current attempt.
+	// The fields below describe the client's current attempt.
 	attemptID   string
 	node        *node
 	open        bool // the attempt is not finished
@@ -31,7 +31,7 @@
 	timeout     time.Duration
 }
 
-// isOpen reports whether the attempt with the given ID is the current one and not finished.
+// isOpen reports whether attemptID is the current attempt and the attempt is not finished.
 func (r *request) isOpen(attemptID string) bool { return r.open && r.attemptID == attemptID }
 
 // addFault records that a fault affected the request.
@@ -49,7 +49,7 @@
 	delay time.Duration // one-way network delay
 }
 
-// scheduleArrival schedules the next request. The load is open-loop: arrivals don't depend on the outcome of earlier
+// scheduleArrival schedules the next request. The load is open-loop: arrivals don't depend on the outcomes of earlier
 // requests.
 func (sim *simulation) scheduleArrival(arrivals *plan.Arrivals) {
 	next, ok := arrivals.Next()
@@ -68,7 +68,7 @@
 	})
 }
 
-// addTrafficFaults records in a new request the active traffic faults that affect it.
+// addTrafficFaults records in a new request the active traffic faults that affect the request.
 func (sim *simulation) addTrafficFaults(r *request) {
 	if r.CostFault >= 0 {
 		r.addFault(r.CostFault)
@@ -86,7 +86,7 @@
 	}
 }
 
-// chooseNode returns the node for a client's attempt; nil if the balancer knows of none that is up.
+// chooseNode returns the node for a client's attempt; nil if all nodes are down according to the balancer.
 func (sim *simulation) chooseNode(r *request) *node {
 	index := r.Node
 	if index < 0 || r.clientAttempts > 0 {
@@ -99,7 +99,7 @@
 }
 
 // startAttempt sends a request to a node. The client disconnects after the fraction disconnectAfter of the attempt's
-// timeout; 0: it waits for the whole timeout.
+// timeout; 0: the client waits for the whole timeout.
 func (sim *simulation) startAttempt(r *request, disconnectAfter float64) {
 	r.sentAt = sim.now
 	r.timeout = sim.plan.AttemptTimeout(&r.Request, sim.now-r.At)
@@ -166,7 +166,7 @@
 	})
 }
 
-// receiveAnswer passes an answer to the client, which ignores the answer to a duplicate.
+// receiveAnswer passes an answer to the client. The client ignores the answer to a duplicate.
 func (sim *simulation) receiveAnswer(current *clientAttempt, index int, answer router.Answer) {
 	rejected := answer.Outcome == router.Rejected || answer.Outcome == router.Overloaded
 	sim.checker.ResponseReceived(sim.now, current.node.spec.Name, current.id, index, rejected)
@@ -197,7 +197,7 @@
 	sim.finishAttempt(a.request, a.id, result.ClientLeft, 0)
 }
 
-// resetClientConns ends the open attempts at a crashed node: their clients notice that the connection is reset.
+// resetClientConns ends the open attempts at a crashed node. Their clients notice that the connection is reset.
 func (sim *simulation) resetClientConns(n *node, fault *plan.Fault) {
 	for _, id := range sortedKeys(sim.requestsByAttempt) {
 		r := sim.requestsByAttempt[id]
@@ -209,13 +209,14 @@
 	}
 }
 
-// finishAttempt ends a client's attempt, and then either schedules a retry or records the outcome of the request.
+// finishAttempt ends a client's attempt. It then schedules a retry or records the outcome of the request.
 func (sim *simulation) finishAttempt(r *request, id string, status result.Status, retryAfter time.Duration) {
 	if !r.isOpen(id) {
 		return
 	}
 	r.open = false
-	// The engine may still send attempts for the request, so it stays in the map until none can have an effect.
+	// The engine may still send attempts for the request. The request stays in the map until no attempt can have an
+	// effect.
 	sim.after(maxRequestTime(sim.plan), func() {
 		if sim.requestsByAttempt[id] == r {
 			delete(sim.requestsByAttempt, id)
--- a/emulator/sim/fault.go
+++ b/emulator/sim/fault.go
@@ -9,7 +9,7 @@
 	"cobaltward/policy"
 )
 
-// scheduleFault schedules the events for the start and the end of a fault.
+// scheduleFault schedules the start and the end of a fault.
 func (sim *simulation) scheduleFault(fault *plan.Fault) {
 	sim.events.push(fault.At, func() { sim.startFault(fault) })
 	sim.events.push(fault.End(), func() { sim.endFault(fault) })
@@ -97,15 +97,15 @@
 	}
 }
 
-// resetStuck resets, at all nodes, the connections of attempts that faults no longer block.
+// resetStuck resets the connections of attempts that faults no longer block, at all nodes.
 func (sim *simulation) resetStuck() {
 	for _, n := range sim.nodes {
 		n.resetStuck()
 	}
 }
 
-// startSilence disconnects the machine from the network. Discovery removes the server from the endpoint list after the
-// silence timeout, if there is one and the fault lasts longer.
+// startSilence disconnects the machine from the network. If there is a silence timeout and the fault lasts longer,
+// discovery removes the server from the endpoint list after the timeout.
 func (s *server) startSilence(fault *plan.Fault) {
 	s.silentFaults = append(s.silentFaults, fault)
 	if timeout := s.sim.plan.Script.Discovery.SilenceTimeout; timeout > 0 && timeout < fault.Duration {
--- a/emulator/sim/levels_test.go
+++ b/emulator/sim/levels_test.go
@@ -9,8 +9,8 @@
 	"cobaltward/levels"
 )
 
-// bookingLevels returns two levels of reduced service. The first sheds half of the searches, the second 90 % of the
-// searches and 40 % of the cancellations; bookings are shed last.
+// bookingLevels returns two levels of reduced service. The first level sheds half of the searches. The second level
+// sheds 90 % of the searches and 40 % of the cancellations. Bookings are shed last.
 func bookingLevels() *levels.Config {
 	above := func(threshold float64) []levels.Condition {
 		return []levels.Condition{{Signal: levels.Demand, Threshold: threshold, For: 2 * time.Second}}
@@ -31,8 +31,8 @@
 	}
 }
 
-// The quotas are higher than the servers' capacity, so that no quota limits the load. With levels a larger share of the
-// bookings' value must be served than without, and no rule may be violated.
+// TestLevels_ServeBookingsBetterUnderOverload checks that levels serve a larger share of the bookings' value under
+// overload, without violating a rule. The quotas are higher than the servers' capacity, so no quota limits the load.
 func TestLevels_ServeBookingsBetterUnderOverload(t *testing.T) {
 	monday := func() *plan.Plan {
 		scenario := loadScript(t, "../../scenarios/monday.toml")
@@ -55,8 +55,8 @@
 	}
 }
 
-// Faults that don't overload the servers must not activate a level, which would shed load that the healthy servers can
-// carry.
+// TestLevels_NoneWithoutOverload checks that faults that don't overload the servers activate no level. A level would
+// shed load that the healthy servers can carry.
 func TestLevels_NoneWithoutOverload(t *testing.T) {
 	for _, name := range []string{script.FaultFastErrors, script.FaultHotNode} {
 		scenario := loadScript(t, "../../scenarios/"+name+".toml")
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -8,11 +8,11 @@
 	"cobaltward/policy"
 )
 
-// Mutant is a configuration of the nodes in which one safeguard is disabled. The checker must report violations of the
-// rule that the safeguard protects.
+// Mutant is a configuration of the nodes with one safeguard disabled. The checker must report violations of the rule
+// that the safeguard protects.
 type Mutant struct {
 	Name       string
-	Scenario   string // file in scenarios/ without its extension, in which the safeguard is needed
+	Scenario   string // file in scenarios/, without extension, in which the safeguard is needed
 	Rule       checker.Rule
 	newOptions func() Options
 }
@@ -20,7 +20,7 @@
 // Options returns the options of a run of the mutant.
 func (m Mutant) Options() Options { return m.newOptions() }
 
-// Mutants returns all mutants, ordered by rule. Runs of them show that the checker detects violations.
+// Mutants returns all mutants, ordered by rule. Running them shows that the checker detects violations.
 func Mutants() []Mutant {
 	return slices.Concat(answerMutants(), effectMutants(), drainMutants(), slowStartMutants())
 }
@@ -89,18 +89,18 @@
 	}
 }
 
-// overriding returns a function that makes options with the given overrides of the engines.
+// overriding returns a function that returns options with the given overrides of the engines.
 func overriding(overrides safeguards.Overrides) func() Options {
 	return func() Options { return Options{Overrides: func() safeguards.Overrides { return overrides }} }
 }
 
-// disabling returns a function that makes options in which some guards are disabled.
+// disabling returns a function that returns options with some guards disabled.
 func disabling(guards safeguards.Guards) func() Options {
 	return overriding(safeguards.Overrides{Disabled: guards})
 }
 
-// ignoringDrains returns a function that makes options in which transports send to draining servers and change hides
-// from the policy that servers are draining or removed.
+// ignoringDrains returns a function that returns options in which transports send to draining and removed servers.
+// change hides from the policy that servers are draining or removed.
 func ignoringDrains(change func(policy.Event) policy.Event) func() Options {
 	overrides := safeguards.Overrides{WrapPolicy: changeEvents(change)}
 	return func() Options {
@@ -108,7 +108,8 @@
 	}
 }
 
-// changeEvents returns a wrapper of policies that applies change to each event before the policy receives it.
+// changeEvents returns a wrapper of policies. The wrapper applies change to each event before the policy receives the
+// event.
 func changeEvents(change func(policy.Event) policy.Event) func(safeguards.Policy) safeguards.Policy {
 	return func(p safeguards.Policy) safeguards.Policy { return &tamperedPolicy{Policy: p, change: change} }
 }
@@ -124,17 +125,18 @@
 	}
 }
 
-// isNoFailure reports whether an action is anything but the final answer to a failed or rejected request.
+// isNoFailure reports whether an action is not the final answer to a failed or rejected request.
 func isNoFailure(a policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject }
 
-// tamperedPolicy wraps a policy: it changes the events that the policy receives, or drops some of its actions.
+// tamperedPolicy wraps a policy. It changes the events that the policy receives, or drops some of the policy's
+// actions.
 type tamperedPolicy struct {
 	safeguards.Policy
 	change func(policy.Event) policy.Event // nil: events are passed on unchanged
 	keep   func(policy.Action) bool        // nil: all actions are kept
 }
 
-// Handle passes an event to the policy and returns its actions.
+// Handle passes an event to the policy and returns the policy's actions.
 func (t *tamperedPolicy) Handle(now policy.Time, event policy.Event) []policy.Action {
 	if t.change != nil {
 		event = t.change(event)
@@ -146,7 +148,8 @@
 	return actions
 }
 
-// changeEndpoints applies change to each endpoint of a copy of an endpoint list; other events are returned unchanged.
+// changeEndpoints applies change to each endpoint in a copy of an endpoint list. It returns all other events
+// unchanged.
 func changeEndpoints(ev policy.Event, change func(*policy.Endpoint)) policy.Event {
 	list, ok := ev.(policy.EndpointList)
 	if !ok {
@@ -175,7 +178,7 @@
 	return changeEndpoints(ev, func(m *policy.Endpoint) { m.OnlineSince, m.SlowStartAt = 0, 0 })
 }
 
-// hideAnswer hides from the policy that a request was answered, so that the policy retries it.
+// hideAnswer hides from the policy that a request was answered. The policy then retries the request.
 func hideAnswer(ev policy.Event) policy.Event {
 	if o, ok := ev.(policy.Outcome); ok {
 		o.Answered = false
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -25,14 +25,14 @@
 	snapshot    learnedstate.Snapshot
 
 	inFlight  map[router.Attempt]*attempt
-	connCount int                // open connections, idle ones included
+	connCount int                // open connections, including idle connections
 	idle      map[string][]*conn // by server ID; the most recently used connection is last
-	idleOrder []idleEntry        // oldest first; entries of connections that were used again are stale
+	idleOrder []idleEntry        // oldest first; entries of connections used since then are stale
 
-	endpoints        map[string]router.Endpoint // by server ID, as last received
+	endpoints        map[string]router.Endpoint // last received endpoints, by server ID
 	unavailableSince map[string]time.Duration   // by server ID; only draining and removed servers
 	pendingUpdates   []router.Endpoint          // received by the agent but not yet applied by the process
-	lastUpdateAt     time.Duration              // arrival of the newest update; later updates never arrive before it
+	lastUpdateAt     time.Duration              // arrival of the newest update; later updates never arrive earlier
 }
 
 func (sim *simulation) addNode(index int) error {
@@ -44,7 +44,7 @@
 	return n.start()
 }
 
-// start starts the process with the last received endpoint list, and restores the last snapshot if there is one.
+// start starts the process with the last received endpoint list. It restores the last snapshot, if any.
 func (n *node) start() error {
 	sim := n.sim
 	engine, err := router.NewStepped(n.config(), n, epoch.Add(sim.now), n.engineOptions()...)
@@ -96,7 +96,7 @@
 	return options
 }
 
-// step calls do with the time on the engine's clock, and schedules the event for the engine's next timer.
+// step calls do with the time on the engine's clock. It then schedules the event for the engine's next timer.
 func (n *node) step(do func(now time.Duration)) {
 	if n.engine == nil {
 		return
@@ -117,8 +117,8 @@
 	}
 }
 
-// crash kills the process: all its connections are reset and all its requests end. The load balancer notices after the
-// failure detection time.
+// crash kills the process. All its connections are reset and all its requests end. The load balancer notices the
+// crash after the failure detection time.
 func (n *node) crash(fault *plan.Fault) {
 	if n.engine == nil {
 		return
@@ -144,7 +144,8 @@
 	})
 }
 
-// restart starts the process again with its last endpoint list, and applies the updates that its agent has received.
+// restart starts the process with the last endpoint list, and applies the updates that the agent received in the
+// meantime.
 func (n *node) restart() error {
 	if n.engine != nil {
 		return nil
@@ -156,7 +157,8 @@
 	return nil
 }
 
-// queueUpdate passes an endpoint list update to the agent after the node's discovery delay and the delays of faults.
+// queueUpdate passes an endpoint list update to the agent. The update arrives after the node's discovery delay and
+// the delays of active faults.
 func (n *node) queueUpdate(endpoint router.Endpoint) {
 	at := n.sim.now + n.spec.DiscoveryDelay
 	for _, delay := range n.sim.listDelays {
@@ -169,8 +171,8 @@
 	})
 }
 
-// applyUpdates passes the agent's pending updates to the process, unless a fault blocks discovery or the process is
-// down.
+// applyUpdates passes the agent's pending updates to the process. It does nothing while a fault blocks discovery or
+// the process is down.
 func (n *node) applyUpdates() {
 	if n.sim.discoveryFaults > 0 || n.engine == nil || len(n.pendingUpdates) == 0 {
 		return
@@ -196,7 +198,7 @@
 	})
 }
 
-// resetStuck breaks the connections of attempts that a fault blocked and no fault blocks any longer.
+// resetStuck breaks the connections of stuck attempts that no fault blocks any longer.
 func (n *node) resetStuck() {
 	for _, a := range sortedAttempts(n.inFlight) {
 		if a.stuck && !a.blocked() {
--- a/emulator/sim/process.go
+++ b/emulator/sim/process.go
@@ -8,7 +8,7 @@
 	"cobaltward/policy"
 )
 
-// process is one run of a server's process, between its start and its end.
+// process is one run of a server's process, from its start to its end.
 type process struct {
 	server   *server
 	model    *model.Server
@@ -29,7 +29,8 @@
 	p.attempts = nil
 }
 
-// advance moves the model to the current time, finishes completed attempts, and schedules the next call of advance.
+// advance moves the model to the current time and finishes completed attempts. It then schedules the next call of
+// advance.
 func (p *process) advance() {
 	for _, completion := range p.model.Advance(p.server.sim.now) {
 		a := p.attempts[completion.ID]
@@ -53,8 +54,7 @@
 	p.scheduleNext()
 }
 
-// handleOverload ends a process that crashed under overload while it was warming up, and reports the crash to the
-// checker.
+// handleOverload ends a process that crashed under overload while warming up, and reports the crash to the checker.
 func (p *process) handleOverload() {
 	var requests []string
 	for _, id := range p.model.OverloadingRequests() {
@@ -94,7 +94,7 @@
 		}
 	}
 	work := p.workOf(incoming)
-	p.advance() // completed requests free their slots before the new one is offered
+	p.advance() // completed requests free their slots before the new request is offered
 	if p.ended {
 		incoming.breakConn(incoming.delay)
 		return
@@ -103,8 +103,8 @@
 	p.advance()
 }
 
-// workOf returns the work of an attempt under the active faults. It also sets whether the attempt fails; a failed
-// attempt has no work.
+// workOf returns the work of an attempt under the active faults, and sets whether the attempt fails. A failed attempt
+// has no work.
 func (p *process) workOf(incoming *attempt) float64 {
 	s, work := p.server, incoming.work
 	for _, fault := range s.faults {
@@ -149,7 +149,7 @@
 	}
 }
 
-// cancel handles the closed connection of an attempt, which cancels the attempt.
+// cancel handles the closed connection of an attempt. The closed connection cancels the attempt.
 func (p *process) cancel(a *attempt) {
 	if p.ended {
 		return
@@ -161,7 +161,7 @@
 	p.disconnect()
 }
 
-// disconnect tells the model that a connection was closed.
+// disconnect reports a closed connection to the model.
 func (p *process) disconnect() {
 	p.model.Disconnect(p.server.sim.now)
 	p.advance()
--- a/emulator/sim/queue.go
+++ b/emulator/sim/queue.go
@@ -5,8 +5,7 @@
 // heapArity is the number of children of a node in the heap of events.
 const heapArity = 4
 
-// eventQueue is a priority queue of events by time. Events with the same time are returned in the order of their
-// insertion.
+// eventQueue is a priority queue of events, ordered by time. Events with the same time are ordered by insertion.
 type eventQueue struct {
 	heap []event
 	seq  uint64
@@ -22,7 +21,7 @@
 
 func (q *eventQueue) empty() bool { return len(q.heap) == 0 }
 
-// push adds an event, which calls do at the given time.
+// push adds an event that calls do at the given time.
 func (q *eventQueue) push(at time.Duration, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{at, q.seq, do})
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -11,21 +11,21 @@
 	"cobaltward/router"
 )
 
-// replacementSuffix is appended to the ID of a server that replaces another one.
+// replacementSuffix is the suffix of the ID of a server that replaces another server.
 const replacementSuffix = "r"
 
-// server is one server machine, on which at most one process runs at a time.
+// server is one server machine. At most one process runs on it at a time.
 type server struct {
 	sim              *simulation
 	spec             *plan.Server
 	id               string
 	addr             string
-	startedAt        time.Duration // start of its process; 0: before the simulation, so the process is warm
+	startedAt        time.Duration // start of the process; 0: before the simulation, so the process is warm
 	process          *process      // nil while no process runs
 	faults           []*plan.Fault // active faults that affect requests at this server
 	silentFaults     []*plan.Fault // active faults that disconnect the machine from the network
 	state            policy.Availability
-	detectedSilences int // active silences after whose timeout discovery removed the server
+	detectedSilences int // active silences whose timeout made discovery remove the server
 }
 
 func (sim *simulation) addServer(spec *plan.Server, id string, index int, warm bool) *server {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// start starts a process. It warms up unless it was already running before the simulation.
+// start starts a process. The process warms up unless it was already running before the simulation.
 func (s *server) start() {
 	config := s.spec.Config
 	if s.startedAt == 0 {
@@ -62,7 +62,7 @@
 	s.announce(policy.Running)
 }
 
-// crash ends the process. Its connections are reset.
+// crash ends the process and resets its connections.
 func (s *server) crash() {
 	p := s.process
 	if p == nil {
@@ -73,7 +73,8 @@
 	p.resetAttempts()
 }
 
-// announce reports a state to discovery, which passes it on to each node after the node's discovery delay.
+// announce reports a state to discovery. Discovery notifies each node after the node's discovery delay and the delays
+// of active faults.
 func (s *server) announce(state policy.Availability) {
 	s.state = state
 	for _, n := range s.sim.nodes {
@@ -93,7 +94,8 @@
 	return endpoint
 }
 
-// hasFault reports whether an active fault of the given kind affects an attempt, and records the fault in its request.
+// hasFault reports whether an active fault of the given kind affects an attempt. It records the fault in the
+// attempt's request.
 func (s *server) hasFault(kind string, a *attempt) bool {
 	for _, fault := range s.faults {
 		if fault.Kind == kind && s.sim.plan.Chance(kind+fault.Label(), a.id) < fault.Fraction {
@@ -104,21 +106,21 @@
 	return false
 }
 
-// requestID returns the ID of the request to which an attempt at a server belongs.
+// requestID returns the ID of the request to which an attempt belongs.
 func requestID(attemptID string) string {
 	id, _, _ := strings.Cut(attemptID, "/")
 	return id
 }
 
-// keyTables holds the idempotency keys seen by servers: one table for each deduplication scope, by the name that
-// plan.DedupTable returns.
+// keyTables holds the idempotency keys seen by servers. There is one table for each deduplication scope, under the
+// name from plan.DedupTable.
 type keyTables struct {
 	sim    *simulation
 	tables map[string]*model.KeyTable
 }
 
-// serverKeys looks up idempotency keys for one server, in the table of the server's deduplication scope for the class
-// of the request.
+// serverKeys looks up idempotency keys for one server. The table depends on the class of the request and on the
+// server's deduplication scope for that class.
 type serverKeys struct {
 	*keyTables
 	server *server
@@ -127,8 +129,8 @@
 // keySeparator separates the class of a request from its idempotency key.
 const keySeparator = "\x00"
 
-// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey is the class,
-// keySeparator, and the key.
+// IsDuplicate reports whether a key was seen within the deduplication window of its class. classAndKey consists of
+// the class, keySeparator and the key.
 func (k *serverKeys) IsDuplicate(classAndKey string, now time.Duration) bool {
 	class, key, _ := strings.Cut(classAndKey, keySeparator)
 	name, window := k.sim.plan.DedupTable(class, k.server.spec)
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -47,7 +47,7 @@
 	return r
 }
 
-// No scenario in scenarios/ may violate a rule.
+// TestRun_ScenariosKeepAllRules checks that no scenario in scenarios/ violates a rule.
 func TestRun_ScenariosKeepAllRules(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) < 12 {
@@ -70,7 +70,8 @@
 	}
 }
 
-// The checker reports a violation of each mutant's rule, with a request, a time and a description.
+// TestMutants_AreDetected checks that the checker reports a violation of each mutant's rule. The violation must have
+// a request, a time and a description.
 func TestMutants_AreDetected(t *testing.T) {
 	for _, mutant := range Mutants() {
 		t.Run(mutant.Name, func(t *testing.T) {
@@ -88,7 +89,8 @@
 	}
 }
 
-// The same plan gives the same result, byte for byte, on one core and on several; another seed gives another result.
+// TestRun_SamePlanGivesSameResult checks that a plan always gives the same result, byte for byte, on one core and on
+// several. Another seed must give another result.
 func TestRun_SamePlanGivesSameResult(t *testing.T) {
 	resultJSON := func(p *plan.Plan) string {
 		raw, err := json.Marshal(run(t, p, Options{}))
@@ -97,7 +99,7 @@
 		}
 		return string(raw)
 	}
-	short := func() *plan.Plan { // long enough for all of its faults to start
+	short := func() *plan.Plan { // long enough for all faults to start
 		p := load(t, "../../scenarios/together.toml")
 		p.Script.Duration = 16 * time.Second
 		return p
@@ -121,8 +123,8 @@
 	}
 }
 
-// With several faults at once, the result counts for each fault the requests that it affected, and those that it alone
-// affected.
+// TestRun_AttributesRequestsToFaults checks the counts of affected requests with several faults at once. For each
+// fault, the result counts all requests that the fault affected, and those that only this fault affected.
 func TestRun_AttributesRequestsToFaults(t *testing.T) {
 	r := run(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -1,6 +1,6 @@
-// Package sim runs a plan in virtual time: the unmodified engine and policy, with models of the servers, the network,
-// discovery, the load balancer and the clients. It uses one goroutine, no clock and no sockets, so that the same plan
-// gives the same result byte for byte.
+// Package sim runs a plan in virtual time. It runs the unmodified engine and policy with models of the servers, the
+// network, discovery, the load balancer and the clients. It uses one goroutine, no clock and no sockets. The same
+// plan therefore gives the same result, byte for byte.
 package sim
 
 import (
@@ -21,17 +21,17 @@
 
 const (
 	progressInterval = time.Second // virtual time between calls of Options.OnProgress
-	contextCheckMask = 0xfff       // the context is checked after each event whose number has none of these bits set
+	contextCheckMask = 0xfff       // the context is checked after each event whose number has none of these bits
 )
 
 // Options configure a simulation. The zero value runs unmodified nodes without levels and snapshots.
 type Options struct {
-	Overrides        func() safeguards.Overrides // returns the overrides of a node's safeguards; nil: none
+	Overrides        func() safeguards.Overrides // returns the overrides of a node's safeguards; nil: no overrides
 	IgnoreDrains     bool                        // transports send to draining and removed servers
 	TrustResets      bool                        // transports treat each reset as proof that the request did not run
-	Levels           *levels.Config              // levels of reduced service of every node; nil: none
-	SnapshotInterval time.Duration               // of learned-state snapshots, which restarted nodes restore; 0: none
-	OnProgress       func(at time.Duration)      // may be nil
+	Levels           *levels.Config              // levels of reduced service of every node; nil: no levels
+	SnapshotInterval time.Duration               // interval of learned-state snapshots for restarted nodes; 0: no snapshots
+	OnProgress       func(at time.Duration)      // nil: no progress reports
 	OnDone           func(*plan.Request, result.Outcome)
 
 	onSend func(at time.Duration, node, server string) // called for each attempt at a server; for tests
@@ -58,7 +58,7 @@
 	openRequests      int
 	arriving          bool                // more requests will arrive
 	requestsByAttempt map[string]*request // by the ID of the client's attempt
-	err               error               // first error of an engine; it ends the simulation
+	err               error               // first error of an engine, which ends the simulation
 }
 
 // Run runs a plan to its end and returns the result. It fails if an engine fails or ctx is done.
@@ -79,7 +79,7 @@
 	return sim.recorder.Finish(sim.checker.Finish()), nil
 }
 
-// start creates servers and nodes and schedules the first events.
+// start creates servers and nodes, and schedules the first events.
 func (sim *simulation) start() error {
 	for i := range sim.plan.Servers {
 		sim.addServer(&sim.plan.Servers[i], sim.plan.Servers[i].ID, i, true)
@@ -142,7 +142,7 @@
 	return config
 }
 
-// maxRequestTime returns the longest time after its arrival during which a request of any class can have an effect.
+// maxRequestTime returns the maximum time after its arrival during which a request of any class can have an effect.
 func maxRequestTime(p *plan.Plan) (longest time.Duration) {
 	for i := range p.Settings.Classes {
 		class := &p.Settings.Classes[i]
@@ -151,10 +151,10 @@
 	return longest
 }
 
-// after schedules an event that calls do after a delay.
+// after schedules an event that calls do after the delay d.
 func (sim *simulation) after(d time.Duration, do func()) { sim.events.push(sim.now+d, do) }
 
-// delay returns a one-way delay: base plus a jitter that depends only on the seed, the purpose and the ID.
+// delay returns base plus a random jitter, as a one-way delay. The jitter depends only on the seed, purpose and id.
 func (sim *simulation) delay(base time.Duration, purpose, id string) time.Duration {
 	jitter := sim.plan.Script.Network.Jitter
 	if jitter == 0 {
@@ -163,7 +163,7 @@
 	return base + time.Duration(float64(base)*jitter*sim.plan.Chance(purpose, id))
 }
 
-// networkDelay returns the one-way delay between two zones without jitter.
+// networkDelay returns the one-way delay, without jitter, between the zones a and b.
 func (sim *simulation) networkDelay(a, b string) time.Duration {
 	if a == b {
 		return sim.plan.Script.Network.SameZoneDelay
@@ -171,7 +171,7 @@
 	return sim.plan.Script.Network.CrossZoneDelay
 }
 
-// partitioned reports whether an active fault blocks the traffic between two zones.
+// partitioned reports whether an active fault blocks the traffic between the zones a and b.
 func (sim *simulation) partitioned(a, b string) bool {
 	return a != b && (sim.cutZones[a] > 0 || sim.cutZones[b] > 0)
 }
@@ -184,7 +184,7 @@
 	return "", 0
 }
 
-// sample records the learned state and the level of the first node, once a second.
+// sample records the learned state and the level of the first node once a second.
 func (sim *simulation) sample() {
 	if n := sim.nodes[0]; n.engine != nil {
 		sim.recorder.Sample(n.engine.Views())
@@ -199,7 +199,7 @@
 	}
 }
 
-// takeSnapshots stores the learned state of each running node, every Options.SnapshotInterval.
+// takeSnapshots stores the learned state of each running node. It repeats every Options.SnapshotInterval.
 func (sim *simulation) takeSnapshots() {
 	for _, n := range sim.nodes {
 		if n.engine == nil {
--- a/emulator/sim/transport.go
+++ b/emulator/sim/transport.go
@@ -13,17 +13,17 @@
 type conn struct {
 	process   *process
 	idleSince time.Duration
-	broken    bool // a fault broke it; the node closes it when it next tries to use it
+	broken    bool // broken by a fault; the node closes the connection when it next tries to use it
 }
 
-// idleEntry is a connection with the time at which it became idle.
+// idleEntry is a connection with the start of its idle time.
 type idleEntry struct {
 	conn  *conn
 	since time.Duration
 }
 
-// Launch starts an attempt like the HTTP/1.1 transport: over an idle connection, or over a new one if the limit allows
-// it. It implements the engine's transport.
+// Launch starts an attempt like the HTTP/1.1 transport. It uses an idle connection, or opens a new connection if the
+// limit allows. Launch implements the engine's transport.
 func (n *node) Launch(engineAttempt router.Attempt) {
 	launched := n.newAttempt(engineAttempt)
 	n.inFlight[engineAttempt] = launched
@@ -52,8 +52,8 @@
 	launched.connect()
 }
 
-// takeIdle removes and returns the most recently used idle connection to a server; nil if there is none. It closes the
-// unusable connections that it finds.
+// takeIdle removes and returns the most recently used idle connection to a server; nil if there is none. It closes
+// the unusable connections that it finds.
 func (n *node) takeIdle(server string) *conn {
 	maxIdle := n.sim.plan.Script.Capabilities.ConnIdle / 2
 	idle := n.idle[server]
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// evict closes the connection that has been idle for the longest time; it returns false if no connection is idle.
+// evict closes the connection that has been idle for the longest time. It returns false if no connection is idle.
 func (n *node) evict() bool {
 	for len(n.idleOrder) > 0 {
 		entry := n.idleOrder[0]
@@ -93,13 +93,13 @@
 	c.idleSince = n.sim.now
 	server := c.process.server.id
 	n.idle[server] = append(n.idle[server], c)
-	if len(n.idleOrder) > 8*n.sim.plan.Script.Nodes.MaxConns { // at this length most entries are stale
+	if len(n.idleOrder) > 8*n.sim.plan.Script.Nodes.MaxConns { // most entries are stale at this length
 		n.idleOrder = slices.DeleteFunc(n.idleOrder, func(e idleEntry) bool { return e.conn.idleSince != e.since })
 	}
 	n.idleOrder = append(n.idleOrder, idleEntry{c, c.idleSince})
 }
 
-// Cancel ends an attempt by closing its connection. It implements the engine's transport.
+// Cancel ends an attempt by closing the attempt's connection. It implements the engine's transport.
 func (n *node) Cancel(engineAttempt router.Attempt) {
 	a := n.inFlight[engineAttempt]
 	if a == nil {
@@ -125,8 +125,8 @@
 	delete(n.idle, id)
 }
 
-// close closes a connection from the node's side, and cancels the attempt that uses it; a is nil if the connection is
-// idle. The server notices after the network delay. On a nil connection, close does nothing.
+// close closes a connection from the node's side and cancels the attempt a, which uses the connection. a is nil if
+// the connection is idle. The server notices after the network delay. On a nil connection, close does nothing.
 func (c *conn) close(a *attempt) {
 	if c == nil {
 		return
