--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -1,7 +1,7 @@
 // Package checker checks the traffic of nodes against the platform's four rules. It uses the observations of clients,
 // servers and discovery, not the nodes' own reports. It does no I/O and reads no clock: its input is observations
-// with their times, and its output is a verdict with evidence. It forgets a request lateAttemptWindow and the class's
-// deduplication window after the request's deadline.
+// with their times, and its output is a verdict with evidence. It forgets a request when lateAttemptWindow and
+// the deduplication window of the class have passed since the request's deadline.
 package checker
 
 import (
--- a/emulator/clustersim/agent.go
+++ b/emulator/clustersim/agent.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// clusterView returns the status of the nodes as the controller observes it.
+// clusterView returns the status of the nodes as observed by the controller.
 func (p *process) clusterView() rollingupdate.ClusterView {
 	sim := p.sim
 	view := rollingupdate.ClusterView{Nodes: make(map[string]rollingupdate.NodeStatus)}
--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -3,8 +3,8 @@
 // follow a schedule drawn from a seed. The same seed gives the same schedule.
 //
 // Processes crash, pause or are partitioned. Messages are lost, delayed or duplicated. Clocks drift apart by up to
-// lease.MaxClockDrift; with Config.ClockJumps they also jump. HTTP, the file system and goroutines are not simulated;
-// package multiprocess tests them with real processes.
+// lease.MaxClockDrift; with Config.ClockJumps they jump or run at wrong rates. HTTP, the file system and goroutines
+// are not simulated; package multiprocess tests them with real processes.
 package clustersim
 
 import (
@@ -34,7 +34,7 @@
 	Nodes           int // number of nodes, each with an agent and a receiver
 	LeaseCandidates int // number of nodes whose agents may hold leases
 	Length          time.Duration
-	ClockJumps      bool                  // clocks jump and run at any rate; not all invariants are checked then
+	ClockJumps      bool                  // clocks jump and run at wrong rates; leases and versions are not checked
 	Unsafe          lease.UnsafeOptions   // safeguards of leases to disable
 	NoSync          bool                  // terms and votes are synced only together with entries or snapshots
 	Rollouts        bool                  // rollouts run, and nodes act under version leases
--- a/emulator/clustersim/faults.go
+++ b/emulator/clustersim/faults.go
@@ -17,7 +17,7 @@
 	faultCrashAlias
 	FaultPause
 	faultPauseAlias
-	FaultGroupPartition // separates some of the processes from the others
+	FaultGroupPartition // separates some of the processes from the remaining processes
 	faultGroupPartitionAlias
 	FaultPairPartition // separates two processes
 	FaultLoss
@@ -171,8 +171,8 @@
 	}
 }
 
-// crash ends a process. If diskLost is true, a replica restarts with an empty disk if the cluster tolerates the loss.
-// An agent then restarts with an earlier copy of its disk.
+// crash ends a process. If diskLost is true, the process restarts with another disk: a replica with an empty disk if
+// the cluster tolerates the loss, an agent with an earlier copy of its disk.
 func (s *simulation) crash(target *process, diskLost bool) {
 	target.crash()
 	if !diskLost {
--- a/emulator/clustersim/result.go
+++ b/emulator/clustersim/result.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Result counts what happened in one schedule, or the sum of several.
+// Result holds the counts and violations of one schedule, or their sum over several schedules.
 type Result struct {
 	Violations []string // descriptions of broken invariants, each with seed and time
 
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -22,7 +22,8 @@
 	Slots int     // limit of running requests, which share the cores evenly; first in, first out if equal to Cores
 	Queue int     // limit of queued requests; further requests are rejected
 
-	// The capacity is divided by 1 + ThrashFactor × (requests in flight per core - ThrashThreshold).
+	// Above ThrashThreshold requests in flight per core, the capacity is divided by
+	// 1 + ThrashFactor × (requests in flight per core - ThrashThreshold).
 	ThrashFactor    float64
 	ThrashThreshold float64
 
--- a/emulator/model/events.go
+++ b/emulator/model/events.go
@@ -109,7 +109,7 @@
 	s.nextPause = s.pauseEnd + pause.Interval
 }
 
-// completeNext completes the running request with the least work left.
+// completeNext completes the running job with the least work left.
 func (s *Server) completeNext() {
 	j := heap.Pop(&s.running).(*job)
 	s.attained = max(s.attained, j.finishAt)
--- a/emulator/model/request.go
+++ b/emulator/model/request.go
@@ -5,7 +5,7 @@
 // Request is a request to a server.
 type Request struct {
 	ID       string
-	Key      string        // idempotency key, by which duplicates are discarded
+	Key      string        // idempotency key for recognizing duplicates
 	Work     float64       // seconds of a core of speed 1
 	Deadline time.Duration // time until which the client waits; 0: no deadline
 }
--- a/emulator/multiprocess/checker.go
+++ b/emulator/multiprocess/checker.go
@@ -90,7 +90,7 @@
 func (c *effectChecker) record(node *nodeStandIn, kind effectKind, text, key string) {
 	received := effect{at: c.harness.elapsed(), node: node.name, kind: kind, key: key}
 	if match := tokenSuffix.FindStringSubmatch(text); match != nil {
-		received.token, _ = strconv.ParseUint(match[1], 10, 64) // the match has only digits; a token out of range becomes the maximum
+		received.token, _ = strconv.ParseUint(match[1], 10, 64) // digits only; a token out of range becomes the maximum
 	}
 	c.effects = append(c.effects, received)
 	fail := func(format string, args ...any) {
--- a/emulator/multiprocess/linkfault.go
+++ b/emulator/multiprocess/linkfault.go
@@ -22,8 +22,8 @@
 	delay, duplicateDelay     time.Duration
 }
 
-// combine returns the combined effect of f and other. A flapping link loses messages or not depending on elapsed, the
-// elapsed time of the run.
+// combine returns the combined effect of f and other. elapsed is the elapsed time of the run. It determines whether a
+// flapping link currently loses messages.
 func (f linkFault) combine(other linkFault, elapsed time.Duration) linkFault {
 	flapped := other.flapInterval > 0 && (elapsed/other.flapInterval)%2 == 0
 	return linkFault{
--- a/emulator/multiprocess/proxy.go
+++ b/emulator/multiprocess/proxy.go
@@ -25,7 +25,7 @@
 
 var errProcessDown = errors.New("the process is down")
 
-// link is a pair of processes: from sends requests to to.
+// link is a pair of processes: the sender of requests and their receiver.
 type link struct{ from, to string }
 
 // proxy forwards the requests on one link and injects faults. A fault affects a whole message: a request or its
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -35,7 +35,7 @@
 
 // Options configure a run.
 type Options struct {
-	Command         []string // command that starts a node, such as `wayhold serve`; the environment names the configuration files
+	Command         []string // node command, such as `wayhold serve`; the environment names its configuration files
 	NewControlPlane NewAgent // starts an agent that uses xDS; nil if the program has no xDS
 	Levels          string   // TOML tables [service] and [[level]] for every node's configuration; empty: no levels
 	// AdminClient returns a client of the admin API on a Unix socket, and the API's base URL. Levels require
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -25,7 +25,7 @@
 	ByZone         map[string]*Service `json:"by_zone"`
 	ClientAttempts int                 `json:"tries"`
 	ServerAttempts int                 `json:"attempts"`
-	Retries        int                 `json:"repeats"`   // server attempts after the first attempt for each client attempt
+	Retries        int                 `json:"repeats"`   // server attempts after the first for each client attempt
 	CrossZone      int                 `json:"crossings"` // server attempts at servers outside the node's zone
 	Connections    int                 `json:"connections"`
 	Work           float64             `json:"work_s"`  // work started by servers, in seconds on a core of speed 1
--- a/emulator/script/checkfault.go
+++ b/emulator/script/checkfault.go
@@ -106,7 +106,7 @@
 }
 
 // checkFaultOverlap returns an error if fault overlaps an earlier fault with which it can't be active at the same
-// time. Only servers selected by name are compared: the random selection avoids conflicts.
+// time. Servers are compared only if selected by name, because the random selection of servers avoids conflicts.
 func (s *Script) checkFaultOverlap(fault, other *Fault, at string, kind faultKind) error {
 	if !fault.overlaps(other) {
 		return nil
--- a/emulator/script/fault.go
+++ b/emulator/script/fault.go
@@ -25,7 +25,7 @@
 	Class        string        `toml:"class"`
 	Tenant       string        `toml:"tenant"`
 	Nodes        []string      `toml:"nodes"`
-	RampDuration time.Duration `toml:"rise" min:"0s"` // duration of the change to the full factor, and of the change back at the end
+	RampDuration time.Duration `toml:"rise" min:"0s"` // duration of the change to the full factor, and of the change back
 
 	line int
 }
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -124,8 +124,8 @@
 	Shape string             `toml:"shape" one:"steady|wave|ramp|square"`
 	// Period is the period of the shapes wave and square; 0: half the script's duration.
 	Period time.Duration `toml:"period" min:"100ms" max:"1h"`
-	// Amplitude is the maximum relative change of the rate in the shapes wave and square. The shape ramp goes from 1
-	// - Amplitude to 1 + Amplitude times the rate.
+	// Amplitude is the maximum relative change of the rate in the shapes wave and square. In the shape ramp, the
+	// factor of the rate grows from 1 - Amplitude to 1 + Amplitude.
 	Amplitude float64 `toml:"swing" min:"0" max:"1"`
 }
 
@@ -143,7 +143,7 @@
 	AttemptTimeoutFraction float64       `toml:"try_share" min:"0.05" max:"1"` // timeout as a fraction of the deadline
 	Backoff                string        `toml:"backoff" one:"none|fixed|exponential"`
 	BackoffDelay           time.Duration `toml:"wait" min:"0s" max:"1m"`
-	HonorFraction          float64       `toml:"honour" min:"0" max:"1"`        // clients that obey Retry-After
+	HonorFraction          float64       `toml:"honour" min:"0" max:"1"`        // fraction that obeys Retry-After
 	MaxRetryAfter          time.Duration `toml:"max_retry_after" min:"0s"`      // maximum Retry-After that clients obey
 	EarlyLeaveFraction     float64       `toml:"impatient" min:"0" max:"1"`     // requests whose client disconnects early
 	DuplicateIDFraction    float64       `toml:"duplicate_ids" min:"0" max:"1"` // attempts sent twice with the same ID
--- a/emulator/serverprotocol/behavior.go
+++ b/emulator/serverprotocol/behavior.go
@@ -23,7 +23,7 @@
 	NetworkDelay time.Duration // delay in each direction
 	Fail         bool          // answered with an error, even if the request was executed
 	Hang         bool          // read but never answered
-	Reset        bool          // the connection is reset after the last byte of the request, which still runs
+	Reset        bool          // the connection is reset after the last byte of the request; the request still runs
 	Truncate     bool          // the connection is closed in the middle of the answer
 	Malform      bool          // the framing of the answer is invalid
 }
@@ -66,8 +66,8 @@
 	}
 }
 
-// plainBehavior returns a function that does the work of each request. The function fails a request if fails isn't
-// nil and returns true.
+// plainBehavior returns a function that does the work of each request. A request fails if fails isn't nil and
+// returns true.
 func plainBehavior(work WorkFunc, fails func() bool) BehaviorFunc {
 	return func(target, id string) Behavior {
 		behavior := Behavior{Work: work(target, id)}
--- a/emulator/serverprotocol/protocol_test.go
+++ b/emulator/serverprotocol/protocol_test.go
@@ -156,7 +156,7 @@
 	}
 	fresh, addr := start(t, "http", cold, nil, cost)
 	endpoint := router.Endpoint{ID: "a-fresh", Zone: "a", Addr: addr, Weight: 1} // sorts before the warm servers
-	if slowStart {                                                               // without a start time, the server counts as warm
+	if slowStart {                                                               // otherwise the server counts as warm
 		endpoint.Started = time.Now()
 	}
 	node := startNode(t, append(endpoints, endpoint))
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -30,7 +30,7 @@
 	IgnoreDrains     bool                        // transports send to draining and removed servers
 	TrustResets      bool                        // transports treat each reset as proof that the request did not run
 	Levels           *levels.Config              // levels of reduced service of every node; nil: no levels
-	SnapshotInterval time.Duration               // interval of learned-state snapshots for restarted nodes; 0: no snapshots
+	SnapshotInterval time.Duration               // interval of learned-state snapshots for restarted nodes; 0: none
 	OnProgress       func(at time.Duration)      // nil: no progress reports
 	OnDone           func(*plan.Request, result.Outcome)
 
