--- a/emulator/model/draw.go
+++ b/emulator/model/draw.go
@@ -23,7 +23,7 @@
 	CV   float64 // coefficient of variation, used by Lognormal and Pareto
 }
 
-// Draw returns the work of the request with the given ID. The work depends only on the seed and the ID.
+// Draw returns the work of the request with the given ID. The work depends only on w, the seed and the ID.
 func (w Work) Draw(seed uint64, id string) float64 {
 	u := Uniform(seed, id)
 	switch w.Dist {
