--- a/emulator/clustersim/result.go
+++ b/emulator/clustersim/result.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Result counts what happened in one schedule, or the sum of several.
+// Result holds the counts and violations of one schedule, or their sum over several schedules.
 type Result struct {
 	Violations []string // descriptions of broken invariants, each with seed and time
 
-	Effects, Tokens         int // effects on nodes, and fencing tokens under which there were effects
-	LateEffects             int // effects under an older token than one that another node had seen
+	Effects, Tokens         int // effects on nodes, and fencing tokens of those effects
+	LateEffects             int // effects with a token older than the highest token at any node
 	Rejected                int // effects that a receiver rejected
 	RollingUpdates, Patches int
 	Crashes                 int
@@ -17,7 +17,7 @@
 	ClockJumps              int
 	LostDisks               int // replicas that lost their disk
 	StaleReceiverDisks      int // agents whose disk was replaced by an earlier copy
-	Decisions, Rollouts     int // requests decided under version leases, and rollouts; with Config.Rollouts
+	Decisions, Rollouts     int // requests decided under version leases, and rollouts; only with Config.Rollouts
 	Messages                int
 }
 
--- a/emulator/model/request.go
+++ b/emulator/model/request.go
@@ -5,7 +5,7 @@
 // Request is a request to a server.
 type Request struct {
 	ID       string
-	Key      string        // idempotency key, by which duplicates are discarded
+	Key      string        // idempotency key for recognizing duplicates
 	Work     float64       // seconds of a core of speed 1
 	Deadline time.Duration // time until which the client waits; 0: no deadline
 }
@@ -13,7 +13,7 @@
 // Admission is the server's immediate decision on a request.
 type Admission uint8
 
-// The decisions. After Rejected and Down the request never runs.
+// The decisions. A request never runs after Rejected or Down.
 const (
 	Accepted Admission = iota
 	Rejected           // the queue is full
