--- a/internal/racetest/client_test.go
+++ b/internal/racetest/client_test.go
@@ -15,10 +15,11 @@
 	"cobaltward/internal/testkit"
 )
 
-// oneShotClient opens a connection for each request.
+// oneShotClient opens a new connection for each request.
 var oneShotClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// requestText returns an HTTP request as a client sends it. headers are complete header lines without the line break.
+// requestText returns the text of a request with the given ID, class and body. Each of headers is a complete header
+// line without its line break.
 func requestText(id, class, body string, headers ...string) string {
 	method := "POST"
 	if class == "read" {
@@ -37,7 +38,7 @@
 		method, id, class) + strings.Join(headers, "\r\n") + "\r\n\r\n" + body
 }
 
-// clientConn is a client's raw connection to the node.
+// clientConn is a raw TCP connection from a client to the node.
 type clientConn struct {
 	*net.TCPConn
 	reader *bufio.Reader
@@ -48,7 +49,7 @@
 	return &clientConn{conn.(*net.TCPConn), bufio.NewReader(conn), t}
 }
 
-// dial opens a connection to the node. The connection is closed when the test ends, if not before.
+// dial opens a connection to the node. The connection is closed when the test ends.
 func (env *harness) dial() *clientConn {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.addr)
@@ -68,7 +69,7 @@
 	return c
 }
 
-// readResponse reads a response and its body.
+// readResponse reads a response and its body, and returns the response status and the body.
 func (c *clientConn) readResponse() (status int, body string, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -80,8 +81,8 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// roundTrip sends a request and reads its response. It returns an error where send ends the test, because the node may
-// have closed the connection.
+// roundTrip sends a request and reads its response. Unlike send, it returns a write error, because the node may have
+// closed the connection.
 func (c *clientConn) roundTrip(request string) (status int, body string, err error) {
 	if _, err := io.WriteString(c, request); err != nil {
 		return 0, "", err
@@ -96,7 +97,7 @@
 	return err == nil
 }
 
-// expectStatus reads a response and checks its status.
+// expectStatus reads a response and checks that it has the given status.
 func (c *clientConn) expectStatus(status int) {
 	c.t.Helper()
 	if got, body, err := c.readResponse(); err != nil || got != status {
@@ -113,7 +114,7 @@
 	_ = c.Close()
 }
 
-// request sends a request on a new connection, and returns the status of its response.
+// request sends a request with the given ID and class on a new connection, and returns the response status.
 func (env *harness) request(id, class string) int {
 	env.t.Helper()
 	client := env.dial()
@@ -125,7 +126,8 @@
 	return status
 }
 
-// expectServed sends a request and checks that the node still serves it, whatever else is in flight.
+// expectServed sends a request of the class "read" with the given ID, and checks that the node answers with status
+// 200.
 func (env *harness) expectServed(id string) {
 	env.t.Helper()
 	if status := env.request(id, "read"); status != http.StatusOK {
--- a/internal/racetest/clientgone_test.go
+++ b/internal/racetest/clientgone_test.go
@@ -14,15 +14,16 @@
 	"cobaltward/msgpackrpc"
 )
 
-// disconnects are the ways in which a client can disconnect.
+// disconnects maps each way in which a client can disconnect to the function that does it.
 var disconnects = map[string]func(c *clientConn){
 	"FIN":        func(c *clientConn) { c.close() },
 	"RST":        func(c *clientConn) { c.reset() },
 	"half-close": func(c *clientConn) { _ = c.CloseWrite() },
 }
 
-// A request is queued because no server is listed; its client disconnects, perhaps with more data sent behind the
-// request; then a server is listed. The node must not forward the request, and must serve a later one.
+// TestClientGone_WhileRequestIsQueued checks that the node does not forward a queued request whose client has
+// disconnected. The request is queued because no server is listed. Some clients send more data after the request. A
+// server is listed after the disconnect, and the node must serve a later request.
 func TestClientGone_WhileRequestIsQueued(t *testing.T) {
 	for behind, pipelined := range map[string]string{
 		"nothing":            "",
@@ -56,8 +57,9 @@
 	}
 }
 
-// The only listed server rejects a request, which then waits for its second attempt when its client disconnects. The
-// node must not send it to a server that is listed later.
+// TestClientGone_BetweenAttempts checks that the node makes no second attempt for a request whose client has
+// disconnected. The only listed server rejects the request. The client disconnects while the request waits for its
+// second attempt. Another server is listed after the disconnect.
 func TestClientGone_BetweenAttempts(t *testing.T) {
 	for way, disconnect := range disconnects {
 		t.Run(way, func(t *testing.T) {
@@ -84,8 +86,9 @@
 	}
 }
 
-// A client disconnects while the dial to the only server is in progress; then the dial succeeds. The node must not
-// forward the request, even where the settings forbid it to cancel attempts.
+// TestClientGone_DuringDial checks that the node does not forward a request whose client disconnects during the dial
+// to the only server. The dial succeeds after the disconnect. The rule also holds if the settings forbid the node to
+// cancel attempts.
 func TestClientGone_DuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
@@ -106,8 +109,8 @@
 	}
 }
 
-// A client sends a request while the node has no free slot for its connection, and disconnects before the node reads
-// it. The node must not forward the request when it gets a slot.
+// TestClientGone_BeforeRequestIsRead checks that the node does not forward a request whose client disconnects before
+// the node reads the request. The node reads the request late because it has no free connection slot.
 func TestClientGone_BeforeRequestIsRead(t *testing.T) {
 	for way, disconnect := range disconnects {
 		t.Run(way, func(t *testing.T) {
@@ -139,8 +142,9 @@
 	}
 }
 
-// A client disconnects while sending a body, or right after it. No server may get the complete request, not even where
-// the node has buffered a part of the body and the rest is still unread in the socket.
+// TestClientGone_WithinBody checks that no server gets a complete request whose client disconnects while sending the
+// body or right after it. In some cases the node has buffered a part of the body, and the rest is unread in the
+// socket.
 func TestClientGone_WithinBody(t *testing.T) {
 	body := strings.Repeat("x", 200<<10)
 	for name, part := range map[string]int{
@@ -170,8 +174,9 @@
 	}
 }
 
-// Over MessagePack-RPC two calls are queued and a third exceeds the maximum on a connection, so that the node has
-// stopped reading from the connection when the client disconnects. It must notice that, and forward none of the calls.
+// TestRPCClientGone_WhileCallsAreQueued checks that the node forwards no call of a MessagePack-RPC client that
+// disconnects while its calls are queued. Two calls are queued, and a third call exceeds the maximum number per
+// connection. The node therefore stops reading from the connection, but must still notice the disconnect.
 func TestRPCClientGone_WhileCallsAreQueued(t *testing.T) {
 	env := newHarness(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -208,8 +213,8 @@
 	}
 }
 
-// A client disconnects at the moment at which the server responds. The request must have run exactly once, and no
-// request or connection may stay open.
+// TestClientGone_AsResponseArrives checks that a request runs exactly once if its client disconnects when the server
+// responds. No request or connection may stay open.
 func TestClientGone_AsResponseArrives(t *testing.T) {
 	clients := make(chan *clientConn, 1)
 	env := newHarness(t, nil)
@@ -239,8 +244,9 @@
 	}
 }
 
-// 1,000 clients disconnect while their requests are queued, 800 one by one and 200 at once, while 50 other clients
-// wait. Then a server is listed. The node must forward no request of a disconnected client, and serve all others.
+// TestClientGone_ThousandQueuedRequests checks that the node forwards no request of 1,000 clients that disconnect
+// while their requests are queued. 800 clients disconnect one by one, and 200 at once. The node must serve 50 other
+// clients, which stay connected, after a server is listed.
 func TestClientGone_ThousandQueuedRequests(t *testing.T) {
 	env := newHarness(t, func(c *node.Config) { c.MaxDescriptors = 1024 }).start()
 	const staying = 50
@@ -260,7 +266,7 @@
 	for _, client := range burst {
 		client.close()
 	}
-	env.discovery.publish(listEntry("s0", env.startServer("s0", nil), "up")) // while disconnects are handled
+	env.discovery.publish(listEntry("s0", env.startServer("s0", nil), "up")) // while the node handles disconnects
 	for range staying {
 		if status := testkit.Receive(t, "a response", responses); status != http.StatusOK {
 			t.Errorf("status %d for a client that stayed connected, want 200", status)
@@ -275,14 +281,15 @@
 	}
 }
 
-// sendAbandoned sends the request gone<n>, whose client the caller disconnects later. Its class depends on n.
+// sendAbandoned sends the request gone<n> on a new connection, which the caller closes later. The class of the
+// request depends on n.
 func (env *harness) sendAbandoned(n int) *clientConn {
 	env.t.Helper()
 	return env.dial().send(requestText(fmt.Sprint("gone", n), []string{"read", "pay", "undo"}[n%3], ""))
 }
 
-// disconnectQueued sends the request gone<n> and disconnects, alternately with a FIN and an RST. For every 40th
-// request it first waits until the node has queued more requests than those of the staying clients.
+// disconnectQueued sends the request gone<n> and disconnects, with an RST if n is odd and with a FIN otherwise. For
+// every 40th request, it first waits until more than staying requests are queued.
 func (env *harness) disconnectQueued(n, staying int) {
 	env.t.Helper()
 	client := env.sendAbandoned(n)
@@ -296,7 +303,7 @@
 	}
 }
 
-// countForwarded returns how many requests whose ID has the prefix reached a server.
+// countForwarded returns the number of attempts that servers received for requests whose ID starts with prefix.
 func (env *harness) countForwarded(prefix string) (count int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -308,8 +315,9 @@
 	return count
 }
 
-// A request head arrives in two parts, the first of which fills all but one byte of net/http's read buffer. The node
-// reads from an idle connection to notice a disconnect; that must not consume a byte of the head.
+// TestRequestHead_OneByteShortOfBuffer checks that the node loses no byte of a request head that arrives in two
+// parts. The first part fills all but one byte of net/http's read buffer. The node reads from idle connections to
+// notice disconnects, and this read must not consume a byte of the head.
 func TestRequestHead_OneByteShortOfBuffer(t *testing.T) {
 	env := newHarness(t, nil)
 	env.addEndpoints(endpoint("s0", env.startServer("s0", nil)))
--- a/internal/racetest/connections_test.go
+++ b/internal/racetest/connections_test.go
@@ -12,8 +12,9 @@
 	"cobaltward/internal/testkit"
 )
 
-// Three times as many clients as there are connection slots send requests. The node must accept a waiting connection
-// when another one becomes idle or ends, and must not close a connection that has a request, read or unread.
+// TestConnectionLimit_FreesSlotsForNewClients checks that the node serves three times as many clients as it has
+// connection slots. The node must accept a waiting connection when another connection becomes idle or ends. It must
+// not close a connection after it has forwarded a request from that connection.
 func TestConnectionLimit_FreesSlotsForNewClients(t *testing.T) {
 	env := newHarness(t, func(c *node.Config) { c.MaxDescriptors = 64 })
 	env.addEndpoints(endpoint("s0", env.startServer("s0", nil)))
@@ -30,7 +31,7 @@
 	}
 }
 
-// excessClients are more clients than the node has connection slots. It counts the outcomes of their requests.
+// excessClients counts the outcomes of the requests of more clients than the node has connection slots.
 type excessClients struct {
 	env *harness
 
@@ -38,8 +39,8 @@
 	served, resent int
 }
 
-// runClient sends 25 requests on a connection. If the node closes the idle connection while a request is on its way,
-// the client sends the request again on a new connection.
+// runClient sends 25 requests of client i, one after the other, on one connection. If the node closes the idle
+// connection while a request is on its way, the client sends the request again on a new connection.
 func (l *excessClients) runClient(i int) {
 	var client *clientConn
 	for n := 0; n < 25; {
@@ -73,7 +74,8 @@
 	*n++
 }
 
-// badClients are the actions of clients that send without reading responses, send invalid data, or send nothing.
+// badClients are the actions of misbehaving clients. The clients send without reading responses, send invalid data,
+// or send nothing.
 var badClients = []func(c *clientConn, i int){
 	func(c *clientConn, i int) {
 		_, _ = io.WriteString(c, strings.Repeat(requestText(fmt.Sprint("much", i), "read", ""), 200))
@@ -98,8 +100,8 @@
 	func(*clientConn, int) {},
 }
 
-// Some clients send many requests and reset the connection, send nothing, an incomplete head or invalid data, or never
-// read. The node must serve well-behaved clients meanwhile, forward each request at most once, and leave none open.
+// TestWellBehavedClients_ServedBesideBadOnes checks that the node serves well-behaved clients beside the misbehaving
+// clients in badClients. The node must forward each request at most once, and no request may stay open.
 func TestWellBehavedClients_ServedBesideBadOnes(t *testing.T) {
 	env := newHarness(t, func(c *node.Config) { c.MaxDescriptors = 128 })
 	env.addEndpoints(endpoint("s0", env.startServer("s0", nil)))
@@ -121,10 +123,10 @@
 	}
 }
 
-// A client pipelines a second request, so that net/http has buffered it before serving it. While one of the two
-// requests is at the server, the node is terminated or must free connection slots for other clients. It must not
-// close the connection as idle. If the response to the first request announces a close, the second must not be
-// forwarded.
+// TestPipelinedRequest_KeepsConnectionOpen checks that the node does not close a connection as idle while the connection
+// has a pipelined request. net/http buffers the second request before the node serves it. While one of the two requests is
+// at the server, the node is terminated or must free connection slots. If the response to the first request announces
+// a close, the node must not forward the second request.
 func TestPipelinedRequest_KeepsConnectionOpen(t *testing.T) {
 	for _, how := range []string{"termination", "eviction"} {
 		for _, at := range []string{"one", "two"} {
@@ -136,8 +138,8 @@
 	}
 }
 
-// testPipelinedRequest terminates the node, or opens more connections than it has slots, while the request blockedID
-// is at the server.
+// testPipelinedRequest terminates the node if terminate is set, and otherwise opens more connections than the node
+// has slots. Meanwhile the request with the ID blockedID is at the server.
 func testPipelinedRequest(t *testing.T, terminate bool, blockedID string) {
 	t.Helper()
 	reached, proceed := make(chan string, 2), make(chan bool)
@@ -172,7 +174,7 @@
 	status, body, err := client.readResponse()
 	servers := env.serversReached("two")
 	if blockedID == "one" && terminate && err != nil && len(servers) == 0 {
-		return // the response to the first request announced that the connection would be closed
+		return // the response to the first request announced the close of the connection
 	}
 	if err != nil || status != http.StatusOK || body != "done two" {
 		t.Errorf("second request: status %d, body %q, error %v, forwarded to %v", status, body, err, servers)
--- a/internal/racetest/discovery_test.go
+++ b/internal/racetest/discovery_test.go
@@ -19,7 +19,7 @@
 // discoveryStub is a discovery service whose calls a test can intercept.
 type discoveryStub struct {
 	addr  string
-	calls chan pollCall // receives each call; calls are dropped while the channel is full
+	calls chan pollCall // calls received so far; calls are dropped while the channel is full
 
 	mu        sync.Mutex
 	received  int
@@ -29,10 +29,10 @@
 	intercept func(pollCall, net.Conn) (handled bool)
 }
 
-// pollCall is one call for the endpoint list.
+// pollCall is one call to discovery for the endpoint list.
 type pollCall struct {
-	seq           int    // number of calls before this one
-	sinceRevision string // the revision that the caller has; empty if it asks for the complete list
+	seq           int    // number of earlier calls
+	sinceRevision string // revision of the caller's list; empty: the complete list is requested
 	wait          time.Duration
 	at            time.Time
 }
@@ -51,7 +51,8 @@
 	return stub
 }
 
-// serveCall records a call and answers it unless a test intercepts it. It returns false to close the connection.
+// serveCall records a call and answers the call, unless the test intercepts it. It returns false to close the
+// connection.
 func (d *discoveryStub) serveCall(req *http.Request, conn net.Conn) bool {
 	query := req.URL.Query()
 	waitMs, _ := strconv.Atoi(query.Get("wait")) // a call without this parameter does not wait
@@ -70,8 +71,8 @@
 	return d.answer(call, conn)
 }
 
-// answer sends the complete list as soon as its revision differs from the caller's, or an empty change when the wait
-// of the call is over. It returns false to close the connection.
+// answer waits until the revision of the list differs from the caller's, and then sends the complete list. If
+// call.wait is over before, it sends an empty change. It returns false to close the connection.
 func (d *discoveryStub) answer(call pollCall, conn net.Conn) bool {
 	timeout := time.NewTimer(call.wait)
 	defer timeout.Stop()
@@ -95,8 +96,8 @@
 	}
 }
 
-// watchClose returns a channel that is closed when the peer closes the connection; stop ends the watch. The connection
-// carries one call at a time, so no data can arrive meanwhile, only the close.
+// watchClose returns a channel that is closed when the peer closes the connection, and a function that ends the
+// watch. The connection carries one call at a time, so no data can arrive during the watch.
 func watchClose(conn net.Conn) (closed <-chan struct{}, stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -114,15 +115,15 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, d.revision, strings.Join(d.entries, ","))
 }
 
-// listText returns the current list in the form of a complete answer.
+// listText returns the current list as the body of a complete answer.
 func (d *discoveryStub) listText() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.textLocked()
 }
 
-// adoptInitialList copies the list that the node is started with to the stub, unless the test has published one.
-// Otherwise a node that asks for the complete list, as it does after SIGHUP, would lose its servers.
+// adoptInitialList copies the node's initial list to the stub, unless the stub has entries or another revision.
+// Without the copy, a node that requests the complete list, for example after SIGHUP, would lose its servers.
 func (d *discoveryStub) adoptInitialList(list registry.List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,14 +145,14 @@
 	d.changed = make(chan struct{})
 }
 
-// restartRevisions resets the revision to 1, as a discovery service does that lost its state.
+// restartRevisions resets the revision to 1, as a discovery service does after it lost its state.
 func (d *discoveryStub) restartRevisions() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision = 1
 }
 
-// setIntercept sets the function that handles later calls in place of the stub. Nil removes it.
+// setIntercept sets a function that may handle calls in place of the stub. nil removes the function.
 func (d *discoveryStub) setIntercept(intercept func(pollCall, net.Conn) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,7 +165,8 @@
 	return err == nil
 }
 
-// listEntry returns the endpoint list entry, as JSON, of a server in zone a and cell 1.
+// listEntry returns the JSON entry of a server in the endpoint list. The server has the given ID, address and phase,
+// and is in zone a and cell 1.
 func listEntry(id, addr, phase string) string { return formatEntry(endpoint(id, addr), phase) }
 
 func formatEntry(e router.Endpoint, phase string) string {
--- a/internal/racetest/endpointlist_test.go
+++ b/internal/racetest/endpointlist_test.go
@@ -13,8 +13,9 @@
 	"cobaltward/internal/testkit"
 )
 
-// notifiedBy returns the time by which the operators' rules require a node to know of a change that its watch missed:
-// 6 s after the last data on the watch, or 2 s after the wait of the call ends, whichever is later.
+// notifiedBy returns the time by which the operators' rules require a node to know of a change that its watch missed.
+// The time is 6 s after silentSince, the time of the last data on the watch, or 2 s after the wait of call ends, whichever
+// is later.
 func notifiedBy(call pollCall, silentSince time.Time) time.Time {
 	bySilence := silentSince.Add(6 * time.Second)
 	if byWait := call.at.Add(call.wait + 2*time.Second); byWait.After(bySilence) {
@@ -23,12 +24,12 @@
 	return bySilence
 }
 
-// socketSlack is the tolerance that the operators' rules add to configured times because of socket delays.
+// socketSlack is the tolerance for socket delays that the operators' rules add to configured times.
 const socketSlack = 50 * time.Millisecond
 
-// watchFailures are the ways in which a watch fails to deliver a drain, or delivers it in unusual formatting. Each
-// function publishes the drain and then mishandles one call; the stub answers later calls correctly. The functions
-// return true if they handled the call.
+// watchFailures maps the name of a failure to a function that causes it. A failed watch does not deliver a drain, or
+// delivers the drain in unusual formatting. Each function publishes the drain and mishandles one call. The stub
+// answers later calls correctly. A function returns true if it handled the call.
 var watchFailures = map[string]func(env *harness, conn net.Conn) bool{
 	"no answer": func(env *harness, conn net.Conn) bool {
 		env.publishDrain()
@@ -86,12 +87,12 @@
 	},
 }
 
-// writeTruncated sends the Content-Length of the whole list but only its first n bytes.
+// writeTruncated sends a response with the Content-Length of the whole list but only the first n bytes of the list.
 func writeTruncated(conn net.Conn, list string, n int) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list[:n])
 }
 
-// holdSilent keeps a connection open, without sending data, until the peer closes it.
+// holdSilent sends no data and returns true when the peer has closed the connection.
 func holdSilent(conn net.Conn) bool {
 	_, _ = io.Copy(io.Discard, conn)
 	return true
@@ -102,7 +103,8 @@
 	env.discovery.publish(listEntry("s0", env.oldServer, "draining"), listEntry("s1", env.newServer, "up"))
 }
 
-// newDrainHarness returns a harness with two servers, of which the node's initial list contains only the old one.
+// newDrainHarness returns a harness with an old and a new server. The node's initial list contains only the old
+// server.
 func newDrainHarness(t *testing.T, subscribe bool) *harness {
 	t.Helper()
 	env := newHarness(t, func(c *node.Config) {
@@ -114,12 +116,13 @@
 	return env
 }
 
-// oneDraining is a condition for awaitStatus: one server is draining.
+// oneDraining is a condition for awaitStatus: exactly one server is draining.
 func oneDraining(s node.Status) bool { return s.Servers["draining"] == 1 }
 
-// A watch fails and the node misses that s0 is draining. The node must learn of it from a later call, and send no
-// request to s0 once the drain grace after the required notification time (notifiedBy) is over. Clients send requests
-// until the node has applied the change and for a second longer, with discovery by polling and by subscription.
+// TestWatch_MissedDrainIsNoticedInTime checks that the node learns of a drain of s0 that a failed watch missed. The
+// node must send no request to s0 later than the drain grace after the required notification time (notifiedBy). The
+// test sends requests until one second after the first request that reached only s1. The test uses discovery by polling
+// and by subscription.
 func TestWatch_MissedDrainIsNoticedInTime(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		for name, fail := range watchFailures {
@@ -143,7 +146,7 @@
 		if call.seq > 0 {
 			return false
 		}
-		env.expectServed("before") // served by s0, which the node's list says is running
+		env.expectServed("before") // served by s0, which is running in the node's list
 		failedCall, silentSince = call, time.Now()
 		close(callFailed)
 		return fail(env, conn)
@@ -159,8 +162,8 @@
 	}
 }
 
-// requestUntilMoved sends requests until one second after s1 alone received one, which must happen at most 5 s after
-// the time notified.
+// requestUntilMoved sends requests until one second after the first request that reached only s1. That request must
+// be sent at most 5 s after notified.
 func (env *harness) requestUntilMoved(notified time.Time) {
 	env.t.Helper()
 	var first time.Time
@@ -180,8 +183,8 @@
 	}
 }
 
-// Discovery is unreachable when the node starts, and the first list after it recovers has s0 draining. The node must
-// apply that list within 6 s of the recovery.
+// TestDiscovery_UnreachableAtStart checks that the node applies a drain within 6 s after discovery becomes reachable.
+// Discovery is unreachable when the node starts, and s0 is draining in the first list that discovery sends.
 func TestDiscovery_UnreachableAtStart(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		t.Run(fmt.Sprint("subscribe ", subscribe), func(t *testing.T) {
@@ -210,9 +213,9 @@
 	}
 }
 
-// SIGHUP changes the address of discovery while a call to the old address is in flight. The answer from the old
-// address arrives later, with a higher revision in which s0 is up, and must be ignored. A drain published at the new
-// address must be applied, whether it was published before or after the change.
+// TestDiscovery_MovesDuringCall checks that SIGHUP can change the address of discovery while a call to the old
+// address is in flight. The old address answers later, with a higher revision in which s0 is up. The node must ignore
+// this answer. It must apply a drain published at the new address, either before or after the change.
 func TestDiscovery_MovesDuringCall(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		for _, when := range []string{"before", "after"} {
@@ -262,8 +265,8 @@
 	}
 }
 
-// The endpoint list becomes empty, a request is queued, and a server is listed again: that server must serve the
-// queued request.
+// TestEndpointList_EmptiesWhileRequestsAreQueued checks that a request waits while the endpoint list is empty, and
+// that the next listed server serves it.
 func TestEndpointList_EmptiesWhileRequestsAreQueued(t *testing.T) {
 	env := newHarness(t, nil)
 	env.oldServer = env.startServer("s0", nil)
--- a/internal/racetest/firstrequest_test.go
+++ b/internal/racetest/firstrequest_test.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// killMargin is the time before SIGKILL in which the node need not answer requests any more.
+	// killMargin is the time directly before SIGKILL in which the node need not answer requests.
 	killMargin = 100 * time.Millisecond
-	// queueTimeoutDivisor defines the tolerated delay of the host as a fraction of the deadline. After a longer delay too
-	// little of the deadline may be left, and the node may reject the request or let it fail.
+	// queueTimeoutDivisor divides the deadline to get the tolerated delay of the host. After a longer delay, too
+	// little of the deadline may be left. The node may then reject the request or let it fail.
 	queueTimeoutDivisor = 4
 )
 
-// shutdownCase is a way of shutting a node down while clients have just connected. Its times count from the start of
-// the shutdown.
+// shutdownCase is a way of shutting a node down while clients connect to it. Its times count from the start of the
+// shutdown.
 type shutdownCase struct {
 	longestDeadline time.Duration // deadline of every class
 	connectAt       []time.Duration
-	answerUntil     time.Duration // requests whose first byte is sent earlier must be answered
+	answerUntil     time.Duration // requests sent earlier must be served
 	start           func(env *harness)
 }
 
@@ -64,8 +64,9 @@
 	150 * time.Millisecond, 200 * time.Millisecond, 250 * time.Millisecond, 300 * time.Millisecond,
 }
 
-// Clients connect to a node that is shutting down while they are still routed to it, and send their first request some
-// time later. The node must serve these requests until killMargin before the earliest SIGKILL.
+// TestFirstRequest_ServedUntilKill checks that a node that is shutting down serves the first requests of new clients.
+// Clients are still routed to the node, connect, and send their first request some time later. The node must serve
+// each request that is sent before the answerUntil of its case.
 func TestFirstRequest_ServedUntilKill(t *testing.T) {
 	for name, shutdown := range shutdownCases {
 		for _, front := range []string{"HTTP", "TLS", "MessagePack-RPC"} {
@@ -83,9 +84,9 @@
 	firstResponse
 }
 
-// firstResponse is the response to the first request on a connection, or the error in its place.
+// firstResponse is the response to the first request on a connection, or the error if there is no response.
 type firstResponse struct {
-	sentAt   time.Duration // when the request was sent, counted from the start of the shutdown
+	sentAt   time.Duration // time from the start of the shutdown until the request was sent
 	answer   string        // "served", "answered" with a status or code, or the text of an error
 	isAnswer bool          // answer is a response of the node, not an error
 }
@@ -124,7 +125,7 @@
 	pause := longestPause()
 	for result := range received {
 		results = append(results, result)
-		pause = max(pause, result.sentAt-result.connectAt-result.delay) // the delay of this client by the host
+		pause = max(pause, result.sentAt-result.connectAt-result.delay) // delay of this client by the host
 	}
 	answerUntil := shutdown.answerUntil - pause
 	hostOnTime := pause <= shutdown.longestDeadline/queueTimeoutDivisor
@@ -138,12 +139,12 @@
 	}
 }
 
-// exchangeFunc sends the first request on a connection and returns its outcome. The time in the result at which the
-// request was sent counts from since.
+// exchangeFunc sends the first request on a connection, with the given ID, and returns the outcome. The sentAt of the
+// result counts from since.
 type exchangeFunc func(id string, since time.Time) firstResponse
 
-// prepareFront configures the node to serve clients over the given front. The returned function opens a connection to
-// that front.
+// prepareFront configures the node to serve clients over the given front. The returned function connects to that
+// front.
 func (env *harness) prepareFront(front string) (connect func() (exchangeFunc, error)) {
 	env.t.Helper()
 	switch front {
@@ -222,7 +223,7 @@
 	}
 }
 
-// readReply reads the next reply and skips notifications.
+// readReply reads the next reply and skips messages of other kinds.
 func readReply(in *msgpackrpc.Reader) (msgpackrpc.Reply, error) {
 	for {
 		frame, err := in.Next()
@@ -239,7 +240,7 @@
 	}
 }
 
-// startDrain starts a drain of the node through the admin API.
+// startDrain starts a drain of the node, with the given timeout, through the admin API.
 func (env *harness) startDrain(timeout string) {
 	env.t.Helper()
 	if code := env.postDrain(node.DrainRequest{Timeout: timeout}); code != http.StatusAccepted {
@@ -247,8 +248,9 @@
 	}
 }
 
-// A client has connected to a node but not sent a request when the node is drained through the admin API, and the
-// drain is then ended early by SIGTERM or by a forced drain. The client's first request must still be answered.
+// TestFirstRequest_AnsweredAfterDrainCutShort checks that the node answers the first request on a connection after
+// SIGTERM or a forced drain has ended a drain early. The client connects before the first drain and sends its request
+// after the early end.
 func TestFirstRequest_AnsweredAfterDrainCutShort(t *testing.T) {
 	for name, cutShort := range map[string]func(env *harness){
 		"SIGTERM": func(env *harness) { env.terminate() },
@@ -280,7 +282,7 @@
 	}
 }
 
-// postDrain requests a drain from the admin API, and returns the status of the response.
+// postDrain sends a drain request to the admin API, and returns the response status.
 func (env *harness) postDrain(request node.DrainRequest) int {
 	env.t.Helper()
 	client, base := adminapi.NewClient(env.config.AdminAPI.Socket, "", nil)
--- a/internal/racetest/harness_test.go
+++ b/internal/racetest/harness_test.go
@@ -1,7 +1,7 @@
 // Package racetest contains only tests. They force race conditions over loopback sockets: one side closes, removes or
-// cancels something while another begins to use it. Clients, servers and discovery are test doubles that can block at
-// a given point until the test lets them continue. Tests wait for an observed state instead of sleeping. They check
-// what the test doubles recorded, not what the node reports about itself.
+// cancels something while another side begins to use it. Clients, servers and discovery are test doubles. A test
+// double can block at a given point until the test lets it continue. Where possible, tests wait for an observed state
+// instead of sleeping. They check what the test doubles recorded, not what the node reports about itself.
 package racetest
 
 import (
@@ -41,14 +41,14 @@
 	reloads   chan node.Config
 	terminate context.CancelFunc // shuts the node down as SIGTERM does
 	exited    chan error
-	stopped   bool        // the node's exit has been received
+	stopped   bool        // awaitExit has been called
 	clientTLS *tls.Config // nil: clients use plain HTTP
 
-	oldServer, newServer string // addresses of the servers s0 and s1, in tests of the endpoint list
+	oldServer, newServer string // addresses of s0 and s1 in tests of the endpoint list
 	trackedID            string // ID of the request that a termination test examines
 
 	mu        sync.Mutex
-	forwarded []forwardedRequest // requests whose last byte reached a server, in order
+	forwarded []forwardedRequest // completely received requests, in order of receipt
 }
 
 // forwardedRequest is one request that a server received completely.
@@ -57,7 +57,7 @@
 	at         time.Time
 }
 
-// settings returns settings with limits and timeouts so high that nothing expires unless the test causes it.
+// settings returns settings with high limits and timeouts, so that nothing expires unless the test causes it.
 func settings() policy.Settings {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{
@@ -80,12 +80,13 @@
 	}
 }
 
-// newHarness returns a harness whose node has not been started. change modifies its configuration and may be nil.
+// newHarness returns a harness whose node has not been started. If change is not nil, it modifies the node's
+// configuration.
 func newHarness(t *testing.T, change func(c *node.Config)) *harness {
 	env := &harness{t: t, reloads: make(chan node.Config, 1), exited: make(chan error, 1)}
 	testkit.LogPausesOnFailure(t)
 	env.discovery = newDiscoveryStub(t)
-	announceFor := time.Millisecond // termination tests reset it to nil, so that the daemon's default applies
+	announceFor := time.Millisecond // termination tests use nil, which means the daemon's default
 	env.config = node.Config{
 		Name: "n", Discovery: env.discovery.addr, Seed: 1, MaxDescriptors: 256, MemoryMB: 64,
 		Settings: settings(), ConnectTimeout: 10 * time.Second, AnnounceFor: &announceFor,
@@ -98,12 +99,12 @@
 	return env
 }
 
-// endpoint returns an entry of the endpoint list that the node is started with.
+// endpoint returns an endpoint with the given ID and address in zone a and cell 1.
 func endpoint(id, addr string) router.Endpoint {
 	return router.Endpoint{ID: id, Addr: addr, Zone: "a", Kind: "k", Cell: 1, Weight: 1}
 }
 
-// addEndpoints appends endpoints to the list that the node is started with.
+// addEndpoints appends endpoints to the node's initial list. It must be called before start.
 func (env *harness) addEndpoints(endpoints ...router.Endpoint) {
 	env.config.InitialList.Endpoints = append(env.config.InitialList.Endpoints, endpoints...)
 }
@@ -149,7 +150,8 @@
 	env.clientTLS = &tls.Config{RootCAs: pool}
 }
 
-// shutdown terminates the node as SIGTERM does, and waits for its exit.
+// shutdown terminates the node as SIGTERM does, and waits for its exit. It does nothing if the node has already
+// exited.
 func (env *harness) shutdown() {
 	if env.stopped {
 		return
@@ -158,7 +160,7 @@
 	env.awaitExit()
 }
 
-// awaitExit waits until a terminated node exits, and checks that it exits without an error.
+// awaitExit waits until a terminated node exits, and checks that the node exits without an error.
 func (env *harness) awaitExit() {
 	env.t.Helper()
 	env.stopped = true
@@ -167,7 +169,7 @@
 	}
 }
 
-// isReady sends the readiness check that a load balancer in front of the node would send.
+// isReady sends a readiness check, as a load balancer does, and reports whether the node is ready.
 func (env *harness) isReady() bool {
 	client, scheme := oneShotClient, "http://"
 	if env.clientTLS != nil {
@@ -182,15 +184,15 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// reload sends a configuration to the node and waits until the node has applied or rejected it. The node has handled
-// one configuration once it receives the next, so the same one is sent three times.
+// reload sends a configuration to the node, and waits until the node has applied or rejected the configuration. The
+// node receives a configuration only after it has handled the previous one, so reload sends next three times.
 func (env *harness) reload(next node.Config) {
 	env.reloads <- next
 	env.reloads <- next
 	env.reloads <- next // the channel buffers one value, so the node has handled the first by now
 }
 
-// serversReached returns the servers that received the complete request, in order of receipt.
+// serversReached returns the servers that received the complete request with the given ID, in order of receipt.
 func (env *harness) serversReached(id string) (servers []string) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -202,7 +204,7 @@
 	return servers
 }
 
-// forwardedAfter returns the requests that the server received after the time at.
+// forwardedAfter returns the requests that server received after the time at.
 func (env *harness) forwardedAfter(server string, at time.Time) (late []forwardedRequest) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -214,7 +216,7 @@
 	return late
 }
 
-// expectNotForwarded checks that no server received the request.
+// expectNotForwarded checks that no server received the request with the given ID.
 func (env *harness) expectNotForwarded(id string) {
 	env.t.Helper()
 	if servers := env.serversReached(id); len(servers) > 0 {
@@ -222,8 +224,8 @@
 	}
 }
 
-// status returns the status that the node's admin API reports. Tests use it only to wait for a state of the node, and
-// check results by what clients and servers recorded.
+// status returns the status that the node's admin API reports, or the zero value after an error. Tests use the status
+// only to wait for a state of the node. They check results by what clients and servers recorded.
 func (env *harness) status() (status node.Status) {
 	client, base := adminapi.NewClient(env.config.AdminAPI.Socket, "", nil)
 	defer client.CloseIdleConnections()
@@ -236,7 +238,7 @@
 	return status
 }
 
-// awaitStatus waits until the node's status satisfies ok.
+// awaitStatus waits until the node's status satisfies ok. what names the condition in the failure message.
 func (env *harness) awaitStatus(what string, ok func(s node.Status) bool) {
 	env.t.Helper()
 	testkit.Await(env.t, what, func() bool {
@@ -245,12 +247,12 @@
 	})
 }
 
-// queuedRequests is a condition for awaitStatus: n requests are queued.
+// queuedRequests returns a condition for awaitStatus: exactly n requests are queued.
 func queuedRequests(n int) func(node.Status) bool {
 	return func(s node.Status) bool { return s.Requests.Queued == n }
 }
 
-// noOpenRequests is a condition for awaitStatus: no request is open and no attempt in flight.
+// noOpenRequests is a condition for awaitStatus: no request is open and no attempt is in flight.
 func noOpenRequests(s node.Status) bool {
 	return s.Requests.Open == 0 && s.Requests.AttemptsInFlight == 0
 }
--- a/internal/racetest/server_test.go
+++ b/internal/racetest/server_test.go
@@ -15,14 +15,14 @@
 	"cobaltward/internal/testkit"
 )
 
-// serverRequest is a request that a server has read, together with its connection.
+// serverRequest is a request that a server has read, and the connection on which the request arrived.
 type serverRequest struct {
 	net.Conn
 	id      string
 	earlier int // number of earlier requests on this connection
 }
 
-// respond sends a 200 response with a body, and reports whether the write succeeded.
+// respond sends a 200 response with the given body, and reports whether the write succeeded.
 func (req serverRequest) respond(body string) bool {
 	_, err := fmt.Fprintf(req, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
@@ -37,12 +37,12 @@
 // resetOnClose makes the server send an RST instead of a FIN when it closes the connection.
 func (req serverRequest) resetOnClose() { _ = req.Conn.(*net.TCPConn).SetLinger(0) }
 
-// requestHandler handles a request at a server and returns false to close the connection. A server whose handler is
-// nil answers 200.
+// requestHandler handles a request at a server and returns false to close the connection. A server with a nil handler
+// answers with status 200.
 type requestHandler func(req serverRequest) bool
 
-// hangIf returns a handler that never answers requests whose ID has the prefix, and answers all others. It returns
-// when the node cancels such a request.
+// hangIf returns a handler that does not answer requests whose ID starts with prefix. For such a request, the handler
+// returns when the node cancels the request. The handler answers all other requests.
 func hangIf(prefix string) requestHandler {
 	return func(req serverRequest) bool {
 		if strings.HasPrefix(req.id, prefix) {
@@ -53,12 +53,12 @@
 	}
 }
 
-// startServer runs a server until the test ends, and returns its address.
+// startServer runs a server with the given ID and handler until the test ends, and returns its address.
 func (env *harness) startServer(id string, handler requestHandler) string {
 	return testkit.RawServer(env.t, func(c net.Conn, r *bufio.Reader) { env.serveConn(id, handler, c, r) })
 }
 
-// serveConn records and handles the requests of a connection until the connection is closed.
+// serveConn records and handles the requests on conn until the connection is closed. id is the ID of the server.
 func (env *harness) serveConn(id string, handler requestHandler, conn net.Conn, r *bufio.Reader) {
 	if handler == nil {
 		handler = func(req serverRequest) bool { return req.respond("done " + req.id) }
@@ -81,7 +81,7 @@
 	}
 }
 
-// blockedServer is a server whose accept queue is full, so that dials to it block until unblock is called.
+// blockedServer is a server whose accept queue is full. Dials to the server block until unblock is called.
 type blockedServer struct {
 	fd        int
 	unblocked bool
@@ -92,7 +92,7 @@
 	conns []net.Conn
 }
 
-// startBlockedServer runs a server to which dials block until unblock is called.
+// startBlockedServer runs a server with the given ID. Dials to addr block until unblock is called.
 func (env *harness) startBlockedServer(id string) (addr string, unblock func()) {
 	env.t.Helper()
 	fd, addr := listenWithoutBacklog(env.t)
@@ -102,7 +102,8 @@
 	return addr, server.unblock
 }
 
-// listenWithoutBacklog returns a listening socket with the shortest accept queue, and its address.
+// listenWithoutBacklog returns a listening socket with the shortest possible accept queue, and the address of the
+// socket.
 func listenWithoutBacklog(t *testing.T) (fd int, addr string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -122,7 +123,7 @@
 	return fd, fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
 }
 
-// fillAcceptQueue opens connections until a dial times out. The connections stay open until the test ends.
+// fillAcceptQueue opens connections to addr until a dial times out. The connections stay open until the test ends.
 func fillAcceptQueue(t *testing.T, addr string) {
 	t.Helper()
 	for {
@@ -167,8 +168,8 @@
 	s.running.Wait()
 }
 
-// fdConn is a connection on a file descriptor. Of net.Conn it implements only reading, writing and closing; the other
-// methods do nothing.
+// fdConn is a connection on a file descriptor. It implements Read, Write and Close. The other methods of net.Conn do
+// nothing.
 type fdConn struct{ fd int }
 
 func (c fdConn) Read(p []byte) (int, error) {
--- a/internal/racetest/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -17,8 +17,8 @@
 
 // removalDuringDial is a change of the endpoint list during a dial to s0.
 type removalDuringDial struct {
-	entries func(env *harness, addr string) []string // the new list entries for s0, which listens at addr
-	server  string                                   // the server that must receive the request
+	entries func(env *harness, addr string) []string // returns the new entries of s0; addr is its current address
+	server  string                                   // server that must receive the request
 }
 
 var removalsDuringDial = map[string]removalDuringDial{
@@ -33,9 +33,10 @@
 	"drain withdrawn": {func(_ *harness, addr string) []string { return []string{listEntry("s0", addr, "up")} }, "s0"},
 }
 
-// During a dial to s0 the list changes: s0 is draining, removed, at another address, or restarted as another process.
-// The dial succeeds after the drain grace. The node must not use the connection and must send the request to the other
-// server. If the drain was withdrawn before, the node must use the connection.
+// TestServerRemoved_DuringDial checks that the node does not use a new connection to s0 if the list changed during
+// the dial. In the new list s0 is draining, removed, at another address, or restarted as another process. The dial
+// succeeds after the drain grace, and the node must send the request to s1. If the new list withdraws a drain of s0,
+// the node must use the connection.
 func TestServerRemoved_DuringDial(t *testing.T) {
 	for name, removal := range removalsDuringDial {
 		for _, class := range []string{"read", "pay", "undo"} {
@@ -47,7 +48,8 @@
 	}
 }
 
-// testRemovalDuringDial changes the list during a dial. With drainFirst, s0 is listed as draining before the change.
+// testRemovalDuringDial changes the list during a dial to s0. If drainFirst is set, s0 is listed as draining before
+// the change.
 func testRemovalDuringDial(t *testing.T, removal removalDuringDial, drainFirst bool, class string) {
 	t.Helper()
 	const grace = 60 * time.Millisecond
@@ -75,8 +77,9 @@
 	}
 }
 
-// The only server processes a request, and is listed as draining before it answers with an error. The node must send
-// the retry to the server that was listed meanwhile, not to the draining one.
+// TestServerDrains_BeforeNextAttempt checks that the node does not retry a request at a server that drains. The only
+// server is listed as draining while it processes the request, and then answers with an error. The node must send the
+// retry to another server that was listed in the meantime.
 func TestServerDrains_BeforeNextAttempt(t *testing.T) {
 	for _, class := range []string{"read", "undo"} {
 		t.Run(class, func(t *testing.T) {
@@ -104,10 +107,10 @@
 	}
 }
 
-// invalidResponse is an invalid, incomplete or failed response of a server.
+// invalidResponse is a server's invalid, incomplete or failed response, or a missing one.
 type invalidResponse struct {
 	handler requestHandler
-	pay     int // status that a non-idempotent request gets
+	pay     int // response status for a non-idempotent request
 }
 
 // closeAfter returns a handler that writes text and closes the connection.
@@ -132,8 +135,9 @@
 	return func(req serverRequest) bool { return req.write(text) }
 }
 
-// After each of these the request may have run, except where the server sent X-Not-Run. A non-idempotent request must
-// then neither be retried nor answered as rejected; a keyed one is retried within its deduplication scope.
+// invalidResponses are the cases of TestInvalidResponses_Outcome. After each response without X-Not-Run, the request
+// may have run. The node must neither retry a non-idempotent request nor answer it as rejected. It retries a keyed
+// request within the deduplication scope.
 var invalidResponses = map[string]invalidResponse{
 	"closed before the response": {func(serverRequest) bool { return false }, http.StatusBadGateway},
 	"reset before the response": {func(req serverRequest) bool {
@@ -189,8 +193,8 @@
 	}
 }
 
-// A server closes an idle connection while the node writes the next request to it. The node cannot know whether the
-// request ran, so it must not retry a non-idempotent one.
+// TestIdleConnection_ClosedAsRequestArrives checks that the node does not retry a non-idempotent request if the
+// server closes a reused connection instead of responding. The node cannot know whether the request ran.
 func TestIdleConnection_ClosedAsRequestArrives(t *testing.T) {
 	wantStatus := map[string]int{"read": http.StatusOK, "pay": http.StatusBadGateway, "undo": http.StatusOK}
 	for class, want := range wantStatus {
@@ -204,7 +208,7 @@
 			env.discovery.publish(listEntry("s0", first, "up"), listEntry("s1", env.startServer("s1", nil), "up"))
 			env.awaitStatus("both servers", func(s node.Status) bool { return s.Servers["running"] == 2 })
 			reused := false
-			for i := 0; !reused && i < 50; i++ { // the node delays the reuse of a connection, and opens new ones meanwhile
+			for i := 0; !reused && i < 50; i++ { // the node delays reuse and opens new connections meanwhile
 				id := fmt.Sprint("next", i)
 				status := env.request(id, class)
 				servers := env.serversReached(id)
@@ -223,13 +227,13 @@
 	}
 }
 
-// lateResponder answers each request. If the next request arrives 4 to 10 ms after a response, it first writes a
-// second response to the previous request.
+// lateResponder answers each request. If a request whose ID starts with "next" arrives 4 to 10 ms after the previous
+// response, lateResponder first writes a second response to the previous request.
 type lateResponder struct {
 	mu              sync.Mutex
 	last            serverRequest
 	answeredAt      time.Time
-	secondResponses int // second responses written
+	secondResponses int // number of second responses written
 }
 
 func (l *lateResponder) handle(req serverRequest) bool {
@@ -255,9 +259,9 @@
 	return l.secondResponses
 }
 
-// A server writes a second response to a request some milliseconds after the first, when it has already received the
-// next request. The node must have sent the next request on another connection, and must not take the second response
-// for the response to it.
+// TestSecondResponse_MillisecondsLate checks that the node does not take a late second response for the response to
+// the next request. The server writes the second response some milliseconds after the first, when it has already
+// received the next request. The node must have sent the next request on another connection.
 func TestSecondResponse_MillisecondsLate(t *testing.T) {
 	server := new(lateResponder)
 	env := newHarness(t, nil)
@@ -279,8 +283,8 @@
 	}
 }
 
-// The response of a server arrives at about the time at which the attempt times out. The client must get exactly one
-// response, and a request must reach a server at most once.
+// TestResponse_ArrivesWithTimeout checks that the client gets a valid response if the server responds at about the
+// timeout of the attempt. A request must reach a server at most once.
 func TestResponse_ArrivesWithTimeout(t *testing.T) {
 	env := newHarness(t, func(c *node.Config) {
 		for i := range c.Settings.Classes {
@@ -312,8 +316,8 @@
 	t.Logf("number of responses by status: %v", counts)
 }
 
-// requestAtTimeout sends a request with a deadline of 100 ms and checks its outcome. Its class and the length of its
-// ID, which sets the delay of the server, depend on i.
+// requestAtTimeout sends a request with a deadline of 100 ms, checks its outcome, and returns the response status.
+// The class and the length of the ID depend on i. The length of the ID sets the delay of the server.
 func (env *harness) requestAtTimeout(i int) (status int) {
 	env.t.Helper()
 	id := fmt.Sprint("r", i, strings.Repeat("x", i%8))
@@ -333,19 +337,20 @@
 	return status
 }
 
-// dedupCase is a combination of a deduplication scope, a deduplication window and the location of the second server.
+// dedupCase combines a deduplication scope, a deduplication window and the location of the second server.
 type dedupCase struct {
 	scope    policy.DedupScope
 	relocate func(m *router.Endpoint)
-	inScope  bool // the second server deduplicates retries of requests that the first ran
+	inScope  bool // the second server is in the deduplication scope of the first
 	window   time.Duration
 }
 
 // windowOver reports whether the window ends before the first server closes the connection.
 func (c dedupCase) windowOver() bool { return c.window < time.Second }
 
-// A keyed request that may have run must be retried only at servers that would deduplicate the retry, and only within
-// the deduplication window. The settings define both the scope and the window.
+// TestKeyedRetries_StayInDedupScope checks that a keyed request that may have run is retried only within its
+// deduplication scope and window. Outside the scope or after the window, a server would run the request a second
+// time.
 func TestKeyedRetries_StayInDedupScope(t *testing.T) {
 	places := map[string]func(m *router.Endpoint){
 		"same cell":  func(*router.Endpoint) {},
--- a/internal/racetest/settings_test.go
+++ b/internal/racetest/settings_test.go
@@ -12,7 +12,7 @@
 	"cobaltward/policy"
 )
 
-// settingsVariants are changes to the default test settings, each of which a deployment may have.
+// settingsVariants are changes of the test settings. A deployment may use any of the resulting settings.
 var settingsVariants = map[string]func(s *policy.Settings){
 	"deadlines of 100 ms": func(s *policy.Settings) {
 		for i := range s.Classes {
@@ -40,7 +40,7 @@
 	},
 }
 
-// methodOf returns the HTTP method for requests of a class.
+// methodOf returns the HTTP method of requests of the given class.
 func methodOf(class policy.Class) string {
 	if class.Idempotency == policy.Idempotent {
 		return "GET"
@@ -48,8 +48,9 @@
 	return "POST"
 }
 
-// The first server serves a request, rejects it, or closes the connection without a response. With each variant of the
-// settings, the request must have an outcome that its idempotency and the maximum number of attempts allow.
+// TestSettingsVariants_Outcome checks the outcome of a request with each variant of the settings. The first server
+// serves the request, rejects it, or closes the connection without a response. The outcome must fit the idempotency
+// of the request and the maximum number of attempts.
 func TestSettingsVariants_Outcome(t *testing.T) {
 	firstServers := map[string]requestHandler{
 		"served":   nil,
@@ -68,8 +69,8 @@
 	}
 }
 
-// testSettingsVariant sends one request of the class at classIndex. firstReaction names what the first server does
-// with it, and handler does it.
+// testSettingsVariant sends one request of the class at classIndex, with settings modified by change. firstReaction
+// names the reaction of the first server, and handler implements the reaction.
 func testSettingsVariant(
 	t *testing.T, change func(s *policy.Settings), classIndex int, firstReaction string, handler requestHandler,
 ) {
@@ -81,7 +82,7 @@
 	addr, other := env.startServer("s0", handler), endpoint("s1", env.startServer("s1", nil))
 	other.Cell = 2
 	env.addEndpoints(endpoint("s0", addr), other)
-	if firstReaction != "served" { // only s0 is listed, so that it gets the first attempt
+	if firstReaction != "served" { // list only s0, which then gets the first attempt
 		env.config.InitialList.Endpoints = env.config.InitialList.Endpoints[:1]
 		env.discovery.publish(listEntry("s0", addr, "up"))
 	}
@@ -99,7 +100,8 @@
 	env.shutdown()
 }
 
-// checkVariantOutcome checks the status of the request and the servers that it reached.
+// checkVariantOutcome checks the response status of a request of the given class and the servers that it reached.
+// firstReaction names the reaction of the first server.
 func (env *harness) checkVariantOutcome(firstReaction string, class policy.Class, status int) {
 	env.t.Helper()
 	servers := env.serversReached("one")
@@ -118,11 +120,12 @@
 	}
 }
 
-// reloadCase is a change of settings while a request is at a server that will close the connection without a response.
+// reloadCase is a change of settings while a request is at a server. The server then closes the connection without a
+// response.
 type reloadCase struct {
 	before, after func(s *policy.Settings)
-	status        int      // the status that the client must get
-	servers       []string // the servers that the request must reach, in order
+	status        int      // expected status of the response
+	servers       []string // servers that must receive the request, in order
 }
 
 // withIdempotency returns a function that sets the idempotency of the class "pay".
@@ -130,7 +133,7 @@
 	return func(s *policy.Settings) { s.Classes[1].Idempotency = idempotency }
 }
 
-// dropClass removes the class "pay" and those after it.
+// dropClass removes the class "pay" and all later classes.
 func dropClass(s *policy.Settings) { s.Classes = s.Classes[:1] }
 
 var reloadCases = map[string]reloadCase{
@@ -173,8 +176,8 @@
 	},
 }
 
-// SIGHUP changes the settings of a class while a request of that class is open: the settings that were in effect when
-// the node accepted the request must apply to it until it ends.
+// TestReload_WhileRequestsAreOpen checks that a reload by SIGHUP does not affect open requests of a changed class.
+// The settings that were in effect when the node accepted a request must apply until the request ends.
 func TestReload_WhileRequestsAreOpen(t *testing.T) {
 	for name, change := range reloadCases {
 		t.Run(name, func(t *testing.T) {
@@ -204,8 +207,8 @@
 	}
 }
 
-// SIGHUP makes a class idempotent while the body of a request of that class is arriving. The client sent the request
-// as non-idempotent, so the node must not forward it as one that may be retried.
+// TestReload_WithinBody checks that the node does not forward a request whose class SIGHUP makes idempotent while the
+// body is arriving. The client sent the request as non-idempotent, so the node must not forward it as idempotent.
 func TestReload_WithinBody(t *testing.T) {
 	env := newHarness(t, nil)
 	env.addEndpoints(endpoint("s0", env.startServer("s0", nil)))
@@ -232,8 +235,8 @@
 	}
 }
 
-// A rejected reload must change nothing, neither the settings nor the address of discovery. The same reload without
-// the invalid setting must be applied.
+// TestReload_AppliedCompletelyOrNotAtAll checks that a rejected reload changes neither the settings nor the address
+// of discovery. The node must apply the same reload without the invalid setting.
 func TestReload_AppliedCompletelyOrNotAtAll(t *testing.T) {
 	for name, invalidate := range map[string]func(c *node.Config){
 		"another mode":      func(c *node.Config) { c.Settings.Subscribe = true },
--- a/internal/racetest/termination_test.go
+++ b/internal/racetest/termination_test.go
@@ -17,16 +17,16 @@
 	"cobaltward/internal/testkit"
 )
 
-// longestDeadlines are the values of the longest deadline of any class with which the termination tests run.
+// longestDeadlines are the deadlines that the termination tests set for every class.
 var longestDeadlines = []time.Duration{
 	100 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond, time.Minute,
 }
 
-// clientsRoutedFor is how long after SIGTERM a load balancer may still route clients to the node.
+// clientsRoutedFor is the time after SIGTERM in which a load balancer may still route clients to the node.
 const clientsRoutedFor = 400 * time.Millisecond
 
-// setDeadlines returns a change of the configuration that sets the deadline of every class, and restores the daemon's
-// default for how long a shutdown is announced.
+// setDeadlines returns a function that sets the deadline of every class. The function also sets AnnounceFor to nil,
+// which restores the daemon's default.
 func setDeadlines(deadline time.Duration) func(c *node.Config) {
 	return func(c *node.Config) {
 		c.AnnounceFor = nil
@@ -36,12 +36,13 @@
 	}
 }
 
-// killDelay returns the shortest time from SIGTERM to SIGKILL.
+// killDelay returns the minimum time from SIGTERM to SIGKILL.
 func killDelay(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
 }
 
-// awaitTimelyExit waits until a terminated node exits, and checks that it exits before the earliest SIGKILL.
+// awaitTimelyExit waits until a node that was terminated at terminatedAt exits. It checks that the node exits before
+// the earliest SIGKILL.
 func (env *harness) awaitTimelyExit(terminatedAt time.Time, longestDeadline time.Duration) {
 	env.t.Helper()
 	env.awaitExit()
@@ -50,11 +51,11 @@
 	}
 }
 
-// terminationState is a state that a request can be in when the node is terminated.
+// terminationState is a possible state of a request when the node is terminated.
 type terminationState struct {
 	server       requestHandler                                  // nil: the server answers 200
-	prepare      func(env *harness, c *clientConn, class string) // brings the request into the state, before SIGTERM
-	afterSIGTERM func(env *harness, c *clientConn, class string) // what the client does after SIGTERM; may be nil
+	prepare      func(env *harness, c *clientConn, class string) // brings the request into the state before SIGTERM
+	afterSIGTERM func(env *harness, c *clientConn, class string) // actions of the client after SIGTERM; nil: none
 }
 
 var terminationStates = map[string]terminationState{
@@ -92,7 +93,7 @@
 func firstHalf(s string) string { return s[:len(s)/2] }
 
 // sendUntilForwarded sends requests until one reaches the server, and stores its ID in trackedID. On a busy host the
-// node may reject a request because its time in the queue is over; then another is sent.
+// node may reject a request after its time in the queue. sendUntilForwarded then sends another request.
 func sendUntilForwarded(env *harness, c *clientConn, class string) {
 	for i := 0; len(env.serversReached(env.trackedID)) == 0; i++ {
 		env.trackedID = fmt.Sprint("one", i)
@@ -108,9 +109,9 @@
 	}
 }
 
-// The node is terminated while a request is in one of several states. The client must get exactly one response, and
-// the node must exit without an error before the earliest SIGKILL. While clients are still routed to the node, it
-// must serve requests that arrive after SIGTERM.
+// TestTermination_AnswersRequestsInFlight checks that the node answers a request in each terminationState when it is
+// terminated. The node must exit without an error before the earliest SIGKILL. While clients are still routed to the
+// node, it must serve requests that arrive after SIGTERM.
 func TestTermination_AnswersRequestsInFlight(t *testing.T) {
 	for name, state := range terminationStates {
 		for _, longest := range longestDeadlines {
@@ -157,8 +158,9 @@
 	env.awaitTimelyExit(terminatedAt, longestDeadline)
 }
 
-// Clients keep sending requests on open connections and on new ones while the node shuts down. As long as clients are
-// routed to the node, it must accept new connections and answer the first request on each.
+// TestTermination_ServesReconnectingClients checks that a node that shuts down accepts new connections while clients
+// are routed to it. The node must answer the first request on each connection. The clients also send requests on open
+// connections.
 func TestTermination_ServesReconnectingClients(t *testing.T) {
 	for _, longest := range longestDeadlines {
 		t.Run(fmt.Sprint(longest), func(t *testing.T) {
@@ -195,12 +197,12 @@
 	mu           sync.Mutex
 	terminatedAt time.Time // zero before the termination
 	answered     int       // requests that got a response
-	unanswered   int       // first requests on a connection that got no response while clients were routed to the node
+	unanswered   int       // first requests on a connection without a response while clients were routed to the node
 	refusedDials int       // failed dials after SIGTERM while clients were routed to the node
-	closedLater  int       // new connections closed without a response once clients were no longer routed to the node
+	closedLater  int       // new connections closed without a response when clients were no longer routed to the node
 }
 
-// terminateNode shuts the node down as SIGTERM does, and returns the time of it.
+// terminateNode shuts the node down as SIGTERM does, and returns the time of the shutdown.
 func (l *reconnectingClients) terminateNode() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,8 +219,8 @@
 	return terminated, !terminated || time.Since(l.terminatedAt) < clientsRoutedFor
 }
 
-// runClient sends requests on one connection after another until a dial fails. Clients differ in the number of
-// requests that they send on a connection.
+// runClient sends requests on one connection after another until a dial fails. The number of requests per connection
+// depends on client.
 func (l *reconnectingClients) runClient(client int) {
 	for conns := 0; ; conns++ {
 		conn, err := net.Dial("tcp", l.env.addr)
@@ -245,9 +247,9 @@
 	}
 }
 
-// exchange sends a request, counts its outcome, and returns false if the connection was closed. The node may close a
-// reused connection while the request is on its way; the request is not counted as lost then. routed says that clients
-// are still routed to the node.
+// exchange sends a request, counts its outcome, and returns false if the connection was closed. If reused is set, the
+// request is not the first on the connection. The node may close a reused connection while the request is on its way,
+// so exchange does not count that request as lost. If routed is set, clients are still routed to the node.
 func (l *reconnectingClients) exchange(c *clientConn, id string, reused, routed bool) bool {
 	if _, err := io.WriteString(c, requestText(id, "pay", "")); err != nil {
 		return false
@@ -267,8 +269,9 @@
 	return false
 }
 
-// The node is terminated while all its connection slots are taken and clients that have sent a request wait in the
-// kernel's accept queue. The node must answer them; closing the listener without that would reset their connections.
+// TestTermination_AnswersQueuedConnections checks that the node, when terminated, answers clients that wait in the
+// kernel's accept queue. All connection slots are taken, and the waiting clients have sent a request. Closing the
+// listener before accepting these connections would reset them.
 func TestTermination_AnswersQueuedConnections(t *testing.T) {
 	env := newHarness(t, func(c *node.Config) { c.MaxDescriptors, c.AnnounceFor = 64, nil })
 	addr := env.startServer("s0", hangIf("busy"))
@@ -299,7 +302,8 @@
 	env.awaitExit()
 }
 
-// SIGTERM comes before the node is ready, with and without a pending SIGHUP: the node must exit without an error.
+// TestTermination_DuringStartAndReload checks that the node exits without an error if SIGTERM comes before the node
+// is ready. It tests with and without a pending SIGHUP.
 func TestTermination_DuringStartAndReload(t *testing.T) {
 	for _, reload := range []bool{false, true} {
 		t.Run(fmt.Sprint("reload ", reload), func(t *testing.T) {
