--- a/internal/protocolmatrix/appserver_test.go
+++ b/internal/protocolmatrix/appserver_test.go
@@ -21,23 +21,23 @@
 // dedupWindow is the time for which servers remember an idempotency key.
 const dedupWindow = 4 * time.Second
 
-// slowResponseDelay is the delay of a response where the script says "slow".
+// slowResponseDelay is the delay of a response with the reaction "slow".
 const slowResponseDelay = 50 * time.Millisecond
 
-// appServer is a server that speaks HTTP and MessagePack-RPC, each at its own address. Its script defines how it
-// reacts to each request that it has read completely.
+// appServer is a server with one address for HTTP and one for MessagePack-RPC. Its script defines the reaction to
+// each request that it has read completely.
 type appServer struct {
 	http, msgpack string                     // addresses
-	cut           func() int                 // returns the bytes after which a connection is cut; nil: never
+	cut           func() int                 // returns the number of bytes after which a connection is cut; nil: never
 	tlsConfig     atomic.Pointer[tls.Config] // nil without TLS; set before the first connection
 
 	mu         sync.Mutex
-	script     []string             // reactions to the next requests; "ok" for those after them
+	script     []string             // reactions to the next requests; later requests get "ok"
 	executions map[string]int       // number of executions by request ID
 	firstRun   map[string]time.Time // time of the first execution by idempotency key
 }
 
-// newAppServer runs a server until the test ends. A script that begins with "refuse" makes it refuse connections.
+// newAppServer runs a server until the test ends. If script begins with "refuse", the server refuses connections.
 func newAppServer(t testing.TB, cut func() int, script ...string) *appServer {
 	t.Helper()
 	app := &appServer{
@@ -53,8 +53,8 @@
 	return app
 }
 
-// refusingAddr returns an address that refuses connections. Its port is bound, so that no other process gets it, but
-// nothing listens on it.
+// refusingAddr returns an address that refuses connections. The port is bound, so that no other process gets it, but
+// nothing listens on the port.
 func refusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// next returns the reaction to a completely read request, and counts an execution if the reaction means that the
-// request ran.
+// next returns the reaction to a completely read request with the given ID and idempotency key. It counts an
+// execution if the reaction means that the request ran.
 func (a *appServer) next(id, key string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +100,7 @@
 	return total
 }
 
-// wrap returns the connection with the server's cuts and TLS applied.
+// wrap returns conn with the server's cuts and TLS applied.
 func (a *appServer) wrap(conn net.Conn) net.Conn {
 	conn = newCutConn(conn, a.cut)
 	if config := a.tlsConfig.Load(); config != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-// answerHTTP sends the response of a reaction. It returns false to close the connection.
+// answerHTTP sends the response for reaction. It returns false to close the connection.
 func answerHTTP(conn net.Conn, in *bufio.Reader, reaction string) (open bool) {
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	switch reaction {
@@ -171,7 +171,7 @@
 	}
 }
 
-// readCall reads the next call. It skips other messages, which can only be cancellations.
+// readCall reads the next call and skips other messages, which can only be cancellations.
 func readCall(in *msgpackrpc.Reader) (messageID uint32, call msgpackrpc.Call, err error) {
 	for {
 		raw, err := in.Next()
@@ -187,7 +187,7 @@
 	}
 }
 
-// msgpackConn is a MessagePack-RPC connection of a server, on which several calls can be in progress.
+// msgpackConn is a server's MessagePack-RPC connection. Several calls can be in progress on the connection.
 type msgpackConn struct {
 	net.Conn
 	writeMu sync.Mutex
@@ -200,7 +200,7 @@
 	_, _ = c.Write(text)
 }
 
-// answer sends the reply of a reaction. It returns false to close the connection.
+// answer sends the reply for reaction. It returns false to close the connection.
 func (c *msgpackConn) answer(messageID uint32, reaction string) (open bool) {
 	encode := func(reply msgpackrpc.Reply) []byte { return msgpackrpc.AppendReply(nil, messageID, &reply) }
 	text := encode(msgpackrpc.Reply{Body: []byte("done")})
--- a/internal/protocolmatrix/attemptlog_test.go
+++ b/internal/protocolmatrix/attemptlog_test.go
@@ -10,7 +10,8 @@
 	"cobaltward/router"
 )
 
-// attemptLog wraps a transport and records its attempts, so that a test can log what led to a result.
+// attemptLog is a transport that records the attempts of the transport that it wraps. Tests log the attempts to show
+// what led to a result.
 type attemptLog struct {
 	router.Transport
 
@@ -19,12 +20,12 @@
 	attempts []string
 }
 
-// newAttemptLog returns an attemptLog around a transport. Times in the log count from this call.
+// newAttemptLog returns an attemptLog that wraps transport. Times in the log count from this call.
 func newAttemptLog(transport router.Transport) *attemptLog {
 	return &attemptLog{Transport: transport, began: time.Now()}
 }
 
-// Attempt implements router.Transport.
+// Attempt makes an attempt through the wrapped transport, and records the attempt.
 func (l *attemptLog) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	startedAt := time.Since(l.began)
 	result := l.Transport.Attempt(ctx, server, r)
--- a/internal/protocolmatrix/cutconn_test.go
+++ b/internal/protocolmatrix/cutconn_test.go
@@ -6,14 +6,15 @@
 	"sync/atomic"
 )
 
-// cutConn is a connection that is closed after a number of bytes, counting both those read and those written.
+// cutConn is a connection that is closed after a number of bytes. Bytes that are read and bytes that are written
+// count.
 type cutConn struct {
 	net.Conn
 	remaining atomic.Int64
 }
 
-// newCutConn wraps a connection so that it is closed after the number of bytes that cut returns. If cut is nil, it
-// returns the connection itself.
+// newCutConn returns conn, wrapped in a cutConn that is closed after cut() bytes. If cut is nil, it returns conn
+// itself.
 func newCutConn(conn net.Conn, cut func() int) net.Conn {
 	if cut == nil {
 		return conn
@@ -23,8 +24,8 @@
 	return c
 }
 
-// consume subtracts n from the remaining bytes. It returns how many of the n bytes come before the cut, and whether
-// the cut is reached.
+// consume subtracts n from the remaining bytes. It returns how many of the n bytes are before the cut, and whether n
+// exceeds the remaining bytes.
 func (c *cutConn) consume(n int) (before int, reached bool) {
 	if left := c.remaining.Add(int64(-n)); left < 0 {
 		return max(0, n+int(left)), true
@@ -51,7 +52,7 @@
 	return n, io.ErrClosedPipe
 }
 
-// cutListener wraps the connections that it accepts with newCutConn.
+// cutListener is a listener that wraps accepted connections with newCutConn.
 type cutListener struct {
 	net.Listener
 	cut func() int
--- a/internal/protocolmatrix/exactlyonce_test.go
+++ b/internal/protocolmatrix/exactlyonce_test.go
@@ -14,10 +14,11 @@
 	"cobaltward/msgpackrpc"
 )
 
-// Connections to servers, and in half of the cases those of clients, are cut at random bytes while many calls are in
-// flight. Clients retry a call whose response was lost. Each call must get one final answer, no non-idempotent call
-// may run twice, and no keyed call may be retried after the deduplication window. The environment variable
-// EXACTLY_ONCE sets the number of calls per pair, and SEED the seed of the cuts.
+// TestExactlyOnce_UnderCutConnections checks that each call gets one final answer while connections are cut.
+// Connections to servers, and in half of the cases connections of clients, are cut at random bytes while many calls
+// are in flight. Clients retry a call whose response was lost. No non-idempotent call may run twice, and no keyed
+// call may be retried after the deduplication window. The environment variable EXACTLY_ONCE sets the number of calls
+// per pair. The environment variable SEED sets the seed of the cuts.
 func TestExactlyOnce_UnderCutConnections(t *testing.T) {
 	calls, seed := 400, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("EXACTLY_ONCE")); err == nil && n > 0 {
@@ -36,7 +37,7 @@
 					load.apps = append(load.apps, newAppServer(t, func() int { return 200 + randomInt(6000) }))
 				}
 				var clientCut func() int
-				if cutClients { // calls may share a connection, so one cut can lose many of them
+				if cutClients { // one cut can lose many calls that share a connection
 					clientCut = func() int { return 4000 + randomInt(40_000) }
 					load.minServed = calls / 4
 				}
@@ -48,7 +49,8 @@
 	}
 }
 
-// newRandomInt returns a function that draws a random integer below n and is safe for concurrent use.
+// newRandomInt returns a function that returns a random integer of at least 0 and less than n. The function is safe
+// for concurrent use. seed and stream determine the sequence of integers.
 func newRandomInt(seed, stream uint64) func(n int) int {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, stream))
@@ -59,13 +61,13 @@
 	}
 }
 
-// finalOutcomes are the outcomes of calls that a node answered. With any other outcome the answer was lost.
+// finalOutcomes are the outcomes of calls that a node answered. Any other outcome means that the answer was lost.
 var finalOutcomes = []string{"served done", "failed", "refused", "conflict"}
 
-// maxRetries is the maximum number of times that a client retries a call whose answer was lost.
+// maxRetries is the maximum number of retries of a call whose answer was lost.
 const maxRetries = 20
 
-// cutLoad sends calls to a node whose connections are cut, and collects their outcomes.
+// cutLoad sends calls to a node whose connections are cut, and records their outcomes.
 type cutLoad struct {
 	call      callFunc
 	apps      []*appServer
@@ -98,7 +100,7 @@
 	workers.Wait()
 }
 
-// request returns the n-th call. Its class depends on n.
+// request returns the n-th call. The class of the call depends on n.
 func (l *cutLoad) request(n int64) msgpackrpc.Call {
 	call := msgpackrpc.Call{
 		ID: fmt.Sprint("r", n), Class: []string{"read", "pay", "undo"}[n%3], Tenant: "t", Timeout: 8 * time.Second,
@@ -113,7 +115,7 @@
 	return call
 }
 
-// check compares the outcomes of all calls with what the servers executed.
+// check compares the outcomes of all calls with the executions at the servers.
 func (l *cutLoad) check(t *testing.T) {
 	t.Helper()
 	counts := make(map[string]int)
@@ -126,7 +128,7 @@
 	}
 }
 
-// checkCall checks the outcome of the n-th call and returns it, or "lost" if the call got no answer.
+// checkCall checks and returns the outcome of the n-th call. The outcome is "lost" if the call got no answer.
 func (l *cutLoad) checkCall(t *testing.T, n int) string {
 	t.Helper()
 	id := fmt.Sprint("r", n)
@@ -150,8 +152,8 @@
 	return outcome
 }
 
-// executions returns how often the servers ran a request. spread is the time between the earliest and the latest of
-// the servers' first executions with the key.
+// executions returns the number of executions of the request with the given ID at all servers. spread is the time
+// between the earliest and the latest of the servers' first executions with key.
 func (l *cutLoad) executions(id, key string) (count int, spread time.Duration) {
 	var firstRuns []time.Time
 	for _, app := range l.apps {
--- a/internal/protocolmatrix/failures_test.go
+++ b/internal/protocolmatrix/failures_test.go
@@ -16,13 +16,13 @@
 	executions [2]int // at the first and at the second server
 }
 
-// failureCase is a reaction of the first server, or an error in the request, with the expected result for each class.
-// The second server serves all requests.
+// failureCase is a failure and the expected result for each class. The failure is a reaction of the first server or
+// an error in the request. The second server serves all requests.
 type failureCase struct {
 	failure         string
 	read, pay, undo result
-	timeout         time.Duration // the deadline of the request; 0: 8 s
-	cancels         bool          // the client cancels the request once it runs at the first server
+	timeout         time.Duration // deadline of the request; 0: 8 s
+	cancels         bool          // the client cancels the request once the first server runs it
 }
 
 var failureCases = []failureCase{
@@ -56,7 +56,7 @@
 	sameResult("a large body", "malformed", onNone),
 }
 
-// Numbers of executions at the first and at the second server.
+// Numbers of executions at the first and the second server.
 var (
 	onFirst  = [2]int{1, 0}
 	onSecond = [2]int{0, 1}
@@ -70,18 +70,19 @@
 	return failureCase{failure: failure, read: r, pay: r, undo: r}
 }
 
-// mayHaveRun returns a case in which the node cannot know whether the first server ran the request. The request must
-// be retried at the second server, unless it is non-idempotent.
+// mayHaveRun returns a case in which the node cannot know whether the first server ran the request. The node must
+// retry the request at the second server, unless the request is non-idempotent.
 func mayHaveRun(failure string) failureCase {
 	retried := result{"served done", onBoth}
 	return failureCase{failure: failure, read: retried, pay: result{"failed", onFirst}, undo: retried}
 }
 
-// Each failure case must have the same result with each pair of protocols.
+// TestFailures_SameResultOverPairs checks that each failure case has the same result with each pair of protocols
+// without TLS.
 func TestFailures_SameResultOverPairs(t *testing.T) { testFailures(t, false) }
 
-// Each failure case must have the same result with TLS to the servers. This is a separate test because running all
-// pairs at once overloads a small machine and delays responses.
+// TestFailures_SameResultOverTLS checks that each failure case has the same result with TLS to the servers. It is a
+// separate test because running all pairs at once overloads a small machine and delays responses.
 func TestFailures_SameResultOverTLS(t *testing.T) { testFailures(t, true) }
 
 func testFailures(t *testing.T, tls bool) {
@@ -107,12 +108,12 @@
 	}
 }
 
-// maxEngineLag is the longest delay of the engine at which the result of a case with its own timeout is valid. The
+// maxEngineLag is the maximum delay of the engine at which the result of a case with its own timeout is valid. The
 // node answers a request 20 ms before its timeout, and may be up to 10 ms late.
 const maxEngineLag = 8 * time.Millisecond
 
-// runOnTime runs the case. It repeats a case with its own timeout, up to 20 runs, while the host delays the engine by
-// more than maxEngineLag, since the result is not valid then.
+// runOnTime runs the case and returns its result. If a case has its own timeout, the result is valid only if the host
+// delays the engine by at most maxEngineLag. Otherwise runOnTime runs the case again, up to 20 times in total.
 func (c failureCase) runOnTime(t *testing.T, pair protocolPair, class string) result {
 	t.Helper()
 	for range 20 {
@@ -153,7 +154,8 @@
 	return result{outcome, [2]int{apps[0].totalExecutions(), apps[1].totalExecutions()}}, node.maxLag()
 }
 
-// request returns the request of the case, with the error that the case puts into it.
+// request returns the request of the case for the given class. It contains the error of the case, if the case has
+// one.
 func (c failureCase) request(class string) msgpackrpc.Call {
 	call := msgpackrpc.Call{ID: "r1", Class: class, Tenant: "t", Timeout: 8 * time.Second, Target: "/api"}
 	if class == "undo" {
--- a/internal/protocolmatrix/pair_test.go
+++ b/internal/protocolmatrix/pair_test.go
@@ -1,5 +1,5 @@
-// Package protocolmatrix tests the same failures over every pair of a client protocol and a server protocol. With each
-// pair, a request must have the same outcome and the same number of executions at the servers.
+// Package protocolmatrix tests the same failures over every pair of a client protocol and a server protocol. A
+// request must have the same outcome and the same number of executions at the servers with every pair.
 package protocolmatrix
 
 import (
@@ -37,11 +37,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// protocolPair is the protocol that clients use with a node, and the protocol or protocols that it uses with servers.
+// protocolPair is the protocol between clients and a node, and the protocol or protocols between the node and
+// servers.
 type protocolPair struct {
 	name       string
 	frontend   string                    // "http" or "msgpack"
-	protocolOf func(router.Endpoint) int // the protocol of a server: 0 for HTTP, 1 for MessagePack-RPC
+	protocolOf func(router.Endpoint) int // returns the protocol of a server: 0 for HTTP, 1 for MessagePack-RPC
 	tls        bool                      // the node connects to servers with TLS
 }
 
@@ -59,8 +60,9 @@
 	{"msgpack to msgpack over TLS", "msgpack", overMsgpack, true},
 }
 
-// callFunc sends a request to a node and returns its outcome: "served" with the body, "cancelled" if ctx was cancelled,
-// a code of MessagePack-RPC ("failed", "conflict", "malformed", or "refused" for a rejection), or the text of an error.
+// callFunc sends a request to a node and returns the outcome. The outcome is "served" with the body, "cancelled" if
+// ctx was cancelled, a code of MessagePack-RPC, or the text of an error. The codes are "failed", "conflict",
+// "malformed", and "refused" for a rejection.
 type callFunc func(ctx context.Context, call msgpackrpc.Call) string
 
 // runningNode is a node that runs until the test ends.
@@ -70,11 +72,11 @@
 	attempts *attemptLog
 }
 
-// maxLag returns the longest time so far by which the host delayed the router's engine.
+// maxLag returns the maximum delay of the router's engine by the host so far.
 func (n runningNode) maxLag() time.Duration { return n.router.Stats().Lag.Max }
 
-// start runs a node in front of the servers until the test ends. If cut is not nil, connections of clients are cut
-// after the number of bytes that it returns.
+// start runs a node in front of the servers until the test ends. If cut is not nil, each client connection is cut
+// after cut() bytes.
 func (p protocolPair) start(t testing.TB, cut func() int, apps ...*appServer) runningNode {
 	t.Helper()
 	engine, attempts := p.newRouter(t, apps)
@@ -90,7 +92,7 @@
 	return runningNode{serveMsgpackFrontend(t, engine, ln), engine, attempts}
 }
 
-// newRouter returns a router that is serving, and the log of its attempts.
+// newRouter returns a router that serves requests, and the log of its attempts.
 func (p protocolPair) newRouter(t testing.TB, apps []*appServer) (*router.Router, *attemptLog) {
 	t.Helper()
 	var endpoints []router.Endpoint
@@ -135,7 +137,7 @@
 	}
 }
 
-// enableTLS makes the servers use TLS, and returns the client TLS configuration with which the node trusts them.
+// enableTLS makes the servers use TLS, and returns a client TLS configuration that trusts the servers.
 func enableTLS(t testing.TB, apps []*appServer) *secure.ClientTLS {
 	t.Helper()
 	ca := pki.NewAuthority("the servers'")
@@ -195,7 +197,7 @@
 			return err.Error()
 		case reply.Code == "":
 			return "served " + string(reply.Body)
-		case reply.Code == msgpackrpc.Expired: // the request may have run, as with any failure
+		case reply.Code == msgpackrpc.Expired: // the request may have run, as after any failure
 			return "failed"
 		case reply.Code == msgpackrpc.Overloaded:
 			return "refused"
@@ -238,7 +240,8 @@
 	}
 }
 
-// newHTTPRequest converts a call to an HTTP request. GetBody is nil, so that the client of net/http does not retry it.
+// newHTTPRequest converts a call to an HTTP request. It sets GetBody to nil, so that the net/http client does not
+// retry the request.
 func newHTTPRequest(ctx context.Context, addr string, call msgpackrpc.Call) (*http.Request, error) {
 	method := "POST"
 	if call.Class == "read" {
