--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -15,7 +15,7 @@
 	"cobaltward/internal/sockets"
 )
 
-// The classes of the settings of every run.
+// Names of the classes in the settings of every run.
 const (
 	searchClass  = "hladanie"
 	bookingClass = "rezervacia"
@@ -23,30 +23,32 @@
 )
 
 const (
-	// firstRequestGrace is how long a node that is shutting down keeps a new connection open without a request.
+	// firstRequestGrace is the time for which a node that is shutting down keeps a new connection without a request
+	// open.
 	firstRequestGrace = 2500 * time.Millisecond
-	// newConnTimeout is how long a node that is not shutting down keeps a new connection open without a request.
+	// newConnTimeout is the time for which a node that is not shutting down keeps a new connection without a request
+	// open.
 	newConnTimeout = 15 * time.Second
 )
 
-// client sends one request after another. It uses a connection until the connection is closed, and opens new ones as
-// long as clients are routed to the node.
+// client sends one request after another. It uses a connection until the connection is closed. It opens new
+// connections while clients are routed to the node.
 type client struct {
 	name            string
 	addr            string
 	rng             *rand.Rand
-	connectRNG      *rand.Rand // for pauses after a connect; separate, so that these do not change what rng draws
+	connectRNG      *rand.Rand // for pauses after a connect; separate, so that the pauses do not affect rng
 	history         *history
 	longestDeadline time.Duration // longest deadline of its requests
 	clientsRouted   *atomic.Bool  // clients may open connections to the node
 	stopping        *atomic.Bool  // the node is being terminated
 	nodeExited      *atomic.Bool  // the node's process has exited
-	abandonRate     float64       // fraction of the requests for whose response the client does not wait
+	abandonRate     float64       // fraction of requests whose response the client does not wait for
 	descriptorsFull bool          // idle connections fill the node's descriptors
-	longestPause    time.Duration // longest pause between a connect or a response and the next request; 0: none
+	longestPause    time.Duration // maximum pause after a connect or a response; 0: none
 	rest            time.Duration // time between the first connect and the first request
 	rested          bool          // the rest before the first request is over
-	restedConn      net.Conn      // the connection that was idle during the rest
+	restedConn      net.Conn      // connection that was idle during the rest
 }
 
 // run sends requests until the node has exited or clients are no longer routed to it.
@@ -73,8 +75,8 @@
 	}
 }
 
-// restBeforeFirstRequest keeps the first connection idle for the time of rest, and reports whether the node closed it
-// meanwhile. On later connections it returns at once.
+// restBeforeFirstRequest keeps the first connection idle for c.rest, and reports whether the node closed the
+// connection in that time. For later connections it returns at once.
 func (c *client) restBeforeFirstRequest(conn net.Conn) (closed bool) {
 	if c.rest == 0 || c.rested {
 		return false
@@ -89,16 +91,18 @@
 	return true
 }
 
-// mayBeClosedUnread reports whether the node was allowed to close a connection without reading a request that arrived
-// at the same time. That holds for a reused connection, and for one that stayed idle before its first request for
-// longer than the node has to wait. The latter must be closed with a FIN, which the client sees as an unexpected EOF.
+// mayBeClosedUnread reports whether the node was allowed to close conn without reading a request that arrived at the
+// same time. used is the number of earlier requests on conn, and cause is the client's read error. The node may close
+// a reused connection. It may also close a connection that rested before its first request for longer than the node
+// has to wait. The node must close a rested connection with a FIN, which the client sees as an unexpected EOF.
 func (c *client) mayBeClosedUnread(conn net.Conn, used int, cause error) bool {
 	restedLong := c.restedConn == conn && c.rest >= firstRequestGrace
 	mayEnd := c.stopping.Load() || c.rest >= newConnTimeout
 	return used > 0 || restedLong && mayEnd && errors.Is(cause, io.ErrUnexpectedEOF)
 }
 
-// exchange sends one request and reads its response. It returns false if the connection cannot be used any more.
+// exchange sends one request and reads its response. It returns false if the connection cannot be used any more. used
+// is the number of earlier requests on conn, and n counts the requests of the client.
 func (c *client) exchange(conn net.Conn, used int, n *int) bool {
 	if c.nodeExited.Load() {
 		return false
@@ -116,7 +120,7 @@
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
 	c.history.recordRequest(id, class, deadline)
-	if _, err := io.WriteString(conn, text[cut:]); err != nil { // as above
+	if _, err := io.WriteString(conn, text[cut:]); err != nil { // the node closed the connection before the last byte
 		c.history.count("requests not sent completely")
 		return false
 	}
@@ -128,7 +132,7 @@
 	_ = conn.SetReadDeadline(time.Now().Add(deadline + responseSlack))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
-		defer func() { _ = response.Body.Close() }()                 // after the body was read to its end or to an error
+		defer func() { _ = response.Body.Close() }()                 // the body has been read to its end or to an error
 		if _, err = io.Copy(io.Discard, response.Body); err != nil { // the client sees that the response is incomplete
 			c.history.count("responses incomplete")
 			return false
@@ -138,7 +142,7 @@
 		c.history.recordNoResponse(id, c.mayBeClosedUnread(conn, used, err), c.descriptorsFull, err)
 		return false
 	}
-	unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn)) // 0 if the kernel does not report it
+	unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn)) // 0 if the kernel does not report the time
 	c.history.recordResponse(id, response.StatusCode, unread)
 	return !response.Close
 }
@@ -162,8 +166,8 @@
 	return text
 }
 
-// openIdleConns opens connections and sends the beginning of a request on every third. They stay open until closeAll
-// is called.
+// openIdleConns opens count connections to addr, or fewer if a dial fails. It sends the beginning of a request on
+// every third connection. The connections stay open until closeAll is called.
 func openIdleConns(addr string, count int) (closeAll func()) {
 	var conns []net.Conn
 	for i := range count {
--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -22,29 +22,29 @@
 
 var growthFor = flag.Duration("soak.growth", 10*time.Second, "how long the nodes of two fleet sizes run")
 
-// Numbers of servers and nodes in a fleet of the usual and of the largest size.
+// Numbers of servers and nodes in a fleet of the usual size and of the largest size.
 const (
 	usualServers, usualNodes     = 200, 300
 	largestServers, largestNodes = 3200, 900
 )
 
 const (
-	growthRate  = 20 // requests per second to the node, at each size
+	growthRate  = 20 // requests per second to each node
 	growthSteps = 20 // number of steps in which half of the servers are replaced
 	serviceTime = 20 * time.Millisecond
 	kilobyte    = 1 << 10
 	megabyte    = 1 << 20
 )
 
-// resourceUsage is the resource usage of a node over its run.
+// resourceUsage is the resource usage of a node in one run.
 type resourceUsage struct {
 	cpuSeconds, peakMemory, descriptors, connections, listBytes float64
 
 	servedShare float64 // fraction of the requests that were served
 }
 
-// TestGrowth_ResourceUseIsBounded compares a node of a fleet of the largest size with one of the usual size. Both have
-// the same traffic, and half of their servers are replaced. Resource usage may grow only within bounds.
+// TestGrowth_ResourceUseIsBounded checks that the resource usage of a node grows only within bounds from a fleet of
+// the usual size to the largest fleet. Both nodes have the same traffic, and half of their servers are replaced.
 func TestGrowth_ResourceUseIsBounded(t *testing.T) {
 	binary := buildNode(t)
 	var usual, largest resourceUsage
@@ -78,14 +78,14 @@
 	}
 }
 
-// fleet is the servers of a fleet and its discovery service, which sends changes of the endpoint list.
+// fleet has the servers of a fleet and its discovery service, which sends changes of the endpoint list.
 type fleet struct {
 	listeners   []net.Listener
 	connections atomic.Int64
 	listBytes   atomic.Int64
 
 	mu      sync.Mutex
-	changes []string // list entries in order of change; the entry at index i is the change to revision i+1
+	changes []string // changed list entries in order; the entry at index i belongs to revision i+1
 	changed chan struct{}
 }
 
@@ -111,8 +111,8 @@
 	f.listeners = append(f.listeners, listener)
 }
 
-// publish adds a change for each server with an index in [from, to). started is the start time of these servers; the
-// zero time means that they started before all others.
+// publish adds a change to phase for each server with an index of at least from and less than to. started is the
+// start time of these servers. The zero time means that they started before all other servers.
 func (f *fleet) publish(from, to int, phase string, started time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,8 +128,8 @@
 	f.changed = make(chan struct{})
 }
 
-// list returns the changes since a revision. If there are none, it returns a channel that is closed at the next
-// change.
+// list returns the changes after the revision since. If there are none, it returns a channel that is closed at the
+// next change.
 func (f *fleet) list(since int) (list string, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +159,8 @@
 	f.listBytes.Add(int64(n))
 }
 
-// runFleetNode runs one node of a fleet as a process, and returns its resource usage.
+// runFleetNode runs the program at the path binary as a node of a fleet with the given numbers of servers and nodes.
+// It returns the resource usage of the node.
 func runFleetNode(t *testing.T, binary string, servers, nodes int) (use resourceUsage) {
 	t.Helper()
 	stub := &fleet{changed: make(chan struct{})}
@@ -209,7 +210,8 @@
 	}
 }
 
-// replaceHalf replaces half of the servers in growthSteps steps over the run, unless done is closed before.
+// replaceHalf replaces half of the servers in growthSteps steps over the run. It returns early if done is closed.
+// servers is the number of servers at the start.
 func (f *fleet) replaceHalf(servers int, done <-chan struct{}) {
 	for step := range growthSteps {
 		select {
@@ -223,7 +225,7 @@
 	}
 }
 
-// requestServed sends a request on a new connection, and reports whether it was served.
+// requestServed sends a request on a new connection to addr, and reports whether the request was served.
 func requestServed(addr, id string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -239,7 +241,7 @@
 	return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 }
 
-// processUsage returns the CPU time and the peak memory, in bytes, of a process.
+// processUsage returns the CPU time of a process in seconds, and its peak memory in bytes.
 func processUsage(t *testing.T, pid int) (cpuSeconds, peakMemory float64) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d", pid)
@@ -269,7 +271,8 @@
 	return cpuSeconds, kilobytes * kilobyte
 }
 
-// buildNode builds the node without the race detector, which would multiply its usage of CPU and memory.
+// buildNode builds the node and returns the path of the binary. It does not use the race detector, which would
+// multiply the node's usage of CPU and memory.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "wayhold")
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Bounds that the operators' rules set, each with some tolerance for a busy machine.
+// Bounds of the operators' rules, each with machineSlack as a tolerance for a busy machine.
 const (
 	machineSlack  = 150 * time.Millisecond
-	responseSlack = 500*time.Millisecond + machineSlack // time after its deadline in which a request may be answered
-	closeSlack    = 100*time.Millisecond + machineSlack // time after a client's close in which an attempt may arrive
-	deadlineSlack = 150*time.Millisecond + machineSlack // how much longer a server's deadline may be than the client's
+	responseSlack = 500*time.Millisecond + machineSlack // maximum time from the deadline of a request to its response
+	closeSlack    = 100*time.Millisecond + machineSlack // maximum time from a client's close to the arrival of an attempt
+	deadlineSlack = 150*time.Millisecond + machineSlack // maximum excess of a server's deadline over the client's
 )
 
-// kernelClockTick is the coarsest resolution with which the kernel records the times of a connection.
+// kernelClockTick is the coarsest resolution of the times that the kernel records for a connection.
 const kernelClockTick = 10 * time.Millisecond
 
-// requestRecord is what clients and servers have recorded about one request.
+// requestRecord is the record of one request by its client and by servers.
 type requestRecord struct {
 	class    string
 	deadline time.Duration
-	sent     time.Time // when the client was about to write its last byte
-	closedAt time.Time // when its client closed the connection; zero if the client did not
+	sent     time.Time // time just before the client wrote the last byte
+	closedAt time.Time // time at which the client closed the connection; zero: not closed
 	attempts []attemptRecord
-	rejected time.Time // when the client read its rejection; zero if it was not rejected
-	// rejectedAt is when the rejection's last byte arrived in the kernel. The client may have read it later.
+	rejected time.Time // time at which the client read the rejection; zero: not rejected
+	// rejectedAt is the time at which the last byte of the rejection arrived in the kernel. The client may have read
+	// the byte later.
 	rejectedAt time.Time
 }
 
@@ -37,8 +38,8 @@
 	notRun bool
 }
 
-// history is what the clients and servers of a run have recorded, and the violations of rules found in it. Its methods
-// other than addViolationf are safe for concurrent use.
+// history has the records of the clients and servers of a run, and the violations of rules in these records. Its
+// methods other than addViolationf are safe for concurrent use.
 type history struct {
 	mu         sync.Mutex
 	requests   map[string]*requestRecord
@@ -77,7 +78,7 @@
 }
 
 // recordAttempt records that a server has received a complete request with the given deadline, and returns the index
-// of the attempt. unread is the time between the arrival of the last byte in the kernel and the read.
+// of the attempt. unread is the time between the arrival of the request's last byte in the kernel and the read.
 func (h *history) recordAttempt(id string, deadline, unread time.Duration) (number int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,9 +105,9 @@
 	return len(r.attempts) - 1
 }
 
-// arrivedBeforeRejection reports whether an attempt, read by a server at the time now, arrived in the kernel before
-// the rejection of its request did. unread is the time between the arrival of its last byte in the kernel and the
-// read.
+// arrivedBeforeRejection reports whether an attempt arrived in the kernel before the rejection of the request did.
+// now is the time at which a server read the attempt. unread is the time between the arrival of the attempt's last
+// byte in the kernel and the read.
 func (r *requestRecord) arrivedBeforeRejection(now time.Time, unread time.Duration) bool {
 	return unread > kernelClockTick && now.Add(-unread).Before(r.rejectedAt.Add(kernelClockTick))
 }
@@ -120,7 +121,7 @@
 	return false
 }
 
-// recordNotRun records, just before the server responds, that an attempt did not run.
+// recordNotRun records that an attempt did not run. The server calls it just before responding.
 func (h *history) recordNotRun(id string, attempt int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,8 +130,8 @@
 	}
 }
 
-// recordResponse records a complete response. unread is the time between the arrival of its last byte in the kernel
-// and the read.
+// recordResponse records a complete response. unread is the time between the arrival of the response's last byte in
+// the kernel and the read.
 func (h *history) recordResponse(id string, status int, unread time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,7 +150,7 @@
 }
 
 // recordClosedBeforeFirstRequest records that the node closed a connection while its client rested before the first
-// request. It is a violation unless allowed is set.
+// request. The close is a violation unless allowed is set.
 func (h *history) recordClosedBeforeFirstRequest(allowed bool, rest time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,9 +160,10 @@
 	}
 }
 
-// recordNoResponse records that a connection ended without a response. That is a violation, unless the connection was
-// closed before any server received the request, and either mayBeClosedUnread or descriptorsFull is set: when idle
-// clients fill the descriptors, the node may close new connections unread.
+// recordNoResponse records that a connection ended without a response, because of the read error cause. That is a
+// violation, unless the node closed the connection before any server received the request and was allowed to do so.
+// mayBeClosedUnread allows the close. descriptorsFull also allows the close: when idle clients fill the descriptors,
+// the node may close new connections unread.
 func (h *history) recordNoResponse(id string, mayBeClosedUnread, descriptorsFull bool, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/historycheck_test.go
+++ b/internal/soak/historycheck_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestHistory_AttemptAfterRejection checks that an attempt that a server reads after the rejection of its request
-// counts as a violation, unless it arrived in the kernel before the rejection and the server read it late.
+// TestHistory_AttemptAfterRejection checks that an attempt after the rejection of its request counts as a violation.
+// The attempt does not count if it arrived in the kernel before the rejection and the server read it late.
 func TestHistory_AttemptAfterRejection(t *testing.T) {
 	const long = 150 * time.Millisecond
 	for _, test := range []struct {
--- a/internal/soak/nodeprocess_test.go
+++ b/internal/soak/nodeprocess_test.go
@@ -21,7 +21,7 @@
 	exited  chan struct{} // closed once the process has exited
 }
 
-// startNode runs a command as a node with the given configuration, and waits until the node is ready.
+// startNode runs command as a node with the given configuration, and waits until the node is ready.
 func startNode(t *testing.T, command *exec.Cmd, config string) *nodeProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -82,6 +82,6 @@
 	select {
 	case <-n.exited:
 	default:
-		_ = n.command.Process.Signal(s) // it fails if the process has just exited
+		_ = n.command.Process.Signal(s) // fails if the process has just exited
 	}
 }
--- a/internal/soak/pauses_test.go
+++ b/internal/soak/pauses_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of the durations in a pauseSchedule. By the operators' rules a node must cope with pauses of up to 0.15 s.
+// Bounds of the durations in a pauseSchedule. The operators' rules require a node to cope with pauses of up to 0.15 s.
 const (
 	minPause = 5 * time.Millisecond
 	maxPause = 150 * time.Millisecond
@@ -14,8 +14,8 @@
 	maxRun   = 400 * time.Millisecond
 )
 
-// pauseSchedule repeatedly stops and continues a node's process, at random times. It has its own random generator, so
-// that the rest of a run is the same with and without pauses.
+// pauseSchedule repeatedly stops and continues a node's process at random times. It has its own random generator, so
+// that the pauses do not affect the other random choices of a run.
 type pauseSchedule struct {
 	rng   *rand.Rand
 	count int           // number of pauses so far
@@ -23,11 +23,11 @@
 }
 
 func newPauseSchedule(seed uint64) *pauseSchedule {
-	const stream = 3 // each generator that is seeded with the run's seed has its own stream
+	const stream = 3 // each generator with the run's seed uses its own stream
 	return &pauseSchedule{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// run pauses the node again and again until its process exits.
+// run repeatedly pauses the node until its process exits.
 func (s *pauseSchedule) run(node *nodeProcess) {
 	for {
 		select {
--- a/internal/soak/servers_test.go
+++ b/internal/soak/servers_test.go
@@ -23,7 +23,7 @@
 	id, addr  string
 	history   *history
 	hanging   atomic.Bool
-	faultRate float64 // fraction of the requests that get a faulty response
+	faultRate float64 // fraction of requests with a faulty response
 }
 
 func startServer(t *testing.T, id string, h *history, faults float64) *server {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// serve answers the requests of a connection until a fault or the node closes it.
+// serve answers the requests on conn until the node closes the connection or a fault ends it.
 func (s *server) serve(conn net.Conn, in *bufio.Reader) {
 	for {
 		request, err := http.ReadRequest(in)
@@ -44,8 +44,8 @@
 			return
 		}
 		id := request.Header.Get("X-Request-Id")
-		deadlineMs, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms")) // 0 if missing, which passes the check
-		unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn))        // 0 if the kernel does not report it
+		deadlineMs, _ := strconv.Atoi(request.Header.Get("X-Deadline-Ms")) // 0 if missing; recordAttempt accepts 0
+		unread, _ := sockets.SinceLastReceived(conn.(*net.TCPConn))        // 0 if the kernel does not report the time
 		attempt := s.history.recordAttempt(id, time.Duration(deadlineMs)*time.Millisecond, unread)
 		if !s.answer(conn, in, id, attempt) {
 			return
@@ -53,7 +53,7 @@
 	}
 }
 
-// answer answers one request, with a fault in some cases. It returns false to close the connection.
+// answer answers one request, with a fault at the rate faultRate. It returns false to close the connection.
 func (s *server) answer(conn net.Conn, in *bufio.Reader, id string, attempt int) bool {
 	if s.hanging.Load() {
 		_, _ = in.Peek(1) // returns when the node cancels the attempt
@@ -110,7 +110,7 @@
 	return r
 }
 
-// set replaces the list with the servers and increments its revision.
+// set replaces the list with entries for the servers, and increments the revision.
 func (r *registry) set(servers []*server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +124,7 @@
 	r.changed = make(chan struct{})
 }
 
-// list returns the current list in the form of a complete answer.
+// list returns the current list as the body of a complete answer.
 func (r *registry) list() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,8 +30,8 @@
 
 // Times that the operators' rules define.
 const (
-	killDelay        = 700 * time.Millisecond // SIGKILL comes no earlier than this plus the longest deadline after SIGTERM
-	clientsRoutedFor = 200 * time.Millisecond // shortest time after SIGTERM in which clients may open connections
+	killDelay        = 700 * time.Millisecond // minimum time from SIGTERM to SIGKILL, without the longest deadline
+	clientsRoutedFor = 200 * time.Millisecond // minimum time after SIGTERM for which clients may open connections
 )
 
 func TestMain(m *testing.M) {
@@ -43,20 +43,20 @@
 	os.Exit(m.Run())
 }
 
-// TestSoak_KeepsOperatorsRules does one run for each seed and checks that the node violates none of the operators'
-// rules, without pauses and without resting clients.
+// TestSoak_KeepsOperatorsRules checks that the node violates none of the operators' rules in one run for each seed.
+// The runs have no pauses and no resting clients.
 func TestSoak_KeepsOperatorsRules(t *testing.T) {
 	runSeeds(t, *seeds, func(*soakRun, uint64) {})
 }
 
-// TestSoak_PausedNode does one run for each seed in which SIGSTOP and SIGCONT repeatedly pause the node, as on a host
+// TestSoak_PausedNode checks the operators' rules while SIGSTOP and SIGCONT repeatedly pause the node, as on a host
 // that is suspended. Servers and clients keep running.
 func TestSoak_PausedNode(t *testing.T) {
 	runSeeds(t, pausedRuns**seeds, func(r *soakRun, seed uint64) { r.pauses = newPauseSchedule(seed) })
 }
 
-// TestSoak_RestingClients does one run for each seed with clients that keep their new connections idle for some time
-// before the first request. In every second run the node is also paused.
+// TestSoak_RestingClients checks the operators' rules with clients that keep their first connection idle for some
+// time before the first request. In every second run the node is also paused.
 func TestSoak_RestingClients(t *testing.T) {
 	runSeeds(t, *seeds, func(r *soakRun, seed uint64) {
 		r.longestRest = *longRest
@@ -66,7 +66,8 @@
 	})
 }
 
-// runSeeds does the given number of runs with consecutive seeds. configure is called before each run to adapt it.
+// runSeeds executes the given number of runs with consecutive seeds. It calls configure before each run to adapt the
+// run.
 func runSeeds(t *testing.T, runs int, configure func(r *soakRun, seed uint64)) {
 	limit := make(chan struct{}, *parallel)
 	for i := range runs {
@@ -82,7 +83,8 @@
 	}
 }
 
-// soakRun is a run of one node with its servers and clients. Its random choices depend only on its seed.
+// soakRun is a run of one node with its servers and clients. Its random choices depend only on its seed, except those
+// of the servers.
 type soakRun struct {
 	t               *testing.T
 	seed            uint64
@@ -93,7 +95,7 @@
 	longestDeadline time.Duration // deadline of every class
 	node            *nodeProcess
 	pauses          *pauseSchedule // pauses of the node; nil: none
-	longestRest     time.Duration  // longest idle time of clients before their first request; 0: no resting clients
+	longestRest     time.Duration  // maximum idle time of clients before their first request; 0: no resting clients
 	clientsRouted   atomic.Bool    // clients may open connections to the node
 	stopping        atomic.Bool    // the node is being terminated
 	nodeExited      atomic.Bool    // the node's process has exited
@@ -110,8 +112,8 @@
 	return r
 }
 
-// execute starts the node and its clients, injects faults, terminates the node, kills it if it has not exited by the
-// earliest time of SIGKILL, and reports violations.
+// execute starts the node and its clients, injects faults and terminates the node. It kills a node that has not
+// exited at the earliest time of SIGKILL. Then it reports violations.
 func (r *soakRun) execute() {
 	r.startNode()
 	var clients, pausing sync.WaitGroup
@@ -148,15 +150,15 @@
 	r.report()
 }
 
-// restOverlap is how long before the end of the longest rest the other clients and the faults start. Because of it,
+// restOverlap is the time between the start of the other clients and the end of the longest rest. With this overlap,
 // some resting clients send their first request while the node shuts down.
 const restOverlap = time.Second
 
-// startRestingClients starts clients that connect now and stay idle before their first request. They have their own
-// random generator, so that the remainder of a run is the same with and without them.
+// startRestingClients starts clients that connect now and stay idle before their first request. These clients have
+// their own random generator, so that they do not affect the other random choices of a run.
 func (r *soakRun) startRestingClients(clients *sync.WaitGroup, descriptorsFull bool) {
 	const restingClients = 20
-	const stream = 4 // each generator that is seeded with the run's seed has its own stream
+	const stream = 4 // each generator with the run's seed uses its own stream
 	rng := rand.New(rand.NewPCG(r.seed, stream))
 	for i := range restingClients {
 		clientSeed := rng.Uint64()
@@ -171,8 +173,8 @@
 	}
 }
 
-// injectFaults makes servers hang and recover, changes the endpoint list and reloads the configuration at random times
-// for the given duration.
+// injectFaults injects faults at random times for the given duration. It makes servers hang and recover, changes the
+// endpoint list and reloads the configuration.
 func (r *soakRun) injectFaults(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(20+r.rng.IntN(80)) * time.Millisecond)
@@ -188,8 +190,8 @@
 	}
 }
 
-// terminate sends SIGTERM, then up to four more SIGHUPs and SIGTERMs, and SIGKILL at the earliest time that the
-// operators' rules allow if the node has not exited before.
+// terminate sends SIGTERM and then up to four more signals, each a SIGHUP or a SIGTERM. If the node has not exited at
+// the earliest time that the operators' rules allow, it sends SIGKILL.
 func (r *soakRun) terminate() {
 	if r.rng.IntN(2) == 0 {
 		for _, s := range r.servers {
@@ -217,7 +219,7 @@
 	r.clientsRouted.Store(false)
 }
 
-// report reports up to ten violations as test errors, and logs the node's log if there are any.
+// report reports up to ten violations as test errors. If there are violations, it also logs the node's log.
 func (r *soakRun) report() {
 	history := r.history
 	history.mu.Lock()
@@ -232,12 +234,12 @@
 	for _, violation := range history.violations[:min(len(history.violations), 10)] {
 		r.t.Error(violation)
 	}
-	log, _ := os.ReadFile(r.node.logPath) // if it cannot be read, the violations are still reported
+	log, _ := os.ReadFile(r.node.logPath) // after an error, the violations are still reported
 	r.t.Logf("%d violations; the node's log:\n%s", len(history.violations), log)
 }
 
-// restingDescriptors is the number of descriptors that a node gets in addition in runs with resting clients. It keeps
-// the node from evicting their connections, unless idle clients fill its descriptors.
+// restingDescriptors is the number of additional descriptors of a node in runs with resting clients. The node then
+// does not evict the connections of resting clients, unless idle clients fill its descriptors.
 const restingDescriptors = 256
 
 // startNode starts the test binary as the node.
@@ -251,8 +253,8 @@
 	r.node = startNode(r.t, exec.Command(os.Args[0]), config)
 }
 
-// configFormat is the node's configuration. Its arguments are the address of discovery, the number of descriptors, the
-// last endpoint list, and the deadline of every class in ms.
+// configFormat is the format of the node's configuration. Its arguments are the address of discovery, the number of
+// descriptors, the last endpoint list, and the deadline of every class in ms.
 const configFormat = `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
  "limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,
  "settings":{"position":0,"groupSize":1,"zone":"a","localities":["a"],"kinds":["k"],
