--- a/internal/conformance/alloc_test.go
+++ b/internal/conformance/alloc_test.go
@@ -11,7 +11,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// benchmarkRequest is the format of a request, whose ID consists of the number of requests and the request's index.
+// benchmarkRequest is the format of a request. The ID of the request consists of the number of requests and the index
+// of the request.
 const benchmarkRequest = "GET /api?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d-%d\r\nX-Class: read\r\n" +
 	"X-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 
@@ -32,7 +33,7 @@
 }
 
 // BenchmarkRequest sends one request after another through each build, on one loopback connection. The reported
-// allocations are those of the whole process, which includes the client and the server.
+// allocations are those of the whole process, including the client and the server.
 func BenchmarkRequest(b *testing.B) {
 	addr := testkit.RawServer(b, answerHeads)
 	for _, build := range builds {
--- a/internal/conformance/connections_test.go
+++ b/internal/conformance/connections_test.go
@@ -15,7 +15,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// When a client disconnects, the node must cancel the attempt of its request.
+// testClientDisconnectCancelsAttempt checks that the node cancels the attempt of a request when the client
+// disconnects.
 func testClientDisconnectCancelsAttempt(t *testing.T, b build) {
 	received, cancelled := make(chan struct{}), make(chan struct{})
 	addr := testkit.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -43,8 +44,8 @@
 	testkit.Receive(t, "its cancellation", cancelled)
 }
 
-// startBlockingServer runs a server that answers the request with the ID "slow" once release is closed, and others at
-// once. It sends a value to received when it gets the request "slow".
+// startBlockingServer runs a server that answers the request with the ID "slow" once release is closed. It answers
+// other requests at once. The server sends a value to received when it gets the request "slow".
 func startBlockingServer(t *testing.T) (addr string, received <-chan struct{}, release chan<- struct{}) {
 	t.Helper()
 	hold, held := make(chan struct{}), make(chan struct{}, 2)
@@ -57,13 +58,13 @@
 	return addr, held, hold
 }
 
-// slowResponse is the response to the request "slow", or the zero value if there was none.
+// slowResponse is the response to the request "slow", or the zero value if there was no response.
 type slowResponse struct {
 	status int
 	closes bool // the response announces the close of the connection
 }
 
-// sendSlow sends the request "slow", and returns a channel that receives its response.
+// sendSlow sends the request "slow" to node, and returns a channel that receives the response.
 func sendSlow(t *testing.T, client *http.Client, node string) <-chan slowResponse {
 	t.Helper()
 	responses := make(chan slowResponse, 1)
@@ -80,8 +81,9 @@
 	return responses
 }
 
-// More clients than the node has slots connect and send nothing, or keep their connections idle after a request. The
-// node must evict idle connections to accept new ones, but none with an open request.
+// testIdleConnectionsAreEvicted checks that the node evicts idle connections to accept new connections, but evicts no
+// connection with an open request. More clients than the node has slots connect. They send nothing, or keep their
+// connections idle after a request.
 func testIdleConnectionsAreEvicted(t *testing.T, b build) {
 	addr, received, release := startBlockingServer(t)
 	config := testConfig(t, knownList(addr))
@@ -114,7 +116,7 @@
 	}
 }
 
-// requestOnce sends a request on a connection and checks that it is served.
+// requestOnce sends a request on conn, and checks that the request is served. The ID of the request contains i.
 func requestOnce(t *testing.T, node string, conn net.Conn, i int) {
 	t.Helper()
 	if err := clientRequest(t, node, "GET", "read", fmt.Sprint("once", i), "").Write(conn); err != nil {
@@ -127,7 +129,8 @@
 	_ = resp.Body.Close()
 }
 
-// incompleteRequests returns what faulty clients send before they stop sending. %d is replaced by a number for the ID.
+// incompleteRequests returns what faulty clients send before they stop sending. The caller replaces %d with a number
+// for the request ID.
 func incompleteRequests() []string {
 	const head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: pay\r\nX-Tenant: t\r\n" +
 		"X-Deadline-Ms: 8000\r\n"
@@ -141,8 +144,8 @@
 	}
 }
 
-// If a client sends an incomplete request, the node must answer it or close the connection after a timeout. The
-// timeout must not apply to a complete request that waits for its response.
+// testHeaderTimeoutBoundsRequestsOnly checks that, after a timeout, the node answers an incomplete request or closes
+// its connection. The timeout must not apply to a complete request that waits for its response.
 func testHeaderTimeoutBoundsRequestsOnly(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {
 		time.Sleep(headerTimeout + 200*time.Millisecond)
@@ -176,8 +179,8 @@
 	}
 }
 
-// A node that shuts down must report that it is not ready, accept connections for as long as clients may still be
-// routed to it, answer open requests, and then exit.
+// testGracefulShutdown checks that a node that shuts down reports that it is not ready. The node must accept
+// connections while clients may still be routed to it, answer open requests, and then exit.
 func testGracefulShutdown(t *testing.T, b build) {
 	addr, received, release := startBlockingServer(t)
 	node, stop := b.start(t, testConfig(t, knownList(addr)))
@@ -223,7 +226,7 @@
 	return resp.StatusCode == http.StatusServiceUnavailable
 }
 
-// expectServedAndKept checks that a node that is shutting down serves a request without closing its connection: the
+// expectServedAndKept checks that a node that is shutting down serves a request without closing its connection. The
 // client may have no other node to connect to yet.
 func expectServedAndKept(t *testing.T, client *http.Client, node string) {
 	t.Helper()
--- a/internal/conformance/requests_test.go
+++ b/internal/conformance/requests_test.go
@@ -17,7 +17,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// A request of each class must be forwarded with its method, path, query, body, ID and idempotency key.
+// testServesEachClass checks that a request of each class is forwarded with its method, path, query, body, ID and
+// idempotency key.
 func testServesEachClass(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -38,7 +39,7 @@
 	}
 }
 
-// invalidRequest is an invalid request and the status with which it must be answered.
+// invalidRequest is an invalid request and the expected response status.
 type invalidRequest struct {
 	method, class, body string
 	headers             []string
@@ -68,7 +69,8 @@
 	}
 }
 
-// An invalid request must be rejected with a 4xx status and reach no server. Its ID must stay usable for a valid one.
+// testInvalidRequestsReachNoServer checks that an invalid request gets a 4xx status and reaches no server. The ID of
+// the request must stay usable for a valid request.
 func testInvalidRequestsReachNoServer(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -91,7 +93,8 @@
 	}
 }
 
-// A Content-Length above the maximum must be rejected before any byte of the body arrives.
+// testTooLongBodyIsRejectedByLength checks that node rejects a Content-Length above the maximum before any byte of
+// the body arrives. name is the name of the case.
 func testTooLongBodyIsRejectedByLength(t *testing.T, node, name string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", node)
@@ -109,7 +112,8 @@
 	}
 }
 
-// Requests of a tenant that exceeds its quota must be rejected with a Retry-After header.
+// testRejectionHasRetryAfter checks that a request of a tenant that exceeds its quota is rejected with a Retry-After
+// header.
 func testRejectionHasRetryAfter(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := b.start(t, testConfig(t, knownList(addr)))
@@ -127,7 +131,8 @@
 	t.Error("no request of a tenant with almost no quota was rejected")
 }
 
-// A non-idempotent request that may have run must be neither retried nor answered as rejected.
+// testNonIdempotentRequestIsNotRetried checks that a non-idempotent request that may have run is neither retried nor
+// answered as rejected.
 func testNonIdempotentRequestIsNotRetried(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -145,7 +150,7 @@
 	}
 }
 
-// No malformed input may crash the node: it must still serve requests afterwards.
+// testMalformedInput checks that the node still serves requests after malformed input.
 func testMalformedInput(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := b.start(t, testConfig(t, knownList(addr)))
@@ -172,11 +177,13 @@
 	}
 }
 
-// smuggledRequest is placed in or behind the malformed requests below, which try to have it processed as a request.
+// smuggledRequest follows the beginning of each text in smugglingRequests. A node that mishandles the beginning
+// processes smuggledRequest as a request of its own.
 const smuggledRequest = "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: inner\r\nX-Class: read\r\nX-Tenant: t\r\n" +
 	"X-Deadline-Ms: 8000\r\n\r\n"
 
-// smugglingRequests returns requests whose framing is ambiguous or invalid, each followed by another request.
+// smugglingRequests returns requests followed by smuggledRequest. The first request has ambiguous, invalid or chunked
+// framing, or another error.
 func smugglingRequests() map[string]string {
 	const (
 		post   = "POST /api HTTP/1.1\r\n"
@@ -202,8 +209,9 @@
 	}
 }
 
-// net/http ignores Content-Length if the request also has a transfer coding, and reads a second request out of what is
-// the body according to Content-Length. No request from such a connection may reach a server.
+// testSmuggledRequestsReachNoServer checks that no request from a connection with ambiguous or invalid framing
+// reaches a server. net/http ignores Content-Length if the request also has a transfer coding. It then reads a second
+// request from the bytes that are the body according to Content-Length.
 func testSmuggledRequestsReachNoServer(t *testing.T, b build) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -231,8 +239,8 @@
 	}
 }
 
-// readToEnd reads from a connection until the node closes it, and then closes it. It reports an error if the node
-// keeps the connection open.
+// readToEnd reads from conn until the node closes it, and then closes conn. It reports an error if the node keeps the
+// connection open. input identifies the connection in that error.
 func readToEnd(t *testing.T, input string, conn net.Conn) string {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(maxWait))
--- a/internal/conformance/script_test.go
+++ b/internal/conformance/script_test.go
@@ -16,15 +16,15 @@
 	"cobaltward/internal/testkit"
 )
 
-// Sizes of the script. The part of a request's ID after the dash names the servers' reaction to its first attempt, so
-// that the reaction is the same whichever server gets the attempt.
+// Sizes of the script. The part of a request ID after the dash names the reaction to the first attempt of the
+// request. The reaction is therefore the same at every server.
 const (
 	scriptLength  = 2000
 	scriptServers = 6
 	scriptClients = 8 // each sends every eighth request of the script, in order
 )
 
-// scriptedCluster is the servers of a script and a discovery service. The service lists one of the servers as draining
+// scriptedCluster is the servers of a script and a discovery service. The service lists the last server as draining
 // when half of the script has been sent.
 type scriptedCluster struct {
 	t     *testing.T
@@ -33,7 +33,7 @@
 	mu                 sync.Mutex
 	executions         map[string]int // number of complete attempts that were not rejected, by request ID
 	attempts           map[string]int // number of complete attempts, by request ID
-	drainedAt          time.Time      // when discovery sent the drain of the last server
+	drainedAt          time.Time      // time at which discovery sent the drain of the last server
 	attemptsAfterGrace int            // number of attempts at the draining server after the grace
 }
 
@@ -56,7 +56,8 @@
 	return cluster
 }
 
-// count counts an attempt at a server, and reports whether it is the first attempt of the request.
+// count counts an attempt of the request id at a server, and reports whether it is the first attempt of the request.
+// reaction is the reaction that the ID names.
 func (c *scriptedCluster) count(server int, id, reaction string) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 	return first
 }
 
-// serve answers one attempt with the reaction that its ID names. It returns false to close the connection.
+// serve answers one attempt with the reaction that the request ID names. It returns false to close the connection.
 func (c *scriptedCluster) serve(server int, conn net.Conn, req *http.Request) (open bool) {
 	id := req.Header.Get("X-Request-Id")
 	_, reaction, _ := strings.Cut(id, "-")
@@ -101,8 +102,8 @@
 	return err == nil
 }
 
-// discovery runs a discovery service. Once drain is closed, it answers watches with a list in which the last server is
-// draining.
+// discovery runs a discovery service. After drain is closed, the service answers watches with an update in which the
+// last server is draining.
 func (c *scriptedCluster) discovery(drain <-chan struct{}) (addr string) {
 	const update = `{"revision":8,"complete":false,"members":[{"id":"s%d","host_port":%q,"locality":"a","flavor":"k",` +
 		`"cell":1,"phase":"draining","up_since_ms":0}]}`
@@ -123,15 +124,15 @@
 	})
 }
 
-// scriptedRequest is a request of the script and the outcome that it must have.
+// scriptedRequest is a request of the script and its expected outcome.
 type scriptedRequest struct {
 	id, class, tenant string
 	deadline          int // in ms
 	want              string
 }
 
-// script returns the requests of the script. Most are served normally; for one in ten the server that gets the first
-// attempt injects a fault.
+// script returns the requests of the script. Most requests are served normally. For one in ten, the server that gets
+// the first attempt injects a fault.
 func script() (requests []scriptedRequest) {
 	reactions := []string{"error", "full", "reset", "half", "slow"}
 	classes := []string{"read", "pay", "undo"}
@@ -166,7 +167,8 @@
 	return requests
 }
 
-// outcome returns the name of a response's outcome, as in the protocol, or a description of an invalid response.
+// outcome returns the outcome of a response in the terms of the protocol, or a description of an invalid response. id
+// is the ID of the request.
 func outcome(resp *http.Response, body, id string) string {
 	switch status := resp.StatusCode; {
 	case status == 200 && body == "done "+id:
@@ -186,8 +188,8 @@
 	return "failed"
 }
 
-// run sends the script to an address and returns the outcome of each request by its index. When half of the script has
-// been sent, it closes drain.
+// run sends the script to addr, and returns the outcome of each request by index. It closes drain when half of the
+// script has been sent.
 func (c *scriptedCluster) run(addr string, drain chan<- struct{}) map[int]string {
 	requests, outcomes := script(), make(map[int]string)
 	var clients sync.WaitGroup
@@ -211,7 +213,7 @@
 	return outcomes
 }
 
-// send sends a request, and returns its outcome.
+// send sends a request to addr, and returns its outcome.
 func (c *scriptedCluster) send(client *http.Client, addr string, scripted scriptedRequest) string {
 	method, body := "POST", "sum"
 	if scripted.class == "read" {
@@ -231,9 +233,9 @@
 	return outcome(resp, string(raw), scripted.id)
 }
 
-// TestScript_SameOutcomesOnAllBuilds sends the same 2,000 requests through every build to servers that fail, respond
-// slowly, reset connections or are draining. Each request must have the same outcome on all builds, no booking may run
-// twice, and no attempt may go to a draining server after the grace.
+// TestScript_SameOutcomesOnAllBuilds checks that the same 2,000 requests have the same outcomes on all builds. The
+// servers fail, respond slowly, reset connections or drain. No booking may run twice, and no attempt may go to a
+// draining server after the grace.
 func TestScript_SameOutcomesOnAllBuilds(t *testing.T) {
 	results := make([]map[int]string, len(builds))
 	t.Run("builds", func(t *testing.T) {
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -4,8 +4,8 @@
 
 import "testing"
 
-// TestSuite runs every case against every build, except those that a build excludes with a reason. The cases mostly
-// wait, so they run in parallel.
+// TestSuite checks every build with every case, except the cases that a build excludes with a reason. The cases run
+// in parallel because they mostly wait.
 func TestSuite(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/conformance/support_test.go
+++ b/internal/conformance/support_test.go
@@ -30,7 +30,7 @@
 	maxWait   = testkit.MaxWait
 	readyPath = "/health/ready"
 
-	// Limits and timeouts that every build must have.
+	// Limits and timeouts of the builds.
 	maxBody        = 64 << 10
 	maxID          = 128
 	headerTimeout  = 2500 * time.Millisecond
@@ -39,15 +39,16 @@
 	maxHeader      = 16 << 10
 )
 
-// build is a way of serving clients that the suite tests.
+// build is one of the tested ways to serve clients.
 type build struct {
 	name string
-	// serve serves clients on the listener until ctx is cancelled, then shuts down gracefully.
+	// serve serves clients on ln until ctx is cancelled, and then shuts down gracefully.
 	serve func(ctx context.Context, c node.Config, ln net.Listener) error
-	// exceptions maps the names of cases that do not apply to the build to the reason. docs/library.md lists them.
+	// exceptions maps the name of each case that does not apply to the build to the reason. docs/library.md lists the
+	// exceptions.
 	exceptions map[string]string
-	// anyFraming says that the build forwards bodies of more than maxBody bytes and every framing of HTTP/1.1, such as
-	// chunked bodies.
+	// anyFraming is set if the build forwards bodies of more than maxBody bytes and every framing of HTTP/1.1, such
+	// as chunked bodies.
 	anyFraming bool
 }
 
@@ -79,8 +80,8 @@
 	"IdleConnectionsAreEvicted": "the application owns the listener, so the middleware cannot limit its connections",
 }
 
-// serveApplication runs an application that embeds the middleware. It has its own net/http server and pages, and shuts
-// down the router before it closes its server.
+// serveApplication runs an application that embeds the middleware with wrap. The application has its own net/http
+// server and pages, and shuts down the router before it closes the server.
 func serveApplication(
 	ctx context.Context, c node.Config, ln net.Listener,
 	wrap func(*middleware.Frontend, http.Handler) http.Handler,
@@ -137,7 +138,7 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// testConfig loads a node configuration from a file, as the daemon does. known is the endpoint list at start.
+// testConfig loads a node configuration from a file, as the daemon does. known is the initial endpoint list.
 func testConfig(t testing.TB, known string) node.Config {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
@@ -166,8 +167,8 @@
 	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
 }
 
-// start runs the build until the test ends, and returns its address. The function stop shuts it down as SIGTERM shuts
-// down a node, and waits until it has exited.
+// start runs the build until the test ends, and returns its address. stop shuts the build down, as SIGTERM shuts down
+// a node, and waits until the build has exited.
 func (b build) start(t testing.TB, c node.Config) (addr string, stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -201,7 +202,7 @@
 	return addr, stop
 }
 
-// isReady sends the readiness check that a load balancer in front of the node would send.
+// isReady sends a readiness check, as a load balancer does, and reports whether the node is ready.
 func isReady(addr string) bool {
 	resp, err := oneShotClient().Get("http://" + addr + readyPath)
 	if err != nil {
@@ -211,13 +212,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// oneShotClient returns a client that opens a connection for each request. A client with idle connections could retry
-// a request by itself after an error on a connection that another test left open.
+// oneShotClient returns a client that opens a new connection for each request. A client with idle connections could
+// retry a request by itself after an error on a connection that another test left open.
 func oneShotClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// clientRequest returns a request as clients send it. headers are pairs of a name and a value; an empty value removes
+// clientRequest returns a request as clients send it. headers are pairs of a name and a value. An empty value removes
 // the header.
 func clientRequest(t testing.TB, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
@@ -247,7 +248,7 @@
 	body   string
 }
 
-// do sends a request on a new connection and returns the response. The test ends if there is none.
+// do sends a request on a new connection and returns the response. The test ends if there is no response.
 func do(t testing.TB, req *http.Request) response {
 	t.Helper()
 	resp, err := oneShotClient().Do(req)
--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -20,8 +20,8 @@
 	"cobaltward/transport/secure"
 )
 
-// serveWithTLS runs the daemon with TLS to clients and servers. The suite's clients and servers use plain HTTP: a
-// tunnel in front of the node adds TLS, and one in front of each server removes it.
+// serveWithTLS runs the daemon with TLS to clients and servers. The suite's clients and servers use plain HTTP. A
+// tunnel in front of the node adds TLS, and a tunnel in front of each server removes TLS.
 func serveWithTLS(ctx context.Context, config node.Config, ln net.Listener) error {
 	dir, err := os.MkdirTemp("", "conformance")
 	if err != nil {
@@ -72,8 +72,8 @@
 	client   *tls.Config
 }
 
-// newCredentials creates credentials with certificate files in a directory. The node checks the files for changes, so
-// they must exist until it exits.
+// newCredentials creates credentials with certificate files in dir. The node checks the files for changes, so they
+// must exist until the node exits.
 func newCredentials(dir string) (*credentials, error) {
 	ca := pki.NewAuthority("the suite's")
 	pair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-// runServerTunnel terminates TLS on connections from the node, and forwards them to a server in plain text.
+// runServerTunnel terminates TLS on connections from the node, and forwards the plain text to server.
 func runServerTunnel(ln net.Listener, config *tls.Config, server string) {
 	accept := func(conn *net.TCPConn) halfCloser { return tls.Server(conn, config) }
 	dial := func() (halfCloser, error) {
@@ -114,8 +114,8 @@
 	runTunnel(ln, accept, dial)
 }
 
-// runClientTunnel forwards connections of clients to the node over TLS. It closes the listener once the node refuses a
-// connection, so that clients are refused as well.
+// runClientTunnel forwards connections of clients to node over TLS. It closes ln once the node refuses a connection,
+// so that clients are also refused.
 func runClientTunnel(ln net.Listener, config *tls.Config, node string) {
 	accept := func(conn *net.TCPConn) halfCloser { return conn }
 	dial := func() (halfCloser, error) {
@@ -128,14 +128,15 @@
 	runTunnel(ln, accept, dial)
 }
 
-// halfCloser is a connection whose write side can be closed on its own.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// runTunnel forwards accepted connections in both directions until the listener is closed, and then waits until the
-// open ones are closed.
+// runTunnel accepts connections until ln is closed, and forwards their data in both directions. Then it waits until
+// the open connections are closed. accept adds TLS to an accepted connection if needed, and dial opens the other
+// connection.
 func runTunnel(ln net.Listener, accept func(*net.TCPConn) halfCloser, dial func() (halfCloser, error)) {
 	var conns sync.WaitGroup
 	defer conns.Wait()
@@ -153,7 +154,7 @@
 			}
 			upstream, err := dial()
 			if err != nil {
-				_ = tcp.SetLinger(0) // resets the connection, as a peer that refuses or aborts it would
+				_ = tcp.SetLinger(0) // resets the connection, like a peer that refuses or aborts it
 				return
 			}
 			defer func() { _ = upstream.Close() }()
@@ -172,7 +173,7 @@
 				_ = upstream.Close()
 				return
 			}
-			_ = d.to.CloseWrite() // it fails if the peer has already closed the connection
+			_ = d.to.CloseWrite() // fails if the peer has already closed the connection
 		})
 	}
 	directions.Wait()
--- a/internal/conformance/wallclock_test.go
+++ b/internal/conformance/wallclock_test.go
@@ -9,8 +9,7 @@
 	"testing"
 )
 
-// allowedWallClockUses maps path prefixes of code that may use wall-clock time to the reason why no duration in the
-// node depends on it.
+// allowedWallClockUses maps path prefixes of code that may use wall-clock time to the reason.
 var allowedWallClockUses = map[string]string{
 	"discovery/registry/list.go":   "start time of a server as the registry reports it; the router bounds it by its clock",
 	"discovery/xds/file_source.go": "modification time of a file, only compared for equality",
@@ -35,7 +34,7 @@
 var wallClock = regexp.MustCompile(`\btime\.Unix(Milli|Micro)?\(|\.Unix(Milli|Micro|Nano)\(\)|\.Round\(0\)`)
 
 // TestWallClock_MeasuresNoDuration checks that only code in allowedWallClockUses uses the wall clock. The wall clock
-// can be set at any time, so it must not be used to measure deadlines, windows, waits and ages.
+// can be set at any time, so it must not measure deadlines, windows, waits or ages.
 func TestWallClock_MeasuresNoDuration(t *testing.T) {
 	out, err := exec.Command("git", "-C", "../..", "ls-files", "*.go").Output()
 	if err != nil {
