--- a/internal/conformance/connections_test.go
+++ b/internal/conformance/connections_test.go
@@ -100,7 +100,7 @@
 		}
 		defer func() { _ = conn.Close() }()
 		idle = append(idle, conn)
-		if i%2 == 0 { // sends one request and then keeps the connection idle
+		if i%2 == 0 { // send one request, then keep the connection idle
 			requestOnce(t, node, conn, i)
 		}
 	}
--- a/internal/protocolmatrix/pair_test.go
+++ b/internal/protocolmatrix/pair_test.go
@@ -1,5 +1,5 @@
-// Package protocolmatrix tests the same failures over every pair of a client protocol and a server protocol. A
-// request must have the same outcome and the same number of executions at the servers with every pair.
+// Package protocolmatrix tests the same failures over every pair of a client protocol and a server protocol. With
+// every pair, a request must have the same outcome and the same number of executions at the servers.
 package protocolmatrix
 
 import (
--- a/internal/racetest/connections_test.go
+++ b/internal/racetest/connections_test.go
@@ -123,10 +123,10 @@
 	}
 }
 
-// TestPipelinedRequest_KeepsConnectionOpen checks that the node does not close a connection as idle while the connection
-// has a pipelined request. net/http buffers the second request before the node serves it. While one of the two requests is
-// at the server, the node is terminated or must free connection slots. If the response to the first request announces
-// a close, the node must not forward the second request.
+// TestPipelinedRequest_KeepsConnectionOpen checks that the node does not close a connection as idle while the
+// connection has a pipelined request. net/http buffers the second request before the node serves it. While one of the
+// two requests is at the server, the node is terminated or must free connection slots. If the response to the first
+// request announces a close, the node must not forward the second request.
 func TestPipelinedRequest_KeepsConnectionOpen(t *testing.T) {
 	for _, how := range []string{"termination", "eviction"} {
 		for _, at := range []string{"one", "two"} {
--- a/internal/racetest/discovery_test.go
+++ b/internal/racetest/discovery_test.go
@@ -19,7 +19,7 @@
 // discoveryStub is a discovery service whose calls a test can intercept.
 type discoveryStub struct {
 	addr  string
-	calls chan pollCall // calls received so far; calls are dropped while the channel is full
+	calls chan pollCall // received calls; further calls are dropped while the channel is full
 
 	mu        sync.Mutex
 	received  int
--- a/internal/racetest/endpointlist_test.go
+++ b/internal/racetest/endpointlist_test.go
@@ -14,8 +14,8 @@
 )
 
 // notifiedBy returns the time by which the operators' rules require a node to know of a change that its watch missed.
-// The time is 6 s after silentSince, the time of the last data on the watch, or 2 s after the wait of call ends, whichever
-// is later.
+// The time is 6 s after silentSince, the time of the last data on the watch, or 2 s after the wait of call ends,
+// whichever is later.
 func notifiedBy(call pollCall, silentSince time.Time) time.Time {
 	bySilence := silentSince.Add(6 * time.Second)
 	if byWait := call.at.Add(call.wait + 2*time.Second); byWait.After(bySilence) {
@@ -121,8 +121,8 @@
 
 // TestWatch_MissedDrainIsNoticedInTime checks that the node learns of a drain of s0 that a failed watch missed. The
 // node must send no request to s0 later than the drain grace after the required notification time (notifiedBy). The
-// test sends requests until one second after the first request that reached only s1. The test uses discovery by polling
-// and by subscription.
+// test sends requests until one second after the first request that reached only s1. The test uses discovery by
+// polling and by subscription.
 func TestWatch_MissedDrainIsNoticedInTime(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		for name, fail := range watchFailures {
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -23,11 +23,9 @@
 )
 
 const (
-	// firstRequestGrace is the time for which a node that is shutting down keeps a new connection without a request
-	// open.
+	// firstRequestGrace is the time that a node that is shutting down waits for the first request on a connection.
 	firstRequestGrace = 2500 * time.Millisecond
-	// newConnTimeout is the time for which a node that is not shutting down keeps a new connection without a request
-	// open.
+	// newConnTimeout is the time that a node that is not shutting down waits for the first request on a connection.
 	newConnTimeout = 15 * time.Second
 )
 
--- a/tools/bench/roles.go
+++ b/tools/bench/roles.go
@@ -73,7 +73,7 @@
 		}
 		go benchkit.AcceptLoop(ln, func(conn net.Conn) { serveStub(conn, delay, response) })
 	}
-	select {} // until the parent process ends this process
+	select {} // blocks until the parent process ends this process
 }
 
 func serveStub(conn net.Conn, delay time.Duration, response []byte) {
--- a/tools/decisions/history.go
+++ b/tools/decisions/history.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// writeDueTimers writes the timers that are due, which fires them.
+// writeDueTimers fires the timers that are due.
 func (h *history) writeDueTimers() {
 	var pending []timer
 	for _, t := range h.timers {
