--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,18 +9,18 @@
 	rateWindow         = time.Second  // window of the limits derived from quotas; also Retry-After for a quota of 0
 	burstSeconds       = 0.5          // bucket capacity for a quota, in seconds of its rate; admits bursts
 	minBurst           = 3            // minimum bucket capacity, so that small quotas still admit a small burst
-	maxBuckets         = 4096         // limits memory if clients invent tenants; further tenants share one bucket
-	refillCompensation = 1 / math.Ln2 // a refill of whole tokens admits only ln 2 of the rate of Poisson arrivals
+	maxBuckets         = 4096         // limits memory if clients send unknown tenants; further tenants share one bucket
+	refillCompensation = 1 / math.Ln2 // with Poisson arrivals, a refill of whole tokens admits only ln 2 of the rate
 
 	rateScaleStep     = 0.02 // relative change per selection; balanced if half of the selections find capacity
-	minRateScale      = 0.3  // a lower scale would starve traffic within quotas during faults that shedding can't cure
-	cautiousRateScale = 1.5  // above this scale, rateScale rises only while few outcomes are bad
+	minRateScale      = 0.3  // a lower scale would reject traffic within quotas during faults that shedding can't cure
+	cautiousRateScale = 1.5  // above this value, rateScale rises only while few outcomes are bad
 	maxBadRatio       = 0.06 // maximum badRatio at which rateScale may exceed cautiousRateScale
 	maxRateScale      = 3.0  // a higher scale gains little
 )
 
-// refill adds the whole tokens for the time since the last refill, up to the burst. If it adds any, it resets the
-// refill time, so a fraction of a token is lost.
+// refill adds the tokens for the time since the last refill, rounded down, up to the burst. If it adds any tokens, it
+// resets the refill time, so a fraction of a token is lost.
 func (k *bucket) refill(now Time, perSecond float64, burst int64) {
 	added := math.Floor((now - k.lastRefill).Seconds() * perSecond)
 	if added >= 1 {
@@ -51,7 +51,7 @@
 }
 
 // resolveLimit returns the limit for a request of tenant and class, and the key of its bucket. The limit of the class
-// takes precedence over the tenant's quota, and the quota over the default limit. RateLimits.Max bounds each of them.
+// takes precedence over the tenant's quota, and the quota over the default limit. RateLimits.Max bounds the result.
 // If no limit applies, ok is false.
 func (b *Balancer) resolveLimit(tenant, class string) (limit Limit, key bucketKey, ok bool) {
 	key.tenant = tenant
@@ -139,8 +139,8 @@
 }
 
 // adjustRateScale lowers the rates of all buckets if the servers lack capacity. It raises them if buckets reject
-// requests while there is capacity. With fixed rates, nothing would be shed when all servers slow down. A node that
-// gets more than an even share of a tenant's traffic would also reject requests within the quota.
+// requests while there is capacity. Fixed rates have two disadvantages. Nothing is shed when all servers slow down. A
+// node that gets more than an even share of a tenant's traffic rejects requests within the quota.
 func (b *Balancer) adjustRateScale(hasCapacity bool) {
 	switch {
 	case !hasCapacity && b.rateScale <= 1 && b.serversShedLoad():
--- a/policy/api.go
+++ b/policy/api.go
@@ -41,7 +41,7 @@
 // The zero value is the narrowest scope.
 const (
 	DedupCell DedupScope = iota // servers in the Cell of the first server that may have executed the request
-	DedupZone                   // servers in the Zone of that server
+	DedupZone                   // servers in the Zone of the first server that may have executed the request
 	DedupAll                    // all servers
 )
 
@@ -59,15 +59,15 @@
 	Idempotency Idempotency
 	// DedupScope says which servers discard duplicates; only used with IdempotencyKeyed.
 	DedupScope DedupScope
-	// DedupWindow is how long those servers discard duplicates. It starts at the first attempt that may have been
-	// executed. Only used with IdempotencyKeyed.
+	// DedupWindow is the time for which servers in DedupScope discard duplicates. It starts at the first attempt that
+	// may have been executed. Only used with IdempotencyKeyed.
 	DedupWindow time.Duration
-	// LateWeightFraction is the fraction (0 to 1) of its value that an answer keeps between objective and deadline.
-	// At 0, no attempt is sent after the objective.
+	// LateWeightFraction is the value of an answer between objective and deadline, as a fraction (0 to 1) of its full
+	// value. At 0, no attempt is sent after the objective.
 	LateWeightFraction float64
-	// PriorityWeight is the value of one answer relative to answers of other classes. No decision reads it.
+	// PriorityWeight is the value of one answer relative to answers of other classes. It is not used in decisions.
 	PriorityWeight float64
-	// Stream says that answers are streamed. A FirstByte event reports the start of each streamed answer.
+	// Stream is true if answers are streamed. A FirstByte event then reports the start of each streamed answer.
 	Stream bool
 	// Kinds lists the kinds of servers that requests may be sent to; empty: any kind.
 	Kinds []string
@@ -81,7 +81,7 @@
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second over all nodes; 0 or more
-	Share float64 // fraction of the total traffic, 0 to 1; no decision reads it
+	Share float64 // fraction of the total traffic, 0 to 1; not used in decisions
 }
 
 // Limit defines a token bucket. The bucket holds up to Burst tokens and gains PerWindow tokens each Window.
@@ -94,7 +94,7 @@
 // RateLimits holds the rate limits in addition to the quotas of the tenants. Each field is optional.
 type RateLimits struct {
 	Default  *Limit           // limit for tenants without a quota; nil: smallest quota, or no limit without tenants
-	PerClass map[string]Limit // by class: limit that replaces the tenant's; each tenant has its own bucket
+	PerClass map[string]Limit // by class: limit used instead of the quota; each tenant has its own bucket
 	Max      float64          // maximum of PerWindow and Burst in every limit; 0: none
 }
 
@@ -102,12 +102,12 @@
 type Capabilities struct {
 	Cancel     bool // the node may cancel attempts in flight
 	Hedge      bool // a second attempt may be sent while the first is in flight
-	Probe      bool // the host may probe servers; no decision reads it
-	Peers      bool // nodes may send messages to each other; no decision reads it
-	RetryAfter bool // clients honor the wait time of a Reject; no decision reads it
+	Probe      bool // the host may probe servers; not used in decisions
+	Peers      bool // nodes may send messages to each other; not used in decisions
+	RetryAfter bool // clients honor the wait time of a Reject; not used in decisions
 
 	MaxAttempts     int           // attempts per request, including the first; 0 means 1
-	MaxRetryAfter   time.Duration // maximum wait time that clients honor; no decision reads it
+	MaxRetryAfter   time.Duration // maximum wait time that clients honor; not used in decisions
 	ConnIdleTimeout time.Duration // idle time after which a connection is closed; 0: unknown
 }
 
@@ -121,12 +121,12 @@
 
 // Rules holds the operating rules that the site sets for a node. All numbers must be zero or more.
 type Rules struct {
-	AnswerGrace      time.Duration // time after the deadline in which an answer is in time; no decision reads it
-	DrainGrace       time.Duration // time after a drain starts in which sends are allowed; no decision reads it
+	AnswerGrace      time.Duration // time after the deadline in which an answer still counts; not used in decisions
+	DrainGrace       time.Duration // time after the start of a drain in which sends are allowed; not used in decisions
 	SlowStartShare   float64       // minimum capacity of a server at its start, as a fraction of its full capacity
 	SlowStartWindow  time.Duration // time from the start of a server until it has full capacity
 	OverloadFactor   float64       // load at which a server in slow start fails, as a multiple of its current capacity
-	OverloadDuration time.Duration // time that the load must exceed OverloadFactor for the server to fail
+	OverloadDuration time.Duration // time above OverloadFactor after which the server fails
 	MaxPollInterval  time.Duration // maximum time between polls of the endpoint list without a subscription
 	RetryBudget      *RetryBudget  // nil: default budget
 }
@@ -141,10 +141,10 @@
 	RateLimits   RateLimits
 	Capabilities Capabilities
 	Rules        Rules
-	Subscribe    bool // the node gets updates of the endpoint list only if it subscribes
-	KeyAffinity  bool // prefer a key's sticky servers, because a server serves a repeated key at a lower cost
-	WeightByWork bool // the value of an answer is proportional to its work; no decision reads it
-	// LoadReportFields lists the names of the values in load reports, in their order. No decision reads them.
+	Subscribe    bool // whether the node must subscribe to get updates of the endpoint list
+	KeyAffinity  bool // whether to prefer the sticky servers of a key; a server serves a repeated key at a lower cost
+	WeightByWork bool // whether the value of an answer is proportional to its work; not used in decisions
+	// LoadReportFields lists the names of the values in load reports, in their order. It is not used in decisions.
 	LoadReportFields []string
 }
 
@@ -165,7 +165,7 @@
 	Kind        string
 	Pools       []string // pools that contain the server
 	Cell        int64    // ID of the group of servers that share a deduplication table, for DedupCell
-	Weight      float64  // relative capacity; no decision reads it
+	Weight      float64  // relative capacity; not used in decisions
 	OnlineSince Time     // start time of the process; 0: long ago
 	// SlowStartAt is the start time of slow start, by a clock that is never stepped; 0 means OnlineSince.
 	SlowStartAt  Time
@@ -190,14 +190,15 @@
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
-	More      bool // more parts of the same change follow; queued requests wait for the last part
+	More      bool // whether more parts of the same change follow; queued requests wait for the last part
 }
 
 // Request is a client's request. Each request gets exactly one final answer.
 //
-// A request with BodyPending may be sent before its whole body has arrived. The body is then streamed to one attempt
-// at a time, and no server can have executed the request yet. When the last byte of the body arrives, the host passes
-// the request again without BodyPending. The durations in the request count from then on.
+// A request with BodyPending may be sent before its whole body has arrived. Until the last byte arrives, the body is
+// streamed to one attempt at a time, and no server can have executed the request. When the last byte of the body
+// arrives, the host passes the request again without BodyPending. The durations in the request count from that second
+// event.
 type Request struct {
 	ID     string // unique among the requests in flight
 	Class  string // name of a Class; a request of an unknown class is never executed twice
@@ -206,10 +207,10 @@
 
 	ExpiresIn    time.Duration // time until the client gives up
 	CostHint     time.Duration // estimated CPU time of the request; 0: unknown
-	Retry        bool          // the client has sent this request before; no decision reads it
-	Write        bool          // the request modifies data; no decision reads it
-	BodyPending  bool          // the last byte of the body has not arrived yet
-	ZoneLocal    bool          // the request must stay in this node's zone while that zone has a running server
+	Retry        bool          // whether the client has sent this request before; not used in decisions
+	Write        bool          // whether the request modifies data; not used in decisions
+	BodyPending  bool          // whether the last byte of the body has not arrived yet
+	ZoneLocal    bool          // whether the request must stay in this node's zone while that zone has a running server
 	MaxQueueTime time.Duration // maximum time in the queue; 0: the default of the policy
 }
 
@@ -221,7 +222,7 @@
 	return limit
 }
 
-// FirstByte reports the start of a streamed answer. After it, no other attempt can answer the client.
+// FirstByte reports the start of a streamed answer. After a FirstByte, no other attempt can answer the client.
 type FirstByte struct {
 	ID      string
 	Server  string
@@ -257,8 +258,8 @@
 	Attempt      int // number of the attempt, from 0
 	Code         Code
 	Latency      time.Duration // time since the attempt was sent
-	Answered     bool          // the client has received the final answer
-	BodyConsumed bool          // the body can't be replayed, so no further attempt is possible
+	Answered     bool          // whether the client has received the final answer
+	BodyConsumed bool          // whether the start of the body is lost, so that no further attempt is possible
 	LoadReport   []float64     // values in the order of Settings.LoadReportFields; nil: no report
 }
 
@@ -268,7 +269,7 @@
 // Timer reports that the timer set by a SetTimer action has expired.
 type Timer struct{ Token uint64 }
 
-// ProbeResult reports the end of a probe. No decision reads it.
+// ProbeResult reports the end of a probe. It is not used in decisions.
 type ProbeResult struct {
 	Server     string
 	Code       Code
@@ -276,7 +277,8 @@
 	LoadReport []float64
 }
 
-// PeerMessage is a message from another node. Messages can be lost, delayed or corrupted. No decision reads them.
+// PeerMessage is a message from another node. Messages can be lost, delayed or corrupted. They are not used in
+// decisions.
 type PeerMessage struct {
 	From int
 	Body string
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// checkSlowAttempts checks the attempts of a class that have become slow. It skips an attempt if the server has
-// answered any request since the attempt was sent. Otherwise it records a fault of the server, unless the connection
-// had been idle, and hedges the request where possible.
+// checkSlowAttempts checks the attempts of class that have become slow. It skips an attempt if the server has
+// answered any request since the attempt was sent. Otherwise it hedges the request where possible. It also records a
+// fault of the server, unless the connection was idle before the send.
 func (b *Balancer) checkSlowAttempts(class *class) {
 	class.slowTimerSet = false
 	for len(class.slowChecks) > 0 && class.slowChecks[0].due <= b.now {
@@ -123,11 +123,11 @@
 	}
 }
 
-// giveUp ends r without an answer from a server. It rejects r if the client can retry it safely, and fails r
-// otherwise.
+// giveUp ends r without an answer from a server, unless an attempt of r is in flight. It rejects r if the client can
+// retry r safely, and fails r otherwise.
 func (b *Balancer) giveUp(r *request) {
 	if r.pending > 0 {
-		return // another attempt is in flight and may still answer
+		return // an attempt is in flight and may still answer
 	}
 	if r.firstMaybeExecuted == nil || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotencyKeyed && r.class.DedupScope == DedupAll {
@@ -143,7 +143,8 @@
 	b.finish(r)
 }
 
-// finish marks r as answered, cancels its attempts, and deletes r once no attempt is in flight.
+// finish marks r as answered and cancels its attempts. It deletes r if no attempt is in flight. Otherwise the outcome
+// of the last attempt calls finish again.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
 		r.answered = true
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// queueTimeWithoutServer returns the time until a queued request ends without any server. maximum is its
-// MaxQueueTime.
+// queueTimeWithoutServer returns the time until a queued request ends if there is no server. maximum is the
+// MaxQueueTime of the request.
 func queueTimeWithoutServer(t *testing.T, maximum time.Duration) time.Duration {
 	t.Helper()
 	b := startBalancer(t, testSettings(1), nil)
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -9,8 +9,8 @@
 	minIdleTime          = 250 * time.Millisecond // connections with a shorter idle time count as in use
 	unansweredGain       = 0.2                    // weight of one outcome in the moving average unansweredRatio
 	staleUnansweredRatio = 0.3                    // minimum unansweredRatio at which idle connections are closed
-	staleFactor          = 3                      // also required: this multiple of the ratio of connections in use
-	staleDecay           = 0.98                   // factor on the ratio at each close, so that closing stops in time
+	staleFactor          = 3                      // same minimum, as a multiple of the ratio of connections in use
+	staleDecay           = 0.98                   // factor on unansweredRatio at each close; closing then ends in time
 )
 
 // recordConnectionUse records that s.inFlight connections to s are in use at time now.
@@ -22,9 +22,9 @@
 }
 
 // prepareConnection returns the idle time of the connection for the next send to target, as an octave (power of two)
-// of minIdleTime. Octave 0 is a connection in use. If sends at an octave go unanswered far more often than sends on
-// connections in use, the network probably drops such connections silently. prepareConnection then closes the idle
-// connections and returns 0.
+// of minIdleTime. Octave 0 is a connection in use, or a new connection. If sends at an octave go unanswered far more
+// often than sends on connections in use, the network probably drops such connections silently. prepareConnection
+// then closes the idle connections and returns 0.
 func (b *Balancer) prepareConnection(target *server) (idleOctave int) {
 	if target.inFlight >= len(target.connectionLastUsed) {
 		return 0
@@ -49,7 +49,7 @@
 }
 
 // lostStaleConnection reports whether attempt a went unanswered on a connection that had been idle. Such a loss says
-// nothing about the server. If so, lostStaleConnection closes the idle connections of the server.
+// nothing about the server. After such a loss, lostStaleConnection closes the idle connections of the server.
 func (b *Balancer) lostStaleConnection(a *attempt, unanswered bool) bool {
 	updateRatio(&b.unansweredRatio[a.idleOctave], unansweredGain, unanswered)
 	isStale := unanswered && a.idleOctave > 0
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestConnections_StaleOnesAreClosedBeforeSend guards against networks that silently drop idle connections, so that
-// sends on them go unanswered. After such losses, connections with a similar idle time are closed before a send. The
-// lost attempts do not count as faults of the server, but time-outs on fresh connections do.
+// TestConnections_StaleOnesAreClosedBeforeSend guards against networks that silently drop idle connections. Sends on
+// these connections go unanswered. After such losses, connections with a similar idle time are closed before a send.
+// The lost attempts do not count as faults of the server, but time-outs on fresh connections do.
 func TestConnections_StaleOnesAreClosedBeforeSend(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	target, now := b.order[0], Time(0)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const watchRetryDelay = 2 * time.Second // mean delay before a failed watch is repeated; randomized
+const watchRetryDelay = 2 * time.Second // maximum mean delay before a failed watch is repeated; randomized
 
 func (b *Balancer) watchEndpoints() { b.emit(Action{Kind: WatchEndpoints, On: true}) }
 
@@ -62,7 +62,7 @@
 }
 
 // rebuildOrder rebuilds all pools. Servers in this node's zone come first, because traffic between zones is costly.
-// The servers of each group are ordered by ID, starting at the node's offset.
+// Servers within the zone, and all other servers, are each ordered by ID, starting at the node's offset.
 func (b *Balancer) rebuildOrder() {
 	b.runningByZone = make(map[string]int)
 	for p := range b.pools {
@@ -105,7 +105,7 @@
 }
 
 // updateOrder recomputes the order of each pool after servers were added or removed, and assigns this node's subset.
-// added lists the added servers; nil: all servers.
+// added lists the added servers. If added is nil, all servers count as added.
 func (b *Balancer) updateOrder(added []*server) {
 	b.forgetRetiredClasses()
 	formerSubset, coveredZone := b.order[:b.subsetSize], b.subsetSize == b.localCount
@@ -150,8 +150,8 @@
 	}
 }
 
-// assignSubset records whether s is in this node's subset. It sets the threshold of s if s joins the subset or has no
-// threshold yet.
+// assignSubset records whether s is in this node's subset. If s joins the subset, its threshold is raised to at least
+// the initial threshold. A server without a threshold gets the initial threshold.
 func (b *Balancer) assignSubset(s *server, inSubset bool) {
 	wasInSubset := s.inSubset
 	s.inSubset = inSubset
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestSubset_NewServersGetInitialThreshold checks that servers that join a node's subset get its initial threshold.
-// If they kept the small threshold of servers outside the subset, a rolling update would leave the node without
-// capacity.
+// TestSubset_NewServersGetInitialThreshold checks that servers that join a node's subset get the initial threshold of
+// the subset. If they kept the small threshold of servers outside the subset, a rolling update would leave the node
+// without capacity.
 func TestSubset_NewServersGetInitialThreshold(t *testing.T) {
 	b := startBalancer(t, testSettings(12), testEndpoints(12))
 	first := b.order[0].Server
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestTrafficShare_BucketsHoldOverTwoProcesses checks that a tenant over its quota gets not much more while one
-// process replaces another than with a single process.
+// TestTrafficShare_BucketsHoldOverTwoProcesses checks that a tenant over its quota is not admitted much more often
+// while one process replaces another than with a single process.
 func TestTrafficShare_BucketsHoldOverTwoProcesses(t *testing.T) {
 	one, two := runHotRestart(t, 1000, "t", true), runHotRestart(t, 1000, "t", false)
 	t.Logf("one process admitted %d of %d requests, two processes %d",
--- a/policy/index.go
+++ b/policy/index.go
@@ -14,10 +14,10 @@
 	roundingSlack         = 1e-9 // relative tolerance for floating-point results computed in a different order
 )
 
-// block summarizes consecutive servers of an order, except ejected ones. In the arrays, element 0 covers the servers
-// that are not shared, and element 1 the shared servers (see isShared).
+// block summarizes consecutive servers of an order. It ignores ejected servers. In the arrays, element 0 covers the
+// servers that are not shared, and element 1 the shared servers (see isShared).
 type block struct {
-	fresh         bool       // load and projectedLoad are up to date; both ignore sharedThresholdScale
+	fresh         bool       // whether load and projectedLoad are up to date; both ignore sharedThresholdScale
 	load          [2]float64 // lowest ratio of attempts in flight to threshold
 	projectedLoad [2]float64 // lowest such ratio with one more attempt in flight
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// canSkip reports whether the block summary rules out any server with capacity, and any server with a projected load
-// below leastLoad.
+// canSkip reports whether summary proves that no server of the block has capacity or a projected load below
+// leastLoad.
 func (b *Balancer) canSkip(summary *block, leastLoad float64) bool {
 	margin := 1 - roundingSlack
 	if b.sharedThresholdScale == 1 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// updateIndex marks the blocks that contain s as stale. It adds ejected (1, -1 or 0) to the number of ejected servers
-// of each pool that contains s.
+// updateIndex marks the blocks that contain s as stale. ejected is 1 if s was ejected, -1 if s was reinstated, and 0
+// otherwise. updateIndex adds it to the ejectedCount of each pool that contains s.
 func (b *Balancer) updateIndex(s *server, ejected int) {
 	for p := range b.pools {
 		if len(p.blocks) == 0 && ejected == 0 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// position returns the index of s in the order of the pool, or -1.
+// position returns the index of s in the order of p, or -1 if p does not contain s.
 func (p *pool) position(s *server) int {
 	start := 0
 	for i, partition := range p.partitions {
@@ -161,8 +161,8 @@
 	}
 }
 
-// arrangePool computes the order of a pool from its partitions. It writes into the buffer of the order before the
-// current one, to avoid an allocation.
+// arrangePool computes the order of p from its partitions. To avoid an allocation, it writes the order into
+// spareOrder, the buffer of an earlier order.
 func (b *Balancer) arrangePool(p *pool) {
 	next := p.spareOrder[:0]
 	for i, partition := range p.partitions {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -23,11 +23,11 @@
 	Server           string        `json:"server"`
 	Uptime           time.Duration `json:"up"`        // time since the process started; 0: long ago
 	Threshold        float64       `json:"threshold"` // learned concurrency limit, in attempts in flight
-	ThresholdReduced bool          `json:"felt"`      // the threshold has been reduced at least once
+	ThresholdReduced bool          `json:"felt"`      // whether the threshold has been reduced at least once
 	Latency          float64       `json:"latency"`   // latency of the last answer or time-out, in seconds
 	FaultRate        float64       `json:"faults"`    // moving average of the fraction of outcomes that are faults
 	FaultScore       float64       `json:"score"`     // fault score of the circuit breaker
-	Ejected          bool          `json:"out"`       // ejected, or half-open and waiting for probes
+	Ejected          bool          `json:"out"`       // whether the server is ejected, or half-open and waiting for probes
 	EjectedFor       time.Duration `json:"for"`       // time until the server may be probed; negative: already possible
 	Ejections        int           `json:"times"`     // number of consecutive ejections
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -9,11 +9,11 @@
 	ejectionScore      = 0.5             // fault score above which a server is ejected
 	baseEjectionTime   = time.Second     // duration of the first ejection; doubled at each further ejection
 	maxEjectionTime    = 8 * time.Second // maximum duration of an ejection
-	maxEjectedFraction = 0.4             // maximum fraction of ejected servers; beyond it, the cause is elsewhere
-	probesToRecover    = 3               // successful probes required in a row; a server that fails half passes half
+	maxEjectedFraction = 0.4             // maximum fraction of ejected servers; more faults have another cause
+	probesToRecover    = 3               // successful probes required in a row; one can succeed by chance
 )
 
-// updateHealth updates the circuit breaker of a server after an attempt ended with code.
+// updateHealth updates the circuit breaker of a server after the attempt ended has ended with code.
 func (b *Balancer) updateHealth(ended *attempt, code Code) {
 	target, breaker := ended.server, &ended.server.health
 	switch {
@@ -71,8 +71,8 @@
 	h.ejections++
 }
 
-// probeTarget returns an ejected server that is due for a probe by r, or nil. A server is only probed by those of its
-// classes whose requests are the safest to repeat.
+// probeTarget returns an ejected server that is due for a probe by r, or nil. Among the classes that may use a
+// server, only those whose requests are the safest to repeat probe the server.
 func (b *Balancer) probeTarget(r *request) *server {
 	eligible := r.class.eligible
 	if eligible.ejectedCount == 0 || len(r.attempts) > 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -24,7 +24,8 @@
 	return b, nil
 }
 
-// configure applies the settings. A class with unchanged settings keeps its learned state.
+// configure applies the settings. A class keeps its state if its settings and the capabilities are unchanged. A
+// changed class only keeps its tailLatency.
 func (b *Balancer) configure(settings Settings) {
 	former, sameCapabilities := b.classes, b.settings.Capabilities == settings.Capabilities
 	b.settings, b.retryBudget, b.activeClasses = settings, defaultRetryBudget, nil
@@ -69,7 +70,7 @@
 
 // Reconfigure replaces the settings and returns the resulting actions. If it returns an error, nothing has changed.
 // Requests in flight keep their class and its capabilities. Servers, buckets, health, retry budget and slow start
-// state are kept. Requests under old and new settings together therefore stay within the limits.
+// state are kept. The requests accepted before and after Reconfigure therefore stay within the limits together.
 func (b *Balancer) Reconfigure(now Time, settings Settings) ([]Action, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestReconfigure_KeepsRetryBudget checks that retries before Reconfigure count in the retry budget after it, even if
-// the new window is longer than the old one.
+// TestReconfigure_KeepsRetryBudget checks that retries before Reconfigure count in the retry budget after
+// Reconfigure, even if the new window is longer than the old one.
 func TestReconfigure_KeepsRetryBudget(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Rules.RetryBudget = &RetryBudget{MinRetries: 4.5, Window: time.Second}
@@ -132,8 +132,9 @@
 	}
 }
 
-// TestReconfigure_DrainingAppliesToRetiredClasses checks that a server that drains after Reconfigure gets no retry of
-// a request accepted before. The new settings lack the restricted class of that request.
+// TestReconfigure_DrainingAppliesToRetiredClasses checks that a server that starts to drain after Reconfigure gets no
+// retry of a request accepted before Reconfigure. The class of that request is restricted to a zone and is missing
+// from the new settings.
 func TestReconfigure_DrainingAppliesToRetiredClasses(t *testing.T) {
 	settings := reconfigurableSettings()
 	settings.Classes[0].Zones = []string{"a"}
--- a/policy/reconnect.go
+++ b/policy/reconnect.go
@@ -11,7 +11,7 @@
 )
 
 // selectNext selects the server of r's next attempt. Each server gets at most one attempt of r. If no untried server
-// is left, a server that failed to connect may get another attempt.
+// is left, or each of them is ejected, a server that failed to connect may get another attempt.
 func (b *Balancer) selectNext(r *request) (selected *server, hasCapacity bool) {
 	r.reconnecting = b.mayReconnect(r)
 	selected, hasCapacity = b.selectServer(r)
@@ -20,7 +20,7 @@
 }
 
 // mayReconnect reports whether r may be sent again to servers that failed to connect. The backoff must be over, and
-// all other servers that r may be sent to must be ejected.
+// all untried servers that r may be sent to must be ejected.
 func (b *Balancer) mayReconnect(r *request) bool {
 	if r.reconnectAt == 0 || b.now < r.reconnectAt {
 		return false
@@ -30,8 +30,8 @@
 	})
 }
 
-// recordFailedConnect marks the attempt as failed to connect. It starts the backoff before r may be sent again to
-// such a server.
+// recordFailedConnect marks the attempt failed. It starts the backoff after which r may be sent again to servers that
+// failed to connect.
 func (b *Balancer) recordFailedConnect(r *request, failed *attempt) {
 	failed.connectFailed = true
 	failures := 0
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -4,7 +4,7 @@
 
 const (
 	sheddingRetryCost = 0.15        // cost of a retry while servers shed load
-	retryHistory      = time.Minute // time that retries are kept, for new settings with a longer window
+	retryHistory      = time.Minute // time for which retries are kept, in case new settings have a longer window
 )
 
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -28,7 +28,7 @@
 	b.retries, b.accepted = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if allowed := b.retryBudgetAllows(); allowed != (n < 3) { // stays below the exact limit of 4
+		if allowed := b.retryBudgetAllows(); allowed != (n < 3) { // a further retry must stay below the limit of 4
 			t.Fatalf("after %d retries: another one allowed: %v", n, allowed)
 		}
 		if !b.retryBudgetAllows() {
@@ -36,7 +36,7 @@
 		}
 		b.retries = append(b.retries, b.now)
 	}
-	b.now = time.Second + 4 // the requests have left the window, but not the retries
+	b.now = time.Second + 4 // the requests have left the window, and the retries have not
 	if b.retryBudgetAllows() {
 		t.Error("more than MinRetries allowed for requests that have left the window")
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -4,7 +4,7 @@
 
 const (
 	maxUnstaggeredNodes = 3             // with more nodes, the nodes start at different servers, to spread the load
-	maxProjectedLoad    = 2.0           // above this load no server is selected, because the answer would be late
+	maxProjectedLoad    = 2.0           // maximum projected load for a send, unless servers shed load; avoids late answers
 	stickyServersPerKey = 3             // number of preferred servers for a key in each zone
 	fnvPrime            = 1099511628211 // prime of the 64-bit FNV hash
 )
@@ -48,7 +48,7 @@
 }
 
 // stickyServers returns the preferred servers in this zone for the key of r, best first. They are chosen by
-// rendezvous hashing, so all nodes of a zone send a key to the same servers, which then have the key cached.
+// rendezvous hashing, so all nodes of a zone send a key to the same servers. These servers then have the key cached.
 func (b *Balancer) stickyServers(r *request) (best [stickyServersPerKey]*server) {
 	if r.keyHash == 0 {
 		return best
@@ -68,8 +68,8 @@
 }
 
 // projectedLoad returns the ratio of attempts in flight to the threshold of s after one more attempt. A threshold
-// below 1 is the fraction of the time in which an attempt may be in flight. The next attempt is then due once the
-// last latency is at most that fraction of the time since the last send.
+// below 1 is the fraction of the time in which an attempt may be in flight. In that case, the next attempt is due
+// once the last latency is at most that fraction of the time since the last send.
 func (b *Balancer) projectedLoad(s *server) float64 {
 	threshold := b.effectiveThreshold(s)
 	if s.inFlight == 0 && threshold < 1 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -65,8 +65,8 @@
 }
 
 // TestSelection_SpreadsWhereNodesOutnumberServers checks that each node spreads its requests over several servers if
-// nodes outnumber servers. With two attempts in flight allowed at the first server of an order, that server would get
-// all requests of the nodes that start there. Other servers would be idle.
+// nodes outnumber servers. If a node allowed two attempts in flight at the first server of its order, it would send
+// all requests to that server. Other servers would be idle.
 func TestSelection_SpreadsWhereNodesOutnumberServers(t *testing.T) {
 	const requests = 40
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	slowStartMargin  = 0.7 // used part of the overload factor above 1; the rest absorbs variation
+	slowStartMargin  = 0.7 // used fraction of OverloadFactor-1; the rest absorbs random variation
 	minSlowStartRate = 1.0 // assumed rate of a server before a rate is known, in requests/s over all nodes
 
 	completionRateWindow = 3 * time.Second // time constant of the moving average completionRate
 )
 
-// slowStartFraction returns the minimum fraction of its full capacity that s has now. It returns 1 after slow start.
+// slowStartFraction returns the minimum capacity of s now, as a fraction of its full capacity. It returns 1 after
+// slow start.
 func (b *Balancer) slowStartFraction(s *server) float64 {
 	started, rules := cmp.Or(s.SlowStartAt, s.OnlineSince), &b.settings.Rules
 	age := b.now - started
@@ -23,8 +24,8 @@
 }
 
 // hasSlowStartCapacity reports whether s may get an attempt without being overloaded during slow start. A server at
-// full capacity is assumed to get the mean rate per server from each node. The rate of s is a fraction of this node's
-// mean rate.
+// full capacity is assumed to get the mean rate per server from each node. This node therefore limits its rate to s
+// to a fraction of its own mean rate per server.
 func (b *Balancer) hasSlowStartCapacity(s *server) bool {
 	fraction := b.slowStartFraction(s)
 	if fraction >= 1 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 	defaultLimit *Limit // limit for tenants without a quota; nil: no limit
 	buckets      map[bucketKey]*bucket
 	rateScale    float64 // factor applied to the refill rates of all buckets
-	trafficShare float64 // fraction of each bucket for this process while two processes serve as one node
+	trafficShare float64 // this process's share of each bucket, 0 to 1; below 1 during a hot restart
 	rateLimited  bool    // a bucket rejected a request since the last selection of a server
 
 	sharedThresholdScale float64 // factor applied to the thresholds of shared servers (see isShared)
@@ -49,26 +49,26 @@
 	queueTimerSet bool
 
 	retryBudget    RetryBudget
-	retryDebt      float64 // fraction of a retry not charged yet
+	retryDebt      float64 // retries not charged yet, as a fraction of one retry
 	accepted       []Time  // times of the requests received within the window of the budget, oldest first
 	retries        []Time  // times of the retries and hedged requests charged within the window, oldest first
 	expiredRetries []Time  // retries before the window, kept for new settings with a longer window
 
 	completionRate   float64 // successful answers per second, as of completionRateAt
 	completionRateAt Time
-	unansweredRatio  [6]float64 // by idle octave of the connection: moving average of unanswered sends
+	unansweredRatio  [6]float64 // by idle octave (see prepareConnection): moving average of unanswered sends
 }
 
 // pool is an ordered set of servers in service: all servers in service, or those that a class is restricted to.
 type pool struct {
-	class        *class       // class that is restricted to this pool; nil: pool of all servers
+	class        *class       // class whose requests are restricted to this pool; nil: pool of all servers
 	partitions   [2][]*server // servers in this node's zone, and all other servers; each sorted by ID
 	offsets      [2]int       // index in each partition at which the order starts
 	order        []*server    // both partitions in turn, each rotated to start at its offset
 	spareOrder   []*server    // buffer reused for the next order
 	localCount   int          // number of servers in this node's zone
 	ejectedCount int          // number of ejected servers
-	blocks       []block      // index over order, used if order is long
+	blocks       []block      // index of order; used only if order is long
 }
 
 // class is a request class and its learned state.
@@ -76,10 +76,10 @@
 	Class
 	capabilities Capabilities  // capabilities in the settings that defined this class
 	eligible     *pool         // servers that requests of the class may be sent to
-	timerToken   uint64        // token of the timer for slow checks; 0: class is not in the settings
+	timerToken   uint64        // token of the timer for slow checks; 0: no slow checks (unknown class)
 	tailLatency  time.Duration // estimated tailQuantile of the latency of the class
 	slowChecks   []slowCheck   // pending checks for slow attempts, earliest first
-	slowTimerSet bool          // the timer for the first of slowChecks is set
+	slowTimerSet bool          // whether the timer for the first of slowChecks is set
 }
 
 // server is a listed server, with its load from this node and its learned state.
@@ -92,7 +92,7 @@
 	thresholdReduced   bool        // the threshold was reduced at least once
 	inSubset           bool        // the server is in this node's subset
 	inNewSubset        bool        // temporary mark used by replaceSubset
-	connectionLastUsed []Time      // element i: time at which more than i connections were last in use
+	connectionLastUsed []Time      // element i: last time at which more than i connections were in use
 	lastSend           Time
 	lastAnswer         Time    // time of the last answer, of any kind
 	lastLatency        float64 // latency of the last answer or time-out, in seconds
@@ -133,7 +133,7 @@
 	notExecuted   bool // the outcome proves that the server never executed the request
 	connectFailed bool // no connection was established, so nothing was sent
 	probe         bool // the attempt probes an ejected server
-	idleOctave    int  // octave of the idle time of the connection before the send; 0: in use
+	idleOctave    int  // result of prepareConnection for the send
 }
 
 type bucketKey struct{ tenant, class string }
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -9,7 +9,7 @@
 	initialThresholdFewNodes      = 6.0  // sum over all nodes, with at most maxUnstaggeredNodes nodes
 	initialThresholdInSubset      = 2.0  // sum over the nodes with the server in their subset
 	initialThresholdOutsideSubset = 1.0  // sum over the nodes without the server in their subset
-	initialThresholdOutnumbered   = 0.05 // the same sum if each attempt would need a new connection
+	initialThresholdOutnumbered   = 0.05 // the same sum, if each attempt would need a new connection
 	minSubsetSize                 = 4    // minimum size of a node's subset, unless the zone has fewer servers
 	minThresholdFraction          = 0.25 // lower bound of a threshold, as a fraction of its initial value
 	thresholdIncrease             = 0.05 // attempts per good answer; balanced if a sixth of the answers are slow
@@ -28,7 +28,8 @@
 	maxSheddingTimeouts           = 0.1  // timeoutRatio at which servers are not considered to shed load
 )
 
-// initialThreshold returns this node's part of the initial threshold of s, which is set as a sum over several nodes.
+// initialThreshold returns this node's part of the initial threshold of s. The constants above define the sum of
+// these parts over several nodes.
 func (b *Balancer) initialThreshold(s *server) float64 {
 	switch {
 	case !b.isStaggered():
@@ -72,13 +73,13 @@
 	return b.overloadRatio >= sheddingOverload && b.timeoutRatio < maxSheddingTimeouts
 }
 
-// updateThreshold adjusts the threshold of target after an outcome of a request of class c. Below 1, steps are
-// proportional to the threshold. A threshold of any size therefore settles where
+// updateThreshold adjusts the threshold of target after an outcome of a request of class c. Steps of a threshold
+// below 1 are proportional to the threshold. A threshold of any size therefore settles where
 // thresholdIncrease/(thresholdIncrease+slowDecrease) of the answers are slow.
 func (b *Balancer) updateThreshold(target *server, c *class, outcome Outcome) {
 	updateRatio(&target.faultRatio, faultRatioGain, outcome.Code.isFault())
 	step := b.thresholdStep(target, c, outcome)
-	isBad := step <= -slowDecrease // excludes faults that are common to most servers
+	isBad := step <= -slowDecrease // false for a fault while most servers have faults, because faultWeight is then low
 
 	if isBad && (outcome.Code != Overloaded || target.health.faultScore < silenceWeight) { // a hung server rejects, too
 		updateRatio(&b.overloadRatio, overloadRatioGain, outcome.Code == Overloaded)
@@ -97,7 +98,8 @@
 	target.threshold = max(minThreshold, target.threshold+step*min(1, target.threshold))
 }
 
-// thresholdStep returns the change of the threshold of s after outcome e, for thresholds of 1 or more.
+// thresholdStep returns the change of the threshold of s after outcome e of a request of class c. The result applies
+// to a threshold of 1 or more. If e is a fault, thresholdStep updates faultWeight first.
 func (b *Balancer) thresholdStep(s *server, c *class, e Outcome) float64 {
 	switch {
 	case e.Code.isFault():
