--- a/levels/check.go
+++ b/levels/check.go
@@ -105,8 +105,9 @@
 	return nil
 }
 
-// checkReachable checks that no entry condition of a level holds before the same condition of the level before it.
-// Levels are entered one after another, so such a threshold would have no effect.
+// checkReachable checks the entry conditions of the level with the given index. None of them may hold earlier than a
+// condition on the same signal in the previous level. Levels are entered one after another, so such a condition would
+// have no effect.
 func (c *Config) checkReachable(index int) error {
 	if index == 0 {
 		return nil
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// checkMeasures checks the measures of a level. In shed, it updates the fraction of each class that is shed for all
+// checkMeasures checks the measures of level. It records in shed, by class, the fraction that level sheds for all
 // tenants.
 func (c *Config) checkMeasures(level *Level, shed map[string]float64) error {
 	for i := range level.Measures {
--- a/levels/config.go
+++ b/levels/config.go
@@ -30,7 +30,7 @@
 func (s Signal) String() string { return signalNames[s] }
 
 // Condition compares a signal with a threshold. An entry condition holds once the signal has been above the threshold
-// for the whole duration For. An exit condition holds once the signal has been below it for that duration.
+// for the whole duration For. An exit condition holds once the signal has been below the threshold for that duration.
 type Condition struct {
 	Signal    Signal
 	Class     string // class whose signal is compared; empty: all classes together
@@ -56,14 +56,13 @@
 	Class        string
 	Tenants      []string      // tenants whose requests are restricted; nil: all
 	Shed         float64       // fraction of requests that are rejected immediately, 0 to 1
-	NoHedging    bool          // no hedged requests are sent
+	NoHedging    bool          // whether hedged requests are forbidden
 	MaxAttempts  int           // maximum attempts per request; 0: no limit by this measure
-	WithinQuota  bool          // requests beyond a tenant's quota are rejected
+	WithinQuota  bool          // whether requests beyond a tenant's quota are rejected
 	MaxQueueTime time.Duration // maximum time that a request waits for a server; 0: no limit by this measure
-	ZoneLocal    bool          // requests stay in the node's zone while the zone has a server
-	// FollowDemand makes Shed an upper limit. Each second, the fraction shed is set to the load that still exceeds
-	// the capacity of the servers after the measures before this measure. Demand includes shed work, so the fraction
-	// does not oscillate.
+	ZoneLocal    bool          // whether requests must stay in the node's zone while the zone has a running server
+	// FollowDemand makes Shed an upper limit. Each second, the measure sheds the load that exceeds the capacity of the
+	// servers and that no earlier measure sheds. Demand includes shed work, so the shed fraction does not oscillate.
 	FollowDemand bool
 }
 
@@ -78,7 +77,7 @@
 // Class is a class of requests that levels may restrict.
 type Class struct {
 	Name     string
-	ShedLast bool // no level may shed more of this class than of a class without ShedLast
+	ShedLast bool // if true, no level may shed more of this class than of a class without ShedLast
 }
 
 // Config is a sequence of levels. Level 0 is full service. The measures of each level apply in addition to those of
@@ -86,7 +85,7 @@
 type Config struct {
 	Levels  []Level
 	Classes []Class
-	DryRun  bool // levels are decided and counted, but not applied to requests
+	DryRun  bool // if true, levels are decided and counted, but not applied to requests
 	// MinInterval is the minimum time between two changes of the level; 0: 30 s. The minimum time in force of a level
 	// doubles when the level is entered again within 2 minutes after it was left. It grows up to eight times
 	// MinInterval, so that load near a threshold does not make the level oscillate.
--- a/levels/controller.go
+++ b/levels/controller.go
@@ -20,15 +20,15 @@
 	level      int // number of the level in force; 0: full service
 	reason     string
 	changedAt  time.Duration
-	hasChanged bool           // changedAt is set
+	hasChanged bool           // whether changedAt is set
 	history    []levelHistory // by level number
 	events     []Event
 	maxLevel   int // highest level that conditions may enter; negative: no limit
 
-	manual      bool          // an operator has set the level
+	manual      bool          // whether an operator has set the level
 	manualUntil time.Duration // end of the manual level; 0: until ReleaseManual
 
-	// While the exit of the level in force is probed, half of the load that only this level sheds is admitted.
+	// During an exit probe, half of the load that only the level in force sheds is admitted.
 	exitProbing    bool
 	exitProbeStart time.Duration
 
@@ -42,7 +42,7 @@
 type levelHistory struct {
 	minStayFactor float64 // minimum time in force, as a multiple of MinInterval
 	leftAt        time.Duration
-	hasLeft       bool // leftAt is set
+	hasLeft       bool // whether leftAt is set
 }
 
 // New returns a controller at full service. It returns a *ConfigError if the configuration is invalid.
@@ -79,7 +79,7 @@
 // Events returns the last 100 changes of the level, oldest first. Callers must not modify the slice.
 func (c *Controller) Events() []Event { return c.events }
 
-// Value returns the smoothed value of a signal for a class. An empty class means all classes together.
+// Value returns the smoothed value of signal for class. An empty class means all classes together.
 func (c *Controller) Value(signal Signal, class string) float64 {
 	return c.signals[signalKey{signal, class}]
 }
@@ -107,7 +107,7 @@
 }
 
 // SetManual sets the level on behalf of the operator requestedBy. Conditions do not change the level until duration
-// has passed, or until ReleaseManual if duration is 0.
+// has passed or ReleaseManual is called. A duration of 0 has no end.
 func (c *Controller) SetManual(now time.Duration, level int, duration time.Duration, requestedBy, reason string) error {
 	if level < 0 || level > len(c.config.Levels) {
 		return fmt.Errorf("want a level from 0 to %d, got %d", len(c.config.Levels), level)
@@ -145,7 +145,7 @@
 		return
 	}
 	c.level, c.changedAt, c.hasChanged = level, now, true
-	clear(c.conditionHeldSince) // conditions must hold for their whole duration under the new level
+	clear(c.conditionHeldSince) // under the new level, conditions must hold for their whole duration again
 	c.record(Event{At: now, From: former, To: level, Name: c.config.levelName(level), Reason: reason})
 }
 
--- a/levels/effect.go
+++ b/levels/effect.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Effect is the effect of the level in force on the requests of a class and a tenant. Its fields are those of
-// Measure.
+// Effect is the effect of the level in force on the requests of a class and a tenant. Measure describes the fields of
+// the same names.
 type Effect struct {
 	Shed         float64 // fraction of the requests that are rejected immediately, 0 to 1
 	NoHedging    bool
@@ -17,7 +17,7 @@
 }
 
 // Effect returns the effect of the level in force on requests of class and tenant. If several measures apply, each
-// field has the strictest of their values.
+// field has the strictest value of these measures.
 func (c *Controller) Effect(class, tenant string) Effect {
 	var effect Effect
 	passed := 1.0 // fraction of requests that are not shed
@@ -29,7 +29,7 @@
 			}
 			shed := c.shed[i][j]
 			probed := c.exitProbing && i == c.level-1
-			if probed && 1-shed < passed { // admit half of the load that this level sheds in addition
+			if probed && 1-shed < passed { // half of the load that only this level sheds is admitted
 				shed -= (shed - (1 - passed)) / 2
 			}
 			passed = min(passed, 1-shed)
--- a/levels/exit_test.go
+++ b/levels/exit_test.go
@@ -8,16 +8,16 @@
 // exitTest simulates a load whose responses are late unless enough of the load is shed.
 type exitTest struct {
 	controller *Controller
-	// canServeHalf says that servers can handle the load that is admitted while the exit is probed. Otherwise they
-	// can only handle the load that the level admits.
+	// canServeHalf is true if servers can handle the load that is admitted during an exit probe. Otherwise servers can
+	// only handle the load that the level admits.
 	canServeHalf bool
 	probes       int
 	hasLeft      bool
 }
 
-// TestExit_IsProbed checks that a level is left only after a probe that admits half of its shed load. If the signal
-// reaches its threshold during the probe, the level stays in force and no event is recorded. The test also checks
-// that a level beyond MaxLevel is not entered.
+// TestExit_IsProbed checks that a level is left only after an exit probe, which admits half of the load that the
+// level sheds. If the signal reaches its threshold during the probe, the level stays in force and no event is
+// recorded. The test also checks that a level beyond MaxLevel is not entered.
 func TestExit_IsProbed(t *testing.T) {
 	config := Config{
 		Classes: []Class{{Name: "x"}}, MinInterval: time.Second,
--- a/levels/manual_test.go
+++ b/levels/manual_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestManualLevel_RestartsConditionTimes checks that a condition does not count as held while an operator sets the
-// level. The condition holds shortly before the manual level, and its signal is below the threshold meanwhile. After
-// ReleaseManual, the condition must hold for its whole duration again.
+// level. The condition holds shortly before the manual level starts. During the manual level, its signal is below the
+// threshold. After ReleaseManual, the condition must hold for its whole duration again.
 func TestManualLevel_RestartsConditionTimes(t *testing.T) {
 	controller := newController(t, testConfig())
 	simulateSecond := func(now int, late float64) {
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -6,11 +6,12 @@
 )
 
 // Reconfigure replaces the configuration. A level in force stays in force if the new configuration has a level of the
-// same name. Otherwise the controller changes to the nearest level before it whose name exists in the new
-// configuration, so that shedding does not increase. changed reports whether the controller changed to another level.
+// same name. Otherwise the controller changes to the nearest lower level whose name exists in the new configuration,
+// or to full service. Shedding thus does not increase. changed reports whether the controller changed to another
+// level.
 //
 // Signals, events and the maximum level are kept. The time of the last change and a manual level are kept if the
-// level in force stays. A probe of an exit ends, and conditions must hold for their whole duration again. If the
+// level in force stays. An exit probe ends, and conditions must hold for their whole duration again. If the
 // configuration is invalid, Reconfigure returns a *ConfigError and changes nothing.
 func (c *Controller) Reconfigure(now time.Duration, config Config) (changed bool, err error) {
 	next, err := New(config)
--- a/levels/reconfigure_test.go
+++ b/levels/reconfigure_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestReconfigure_KeepsLevel replaces the configuration at random times. The level in force must stay if the new
-// configuration has a level of that name. Otherwise the nearest level before it that still exists must be entered.
+// configuration has a level with the same name. Otherwise the nearest lower level that still exists must be entered.
 // The minimum interval between two changes still applies.
 func TestReconfigure_KeepsLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/levels/signals.go
+++ b/levels/signals.go
@@ -4,7 +4,7 @@
 	smoothing          = 0.25 // weight of the newest second in the exponential smoothing
 	capacityDecay      = 0.02 // fraction by which the capacity estimate shrinks each second
 	saturatedSlowRatio = 0.15 // fraction of slow responses above which servers count as saturated
-	unsaturatedGrowth  = 1.1  // limit of the capacity estimate without saturation, as a multiple of completed work
+	unsaturatedGrowth  = 1.1  // maximum of the capacity estimate without saturation, as a multiple of completed work
 	fullDemand         = 1.0  // demand at which the offered work equals the capacity
 )
 
@@ -41,9 +41,10 @@
 }
 
 // updateCapacity estimates the work per second that servers can complete within the latency objectives. The estimate
-// is the largest amount completed recently, decaying with time. While many responses are slow, the estimate falls
-// toward the work completed now. While few responses are slow, servers may be able to handle all of the offered work.
-// The estimate then rises to the offered work, up to unsaturatedGrowth times the work completed now.
+// is the largest work per second completed recently, and shrinks with time. While many responses are slow, the
+// estimate falls toward the work completed now. While few responses are slow, servers may be able to handle all of
+// the offered work. The estimate then rises to the offered work, up to unsaturatedGrowth times the work completed
+// now.
 func (c *Controller) updateCapacity(offeredWork, completedWork float64) {
 	saturated := c.signals[signalKey{SlowAnswers, ""}] > saturatedSlowRatio
 	c.capacity *= 1 - capacityDecay
--- a/levels/step.go
+++ b/levels/step.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// reentryWindow is the time after leaving a level in which entering the level again shows that it was left too
-	// early. The minimum time in force of the level is then doubled.
+	// If a level is entered again within reentryWindow after it was left, it was left too early. The minimum time in
+	// force of the level is then doubled.
 	reentryWindow = 2 * time.Minute
-	// maxStayFactor limits the doubled minimum time in force, as a multiple of MinInterval.
+	// maxStayFactor is the maximum of levelHistory.minStayFactor.
 	maxStayFactor = 8
-	// exitProbeTime is the duration of an exit probe, in which half of the load that a level sheds is admitted. It
-	// spans several seconds, so that the smoothed signals show the effect.
+	// exitProbeTime is the duration of an exit probe. During the probe, half of the load that only the level in force
+	// sheds is admitted. The smoothed signals need several seconds to show the effect.
 	exitProbeTime = 5 * time.Second
 )
 
-// Step updates the signals with the counts of one second, by class. It changes the level by at most one.
+// Step updates the signals with windows, the counts of the last second by class. It changes the level by at most one.
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
@@ -53,8 +53,8 @@
 	return true
 }
 
-// exitCurrent leaves the level in force in two steps. Once the exit conditions hold, the exit is probed. If they
-// still hold at the end of the probe, the level before it is entered.
+// exitCurrent leaves the level in force in two steps. It starts an exit probe once the exit conditions hold and the
+// minimum time in force is over. If the conditions hold for the whole probe, it enters the previous level.
 func (c *Controller) exitCurrent(now time.Duration) {
 	if c.level == 0 {
 		return
@@ -80,7 +80,7 @@
 	return !c.hasChanged || now-c.changedAt >= interval
 }
 
-// value returns the current value of the signal that a condition compares.
+// value returns the current value of the signal that condition compares.
 func (c *Controller) value(condition Condition) float64 {
 	return c.signals[signalKey{condition.Signal, condition.Class}]
 }
