--- a/dropoverload/dropoverload.go
+++ b/dropoverload/dropoverload.go
@@ -8,8 +8,8 @@
 // Fractions holds, by pool, the fraction (0 to 1) of requests to drop.
 type Fractions map[string]float64
 
-// ShouldDrop reports whether to drop the request id. pool is the pool that the class of the request is bound to.
-// Requests of a class without a pool, for which pool is empty, are never dropped.
+// ShouldDrop reports whether to drop the request id. pool is the pool of the class of the request. An empty pool
+// means that the class has no pool. Its requests are never dropped.
 func (f Fractions) ShouldDrop(pool, id string) bool {
 	fraction := f[pool]
 	return fraction > 0 && pool != "" && Fraction(id) < fraction
@@ -52,8 +52,8 @@
 )
 
 // Fraction maps a request id to a value in [0, 1). The values are evenly distributed and the same on every node.
-// FNV-1a alone spreads consecutive ids badly, because they differ only in their last bits. The hash is therefore
-// finalized after FNV-1a.
+// FNV-1a alone spreads consecutive ids badly, because they differ only in their last bits. Fraction therefore applies
+// the finalizer of MurmurHash3 to the result.
 func Fraction(id string) float64 {
 	hash := uint64(fnvOffset)
 	for i := 0; i < len(id); i++ {
