--- a/handshakes/admission.go
+++ b/handshakes/admission.go
@@ -16,7 +16,7 @@
 // compete for the CPU. waiting is the number of handshakes that wait for their client. maxConns is the maximum number
 // of client connections. active and waiting are limited separately, so distant and stalled clients delay other
 // clients only when there are many of them. Clients that are not admitted stay in the accept queue. crowded reports
-// that the connection would be accepted if fewer handshakes were waiting.
+// whether the connection was not admitted only because too many handshakes are waiting.
 func AdmitClient(active, waiting, maxConns int) (admit, crowded bool) {
 	maxWaiting := max(maxActiveClients, int(maxWaitingFraction*float64(maxConns)))
 	hasCPU := active < maxActiveClients
--- a/handshakes/admission_test.go
+++ b/handshakes/admission_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestAdmitClient_CrowdedOnlyWithCPU checks that crowded is reported only if the client would be accepted with fewer
-// waiting handshakes. Otherwise a waiting handshake would be evicted although the CPU has no capacity for another
-// handshake.
+// waiting handshakes. Otherwise the caller would evict a waiting handshake although the CPU has no capacity for
+// another handshake.
 func TestAdmitClient_CrowdedOnlyWithCPU(t *testing.T) {
 	const maxConns, maxWaiting = 100, 25
 	for _, test := range []struct {
--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -24,8 +24,8 @@
 	net.Conn // provides the methods that Conn does not define
 	TCP      *net.TCPConn
 	reader   *sockets.DeadlineReader
-	// AbortIfPeerCloses makes the handshake fail once the peer has closed the connection. The data of the last read
-	// is then not processed.
+	// AbortIfPeerCloses makes a read of the handshake fail if the peer has closed the connection. The data of that
+	// read is then not processed.
 	AbortIfPeerCloses bool
 	// TrackRecords makes blocking reads track TLS records, for WithinRecord.
 	TrackRecords bool
@@ -51,7 +51,7 @@
 	lastComputed      atomic.Pointer[time.Time] // end of the last computation; nil: none yet
 }
 
-// NewConn returns the connection of a handshake that starts now. urgent says that a request is waiting for the
+// NewConn returns the connection of a handshake that starts now. urgent reports whether a request is waiting for the
 // handshake. The handshake fails at the deadline, or when cancelled is closed.
 func NewConn(tcp *net.TCPConn, cpu *CPUScheduler, urgent bool, deadline time.Time, cancelled <-chan struct{}) *Conn {
 	return &Conn{
@@ -87,8 +87,8 @@
 	return lastComputed != nil && time.Since(*lastComputed) < SilentAfter
 }
 
-// BeginCompute waits until a computation may run. A TLS client calls BeginCompute before its first read, because it
-// generates its key share before that read.
+// BeginCompute waits until a computation of the handshake may run. A TLS client calls BeginCompute before its first
+// read, because it generates its key share before that read.
 func (c *Conn) BeginCompute() error {
 	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	c.cpu.release(&c.task, c.taskStart)
 }
 
-// Read reads from the connection. During the handshake it returns only when the CPU is available for the next
+// Read reads from the connection. During the handshake it returns data only when the CPU is available for the next
 // computation.
 func (c *Conn) Read(p []byte) (int, error) {
 	switch {
--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -8,12 +8,13 @@
 // DefaultCPUShare is the fraction of the CPU that handshake computations may take while requests are in flight.
 const DefaultCPUShare = 0.25
 
-// maxPause is the maximum pause after one task. A clock step or a descheduled process then can't stop handshakes.
+// maxPause is the maximum pause after one task. A clock step, or a time in which the process does not run, makes a
+// task seem long. The maximum prevents that such a task stops handshakes.
 const maxPause = 50 * time.Millisecond
 
 // Task is one computation of a handshake: the work between two reads from the peer.
 type Task struct {
-	Urgent bool // a request in flight waits for the task: it runs first, without a pause after it
+	Urgent bool // whether a request in flight waits for the task; urgent tasks run first, without pauses
 
 	running bool
 }
@@ -32,8 +33,8 @@
 	busyTime   time.Duration // total duration of the finished tasks
 }
 
-// NewCPUBudget returns a budget of a share (0 to 1) of the given number of cores. An invalid share is replaced by
-// DefaultCPUShare.
+// NewCPUBudget returns a budget for the given number of cores. share (0 to 1) is the fraction of the CPU time for
+// normal tasks while requests are in flight. An invalid share is replaced by DefaultCPUShare.
 func NewCPUBudget(share float64, cores int) *CPUBudget {
 	if !(share > 0 && share <= 1) {
 		share = DefaultCPUShare
@@ -54,8 +55,8 @@
 	return &b.normal
 }
 
-// Next returns the tasks that start at time now. inFlight says whether requests are in flight, which share the CPU.
-// If wait is positive, Next must be called again after that time.
+// Next returns the tasks that start at time now. inFlight reports whether requests are in flight. If wait is
+// positive, Next must be called again after that time.
 func (b *CPUBudget) Next(now time.Duration, inFlight bool) (started []*Task, wait time.Duration) {
 	for len(b.urgent) > 0 && b.running < b.cores {
 		started = append(started, b.start(&b.urgent))
--- a/handshakes/cpu_scheduler.go
+++ b/handshakes/cpu_scheduler.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// release ends a running task.
+// release ends task, which started at taskStart.
 func (s *CPUScheduler) release(task *Task, taskStart time.Time) {
 	if s == nil {
 		return
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -7,15 +7,15 @@
 //   - UntrustedBackoff decides when an untrusted server is checked again.
 //   - PreconnectTargets decides to which servers connections are opened ahead of requests.
 //
-// CPUScheduler and Conn apply a CPUBudget to connections. They use clocks, and goroutines may share them as their
-// documentation says.
+// CPUScheduler and Conn apply a CPUBudget to connections. These two types use clocks, and goroutines may share them
+// as documented there.
 package handshakes
 
 // Limits limits the handshakes with servers that run at once. A field of 0 or less takes its default.
 type Limits struct {
 	MaxConcurrent       int // maximum number of running handshakes
 	MaxPerServer        int // maximum number of running handshakes with one server
-	MaxPerWarmingServer int // MaxPerServer for a server that is warming up; leaves its capacity to requests
+	MaxPerWarmingServer int // MaxPerServer for a server that is warming up; leaves capacity of the server to requests
 	MaxQueued           int // maximum number of queued handshakes; further handshakes are rejected
 }
 
@@ -46,7 +46,7 @@
 // The decisions.
 const (
 	Proceed Decision = iota // the handshake may start now
-	Queue                   // the handshake waits until Release returns its reservation
+	Queue                   // the handshake waits until a call of Release returns its reservation
 	Reject                  // the handshake may not start: the queue is full, or the handshake is speculative
 )
 
@@ -109,9 +109,9 @@
 	l.perServer[r.Server]++
 }
 
-// Release ends a reservation when its handshake has ended or is no longer wanted. It returns the queued reservations
-// whose handshakes may start now, in order of arrival. A server at its limit does not block reservations for other
-// servers. Further calls for the same reservation have no effect.
+// Release ends a reservation. The caller calls Release when the handshake has ended or is no longer wanted. It
+// returns the queued reservations whose handshakes may start now, in order of arrival. A server at its limit does not
+// block reservations for other servers. Further calls for the same reservation have no effect.
 func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
 	if r.released {
 		return nil
--- a/handshakes/limiter_test.go
+++ b/handshakes/limiter_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestLimiter_StaysWithinLimits checks the Limiter with random sequences of calls. No limit is exceeded. No
-// reservation stays queued while there is capacity for it. Queued reservations of the same kind start in order of
-// arrival.
+// reservation stays queued while there is capacity for the reservation. Queued reservations of the same kind start in
+// order of arrival.
 func TestLimiter_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -8,9 +8,9 @@
 
 const (
 	recentUseWindow = 10 * time.Second // a server with a request in this time is expected to get another request
-	// replacementWindow is the time after a certificate change in which connections that presented the old
-	// certificate of this node are replaced. Spreading the replacements avoids reopening all connections at once.
-	// Replacement is not urgent, because servers still accept these connections.
+	// replacementWindow is the time after a certificate change in which connections that presented the old certificate
+	// of this node are replaced. Spreading the replacements avoids reopening all connections at once. The replacement
+	// is not urgent, because servers still accept these connections.
 	replacementWindow = 30 * time.Second
 	maxPreconnects    = 4   // maximum number of connections that one call of PreconnectTargets may start
 	maxOpenFraction   = 0.5 // maximum open connections for a preconnect, as a fraction of their limit
@@ -21,14 +21,14 @@
 	Server      string
 	Idle        int           // number of connections that could take a request now
 	LastUsed    time.Duration // time of the last request
-	EverUsed    bool          // the server has received a request; LastUsed is valid
-	Unavailable bool          // the server is draining or untrusted
-	Connecting  int           // number of connections being opened ahead of requests
+	EverUsed    bool          // whether the server has received a request; if false, LastUsed is not valid
+	Unavailable bool          // whether the server is draining or untrusted
+	Connecting  int           // number of preconnects in progress
 }
 
-// PreconnectTargets returns the servers to which a connection should be opened ahead of requests. These servers were
-// used recently and have no idle connection. The most recently used server comes first. open is the number of open
-// connections of the transport, and maxConns is their maximum.
+// PreconnectTargets returns the servers to which a connection should be opened ahead of requests. These servers are
+// available, were used recently, and have neither an idle connection nor a preconnect in progress. The most recently
+// used server comes first. open is the number of open connections of the transport, and maxConns is their maximum.
 func PreconnectTargets(now time.Duration, pools []PoolState, open, maxConns int) (servers []string) {
 	slots := min(maxPreconnects, int(maxOpenFraction*float64(maxConns))-open)
 	if slots <= 0 {
@@ -51,9 +51,9 @@
 	return servers
 }
 
-// ShouldReplace reports whether a connection to server should be replaced by now. The connection presented a
-// certificate of this node that has been replaced. sinceChange is the time since that replacement. Each server has
-// its own fixed point in time within replacementWindow, derived from a hash of its name.
+// ShouldReplace reports whether it is time to replace a connection to server that presented the former certificate of
+// this node. sinceChange is the time since the certificate change. Each server has its own fixed point in time within
+// replacementWindow, derived from a hash of its name.
 func ShouldReplace(server string, sinceChange time.Duration) bool {
 	return sinceChange >= time.Duration(hashFraction(server)*float64(replacementWindow))
 }
--- a/handshakes/untrusted.go
+++ b/handshakes/untrusted.go
@@ -11,8 +11,7 @@
 	initialBackoff = 500 * time.Millisecond // backoff before the first recheck; doubled after each failed recheck
 	maxBackoff     = 4 * time.Second
 	jitterFraction = 0.25 // maximum deviation of a backoff, as a fraction; spreads the rechecks
-	// recheckAllWithin is the time after a change of the trust store within which the rechecks of all servers are
-	// due.
+	// After a change of the trust store, the rechecks of all servers are due within recheckAllWithin.
 	recheckAllWithin = time.Second
 	maxBackoffShift  = 16 // maximum number of doublings; prevents an overflow
 	// MaxConcurrentRechecks is the maximum number of rechecks that run at once.
@@ -87,7 +86,7 @@
 	}
 }
 
-// RecordSuccess records that server passed verification. It reports whether server was untrusted until now.
+// RecordSuccess records that server passed verification. It reports whether server was recorded as untrusted.
 func (b *UntrustedBackoff) RecordSuccess(server string) (recovered bool) {
 	entry := b.servers[server]
 	if entry == nil {
@@ -107,7 +106,8 @@
 	}
 }
 
-// Forget removes a server that was removed from the endpoint list or has restarted.
+// Forget removes server without a result. It is called after the server was removed from the endpoint list or has
+// restarted.
 func (b *UntrustedBackoff) Forget(server string) { b.RecordSuccess(server) }
 
 // RecheckAll resets the backoff of all servers and spreads their rechecks over a short time. It is called after a
@@ -162,7 +162,7 @@
 	return float64(hash.Sum32()) / (1 << 32)
 }
 
-// withJitter changes d by up to jitterFraction in either direction. The change depends on a hash of server.
+// withJitter returns d, lengthened or shortened by up to jitterFraction. The amount depends on a hash of server.
 func withJitter(server string, d time.Duration) time.Duration {
 	return d + time.Duration(jitterFraction*(2*hashFraction(server)-1)*float64(d))
 }
