--- a/drain/drain.go
+++ b/drain/drain.go
@@ -28,13 +28,13 @@
 // Status describes the state of a router and its drain, if there is one.
 type Status struct {
 	State          State     `json:"state"`
-	Since          time.Time `json:"since,omitzero"` // time at which the state was entered
+	Since          time.Time `json:"since,omitzero"` // time at which State was entered
 	StartedAt      time.Time `json:"began,omitzero"` // time at which the drain started
 	Deadline       time.Time `json:"deadline,omitzero"`
 	Reason         string    `json:"reason,omitempty"`
 	RequestedBy    string    `json:"who,omitempty"`
 	Final          bool      `json:"final,omitempty"`
-	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // requests open at the deadline, in state Forced
+	OpenAtDeadline int       `json:"open_at_deadline,omitempty"` // requests open at the deadline; only in state Forced
 }
 
 // Machine is the drain state machine of one router. It is not safe for concurrent use. The times passed to its
@@ -55,7 +55,7 @@
 
 // Start starts a drain, or changes the drain in progress. A final order supersedes an order that is not final, and
 // shortens the deadline if its own deadline is earlier. Other orders can only shorten the deadline, and only with
-// Force. Start returns ErrInvalidTimeout, ErrDrained or *InProgressError.
+// Force. The possible errors are ErrInvalidTimeout, ErrDrained and *InProgressError.
 func (m *Machine) Start(now time.Time, order Order, counts Counts) error {
 	if order.Timeout <= 0 {
 		return ErrInvalidTimeout
@@ -123,8 +123,8 @@
 	})
 }
 
-// Cancel ends a drain in progress or a completed drain, and returns to state Serving. It returns ErrNotDraining, or
-// an error that wraps ErrFinal.
+// Cancel ends a drain in progress or a completed drain, and returns to state Serving. The possible errors are
+// ErrNotDraining and an error that wraps ErrFinal.
 func (m *Machine) Cancel(now time.Time, requestedBy string, counts Counts) error {
 	former := m.status
 	switch {
@@ -152,7 +152,7 @@
 // inProgress reports whether a drain has started and has not ended.
 func (m *Machine) inProgress() bool { return m.status.State != Serving && !m.status.State.Done() }
 
-// Step enters all states that are due at time now. counts is the remaining work.
+// Step enters the states that are due at time now, one after another. counts is the remaining work.
 func (m *Machine) Step(now time.Time, counts Counts) {
 	for m.inProgress() {
 		state := m.status.State
--- a/drain/state.go
+++ b/drain/state.go
@@ -9,7 +9,7 @@
 // any other state, unless the drain is final.
 const (
 	Serving   State = iota // no drain in progress
-	Announced              // not ready for clients, which notice with a delay and are still served
+	Announced              // reported as not ready; clients notice this with a delay and are still served
 	Leaving                // responses close their connections; new connections are still accepted
 	Closing                // no new connections are accepted; open requests are completed
 	Drained                // nothing is open, and no connections are accepted
