--- a/body/upload.go
+++ b/body/upload.go
@@ -32,8 +32,8 @@
 }
 
 // Upload is the body of one request. FillBuffer buffers as much of the body as the limits allow. The rest is passed
-// on to the reader that asks for it first. From then on the body can't be read from its start again. Its methods are
-// safe for concurrent use.
+// on unbuffered to the first reader that reaches it. After that, the body can't be read from its start again. The
+// methods of Upload are safe for concurrent use.
 type Upload struct {
 	source      io.Reader
 	length      int64 // -1: unknown
@@ -48,12 +48,12 @@
 	mu          sync.Mutex
 	chunks      []*[ChunkSize]byte
 	buffered    int64 // number of bytes in chunks, from the start of the body
-	complete    bool  // source returned io.EOF
+	complete    bool  // whether source returned io.EOF
 	completedAt time.Time
 	onComplete  func(time.Time)
 	closed      bool
 
-	consumed atomic.Bool // unbuffered bytes were passed on to a reader
+	consumed atomic.Bool // whether unbuffered bytes were passed on to a reader
 }
 
 var _ router.Upload = (*Upload)(nil)
@@ -209,8 +209,8 @@
 }
 
 // Open returns a reader that starts at the first byte. It returns router.ErrBodyConsumed if unbuffered bytes have
-// been passed on. Unbuffered bytes go to the first reader that asks for them. While the body is incomplete, every
-// other reader gets router.ErrBodyConsumed at that offset.
+// been passed on. Unbuffered bytes go to the first reader that reaches them. While the body is incomplete, every
+// other reader gets router.ErrBodyConsumed at the end of the buffered bytes.
 func (u *Upload) Open() (io.Reader, error) {
 	if u.consumed.Load() {
 		return nil, router.ErrBodyConsumed
--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestUpload_AnyBudget reads bodies twice under random budgets. The first reader must get the whole body. The second
-// reader must get the whole body or router.ErrBodyConsumed. Either OnComplete reports a complete body, or its
-// function is called exactly once. Close must release the budget.
+// reader must get the whole body or router.ErrBodyConsumed. Either OnComplete reports a complete body, or the
+// registered function is called exactly once. Close must release the budget.
 func TestUpload_AnyBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		upload, content := drawUpload(t)
