--- a/internal/sockets/arrival.go
+++ b/internal/sockets/arrival.go
@@ -8,30 +8,31 @@
 // maxNonBlockingCall is the maximum duration of a system call that counts as non-blocking.
 const maxNonBlockingCall = time.Millisecond
 
-// HadToWait reports whether a system call from began to returned counts as one that waited for the peer.
+// HadToWait reports whether a system call that lasted from began to returned counts as having waited for the peer.
 func HadToWait(began, returned time.Time) bool { return returned.Sub(began) > maxNonBlockingCall }
 
-// Arrival determines the earliest time at which the current request of a connection can have arrived. Its bytes may
-// have been unread for some time: in the accept queue, while no connection slot was free, or behind another request.
-// Arrival derives the time from the reads and accepts that had to wait. It is not safe for concurrent use.
+// Arrival determines the earliest time at which the current request of a connection can have arrived. The bytes of
+// the request may have been unread for some time: in the accept queue, while no connection slot was free, or behind
+// another request. Arrival derives the time from the reads and accepts that had to wait. It is not safe for
+// concurrent use.
 type Arrival struct {
 	earliest      time.Time // lower bound of the arrival time of the current request
 	nextStartedAt time.Time // time at which the first byte of the next request was seen; zero: not seen
-	pipelined     bool      // the current request was sent before the previous one was answered
+	pipelined     bool      // whether the current request was sent before the previous request was answered
 	emptiedAt     time.Time // time at which a read last left no unread bytes
 }
 
 // Earliest returns a lower bound of the time at which the last byte of the current request arrived.
 func (a *Arrival) Earliest() time.Time { return a.earliest }
 
-// Pipelined reports whether the current request was sent before the previous one was answered.
+// Pipelined reports whether the current request was sent before the previous request was answered.
 func (a *Arrival) Pipelined() bool { return a.pipelined }
 
 // Reset starts over with a new request. No byte of that request can have arrived before earliest.
 func (a *Arrival) Reset(earliest time.Time) { *a = Arrival{earliest: earliest} }
 
-// RecordRead records a read of the current request. The read lasted from began to returned. all says that it returned
-// all bytes that had arrived.
+// RecordRead records a read of the current request. The read lasted from began to returned. all reports whether the
+// read returned all bytes that had arrived.
 func (a *Arrival) RecordRead(began, returned time.Time, all bool) {
 	switch {
 	case HadToWait(began, returned):
@@ -45,8 +46,8 @@
 }
 
 // RecordReadFrom is RecordRead for a TCP connection. During a long read, the read may have waited for the peer, or
-// the process may have been paused. RecordReadFrom asks the kernel when the newest bytes arrived, to distinguish
-// these cases.
+// the process may have been paused. To distinguish these cases, RecordReadFrom asks the kernel when the newest bytes
+// arrived.
 func (a *Arrival) RecordReadFrom(conn *net.TCPConn, began, returned time.Time, all bool) {
 	if HadToWait(began, returned) {
 		if age, known := SinceLastReceived(conn); known {
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -14,15 +14,15 @@
 
 // DeadlineReader reads a TCP connection. After a read deadline, it still returns the bytes that the kernel received
 // by the deadline. Package net checks the deadline before the socket, so a process that is paused until the deadline
-// would lose these bytes. Their number is determined once for each deadline, so a peer cannot extend the deadline by
-// sending more. One goroutine may read while other goroutines set the deadline.
+// would lose these bytes. The number of these bytes is determined once for each deadline. A peer thus cannot extend
+// the deadline by sending more. One goroutine may read while other goroutines set the deadline.
 type DeadlineReader struct {
 	tcp      *net.TCPConn
 	openedAt time.Time
 
 	mu             sync.Mutex
 	deadline       time.Time // zero: none
-	checked        bool      // receivedInTime is set for this deadline
+	checked        bool      // whether receivedInTime is set for this deadline
 	receivedInTime int       // number of unread bytes that had arrived by the deadline
 }
 
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -24,10 +24,10 @@
 	minExtension = 20 * time.Millisecond
 )
 
-// DialTCP opens a TCP connection as dialer.DialContext does. The timeout is that of dialer or the deadline of ctx. At
-// the timeout, DialTCP checks the socket once more. If the process was paused until the timeout, package net would
-// discard a connection that was established in time. The error at a timeout wraps os.ErrDeadlineExceeded or the error
-// of ctx.
+// DialTCP opens a TCP connection as dialer.DialContext does. The timeout is the timeout of dialer or the deadline of
+// ctx, whichever is earlier. At the timeout, DialTCP checks the socket once more. If the process was paused until the
+// timeout, package net would discard a connection that was established in time. The error at a timeout wraps
+// os.ErrDeadlineExceeded or the error of ctx.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	dialCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
@@ -97,9 +97,9 @@
 	a.cancel(ctx.Err())
 }
 
-// expire ends the attempt at a timeout that was due at the time due, unless a socket is connected and the dial is
-// about to return. A timeout fires late after a pause of the process. The attempt may then not have sent its SYN yet,
-// so expire extends it once.
+// expire handles a timeout that was due at the time due. If a socket is connected, expire gives the dial
+// maxDialReturnDelay to return. After a pause of the process, the timeout fires late and the attempt may not have
+// sent its SYN yet. In that case, expire extends the attempt once. Otherwise it ends the attempt.
 func (a *connectAttempt) expire(cause error, due time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,7 +115,8 @@
 	}
 }
 
-// expireExtended ends the attempt at the end of its extension, unless a socket is connected.
+// expireExtended handles the end of an extension. It ends the attempt, unless a socket is connected. In that case,
+// the dial gets maxDialReturnDelay to return.
 func (a *connectAttempt) expireExtended(cause error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/sockets/peerclosed.go
+++ b/internal/sockets/peerclosed.go
@@ -24,8 +24,8 @@
 	return closed || err != nil // Control returns an error if this side has closed the connection
 }
 
-// AwaitPeerClose waits until the peer has closed its side of a connection. It returns an error if the read deadline
-// passes first. It reads no bytes. No Read may run concurrently.
+// AwaitPeerClose waits until the peer has closed its side of a connection. It reads no bytes. It returns an error if
+// the read deadline passes first. No Read may run concurrently.
 func AwaitPeerClose(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -34,8 +34,8 @@
 	return raw.Read(isClosedByPeer)
 }
 
-// isClosedByPeer reports whether the kernel's state of a connection is one of the states above. A read would not
-// detect the close, because unread bytes precede the end of the stream.
+// isClosedByPeer reports whether the socket fd is in one of the TCP states listed above. A read would not detect the
+// close, because unread bytes precede the end of the stream.
 func isClosedByPeer(fd uintptr) bool {
 	var info tcpInfo
 	if !info.read(fd, stateSize) {
--- a/internal/sockets/queue.go
+++ b/internal/sockets/queue.go
@@ -72,8 +72,9 @@
 }
 
 // recordEstablished records when an accepted connection was established, if the kernel reports the time. Connections
-// behind it in the queue arrived later. The record also corrects EmptyAt if another process that shares the socket
-// took the connection seen in the queue, and the accepted connection arrived long after it.
+// behind the accepted connection in the queue arrived later. The record also corrects EmptyAt in another case:
+// another process that shares the socket took the connection seen in the queue, and the accepted connection arrived
+// long after that connection.
 func (q *AcceptQueue) recordEstablished(conn net.Conn, now time.Time) {
 	tcp := underlyingTCP(conn)
 	if tcp == nil {
--- a/internal/sockets/tcpinfo.go
+++ b/internal/sockets/tcpinfo.go
@@ -66,7 +66,7 @@
 // hasReceived reports whether any bytes were received.
 func (i *tcpInfo) hasReceived() bool { return binary.NativeEndian.Uint64(i[bytesReceivedOffset:]) > 0 }
 
-// millisecondsAt returns the milliseconds stored at offset, with size bytes, as a duration.
+// millisecondsAt returns the duration that the size bytes at offset hold in milliseconds.
 func (i *tcpInfo) millisecondsAt(offset, size int) time.Duration {
 	return time.Duration(binary.NativeEndian.Uint32(i[offset:offset+size])) * time.Millisecond
 }
