--- a/policy/state.go
+++ b/policy/state.go
@@ -133,7 +133,7 @@
 	notExecuted   bool // the outcome proves that the server never executed the request
 	connectFailed bool // no connection was established, so nothing was sent
 	probe         bool // the attempt probes an ejected server
-	idleOctave    int  // result of prepareConnection for the send
+	idleOctave    int  // idle octave of the connection that was used (see prepareConnection)
 }
 
 type bucketKey struct{ tenant, class string }
