--- a/router/action.go
+++ b/router/action.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// failByBalancer answers r, which the balancer has given up.
+// failByBalancer answers r after the balancer has requested a Fail action for r.
 func (l *loop) failByBalancer(r *request) {
 	outcome := Failed
 	if !l.enforced(safeguards.NoRejectionAfterRun) {
--- a/router/admission.go
+++ b/router/admission.go
@@ -19,14 +19,14 @@
 	maxQueueTimeout = 300 * time.Millisecond
 )
 
-// request is an admitted request. The loop keeps it until it is answered and all its attempts have ended.
+// request is an admitted request. The loop keeps the request until it is answered and all its attempts have ended.
 type request struct {
 	*call
 	capabilities    policy.Capabilities // capabilities in force at admission
 	deadline        policy.Time         // time by which the balancer must answer
 	dedupWindow     time.Duration       // time for which servers remember the idempotency key; 0: no key
 	backstop        timer               // answers the request if the balancer does not
-	finished        bool                // answered, or the client has left
+	finished        bool                // whether the request is answered or its client has left
 	attempts        []*attempt
 	pendingOutcomes int // attempts whose outcome is not reported to the balancer yet
 }
@@ -63,8 +63,9 @@
 	l.notify(l.balancerRequest(r, now))
 }
 
-// isDuplicate reports whether the request ID id is in use or was used recently, and records id as used. The balancer
-// would never answer a second request with the ID of an open request. A recent request with the same ID may have run.
+// isDuplicate reports whether the request ID id is in use or was used recently, and records id as used. Duplicates
+// must be rejected for two reasons. The balancer would never answer a second request with the ID of an open request,
+// and a recent request with the same ID may have run.
 func (l *loop) isDuplicate(id string, now policy.Time) bool {
 	return (l.requests[id] != nil || !l.recentIDs.add(id, now)) && l.enforced(safeguards.UniqueID)
 }
@@ -84,8 +85,8 @@
 	return r
 }
 
-// shouldDrop reports whether r must be rejected by the drop fractions of the endpoint source or by the level of
-// service. It counts the rejection.
+// shouldDrop reports whether the drop fractions of the endpoint source or the level of service require the rejection
+// of r. It counts r as dropped or shed if so.
 func (l *loop) shouldDrop(r *request, class *policy.Class, now policy.Time) bool {
 	if len(l.drops) > 0 && l.drops.ShouldDrop(class.Pool, r.req.ID) {
 		l.stats.Dropped++
@@ -124,8 +125,8 @@
 	return ev
 }
 
-// class returns the class called name from the settings in force. If a reload has removed the class since Do, class
-// returns an empty class: the balancer does not know the class either.
+// class returns the class called name from the settings in force. If a reload has removed the class since Do, it
+// returns an empty class, because the balancer does not know the class either.
 func (l *loop) class(name string) *policy.Class {
 	if class := findClass(l.config.Settings.Classes, name); class != nil {
 		return class
--- a/router/answer.go
+++ b/router/answer.go
@@ -36,7 +36,7 @@
 	Body        []byte        // body of a Served answer; owned by the caller
 	ContentType string        // content type of a Served answer
 	RetryAfter  time.Duration // wait before a retry, after Rejected or Overloaded; 0: not specified
-	Stream      Stream        // replaces Body in a Served answer that is forwarded as it arrives; else nil
+	Stream      Stream        // replaces Body in a Served answer that is forwarded as it arrives; otherwise nil
 }
 
 // Stream is a long answer. The caller reads it until io.EOF or another error, and must then close it. An error other
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -26,15 +26,15 @@
 	ctx         attemptContext
 	expiry      timer // timer that ends ctx
 	inFlight    bool
-	notExecuted bool   // ended or skipped, and cannot have run
+	notExecuted bool   // whether the attempt has ended or was skipped, and cannot have run
 	result      Result // set by the launcher before the attemptEnded event
 }
 
 // attemptLauncher starts attempts. Its methods must not block and must not call the loop.
 type attemptLauncher interface {
-	// launch starts a. When a has ended, the launcher makes the loop call finishAttempt once.
+	// launch starts a. When a has ended, the launcher must make the loop call finishAttempt once.
 	launch(a *attempt)
-	// cancelled is called after the loop has ended the context of a, which is in flight.
+	// cancelled is called while a is in flight, after the loop has ended the context of a.
 	cancelled(a *attempt)
 }
 
@@ -81,8 +81,8 @@
 	l.launch(attempt, expiry)
 }
 
-// mayAttempt reports whether a may start: it is not too late, within the maximum number of attempts, and permitted by
-// the level of service.
+// mayAttempt reports whether a may start. The request must be unfinished. The deadline of the request and a.sendBy
+// must not have passed. The maximum number of attempts and the level of service must allow the attempt.
 func (l *loop) mayAttempt(a *attempt, now policy.Time) bool {
 	r := a.request
 	switch {
@@ -95,7 +95,7 @@
 	return l.degradation == nil || !l.degradation.forbidsAttempt(r, a.number)
 }
 
-// skipAttempt records that a is not made. execute notifies the balancer after all actions.
+// skipAttempt records that a is not made. execute reports this to the balancer after it has performed all actions.
 func (l *loop) skipAttempt(a *attempt) {
 	a.notExecuted = true
 	l.stats.Skipped++
@@ -124,7 +124,7 @@
 	l.launcher.launch(attempt)
 }
 
-// finishAttempt handles the end of attempt, whose result is set.
+// finishAttempt handles the end of attempt. The launcher has set attempt.result.
 func (l *loop) finishAttempt(attempt *attempt) {
 	r, result := attempt.request, attempt.result
 	attempt.result = Result{}
@@ -137,7 +137,7 @@
 		answer := result.Answer
 		answer.Outcome = Served
 		l.answer(r, answer)
-	} else { // the attempt failed, another attempt was first, or the client has left
+	} else { // the attempt failed, the request was already answered, or the client has left
 		closeStream(result.Answer)
 	}
 	latency := l.clock.now() - attempt.sentAt
@@ -157,7 +157,7 @@
 	l.removeIfDone(r)
 }
 
-// cancelAttempt ends the context of a, which is in flight, with the error cause.
+// cancelAttempt ends the context of a with the error cause. a must be in flight.
 func (l *loop) cancelAttempt(a *attempt, cause error) {
 	a.ctx.cancel(cause)
 	l.launcher.cancelled(a)
@@ -196,8 +196,8 @@
 
 // sendDeadline returns the time from which the request must not be sent any more, because servers may have forgotten
 // its idempotency key. It returns 0 if no attempt may have run, or if the request has no key. The dedup window counts
-// from the first attempt that may have run. The margin covers a retry that takes longer to reach its server than that
-// attempt.
+// from the first attempt that may have run. The margin covers a retry that takes longer to reach its server than the
+// first attempt.
 func (r *request) sendDeadline() policy.Time {
 	if r.dedupWindow == 0 {
 		return 0
--- a/router/attempt_context.go
+++ b/router/attempt_context.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// attemptContext is the context of one attempt. A timer in the heap of the loop ends it. A context of the standard
-// library would cost each attempt a timer, two allocations and the lock of a parent context.
+// attemptContext is the context of one attempt. A timer in the heap of the loop ends the context. A context of the
+// standard library would cost each attempt a timer, two allocations and the lock of a parent context.
 type attemptContext struct {
 	deadline time.Time
 	sendBy   time.Time
 
 	mu           sync.Mutex // guards the fields below, and deadline once the attempt is launched
 	err          error
-	abandoned    bool          // no more bytes may be written
-	writing      bool          // a write is in progress, between BeginWrite and EndWrite
+	abandoned    bool          // if true, no more bytes may be written
+	writing      bool          // whether a write is in progress, between BeginWrite and EndWrite
 	afterWrite   func()        // function that EndWrite calls; nil: none
 	done         chan struct{} // created by the first call of Done
 	afterFunc    func()        // function registered by AfterFunc; nil: none
@@ -124,9 +124,9 @@
 	return c.done
 }
 
-// AfterFunc implements AfterFuncContext. context.AfterFunc calls it too. The first function is registered without a
-// goroutine. For each further function at the same time, a goroutine waits until the context ends. The loop ends
-// every context.
+// AfterFunc implements AfterFuncContext. context.AfterFunc calls this method too. One function at a time is
+// registered without a goroutine. Each further function needs a goroutine that waits until the context ends. No such
+// goroutine is left behind, because the loop ends every context.
 func (c *attemptContext) AfterFunc(run func()) (stop func() bool) {
 	if registration, ok := c.register(run); ok {
 		return func() bool { return c.unregister(registration) }
--- a/router/attempt_context_test.go
+++ b/router/attempt_context_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestAttemptContext_AfterFuncReplacesStopped checks that a function can be registered after the previous function
-// was stopped. A dial and then its connection do that.
+// was stopped. A dial registers a function, and its connection later registers another function.
 func TestAttemptContext_AfterFuncReplacesStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
@@ -81,7 +81,8 @@
 }
 
 // TestAttemptContext_SecondStopKeepsOther checks that a second stop of one registration keeps a function that was
-// registered in between. The timer of a derived context and its cancel function may both stop the same registration.
+// registered after the first stop. The timer of a derived context and its cancel function may both stop the same
+// registration.
 func TestAttemptContext_SecondStopKeepsOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := new(attemptContext)
--- a/router/balancer_state.go
+++ b/router/balancer_state.go
@@ -22,8 +22,9 @@
 	_ endpointViewer      = (*policy.Balancer)(nil)
 )
 
-// StateAdjuster returns the learned state to restore, usually made from a stored state. initial returns the in-flight
-// limit with which the balancer starts for server, and the uptime of the process of server.
+// StateAdjuster returns the learned state to restore, usually made from a stored state. initial returns the initial
+// concurrency limit of the balancer for server, and the uptime of the process of server. ok is false if server is not
+// in service.
 type StateAdjuster func(initial func(server string) (threshold float64, up policy.Time, ok bool)) policy.LearnedState
 
 // ExportState returns what the balancer has learned so far. It returns ErrClosed after Close, and another error if
--- a/router/call.go
+++ b/router/call.go
@@ -19,8 +19,8 @@
 	reply       chan Answer     // buffered for the one answer: the loop never waits for the caller
 	onAnswer    func(Answer)    // replaces reply if not nil; must not call the loop
 	ctx         context.Context // context of the caller; nil in a Stepped engine
-	abandoned   atomic.Bool     // the caller no longer waits for reply
-	bodyPending bool            // the last byte has not arrived yet; the timeout starts with its arrival
+	abandoned   atomic.Bool     // whether the caller no longer waits for reply
+	bodyPending bool            // whether the last byte has not arrived yet; its arrival starts the timeout
 
 	// bodyReceivedAt is the policy.Time at which the last byte of an upload arrived; 0: not arrived yet. The reader
 	// of the body sets it.
--- a/router/config.go
+++ b/router/config.go
@@ -11,7 +11,7 @@
 // DefaultMaxInFlight is the default of Config.MaxInFlight.
 const DefaultMaxInFlight = 1 << 16
 
-// Config configures a router. New reads it at the start, and Reload later.
+// Config configures a router. It is passed to New at the start, and to Reload later.
 type Config struct {
 	// Settings contains the classes, tenants, limits, capabilities and rules of the balancer.
 	Settings policy.Settings
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -113,7 +113,7 @@
 	return bucket != nil && bucket.take(now)
 }
 
-// shouldShed counts r as offered, and reports whether the level in force sheds r. In a dry run it only counts, and
+// shouldShed counts r as offered, and reports whether the level in force sheds r. In a dry run it only counts r, and
 // returns false.
 func (d *degradation) shouldShed(r *request, now policy.Time) bool {
 	window := d.classes[r.req.Class]
@@ -145,8 +145,8 @@
 	d.shedWeight += window.priorityWeight
 }
 
-// shedRetryAfter returns the Retry-After of the shed request id. It differs by id, so that clients do not all retry
-// at the same time. limit is the maximum; 0: no limit.
+// shedRetryAfter returns the Retry-After of the shed request id. The result differs by id, so that clients do not all
+// retry at the same time. limit is the maximum; 0 means no limit.
 func shedRetryAfter(id string, limit time.Duration) time.Duration {
 	spread := shedRetrySpread * dropoverload.Fraction("again "+id) * float64(routerRetryAfter)
 	retryAfter := routerRetryAfter + time.Duration(spread)
@@ -226,7 +226,7 @@
 	return events[len(events)-1], true
 }
 
-// countOpen counts the open requests, and the open requests without an attempt.
+// countOpen counts, by class, the open requests and those of them without an attempt.
 func (d *degradation) countOpen(requests map[string]*request) {
 	for _, r := range requests {
 		window := d.classes[r.req.Class]
--- a/router/degradation_test.go
+++ b/router/degradation_test.go
@@ -52,7 +52,7 @@
 }
 
 // TestSetLevels_ReplacesLevels checks that SetLevels adds and removes levels while the router runs. A level in force
-// stays in force by its name. Invalid levels change nothing.
+// stays in force if the new levels have a level with the same name. Invalid levels change nothing.
 func TestSetLevels_ReplacesLevels(t *testing.T) {
 	r := newLevelsRouter(t, policy.Settings{Nodes: 1, Classes: []policy.Class{{
 		Name:             "read",
--- a/router/do.go
+++ b/router/do.go
@@ -120,7 +120,7 @@
 	c.abandoned.Store(true)
 	notified := ctx.Err() != nil && l.send(clientLeft{c})
 	select {
-	case answer := <-c.reply: // the answer arrived in the meantime
+	case answer := <-c.reply: // the answer arrived at the same time
 		return answer, nil
 	default:
 	}
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,5 +1,5 @@
-// Package router is the request-routing engine of wayhold, usable as a library. It accepts requests and asks a
-// policy.Balancer what to do with each request. It makes the attempts that the balancer orders. Every accepted
+// Package router is the request-routing engine of wayhold, usable as a library. It accepts requests, asks a
+// policy.Balancer what to do with each request, and makes the attempts that the balancer orders. Every accepted
 // request gets exactly one final answer before its deadline.
 //
 // A Router has three interfaces to its surroundings. Callers submit requests with Do; package middleware calls Do for
@@ -20,10 +20,9 @@
 // A request ID counts as used for at least 10 s, also across reloads, unless 32,768 other IDs arrive in that time.
 //
 // Once the router has handled the update that a server is draining, it sends no new attempt to that server. An
-// earlier attempt that is not written by half of the drain grace is not written at all.
+// earlier attempt that is still unwritten after half of the drain grace is never written.
 //
-// If the host does not run the process for a while, these times count from when the process runs again. Stats.Lag
-// shows the delay.
+// If the host pauses the process, these times count from the end of the pause. Stats.Lag shows the delay.
 //
 // # Where to read
 //
--- a/router/drain.go
+++ b/router/drain.go
@@ -79,7 +79,7 @@
 	return ctx.Err()
 }
 
-// forceDrain moves the deadline of the drain run to now, and waits until the drain has ended.
+// forceDrain moves the deadline of the drain to now, and waits until run has ended.
 func (r *Router) forceDrain(run *drainRun) {
 	r.drainMu.Lock()
 	r.drainMachine.ExpireNow(time.Now())
@@ -145,7 +145,7 @@
 	return r.drainMachine.Status()
 }
 
-// DrainEvents returns the retained events after the event with the number n.
+// DrainEvents returns the retained events with a number greater than n, oldest first.
 func (r *Router) DrainEvents(n uint64) []drain.Event {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -163,7 +163,8 @@
 	return open, busy
 }
 
-// pendingFirstRequests returns the number of connections whose first request is in progress or may still arrive.
+// pendingFirstRequests returns the sum of PendingFirstRequests over all listeners that implement
+// FirstRequestListener.
 func (r *Router) pendingFirstRequests() int {
 	pending := 0
 	for _, l := range r.listeners {
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -17,13 +17,13 @@
 type drainRun struct {
 	wakeup    chan struct{} // signals a change of the drain machine; buffered for one signal
 	done      chan struct{} // closed once the drain is over or cancelled
-	cancelled atomic.Bool   // the loop must ignore the drainEnded event of this drain
+	cancelled atomic.Bool   // whether the drain was cancelled; the loop then ignores its drainEnded event
 
-	// The fields below are guarded by Router.drainMu. The first three are used only in final drains.
+	// Router.drainMu guards the four fields below. The first three are used only in final drains.
 	shutdownStarted  bool
 	shuttingDown     int                // listeners whose Shutdown has not returned
 	cancelShutdown   context.CancelFunc // ends the context of the Shutdown calls
-	acceptingStopped bool               // StopAccepting was called; ResumeAccepting can undo it
+	acceptingStopped bool               // whether StopAccepting was called, which ResumeAccepting can undo
 
 	listeners sync.WaitGroup // goroutines that call Listener.Shutdown
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// endDrainRun ends run, unless the drain was cancelled in the meantime.
+// endDrainRun ends run. It does nothing if run has already ended because the drain was cancelled.
 func (r *Router) endDrainRun(run *drainRun) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -125,8 +125,8 @@
 	return counts
 }
 
-// applyDrainState takes the measures of the state of the machine. over reports whether the drain is over. The caller
-// holds drainMu.
+// applyDrainState advances the phase of the router, and stops the listeners, as the state of the drain machine
+// requires. over reports whether the drain is over. The caller holds drainMu.
 func (r *Router) applyDrainState(run *drainRun) (over bool) {
 	status := r.drainMachine.Status()
 	switch status.State {
--- a/router/endpoint.go
+++ b/router/endpoint.go
@@ -20,7 +20,7 @@
 // EndpointUpdate is a change of the endpoint list.
 type EndpointUpdate struct {
 	Kind      policy.ListKind
-	Endpoints []Endpoint // the router only reads it
+	Endpoints []Endpoint // not changed by the router
 	// Drops, if not nil, replaces the fractions of requests to drop, by pool. The router rejects these requests
 	// without the balancer. The router does not change the map.
 	Drops dropoverload.Fractions
@@ -28,14 +28,14 @@
 	// its calls failed or got no response. It is 0 if there was no outage. The changes in this update may have
 	// happened at any time during the outage.
 	Outage time.Duration
-	more   bool // other batches of the same update follow
+	more   bool // whether other batches of the same update follow
 }
 
 // Endpoint describes one server.
 type Endpoint struct {
 	ID           string   // stable across updates, and the same on every node
 	Addr         string   // host:port, or another form that the transport accepts
-	Pools        []string // clusters that the server belongs to; nil: none
+	Pools        []string // pools that contain the server; nil: none
 	Zone         string
 	Kind         string
 	Cell         int64
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -56,7 +56,7 @@
 	return ordered
 }
 
-// sendUpdate queues update, one batch. It returns false if the loop has ended.
+// sendUpdate queues update, which is a single batch. It returns false if the loop has ended.
 func (l *loop) sendUpdate(update EndpointUpdate) bool {
 	select {
 	case l.endpointUpdates <- update:
--- a/router/event.go
+++ b/router/event.go
@@ -18,7 +18,7 @@
 	}
 	// attemptEnded reports that the transport has returned from an attempt. attempt.result is set.
 	attemptEnded struct{ attempt *attempt }
-	// drainEnded makes the loop answer the open requests, unless the drain was cancelled in the meantime.
+	// drainEnded makes the loop answer the open requests, unless run was cancelled.
 	drainEnded struct{ run *drainRun }
 	// command calls run in the loop, and sends the error of run to reply. reply must be buffered.
 	command struct {
--- a/router/id_history.go
+++ b/router/id_history.go
@@ -16,8 +16,8 @@
 )
 
 // idHistory remembers the ID of each recent request, for one to two times idRetention. It has two generations, and
-// drops the older generation as a whole. It thus neither grows nor searches for expired IDs. It stores hashes of the
-// IDs to save memory.
+// drops the older generation as a whole. Its memory is therefore bounded, and it never searches for expired IDs. It
+// stores hashes of the IDs to save memory.
 type idHistory struct {
 	seed              maphash.Seed
 	rotatedAt         policy.Time // start of the current generation
--- a/router/level_status.go
+++ b/router/level_status.go
@@ -19,12 +19,13 @@
 	Queued float64        `json:"held"`   // value of levels.Queued
 	Events []levels.Event `json:"events"`
 
-	ExitConditions []string `json:"lifts,omitempty"` // conditions that would end the level
-	ExitProbing    bool     `json:"trying"`          // the end of the level is being tried: half as much is shed
+	ExitConditions []string `json:"lifts,omitempty"` // conditions for leaving the level
+	ExitProbing    bool     `json:"trying"`          // the exit is being probed: a part of the load is no longer shed
 	MaxLevel       int      `json:"most"`            // highest level that is entered automatically; -1: no limit
 	DryRun         bool     `json:"dry_run"`         // the level is only computed and does not affect requests
 
-	// Requests shed by the levels since the start. In a dry run, requests that would have been shed.
+	// The fields below count the requests that the levels have shed since the start. In a dry run, they count the
+	// requests that would have been shed.
 	ShedByClass  map[string]uint64 `json:"shed,omitempty"`
 	ShedByTenant map[string]uint64 `json:"shed_by,omitempty"` // tenants that are not in the settings count under ""
 	ShedWeight   float64           `json:"shed_worth"`        // sum of the priority weights of shed requests
@@ -63,8 +64,8 @@
 	})
 }
 
-// ReleaseLevel ends the effect of SetLevel. The conditions of the levels decide again. ReleaseLevel returns
-// ErrNoLevels or ErrClosed.
+// ReleaseLevel ends the effect of SetLevel. The conditions of the levels then determine the level again. ReleaseLevel
+// returns ErrNoLevels or ErrClosed.
 func (r *Router) ReleaseLevel() error {
 	return r.withDegradation(func(d *degradation, _ policy.Time) error {
 		d.controller.ReleaseManual()
--- a/router/listener.go
+++ b/router/listener.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Listener accepts client connections whose requests go to the router. A drain shuts it down.
+// Listener accepts client connections and passes their requests to the router. A drain shuts the listener down.
 type Listener interface {
 	// Shutdown stops accepting connections for good. Each open connection is closed after its next answer. Shutdown
 	// returns when no more requests can arrive. If ctx ends first, it returns an error.
--- a/router/loop.go
+++ b/router/loop.go
@@ -20,8 +20,8 @@
 	lagGain = 0.05
 )
 
-// loop owns the balancer, the open requests and the timers, in one goroutine. All other goroutines send it events. It
-// waits only for the next event, endpoint update or timer.
+// loop owns the balancer, the open requests and the timers, in one goroutine. All other goroutines send events to the
+// loop. The loop waits only for the next event, endpoint update or timer.
 type loop struct {
 	clock          clock
 	log            *slog.Logger
@@ -40,7 +40,7 @@
 	requests          map[string]*request
 	recentIDs         idHistory
 	withheld          map[*withheldAnswer]struct{} // rejections that wait for a write in progress
-	drained           atomic.Bool                  // no request is admitted; cleared if the drain is cancelled
+	drained           atomic.Bool                  // whether admission has ended; false again if the drain is cancelled
 	pendingAnswers    int                          // requests without an answer
 	openRequests      atomic.Int64                 // copy of pendingAnswers for other goroutines
 	timers            timerHeap
@@ -56,7 +56,7 @@
 	endpointBuffer []policy.Endpoint // reused for small updates
 
 	degradation        *degradation // nil: no levels of service
-	levelStepScheduled bool         // the timer for the next step of the levels is set
+	levelStepScheduled bool         // whether the timer for the next step of the levels is set
 }
 
 func newLoop(config Config, opts options, clk clock) (*loop, error) {
@@ -112,7 +112,7 @@
 }
 
 // run handles events until ctx ends. It first applies the last known endpoint list, as the balancer expects. At the
-// end it answers the open requests, cancels the attempts and waits for them.
+// end it answers the open requests, cancels the attempts in flight and waits until these attempts have ended.
 func (l *loop) run(ctx context.Context) {
 	defer l.attemptGoroutines.Wait()
 	defer l.cancelAllAttempts()
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Metrics holds counts that are read without waiting for the event loop. A request whose caller left before the
-// answer is not counted.
+// Metrics holds counts that Router.Metrics reads without waiting for the event loop. A request whose caller left
+// before the answer is not counted.
 type Metrics struct {
 	Classes              []ClassMetrics // all classes that the settings have or had, sorted by name
 	InFlight             int            // requests accepted and not yet finished
--- a/router/options.go
+++ b/router/options.go
@@ -47,14 +47,14 @@
 // WithLogger sets the logger. By default, nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithListener adds a listener that a drain shuts down. The option may be repeated. A listener without client
-// connections, which only calls Do, need not be added.
+// WithListener adds a listener that a drain shuts down. The option may be repeated. A frontend that has no client
+// connections and only calls Do need not be added.
 func WithListener(l Listener) Option {
 	return func(o *options) { o.listeners = append(o.listeners, l) }
 }
 
-// WithDrainDelay sets the time for which Drain keeps serving as before while Phase is Draining. Readiness checks can
-// notice the drain in this time. Negative values count as 0. The default is 0.6 times the longest class deadline,
+// WithDrainDelay sets the time for which Drain keeps serving as before. Phase is Draining in this time. Readiness
+// checks can thus notice the drain. Negative values count as 0. The default is 0.6 times the longest class deadline,
 // where deadlines above 3 s count as 3 s.
 func WithDrainDelay(d time.Duration) Option {
 	return func(o *options) { o.drainDelay, o.drainDelaySet = max(0, d), true }
--- a/router/phase.go
+++ b/router/phase.go
@@ -21,7 +21,7 @@
 // Phase returns the phase of the router. The router is ready for new clients only in the phase Serving.
 func (r *Router) Phase() Phase { return Phase(r.phase.Load()) }
 
-// advancePhase moves to the phase to, unless the router is in that phase or a later phase.
+// advancePhase moves the router to the phase to, unless the router is already in that phase or a later phase.
 func (r *Router) advancePhase(to Phase) {
 	for {
 		current := r.phase.Load()
--- a/router/reload.go
+++ b/router/reload.go
@@ -2,8 +2,8 @@
 
 import "cobaltward/policy"
 
-// reload applies config. Requests admitted before keep the class and the capabilities of their admission. Used IDs,
-// open requests, timers and budgets are kept.
+// reload applies config. Requests admitted before the reload keep the class and the capabilities of their admission.
+// Used IDs, open requests, timers and budgets are kept.
 func (l *loop) reload(config Config) error {
 	actions, err := l.balancer.Reconfigure(l.clock.now(), config.Settings)
 	if err != nil {
--- a/router/reload_test.go
+++ b/router/reload_test.go
@@ -14,9 +14,9 @@
 	"cobaltward/policy"
 )
 
-// TestReload_UnderLoad checks twenty reloads a second for ten seconds under load. The reloads change classes,
-// tenants, limits and servers. Each request gets one answer. No request of class "pay" is sent again once it may have
-// run. At the end the newest configuration is in force and no request is left.
+// TestReload_UnderLoad reloads the configuration twenty times a second for ten seconds under load. The reloads change
+// classes, tenants, limits and servers. Each request must get one answer. No request of class "pay" is sent again
+// once it may have run. At the end the newest configuration is in force and no request is left.
 func TestReload_UnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		checker := newRuleChecker(rand.NewPCG(1, 2))
--- a/router/reply.go
+++ b/router/reply.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// reject answers r, which the balancer rejects.
+// reject answers r after the balancer has requested a Reject action for r.
 func (l *loop) reject(r *request, retryAfter time.Duration) {
 	l.answer(r, Answer{Outcome: Rejected, RetryAfter: clampRetryAfter(retryAfter, r.capabilities)})
 	l.removeIfDone(r)
@@ -62,7 +62,8 @@
 	l.removeIfDone(r)
 }
 
-// handleClientGone handles the event that the caller of c has left. Another request may use the same ID by now.
+// handleClientGone handles the event that the caller of c has left. It ignores the event if c is no longer open.
+// Another request may use the same ID by now.
 func (l *loop) handleClientGone(c *call) {
 	r := l.requests[c.req.ID]
 	if r == nil || r.call != c || r.finished {
@@ -104,7 +105,7 @@
 // request may have run, and Rejected otherwise.
 func (l *loop) answerOpenRequests() {
 	for _, r := range l.oldestFirst() {
-		if r.finished { // the balancer has answered r in the meantime
+		if r.finished { // the balancer has answered r during an earlier iteration
 			continue
 		}
 		outcome := Rejected
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestReject_RetryAfterWithinMaximum checks that a Retry-After does not exceed the maximum of the settings for
-// clients of a tenant with a small quota.
+// TestReject_RetryAfterWithinMaximum checks that Retry-After does not exceed Capabilities.MaxRetryAfter, even if the
+// quota of the tenant refills slowly.
 func TestReject_RetryAfterWithinMaximum(t *testing.T) {
 	config := testConfig()
 	config.Settings.Tenants = []policy.Tenant{{Name: "t", Quota: 0.1}} // one token every ten seconds
--- a/router/request.go
+++ b/router/request.go
@@ -11,8 +11,8 @@
 // memory.
 const MaxNameLength = 128
 
-// Request is a request of a client. The router and its transports only read it, until every attempt has ended. That
-// may be after Do has returned, so Body must not be changed after the call.
+// Request is a request of a client. The router and its transports only read the request. They read it until every
+// attempt has ended, which may be after Do has returned. Body must therefore not be changed after the call.
 type Request struct {
 	ID     string // unique; 1 to MaxNameLength bytes of printable ASCII without spaces
 	Class  string // name of a class in the settings
@@ -22,15 +22,15 @@
 	// IdempotencyKey is the key by which servers detect duplicates. Classes with policy.IdempotencyKeyed require it.
 	IdempotencyKey string
 
-	// ClassSnapshot is the class by which the caller has interpreted the request. nil means the class in force when
-	// Do is called. The request is rejected if the class in force at admission has another idempotency, because a
-	// request must not be retried under other rules than the rules under which it was sent.
+	// ClassSnapshot is the class by which the caller has interpreted the request. nil means the class in force when Do
+	// is called. The request is rejected if the class in force at admission has another idempotency. Otherwise the
+	// request could be retried under other rules than the client expects.
 	ClassSnapshot *policy.Class
 
 	Timeout    time.Duration // time that the client waits, counted from ReceivedAt; 0: class deadline
 	ReceivedAt time.Time     // time when the last byte of the request was read; zero: call of Do
 	CostHint   time.Duration // estimated cost in core time; 0: unknown
-	IsRetry    bool          // the client has sent the request before
+	IsRetry    bool          // whether the client has sent the request before
 
 	// The fields below are what a server receives. A transport for a protocol other than HTTP translates them.
 	Method      string // empty: the result of Method for the class
@@ -38,7 +38,7 @@
 	Authority   string // host that the client addressed
 	ContentType string
 	Body        []byte
-	// Upload replaces Body for a long body. The owner keeps it open until Do has returned.
+	// Upload replaces Body for a long body. The caller of Do keeps Upload open until Do has returned.
 	Upload Upload
 
 	// AcceptsStream is true if the caller handles Answer.Stream. Otherwise, an answer of more than 64 KiB counts as a
--- a/router/router.go
+++ b/router/router.go
@@ -113,16 +113,16 @@
 // ShortestDeadline returns the shortest class deadline of the configuration in force.
 func (r *Router) ShortestDeadline() time.Duration { return r.classes.Load().shortestDeadline }
 
-// RejectOverloaded counts a request of class as overloaded, and returns the answer to the request. A listener without
-// a free connection slot calls it.
+// RejectOverloaded counts a request of class as overloaded, and returns the answer to the request. A listener calls
+// RejectOverloaded if it has no free connection slot.
 func (r *Router) RejectOverloaded(class string) Answer {
 	r.loop.counters.count(class, Overloaded)
 	return r.classes.Load().overloaded
 }
 
 // QueueTimeout returns the maximum time for which a listener may let clients wait for a connection slot. After that
-// time, the listener must reject their requests at once. The remaining time of such a request is unknown, and an
-// answer half a second after its deadline is lost.
+// time, the listener must reject the requests of these clients at once. The remaining time of such a request is
+// unknown, and an answer half a second after the deadline of the request is lost.
 func (r *Router) QueueTimeout() time.Duration {
 	return min(maxQueueTimeout, time.Duration(queueTimeoutFraction*float64(r.ShortestDeadline())))
 }
@@ -139,8 +139,8 @@
 // be served.
 func (r *Router) Started() <-chan struct{} { return r.loop.ready }
 
-// Reload applies config without a restart. Requests that were accepted before keep the classes and limits of their
-// admission. Used request IDs, retry budgets and slow start are kept. Config.Seed is ignored.
+// Reload applies config without a restart. Requests that were accepted before Reload keep the classes and limits of
+// their admission. Used request IDs, retry budgets and slow start are kept. Config.Seed is ignored.
 //
 // If config is invalid, Reload changes nothing and returns an error that names the invalid field. After Close it
 // returns ErrClosed.
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// Close stops the router at once. It answers open requests: Failed if they may have run, otherwise Rejected. It
-// cancels attempts, waits for all goroutines of the router, and closes the transport. Another call only waits. Close
-// always returns nil.
+// Close stops the router at once. It answers an open request with Failed if the request may have run, and with
+// Rejected otherwise. It cancels attempts, waits for all goroutines of the router, and closes the transport. Another
+// call only waits for the first call. Close always returns nil.
 func (r *Router) Close() error {
 	r.closeOnce.Do(func() {
 		r.advancePhase(Closed)
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxRecentStartAge is the maximum age, by the wall clock, of a start that may be recent. Above it, the start was
-	// certainly long ago. The margin covers steps of an hour, both of the wall clock since the start and of the clock
-	// that recorded the start.
+	// maxRecentStartAge is the maximum age, by the wall clock, of the start of a server that may be recent. An older
+	// start was certainly long ago. The limit allows for a step of an hour of the wall clock, and a step of an hour of
+	// the clock that recorded the start.
 	maxRecentStartAge = 2 * time.Hour
-	// maxListDelay is the maximum time assumed between a start and the first endpoint list that names the start.
-	// Lists usually come one to two seconds late. maxListDelay limits the error in the duration of slow start that a
-	// stepped clock can cause.
+	// maxListDelay is the maximum time assumed between a start and the first endpoint list that names the start. Lists
+	// usually come one to two seconds late. A stepped clock can thus change the duration of slow start by at most
+	// maxListDelay.
 	maxListDelay = 2 * time.Second
 	// maxWallStep is the maximum movement of the wall clock against the monotonic clock that does not count as a
 	// step.
@@ -22,20 +22,20 @@
 	minTrackedStarts = 1024
 )
 
-// startTracker determines when the process of each server started. Slow start needs this time. Slow start is a span
-// of real time, although wall clocks may be stepped at any moment. The event loop owns the tracker.
+// startTracker determines when the process of each server started, which is when its slow start begins. Slow start is
+// a span of real time, although wall clocks may be stepped at any moment. The event loop owns the tracker.
 //
-// A list that names a start for the first time comes at most maxListDelay after the start, regardless of the wall
-// clock. The exception is a start that is long ago by any clock. After an outage of discovery, the list may be late
-// by the length of the outage, which the monotonic clock measures.
+// The first list that names a start is assumed to come at most maxListDelay after the start, whatever the wall clock
+// shows. This does not apply to a start that is more than maxRecentStartAge ago. After an outage of discovery, the
+// list may be late by the length of the outage, which the monotonic clock measures.
 //
-// The start time by the wall clock counts within these limits. Beyond maxListDelay it counts only after an outage,
-// only for starts after the start of the router, and only while no step of the wall clock was seen. It is corrected
-// by the lead of the wall clock, which lists without an outage show. A start does not change once it is determined.
+// The start time by the wall clock is used within these limits. An age above maxListDelay is used only after an
+// outage, only for starts after the start of the router, and only while no step of the wall clock was seen. The start
+// time is corrected by the lead of the wall clock (see listDelay). A start does not change once it is determined.
 type startTracker struct {
 	bounds    map[string]startBound // by server ID
 	outage    time.Duration         // outage before the current update; 0 if the wall clock is not trusted
-	stepped   bool                  // a step of the wall clock was seen
+	stepped   bool                  // whether a step of the wall clock was seen
 	listDelay listDelay
 }
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// excess returns the part of the minimum age above maxListDelay. Late lists do not explain that part, so it must be a
-// lead of the wall clock.
+// excess returns the part of the minimum age above maxListDelay. Late lists do not explain that part, so the wall
+// clock must lead by that time.
 func (s *listDelay) excess() time.Duration { return max(0, s.minimum-maxListDelay) }
 
 // beginUpdate must be called before slowStartSince for the starts in an update. outage is the length of the outage of
@@ -95,7 +95,7 @@
 	return since
 }
 
-// boundNewStart returns the assumed time of a start that the current update is the first to name.
+// boundNewStart returns the assumed time of a start that no earlier update has named.
 func (t *startTracker) boundNewStart(wallClockStart, now policy.Time) policy.Time {
 	maxAge := maxListDelay
 	if wallClockStart >= timeOrigin {
@@ -107,7 +107,8 @@
 	return min(now, max(wallClockStart+t.listDelay.excess(), now-maxAge))
 }
 
-// prune forgets the servers that are not in listed, if too many servers are remembered.
+// prune forgets the servers that are not in listed if more than twice the number of listed servers plus
+// minTrackedStarts are remembered.
 func (t *startTracker) prune(listed map[string]endpointSummary) {
 	if len(t.bounds) <= 2*len(listed)+minTrackedStarts {
 		return
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// slowStartAge passes to tracker a start with the age ago, in an update after an outage. The router is one minute
-// old. slowStartAge returns the time between the beginning of slow start and the update.
+// slowStartAge passes to tracker the start of the server id with the age ago, in an update after an outage. The
+// router has run for one minute. slowStartAge returns the time between the beginning of slow start and the update.
 func slowStartAge(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
 	const now = timeOrigin + time.Minute
 	tracker.beginUpdate(outage, wallStep)
@@ -174,8 +174,8 @@
 	}
 }
 
-// countSlowStartAttempts returns the number of attempts to a server in the 12 s after its start. The server starts
-// when a node has served for 4 s. The start time of the server comes from a wall clock that is off by step.
+// countSlowStartAttempts returns the number of attempts to a server in the 12 s after its start. The node starts
+// first, and the server four seconds later. The start time of the server comes from a wall clock that is off by step.
 func countSlowStartAttempts(t *testing.T, step time.Duration) int {
 	t.Helper()
 	const (
--- a/router/stats.go
+++ b/router/stats.go
@@ -25,7 +25,7 @@
 	AttemptsInFlight int    // attempts in flight now
 	AttemptsWritten  uint64 // attempts written completely to servers; 0 if the transport does not count them
 	Retries          uint64 // attempts beyond the first attempt of a request
-	Skipped          uint64 // attempts that the balancer requested when they were no longer allowed
+	Skipped          uint64 // attempts requested by the balancer but no longer allowed
 
 	Dropped uint64 // requests rejected by the drop fractions of the endpoint source; included in Answers[Rejected]
 	Shed    uint64 // requests rejected by the level of service; included in Answers[Rejected]
@@ -59,8 +59,8 @@
 	return total
 }
 
-// Stats returns the current statistics. It waits for the event loop, however long the host delays the loop. After
-// Close it returns the final statistics.
+// Stats returns the current statistics. It waits for the event loop, even if the host does not run the loop for a
+// long time. After Close it returns the final statistics.
 func (r *Router) Stats() Stats {
 	var stats Stats
 	err := r.runInLoop(func(l *loop) error {
--- a/router/stepped.go
+++ b/router/stepped.go
@@ -17,8 +17,9 @@
 	started bool
 }
 
-// NewStepped returns an engine whose time 0 is start on the wall clock. start is used to convert the start times of
-// servers. Only the options WithLogger, WithLevels and WithoutGuards have an effect. The errors are those of New.
+// NewStepped returns an engine whose time 0 is start on the wall clock. The engine needs start to convert the start
+// times of servers. Only the options WithLogger, WithLevels and WithoutGuards have an effect. The errors are those of
+// New.
 func NewStepped(c Config, host AttemptHost, start time.Time, opts ...Option) (*Stepped, error) {
 	transport := hostTransport{host: host}
 	options := newOptions(transport, opts)
@@ -34,7 +35,7 @@
 	return s, nil
 }
 
-// advanceTo advances the time to now. Timers that are due by then fire first, each at its own time.
+// advanceTo fires the timers due by now, each at its own time, and then sets the time to now.
 func (s *Stepped) advanceTo(now time.Duration) {
 	if !s.started { // the last known endpoint list is applied before all events
 		s.started = true
@@ -56,7 +57,7 @@
 	return s.loop.timers[0].due - timeOrigin, true
 }
 
-// Advance advances the time to now, and fires the timers that are due by then.
+// Advance fires the timers due by now, each at its own time, and then sets the time to now.
 func (s *Stepped) Advance(now time.Duration) { s.advanceTo(now) }
 
 // Submit submits req, whose last byte has just arrived. answer is called once with the answer, possibly before Submit
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// ClientGone reports that the caller of the request id no longer waits. It ignores an id that is not open.
+// ClientGone reports that the caller of the request id no longer waits. It does nothing if no open request has that
+// id.
 func (s *Stepped) ClientGone(now time.Duration, id string) {
 	s.advanceTo(now)
 	if r := s.loop.requests[id]; r != nil {
@@ -144,8 +146,9 @@
 	return state, err
 }
 
-// RestoreState makes the balancer adopt the state that adjust returns. A method that passes a time must have been
-// called before. RestoreState returns an error if the balancer does not support restoring.
+// RestoreState makes the balancer adopt the state that adjust returns. The caller must have called a method with a
+// time before, because the first such call applies the endpoint list. RestoreState returns an error if the balancer
+// does not support restoring.
 func (s *Stepped) RestoreState(adjust StateAdjuster) error {
 	return s.loop.withBalancer(func(b statefulBalancer, now policy.Time) { b.Restore(now, adjust(b.InitialThreshold)) })
 }
--- a/router/stepped_host.go
+++ b/router/stepped_host.go
@@ -13,7 +13,7 @@
 	// Launch starts attempt. The host must report the end of attempt once by Stepped.FinishAttempt, also after
 	// Cancel.
 	Launch(attempt Attempt)
-	// Cancel reports that the result of attempt is no longer awaited, or that the time of attempt is up.
+	// Cancel is called when the result of attempt is no longer needed, or when the time of attempt is up.
 	Cancel(attempt Attempt)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
@@ -25,7 +25,7 @@
 	Number   int      // 0 for the first attempt of the request
 	Server   string
 	Deadline time.Duration // end of the attempt, counted from the start of the engine
-	SendBy   time.Duration // time from which servers may have forgotten the key: no write from then on; 0: none
+	SendBy   time.Duration // time from which the attempt must not be written (see SendDeadlineContext); 0: none
 	attempt  *attempt
 }
 
--- a/router/support_test.go
+++ b/router/support_test.go
@@ -22,7 +22,7 @@
 // respondFunc returns the actions of a scriptedBalancer for an event.
 type respondFunc func(now policy.Time, ev policy.Event) []policy.Action
 
-// scriptedBalancer responds to events by a function of the test, and records the events.
+// scriptedBalancer responds to events with a function that the test provides, and records the events.
 type scriptedBalancer struct {
 	mu       sync.Mutex
 	received []policy.Event
@@ -79,7 +79,8 @@
 // attemptFunc makes the attempts of a fakeTransport.
 type attemptFunc func(ctx context.Context, server string, r *Request) Result
 
-// fakeTransport makes attempts by a function of the test. It records the attempts, updates and calls of Close.
+// fakeTransport makes attempts with a function that the test provides. It records the attempts, updates and calls of
+// Close.
 type fakeTransport struct {
 	attempt attemptFunc
 
@@ -355,7 +356,7 @@
 	return nil
 }
 
-// sendOnceExcept returns a respondFunc like sendOnce that leaves the request with the ID queued in the queue.
+// sendOnceExcept returns a respondFunc like sendOnce that never sends the request whose ID is queued.
 func sendOnceExcept(queued string) respondFunc {
 	return func(now policy.Time, ev policy.Event) []policy.Action {
 		if request, ok := ev.(policy.Request); ok && request.ID == queued {
--- a/router/timer.go
+++ b/router/timer.go
@@ -11,10 +11,10 @@
 
 const (
 	balancerTimer  timerKind = iota // requested by the balancer
-	backstopTimer                   // a request still has no answer shortly before its deadline
+	backstopTimer                   // a request must be answered now if the balancer has not answered it
 	attemptTimer                    // the time of an attempt is up
 	levelStepTimer                  // the next step of the levels of service is due
-	withheldTimer                   // a withheld answer must not wait any longer
+	withheldTimer                   // a withheld answer must not be withheld any longer
 )
 
 // timer is an entry in the loop's heap of timers.
--- a/router/transport.go
+++ b/router/transport.go
@@ -10,9 +10,9 @@
 // Transport makes attempts at servers. All methods must be safe for concurrent use. A transport may carry many
 // attempts over one connection.
 type Transport interface {
-	// Attempt sends r once to server, which an earlier Update has named. It waits for the result until ctx ends, and
-	// never retries. Result.Code must not claim more than is known. An attempt whose last byte was written may have
-	// run, unless the server reports otherwise.
+	// Attempt sends r once to server, which is the ID of an endpoint in an earlier Update. It waits for the result
+	// until ctx ends, and never retries. Result.Code must not claim more than is known. An attempt whose last byte was
+	// written may have run, unless the server reports otherwise.
 	//
 	// Attempt must not write any bytes once one of these conditions holds: ctx has ended or its deadline has passed;
 	// the server has been draining for half of the drain grace of the settings; the time of SendDeadlineContext has
@@ -44,16 +44,18 @@
 
 // AbandonableContext is implemented by the contexts that Transport.Attempt receives.
 type AbandonableContext interface {
-	// Abandoned reports whether the request is answered or its client has disconnected. Further bytes must not be
-	// written then.
+	// Abandoned reports whether the request is answered or its client has disconnected. If so, no further bytes may be
+	// written.
 	Abandoned() bool
 }
 
-// WriteGuardContext is implemented by the contexts that Transport.Attempt receives. It makes the decision to write
-// and the write one step. A rejection promises the client that no attempt begins after it.
+// WriteGuardContext is implemented by the contexts that Transport.Attempt receives. It combines the decision to write
+// and the write into one step. This is necessary because a rejection promises the client that no attempt begins after
+// the rejection.
 type WriteGuardContext interface {
-	// BeginWrite reports whether bytes of the attempt may be written. After true, the transport must call EndWrite
-	// once the write has ended or was given up. Until then, a rejection of the request is withheld.
+	// BeginWrite reports whether bytes of the attempt may be written. If BeginWrite returns true, the transport must
+	// call EndWrite once the write has ended or was given up. A rejection of the request is withheld until EndWrite,
+	// for a limited time.
 	BeginWrite() bool
 	EndWrite()
 }
--- a/router/withheld.go
+++ b/router/withheld.go
@@ -23,7 +23,7 @@
 }
 
 // deliverAfterWrites delivers answer to r, which is finished. A rejection waits until no attempt is being written. No
-// write begins after that, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
+// further write begins, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
 func (l *loop) deliverAfterWrites(r *request, answer Answer) {
 	if answer.Outcome != Rejected && answer.Outcome != Overloaded {
 		l.deliver(r.call, answer)
@@ -31,7 +31,7 @@
 	}
 	withheld := &withheldAnswer{call: r.call, answer: answer, deliver: l.deliver, counting: true}
 	for _, a := range r.attempts {
-		withheld.await(&a.ctx) // also ended attempts: a shared connection may still write them
+		withheld.await(&a.ctx) // ended attempts count too, because a shared connection may still write them
 	}
 	if withheld.finishCounting() {
 		l.expireLater(withheld, r)
@@ -50,13 +50,14 @@
 	})
 }
 
-// expireWithheld ends the wait of withheld.
+// expireWithheld answers Failed, unless withheld has been delivered.
 func (l *loop) expireWithheld(withheld *withheldAnswer) {
 	delete(l.withheld, withheld)
 	withheld.expire()
 }
 
-// expireAllWithheld ends the waits of all withheld answers. The loop calls it at its end.
+// expireAllWithheld answers Failed in place of every rejection that is still withheld. The loop calls
+// expireAllWithheld at its end.
 func (l *loop) expireAllWithheld() {
 	for withheld := range l.withheld {
 		l.expireWithheld(withheld)
@@ -73,8 +74,8 @@
 	}
 }
 
-// finishCounting ends the counting of writes. waits reports whether the answer must wait for a write. If not,
-// finishCounting delivers the answer.
+// finishCounting is called after the last await. waits reports whether the answer must wait for a write. If there is
+// none, finishCounting delivers the answer.
 func (w *withheldAnswer) finishCounting() (waits bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// expire delivers Failed while a write is in progress. The server may still receive the rest of the write, so a
-// rejection would wrongly promise that the request does not run.
+// expire delivers Failed, unless an answer has been delivered. The server may still receive the rest of the write, so
+// a rejection would wrongly promise that the request does not run.
 func (w *withheldAnswer) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/router/withheld_test.go
+++ b/router/withheld_test.go
@@ -61,8 +61,8 @@
 
 // TestRejection_NoWriteAfterAnswer checks a rejection while an attempt is between its decision to write and the
 // write. The client gets the rejection after the write. A write that does not end delays the answer by at most
-// maxWithheld, and never beyond the client's deadline. That answer is Failed, because the write may still reach the
-// server.
+// maxWithheld, and never beyond the client's deadline. After such a write, the answer is Failed, because the write
+// may still reach the server.
 func TestRejection_NoWriteAfterAnswer(t *testing.T) {
 	const (
 		timeout  = 500 * ms
@@ -107,7 +107,7 @@
 }
 
 // TestRejection_WaitsForWriteOfEndedAttempt checks that a rejection waits for a write that goes on after its attempt
-// has ended. That happens on a connection that other calls share.
+// has ended. Such writes occur on shared connections.
 func TestRejection_WaitsForWriteOfEndedAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		order := &writeOrder{}
