--- a/policy/admission.go
+++ b/policy/admission.go
@@ -127,8 +127,8 @@
 	return r
 }
 
-// setDeadlines sets the deadlines of r. A request is queued for at most half of its objective or of its remaining
-// time. A rejected client then has time left to retry elsewhere.
+// setDeadlines sets the deadlines of r. A request is queued for at most half of its objective, and at most half of
+// its remaining time. A rejected client then has time left to retry elsewhere.
 func (b *Balancer) setDeadlines(r *request, e Request) {
 	r.deadline, r.bodyPending = b.now+e.ExpiresIn, e.BodyPending
 	objective := r.class.LatencyObjective + time.Duration(r.class.ObjectiveWorkFactor*float64(e.CostHint))
@@ -138,9 +138,10 @@
 	}
 }
 
-// adjustRateScale lowers the rates of all buckets if the servers lack capacity. It raises them if buckets reject
-// requests while there is capacity. Fixed rates have two disadvantages. Nothing is shed when all servers slow down. A
-// node that gets more than an even share of a tenant's traffic rejects requests within the quota.
+// adjustRateScale lowers the rates of all buckets if the servers lack capacity. While servers shed load, it does not
+// lower them below the quotas. It raises the rates if buckets reject requests while there is capacity. Fixed rates
+// have two disadvantages. Nothing is shed when all servers slow down. A node that gets more than an even share of a
+// tenant's traffic rejects requests within the quota.
 func (b *Balancer) adjustRateScale(hasCapacity bool) {
 	switch {
 	case !hasCapacity && b.rateScale <= 1 && b.serversShedLoad():
--- a/policy/api.go
+++ b/policy/api.go
@@ -259,7 +259,7 @@
 	Code         Code
 	Latency      time.Duration // time since the attempt was sent
 	Answered     bool          // whether the client has received the final answer
-	BodyConsumed bool          // whether the start of the body is lost, so that no further attempt is possible
+	BodyConsumed bool          // whether the body can no longer be read from its start, which rules out further attempts
 	LoadReport   []float64     // values in the order of Settings.LoadReportFields; nil: no report
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// dropBefore returns the part of times from moment on. times must be in ascending order.
+// dropBefore returns times without its elements before moment. times must be in ascending order.
 func dropBefore(times []Time, moment Time) []Time {
 	for len(times) > 0 && times[0] < moment {
 		times = times[1:]
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -25,7 +25,7 @@
 	overloadRatioGain             = 0.02 // weight of one bad outcome in the moving average overloadRatio
 	answerRatioGain               = 0.01 // weight of one outcome in the moving averages badRatio and timeoutRatio
 	sheddingOverload              = 0.2  // minimum overloadRatio at which servers are considered to shed load
-	maxSheddingTimeouts           = 0.1  // timeoutRatio at which servers are not considered to shed load
+	maxSheddingTimeouts           = 0.1  // minimum timeoutRatio at which servers are not considered to shed load
 )
 
 // initialThreshold returns this node's part of the initial threshold of s. The constants above define the sum of
