--- a/levels/config.go
+++ b/levels/config.go
@@ -87,8 +87,8 @@
 	Classes []Class
 	DryRun  bool // if true, levels are decided and counted, but not applied to requests
 	// MinInterval is the minimum time between two changes of the level; 0: 30 s. The minimum time in force of a level
-	// doubles when the level is entered again within 2 minutes after it was left. It grows up to eight times
-	// MinInterval, so that load near a threshold does not make the level oscillate.
+	// doubles when the level is entered again within 2 minutes after it was left. The minimum time in force grows to
+	// at most eight times MinInterval. Load near a threshold thus does not make the level oscillate.
 	MinInterval time.Duration
 }
 
