--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -17,9 +17,9 @@
 var ErrHandshakeTooLarge = errors.New("peer sent more than 64 KiB during the handshake")
 
 // Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run
-// under a CPUScheduler. After EndHandshake it only passes on reads and writes. As with crypto/tls, one goroutine may
-// read while another goroutine writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at
-// any time by any goroutine.
+// under a CPUScheduler. After EndHandshake, Conn only passes on reads and writes. As with crypto/tls, one goroutine
+// may read while another goroutine writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be
+// called at any time by any goroutine.
 type Conn struct {
 	net.Conn // provides the methods that Conn does not define
 	TCP      *net.TCPConn
@@ -29,7 +29,8 @@
 	AbortIfPeerCloses bool
 	// TrackRecords makes blocking reads track TLS records, for WithinRecord.
 	TrackRecords bool
-	// OnReceive, if it is not nil, is called after each blocking read after the handshake that returned bytes.
+	// OnReceive is called after each blocking read that returned bytes. It is not called during the handshake, and may
+	// be nil.
 	OnReceive func()
 
 	cpu            *CPUScheduler
@@ -47,7 +48,7 @@
 	readsNonBlocking  bool
 	writesNonBlocking atomic.Bool
 	received          atomic.Bool
-	computing         atomic.Bool               // a handshake computation is queued or running
+	computing         atomic.Bool               // whether a handshake computation is queued or running
 	lastComputed      atomic.Pointer[time.Time] // end of the last computation; nil: none yet
 }
 
@@ -88,7 +89,7 @@
 }
 
 // BeginCompute waits until a computation of the handshake may run. A TLS client calls BeginCompute before its first
-// read, because it generates its key share before that read.
+// read, because the client generates its key share before that read.
 func (c *Conn) BeginCompute() error {
 	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
 		return err
--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -53,8 +53,8 @@
 // Reservation is a handshake that runs or is queued.
 type Reservation struct {
 	Server      string
-	WarmingUp   bool // the server is warming up
-	Speculative bool // no request waits for the handshake; it never queues or overtakes a queued handshake
+	WarmingUp   bool // whether the server is warming up
+	Speculative bool // whether no request waits for the handshake; if true, it never queues or overtakes others
 
 	started, released bool
 }
@@ -109,9 +109,9 @@
 	l.perServer[r.Server]++
 }
 
-// Release ends a reservation. The caller calls Release when the handshake has ended or is no longer wanted. It
-// returns the queued reservations whose handshakes may start now, in order of arrival. A server at its limit does not
-// block reservations for other servers. Further calls for the same reservation have no effect.
+// Release ends r. It must be called when the handshake has ended or is no longer wanted. It returns the queued
+// reservations whose handshakes may start now, in order of arrival. A server at its limit does not block reservations
+// for other servers. Further calls for r have no effect.
 func (l *Limiter) Release(r *Reservation) (admitted []*Reservation) {
 	if r.released {
 		return nil
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	recentUseWindow = 10 * time.Second // a server with a request in this time is expected to get another request
+	recentUseWindow = 10 * time.Second // maximum time since the last request to a server that is expected to get another
 	// replacementWindow is the time after a certificate change in which connections that presented the old certificate
 	// of this node are replaced. Spreading the replacements avoids reopening all connections at once. The replacement
 	// is not urgent, because servers still accept these connections.
--- a/handshakes/untrusted.go
+++ b/handshakes/untrusted.go
@@ -26,7 +26,7 @@
 	Server   string        `json:"server"`
 	Reason   string        `json:"why"`
 	Since    time.Duration `json:"-"`
-	Rechecks int           `json:"looks"` // number of failed rechecks since Since or the last RecheckAll
+	Rechecks int           `json:"looks"` // number of failed rechecks since time Since, or since the last RecheckAll
 
 	nextRecheck time.Duration
 	rechecking  bool
