--- a/drain/drain.go
+++ b/drain/drain.go
@@ -15,8 +15,8 @@
 	Timeout     time.Duration // maximum duration of the whole drain
 	Reason      string
 	RequestedBy string
-	Final       bool // the drain can't be cancelled, because the process exits after the drain
-	Force       bool // the order may shorten the deadline of a drain in progress
+	Final       bool // whether the process exits after the drain; the drain then can't be cancelled
+	Force       bool // whether the order may shorten the deadline of a drain in progress
 }
 
 // Counts is the remaining work of a router.
