--- a/router/admission.go
+++ b/router/admission.go
@@ -171,7 +171,7 @@
 	return max(0, wait)
 }
 
-// shedAnswer returns the answer to r, which is dropped or shed.
+// shedAnswer returns the answer to a request r that is dropped or shed.
 func shedAnswer(r *request) Answer {
 	answer := Answer{Outcome: Rejected}
 	if r.capabilities.RetryAfter {
--- a/router/attempt_context.go
+++ b/router/attempt_context.go
@@ -149,7 +149,7 @@
 
 // unregister removes the function with the number registration. It returns false if that function has run or was
 // removed before. A derived context may stop its function a second time much later. The number protects a function
-// that was registered in the meantime.
+// that was registered between the two stops.
 func (c *attemptContext) unregister(registration uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/call.go
+++ b/router/call.go
@@ -9,7 +9,7 @@
 )
 
 // call is one request on its way from Do to the loop and back. After its submission, only the loop uses the call,
-// except for reply and abandoned.
+// except for reply, abandoned and bodyReceivedAt.
 type call struct {
 	req         Request
 	class       policy.Class    // class under which Do accepted the request
--- a/router/deadline.go
+++ b/router/deadline.go
@@ -44,7 +44,7 @@
 }
 
 // completeBody starts the timeout of a request whose upload is complete, because the client counts the timeout from
-// the last byte. No attempt can have run before.
+// the last byte. No attempt can have run before the last byte.
 func (l *loop) completeBody(e bodyReceived) {
 	r := l.requests[e.call.req.ID]
 	if r == nil || r.call != e.call || r.finished || !r.bodyPending {
--- a/router/do.go
+++ b/router/do.go
@@ -58,7 +58,7 @@
 	return class, nil
 }
 
-// submit passes req, which is valid, to the loop and waits for the answer.
+// submit passes req to the loop and waits for the answer. The caller has validated req.
 func (r *Router) submit(ctx context.Context, req *Request, class *policy.Class) (Answer, error) {
 	eventLoop := r.loop
 	switch r.Phase() {
@@ -79,7 +79,8 @@
 	return eventLoop.await(ctx, call)
 }
 
-// newCall returns the call for req, which is submitted now. It runs in the goroutine of the caller.
+// newCall returns a call for req with the current time as the time of submission. It runs in the goroutine of the
+// caller.
 func (l *loop) newCall(ctx context.Context, req *Request, class *policy.Class) *call {
 	now := l.clock.now()
 	call := &call{
@@ -109,7 +110,7 @@
 	return call
 }
 
-// await waits for the answer to c, which was sent to the loop. It runs in the goroutine of the caller.
+// await waits for the answer to c. The caller has sent c to the loop. await runs in the goroutine of the caller.
 func (l *loop) await(ctx context.Context, c *call) (Answer, error) {
 	select {
 	case answer := <-c.reply:
@@ -125,7 +126,8 @@
 	default:
 	}
 	if !notified {
-		// Before the loop ends, it answers every call that it has admitted. It has never received this call.
+		// Before the loop ends, it answers every call that it has admitted. There is no answer, so the loop has not
+		// admitted c.
 		return Answer{}, ErrClosed
 	}
 	return Answer{}, ctx.Err()
--- a/router/drain.go
+++ b/router/drain.go
@@ -43,14 +43,14 @@
 	return r.awaitDrain(ctx, err == nil)
 }
 
-// inProgress reports whether StartDrain failed because another drain is in progress or complete.
+// inProgress reports whether err is the error of StartDrain for a drain that is already in progress or complete.
 func inProgress(err error) bool {
 	var busy *drain.InProgressError
 	return errors.As(err, &busy) || errors.Is(err, drain.ErrDrained)
 }
 
-// awaitDrain waits for the drain in progress. first is true if the caller has started the drain. In that case, the
-// end of ctx ends the drain.
+// awaitDrain waits for the drain in progress. first is true if the caller has started the drain. If first is true,
+// the end of ctx ends the drain.
 func (r *Router) awaitDrain(ctx context.Context, first bool) error {
 	r.drainMu.Lock()
 	run, status := r.drainRun, r.drainMachine.Status()
@@ -126,7 +126,7 @@
 	run := r.drainRun
 	run.cancelled.Store(true)
 	run.finish()
-	r.loop.drained.Store(false) // not set by the loop, which may be busy: CancelDrain must not wait
+	r.loop.drained.Store(false) // set here, because CancelDrain must not wait for a busy loop
 	r.resumeServing()
 	var err error
 	if run.acceptingStopped {
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -109,8 +109,9 @@
 	return next, over
 }
 
-// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned.
-// The operating system may have accepted connections that the listener has not seen yet. The caller holds drainMu.
+// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned,
+// because the operating system may have accepted connections that the listener has not seen yet. The caller holds
+// drainMu.
 func (r *Router) openWork() drain.Counts {
 	counts := drain.Counts{OpenRequests: int(r.loop.openRequests.Load())}
 	switch run := r.drainRun; {
@@ -149,8 +150,8 @@
 	return false
 }
 
-// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It acts once for each
-// kind of drain. The caller holds drainMu.
+// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It calls Shutdown at
+// most once in a final drain, and StopAccepting at most once in any other drain. The caller holds drainMu.
 func (r *Router) stopListeners(run *drainRun, status drain.Status) {
 	switch {
 	case status.Final && !run.shutdownStarted:
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -67,8 +67,7 @@
 }
 
 // applyPendingUpdate applies the queued endpoint update, if there is one, before the event that the loop has taken.
-// If the host has not run the loop for a while, requests have queued up. None of them may go to a server that is
-// draining.
+// Requests queue up while the host does not run the loop. None of these requests may go to a server that is draining.
 func (l *loop) applyPendingUpdate() {
 	select {
 	case update := <-l.endpointUpdates:
--- a/router/errors.go
+++ b/router/errors.go
@@ -9,7 +9,7 @@
 	ErrDrained = errors.New("router: drained")
 	// ErrNoLevels is returned if the router has no levels of service.
 	ErrNoLevels = errors.New("router: there are no levels of service")
-	// ErrBodyConsumed is returned by Upload.Open if the start of the body is no longer available.
+	// ErrBodyConsumed is returned by Upload.Open if the body can no longer be read from its start.
 	ErrBodyConsumed = errors.New("the start of the body was forwarded and is no longer buffered")
 )
 
--- a/router/event.go
+++ b/router/event.go
@@ -16,7 +16,7 @@
 		call *call
 		at   time.Time
 	}
-	// attemptEnded reports that the transport has returned from an attempt. attempt.result is set.
+	// attemptEnded reports that the transport has returned from attempt. attempt.result is set.
 	attemptEnded struct{ attempt *attempt }
 	// drainEnded makes the loop answer the open requests, unless run was cancelled.
 	drainEnded struct{ run *drainRun }
--- a/router/level_status.go
+++ b/router/level_status.go
@@ -9,7 +9,7 @@
 	"cobaltward/policy"
 )
 
-// LevelStatus describes the level of service in force, with the measurements that decide the level.
+// LevelStatus describes the level of service in force, with the measurements that determine the level.
 type LevelStatus struct {
 	Level  int            `json:"level"` // 0: full service
 	Name   string         `json:"name"`
--- a/router/request.go
+++ b/router/request.go
@@ -50,10 +50,11 @@
 type Upload interface {
 	// Length returns the length of the body in bytes, or -1 if it is unknown.
 	Length() int64
-	// Open returns a reader that starts at the first byte, or ErrBodyConsumed if the first byte was discarded. The
-	// reader waits for bytes that the client has not sent yet. It fails if the client aborts the upload.
+	// Open returns a reader that starts at the first byte, or ErrBodyConsumed if the body can no longer be read from
+	// its start. The reader waits for bytes that the client has not sent yet. It fails if the client aborts the
+	// upload.
 	Open() (io.Reader, error)
-	// Consumed reports whether the first byte was discarded.
+	// Consumed reports whether the body can no longer be read from its start.
 	Consumed() bool
 	// OnComplete registers f. f is called once, when the last byte arrives. If the last byte has arrived already,
 	// OnComplete returns true and does not call f.
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -18,7 +18,8 @@
 	// maxWallStep is the maximum movement of the wall clock against the monotonic clock that does not count as a
 	// step.
 	maxWallStep = time.Second
-	// minTrackedStarts is the minimum number of unlisted servers that are remembered.
+	// minTrackedStarts is the number of servers that may be remembered in addition to twice the number of listed
+	// servers.
 	minTrackedStarts = 1024
 )
 
--- a/router/withheld.go
+++ b/router/withheld.go
@@ -17,13 +17,13 @@
 	deliver func(*call, Answer) // safe for concurrent use
 
 	mu        sync.Mutex
-	writes    int // writes in progress
-	counting  bool
+	writes    int  // writes in progress
+	counting  bool // true until finishCounting
 	delivered bool
 }
 
-// deliverAfterWrites delivers answer to r, which is finished. A rejection waits until no attempt is being written. No
-// further write begins, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
+// deliverAfterWrites delivers answer to r. r must be finished. A rejection waits until no attempt is being written.
+// No further write begins, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
 func (l *loop) deliverAfterWrites(r *request, answer Answer) {
 	if answer.Outcome != Rejected && answer.Outcome != Overloaded {
 		l.deliver(r.call, answer)
