--- a/handshakes/conn.go
+++ b/handshakes/conn.go
@@ -17,19 +17,20 @@
 var ErrHandshakeTooLarge = errors.New("peer sent more than 64 KiB during the handshake")
 
 // Conn is the TCP connection under a TLS connection. During the handshake, the computations between its reads run
-// under a CPUScheduler. After EndHandshake it only passes on reads and writes. As with crypto/tls, one goroutine may
-// read while another goroutine writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be called at
-// any time by any goroutine.
+// under a CPUScheduler. After EndHandshake, Conn only passes on reads and writes. As with crypto/tls, one goroutine
+// may read while another goroutine writes. HasReceived, WithinRecord, IsComputing and DropBlockingWrites may be
+// called at any time by any goroutine.
 type Conn struct {
 	net.Conn // provides the methods that Conn does not define
 	TCP      *net.TCPConn
 	reader   *sockets.DeadlineReader
-	// AbortIfPeerCloses makes the handshake fail once the peer has closed the connection. The data of the last read
-	// is then not processed.
+	// AbortIfPeerCloses makes a read of the handshake fail if the peer has closed the connection. The data of that
+	// read is then not processed.
 	AbortIfPeerCloses bool
 	// TrackRecords makes blocking reads track TLS records, for WithinRecord.
 	TrackRecords bool
-	// OnReceive, if it is not nil, is called after each blocking read after the handshake that returned bytes.
+	// OnReceive is called after each blocking read that returned bytes. It is not called during the handshake, and may
+	// be nil.
 	OnReceive func()
 
 	cpu            *CPUScheduler
@@ -47,11 +48,11 @@
 	readsNonBlocking  bool
 	writesNonBlocking atomic.Bool
 	received          atomic.Bool
-	computing         atomic.Bool               // a handshake computation is queued or running
+	computing         atomic.Bool               // whether a handshake computation is queued or running
 	lastComputed      atomic.Pointer[time.Time] // end of the last computation; nil: none yet
 }
 
-// NewConn returns the connection of a handshake that starts now. urgent says that a request is waiting for the
+// NewConn returns the connection of a handshake that starts now. urgent reports whether a request is waiting for the
 // handshake. The handshake fails at the deadline, or when cancelled is closed.
 func NewConn(tcp *net.TCPConn, cpu *CPUScheduler, urgent bool, deadline time.Time, cancelled <-chan struct{}) *Conn {
 	return &Conn{
@@ -87,8 +88,8 @@
 	return lastComputed != nil && time.Since(*lastComputed) < SilentAfter
 }
 
-// BeginCompute waits until a computation may run. A TLS client calls BeginCompute before its first read, because it
-// generates its key share before that read.
+// BeginCompute waits until a computation of the handshake may run. A TLS client calls BeginCompute before its first
+// read, because the client generates its key share before that read.
 func (c *Conn) BeginCompute() error {
 	if err := c.cpu.acquire(&c.task, c.deadline, c.cancelled); err != nil {
 		return err
@@ -109,7 +110,7 @@
 	c.cpu.release(&c.task, c.taskStart)
 }
 
-// Read reads from the connection. During the handshake it returns only when the CPU is available for the next
+// Read reads from the connection. During the handshake it returns data only when the CPU is available for the next
 // computation.
 func (c *Conn) Read(p []byte) (int, error) {
 	switch {
--- a/router/drain.go
+++ b/router/drain.go
@@ -43,14 +43,14 @@
 	return r.awaitDrain(ctx, err == nil)
 }
 
-// inProgress reports whether StartDrain failed because another drain is in progress or complete.
+// inProgress reports whether err is the error of StartDrain for a drain that is already in progress or complete.
 func inProgress(err error) bool {
 	var busy *drain.InProgressError
 	return errors.As(err, &busy) || errors.Is(err, drain.ErrDrained)
 }
 
-// awaitDrain waits for the drain in progress. first is true if the caller has started the drain. In that case, the
-// end of ctx ends the drain.
+// awaitDrain waits for the drain in progress. first is true if the caller has started the drain. If first is true,
+// the end of ctx ends the drain.
 func (r *Router) awaitDrain(ctx context.Context, first bool) error {
 	r.drainMu.Lock()
 	run, status := r.drainRun, r.drainMachine.Status()
@@ -79,7 +79,7 @@
 	return ctx.Err()
 }
 
-// forceDrain moves the deadline of the drain run to now, and waits until the drain has ended.
+// forceDrain moves the deadline of the drain to now, and waits until run has ended.
 func (r *Router) forceDrain(run *drainRun) {
 	r.drainMu.Lock()
 	r.drainMachine.ExpireNow(time.Now())
@@ -126,7 +126,7 @@
 	run := r.drainRun
 	run.cancelled.Store(true)
 	run.finish()
-	r.loop.drained.Store(false) // not set by the loop, which may be busy: CancelDrain must not wait
+	r.loop.drained.Store(false) // set here, because CancelDrain must not wait for a busy loop
 	r.resumeServing()
 	var err error
 	if run.acceptingStopped {
@@ -145,7 +145,7 @@
 	return r.drainMachine.Status()
 }
 
-// DrainEvents returns the retained events after the event with the number n.
+// DrainEvents returns the retained events with a number greater than n, oldest first.
 func (r *Router) DrainEvents(n uint64) []drain.Event {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -163,7 +163,8 @@
 	return open, busy
 }
 
-// pendingFirstRequests returns the number of connections whose first request is in progress or may still arrive.
+// pendingFirstRequests returns the sum of PendingFirstRequests over all listeners that implement
+// FirstRequestListener.
 func (r *Router) pendingFirstRequests() int {
 	pending := 0
 	for _, l := range r.listeners {
--- a/router/drain_run.go
+++ b/router/drain_run.go
@@ -17,13 +17,13 @@
 type drainRun struct {
 	wakeup    chan struct{} // signals a change of the drain machine; buffered for one signal
 	done      chan struct{} // closed once the drain is over or cancelled
-	cancelled atomic.Bool   // the loop must ignore the drainEnded event of this drain
+	cancelled atomic.Bool   // whether the drain was cancelled; the loop then ignores its drainEnded event
 
-	// The fields below are guarded by Router.drainMu. The first three are used only in final drains.
+	// Router.drainMu guards the four fields below. The first three are used only in final drains.
 	shutdownStarted  bool
 	shuttingDown     int                // listeners whose Shutdown has not returned
 	cancelShutdown   context.CancelFunc // ends the context of the Shutdown calls
-	acceptingStopped bool               // StopAccepting was called; ResumeAccepting can undo it
+	acceptingStopped bool               // whether StopAccepting was called, which ResumeAccepting can undo
 
 	listeners sync.WaitGroup // goroutines that call Listener.Shutdown
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// endDrainRun ends run, unless the drain was cancelled in the meantime.
+// endDrainRun ends run. It does nothing if run has already ended because the drain was cancelled.
 func (r *Router) endDrainRun(run *drainRun) {
 	r.drainMu.Lock()
 	defer r.drainMu.Unlock()
@@ -109,8 +109,9 @@
 	return next, over
 }
 
-// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned.
-// The operating system may have accepted connections that the listener has not seen yet. The caller holds drainMu.
+// openWork counts the remaining work. In a final drain, each listener counts as work until its Shutdown has returned,
+// because the operating system may have accepted connections that the listener has not seen yet. The caller holds
+// drainMu.
 func (r *Router) openWork() drain.Counts {
 	counts := drain.Counts{OpenRequests: int(r.loop.openRequests.Load())}
 	switch run := r.drainRun; {
@@ -125,8 +126,8 @@
 	return counts
 }
 
-// applyDrainState takes the measures of the state of the machine. over reports whether the drain is over. The caller
-// holds drainMu.
+// applyDrainState advances the phase of the router, and stops the listeners, as the state of the drain machine
+// requires. over reports whether the drain is over. The caller holds drainMu.
 func (r *Router) applyDrainState(run *drainRun) (over bool) {
 	status := r.drainMachine.Status()
 	switch status.State {
@@ -149,8 +150,8 @@
 	return false
 }
 
-// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It acts once for each
-// kind of drain. The caller holds drainMu.
+// stopListeners makes the listeners stop accepting connections, for good if the drain is final. It calls Shutdown at
+// most once in a final drain, and StopAccepting at most once in any other drain. The caller holds drainMu.
 func (r *Router) stopListeners(run *drainRun, status drain.Status) {
 	switch {
 	case status.Final && !run.shutdownStarted:
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -56,7 +56,7 @@
 	return ordered
 }
 
-// sendUpdate queues update, one batch. It returns false if the loop has ended.
+// sendUpdate queues update, which is a single batch. It returns false if the loop has ended.
 func (l *loop) sendUpdate(update EndpointUpdate) bool {
 	select {
 	case l.endpointUpdates <- update:
@@ -67,8 +67,7 @@
 }
 
 // applyPendingUpdate applies the queued endpoint update, if there is one, before the event that the loop has taken.
-// If the host has not run the loop for a while, requests have queued up. None of them may go to a server that is
-// draining.
+// Requests queue up while the host does not run the loop. None of these requests may go to a server that is draining.
 func (l *loop) applyPendingUpdate() {
 	select {
 	case update := <-l.endpointUpdates:
