--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	defaultDrainTimeout = 30 * time.Second // timeout of orders that name none
-	drainLeaveFor       = time.Second      // time after the announcement in which connections close with their answers
+	defaultDrainTimeout = 30 * time.Second // timeout of drain orders without a timeout
+	drainLeaveFor       = time.Second      // second phase, in which each connection closes with its next answer
 	maxOrderDuration    = 24 * time.Hour
-	// phaseDivisor limits each of the first two phases of a drain to a quarter of its timeout. Clients must have left
-	// before a short drain ends.
+	// phaseDivisor limits each of the first two phases of a drain to a quarter of the drain's timeout. Clients must
+	// have left before a short drain ends.
 	phaseDivisor = 4
 )
 
-// otherProcess is the recorded requester of an order that another process of this node received.
+// otherProcess is recorded as the requester of a drain that another process of this node has ordered.
 const otherProcess = "another process of this node"
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
@@ -177,7 +177,7 @@
 	}
 }
 
-// restoreDrain starts a drain if the drain marker file exists, which means that the previous process was draining.
+// restoreDrain starts a drain if the drain marker file exists. The file means that the previous process was draining.
 func (a *adminAPI) restoreDrain() {
 	if a.drainMarkerFile == "" {
 		return
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -9,8 +9,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// requestArrival is a sockets.Arrival that is safe for concurrent use. It makes system calls and therefore has its
-// own mutex: the listener's mutex would block all connections meanwhile.
+// requestArrival is a sockets.Arrival that is safe for concurrent use. It has its own mutex, because its methods make
+// system calls. System calls under the listener's mutex would block all connections.
 type requestArrival struct {
 	mu      sync.Mutex
 	arrival sockets.Arrival
@@ -49,7 +49,7 @@
 	a.arrival.RecordNextStart(time.Now())
 }
 
-// advance makes the next request the current one.
+// advance makes the next request the current request.
 func (a *requestArrival) advance() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,8 +64,8 @@
 }
 
 // arrivalAge returns an upper bound of the time since the last byte of the current request arrived. It returns 0 if
-// the connection is unknown. It uses the kernel's time of the last receipt where possible. For pipelined requests
-// that time may belong to a later request and is not used.
+// ctx has no clientConn. Where possible, it uses the time at which the kernel last received bytes. With pipelined
+// requests it does not use that time, because the bytes may belong to a later request.
 func arrivalAge(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -13,8 +13,8 @@
 // left.
 const deadlineSlack = 150 * time.Millisecond
 
-// delayedListener returns each connection some time after the accept. The request waits in the socket buffer
-// meanwhile.
+// delayedListener returns each connection some time after the accept. Until then the request waits in the socket
+// buffer.
 type delayedListener struct {
 	net.Listener
 	delay time.Duration
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -28,7 +28,7 @@
 	maxHeaderBytes    = 16 << 10
 	headerTimeout     = 2500 * time.Millisecond // timeout for a request's head, from its first byte
 	bodyTimeout       = 5 * time.Second         // timeout for a request's body, plus the transfer time on a slow network
-	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; eviction may come earlier
+	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections open
 	newConnTimeout    = 15 * time.Second        // timeout for the first byte after the accept or the TLS handshake
 	rpcIdleTimeout    = 15 * time.Second        // idle timeout of MessagePack-RPC; documented in docs/msgpack-rpc.md
 	writeTimeout      = 5 * time.Second         // timeout for writing an answer to a client that does not read
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -43,12 +43,12 @@
 	closed        bool            // whether clientListener.open no longer counts the connection
 	halfClosed    bool            // whether the node closes its side; later requests are not served
 	endCause      endCause        // reason for the end without an answer; endNone: no such end
-	bytesAfterEnd bool            // whether bytes that arrived after the end are counted
+	bytesAfterEnd bool            // whether bytes arrived after the end and were counted
 	mustLinger    bool            // whether Close must linger; unread bytes would cause a reset
 	lingers       bool            // whether Close was called and the connection lingers
 	lingerElement *linked.Element // element in clientListener.lingering; nil: not lingering
 	overflow      bool            // whether the connection has no slot; its requests are rejected
-	lastPartialAt time.Time       // last arrival of bytes of a request not yet handed on
+	lastPartialAt time.Time       // last arrival of bytes while in listener.partialRequests
 }
 
 // clientStream is the byte stream of a client's connection, with or without TLS.
--- a/internal/node/clientdeadline.go
+++ b/internal/node/clientdeadline.go
@@ -150,7 +150,7 @@
 	_ = d.updateLocked()
 }
 
-// beginOpen begins phaseOpen, unless phaseOpen has already begun. withinBody says that the body is incomplete.
+// beginOpen begins phaseOpen, unless phaseOpen has already begun. withinBody is true if the body is incomplete.
 // bodyTimeout limits the reads of the body until a handler sets its own limits.
 func (d *readDeadline) beginOpen(withinBody bool) {
 	d.mu.Lock()
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -28,10 +28,10 @@
 	rejectionWriteTimeout = 100 * time.Millisecond
 )
 
-// evictIdleLocked evicts an idle connection and reports whether there was one. It releases the mutex meanwhile.
-// Connections older than silentConnAge without any request come first, then the connection that has been idle
-// longest. Connections within firstRequestGrace are evicted only if includeNew is set: their clients do not expect a
-// close, and may get no answer on the next connection either.
+// evictIdleLocked evicts an idle connection and reports whether there was one. It releases the mutex during the
+// eviction. Connections older than silentConnAge without any request come first, then the connection that has been
+// idle longest. Connections within firstRequestGrace are evicted only if includeNew is set. Their clients do not
+// expect a close, and may get no answer on the next connection either.
 func (l *clientListener) evictIdleLocked(includeNew bool) bool {
 	isSilent := func(c *clientConn) bool {
 		return !c.requestSeen && !c.awaitsFirstRequestLocked(silentConnAge)
@@ -48,8 +48,8 @@
 	return false
 }
 
-// longestIdleLocked returns the candidate that has been idle longest, or nil if there is none. It skips connections
-// with an unfinished handshake that has begun, and connections whose request has arrived.
+// longestIdleLocked returns the longest idle connection for which isCandidate returns true, or nil if there is none.
+// It skips connections with unread bytes, and connections in a TLS handshake of which bytes have arrived.
 func (l *clientListener) longestIdleLocked(isCandidate func(*clientConn) bool) *clientConn {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// evictStalledLocked evicts the stalled connection whose last byte of a request is the oldest. It reports whether
-// there was one. A connection is stalled after stalledRequestAge, an overflow connection after overflowStallTimeout.
-// The mutex is released meanwhile.
+// evictStalledLocked evicts the stalled connection with the longest wait for the next byte of a request. It reports
+// whether any connection was stalled. A connection is stalled after stalledRequestAge, an overflow connection after
+// overflowStallTimeout. The mutex is released during the eviction.
 func (l *clientListener) evictStalledLocked() bool {
 	now := time.Now()
 	var longest *clientConn
@@ -83,8 +83,9 @@
 	return true
 }
 
-// evictHandshakeLocked closes the oldest connection whose TLS handshake has waited too long for the client. The
-// limits are stalledHandshakeAge and silentHandshakeAge. It reports whether there was such a connection.
+// evictHandshakeLocked closes the oldest connection in a TLS handshake whose client is late. It reports whether there
+// was such a connection. A client is late after silentHandshakeAge if it has sent nothing, and otherwise after
+// stalledHandshakeAge. Handshakes that wait for the CPU are skipped.
 func (l *clientListener) evictHandshakeLocked() bool {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -101,10 +102,11 @@
 	return false
 }
 
-// rejectEvictedLocked ends an evicted connection, which then lingers. It releases the mutex meanwhile. If
-// withRejection is set, a plain connection gets a 503 first, because the rest of its request may be on its way. A
-// half-closed connection gets none: its client would not read a response after Connection: close. The rejection is
-// written first, because the reader closes a connection that counts as closed.
+// rejectEvictedLocked ends conn, an evicted connection. It releases the mutex while it closes the node's side. conn
+// then lingers, except during a TLS handshake. If withRejection is set, a plain TCP connection gets a 503 first,
+// because the rest of its request may be on its way. A half-closed connection gets no 503, because its client does not
+// read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed, because
+// the reader closes connections so marked.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -17,9 +17,9 @@
 // rejectionStart is the start of the response to an evicted connection.
 const rejectionStart = "HTTP/1.1 503"
 
-// TestEviction_SparesNewConnection checks that a connection whose first request is on its way is not evicted. A
-// client connects to a full node and sends its request a moment later. Another client that connects meanwhile must
-// get the slot of an older connection, which becomes idle.
+// TestEviction_SparesNewConnection checks that a connection whose first request is on its way is not evicted. A client
+// connects to a full node and sends its request a moment later. A second client connects between the two. It must get
+// the slot of an older connection, which becomes idle.
 func TestEviction_SparesNewConnection(t *testing.T) {
 	listener, _, older := newClientPair(t)
 	listener.setMaxConns(2)
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestEviction_RequestIsNotHandedOn checks that a request is handed on to the router or its connection is evicted,
-// but never both. The test tries to evict the connection before and after the hand-on. A client that got a rejection
-// may retry its request, so the first request must not run.
+// TestEviction_RequestIsNotHandedOn checks that a request is passed to the router or its connection is evicted, but
+// never both. The test tries to evict the connection before and after mustReject decides. A client that got a
+// rejection may retry its request, so the first request must not run.
 func TestEviction_RequestIsNotHandedOn(t *testing.T) {
 	for _, handedOnFirst := range []bool{false, true} {
 		listener, _, conn := newClientPair(t)
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -15,7 +15,7 @@
 )
 
 // overflowConns is the maximum number of overflow connections, whose requests are rejected at once. Their file
-// descriptors come from those that the node reserves for itself.
+// descriptors are part of reservedDescriptors.
 const overflowConns = 6
 
 // clientListener accepts the connections of clients and limits their number. Above the limit it evicts the connection
@@ -40,7 +40,8 @@
 	slotFreed sync.Cond   // signaled when an accepted connection may get a slot
 	open      int         // number of connections, including those in excess of maxConns
 	idle      linked.List // *clientConn elements without a request, longest idle first
-	// partialRequests holds the connections with bytes of a request that is not handed on yet.
+	// partialRequests holds the connections with a request that has begun to arrive and was not passed to the router
+	// yet.
 	partialRequests  map[*clientConn]bool
 	closed           bool
 	queue            sockets.AcceptQueue
@@ -74,7 +75,7 @@
 	return listener
 }
 
-// Accept returns the next connection once it has a slot, or as an overflow connection.
+// Accept returns the next connection, which has a slot or is an overflow connection. It may wait for a slot.
 func (l *clientListener) Accept() (net.Conn, error) {
 	tcp, err := l.acceptQueued()
 	if err != nil {
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -69,7 +69,8 @@
 	return n, n > 0 && !c.recordRequestBytes(began, n < len(buf)), err
 }
 
-// shouldRetryRead reports whether a timed-out read must be tried again. If not, it ends an idle TLS connection.
+// shouldRetryRead reports whether a timed-out read must be tried again. It ends a TLS connection that is idle at its
+// read deadline.
 func (c *clientConn) shouldRetryRead() bool {
 	return c.tls != nil && !c.endIdleTLS() || c.deadline.extendRead()
 }
@@ -121,8 +122,8 @@
 	return n, closing, nil
 }
 
-// endIdleLocked ends a connection that is idle at its read deadline. The caller has held the mutex since a check that
-// found no unread bytes. Bytes that arrive after the check are discarded and counted.
+// endIdleLocked ends a connection that is idle at its read deadline. The caller has found no unread bytes, and has
+// held the mutex since that check. Bytes that arrive after the check are discarded and counted.
 func (c *clientConn) endIdleLocked() {
 	if c.halfClosed || c.closed {
 		return
@@ -132,8 +133,8 @@
 	c.recordEndLocked(endIdle)
 }
 
-// endIdleTLS ends a TLS connection that is idle at its read deadline. It returns false if bytes have arrived since
-// the last read. The caller must then read again.
+// endIdleTLS ends a TLS connection that is idle at its read deadline. It returns false if the caller must read again,
+// because bytes have arrived since the last read. If the connection is not idle, it returns true and ends nothing.
 func (c *clientConn) endIdleTLS() (ended bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -233,7 +233,7 @@
 }
 
 // TestExpectation_BodyNeverComes checks that a connection ends if its client never sends the body. The client sends
-// only a head, which net/http itself answers with 417.
+// only a head. The head has an unsupported Expect, so net/http itself answers 417.
 func TestExpectation_BodyNeverComes(t *testing.T) {
 	t.Parallel()
 	listener := newTestListener(t, 4)
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -50,8 +50,8 @@
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the idle connections that have passed drainFirstRequestGrace since closeIdle. It does nothing
-// after cancelCloseIdle.
+// recheckIdle closes the idle connections that have become older than drainFirstRequestGrace since closeIdle. It does
+// nothing after cancelCloseIdle.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
@@ -79,8 +79,9 @@
 	l.shuttingDown = false
 }
 
-// halfCloseIdleLocked marks the idle connections as half closed and returns them. Two kinds of connections are left
-// to recheckIdle: those in a TLS handshake, and those without any request within drainFirstRequestGrace.
+// halfCloseIdleLocked marks the idle connections as half closed and returns them. Two kinds of connections are left to
+// recheckIdle: connections in a TLS handshake, and connections without any request that are younger than
+// drainFirstRequestGrace.
 func (l *clientListener) halfCloseIdleLocked() (idle []*clientConn) {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -10,10 +10,10 @@
 // slotRecheckInterval is the interval between checks for connections that have become old enough to be evicted.
 const slotRecheckInterval = 5 * time.Millisecond
 
-// awaitSlotLocked waits until there is a slot for an accepted connection. It evicts another connection if possible.
-// If all open connections have requests, the wait may last until a request ends, while the requests in the accept
-// queue get older. After queueTimeout, conn therefore becomes an overflow connection, whose requests are rejected at
-// once.
+// awaitSlotLocked waits until there is a slot for conn, an accepted connection. It evicts another connection if
+// possible. If all open connections have requests, the wait may last until a request ends. The connections in the
+// accept queue wait as well. After queueTimeout, conn therefore becomes an overflow connection, whose requests are
+// rejected at once.
 func (l *clientListener) awaitSlotLocked(conn *clientConn) {
 	for l.open > l.maxConns && !l.closed {
 		timeout := l.queueTimeout() - time.Since(l.queuedSinceLocked(conn))
@@ -47,7 +47,7 @@
 }
 
 // awaitHandshakeSlotLocked waits until another TLS handshake may begin. It evicts a stalled handshake if too many
-// wait for their clients.
+// handshakes wait for their clients.
 func (l *clientListener) awaitHandshakeSlotLocked() {
 	for !l.closed {
 		admit, tooManyWaiting := l.admitHandshakeLocked()
@@ -74,9 +74,9 @@
 	return handshakes.AdmitClient(active, waiting, l.maxConns)
 }
 
-// mustReject reports whether a request must be rejected instead of being handed on. Its connection is either an
-// overflow connection that still has no slot, or was just evicted and got a rejection. A connection whose request is
-// handed on is not evicted before the answer.
+// mustReject reports whether a request must be rejected instead of passed to the router. It returns true for an
+// overflow connection that still has no slot, and for a connection that was just evicted. If it returns false, the
+// connection is not evicted before the answer.
 func mustReject(ctx context.Context) bool {
 	c, ok := ctx.Value(clientConnKey{}).(*clientConn)
 	if !ok {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -33,16 +33,18 @@
 	ConnectTimeout time.Duration // timeout for connecting to a server
 
 	// AnnounceFor is the time for which a node that shuts down is not ready but still serves as before. nil: 0.6 of
-	// DrainTimeout. If DrainTimeout is nil as well: 0.6 of the longest deadline, but at least 0.42 s.
+	// DrainTimeout. If DrainTimeout is nil as well: 0.6 of the longest deadline of a class (at most 3 s), but at least
+	// 0.42 s.
 	AnnounceFor *time.Duration
-	// DrainTimeout limits the drain of a shutdown; the last connections close up to 0.15 s later. nil: usually 0.3 s
-	// more than the longest deadline of a class, which counts as at most 3 s. Short deadlines get up to 0.57 s.
+	// DrainTimeout limits the drain of a shutdown; the last connections close up to 0.15 s later. nil: the longest
+	// deadline of a class (at most 3 s) plus 0.3 s, but 0.42 s to 0.57 s if that deadline is below 0.27 s. With nil, a
+	// drain may last up to 0.3 s longer for connections that wait for their first response.
 	DrainTimeout *time.Duration
 
 	// OperationsListener is the listener of the operations endpoint; nil: no endpoint. The node closes the listener.
 	OperationsListener net.Listener
-	// SharedListener says that other processes share the listening socket for clients. They accept the connections that
-	// this process does not accept.
+	// SharedListener is true if other processes share the listening socket for clients. Those processes accept the
+	// connections that this process does not accept.
 	SharedListener bool
 
 	// SharedDir is the directory through which the processes with a shared listener coordinate; empty: no coordination.
@@ -55,7 +57,7 @@
 
 	// AdminAPI says where the admin API listens; the zero value disables it.
 	AdminAPI adminapi.Config
-	// DrainMarkerFile is the path of the drain marker file, which exists during a drain by request. A restarted process
+	// DrainMarkerFile is the path of the drain marker file, which exists during a requested drain. A restarted process
 	// that finds the file drains again. If the path is empty, a restarted process serves.
 	DrainMarkerFile string
 
@@ -72,7 +74,8 @@
 	// Requests for the path ready must reach next unchanged.
 	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// NewEndpointSource derives the source of endpoints from the registry's source, own; nil: own is the source.
+	// NewEndpointSource returns the source of endpoints. The parameter own is the registry's source. nil: the node
+	// uses the registry's source.
 	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
--- a/internal/node/connlimits.go
+++ b/internal/node/connlimits.go
@@ -3,9 +3,9 @@
 import "cobaltward/internal/operations"
 
 const (
-	minDescriptors      = 64  // minimum for the node itself, clients and servers
+	minDescriptors      = 64  // minimum of Config.MaxDescriptors in a configuration file
 	reservedDescriptors = 24  // descriptors for the log, discovery, the Go runtime and so on
-	clientConnShare     = 0.4 // share of the rest for HTTP clients: a third of the rest for their requests, plus a reserve
+	clientConnShare     = 0.4 // share of the other descriptors for HTTP clients; their requests need a third
 	// msgpackConnDivisor limits MessagePack-RPC connections, to clients and to servers, to a quarter of the available
 	// connections. Each such connection carries many calls.
 	msgpackConnDivisor = 4
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// standbyAndBack starts a drain by the operations endpoint and cancels it at a random moment, in whatever state.
+// standbyAndBack starts a drain by the operations endpoint and cancels it after a random time, in whichever state the
+// drain is then.
 func (s *drainScript) standbyAndBack() {
 	s.t.Helper()
 	if code := s.callOperations("/standby"); code != http.StatusOK {
@@ -93,7 +94,7 @@
 // checkOpenRequests checks that the node counts at most as many open requests as the clients may have sent.
 func (s *drainScript) checkOpenRequests() {
 	s.t.Helper()
-	const clients = 24 // each client may have sent another request meanwhile
+	const clients = 24 // one request of each client may begin or end during the call
 	before := s.inFlight.Load()
 	code, status := s.callAdmin(http.MethodGet, "/status", nil)
 	if code != http.StatusOK {
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -15,8 +15,7 @@
 const idleCloseInterval = 20 * time.Millisecond
 
 // httpServer is the node's HTTP listener with its connections. The listener stays open during a drain by request:
-// readiness checks get an answer and new requests a rejection. With a closed listener, their clients could not
-// connect.
+// readiness checks get an answer and new requests a rejection. With a closed listener, clients could not connect.
 type httpServer struct {
 	server       *http.Server
 	listener     *clientListener
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,8 @@
 	processGroup    *processGroup      // nil: this is the only process of the node
 	state           *stateStore
 
-	// handedOver says that another process accepts clients at the same socket. Readiness checks still succeed then.
+	// handedOver is true once another process accepts the clients at the shared socket. Readiness checks then still
+	// succeed during the shutdown.
 	handedOver atomic.Bool
 
 	tasks       sync.WaitGroup // goroutines started by start and drain
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -24,7 +24,7 @@
 	unanswered  func() unansweredCounts
 }
 
-// Serving reports whether this process can serve. A process in standby can.
+// Serving reports whether this process has started and is not closed. It returns true in standby.
 func (o *operationsNode) Serving() bool {
 	phase := o.engine.Phase()
 	return phase != router.Starting && phase != router.Closed
@@ -78,7 +78,7 @@
 	return appendMetric(page, "unanswered", "drain", unanswered.drains)
 }
 
-// appendMetric appends one line: name=value without a class, name.class=value with a class.
+// appendMetric appends the line name.class=value, or name=value if class is empty.
 func appendMetric(page []byte, name, class string, value uint64) []byte {
 	page = append(page, name...)
 	if class != "" {
--- a/internal/node/queueage.go
+++ b/internal/node/queueage.go
@@ -7,8 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// queuedSinceLocked returns the time from which an accepted connection counts as waiting for a slot. The time that
-// the client itself took to send its request does not count. Clients behind it in the accept queue connected later.
+// queuedSinceLocked returns the time from which c, an accepted connection, counts as waiting for a slot. The time that
+// c's client took to send its request does not count. Clients behind c in the accept queue connected later than c.
 func (l *clientListener) queuedSinceLocked(c *clientConn) time.Time {
 	isComplete := framing.IsCompleteRequest
 	if c.tls != nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -18,10 +18,11 @@
 	// drainMargin is the usual maximum duration of a drain beyond the longest deadline.
 	drainMargin        = 300 * time.Millisecond
 	finalAnswerTimeout = 150 * time.Millisecond // timeout for writing the answers to requests that fail at the end
-	// killDelay is the minimum time between the longest deadline after SIGTERM and the platform's SIGKILL.
+	// killDelay is the minimum time from the longest deadline to the SIGKILL of the platform. The deadline counts from
+	// SIGTERM.
 	killDelay = 700 * time.Millisecond
-	// serveMargin is the minimum time between the end of the drain and SIGKILL. The end of the drain answers the open
-	// requests.
+	// serveMargin is the minimum time between the end of the drain and SIGKILL. Requests that are still open when the
+	// drain ends are answered in that time.
 	serveMargin = 100 * time.Millisecond
 	// closeMargin is the minimum time between the close of the last connections and SIGKILL.
 	closeMargin = 50 * time.Millisecond
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// apply restores a snapshot in its stored form, with reduced weight according to its age.
+// apply restores raw, a snapshot in its stored form. The older the snapshot, the lower its weight.
 func (s *stateStore) apply(raw []byte) error {
 	snapshot, err := learnedstate.Decode(raw)
 	if err != nil {
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -87,7 +87,7 @@
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		stopNode(t, stop, ended)
 		rewriteState(t, node.state.File, func(snapshot *learnedstate.Snapshot) {
-			snapshot.At = snapshot.At.Add(-step) // as saved before a step of the clock
+			snapshot.At = snapshot.At.Add(-step) // as if the clock had been stepped after the save
 			snapshot.State.Servers[0].Threshold = want
 		})
 		stop, ended = node.start()
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -45,7 +45,7 @@
 	checker       *checker.Checker
 	executed      map[string]bool // by request ID
 	startedAt     time.Time
-	failingServer atomic.Int64 // number, from 1, of the server that fails some requests; no such server: none
+	failingServer atomic.Int64 // number, from 1, of the server that fails some requests; other numbers: none
 
 	clientCounts
 }
@@ -155,7 +155,7 @@
 	return router.Endpoint{ID: serverID, Addr: server.Addr, Zone: "a", Kind: "k", Weight: 1}
 }
 
-// locked calls f with the time since newTestNode. It holds the mutex of checker and executed meanwhile.
+// locked calls f with the time since newTestNode. It holds the mutex of checker and executed during the call.
 func (n *testNode) locked(f func(now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -18,7 +18,7 @@
 
 // TLS configures TLS with servers, clients and operators. Changed certificate files take effect while the node runs.
 type TLS struct {
-	ServerRules            []secure.Rule // TLS use by server; the first rule that matches a server applies
+	ServerRules            []secure.Rule // rules for TLS with servers; the first rule that matches a server applies
 	HandshakeLimits        handshakes.Limits
 	ServerHandshakeTimeout time.Duration // 0: the transport's default
 	CPUShare               float64       // share of a core for handshakes while requests are in flight; 0: default
@@ -45,8 +45,8 @@
 	HandshakeTimeout  time.Duration // 0: the default
 }
 
-// nodeTLS is the TLS state of a running node. A nil *nodeTLS is a node without TLS. run, status, close, wrapMsgpack,
-// transportLayer and clientListenerLayer accept a nil receiver. Its methods are safe for concurrent use.
+// nodeTLS is the TLS state of a running node. A nil *nodeTLS stands for a node without TLS. run, status, close,
+// wrapMsgpack, transportLayer and clientListenerLayer accept a nil receiver. Its methods are safe for concurrent use.
 type nodeTLS struct {
 	config             TLS
 	log                *slog.Logger
--- a/internal/node/tlsreload.go
+++ b/internal/node/tlsreload.go
@@ -88,7 +88,7 @@
 		}
 	}
 	var rejected *string
-	for _, reason := range c.rejected { // keeps one of the reasons; the log contains all of them
+	for _, reason := range c.rejected { // the status shows one of the reasons; the log has all of them
 		rejected = &reason
 	}
 	c.tls.rejectedFileReason.Store(rejected)
