--- a/internal/node/unanswered.go
+++ b/internal/node/unanswered.go
@@ -101,7 +101,7 @@
 	switch {
 	case c.bytesAfterEnd:
 		return
-	case c.endCause == endNone || c.endCause == endHeadTimeout || c.endCause == endClientClosed: // answered, or counted already
+	case c.endCause == endNone || c.endCause == endHeadTimeout || c.endCause == endClientClosed: // answered or counted
 		return
 	}
 	c.bytesAfterEnd = true
--- a/transport/http1/dial.go
+++ b/transport/http1/dial.go
@@ -11,7 +11,7 @@
 	"cobaltward/transport/secure"
 )
 
-// acquire takes an idle connection to the server id, or opens a connection.
+// acquire takes an idle connection to the server with the given ID, or opens a connection.
 func (t *Transport) acquire(ctx context.Context, id string) (*conn, error) {
 	s, c, err := t.reserve(id, true)
 	if c != nil || err != nil {
--- a/transport/http1/head.go
+++ b/transport/http1/head.go
@@ -12,16 +12,16 @@
 // responseHead contains the parts of a response head that the transport uses.
 type responseHead struct {
 	status      int
-	length      int  // bytes of the body; -1: unknown
-	closeAfter  bool // the connection must be closed after this response
+	length      int  // length of the body in bytes; -1: unknown
+	closeAfter  bool // whether the connection must be closed after this response
 	contentType string
 	loadReport  string // value of the X-Load header
-	notRun      bool   // the head has X-Not-Run: 1
+	notRun      bool   // whether the head has X-Not-Run: 1
 }
 
 const (
 	protocolPrefix   = "HTTP/1.1 "
-	statusEnd        = len(protocolPrefix) + 3 // index in a status line after the three digits of the status
+	statusEnd        = len(protocolPrefix) + 3 // length of a status line up to the end of the three-digit status
 	maxLengthDigits  = 7                       // maximum digits of a Content-Length in a simple head
 	headEnd          = "\r\n\r\n"
 	lineEnd          = "\r\n"
--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// reserve returns an idle connection to the server id. If there is none, it returns a nil connection and counts one
-// more connection in openConns, which the caller must open. forRequest is true if a request needs the connection.
+// reserve returns an idle connection to the server with the given ID. If there is none, it returns a nil connection
+// and increments openConns. The caller must then open a connection or call unreserve. forRequest is true if a request
+// needs the connection.
 func (t *Transport) reserve(id string, forRequest bool) (*server, *conn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,7 +69,7 @@
 	return srv, nil, nil
 }
 
-// unreserve removes the count that reserve has added, if the connection could not be opened.
+// unreserve undoes the increment of openConns by reserve. It is called if no connection was opened.
 func (t *Transport) unreserve() {
 	t.mu.Lock()
 	t.openConns--
@@ -114,9 +115,9 @@
 	return true
 }
 
-// release returns connection to the pool of the server id if reusable is true, and closes it otherwise. The pool is
-// sorted by lastUsed. An attempt that wrote nothing does not change lastUsed, because for the server the connection
-// has been idle all the time.
+// release returns connection to the pool of the server with the given ID if reusable is true and that server was not
+// replaced. Otherwise it closes connection. The pool is sorted by lastUsed. An attempt that wrote nothing does not
+// change lastUsed, because for the server the connection has been idle all the time.
 func (t *Transport) release(connection *conn, id string, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/preconnect.go
+++ b/transport/http1/preconnect.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// preconnectTo starts to open a connection to the server id, unless a connection is idle by now.
+// preconnectTo starts to open a connection to the server with the given ID, unless a connection is idle by now.
 func (t *Transport) preconnectTo(id string) {
 	s, c, err := t.reserve(id, false)
 	if err != nil {
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -19,9 +19,9 @@
 	buffered    []byte
 	err         error         // error that ended the body, including io.EOF; nil: not ended
 	ready       chan struct{} // closed when the body has ended or maxBuffered is reached
-	isReady     bool          // ready is closed
-	maxBuffered int           // length of buffered, in bytes, from which run waits
-	closed      bool          // the reader has left: waiting goroutines return
+	isReady     bool          // whether ready is closed
+	maxBuffered int           // length of buffered, in bytes, from which add waits
+	closed      bool          // whether the reader has left; waiting goroutines then return
 }
 
 func newReadAhead(body io.Reader) *readAhead {
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10 // maximum body of a response without a stream
+	maxBodyBytes        = 64 << 10 // maximum length of a body that is not streamed
 	maxHeadBytes        = 16 << 10 // maximum head of a response
 	maxInterimResponses = 8        // maximum number of 1xx responses before the final response
 )
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -35,7 +35,7 @@
 	length     int64
 	closeAfter bool
 
-	complete  atomic.Bool // the body was read to its end
+	complete  atomic.Bool // whether the body was read to its end
 	closeOnce sync.Once
 }
 
--- a/transport/http1/transport.go
+++ b/transport/http1/transport.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections to the server id.
+// CloseIdle closes the idle connections to the server with the given ID.
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,8 +171,8 @@
 	return t.openConns
 }
 
-// SetMaxConns changes the maximum number of open connections to n. It closes no connection. From the maximum on, a
-// new connection is opened only if an idle connection can be closed for it.
+// SetMaxConns changes the maximum number of open connections to n. It closes no connection. While n or more
+// connections are open, a new connection is opened only if an idle connection can be closed.
 func (t *Transport) SetMaxConns(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/http1/writestall.go
+++ b/transport/http1/writestall.go
@@ -15,9 +15,9 @@
 }
 
 // writeStallGuard aborts a write to a server that makes no progress within a timeout. Pauses of this process do not
-// count toward the timeout, because the process wrote nothing during a pause that the server could have read. A plain
-// write deadline would include pauses, and package net checks the deadline before it tries the socket. The methods
-// are safe for concurrent use.
+// count toward the timeout, because the server gets nothing to read during a pause. A plain write deadline would not
+// work. It can pass during a pause, and package net then fails the write without trying the socket. The methods are
+// safe for concurrent use.
 type writeStallGuard struct {
 	timeout          time.Duration
 	pauses           pauseCounter
@@ -25,7 +25,7 @@
 
 	mu                 sync.Mutex
 	timer              *time.Timer   // calls check
-	writing            bool          // a write is in progress
+	writing            bool          // whether a write is in progress
 	writeStartedAt     time.Time     // start of the write in progress
 	pausedAtWriteStart time.Duration // pauses.Paused() at the start of the write in progress
 	stopped            bool
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Conns returns the total of the open connections that the transports count.
+// Conns returns the number of open connections of all transports.
 func (t *Transport) Conns() (total int) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.ConnectionCounter); ok {
@@ -113,7 +113,7 @@
 	return total
 }
 
-// Written returns the total of the completely written attempts that the transports count.
+// Written returns the sum of the results of Written of all transports.
 func (t *Transport) Written() (total uint64) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.WriteCounter); ok {
--- a/transport/msgpack/attempt.go
+++ b/transport/msgpack/attempt.go
@@ -19,7 +19,7 @@
 
 var errUntrusted = errors.New("server certificate is no longer trusted")
 
-// Attempt sends r once to the server id, and waits for the reply until ctx ends.
+// Attempt sends r once to the server with the given ID, and waits for the reply until ctx ends.
 func (t *Transport) Attempt(ctx context.Context, id string, r *router.Request) router.Result {
 	call := msgpackrpc.Call{
 		ID:             r.ID,
--- a/transport/msgpack/pool.go
+++ b/transport/msgpack/pool.go
@@ -24,7 +24,7 @@
 	conns           []*pooledConn
 	pendingDial     *pendingDial // connection that is being opened; nil: none
 	drainNotifiedAt time.Time    // time of the last drain notice from the server
-	removed         bool         // the server is no longer in the endpoint list
+	removed         bool         // whether the server was removed from the endpoint list
 }
 
 // pooledConn is a connection in a pool.
@@ -73,8 +73,8 @@
 	}
 }
 
-// acquire returns a connection to the server id with a free slot for a call. It opens a connection if no slot is
-// free.
+// acquire returns a connection with a free slot for a call to the server with the given ID. It opens a connection if
+// no slot is free.
 func (t *Transport) acquire(ctx context.Context, id string) (*server, *pooledConn, error) {
 	for {
 		srv, conn, dial, err := t.acquireOrDial(id)
@@ -87,8 +87,8 @@
 	}
 }
 
-// acquireOrDial returns a connection to the server id with a free slot. If no slot is free, it returns a pending dial
-// to wait for.
+// acquireOrDial returns a connection with a free slot to the server with the given ID. If no slot is free, it returns
+// a pending dial to wait for.
 func (t *Transport) acquireOrDial(id string) (*server, *pooledConn, *pendingDial, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/msgpack/transport.go
+++ b/transport/msgpack/transport.go
@@ -131,7 +131,7 @@
 	srv.State.retireAll()
 }
 
-// CloseIdle closes the idle connections to the server id.
+// CloseIdle closes the idle connections to the server with the given ID.
 func (t *Transport) CloseIdle(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,7 +184,8 @@
 // counts too.
 func (t *Transport) Written() uint64 { return t.written.Load() }
 
-// Close closes all connections. The caller may call it after the last Attempt has returned.
+// Close closes all connections and waits for background tasks. It must not be called before the last Attempt has
+// returned.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	first := !t.closed
--- a/transport/secure/client.go
+++ b/transport/secure/client.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// UsesTLS reports whether the server endpoint uses TLS.
+// UsesTLS reports whether the server that endpoint describes uses TLS.
 func (l *ClientTLS) UsesTLS(endpoint *router.Endpoint) bool { return l.ruleFor(endpoint) != nil }
 
 // CheckTrusted returns an *UntrustedError if the server failed verification and has not passed it since.
@@ -165,8 +165,8 @@
 	return &server{endpoint: *endpoint, rule: rule, listedAt: time.Now(), ownDigest: ownDigest}
 }
 
-// RemoveServer drops the state of the server id. Transports call it when the server is removed from the endpoint list
-// or replaced by another process.
+// RemoveServer drops the state of the server with the given ID. Transports call it when the server is removed from the
+// endpoint list or replaced by another process.
 func (l *ClientTLS) RemoveServer(id string) {
 	l.mu.Lock()
 	delete(l.servers, id)
@@ -204,7 +204,7 @@
 	return newServer(endpoint, rule)
 }
 
-// notifyTrust reports the current state of the server id to OnTrustChange.
+// notifyTrust reports to OnTrustChange whether the server with the given ID is untrusted.
 func (l *ClientTLS) notifyTrust(id string) {
 	l.notifyMu.Lock()
 	defer l.notifyMu.Unlock()
--- a/transport/secure/conn.go
+++ b/transport/secure/conn.go
@@ -22,7 +22,7 @@
 	state    tls.ConnectionState
 
 	mu          sync.Mutex
-	validity    validity // of the server's certificate chain
+	validity    validity // period in which the server's certificate chain is valid
 	trustDigest string   // digest of the authorities that verified the chain
 	ownDigest   string   // digest of the certificate that this node presented
 }
--- a/transport/secure/recheck.go
+++ b/transport/secure/recheck.go
@@ -8,10 +8,10 @@
 	"cobaltward/router"
 )
 
-// recheckInterval is the time between two checks for untrusted servers with a due recheck.
+// recheckInterval is the interval at which recheckUntrusted looks for due rechecks.
 const recheckInterval = 50 * time.Millisecond
 
-// recheckUntrusted rechecks untrusted servers when their rechecks are due. It runs until Close.
+// recheckUntrusted starts the due rechecks of untrusted servers at every recheckInterval, until Close.
 func (l *ClientTLS) recheckUntrusted() {
 	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// recheck runs a handshake with the untrusted server endpoint. No request waits for the handshake.
+// recheck runs a handshake with the untrusted server that endpoint describes. No request waits for the handshake.
 func (l *ClientTLS) recheck(endpoint router.Endpoint) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.config.ConnectTimeout+l.config.HandshakeTimeout)
 	defer cancel()
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -18,7 +18,7 @@
 	// IDs, zones, pools and kinds of the servers to which the rule applies. An empty list matches all.
 	Servers, Zones, Pools, Kinds []string
 
-	Plaintext bool // the servers use no TLS
+	Plaintext bool // true: the servers use no TLS
 	// ServerName is the expected name in the certificate of the server. {id} and {zone} are replaced by the ID and
 	// the zone of the server. An empty ServerName means the host of the server's address.
 	ServerName string
--- a/transport/secure/session.go
+++ b/transport/secure/session.go
@@ -11,7 +11,7 @@
 	mu          sync.Mutex
 	session     *tls.ClientSessionState // nil: none
 	trustDigest string                  // digest of the authorities when the session was established
-	ownDigest   string                  // digest of the certificate of this node at that time
+	ownDigest   string                  // digest of the certificate of this node when the session was established
 }
 
 func (s *sessionStore) hasSession() bool {
--- a/transport/servers/servers.go
+++ b/transport/servers/servers.go
@@ -18,7 +18,7 @@
 	DrainStartedAt time.Time       // start of the drain, or time of the removal; zero: neither
 	State          S               // state that the transport keeps
 
-	removed bool // removed from the endpoint list without a drain
+	removed bool // whether the server was removed from the endpoint list without a drain
 }
 
 // Table holds the servers of an endpoint list. It is not safe for concurrent use.
@@ -33,7 +33,7 @@
 	return Table[S]{onRemove: onRemove, byID: make(map[string]*Server[S]), idByAddr: make(map[string]string)}
 }
 
-// Get returns the server id; nil if the table does not have it.
+// Get returns the server with the given ID; nil if the table does not have that server.
 func (t *Table[S]) Get(id string) *Server[S] { return t.byID[id] }
 
 // All returns the servers by ID. The caller must not change the map.
@@ -71,8 +71,8 @@
 	}
 }
 
-// add adds the server endpoint. It does nothing if a server that started later has the same address. Only the last
-// process at an address can be reached, and it must not receive requests for an earlier process.
+// add adds the server that endpoint describes. It does nothing if a server that started later has the same address.
+// Only the last process at an address can be reached, and it must not receive requests for an earlier process.
 func (t *Table[S]) add(endpoint router.Endpoint) {
 	if id, taken := t.idByAddr[endpoint.Addr]; taken {
 		if t.byID[id].Started.After(endpoint.Started) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// remove removes the server id. Attempts that still hold the Server see it as draining from now on.
+// remove removes the server with the given ID. Attempts that still hold the Server see it as draining from now on.
 func (t *Table[S]) remove(id string) {
 	server := t.byID[id]
 	if server == nil {
