--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -146,7 +146,7 @@
 			lastProposal = time.Now()
 			a.proposeRegistration(ctx)
 		}
-		updates := a.watcher.Updates() // obtained after the proposal, whose entry may arrive later
+		updates := a.watcher.Updates() // obtained after the proposal; closed by the next newer state
 		select {
 		case <-updates:
 		case <-time.After(reconcileInterval):
@@ -155,9 +155,9 @@
 	}
 }
 
-// registrationDue reports whether to propose the registration of this process, because the state lacks it. After the
-// first registration it allows a proposal only every registerInterval. It logs an error if another process has
-// registered the same name.
+// registrationDue reports whether the registration of this process must be proposed, because the state lacks the
+// registration. After the first registration it allows a proposal only every registerInterval. It logs an error if
+// another process has registered the same name.
 func (a *Agent) registrationDue(lastProposal time.Time) bool {
 	state, lastResponse := a.watcher.State()
 	a.mu.Lock()
--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -253,7 +253,7 @@
 	for _, test := range []struct {
 		name          string
 		patch, verify []string
-		retry         bool // the effect may have been carried out before
+		retry         bool // whether the effect may have been carried out before
 		want          fleet.StepOutcome
 	}{
 		{"succeeds", shell("exit 0"), shell("exit 9"), false, fleet.OutcomeOK},
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -31,8 +31,8 @@
 	maxIdleConns       = 4        // maximum idle connections per host
 	maxConns           = 32       // maximum connections per host
 	idleConnTimeout    = 30 * time.Second
-	firstErrorStatus   = 300 // lowest status of requests that were not carried out
-	firstUnknownStatus = 500 // lowest status of requests that may have been carried out
+	firstErrorStatus   = 300 // from this status on, the request was rejected
+	firstUnknownStatus = 500 // from this status on, the outcome is unknown
 )
 
 // Client calls agents and the replicas of the consensus group. It is safe for concurrent use.
@@ -42,7 +42,7 @@
 	AddressOverrides map[string]string
 	AuthToken        string // bearer token of all calls
 	HTTP             *http.Client
-	UseTLS           bool // calls use TLS, with the configuration of HTTP
+	UseTLS           bool // whether calls use TLS, with the configuration of HTTP
 
 	lastResponder atomic.Int64 // index of the replica that gets the next proposal
 }
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -7,8 +7,8 @@
 	"cobaltward/fleet"
 )
 
-// reconcileDisabled disables the servers at the node that active disable orders name. If no order names a server any
-// more, reconcileDisabled enables it only if the agent itself has disabled it.
+// reconcileDisabled disables the servers at the node that active disable orders name. It enables a server that no
+// order names any more, but only if the agent itself has disabled the server.
 func (a *Agent) reconcileDisabled(ctx context.Context) {
 	state, _ := a.watcher.State()
 	orders := state.ActiveDisableOrders(a.config.Clock.Wall())
--- a/fleet/agent/effect.go
+++ b/fleet/agent/effect.go
@@ -115,9 +115,9 @@
 	return fleet.OutcomeOK, ""
 }
 
-// performCommand runs the operator's command words, which does not check fencing tokens. If verifyFirst is set, the
-// command may have run already, so Commands.Verify runs first. If Verify exits with doneStatus, the command has run
-// and is not repeated. If Verify cannot tell, the outcome is unknown.
+// performCommand runs words, a command line of the operator. The command does not check fencing tokens. If verifyFirst
+// is set, the command may have run already, so Commands.Verify runs first. If Verify exits with doneStatus, the
+// command has run and is not repeated. If Verify cannot tell, the outcome is unknown.
 func (a *Agent) performCommand(
 	ctx context.Context, request lease.EffectRequest, words []string, verifyFirst bool, doneStatus int,
 ) (outcome fleet.StepOutcome, detail string) {
--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -25,7 +25,7 @@
 	states   []string // drain state of each status request; the last one repeats
 	disabled []string
 	calls    []string // requests that change the node, with their bodies
-	reject   bool     // rejects requests that change the node
+	reject   bool     // whether to reject requests that change the node
 }
 
 func (a *fakeAdminAPI) status(w http.ResponseWriter, _ *http.Request) {
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	agentTimeout   = 2 * time.Second        // timeout for one effect request, or for the status requests of one view
+	agentTimeout   = 2 * time.Second        // timeout for an effect request, or for collecting the status of all nodes
 	releaseTimeout = time.Second            // timeout for the release of the lease when the runner ends
-	viewInterval   = 500 * time.Millisecond // maximum age of a view of the nodes
+	viewInterval   = 500 * time.Millisecond // maximum age of the cached status of all nodes
 	maxStatusCalls = 32                     // maximum concurrent status calls to agents
 
-	leaseChecksPerDuration = 40 // checks of the lease in one lease duration
-	reconcilesPerDuration  = 50 // reconciliations of the job in one lease duration
+	leaseChecksPerDuration = 40 // number of lease checks per lease duration
+	reconcilesPerDuration  = 50 // number of reconciliations of the job per lease duration
 	minReconcileInterval   = 20 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 type ControllerConfig struct {
 	Kind          fleet.JobKind
 	Identity      string // identity of this incarnation of the process; see fleet.Entry.Holder
-	Node          string // name of the node beside the process
+	Node          string // name of the node that the process runs beside
 	LeaseDuration time.Duration
 	Clock         consensus.Clock
 	Unsafe        lease.UnsafeOptions
@@ -42,8 +42,8 @@
 	ObserveProposal func(entry fleet.Entry) func(result fleet.Result, known bool)
 }
 
-// ControllerRunner runs a rollingupdate.Controller: it proposes the controller's entries, and requests the
-// controller's effects from agents.
+// ControllerRunner runs a rollingupdate.Controller. It proposes the controller's entries, and asks agents to carry out
+// the controller's effects.
 type ControllerRunner struct {
 	config     ControllerConfig
 	client     *Client
@@ -154,8 +154,8 @@
 	}
 }
 
-// reconcile carries out the controller's next tasks, and waits for them. It does nothing unless the process holds the
-// lease and a job is open.
+// reconcile carries out the controller's next tasks, and waits until the tasks have ended. It does nothing unless the
+// process holds the lease and a job is open.
 func (r *ControllerRunner) reconcile(ctx context.Context) {
 	state, _ := r.watcher.State()
 	if _, ok := r.fencingToken(); !ok || state.OpenJob(r.config.Kind) == nil {
@@ -178,7 +178,7 @@
 	running.Wait()
 }
 
-// observe returns a view of the nodes. It requests a new view from their agents at most once per viewInterval.
+// observe returns the status of all nodes. It requests the status from their agents at most once per viewInterval.
 func (r *ControllerRunner) observe(ctx context.Context, state *fleet.State) rollingupdate.ClusterView {
 	if time.Since(r.viewedAt) < viewInterval {
 		return r.view
@@ -247,7 +247,7 @@
 	}
 }
 
-// propose proposes an entry of the job. After an error the outcome is unknown: the entry may be applied now or later.
+// propose proposes an entry of the job. After an error the outcome is unknown, and the entry may still be applied.
 func (r *ControllerRunner) propose(ctx context.Context, entry fleet.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -16,8 +16,8 @@
 const (
 	watchTimeout = 10 * time.Second       // maximum time that a replica waits for a newer state before it responds
 	watchSlack   = 3 * time.Second        // time beyond watchTimeout after which a request fails
-	minBackoff   = 200 * time.Millisecond // before jitter
-	maxBackoff   = 10 * time.Second       // before jitter
+	minBackoff   = 200 * time.Millisecond // minimum backoff, before jitter
+	maxBackoff   = 10 * time.Second       // maximum backoff, before jitter
 )
 
 // errReportChanged is the cause when a request with an outdated report is canceled.
@@ -30,7 +30,7 @@
 	report        func() consensus.AgentReport // returns the report for each request
 	log           *slog.Logger
 	watchTimeout  time.Duration
-	reportChanged chan struct{} // has a buffer of one, full if the report has changed
+	reportChanged chan struct{} // capacity 1; full: the report has changed
 
 	mu           sync.Mutex
 	state        *fleet.State
--- a/fleet/applyjob.go
+++ b/fleet/applyjob.go
@@ -130,7 +130,7 @@
 }
 
 // jobForHolder is like jobForEntry, for entries that only the holder of the job's lease may propose. It rejects the
-// entries of former holders. The receivers of effects reject the requests of former holders.
+// entries of former holders. Receivers of effects also reject the requests of former holders.
 func (s *State) jobForHolder(entry Entry) (*Job, error) {
 	job, err := s.jobForEntry(entry)
 	if err != nil {
--- a/fleet/artifact.go
+++ b/fleet/artifact.go
@@ -6,7 +6,7 @@
 // two of its versions at a time: the state rejects a third version.
 type Artifact struct {
 	Name    string  `json:"name"`
-	Current Version `json:"now"` // version of every node that may not act on Next yet
+	Current Version `json:"now"` // version for nodes that may not act on Next yet
 	// Next is the version that a rollout is introducing; nil: none.
 	Next *Version `json:"next,omitempty"`
 	// Retiring is a version that gets no further leases but whose last lease may still be valid; nil: none.
@@ -116,7 +116,7 @@
 }
 
 // rolloutForEntry returns a copy of the artifact that an entry concerns, and the open rollout of that artifact. It
-// rejects the entry unless the entry has the fencing token of the lease of rollouts.
+// rejects an entry without the fencing token of the current lease of rollouts.
 func (s *State) rolloutForEntry(entry Entry) (*Artifact, *Job, error) {
 	current := s.Artifacts[entry.Artifact]
 	if current == nil {
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -20,10 +20,10 @@
 	Result     fleet.Result
 }
 
-// ApplyResult describes how a write batch has changed the state, and the snapshot to store after the batch.
+// ApplyResult describes how a write batch has changed the state. It also has the snapshot to store after the batch.
 type ApplyResult struct {
 	Applied  []AppliedEntry
-	Restored bool // a snapshot replaced the state, or the membership has changed
+	Restored bool // whether a snapshot replaced the state or the membership has changed
 	// ConfirmedReads are the IDs of the reads (see Core.Read) for which the state is now new enough.
 	ConfirmedReads []uint64
 	Snapshot       *raftpb.Snapshot // snapshot to store in place of the log before it; nil: none
@@ -47,8 +47,9 @@
 }
 
 // Advance tells the core that batch is stored, and applies the committed entries. now is the time of the replica's
-// monotonic clock after the write. The expiry of leases counts from now, because a process that was paused has not
-// seen an entry before it applies the entry. After an error the core must not be used any more.
+// monotonic clock after the write. The expiry of leases counts from now, because a process observes a renewal only
+// when it applies the entry. A time from before a pause of the process would let leases expire too early. After an
+// error the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
 	if err := c.updateMemoryStorage(batch, &result); err != nil {
--- a/fleet/consensus/bootstrap.go
+++ b/fleet/consensus/bootstrap.go
@@ -15,9 +15,9 @@
 	return singleMemberState(member, state, 1, 1)
 }
 
-// ForceNewCluster returns the initial storage contents of member, the only member of a cluster that an operator
-// forces. The new cluster has a new epoch and keeps everything in persisted, the storage of the member. Entries that
-// only lost members had stored are lost.
+// ForceNewCluster returns the initial storage contents of a new cluster whose only member is member. An operator
+// forces such a cluster. The new cluster has a new epoch and keeps everything in persisted, the storage of member.
+// Entries that only lost members had stored are lost.
 func ForceNewCluster(persisted PersistentState, member fleet.Member) (PersistentState, error) {
 	core, err := NewCore(persisted, lease.UnsafeOptions{}, CompactAfter, 0, DiscardLogger)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return singleMemberState(member, core.state.NextEpoch(member), max(last, 1)+1, term+1), nil
 }
 
-// applyUncommitted applies every entry in the storage, committed or not, and returns the index of the last entry.
-// This keeps each entry whose proposer got an answer, unless only lost members had stored the entry.
+// applyUncommitted applies every entry in the storage, committed or not, and returns the index of the last entry. No
+// entry whose proposer got an answer is then lost, unless only lost members had stored the entry.
 func (c *Core) applyUncommitted() (last uint64, err error) {
 	last, _ = c.storage.LastIndex() // in-memory storage returns no error
 	first, _ := c.storage.FirstIndex()
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -17,7 +17,7 @@
 	electionTicks  = 10 // ticks without a leader before a replica asks for votes
 	heartbeatTicks = 2  // ticks between two heartbeats of a leader
 
-	// maintenanceTicks is the number of ticks from one set of the replica's own proposals to the next.
+	// maintenanceTicks is the number of ticks between two rounds of the replica's own proposals.
 	maintenanceTicks = 5
 
 	maxMessageSize      = 256 << 10 // maximum bytes of entries in one message
@@ -26,8 +26,8 @@
 
 	// CompactAfter is the approximate number of entries that are applied between two snapshots.
 	CompactAfter = 2000
-	// trailingDivisor sets the number of entries before a snapshot that are kept for slow replicas: the number of
-	// entries between two snapshots divided by trailingDivisor.
+	// trailingDivisor sets how many entries before a snapshot are kept for slow replicas. Their number is
+	// compactAfter/trailingDivisor (see NewCore).
 	trailingDivisor = 4
 
 	// proposalIDSize is the length in bytes of the proposal ID that precedes each entry in the log.
@@ -54,11 +54,12 @@
 	trailingEntries uint64
 }
 
-// pendingRead is a read that the leader has confirmed at a position that is not applied yet.
+// pendingRead is a read that the leader has confirmed. It waits until the entry at position is applied.
 type pendingRead struct{ id, position uint64 }
 
 // NewCore returns a replica that continues from persisted. The replica takes a snapshot about every compactAfter
-// entries, and keeps a quarter as many entries before the snapshot. now is the time of the replica's monotonic clock.
+// entries, and keeps the last compactAfter/4 entries before the snapshot. now is the time of the replica's monotonic
+// clock.
 func NewCore(
 	persisted PersistentState, unsafe lease.UnsafeOptions, compactAfter int, now time.Duration, logger raft.Logger,
 ) (*Core, error) {
@@ -175,7 +176,7 @@
 	}
 }
 
-// endedDisableOrders returns the entries that remove the disable orders whose end time has passed at wall.
+// endedDisableOrders returns the entries that remove the disable orders whose end time is not after wall.
 func (c *Core) endedDisableOrders(wall time.Time) []fleet.Entry {
 	var entries []fleet.Entry
 	for id, order := range c.state.DisableOrders {
--- a/fleet/consensus/propose.go
+++ b/fleet/consensus/propose.go
@@ -84,7 +84,7 @@
 	return decodeID(raw) | 1, nil
 }
 
-// register returns the channel that receives the outcome of the proposal id.
+// register returns the channel that receives the outcome of the proposal with the given ID.
 func (r *Replica) register(id uint64) (<-chan fleet.Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/consensus/replica.go
+++ b/fleet/consensus/replica.go
@@ -32,7 +32,7 @@
 // Limits of a replica.
 const (
 	maxInbox            = 1024 // maximum messages queued for the core; raft repeats dropped messages
-	maxBatch            = 64   // maximum messages in one call, and proposals submitted after the first
+	maxBatch            = 64   // maximum messages in one call, and maximum waiting proposals submitted together
 	maxPendingProposals = 1024
 	maxWatchers         = 2048   // maximum watch requests that wait at the same time
 	maxReports          = 10_000 // maximum agents whose last report is kept
--- a/fleet/consensus/status.go
+++ b/fleet/consensus/status.go
@@ -13,7 +13,7 @@
 type Status struct {
 	Name       string `json:"name"`
 	ID         string `json:"id"`          // in hexadecimal
-	IsMember   bool   `json:"member"`      // the replica is a member of the cluster
+	IsMember   bool   `json:"member"`      // whether the replica is a member of the cluster
 	LeaderID   string `json:"leader"`      // in hexadecimal; empty: no known leader
 	LeaderName string `json:"leader_name"` // empty: no known leader
 	// LeaderlessFor is the time since the replica last knew of a leader; 0 while the replica knows of a leader.
--- a/fleet/consensus/transport.go
+++ b/fleet/consensus/transport.go
@@ -94,8 +94,8 @@
 	t.closeStalePeers()
 }
 
-// queue returns the queue of messages to the replica id. It creates the queue and its sender goroutine if there is
-// none.
+// queue returns the queue of messages to the replica with the given ID. It creates the queue and its sender goroutine
+// if there is none.
 func (t *transport) queue(id uint64) chan<- *raftpb.Message {
 	queue := t.peers[id]
 	if queue == nil {
@@ -120,8 +120,8 @@
 	}
 }
 
-// sendQueued sends the messages of a queue to the replica id until the queue is closed. Waiting messages are sent
-// together in one call. Undelivered messages are reported to the core.
+// sendQueued sends the messages of queue to the replica with the given ID until queue is closed. Waiting messages are
+// sent together in one call. Undelivered messages are reported to the core.
 func (t *transport) sendQueued(id uint64, queue <-chan *raftpb.Message) {
 	for first := range queue {
 		batch := []*raftpb.Message{first}
@@ -181,10 +181,10 @@
 	return message, body[end:], nil
 }
 
-// learnAddress records the address that the replica id gives in its messages.
+// learnAddress records the address that the replica with the given ID has sent in its messages.
 func (t *transport) learnAddress(id uint64, address string) { t.addresses.Store(id, address) }
 
-// address returns the address at which the replica id is reached; empty if it is unknown.
+// address returns the address of the replica with the given ID; empty if the address is unknown.
 func (t *transport) address(id uint64) string {
 	address := ""
 	if member, ok := t.replica.View().State.Members[id]; ok {
@@ -198,7 +198,7 @@
 	return address
 }
 
-// post sends a body to the replica id. The call is canceled when the replica of this process stops.
+// post sends a body to the replica with the given ID. The call is canceled when the replica of this process stops.
 func (t *transport) post(id uint64, body []byte, timeout time.Duration) error {
 	address := t.address(id)
 	if address == "" {
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -69,7 +69,7 @@
 		}
 	}
 	r.view.State = r.core.State()
-	if result.Restored { // watchers need the whole state: no entries lead to it
+	if result.Restored { // no entries lead to the new state, so watchers need the whole state
 		r.view.Recent, r.view.RecentAfter = nil, r.view.State.Position
 		r.view.NotifyPosition = r.view.State.Position
 	}
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -35,7 +35,7 @@
 type WatchResponse struct {
 	Entries   []LogEntry   `json:"entries,omitempty"`
 	State     *fleet.State `json:"state,omitempty"`
-	HasLeader bool         `json:"leader"` // the replica knows of a leader
+	HasLeader bool         `json:"leader"` // whether the replica knows of a leader
 }
 
 // handleWatch responds to a watch request once there is a change or the waiting time has passed.
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -64,7 +64,7 @@
 	MaxUnavailable int      `json:"at_once"` // maximum number of nodes that are unavailable at a time
 	// MinCapacity is the minimum total capacity of the serving nodes, in the unit of Node.Capacity.
 	MinCapacity float64 `json:"need"`
-	ByZone      bool    `json:"by_zone"` // one zone is finished before the next begins
+	ByZone      bool    `json:"by_zone"` // whether one zone is finished before the next begins
 	// MaxFailures is the number of failed steps at which the job stops; 0: no limit. A failed resume step always stops
 	// the job.
 	MaxFailures  int           `json:"failures"`
@@ -175,7 +175,7 @@
 		switch key.Action {
 		case ActionDrain:
 			if j.Steps[StepKey{key.Node, ActionRollbackDrain}].StartedAt != 0 {
-				continue // the rollback steps of the node decide
+				continue // ActionRollbackDrain decides for this node
 			}
 		case ActionRollbackDrain:
 			resume = ActionRollbackResume
--- a/fleet/lease/effect.go
+++ b/fleet/lease/effect.go
@@ -9,7 +9,7 @@
 	"cobaltward/fleet"
 )
 
-// EffectRequest is the request of a lease holder that the receiver of a node carry out a step.
+// With an EffectRequest, a lease holder asks the receiver of a node to carry out a step.
 type EffectRequest struct {
 	Resource     string             `json:"work"`
 	FencingToken fleet.FencingToken `json:"token"`
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -27,7 +27,7 @@
 	token        fleet.FencingToken // token of the lease; 0: not held
 	expiresAt    time.Duration      // time from which the process must not act
 	requestedAt  time.Duration      // time of the newest request
-	inFlight     bool               // the newest request has no answer yet
+	inFlight     bool               // whether the newest request has no answer yet
 	nextRequest  time.Duration      // earliest time of the next request
 	steppingDown bool
 	newestToken  fleet.FencingToken // highest token so far; a late answer must not bring back an older token
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -11,7 +11,7 @@
 	Defer                       // the receiver lacks entries of the log; the holder retries
 	Report                      // the effect is running or has ended; respond with its progress
 	Execute                     // carry out the effect
-	VerifyFirst                 // carry out the effect unless a verification shows that it was carried out before
+	VerifyFirst                 // verify first; carry out the effect unless it was carried out before
 )
 
 // ReceiverState is the part of a receiver that is stored and survives the process.
@@ -98,7 +98,7 @@
 	return response, decision, true
 }
 
-// admit raises the gate to the highest token in the log, and then checks the token of a request at the gate.
+// admit raises the gate to the highest token in the log, and then checks the token of request with the gate.
 func (r *FencedReceiver) admit(request EffectRequest, state *fleet.State) (admitted, changed bool) {
 	resource := request.Resource
 	_, raisedByLog := r.Gate.Admit(resource, state.HighestTokens[resource])
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -18,7 +18,7 @@
 // the process's own monotonic clock. Controller is not safe for concurrent use.
 type Controller struct {
 	kind fleet.JobKind
-	node string // name of the node beside the process
+	node string // name of the node that the process runs beside
 
 	holder           lease.Holder
 	token            fleet.FencingToken // newest token of the lease
@@ -28,7 +28,7 @@
 }
 
 // NewController returns a controller of jobs of the given kind. identity identifies this incarnation of the process
-// (see fleet.Entry.Holder). node is the name of the node beside the process, and duration is the lease duration.
+// (see fleet.Entry.Holder). node is the name of the node that the process runs beside. duration is the lease duration.
 func NewController(
 	kind fleet.JobKind, identity, node string, duration time.Duration, unsafe lease.UnsafeOptions,
 ) *Controller {
@@ -45,10 +45,10 @@
 	}
 }
 
-// NextProposal returns the entry that requests, renews or releases the lease at now. ok is false if there is none. A
-// controller that is asked to step down releases the lease, and requests it again after stepDownLeaseDurations. While
-// the state names another holder, a controller without the lease proposes nothing, because the state shows when the
-// lease is free.
+// NextProposal returns the entry that requests, renews or releases the lease at now. ok is false if there is nothing
+// to propose. A controller that is asked to step down releases the lease, and requests it again after
+// stepDownLeaseDurations. While the state names another holder, a controller without the lease proposes nothing,
+// because the state shows when the lease is free.
 func (c *Controller) NextProposal(now time.Duration, state *fleet.State) (entry fleet.Entry, ok bool) {
 	current, held := state.Leases[c.kind.Resource()]
 	mine := held && current.Holder == c.holder.Identity
@@ -95,8 +95,8 @@
 	Request *lease.EffectRequest // request to send to the agent of the step's node
 }
 
-// Next returns the tasks to do at now, given a state and a view of the nodes. It returns none while the process must
-// not act, or while the state lacks the newest entry of this process.
+// Next returns the tasks to do at now, given a state and a view of the nodes. It returns no tasks while the process
+// must not act, or while state lacks the newest entry of this process.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
 	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -13,7 +13,7 @@
 type NodeStatus struct {
 	Zone     string
 	Capacity float64 // in the unit of fleet.Node.Capacity
-	Serving  bool    // the node's agent responds and reports that the node is serving
+	Serving  bool    // whether the node's agent responds and reports that the node is serving
 	// LeaseCandidate reports whether the node's agent may hold the lease of rolling updates.
 	LeaseCandidate bool
 }
@@ -38,8 +38,8 @@
 // Action is the next action of the holder of the lease.
 type Action struct {
 	Operation   Operation
-	Step        fleet.StepKey // set for StartStep and RequestStep
-	Retry       bool          // set for RequestStep: an earlier holder may have requested the step
+	Step        fleet.StepKey // only for StartStep and RequestStep
+	Retry       bool          // for RequestStep: whether an earlier holder may have requested the step
 	CloseReason fleet.CloseReason
 	Detail      string // details of CloseReason
 }
@@ -123,8 +123,8 @@
 	return action, false
 }
 
-// finishForward returns the actions that are needed before the rollback can begin. They finish each step in progress
-// and resume each drained node.
+// finishForward returns the actions that are needed before the rollback can begin. These actions finish each step in
+// progress and resume each drained node.
 func (p *planner) finishForward() []Action {
 	var actions []Action
 	for _, node := range p.job.Spec.Nodes {
@@ -214,7 +214,7 @@
 		return []Action{{Operation: CloseJob, CloseReason: p.doneReason(), Detail: p.closeDetail("")}}
 	}
 	actions := slices.Concat(current.actions, p.drainNext(current.notStarted))
-	// Nodes that were not resumed use up the limits of the job.
+	// No action is possible, because nodes that were not resumed use up the limits of the job.
 	if len(actions) == 0 && len(p.unavailable) > 0 {
 		names := strings.Join(slices.Sorted(maps.Keys(p.unavailable)), " ")
 		return []Action{{Operation: CloseJob, CloseReason: fleet.ClosedStopped, Detail: names + " did not come back"}}
--- a/fleet/rollout/lease.go
+++ b/fleet/rollout/lease.go
@@ -20,7 +20,7 @@
 	versions    VersionVector // nil: no lease granted yet
 	expiresAt   time.Duration
 	requestedAt time.Duration // time of the newest request
-	inFlight    bool          // the newest request has no answer yet
+	inFlight    bool          // whether the newest request has no answer yet
 	nextRequest time.Duration // earliest time of the next request for the same versions
 }
 
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -61,8 +61,8 @@
 }
 
 // stageComplete reports whether all nodes that may act on the next version do so, except for at most MaxStragglers
-// stragglers. The rollout need not wait for a straggler: its lease of the former version expires once that version is
-// retired.
+// stragglers. The rollout need not wait for a straggler, because the straggler's lease of the former version expires
+// after that version is retired.
 func stageComplete(
 	job *fleet.Job, artifact *fleet.Artifact, state *fleet.State, nodes map[string]NodeStatus,
 ) bool {
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -10,7 +10,7 @@
 
 // FormatVersion is the newest format version of entries and states that this program supports. An entry of
 // KindUpgradeFormat raises the version of the state once every member supports a newer version. All members reject an
-// entry whose version is above the version of the state.
+// entry whose format version is above that of the state.
 const FormatVersion = 1
 
 // Limits of a state. An entry that would exceed a limit is rejected, except that maxJobs removes closed jobs instead.
@@ -41,7 +41,7 @@
 	ID      uint64 `json:"id"` // created with the storage: a member that lost its storage has a new ID
 	Name    string `json:"name"`
 	Address string `json:"address"`           // IP:port
-	Learner bool   `json:"learner,omitempty"` // the member receives the log but has no vote
+	Learner bool   `json:"learner,omitempty"` // whether the member receives the log without a vote
 	// SupportedFormat is the newest format version that the member's program supports; 0: not announced yet.
 	SupportedFormat int `json:"level,omitempty"`
 }
@@ -107,9 +107,9 @@
 	return &next
 }
 
-// FormatProposals returns the entries about format versions that the member memberID proposes on its own. The member
-// announces the version that it supports. If isLeader is set, the member also proposes the upgrade to the newest
-// version that all members support.
+// FormatProposals returns the entries about format versions that the member with the ID memberID proposes on its own.
+// The member announces the version that it supports. If isLeader is set, the member also proposes the upgrade to the
+// newest version that all members support.
 func (s *State) FormatProposals(memberID uint64, isLeader bool) []Entry {
 	var proposals []Entry
 	if member, ok := s.Members[memberID]; ok && member.SupportedFormat != FormatVersion {
