--- a/internal/fleetcli/rollingupdate.go
+++ b/internal/fleetcli/rollingupdate.go
@@ -26,7 +26,7 @@
 type rollingUpdateFlags struct {
 	spec fleet.JobSpec
 	id   string // ID of the job; empty: a new ID
-	wait bool   // wait for the end of the job
+	wait bool   // whether to wait for the end of the job
 	// timeout is the maximum time to wait for the end of the job if wait is set.
 	timeout time.Duration
 }
--- a/internal/fleetcli/rollingupdate_test.go
+++ b/internal/fleetcli/rollingupdate_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// startUpdatingReplica serves a fake replica that accepts every proposal. Its job "r" is open in the first openFor
-// status responses and closed afterwards.
+// startUpdatingReplica serves a fake replica that accepts every proposal. The job "r" is open in the first openFor
+// status responses of the replica and closed afterwards.
 func startUpdatingReplica(t *testing.T, openFor int64) string {
 	t.Helper()
 	var requests atomic.Int64
--- a/internal/fleetcli/wait.go
+++ b/internal/fleetcli/wait.go
@@ -27,8 +27,8 @@
 	return command
 }
 
-// waitForPosition waits until all agents have the state of a log position. The position is the argument, if any,
-// otherwise the newest position at the start.
+// waitForPosition waits until all agents have the state of a log position. The position is the first of args. If args
+// is empty, it is the newest position at the start of the command.
 func (c *operatorCommands) waitForPosition(client *agent.Client, args []string, timeout time.Duration) error {
 	var position fleet.Position
 	if len(args) > 0 {
--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -17,7 +17,7 @@
 
 const (
 	smoothingWeight = 0.5  // weight of the newest reports in the smoothed share of traffic
-	minTrafficShare = 0.1  // lets a process answer its first clients
+	minTrafficShare = 0.1  // minimum share of traffic, for the first clients of a process
 	minConnShare    = 0.25 // minimum share of connections; the other process frees more as its clients leave
 )
 
@@ -57,7 +57,7 @@
 }
 
 // countNewRequests returns how many requests the other processes have accepted since the previous call. allKnown
-// reports whether the previous call included all of them.
+// reports whether the previous call included all of these processes.
 func (s *Splitter) countNewRequests(others map[string]Report) (requests uint64, allKnown bool) {
 	accepted := make(map[string]uint64, len(others))
 	allKnown = true
--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -40,8 +40,9 @@
 	// SuccessorOnly limits Decay to ejections and buckets, for the successor in a hot restart. A predecessor that shuts
 	// down learns thresholds and scales that would limit its successor.
 	SuccessorOnly bool
-	// Boot is the boot-clock time of the call of Decay; the zero value means unknown. If the snapshot is of the same
-	// start of the machine, its age is computed from Boot. Steps of the wall clock then have no effect.
+	// Boot is the boot-clock time of the call of Decay; the zero value means unknown. If the machine has not been
+	// rebooted since the snapshot, the age of the snapshot is computed from Boot. Steps of the wall clock then have no
+	// effect.
 	Boot bootclock.Time
 }
 
@@ -64,7 +65,7 @@
 	Weight    float64 // weight of the learned values, 0 to 1
 	Restored  int     // number of servers whose state was taken over
 	NotListed int     // number of servers that are no longer in service
-	Restarted int     // number of servers that run another process now
+	Restarted int     // number of servers that have been restarted since the snapshot
 	Ejected   int     // number of servers that start ejected
 	Unejected int     // number of ejected servers put back in service by MaxEjectedShare
 	Buckets   int     // number of quota buckets that were taken over
@@ -78,8 +79,8 @@
 // Decay returns the part of a snapshot that a node may take over at the time now. A snapshot that is too old or from
 // the future is rejected. Server values that no node can have are replaced by defaults, and buckets with such values
 // are left out. The older the snapshot, the closer a threshold is to the node's own initial threshold. An ejected
-// server starts ejected for the rest of its time, unless too many servers would start ejected. An ejected server is
-// health-checked before it is used.
+// server starts ejected for the remainder of its ejection, unless too many servers would start ejected. An ejected
+// server is health-checked before it is used.
 func Decay(
 	snapshot Snapshot, now time.Time, initial InitialThreshold, config Config,
 ) (policy.LearnedState, Report) {
@@ -117,8 +118,8 @@
 	return state, report
 }
 
-// age returns the age of a snapshot. It uses the boot clock if both times are of the same start of the machine, and
-// otherwise the wall clock.
+// age returns the age of a snapshot. It uses the boot clock if the machine has not been rebooted since the snapshot,
+// and otherwise the wall clock.
 func (s Snapshot) age(now time.Time, boot bootclock.Time) time.Duration {
 	if s.Boot != nil {
 		if age, ok := boot.Sub(*s.Boot); ok {
@@ -128,8 +129,8 @@
 	return now.Sub(s.At)
 }
 
-// decayScale returns the scale moved towards 1 according to the weight. A scale outside minimum and maxScale counts
-// as 1.
+// decayScale returns scale, moved toward 1. The lower the weight, the closer the result is to 1. A scale outside
+// minimum and maxScale counts as 1.
 func (r *Report) decayScale(scale, minimum float64) float64 {
 	return 1 + r.Weight*(boundedOr(scale, minimum, maxScale, 1)-1)
 }
@@ -152,8 +153,8 @@
 	return servers
 }
 
-// sameProcess reports whether two uptimes of a server can be of the same process. stored is the uptime that was saved
-// the duration age ago; current is the uptime now. An uptime of 0 means that the process started long ago.
+// sameProcess reports whether two uptimes of a server can be of the same process. stored is the uptime in a snapshot
+// of the given age; current is the uptime now. An uptime of 0 means that the process started long ago.
 func sameProcess(stored, age, current time.Duration) bool {
 	if stored <= 0 || current == 0 {
 		return (stored == 0) == (current == 0)
@@ -192,9 +193,9 @@
 	return buckets
 }
 
-// limitEjected puts ejected servers back in service until at most the given share is ejected. It begins with the
-// servers whose ejection ends soonest. A node that starts with most of its servers ejected could serve almost no
-// requests.
+// limitEjected puts ejected servers back in service until at most the given share of servers is ejected. It begins
+// with the servers whose ejection ends soonest. A node that starts with most of its servers ejected could serve almost
+// no requests.
 func (r *Report) limitEjected(servers []policy.ServerState, share float64) {
 	var ejected []int // indexes
 	for i := range servers {
--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// allListed is an InitialThreshold with every server in service. Their processes started long ago.
+// allListed is an InitialThreshold with every server in service. The processes of all servers started long ago.
 func allListed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
 // TestDecay_ByAge checks how a snapshot ages. Thresholds halve their distance to the initial threshold in each
--- a/internal/learnedstate/snapshot.go
+++ b/internal/learnedstate/snapshot.go
@@ -39,7 +39,7 @@
 	Version int                 `json:"version"`
 	Node    string              `json:"node"`
 	At      time.Time           `json:"at"`
-	Boot    *bootclock.Time     `json:"boot,omitempty"` // At by the boot clock; used instead of At within one boot
+	Boot    *bootclock.Time     `json:"boot,omitempty"` // boot-clock time; replaces At until the next boot
 	State   policy.LearnedState `json:"knowledge"`
 }
 
--- a/msgpackrpc/call.go
+++ b/msgpackrpc/call.go
@@ -15,7 +15,7 @@
 	IdempotencyKey string        // key by which servers detect duplicates
 	Timeout        time.Duration // time until the reply is due; encoded in whole milliseconds
 	CostHint       time.Duration // estimated work of the server; encoded in whole microseconds
-	IsRetry        bool          // the client has sent this request before
+	IsRetry        bool          // whether the client has sent this request before
 	Method         string        // HTTP method, such as GET or POST; may be empty
 	Target         string        // path and query of the URL
 	Authority      string        // host and optional port of the URL
--- a/msgpackrpc/message.go
+++ b/msgpackrpc/message.go
@@ -104,7 +104,7 @@
 	return raw[:len(raw)-len(rest)], rest, nil
 }
 
-// AppendCancel appends to b a MethodCancel notification for the call msgid.
+// AppendCancel appends to b a MethodCancel notification for the call with the given msgid.
 func AppendCancel(b []byte, msgid uint32) []byte {
 	return msgp.AppendUint32(appendNotification(b, MethodCancel, 1), msgid)
 }
@@ -117,7 +117,7 @@
 	return msgp.AppendString(appendNotification(b, MethodError, 1), text)
 }
 
-// appendNotification appends to b the beginning of a notification. The caller appends as many values as params says.
+// appendNotification appends to b the beginning of a notification. The caller must append params values.
 func appendNotification(b []byte, method string, params uint32) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Notification])
 	b = msgp.AppendUint8(b, uint8(Notification))
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -34,7 +34,7 @@
 	abandoned     map[uint32]struct{}     // msgids that must not be reused: a late reply may still arrive
 	queue         []*pendingCall          // calls that wait to be written
 	notifications []byte                  // encoded notifications that wait to be written
-	retired       bool                    // no new calls are accepted
+	retired       bool                    // whether new calls are rejected
 	err           error                   // reason why the connection is closed; nil: open
 	idleSince     time.Time               // end of the last call; only meaningful if calls is empty
 }
@@ -169,8 +169,8 @@
 	return msgpackrpc.Reply{}, &NoReplyError{context.Cause(ctx)}
 }
 
-// checkIdle records the start of an idle period once no call is open. It closes a retired connection then. The caller
-// holds c.mu.
+// checkIdle records the start of an idle period once no call is open. It then closes the connection if the connection
+// is retired. The caller holds c.mu.
 func (c *Conn) checkIdle() {
 	if len(c.calls) > 0 {
 		return
--- a/msgpackrpc/mux/write.go
+++ b/msgpackrpc/mux/write.go
@@ -72,7 +72,7 @@
 	c.notifications = c.notifications[:0]
 	for _, call := range taken {
 		switch err := forbidden[call]; {
-		case c.calls[call.id] != call: // the call was abandoned in the meantime
+		case c.calls[call.id] != call: // the call was abandoned during beginWrites
 		case err != nil:
 			c.finish(call, outcome{err: &NotSentError{err}})
 		default:
@@ -128,7 +128,7 @@
 		switch {
 		case n < written.ends[i]:
 			c.finish(call, outcome{err: &NotSentError{err}})
-		case c.err != nil: // the connection was closed in the meantime
+		case c.err != nil: // the connection was closed during the write
 			c.finish(call, outcome{err: &NoReplyError{c.err}})
 		case err != nil:
 			c.finish(call, outcome{err: &NoReplyError{err}})
--- a/msgpackrpc/reply.go
+++ b/msgpackrpc/reply.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// AppendReply encodes r as the response to the call msgid, and appends the encoding to b.
+// AppendReply encodes r as the response to the call with the given msgid, and appends the encoding to b.
 func AppendReply(b []byte, msgid uint32, r *Reply) []byte {
 	b = msgp.AppendArrayHeader(b, elementCounts[Response])
 	b = msgp.AppendUint8(b, uint8(Response))
