--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// drainOrder converts a request into an order with the default phases.
+// drainOrder converts request into a drain order whose first two phases have the default durations.
 func (a *adminAPI) drainOrder(request DrainRequest) (drain.Order, error) {
 	timeout := defaultDrainTimeout
 	if request.Timeout != "" {
@@ -130,7 +130,8 @@
 	return err
 }
 
-// setStandby starts or cancels a drain when another process of this node has ordered it.
+// setStandby starts a drain if standby is true, and otherwise cancels the drain. It is called for an order that
+// another process of this node has received.
 func (a *adminAPI) setStandby(standby bool) error {
 	if !standby {
 		err := a.engine.CancelDrain(otherProcess)
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -448,9 +448,9 @@
 }
 
 // TestStalledBody_GetsErrorInTime checks clients that stop within a body and keep their connections open. Wherever a
-// client stops, it must get a complete error response or a close within 3 s. Partly sent bodies over 64 KiB are left
-// out: their clients may stall for as long as a slow client takes for the part sent. TestTimedBody_StallTimeout in
-// middleware checks these.
+// client stops, it must get a complete error response or a close within 3 s. Bodies over 64 KiB are left out if a part
+// was sent. Their clients may stall for the time in which a slow client sends that part. TestTimedBody_StallTimeout in
+// middleware checks such bodies.
 func TestStalledBody_GetsErrorInTime(t *testing.T) {
 	const maxDelay = 3 * time.Second
 	for _, length := range []int{9, 20 << 10, 64 << 10, 1 << 20} {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// buildEngine creates the engine and connects it with the parts that need it. The engine starts to follow the
-// endpoint source.
+// buildEngine creates the engine and passes it to the parts of the node that use the engine. The engine starts to
+// follow the endpoint source.
 func (n *node) buildEngine(endpoints router.EndpointSource) error {
 	options := []router.Option{
 		router.WithLogger(n.log),
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -102,7 +102,7 @@
 	c.deadline.setFinal(time.Now().Add(closeHandshakeTimeout))
 	var buf [discardBufferSize]byte
 	for discarded := 0; discarded < maxDiscarded; {
-		n, err := c.stream.Read(buf[:]) // returns no TLS alerts; a client may answer the node's alert with one
+		n, err := c.stream.Read(buf[:]) // returns no TLS alerts; a client may send an alert in answer to the node's alert
 		if n > 0 {
 			c.recordBytesAfterEnd()
 		}
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -39,7 +39,7 @@
 	maxConns  int         // maximum number of connections that are served
 	slotFreed sync.Cond   // signaled when an accepted connection may get a slot
 	open      int         // number of connections, including those in excess of maxConns
-	idle      linked.List // *clientConn elements without a request, longest idle first
+	idle      linked.List // connections without a request (*clientConn), longest idle first
 	// partialRequests holds the connections with a request that has begun to arrive and was not passed to the router
 	// yet.
 	partialRequests  map[*clientConn]bool
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -444,7 +444,7 @@
 var bigRequest = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 262144\r\n\r\n" + strings.Repeat("x", 256<<10)
 
 const (
-	sweepStep  = 100 * time.Microsecond // difference between two offsets from the close
+	sweepStep  = 100 * time.Microsecond // difference between successive offsets from the close
 	sweepSteps = 100
 	sweepIdle  = 60 * ms // time from the last response, or the connect, to the close
 )
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -13,7 +13,8 @@
 // drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
 const drainRecheckInterval = 100 * time.Millisecond
 
-// acceptQueueDrainTimeout is how long drainAcceptQueue waits for another connection before it closes the listener.
+// acceptQueueDrainTimeout is the maximum time for which drainAcceptQueue waits for another connection before it closes
+// the listener.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
 // drainAcceptQueue waits until the connections in the accept queue are accepted, or ctx ends. Then it closes the
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestDrainAcceptQueue_AcceptsBeyondBound checks a client in the accept queue of a full listener that closes. The
-// client must be accepted beyond the limit, and its request must not be rejected for lack of a slot.
+// TestDrainAcceptQueue_AcceptsBeyondBound checks a client in the accept queue of a full listener. When the listener
+// closes, the client must be accepted beyond the limit, and its request must not be rejected for lack of a slot.
 func TestDrainAcceptQueue_AcceptsBeyondBound(t *testing.T) {
 	listener, _, busy := newClientPair(t)
 	listener.setMaxConns(1)
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -43,7 +43,7 @@
 
 // ReloadConfig reads the file again. The registry address and the settings, except settings.registryMode, take effect
 // while a node runs. Other fields take effect at the next start. ROUTER_DISCOVERY does not override the file here,
-// because it holds the address from the start of the process.
+// because the variable holds the address from the start of the process.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	config, err := readConfig(getenv)
 	if err != nil {
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -213,7 +213,7 @@
 	for name, cert := range harness.invalidCerts() {
 		server.present(cert)
 		reason, _, _ := strings.Cut(name, " (")
-		// Open connections stay trusted until they end, by the certificate of their handshake.
+		// Open connections stay trusted until they end, because the certificate of their handshake counts.
 		testkit.Await(t, name, func() bool { return harness.untrustedReason(server.id) == reason })
 		time.Sleep(200 * time.Millisecond) // lets handshakes in progress end
 		before := harness.tlsStatus().Servers.Failures[reason]
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -17,7 +17,7 @@
 	minAnnounce = 420 * time.Millisecond
 	// drainMargin is the usual maximum duration of a drain beyond the longest deadline.
 	drainMargin        = 300 * time.Millisecond
-	finalAnswerTimeout = 150 * time.Millisecond // timeout for writing the answers to requests that fail at the end
+	finalAnswerTimeout = 150 * time.Millisecond // timeout for writing the last answers after a drain
 	// killDelay is the minimum time from the longest deadline to the SIGKILL of the platform. The deadline counts from
 	// SIGTERM.
 	killDelay = 700 * time.Millisecond
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -28,7 +28,7 @@
 	// socket.
 	<-n.engine.Started()
 	if n.processGroup != nil {
-		n.processGroup.coordinate() // determines the share of the node and standby before the first client
+		n.processGroup.coordinate() // sets the share of this process, and standby, before the first client
 		n.tasks.Go(func() { n.processGroup.run(ctx) })
 	}
 	n.tasks.Go(func() { n.serveErrors <- n.httpServer.Serve() })
--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -251,8 +251,8 @@
 	})
 }
 
-// BenchmarkDecode compares the scanner, the decoder of this package, which uses the library msgp, and another
-// MessagePack library.
+// BenchmarkDecode compares the scanner, the decoder of this package, and another MessagePack library. The decoder of
+// this package uses the library msgp.
 func BenchmarkDecode(b *testing.B) {
 	raw := AppendCall(nil, 7, &Call{
 		ID: "9b1f03aa5c7e2d41", Class: "hladanie", Tenant: "stol-nitra", Timeout: time.Second,
--- a/transport/msgpack/connect.go
+++ b/transport/msgpack/connect.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// handleDrainNotice records that the server of pool has announced a drain. Its connections accept no further calls.
+// handleDrainNotice records that the server of pool has announced a drain. The connections in pool then accept no
+// further calls.
 func (t *Transport) handleDrainNotice(pool *pool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
