--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -107,8 +107,8 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// startDrain starts a drain that the admin API or the operations endpoint received. It orders the other processes of
-// the node into standby.
+// startDrain carries out a drain order that the admin API or the operations endpoint has received. If the drain
+// starts, the other processes of the node are ordered into standby.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
 	if err == nil && a.onStandby != nil {
@@ -118,7 +118,7 @@
 }
 
 // cancelDrain cancels the drain for the admin API or the operations endpoint. It orders the other processes of the
-// node out of standby.
+// node out of standby, even if this process is not draining.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -23,8 +23,8 @@
 	a.arrival.Reset(earliest)
 }
 
-// recordIdleRead records a non-blocking read of an idle connection that returned at now. waited reports whether the
-// first try found no bytes. all reports whether the read took all bytes that had arrived.
+// recordIdleRead records a non-blocking read of an idle connection. The read returned at now. waited reports whether
+// the first try found no bytes. all reports whether the read took all bytes that had arrived.
 func (a *requestArrival) recordIdleRead(now time.Time, waited, all bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -135,9 +135,9 @@
 	return n.config.NewEndpointSource(n.registry)
 }
 
-// wrapEndpointSource returns a source that reports disabled and untrusted servers as draining. It returns source
-// itself if there is neither an admin API, which disables servers, nor TLS towards servers, which finds untrusted
-// servers.
+// wrapEndpointSource returns a source that reports disabled and untrusted servers as draining. Only the admin API
+// disables servers, and only TLS towards servers finds untrusted servers. Without both, wrapEndpointSource returns
+// source itself.
 func (n *node) wrapEndpointSource(source router.EndpointSource) router.EndpointSource {
 	if n.adminServer == nil && n.tls.transportLayer() == nil {
 		return source
@@ -147,7 +147,8 @@
 	return n.disabledServers
 }
 
-// openAdminServer opens the admin API's listeners. Connections wait in the accept queue until startAdminServer.
+// openAdminServer opens the admin API's listeners, if the admin API is configured. Connections wait in the accept
+// queue until startAdminServer.
 func (n *node) openAdminServer() error {
 	if !n.config.AdminAPI.Enabled() {
 		return nil
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -13,7 +13,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// closeHandshakeTimeout is the maximum time between the node's close of its side of a connection and the client's.
+// closeHandshakeTimeout is the maximum time for a client to close its side of a connection after the node has closed
+// its own side.
 const closeHandshakeTimeout = time.Second
 
 // clientConn is a client's connection with its state, which clientListener and net/http update. Only one goroutine of
@@ -30,7 +31,7 @@
 	requestsDone  uint64 // number of answered requests; changes only between reads
 
 	acceptedAt   time.Time
-	idle         atomic.Bool // whether idleElement is set; read without the mutex
+	idle         atomic.Bool // whether the connection is idle; unchanged once closed; read without the mutex
 	headTimedOut atomic.Bool // whether the rest of a head failed to arrive in time
 	deadline     readDeadline
 	arrival      requestArrival // arrival of the current request
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// beginLinger reports whether the connection must linger. If so, it adds the connection to the lingering connections.
-// In either case the connection no longer counts as open.
+// beginLinger reports whether the connection must begin to linger. If so, it adds the connection to the lingering
+// connections. In either case the connection no longer counts as open.
 func (c *clientConn) beginLinger() bool {
 	l := c.listener
 	l.mu.Lock()
--- a/internal/node/clientpauses.go
+++ b/internal/node/clientpauses.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxPauseCredit is the maximum extension of a client's timeout by pauses. It does not apply if the node was paused
-// for more than half of the time. A client that stops within a request must get its error within 3 s.
+// maxPauseCredit is the maximum extension of a client's timeout by pauses. The maximum does not apply if the node was
+// paused for more than half of the time. A client that stops within a request must get its error within 3 s.
 const maxPauseCredit = 250 * time.Millisecond
 
 // pauseCounter measures the pauses of the node's process, as pausedetector.Detector does.
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -11,7 +11,7 @@
 
 const (
 	maxBodyBytes        = 64 << 10 // maximum length of a body that is not streamed
-	maxHeadBytes        = 16 << 10 // maximum head of a response
+	maxHeadBytes        = 16 << 10 // maximum length of a response head
 	maxInterimResponses = 8        // maximum number of 1xx responses before the final response
 )
 
@@ -34,8 +34,8 @@
 	serverID  string
 }
 
-// readResponse reads the response to r from c, within the limits maxHeadBytes and maxBodyBytes. If r accepts a
-// stream, a longer body becomes a stream. A slow body of unknown length becomes a stream too.
+// readResponse reads the response to r from c, within the limits maxHeadBytes and maxBodyBytes. If r accepts a stream
+// and the status is 200, a longer body becomes a stream. A slow body of unknown length then becomes a stream too.
 //
 // A response is malformed if its body does not match its framing. It is also malformed if it is followed by bytes
 // that do not begin another response, because those bytes may belong to its body.
@@ -76,8 +76,8 @@
 	return response{head: head, body: body, stream: stream}, err
 }
 
-// readFixedLength reads a body whose length is in head. It returns a stream if the body is too long to buffer and
-// acceptsStream is true.
+// readFixedLength reads a body whose length is in head. If the body is too long to buffer, it returns a stream. It
+// then returns an error unless acceptsStream is true and the status is 200.
 func (rd *responseReader) readFixedLength(head responseHead, acceptsStream bool) (response, error) {
 	if head.length > maxBodyBytes {
 		if !acceptsStream || head.status != http.StatusOK {
@@ -100,7 +100,7 @@
 	return response{head: head, body: body}, nil
 }
 
-// readShortBody reads the body of resp, at most maxBodyBytes, with net/http.
+// readShortBody reads the body of resp with net/http. It returns an error if the body is longer than maxBodyBytes.
 func readShortBody(limit *io.LimitedReader, resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodyBytes {
 		return nil, errMalformedResponse
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -100,7 +100,7 @@
 }
 
 // digests returns the digests of the authorities and of the certificate of this node. A session is resumed only while
-// both digests are the same as in its first handshake.
+// both digests are the same as when the session was established.
 func (r *Rule) digests() (trustDigest, ownDigest string) {
 	if r.Trust != nil {
 		trustDigest = r.Trust.Set().TrustDigest
