--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -125,8 +125,8 @@
 	return applied, nil
 }
 
-// confirmReads adds the reads that the leader has confirmed to the pending reads. It moves each pending read whose
-// position is applied to the result.
+// confirmReads adds the reads that the leader has confirmed to the pending reads. It moves a pending read to result
+// once the entry at the position of the read is applied.
 func (c *Core) confirmReads(confirmed []raft.ReadState, result *ApplyResult) {
 	for _, read := range confirmed {
 		c.pendingReads = append(c.pendingReads, pendingRead{decodeID(read.RequestCtx), read.Index})
--- a/fleet/consensus/view.go
+++ b/fleet/consensus/view.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxRecentEntries is the minimum number of recent entries that a view keeps after it drops the oldest entries. With
-	// recent entries, watchers need not fetch the whole state.
+	// maxRecentEntries is the number of recent entries that a view keeps when it drops the oldest entries. With recent
+	// entries, watchers need not fetch the whole state.
 	maxRecentEntries = 4096
 	// maxRecentExcess is the maximum number of entries beyond maxRecentEntries before the oldest entries are dropped.
 	maxRecentExcess = maxRecentEntries / 4
@@ -33,7 +33,7 @@
 	// NotifyPosition is the position of the newest entry that watchers should receive at once.
 	NotifyPosition fleet.Position
 	Raft           raft.Status
-	LeaderSeen     time.Duration // newest time at which the replica had a leader, by its monotonic clock
+	LeaderSeen     time.Duration // last time at which the replica knew of a leader, by its monotonic clock
 }
 
 func newView(core *Core) View {
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordReport records the report of an agent. It returns the view and the channel that is closed when the view
-// changes.
+// recordReport records the report of an agent. It returns the view and the channel that is closed when watchers must
+// read the view again.
 func (r *Replica) recordReport(report AgentReport) (View, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/lease/effect.go
+++ b/fleet/lease/effect.go
@@ -9,7 +9,7 @@
 	"cobaltward/fleet"
 )
 
-// With an EffectRequest, a lease holder asks the receiver of a node to carry out a step.
+// EffectRequest is a lease holder's request to the receiver of a node. It asks the receiver to carry out a step.
 type EffectRequest struct {
 	Resource     string             `json:"work"`
 	FencingToken fleet.FencingToken `json:"token"`
--- a/fleet/rollingupdate/drain.go
+++ b/fleet/rollingupdate/drain.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// drainNext returns the actions that drain those nodes of notStarted that may be drained now. The job limits the
+// drainNext returns the actions that drain those nodes of notStarted that may be drained now. The job sets the maximum
 // number of unavailable nodes and the minimum capacity of the serving nodes. If the job is by zone, one zone is
 // finished before the next begins. The holder's own node comes last. If the agent of another node can take the lease,
 // the holder releases the lease and leaves its own node to the next holder.
