--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -47,7 +47,7 @@
 	state         *fleet.State
 	expiry        lease.ExpiryTracker
 	ticks         int
-	now           time.Duration // newest time of the replica's monotonic clock
+	now           time.Duration // last known time of the replica's monotonic clock
 	snapshotIndex uint64        // log index of the newest snapshot
 	pendingReads  []pendingRead
 	// trailingEntries is the number of entries before a snapshot that are kept for slow replicas.
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -78,8 +78,8 @@
 	return c
 }
 
-// Call sends req, and waits for the reply until ctx ends. If ctx ends first, the server receives a cancel. Call never
-// retries. maySend, if not nil, is called just before the write; its error prevents the write.
+// Call sends req, and waits for the reply until ctx ends. If ctx ends after the write has begun, the server receives a
+// cancel. Call never retries. maySend, if not nil, is called just before the write; its error prevents the write.
 //
 // The errors of Call are of type *NotSentError, *NoReplyError or *MalformedReplyError.
 func (c *Conn) Call(ctx context.Context, req *msgpackrpc.Call, maySend func() error) (msgpackrpc.Reply, error) {
