--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -35,7 +35,7 @@
 type WatchResponse struct {
 	Entries   []LogEntry   `json:"entries,omitempty"`
 	State     *fleet.State `json:"state,omitempty"`
-	HasLeader bool         `json:"leader"` // the replica knows of a leader
+	HasLeader bool         `json:"leader"` // whether the replica knows of a leader
 }
 
 // handleWatch responds to a watch request once there is a change or the waiting time has passed.
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordReport records the report of an agent. It returns the view and the channel that is closed when the view
-// changes.
+// recordReport records the report of an agent. It returns the view and the channel that is closed when watchers must
+// read the view again.
 func (r *Replica) recordReport(report AgentReport) (View, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	defaultDrainTimeout = 30 * time.Second // timeout of orders that name none
-	drainLeaveFor       = time.Second      // time after the announcement in which connections close with their answers
+	defaultDrainTimeout = 30 * time.Second // timeout of drain orders without a timeout
+	drainLeaveFor       = time.Second      // second phase, in which each connection closes with its next answer
 	maxOrderDuration    = 24 * time.Hour
-	// phaseDivisor limits each of the first two phases of a drain to a quarter of its timeout. Clients must have left
-	// before a short drain ends.
+	// phaseDivisor limits each of the first two phases of a drain to a quarter of the drain's timeout. Clients must
+	// have left before a short drain ends.
 	phaseDivisor = 4
 )
 
-// otherProcess is the recorded requester of an order that another process of this node received.
+// otherProcess is recorded as the requester of a drain that another process of this node has ordered.
 const otherProcess = "another process of this node"
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
@@ -54,7 +54,7 @@
 	}
 }
 
-// drainOrder converts a request into an order with the default phases.
+// drainOrder converts request into a drain order whose first two phases have the default durations.
 func (a *adminAPI) drainOrder(request DrainRequest) (drain.Order, error) {
 	timeout := defaultDrainTimeout
 	if request.Timeout != "" {
@@ -107,8 +107,8 @@
 	adminapi.WriteJSON(w, http.StatusOK, a.currentStatus())
 }
 
-// startDrain starts a drain that the admin API or the operations endpoint received. It orders the other processes of
-// the node into standby.
+// startDrain carries out a drain order that the admin API or the operations endpoint has received. If the drain
+// starts, the other processes of the node are ordered into standby.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
 	if err == nil && a.onStandby != nil {
@@ -118,7 +118,7 @@
 }
 
 // cancelDrain cancels the drain for the admin API or the operations endpoint. It orders the other processes of the
-// node out of standby.
+// node out of standby, even if this process is not draining.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
@@ -130,7 +130,8 @@
 	return err
 }
 
-// setStandby starts or cancels a drain when another process of this node has ordered it.
+// setStandby starts a drain if standby is true, and otherwise cancels the drain. It is called for an order that
+// another process of this node has received.
 func (a *adminAPI) setStandby(standby bool) error {
 	if !standby {
 		err := a.engine.CancelDrain(otherProcess)
@@ -177,7 +178,7 @@
 	}
 }
 
-// restoreDrain starts a drain if the drain marker file exists, which means that the previous process was draining.
+// restoreDrain starts a drain if the drain marker file exists. The file means that the previous process was draining.
 func (a *adminAPI) restoreDrain() {
 	if a.drainMarkerFile == "" {
 		return
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -28,7 +28,7 @@
 	maxHeaderBytes    = 16 << 10
 	headerTimeout     = 2500 * time.Millisecond // timeout for a request's head, from its first byte
 	bodyTimeout       = 5 * time.Second         // timeout for a request's body, plus the transfer time on a slow network
-	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections; eviction may come earlier
+	clientIdleTimeout = 2 * time.Minute         // longer than clients keep idle connections open
 	newConnTimeout    = 15 * time.Second        // timeout for the first byte after the accept or the TLS handshake
 	rpcIdleTimeout    = 15 * time.Second        // idle timeout of MessagePack-RPC; documented in docs/msgpack-rpc.md
 	writeTimeout      = 5 * time.Second         // timeout for writing an answer to a client that does not read
@@ -135,9 +135,9 @@
 	return n.config.NewEndpointSource(n.registry)
 }
 
-// wrapEndpointSource returns a source that reports disabled and untrusted servers as draining. It returns source
-// itself if there is neither an admin API, which disables servers, nor TLS towards servers, which finds untrusted
-// servers.
+// wrapEndpointSource returns a source that reports disabled and untrusted servers as draining. Only the admin API
+// disables servers, and only TLS towards servers finds untrusted servers. Without both, wrapEndpointSource returns
+// source itself.
 func (n *node) wrapEndpointSource(source router.EndpointSource) router.EndpointSource {
 	if n.adminServer == nil && n.tls.transportLayer() == nil {
 		return source
@@ -147,7 +147,8 @@
 	return n.disabledServers
 }
 
-// openAdminServer opens the admin API's listeners. Connections wait in the accept queue until startAdminServer.
+// openAdminServer opens the admin API's listeners, if the admin API is configured. Connections wait in the accept
+// queue until startAdminServer.
 func (n *node) openAdminServer() error {
 	if !n.config.AdminAPI.Enabled() {
 		return nil
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// buildEngine creates the engine and connects it with the parts that need it. The engine starts to follow the
-// endpoint source.
+// buildEngine creates the engine and passes it to the parts of the node that use the engine. The engine starts to
+// follow the endpoint source.
 func (n *node) buildEngine(endpoints router.EndpointSource) error {
 	options := []router.Option{
 		router.WithLogger(n.log),
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -13,7 +13,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// closeHandshakeTimeout is the maximum time between the node's close of its side of a connection and the client's.
+// closeHandshakeTimeout is the maximum time for a client to close its side of a connection after the node has closed
+// its own side.
 const closeHandshakeTimeout = time.Second
 
 // clientConn is a client's connection with its state, which clientListener and net/http update. Only one goroutine of
@@ -30,7 +31,7 @@
 	requestsDone  uint64 // number of answered requests; changes only between reads
 
 	acceptedAt   time.Time
-	idle         atomic.Bool // whether idleElement is set; read without the mutex
+	idle         atomic.Bool // whether the connection is idle; unchanged once closed; read without the mutex
 	headTimedOut atomic.Bool // whether the rest of a head failed to arrive in time
 	deadline     readDeadline
 	arrival      requestArrival // arrival of the current request
@@ -43,12 +44,12 @@
 	closed        bool            // whether clientListener.open no longer counts the connection
 	halfClosed    bool            // whether the node closes its side; later requests are not served
 	endCause      endCause        // reason for the end without an answer; endNone: no such end
-	bytesAfterEnd bool            // whether bytes that arrived after the end are counted
+	bytesAfterEnd bool            // whether bytes arrived after the end and were counted
 	mustLinger    bool            // whether Close must linger; unread bytes would cause a reset
 	lingers       bool            // whether Close was called and the connection lingers
 	lingerElement *linked.Element // element in clientListener.lingering; nil: not lingering
 	overflow      bool            // whether the connection has no slot; its requests are rejected
-	lastPartialAt time.Time       // last arrival of bytes of a request not yet handed on
+	lastPartialAt time.Time       // last arrival of bytes while in listener.partialRequests
 }
 
 // clientStream is the byte stream of a client's connection, with or without TLS.
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -52,14 +52,14 @@
 }
 
 // trimLingeringLocked closes lingering connections, longest lingering first. It stops when open and lingering
-// connections together exceed maxConns by at most excess. It releases the mutex meanwhile.
+// connections together exceed maxConns by at most excess. It releases the mutex during each close.
 func (l *clientListener) trimLingeringLocked(excess int) {
 	for l.lingering.len() > 0 && l.open+l.lingering.len() > l.maxConns+excess {
 		l.closeOldestLingeringLocked()
 	}
 }
 
-// closeOldestLingeringLocked closes the connection that has lingered longest. It releases the mutex meanwhile.
+// closeOldestLingeringLocked closes the connection that has lingered longest. It releases the mutex during the close.
 func (l *clientListener) closeOldestLingeringLocked() {
 	c := l.lingering.takeOldest()
 	l.mu.Unlock() // Close waits for a Read in progress, which takes the mutex
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// beginLinger reports whether the connection must linger. If so, it adds the connection to the lingering connections.
-// In either case the connection no longer counts as open.
+// beginLinger reports whether the connection must begin to linger. If so, it adds the connection to the lingering
+// connections. In either case the connection no longer counts as open.
 func (c *clientConn) beginLinger() bool {
 	l := c.listener
 	l.mu.Lock()
@@ -102,7 +102,7 @@
 	c.deadline.setFinal(time.Now().Add(closeHandshakeTimeout))
 	var buf [discardBufferSize]byte
 	for discarded := 0; discarded < maxDiscarded; {
-		n, err := c.stream.Read(buf[:]) // returns no TLS alerts; a client may answer the node's alert with one
+		n, err := c.stream.Read(buf[:]) // returns no TLS alerts; a client may send an alert in answer to the node's alert
 		if n > 0 {
 			c.recordBytesAfterEnd()
 		}
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -13,7 +13,8 @@
 // drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
 const drainRecheckInterval = 100 * time.Millisecond
 
-// acceptQueueDrainTimeout is how long drainAcceptQueue waits for another connection before it closes the listener.
+// acceptQueueDrainTimeout is the maximum time for which drainAcceptQueue waits for another connection before it closes
+// the listener.
 const acceptQueueDrainTimeout = 20 * time.Millisecond
 
 // drainAcceptQueue waits until the connections in the accept queue are accepted, or ctx ends. Then it closes the
@@ -50,8 +51,8 @@
 	l.closeIdleAndUnlock()
 }
 
-// recheckIdle closes the idle connections that have passed drainFirstRequestGrace since closeIdle. It does nothing
-// after cancelCloseIdle.
+// recheckIdle closes the idle connections that have become older than drainFirstRequestGrace since closeIdle. It does
+// nothing after cancelCloseIdle.
 func (l *clientListener) recheckIdle() {
 	l.mu.Lock()
 	l.recheckScheduled = false
@@ -79,8 +80,9 @@
 	l.shuttingDown = false
 }
 
-// halfCloseIdleLocked marks the idle connections as half closed and returns them. Two kinds of connections are left
-// to recheckIdle: those in a TLS handshake, and those without any request within drainFirstRequestGrace.
+// halfCloseIdleLocked marks the idle connections as half closed and returns them. Two kinds of connections are left to
+// recheckIdle: connections in a TLS handshake, and connections without any request that are younger than
+// drainFirstRequestGrace.
 func (l *clientListener) halfCloseIdleLocked() (idle []*clientConn) {
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -34,7 +34,7 @@
 	abandoned     map[uint32]struct{}     // msgids that must not be reused: a late reply may still arrive
 	queue         []*pendingCall          // calls that wait to be written
 	notifications []byte                  // encoded notifications that wait to be written
-	retired       bool                    // no new calls are accepted
+	retired       bool                    // whether new calls are rejected
 	err           error                   // reason why the connection is closed; nil: open
 	idleSince     time.Time               // end of the last call; only meaningful if calls is empty
 }
@@ -78,8 +78,8 @@
 	return c
 }
 
-// Call sends req, and waits for the reply until ctx ends. If ctx ends first, the server receives a cancel. Call never
-// retries. maySend, if not nil, is called just before the write; its error prevents the write.
+// Call sends req, and waits for the reply until ctx ends. If ctx ends after the write has begun, the server receives a
+// cancel. Call never retries. maySend, if not nil, is called just before the write; its error prevents the write.
 //
 // The errors of Call are of type *NotSentError, *NoReplyError or *MalformedReplyError.
 func (c *Conn) Call(ctx context.Context, req *msgpackrpc.Call, maySend func() error) (msgpackrpc.Reply, error) {
@@ -169,8 +169,8 @@
 	return msgpackrpc.Reply{}, &NoReplyError{context.Cause(ctx)}
 }
 
-// checkIdle records the start of an idle period once no call is open. It closes a retired connection then. The caller
-// holds c.mu.
+// checkIdle records the start of an idle period once no call is open. It then closes the connection if the connection
+// is retired. The caller holds c.mu.
 func (c *Conn) checkIdle() {
 	if len(c.calls) > 0 {
 		return
