--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -140,8 +140,8 @@
 	return update
 }
 
-// Disable takes the server with an id out of service until Enable is called. Disabling a disabled server has no
-// effect.
+// Disable takes the server with the given id out of service until Enable is called. Disabling a disabled server has
+// no effect.
 func (s *Source) Disable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// Enable reverses Disable. The server gets the availability from the endpoint list again.
+// Enable reverses Disable for the server with the given id. The server gets the availability from the endpoint list
+// again.
 func (s *Source) Enable(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// SetUntrusted records whether the server with an id could not prove its identity. An untrusted server is out of
-// service. SetUntrusted does not wait for Run.
+// SetUntrusted marks the server with the given id as untrusted, or as trusted again. The caller has checked the
+// server's identity. An untrusted server is out of service. SetUntrusted does not wait for Run.
 func (s *Source) SetUntrusted(id string, untrusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +185,7 @@
 	s.enqueue(id)
 }
 
-// enqueue makes Run publish the current state of an endpoint. The caller holds mu.
+// enqueue makes Run publish the current state of the endpoint with the given id. The caller holds mu.
 func (s *Source) enqueue(id string) {
 	if !slices.Contains(s.pending, id) {
 		s.pending = append(s.pending, id)
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,7 @@
 // Package merge combines several endpoint sources into one. A server is identified by its address. If several sources
-// list the same address, they describe the same server, and its id comes from the first of these sources. A server
-// gets no new work after any source drains or removes it. That source is assumed to be the most up to date. Data
-// about a later process at the same address replaces the data of the earlier process.
+// list the same address, they describe the same server, and its id comes from the first of these sources. If any
+// source drains or removes a server, the server gets no new work. The data of that source is assumed to be the
+// newest. Data about a later process at the same address replaces the data of the earlier process.
 package merge
 
 import (
@@ -48,8 +48,8 @@
 	}
 }
 
-// SetInitial records endpoints, the list that the router starts with, as already published by the source with an
-// index.
+// SetInitial records endpoints as already published by the source with the given index. endpoints is the list that
+// the router starts with.
 func (s *Source) SetInitial(source int, endpoints []router.Endpoint) {
 	update := router.EndpointUpdate{Kind: policy.ListReplace, Endpoints: endpoints}
 	s.apply(source, update, func(router.EndpointUpdate) {})
@@ -66,8 +66,8 @@
 	running.Wait()
 }
 
-// apply stores an update of the source with an index and publishes the resulting changes. It holds the lock while
-// publishing. Updates are therefore published in the order in which they are applied.
+// apply stores an update of the source with the given index and publishes the resulting changes. It holds the lock
+// while publishing. Updates are therefore published in the order in which they are applied.
 func (s *Source) apply(source int, update router.EndpointUpdate, publish func(router.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 		publish(update)
 		return
 	}
-	touched := make(map[string]bool) // addresses whose servers may have changed
+	touched := make(map[string]bool) // set of addresses whose servers may have changed
 	if update.Kind != policy.ListUpdate {
 		s.removeUnlisted(source, update.Endpoints, touched)
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// removeUnlisted marks the servers as removed that a source has listed earlier and that its complete list no longer
-// contains. endpoints is that complete list.
+// removeUnlisted handles endpoints, a complete list of the source with the given index. If the source listed a server
+// earlier and endpoints does not contain the server, removeUnlisted marks the server as removed.
 func (s *Source) removeUnlisted(source int, endpoints []router.Endpoint, touched map[string]bool) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
--- a/discovery/merge/server.go
+++ b/discovery/merge/server.go
@@ -12,13 +12,13 @@
 type mergedServer struct {
 	reports     []sourceReport  // one per source
 	published   router.Endpoint // endpoint as last published
-	isPublished bool            // published is known to the router
+	isPublished bool            // whether the router has received the endpoint in published
 }
 
 // sourceReport is the data that one source reports about a server. After the source has removed the server, the
 // report keeps the endpoint with Availability Removed.
 type sourceReport struct {
-	known    bool // the source has listed the server at least once
+	known    bool // whether the source has listed the server at least once
 	endpoint router.Endpoint
 }
 
--- a/discovery/registry/backoff.go
+++ b/discovery/registry/backoff.go
@@ -7,8 +7,8 @@
 
 const (
 	backoffMin = 25 * time.Millisecond
-	// backoffMax and drainGraceDivisor keep the pause after a failed call short. Once the registry's agent has
-	// received a drain, the drain counts as known to the node, even while the node pauses.
+	// backoffMax and drainGraceDivisor keep the pause after a failed call short. A drain that the registry's agent
+	// has received counts as known to the node, even while the node pauses.
 	backoffMax        = 200 * time.Millisecond
 	drainGraceDivisor = 4
 )
--- a/discovery/registry/list.go
+++ b/discovery/registry/list.go
@@ -13,7 +13,7 @@
 // List is the registry's complete list of endpoints, or the changes since an earlier revision.
 type List struct {
 	Revision  int64
-	Full      bool // Endpoints is the complete list, not the changes
+	Full      bool // whether Endpoints is the complete list, not the changes
 	Endpoints []router.Endpoint
 }
 
--- a/discovery/registry/registry.go
+++ b/discovery/registry/registry.go
@@ -45,7 +45,7 @@
 	// Only the goroutine of Run uses the following fields.
 	addr          string
 	revision      int64
-	fullRequested bool // the next call asks for the complete list
+	fullRequested bool // whether the next call asks for the complete list
 	polling       bool // last value received from pollRequests
 	outage        outage
 
@@ -177,7 +177,7 @@
 // outage records the time since the last answer while calls fail or time out.
 type outage struct {
 	lastAnswer time.Time // initially the start of Run
-	inProgress bool      // a call has failed since the last answer
+	inProgress bool      // whether a call has failed since the last answer
 }
 
 // end records an answer and returns the length of the outage that ended. Without an outage, it returns 0.
--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -136,8 +136,8 @@
 }
 
 // TestSetAddress_WhileNotPolling checks that after a failure, a new address makes the source call again without a
-// request of the router. The policy does not know of the move and would still wait because of the failure. The new
-// registry's list, however, counts as known 4 s after the move.
+// request of the router. The router does not know of the new address, and still pauses because of the failure. The
+// new registry's list, however, counts as known to the node 4 s after SetAddress.
 func TestSetAddress_WhileNotPolling(t *testing.T) {
 	source, published, queries := runWithAnswers(t, true, "down")
 	source.SetPolling(true)
@@ -225,9 +225,9 @@
 }
 
 // TestSource_UnansweredWatchIsReopened checks that a watch without an answer is reopened before the missed changes
-// count as known to the node. They count as known 2 s after the end of the wait. After a call for the complete list,
-// as after SetAddress, they count as known 6 s after the call. The source must report no failure and need no request
-// of the router. The registry keeps the connection open.
+// count as known to the node. Missed changes count as known 2 s after the end of the wait. If the call was for the
+// complete list, as after SetAddress, they count as known 6 s after the start of the call. The source must reopen the
+// watch without reporting a failure and without a request of the router. The registry keeps the connection open.
 func TestSource_UnansweredWatchIsReopened(t *testing.T) {
 	for name, test := range map[string]struct{ subscribe, moved bool }{
 		"pushed":                    {},
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -16,9 +16,9 @@
 	// watchTimeout is the time for which a registry on the node's own machine may hold a call while nothing changes.
 	// It is short because a registry that no longer answers must be noticed soon.
 	watchTimeout = 5 * time.Second
-	// responseGrace is the time after watchTimeout at which an unanswered call is given up and repeated. The site
-	// expects a node to respect a drain from 2 s after the end of its watch, even without having received it. The
-	// repeated call needs part of these 2 s.
+	// responseGrace is the time after watchTimeout at which an unanswered call is given up and repeated. From 2 s
+	// after the end of a watch, the site expects the node to respect all drains, even drains that the node has not
+	// received. The repeated call needs part of these 2 s.
 	responseGrace = time.Second
 	// sharedWatchTimeout is the maximum time for which a registry that serves all nodes may hold a call. Each call
 	// uses a random time between half of sharedWatchTimeout and all of it. Otherwise nodes that start together would
--- a/discovery/xds/ads/ads.go
+++ b/discovery/xds/ads/ads.go
@@ -2,7 +2,7 @@
 // machine takes the responses of the control plane, returns the requests to send, and provides the clusters in
 // effect. The package does no I/O, reads no clock and decodes no bytes.
 //
-// It follows "xDS REST and gRPC protocol" in Envoy's documentation, in both the state-of-the-world and the
+// The package follows "xDS REST and gRPC protocol" in Envoy's documentation, in both the state-of-the-world and the
 // incremental variant.
 package ads
 
@@ -57,7 +57,7 @@
 // Request is a request to send to the control plane.
 type Request struct {
 	Type          Type
-	IncludeNode   bool     // the request is the first on its stream and identifies the node
+	IncludeNode   bool     // whether the request identifies the node, as the first request on a stream does
 	Version       string   // last accepted version; state-of-the-world variant only
 	Nonce         string   // nonce of the answered response; empty: the request answers none
 	ErrorDetail   string   // reason of a NACK; empty: the request is an ACK or answers no response
@@ -71,8 +71,8 @@
 type AppliedCluster struct {
 	Cluster        *resource.Cluster
 	Assignment     *resource.Assignment // nil: no assignment has been received yet
-	Warming        bool                 // the current assignment is missing; the former assignment stays in effect
-	PendingRemoval bool                 // missing from the newest list; in effect until the newest list is complete
+	Warming        bool                 // whether the current assignment is missing; the former one stays in effect
+	PendingRemoval bool                 // whether the cluster is missing from the newest, incomplete list
 }
 
 // Status describes the subscription to one type of resource.
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -352,7 +352,7 @@
 	clusters       map[string]string          // service name of each cluster, by cluster name
 	addresses      map[string][]string        // by service name
 	versions       map[string]int             // version of each assignment, by service name
-	addressHistory map[string]map[string]bool // every list of addresses that a service has had, by service name
+	addressHistory map[string]map[string]bool // set of all address lists that a service has had, by service name
 
 	// State of the client's stream.
 	subscribedNames map[string]bool
@@ -589,8 +589,8 @@
 	}
 }
 
-// hasAssignment reports whether any cluster has an assignment. If no endpoints are in effect, such an assignment is
-// empty. An empty assignment is a valid reason for having no endpoints.
+// hasAssignment reports whether any cluster has an assignment. The caller has found that no endpoints are in effect,
+// so such an assignment is empty. An empty assignment explains why there are no endpoints.
 func hasAssignment(m *Machine) bool {
 	for _, cluster := range m.Applied() {
 		if cluster.Assignment != nil {
--- a/discovery/xds/ads/machine.go
+++ b/discovery/xds/ads/machine.go
@@ -10,8 +10,8 @@
 // Machine is the state machine of the subscriptions to a control plane. It is not safe for concurrent use.
 type Machine struct {
 	variant       Variant
-	connected     bool // a stream is open
-	nodeUnsent    bool // no request has been sent on the stream, so the next request must identify the node
+	connected     bool // whether a stream is open
+	nodeUnsent    bool // whether no request has been sent on the stream; the next request must then identify the node
 	subscriptions [NumTypes]subscription
 	applied       map[string]AppliedCluster // replaced at each change, never modified
 }
--- a/discovery/xds/ads/subscription.go
+++ b/discovery/xds/ads/subscription.go
@@ -19,10 +19,10 @@
 type subscription struct {
 	version       string   // last accepted version; state-of-the-world variant only
 	nonce         string   // nonce of the last response on this stream
-	requested     bool     // the type has been requested on this stream
+	requested     bool     // whether the type has been requested on this stream
 	resourceNames []string // sorted
 	accepted      map[string]acceptedResource
-	absent        map[string]bool   // names subscribed to that do not exist at the control plane or have expired
+	absent        map[string]bool   // set of subscribed names that do not exist at the control plane or have expired
 	rejected      map[string]string // rejection reasons, by name; kept until a valid version or a removal
 	nackReason    string            // reason of the NACK for the last response; empty: the answer was an ACK
 	updatedAt     time.Time         // time of the last readable response
@@ -75,7 +75,7 @@
 	return now.Add(ttl)
 }
 
-// remove deletes the resource with a name and the reason of a rejection.
+// remove deletes the resource with the given name, and the reason for its rejection if it was rejected.
 func (s *subscription) remove(name string) {
 	delete(s.accepted, name)
 	delete(s.rejected, name)
--- a/discovery/xds/config.go
+++ b/discovery/xds/config.go
@@ -41,8 +41,8 @@
 	// CacheDir is the directory of the cached list, which is read at the start; empty: nothing is cached.
 	CacheDir string
 	Log      *slog.Logger // nil: nothing is logged
-	// Secrets maps the name of each secret to subscribe to, to the function that receives every accepted version of
-	// the secret. The functions must not block. A secret that the control plane removes stays in use.
+	// Secrets contains a function for each secret to subscribe to, by name of the secret. The function receives every
+	// accepted version of the secret, and must not block. A secret that the control plane removes stays in use.
 	Secrets map[string]func(*certificates.Set)
 
 	// Intervals that tests override; 0: the default.
--- a/discovery/xds/connection.go
+++ b/discovery/xds/connection.go
@@ -26,7 +26,7 @@
 	return &connections{servers: servers, conns: make([]*grpc.ClientConn, len(servers))}
 }
 
-// get returns the connection to the server with an index, and creates the connection at the first use.
+// get returns the connection to the server with the given index, and creates the connection at the first use.
 func (c *connections) get(index int) (*grpc.ClientConn, error) {
 	if c.conns[index] == nil {
 		conn, err := dial(c.servers[index])
--- a/discovery/xds/decode.go
+++ b/discovery/xds/decode.go
@@ -28,7 +28,7 @@
 	errNameMissing = errors.New("name: missing")
 )
 
-// typeFromURL returns the type with a type URL. ok is false for types that are never subscribed to.
+// typeFromURL returns the type with the given type URL. ok is false for types that are never subscribed to.
 func typeFromURL(url string) (t ads.Type, ok bool) {
 	for t, known := range typeURLs {
 		if known == url {
--- a/discovery/xds/priority/priority.go
+++ b/discovery/xds/priority/priority.go
@@ -2,8 +2,8 @@
 // level are eligible only if the levels above have too few healthy endpoints. The package does no I/O and keeps no
 // state. Equal assignments get equal decisions.
 //
-// It follows Envoy's priority levels. The availability of a level is its fraction of healthy endpoints times the
-// overprovisioning factor. Unlike Envoy, the package makes whole levels eligible instead of splitting traffic by
+// The package follows Envoy's priority levels. The availability of a level is its fraction of healthy endpoints times
+// the overprovisioning factor. Unlike Envoy, the package makes whole levels eligible instead of splitting traffic by
 // percentages. The load balancer distributes work over the eligible endpoints.
 package priority
 
@@ -27,8 +27,9 @@
 // Eligible returns whether each endpoint of an assignment may get new work, by the index of the endpoint.
 //
 // Levels are used in order until their availabilities add up to full availability. Degraded endpoints of these levels
-// are eligible only if the availabilities of all levels add up to less. If no endpoint of these levels is healthy or
-// degraded, no endpoint is eligible. In that case the control plane has reported that none should be used.
+// are eligible only if the availabilities of all levels add up to less than full availability. If no endpoint of
+// these levels is healthy or degraded, no endpoint is eligible. In that case the control plane has reported that no
+// endpoint should be used.
 func Eligible(assignment *resource.Assignment) []bool {
 	overprovisioning := assignment.Overprovisioning
 	if overprovisioning <= 0 {
--- a/discovery/xds/priority/priority_test.go
+++ b/discovery/xds/priority/priority_test.go
@@ -35,7 +35,7 @@
 	}{
 		{1.4, "HHHH HH", "xxxx .."},
 		{1.4, "HHHU HH", "xxx. .."}, // 3/4 healthy times 1.4 is full availability
-		{1.4, "HHUU HH", "xx.. xx"}, // 2/4 healthy times 1.4 is not
+		{1.4, "HHUU HH", "xx.. xx"}, // 2/4 healthy times 1.4 is less than full availability
 		{1.4, "HHHHHUU H", "xxxxx.. ."},
 		{1, "HHHU H", "xxx. x"},
 		{1.4, "UTD HH H", "... xx ."},
--- a/discovery/xds/resource/assignment.go
+++ b/discovery/xds/resource/assignment.go
@@ -64,7 +64,7 @@
 // assignmentBuilder builds an assignment and rejects duplicate addresses.
 type assignmentBuilder struct {
 	assignment *Assignment
-	addresses  map[string]bool // addresses of the endpoints added so far
+	addresses  map[string]bool // set of the addresses of the endpoints added so far
 }
 
 func (b *assignmentBuilder) build(
@@ -90,8 +90,8 @@
 	return checkPriorities(localities)
 }
 
-// addLocality adds the endpoints of the locality with an index. The weight of the locality is ignored. The load
-// balancer weights individual servers and has separate rules for preferring zones.
+// addLocality adds the endpoints of the locality with the given index. The weight of the locality is ignored. The
+// load balancer weights individual servers and has separate rules for preferring zones.
 func (b *assignmentBuilder) addLocality(index int, locality *rawLocality, pause func()) error {
 	priority := locality.message.GetPriority()
 	if priority > maxPriority {
--- a/discovery/xds/resource/endpoint.go
+++ b/discovery/xds/resource/endpoint.go
@@ -107,8 +107,8 @@
 	return netip.AddrPortFrom(ip.Unmap(), uint16(socket.GetPortValue())).String(), nil
 }
 
-// applyMetadata sets the option with a key of the router's own metadata. Unknown keys are rejected. If a misspelled
-// started_ms were ignored, a server that has just started would get its full load at once.
+// applyMetadata sets the option that key names in the router's own metadata. Unknown keys are rejected. If a
+// misspelled started_ms were ignored, a server that has just started would get its full load at once.
 func (e *Endpoint) applyMetadata(key string, value *structpb.Value) error {
 	var err error
 	switch key {
--- a/discovery/xds/resource/resource_test.go
+++ b/discovery/xds/resource/resource_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Paths of the first endpoint of an assignment, of its socket address, and of its metadata under the router's
-// namespace.
+// Paths in an assignment: its first endpoint, that endpoint's socket address, and that endpoint's metadata under the
+// router's namespace.
 const (
 	endpointPath = "endpoints[0].lb_endpoints[0]."
 	socketPath   = endpointPath + "endpoint.address.socket_address."
--- a/discovery/xds/scale_test.go
+++ b/discovery/xds/scale_test.go
@@ -93,7 +93,7 @@
 		cluster := &resource.Cluster{Name: name, EDS: true, ServiceName: name}
 		clusters.Resources = append(clusters.Resources, ads.Resource{Name: name, Value: cluster})
 		body := packedAssignment(b, name, each, 0, false)
-		if n != each { // addresses that no other cluster has
+		if n != each { // several clusters, which must not share addresses
 			body = packedAssignmentAt(b, name, each, i)
 		}
 		endpoints.Resources = append(endpoints.Resources, &xdspb.Resource{Name: name, Resource: body})
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -19,14 +19,14 @@
 // assignments uses the same interval.
 const yieldInterval = 32
 
-// snapshot contains the list of servers as last published, from which each update is derived as a list of changes. A
+// snapshot contains the list of servers as last published. Each update contains the differences from this list. A
 // server is identified by its address, regardless of which clusters and localities list the server. A snapshot is not
 // safe for concurrent use.
 type snapshot struct {
 	clusters         map[string]clusterState
 	published        map[string]router.Endpoint  // by address
-	listings         map[string][]clusterListing // by address; in order of the clusters' names
-	initialPublished bool                        // the first list of servers has been published
+	listings         map[string][]clusterListing // by address; each list is in order of cluster name
+	initialPublished bool                        // whether the first list of servers has been published
 	drops            dropoverload.Fractions      // as last published
 	yielder          cpuyield.Yielder
 }
@@ -41,7 +41,7 @@
 type clusterListing struct {
 	cluster  string
 	endpoint resource.Endpoint
-	eligible bool // eligible for new work, by health and priority
+	eligible bool // whether the server gets new work, by health and priority
 }
 
 // excluded reports whether the endpoint's health excludes the server from new work in all clusters.
@@ -66,7 +66,7 @@
 // longer listed have Availability Removed. A cluster whose assignment is still the same object is skipped. For other
 // clusters, only the endpoints that differ are processed.
 func (s *snapshot) apply(applied map[string]ads.AppliedCluster) []router.Endpoint {
-	touched := make(map[string]bool) // addresses whose servers may have changed
+	touched := make(map[string]bool) // set of addresses whose servers may have changed
 	for name, former := range s.clusters {
 		if applied[name].Assignment == nil {
 			for _, endpoint := range former.assignment.Endpoints {
@@ -146,7 +146,7 @@
 	positions map[string]int // by address; built at the first difference in the order of the endpoints
 }
 
-// position returns the index of the endpoint with an address. It tries the index guess first.
+// position returns the index of the endpoint with address addr. It tries the index guess first.
 func (f *formerEndpoints) position(addr string, guess int) (position int, found bool) {
 	if guess < len(f.endpoints) && f.endpoints[guess].Addr == addr {
 		return guess, true
@@ -216,9 +216,9 @@
 }
 
 // mergeListings combines the listings of the server at an address, and reports whether any cluster lists the server.
-// The server is draining if any cluster marks it as draining or unhealthy. If a cluster does not need the server,
-// other clusters may still use it. The pools of the server are the clusters in which it is eligible. Its start time
-// is the latest start time in the listings.
+// The server is draining if any cluster marks it as draining or unhealthy. If the server is ineligible in a cluster
+// only because of its priority level, other clusters may still use the server. The pools of the server are the
+// clusters in which it is eligible. Its start time is the latest start time in the listings.
 func (s *snapshot) mergeListings(addr string) (router.Endpoint, bool) {
 	listings := s.listings[addr]
 	if len(listings) == 0 {
--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -28,7 +28,7 @@
 	cached      cachedList   // read from CacheDir; empty after the first list is complete
 	cacheWriter *cacheWriter // nil: nothing is cached
 	serverIndex int          // index of the control plane in use
-	connected   bool         // a stream is open
+	connected   bool         // whether a stream is open
 	stateSince  time.Time    // time of the last change of connected
 	lastErr     error        // why the last stream ended
 }
@@ -77,7 +77,7 @@
 func (s *Source) SetPolling(bool) {}
 
 // Run keeps a stream to a control plane open until ctx ends, and publishes the received changes. It returns after all
-// goroutines that it has started.
+// goroutines that it has started have ended.
 func (s *Source) Run(ctx context.Context, publish func(router.EndpointUpdate)) {
 	defer s.startCacheWriter()()
 	s.publishCached(publish)
@@ -136,8 +136,8 @@
 	}
 }
 
-// streamFrom runs one stream to the control plane with an index until the stream ends. answered reports whether any
-// response was received on the stream.
+// streamFrom runs one stream to the control plane with the given index until the stream ends. answered reports
+// whether any response was received on the stream.
 func (s *Source) streamFrom(
 	ctx context.Context, conns *connections, index int, publish func(router.EndpointUpdate),
 ) (answered bool, _ error) {
@@ -153,8 +153,8 @@
 	return s.runStream(ctx, conn, preferred, index, publish)
 }
 
-// streamOpened records that a stream to the control plane with an index is open. It returns the first requests to
-// send on the stream.
+// streamOpened records that a stream to the control plane with the given index is open. It returns the first requests
+// to send on the stream.
 func (s *Source) streamOpened(index int) []ads.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,8 @@
 	}
 }
 
-// expireResources removes resources whose TTL has passed. next is the time at which to call it again; zero: never.
+// expireResources removes resources whose TTL has passed. next is the time at which to call expireResources again;
+// zero: never.
 func (s *Source) expireResources() (update *router.EndpointUpdate, next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/xds/standin/assignment.go
+++ b/discovery/xds/standin/assignment.go
@@ -16,8 +16,8 @@
 // maxNumberBits limits numbers in options to those that are exact as doubles.
 const maxNumberBits = 53
 
-// ParseAssignment returns the assignment of the cluster with a name. Each text is an endpoint in the syntax of the
-// step "endpoints", which docs/xds.md describes.
+// ParseAssignment returns the assignment of the cluster with the given name. Each text is an endpoint in the syntax
+// of the step "endpoints", which docs/xds.md describes.
 func ParseAssignment(name string, texts []string) (*xdspb.ClusterLoadAssignment, error) {
 	type localityKey struct {
 		zone     string
--- a/discovery/xds/standin/faults.go
+++ b/discovery/xds/standin/faults.go
@@ -11,11 +11,11 @@
 // faults contains a control plane's deviations from the specification. The zero value means no deviation.
 type faults struct {
 	rejectCode      codes.Code      // status code with which all streams are rejected; codes.OK: no stream is rejected
-	muted           map[string]bool // types without responses, by type URL; replaced at each change, never modified
+	muted           map[string]bool // set of type URLs without responses; replaced at each change, never modified
 	closeCount      int             // number of calls of CloseStreams
 	closeCode       codes.Code      // status code of the last call of CloseStreams
 	resendCount     int             // number of calls of ResendLast
-	endpointsFirst  bool            // responses are sent in reverse order of their types
+	endpointsFirst  bool            // whether responses are sent in reverse order of their types
 	versionOverride string          // version sent instead of the real version; empty: the real version
 	nonceOverride   string          // nonce of the next response; empty: a generated nonce
 }
--- a/discovery/xds/standin/script.go
+++ b/discovery/xds/standin/script.go
@@ -61,7 +61,7 @@
 	return script, lines.Err()
 }
 
-// Run executes the script on a control plane. It writes each step to out before the execution of the step. If an
+// Run executes the script on a control plane. It writes each step to out before it executes the step. If an
 // expectation is not met, Run returns an error that names the line.
 func (s *Script) Run(ctx context.Context, controlPlane *ControlPlane, out io.Writer) error {
 	run := &scriptRun{controlPlane: controlPlane, out: out}
--- a/discovery/xds/standin/standin.go
+++ b/discovery/xds/standin/standin.go
@@ -21,9 +21,9 @@
 const (
 	maxResponseSize = 256 << 20 // in bytes
 	awaitInterval   = 2 * time.Millisecond
-	// versionsPerInstance is the size of the range of versions of each control plane in a process. The ranges do not
-	// overlap. In the incremental variant, a client reports the versions of its resources. A restarted control plane
-	// that counts from 1 again could mistake other content with the same version for its own content.
+	// versionsPerInstance is the number of versions reserved for each control plane in a process. In the incremental
+	// variant, a client reports the versions of its resources. If a restarted control plane counted from 1 again, a
+	// reported version could be the same although the content differs.
 	versionsPerInstance = 1_000_000
 )
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// Remove removes the resource with a type URL and a name.
+// Remove removes the resource with the given type URL and name.
 func (p *ControlPlane) Remove(url, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/discovery/xds/standin/stream.go
+++ b/discovery/xds/standin/stream.go
@@ -119,7 +119,8 @@
 	subscribed.update(request, s.delta)
 }
 
-// stampResponse sets the nonce of a response and returns it. If a fault overrides versions, it also sets the version.
+// stampResponse sets the nonce of a response and returns the nonce, which a fault may override. If a fault overrides
+// versions, it also sets the version.
 func (p *ControlPlane) stampResponse(response proto.Message, nonce string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/discovery/xds/standin/subscription.go
+++ b/discovery/xds/standin/subscription.go
@@ -14,7 +14,7 @@
 // subscription is the subscription of a stream to one type. It records the versions that the client has.
 type subscription struct {
 	requested bool
-	names     map[string]bool // names subscribed to; nil: all
+	names     map[string]bool // set of names subscribed to; nil: all
 	sent      map[string]int  // versions sent, or reported by the client, by name
 	responses int             // number of state-of-the-world responses sent so far
 }
--- a/discovery/xds/status.go
+++ b/discovery/xds/status.go
@@ -16,10 +16,10 @@
 // Status describes the state of a Source.
 type Status struct {
 	Server    string    // address of the current or last control plane
-	Connected bool      // a stream is open
+	Connected bool      // whether a stream is open
 	Since     time.Time // time of the last change of Connected
 	LastError error     // why the last stream ended; nil: no stream has ended yet
-	Complete  bool      // all endpoints of the newest list of clusters have been received
+	Complete  bool      // whether all endpoints of the newest list of clusters have been received
 	Types     [ads.NumTypes]ads.Status
 	Endpoints []router.Endpoint      // as last published, in order of id
 	Drops     dropoverload.Fractions // fraction of requests to drop in classes bound to a cluster, by cluster
--- a/discovery/xds/stored_test.go
+++ b/discovery/xds/stored_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/discovery/xds/resource"
 )
 
-// TestReadCache_FileOfEarlierVersion checks that a list cached by an earlier version can be read. Written again, the
-// file must be identical.
+// TestReadCache_FileOfEarlierVersion checks that a list cached by an earlier version can be read. After the list is
+// written again, the file must be identical.
 func TestReadCache_FileOfEarlierVersion(t *testing.T) {
 	storedDir := filepath.Join("testdata", "kept")
 	got, err := readCache(storedDir)
--- a/discovery/xds/stream.go
+++ b/discovery/xds/stream.go
@@ -114,11 +114,11 @@
 	stream        stream
 	cancel        context.CancelCauseFunc // ends the stream
 	serverIndex   int
-	preferred     *grpc.ClientConn // connection to the preferred control plane; nil: the stream uses this connection
+	preferred     *grpc.ClientConn // connection to the preferred control plane; nil if the stream uses it
 	publish       func(router.EndpointUpdate)
-	responseTimer *time.Timer // ends the stream unless the first response is in time
+	responseTimer *time.Timer // ends the stream if the first response is late
 	expiryTimer   *time.Timer // fires at the end of the next TTL
-	answered      bool        // a response has been received
+	answered      bool        // whether a response has been received
 }
 
 // runStream runs one stream on conn until the stream ends. answered reports whether any response was received on the
