--- a/certificates/expiry.go
+++ b/certificates/expiry.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ExpiryWarning says that a certificate expires soon, or has expired.
+// ExpiryWarning reports that a certificate expires soon, or has expired.
 type ExpiryWarning struct {
 	Summary
 	Remaining time.Duration // zero or negative after expiry
@@ -27,7 +27,7 @@
 }
 
 // Due returns the warnings that have become due since the last call. current lists all certificates in use. Due
-// forgets certificates that are missing from current.
+// deletes the state of certificates that are missing from current.
 func (w *ExpiryWarnings) Due(now time.Time, current []Summary) (due []ExpiryWarning) {
 	passed := make(map[string]int, len(current))
 	for _, cert := range current {
--- a/certificates/pem.go
+++ b/certificates/pem.go
@@ -64,9 +64,9 @@
 	return signer, nil
 }
 
-// decodeAuthorities reads PEM data that consists of CA certificates, and returns those that are valid at now.
-// Certificates outside their validity period are left out, because a rotation trusts the old and the new authority
-// together.
+// decodeAuthorities reads PEM data that consists of CA certificates, and returns those that are valid at now. A
+// certificate outside its validity period is left out without an error. During a rotation, the bundle contains both
+// the old and the new authority.
 func decodeAuthorities(raw []byte, now time.Time) ([]*x509.Certificate, error) {
 	authorities, err := decodeCertificates(raw)
 	if err != nil {
--- a/certificates/watch.go
+++ b/certificates/watch.go
@@ -11,14 +11,14 @@
 )
 
 // retryInterval is the time after which rejected files are read again even if they have not changed. A certificate
-// may have become valid in the meantime.
+// may become valid while its file does not change.
 const retryInterval = 10 * time.Second
 
 // PollResult is the result of a call of FileWatcher.Poll.
 type PollResult struct {
 	Source       string
-	Changed      bool  // the new content is in use
-	TrustChanged bool  // the trusted authorities have changed; only together with Changed
+	Changed      bool  // whether new content has been loaded and is in use
+	TrustChanged bool  // whether the trusted authorities have changed; only together with Changed
 	Err          error // why the new content was rejected; reported once per state of the files
 }
 
