--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -50,7 +50,7 @@
 	Tenants []string // names of all tenants
 	Trusted []string // prefixes and addresses of proxies with trusted tenant and forwarding headers
 	// Forwarded is the header that lists the hops: "X-Forwarded-For", "Forwarded", or empty for none. Only one header
-	// is read. A proxy passes on the headers that it does not set itself, and a client may have forged them.
+	// is read. A proxy passes on headers that the proxy does not set, and a client may have forged these headers.
 	Forwarded string
 	IPv4Bits  int // bits of an IPv4 address that identify an anonymous client; 0: 32
 	IPv6Bits  int // bits of an IPv6 address that identify an anonymous client; 0: 64, one subscriber's usual prefix
--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -25,17 +25,17 @@
 type Drain struct {
 	AnnounceFor Duration // time for which a draining node still serves as before; not set: the node's default
 	Timeout     Duration // timeout for the whole drain; not set: the node's default
-	StateFile   string   // exists during a drain requested over the admin API; a restarted node continues the drain
+	StateFile   string   // path of the file with which a restarted node continues a drain requested over the admin API
 }
 
 // XDS configures the discovery of servers by xDS, from a control plane or from files.
 type XDS struct {
 	Bootstrap       string            // path of the xDS bootstrap file (JSON) of a control plane
 	CAFile          string            // PEM file for channel_creds tls; empty: the system's authorities
-	Delta           bool              // use incremental (delta) xDS
+	Delta           bool              // whether to use incremental (delta) xDS
 	CacheDir        string            // directory of the last endpoint list; empty: the list is not stored
 	Files           []string          // DiscoveryResponse files, instead of a control plane
-	WithoutPlatform bool              // servers come only from xDS, not also from the platform's registry
+	WithoutPlatform bool              // whether servers come only from xDS, not also from the platform's registry
 	ClusterByClass  map[string]string // name of the cluster that serves a class, by class
 }
 
--- a/internal/nodeconfig/lines.go
+++ b/internal/nodeconfig/lines.go
@@ -9,8 +9,8 @@
 // lineFinder finds the line numbers of keys in the text of a file.
 type lineFinder struct{ text []byte }
 
-// errorf returns an error about a key of a table. The error begins with the line number and the key. Only its first
-// line is kept.
+// errorf returns an error about a key of a table. The error begins with the line number and the key. Only the first
+// line of the message is kept.
 func (l lineFinder) errorf(table, key, format string, args ...any) error {
 	err := fmt.Errorf("%d: %s.%s: %w", l.lineOf(table, key), table, key, fmt.Errorf(format, args...))
 	if message := err.Error(); strings.Contains(message, "\n") {
--- a/internal/nodeconfig/values.go
+++ b/internal/nodeconfig/values.go
@@ -14,7 +14,7 @@
 // Duration is a duration with a unit in the file, as in "1.5s".
 type Duration struct {
 	time.Duration
-	Set bool // the file contains the key; the value may be 0
+	Set bool // whether the file contains the key; the value may be 0
 }
 
 // UnmarshalText parses a duration of 0 to 24 h.
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// searchNode searches the routes of node n and of the nodes below it that match rest, the rest of the path. done
-// reports whether the whole path has been consumed.
+// searchNode searches the routes of node n, and of those nodes below n that match rest. rest is the part of the path
+// after n. done reports whether the whole path has been consumed.
 func (s *search) searchNode(n *node, rest string, done bool) {
 	s.matchFirst(n.prefixes)
 	if done {
@@ -81,7 +81,7 @@
 	}
 }
 
-// conditionsHold reports whether the conditions of route i hold that the index does not check.
+// conditionsHold reports whether req meets those conditions of route i that the index does not check.
 func (t *Table) conditionsHold(i int, req *Request) bool {
 	route := &t.routes[i]
 	if route.Listener != "" && route.Listener != req.Listener {
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -51,8 +51,8 @@
 type Condition struct {
 	Name    string
 	Value   string // required value if neither Present nor Missing is set
-	Present bool   // any value is accepted
-	Missing bool   // the header or parameter must be absent
+	Present bool   // whether any value is accepted
+	Missing bool   // whether the header or parameter must be absent
 }
 
 // Request contains the attributes of a request that routes match.
--- a/internal/routes/shadowed.go
+++ b/internal/routes/shadowed.go
@@ -87,7 +87,7 @@
 	return len(other) > 0 && !slices.ContainsFunc(other, isMissing)
 }
 
-// conditionsCover reports whether all of conditions hold for every request for which all of other hold.
+// conditionsCover reports whether every request that meets all conditions in other also meets all in conditions.
 func conditionsCover(conditions, other []Condition) bool {
 	for _, condition := range conditions {
 		implied := func(o Condition) bool {
@@ -115,9 +115,9 @@
 	return segmentsCover(r.Segments, other.Path+other.Segments)
 }
 
-// segmentsCover reports whether pattern, a value of Route.Segments, matches path. If path is also a pattern, every path
-// that it matches must match pattern. path is empty for a route with Prefix or Regexp. Such a route is not covered,
-// because it may match paths of any length.
+// segmentsCover reports whether pattern, a value of Route.Segments, matches path. If path is also a pattern, every
+// request path that matches path must also match pattern. path is empty for a route with Prefix or Regexp. Such a
+// route is not covered, because it may match paths of any length.
 func segmentsCover(pattern, path string) bool {
 	if path == "" {
 		return false
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -28,7 +28,7 @@
 	children  map[string]*node
 	parameter *node   // child for any segment that is not empty
 	segments  []int32 // routes whose Segments end here
-	prefixes  []int32 // routes whose Prefix, or the literal prefix of whose Regexp, ends here
+	prefixes  []int32 // routes whose Prefix, or whose Regexp's literal prefix, ends here
 }
 
 // New compiles a table. It returns an *Error for an invalid route and for two routes with the same conditions but
@@ -58,7 +58,7 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// add validates and normalizes the route with index i, and adds the route to the index of its host.
+// add validates and normalizes route number i, and adds the route to the index of the route's host.
 func (t *Table) add(i int) error {
 	route := &t.routes[i]
 	if err := route.check(); err != nil {
@@ -89,8 +89,7 @@
 	return byName[name]
 }
 
-// addPath adds a route to the list of an index that fits the path condition of the route. i is the index of the
-// route.
+// addPath adds route number i to index, in the list for the route's path condition.
 func (t *Table) addPath(index *index, route *Route, i int) error {
 	number := int32(i)
 	switch {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -42,7 +42,7 @@
 type Decoder struct {
 	parser        fastjson.Parser
 	endpointLists [maxLists][]policy.Endpoint
-	received      [maxLists]bool // lists that were received, by index
+	received      [maxLists]bool // whether each list was received, by number of the list
 	interned      map[string]string
 }
 
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -6,7 +6,7 @@
 	"cobaltward/policy"
 )
 
-// decodeEvent decodes the message with a name to an event of package policy.
+// decodeEvent decodes args, the values of the message called name, to an event of package policy.
 func (d *Decoder) decodeEvent(name string, args *args) (policy.Event, error) {
 	switch name {
 	case "ingress":
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -14,7 +14,7 @@
 type Service struct {
 	ShedLast    []string      `toml:"guarded"`                 // classes that no level may shed more than other classes
 	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // minimum time between changes of the level; 0: 30 s
-	DryRun      bool          `toml:"dry_run"`                 // levels are computed and counted, but not applied
+	DryRun      bool          `toml:"dry_run"`                 // whether levels are only computed and counted
 }
 
 // Level is a level of reduced service, with the conditions for entering and leaving the level.
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -66,8 +66,8 @@
 	return nil, &stricttoml.Error{Line: invalid.Line, Key: key, Message: message}
 }
 
-// compileRoute returns the route with an index as the type of package routes. It checks that the class allows the
-// route's methods.
+// compileRoute returns the route with the given index as the type of package routes. It checks that the class allows
+// the route's methods.
 func (f *File) compileRoute(index int) (routes.Route, error) {
 	route, key := f.Routes[index], fmt.Sprintf("route[%d]", index)
 	allowed, methods := f.classMethod(route.Class), route.Methods
@@ -115,7 +115,7 @@
 	return fields
 }
 
-// class returns the class with a name, or the zero value if there is no such class.
+// class returns the class with the given name, or the zero value if there is no such class.
 func (f *File) class(name string) Class {
 	for _, class := range f.Classes {
 		if class.Name == name {
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -33,7 +33,7 @@
 	Zones []string `toml:"zones"`
 	Pools []string `toml:"pools"`
 	Kinds []string `toml:"kinds"`
-	Plain bool     `toml:"plain"` // without TLS
+	Plain bool     `toml:"plain"` // whether connections use no TLS
 	Name  string   `toml:"name"`
 	URIs  []string `toml:"uris"`
 	Pins  []string `toml:"pins"`
