--- a/internal/frontend/framing/guard.go
+++ b/internal/frontend/framing/guard.go
@@ -20,17 +20,17 @@
 	problem       string
 
 	hasRequestLine      bool
-	inValue             bool       // the colon of the current header line has been read
+	inValue             bool       // whether the colon of the current header line has been read
 	header              headerKind // kind of the header on the current line
-	hasContentLength    bool       // the head has a Content-Length header
-	hasTransferEncoding bool       // the head has a Transfer-Encoding header
+	hasContentLength    bool       // whether the head has a Content-Length header
+	hasTransferEncoding bool       // whether the head has a Transfer-Encoding header
 	parsedNumber        uint64     // value of Content-Length or of the current chunk size
 	sizeDigits          int        // digits read of the current chunk size
-	sizeEnded           bool       // the chunk size is complete; the rest of its line is an extension
+	sizeEnded           bool       // whether the chunk size is complete; the rest of its line is an extension
 	trailerBytes        int
 }
 
-// headerKind is the kind of a header: one of the two that affect the framing, or another.
+// headerKind distinguishes the two headers that affect the framing from all other headers.
 type headerKind uint8
 
 const (
@@ -157,7 +157,8 @@
 	}
 }
 
-// expectChunkEnd checks one byte of the line break that must follow a chunk's data.
+// expectChunkEnd checks that char, a byte of the line break after a chunk's data, equals want. If it does, next
+// becomes the state.
 func (g *Guard) expectChunkEnd(char, want byte, next state) {
 	if char != want {
 		g.problem = "chunk does not end where its size says"
--- a/internal/frontend/msgpack/call.go
+++ b/internal/frontend/msgpack/call.go
@@ -54,7 +54,7 @@
 	switch {
 	case errors.As(err, &invalid):
 		return msgpackrpc.Reply{Code: msgpackrpc.Malformed, Text: invalid.Field + ": " + invalid.Problem}
-	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // not forwarded
+	case errors.Is(err, router.ErrClosed) || errors.Is(err, router.ErrDrained): // the call was not forwarded
 		return msgpackrpc.Reply{Code: msgpackrpc.Overloaded}
 	case err != nil:
 		return msgpackrpc.Reply{Code: msgpackrpc.Expired}
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -40,7 +40,7 @@
 
 	arrivalTimes sockets.Arrival // arrival times of the latest bytes; used only by the reading goroutine
 
-	overflow bool // the connection was accepted beyond MaxConns; guarded by server.mu
+	overflow bool // whether the connection was accepted beyond MaxConns; guarded by server.mu
 
 	mu                sync.Mutex
 	cancelFuncs       map[uint32]context.CancelFunc // cancel functions of the open calls, by msgid
@@ -49,20 +49,20 @@
 	idleSince         time.Time                     // end of the last open call, or time of the accept
 	messageStartedAt  time.Time                     // start of the incomplete message; zero: there is none
 	openedAt          time.Time                     // time of the accept
-	callSeen          bool                          // at least one call has been received
-	answerWritten     bool                          // at least one answer has been written
+	callSeen          bool                          // whether a call has been received
+	answerWritten     bool                          // whether an answer has been written
 	lastReadAt        time.Time
 	notifications     []byte // encoded notifications that are not written yet
 	draining          bool
 	drainNotifiedAt   time.Time
-	closing           bool // no more messages are handled; the writer closes the write side after the last answer
-	writeClosed       bool // no more calls are answered; bytes that arrive are discarded
-	evicted           bool // the reader closes the write side once the connection is idle
+	closing           bool // whether message handling has ended; the writer closes the write side after the last answer
+	writeClosed       bool // whether the write side is closed; bytes that arrive are then discarded
+	evicted           bool // whether the reader must close the write side once the connection is idle
 	endCause          endCause
 	lingerUntil       time.Time // time at which reading ends after the write side was closed
-	closedWithUnread  bool      // the server closed the connection while bytes were unread
-	answerWriteFailed bool      // writing at least one answer failed
-	lostCallCounted   bool      // the connection has been counted for a lost call
+	closedWithUnread  bool      // whether the server closed the connection while bytes were unread
+	answerWriteFailed bool      // whether writing an answer has failed
+	lostCallCounted   bool      // whether the connection has been counted for a lost call
 }
 
 // deadlineReader is the reading half of net.Conn.
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -35,7 +35,8 @@
 }
 
 // endIfIdle closes the write side if the connection is idle and has no unread bytes. It holds c.mu from the check of
-// the socket to the close, so that no other goroutine acts in between. It returns whether the reader continues.
+// the socket until the close, so that no other goroutine changes the connection between these steps. endIfIdle
+// returns whether the reader continues.
 func (c *conn) endIfIdle() (keepReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -209,8 +209,9 @@
 	return cancel
 }
 
-// acquireCallSlot blocks until the client may have another open call. Nothing is read meanwhile, so acquireCallSlot
-// asks the kernel whether the client has disconnected. A call of a disconnected client must not be forwarded.
+// acquireCallSlot blocks until the client may have another open call. While acquireCallSlot blocks, nothing is read
+// from the connection. acquireCallSlot therefore asks the kernel whether the client has disconnected. A call of a
+// disconnected client must not be forwarded.
 func (c *conn) acquireCallSlot() error {
 	select {
 	case c.callSlots <- struct{}{}:
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -28,7 +28,8 @@
 }
 
 // TestEvict_PrefersConnectionWithoutCall checks that a connection with an unread call is not evicted if another
-// connection is idle. The test sends a call on the connection that has been idle for longest, and delays its read.
+// connection is idle. The test sends a call on the connection that has been idle for longest, and delays the read of
+// this call.
 func TestEvict_PrefersConnectionWithoutCall(t *testing.T) {
 	for _, withTLS := range []bool{false, true} {
 		for _, bodySize := range []int{0, 60 << 10} {
@@ -88,9 +89,9 @@
 type evictionCase struct {
 	name       string
 	hook       func(c *hookedConn) *func()
-	readerHeld bool // the hook blocks the reader until the eviction has begun; the call is answered
-	callSent   bool // the call is sent before the hook runs
-	afterClose bool // the hook runs after the close
+	readerHeld bool // whether the hook blocks the reader until the eviction has begun; the call is then answered
+	callSent   bool // whether the call is sent before the hook runs
+	afterClose bool // whether the hook runs after the close
 }
 
 func (e evictionCase) run(t *testing.T, withTLS bool, bodySize int) {
@@ -197,8 +198,7 @@
 }
 
 // TestEvict_OverflowConnectionWithStalledMessage checks the eviction of an overflow connection whose client has
-// stalled in the middle of its first message. The client sees an orderly end, and the loss is counted as one of an
-// eviction.
+// stalled in the middle of its first message. The client sees an orderly end, and EvictionEnds counts the connection.
 func TestEvict_OverflowConnectionWithStalledMessage(t *testing.T) {
 	held := make(chan struct{})
 	server := startHookedServer(t, false, &stubEngine{do: answerAfter(held)}, Config{MaxConns: 1}, func(*hookedConn) {})
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -251,7 +251,7 @@
 // AwaitEnd blocks until all connections have ended or ctx ends. The caller must have called StopAccepting.
 func (s *Server) AwaitEnd(ctx context.Context) error {
 	ended := make(chan struct{})
-	go func() { // returns after Close, if not before
+	go func() { // returns when all connections have ended, which Close enforces
 		s.serving.Wait()
 		close(ended)
 	}()
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -243,7 +243,7 @@
 }
 
 // TestSlowReader_IsDisconnected checks that a client that does not read its answers is disconnected after the write
-// timeout. Other clients are served meanwhile.
+// timeout. Other clients are served before the timeout as well.
 func TestSlowReader_IsDisconnected(t *testing.T) {
 	stub := &stubEngine{do: func(context.Context, router.Request) (router.Answer, error) {
 		return router.Answer{Body: make([]byte, 60<<10)}, nil
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -26,7 +26,7 @@
 
 // admit starts serving nc, a connection that arrived at earliest or later. If all slots are in use, admit blocks
 // until a connection ends or can be evicted, or until an overflow connection is allowed. It returns false if the
-// server is closed meanwhile.
+// server is closed before that.
 func (s *Server) admit(nc net.Conn, earliest time.Time) bool {
 	conn := newConn(s, nc, earliest)
 	s.mu.Lock()
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -22,7 +22,7 @@
 	transport       atomic.Pointer[handshakes.Conn] // wraps tcp and carries tls; nil before the handshake
 
 	handshakeMu sync.Mutex  // held during the handshake
-	done        atomic.Bool // the handshake has succeeded or failed; tls, err and peerNames no longer change
+	done        atomic.Bool // whether the handshake has ended; tls, err and peerNames then no longer change
 	tls         *tls.Conn
 	err         error // error of a failed handshake; nil otherwise
 	peerNames   []string
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -148,7 +148,8 @@
 	return inner.SetDeadline(t)
 }
 
-// SyscallConn implements syscall.Conn. It returns errors.ErrUnsupported if the inner listener does not implement it.
+// SyscallConn implements syscall.Conn. It returns errors.ErrUnsupported if the inner listener does not implement
+// syscall.Conn.
 func (l *listener) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := l.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -167,7 +167,7 @@
 }
 
 // TestSessionTickets_SharedByNodes checks that a session can be resumed at another node that shares the file of
-// ticket keys. After a rotation, resumption still works if the other node knows the key of the ticket.
+// ticket keys. After a rotation, resumption still works if the other node has loaded the key of the ticket.
 func TestSessionTickets_SharedByNodes(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
