--- a/examples/app/main.go
+++ b/examples/app/main.go
@@ -44,8 +44,8 @@
 
 const (
 	idleTimeout = 15 * time.Second
-	// readHeaderTimeout must not be shorter than idleTimeout. On a new connection net/http counts it from the accept,
-	// and a client may wait as long before the first request as between later requests.
+	// readHeaderTimeout must not be shorter than idleTimeout. On a new connection, net/http starts to count
+	// readHeaderTimeout at the accept. A client may wait as long before its first request as between later requests.
 	readHeaderTimeout = idleTimeout
 	drainTimeout      = 3 * time.Second // maximum time for requests in flight at shutdown
 )
@@ -99,8 +99,8 @@
 	return server, nil
 }
 
-// newRouter returns a router with one server. Drain of the router also stops listener, the application's own HTTP
-// server.
+// newRouter returns a router with one server. The router's method Drain also stops listener, the application's own
+// HTTP server.
 func newRouter(bookingServer string, listener *http.Server, log *slog.Logger) (*router.Router, error) {
 	settings := policy.Settings{
 		Nodes: 1,
--- a/middleware/extract.go
+++ b/middleware/extract.go
@@ -15,7 +15,7 @@
 	maxShortBody  = 64 << 10 // maximum size of a body without WithBodyLimits, in bytes
 )
 
-// Extractor reads one field of a request. The client gets an error with status 400.
+// Extractor reads one field of a request. If it returns an error, the client gets the error with status 400.
 type Extractor func(*http.Request) (string, error)
 
 // Header returns an Extractor that reads the header name. A header that occurs twice is an error, because the router
--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestWithTimeout_AnswersForwardedRequest checks that WithTimeout answers a request that may have run with status 502
-// or 504, even if the host is late. These statuses do not call a retry safe.
+// TestWithTimeout_AnswersForwardedRequest checks the status of the answer after the timeout of WithTimeout, also from
+// a late host. The request may have run, so the status must be 502 or 504. These statuses do not call a retry safe.
 func TestWithTimeout_AnswersForwardedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, pause := range []time.Duration{0, 2 * timeout} {
--- a/middleware/host_test.go
+++ b/middleware/host_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestReload_LeaksNothing checks that reloads leak no descriptors and no goroutines, and that the last endpoint list
-// is in force. The test reloads the settings and a changing set of servers over real sockets. The environment
+// is in effect. The test reloads the settings and a changing set of servers over real sockets. The environment
 // variable RELOADS sets the number of reloads.
 func TestReload_LeaksNothing(t *testing.T) {
 	reloads := 30
--- a/middleware/hosttimeout.go
+++ b/middleware/hosttimeout.go
@@ -9,14 +9,14 @@
 )
 
 // hostTimeoutText is the answer to a request that is not forwarded because of a timeout handler of the host. Such a
-// handler could reject the request while it runs.
+// handler could reject a request that a server is executing.
 const hostTimeoutText = "not forwarded: a timeout handler around the middleware could reject the request while it " +
 	"runs; use middleware.WithTimeout in its place"
 
 // hostMayAnswer reports whether a handler of the host may answer the request itself after the deadline of ctx.
-// http.TimeoutHandler does so with status 503. Such a handler buffers the answer, and its innermost ResponseWriter is
-// not an http.Flusher. An answer before the deadline does not help, because the host may be paused until the
-// deadline.
+// http.TimeoutHandler does so with status 503. Such a handler buffers the answer, so that the innermost
+// ResponseWriter is not an http.Flusher. It does not help if the router answers before the deadline, because the host
+// may be paused until the deadline.
 func hostMayAnswer(w http.ResponseWriter, ctx context.Context) bool {
 	if _, bounded := ctx.Deadline(); !bounded {
 		return false
@@ -39,8 +39,8 @@
 	return !ok || known.Idempotency != policy.Idempotent
 }
 
-// rejectUnforwarded rejects a request that has not been forwarded, because a timeout handler of the host could reject
-// the request while it runs.
+// rejectUnforwarded rejects a request of the class. The caller does not forward the request because of a timeout
+// handler of the host. Such a handler could reject a request that a server is executing.
 func (f *Frontend) rejectUnforwarded(w http.ResponseWriter, class string) {
 	answer := f.overloadAnswer(class)
 	answer.Outcome = router.Overloaded
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -50,8 +50,9 @@
 // LastByteAt implements body.Timestamped. It is called just after the end of the body was read.
 func (u *upload) LastByteAt() time.Time { return u.arrivedAt(u.request.Context()) }
 
-// startUpload fills the buffer of a long body. If the buffer then holds a complete, short body, startUpload stores
-// the body in req and returns no upload. The caller must close a returned upload.
+// startUpload reads the start of a body into a buffer. If the buffer then holds the whole body, and the body has at
+// most maxInlineBody bytes, startUpload stores the body in req and returns no upload. The caller must close a
+// returned upload.
 func (f *Frontend) startUpload(w http.ResponseWriter, r *http.Request, req *router.Request) (*upload, *requestError) {
 	length := r.ContentLength
 	switch {
--- a/middleware/timedbody.go
+++ b/middleware/timedbody.go
@@ -28,9 +28,9 @@
 	conn         *http.ResponseController
 	setDeadlines func(timeout time.Duration, deadline time.Time) bool // nil: each Read gets a read deadline
 	deadline     time.Time
-	isLong       bool // the length is over maxShortBody or unknown
+	isLong       bool // whether the length is over maxShortBody or unknown
 	received     int64
-	sawEOF       bool // Read has returned io.EOF
+	sawEOF       bool // whether Read has returned io.EOF
 }
 
 // Read reads from the client. It sets no deadline after the end of the body. net/http then reads in the background to
