--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -37,7 +37,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// A rehearsal is void, regardless of the rules, if the host delayed its load generator.
+// If the host delays the load generator, a rehearsal is void: its result is no evidence for or against the rules.
 const (
 	voidByLoadGenerator    = "rehearse: void: the load generator sent"
 	loadGeneratorLateAfter = 20 * time.Millisecond
--- a/cmd/wayhold-xds/xds.go
+++ b/cmd/wayhold-xds/xds.go
@@ -116,7 +116,7 @@
 	return file, err
 }
 
-// withSource runs a source that subscribes to the configured control planes, and calls inspect meanwhile.
+// withSource runs a source that subscribes to the configured control planes, and calls inspect while the source runs.
 func withSource(cmd *cobra.Command, inspect func(context.Context, *xds.Source, io.Writer) error) error {
 	file, err := loadOwnFile(cmd)
 	if err != nil {
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// socketHost is the Host header of requests over a Unix socket. The server ignores it.
+// socketHost is the Host header of requests over a Unix socket. The server ignores the header.
 const socketHost = "door"
 
 // clientIdleTimeout is how long a client keeps an idle connection. It is well below the server's idleTimeout.
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -159,7 +159,7 @@
 }
 
 // TestStreamEvents_SlowReaders checks that clients that do not read their event streams block no other requests. The
-// number of streams is limited. No goroutine outlives the server, which TestMain checks.
+// number of streams is limited. TestMain checks that no goroutine outlives the server.
 func TestStreamEvents_SlowReaders(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	server := startServer(t, Config{Socket: socket})
--- a/internal/adminapi/unixsocket.go
+++ b/internal/adminapi/unixsocket.go
@@ -19,7 +19,8 @@
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
 	}
-	// The socket gets its final name after its mode is set, so that no other user can connect before.
+	// The socket gets its final name after its mode is set. Otherwise another user could connect before the mode is
+	// set.
 	temporary := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
 	listener, err := net.Listen("unix", temporary)
 	if err != nil {
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -38,7 +38,8 @@
 	serverList   *file.Source
 }
 
-// loadConfigSource reads the operator's configuration file. The file decides whether the node is standalone.
+// loadConfigSource reads the operator's configuration file. The content of the file determines whether the node is
+// standalone.
 func loadConfigSource(path string) (*configSource, error) {
 	operatorFile, err := standalone.Load(path)
 	if err != nil {
--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -89,7 +89,8 @@
 	return response.StatusCode
 }
 
-// terminate ends the process with SIGTERM. If it is still running after 10 s, SIGQUIT makes it print its goroutines.
+// terminate ends the process with SIGTERM. If the process is still running after 10 s, SIGQUIT makes it print its
+// goroutines.
 func (p *process) terminate(t *testing.T) {
 	t.Helper()
 	_ = p.command.Process.Signal(syscall.SIGTERM)
@@ -291,8 +292,8 @@
 	}
 }
 
-// awaitReadiness waits until the node's readiness has been want for 500 ms without interruption. A process learns of
-// an order within that time, so the result holds for every process that accepts connections.
+// awaitReadiness waits until the node's readiness has been want for 500 ms without interruption. Every process
+// notices a standby order within that time, so the result holds for every process that accepts connections.
 func awaitReadiness(t *testing.T, address string, want bool) {
 	t.Helper()
 	since := time.Now()
@@ -305,8 +306,8 @@
 }
 
 // TestHotRestart_Failures checks that a standby order to one process reaches the other process and the next
-// successor. It also checks that the node keeps working after three faults. The coordination files are truncated, a
-// successor is killed before it takes over, and a predecessor is killed.
+// successor. It also checks that the node keeps working after three faults: truncated coordination files, a successor
+// that is killed before it takes over, and a killed predecessor.
 func TestHotRestart_Failures(t *testing.T) {
 	server := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, address := newNodeUnderTest(t, server)
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -39,7 +39,7 @@
 	return l.text.Write(p)
 }
 
-// address returns the address on which the program listens. It is empty until the program logs it.
+// address returns the address on which the program listens. The result is empty until the program logs the address.
 func (l *logBuffer) address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -34,9 +34,9 @@
 	outcomesPath string // output file with a line for each request; empty: none
 	levelsPath   string // file with the levels of reduced service; empty: none
 	mutant       string // name of the variant of the engine without one safeguard; empty: the real engine
-	realTime     bool   // run on real sockets in real time, not in virtual time
-	compare      bool   // compare two stored results instead of running a script
-	quiet        bool   // show no progress
+	realTime     bool   // whether to run on real sockets in real time, not in virtual time
+	compare      bool   // whether to compare two stored results instead of running a script
+	quiet        bool   // whether to hide the progress
 }
 
 func rehearseCommand(extensions Extensions) *cobra.Command {
--- a/internal/operations/server.go
+++ b/internal/operations/server.go
@@ -1,6 +1,6 @@
-// Package operations serves the operations endpoint, a second address of a node. Operators query there whether the
-// process can serve, read its metrics, and drain the node or cancel the drain. No handler waits for requests in
-// flight: the node prepares the metrics in advance and drains in the background.
+// Package operations serves the operations endpoint, a second address of a node. Operators use the endpoint to check
+// whether the process can serve, to read its metrics, and to start or cancel a drain. No handler waits for requests
+// in flight: the node prepares the metrics in advance and drains in the background.
 package operations
 
 import (
