--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs a demonstration of a node on loopback. It emulates app servers in three zones, of which one is
-// slow and one fails for a while. A discovery server has a fixed list. Clients send mixed traffic for some seconds.
+// Package demo runs a demonstration of a node on loopback. It emulates app servers in three zones. One server is
+// slow, and another server fails a part of its requests for a while. A discovery server returns a fixed list of the
+// servers. Clients send mixed traffic for some seconds.
 package demo
 
 import (
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// defaultTolerance is the default of Want.Tolerance, the accepted deviation of a zone's share of the first attempts.
+// defaultTolerance is the default of Want.Tolerance. A zone's share of the first attempts may deviate from the
+// expected share by that much.
 const defaultTolerance = 0.05
 
 // failures holds one message for each part of an expectation that is not met.
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -20,8 +20,8 @@
 	path  string
 }
 
-// Case is one expectation. It has a request, which is sent several times, the state of the servers and the node, and
-// the expected result.
+// Case is one expectation: a request, the state of the servers and the node, and the expected result. The request is
+// sent several times.
 type Case struct {
 	Name     string            `toml:"name" need:"1"`
 	Method   string            `toml:"method"` // default: GET
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// apply returns endpoints without the missing zones and servers. It marks the draining endpoints.
+// apply returns endpoints without the zones and servers that s lists as missing. It marks the servers in s.Draining
+// as draining.
 func (s *State) apply(endpoints []router.Endpoint) (present []router.Endpoint) {
 	for _, endpoint := range endpoints {
 		if slices.Contains(s.MissingZones, endpoint.Zone) || slices.Contains(s.MissingServers, endpoint.ID) {
--- a/internal/testkit/failinglistener.go
+++ b/internal/testkit/failinglistener.go
@@ -16,7 +16,7 @@
 }
 
 // FailingListener is a listener whose Accept can be made to fail. A later call of Accept returns the connection, as
-// after a lack of descriptors. Only one goroutine at a time may call Accept.
+// the kernel does after a lack of descriptors. Only one goroutine at a time may call Accept.
 type FailingListener struct {
 	net.Listener
 
