--- a/discovery/xds/ads/ads.go
+++ b/discovery/xds/ads/ads.go
@@ -12,7 +12,7 @@
 	"cobaltward/discovery/xds/resource"
 )
 
-// Type is a type of resource.
+// Type distinguishes the resources that this package handles: clusters, endpoints and secrets.
 type Type uint8
 
 // The types that a router subscribes to, in the order in which a control plane should send their resources.
@@ -24,7 +24,7 @@
 	NumTypes
 )
 
-// Variant is a variant of the protocol.
+// Variant selects the state-of-the-world or the incremental variant of the protocol.
 type Variant uint8
 
 // The variants of the protocol.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,7 +21,7 @@
 	"cobaltward/router"
 )
 
-// Config configures a demonstration.
+// Config contains the parameters of Run.
 type Config struct {
 	Duration time.Duration // duration of the traffic; default: 6 s
 	Rate     float64       // requests per second; default: 300
--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// File is a file of expectations.
+// File contains the expectations that Load has read from one file.
 type File struct {
 	Cases []Case `toml:"expect" need:"1"`
 
@@ -72,7 +72,7 @@
 	wantPathRejected = "refused" // the path is rejected before any route is matched
 )
 
-// Load reads a file of expectations.
+// Load reads the file of expectations at path.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -208,7 +208,7 @@
 		{func() {}, 0, false},
 		{func() {}, 1, true},
 		{func() { rotate(); reload(1) }, 1, true}, // ticket encrypted with the previous key
-		{func() {}, 0, true},                      // ticket encrypted with the next key, which this node already knows
+		{func() {}, 0, true},                      // ticket encrypted with the next key, which this node has already loaded
 		{func() { reload(0) }, 1, true},
 		{func() { terminators[0].tlsConfig.SetSessionTicketKeys([][32]byte{{1}}) }, 0, false},
 	} {
--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -15,7 +15,7 @@
 	TLS      any      // decoded table, for the detection of changes; package standalone interprets it
 }
 
-// Log configures logging.
+// Log is the table [log]. It sets the minimum level and the format of log lines.
 type Log struct {
 	Level  Level  // not set: info
 	Format Format // not set: text
@@ -42,7 +42,7 @@
 // Enabled reports whether servers are discovered by xDS.
 func (x XDS) Enabled() bool { return x.Bootstrap != "" || len(x.Files) > 0 }
 
-// Msgpack configures MessagePack-RPC.
+// Msgpack is the table [msgpack]. It configures MessagePack-RPC with clients and with app servers.
 type Msgpack struct {
 	Listen          string   // IP:port, or absolute path of a Unix socket; empty: no listener for clients
 	MaxConns        int      // maximum open client connections; 0: the node's default
--- a/internal/operations/listener.go
+++ b/internal/operations/listener.go
@@ -64,7 +64,8 @@
 	return l.Listener.Close()
 }
 
-// handleStateChange is the ConnState callback of the HTTP server.
+// handleStateChange is the ConnState callback of the HTTP server. It removes a connection from incompleteConns once
+// its request is complete, and releases a closed connection.
 func (l *evictingListener) handleStateChange(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/middleware/roundtrip.go
+++ b/middleware/roundtrip.go
@@ -25,7 +25,7 @@
 
 type roundTripper struct{ frontend *Frontend }
 
-// RoundTrip routes one request.
+// RoundTrip implements http.RoundTripper.
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
 	defer func() {
 		if out.Body != nil {
--- a/middleware/serve.go
+++ b/middleware/serve.go
@@ -166,7 +166,7 @@
 	_, _ = fmt.Fprintln(w, problem.text) // fails only if the client has disconnected
 }
 
-// answerReadiness answers a readiness check.
+// answerReadiness answers a readiness check with status 200 or 503. A check with a body is malformed.
 func (f *Frontend) answerReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 { // net/http would wait for the body without a limit
 		f.rejectMalformed(w, r, "", badRequest("no body is wanted here"))
