--- a/internal/expect/expect.go
+++ b/internal/expect/expect.go
@@ -12,7 +12,7 @@
 	"cobaltward/internal/stricttoml"
 )
 
-// File is a file of expectations.
+// File contains the expectations that Load has read from one file.
 type File struct {
 	Cases []Case `toml:"expect" need:"1"`
 
@@ -20,8 +20,8 @@
 	path  string
 }
 
-// Case is one expectation. It has a request, which is sent several times, the state of the servers and the node, and
-// the expected result.
+// Case is one expectation: a request, the state of the servers and the node, and the expected result. The request is
+// sent several times.
 type Case struct {
 	Name     string            `toml:"name" need:"1"`
 	Method   string            `toml:"method"` // default: GET
@@ -72,7 +72,7 @@
 	wantPathRejected = "refused" // the path is rejected before any route is matched
 )
 
-// Load reads a file of expectations.
+// Load reads the file of expectations at path.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -15,7 +15,7 @@
 	TLS      any      // decoded table, for the detection of changes; package standalone interprets it
 }
 
-// Log configures logging.
+// Log is the table [log]. It sets the minimum level and the format of log lines.
 type Log struct {
 	Level  Level  // not set: info
 	Format Format // not set: text
@@ -25,24 +25,24 @@
 type Drain struct {
 	AnnounceFor Duration // time for which a draining node still serves as before; not set: the node's default
 	Timeout     Duration // timeout for the whole drain; not set: the node's default
-	StateFile   string   // exists during a drain requested over the admin API; a restarted node continues the drain
+	StateFile   string   // path of the file with which a restarted node continues a drain requested over the admin API
 }
 
 // XDS configures the discovery of servers by xDS, from a control plane or from files.
 type XDS struct {
 	Bootstrap       string            // path of the xDS bootstrap file (JSON) of a control plane
 	CAFile          string            // PEM file for channel_creds tls; empty: the system's authorities
-	Delta           bool              // use incremental (delta) xDS
+	Delta           bool              // whether to use incremental (delta) xDS
 	CacheDir        string            // directory of the last endpoint list; empty: the list is not stored
 	Files           []string          // DiscoveryResponse files, instead of a control plane
-	WithoutPlatform bool              // servers come only from xDS, not also from the platform's registry
+	WithoutPlatform bool              // whether servers come only from xDS, not also from the platform's registry
 	ClusterByClass  map[string]string // name of the cluster that serves a class, by class
 }
 
 // Enabled reports whether servers are discovered by xDS.
 func (x XDS) Enabled() bool { return x.Bootstrap != "" || len(x.Files) > 0 }
 
-// Msgpack configures MessagePack-RPC.
+// Msgpack is the table [msgpack]. It configures MessagePack-RPC with clients and with app servers.
 type Msgpack struct {
 	Listen          string   // IP:port, or absolute path of a Unix socket; empty: no listener for clients
 	MaxConns        int      // maximum open client connections; 0: the node's default
