--- a/emulator/model/capacity.go
+++ b/emulator/model/capacity.go
@@ -34,7 +34,8 @@
 	return fraction
 }
 
-// updateWarmFraction computes the available fraction of a warming server's capacity until the next step.
+// updateWarmFraction recomputes the fraction of the capacity that warm-up makes available. If the server is still
+// warming up, it also sets the time of the next step.
 func (s *Server) updateWarmFraction() {
 	warmUp := &s.config.WarmUp
 	s.nextWarmUpdate = math.MaxInt64
@@ -62,7 +63,8 @@
 	return s.Capacity() * s.config.Speed * min(1, float64(s.config.Cores)/float64(len(s.running)))
 }
 
-// recordArrival records the work that a warming server receives. It crashes the server if that work overloads it.
+// recordArrival records the work that a warming server receives. It crashes the server if the work received within
+// the overload window exceeds the limit described at WarmUp. Without an overload factor it records nothing.
 func (s *Server) recordArrival(r Request) {
 	warmUp := &s.config.WarmUp
 	if warmUp.OverloadFactor <= 0 || s.warmFraction >= 1 {
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -31,7 +31,7 @@
 	Pause  Pause
 
 	Cancel      Cancel
-	DropExpired bool // queued requests are dropped once their deadline has passed
+	DropExpired bool // drops queued requests whose deadline has passed
 
 	ConnSetupWork float64 // work to set up a new connection
 	MaxConns      int     // 0: unlimited
--- a/emulator/model/draw.go
+++ b/emulator/model/draw.go
@@ -16,7 +16,7 @@
 	Pareto
 )
 
-// Work is the distribution of the work of the requests of a class.
+// Work is the distribution of the work that the requests of one class cause.
 type Work struct {
 	Dist Dist
 	Mean float64 // seconds of a core of speed 1
--- a/emulator/model/events.go
+++ b/emulator/model/events.go
@@ -59,8 +59,8 @@
 	return at, false, at != math.MaxInt64
 }
 
-// Next returns the time at which the next job completes, unless the server is used before; ok is false if no job is
-// running. The time may be too early. Advance then returns nothing, and Next returns a later time.
+// Next returns the time of the next event; ok is false if no job is running. The event is the completion of a job, or
+// a change of the server's rate. After a change of the rate, Advance returns nothing, and Next returns a later time.
 func (s *Server) Next() (at time.Duration, ok bool) {
 	at, _, ok = s.nextEvent()
 	return at, ok && len(s.running) > 0
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -152,8 +152,8 @@
 }
 
 // TestOverload_CrashesWarmingServer checks that a warming server crashes when it receives more work than the overload
-// factor allows. It must crash at the time of the closed form, lose its requests and stay down. At a lower rate, or
-// without an overload factor, it must not crash.
+// factor allows. It must crash at the time that the closed-form solution gives, lose its requests and stay down. At a
+// lower rate, or without an overload factor, it must not crash.
 func TestOverload_CrashesWarmingServer(t *testing.T) {
 	crashTime := func(rate float64, warmUp WarmUp) time.Duration {
 		s := New(Config{Cores: 2, Speed: 1, Slots: 2, Queue: 1 << 20, WarmUp: warmUp}, nil, 0)
--- a/emulator/model/request.go
+++ b/emulator/model/request.go
@@ -24,13 +24,13 @@
 type Completion struct {
 	ID        string
 	At        time.Duration
-	Discarded bool // a duplicate: answered without an effect
-	Lost      bool // not answered: the server crashed or stopped
+	Discarded bool // true for a duplicate, which is answered without an effect
+	Lost      bool // true if the server crashed or stopped before it answered
 }
 
 // Execution records the start of a request.
 type Execution struct {
 	ID, Key   string
 	StartedAt time.Duration
-	Discarded bool // a duplicate, without an effect
+	Discarded bool // true for a duplicate, which has no effect
 }
--- a/emulator/model/server.go
+++ b/emulator/model/server.go
@@ -17,8 +17,8 @@
 	down      bool
 	workDone  float64 // total work since the start
 
-	// attained is the work done for each running request since the server last had none. All running requests get
-	// equal shares of the cores, so a request completes once attained has grown by the request's work.
+	// attained is the work done for each running request since the server last had no running request. All running
+	// requests get equal shares of the cores, so a request completes once attained has grown by the request's work.
 	attained float64
 	running  jobHeap
 	queue    []Request
--- a/emulator/serverprotocol/behavior.go
+++ b/emulator/serverprotocol/behavior.go
@@ -12,7 +12,7 @@
 	"cobaltward/emulator/servermodel"
 )
 
-// WorkFunc returns the work of a request, in seconds of a core of speed 1, from the request's path and ID.
+// WorkFunc returns the work of the request with the given path and ID. The work is in seconds of a core of speed 1.
 type WorkFunc func(target, id string) float64
 
 // Behavior defines how the server handles one request. The zero value answers without work.
@@ -21,11 +21,11 @@
 	ID           string        // ID in the record of executions; empty: ID of the request
 	Key          string        // idempotency key; empty: key of the request
 	NetworkDelay time.Duration // delay in each direction
-	Fail         bool          // answered with an error, even if the request was executed
-	Hang         bool          // read but never answered
-	Reset        bool          // the connection is reset after the last byte of the request; the request still runs
-	Truncate     bool          // the connection is closed in the middle of the answer
-	Malform      bool          // the framing of the answer is invalid
+	Fail         bool          // answer with an error, even if the request was executed
+	Hang         bool          // read the request but never answer
+	Reset        bool          // reset the connection after the last byte of the request; the request still runs
+	Truncate     bool          // close the connection in the middle of the answer
+	Malform      bool          // send an answer with invalid framing
 }
 
 // BehaviorFunc returns the behavior for a request from the request's path and ID. It is called after the request's
