--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -1,7 +1,7 @@
 // Package checker checks the traffic of nodes against the platform's four rules. It uses the observations of clients,
 // servers and discovery, not the nodes' own reports. It does no I/O and reads no clock: its input is observations
-// with their times, and its output is a verdict with evidence. It forgets a request when lateAttemptWindow and
-// the deduplication window of the class have passed since the request's deadline.
+// with their times, and its output is a verdict with evidence. It forgets a request at the request's deadline plus
+// lateAttemptWindow plus the deduplication window of the class.
 package checker
 
 import (
@@ -67,7 +67,8 @@
 	}
 }
 
-// RequestReceived records that node has received a complete request. Its client waits for the answer until deadline.
+// RequestReceived records that node has received a complete request. The request's client waits for the answer until
+// deadline.
 func (c *Checker) RequestReceived(at time.Duration, node, id, class string, deadline time.Duration) {
 	c.expire(at)
 	r := &request{
@@ -270,7 +271,7 @@
 	}
 }
 
-// finalize removes a request, and reports a violation if the request is due an answer but has none.
+// finalize removes a request, and reports a violation if the request has no answer although an answer is due.
 func (c *Checker) finalize(r *request) {
 	if !r.answered && !r.answerNotDue {
 		c.verdict.Checked[RuleOneAnswer]++
--- a/emulator/plan/arrivals.go
+++ b/emulator/plan/arrivals.go
@@ -22,7 +22,7 @@
 	Key        string  // idempotency key; empty if the class has none
 	CostFactor float64 // factor by which faults multiply the work
 	CostFault  int     // index of the last fault that multiplies the work; -1: no such fault
-	OverQuota  bool    // the request exceeds the tenant's quota
+	OverQuota  bool    // true if the request exceeds the tenant's quota
 }
 
 // AttemptID returns the ID of a client's n-th retry of the request. n is 0 for the first attempt.
@@ -41,7 +41,7 @@
 	at         time.Duration
 	count      int
 	peakFactor float64 // upper bound of the rate, as a multiple of the script's rate
-	// Each tenant has a token bucket whose capacity is its quota for one second.
+	// Each tenant has a token bucket. The bucket's capacity is the tenant's quota for one second.
 	tokens     []float64
 	lastRefill []time.Duration
 }
@@ -141,8 +141,8 @@
 	}
 }
 
-// draw returns a request that arrives at the current time. The order of the random draws must not change: a seed
-// would then give other requests.
+// draw returns a request that arrives at the current time. Another order of the random draws would give other
+// requests for the same seed.
 func (a *Arrivals) draw(byTenant []float64) Request {
 	source := a.plan.Script
 	request := Request{Number: a.count, At: a.at, Node: -1, CostFactor: 1, CostFault: -1}
--- a/emulator/plan/client.go
+++ b/emulator/plan/client.go
@@ -7,7 +7,7 @@
 	"cobaltward/emulator/script"
 )
 
-// MinAttemptTime is the time until the deadline that a client needs for a retry.
+// MinAttemptTime is the minimum time between a retry and the deadline. A client doesn't retry later.
 const MinAttemptTime = 50 * time.Millisecond
 
 // Work returns the work of a request in seconds on a core of speed 1. The work is the same for each attempt, at each
@@ -45,8 +45,8 @@
 
 // Outcome is the outcome of an unsuccessful attempt as seen by the client.
 type Outcome struct {
-	Rejected   bool          // the node rejected the request
-	MayHaveRun bool          // the client can't exclude that the request ran
+	Rejected   bool          // true if the node rejected the request
+	MayHaveRun bool          // true if the client can't exclude that the request ran
 	RetryAfter time.Duration // Retry-After of the response; 0: none
 	Elapsed    time.Duration // time since the arrival of the request
 }
--- a/emulator/plan/fault.go
+++ b/emulator/plan/fault.go
@@ -19,10 +19,10 @@
 // ActiveAt reports whether the fault is active at the time at.
 func (f *Fault) ActiveAt(at time.Duration) bool { return f.At <= at && at < f.End() }
 
-// reservations holds the faults that end a server's process, by server index.
+// reservations holds the faults for which EndsProcess returns true, by server index.
 type reservations map[int][]*script.Fault
 
-// add records the servers that a fault affects. It ignores faults that don't end processes.
+// add records the servers that a fault affects. It ignores a fault for which EndsProcess returns false.
 func (r reservations) add(fault *script.Fault, servers []int) {
 	if !fault.EndsProcess() {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// conflicts reports whether fault and an overlapping reserved fault would both end the server's process.
+// conflicts reports whether fault.EndsProcess returns true and a reserved fault of the server overlaps fault.
 func (r reservations) conflicts(fault *script.Fault, server int) bool {
 	return fault.EndsProcess() && slices.ContainsFunc(r[server], func(other *script.Fault) bool {
 		return fault.At < other.End() && other.At < fault.End()
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -46,7 +46,7 @@
 	Weight        float64
 	Config        model.Config
 	ErrorRate     float64
-	SpeaksMsgpack bool // server uses MessagePack-RPC; real time only
+	SpeaksMsgpack bool // true if the server uses MessagePack-RPC; real time only
 }
 
 // Node describes one instance of the router.
@@ -106,8 +106,8 @@
 	}
 }
 
-// drawConfig draws the configuration of a server. The order of the random draws must not change: a seed would then
-// give another configuration.
+// drawConfig draws the configuration of a server. Another order of the random draws would give another configuration
+// for the same seed.
 func drawConfig(rng *rand.Rand, kind *script.ServerKind, rules *script.Rules) model.Config {
 	cores := float64(kind.Cores)
 	speed := kind.Speed.Interpolate(rng.Float64())
--- a/emulator/result/recorder.go
+++ b/emulator/result/recorder.go
@@ -106,7 +106,7 @@
 // Connected records that a node opens a new connection to a server.
 func (r *Recorder) Connected() { r.result.Connections++ }
 
-// WorkStarted records the work of an attempt when a server starts to execute the attempt.
+// WorkStarted records the work of an attempt that a server has started to execute.
 func (r *Recorder) WorkStarted(work float64) { r.result.Work += work }
 
 // WorkUseful records the started work of an attempt whose answer has reached the client. All other started work is
@@ -161,7 +161,7 @@
 // Level records the first node's level of reduced service. It is called once a second.
 func (r *Recorder) Level(level Level) { r.result.Levels = append(r.result.Levels, level) }
 
-// GeneratorLag records the time between a request's scheduled arrival and its sending.
+// GeneratorLag records the time between a request's scheduled arrival and its sending. The result has the maximum.
 func (r *Recorder) GeneratorLag(lag time.Duration) { r.result.MaxLag = max(r.result.MaxLag, lag) }
 
 // Invalidate marks the rehearsal as invalid and records the reason.
--- a/emulator/result/result.go
+++ b/emulator/result/result.go
@@ -78,7 +78,7 @@
 	AffectedAloneServed int           `json:"met_it_alone_and_served"`
 }
 
-// add counts a request that the fault affected. alone reports that no other fault affected the request.
+// add counts a request that the fault affected. alone reports whether no other fault affected the request.
 func (f *Fault) add(served, alone bool) {
 	f.Affected++
 	if served {
--- a/emulator/script/checkfault.go
+++ b/emulator/script/checkfault.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// checkFaultOverlap returns an error if fault overlaps an earlier fault with which it can't be active at the same
-// time. Servers are compared only if selected by name, because the random selection of servers avoids conflicts.
+// checkFaultOverlap returns an error if fault overlaps the earlier fault other and both can't be active at the same
+// time. It compares only servers that the script names, because the random selection of servers avoids conflicts.
 func (s *Script) checkFaultOverlap(fault, other *Fault, at string, kind faultKind) error {
 	if !fault.overlaps(other) {
 		return nil
