--- a/emulator/sim/attempt.go
+++ b/emulator/sim/attempt.go
@@ -11,8 +11,8 @@
 	"cobaltward/router"
 )
 
-// faultAttributionWindow is the time after the end of a fault of a server process during which the fault still counts
-// as the cause of broken connections.
+// faultAttributionWindow is the time for which a fault that ended a server's process still counts as the cause of
+// broken connections. The time starts at the end of the fault.
 const faultAttributionWindow = time.Second
 
 // responseBody is the body of every successful response.
@@ -31,11 +31,11 @@
 	work          float64
 	deadline      time.Duration
 	delay         time.Duration // one-way network delay
-	countsConn    bool          // the connection being opened is included in node.connCount
-	sent          bool          // the request has been written completely
-	cancelled     bool          // the engine called Cancel
+	countsConn    bool          // true while node.connCount includes the connection being opened
+	sent          bool          // true once the request has been written completely
+	cancelled     bool          // true once the engine has called Cancel
 	finished      bool
-	stuck         bool // blocked by a fault; the connection is reset when the fault ends
+	stuck         bool // true once a fault has blocked the attempt; the connection is reset when the fault ends
 	fails         bool
 	truncated     bool
 	malformed     bool
@@ -61,8 +61,8 @@
 	}
 }
 
-// addProcessFaults records in the request the faults that ended the server's process, if they are active or ended
-// within faultAttributionWindow.
+// addProcessFaults records in the request the faults that ended the server's process. It ignores faults that ended
+// more than faultAttributionWindow ago.
 func (a *attempt) addProcessFaults() {
 	sim := a.node.sim
 	original := strings.TrimRight(a.server.id, replacementSuffix)
@@ -120,8 +120,8 @@
 	})
 }
 
-// accept makes the server accept the connection. The server refuses the connection if it has no process that accepts
-// connections.
+// accept makes the server accept the connection. The server refuses the connection if no process runs, or if the
+// process is at its connection limit.
 func (a *attempt) accept() {
 	sim, p := a.node.sim, a.server.process
 	if p == nil || !p.model.Connect(sim.now) {
@@ -178,7 +178,7 @@
 }
 
 // reply calls do when a response of the server reaches the node. If a fault blocks the response, the attempt is
-// stuck.
+// stuck. reply does not call do if the attempt has finished by then.
 func (a *attempt) reply(do func()) {
 	if a.blocked() {
 		a.stuck = true
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -25,8 +25,8 @@
 	// The fields below describe the client's current attempt.
 	attemptID   string
 	node        *node
-	open        bool // the attempt is not finished
-	nodeCrashed bool // the node crashed during the attempt, so the request may have run
+	open        bool // true until the attempt is finished
+	nodeCrashed bool // true if the node crashed during the attempt; the request may then have run
 	sentAt      time.Duration
 	timeout     time.Duration
 }
@@ -86,7 +86,8 @@
 	}
 }
 
-// chooseNode returns the node for a client's attempt; nil if all nodes are down according to the balancer.
+// chooseNode returns the node for a client's attempt. A fault may direct the first attempt to a node. Otherwise the
+// balancer chooses; nil means that all nodes are down according to the balancer.
 func (sim *simulation) chooseNode(r *request) *node {
 	index := r.Node
 	if index < 0 || r.clientAttempts > 0 {
--- a/emulator/sim/fault.go
+++ b/emulator/sim/fault.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// resetStuck resets the connections of attempts that faults no longer block, at all nodes.
+// resetStuck resets, at all nodes, the connections of stuck attempts that no fault blocks any longer.
 func (sim *simulation) resetStuck() {
 	for _, n := range sim.nodes {
 		n.resetStuck()
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -100,7 +100,7 @@
 }
 
 // ignoringDrains returns a function that returns options in which transports send to draining and removed servers.
-// change hides from the policy that servers are draining or removed.
+// change must hide from the policy that servers are draining or removed.
 func ignoringDrains(change func(policy.Event) policy.Event) func() Options {
 	overrides := safeguards.Overrides{WrapPolicy: changeEvents(change)}
 	return func() Options {
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -27,7 +27,7 @@
 	inFlight  map[router.Attempt]*attempt
 	connCount int                // open connections, including idle connections
 	idle      map[string][]*conn // by server ID; the most recently used connection is last
-	idleOrder []idleEntry        // oldest first; entries of connections used since then are stale
+	idleOrder []idleEntry        // oldest first; an entry is stale if its connection was used after the entry was added
 
 	endpoints        map[string]router.Endpoint // last received endpoints, by server ID
 	unavailableSince map[string]time.Duration   // by server ID; only draining and removed servers
@@ -144,8 +144,8 @@
 	})
 }
 
-// restart starts the process with the last endpoint list, and applies the updates that the agent received in the
-// meantime.
+// restart starts the process with the last endpoint list, and applies the updates that the agent received while the
+// process was down. It does nothing if the process is running.
 func (n *node) restart() error {
 	if n.engine != nil {
 		return nil
--- a/emulator/sim/process.go
+++ b/emulator/sim/process.go
@@ -54,7 +54,8 @@
 	p.scheduleNext()
 }
 
-// handleOverload ends a process that crashed under overload while warming up, and reports the crash to the checker.
+// handleOverload ends the process and reports its crash to the checker. It is called after the model has crashed
+// under overload while warming up.
 func (p *process) handleOverload() {
 	var requests []string
 	for _, id := range p.model.OverloadingRequests() {
--- a/emulator/sim/server.go
+++ b/emulator/sim/server.go
@@ -20,7 +20,7 @@
 	spec             *plan.Server
 	id               string
 	addr             string
-	startedAt        time.Duration // start of the process; 0: before the simulation, so the process is warm
+	startedAt        time.Duration // start of the process; 0: warm process, started before the simulation
 	process          *process      // nil while no process runs
 	faults           []*plan.Fault // active faults that affect requests at this server
 	silentFaults     []*plan.Fault // active faults that disconnect the machine from the network
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -27,8 +27,8 @@
 // Options configure a simulation. The zero value runs unmodified nodes without levels and snapshots.
 type Options struct {
 	Overrides        func() safeguards.Overrides // returns the overrides of a node's safeguards; nil: no overrides
-	IgnoreDrains     bool                        // transports send to draining and removed servers
-	TrustResets      bool                        // transports treat each reset as proof that the request did not run
+	IgnoreDrains     bool                        // makes transports send to draining and removed servers
+	TrustResets      bool                        // makes transports treat each reset as proof that the request did not run
 	Levels           *levels.Config              // levels of reduced service of every node; nil: no levels
 	SnapshotInterval time.Duration               // interval of learned-state snapshots for restarted nodes; 0: none
 	OnProgress       func(at time.Duration)      // nil: no progress reports
@@ -54,9 +54,9 @@
 	keyTables keyTables
 
 	discoveryFaults   int             // active faults that block discovery
-	listDelays        []time.Duration // extra delays of endpoint list updates, by active faults
+	listDelays        []time.Duration // extra delays of endpoint list updates, one for each active fault
 	openRequests      int
-	arriving          bool                // more requests will arrive
+	arriving          bool                // true until the last request has arrived
 	requestsByAttempt map[string]*request // by the ID of the client's attempt
 	err               error               // first error of an engine, which ends the simulation
 }
@@ -142,7 +142,7 @@
 	return config
 }
 
-// maxRequestTime returns the maximum time after its arrival during which a request of any class can have an effect.
+// maxRequestTime returns the maximum time from the arrival of a request to its last effect, over all classes.
 func maxRequestTime(p *plan.Plan) (longest time.Duration) {
 	for i := range p.Settings.Classes {
 		class := &p.Settings.Classes[i]
--- a/emulator/sim/transport.go
+++ b/emulator/sim/transport.go
@@ -13,7 +13,7 @@
 type conn struct {
 	process   *process
 	idleSince time.Duration
-	broken    bool // broken by a fault; the node closes the connection when it next tries to use it
+	broken    bool // true once a fault has broken the connection; the node closes the connection at its next use
 }
 
 // idleEntry is a connection with the start of its idle time.
