--- a/emulator/realtime/agent.go
+++ b/emulator/realtime/agent.go
@@ -42,7 +42,7 @@
 }
 
 // NewAgent starts an agent with a list of endpoints and a directory for the agent's files. The agent calls notified
-// for each endpoint that it sends to the node, before or during the write.
+// for each endpoint that it sends to the node. The call comes before or during the write.
 type NewAgent func(dir string, endpoints []Endpoint, notified func(id string, available bool)) (Agent, error)
 
 // maxWatchWait is the maximum time for which the agent holds a request for changes.
--- a/emulator/realtime/client.go
+++ b/emulator/realtime/client.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// chooseNode returns the index of the node for an attempt. It returns -1 if all nodes are down according to the
-// balancer.
+// chooseNode returns the index of the node for an attempt. A fault may direct the first attempt to a node. Otherwise
+// the balancer chooses; -1 means that all nodes are down according to the balancer.
 func (r *rehearsal) chooseNode(request *request, retry int) int {
 	if request.Node >= 0 && retry == 0 {
 		return request.Node
@@ -207,7 +207,8 @@
 	return attemptOutcome{status: result.Failed, mayHaveRun: true}
 }
 
-// addNodeFaults records the faults that killed the request's node during the request.
+// addNodeFaults records in the request the crash faults of a node that are active now or ended less than a second
+// ago.
 func (r *rehearsal) addNodeFaults(request *request, node int) {
 	now := r.now()
 	for i := range r.plan.Faults {
--- a/emulator/realtime/control/control.go
+++ b/emulator/realtime/control/control.go
@@ -91,8 +91,8 @@
 	a.push()
 }
 
-// push sends all endpoints as a complete endpoint assignment. The caller holds a.mu, unless the agent is not yet
-// shared.
+// push increments the revision and sends all endpoints that are not removed, as a complete endpoint assignment. The
+// caller holds a.mu, unless the agent is not yet shared.
 func (a *agent) push() {
 	a.revision++
 	var texts []string
--- a/emulator/realtime/fault.go
+++ b/emulator/realtime/fault.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// endServerFault restarts, replaces or announces a server at the end of a fault that ended the server's process or
-// removed the server from the endpoint list. Other faults need no action.
+// endServerFault handles the end of a fault at the server target. It restarts, replaces or announces the server if
+// the fault ended the server's process or removed the server from the endpoint list. Other faults need no action.
 func (r *rehearsal) endServerFault(fault *plan.Fault, target *server) error {
 	var err error
 	switch fault.Kind {
--- a/emulator/realtime/node.go
+++ b/emulator/realtime/node.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	startTimeout   = 20 * time.Second // timeout for a started node to listen, and again to be ready
+	startTimeout   = 20 * time.Second // timeout for a started process to listen, and then for the node to be ready
 	readyInterval  = 10 * time.Millisecond
 	requestTimeout = time.Second // timeout for readiness and admin requests to a node
 	maxLogLines    = 200         // maximum number of log lines kept of a node
@@ -39,7 +39,7 @@
 	addr        string
 	cmd         *exec.Cmd
 	exited      chan struct{}
-	killed      bool // killed by a fault or at the end of the run; any other exit is a failure
+	killed      bool // true if a fault or the end of the run killed the node; any other exit is a failure
 	incarnation int
 	up          bool
 	log         []string // last maxLogLines lines
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -71,7 +71,7 @@
 	err   error // first failure, which ends the run
 
 	delaysMu   sync.Mutex
-	listDelays []time.Duration // extra delays of endpoint list updates by active faults
+	listDelays []time.Duration // extra delays of endpoint list updates, one for each active fault
 
 	// Only the load generator uses the fields below. finish reads the counts after generateLoad has returned.
 	inFlight  chan struct{}
@@ -181,7 +181,7 @@
 	}
 }
 
-// finish returns the result after the last request. Too many requests sent late make the run invalid.
+// finish returns the result after the last request. The run is invalid if too many requests were sent late.
 func (r *rehearsal) finish() *result.Result {
 	if r.lateCount > int(maxLateShare*float64(r.sentCount)) {
 		r.observer.invalidate(fmt.Sprintf("the load generator sent %d of %d requests more than %v late: "+
@@ -257,7 +257,8 @@
 	}
 }
 
-// checkerConfig returns the checker's configuration for virtual time, with the tolerance for real time.
+// checkerConfig returns the checker's configuration. It differs from the configuration for virtual time only in the
+// tolerance slack.
 func checkerConfig(p *plan.Plan) checker.Config {
 	config := sim.CheckerConfig(p, newLocator(p))
 	config.Slack = slack
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -15,8 +15,8 @@
 	"cobaltward/emulator/serverprotocol"
 )
 
-// server is one server machine. It listens on a separate address for each node, which identifies the sender of a
-// request.
+// server is one server machine. It listens on a separate address for each node. The address identifies the node that
+// sent a request.
 type server struct {
 	rehearsal *rehearsal
 	spec      *plan.Server
