--- a/emulator/clustersim/administrator.go
+++ b/emulator/clustersim/administrator.go
@@ -30,7 +30,8 @@
 	leader.processReady()
 }
 
-// selectNextUpdate chooses the ID of the next rolling update if the last one has ended.
+// selectNextUpdate chooses the ID of the next rolling update if there is no current update or the current update has
+// ended.
 func (s *simulation) selectNextUpdate(state *fleet.State) {
 	if s.updateID != "" {
 		if job := state.Jobs[s.updateID]; job == nil || job.CloseReason == "" {
--- a/emulator/clustersim/agent.go
+++ b/emulator/clustersim/agent.go
@@ -103,8 +103,8 @@
 }
 
 // executeEffect applies an effect to the node after a delay, and records the outcome after a second delay. A crash
-// between the two leaves the effect without an outcome. If verify is true, a patch that was already applied is not
-// applied again.
+// during the second delay leaves the effect without an outcome. If verify is true, a patch that was already applied
+// is not applied again.
 func (p *process) executeEffect(request lease.EffectRequest, verify bool) {
 	sim := p.sim
 	drawDuration := func() time.Duration { return 20*ms + sim.randomExp(300*ms) }
--- a/emulator/clustersim/config.go
+++ b/emulator/clustersim/config.go
@@ -34,10 +34,10 @@
 	Nodes           int // number of nodes, each with an agent and a receiver
 	LeaseCandidates int // number of nodes whose agents may hold leases
 	Length          time.Duration
-	ClockJumps      bool                  // clocks jump and run at wrong rates; leases and versions are not checked
+	ClockJumps      bool                  // lets clocks jump and run at wrong rates; skips checks of leases and versions
 	Unsafe          lease.UnsafeOptions   // safeguards of leases to disable
-	NoSync          bool                  // terms and votes are synced only together with entries or snapshots
-	Rollouts        bool                  // rollouts run, and nodes act under version leases
+	NoSync          bool                  // makes disks sync terms and votes only together with entries or snapshots
+	Rollouts        bool                  // adds rollouts; nodes then act under version leases
 	UnsafeRollouts  rollout.UnsafeOptions // safeguards of version leases to disable; used only with Rollouts
 	Faults          []FaultKind           // kinds of faults to draw; nil: all kinds
 	Trace           func(string)          // called with each line of the trace; nil: no trace
--- a/emulator/clustersim/events.go
+++ b/emulator/clustersim/events.go
@@ -55,9 +55,9 @@
 	heap.Push(&s.events, next)
 }
 
-// runEvents runs events in order until an invariant is broken, or until the last rolling update has ended after the
-// faults. The recoveryTimeout after the faults also ends the run. Unless clocks jump, runEvents checks after each
-// event of a lease candidate that at most one process holds the lease.
+// runEvents runs events in order until an invariant is broken or, after the faults, the last rolling update has
+// ended. An update that is still running recoveryTimeout after the faults is a violation. Unless clocks jump,
+// runEvents checks after each event of a lease candidate that at most one process holds the lease.
 func (s *simulation) runEvents() {
 	end := s.cfg.Length + recoveryTimeout
 	for len(s.events) > 0 && len(s.result.Violations) == 0 {
--- a/emulator/clustersim/faults.go
+++ b/emulator/clustersim/faults.go
@@ -94,14 +94,14 @@
 	}
 }
 
-// during schedules begin at the time at, and end after a further length.
+// during schedules begin after the delay at, and end after the delay at+length.
 func (s *simulation) during(at, length time.Duration, begin, end func()) {
 	s.after(at, nil, begin)
 	s.after(at+length, nil, end)
 }
 
 // schedulePause schedules a pause of a process. The pause of an agent is longer by 0.5, 10 or 150 lease durations,
-// but ends with the schedule at the latest.
+// but is cut off at the end of the schedule.
 func (s *simulation) schedulePause(f fault) {
 	spans := []time.Duration{leaseDuration / 2, 10 * leaseDuration, 150 * leaseDuration}
 	span, length := spans[s.rand.IntN(len(spans))], f.length
@@ -211,7 +211,7 @@
 	return true
 }
 
-// restart starts a process that is down.
+// restart starts a process. It does nothing if the process is running.
 func (s *simulation) restart(p *process) {
 	if !p.up {
 		s.trace("%s starts", p.name)
@@ -219,7 +219,8 @@
 	}
 }
 
-// pause stops a running process from handling events. Its clock continues to run.
+// pause stops a process from handling events for the given length of time. The process's clock continues to run.
+// pause does nothing if the process is down or already paused.
 func (s *simulation) pause(p *process, length time.Duration) {
 	if !p.up || p.pausedUntil > s.now {
 		return
--- a/emulator/clustersim/invariants.go
+++ b/emulator/clustersim/invariants.go
@@ -56,7 +56,7 @@
 	return count
 }
 
-// checkLeaseHolders checks that at most one running process may act under the lease.
+// checkLeaseHolders checks that at most one running process holds a valid rolling-update lease by its own clock.
 func (s *simulation) checkLeaseHolders() {
 	holder := ""
 	for _, p := range s.agents {
--- a/emulator/clustersim/process.go
+++ b/emulator/clustersim/process.go
@@ -19,7 +19,7 @@
 	up          bool
 	incarnation int
 	pausedUntil time.Duration // 0: not paused
-	extraDelay  time.Duration // added to the latency of messages to the process
+	extraDelay  time.Duration // delay added to the latency of messages to the process
 	clockRate   float64
 	clockOffset time.Duration
 
--- a/emulator/clustersim/replica.go
+++ b/emulator/clustersim/replica.go
@@ -12,7 +12,7 @@
 // disk is the simulated storage of a replica.
 type disk struct {
 	synced   consensus.PersistentState
-	unsynced *pb.HardState // lost in a crash; only with Config.NoSync
+	unsynced *pb.HardState // state that a crash loses; only with Config.NoSync
 }
 
 // save writes a batch. If sync is false, a term and a vote are synced only together with entries or a snapshot.
@@ -94,7 +94,7 @@
 		return
 	}
 	if message.GetType() == pb.MsgSnap {
-		// This reports only that the snapshot was transferred; raft resends entries that the receiver lacks.
+		// The report says only that the snapshot was transferred; raft resends entries that the receiver lacks.
 		sim.after(snapshotReportDelay, p, func() { p.core.ReportSnapshot(message.GetTo(), true) })
 	}
 	sim.send(p, to, func() {
--- a/emulator/clustersim/rollout.go
+++ b/emulator/clustersim/rollout.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// runRollout runs one turn of the rollout controller of a lease candidate: it acquires or renews the lease, then
-// executes the next step of the job.
+// runRollout runs one turn of the rollout controller of a lease candidate: it acquires or renews the rollout lease,
+// then executes the next step of the job.
 func (p *process) runRollout() {
 	sim, versions, sentAt := p.sim, p.versions, p.monotonic()
 	current, leased := p.state.Leases[fleet.ResourceRollout]
@@ -166,7 +166,8 @@
 	v.observed[name] = status
 }
 
-// administerRollouts publishes the first version, then starts one rollout after another. It rolls back some rollouts.
+// administerRollouts publishes the first version. Until the faults end, it then starts one rollout after another, and
+// rolls back some rollouts.
 func (s *simulation) administerRollouts(state *fleet.State, leader *process) {
 	published, open := state.Artifacts[artifact], state.OpenJob(fleet.JobRollout)
 	switch {
--- a/emulator/clustersim/simulation_test.go
+++ b/emulator/clustersim/simulation_test.go
@@ -57,8 +57,8 @@
 	return cfg
 }
 
-// faultsBySafeguard lists the faults against which a safeguard protects. Without the safeguard only these faults are
-// drawn, which breaks an invariant within few schedules.
+// faultsBySafeguard lists the faults against which a safeguard protects. A run without the safeguard draws only these
+// faults, so that few schedules suffice to break an invariant.
 var faultsBySafeguard = map[string][]FaultKind{
 	"token":  {faultCrashAlias, faultCrashAlias, FaultDuplicates, FaultPause},
 	"asking": {FaultDelayedCandidate},
@@ -66,8 +66,8 @@
 	"sync":   {FaultBridgingVoter},
 }
 
-// runSchedules runs schedules until one breaks an invariant. It returns the seed of that schedule; 0 if none breaks
-// an invariant.
+// runSchedules runs schedules until one breaks an invariant. failedSeed is the seed of that schedule; 0 if no
+// schedule breaks an invariant.
 func runSchedules(from uint64, count int, disabledSafeguard string, clockJumps bool) (total Result, failedSeed uint64) {
 	for seed := from; seed < from+uint64(count); seed++ {
 		result := Run(configFor(seed, disabledSafeguard, clockJumps))
@@ -85,7 +85,7 @@
 }
 
 // TestSchedules_NoViolations checks that schedules with all kinds of faults break no invariant. With clock jumps,
-// receivers must still reject effects of an old lease holder after those of a newer one, and no patch may be applied
+// receivers must still reject effects of an old lease holder after effects of a newer holder. No patch may be applied
 // twice.
 func TestSchedules_NoViolations(t *testing.T) {
 	if *replay {
--- a/emulator/clustersim/world.go
+++ b/emulator/clustersim/world.go
@@ -26,7 +26,7 @@
 
 	replicas, agents        []*process
 	nodes                   []*node
-	blockedLinks            map[[2]int]int // number of faults that block a link, by the process indexes of its ends
+	blockedLinks            map[[2]int]int // number of faults that block a link, by indexes of sender and receiver
 	lossRate, duplicateRate float64
 	extraDelay              time.Duration
 
@@ -39,7 +39,7 @@
 	rolloutCount   int
 }
 
-// randReader replaces crypto/rand's reader, which makes the random choices of raft depend on the seed.
+// randReader replaces the reader of crypto/rand. With this reader, the random choices of raft depend on the seed.
 type randReader struct{ source *mrand.ChaCha8 }
 
 // Read fills p with random bytes; it never fails.
