--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -159,7 +159,7 @@
 	return oldDisk
 }
 
-// recoverCluster starts a new cluster with the recover command at c3, and adds c1 and c2 to it.
+// recoverCluster starts a new cluster with the recover command at c3, and adds c1 and c2 to the new cluster.
 func recoverCluster(t *testing.T, harness *Harness) {
 	t.Helper()
 	if output, err := harness.runCommand("c3", "recover"); err == nil || !strings.Contains(output, "--reason") {
@@ -196,7 +196,7 @@
 // TestRecover_MajorityOfDisksLost checks the recovery of a cluster after two of three replicas have lost their disks.
 // The third replica must report that it has no leader, and must not start a new cluster by itself. The recover
 // command starts a new cluster and requires a reason. Fencing tokens must keep increasing across the recovery. A
-// replica with a disk of the former cluster must not unseat the new leader.
+// replica with a disk of the former cluster must not make the new leader step down.
 func TestRecover_MajorityOfDisksLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/emulator/multiprocess/checker.go
+++ b/emulator/multiprocess/checker.go
@@ -24,7 +24,7 @@
 	effectPatchCommit effectKind = "patch commit"
 )
 
-// effect is one drain, resume or patch of a node. The node's stand-in or the patch command reported it.
+// effect is one drain, resume or patch of a node. The node's stand-in or the patch command reported the effect.
 type effect struct {
 	at    time.Duration
 	node  string
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("%8.3fs %s %s token %d %s", e.at.Seconds(), e.node, e.kind, e.token, e.key)
 }
 
-// effectChecker records effects and checks the invariants. The admin APIs of the node stand-ins and the patch
-// commands report the effects. A node never sees an older fencing token after a newer one. As many nodes stay
-// available as the script requires. Only drained nodes are patched. Each patch is applied once.
+// effectChecker records the effects that the admin APIs of the node stand-ins and the patch commands report. It
+// checks four invariants. A node never sees an older fencing token after a newer token. As many nodes stay available
+// as the script requires. Only drained nodes are patched. Each patch is applied once.
 type effectChecker struct {
 	harness  *Harness
 	listener net.Listener
@@ -85,8 +85,8 @@
 
 var tokenSuffix = regexp.MustCompile(`token (\d+)$`)
 
-// record records an effect and checks the invariants. text ends with the fencing token; it is the reason or the
-// requester of the effect. The caller holds the mutex.
+// record records an effect and checks the invariants. text is the reason or the requester of the effect, followed by
+// the fencing token. The caller holds the mutex.
 func (c *effectChecker) record(node *nodeStandIn, kind effectKind, text, key string) {
 	received := effect{at: c.harness.elapsed(), node: node.name, kind: kind, key: key}
 	if match := tokenSuffix.FindStringSubmatch(text); match != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkAvailability checks the number of drained nodes and of serving nodes against the limits of the script. The
+// checkAvailability checks that no more nodes are drained, and no fewer nodes serve, than the script allows. The
 // caller holds the mutex.
 func (c *effectChecker) checkAvailability(fail func(format string, args ...any)) {
 	script, drained := c.harness.script, 0
@@ -155,7 +155,7 @@
 	return c.recordReport(r, effectPatchBegin)
 }
 
-// handleApply restarts the patched node if it is a real process.
+// handleApply restarts the node of the request if the nodes are real processes. Otherwise it does nothing.
 func (c *effectChecker) handleApply(r *http.Request) (status int) {
 	if traffic := c.harness.traffic; traffic != nil {
 		if err := traffic.restartNode(r.FormValue("node")); err != nil {
@@ -209,8 +209,8 @@
 	return slices.Clone(c.effects)
 }
 
-// addTo adds the violations and the counts to result. An effect with a token older than the highest token of another
-// node breaks no invariant. It is counted as late.
+// addTo adds the violations and the counts to result. An effect is counted as late if its token is older than the
+// token of an effect recorded before. A late effect breaks no invariant if the earlier effect was at another node.
 func (c *effectChecker) addTo(result *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/multiprocess/child.go
+++ b/emulator/multiprocess/child.go
@@ -49,9 +49,9 @@
 	Fleet func(FleetHooks) int
 }
 
-// Child runs the program for this process's role if a harness started the process. The clock and the disk of a fleet
-// program can be disturbed by faults, and the program runs without the safeguards that the harness disables. isChild
-// is false if no harness started the process; the caller then continues with its own work.
+// Child runs the program for this process's role if a harness started the process. A fleet program gets a clock and a
+// disk into which the harness can inject faults. The harness can also disable safeguards of the program. isChild is
+// false if no harness started the process; the caller then continues with its own work.
 func Child(programs Programs) (status int, isChild bool) {
 	switch role := os.Getenv(roleEnv); role {
 	case "":
--- a/emulator/multiprocess/cluster.go
+++ b/emulator/multiprocess/cluster.go
@@ -39,7 +39,7 @@
 }
 
 // State returns the newest state among the responses of the replicas; nil if no replica responds. hasLeader reports
-// whether one of them leads.
+// whether a replica that responded is the leader.
 func (h *Harness) State(ctx context.Context) (state *fleet.State, hasLeader bool) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -64,8 +64,9 @@
 	return fmt.Errorf("wait for %s: %w", condition, ctx.Err())
 }
 
-// addMember adds a replica to the cluster, as an administrator does. A member with the same name and another ID stems
-// from before the replica lost its disk, and is removed first. addMember returns once the replica is a voter.
+// addMember adds a replica to the cluster, as an administrator does. A replica that lost its disk has a new ID.
+// addMember then first removes the member with the replica's name and former ID. It returns once the replica is a
+// voter.
 func (h *Harness) addMember(ctx context.Context, name string) error {
 	var err error
 	for ctx.Err() == nil {
--- a/emulator/multiprocess/draw.go
+++ b/emulator/multiprocess/draw.go
@@ -13,10 +13,10 @@
 	rand               *rand.Rand
 	all, replicas      []string
 	agents             []string
-	replicaDiskWasLost bool // a cluster of three tolerates one lost disk
+	replicaDiskWasLost bool // true once a replica lost its disk; a cluster of three tolerates only one
 }
 
-// Draw returns a script of mixed faults that depends only on the seed and the other arguments.
+// Draw returns a script with random faults of several kinds. The same arguments always give the same script.
 func Draw(seed uint64, replicas, nodes int, length time.Duration) *Script {
 	random := rand.New(rand.NewPCG(seed, 0x77a7))
 	script := &Script{
--- a/emulator/multiprocess/faults.go
+++ b/emulator/multiprocess/faults.go
@@ -12,8 +12,8 @@
 	"cobaltward/fleet"
 )
 
-// injectFault waits for the start of a fault, injects the fault, and lifts it at its end. index identifies the fault
-// within the script.
+// injectFault waits for the start of a fault, injects the fault, and lifts the fault at the end of its duration.
+// index is the position of the fault in the script.
 func (h *Harness) injectFault(ctx context.Context, index int, fault Fault) {
 	waitUntil(ctx, h.startTime().Add(fault.At))
 	end := h.startTime().Add(fault.At + fault.Duration)
@@ -80,7 +80,7 @@
 
 func (h *Harness) repairDisks(ctx context.Context, fault Fault) {
 	for _, name := range fault.Targets {
-		_ = os.Remove(h.processes[name].diskFaultFile) // absent if writing the file failed, which has already failed the run
+		_ = os.Remove(h.processes[name].diskFaultFile) // fails if begin could not write the file and reported the error
 		h.processes[name].kill()                       // most processes exit by themselves after a disk error
 		h.restartAfterFault(ctx, name)
 	}
@@ -118,8 +118,8 @@
 	return name
 }
 
-// restartAfterFault starts a process again unless another fault keeps the process down. It then adds a replica with a
-// new disk to the cluster.
+// restartAfterFault starts a process again unless another fault keeps the process down. For a replica, it also starts
+// a task that adds the replica to the cluster again if the replica lost its disk.
 func (h *Harness) restartAfterFault(ctx context.Context, name string) {
 	p := h.processes[name]
 	if p.adjustActiveFaults(-1) > 0 || ctx.Err() != nil {
@@ -141,7 +141,7 @@
 	})
 }
 
-// damageDisk changes the disk of a stopped process as specified by damage.
+// damageDisk changes the disk of a process as specified by damage. The caller must have stopped the process.
 func (h *Harness) damageDisk(name, damage string) error {
 	dir := h.processes[name].dir
 	switch damage {
--- a/emulator/multiprocess/harness.go
+++ b/emulator/multiprocess/harness.go
@@ -63,8 +63,8 @@
 	updatesEnded int
 }
 
-// Run runs a script. Everything that it starts has ended when it returns. An error means that the script could not be
-// run. Broken invariants are in the result.
+// Run runs a script. When Run returns, all processes and goroutines that it started have ended. An error means that
+// the script could not be run. The result lists broken invariants.
 func Run(ctx context.Context, script *Script, options Options) (*Result, error) {
 	harness, err := Start(ctx, script, options)
 	if err != nil {
--- a/emulator/multiprocess/measurements.go
+++ b/emulator/multiprocess/measurements.go
@@ -20,7 +20,7 @@
 // Kill kills a process without a graceful shutdown.
 func (h *Harness) Kill(name string) { h.processes[name].kill() }
 
-// Restart starts a process that was killed.
+// Restart starts a process again after Kill.
 func (h *Harness) Restart(name string) error { return h.processes[name].start() }
 
 // Signal sends a signal to a process.
--- a/emulator/multiprocess/nodestandin.go
+++ b/emulator/multiprocess/nodestandin.go
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// finishDrain marks a drain as complete once its duration has passed. The caller holds the checker's mutex.
+// finishDrain marks an active drain as complete if the drain's duration has passed. The caller holds the checker's
+// mutex.
 func (n *nodeStandIn) finishDrain() {
 	if n.state != drain.Serving && !time.Now().Before(n.drainEndsAt) {
 		n.state = drain.Drained
--- a/emulator/multiprocess/result.go
+++ b/emulator/multiprocess/result.go
@@ -12,7 +12,7 @@
 	"cobaltward/fleet/agent"
 )
 
-// maxReportedLogLines is the maximum number of log lines of each process in the result of a failed run.
+// maxReportedLogLines is the maximum number of log lines per process that the result of a failed run contains.
 const maxReportedLogLines = 60
 
 // Result is the outcome of a run.
@@ -20,8 +20,8 @@
 	Script         *Script
 	Violations     []string // descriptions of the broken invariants
 	Effects        int
-	Tokens         int    // number of different fencing tokens of the effects
-	LateEffects    int    // effects with a token older than the highest token at any node
+	Tokens         int    // number of different fencing tokens among the effects
+	LateEffects    int    // effects with a token older than that of an earlier effect at any node
 	Rejected       uint64 // effects that agents rejected
 	Patches        int
 	RollingUpdates int            // rolling updates that ended
--- a/emulator/multiprocess/script.go
+++ b/emulator/multiprocess/script.go
@@ -39,8 +39,8 @@
 	Disk    string   `toml:"disk" one:"same|older|none|torn"` // state of the disk after a kill
 }
 
-// The kinds of faults. Value is the fraction of messages for FaultLoss and FaultDuplicates, the mean delay in seconds
-// for FaultDelay, and the interval in seconds for FaultFlapping.
+// The kinds of faults. The meaning of Value depends on the kind. It is the fraction of messages for FaultLoss and
+// FaultDuplicates. It is the mean delay for FaultDelay and the interval for FaultFlapping, both in seconds.
 const (
 	FaultPartition           = "cut"
 	FaultAsymmetricPartition = "one_way"
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -27,7 +27,7 @@
 )
 
 // traffic is a set of real nodes under load. It consists of processes of the node program, emulated app servers, and
-// clients behind an emulated load balancer that checks the readiness of the nodes.
+// clients. The clients reach the nodes through an emulated load balancer, which checks the readiness of the nodes.
 type traffic struct {
 	harness  *Harness
 	servers  []*servermodel.Server
@@ -139,7 +139,7 @@
 	return json.Unmarshal(raw, &status) == nil && status.Drain.State == drain.Drained
 }
 
-// restartNode shuts a node down gracefully and starts it again, like a patch.
+// restartNode shuts a node down gracefully and starts it again, as a real patch does.
 func (t *traffic) restartNode(name string) error {
 	p := t.nodes[name]
 	if p == nil {
--- a/emulator/multiprocess/updates.go
+++ b/emulator/multiprocess/updates.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// runUpdate starts a rolling update unless it has already started, and waits for it to end. It returns false if the
-// context ends first.
+// runUpdate waits until the rolling update with the given ID ends. It proposes the update while the newest state of
+// the replicas lacks the update. It returns false if the context ends before the update.
 func (h *Harness) runUpdate(ctx context.Context, id string) bool {
 	recorded := false
 	for ctx.Err() == nil {
@@ -71,7 +71,8 @@
 	}
 }
 
-// checkUpdate compares an ended rolling update with the recorded effects.
+// checkUpdate checks that an ended rolling update was closed as done. Each node of the update must have been patched,
+// or have a patch step that failed.
 func (h *Harness) checkUpdate(job *fleet.Job) {
 	h.mu.Lock()
 	h.updatesEnded++
@@ -92,8 +93,8 @@
 	}
 }
 
-// awaitRecovery runs after the last fault. It starts the processes that are down, resumes paused processes, and waits
-// for the current rolling update to end. It returns descriptions of the broken invariants.
+// awaitRecovery is called after the last fault. It starts the processes that are down, resumes paused processes, and
+// waits for the current rolling update to end. It returns descriptions of the broken invariants.
 func (h *Harness) awaitRecovery(ctx context.Context) (violations []string) {
 	for _, name := range h.processNames() {
 		p := h.processes[name]
