--- a/internal/racetest/clientgone_test.go
+++ b/internal/racetest/clientgone_test.go
@@ -14,7 +14,7 @@
 	"cobaltward/msgpackrpc"
 )
 
-// disconnects maps each way in which a client can disconnect to the function that does it.
+// disconnects holds the functions with which tests disconnect a client, by name.
 var disconnects = map[string]func(c *clientConn){
 	"FIN":        func(c *clientConn) { c.close() },
 	"RST":        func(c *clientConn) { c.reset() },
@@ -87,8 +87,8 @@
 }
 
 // TestClientGone_DuringDial checks that the node does not forward a request whose client disconnects during the dial
-// to the only server. The dial succeeds after the disconnect. The rule also holds if the settings forbid the node to
-// cancel attempts.
+// to the only server. The dial succeeds after the disconnect. The node must not do so even if the settings forbid the
+// node to cancel attempts.
 func TestClientGone_DuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
@@ -143,8 +143,8 @@
 }
 
 // TestClientGone_WithinBody checks that no server gets a complete request whose client disconnects while sending the
-// body or right after it. In some cases the node has buffered a part of the body, and the rest is unread in the
-// socket.
+// body or right after it. In some cases the node has buffered a part of the body, and has not yet read the rest from
+// the socket.
 func TestClientGone_WithinBody(t *testing.T) {
 	body := strings.Repeat("x", 200<<10)
 	for name, part := range map[string]int{
--- a/internal/racetest/connections_test.go
+++ b/internal/racetest/connections_test.go
@@ -139,7 +139,7 @@
 }
 
 // testPipelinedRequest terminates the node if terminate is set, and otherwise opens more connections than the node
-// has slots. Meanwhile the request with the ID blockedID is at the server.
+// has slots. The request with the ID blockedID is then at the server.
 func testPipelinedRequest(t *testing.T, terminate bool, blockedID string) {
 	t.Helper()
 	reached, proceed := make(chan string, 2), make(chan bool)
--- a/internal/racetest/endpointlist_test.go
+++ b/internal/racetest/endpointlist_test.go
@@ -14,8 +14,8 @@
 )
 
 // notifiedBy returns the time by which the operators' rules require a node to know of a change that its watch missed.
-// The time is 6 s after silentSince, the time of the last data on the watch, or 2 s after the wait of call ends,
-// whichever is later.
+// silentSince is the time of the last data on the watch. The result is 6 s after silentSince or 2 s after the end of
+// call.wait, whichever is later.
 func notifiedBy(call pollCall, silentSince time.Time) time.Time {
 	bySilence := silentSince.Add(6 * time.Second)
 	if byWait := call.at.Add(call.wait + 2*time.Second); byWait.After(bySilence) {
@@ -92,7 +92,7 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list[:n])
 }
 
-// holdSilent sends no data and returns true when the peer has closed the connection.
+// holdSilent waits until the peer closes the connection, without sending data, and returns true.
 func holdSilent(conn net.Conn) bool {
 	_, _ = io.Copy(io.Discard, conn)
 	return true
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestEndpointList_EmptiesWhileRequestsAreQueued checks that a request waits while the endpoint list is empty, and
-// that the next listed server serves it.
+// TestEndpointList_EmptiesWhileRequestsAreQueued checks that a request waits while the endpoint list is empty. The
+// next server that is listed must serve the request.
 func TestEndpointList_EmptiesWhileRequestsAreQueued(t *testing.T) {
 	env := newHarness(t, nil)
 	env.oldServer = env.startServer("s0", nil)
--- a/internal/racetest/firstrequest_test.go
+++ b/internal/racetest/firstrequest_test.go
@@ -33,7 +33,7 @@
 type shutdownCase struct {
 	longestDeadline time.Duration // deadline of every class
 	connectAt       []time.Duration
-	answerUntil     time.Duration // requests sent earlier must be served
+	answerUntil     time.Duration // requests sent before this time must be served
 	start           func(env *harness)
 }
 
@@ -88,7 +88,7 @@
 type firstResponse struct {
 	sentAt   time.Duration // time from the start of the shutdown until the request was sent
 	answer   string        // "served", "answered" with a status or code, or the text of an error
-	isAnswer bool          // answer is a response of the node, not an error
+	isAnswer bool          // true if answer is a response of the node, false if it is an error
 }
 
 func testFirstRequests(t *testing.T, shutdown shutdownCase, front string) {
@@ -125,7 +125,7 @@
 	pause := longestPause()
 	for result := range received {
 		results = append(results, result)
-		pause = max(pause, result.sentAt-result.connectAt-result.delay) // delay of this client by the host
+		pause = max(pause, result.sentAt-result.connectAt-result.delay) // delay that the host caused for this client
 	}
 	answerUntil := shutdown.answerUntil - pause
 	hostOnTime := pause <= shutdown.longestDeadline/queueTimeoutDivisor
--- a/internal/racetest/harness_test.go
+++ b/internal/racetest/harness_test.go
@@ -41,7 +41,7 @@
 	reloads   chan node.Config
 	terminate context.CancelFunc // shuts the node down as SIGTERM does
 	exited    chan error
-	stopped   bool        // awaitExit has been called
+	stopped   bool        // true once awaitExit has been called
 	clientTLS *tls.Config // nil: clients use plain HTTP
 
 	oldServer, newServer string // addresses of s0 and s1 in tests of the endpoint list
--- a/internal/racetest/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -79,7 +79,7 @@
 
 // TestServerDrains_BeforeNextAttempt checks that the node does not retry a request at a server that drains. The only
 // server is listed as draining while it processes the request, and then answers with an error. The node must send the
-// retry to another server that was listed in the meantime.
+// retry to another server, which is added to the list together with the drain.
 func TestServerDrains_BeforeNextAttempt(t *testing.T) {
 	for _, class := range []string{"read", "undo"} {
 		t.Run(class, func(t *testing.T) {
@@ -208,7 +208,7 @@
 			env.discovery.publish(listEntry("s0", first, "up"), listEntry("s1", env.startServer("s1", nil), "up"))
 			env.awaitStatus("both servers", func(s node.Status) bool { return s.Servers["running"] == 2 })
 			reused := false
-			for i := 0; !reused && i < 50; i++ { // the node delays reuse and opens new connections meanwhile
+			for i := 0; !reused && i < 50; i++ { // the node opens new connections before it reuses a connection
 				id := fmt.Sprint("next", i)
 				status := env.request(id, class)
 				servers := env.serversReached(id)
@@ -227,8 +227,8 @@
 	}
 }
 
-// lateResponder answers each request. If a request whose ID starts with "next" arrives 4 to 10 ms after the previous
-// response, lateResponder first writes a second response to the previous request.
+// lateResponder answers each request. A request whose ID starts with "next" may arrive 4 to 10 ms after the previous
+// response. lateResponder then first writes a second response to the previous request.
 type lateResponder struct {
 	mu              sync.Mutex
 	last            serverRequest
@@ -341,7 +341,7 @@
 type dedupCase struct {
 	scope    policy.DedupScope
 	relocate func(m *router.Endpoint)
-	inScope  bool // the second server is in the deduplication scope of the first
+	inScope  bool // true if the second server is in the deduplication scope of the first server
 	window   time.Duration
 }
 
--- a/internal/racetest/termination_test.go
+++ b/internal/racetest/termination_test.go
@@ -284,7 +284,7 @@
 	env.awaitStatus("no free connection slot", func(s node.Status) bool {
 		return s.Requests.Open == 16 && s.Connections.Clients == 16
 	})
-	for i := range 6 { // the node accepts the first of them, which then waits for a slot
+	for i := range 6 { // the node accepts the first connection, which then waits for a slot
 		queued = append(queued, env.dial().send(requestText(fmt.Sprint("queued", i), "read", "")))
 	}
 	env.terminate()
