--- a/internal/conformance/connections_test.go
+++ b/internal/conformance/connections_test.go
@@ -61,7 +61,7 @@
 // slowResponse is the response to the request "slow", or the zero value if there was no response.
 type slowResponse struct {
 	status int
-	closes bool // the response announces the close of the connection
+	closes bool // true if the response announces the close of the connection
 }
 
 // sendSlow sends the request "slow" to node, and returns a channel that receives the response.
@@ -129,8 +129,8 @@
 	_ = resp.Body.Close()
 }
 
-// incompleteRequests returns what faulty clients send before they stop sending. The caller replaces %d with a number
-// for the request ID.
+// incompleteRequests returns the parts of requests that faulty clients send before they stop sending. The caller
+// replaces %d with a number for the request ID.
 func incompleteRequests() []string {
 	const head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: pay\r\nX-Tenant: t\r\n" +
 		"X-Deadline-Ms: 8000\r\n"
@@ -179,7 +179,7 @@
 	}
 }
 
-// testGracefulShutdown checks that a node that shuts down reports that it is not ready. The node must accept
+// testGracefulShutdown checks that the readiness check of a node that shuts down fails. The node must accept
 // connections while clients may still be routed to it, answer open requests, and then exit.
 func testGracefulShutdown(t *testing.T, b build) {
 	addr, received, release := startBlockingServer(t)
--- a/internal/conformance/requests_test.go
+++ b/internal/conformance/requests_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// testMalformedInput checks that the node still serves requests after malformed input.
+// testMalformedInput checks that the node still serves requests after clients have sent malformed input.
 func testMalformedInput(t *testing.T, b build) {
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := b.start(t, testConfig(t, knownList(addr)))
--- a/internal/conformance/script_test.go
+++ b/internal/conformance/script_test.go
@@ -148,7 +148,7 @@
 			continue
 		case i%200 == 199:
 			req.class, req.want = "other", "malformed"
-		case i%200 == 96 && tinyTenantRequests < 8: // the same client sends all of these, so their order is fixed
+		case i%200 == 96 && tinyTenantRequests < 8: // one client sends all these requests, so their order is fixed
 			req.tenant, req.class = "tiny", "read"
 			if tinyTenantRequests++; tinyTenantRequests > 3 {
 				req.want = "refused"
--- a/internal/protocolmatrix/appserver_test.go
+++ b/internal/protocolmatrix/appserver_test.go
@@ -24,8 +24,8 @@
 // slowResponseDelay is the delay of a response with the reaction "slow".
 const slowResponseDelay = 50 * time.Millisecond
 
-// appServer is a server with one address for HTTP and one for MessagePack-RPC. Its script defines the reaction to
-// each request that it has read completely.
+// appServer is a server with one address for HTTP and one for MessagePack-RPC. The script defines the server's
+// reaction to each completely read request.
 type appServer struct {
 	http, msgpack string                     // addresses
 	cut           func() int                 // returns the number of bytes after which a connection is cut; nil: never
--- a/internal/protocolmatrix/cutconn_test.go
+++ b/internal/protocolmatrix/cutconn_test.go
@@ -6,8 +6,7 @@
 	"sync/atomic"
 )
 
-// cutConn is a connection that is closed after a number of bytes. Bytes that are read and bytes that are written
-// count.
+// cutConn is a connection that is closed after a number of bytes. Both read and written bytes count.
 type cutConn struct {
 	net.Conn
 	remaining atomic.Int64
--- a/internal/protocolmatrix/failures_test.go
+++ b/internal/protocolmatrix/failures_test.go
@@ -22,7 +22,7 @@
 	failure         string
 	read, pay, undo result
 	timeout         time.Duration // deadline of the request; 0: 8 s
-	cancels         bool          // the client cancels the request once the first server runs it
+	cancels         bool          // makes the client cancel the request once the first server runs the request
 }
 
 var failureCases = []failureCase{
--- a/internal/protocolmatrix/pair_test.go
+++ b/internal/protocolmatrix/pair_test.go
@@ -43,7 +43,7 @@
 	name       string
 	frontend   string                    // "http" or "msgpack"
 	protocolOf func(router.Endpoint) int // returns the protocol of a server: 0 for HTTP, 1 for MessagePack-RPC
-	tls        bool                      // the node connects to servers with TLS
+	tls        bool                      // true if the node connects to servers with TLS
 }
 
 func overHTTP(router.Endpoint) int             { return 0 }
@@ -72,7 +72,7 @@
 	attempts *attemptLog
 }
 
-// maxLag returns the maximum delay of the router's engine by the host so far.
+// maxLag returns the maximum delay so far that the host caused in the router's engine.
 func (n runningNode) maxLag() time.Duration { return n.router.Stats().Lag.Max }
 
 // start runs a node in front of the servers until the test ends. If cut is not nil, each client connection is cut
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -37,16 +37,16 @@
 	rng             *rand.Rand
 	connectRNG      *rand.Rand // for pauses after a connect; separate, so that the pauses do not affect rng
 	history         *history
-	longestDeadline time.Duration // longest deadline of its requests
-	clientsRouted   *atomic.Bool  // clients may open connections to the node
-	stopping        *atomic.Bool  // the node is being terminated
-	nodeExited      *atomic.Bool  // the node's process has exited
+	longestDeadline time.Duration // longest deadline of the client's requests
+	clientsRouted   *atomic.Bool  // true while clients may open connections to the node
+	stopping        *atomic.Bool  // true once the test terminates the node
+	nodeExited      *atomic.Bool  // true once the node's process has exited
 	abandonRate     float64       // fraction of requests whose response the client does not wait for
-	descriptorsFull bool          // idle connections fill the node's descriptors
+	descriptorsFull bool          // true if idle connections fill the node's descriptors
 	longestPause    time.Duration // maximum pause after a connect or a response; 0: none
 	rest            time.Duration // time between the first connect and the first request
-	rested          bool          // the rest before the first request is over
-	restedConn      net.Conn      // connection that was idle during the rest
+	rested          bool          // true once the rest before the first request is over
+	restedConn      net.Conn      // connection that was idle during the rest; nil before the end of the rest
 }
 
 // run sends requests until the node has exited or clients are no longer routed to it.
@@ -74,7 +74,7 @@
 }
 
 // restBeforeFirstRequest keeps the first connection idle for c.rest, and reports whether the node closed the
-// connection in that time. For later connections it returns at once.
+// connection in that time. It returns at once for later connections and if c.rest is 0.
 func (c *client) restBeforeFirstRequest(conn net.Conn) (closed bool) {
 	if c.rest == 0 || c.rested {
 		return false
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -38,8 +38,8 @@
 	notRun bool
 }
 
-// history has the records of the clients and servers of a run, and the violations of rules in these records. Its
-// methods other than addViolationf are safe for concurrent use.
+// history holds what the clients and servers of a run recorded, and the violations of rules found in these records.
+// Its methods other than addViolationf are safe for concurrent use.
 type history struct {
 	mu         sync.Mutex
 	requests   map[string]*requestRecord
@@ -161,9 +161,9 @@
 }
 
 // recordNoResponse records that a connection ended without a response, because of the read error cause. That is a
-// violation, unless the node closed the connection before any server received the request and was allowed to do so.
-// mayBeClosedUnread allows the close. descriptorsFull also allows the close: when idle clients fill the descriptors,
-// the node may close new connections unread.
+// violation if a server received the request or if the read timed out. Otherwise the node closed the connection
+// without reading the request, which mayBeClosedUnread or descriptorsFull allows: when idle clients fill the
+// descriptors, the node may close new connections unread.
 func (h *history) recordNoResponse(id string, mayBeClosedUnread, descriptorsFull bool, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/servers_test.go
+++ b/internal/soak/servers_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-// serve answers the requests on conn until the node closes the connection or a fault ends it.
+// serve answers the requests on conn until the node or a fault closes the connection.
 func (s *server) serve(conn net.Conn, in *bufio.Reader) {
 	for {
 		request, err := http.ReadRequest(in)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 
 // Times that the operators' rules define.
 const (
-	killDelay        = 700 * time.Millisecond // minimum time from SIGTERM to SIGKILL, without the longest deadline
+	killDelay        = 700 * time.Millisecond // minimum time from SIGTERM to SIGKILL, minus the longest deadline
 	clientsRoutedFor = 200 * time.Millisecond // minimum time after SIGTERM for which clients may open connections
 )
 
@@ -96,9 +96,9 @@
 	node            *nodeProcess
 	pauses          *pauseSchedule // pauses of the node; nil: none
 	longestRest     time.Duration  // maximum idle time of clients before their first request; 0: no resting clients
-	clientsRouted   atomic.Bool    // clients may open connections to the node
-	stopping        atomic.Bool    // the node is being terminated
-	nodeExited      atomic.Bool    // the node's process has exited
+	clientsRouted   atomic.Bool    // true while clients may open connections to the node
+	stopping        atomic.Bool    // true once the test terminates the node
+	nodeExited      atomic.Bool    // true once the node's process has exited
 }
 
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
@@ -190,8 +190,8 @@
 	}
 }
 
-// terminate sends SIGTERM and then up to four more signals, each a SIGHUP or a SIGTERM. If the node has not exited at
-// the earliest time that the operators' rules allow, it sends SIGKILL.
+// terminate sends SIGTERM and then up to four more signals, each a SIGHUP or a SIGTERM. If the node has not exited by
+// the earliest time that the operators' rules allow for SIGKILL, terminate sends SIGKILL.
 func (r *soakRun) terminate() {
 	if r.rng.IntN(2) == 0 {
 		for _, s := range r.servers {
