--- a/tools/bench/report.go
+++ b/tools/bench/report.go
@@ -40,8 +40,8 @@
 	return values[len(values)/2]
 }
 
-// ratios returns the minimum, median and maximum of the ratios of each sample's value to the value of base in the
-// same round.
+// ratios divides the value of each sample by the value of the base sample of the same round. It returns the minimum,
+// median and maximum of these ratios.
 func ratios(samples, base []sample, value func(sample) time.Duration) string {
 	values := make([]float64, 0, len(samples))
 	for round, s := range samples {
--- a/tools/decisions/main.go
+++ b/tools/decisions/main.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// compareHistories processes histories one after the other until none are left or a job has failed.
+// compareHistories processes histories one after the other until no history is left or a job has failed.
 func (c *comparison) compareHistories(failed <-chan error) error {
 	for {
 		i := c.next.Add(1) - 1
--- a/tools/internal/benchkit/benchkit.go
+++ b/tools/internal/benchkit/benchkit.go
@@ -43,7 +43,7 @@
 }
 
 // AcceptLoop calls handle for each accepted connection in a separate goroutine, until ln is closed. handle must close
-// the connection.
+// the connection that it gets.
 func AcceptLoop(ln net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := ln.Accept()
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -34,7 +34,8 @@
 	classCancel  = "zrusenie"
 )
 
-// variant is a script of overload, derived from a shipped script.
+// variant is a script of overload. base is the name of a shipped script, and change turns that script into the
+// variant.
 type variant struct {
 	name   string
 	base   string
@@ -88,10 +89,10 @@
 	seeds    int
 }
 
-// protectionResult is the result of one protection against overload. Its fractions are means over all seeds.
+// protectionResult is the result of one protection against overload. The fractions are means over all seeds.
 type protectionResult struct {
 	value          float64 // value of the served requests, as a fraction of the value offered
-	bookingsOnTime float64 // bookings within their latency objective, as a fraction of those offered
+	bookingsOnTime float64 // bookings served within their latency objective, as a fraction of the offered bookings
 	wastedWork     float64 // work that servers did for abandoned requests, as a fraction of all work
 	levelChanges   int     // total number over all seeds
 }
@@ -156,8 +157,8 @@
 	return all
 }
 
-// shedAlways returns a configuration with one level that sheds the given share of searches. The level is entered at
-// once and stays in force.
+// shedAlways returns a configuration with one level that sheds the given share of searches. The level becomes active
+// at once and stays active.
 func shedAlways(share float64) *levels.Config {
 	return &levels.Config{
 		Classes: []levels.Class{{Name: classSearch}, {Name: classBooking, ShedLast: true}, {Name: classCancel}},
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -25,7 +25,7 @@
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`
 
-	readyInterval = 200 * time.Microsecond // time between two readiness checks: the resolution of the result
+	readyInterval = 200 * time.Microsecond // time between two readiness checks, which limits the resolution of the result
 	readyTimeout  = 10 * time.Second
 )
 
