--- a/emulator/clustersim/faults.go
+++ b/emulator/clustersim/faults.go
@@ -23,7 +23,7 @@
 	FaultLoss
 	FaultDelay
 	FaultDuplicates
-	FaultAllReplicasCrash // with Config.ClockJumps: a clock jumps instead of the crash
+	FaultAllReplicasCrash // crashes all replicas; with Config.ClockJumps, a clock jumps instead
 	FaultDelayedCandidate // a lease candidate receives messages late, and is then isolated
 	FaultBridgingVoter    // separates two replicas while a third replica that reaches both restarts repeatedly
 	FaultDelayedNode      // the last node receives messages late
--- a/emulator/clustersim/rollout.go
+++ b/emulator/clustersim/rollout.go
@@ -166,7 +166,7 @@
 	v.observed[name] = status
 }
 
-// administerRollouts publishes the first version. Until the faults end, it then starts one rollout after another, and
+// administerRollouts publishes the first version. It then starts one rollout after another until the faults end, and
 // rolls back some rollouts.
 func (s *simulation) administerRollouts(state *fleet.State, leader *process) {
 	published, open := state.Artifacts[artifact], state.OpenJob(fleet.JobRollout)
--- a/emulator/model/keytable.go
+++ b/emulator/model/keytable.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Deduplicator decides which requests are duplicates within a group of servers. KeyTable implements it for one group;
-// servers may also share another implementation.
+// Deduplicator decides which requests are duplicates within a group of servers. KeyTable implements Deduplicator for
+// one group; servers may also share another implementation.
 type Deduplicator interface {
-	// IsDuplicate reports whether the key was seen within the window. It records the key if not.
+	// IsDuplicate reports whether the key was seen within the window. It records a key that was not seen.
 	IsDuplicate(key string, now time.Duration) bool
 }
 
@@ -16,7 +16,7 @@
 	order     []string // keys, oldest first
 }
 
-// IsDuplicate reports whether the key was seen within the window. It records the key if not.
+// IsDuplicate reports whether the key was seen within the window. It records a key that was not seen.
 func (k *KeyTable) IsDuplicate(key string, now time.Duration) bool {
 	if k.firstSeen == nil {
 		k.firstSeen = make(map[string]time.Duration)
--- a/emulator/model/server.go
+++ b/emulator/model/server.go
@@ -59,8 +59,8 @@
 // InFlight returns the number of running and queued requests.
 func (s *Server) InFlight() int { return len(s.running) + len(s.queue) }
 
-// Load returns the values of a load report: the requests in flight, the queued requests among them, and the busy
-// fraction of the cores.
+// Load returns the values of a load report: the number of requests in flight, the number of queued requests, and the
+// busy fraction of the cores. Queued requests are also in flight.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	return s.InFlight(), len(s.queue), min(1, float64(len(s.running))/float64(s.config.Cores))
 }
--- a/emulator/plan/fault.go
+++ b/emulator/plan/fault.go
@@ -11,7 +11,7 @@
 // Fault is a fault of the script with the servers and nodes that the fault affects.
 type Fault struct {
 	*script.Fault
-	Index   int   // in Plan.Faults
+	Index   int   // index in Plan.Faults
 	Servers []int // indices in Plan.Servers
 	Nodes   []int // indices in Plan.Nodes
 }
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -67,8 +67,8 @@
 	Zones           map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: equal weights
 	Cores           int                `toml:"cores" min:"1" max:"256"`
 	Speed           stricttoml.Range   `toml:"speed" min:"0.001" max:"1000"`
-	Slots           stricttoml.Range   `toml:"slots" min:"0.01" max:"1000"`   // per core
-	Queue           stricttoml.Range   `toml:"queue" min:"0" max:"10000"`     // per core
+	Slots           stricttoml.Range   `toml:"slots" min:"0.01" max:"1000"`   // limit of running requests per core
+	Queue           stricttoml.Range   `toml:"queue" min:"0" max:"10000"`     // limit of queued requests per core
 	ThrashFactor    float64            `toml:"thrash" min:"0" max:"10"`       // see model.Config
 	ThrashThreshold float64            `toml:"thrash_at" min:"0" max:"10000"` // requests in flight per core
 	InitialCapacity stricttoml.Range   `toml:"cold_from" min:"0" max:"1"`     // fraction of the capacity; 0: no warm-up
--- a/emulator/servermodel/server.go
+++ b/emulator/servermodel/server.go
@@ -159,8 +159,8 @@
 	return ids
 }
 
-// Load returns the values of a load report: the requests in flight, the queued requests among them, and the busy
-// fraction of the cores.
+// Load returns the values of a load report: the number of requests in flight, the number of queued requests, and the
+// busy fraction of the cores. Queued requests are also in flight.
 func (s *Server) Load() (inflight, queue int, util float64) {
 	s.execute(func(time.Duration) { inflight, queue, util = s.state.Load() })
 	return inflight, queue, util
--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -20,7 +20,7 @@
 // Options returns the options of a run of the mutant.
 func (m Mutant) Options() Options { return m.newOptions() }
 
-// Mutants returns all mutants, ordered by rule. Running them shows that the checker detects violations.
+// Mutants returns all mutants, ordered by rule. A run of each mutant shows that the checker detects violations.
 func Mutants() []Mutant {
 	return slices.Concat(answerMutants(), effectMutants(), drainMutants(), slowStartMutants())
 }
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestRun_SamePlanGivesSameResult checks that a plan always gives the same result, byte for byte, on one core and on
-// several. Another seed must give another result.
+// several cores. Another seed must give another result.
 func TestRun_SamePlanGivesSameResult(t *testing.T) {
 	resultJSON := func(p *plan.Plan) string {
 		raw, err := json.Marshal(run(t, p, Options{}))
--- a/internal/conformance/alloc_test.go
+++ b/internal/conformance/alloc_test.go
@@ -11,8 +11,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// benchmarkRequest is the format of a request. The ID of the request consists of the number of requests and the index
-// of the request.
+// benchmarkRequest is the format of a request. Its arguments are the number of requests and the index of the request,
+// which together form the request ID.
 const benchmarkRequest = "GET /api?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d-%d\r\nX-Class: read\r\n" +
 	"X-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 
--- a/internal/conformance/script_test.go
+++ b/internal/conformance/script_test.go
@@ -131,8 +131,8 @@
 	want              string
 }
 
-// script returns the requests of the script. Most requests are served normally. For one in ten, the server that gets
-// the first attempt injects a fault.
+// script returns the requests of the script. Most requests are served normally. For one request in ten, the server
+// that gets the first attempt injects a fault.
 func script() (requests []scriptedRequest) {
 	reactions := []string{"error", "full", "reset", "half", "slow"}
 	classes := []string{"read", "pay", "undo"}
--- a/internal/conformance/wallclock_test.go
+++ b/internal/conformance/wallclock_test.go
@@ -30,7 +30,8 @@
 	"cmd/xds-standin/":             "control plane for tests",
 }
 
-// wallClock matches code that drops the monotonic clock reading of a time, or creates a time without one.
+// wallClock matches code that drops the monotonic clock reading of a time, or creates a time without a monotonic
+// clock reading.
 var wallClock = regexp.MustCompile(`\btime\.Unix(Milli|Micro)?\(|\.Unix(Milli|Micro|Nano)\(\)|\.Round\(0\)`)
 
 // TestWallClock_MeasuresNoDuration checks that only code in allowedWallClockUses uses the wall clock. The wall clock
--- a/internal/protocolmatrix/failures_test.go
+++ b/internal/protocolmatrix/failures_test.go
@@ -13,7 +13,7 @@
 // result is the outcome of a request and the number of its executions.
 type result struct {
 	outcome    string
-	executions [2]int // at the first and at the second server
+	executions [2]int // numbers of executions at the first and the second server
 }
 
 // failureCase is a failure and the expected result for each class. The failure is a reaction of the first server or
@@ -154,8 +154,8 @@
 	return result{outcome, [2]int{apps[0].totalExecutions(), apps[1].totalExecutions()}}, node.maxLag()
 }
 
-// request returns the request of the case for the given class. It contains the error of the case, if the case has
-// one.
+// request returns the request of the case for the given class. If the failure of the case is an error in the request,
+// the request contains the error.
 func (c failureCase) request(class string) msgpackrpc.Call {
 	call := msgpackrpc.Call{ID: "r1", Class: class, Tenant: "t", Timeout: 8 * time.Second, Target: "/api"}
 	if class == "undo" {
--- a/internal/racetest/clientgone_test.go
+++ b/internal/racetest/clientgone_test.go
@@ -87,8 +87,8 @@
 }
 
 // TestClientGone_DuringDial checks that the node does not forward a request whose client disconnects during the dial
-// to the only server. The dial succeeds after the disconnect. The node must not do so even if the settings forbid the
-// node to cancel attempts.
+// to the only server. The dial succeeds after the disconnect. The node must not forward the request even if the
+// settings forbid the node to cancel attempts.
 func TestClientGone_DuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
--- a/internal/racetest/endpointlist_test.go
+++ b/internal/racetest/endpointlist_test.go
@@ -98,7 +98,7 @@
 	return true
 }
 
-// publishDrain publishes a list in which the old server is draining and the new one is running.
+// publishDrain publishes a list in which the old server is draining and the new server is running.
 func (env *harness) publishDrain() {
 	env.discovery.publish(listEntry("s0", env.oldServer, "draining"), listEntry("s1", env.newServer, "up"))
 }
--- a/internal/racetest/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// invalidResponse is a server's invalid, incomplete or failed response, or a missing one.
+// invalidResponse is a case in which a server's response is invalid, incomplete, failed or missing.
 type invalidResponse struct {
 	handler requestHandler
 	pay     int // response status for a non-idempotent request
--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -113,7 +113,7 @@
 }
 
 // publish adds a change to phase for each server with an index of at least from and less than to. started is the
-// start time of these servers. The zero time means that they started before all other servers.
+// start time of these servers. The zero time means that these servers started before all other servers.
 func (f *fleet) publish(from, to int, phase string, started time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// soakRun is a run of one node with its servers and clients. Its random choices depend only on its seed, except those
-// of the servers.
+// soakRun is a run of one node with its servers and clients. The random choices of a run depend only on the run's
+// seed, except the random choices of the servers.
 type soakRun struct {
 	t               *testing.T
 	seed            uint64
