--- a/emulator/sim/mutants.go
+++ b/emulator/sim/mutants.go
@@ -20,7 +20,7 @@
 // Options returns the options of a run of the mutant.
 func (m Mutant) Options() Options { return m.newOptions() }
 
-// Mutants returns all mutants, ordered by rule. Running them shows that the checker detects violations.
+// Mutants returns all mutants, ordered by rule. A run of each mutant shows that the checker detects violations.
 func Mutants() []Mutant {
 	return slices.Concat(answerMutants(), effectMutants(), drainMutants(), slowStartMutants())
 }
@@ -100,7 +100,7 @@
 }
 
 // ignoringDrains returns a function that returns options in which transports send to draining and removed servers.
-// change hides from the policy that servers are draining or removed.
+// change must hide from the policy that servers are draining or removed.
 func ignoringDrains(change func(policy.Event) policy.Event) func() Options {
 	overrides := safeguards.Overrides{WrapPolicy: changeEvents(change)}
 	return func() Options {
--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -43,8 +43,9 @@
 	servedShare float64 // fraction of the requests that were served
 }
 
-// TestGrowth_ResourceUseIsBounded checks that the resource usage of a node grows only within bounds from a fleet of
-// the usual size to the largest fleet. Both nodes have the same traffic, and half of their servers are replaced.
+// TestGrowth_ResourceUseIsBounded compares a node in a fleet of the usual size with a node in the largest fleet. The
+// resource usage may differ only within bounds. Both nodes have the same traffic, and half of their servers are
+// replaced.
 func TestGrowth_ResourceUseIsBounded(t *testing.T) {
 	binary := buildNode(t)
 	var usual, largest resourceUsage
@@ -112,7 +113,7 @@
 }
 
 // publish adds a change to phase for each server with an index of at least from and less than to. started is the
-// start time of these servers. The zero time means that they started before all other servers.
+// start time of these servers. The zero time means that these servers started before all other servers.
 func (f *fleet) publish(from, to int, phase string, started time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -25,12 +25,12 @@
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`
 
-	readyInterval = 200 * time.Microsecond // time between two readiness checks: the resolution of the result
+	readyInterval = 200 * time.Microsecond // time between two readiness checks, which limits the resolution of the result
 	readyTimeout  = 10 * time.Second
 )
 
 func main() {
-	runs := flag.Int("runs", 20, "runs of each")
+	runs := flag.Int("runs", 20, "number of runs")
 	idleTime := flag.Duration("rest", 300*time.Millisecond, "how long a daemon rests before its memory is read")
 	flag.Parse()
 	readyMS, residentMB := make(map[string][]float64), make(map[string][]float64)
