--- a/certificates/watch.go
+++ b/certificates/watch.go
@@ -14,7 +14,7 @@
 // may become valid while its file does not change.
 const retryInterval = 10 * time.Second
 
-// PollResult is the result of a call of FileWatcher.Poll.
+// PollResult describes what FileWatcher.Poll has found in the files of one source.
 type PollResult struct {
 	Source       string
 	Changed      bool  // whether new content has been loaded and is in use
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -1,7 +1,8 @@
 // Package merge combines several endpoint sources into one. A server is identified by its address. If several sources
 // list the same address, they describe the same server, and its id comes from the first of these sources. If any
-// source drains or removes a server, the server gets no new work. The data of that source is assumed to be the
-// newest. Data about a later process at the same address replaces the data of the earlier process.
+// source drains or removes a server, the server gets no new work. The source that drains or removes the server is
+// assumed to have the newest data. Data about a later process at the same address replaces the data of the earlier
+// process.
 package merge
 
 import (
--- a/discovery/registry/backoff.go
+++ b/discovery/registry/backoff.go
@@ -20,7 +20,7 @@
 }
 
 // backoffLimit returns the maximum pause between calls. drainGrace is the time for which a draining server may still
-// get work; 0: unknown.
+// get work, or 0 if unknown.
 func backoffLimit(drainGrace time.Duration) time.Duration {
 	if drainGrace <= 0 {
 		return backoffMax
--- a/discovery/xds/ads/machine.go
+++ b/discovery/xds/ads/machine.go
@@ -146,7 +146,7 @@
 }
 
 // ExpireResources removes resources whose TTL has passed. changed reports whether any resource was removed. next is
-// the time at which to call ExpireResources again; zero: never.
+// the time at which to call ExpireResources again. If next is zero, no further call is needed.
 func (m *Machine) ExpireResources(now time.Time) (changed bool, next time.Time) {
 	for t := range m.subscriptions {
 		s := &m.subscriptions[t]
--- a/discovery/xds/ads/subscription.go
+++ b/discovery/xds/ads/subscription.go
@@ -57,7 +57,7 @@
 	delete(s.absent, r.Name)
 }
 
-// timeToLive returns the TTL of a resource; 0: the resource does not expire. For an assignment, it returns
+// timeToLive returns the TTL of a resource, or 0 if the resource does not expire. For an assignment, it returns
 // endpoint_stale_after if that is shorter.
 func timeToLive(r Resource) time.Duration {
 	assignment, ok := r.Value.(*resource.Assignment)
@@ -67,7 +67,7 @@
 	return r.TTL
 }
 
-// expiryTime returns the end of a TTL that starts at now; zero: never.
+// expiryTime returns the end of a TTL that starts at now, or the zero time if ttl is not positive.
 func expiryTime(now time.Time, ttl time.Duration) time.Time {
 	if ttl <= 0 {
 		return time.Time{}
@@ -115,7 +115,7 @@
 }
 
 // expire removes resources whose TTL has passed and returns their names. next is the earliest end of the remaining
-// TTLs; zero: no TTL remains.
+// TTLs, or zero if no TTL remains.
 func (s *subscription) expire(now time.Time) (expired []string, next time.Time) {
 	for name, accepted := range s.accepted {
 		switch {
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -124,8 +124,8 @@
 }
 
 // endpointUpdate returns the update with the changed servers and with changed drop overloads, or nil if nothing has
-// changed. The first list of servers replaces the list that the router started with. Nothing else would ever remove
-// the servers of that list.
+// changed. The first list of servers replaces the list that the router started with. No other update would remove the
+// servers that the router started with.
 func (s *snapshot) endpointUpdate(changed []router.Endpoint) *router.EndpointUpdate {
 	update := &router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: changed}
 	if drops := s.dropOverloads(); !drops.Equal(s.drops) {
--- a/emulator/checker/verdict.go
+++ b/emulator/checker/verdict.go
@@ -7,7 +7,7 @@
 
 // The rules, as numbered in docs/rehearse.md.
 const (
-	RuleOneAnswer  Rule = 1 + iota // each request gets one final answer in time, and no attempt is sent after the answer
+	RuleOneAnswer  Rule = 1 + iota // each request gets one answer by its deadline, and no attempt is sent after the answer
 	RuleAtMostOnce                 // no request has its effect twice
 	RuleDrainGrace                 // a draining server gets no new work after the grace period
 	RuleSlowStart                  // a server that warms up is not overloaded
--- a/fleet/agent/client.go
+++ b/fleet/agent/client.go
@@ -146,7 +146,7 @@
 	}
 	answers := make(chan answer, len(c.Replicas))
 	for _, address := range c.Replicas {
-		go func() { // ends with the call, at the latest when ctx is done
+		go func() { // ends when Call returns, at the latest when ctx is done
 			result := answer{address: address}
 			result.err = c.Call(ctx, http.MethodGet, address, "/status", nil, &result.status)
 			answers <- result
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -7,7 +7,7 @@
 	"cobaltward/fleet"
 )
 
-// reconcileDisabled disables the servers at the node that active disable orders name. It enables a server that no
+// reconcileDisabled disables, at the node, the servers named by active disable orders. It enables a server that no
 // order names any more, but only if the agent itself has disabled the server.
 func (a *Agent) reconcileDisabled(ctx context.Context) {
 	state, _ := a.watcher.State()
--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// State returns the newest state, and the time at which a replica last responded; zero: none has responded.
+// State returns the newest state, and the time at which a replica last responded. The time is zero if no replica has
+// responded.
 func (w *StateWatcher) State() (state *fleet.State, lastResponse time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -48,8 +48,8 @@
 
 // Advance tells the core that batch is stored, and applies the committed entries. now is the time of the replica's
 // monotonic clock after the write. The expiry of leases counts from now, because a process observes a renewal only
-// when it applies the entry. A time from before a pause of the process would let leases expire too early. After an
-// error the core must not be used any more.
+// when it applies the entry. If now had been measured before a pause of the process, leases would expire too early.
+// After an error, the core must not be used any more.
 func (c *Core) Advance(batch *WriteBatch, now time.Duration) (result ApplyResult, err error) {
 	c.now = now
 	if err := c.updateMemoryStorage(batch, &result); err != nil {
--- a/fleet/consensus/core.go
+++ b/fleet/consensus/core.go
@@ -132,7 +132,7 @@
 // ID returns the ID of the replica.
 func (c *Core) ID() uint64 { return c.id }
 
-// Leader returns the ID of the leader that this replica knows; 0: none.
+// Leader returns the ID of the leader that this replica knows, or 0 if the replica knows none.
 func (c *Core) Leader() uint64 { return c.node.BasicStatus().Lead }
 
 // Status returns the status of the replica in raft.
@@ -198,8 +198,8 @@
 	return c.node.Step(message)
 }
 
-// Propose proposes an entry. id identifies the proposal in AppliedEntry and must be unique; 0: no caller waits for
-// the outcome. Propose returns ErrNoLeader, or an error of raft, if nothing was proposed.
+// Propose proposes an entry. id identifies the proposal in AppliedEntry and must be unique, or is 0 if no caller
+// waits for the outcome. Propose returns ErrNoLeader, or an error of raft, if nothing was proposed.
 func (c *Core) Propose(id uint64, entry fleet.Entry) error {
 	if c.Leader() == 0 {
 		return ErrNoLeader
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -16,7 +16,7 @@
 	KindRemoveNode      Kind = "forget"  // removes a node that will not register again
 	KindGrantLease      Kind = "acquire" // grants the lease of a resource
 	KindRenewLease      Kind = "renew"   // renews a lease
-	KindExpireLease     Kind = "expire"  // ends a lease that was not renewed in time
+	KindExpireLease     Kind = "expire"  // ends a lease that expired without renewal
 	KindReleaseLease    Kind = "release" // ends a lease that its holder releases
 	KindRequestStepDown Kind = "ask"     // asks a holder to release its lease
 	KindRevokeLease     Kind = "push"    // forbids further renewals of a lease
--- a/fleet/lease/expiry.go
+++ b/fleet/lease/expiry.go
@@ -28,8 +28,9 @@
 }
 
 // ExpiryTracker determines which leases have expired. Each member of the consensus group has a tracker, so a new
-// leader has observed the renewals itself and need not restart the wait. A member observes a renewal when it applies
-// the entry, which is always after the holder's request. ExpiryTracker is not safe for concurrent use.
+// leader has observed the renewals itself and need not wait for the full expiry delay again. A member observes a
+// renewal when it applies the entry, which is always after the holder's request. ExpiryTracker is not safe for
+// concurrent use.
 type ExpiryTracker struct {
 	Unsafe   UnsafeOptions
 	observed map[string]observation // by resource
--- a/handshakes/preconnect.go
+++ b/handshakes/preconnect.go
@@ -52,8 +52,8 @@
 }
 
 // ShouldReplace reports whether it is time to replace a connection to server that presented the former certificate of
-// this node. sinceChange is the time since the certificate change. Each server has its own fixed point in time within
-// replacementWindow, derived from a hash of its name.
+// this node. sinceChange is the time since the certificate change. For each server, the replacement is due at a fixed
+// time within replacementWindow, derived from a hash of the server's name.
 func ShouldReplace(server string, sinceChange time.Duration) bool {
 	return sinceChange >= time.Duration(hashFraction(server)*float64(replacementWindow))
 }
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -21,7 +21,7 @@
 	// such calls before it received the notification.
 	lateCallTimeout = 200 * time.Millisecond
 	// drainFirstCallGrace is the time after accept during which a drain keeps a connection without calls open. The
-	// first call may be on its way.
+	// first call may be in transit.
 	drainFirstCallGrace = 2500 * time.Millisecond
 	// drainRecheckInterval is how often a drain checks whether a connection without calls can be closed.
 	drainRecheckInterval = 100 * time.Millisecond
@@ -113,14 +113,15 @@
 	return !c.isIdle()
 }
 
-// firstCallPending reports whether no answer has been written and the first call is open or may be on its way.
+// firstCallPending reports whether no answer has been written and the first call is open or may be in transit.
 func (c *conn) firstCallPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.answerWritten && (!c.isIdle() || c.awaitsFirstCall())
 }
 
-// awaitsFirstCall reports whether no call has been received yet, but one may be on its way. c.mu is held.
+// awaitsFirstCall reports whether no call has been received yet, but the first call may be in transit. The caller
+// holds c.mu.
 func (c *conn) awaitsFirstCall() bool {
 	return !c.callSeen && !c.closing && !c.writeClosed && time.Since(c.openedAt) < drainFirstCallGrace
 }
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -18,7 +18,8 @@
 )
 
 // handleReadDeadline handles an expired read deadline, and reports whether the reader continues. The reader continues
-// after the idle timeout, because bytes may be on their way. It also continues if the deadline no longer applies.
+// after the idle timeout, because bytes of a call may be in transit. It also continues if the deadline no longer
+// applies.
 func (c *conn) handleReadDeadline() bool {
 	keepReading := c.endIfIdle()
 	if c.hasEnded() {
@@ -34,9 +35,9 @@
 	return c.writeClosed
 }
 
-// endIfIdle closes the write side if the connection is idle and has no unread bytes. It holds c.mu from the check of
-// the socket until the close, so that no other goroutine changes the connection between these steps. endIfIdle
-// returns whether the reader continues.
+// endIfIdle closes the write side if the connection is idle and has no unread bytes. It holds c.mu while it checks
+// the socket and closes the write side, so no other goroutine can change the connection between the two steps.
+// endIfIdle returns whether the reader continues.
 func (c *conn) endIfIdle() (keepReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/msgpack/server.go
+++ b/internal/frontend/msgpack/server.go
@@ -221,7 +221,7 @@
 }
 
 // PendingFirstRequests returns the number of connections without a written answer whose first call is open or may be
-// on its way. During a drain it also counts each open listener, whose accept queue may not be empty.
+// in transit. During a drain it also counts each open listener, whose accept queue may not be empty.
 func (s *Server) PendingFirstRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -255,8 +255,8 @@
 	return true
 }
 
-// bodyLimits returns the limits of buffered request bodies: a share of the node's memory for all bodies, and a part
-// of that share for each body.
+// bodyLimits returns the limits of buffered request bodies: a share of the node's memory for all bodies together, and
+// a smaller limit for each body.
 func (c Config) bodyLimits() body.Limits {
 	budget := int64(bodyMemoryShare * float64(c.MemoryMB<<20))
 	return body.Limits{MaxLength: maxBodyBytes, MaxBuffered: budget / bodiesPerBudget, Budget: body.NewBudget(budget)}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -32,7 +32,7 @@
 
 	acceptedAt   time.Time
 	idle         atomic.Bool // whether the connection is idle; unchanged once closed; read without the mutex
-	headTimedOut atomic.Bool // whether the rest of a head failed to arrive in time
+	headTimedOut atomic.Bool // whether the head timeout expired before the rest of a head arrived
 	deadline     readDeadline
 	arrival      requestArrival // arrival of the current request
 
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -104,9 +104,9 @@
 
 // rejectEvictedLocked ends conn, an evicted connection. It releases the mutex while it closes the node's side. conn
 // then lingers, except during a TLS handshake. If withRejection is set, a plain TCP connection gets a 503 first,
-// because the rest of its request may be on its way. A half-closed connection gets no 503, because its client does not
-// read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed, because
-// the reader closes connections so marked.
+// because the rest of its request may be in transit. A half-closed connection gets no 503, because its client does
+// not read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed,
+// because the reader closes connections so marked.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -11,11 +11,11 @@
 // that maximum, Accept does not wait until the readers close evicted connections.
 const maxEvictedConns = 6
 
-// lingeringConns holds the connections that the node ends before their clients do. A close would reset the connection
-// while bytes of a request are unread or on their way. The client could not tell whether the request was lost. A
-// lingering connection closes the node's side first and discards what arrives. It closes once the client has closed
-// its own side, or after closeHandshakeTimeout. Lingering connections use only descriptors that clientListener does
-// not need.
+// lingeringConns holds the connections that the node ends before their clients do. If the node closed such a
+// connection while bytes of a request are unread or in transit, the connection would be reset. The client could not
+// tell whether the request was lost. A lingering connection closes the node's side first and discards what arrives.
+// It closes once the client has closed its own side, or after closeHandshakeTimeout. Lingering connections use only
+// descriptors that clientListener does not need.
 type lingeringConns struct {
 	conns linked.List // elements are *clientConn, longest lingering first
 }
@@ -68,7 +68,7 @@
 }
 
 // Close closes the connection. The connection lingers if the node ends it before its client or if bytes are unread.
-// Without lingering, the close would reset the connection, and the client could lose an answer that it has not read.
+// Without lingering, closing would reset the connection, and the client could lose an answer that it has not read.
 func (c *clientConn) Close() error {
 	if !c.beginLinger() {
 		return c.stream.Close()
--- a/internal/node/clientpauses.go
+++ b/internal/node/clientpauses.go
@@ -3,7 +3,7 @@
 import "time"
 
 // maxPauseCredit is the maximum extension of a client's timeout by pauses. The maximum does not apply if the node was
-// paused for more than half of the time. A client that stops within a request must get its error within 3 s.
+// paused for more than half of the time. A client that sends only a part of a request must get its error within 3 s.
 const maxPauseCredit = 250 * time.Millisecond
 
 // pauseCounter measures the pauses of the node's process, as pausedetector.Detector does.
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -53,9 +53,9 @@
 	return n, err
 }
 
-// readStream reads and records the start of a request. closing reports whether the node is closing the connection. On
-// an idle plain connection, the read and the record are one step under the listener's mutex. In two steps, the socket
-// would show no unread bytes in between, and the connection could be closed although a request has arrived.
+// readStream reads bytes of a request and records their arrival. closing reports whether the node is closing the
+// connection. On an idle plain connection, readStream does both while it holds the listener's mutex. Otherwise the
+// node could find no unread bytes between the two steps, and close the connection although a request has arrived.
 func (c *clientConn) readStream(buf []byte) (n int, closing bool, err error) {
 	if c.tls == nil && c.idle.Load() {
 		return c.readIdle(buf)
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -43,8 +43,8 @@
 }
 
 // closeIdle closes the node's side of all idle connections, and of connections that become idle later. A connection
-// with unread bytes has a request and is not idle. Requests that arrive after the close are counted. A connection
-// ends when its client has closed its side, or after closeHandshakeTimeout.
+// with unread bytes has a request and is not idle. Requests that arrive after the node's side is closed are counted.
+// A connection ends when its client has closed its side, or after closeHandshakeTimeout.
 func (l *clientListener) closeIdle() {
 	l.mu.Lock()
 	l.shuttingDown = true
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -9,8 +9,8 @@
 	"cobaltward/router"
 )
 
-// Durations of the first two phases of a drain by the operations endpoint. Clients that poll for readiness stop
-// opening connections 0.3 s after the call. All connections must be closed 4 s after the call.
+// Durations of the first two phases of a drain requested through the operations endpoint. Clients that poll for
+// readiness stop opening connections 0.3 s after the call. All connections must be closed 4 s after the call.
 const (
 	standbyAnnounceFor = 300 * time.Millisecond
 	standbyLeaveFor    = time.Second
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -43,8 +43,8 @@
 	return n.drain(current.shutdownTimes(), announceFor, leaveFor)
 }
 
-// handOver stops accepting. The other process at the shared socket then gets all new clients. The drain closes each
-// connection of this process with its answer.
+// handOver stops accepting. The other process at the shared socket then gets all new clients. During the drain, each
+// connection of this process is closed after its next answer.
 func (n *node) handOver() {
 	n.handedOver.Store(n.engine.Phase() == router.Serving)
 	n.state.savingHandedOver.Store(true)
@@ -56,8 +56,8 @@
 
 // drain drains the node and closes its clients' connections within the given times. During announceFor the node is
 // not ready but serves as before, because clients may not know another node yet. During leaveFor the node closes each
-// connection with its answer but still accepts new connections. Both phases end early enough for the last accepted
-// requests to be answered.
+// connection after its next answer, but still accepts new connections. Both phases end early enough for the last
+// accepted requests to be answered.
 func (n *node) drain(times shutdownTimes, announceFor, leaveFor time.Duration) error {
 	began := time.Now()
 	drainCtx, cancelDrain := context.WithDeadline(context.Background(), began.Add(times.maxDrain))
@@ -76,7 +76,7 @@
 }
 
 // closeClients closes the HTTP server once all servers for clients have written their final answers. Connections
-// whose first request may be on its way stay open until the deadline. The engine rejects these requests.
+// whose first request may be in transit stay open until the deadline. The engine rejects these requests.
 func (n *node) closeClients(deadline time.Time) error {
 	deadlineCtx, cancelWait := context.WithDeadline(context.Background(), deadline)
 	defer cancelWait()
--- a/internal/safeguards/safeguards.go
+++ b/internal/safeguards/safeguards.go
@@ -14,7 +14,7 @@
 	NoAttemptAfterAnswer                        // no attempt starts for an answered request
 	UniqueID                                    // a request ID that is in use, or was recently in use, is rejected
 	BackstopAnswer                              // the engine answers before the deadline if the policy has not
-	AnswerDeadline                              // an answer is sent in time to reach the client by the deadline
+	AnswerDeadline                              // an answer is sent early enough to reach the client by the deadline
 	DedupWindow                                 // no retry is sent once servers may have forgotten the idempotency key
 	NoRejectionAfterRun                         // a request that may have run is not rejected
 	NoAttemptAfterDisconnect                    // no attempt starts for a request whose client has disconnected
--- a/internal/sockets/arrival.go
+++ b/internal/sockets/arrival.go
@@ -28,7 +28,7 @@
 // Pipelined reports whether the current request was sent before the previous request was answered.
 func (a *Arrival) Pipelined() bool { return a.pipelined }
 
-// Reset starts over with a new request. No byte of that request can have arrived before earliest.
+// Reset starts over with a new request. No byte of the new request can have arrived before earliest.
 func (a *Arrival) Reset(earliest time.Time) { *a = Arrival{earliest: earliest} }
 
 // RecordRead records a read of the current request. The read lasted from began to returned. all reports whether the
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -14,8 +14,8 @@
 
 // DeadlineReader reads a TCP connection. After a read deadline, it still returns the bytes that the kernel received
 // by the deadline. Package net checks the deadline before the socket, so a process that is paused until the deadline
-// would lose these bytes. The number of these bytes is determined once for each deadline. A peer thus cannot extend
-// the deadline by sending more. One goroutine may read while other goroutines set the deadline.
+// would lose these bytes. The number of these bytes is determined once for each deadline, so a peer cannot extend the
+// deadline by sending more bytes. One goroutine may read while other goroutines set the deadline.
 type DeadlineReader struct {
 	tcp      *net.TCPConn
 	openedAt time.Time
@@ -44,7 +44,7 @@
 	return r.tcp.SetReadDeadline(t)
 }
 
-// Read reads from the connection. At the deadline it still returns bytes that were received in time.
+// Read reads from the connection. After the deadline it still returns bytes that were received by the deadline.
 func (r *DeadlineReader) Read(p []byte) (int, error) {
 	n, err := r.tcp.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.hasReceivedInTime() {
@@ -67,15 +67,15 @@
 	return r.receivedInTime > 0
 }
 
-// recordRead records that n of the bytes received in time were read.
+// recordRead records that n of the bytes received by the deadline were read.
 func (r *DeadlineReader) recordRead(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.receivedInTime -= min(n, r.receivedInTime)
 }
 
-// readReceivedInTime reads bytes that were received in time into buf. It returns timeoutErr if there are no such
-// bytes.
+// readReceivedInTime reads bytes that were received by the deadline into buf. It returns timeoutErr if there are no
+// such bytes.
 func (r *DeadlineReader) readReceivedInTime(buf []byte, timeoutErr error) (n int, err error) {
 	raw, err := r.tcp.SyscallConn()
 	if err != nil {
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -26,8 +26,8 @@
 
 // DialTCP opens a TCP connection as dialer.DialContext does. The timeout is the timeout of dialer or the deadline of
 // ctx, whichever is earlier. At the timeout, DialTCP checks the socket once more. If the process was paused until the
-// timeout, package net would discard a connection that was established in time. The error at a timeout wraps
-// os.ErrDeadlineExceeded or the error of ctx.
+// timeout, package net would discard a connection that was established before the timeout. The error at a timeout
+// wraps os.ErrDeadlineExceeded or the error of ctx.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	dialCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
--- a/middleware/answer.go
+++ b/middleware/answer.go
@@ -13,7 +13,7 @@
 )
 
 // answerStallTimeout is the maximum time for writing one part of a streamed answer. It limits how long a client may
-// read nothing.
+// stop reading.
 const answerStallTimeout = 15 * time.Second
 
 // streamBuffers holds the buffers for copying streamed answers.
--- a/middleware/hosttimeout.go
+++ b/middleware/hosttimeout.go
@@ -14,9 +14,9 @@
 	"runs; use middleware.WithTimeout in its place"
 
 // hostMayAnswer reports whether a handler of the host may answer the request itself after the deadline of ctx.
-// http.TimeoutHandler does so with status 503. Such a handler buffers the answer, so that the innermost
-// ResponseWriter is not an http.Flusher. It does not help if the router answers before the deadline, because the host
-// may be paused until the deadline.
+// For example, http.TimeoutHandler answers with status 503. Such a handler buffers the answer, so the innermost
+// ResponseWriter is not an http.Flusher. An answer by the router before the deadline does not rule this out: if the
+// process is paused until the deadline, the handler answers first.
 func hostMayAnswer(w http.ResponseWriter, ctx context.Context) bool {
 	if _, bounded := ctx.Deadline(); !bounded {
 		return false
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -52,7 +52,8 @@
 }
 
 // effectiveThreshold returns the threshold of s, scaled by sharedThresholdScale if s is shared. All shared servers
-// have the same scale, because a node gets too few answers from each of them to learn separate thresholds in time.
+// have the same scale, because a node gets too few answers from each shared server to learn separate thresholds
+// quickly enough.
 func (b *Balancer) effectiveThreshold(s *server) float64 {
 	if b.isShared(s) {
 		return s.threshold * b.sharedThresholdScale
--- a/router/call.go
+++ b/router/call.go
@@ -8,8 +8,8 @@
 	"cobaltward/policy"
 )
 
-// call is one request on its way from Do to the loop and back. After its submission, only the loop uses the call,
-// except for reply, abandoned and bodyReceivedAt.
+// call is one request that Do passes to the loop, and whose answer the loop passes back. After its submission, only
+// the loop uses the call, except for reply, abandoned and bodyReceivedAt.
 type call struct {
 	req         Request
 	class       policy.Class    // class under which Do accepted the request
--- a/router/deadline.go
+++ b/router/deadline.go
@@ -87,7 +87,7 @@
 	case balancerTimer:
 		l.notify(policy.Timer{Token: t.token})
 	case backstopTimer:
-		if l.enforced(safeguards.BackstopAnswer) { // the balancer has not answered in time
+		if l.enforced(safeguards.BackstopAnswer) { // the balancer has not answered before the backstop
 			l.fail(t.request, Expired)
 		}
 	case attemptTimer:
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -38,13 +38,14 @@
 	priorityWeight   float64
 }
 
-// quotaBucket is a token bucket that holds the quota of a tenant for one second.
+// quotaBucket is the token bucket of a tenant's quota. Its capacity is the quota of one second, but at least one
+// token.
 type quotaBucket struct {
 	rate, tokens float64 // tokens added per second; tokens left
 	refilledAt   policy.Time
 }
 
-// take takes one token at the time now. It returns false if there is no token.
+// take takes one token at the time now. It returns false if no token is left.
 func (b *quotaBucket) take(now policy.Time) bool {
 	b.tokens = min(max(1, b.rate), b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -106,8 +107,8 @@
 	return bucket
 }
 
-// withinQuota takes a token from the quota of tenant, and returns false if there is none. A tenant that is not in the
-// settings has no quota: all its requests are beyond the quota.
+// withinQuota takes a token from the quota of tenant, and returns false if no token is left. A tenant that is not in
+// the settings has no quota, and all its requests count as beyond the quota.
 func (d *degradation) withinQuota(tenant string, now policy.Time) bool {
 	bucket := d.quotas[tenant]
 	return bucket != nil && bucket.take(now)
--- a/router/endpoint_update.go
+++ b/router/endpoint_update.go
@@ -22,8 +22,8 @@
 }
 
 // enqueueUpdate passes update to the loop. It blocks while the loop is busy. A large update is split into batches,
-// with running servers first. The number of running servers thus never drops below the smaller of its old and new
-// values.
+// with running servers first. This order keeps the number of running servers from dropping below the smaller of its
+// old and new values.
 func (l *loop) enqueueUpdate(update EndpointUpdate) {
 	endpoints := update.Endpoints
 	if update.Kind == policy.ListUpdate && len(endpoints) > updateBatchSize {
--- a/router/options.go
+++ b/router/options.go
@@ -53,9 +53,9 @@
 	return func(o *options) { o.listeners = append(o.listeners, l) }
 }
 
-// WithDrainDelay sets the time for which Drain keeps serving as before. Phase is Draining in this time. Readiness
-// checks can thus notice the drain. Negative values count as 0. The default is 0.6 times the longest class deadline,
-// where deadlines above 3 s count as 3 s.
+// WithDrainDelay sets the time for which Drain keeps serving as before. Phase is Draining during this time, so
+// readiness checks can notice the drain. Negative values count as 0. The default is 0.6 times the longest class
+// deadline, where deadlines above 3 s count as 3 s.
 func WithDrainDelay(d time.Duration) Option {
 	return func(o *options) { o.drainDelay, o.drainDelaySet = max(0, d), true }
 }
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -12,7 +12,7 @@
 	// the clock that recorded the start.
 	maxRecentStartAge = 2 * time.Hour
 	// maxListDelay is the maximum time assumed between a start and the first endpoint list that names the start. Lists
-	// usually come one to two seconds late. A stepped clock can thus change the duration of slow start by at most
+	// usually come one to two seconds late. Therefore a stepped clock changes the duration of slow start by at most
 	// maxListDelay.
 	maxListDelay = 2 * time.Second
 	// maxWallStep is the maximum movement of the wall clock against the monotonic clock that does not count as a
@@ -47,8 +47,8 @@
 }
 
 // listDelay is the minimum age, by the wall clock, of a new start in a list that did not follow an outage. A list
-// never comes before the starts that it names. The minimum age thus limits the lead of the wall clock over the clock
-// that recorded the start.
+// never comes before the starts that it names. Therefore the lead of the wall clock over the clock that recorded the
+// start is at most the minimum age.
 type listDelay struct {
 	minimum time.Duration
 	known   bool
--- a/router/stats.go
+++ b/router/stats.go
@@ -47,8 +47,7 @@
 	LastUpdate time.Time `json:"Changed"`
 }
 
-// Lag is the delay with which the event loop handled requests and timers. It grows when the host does not run the
-// loop in time.
+// Lag is the delay with which the event loop handled requests and timers. It grows when the host runs the loop late.
 type Lag struct{ Last, Mean, Max time.Duration }
 
 // Answered returns the total number of final answers.
--- a/router/withheld.go
+++ b/router/withheld.go
@@ -23,7 +23,8 @@
 }
 
 // deliverAfterWrites delivers answer to r. r must be finished. A rejection waits until no attempt is being written.
-// No further write begins, because the attempts are abandoned. If a write does not end in time, the answer is Failed.
+// No further write begins, because the attempts are abandoned. If a write does not end before the timer of
+// expireLater, the answer is Failed.
 func (l *loop) deliverAfterWrites(r *request, answer Answer) {
 	if answer.Outcome != Rejected && answer.Outcome != Overloaded {
 		l.deliver(r.call, answer)
@@ -38,8 +39,9 @@
 	}
 }
 
-// expireLater sets the timer of withheld. The timer is due after maxWithheld, or at the time of the backstop if that
-// is earlier. The answer thus reaches the client in time.
+// expireLater sets the timer of withheld. The timer is due after maxWithheld, or at the time of the backstop if the
+// backstop is earlier. The backstop comes before the client's deadline, so the client still gets an answer before its
+// deadline.
 func (l *loop) expireLater(withheld *withheldAnswer, r *request) {
 	now := l.clock.now()
 	l.withheld[withheld] = struct{}{}
@@ -57,14 +59,14 @@
 }
 
 // expireAllWithheld answers Failed in place of every rejection that is still withheld. The loop calls
-// expireAllWithheld at its end.
+// expireAllWithheld before it exits.
 func (l *loop) expireAllWithheld() {
 	for withheld := range l.withheld {
 		l.expireWithheld(withheld)
 	}
 }
 
-// await makes the answer wait for the write in progress of the attempt with the context ctx, if there is one.
+// await delays the answer until the write of ctx's attempt has ended, if a write is in progress.
 func (w *withheldAnswer) await(ctx *attemptContext) {
 	w.mu.Lock()
 	w.writes++
@@ -74,8 +76,8 @@
 	}
 }
 
-// finishCounting is called after the last await. waits reports whether the answer must wait for a write. If there is
-// none, finishCounting delivers the answer.
+// finishCounting is called after the last await. waits reports whether a write is still in progress. If no write is
+// in progress, finishCounting delivers the answer.
 func (w *withheldAnswer) finishCounting() (waits bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +88,8 @@
 	return w.writes > 0
 }
 
-// writeEnded records the end of a write. The end of the last write delivers the answer.
+// writeEnded records the end of a write. If it was the last write and finishCounting has been called, writeEnded
+// delivers the answer.
 func (w *withheldAnswer) writeEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/transport/http1/conn.go
+++ b/transport/http1/conn.go
@@ -54,8 +54,8 @@
 // trusted.
 func (c *conn) isTrusted(now time.Time) bool { return c.tls == nil || c.tls.IsTrusted(now) }
 
-// canReuse reports whether the reuse delay after the last response has passed. A duplicate of that response would
-// have arrived by then.
+// canReuse reports whether the reuse delay after the last response has passed. A duplicate of the last response would
+// have arrived within the reuse delay.
 func (c *conn) canReuse(now time.Time) bool {
 	delay := reuseDelay
 	if c.tls != nil {
--- a/transport/http1/readahead.go
+++ b/transport/http1/readahead.go
@@ -8,9 +8,9 @@
 
 const readAheadChunk = 16 << 10 // maximum bytes of one read from a body
 
-// readAhead buffers a body of unknown length ahead of its reader, up to about maxBuffered bytes. The transport can
-// thus wait a limited time for the end of the body before it forwards the beginning. The methods may be called
-// concurrently.
+// readAhead buffers a body of unknown length ahead of its reader, up to about maxBuffered bytes. With readAhead, the
+// transport can wait a limited time for the end of the body before it forwards the beginning. The methods may be
+// called concurrently.
 type readAhead struct {
 	body io.Reader
 
@@ -30,8 +30,8 @@
 	return a
 }
 
-// run reads until the body ends or, after close, until the next read returns. The caller must ensure that reads end:
-// by the end of the body, a read deadline, or the close of the connection.
+// run reads until the body ends or, after close, until the next read returns. The caller must ensure that each read
+// ends: at the end of the body, at a read deadline, or when the connection is closed.
 func (a *readAhead) run() {
 	chunk := make([]byte, readAheadChunk)
 	for {
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -24,8 +24,8 @@
 	streamSocketBuffer = 64 << 10
 )
 
-// stream is a long body that is read from its connection on demand. A slow client thus slows the server down, and the
-// body does not accumulate in memory.
+// stream is a long body that is read from its connection on demand. If the client reads slowly, the server must send
+// slowly, and the body does not accumulate in memory.
 type stream struct {
 	transport  *Transport
 	conn       *conn
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Attempt makes an attempt at server with the transport of that server.
+// Attempt makes an attempt at server with server's transport.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	transport := t.transportOf(server)
 	if transport == nil {
--- a/transport/msgpack/pool.go
+++ b/transport/msgpack/pool.go
@@ -16,7 +16,8 @@
 	errNoConnection   = errors.New("all connections are full and the connection limit is reached")
 )
 
-// server is one process of a server. State holds its connection pool, and is nil until the first attempt.
+// server is the transport's state for one process of a listed server. The field State is the connection pool, and is
+// nil until the first attempt.
 type server = servers.Server[*pool]
 
 // pool is the connection pool of one server. The mutex of the transport guards it.
--- a/transport/secure/handshake.go
+++ b/transport/secure/handshake.go
@@ -178,7 +178,7 @@
 }
 
 // DialTCP opens a TCP connection to addr. The dial function of Handshake uses it. A pause of this process does not
-// cause a timeout: DialTCP succeeds if the connection was established in time.
+// cause a timeout: DialTCP succeeds if the connection was established before the timeout.
 func DialTCP(ctx context.Context, dialer *net.Dialer, addr string) (*net.TCPConn, error) {
 	return sockets.DialTCP(ctx, dialer, addr)
 }
--- a/transport/servers/servers.go
+++ b/transport/servers/servers.go
@@ -9,7 +9,7 @@
 	"cobaltward/router"
 )
 
-// Server is one process of a server, with the state S that a transport keeps for it.
+// Server is one process of a listed server, with the state S that a transport keeps for the process.
 type Server[S any] struct {
 	ID, Addr string
 	Started  time.Time
