--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -38,7 +38,8 @@
 	// FailPoint is called at points where tests may kill or pause the process; nil: no such points.
 	FailPoint func(point string)
 	// ObserveProposal is called with each proposal about the lease before it is sent. The returned function is called
-	// with the result of the proposal; known is false if the outcome is unknown. nil: proposals are not observed.
+	// with the result of the proposal; known is false if the outcome is unknown. If ObserveProposal is nil, proposals
+	// are not observed.
 	ObserveProposal func(entry fleet.Entry) func(result fleet.Result, known bool)
 }
 
--- a/fleet/consensus/storage.go
+++ b/fleet/consensus/storage.go
@@ -56,7 +56,8 @@
 	Load() (PersistentState, error)
 	// Save stores a write batch.
 	Save(batch *WriteBatch) error
-	// Compact stores a snapshot, and drops the entries before firstRetained; 0: all entries are kept.
+	// Compact stores a snapshot, and drops the entries before firstRetained. If firstRetained is 0, it keeps all
+	// entries.
 	Compact(snapshot *raftpb.Snapshot, firstRetained fleet.Position) error
 	// Close closes the storage, which must not be used afterwards.
 	Close() error
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -14,7 +14,7 @@
 
 const (
 	defaultDrainTimeout = 30 * time.Second // timeout of drain orders without a timeout
-	drainLeaveFor       = time.Second      // second phase, in which each connection closes with its next answer
+	drainLeaveFor       = time.Second      // second phase, in which each connection closes after its next answer
 	maxOrderDuration    = 24 * time.Hour
 	// phaseDivisor limits each of the first two phases of a drain to a quarter of the drain's timeout. Clients must
 	// have left before a short drain ends.
--- a/internal/node/adminstatus.go
+++ b/internal/node/adminstatus.go
@@ -48,7 +48,7 @@
 	Busy             int    `json:"clients_with_a_request"`
 	Servers          int    `json:"servers"`
 	ClosedForDrain   uint64 `json:"parted"`  // idle client connections closed by a drain
-	RetriedByClients uint64 `json:"crossed"` // requests that arrived during such a close; clients retry them
+	RetriedByClients uint64 `json:"crossed"` // requests on connections that a drain was closing; clients retry them
 }
 
 // currentStatus returns the node's status, which is at most statusMaxAge old. The drain in the status is always
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -18,8 +18,8 @@
 	stalledRequestAge = time.Second
 	// overflowStallTimeout replaces stalledRequestAge for overflow connections.
 	overflowStallTimeout = 2 * time.Millisecond
-	// firstRequestGrace is the age up to which a new connection is protected from eviction. The first request is on its
-	// way, and the client has no reason to expect a close.
+	// firstRequestGrace is the age up to which a new connection is protected from eviction. The first request may be
+	// in transit, and the client has no reason to expect that the node closes the connection.
 	firstRequestGrace = 100 * time.Millisecond
 	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
 	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -53,7 +53,7 @@
 	// connections and connections accepted during a shutdown.
 	firstPending int
 
-	requestsDuringClose uint64 // requests that arrived during a drain's close; clients retry them
+	requestsDuringClose uint64 // requests on connections that a drain was closing; clients retry them
 	closedIdle          uint64 // idle connections closed by a drain
 	unanswered          unansweredCounts
 }
@@ -180,7 +180,7 @@
 }
 
 // idleCloseCounts returns the number of idle connections that drains have closed, and the number of requests that
-// arrived during such a close.
+// arrived on connections that a drain was closing.
 func (l *clientListener) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// readMalformed handles malformed framing. Within a head it returns malformedHead, which net/http answers with 400
-// before it closes the connection. Within a body it returns an error.
+// readMalformed handles malformed framing. In a head, it returns malformedHead, which net/http answers with 400
+// before it closes the connection. In a body, it returns an error.
 func (c *clientConn) readMalformed(buf []byte) (int, error) {
 	if !c.framing.InHead() {
 		return 0, errMalformedFraming
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -7,7 +7,7 @@
 )
 
 // drainFirstRequestGrace is the maximum age of connections without any request that a drain keeps open. Their first
-// requests may be on the way. A client that needs longer sees an orderly close.
+// requests may be in transit. The node closes older connections in an orderly way, without a reset.
 const drainFirstRequestGrace = 2500 * time.Millisecond
 
 // drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
--- a/internal/node/httpserver.go
+++ b/internal/node/httpserver.go
@@ -91,7 +91,7 @@
 func (s *httpServer) PendingFirstRequests() int { return s.listener.pendingFirstRequests() }
 
 // idleCloseCounts returns the number of idle connections that drains have closed, and the number of requests that
-// arrived during such a close.
+// arrived on connections that a drain was closing.
 func (s *httpServer) idleCloseCounts() (closedIdle, requestsDuringClose uint64) {
 	return s.listener.idleCloseCounts()
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,7 +11,7 @@
 const (
 	announceFraction = 0.6             // announcement as a share of the drain timeout or the longest deadline
 	maxDrainDeadline = 3 * time.Second // maximum deadline of a class that a drain waits for
-	// minAnnounce is the minimum time between the end of readiness and the close of the listener, however short the
+	// minAnnounce is the minimum time between the end of readiness and closing the listener, however short the
 	// deadlines are. New clients keep coming until they are sent elsewhere, and a closed listener would reset their
 	// connections.
 	minAnnounce = 420 * time.Millisecond
@@ -24,7 +24,7 @@
 	// serveMargin is the minimum time between the end of the drain and SIGKILL. Requests that are still open when the
 	// drain ends are answered in that time.
 	serveMargin = 100 * time.Millisecond
-	// closeMargin is the minimum time between the close of the last connections and SIGKILL.
+	// closeMargin is the minimum time between closing the last connections and SIGKILL.
 	closeMargin = 50 * time.Millisecond
 	// firstRequestPollInterval is the interval between checks for connections that still wait for their first response.
 	firstRequestPollInterval = 10 * time.Millisecond
@@ -142,7 +142,7 @@
 	// connections wait for their first response.
 	drain    time.Duration
 	maxDrain time.Duration // limit of the drain in all cases
-	close    time.Duration // limit for the close of the last connection
+	close    time.Duration // time limit for closing the last connection
 }
 
 // shutdownTimes returns the time limits for a node that shuts down. If DrainTimeout is set, it limits the drain in
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -139,9 +139,9 @@
 }
 
 // adjustRateScale lowers the rates of all buckets if the servers lack capacity. While servers shed load, it does not
-// lower them below the quotas. It raises the rates if buckets reject requests while there is capacity. Fixed rates
-// have two disadvantages. Nothing is shed when all servers slow down. A node that gets more than an even share of a
-// tenant's traffic rejects requests within the quota.
+// lower the rates below the quotas. It raises the rates if buckets reject requests while there is capacity. Fixed
+// rates have two disadvantages. Nothing is shed when all servers slow down. A node that gets more than an even share
+// of a tenant's traffic rejects requests within the quota.
 func (b *Balancer) adjustRateScale(hasCapacity bool) {
 	switch {
 	case !hasCapacity && b.rateScale <= 1 && b.serversShedLoad():
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -10,7 +10,7 @@
 	unansweredGain       = 0.2                    // weight of one outcome in the moving average unansweredRatio
 	staleUnansweredRatio = 0.3                    // minimum unansweredRatio at which idle connections are closed
 	staleFactor          = 3                      // same minimum, as a multiple of the ratio of connections in use
-	staleDecay           = 0.98                   // factor on unansweredRatio at each close, so that closing eventually stops
+	staleDecay           = 0.98                   // factor on unansweredRatio at each close; makes closing stop
 )
 
 // recordConnectionUse records that s.inFlight connections to s are in use at time now.
--- a/policy/index.go
+++ b/policy/index.go
@@ -83,7 +83,7 @@
 }
 
 // updateIndex marks the blocks that contain s as stale. ejected is 1 if s was ejected, -1 if s was reinstated, and 0
-// otherwise. updateIndex adds it to the ejectedCount of each pool that contains s.
+// otherwise. updateIndex adds ejected to the ejectedCount of each pool that contains s.
 func (b *Balancer) updateIndex(s *server, ejected int) {
 	for p := range b.pools {
 		if len(p.blocks) == 0 && ejected == 0 {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -18,7 +18,7 @@
 	Buckets              []BucketState `json:"buckets"` // sorted by tenant and class
 }
 
-// ServerState is the learned state of one process of a server.
+// ServerState is what a Balancer has learned about one process of a listed server.
 type ServerState struct {
 	Server           string        `json:"server"`
 	Uptime           time.Duration `json:"up"`        // time since the process started; 0: long ago
--- a/router/admission.go
+++ b/router/admission.go
@@ -86,7 +86,7 @@
 }
 
 // shouldDrop reports whether the drop fractions of the endpoint source or the level of service require the rejection
-// of r. It counts r as dropped or shed if so.
+// of r. If so, it counts r as dropped or shed.
 func (l *loop) shouldDrop(r *request, class *policy.Class, now policy.Time) bool {
 	if len(l.drops) > 0 && l.drops.ShouldDrop(class.Pool, r.req.ID) {
 		l.stats.Dropped++
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -95,7 +95,8 @@
 	return l.degradation == nil || !l.degradation.forbidsAttempt(r, a.number)
 }
 
-// skipAttempt records that a is not made. execute reports this to the balancer after it has performed all actions.
+// skipAttempt records that a is not made. execute reports the skipped attempt to the balancer after it has performed
+// all actions.
 func (l *loop) skipAttempt(a *attempt) {
 	a.notExecuted = true
 	l.stats.Skipped++
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -126,7 +126,8 @@
 	}
 	effect := d.effect(r)
 	within := d.withinQuota(r.req.Tenant, now)
-	// The draw is by request ID. A retry has a new ID and would pass the draw sooner or later, so every retry is shed.
+	// The request ID determines whether a request is shed. A retry has a new ID and would pass sooner or later, so
+	// every retry is shed.
 	selected := effect.Shed > 0 && (r.req.IsRetry || dropoverload.Fraction(r.req.ID) < effect.Shed)
 	if !selected && (!effect.WithinQuota || within) {
 		return false
--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -7,7 +7,7 @@
 	"cobaltward/transport/servers"
 )
 
-// server is one process of a server. State holds its connection pool.
+// server is the transport's state for one process of a listed server. The field State holds the connection pool.
 type server = servers.Server[serverPool]
 
 // serverPool is the connection pool of one server.
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -25,7 +25,7 @@
 )
 
 // New returns a transport that assigns each endpoint to transports[selectTransport(endpoint)]. The returned transport
-// owns the others, and closes them in Close.
+// owns transports, and closes them in Close.
 func New(selectTransport func(router.Endpoint) int, transports ...router.Transport) *Transport {
 	return &Transport{
 		selectTransport: selectTransport,
--- a/transport/secure/client.go
+++ b/transport/secure/client.go
@@ -54,7 +54,7 @@
 	closed    bool
 }
 
-// server is the TLS state of one process of a server.
+// server is the TLS state of one process of a listed server.
 type server struct {
 	endpoint           router.Endpoint
 	rule               *Rule
