--- a/discovery/xds/source.go
+++ b/discovery/xds/source.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// expireResources removes resources whose TTL has passed. next is the time at which to call expireResources again;
-// zero: never.
+// expireResources removes resources whose TTL has passed. next is the time at which to call expireResources again. If
+// next is zero, no further call is needed.
 func (s *Source) expireResources() (update *router.EndpointUpdate, next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -79,7 +79,7 @@
 	c.steppedDownUntil = now + stepDownLeaseDurations*c.holder.Duration
 }
 
-// HoldsLease returns the newest token of the lease. It reports whether the process holds the lease, as far as the
+// HoldsLease returns the newest token of the lease, and reports whether the process holds the lease, as far as the
 // process knows.
 func (c *Controller) HoldsLease() (fleet.FencingToken, bool) { return c.token, c.holder.HoldsLease() }
 
--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -8,7 +8,7 @@
 )
 
 // RetirementTracker determines when the last lease of a retired version has expired. Each member of the consensus
-// group has a tracker, so a new leader need not restart the wait for a retirement that it has observed.
+// group has a tracker, so a new leader need not wait for the full time again after a retirement that it has observed.
 // RetirementTracker is not safe for concurrent use.
 type RetirementTracker struct {
 	LeaseDuration time.Duration // duration of version leases
--- a/handshakes/cpu_budget.go
+++ b/handshakes/cpu_budget.go
@@ -9,7 +9,7 @@
 const DefaultCPUShare = 0.25
 
 // maxPause is the maximum pause after one task. A clock step, or a time in which the process does not run, makes a
-// task seem long. The maximum prevents that such a task stops handshakes.
+// task seem long. The maximum prevents such a task from stopping handshakes.
 const maxPause = 50 * time.Millisecond
 
 // Task is one computation of a handshake: the work between two reads from the peer.
--- a/internal/fleetcli/root.go
+++ b/internal/fleetcli/root.go
@@ -15,7 +15,7 @@
 // Exit statuses other than 0 and 1. They have the same meanings as in wayhold ctl.
 const (
 	exitUnavailable = 4 // no replica responds
-	exitTimeout     = 5 // the awaited state was not reached in time
+	exitTimeout     = 5 // the awaited state was not reached before the timeout
 	exitRejected    = 7 // the fleet rejects the change
 )
 
--- a/internal/fleetcli/settings.go
+++ b/internal/fleetcli/settings.go
@@ -62,7 +62,7 @@
 	return slog.New(slog.NewTextHandler(logs, options))
 }
 
-// clientTLS returns the TLS configuration for calls to other processes; nil: calls are not encrypted.
+// clientTLS returns the TLS configuration for calls to other processes, or nil if calls are not encrypted.
 func (s *settings) clientTLS() *tls.Config {
 	if s.mutualTLS == nil {
 		return nil
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -44,8 +44,8 @@
 }
 
 // awaitSlot blocks until there is a slot for conn. After the engine's queue timeout, up to overflowConns connections
-// are accepted without a slot. The server rejects their calls, so that clients in the listen backlog get an answer in
-// time.
+// are accepted without a slot. The server rejects their calls, so that clients in the accept queue get an answer
+// before their deadlines.
 func (s *Server) awaitSlot(conn *conn, earliest time.Time) {
 	for len(s.conns) >= s.config.MaxConns && !s.draining && !s.closed {
 		if s.evict() {
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -25,9 +25,9 @@
 	Regexp   string // RE2 syntax; matches the whole path
 	Headers  []Condition
 	Query    []Condition
-	// Fraction is the fraction of requests, from 0 to 1, that the route matches; 0: 1. A hash of the tenant, the key
-	// or the ID selects the requests. A client therefore always gets the same route. Routes with different values of
-	// HashSalt select requests independently.
+	// Fraction is the fraction of requests, from 0 to 1, that the route matches. 0 means 1. A hash of the tenant, the
+	// key or the ID selects the requests. A client therefore always gets the same route. Routes with different values
+	// of HashSalt select requests independently.
 	Fraction float64
 	HashBy   HashInput
 	HashSalt string
--- a/internal/sockets/deadlinereader.go
+++ b/internal/sockets/deadlinereader.go
@@ -12,10 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// DeadlineReader reads a TCP connection. After a read deadline, it still returns the bytes that the kernel received
-// by the deadline. Package net checks the deadline before the socket, so a process that is paused until the deadline
-// would lose these bytes. The number of these bytes is determined once for each deadline, so a peer cannot extend the
-// deadline by sending more bytes. One goroutine may read while other goroutines set the deadline.
+// DeadlineReader reads a TCP connection. After a read deadline, it still returns the bytes that the kernel had
+// received when a read first failed at the deadline. Package net checks the deadline before the socket, so a process
+// that is paused until the deadline would lose these bytes. The number of these bytes is determined once for each
+// deadline, so a peer cannot extend the deadline by sending more bytes. One goroutine may read while other goroutines
+// set the deadline.
 type DeadlineReader struct {
 	tcp      *net.TCPConn
 	openedAt time.Time
@@ -23,7 +24,7 @@
 	mu             sync.Mutex
 	deadline       time.Time // zero: none
 	checked        bool      // whether receivedInTime is set for this deadline
-	receivedInTime int       // number of unread bytes that had arrived by the deadline
+	receivedInTime int       // unread bytes when a read first failed at the deadline
 }
 
 // NewDeadlineReader returns a reader of an open connection. After this call, only SetReadDeadline of the reader may
@@ -32,7 +33,7 @@
 	return &DeadlineReader{tcp: tcp, openedAt: time.Now()}
 }
 
-// SetReadDeadline sets the deadline of Read; the zero time means no deadline. A time before the creation of the
+// SetReadDeadline sets the deadline of Read; the zero time means no deadline. A deadline before the creation of the
 // reader ends a Read immediately, even if bytes have been received. net/http interrupts its background reads in this
 // way.
 func (r *DeadlineReader) SetReadDeadline(t time.Time) error {
@@ -44,7 +45,8 @@
 	return r.tcp.SetReadDeadline(t)
 }
 
-// Read reads from the connection. After the deadline it still returns bytes that were received by the deadline.
+// Read reads from the connection. After a read deadline, it first returns the bytes counted in receivedInTime, and
+// then fails.
 func (r *DeadlineReader) Read(p []byte) (int, error) {
 	n, err := r.tcp.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.hasReceivedInTime() {
@@ -67,15 +69,15 @@
 	return r.receivedInTime > 0
 }
 
-// recordRead records that n of the bytes received by the deadline were read.
+// recordRead records that n of the bytes counted in receivedInTime were read.
 func (r *DeadlineReader) recordRead(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.receivedInTime -= min(n, r.receivedInTime)
 }
 
-// readReceivedInTime reads bytes that were received by the deadline into buf. It returns timeoutErr if there are no
-// such bytes.
+// readReceivedInTime reads bytes counted in receivedInTime into buf. It returns timeoutErr if there are no such
+// bytes.
 func (r *DeadlineReader) readReceivedInTime(buf []byte, timeoutErr error) (n int, err error) {
 	raw, err := r.tcp.SyscallConn()
 	if err != nil {
--- a/internal/sockets/peerclosed.go
+++ b/internal/sockets/peerclosed.go
@@ -34,8 +34,8 @@
 	return raw.Read(isClosedByPeer)
 }
 
-// isClosedByPeer reports whether the socket fd is in one of the TCP states listed above. A read would not detect the
-// close, because unread bytes precede the end of the stream.
+// isClosedByPeer reports whether the socket fd is in one of the TCP states listed above. A read would not detect that
+// the peer has closed its side, because unread bytes precede the end of the stream.
 func isClosedByPeer(fd uintptr) bool {
 	var info tcpInfo
 	if !info.read(fd, stateSize) {
--- a/internal/sockets/queue.go
+++ b/internal/sockets/queue.go
@@ -72,9 +72,9 @@
 }
 
 // recordEstablished records when an accepted connection was established, if the kernel reports the time. Connections
-// behind the accepted connection in the queue arrived later. The record also corrects EmptyAt in another case:
-// another process that shares the socket took the connection seen in the queue, and the accepted connection arrived
-// long after that connection.
+// behind the accepted connection in the queue arrived later. Another process that shares the socket may have taken
+// the connection that was seen in the queue. recordEstablished then corrects EmptyAt, because the accepted connection
+// may have arrived long after the taken connection.
 func (q *AcceptQueue) recordEstablished(conn net.Conn, now time.Time) {
 	tcp := underlyingTCP(conn)
 	if tcp == nil {
