--- a/emulator/clustersim/agent.go
+++ b/emulator/clustersim/agent.go
@@ -74,8 +74,8 @@
 	p.propose(p.sim.randomReplica(), entry, func(result fleet.Result) { p.controller.HandleWrite(result) })
 }
 
-// requestEffect sends an effect request to the agent of the node. The receiver of that agent decides whether to
-// execute the effect.
+// requestEffect sends an effect request to the agent of the node. The agent's receiver decides whether to execute the
+// effect.
 func (p *process) requestEffect(request lease.EffectRequest) {
 	sim, incarnation := p.sim, p.incarnation
 	isTarget := func(agent *process) bool { return agent.name == request.Step.Node }
--- a/emulator/plan/client.go
+++ b/emulator/plan/client.go
@@ -21,7 +21,8 @@
 func (p *Plan) Chance(purpose, id string) float64 { return model.Uniform(p.Seed, purpose+"\x00"+id) }
 
 // ClientBehavior returns whether the client of a request obeys Retry-After. disconnectAfter is the fraction of the
-// first attempt's timeout after which the client disconnects; 0: the client waits for the whole timeout.
+// first attempt's timeout after which the client disconnects. If disconnectAfter is 0, the client waits for the whole
+// timeout.
 func (p *Plan) ClientBehavior(r *Request) (honorsRetryAfter bool, disconnectAfter float64) {
 	clients := &p.Script.Clients
 	honorsRetryAfter = p.Chance("honour", r.ID) < clients.HonorFraction
--- a/emulator/realtime/client.go
+++ b/emulator/realtime/client.go
@@ -109,7 +109,7 @@
 }
 
 // attempt sends a request once. retry is 0 for the first attempt. The client disconnects after the fraction
-// disconnectAfter of the attempt's timeout; 0: the client waits for the whole timeout.
+// disconnectAfter of the attempt's timeout. If disconnectAfter is 0, the client waits for the whole timeout.
 func (r *rehearsal) attempt(request *request, retry int, disconnectAfter float64) attemptOutcome {
 	index := r.chooseNode(request, retry)
 	if index < 0 {
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -118,7 +118,8 @@
 // Traffic describes the open-loop load that clients offer.
 type Traffic struct {
 	Rate float64 `toml:"rate" need:"1" min:"0.1" max:"1000000"` // first attempts per second of all tenants
-	// Quota is the sum of all quotas in requests per second. The tenants' shares divide it; 0: same as Rate.
+	// Quota is the sum of all quotas in requests per second. A tenant's share determines the tenant's part of Quota.
+	// 0 means the same as Rate.
 	Quota float64            `toml:"quota" min:"0"`
 	Zones map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: equal weights
 	Shape string             `toml:"shape" one:"steady|wave|ramp|square"`
--- a/emulator/sim/attempt.go
+++ b/emulator/sim/attempt.go
@@ -178,7 +178,7 @@
 }
 
 // reply calls do when a response of the server reaches the node. If a fault blocks the response, the attempt is
-// stuck. reply does not call do if the attempt has finished by then.
+// stuck. reply does not call do if the attempt has finished before the response arrives.
 func (a *attempt) reply(do func()) {
 	if a.blocked() {
 		a.stuck = true
--- a/emulator/sim/client.go
+++ b/emulator/sim/client.go
@@ -100,7 +100,7 @@
 }
 
 // startAttempt sends a request to a node. The client disconnects after the fraction disconnectAfter of the attempt's
-// timeout; 0: the client waits for the whole timeout.
+// timeout. If disconnectAfter is 0, the client waits for the whole timeout.
 func (sim *simulation) startAttempt(r *request, disconnectAfter float64) {
 	r.sentAt = sim.now
 	r.timeout = sim.plan.AttemptTimeout(&r.Request, sim.now-r.At)
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -36,7 +36,8 @@
 	Clock   consensus.Clock
 	Unsafe  lease.UnsafeOptions
 	Log     *slog.Logger
-	// FailPoint is called at points where tests may kill or pause the process; nil: no such points.
+	// FailPoint is called at points where tests may kill or pause the process. If FailPoint is nil, nothing is
+	// called.
 	FailPoint func(point string)
 }
 
--- a/fleet/agent/runner.go
+++ b/fleet/agent/runner.go
@@ -35,7 +35,8 @@
 	Clock         consensus.Clock
 	Unsafe        lease.UnsafeOptions
 	Log           *slog.Logger
-	// FailPoint is called at points where tests may kill or pause the process; nil: no such points.
+	// FailPoint is called at points where tests may kill or pause the process. If FailPoint is nil, nothing is
+	// called.
 	FailPoint func(point string)
 	// ObserveProposal is called with each proposal about the lease before it is sent. The returned function is called
 	// with the result of the proposal; known is false if the outcome is unknown. If ObserveProposal is nil, proposals
--- a/internal/node/clientlinger.go
+++ b/internal/node/clientlinger.go
@@ -52,14 +52,15 @@
 }
 
 // trimLingeringLocked closes lingering connections, longest lingering first. It stops when open and lingering
-// connections together exceed maxConns by at most excess. It releases the mutex during each close.
+// connections together exceed maxConns by at most excess. It releases the mutex while it closes a connection.
 func (l *clientListener) trimLingeringLocked(excess int) {
 	for l.lingering.len() > 0 && l.open+l.lingering.len() > l.maxConns+excess {
 		l.closeOldestLingeringLocked()
 	}
 }
 
-// closeOldestLingeringLocked closes the connection that has lingered longest. It releases the mutex during the close.
+// closeOldestLingeringLocked closes the connection that has lingered longest. It releases the mutex while it closes
+// the connection.
 func (l *clientListener) closeOldestLingeringLocked() {
 	c := l.lingering.takeOldest()
 	l.mu.Unlock() // Close waits for a Read in progress, which takes the mutex
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -64,7 +64,7 @@
 }
 
 // closeIdleAndUnlock closes the idle connections. The caller holds the mutex. closeIdleAndUnlock releases the mutex
-// before the closes.
+// before it closes the connections.
 func (l *clientListener) closeIdleAndUnlock() {
 	idle := l.halfCloseIdleLocked()
 	l.mu.Unlock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -67,15 +67,15 @@
 	// Levels are the levels of reduced service; nil: service is never reduced.
 	Levels *levels.Config
 
-	// TLS enables TLS; nil: none.
+	// TLS is the TLS configuration of the node; nil: no connection uses TLS.
 	TLS *TLS
 
-	// WrapHandler returns a handler that converts clients' requests into the form that next expects; nil: no conversion.
-	// Requests for the path ready must reach next unchanged.
+	// WrapHandler returns a handler that converts clients' requests into the form that next expects. If WrapHandler
+	// is nil, requests are not converted. Requests for the path ready must reach next unchanged.
 	WrapHandler func(next http.Handler, ready string) http.Handler
 
-	// NewEndpointSource returns the source of endpoints. The parameter own is the registry's source. nil: the node
-	// uses the registry's source.
+	// NewEndpointSource returns the source of endpoints. The parameter own is the registry's source. If
+	// NewEndpointSource is nil, the node uses the registry's source.
 	NewEndpointSource func(own router.EndpointSource) (router.EndpointSource, error)
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -22,7 +22,7 @@
 	// SIGTERM.
 	killDelay = 700 * time.Millisecond
 	// serveMargin is the minimum time between the end of the drain and SIGKILL. Requests that are still open when the
-	// drain ends are answered in that time.
+	// drain ends are answered within serveMargin.
 	serveMargin = 100 * time.Millisecond
 	// closeMargin is the minimum time between closing the last connections and SIGKILL.
 	closeMargin = 50 * time.Millisecond
--- a/msgpackrpc/mux/mux.go
+++ b/msgpackrpc/mux/mux.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// abandon gives up call after ctx has ended. If call has an outcome by then, abandon returns the outcome.
+// abandon gives up call after ctx has ended. If call already has an outcome, abandon returns the outcome.
 func (c *Conn) abandon(ctx context.Context, call *pendingCall) (msgpackrpc.Reply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/counters.go
+++ b/router/counters.go
@@ -27,7 +27,7 @@
 	answers [len(outcomeNames)]atomic.Uint64 // by Outcome
 }
 
-// addClasses adds counts for those of classes that are not counted yet.
+// addClasses adds counts for the elements of classes that are not counted yet, up to maxCountedClasses.
 func (c *counters) addClasses(classes []policy.Class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -38,8 +38,8 @@
 	priorityWeight   float64
 }
 
-// quotaBucket is the token bucket of a tenant's quota. Its capacity is the quota of one second, but at least one
-// token.
+// quotaBucket is the token bucket of a tenant's quota at this node. Its capacity is the quota of one second, but at
+// least one token.
 type quotaBucket struct {
 	rate, tokens float64 // tokens added per second; tokens left
 	refilledAt   policy.Time
@@ -228,7 +228,7 @@
 	return events[len(events)-1], true
 }
 
-// countOpen counts, by class, the open requests and those of them without an attempt.
+// countOpen counts, by class, the open requests, and the open requests without an attempt.
 func (d *degradation) countOpen(requests map[string]*request) {
 	for _, r := range requests {
 		window := d.classes[r.req.Class]
