--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -18,8 +18,8 @@
 	stalledRequestAge = time.Second
 	// overflowStallTimeout replaces stalledRequestAge for overflow connections.
 	overflowStallTimeout = 2 * time.Millisecond
-	// firstRequestGrace is the age up to which a new connection is protected from eviction. The first request is on its
-	// way, and the client has no reason to expect a close.
+	// firstRequestGrace is the age up to which a new connection is protected from eviction. The first request may be
+	// in transit, and the client has no reason to expect that the node closes the connection.
 	firstRequestGrace = 100 * time.Millisecond
 	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
 	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
@@ -104,9 +104,9 @@
 
 // rejectEvictedLocked ends conn, an evicted connection. It releases the mutex while it closes the node's side. conn
 // then lingers, except during a TLS handshake. If withRejection is set, a plain TCP connection gets a 503 first,
-// because the rest of its request may be on its way. A half-closed connection gets no 503, because its client does not
-// read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed, because
-// the reader closes connections so marked.
+// because the rest of its request may be in transit. A half-closed connection gets no 503, because its client does
+// not read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed,
+// because the reader closes connections so marked.
 func (l *clientListener) rejectEvictedLocked(conn *clientConn, withRejection bool) {
 	cause := endEvicted
 	if withRejection && conn.tls == nil && !conn.halfClosed {
--- a/internal/node/clientshutdown.go
+++ b/internal/node/clientshutdown.go
@@ -7,7 +7,7 @@
 )
 
 // drainFirstRequestGrace is the maximum age of connections without any request that a drain keeps open. Their first
-// requests may be on the way. A client that needs longer sees an orderly close.
+// requests may be in transit. The node closes older connections in an orderly way, without a reset.
 const drainFirstRequestGrace = 2500 * time.Millisecond
 
 // drainRecheckInterval is the interval between checks for connections older than drainFirstRequestGrace.
@@ -43,8 +43,8 @@
 }
 
 // closeIdle closes the node's side of all idle connections, and of connections that become idle later. A connection
-// with unread bytes has a request and is not idle. Requests that arrive after the close are counted. A connection
-// ends when its client has closed its side, or after closeHandshakeTimeout.
+// with unread bytes has a request and is not idle. Requests that arrive after the node's side is closed are counted.
+// A connection ends when its client has closed its side, or after closeHandshakeTimeout.
 func (l *clientListener) closeIdle() {
 	l.mu.Lock()
 	l.shuttingDown = true
@@ -64,7 +64,7 @@
 }
 
 // closeIdleAndUnlock closes the idle connections. The caller holds the mutex. closeIdleAndUnlock releases the mutex
-// before the closes.
+// before it closes the connections.
 func (l *clientListener) closeIdleAndUnlock() {
 	idle := l.halfCloseIdleLocked()
 	l.mu.Unlock()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,7 +11,7 @@
 const (
 	announceFraction = 0.6             // announcement as a share of the drain timeout or the longest deadline
 	maxDrainDeadline = 3 * time.Second // maximum deadline of a class that a drain waits for
-	// minAnnounce is the minimum time between the end of readiness and the close of the listener, however short the
+	// minAnnounce is the minimum time between the end of readiness and closing the listener, however short the
 	// deadlines are. New clients keep coming until they are sent elsewhere, and a closed listener would reset their
 	// connections.
 	minAnnounce = 420 * time.Millisecond
@@ -22,9 +22,9 @@
 	// SIGTERM.
 	killDelay = 700 * time.Millisecond
 	// serveMargin is the minimum time between the end of the drain and SIGKILL. Requests that are still open when the
-	// drain ends are answered in that time.
+	// drain ends are answered within serveMargin.
 	serveMargin = 100 * time.Millisecond
-	// closeMargin is the minimum time between the close of the last connections and SIGKILL.
+	// closeMargin is the minimum time between closing the last connections and SIGKILL.
 	closeMargin = 50 * time.Millisecond
 	// firstRequestPollInterval is the interval between checks for connections that still wait for their first response.
 	firstRequestPollInterval = 10 * time.Millisecond
@@ -43,8 +43,8 @@
 	return n.drain(current.shutdownTimes(), announceFor, leaveFor)
 }
 
-// handOver stops accepting. The other process at the shared socket then gets all new clients. The drain closes each
-// connection of this process with its answer.
+// handOver stops accepting. The other process at the shared socket then gets all new clients. During the drain, each
+// connection of this process is closed after its next answer.
 func (n *node) handOver() {
 	n.handedOver.Store(n.engine.Phase() == router.Serving)
 	n.state.savingHandedOver.Store(true)
@@ -56,8 +56,8 @@
 
 // drain drains the node and closes its clients' connections within the given times. During announceFor the node is
 // not ready but serves as before, because clients may not know another node yet. During leaveFor the node closes each
-// connection with its answer but still accepts new connections. Both phases end early enough for the last accepted
-// requests to be answered.
+// connection after its next answer, but still accepts new connections. Both phases end early enough for the last
+// accepted requests to be answered.
 func (n *node) drain(times shutdownTimes, announceFor, leaveFor time.Duration) error {
 	began := time.Now()
 	drainCtx, cancelDrain := context.WithDeadline(context.Background(), began.Add(times.maxDrain))
@@ -76,7 +76,7 @@
 }
 
 // closeClients closes the HTTP server once all servers for clients have written their final answers. Connections
-// whose first request may be on its way stay open until the deadline. The engine rejects these requests.
+// whose first request may be in transit stay open until the deadline. The engine rejects these requests.
 func (n *node) closeClients(deadline time.Time) error {
 	deadlineCtx, cancelWait := context.WithDeadline(context.Background(), deadline)
 	defer cancelWait()
@@ -142,7 +142,7 @@
 	// connections wait for their first response.
 	drain    time.Duration
 	maxDrain time.Duration // limit of the drain in all cases
-	close    time.Duration // limit for the close of the last connection
+	close    time.Duration // time limit for closing the last connection
 }
 
 // shutdownTimes returns the time limits for a node that shuts down. If DrainTimeout is set, it limits the drain in
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -25,7 +25,7 @@
 )
 
 // New returns a transport that assigns each endpoint to transports[selectTransport(endpoint)]. The returned transport
-// owns the others, and closes them in Close.
+// owns transports, and closes them in Close.
 func New(selectTransport func(router.Endpoint) int, transports ...router.Transport) *Transport {
 	return &Transport{
 		selectTransport: selectTransport,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Attempt makes an attempt at server with the transport of that server.
+// Attempt makes an attempt at server with server's transport.
 func (t *Transport) Attempt(ctx context.Context, server string, r *router.Request) router.Result {
 	transport := t.transportOf(server)
 	if transport == nil {
