--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -63,8 +63,8 @@
 	})
 }
 
-// TestAdmission_BoundsOpenRequests checks ten thousand concurrent requests against a limit of a hundred. The surplus
-// is rejected at once, and no goroutine of the router is left.
+// TestAdmission_BoundsOpenRequests checks that the limit on open requests holds. Ten thousand concurrent requests
+// meet a limit of a hundred. The surplus is rejected at once, and no goroutine of the router is left.
 func TestAdmission_BoundsOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
--- a/router/attempt_context_test.go
+++ b/router/attempt_context_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestAttemptContext_BehavesAsContext checks that the context of an attempt notifies each waiting function and
-// goroutine of its end once, as any other context.
+// goroutine of its end exactly once, like any other context.
 func TestAttemptContext_BehavesAsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := &attemptContext{deadline: time.Now().Add(time.Second)}
--- a/router/degradation_test.go
+++ b/router/degradation_test.go
@@ -94,9 +94,9 @@
 	wantNoLevels(t, r)
 }
 
-// TestLevels_ApplyMeasures checks the measures of a level. Requests of one class are shed with a spread Retry-After,
-// and counted by class and tenant. Requests of another class queue for a shorter time. In a dry run, requests are
-// only counted.
+// TestLevels_ApplyMeasures checks that the measures of a level are applied. Requests of one class are shed with a
+// spread Retry-After, and counted by class and tenant. Requests of another class queue for a shorter time. In a dry
+// run, requests are only counted.
 func TestLevels_ApplyMeasures(t *testing.T) {
 	for _, dryRun := range []bool{false, true} {
 		t.Run(fmt.Sprint("dry run ", dryRun), func(t *testing.T) { testLevelMeasures(t, dryRun) })
--- a/router/endpoint_update_test.go
+++ b/router/endpoint_update_test.go
@@ -8,8 +8,8 @@
 	"cobaltward/policy"
 )
 
-// TestEndpointUpdate_LargeUpdateInBatches checks that a large update is applied in batches, which do not delay
-// requests. Running servers must come before draining and removed servers.
+// TestEndpointUpdate_LargeUpdateInBatches checks that a large update is applied in batches, so that the update does
+// not delay requests. Running servers must come before draining and removed servers.
 func TestEndpointUpdate_LargeUpdateInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{attempt: serveAtOnce}
@@ -33,7 +33,8 @@
 	})
 }
 
-// wantBatches checks the size and the order of batches, which make up an update with the given number of entries.
+// wantBatches checks the sizes and the order of batches. The batches must contain the given number of entries
+// together.
 func wantBatches(t *testing.T, batches []EndpointUpdate, entries int) {
 	t.Helper()
 	last, n := policy.Running, 0
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// TestLoop_OrderOfBalancerEvents checks the order of events that the balancer receives for one served request. The
+// TestLoop_OrderOfBalancerEvents checks that the balancer receives the events around one served request in order. The
 // events are the restored endpoint list, the request, a single outcome with Answered set, and the timer that the
 // balancer requests.
 func TestLoop_OrderOfBalancerEvents(t *testing.T) {
@@ -34,16 +34,17 @@
 	})
 }
 
-// TestLoop_StalledHost checks the loop after the host has not run it for 300 ms. Expired requests get one answer and
-// are not sent. An endpoint update is applied before requests that were queued ahead of it. The lag is reported.
+// TestLoop_StalledHost checks that the loop recovers after the host has not run it for 300 ms. Expired requests get
+// one answer and are not sent. An endpoint update is applied before requests that were queued ahead of the update.
+// The lag is reported.
 func TestLoop_StalledHost(t *testing.T) {
 	for range 10 { // select chooses a ready channel at random: one run could pass by chance
 		synctest.Test(t, testStalledHost)
 	}
 }
 
-// stallOn returns a respondFunc that sends each request once. At the request "stall" it blocks the loop for the time
-// stall. It appends the IDs of received requests, and "list" for each endpoint list, to order.
+// stallOn returns a respondFunc that sends each request once. The request "stall" blocks the loop for the duration
+// stall. The function appends the IDs of received requests, and "list" for each endpoint list, to order.
 func stallOn(order *[]string, stall time.Duration) respondFunc {
 	return func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch ev := ev.(type) {
--- a/router/reply_test.go
+++ b/router/reply_test.go
@@ -73,9 +73,10 @@
 	}
 }
 
-// TestClientGone_NothingIsSent checks requests whose client has left while the clientLeft event is still queued. A
-// queued request is not admitted. An admitted request gets no further attempt. An attempt that waits for a connection
-// is not written once the client has left or the request is answered, even if the settings allow no cancellation.
+// TestClientGone_NothingIsSent checks that nothing is sent for a request whose client has left, even while the
+// clientLeft event is still queued. A queued request is not admitted. An admitted request gets no further attempt. An
+// attempt that waits for a connection is not written once the client has left or the request is answered, even if the
+// settings allow no cancellation.
 func TestClientGone_NothingIsSent(t *testing.T) {
 	t.Run("while queued", func(t *testing.T) { synctest.Test(t, testClientLeavesWhileQueued) })
 	t.Run("between attempts", func(t *testing.T) { synctest.Test(t, testClientLeavesBetweenAttempts) })
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -26,9 +26,9 @@
 
 func (h *countingHost) CloseIdle(string) {}
 
-// TestSlowStart_WallClockStepped checks the slow start of a server that starts after a step of the wall clock. After
-// a step forward, slow start is the same as without a step. After a step back, it is the same as with a list that
-// comes maxListDelay late.
+// TestSlowStart_WallClockStepped checks that a step of the wall clock before the start of a server changes its slow
+// start at most as much as a late list. After a step forward, slow start is the same as without a step. After a step
+// back, slow start is the same as with a list that comes maxListDelay late.
 func TestSlowStart_WallClockStepped(t *testing.T) {
 	atOnce, late := countSlowStartAttempts(t, 0), countSlowStartAttempts(t, -maxListDelay)
 	if atOnce == 0 || late <= atOnce {
@@ -68,8 +68,9 @@
 	}
 }
 
-// slowStartAge passes to tracker the start of the server id with the age ago, in an update after an outage. The
-// router has run for one minute. slowStartAge returns the time between the beginning of slow start and the update.
+// slowStartAge passes an update after an outage to tracker. The update says that the server id started the duration
+// ago before the update. The router has run for one minute. slowStartAge returns the time between the beginning of
+// slow start and the update.
 func slowStartAge(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
 	const now = timeOrigin + time.Minute
 	tracker.beginUpdate(outage, wallStep)
@@ -77,7 +78,8 @@
 	return now - tracker.slowStartSince(id, started, now-ago, now)
 }
 
-// TestStartTracker_AfterOutage checks the bounds of new starts in the list that ends an outage of discovery.
+// TestStartTracker_AfterOutage checks the bound on the age of each server start that is new in the first list after
+// an outage of discovery.
 func TestStartTracker_AfterOutage(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, test := range []struct {
--- a/router/support_test.go
+++ b/router/support_test.go
@@ -244,7 +244,7 @@
 	return newTestRouterWithConfig(t, testConfig(), transport, respond, opts...)
 }
 
-// newTestRouterWithConfig is newTestRouter with the configuration config.
+// newTestRouterWithConfig is like newTestRouter, but uses config instead of testConfig.
 func newTestRouterWithConfig(
 	t *testing.T, config Config, transport Transport, respond respondFunc, opts ...Option,
 ) (*Router, *scriptedBalancer) {
@@ -278,13 +278,13 @@
 	return Request{ID: id, Class: "read", Tenant: "t", Target: "/api"}
 }
 
-// doResult is the result of a call of Do.
+// doResult contains the return values of Do, for sending over a channel.
 type doResult struct {
 	answer Answer
 	err    error
 }
 
-// startDo calls Do in a goroutine, and returns a channel that receives the result.
+// startDo calls Do in a goroutine, and returns a channel that receives its return values.
 func startDo(ctx context.Context, r *Router, req Request) <-chan doResult {
 	done := make(chan doResult, 1)
 	go func() {
--- a/router/withheld_test.go
+++ b/router/withheld_test.go
@@ -59,10 +59,10 @@
 	}
 }
 
-// TestRejection_NoWriteAfterAnswer checks a rejection while an attempt is between its decision to write and the
-// write. The client gets the rejection after the write. A write that does not end delays the answer by at most
-// maxWithheld, and never beyond the client's deadline. After such a write, the answer is Failed, because the write
-// may still reach the server.
+// TestRejection_NoWriteAfterAnswer checks that a rejection is withheld until the write of an attempt has ended. The
+// rejection comes while the attempt is between its decision to write and the write. A write that does not end delays
+// the answer by at most maxWithheld, and never beyond the client's deadline. The answer is then Failed, because the
+// write may still reach the server.
 func TestRejection_NoWriteAfterAnswer(t *testing.T) {
 	const (
 		timeout  = 500 * ms
