--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -20,7 +20,7 @@
 
 // TestListenersSurviveAcceptErrors checks that the node's listeners keep serving after accept errors. On each
 // listener, Accept fails several times in a row with every error that Linux documents. The client in the accept queue
-// must get its response, and so must the next client.
+// and the next client must get their responses.
 func TestListenersSurviveAcceptErrors(t *testing.T) {
 	const readyRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\nConnection: close\r\n\r\n"
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -136,9 +136,9 @@
 	request.Header.Set("X-Deadline-Ms", "30000")
 }
 
-// TestLongBodies_HundredAtOnce checks a hundred long bodies in each direction at once, with slow readers on every
-// side. The bodies together are many times larger than the node's memory. All must arrive unchanged while the heap
-// stays bounded. To run it with bodies of the size in production:
+// TestLongBodies_HundredAtOnce checks that a hundred long bodies in each direction at once arrive unchanged while the
+// heap stays bounded. The readers on every side are slow. The bodies together are many times larger than the node's
+// memory. To run it with bodies of the size in production:
 //
 //	LONG_MB=32 go test -run TestLongBodies ./internal/node
 func TestLongBodies_HundredAtOnce(t *testing.T) {
@@ -298,9 +298,9 @@
 	n.allowSlowAnswers()
 }
 
-// TestTruncatedAnswer_IsCut checks a response whose server closes the connection within the body. The first bytes
-// must reach the client before the rest. The client must be able to detect that the response is incomplete. The
-// request must not be retried.
+// TestTruncatedAnswer_IsCut checks that the node passes on a response that the server cuts off within the body. The
+// first bytes must reach the client before the rest. The client must be able to detect that the response is
+// incomplete. The request must not be retried.
 func TestTruncatedAnswer_IsCut(t *testing.T) {
 	const size = 300 << 10
 	body := string(make([]byte, size/2))
@@ -343,7 +343,7 @@
 }
 
 // TestLongAnswer_ClientDisconnects checks that the node closes its connection to the server when a client disconnects
-// within a long response. No request may stay in flight.
+// during a long response. No request may stay in flight.
 func TestLongAnswer_ClientDisconnects(t *testing.T) {
 	node := newTestNode(t, 0)
 	var aborted atomic.Int64
@@ -370,9 +370,9 @@
 	})
 }
 
-// TestRetry_BufferedBodyOnly checks retries of requests with a body. The first server rejects a request without
-// executing it. If the node has buffered the body, it retries the request at the next server. If the node has
-// streamed the body, it cannot retry and rejects the request.
+// TestRetry_BufferedBodyOnly checks that a request with a body is retried only if the node has buffered the body. The
+// first server rejects a request without executing it. If the node has buffered the body, it retries the request at
+// the next server. If the node has streamed the body, it cannot retry and rejects the request.
 func TestRetry_BufferedBodyOnly(t *testing.T) {
 	for name, test := range map[string]struct {
 		memoryMB   int64
@@ -447,10 +447,10 @@
 	}
 }
 
-// TestStalledBody_GetsErrorInTime checks clients that stop within a body and keep their connections open. Wherever a
-// client stops, it must get a complete error response or a close within 3 s. Bodies over 64 KiB are left out if a part
-// was sent. Their clients may stall for the time in which a slow client sends that part. TestTimedBody_StallTimeout in
-// middleware checks such bodies.
+// TestStalledBody_GetsErrorInTime checks that a client that sends only a part of a body and keeps its connection open
+// gets an error within 3 s. The error is a complete response or a close. The test leaves out bodies over 64 KiB of
+// which more than a byte was sent, because a part that was sent extends the stall timeout. TestTimedBody_StallTimeout
+// in middleware checks such bodies.
 func TestStalledBody_GetsErrorInTime(t *testing.T) {
 	const maxDelay = 3 * time.Second
 	for _, length := range []int{9, 20 << 10, 64 << 10, 1 << 20} {
--- a/internal/node/clienteviction_test.go
+++ b/internal/node/clienteviction_test.go
@@ -17,9 +17,10 @@
 // rejectionStart is the start of the response to an evicted connection.
 const rejectionStart = "HTTP/1.1 503"
 
-// TestEviction_SparesNewConnection checks that a connection whose first request is on its way is not evicted. A client
-// connects to a full node and sends its request a moment later. A second client connects between the two. It must get
-// the slot of an older connection, which becomes idle.
+// TestEviction_SparesNewConnection checks that a new connection is not evicted if its first request arrives within
+// firstRequestGrace. A client connects to a full node and sends its request a moment later. A second client connects
+// between the connect and the request. The second client must get the slot of an older connection, which becomes
+// idle.
 func TestEviction_SparesNewConnection(t *testing.T) {
 	listener, _, older := newClientPair(t)
 	listener.setMaxConns(2)
@@ -42,8 +43,8 @@
 }
 
 // TestEviction_SendsRejection checks that a client with an evicted connection reads a rejection with Retry-After
-// before the close. More clients stop within a head than the node has connections. Such a client may still be sending
-// the rest of its request.
+// before the close. More clients than the node has connections send only a part of a request head. Such a client may
+// still be sending the rest of its request.
 func TestEviction_SendsRejection(t *testing.T) {
 	const clients = 2 * minDescriptors
 	_, addr := runWithHoldingServer(t, minDescriptors, func(l net.Listener) net.Listener { return l })
@@ -75,7 +76,7 @@
 	}
 }
 
-// TestEviction_RequestArrivesMeanwhile checks that a rejection is written before the close. Bytes of a request are
+// TestEviction_RequestArrivesMeanwhile checks that a rejection is written before the close if bytes of a request are
 // read while their connection is being evicted. The reader closes the connection as soon as it detects the eviction.
 func TestEviction_RequestArrivesMeanwhile(t *testing.T) {
 	listener, client, conn := newClientPair(t)
@@ -83,7 +84,8 @@
 		readerEnded := make(chan struct{})
 		go func() {
 			defer close(readerEnded)
-			_, _ = conn.Read(make([]byte, 64)) // as net/http does
+			// Like net/http, read and then close the connection.
+			_, _ = conn.Read(make([]byte, 64))
 			_ = conn.Close()
 		}()
 		listener.mu.Lock()
--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestIdleEnd_RequestArrives checks requests that arrive around the end of a connection's idle timeout. Bytes that
-// arrive before the end are read, and bytes that arrive after it are counted. The client must see an orderly close,
-// because a reset could destroy a response that the client has not read yet.
+// TestIdleEnd_RequestArrives checks that no request around the end of the idle timeout is lost unnoticed. Bytes that
+// arrive before the end are read. Bytes that arrive after the end are counted as unanswered. The client must see an
+// orderly close, because a reset could destroy a response that the client has not read yet.
 func TestIdleEnd_RequestArrives(t *testing.T) {
 	const idleTimeout = 50 * ms
 	body := make([]byte, 256<<10)
@@ -138,7 +138,7 @@
 			}()
 			testkit.Await(t, "the bytes to arrive", func() bool { return sockets.Unread(tcp) > 0 })
 			time.Sleep(test.pause)
-			_ = conn.Close() // as net/http does
+			_ = conn.Close() // net/http closes the connection after a failed read
 			_ = client.SetReadDeadline(time.Now().Add(testkit.MaxWait))
 			if n, err := client.Read(make([]byte, 64)); n != 0 || !errors.Is(err, io.EOF) {
 				t.Errorf("the client reads %d bytes, %v, want an orderly close", n, err)
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestEviction_RequestArrivesAfterwards checks a long request that arrives after its idle connection was evicted. The
-// client must see an orderly close instead of a reset. The connection must be counted as evicted.
+// TestEviction_RequestArrivesAfterwards checks that a client sees an orderly close instead of a reset if its long
+// request arrives after its idle connection was evicted. The connection must be counted as evicted.
 func TestEviction_RequestArrivesAfterwards(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	conn.requestSeen = true // a connection with an earlier request gets no rejection
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestEviction_SilentConnectionsFirst checks which of two idle connections is evicted. One has carried a request, and
-// a newer one has sent nothing. The newer connection is evicted if it is older than silentConnAge, and the other
-// connection otherwise.
+// TestEviction_SilentConnectionsFirst checks that a silent connection is evicted first once it is old enough. One of
+// two idle connections has carried a request. The client of the newer connection has sent nothing. The newer
+// connection is evicted if it is older than silentConnAge, and the other connection otherwise.
 func TestEviction_SilentConnectionsFirst(t *testing.T) {
 	for _, test := range []struct {
 		name       string
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -31,7 +31,7 @@
 	return listener
 }
 
-// newTLSTestListener is newTestListener for clients that use TLS.
+// newTLSTestListener is like newTestListener, for clients that use TLS.
 func newTLSTestListener(t *testing.T, maxConns int) *clientListener {
 	t.Helper()
 	listener := newTestListener(t, maxConns)
--- a/internal/node/clientorder_test.go
+++ b/internal/node/clientorder_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestUnanswered_CountsConnectionOnce checks that a connection that times out within a head is counted once. net/http
-// reads from it more than once.
+// TestUnanswered_CountsConnectionOnce checks that a connection that times out within a head is counted once, although
+// net/http reads from the connection more than once.
 func TestUnanswered_CountsConnectionOnce(t *testing.T) {
 	listener := serveShortTimeouts(t)
 	client := dialClient(t, listener.Addr().String())
--- a/internal/node/clientpauses_test.go
+++ b/internal/node/clientpauses_test.go
@@ -12,8 +12,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestBodyReads_ReadDeadline checks that pauses of the node extend the deadline of a read by as much. If the node ran
-// for at least half of the time, the extension is at most maxPauseCredit.
+// TestBodyReads_ReadDeadline checks that pauses of the node extend the deadline of a read by the duration of the
+// pauses. If the node ran for at least half of the time, the extension is at most maxPauseCredit.
 func TestBodyReads_ReadDeadline(t *testing.T) {
 	const timeout = 2500 * ms
 	began := time.Now()
--- a/internal/node/clientread_test.go
+++ b/internal/node/clientread_test.go
@@ -70,8 +70,8 @@
 	return secured, conn, conn.(*tlsClientConn).conn.TCPConn
 }
 
-// TestUnanswered_CountsByCause checks that requests that end within their head are counted by cause: a timeout, or a
-// close by the client.
+// TestUnanswered_CountsByCause checks that incomplete heads are counted by cause: a timeout, or a close by the
+// client.
 func TestUnanswered_CountsByCause(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	_, _ = client.Write([]byte("GET / HT"))
--- a/internal/node/clientreview_test.go
+++ b/internal/node/clientreview_test.go
@@ -25,7 +25,7 @@
 	serveHandler(t, listener, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 }
 
-// serveHandler is serveListener with the given handler.
+// serveHandler is like serveListener, with the given handler.
 func serveHandler(t *testing.T, listener *clientListener, handler http.HandlerFunc) {
 	t.Helper()
 	server := &http.Server{
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestEviction_DuringSilentHandshake checks an eviction before the first byte of the TLS handshake. The connection
-// must not linger longer than other connections.
+// TestEviction_DuringSilentHandshake checks that a connection that is evicted before the first byte of its TLS
+// handshake lingers no longer than other connections.
 func TestEviction_DuringSilentHandshake(t *testing.T) {
 	listener := newTLSTestListener(t, 4)
 	serveListener(t, listener)
@@ -246,7 +246,7 @@
 	}
 }
 
-// recordSplitter passes on the first bytes written and holds back the rest.
+// recordSplitter passes on the first bytes that are written to the connection, and holds back the rest.
 type recordSplitter struct {
 	net.Conn
 	mu        sync.Mutex
@@ -322,9 +322,9 @@
 	}
 }
 
-// TestTLSRecord_PartialBehindRequest checks a request that arrives together with a part of the next request's record.
-// After the response, the connection must count as within a head. The head timeout applies, and a drain does not
-// close the connection.
+// TestTLSRecord_PartialBehindRequest checks that a part of a TLS record behind a request counts as the start of the
+// next request. The part arrives together with the first request. After the response, the connection must count as
+// within a head. The head timeout applies, and a drain does not close the connection.
 func TestTLSRecord_PartialBehindRequest(t *testing.T) {
 	for _, drain := range []bool{false, true} {
 		t.Run(fmt.Sprintf("drain %v", drain), func(t *testing.T) {
@@ -545,8 +545,8 @@
 	}
 }
 
-// TestHead_SlowClients checks the node's default head timeout. Clients send one byte and then nothing, or one byte a
-// second.
+// TestHead_SlowClients checks that the node's default head timeout applies to clients that send one byte and then
+// nothing, or one byte a second.
 func TestHead_SlowClients(t *testing.T) {
 	for _, transport := range transports {
 		for _, reused := range []bool{false, true} {
@@ -616,8 +616,8 @@
 	}
 }
 
-// TestConns_ConcurrentCloses checks that all connections are released. Reads, timeouts, evictions, drains and closes
-// by the clients happen at the same time.
+// TestConns_ConcurrentCloses checks that all connections are released if reads, timeouts, evictions, drains and
+// closes by the clients happen at the same time.
 func TestConns_ConcurrentCloses(t *testing.T) {
 	for _, transport := range transports {
 		t.Run(transport.name, func(t *testing.T) {
--- a/internal/node/clientshutdown_test.go
+++ b/internal/node/clientshutdown_test.go
@@ -55,8 +55,8 @@
 }
 
 // TestCloseIdle_ClientKeepsItsSideOpen checks that a connection that becomes idle during a drain ends after
-// closeHandshakeTimeout. The client does not close its side. The read deadline that net/http sets for the next
-// request must not matter.
+// closeHandshakeTimeout, even if the client does not close its side. The read deadline that net/http sets for the
+// next request must not matter.
 func TestCloseIdle_ClientKeepsItsSideOpen(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	conn.onStateChange(http.StateActive)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestCloseIdle_SparesNewConnection checks that a drain does not close a connection whose first request is on its
-// way. The drain begins just after a client has connected.
+// TestCloseIdle_SparesNewConnection checks that a drain does not close a new connection whose first request arrives
+// shortly after the connect. The drain begins just after a client has connected.
 func TestCloseIdle_SparesNewConnection(t *testing.T) {
 	t.Run("which sends its first request", func(t *testing.T) {
 		listener, client, conn := newClientPair(t)
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestDrainAcceptQueue_AcceptsBeyondBound checks a client in the accept queue of a full listener. When the listener
-// closes, the client must be accepted beyond the limit, and its request must not be rejected for lack of a slot.
+// TestDrainAcceptQueue_AcceptsBeyondBound checks that a full listener that closes accepts a client in its accept
+// queue beyond the limit. The request of that client must not be rejected for lack of a slot.
 func TestDrainAcceptQueue_AcceptsBeyondBound(t *testing.T) {
 	listener, _, busy := newClientPair(t)
 	listener.setMaxConns(1)
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestCloseIdle_PartOfNextHead checks a request that arrives together with the start of the next head. After the
-// first response the connection is not idle, so a drain must not close it. The rest of the next head must arrive
-// within the head timeout.
+// TestCloseIdle_PartOfNextHead checks that a drain does not close a connection on which the start of the next head
+// has arrived with a request. After the first response the connection is not idle. The rest of the next head must
+// arrive within the head timeout.
 func TestCloseIdle_PartOfNextHead(t *testing.T) {
 	listener, client, conn := newClientPair(t)
 	listener.headTimeout = 50 * ms
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -20,8 +20,8 @@
 // maxAnswerDelay. All connections of the node are occupied by requests that wait for a hung server.
 func TestBusyConnections_DelayNoAnswer(t *testing.T) { testBusyConnections(t, 1) }
 
-// TestBusyConnections_LongDeadlinesDelayNoAnswer is TestBusyConnections_DelayNoAnswer with long deadlines for all
-// classes.
+// TestBusyConnections_LongDeadlinesDelayNoAnswer is like TestBusyConnections_DelayNoAnswer, with long deadlines for
+// all classes.
 func TestBusyConnections_LongDeadlinesDelayNoAnswer(t *testing.T) { testBusyConnections(t, 8) }
 
 // testBusyConnections runs the test with the deadlines of all classes multiplied by scale.
@@ -61,14 +61,14 @@
 	testkit.Receive(t, "the end of the waits", ended)
 }
 
-// TestPartialHeads_DelayNoAnswer checks that a new client gets its final response in time. All connections of the
-// node are occupied by clients that stop within a head.
+// TestPartialHeads_DelayNoAnswer checks that a new client gets its final response within maxAnswerDelay. All
+// connections of the node are occupied by clients that have sent only a part of a head.
 func TestPartialHeads_DelayNoAnswer(t *testing.T) {
 	testPartialRequests(t, "GET /api HT")
 }
 
-// TestPartialBodies_DelayNoAnswer is TestPartialHeads_DelayNoAnswer for clients that stop within a body. The body is
-// short, long, or part of a request that is rejected because of its head.
+// TestPartialBodies_DelayNoAnswer is like TestPartialHeads_DelayNoAnswer, for clients that have sent only a part of a
+// body. The body is short, long, or part of a request that is rejected because of its head.
 func TestPartialBodies_DelayNoAnswer(t *testing.T) {
 	for name, head := range map[string]string{
 		"short": nonIdempotentRequest("half", time.Minute), "long": nonIdempotentRequest("half", time.Minute),
--- a/internal/node/drains_test.go
+++ b/internal/node/drains_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// standbyAndBack starts a drain by the operations endpoint and cancels it after a random time, in whichever state the
-// drain is then.
+// standbyAndBack starts a drain through the operations endpoint. It cancels the drain after a random time, in any
+// state.
 func (s *drainScript) standbyAndBack() {
 	s.t.Helper()
 	if code := s.callOperations("/standby"); code != http.StatusOK {
@@ -75,7 +75,7 @@
 	s.outcomes[outcome]++
 }
 
-// startDrain starts a drain by the admin API and checks that a second order is rejected.
+// startDrain starts a drain through the admin API and checks that a second order is rejected.
 func (s *drainScript) startDrain(number int) {
 	s.t.Helper()
 	request := DrainRequest{
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestDrainsUnderLoad checks drains, cancellations, shortened deadlines and SIGTERM at random moments under load,
-// while servers fail or are disabled. No request may be lost, answered twice or executed twice. The admin API must
-// not count more open requests than the clients. DRAINS=300 gives the long run.
+// TestDrainsUnderLoad checks that no request is lost, answered twice or executed twice if the node drains under load.
+// Cancellations, shortened deadlines and SIGTERM come at random moments, while servers fail or are disabled. The
+// admin API must not count more open requests than the clients. DRAINS=300 gives the long run.
 func TestDrainsUnderLoad(t *testing.T) {
 	drains := 12
 	if n, err := strconv.Atoi(os.Getenv("DRAINS")); err == nil {
--- a/internal/node/drainstatus_test.go
+++ b/internal/node/drainstatus_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainStatus_CountsOpenRequestsExactly checks the status while requests are answered one by one during a drain.
-// It must always count exactly the requests that the server still holds. The drain must be complete after the last
+// TestDrainStatus_CountsOpenRequestsExactly checks that the status always counts exactly the requests that the server
+// still holds. The requests are answered one by one during a drain. The drain must be complete after the last
 // request.
 func TestDrainStatus_CountsOpenRequestsExactly(t *testing.T) {
 	node, server := newGatedNode(t)
--- a/internal/node/holdingserver_test.go
+++ b/internal/node/holdingserver_test.go
@@ -54,7 +54,7 @@
 	return runWithHoldingServerScaled(t, sockets, 1, wrap)
 }
 
-// runWithHoldingServerScaled is runWithHoldingServer with all deadlines multiplied by scale.
+// runWithHoldingServerScaled is like runWithHoldingServer, with all deadlines multiplied by scale.
 func runWithHoldingServerScaled(
 	t *testing.T, sockets int, scale time.Duration, wrap func(net.Listener) net.Listener,
 ) (*holdingServer, string) {
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -37,8 +37,8 @@
 }
 
 // TestOperations_BlockedEventLoop checks that the operations endpoint does not depend on the router's event loop. The
-// loop is blocked, more events wait than its queue holds, and other callers stop within their requests. Every call
-// must be answered.
+// loop is blocked, more events are pending than fit into its queue, and other clients of the endpoint have sent only
+// a part of their requests. Every complete request to the endpoint must be answered.
 func TestOperations_BlockedEventLoop(t *testing.T) {
 	node := newTestNode(t, 2)
 	engine, err := router.New(
@@ -96,7 +96,8 @@
 	goroutines.Wait()
 }
 
-// drainOrders gives orders to a router by the admin API and the operations endpoint. It tracks the expected state.
+// drainOrders gives orders to a router through the admin API and the operations endpoint. It tracks the expected
+// state.
 type drainOrders struct {
 	rt         *rapid.T
 	engine     *router.Router
@@ -192,9 +193,9 @@
 	}
 }
 
-// TestDrainOrders_AdminAPIAndOperations checks random orders by both endpoints at any stage of a drain. Both
-// endpoints must act on the same drain, and calls of the operations endpoint may be repeated. The node must be ready
-// exactly while there is no drain. A final drain must not be cancelled.
+// TestDrainOrders_AdminAPIAndOperations checks that the admin API and the operations endpoint control the same drain.
+// The test gives random orders through both, at any stage of a drain. Requests to the operations endpoint may be
+// repeated. The node must be ready exactly while there is no drain. A final drain must not be cancelled.
 func TestDrainOrders_AdminAPIAndOperations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		orders := newDrainOrders(rt)
@@ -237,9 +238,9 @@
 	return status, !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// TestStandby checks a node that enters and leaves standby twice while a request is open. The request must be
-// answered and its connection closed. The node must keep running without being ready, and serve again at once after
-// /active.
+// TestStandby checks that a node can enter and leave standby twice while a request is open. The request must be
+// answered and its connection closed. In standby the node must keep running without being ready. After /active it
+// must serve again at once.
 func TestStandby(t *testing.T) {
 	node, server := newGatedNode(t)
 	stop, ended := node.start()
--- a/internal/node/pausednode_test.go
+++ b/internal/node/pausednode_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// awaitRunning waits until the node has answered a request. The timers that expired during a pause are then handled,
-// too.
+// awaitRunning waits until the node has answered a request. The node has then also handled the timers that expired
+// during a pause.
 func (n *pausableNode) awaitRunning() {
 	n.t.Helper()
 	testkit.Await(n.t, "the node to run", func() bool {
@@ -192,7 +192,8 @@
 	}
 }
 
-// TestPausedNode_HeadAfterPause is TestPausedNode_BodyAfterPause for clients within the head of a request.
+// TestPausedNode_HeadAfterPause is like TestPausedNode_BodyAfterPause, for clients that have sent only a part of a
+// head.
 func TestPausedNode_HeadAfterPause(t *testing.T) {
 	const pause = 2600 * time.Millisecond // longer than headerTimeout
 	const clients = 16
@@ -235,8 +236,8 @@
 // maxStallDelay is the maximum time until a client that stalls within a body must get its error.
 const maxStallDelay = 3 * time.Second
 
-// TestPausedNode_StalledClientDuringShortPauses checks that a client that stalls within a body gets its error in time
-// despite repeated pauses of the node. Deadlines must allow for each pause.
+// TestPausedNode_StalledClientDuringShortPauses checks that a client that stalls within a body gets its error within
+// maxStallDelay despite repeated pauses of the node. Deadlines must allow for each pause.
 func TestPausedNode_StalledClientDuringShortPauses(t *testing.T) {
 	const pause, interval = 150 * time.Millisecond, 500 * time.Millisecond
 	t.Parallel()
@@ -256,8 +257,8 @@
 	}
 }
 
-// TestPausedNode_StalledClientAfterPause checks the error for a client that stalls within a body for too long while
-// the node is paused. The error must come as soon after the pause as it would without a pause.
+// TestPausedNode_StalledClientAfterPause checks that a pause of the node does not delay the error for a client that
+// stalls within a body for too long. The error must come as soon after the pause as it would without a pause.
 func TestPausedNode_StalledClientAfterPause(t *testing.T) {
 	t.Parallel()
 	node := startPausableNode(t)
--- a/internal/node/queueage_test.go
+++ b/internal/node/queueage_test.go
@@ -10,9 +10,9 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestQueuedSince_CountsClientsOwnTime checks the waiting time of clients in an accept queue that is never empty. A
+// TestQueuedSince_CountsClientsOwnTime checks which clients count as old as an accept queue that is never empty. A
 // client that has just connected, or whose complete request has just arrived, has not waited yet. A client that may
-// be sending byte by byte counts as old as the queue, so that it does not delay the clients behind it.
+// be sending byte by byte counts as old as the queue, because it must not delay the clients behind it.
 func TestQueuedSince_CountsClientsOwnTime(t *testing.T) {
 	const (
 		queueAge   = 300 * time.Millisecond
--- a/internal/node/rotation_test.go
+++ b/internal/node/rotation_test.go
@@ -110,9 +110,9 @@
 	r.swapCAs()
 }
 
-// TestRotationsUnderLoad checks changes of certificates and authorities under load, in different orders. No request
-// may be lost, executed twice or sent to an untrusted server. WAYHOLD_ROTATE sets the duration of a long run, with
-// one change a second and 72 servers.
+// TestRotationsUnderLoad checks that no request is lost, executed twice or sent to an untrusted server while
+// certificates and authorities change under load, in different orders. WAYHOLD_ROTATE sets the duration of a long
+// run, with one change a second and 72 servers.
 func TestRotationsUnderLoad(t *testing.T) {
 	interval, duration, servers := 250*time.Millisecond, time.Duration(0), 12
 	if text := os.Getenv("WAYHOLD_ROTATE"); text != "" {
@@ -149,9 +149,9 @@
 	harness.checkResults()
 }
 
-// TestRotation_CertificatesExpire checks certificates that expire while connections are open. Servers that replace
-// their certificates in time keep serving requests. The other servers must get no more requests, not even over open
-// connections.
+// TestRotation_CertificatesExpire checks that the node no longer trusts servers whose certificates expire while
+// connections are open. Servers that replace their certificates before the expiry keep serving requests. The other
+// servers must get no more requests, not even over open connections.
 func TestRotation_CertificatesExpire(t *testing.T) {
 	harness := newRotationHarness(t, 6)
 	end := time.Now().Add(2500 * time.Millisecond).Truncate(time.Second).Add(time.Second)
@@ -165,7 +165,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	load := harness.load(ctx, 8)
 	time.Sleep(time.Until(end.Add(-time.Second)))
-	for _, server := range harness.servers[:3] { // their certificates are replaced in time
+	for _, server := range harness.servers[:3] { // their certificates are replaced before the expiry
 		server.present(harness.newLeaf(harness.oldCA))
 	}
 	late := harness.servers[3]
@@ -200,9 +200,9 @@
 	return certs
 }
 
-// TestRotation_InvalidCertificateOnOneServer checks a server that presents invalid certificates. Only that server may
-// become untrusted, and the node must not retry handshakes with it in rapid succession. The server must get requests
-// within seconds after it presents a valid certificate.
+// TestRotation_InvalidCertificateOnOneServer checks that invalid certificates of one server affect only that server.
+// The server must become untrusted, and the node must not retry handshakes with it in rapid succession. Within
+// seconds after the server presents a valid certificate, it must get requests.
 func TestRotation_InvalidCertificateOnOneServer(t *testing.T) {
 	harness := newRotationHarness(t, 4)
 	harness.start()
@@ -237,8 +237,8 @@
 	harness.checkResults()
 }
 
-// TestHandshakes_StalledOnesDelayNoRequest checks that a request is served while other clients stop within a
-// handshake. Stalled handshakes need no CPU time.
+// TestHandshakes_StalledOnesDelayNoRequest checks that a request is served while other clients have stalled in their
+// handshakes. A stalled handshake must not use the CPU budget.
 func TestHandshakes_StalledOnesDelayNoRequest(t *testing.T) {
 	harness := newRotationHarness(t, 1)
 	harness.start()
--- a/internal/node/rotationserver_test.go
+++ b/internal/node/rotationserver_test.go
@@ -75,7 +75,8 @@
 	harness := s.harness
 	harness.mu.Lock()
 	defer harness.mu.Unlock()
-	if key := r.Header.Get("Idempotency-Key"); key == "" || harness.executions[id] == 0 { // a repeated key is not executed
+	// A retry with an idempotency key is not executed again.
+	if key := r.Header.Get("Idempotency-Key"); key == "" || harness.executions[id] == 0 {
 		harness.executions[id]++
 	}
 	if late := now.Sub(cert.validUntil); !cert.validUntil.IsZero() && late > maxTransitTime {
--- a/internal/node/rpcdrain_test.go
+++ b/internal/node/rpcdrain_test.go
@@ -15,8 +15,8 @@
 	"cobaltward/internal/testkit"
 )
 
-// TestDrainOnRequest_MessagePackClients checks a drain by the admin API while a MessagePack-RPC client is connected.
-// The client must be counted and its idle connection closed. No client may connect until the drain is cancelled.
+// TestDrainOnRequest_MessagePackClients checks that a drain through the admin API counts a MessagePack-RPC client and
+// closes its idle connection. No client may connect until the drain is cancelled.
 func TestDrainOnRequest_MessagePackClients(t *testing.T) {
 	const timeout = 20 * time.Second
 	node := &testNode{t: t, adminSocket: filepath.Join(t.TempDir(), "door.sock")}
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -45,7 +45,7 @@
 	checker       *checker.Checker
 	executed      map[string]bool // by request ID
 	startedAt     time.Time
-	failingServer atomic.Int64 // number, from 1, of the server that fails some requests; other numbers: none
+	failingServer atomic.Int64 // number, from 1, of the server that fails some requests; any other number: no server
 
 	clientCounts
 }
