--- a/internal/frontend/framing/guard_test.go
+++ b/internal/frontend/framing/guard_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard's result for
-// the whole text equals the result byte by byte.
+// requestEnds returns the end offset of each request that the guard accepts. It checks that the guard returns the
+// same result for the whole text as for one byte at a time.
 func requestEnds(t *testing.T, text []byte) (ends []int) {
 	t.Helper()
 	var guard, atOnce Guard
--- a/internal/frontend/msgpack/connread_test.go
+++ b/internal/frontend/msgpack/connread_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestRead_BytesReceivedBeforeDeadline checks that a read after its deadline returns the bytes that arrived before
-// the deadline, and no later bytes. Such a read happens if the process was paused.
+// the deadline, and no later bytes. A read starts after its deadline if the process was paused.
 func TestRead_BytesReceivedBeforeDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestWaitingSince_ExcludesTimeUntilCallArrived checks since when a client counts as waiting. If nothing or exactly
-// one complete call has arrived, the age of the accept queue does not count. The client may have just connected. If
-// part of a call or several calls have arrived, the age of the accept queue counts.
+// TestWaitingSince_ExcludesTimeUntilCallArrived checks when the age of the accept queue counts as waiting time of a
+// client. The age does not count if nothing or exactly one complete call has arrived, because the client may have
+// just connected. The age counts if part of a call or several calls have arrived.
 func TestWaitingSince_ExcludesTimeUntilCallArrived(t *testing.T) {
 	const queueAge = 300 * time.Millisecond
 	call := msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "r1", Class: "read", Timeout: time.Minute})
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -8,7 +8,7 @@
 	"cobaltward/internal/testkit"
 )
 
-// awaitIdle waits until the server has exactly conns connections, and all are idle.
+// awaitIdle waits until the server has exactly conns connections and all of them are idle.
 func (s *hookedServer) awaitIdle(t *testing.T, conns int) {
 	t.Helper()
 	testkit.Await(t, "the idle connections", func() bool {
@@ -62,9 +62,10 @@
 	}
 }
 
-// TestEvict_ConcurrentCall checks a call that is sent while its connection is evicted. If the call arrives before the
-// connection is closed, it is rejected as overloaded. If the call arrives later, the client sees an orderly end,
-// never a reset, and the loss is counted. In both cases the slot is free at once.
+// TestEvict_ConcurrentCall checks that a call is rejected or counted as lost if it is sent while its connection is
+// evicted. If the call arrives before the connection is closed, the call is rejected as overloaded. If the call
+// arrives later, the client sees an orderly end, never a reset, and the loss is counted. In both cases the slot is
+// free at once.
 func TestEvict_ConcurrentCall(t *testing.T) {
 	for _, test := range []evictionCase{
 		{name: "before a delayed read", hook: func(c *hookedConn) *func() { return &c.beforeIdleRead }, readerHeld: true},
@@ -147,7 +148,7 @@
 
 // TestEvict_ClosedBeforeAnswer checks that a call is counted as lost if its evicted connection closes before the
 // answer is written. The call arrives during the eviction. The server closes the connection to make room for another
-// one.
+// connection.
 func TestEvict_ClosedBeforeAnswer(t *testing.T) {
 	clients, arrived, release := make(chan rawClient, 1), make(chan struct{}), make(chan struct{})
 	var server *hookedServer
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestEvict_LimitsDescriptors checks the limit on open connections while clients do not close evicted connections.
-// There are never more than MaxConns+overflowConns open connections.
+// TestEvict_LimitsDescriptors checks that there are never more than MaxConns+overflowConns open connections, even if
+// clients do not close evicted connections.
 func TestEvict_LimitsDescriptors(t *testing.T) {
 	const maxConns, clientCount = 1, 3 * (1 + overflowConns)
 	server := startHookedServer(t, false, &stubEngine{}, Config{MaxConns: maxConns}, func(*hookedConn) {})
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestEvict_OverflowConnectionWithStalledMessage checks the eviction of an overflow connection whose client has
-// stalled in the middle of its first message. The client sees an orderly end, and EvictionEnds counts the connection.
+// TestEvict_OverflowConnectionWithStalledMessage checks that a client that has stalled in the middle of its first
+// message sees an orderly end when its overflow connection is evicted. EvictionEnds counts the connection.
 func TestEvict_OverflowConnectionWithStalledMessage(t *testing.T) {
 	held := make(chan struct{})
 	server := startHookedServer(t, false, &stubEngine{do: answerAfter(held)}, Config{MaxConns: 1}, func(*hookedConn) {})
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -232,9 +232,9 @@
 	testkit.Await(t, "the call", func() bool { return sockets.Unread(c.tcp) > 0 })
 }
 
-// TestIdleEnd_ConcurrentCall checks a call that is sent while its connection reaches the idle timeout. If the call
-// arrives before the server decides to close the connection, it is answered. If the call arrives later, the client
-// sees an orderly end, never a reset, and the loss is counted.
+// TestIdleEnd_ConcurrentCall checks that a call is answered or counted as lost if it is sent while its connection
+// reaches the idle timeout. If the call arrives before the server decides to close the connection, the call is
+// answered. If the call arrives later, the client sees an orderly end, never a reset, and the loss is counted.
 func TestIdleEnd_ConcurrentCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -290,8 +290,9 @@
 	}
 }
 
-// TestIdleEnd_MessageTimeoutOfLastCall checks that a call which begins as the idle timeout expires must be complete
-// within MessageTimeout of its first byte. The test sends the rest of the call byte by byte.
+// TestIdleEnd_MessageTimeoutOfLastCall checks the timeout of a call whose first byte arrives just as the idle timeout
+// expires. The connection must end if the call is not complete within MessageTimeout of that byte. The test sends the
+// rest of the call byte by byte.
 func TestIdleEnd_MessageTimeoutOfLastCall(t *testing.T) {
 	clients, sent := make(chan rawClient, 1), make(chan struct{})
 	config := Config{IdleTimeout: 50 * time.Millisecond, MessageTimeout: 300 * time.Millisecond}
@@ -361,9 +362,8 @@
 	c.closeSocket()
 }
 
-// TestIdleEnd_LimitsDescriptors checks the limit on open connections while clients do not close connections that
-// reached the idle timeout. These connections hold no slots. There are never more than MaxConns+overflowConns open
-// connections.
+// TestIdleEnd_LimitsDescriptors checks that there are never more than MaxConns+overflowConns open connections.
+// Clients do not close connections that reached the idle timeout. These connections hold no slots.
 func TestIdleEnd_LimitsDescriptors(t *testing.T) {
 	const maxConns = 1
 	config := Config{MaxConns: maxConns, IdleTimeout: 20 * time.Millisecond}
@@ -391,7 +391,7 @@
 }
 
 // TestIdleEnd_CountsUnreadCallAtClose checks that an unread call is counted as lost when the server closes its
-// lingering connection. The server closes such a connection to make room for another one.
+// lingering connection. The server closes a lingering connection to make room for another connection.
 func TestIdleEnd_CountsUnreadCallAtClose(t *testing.T) {
 	clients, closed := make(chan rawClient, 1), make(chan struct{})
 	var server *hookedServer
--- a/internal/frontend/msgpack/server_test.go
+++ b/internal/frontend/msgpack/server_test.go
@@ -436,8 +436,8 @@
 	}
 }
 
-// TestServe_RejectsCallsInTimeWhenFull checks that calls are rejected as overloaded in time if connections with open
-// calls use all slots. Other connections are idle or have sent part of a message.
+// TestServe_RejectsCallsInTimeWhenFull checks that calls are rejected as overloaded within 600 ms if connections with
+// open calls use all slots. Other connections are idle or have sent part of a message.
 func TestServe_RejectsCallsInTimeWhenFull(t *testing.T) {
 	const busy, soon = 2, 600 * time.Millisecond
 	for _, partial := range []bool{false, true} {
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestClientCertificates_FollowTrust checks that a client certificate is accepted while its authority is trusted,
-// also in resumed sessions.
+// TestClientCertificates_FollowTrust checks that a client certificate is accepted only while its authority is
+// trusted, even in resumed sessions.
 func TestClientCertificates_FollowTrust(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
