--- a/fleet/agent/nodeclient_test.go
+++ b/fleet/agent/nodeclient_test.go
@@ -72,7 +72,8 @@
 	return client
 }
 
-// checkCalls checks the calls that changed the node: the text of each call must begin with the wanted text, in order.
+// checkCalls checks the calls that changed the node. The text of each call must begin with the wanted text at the
+// same index.
 func (a *fakeAdminAPI) checkCalls(t *testing.T, want ...string) {
 	t.Helper()
 	a.mu.Lock()
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestNodeClient_EnableServerRejected checks EnableServer after the node rejects the request. It must return nil if
-// the server is already enabled, and an error if the server is still disabled.
+// TestNodeClient_EnableServerRejected checks that EnableServer returns nil after a rejected request if the server is
+// already enabled. It must return an error if the server is still disabled.
 func TestNodeClient_EnableServerRejected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -21,8 +21,8 @@
 	return state, result
 }
 
-// step is one entry of a sequence, and the error with which the state must reject the entry; nil: the entry must be
-// accepted.
+// step is one entry of a sequence. want is the error with which the state must reject the entry, or nil if the state
+// must accept the entry.
 type step struct {
 	name  string
 	entry Entry
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestApply_RolloutLifecycle checks the entries of a rollout: a version is published, promoted in stages, retired and
-// cleared. At most two versions may be in use at any time.
+// TestApply_RolloutLifecycle checks that a version can be published, promoted in stages, retired and cleared. At most
+// two versions may be in use at any time.
 func TestApply_RolloutLifecycle(t *testing.T) {
 	spec := &JobSpec{Kind: JobRollout, Artifact: "settings", Digest: "v2", Stages: [][]string{{"a"}}}
 	grant := Entry{Kind: KindGrantLease, Resource: ResourceRollout, Holder: "x", LeaseDuration: time.Second}
--- a/fleet/consensus/replica_test.go
+++ b/fleet/consensus/replica_test.go
@@ -280,7 +280,7 @@
 
 func TestHandler_WatchWaitsForChange(t *testing.T) {
 	replica := startLeader(t)
-	// The replica announces its format on its own. After that it proposes nothing more.
+	// The replica announces its format without a request. After that the replica proposes nothing more.
 	testkit.Await(t, "the announcement of the format", func() bool {
 		return replica.View().State.Members[replica.ID()].SupportedFormat == fleet.FormatVersion
 	})
--- a/fleet/consensus/stored_test.go
+++ b/fleet/consensus/stored_test.go
@@ -127,8 +127,8 @@
 	t.Fatal("the replica did not become the leader")
 }
 
-// TestStoredStorage_RestoresState checks that a replica on storage of an earlier version of the program reaches the
-// stored state, and grants higher tokens than before.
+// TestStoredStorage_RestoresState checks that a replica with storage of an earlier version of the program reaches the
+// stored state. It must grant higher tokens than before.
 func TestStoredStorage_RestoresState(t *testing.T) {
 	storage := openStored(t)
 	persisted, err := storage.Load()
@@ -164,8 +164,9 @@
 	}
 }
 
-// TestStoredStorage_ForcesNewCluster checks a new cluster that is forced on storage of an earlier version of the
-// program. It must keep the state except for the leases and the other members, and grant higher tokens than before.
+// TestStoredStorage_ForcesNewCluster checks that a new cluster can be forced on storage of an earlier version of the
+// program. The new cluster must keep the state except for the leases and the other members, and grant higher tokens
+// than before.
 func TestStoredStorage_ForcesNewCluster(t *testing.T) {
 	persisted := loadStored(t)
 	forced, err := ForceNewCluster(persisted, fleet.Member{ID: persisted.ID, Name: "c1", Address: "10.0.0.1:7600"})
--- a/fleet/lease/holder_test.go
+++ b/fleet/lease/holder_test.go
@@ -31,7 +31,8 @@
 	holder.HandleResult(requestedAt, answeredAt, entry, fleet.Result{FencingToken: token}, true)
 }
 
-// checkToken fails the test unless the holder may act at now under the token want; 0: the holder must not act.
+// checkToken fails the test unless the holder may act at now under the token want. If want is 0, the holder must not
+// act.
 func checkToken(t *testing.T, holder *Holder, now time.Duration, want fleet.FencingToken) {
 	t.Helper()
 	got, ok := holder.FencingToken(now)
--- a/fleet/lease/receiver_test.go
+++ b/fleet/lease/receiver_test.go
@@ -200,8 +200,8 @@
 	setup.check(setup.request(), Report)
 }
 
-// TestFencedReceiver_RepeatsDecisionAfterSaveFailure checks that a receiver decides again after the record of an
-// effect could not be stored. The effect was not carried out, so the receiver must not report the effect as running.
+// TestFencedReceiver_RepeatsDecisionAfterSaveFailure checks that a receiver decides again after it could not store
+// that an effect is running. The effect was not carried out, so the receiver must not report the effect as running.
 func TestFencedReceiver_RepeatsDecisionAfterSaveFailure(t *testing.T) {
 	setup := newFixture(t)
 	setup.register("run-1")
--- a/fleet/rollingupdate/controller_test.go
+++ b/fleet/rollingupdate/controller_test.go
@@ -48,7 +48,7 @@
 }
 
 // proposeForLease applies the entry that the controller proposes for its lease. It fails the test unless the entry is
-// of the kind want; empty: the controller must propose nothing.
+// of the kind want. If want is empty, the controller must propose nothing.
 func (c *controllerTest) proposeForLease(want fleet.Kind) {
 	c.t.Helper()
 	entry, ok := c.controller.NextProposal(c.now, c.state)
--- a/fleet/rollingupdate/plan_test.go
+++ b/fleet/rollingupdate/plan_test.go
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// viewOf returns the view of the holder beside the node self. The nodes a and b are in one zone, c and d in another.
-// The nodes in down are not serving.
+// viewOf returns the view of the holder that runs beside the node self. The nodes a and b are in one zone, c and d in
+// another. The nodes in down are not serving.
 func viewOf(self string, down ...string) ClusterView {
 	view := ClusterView{Self: self, Nodes: make(map[string]NodeStatus)}
 	for i, name := range []string{"a", "b", "c", "d"} {
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestNext_LimitsHoldUntilClosed checks with random outcomes of steps that the limits of the job hold and that the
-// job is closed eventually.
+// TestNext_LimitsHoldUntilClosed checks that the limits of a job hold and that the job is closed eventually. The
+// outcomes of its steps are random.
 func TestNext_LimitsHoldUntilClosed(t *testing.T) {
 	const maxTurns = 200
 	commands := []fleet.JobCommand{fleet.CommandAbort, fleet.CommandRollBack}
