--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestAttempt_LocalResourceExhaustion checks the outcome of an attempt whose connection fails for lack of a local
-// resource. The outcome is Superseded: the server is not at fault, and cannot have run the request.
+// TestAttempt_LocalResourceExhaustion checks that the outcome of an attempt is Superseded if its connection fails for
+// lack of a local resource. The server is not at fault, and cannot have run the request.
 func TestAttempt_LocalResourceExhaustion(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
--- a/transport/http1/roundtrip_test.go
+++ b/transport/http1/roundtrip_test.go
@@ -18,8 +18,8 @@
 	"cobaltward/router"
 )
 
-// TestAttempt_OutcomeByResponse checks the outcome for valid and malformed responses. Only a status of 503 or 504
-// with X-Not-Run proves that the request did not run.
+// TestAttempt_OutcomeByResponse checks that each valid or malformed response leads to the right outcome. Only a
+// status of 503 or 504 with X-Not-Run proves that the request did not run.
 func TestAttempt_OutcomeByResponse(t *testing.T) {
 	tooLongBody := strings.Repeat("x", maxBodyBytes+1)
 	const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -239,7 +239,7 @@
 func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
 // TestAttempt_LateRequestIsNotWritten checks that nothing is written once the deadline has passed, or once the server
-// has been draining for half of the grace. The router may have decided on the attempt before that time.
+// has been draining for half of the grace. The router may have decided to make the attempt before that time.
 func TestAttempt_LateRequestIsNotWritten(t *testing.T) {
 	var reached atomic.Int32
 	addr := testkit.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
--- a/transport/msgpack/serverclose_test.go
+++ b/transport/msgpack/serverclose_test.go
@@ -34,16 +34,17 @@
 
 func (c writeHookContext) EndWrite() { c.afterWrite() }
 
-// connectionEnding is a test case: the functions by which the server ends the connection before the attempt, before
-// the write and after the write. A nil function leaves the connection open at that time.
+// connectionEnding is a test case. Its functions end the connection at the server before the attempt, before the
+// write and after the write. A nil function leaves the connection open at that time.
 type connectionEnding struct {
 	beforeAttempt, beforeWrite, afterWrite func(server *net.TCPConn)
 	want                                   policy.Code
 }
 
-// TestAttempt_ServerEndsIdleConn checks the outcome of an attempt if the server ends the connection. Before the
-// attempt: the call succeeds on another connection. Before the write: the outcome is ConnectFailed, which says that
-// the call did not run. After the write: the outcome is Reset, and the call is not written again.
+// TestAttempt_ServerEndsIdleConn checks that the outcome of an attempt depends on when the server ends the
+// connection. If the server ends it before the attempt, the call succeeds on another connection. If the server ends
+// it before the write, the outcome is ConnectFailed, because the call did not run. If the server ends it after the
+// write, the outcome is Reset, and the call is not written again.
 func TestAttempt_ServerEndsIdleConn(t *testing.T) {
 	closeBoth := func(c *net.TCPConn) { _ = c.Close() }
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
--- a/transport/secure/conn_test.go
+++ b/transport/secure/conn_test.go
@@ -157,7 +157,7 @@
 	authority int
 }
 
-// TestConn_FollowsTrustChanges checks random sequences of trust changes, certificate changes and handshakes. A
+// TestConn_FollowsTrustChanges checks that connections follow random changes of trust and of certificates. A
 // connection is trusted while the authority of its certificate is trusted. A handshake succeeds if and only if the
 // certificate of the server is trusted.
 func TestConn_FollowsTrustChanges(t *testing.T) {
--- a/transport/secure/handshake_test.go
+++ b/transport/secure/handshake_test.go
@@ -17,7 +17,7 @@
 	"cobaltward/router"
 )
 
-// TestHandshake_FailureReasons checks the reason under which a failed handshake is counted if the server violates the
+// TestHandshake_FailureReasons checks that a failed handshake is counted under its reason. The server violates the
 // protocol or breaks the connection. A server that sends nothing must not delay the handshake beyond its timeout.
 func TestHandshake_FailureReasons(t *testing.T) {
 	ca := pki.NewAuthority("ours")
--- a/transport/secure/helpers_test.go
+++ b/transport/secure/helpers_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// connect opens a connection to endpoint and exchanges one byte. By then, the session tickets of the server have
-// arrived too.
+// connect opens a connection to endpoint and exchanges one byte. The session tickets of the server have arrived
+// before that byte.
 func connect(t testing.TB, client *ClientTLS, endpoint router.Endpoint) (*Conn, error) {
 	t.Helper()
 	client.UpdateServer(endpoint)
