--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestHedge_OnlyForSilentServers checks that a slow attempt is hedged only if its server has answered no other
-// request either. If the server answers other requests, the slow request is expensive at any server.
+// TestHedge_OnlyForSilentServers checks that a slow attempt is hedged only if its server has not answered other
+// requests either. If the server answers other requests, the slow request is expensive at any server.
 func TestHedge_OnlyForSilentServers(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		t.Run(fmt.Sprintf("silent=%v", silent), func(t *testing.T) {
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestConnections_StaleOnesAreClosedBeforeSend guards against networks that silently drop idle connections. Sends on
-// these connections go unanswered. After such losses, connections with a similar idle time are closed before a send.
-// The lost attempts do not count as faults of the server, but time-outs on fresh connections do.
+// TestConnections_StaleOnesAreClosedBeforeSend checks that connections are closed before a send if the network
+// silently drops idle connections. Sends on the dropped connections go unanswered. After such losses, connections
+// with a similar idle time are closed before a send. The lost attempts do not count as faults of the server, but
+// time-outs on fresh connections do.
 func TestConnections_StaleOnesAreClosedBeforeSend(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	target, now := b.order[0], Time(0)
@@ -53,7 +54,7 @@
 		t.Error("connections are closed before each of 80 sends; the unanswered ratio never decays")
 	}
 	attempt(900*ms, TimedOut)
-	for range 2 { // on fresh connections, because the idle ones were closed
+	for range 2 { // on fresh connections, because the idle connections were closed
 		attempt(50*ms, TimedOut)
 	}
 	if !target.health.ejected && target.health.faultScore == 0 {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// workload passes random valid events to one balancer and checks its invariants: one final answer in time, no
-// forbidden retry or rejection, no send to a server after its drain grace, placement, and the retry budget. It keeps
-// its own state and shares no code with the balancer.
+// workload passes random valid events to one balancer and checks its invariants: one final answer at most 5 ms after
+// the deadline, no forbidden retry or rejection, no send to a server after its drain grace, placement, and the retry
+// budget. It keeps its own state and shares no code with the balancer.
 type workload struct {
 	t               *testing.T
 	rng             *rand.Rand
--- a/policy/reconnect_test.go
+++ b/policy/reconnect_test.go
@@ -16,9 +16,9 @@
 	return settings
 }
 
-// runRequest passes a request to b and runs it to its end. Each attempt ends after a millisecond with the next code,
-// and with OK after the last code. runRequest returns the times of the sends, and the time and kind of the final
-// action. The kind is Send after OK.
+// runRequest passes a request to b and makes its attempts until the final action. Each attempt ends after a
+// millisecond with the next code, and with OK after the last code. runRequest returns the times of the sends, and the
+// time and kind of the final action. The kind is Send after OK.
 func runRequest(b *Balancer, class string, codes ...Code) (sends []Time, endedAt Time, end ActionKind) {
 	r := testRequest("x", class)
 	r.ExpiresIn = 8 * time.Second
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestRetryBudget_ChargesLessWhereServersShedLoad checks that a retry is charged only in part if servers shed load,
-// the request can't have been executed, and the site sets no budget.
+// TestRetryBudget_ChargesLessWhereServersShedLoad checks that a retry is charged less than 1 to the budget if servers
+// shed load, the request can't have been executed, and the site sets no budget.
 func TestRetryBudget_ChargesLessWhereServersShedLoad(t *testing.T) {
 	stated := &RetryBudget{MinRetries: 50, Window: time.Second}
 	for _, test := range []struct {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestSlowStart_RateLeavesMargin checks the rate to a server in slow start, as a multiple of its current capacity.
-// The rate is 0.7 * max(0.5, overload factor - 1). The rest of the factor absorbs random variation.
+// TestSlowStart_RateLeavesMargin checks that the rate to a server in slow start is 0.7 * max(0.5, overload factor -
+// 1) times its current capacity. The rest of the factor absorbs random variation.
 func TestSlowStart_RateLeavesMargin(t *testing.T) {
 	for factor, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		t.Run(fmt.Sprintf("factor=%v", factor), func(t *testing.T) {
