--- a/middleware/handler_test.go
+++ b/middleware/handler_test.go
@@ -23,8 +23,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// TestHandler_LeavesOtherRequestsToApplication checks that the application gets other requests unchanged, with their
-// bodies, and gets no booking request.
+// TestHandler_LeavesOtherRequestsToApplication checks that the application gets all requests except booking requests.
+// The requests arrive unchanged, with their bodies.
 func TestHandler_LeavesOtherRequestsToApplication(t *testing.T) {
 	var served, passedOn atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestWithTimeout_AnswersForwardedRequest checks the status of the answer after the timeout of WithTimeout, also from
-// a late host. The request may have run, so the status must be 502 or 504. These statuses do not call a retry safe.
+// TestWithTimeout_AnswersForwardedRequest checks that a forwarded request gets status 502 or 504 after the timeout of
+// WithTimeout, even from a late host. The request may have run, so the status must not say that a retry is safe.
 func TestWithTimeout_AnswersForwardedRequest(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, pause := range []time.Duration{0, 2 * timeout} {
@@ -289,7 +289,7 @@
 }
 
 // TestHostRetry_GetsConflict checks that retry middleware of the host cannot make a request run twice. The second
-// attempt with the same ID gets status 409, as from the daemon.
+// attempt with the same ID gets status 409, like an attempt at the daemon.
 func TestHostRetry_GetsConflict(t *testing.T) {
 	var served atomic.Int32
 	addr := testkit.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
--- a/middleware/host_test.go
+++ b/middleware/host_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// lastBuffer holds the latest buffer of keepBusyUntil. Storing the buffers here forces them onto the heap.
+// lastBuffer holds the latest buffer of keepBusyUntil. Storing the buffers in lastBuffer forces them onto the heap.
 var lastBuffer atomic.Pointer[[]byte]
 
 // keepBusyUntil occupies a thread until end, and allocates garbage.
