--- a/body/upload_test.go
+++ b/body/upload_test.go
@@ -35,9 +35,9 @@
 	return New(source, length, Limits{MaxLength: 1 << 30, MaxBuffered: maxBuffered, Budget: budget}), content
 }
 
-// TestUpload_AnyBudget reads bodies twice under random budgets. The first reader must get the whole body. The second
-// reader must get the whole body or router.ErrBodyConsumed. Either OnComplete reports a complete body, or the
-// registered function is called exactly once. Close must release the budget.
+// TestUpload_AnyBudget checks that a body can be read twice if the random budget allows it. The first reader must get
+// the whole body. The second reader must get the whole body or router.ErrBodyConsumed. Either OnComplete reports a
+// complete body, or the registered function is called exactly once. Close must release the budget.
 func TestUpload_AnyBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		upload, content := drawUpload(t)
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestUpload_TooLong checks the error for a body that exceeds MaxLength in its unbuffered part.
+// TestUpload_TooLong checks that a body that exceeds MaxLength in its unbuffered part fails with ErrTooLong.
 func TestUpload_TooLong(t *testing.T) {
 	limits := Limits{MaxLength: ChunkSize, MaxBuffered: ChunkSize, Budget: NewBudget(ChunkSize)}
 	upload := New(bytes.NewReader(make([]byte, 3*ChunkSize)), -1, limits)
@@ -116,7 +116,7 @@
 	}
 }
 
-// discard reads the body to its end.
+// discard reads the whole body and returns the read error.
 func discard(t *testing.T, upload *Upload) error {
 	t.Helper()
 	r, err := upload.Open()
