--- a/handshakes/limiter_test.go
+++ b/handshakes/limiter_test.go
@@ -16,7 +16,7 @@
 	queued  []*Reservation
 }
 
-// TestLimiter_StaysWithinLimits checks the Limiter with random sequences of calls. No limit is exceeded. No
+// TestLimiter_StaysWithinLimits checks that no random sequence of calls makes a Limiter exceed a limit. No
 // reservation stays queued while there is capacity for the reservation. Queued reservations of the same kind start in
 // order of arrival.
 func TestLimiter_StaysWithinLimits(t *testing.T) {
--- a/handshakes/preconnect_test.go
+++ b/handshakes/preconnect_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestShouldReplace_SpreadsOverWindow checks that about half of the connections are replaced in the first half of the
-// window, and all connections by its end.
+// window, and all connections by the end of the window.
 func TestShouldReplace_SpreadsOverWindow(t *testing.T) {
 	early := 0
 	for i := range 100 {
--- a/handshakes/records_test.go
+++ b/handshakes/records_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRecordTracker_AnyPieces splits a stream of three records, including an empty record, into pieces of every size.
-// The tracker must report a position within a record everywhere except at the end of a record.
+// TestRecordTracker_AnyPieces checks that the tracker reports a position within a record everywhere except at the end
+// of a record. The test splits a stream of three records, including an empty record, into pieces of every size.
 func TestRecordTracker_AnyPieces(t *testing.T) {
 	stream := []byte{23, 3, 3, 0, 2, 'a', 'b', 21, 3, 3, 0, 0, 23, 3, 3, 0, 1, 'c'}
 	ends := map[int]bool{7: true, 12: true, 18: true}
--- a/handshakes/untrusted_test.go
+++ b/handshakes/untrusted_test.go
@@ -10,8 +10,9 @@
 
 const tickInterval = 50 * time.Millisecond
 
-// TestUntrustedBackoff_RecheckIntervals checks the rechecks of random numbers of untrusted servers. At most
-// MaxConcurrentRechecks run at once. Each server is rechecked within seconds, but not before its backoff ends.
+// TestUntrustedBackoff_RecheckIntervals checks the limits on rechecks with random numbers of untrusted servers. At
+// most MaxConcurrentRechecks rechecks run at once. Each server is rechecked within seconds, but not before its
+// backoff ends.
 func TestUntrustedBackoff_RecheckIntervals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backoff, servers := NewUntrustedBackoff(), rapid.IntRange(1, 40).Draw(t, "servers")
