--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -17,10 +17,10 @@
 	lastEvent uint64 // number of the last event that was checked
 }
 
-// TestMachine_MatchesModel checks the machine with random orders, cancellations, counts and times. States only go
-// forward, except when a drain is cancelled. A completed drain stays completed unless it is cancelled. Nothing is
-// open in Drained. Forced is never entered before the deadline, and always by the first Step at or after the
-// deadline. A final drain can't be cancelled. Each change of the state is recorded as an event.
+// TestMachine_MatchesModel checks that the machine keeps its rules with random orders, cancellations, counts and
+// times. States only go forward, except when a drain is cancelled. A completed drain stays completed unless it is
+// cancelled. Nothing is open in Drained. Forced is never entered before the deadline, and always by the first Step at
+// or after the deadline. A final drain can't be cancelled. Each change of the state is recorded as an event.
 func TestMachine_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_800_000_000, 0)
