--- a/dropoverload/dropoverload_test.go
+++ b/dropoverload/dropoverload_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestFraction_StableAcrossVersions compares the hash with values of earlier versions. Nodes of two versions must
-// drop the same requests.
+// TestFraction_StableAcrossVersions checks that Fraction returns the same values as in earlier versions. Nodes of two
+// versions must drop the same requests.
 func TestFraction_StableAcrossVersions(t *testing.T) {
 	for id, want := range map[string]float64{
 		"":    0.93676944839044,
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestMerge_HighestFractionWins checks Merge, and Equal for equal and unequal fractions.
+// TestMerge_HighestFractionWins checks that Merge keeps the highest fraction of each name. It also checks Equal for
+// equal and unequal fractions.
 func TestMerge_HighestFractionWins(t *testing.T) {
 	got := Merge(Fractions{"a": 0.2, "b": 0.1}, nil, Fractions{"a": 0.1, "c": 1})
 	want := Fractions{"a": 0.2, "b": 0.1, "c": 1}
