--- a/levels/check_test.go
+++ b/levels/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestNew_InvalidConfig checks the error message for each kind of invalid configuration.
+// TestNew_InvalidConfig checks that New rejects each kind of invalid configuration with the right error message.
 func TestNew_InvalidConfig(t *testing.T) {
 	enter, exit := slowAbove(0.2, 0), slowAbove(0.1, 0)
 	measures := []Measure{{Class: "hladanie", Shed: 0.5}}
--- a/levels/effect_test.go
+++ b/levels/effect_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestEffect_ShedsExcessDemand checks that a measure with FollowDemand sheds exactly the demand beyond the capacity.
-// It sheds nothing without excess demand, and never more than Shed. The next measure sheds the rest.
+// The measure sheds nothing without excess demand, and never more than Shed. The next measure sheds the rest.
 func TestEffect_ShedsExcessDemand(t *testing.T) {
 	follow := func(shed float64, class string) Measure {
 		return Measure{Class: class, Shed: shed, FollowDemand: true}
--- a/levels/exit_test.go
+++ b/levels/exit_test.go
@@ -15,7 +15,7 @@
 	hasLeft      bool
 }
 
-// TestExit_IsProbed checks that a level is left only after an exit probe, which admits half of the load that the
+// TestExit_IsProbed checks that a level is left only after an exit probe. The probe admits half of the load that the
 // level sheds. If the signal reaches its threshold during the probe, the level stays in force and no event is
 // recorded. The test also checks that a level beyond MaxLevel is not entered.
 func TestExit_IsProbed(t *testing.T) {
--- a/levels/reconfigure_test.go
+++ b/levels/reconfigure_test.go
@@ -16,9 +16,9 @@
 	lastChange time.Duration
 }
 
-// TestReconfigure_KeepsLevel replaces the configuration at random times. The level in force must stay if the new
-// configuration has a level with the same name. Otherwise the nearest lower level that still exists must be entered.
-// The minimum interval between two changes still applies.
+// TestReconfigure_KeepsLevel checks that the level in force stays if a new configuration has a level with the same
+// name. Otherwise the nearest lower level that still exists must be entered. The test replaces the configuration at
+// random times. The minimum interval between two changes still applies.
 func TestReconfigure_KeepsLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := drawConfig(t, "first")
--- a/levels/simulation_test.go
+++ b/levels/simulation_test.go
@@ -42,12 +42,12 @@
 	return controller
 }
 
-// servers simulates servers that complete a fixed amount of work per second in time. Work beyond that amount is late,
-// whichever its class, and leaves a backlog that delays later work.
+// servers simulates servers that complete a fixed amount of work per second before the deadline. Work of any class
+// beyond that amount is late, and leaves a backlog that delays later work.
 type servers struct{ capacity, backlog float64 }
 
 // simulateSecond returns the counts of one second. load is the number of requests by class, and work is the work per
-// request by class. controller decides how much is shed; nil: nothing.
+// request by class. controller decides how much is shed. If controller is nil, nothing is shed.
 func (s *servers) simulateSecond(controller *Controller, load, work map[string]float64) map[string]Window {
 	windows := make(map[string]Window)
 	demanded := s.backlog
@@ -80,7 +80,7 @@
 type loadFunc func(second int) (load, work map[string]float64)
 
 // simulate runs a load for a number of seconds. It returns the fraction of bookings, and of all requests, that were
-// served in time.
+// served before their deadline.
 func simulate(controller *Controller, seconds int, load loadFunc) (bookings, all float64) {
 	simulated := servers{capacity: 100}
 	var bookingsOnTime, bookingsOffered, allOnTime, allOffered float64
--- a/levels/stability_test.go
+++ b/levels/stability_test.go
@@ -10,9 +10,9 @@
 	"cobaltward/dropoverload"
 )
 
-// TestController_DoesNotOscillate simulates 20 minutes of loads near a threshold, across a threshold and far beyond
-// it. Two changes must be at least 30 s apart, and there may be at most 24 changes. Bookings must be served no worse
-// than without levels.
+// TestController_DoesNotOscillate checks that the level does not oscillate in 20 minutes of load near a threshold,
+// across a threshold and far beyond a threshold. Two changes must be at least 30 s apart, and there may be at most 24
+// changes. Bookings must be served no worse than without levels.
 func TestController_DoesNotOscillate(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, total := range map[string]func(second int) float64{
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestController_CostIncreaseOfOneClass triples the work per request of one class for three minutes, at a constant
-// number of requests. A level must be entered within 20 s, and full service must be in force at the end.
+// TestController_CostIncreaseOfOneClass checks that a level is entered within 20 s if the requests of one class
+// become more expensive. The test triples the work per request for three minutes, at a constant number of requests.
+// Full service must be in force at the end.
 func TestController_CostIncreaseOfOneClass(t *testing.T) {
 	controller := newController(t, testConfig())
 	costlySearches := map[string]float64{"hladanie": 3, "rezervacia": 1, "zrusenie": 1}
@@ -84,9 +85,10 @@
 	t.Logf("bookings in time: %.3f (%.3f without levels); events: %+v", bookings, bookingsWithout, events)
 }
 
-// TestController_EveryPeriod varies the load around the capacity of the servers, as a sine with noise, for periods
-// from 1 s to 120 s with 20 seeds each. Two changes must be at least 30 s apart, and each change must be by one
-// level. At most 40 changes may occur in 20 minutes.
+// TestController_EveryPeriod checks that the level does not follow a periodic load too closely. The load varies
+// around the capacity of the servers, as a sine with noise, for periods from 1 s to 120 s with 20 seeds each. Two
+// changes must be at least 30 s apart, and each change must be by one level. At most 40 changes may occur in 20
+// minutes.
 func TestController_EveryPeriod(t *testing.T) {
 	for _, period := range []float64{1, 2, 5, 10, 20, 30, 45, 60, 90, 120} {
 		t.Run(fmt.Sprintf("%vs", period), func(t *testing.T) {
