--- a/discovery/disabled/disabled_test.go
+++ b/discovery/disabled/disabled_test.go
@@ -120,14 +120,14 @@
 	if state == policy.Removed {
 		delete(m.list, id)
 	}
-	// The source handles updates one by one. Once it has received this empty update, it has applied the update
-	// before.
+	// The source handles updates one by one. Once the source has received this empty update, it has applied the
+	// previous update.
 	list.updates <- router.EndpointUpdate{Kind: policy.ListUpdate}
 }
 
-// TestSource_MatchesModel checks a source against a model, with random list updates and operator commands in any
-// order. The router must see each endpoint with its availability from the list, except that disabled endpoints are
-// draining.
+// TestSource_MatchesModel checks that a source behaves like a model, with random list updates and operator commands
+// in any order. The router must see each endpoint with its availability from the list, except that disabled endpoints
+// are draining.
 func TestSource_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/discovery/merge/merge_test.go
+++ b/discovery/merge/merge_test.go
@@ -71,8 +71,9 @@
 	view.assertPublished("s1@a:1 runs, s3@c:1 runs, x2@b:1 runs")
 }
 
-// TestSource_AnyDrainWins checks that a server that any source drains or removes is published as draining. It must
-// stay draining until that source lists it as running again, and must be removed once no source lists it.
+// TestSource_AnyDrainWins checks that a server that any source drains or removes is published as draining. The server
+// must stay draining until the same source lists it as running again. The server must be removed once no source lists
+// it.
 func TestSource_AnyDrainWins(t *testing.T) {
 	view := newView(t)
 	view.apply(0, replace, newEndpoint("s1", "a:1", running), newEndpoint("s2", "b:1", running))
--- a/discovery/xds/scale_test.go
+++ b/discovery/xds/scale_test.go
@@ -117,7 +117,7 @@
 }
 
 // TestSource_LatencyDuringFlood compares the latency of requests with and without a flood of updates, measured
-// alternately. It is a measurement and runs only if the environment variable FLOOD is set.
+// alternately. The test is a measurement and runs only if the environment variable FLOOD is set.
 func TestSource_LatencyDuringFlood(t *testing.T) {
 	if os.Getenv("FLOOD") == "" {
 		t.Skip("this test is a measurement: set FLOOD to run it")
