--- a/msgpackrpc/message_test.go
+++ b/msgpackrpc/message_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// FuzzMessages checks that no input makes the decoders panic. Each message must end where another MessagePack library
-// finds its end.
+// FuzzMessages checks that no input makes the decoders panic. Each message must end at the same byte as with another
+// MessagePack library.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendCall(nil, 1, &Call{ID: "a", Body: []byte("b")}))
 	f.Add(AppendReply(nil, 1, &Reply{Code: Rejected}))
--- a/msgpackrpc/mux/mux_test.go
+++ b/msgpackrpc/mux/mux_test.go
@@ -27,8 +27,8 @@
 	in *msgpackrpc.Reader
 }
 
-// connect returns a connection and its end at the server. The server end sends only what the test writes. wrap, if
-// not nil, replaces the client end.
+// connect returns a connection and its peer at the server. The peer sends only what the test writes. If wrap is not
+// nil, it wraps the client end of the connection.
 func connect(t testing.TB, wrap func(net.Conn) net.Conn, onDrain func()) (*Conn, peer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,8 +117,8 @@
 	return ends
 }
 
-// TestCall_OutcomeOfServerFaults checks the outcomes of three calls that a server answers or fails to answer. Each
-// outcome says whether the call may have run.
+// TestCall_OutcomeOfServerFaults checks that the outcome of a call says whether the call may have run. The server
+// answers or fails to answer three calls.
 func TestCall_OutcomeOfServerFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		serve func(t testing.TB, server peer)
@@ -199,8 +199,8 @@
 	return s.Conn.Write(p)
 }
 
-// TestCall_OutcomeOfPartialWrite checks the outcomes if a connection fails after each possible number of written
-// bytes of a batch. A call may have run only if its last byte was written.
+// TestCall_OutcomeOfPartialWrite checks that a call counts as possibly run only if its last byte was written. The
+// connection fails after each possible number of written bytes of a batch.
 func TestCall_OutcomeOfPartialWrite(t *testing.T) {
 	frame := len(msgpackrpc.AppendCall(nil, 1, &msgpackrpc.Call{ID: "0"}))
 	const n = 3
