--- a/emulator/clustersim/simulation_test.go
+++ b/emulator/clustersim/simulation_test.go
@@ -57,8 +57,8 @@
 	return cfg
 }
 
-// faultsBySafeguard lists the faults against which a safeguard protects. A run without the safeguard draws only these
-// faults, so that few schedules suffice to break an invariant.
+// faultsBySafeguard maps each safeguard to the faults against which it protects. A run without the safeguard draws
+// only these faults. Few schedules are then enough to break an invariant.
 var faultsBySafeguard = map[string][]FaultKind{
 	"token":  {faultCrashAlias, faultCrashAlias, FaultDuplicates, FaultPause},
 	"asking": {FaultDelayedCandidate},
@@ -66,7 +66,7 @@
 	"sync":   {FaultBridgingVoter},
 }
 
-// runSchedules runs schedules until one breaks an invariant. failedSeed is the seed of that schedule; 0 if no
+// runSchedules runs schedules until one breaks an invariant. failedSeed is the seed of that schedule, or 0 if no
 // schedule breaks an invariant.
 func runSchedules(from uint64, count int, disabledSafeguard string, clockJumps bool) (total Result, failedSeed uint64) {
 	for seed := from; seed < from+uint64(count); seed++ {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestGuards_ViolationWithoutEach checks that each safeguard is needed: without it, some schedule breaks the
-// invariant that the safeguard protects.
+// TestGuards_ViolationWithoutEach checks that each safeguard is needed. Without the safeguard, some schedule must
+// break the invariant that the safeguard protects.
 func TestGuards_ViolationWithoutEach(t *testing.T) {
 	for _, test := range []struct {
 		without, violation string
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestWorkDraw_MeanAndVariation checks the mean and the variation of the distributions. A draw must depend only on
-// seed and ID.
+// TestWorkDraw_MeanAndVariation checks that each distribution has its configured mean and coefficient of variation. A
+// draw must depend only on seed and ID.
 func TestWorkDraw_MeanAndVariation(t *testing.T) {
 	const n = 400_000
 	for _, w := range []Work{{Exponential, 2, 1}, {Lognormal, 0.5, 1.2}, {Pareto, 3, 0.5}, {Fixed, 1, 0}} {
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestServer_Slowdowns checks that pauses stop the work for their duration, which grows with the requests in flight.
-// Thrashing and open connections must slow the server down.
+// TestServer_Slowdowns checks that pauses stop the work for their duration. The duration grows with the requests in
+// flight if Growth is set. Thrashing and open connections must slow the server down.
 func TestServer_Slowdowns(t *testing.T) {
 	lastEnd := func(config Config, requests, conns int) float64 {
 		server := New(config, nil, 0)
@@ -222,7 +222,7 @@
 	}
 }
 
-// TestConnect_AtLimit checks the connection limit. A closed connection must no longer count.
+// TestConnect_AtLimit checks that the connection limit holds. A closed connection must no longer count.
 func TestConnect_AtLimit(t *testing.T) {
 	s := New(Config{MaxConns: 1}, nil, 0)
 	if !s.Connect(0) || s.Connect(0) {
@@ -233,7 +233,8 @@
 	}
 }
 
-// TestCancel_RemovesAsConfigured checks which requests cancellations and expired deadlines remove.
+// TestCancel_RemovesAsConfigured checks that cancellations and expired deadlines remove only the requests that the
+// configuration names.
 func TestCancel_RemovesAsConfigured(t *testing.T) {
 	run := func(cancel Cancel, drop bool) string {
 		server := New(Config{Slots: 1, Queue: 2, Cancel: cancel, DropExpired: drop}, nil, 0)
--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -136,7 +136,7 @@
 	return status
 }
 
-// updateToken returns the fencing token of the rolling-update lease; 0 if no process holds the lease.
+// updateToken returns the fencing token of the rolling-update lease, or 0 if no process holds the lease.
 func updateToken(state *fleet.State) fleet.FencingToken {
 	return state.Leases[fleet.ResourceRollingUpdate].FencingToken
 }
@@ -193,8 +193,8 @@
 	harness.mustStart(t, "c1")
 }
 
-// TestRecover_MajorityOfDisksLost checks the recovery of a cluster after two of three replicas have lost their disks.
-// The third replica must report that it has no leader, and must not start a new cluster by itself. The recover
+// TestRecover_MajorityOfDisksLost checks that a cluster can be recovered after two of three replicas have lost their
+// disks. The third replica must report that it has no leader, and must not start a new cluster by itself. The recover
 // command starts a new cluster and requires a reason. Fencing tokens must keep increasing across the recovery. A
 // replica with a disk of the former cluster must not make the new leader step down.
 func TestRecover_MajorityOfDisksLost(t *testing.T) {
@@ -236,7 +236,7 @@
 }
 
 // TestDisabledServers_AtAllNodesUntilExpiry checks that a server that the administrator disables is disabled at all
-// nodes. The command must report the number of nodes. The order must expire on time even while no replica runs.
+// nodes. The command must report the number of nodes. The order must expire at its time even while no replica runs.
 func TestDisabledServers_AtAllNodesUntilExpiry(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/emulator/multiprocess/harness_test.go
+++ b/emulator/multiprocess/harness_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestMixedFaults_EffectsInTokenOrder checks schedules of random faults of all kinds. Each node must receive effects
-// in the order of their fencing tokens. No patch may be lost or applied twice.
+// TestMixedFaults_EffectsInTokenOrder checks that each node receives effects in the order of their fencing tokens
+// under random faults of all kinds. No patch may be lost or applied twice.
 func TestMixedFaults_EffectsInTokenOrder(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled checks rolling updates of real nodes under load. The lease
-// holder is killed every five seconds. Each node must be patched once, no request may be lost, no booking may be
+// TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled checks that rolling updates of real nodes under load patch each
+// node once, although the lease holder is killed every five seconds. No request may be lost, no booking may be
 // executed twice, and enough nodes must stay ready.
 func TestRollingUpdate_UnderLoadWhileLeaseHolderIsKilled(t *testing.T) {
 	if testing.Short() {
--- a/emulator/realtime/realtime_test.go
+++ b/emulator/realtime/realtime_test.go
@@ -120,8 +120,8 @@
 for = "1s"
 `
 
-// TestRun_KeepsRulesUnderFaults checks a run with a killed node and many faults at once, in each protocol. The run
-// must violate no rule and leave no goroutine, and the faults must affect requests.
+// TestRun_KeepsRulesUnderFaults checks that a run with a killed node and many faults at once violates no rule and
+// leaves no goroutine, in each protocol. The faults must affect requests.
 func TestRun_KeepsRulesUnderFaults(t *testing.T) {
 	t.Run("http", func(t *testing.T) { t.Parallel(); rehearse(t, site) })
 	t.Run("msgpack", func(t *testing.T) {
--- a/emulator/script/script_test.go
+++ b/emulator/script/script_test.go
@@ -37,8 +37,8 @@
 	return func(s string) string { return strings.Replace(s, from, to, 1) }
 }
 
-// check parses the changed script and checks the error. The error must be a single line that starts with the file's
-// name.
+// check parses the changed script and requires the expected error. The error must be a single line that starts with
+// the file's name.
 func (c *errorCase) check(t *testing.T, valid string) {
 	t.Helper()
 	text := c.change(valid)
--- a/emulator/serverprotocol/protocol_test.go
+++ b/emulator/serverprotocol/protocol_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestSlowStart_KeepsWarmingServerUp checks a fresh server among warm servers that gets more load than it can take at
-// first. With slow start the fresh server must stay up. Without slow start it must be overloaded and crash.
+// TestSlowStart_KeepsWarmingServerUp checks that slow start keeps a fresh server among warm servers up. The load is
+// higher than the fresh server can handle at first. Without slow start the fresh server must be overloaded and crash.
 func TestSlowStart_KeepsWarmingServerUp(t *testing.T) {
 	for _, slowStart := range []bool{true, false} {
 		t.Run(fmt.Sprint("slow_start=", slowStart), func(t *testing.T) {
--- a/emulator/sim/sim_test.go
+++ b/emulator/sim/sim_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestRun_AttributesRequestsToFaults checks the counts of affected requests with several faults at once. For each
-// fault, the result counts all requests that the fault affected, and those that only this fault affected.
+// TestRun_AttributesRequestsToFaults checks that affected requests are counted for each of several faults at once.
+// The result counts all requests that a fault affected, and the requests that only this fault affected.
 func TestRun_AttributesRequestsToFaults(t *testing.T) {
 	r := run(t, load(t, "../../scenarios/together.toml"), Options{})
 	for _, f := range r.Faults {
--- a/emulator/sim/snapshot_test.go
+++ b/emulator/sim/snapshot_test.go
@@ -8,9 +8,9 @@
 	"cobaltward/emulator/script"
 )
 
-// TestSnapshot_FewerAttemptsToFailingServersAfterRestart checks a node that crashes while servers fail, and restarts.
-// With a snapshot of its learned state, the node must send at most half as many attempts to the failing servers as
-// with the endpoint list alone.
+// TestSnapshot_FewerAttemptsToFailingServersAfterRestart checks that a snapshot of the learned state helps a node
+// that crashes and restarts while servers fail. The node must send at most half as many attempts to the failing
+// servers as with the endpoint list alone.
 func TestSnapshot_FewerAttemptsToFailingServersAfterRestart(t *testing.T) {
 	scenario, err := script.Parse("x.toml", []byte(`base = "../../scenarios/calm.toml"
 length = "86s"
