--- a/cmd/wayhold-xds/main_test.go
+++ b/cmd/wayhold-xds/main_test.go
@@ -37,7 +37,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// If the host delays the load generator, a rehearsal is void: its result is no evidence for or against the rules.
+// If the host delays the load generator, a rehearsal is void. Its result is then no evidence for or against the
+// rules.
 const (
 	voidByLoadGenerator    = "rehearse: void: the load generator sent"
 	loadGeneratorLateAfter = 20 * time.Millisecond
