--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -58,8 +58,8 @@
 	return string(raw)
 }
 
-// TestServer_AnswersErrorsAsJSON checks the responses to valid and invalid requests over a Unix socket. Each response
-// must have the right status and a JSON body.
+// TestServer_AnswersErrorsAsJSON checks that each response over a Unix socket has the right status and a JSON body.
+// The requests are valid or invalid.
 func TestServer_AnswersErrorsAsJSON(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "d.sock")
 	startServer(t, Config{Socket: socket, Listen: "127.0.0.1:0", Token: "correct horse battery"})
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestListen_Errors checks the errors for unusable addresses. Listen must not remove a file that is not a socket, or
-// a socket on which another process listens. Listen replaces a socket without a listener.
+// TestListen_Errors checks that Listen returns an error for unusable addresses. Listen must not remove a file that is
+// not a socket, or a socket on which another process listens. Listen replaces a socket without a listener.
 func TestListen_Errors(t *testing.T) {
 	dir := t.TempDir()
 	file, stale, used := filepath.Join(dir, "file"), filepath.Join(dir, "stale"), filepath.Join(dir, "used")
