--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWrite_ReplacesWholeFile checks both functions. The file must have the new content and mode 0600, and no
-// temporary file may remain. A write to a missing directory must fail.
+// TestWrite_ReplacesWholeFile checks that Write and WriteShared replace the whole file. The file must have mode 0600,
+// and no temporary file may remain. A write to a missing directory must fail.
 func TestWrite_ReplacesWholeFile(t *testing.T) {
 	for name, write := range map[string]func(string, []byte) error{"Write": Write, "WriteShared": WriteShared} {
 		t.Run(name, func(t *testing.T) {
