--- a/internal/cli/msgpack_test.go
+++ b/internal/cli/msgpack_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestServe_MessagePack checks a node with the table [msgpack]. The node replaces a stale Unix socket and serves
-// calls on it. It forwards calls to app servers by MessagePack-RPC, and also serves HTTP. SIGTERM stops both.
+// TestServe_MessagePack checks that a node with the table [msgpack] replaces a stale Unix socket and serves calls on
+// the new socket. The node forwards calls to app servers by MessagePack-RPC, and also serves HTTP. SIGTERM stops
+// both.
 func TestServe_MessagePack(t *testing.T) {
 	server, dir := startMsgpackServer(t), t.TempDir()
 	socket := filepath.Join(dir, "calls.sock")
--- a/internal/cli/standalone_test.go
+++ b/internal/cli/standalone_test.go
@@ -41,9 +41,9 @@
 	return status, body
 }
 
-// TestServe_Standalone checks the first steps of an operator: init, serve and requests, without another file. The
-// node ignores routing headers from clients, such as X-Class. SIGHUP applies changed routes and a changed server
-// list.
+// TestServe_Standalone checks that a node that an operator sets up with init and starts with serve answers requests,
+// without another file. The node ignores routing headers from clients, such as X-Class. SIGHUP applies changed routes
+// and a changed server list.
 func TestServe_Standalone(t *testing.T) {
 	t.Parallel()
 	one, two := startNamedServer(t, "one"), startNamedServer(t, "two")
@@ -153,8 +153,9 @@
 	}
 }
 
-// TestLevels checks levels of reduced service in the operator's configuration file. check prints the levels, and ctl
-// sets them. A level whose exit threshold is above its enter threshold is rejected with an error of one line.
+// TestLevels checks that levels of reduced service can be set in the operator's configuration file. check prints the
+// levels, and ctl sets them. A level whose exit threshold is above its enter threshold is rejected with an error of
+// one line.
 func TestLevels(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
