--- a/internal/conformance/tls_test.go
+++ b/internal/conformance/tls_test.go
@@ -72,8 +72,8 @@
 	client   *tls.Config
 }
 
-// newCredentials creates credentials with certificate files in dir. The node checks the files for changes, so they
-// must exist until the node exits.
+// newCredentials creates credentials with certificate files in dir. The node checks the files for changes, so the
+// files must exist until the node exits.
 func newCredentials(dir string) (*credentials, error) {
 	ca := pki.NewAuthority("the suite's")
 	pair := ca.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
