--- a/internal/fleetcli/replica_test.go
+++ b/internal/fleetcli/replica_test.go
@@ -21,7 +21,7 @@
 )
 
 // failingStorage returns an error from Save while faults has an error. Every second failed save is stored
-// nevertheless, as by a disk that reports an error after the write.
+// nevertheless, as if the disk reported an error after the write.
 type failingStorage struct {
 	consensus.Storage
 	faults *storageFaults
