--- a/internal/hotrestart/message_test.go
+++ b/internal/hotrestart/message_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestDecode_RejectsMalformed checks that a valid order is decoded. A message that is truncated, empty, not an
-// object, too long or of another version must be rejected.
+// TestDecode_RejectsMalformed checks that a valid order is decoded. A message must be rejected if it is truncated,
+// empty, not an object, too long or of another version.
 func TestDecode_RejectsMalformed(t *testing.T) {
 	whole, err := json.Marshal(Order{Version: Version, At: time.Unix(1, 0), Standby: true})
 	if err != nil {
--- a/internal/hotrestart/split_test.go
+++ b/internal/hotrestart/split_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSplitter_TwoProcessesShareOneNode checks the shares of two processes for random requests and connections. The
-// shares together must not exceed the node's rate limits, memory and connections by more than the minimum shares. A
-// process that becomes the only one must get the whole node at once.
+// TestSplitter_TwoProcessesShareOneNode checks that the shares of two processes together exceed the node's rate
+// limits, memory and connections by at most the minimum shares. Requests and connections are random. A process that
+// becomes the only one must get the whole node at once.
 func TestSplitter_TwoProcessesShareOneNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := Limits{ClientConns: 200, ServerConns: 100}
