--- a/internal/learnedstate/decay_test.go
+++ b/internal/learnedstate/decay_test.go
@@ -15,9 +15,9 @@
 // allListed is an InitialThreshold with every server in service. The processes of all servers started long ago.
 func allListed(string) (threshold float64, uptime time.Duration, ok bool) { return 2, 0, true }
 
-// TestDecay_ByAge checks how a snapshot ages. Thresholds halve their distance to the initial threshold in each
-// half-life. The remaining time of ejections shrinks to 0 while the servers stay ejected. Buckets get the age as idle
-// time. A snapshot that is too old or from the future is rejected.
+// TestDecay_ByAge checks that a snapshot is adjusted to its age. Thresholds halve their distance to the initial
+// threshold in each half-life. The remaining time of ejections shrinks to 0 while the servers stay ejected. Buckets
+// get the age as idle time. A snapshot that is too old or from the future is rejected.
 func TestDecay_ByAge(t *testing.T) {
 	for age, want := range map[time.Duration]float64{0: 8, time.Minute: 5, 2 * time.Minute: 3.5} {
 		t.Run(age.String(), func(t *testing.T) {
@@ -108,8 +108,8 @@
 		s.Ejections >= 0 && s.Ejections <= 10
 }
 
-// TestDecay_BoundsAnySnapshot checks arbitrary snapshots: all values taken over must be possible for a node, and at
-// most half of the servers may start ejected.
+// TestDecay_BoundsAnySnapshot checks that all values taken over from an arbitrary snapshot are possible for a node.
+// At most half of the servers may start ejected.
 func TestDecay_BoundsAnySnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(0, 12).Draw(t, "servers")
--- a/internal/learnedstate/snapshot_test.go
+++ b/internal/learnedstate/snapshot_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestEncode_Version checks that Encode writes the current version, whatever version the snapshot has.
+// TestEncode_Version checks that Encode writes the current version, even if the snapshot has another version.
 func TestEncode_Version(t *testing.T) {
 	snapshot := newSnapshot(1)
 	snapshot.Version = 9
