--- a/internal/nodeconfig/file_test.go
+++ b/internal/nodeconfig/file_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestParse_LogAndDrain checks the values of the tables [log] and [drain].
+// TestParse_LogAndDrain checks that Parse reads the values of the tables [log] and [drain].
 func TestParse_LogAndDrain(t *testing.T) {
 	const text = "[log]\nlevel = \"warn\"\nformat = \"json\"\n[drain]\nleave = \"500ms\"\ndeadline = \"2s\"\n"
 	file, err := Parse([]byte(text))
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestParse_ErrorsNameLineAndKey checks that errors are one line, which names the line and the key. Errors of Load
-// must also name the file.
+// TestParse_ErrorsNameLineAndKey checks that each error is one line of text. The error must name the line and the key
+// in the file. Errors of Load must also name the file.
 func TestParse_ErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                           "2: log.level: ",
