--- a/internal/operations/server_test.go
+++ b/internal/operations/server_test.go
@@ -83,7 +83,8 @@
 
 const statusRequest = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// TestServer_Requests checks the responses to valid, unknown and malformed requests, sent one after another.
+// TestServer_Requests checks that valid, unknown and malformed requests get the right responses. The requests are
+// sent one after another.
 func TestServer_Requests(t *testing.T) {
 	node := new(fakeNode)
 	address := startServer(t, node)
