--- a/internal/protocolmatrix/exactlyonce_test.go
+++ b/internal/protocolmatrix/exactlyonce_test.go
@@ -100,7 +100,7 @@
 	workers.Wait()
 }
 
-// request returns the n-th call. The class of the call depends on n.
+// request returns call number n. The class of the call depends on n.
 func (l *cutLoad) request(n int64) msgpackrpc.Call {
 	call := msgpackrpc.Call{
 		ID: fmt.Sprint("r", n), Class: []string{"read", "pay", "undo"}[n%3], Tenant: "t", Timeout: 8 * time.Second,
@@ -128,7 +128,7 @@
 	}
 }
 
-// checkCall checks and returns the outcome of the n-th call. The outcome is "lost" if the call got no answer.
+// checkCall checks and returns the outcome of call number n. The outcome is "lost" if the call got no answer.
 func (l *cutLoad) checkCall(t *testing.T, n int) string {
 	t.Helper()
 	id := fmt.Sprint("r", n)
