--- a/internal/racetest/connections_test.go
+++ b/internal/racetest/connections_test.go
@@ -40,7 +40,7 @@
 }
 
 // runClient sends 25 requests of client i, one after the other, on one connection. If the node closes the idle
-// connection while a request is on its way, the client sends the request again on a new connection.
+// connection while a request is in transit, the client sends the request again on a new connection.
 func (l *excessClients) runClient(i int) {
 	var client *clientConn
 	for n := 0; n < 25; {
--- a/internal/racetest/servers_test.go
+++ b/internal/racetest/servers_test.go
@@ -274,7 +274,7 @@
 			if err != nil || status != http.StatusOK || body != "done "+id {
 				t.Fatalf("request %s: status %d, body %q, error %v", id, status, body, err)
 			}
-			time.Sleep(4 * time.Millisecond) // usually makes the next request arrive in time for a second response
+			time.Sleep(4 * time.Millisecond) // the next request then usually arrives 4 to 10 ms after the response
 		}
 	}
 	t.Logf("%d second responses were written 4 to 10 ms after the first", server.count())
--- a/internal/racetest/settings_test.go
+++ b/internal/racetest/settings_test.go
@@ -48,9 +48,9 @@
 	return "POST"
 }
 
-// TestSettingsVariants_Outcome checks the outcome of a request with each variant of the settings. The first server
-// serves the request, rejects it, or closes the connection without a response. The outcome must fit the idempotency
-// of the request and the maximum number of attempts.
+// TestSettingsVariants_Outcome checks that the outcome of a request fits its idempotency and the maximum number of
+// attempts, with each variant of the settings. The first server serves the request, rejects it, or closes the
+// connection without a response.
 func TestSettingsVariants_Outcome(t *testing.T) {
 	firstServers := map[string]requestHandler{
 		"served":   nil,
--- a/internal/racetest/termination_test.go
+++ b/internal/racetest/termination_test.go
@@ -248,8 +248,9 @@
 }
 
 // exchange sends a request, counts its outcome, and returns false if the connection was closed. If reused is set, the
-// request is not the first on the connection. The node may close a reused connection while the request is on its way,
-// so exchange does not count that request as lost. If routed is set, clients are still routed to the node.
+// request is not the first on the connection. The node may close a reused connection while the request is in transit,
+// so exchange does not count a request without a response as lost. If routed is set, clients are still routed to the
+// node.
 func (l *reconnectingClients) exchange(c *clientConn, id string, reused, routed bool) bool {
 	if _, err := io.WriteString(c, requestText(id, "pay", "")); err != nil {
 		return false
