--- a/internal/soak/growth_test.go
+++ b/internal/soak/growth_test.go
@@ -43,9 +43,9 @@
 	servedShare float64 // fraction of the requests that were served
 }
 
-// TestGrowth_ResourceUseIsBounded compares a node in a fleet of the usual size with a node in the largest fleet. The
-// resource usage may differ only within bounds. Both nodes have the same traffic, and half of their servers are
-// replaced.
+// TestGrowth_ResourceUseIsBounded checks that the resource usage of a node grows only within bounds with the size of
+// the fleet. The test compares a node in a fleet of the usual size with a node in the largest fleet. Both nodes have
+// the same traffic, and half of their servers are replaced.
 func TestGrowth_ResourceUseIsBounded(t *testing.T) {
 	binary := buildNode(t)
 	var usual, largest resourceUsage
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -160,10 +160,10 @@
 	}
 }
 
-// recordNoResponse records that a connection ended without a response, because of the read error cause. That is a
-// violation if a server received the request or if the read timed out. Otherwise the node closed the connection
-// without reading the request, which mayBeClosedUnread or descriptorsFull allows: when idle clients fill the
-// descriptors, the node may close new connections unread.
+// recordNoResponse records that a connection ended without a response, because of the read error cause. The missing
+// response is a violation if a server received the request or if the read timed out. Otherwise the node closed the
+// connection without reading the request. mayBeClosedUnread or descriptorsFull must allow this close. When idle
+// clients fill the descriptors, the node may close new connections unread.
 func (h *history) recordNoResponse(id string, mayBeClosedUnread, descriptorsFull bool, cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -49,14 +49,14 @@
 	runSeeds(t, *seeds, func(*soakRun, uint64) {})
 }
 
-// TestSoak_PausedNode checks the operators' rules while SIGSTOP and SIGCONT repeatedly pause the node, as on a host
-// that is suspended. Servers and clients keep running.
+// TestSoak_PausedNode checks that the node violates none of the operators' rules while SIGSTOP and SIGCONT repeatedly
+// pause it, as on a host that is suspended. Servers and clients keep running.
 func TestSoak_PausedNode(t *testing.T) {
 	runSeeds(t, pausedRuns**seeds, func(r *soakRun, seed uint64) { r.pauses = newPauseSchedule(seed) })
 }
 
-// TestSoak_RestingClients checks the operators' rules with clients that keep their first connection idle for some
-// time before the first request. In every second run the node is also paused.
+// TestSoak_RestingClients checks that the node violates none of the operators' rules if clients keep their first
+// connection idle for some time before the first request. In every second run the node is also paused.
 func TestSoak_RestingClients(t *testing.T) {
 	runSeeds(t, *seeds, func(r *soakRun, seed uint64) {
 		r.longestRest = *longRest
