--- a/internal/sockets/arrival_test.go
+++ b/internal/sockets/arrival_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestArrival_EarliestNeverAfterArrival checks that Earliest is never later than the actual arrival of a request,
-// however the request arrives and is read.
+// TestArrival_EarliestNeverAfterArrival checks that Earliest is never later than the actual arrival of a request. The
+// request arrives in several ways and is read at different times.
 func TestArrival_EarliestNeverAfterArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/sockets/deadlinereader_test.go
+++ b/internal/sockets/deadlinereader_test.go
@@ -49,8 +49,8 @@
 }
 
 // TestDeadlineReader_ReadsBytesReceivedInTime checks that bytes that arrived by the read deadline can be read after
-// it, also in pieces. Bytes that arrived later are not returned, because a peer must not extend the deadline by
-// sending more.
+// the deadline, even in several reads. Bytes that arrived later are not returned, because a peer must not extend the
+// deadline by sending more.
 func TestDeadlineReader_ReadsBytesReceivedInTime(t *testing.T) {
 	local, peer := tcpPair(t)
 	reader := NewDeadlineReader(local)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestDeadlineReader_NothingReceivedInTime checks that a read at the deadline times out if no bytes arrived in time,
-// even if bytes arrive later.
+// TestDeadlineReader_NothingReceivedInTime checks that a read at the deadline times out if no bytes arrived before
+// the deadline, even if bytes arrive later.
 func TestDeadlineReader_NothingReceivedInTime(t *testing.T) {
 	local, peer := tcpPair(t)
 	reader := NewDeadlineReader(local)
--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestDialTCP_PausedUntilTimeout pauses a process from before its connection is established until after the timeout
-// of the dial. The dial must succeed, because the connection is established in time.
+// TestDialTCP_PausedUntilTimeout checks that a dial succeeds if its connection is established before the timeout,
+// although the process is paused. The pause begins before the connection is established and ends after the timeout of
+// the dial.
 func TestDialTCP_PausedUntilTimeout(t *testing.T) {
 	addr, accept := fullListener(t)
 	helper := exec.Command(os.Args[0])
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestDialTCP_Timeout checks that a dial without a connection in time fails at the timeout of the dialer, at the
-// deadline of the context, and when the context is cancelled.
+// TestDialTCP_Timeout checks that a dial that cannot connect fails at the timeout of the dialer, at the deadline of
+// the context, and when the context is cancelled.
 func TestDialTCP_Timeout(t *testing.T) {
 	addr, _ := fullListener(t)
 	const timeout = 150 * time.Millisecond
--- a/internal/sockets/queue_test.go
+++ b/internal/sockets/queue_test.go
@@ -67,8 +67,8 @@
 	return l.TCPListener.Accept()
 }
 
-// TestAcceptQueue_SharedSocket checks the case in which another process takes a connection from the shared queue. The
-// age of that connection must not be attributed to a connection that arrives long after it.
+// TestAcceptQueue_SharedSocket checks that a connection does not get the age of an earlier connection that another
+// process took from the shared queue. The later connection arrives long after the earlier connection.
 func TestAcceptQueue_SharedSocket(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
