--- a/internal/standalone/fleet_test.go
+++ b/internal/standalone/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestLoad_FleetErrors checks the complete text of errors in the table [fleet].
+// TestLoad_FleetErrors checks that each error in the table [fleet] has the right text.
 func TestLoad_FleetErrors(t *testing.T) {
 	const valid = `[fleet]
 name = "n1"
