--- a/internal/stricttoml/decode_test.go
+++ b/internal/stricttoml/decode_test.go
@@ -29,8 +29,7 @@
 	Size int    `toml:"size"`
 }
 
-// TestDecode_SetsFields checks the decoded values, the defaults and the line numbers for a text with a value of each
-// type.
+// TestDecode_SetsFields checks that Decode sets values of each type, keeps defaults and records line numbers.
 func TestDecode_SetsFields(t *testing.T) {
 	const text = `text = "green"
 flag = true
@@ -73,7 +72,7 @@
 	}
 }
 
-// TestDecode_Errors checks the complete message of each error.
+// TestDecode_Errors checks that Decode returns the complete message of each error.
 func TestDecode_Errors(t *testing.T) {
 	const twoNumbers = "want a number, or two as in [1, 2]"
 	const allKeys = "text, flag, count, unsigned, ratio, time, draw, any, texts, weights, optional, element"
