--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -227,8 +227,9 @@
 	}
 }
 
-// TestUnanswered_ServedRequestsAreNotCounted checks that answered requests are not counted as unanswered. net/http
-// ends its background read during a request with a read deadline in the past, which looks like a timeout.
+// TestUnanswered_ServedRequestsAreNotCounted checks that answered requests are not counted as unanswered. During a
+// request, net/http ends its background read with a read deadline in the past. The end of this read looks like a
+// timeout.
 func TestUnanswered_ServedRequestsAreNotCounted(t *testing.T) {
 	node := newTestNode(t, 1)
 	client := node.startWithClient()
--- a/internal/node/clientslots_test.go
+++ b/internal/node/clientslots_test.go
@@ -16,8 +16,9 @@
 // maxAnswerDelay is the maximum delay of a response after the client's deadline. A later response counts as lost.
 const maxAnswerDelay = 500 * time.Millisecond
 
-// TestBusyConnections_DelayNoAnswer checks that a client with a short deadline gets a final response within
-// maxAnswerDelay. All connections of the node are occupied by requests that wait for a hung server.
+// TestBusyConnections_DelayNoAnswer checks that a client with a short deadline gets a final response at most
+// maxAnswerDelay after the deadline. All connections of the node are occupied by requests that wait for a hung
+// server.
 func TestBusyConnections_DelayNoAnswer(t *testing.T) { testBusyConnections(t, 1) }
 
 // TestBusyConnections_LongDeadlinesDelayNoAnswer is like TestBusyConnections_DelayNoAnswer, with long deadlines for
@@ -61,8 +62,8 @@
 	testkit.Receive(t, "the end of the waits", ended)
 }
 
-// TestPartialHeads_DelayNoAnswer checks that a new client gets its final response within maxAnswerDelay. All
-// connections of the node are occupied by clients that have sent only a part of a head.
+// TestPartialHeads_DelayNoAnswer checks that a new client gets its final response at most maxAnswerDelay after its
+// deadline. All connections of the node are occupied by clients that have sent only a part of a head.
 func TestPartialHeads_DelayNoAnswer(t *testing.T) {
 	testPartialRequests(t, "GET /api HT")
 }
--- a/internal/node/testclients_test.go
+++ b/internal/node/testclients_test.go
@@ -32,7 +32,7 @@
 }
 
 // startClients starts clients that send requests until ctx ends. The clients reuse idle connections, and open new
-// connections while all are in use.
+// connections while all connections are in use.
 func (n *testNode) startClients(ctx context.Context, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
@@ -59,8 +59,8 @@
 	n.locked(func(now time.Duration) { n.checker.RequestReceived(now, "n", id, class.Name, now+class.Deadline) })
 	status, reused, err := n.send(client, class, id)
 	if err != nil && reused && !errors.Is(err, context.DeadlineExceeded) {
-		// The node closed the connection while the request was in transit, so the client retries the request. A node
-		// that had accepted the request answers the retry with a conflict, and the first response was lost.
+		// The node closed the connection while the request was in transit, so the client retries the request. If the
+		// node had accepted the request, it answers the retry with a conflict. The first response was then lost.
 		n.retriedAfterClose.Add(1)
 		if status, _, err = n.send(client, class, id); status == http.StatusConflict {
 			n.locked(func(now time.Duration) {
