--- a/internal/racetest/harness_test.go
+++ b/internal/racetest/harness_test.go
@@ -185,7 +185,8 @@
 }
 
 // reload sends a configuration to the node, and waits until the node has applied or rejected the configuration. The
-// node receives a configuration only after it has handled the previous one, so reload sends next three times.
+// node receives a configuration only after it has handled the previous configuration, so reload sends next three
+// times.
 func (env *harness) reload(next node.Config) {
 	env.reloads <- next
 	env.reloads <- next
