--- a/handshakes/limiter.go
+++ b/handshakes/limiter.go
@@ -54,7 +54,7 @@
 type Reservation struct {
 	Server      string
 	WarmingUp   bool // whether the server is warming up
-	Speculative bool // whether no request waits for the handshake; if true, it never queues or overtakes others
+	Speculative bool // true if no request waits for the handshake; never queued, never overtakes queued handshakes
 
 	started, released bool
 }
--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -1,6 +1,7 @@
 // Package hotrestart divides a node between two processes while one replaces the other under load. It determines
-// which share of the traffic, the memory and the connections each process may use. It also determines which order
-// into or out of standby applies. The package does no I/O and reads no clock; package rundir exchanges the messages.
+// which share of the traffic, the memory and the connections each process may use. It also determines which command
+// to enter or leave standby takes effect. The package does no I/O and reads no clock; package rundir exchanges the
+// messages.
 package hotrestart
 
 // Limits is the maximum number of connections of a node or of one of its processes.
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -31,7 +31,7 @@
 	requestsDone  uint64 // number of answered requests; changes only between reads
 
 	acceptedAt   time.Time
-	idle         atomic.Bool // whether the connection is idle; unchanged once closed; read without the mutex
+	idle         atomic.Bool // whether the connection is idle; not updated after closed is set; may be read without the mutex
 	headTimedOut atomic.Bool // whether the head timeout expired before the rest of a head arrived
 	deadline     readDeadline
 	arrival      requestArrival // arrival of the current request
@@ -39,11 +39,11 @@
 	// Guarded by the listener's mutex.
 	idleElement   *linked.Element // element in clientListener.idle; nil while a request is open
 	requestSeen   bool            // whether bytes of a request have been read
-	firstPending  bool            // whether clientListener.firstPending counts the connection
+	firstPending  bool            // whether the connection is included in clientListener.firstPending
 	openedAt      time.Time       // time of the accept, or of the end of the TLS handshake
-	closed        bool            // whether clientListener.open no longer counts the connection
+	closed        bool            // whether the connection is no longer included in clientListener.open
 	halfClosed    bool            // whether the node closes its side; later requests are not served
-	endCause      endCause        // reason for the end without an answer; endNone: no such end
+	endCause      endCause        // why the connection ended without an answer; endNone if it did not
 	bytesAfterEnd bool            // whether bytes arrived after the end and were counted
 	mustLinger    bool            // whether Close must linger; unread bytes would cause a reset
 	lingers       bool            // whether Close was called and the connection lingers
@@ -136,5 +136,5 @@
 	return c.TCPConn.Write(p)
 }
 
-// SetReadDeadline sets the deadline of reads. An earlier deadline of readDeadline takes precedence.
+// SetReadDeadline sets the deadline of reads. If the connection's readDeadline expires sooner, that deadline applies.
 func (c *clientConn) SetReadDeadline(t time.Time) error { return c.deadline.setRequested(t) }
--- a/internal/node/clientidle_test.go
+++ b/internal/node/clientidle_test.go
@@ -71,7 +71,7 @@
 			time.Sleep(2 * headTimeout) // idle before the first byte
 			began := time.Now()
 			go func() {
-				for { // if each byte restarted the timeout, the head would never end
+				for { // if each byte restarted the timeout, the timeout would never expire
 					if _, err := client.Write([]byte("G")); err != nil {
 						return
 					}
--- a/internal/node/clientread.go
+++ b/internal/node/clientread.go
@@ -45,8 +45,8 @@
 		}
 		return wellFormed, nil
 	}
-	// Given a byte of the next request, net/http would stop detecting a disconnect. The detection continues here until
-	// net/http ends it with a read deadline in the past.
+	// If this read returned the byte of the next request now, net/http would stop detecting a disconnect. Instead, wait
+	// here for a disconnect until net/http interrupts the read with a deadline in the past.
 	if oneByteRead && err == nil && sockets.AwaitPeerClose(c.TCPConn) == nil {
 		return n, io.EOF
 	}
@@ -54,8 +54,9 @@
 }
 
 // readStream reads bytes of a request and records their arrival. closing reports whether the node is closing the
-// connection. On an idle plain connection, readStream does both while it holds the listener's mutex. Otherwise the
-// node could find no unread bytes between the two steps, and close the connection although a request has arrived.
+// connection. On an idle plain connection, readStream reads and records while it holds the listener's mutex. Without
+// the mutex, the node might check for unread bytes between the two steps, see none, and close the connection although
+// a request has arrived.
 func (c *clientConn) readStream(buf []byte) (n int, closing bool, err error) {
 	if c.tls == nil && c.idle.Load() {
 		return c.readIdle(buf)
--- a/internal/node/tlsclient.go
+++ b/internal/node/tlsclient.go
@@ -44,7 +44,7 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline sets the deadline of reads. An earlier deadline of readDeadline takes precedence.
+// SetReadDeadline sets the deadline of reads. If the connection's readDeadline expires sooner, that deadline applies.
 func (c *tlsClientConn) SetReadDeadline(t time.Time) error { return c.conn.SetReadDeadline(t) }
 
 // SetWriteDeadline sets the write deadline.
--- a/internal/sockets/arrival.go
+++ b/internal/sockets/arrival.go
@@ -19,7 +19,7 @@
 	earliest      time.Time // lower bound of the arrival time of the current request
 	nextStartedAt time.Time // time at which the first byte of the next request was seen; zero: not seen
 	pipelined     bool      // whether the current request was sent before the previous request was answered
-	emptiedAt     time.Time // time at which a read last left no unread bytes
+	emptiedAt     time.Time // time of the last read that returned all bytes received so far
 }
 
 // Earliest returns a lower bound of the time at which the last byte of the current request arrived.
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -19,9 +19,9 @@
 // acceptLogInterval is the minimum time without a failed accept before another failure is logged.
 const acceptLogInterval = 10 * time.Second
 
-// PersistentListener is a listener whose Accept fails only after Close or at its deadline. Servers such as the server
-// of net/http end at the first error of accept(2). Many of these errors are temporary: a lack of memory, or a network
-// error of the connection to be accepted.
+// PersistentListener is a listener whose Accept fails only after Close or at its deadline. The server of net/http
+// retries only some errors of accept(2) and ends at the others. Many of those are temporary too: a lack of memory, or
+// a network error of the connection to be accepted.
 type PersistentListener struct {
 	net.Listener
 	log *slog.Logger
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -32,7 +32,8 @@
 //
 // The start time by the wall clock is used within these limits. An age above maxListDelay is used only after an
 // outage, only for starts after the start of the router, and only while no step of the wall clock was seen. The start
-// time is corrected by the lead of the wall clock (see listDelay). A start does not change once it is determined.
+// time is corrected by the time by which the wall clock is ahead (see listDelay). A start does not change once it is
+// determined.
 type startTracker struct {
 	bounds    map[string]startBound // by server ID
 	outage    time.Duration         // outage before the current update; 0 if the wall clock is not trusted
@@ -46,9 +47,9 @@
 	since   policy.Time // beginning of slow start; 0: long ago
 }
 
-// listDelay is the minimum age, by the wall clock, of a new start in a list that did not follow an outage. A list
-// never comes before the starts that it names. Therefore the lead of the wall clock over the clock that recorded the
-// start is at most the minimum age.
+// listDelay is the minimum age, by the wall clock, of a new start in a list that did not follow an outage. A server is
+// listed only after it has started. The age of its start is therefore at least the time by which this node's wall
+// clock is ahead of the clock that recorded the start. The minimum age is thus an upper bound of that time.
 type listDelay struct {
 	minimum time.Duration
 	known   bool
@@ -62,7 +63,7 @@
 }
 
 // excess returns the part of the minimum age above maxListDelay. Late lists do not explain that part, so the wall
-// clock must lead by that time.
+// clock must be ahead by at least that time.
 func (s *listDelay) excess() time.Duration { return max(0, s.minimum-maxListDelay) }
 
 // beginUpdate must be called before slowStartSince for the starts in an update. outage is the length of the outage of
