--- a/internal/learnedstate/decay.go
+++ b/internal/learnedstate/decay.go
@@ -32,9 +32,9 @@
 
 // Config configures how a snapshot loses weight and which parts of it Decay takes over.
 type Config struct {
-	HalfLife        time.Duration // age at which learned values have half their weight; 0: DefaultHalfLife
-	MaxAge          time.Duration // maximum age of an accepted snapshot; 0: DefaultMaxAge
-	MaxEjectedShare float64       // maximum share of servers that start ejected; 0: DefaultMaxEjectedShare
+	HalfLife        time.Duration // age at which learned values have half their weight; default: DefaultHalfLife
+	MaxAge          time.Duration // maximum age of an accepted snapshot; default: DefaultMaxAge
+	MaxEjectedShare float64       // maximum share of servers that start ejected; default: DefaultMaxEjectedShare
 	// OtherNode marks a snapshot of another node: its buckets are left out, and its weight is halved.
 	OtherNode bool
 	// SuccessorOnly limits Decay to ejections and buckets, for the successor in a hot restart. A predecessor that shuts
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -24,7 +24,7 @@
 	announceFor     time.Duration      // time from the start of a drain until connections are closed
 	nodeTLS         *nodeTLS           // nil: no TLS
 	drainMarkerFile string             // path of the drain marker file; empty: no file
-	onStandby       func(standby bool) // sends a standby order to the other processes of this node; nil: none
+	onStandby       func(standby bool) // tells the other processes of this node to enter or leave standby; may be nil
 
 	mu         sync.Mutex
 	lastStatus Status
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -108,7 +108,7 @@
 }
 
 // startDrain carries out a drain order that the admin API or the operations endpoint has received. If the drain
-// starts, the other processes of the node are ordered into standby.
+// starts, startDrain tells the other processes of the node to enter standby.
 func (a *adminAPI) startDrain(order drain.Order) error {
 	err := a.engine.StartDrain(order)
 	if err == nil && a.onStandby != nil {
@@ -117,8 +117,8 @@
 	return err
 }
 
-// cancelDrain cancels the drain for the admin API or the operations endpoint. It orders the other processes of the
-// node out of standby, even if this process is not draining.
+// cancelDrain cancels the drain for the admin API or the operations endpoint. It tells the other processes of the
+// node to leave standby, even if this process is not draining.
 func (a *adminAPI) cancelDrain(requestedBy string) error {
 	err := a.engine.CancelDrain(requestedBy)
 	if err == nil {
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -31,7 +31,7 @@
 	requestsDone  uint64 // number of answered requests; changes only between reads
 
 	acceptedAt   time.Time
-	idle         atomic.Bool // whether the connection is idle; not updated after closed is set; may be read without the mutex
+	idle         atomic.Bool // whether the connection is idle; not updated after closed is set; read without the mutex
 	headTimedOut atomic.Bool // whether the head timeout expired before the rest of a head arrived
 	deadline     readDeadline
 	arrival      requestArrival // arrival of the current request
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -22,7 +22,8 @@
 	// in transit, and the client has no reason to expect that the node closes the connection.
 	firstRequestGrace = 100 * time.Millisecond
 	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
-	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
+	// others. Without this limit, clients that connect and send nothing would keep their slots longer than idle
+	// clients.
 	silentConnAge = 2500 * time.Millisecond
 	// rejectionWriteTimeout limits the write of a rejection before an eviction. A rejection fits into the socket buffer.
 	rejectionWriteTimeout = 100 * time.Millisecond
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -21,7 +21,7 @@
 // StateConfig configures where and how often a node saves its learned state. The zero value disables saving.
 type StateConfig struct {
 	File         string
-	SaveInterval time.Duration // interval between snapshots; 0: 2 s
+	SaveInterval time.Duration // interval between snapshots; default: 2 s
 	HalfLife     time.Duration // see learnedstate.Config
 	MaxAge       time.Duration // see learnedstate.Config
 }
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -134,7 +134,7 @@
 	return s.clientLayer
 }
 
-// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS. Otherwise it returns the listener
+// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS. If clients use no TLS, it returns the listener
 // unchanged.
 func (s *nodeTLS) wrapMsgpack(listener net.Listener) net.Listener {
 	if s == nil || s.msgpackLayer == nil {
--- a/levels/exit_test.go
+++ b/levels/exit_test.go
@@ -8,7 +8,7 @@
 // exitTest simulates a load whose responses are late unless enough of the load is shed.
 type exitTest struct {
 	controller *Controller
-	// canServeHalf is true if servers can handle the load that is admitted during an exit probe. Otherwise servers can
+	// canServeHalf is true if servers can handle the load that is admitted during an exit probe. If false, servers can
 	// only handle the load that the level admits.
 	canServeHalf bool
 	probes       int
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -71,8 +71,8 @@
 }
 
 // checkSlowAttempts checks the attempts of class that have become slow. It skips an attempt if the server has
-// answered any request since the attempt was sent. Otherwise it hedges the request where possible. It also records a
-// fault of the server, unless the connection was idle before the send.
+// answered any request since the attempt was sent. It hedges the requests of all other slow attempts where possible.
+// It also records a fault of the server, unless the connection was idle before the send.
 func (b *Balancer) checkSlowAttempts(class *class) {
 	class.slowTimerSet = false
 	for len(class.slowChecks) > 0 && class.slowChecks[0].due <= b.now {
@@ -143,8 +143,8 @@
 	b.finish(r)
 }
 
-// finish marks r as answered and cancels its attempts. It deletes r if no attempt is in flight. Otherwise the outcome
-// of the last attempt calls finish again.
+// finish marks r as answered and cancels its attempts. It deletes r if no attempt is in flight. If attempts are in
+// flight, the outcome of the last attempt calls finish again.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
 		r.answered = true
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -53,8 +53,8 @@
 	if s == nil || s.OnlineSince != entry.OnlineSince { // new server or new process: nothing is learned yet
 		latency := b.settings.Classes[0].LatencyObjective.Seconds() / 4
 		s = &server{lastLatency: latency, nameHash: hashString(entry.Server)}
-		// Start with a random fraction of a token. Otherwise nodes that discover the server together would all send
-		// at once.
+		// Start with a random fraction of a token. Without it, all nodes that discover the server together would send
+		// at the same time.
 		s.slowStart = slowStartBucket{tokens: b.rng.Float64(), lastRefill: b.now}
 		b.servers[entry.Server] = s
 	}
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -12,8 +12,8 @@
 	// the clock that recorded the start.
 	maxRecentStartAge = 2 * time.Hour
 	// maxListDelay is the maximum time assumed between a start and the first endpoint list that names the start. Lists
-	// usually come one to two seconds late. Therefore a stepped clock changes the duration of slow start by at most
-	// maxListDelay.
+	// usually come one to two seconds late. The error that a stepped clock causes in the duration of slow start is
+	// therefore at most maxListDelay.
 	maxListDelay = 2 * time.Second
 	// maxWallStep is the maximum movement of the wall clock against the monotonic clock that does not count as a
 	// step.
