--- a/handshakes/admission_test.go
+++ b/handshakes/admission_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestAdmitClient_CrowdedOnlyWithCPU checks that crowded is reported only if the client would be accepted with fewer
-// waiting handshakes. Otherwise the caller would evict a waiting handshake although the CPU has no capacity for
-// another handshake.
+// waiting handshakes. The caller evicts a waiting handshake if crowded is reported. The eviction would be useless
+// while the CPU has no capacity for another handshake.
 func TestAdmitClient_CrowdedOnlyWithCPU(t *testing.T) {
 	const maxConns, maxWaiting = 100, 25
 	for _, test := range []struct {
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -134,8 +134,8 @@
 	return s.clientLayer
 }
 
-// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS. If clients use no TLS, it returns the listener
-// unchanged.
+// wrapMsgpack adds TLS to a listener for MessagePack-RPC if clients use TLS. If clients use no TLS, it returns the
+// listener unchanged.
 func (s *nodeTLS) wrapMsgpack(listener net.Listener) net.Listener {
 	if s == nil || s.msgpackLayer == nil {
 		return listener
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -99,7 +99,7 @@
 
 // expire handles a timeout that was due at the time due. If a socket is connected, expire gives the dial
 // maxDialReturnDelay to return. After a pause of the process, the timeout fires late and the attempt may not have
-// sent its SYN yet. In that case, expire extends the attempt once. Otherwise it ends the attempt.
+// sent its SYN yet. In that case, expire extends the attempt once. In all other cases, expire ends the attempt.
 func (a *connectAttempt) expire(cause error, due time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/sockets/queue_test.go
+++ b/internal/sockets/queue_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestAcceptQueue_PauseNotTakenForEmptyQueue checks that a pause of the process within accept does not count as a
-// wait on an empty queue. Otherwise connections further back in the queue would count as new.
+// wait on an empty queue. If it did, connections further back in the queue would count as new.
 func TestAcceptQueue_PauseNotTakenForEmptyQueue(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -6,7 +6,7 @@
 )
 
 // Reconfigure replaces the configuration. A level in force stays in force if the new configuration has a level of the
-// same name. Otherwise the controller changes to the nearest lower level whose name exists in the new configuration,
+// same name. If it has none, the controller changes to the nearest lower level whose name exists in the new configuration,
 // or to full service. Shedding therefore does not increase. changed reports whether the controller changed to another
 // level.
 //
--- a/levels/step.go
+++ b/levels/step.go
@@ -17,7 +17,8 @@
 	exitProbeTime = 5 * time.Second
 )
 
-// Step updates the signals with windows, the counts of the last second by class. It changes the level by at most one.
+// Step updates the signals and changes the level by at most one. windows contains the counts of the last second, by
+// class.
 func (c *Controller) Step(now time.Duration, windows map[string]Window) {
 	c.updateSignals(windows)
 	if c.manual && (c.manualUntil == 0 || now < c.manualUntil) {
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -116,8 +116,8 @@
 	return 0
 }
 
-// updateFaultWeight sets faultWeight, which falls as the median fault ratio of the servers rises. Otherwise faults
-// that are common to all servers would eject some of them at random.
+// updateFaultWeight sets faultWeight, which falls as the median fault ratio of the servers rises. With a constant
+// weight, faults that are common to all servers would eject some of them at random.
 func (b *Balancer) updateFaultWeight() {
 	var ratios []float64
 	for _, s := range b.order {
--- a/router/loop.go
+++ b/router/loop.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// recordLag records lag, the delay with which the loop handles an event or timer.
+// recordLag records a delay with which the loop handles an event or timer.
 func (l *loop) recordLag(lag time.Duration) {
 	lag = max(0, lag)
 	l.stats.Lag.Last = lag
--- a/router/request.go
+++ b/router/request.go
@@ -23,7 +23,7 @@
 	IdempotencyKey string
 
 	// ClassSnapshot is the class by which the caller has interpreted the request. nil means the class in force when Do
-	// is called. The request is rejected if the class in force at admission has another idempotency. Otherwise the
+	// is called. The request is rejected if the class in force at admission has another idempotency, because the
 	// request could be retried under other rules than the client expects.
 	ClassSnapshot *policy.Class
 
@@ -41,8 +41,8 @@
 	// Upload replaces Body for a long body. The caller of Do keeps Upload open until Do has returned.
 	Upload Upload
 
-	// AcceptsStream is true if the caller handles Answer.Stream. Otherwise, an answer of more than 64 KiB counts as a
-	// failed attempt.
+	// AcceptsStream is true if the caller handles Answer.Stream. If it is false, an answer of more than 64 KiB counts
+	// as a failed attempt.
 	AcceptsStream bool
 }
 
--- a/router/server_start.go
+++ b/router/server_start.go
@@ -55,7 +55,7 @@
 	known   bool
 }
 
-// observe records age, the age of one new start.
+// observe updates the minimum with the age of a new start.
 func (s *listDelay) observe(age time.Duration) {
 	if !s.known || age < s.minimum {
 		s.minimum, s.known = age, true
