--- a/drain/drain.go
+++ b/drain/drain.go
@@ -54,8 +54,8 @@
 func (m *Machine) Status() Status { return m.status }
 
 // Start starts a drain, or changes the drain in progress. A final order supersedes an order that is not final, and
-// shortens the deadline if the final order's deadline is earlier. Other orders can only shorten the deadline, and only with
-// Force. The possible errors are ErrInvalidTimeout, ErrDrained and *InProgressError.
+// shortens the deadline if the final order's deadline is earlier. Other orders can only shorten the deadline, and only
+// with Force. The possible errors are ErrInvalidTimeout, ErrDrained and *InProgressError.
 func (m *Machine) Start(now time.Time, order Order, counts Counts) error {
 	if order.Timeout <= 0 {
 		return ErrInvalidTimeout
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -103,7 +103,7 @@
 	return false
 }
 
-// rejectEvictedLocked ends conn, an evicted connection. It releases the mutex while it closes the node's side. conn
+// rejectEvictedLocked ends the evicted connection conn. It releases the mutex while it closes the node's side. conn
 // then lingers, except during a TLS handshake. If withRejection is set, a plain TCP connection gets a 503 first,
 // because the rest of its request may be in transit. A half-closed connection gets no 503, because its client does
 // not read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed,
--- a/internal/node/clientslots.go
+++ b/internal/node/clientslots.go
@@ -10,7 +10,7 @@
 // slotRecheckInterval is the interval between checks for connections that have become old enough to be evicted.
 const slotRecheckInterval = 5 * time.Millisecond
 
-// awaitSlotLocked waits until there is a slot for conn, an accepted connection. It evicts another connection if
+// awaitSlotLocked waits until there is a slot for the accepted connection conn. It evicts another connection if
 // possible. If all open connections have requests, the wait may last until a request ends. The connections in the
 // accept queue wait as well. After queueTimeout, conn therefore becomes an overflow connection, whose requests are
 // rejected at once.
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -80,7 +80,7 @@
 }
 
 // coordinate exchanges reports with the other processes and applies this process's share of the node. It also follows
-// the last order into or out of standby.
+// the last order to enter or leave standby.
 func (g *processGroup) coordinate() {
 	others, err := g.process.Others()
 	g.logOnce(err)
@@ -143,7 +143,7 @@
 	}
 }
 
-// publishOrder writes an order into or out of standby for the other processes to follow.
+// publishOrder writes an order to enter or leave standby. The other processes follow the order.
 func (g *processGroup) publishOrder(standby bool) {
 	g.orderMu.Lock()
 	defer g.orderMu.Unlock()
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// apply restores raw, a snapshot in its stored form. The older the snapshot, the lower its weight.
+// apply restores the stored snapshot raw. The older the snapshot, the lower its weight.
 func (s *stateStore) apply(raw []byte) error {
 	snapshot, err := learnedstate.Decode(raw)
 	if err != nil {
--- a/internal/sockets/queue.go
+++ b/internal/sockets/queue.go
@@ -102,8 +102,8 @@
 // If no byte has arrived, WaitingSince returns the time at which the connection was established. If isComplete
 // reports that the received bytes are complete, WaitingSince returns the arrival time of the last byte. If the bytes
 // are incomplete, it returns queuedSince, the earliest time at which the connection can have arrived. A client that
-// sends byte by byte then does not look as if it had just arrived. WaitingSince also returns queuedSince if queuedSince is later, or if
-// the kernel does not report the times.
+// sends byte by byte then does not look as if it had just arrived. WaitingSince also returns queuedSince if
+// queuedSince is later, or if the kernel does not report the times.
 func WaitingSince(tcp *net.TCPConn, queuedSince time.Time, isComplete func(received []byte) bool) time.Time {
 	age, known := SinceConnect(tcp)
 	if !known {
--- a/levels/reconfigure.go
+++ b/levels/reconfigure.go
@@ -6,9 +6,9 @@
 )
 
 // Reconfigure replaces the configuration. A level in force stays in force if the new configuration has a level of the
-// same name. If it has none, the controller changes to the nearest lower level whose name exists in the new configuration,
-// or to full service. Shedding therefore does not increase. changed reports whether the controller changed to another
-// level.
+// same name. If it has none, the controller changes to the nearest lower level whose name exists in the new
+// configuration, or to full service. Shedding therefore does not increase. changed reports whether the controller
+// changed to another level.
 //
 // Signals, events and the maximum level are kept. The time of the last change and a manual level are kept if the
 // level in force stays. An exit probe ends, and conditions must hold for their whole duration again. If the
--- a/levels/reconfigure_test.go
+++ b/levels/reconfigure_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestReconfigure_KeepsLevel checks that the level in force stays if a new configuration has a level with the same
-// name. If there is none, the nearest lower level that still exists must be entered. The test replaces the configuration at
-// random times. The minimum interval between two changes still applies.
+// name. If there is none, the nearest lower level that still exists must be entered. The test replaces the
+// configuration at random times. The minimum interval between two changes still applies.
 func TestReconfigure_KeepsLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := drawConfig(t, "first")
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -85,8 +85,8 @@
 }
 
 // TestSelection_SendsLessAfterFirstSlowAnswer checks that a node that sends little to each of many servers reacts to
-// a single slow answer. Without this reaction, all nodes would keep overloading a slow server until each node has seen many slow
-// answers.
+// a single slow answer. Without this reaction, all nodes would keep overloading a slow server until each node has seen
+// many slow answers.
 func TestSelection_SendsLessAfterFirstSlowAnswer(t *testing.T) {
 	b := startBalancer(t, testSettings(80), testEndpoints(40))
 	const from = 10 * time.Second // all servers have capacity by then
--- a/router/clock.go
+++ b/router/clock.go
@@ -45,7 +45,7 @@
 // policyTime converts t by the monotonic clock. A time before the start counts as the start.
 func (c clock) policyTime(t time.Time) policy.Time { return timeOrigin + max(0, t.Sub(c.start)) }
 
-// serverStart converts t, the start time of a server. A zero t stays 0. A time before the origin becomes 0, because
+// serverStart converts the start time t of a server. A zero t stays 0. A time before the origin becomes 0, because
 // it is long ago too.
 func (c clock) serverStart(t time.Time) policy.Time {
 	if t.IsZero() {
--- a/router/degradation.go
+++ b/router/degradation.go
@@ -41,7 +41,7 @@
 // quotaBucket is the token bucket of a tenant's quota at this node. Its capacity is the quota of one second, but at
 // least one token.
 type quotaBucket struct {
-	rate, tokens float64 // tokens added per second; tokens left
+	rate, tokens float64 // rate: tokens added per second; tokens: tokens left
 	refilledAt   policy.Time
 }
 
