--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -34,8 +34,8 @@
 }
 
 // Supersedes reports whether o was given after followed. followed is the last order that a process has followed or
-// given. Supersedes compares the sequences. If a sequence is 0 or both are equal, it compares the times. A step of the wall
-// clock between the orders can then give a wrong result.
+// given. Supersedes compares the sequences. If a sequence is 0 or both are equal, it compares the times. A step of
+// the wall clock between the orders can then give a wrong result.
 func (o Order) Supersedes(followed Order) bool {
 	if o.Sequence == 0 || followed.Sequence == 0 || o.Sequence == followed.Sequence {
 		return o.At.After(followed.At)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -32,13 +32,13 @@
 	MaxInFlight    int           // maximum number of requests without an answer; 0: no limit
 	ConnectTimeout time.Duration // timeout for connecting to a server
 
-	// AnnounceFor is the time for which a node that shuts down is not ready but still serves as before. nil: 0.6 of
-	// DrainTimeout. If DrainTimeout is nil as well: 0.6 of the longest deadline of a class (at most 3 s), but at least
-	// 0.42 s.
+	// AnnounceFor is the time for which a node that shuts down is not ready but still serves as before. The default is
+	// 0.6 of DrainTimeout. If DrainTimeout is nil too, the default is 0.6 of the longest class deadline (at most 3 s),
+	// but at least 0.42 s.
 	AnnounceFor *time.Duration
-	// DrainTimeout limits the drain of a shutdown; the last connections close up to 0.15 s later. nil: the longest
-	// deadline of a class (at most 3 s) plus 0.3 s, but 0.42 s to 0.57 s if that deadline is below 0.27 s. With nil, a
-	// drain may last up to 0.3 s longer for connections that wait for their first response.
+	// DrainTimeout limits the drain of a shutdown. The last connections close up to 0.15 s later. The default is the
+	// longest class deadline (at most 3 s) plus 0.3 s, but 0.42 s to 0.57 s if that deadline is below 0.27 s. With the
+	// default, a drain may last up to 0.3 s longer for connections that wait for their first response.
 	DrainTimeout *time.Duration
 
 	// OperationsListener is the listener of the operations endpoint; nil: no endpoint. The node closes the listener.
@@ -82,8 +82,8 @@
 // Msgpack configures MessagePack-RPC with clients and with servers.
 type Msgpack struct {
 	Listener        net.Listener // listener for clients; nil: HTTP only; closed by the node
-	MaxConns        int          // maximum number of client connections; 0: defaultMsgpackConns
-	MaxCallsPerConn int          // maximum number of calls in flight per connection; 0: the frontend's default
+	MaxConns        int          // maximum number of client connections; default: defaultMsgpackConns
+	MaxCallsPerConn int          // maximum number of calls in flight per connection; default: the frontend's
 	ServerKinds     []string     // kinds of the servers that use MessagePack-RPC
 }
 
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -20,8 +20,8 @@
 type TLS struct {
 	ServerRules            []secure.Rule // rules for TLS with servers; the first rule that matches a server applies
 	HandshakeLimits        handshakes.Limits
-	ServerHandshakeTimeout time.Duration // 0: the transport's default
-	CPUShare               float64       // share of a core for handshakes while requests are in flight; 0: default
+	ServerHandshakeTimeout time.Duration // default: the transport's default
+	CPUShare               float64       // CPU share of handshakes while requests are in flight; default: DefaultCPUShare
 	Clients                *TLSListener  // nil: clients use plain HTTP
 	AdminAPI               *TLSListener  // nil: the admin API uses plain HTTP
 
@@ -42,7 +42,7 @@
 	Tickets           *certificates.Tickets // nil: each process has its own session ticket keys
 	RequireClientCert bool
 	AllowTLS12        bool
-	HandshakeTimeout  time.Duration // 0: the default
+	HandshakeTimeout  time.Duration // default: DefaultTimeout of package frontend/secure
 }
 
 // nodeTLS is the TLS state of a running node. A nil *nodeTLS stands for a node without TLS. run, status, close,
--- a/levels/config.go
+++ b/levels/config.go
@@ -88,7 +88,8 @@
 	DryRun  bool // if true, levels are decided and counted, but not applied to requests
 	// MinInterval is the minimum time between two changes of the level; default: 30 s. The minimum time in force of a
 	// level doubles when the level is entered again within 2 minutes after it was left. The minimum time in force
-	// grows to at most eight times MinInterval. These rules prevent the level from oscillating at a load near a threshold.
+	// grows to at most eight times MinInterval. These rules prevent the level from oscillating at a load near a
+	// threshold.
 	MinInterval time.Duration
 }
 
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -25,7 +25,7 @@
 	tasks           []task // scheduled outcomes, timers and probe results
 	log             []string
 
-	faultDivisor  int // of faultDivisor attempts, about 5 fail, in addition to time-outs
+	faultDivisor  int // about 5 of every faultDivisor attempts fail, in addition to time-outs
 	maxLatency    int // maximum latency of an attempt, in ms
 	arrivalPeriod int // mean number of steps between requests
 
--- a/router/server_start_test.go
+++ b/router/server_start_test.go
@@ -69,8 +69,8 @@
 }
 
 // slowStartAge passes an update after an outage to tracker. The start time of the server id in the update is the
-// duration ago before the update. The router has run for one minute. slowStartAge returns the time between the beginning of
-// slow start and the update.
+// duration ago before the update. The router has run for one minute. slowStartAge returns the time between the
+// beginning of slow start and the update.
 func slowStartAge(tracker *startTracker, id string, ago, outage, wallStep time.Duration) time.Duration {
 	const now = timeOrigin + time.Minute
 	tracker.beginUpdate(outage, wallStep)
