--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -25,7 +25,7 @@
 // Splitter calculates the share of one process from the reports of all processes of its node. The zero value is ready
 // for use.
 type Splitter struct {
-	traffic      float64           // smoothed share of the requests; 0: Split has not been called
+	traffic      float64           // smoothed share of the requests; 0 before the first call of Split
 	lastAccepted map[string]uint64 // requests accepted by each other process at the previous Split
 	ownAccepted  uint64
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -77,7 +77,7 @@
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
 type LevelRequest struct {
 	Level       int    `json:"level"`
-	Duration    string `json:"for"` // for example "10m"; empty: until the level is released
+	Duration    string `json:"for"` // for example "10m"; empty: no end until the level is released
 	RequestedBy string `json:"who"`
 	Reason      string `json:"reason"`
 }
--- a/internal/node/admindrain.go
+++ b/internal/node/admindrain.go
@@ -26,7 +26,7 @@
 
 // DrainRequest is the body of POST and DELETE /v1/drain.
 type DrainRequest struct {
-	Timeout     string `json:"deadline"` // for example "30s"; empty: defaultDrainTimeout
+	Timeout     string `json:"deadline"` // for example "30s"; default: defaultDrainTimeout
 	Reason      string `json:"reason"`
 	RequestedBy string `json:"who"`
 	Force       bool   `json:"force"`
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -29,7 +29,7 @@
 	Settings       policy.Settings
 
 	// Settings of the node itself, which the policy does not use.
-	MaxInFlight    int           // maximum number of requests without an answer; 0: no limit
+	MaxInFlight    int           // maximum number of requests without an answer; default: router.DefaultMaxInFlight
 	ConnectTimeout time.Duration // timeout for connecting to a server
 
 	// AnnounceFor is the time for which a node that shuts down is not ready but still serves as before. The default is
--- a/policy/api.go
+++ b/policy/api.go
@@ -307,7 +307,7 @@
 	Kind    ActionKind
 	ID      string // ID of the request
 	Server  string
-	Until   Time          // time at which the attempt times out; 0: the client's deadline
+	Until   Time          // time at which the attempt times out; default: the client's deadline
 	Wait    time.Duration // time until the timer expires, or Retry-After of a rejected request; 0: none
 	Token   uint64        // identifies the timer
 	Attempt int           // number of the attempt, from 0
--- a/router/request.go
+++ b/router/request.go
@@ -27,13 +27,13 @@
 	// request could be retried under other rules than the client expects.
 	ClassSnapshot *policy.Class
 
-	Timeout    time.Duration // time that the client waits, counted from ReceivedAt; 0: class deadline
-	ReceivedAt time.Time     // time when the last byte of the request was read; zero: call of Do
+	Timeout    time.Duration // time that the client waits, counted from ReceivedAt; default: class deadline
+	ReceivedAt time.Time     // time when the last byte of the request was read; default: time of the call of Do
 	CostHint   time.Duration // estimated cost in core time; 0: unknown
 	IsRetry    bool          // whether the client has sent the request before
 
 	// The fields below are what a server receives. A transport for a protocol other than HTTP translates them.
-	Method      string // empty: the result of Method for the class
+	Method      string // HTTP method; default: the result of Method for the class
 	Target      string // path and query
 	Authority   string // host that the client addressed
 	ContentType string
