--- a/internal/hotrestart/split.go
+++ b/internal/hotrestart/split.go
@@ -1,6 +1,7 @@
 // Package hotrestart divides a node between two processes while one replaces the other under load. It determines
-// which share of the traffic, the memory and the connections each process may use. It also determines which order
-// into or out of standby applies. The package does no I/O and reads no clock; package rundir exchanges the messages.
+// which share of the traffic, the memory and the connections each process may use. It also determines which command
+// to enter or leave standby takes effect. The package does no I/O and reads no clock; package rundir exchanges the
+// messages.
 package hotrestart
 
 // Limits is the maximum number of connections of a node or of one of its processes.
@@ -24,7 +25,7 @@
 // Splitter calculates the share of one process from the reports of all processes of its node. The zero value is ready
 // for use.
 type Splitter struct {
-	traffic      float64           // smoothed share of the requests; 0: Split has not been called
+	traffic      float64           // smoothed share of the requests; 0 before the first call of Split
 	lastAccepted map[string]uint64 // requests accepted by each other process at the previous Split
 	ownAccepted  uint64
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -24,7 +24,7 @@
 	announceFor     time.Duration      // time from the start of a drain until connections are closed
 	nodeTLS         *nodeTLS           // nil: no TLS
 	drainMarkerFile string             // path of the drain marker file; empty: no file
-	onStandby       func(standby bool) // sends a standby order to the other processes of this node; nil: none
+	onStandby       func(standby bool) // tells the other processes of this node to enter or leave standby; may be nil
 
 	mu         sync.Mutex
 	lastStatus Status
@@ -77,7 +77,7 @@
 // LevelRequest is the body of POST /v1/level and /v1/level/most.
 type LevelRequest struct {
 	Level       int    `json:"level"`
-	Duration    string `json:"for"` // for example "10m"; empty: until the level is released
+	Duration    string `json:"for"` // for example "10m"; empty: no end until the level is released
 	RequestedBy string `json:"who"`
 	Reason      string `json:"reason"`
 }
--- a/internal/node/clienteviction.go
+++ b/internal/node/clienteviction.go
@@ -22,7 +22,8 @@
 	// in transit, and the client has no reason to expect that the node closes the connection.
 	firstRequestGrace = 100 * time.Millisecond
 	// silentConnAge is the minimum age at which connections that have never sent a request are evicted before all
-	// others. Otherwise clients that connect and send nothing would keep their slots longer than idle clients.
+	// others. Without this limit, clients that connect and send nothing would keep their slots longer than idle
+	// clients.
 	silentConnAge = 2500 * time.Millisecond
 	// rejectionWriteTimeout limits the write of a rejection before an eviction. A rejection fits into the socket buffer.
 	rejectionWriteTimeout = 100 * time.Millisecond
@@ -102,7 +103,7 @@
 	return false
 }
 
-// rejectEvictedLocked ends conn, an evicted connection. It releases the mutex while it closes the node's side. conn
+// rejectEvictedLocked ends the evicted connection conn. It releases the mutex while it closes the node's side. conn
 // then lingers, except during a TLS handshake. If withRejection is set, a plain TCP connection gets a 503 first,
 // because the rest of its request may be in transit. A half-closed connection gets no 503, because its client does
 // not read another response after Connection: close. The 503 is written before untrackLocked marks conn as closed,
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -21,7 +21,7 @@
 // StateConfig configures where and how often a node saves its learned state. The zero value disables saving.
 type StateConfig struct {
 	File         string
-	SaveInterval time.Duration // interval between snapshots; 0: 2 s
+	SaveInterval time.Duration // interval between snapshots; default: 2 s
 	HalfLife     time.Duration // see learnedstate.Config
 	MaxAge       time.Duration // see learnedstate.Config
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// apply restores raw, a snapshot in its stored form. The older the snapshot, the lower its weight.
+// apply restores the stored snapshot raw. The older the snapshot, the lower its weight.
 func (s *stateStore) apply(raw []byte) error {
 	snapshot, err := learnedstate.Decode(raw)
 	if err != nil {
--- a/router/request.go
+++ b/router/request.go
@@ -23,17 +23,17 @@
 	IdempotencyKey string
 
 	// ClassSnapshot is the class by which the caller has interpreted the request. nil means the class in force when Do
-	// is called. The request is rejected if the class in force at admission has another idempotency. Otherwise the
+	// is called. The request is rejected if the class in force at admission has another idempotency, because the
 	// request could be retried under other rules than the client expects.
 	ClassSnapshot *policy.Class
 
-	Timeout    time.Duration // time that the client waits, counted from ReceivedAt; 0: class deadline
-	ReceivedAt time.Time     // time when the last byte of the request was read; zero: call of Do
+	Timeout    time.Duration // time that the client waits, counted from ReceivedAt; default: class deadline
+	ReceivedAt time.Time     // time when the last byte of the request was read; default: time of the call of Do
 	CostHint   time.Duration // estimated cost in core time; 0: unknown
 	IsRetry    bool          // whether the client has sent the request before
 
 	// The fields below are what a server receives. A transport for a protocol other than HTTP translates them.
-	Method      string // empty: the result of Method for the class
+	Method      string // HTTP method; default: the result of Method for the class
 	Target      string // path and query
 	Authority   string // host that the client addressed
 	ContentType string
@@ -41,8 +41,8 @@
 	// Upload replaces Body for a long body. The caller of Do keeps Upload open until Do has returned.
 	Upload Upload
 
-	// AcceptsStream is true if the caller handles Answer.Stream. Otherwise, an answer of more than 64 KiB counts as a
-	// failed attempt.
+	// AcceptsStream is true if the caller handles Answer.Stream. If it is false, an answer of more than 64 KiB counts
+	// as a failed attempt.
 	AcceptsStream bool
 }
 
