--- a/fleet/agent/agent_test.go
+++ b/fleet/agent/agent_test.go
@@ -140,7 +140,7 @@
 }
 
 // TestReconcileDisabled_ContinuesAfterRestart checks that an agent enables the servers that an earlier process
-// disabled for an order that has ended.
+// disabled for a disable order that has ended.
 func TestReconcileDisabled_ContinuesAfterRestart(t *testing.T) {
 	node, dir := &fakeNode{}, t.TempDir()
 	agent := newTestAgent(t, node, dir)
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -26,7 +26,7 @@
 	KindFinishStep      Kind = "done"    // records the outcome of a step
 	KindCloseJob        Kind = "close"   // closes a job
 	KindPublishVersion  Kind = "offer"   // publishes the first version of an artifact
-	KindPromoteVersion  Kind = "stage"   // lets another stage of nodes act on a rollout's version
+	KindPromoteVersion  Kind = "stage"   // extends a rollout's version to another stage, or to all nodes
 	KindRetireVersion   Kind = "retire"  // stops granting leases of a version
 	KindClearVersion    Kind = "clear"   // records that the last lease of a retired version has expired
 	KindDisableServers  Kind = "hold"    // disables servers at all nodes
--- a/fleet/lease/doc.go
+++ b/fleet/lease/doc.go
@@ -10,5 +10,5 @@
 // fencing tokens that the receiver has stored.
 //
 // Missing answers: a client that got no answer can conclude nothing. The duration of a lease counts from a moment
-// before the request. Therefore a late answer shortens the time left to act and never extends it.
+// before the request. A late answer therefore shortens the time left to act and never extends it.
 package lease
--- a/fleet/lease/effect.go
+++ b/fleet/lease/effect.go
@@ -34,7 +34,7 @@
 
 // Effect records an effect that a receiver has started.
 type Effect struct {
-	Sequence     uint64             `json:"n"` // 1, 2, ... in the order in which effects are started
+	Sequence     uint64             `json:"n"` // sequence number of the start; the first effect has 1
 	Resource     string             `json:"work"`
 	FencingToken fleet.FencingToken `json:"token"` // token under which the effect was last started
 	Running      bool               `json:"running"`
@@ -45,7 +45,7 @@
 // maxEffects is the maximum number of effects that an EffectLog keeps. Above it, the oldest effect is removed.
 const maxEffects = 4096
 
-// EffectLog records the effects of a receiver. A repeated request gets the outcome that the log has for the effect.
+// EffectLog records the effects of a receiver. A repeated request is answered with the recorded outcome.
 type EffectLog struct {
 	Effects      map[string]Effect `json:"effects"` // by idempotency key
 	LastSequence uint64            `json:"n"`       // sequence number of the newest effect
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -6,7 +6,8 @@
 	"cobaltward/fleet"
 )
 
-// Divisors of the lease duration. The quotients are the times at which a holder makes requests and stops acting.
+// Divisors of the lease duration. Each quotient is an interval that determines when a holder makes requests or stops
+// acting.
 const (
 	responseTimeoutDivisor = 2  // time after which a request without an answer may be repeated
 	renewalDivisor         = 4  // time from one renewal to the next
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -62,7 +62,7 @@
 	return r.registeredAt != 0
 }
 
-// Decide returns the response to a request and the decision on it. state is the newest state that the process has,
+// Decide returns the decision on request and the response to request. state is the newest state that the process has,
 // and may be behind the log. changed reports whether the stored state has changed. If the decision is Execute or
 // VerifyFirst, the effect is recorded as running.
 func (r *FencedReceiver) Decide(
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -158,8 +158,8 @@
 	return errors.Is(result.Err, fleet.ErrLeaseLost)
 }
 
-// HandleResponse returns the entries to propose after response, the response to request. It returns none until the
-// effect has ended.
+// HandleResponse handles the response to request and returns the entries to propose. It returns none while the effect
+// has not ended.
 func (c *Controller) HandleResponse(request lease.EffectRequest, response lease.EffectResponse) []fleet.Entry {
 	if response.Running || response.Outcome == "" {
 		return nil
--- a/fleet/rollout/doc.go
+++ b/fleet/rollout/doc.go
@@ -9,7 +9,7 @@
 // than another. Under that assumption, processes never act on more than two versions of an artifact at the same time.
 //
 // Missing answers: a process that got no answer to a request can conclude nothing. The duration of a version lease
-// counts from a moment before the request. Therefore a late answer shortens the time left to act and never extends
+// counts from a moment before the request. A late answer therefore shortens the time left to act and never extends
 // it.
 package rollout
 
--- a/fleet/rollout/lease.go
+++ b/fleet/rollout/lease.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Divisors of the duration of a version lease. The quotients are the times at which a process makes requests.
+// Divisors of the duration of a version lease. Each quotient is an interval that determines when a process makes
+// requests.
 const (
 	responseTimeoutDivisor = 4 // time after which a request without an answer may be repeated
 	renewalDivisor         = 3 // time from one renewal to the next
--- a/msgpackrpc/reply.go
+++ b/msgpackrpc/reply.go
@@ -60,8 +60,8 @@
 	return msgp.AppendNil(appendFields(b, fields[:]))
 }
 
-// ParseReply decodes m, the response to a call. The response must have either an error or a result. All errors are of
-// type *ProtocolError.
+// ParseReply decodes m as a response. The response must have either an error or a result. All errors are of type
+// *ProtocolError.
 func ParseReply(m Message) (r Reply, err error) {
 	switch {
 	case (m.Error == nil) == (m.Result == nil):
--- a/transport/http1/response.go
+++ b/transport/http1/response.go
@@ -34,8 +34,8 @@
 	serverID  string
 }
 
-// readResponse reads the response to r from c, within the limits maxHeadBytes and maxBodyBytes. If r accepts a stream
-// and the status is 200, a longer body becomes a stream. A slow body of unknown length then becomes a stream too.
+// readResponse reads the response to r from c. The head is limited to maxHeadBytes, the body to maxBodyBytes. If r
+// accepts a stream and the status is 200, a longer body or a slow body of unknown length becomes a stream.
 //
 // A response is malformed if its body does not match its framing. It is also malformed if it is followed by bytes
 // that do not begin another response, because those bytes may belong to its body.
--- a/transport/mixed/mixed.go
+++ b/transport/mixed/mixed.go
@@ -113,7 +113,7 @@
 	return total
 }
 
-// Written returns the sum of the results of Written of all transports.
+// Written returns the total number of written attempts, as counted by the transports.
 func (t *Transport) Written() (total uint64) {
 	for _, transport := range t.transports {
 		if counter, ok := transport.(router.WriteCounter); ok {
--- a/transport/msgpack/attempt.go
+++ b/transport/msgpack/attempt.go
@@ -75,8 +75,8 @@
 	return outcome.FailureCode(ctx, false)
 }
 
-// callFailure returns the outcome of a call that got no reply because of err. isSent is true if the server may have
-// received the whole call.
+// callFailure returns the outcome of a call that got no valid reply because of err. isSent is true if the server may
+// have received the whole call.
 func callFailure(ctx context.Context, err error, isSent bool) policy.Code {
 	var malformed *mux.MalformedReplyError
 	switch {
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -99,8 +99,8 @@
 // maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e9
 
-// ParseLoadReport parses text, which has the form name=value,name=value. It returns the values of names, in that
-// order. It returns nil if text lacks one of names or is invalid in any part.
+// ParseLoadReport parses text, a load report of the form name=value,name=value. It returns the values in the order of
+// names. It returns nil if text lacks one of names or is invalid in any part.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/transport/secure/rule.go
+++ b/transport/secure/rule.go
@@ -99,8 +99,8 @@
 	return host
 }
 
-// digests returns the digests of the authorities and of the certificate of this node. A session is resumed only while
-// both digests are the same as when the session was established.
+// digests returns a digest of the trusted authorities and a digest of this node's own certificate. A session is
+// resumed only while both digests are the same as when the session was established.
 func (r *Rule) digests() (trustDigest, ownDigest string) {
 	if r.Trust != nil {
 		trustDigest = r.Trust.Set().TrustDigest
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -34,7 +34,7 @@
 	CertificateSerial string    `json:"serial,omitempty"` // hexadecimal serial in the last successful handshake
 	CertificateExpiry time.Time `json:"ends,omitzero"`
 	UntrustedReason   string    `json:"refused,omitempty"` // empty: trusted
-	Rechecks          int       `json:"looks,omitempty"`   // failed rechecks since the server became untrusted
+	Rechecks          int       `json:"looks,omitempty"`   // number of failed rechecks since the server became untrusted
 	UntrustedMs       int64     `json:"refused_for_ms,omitempty"`
 }
 
@@ -43,12 +43,12 @@
 	Full        handshakes.Histogram `json:"full"`
 	Resumed     handshakes.Histogram `json:"resumed"`
 	Failures    map[string]uint64    `json:"failures,omitempty"` // failed handshakes by reason
-	Running     int                  `json:"going"`              // handshakes now running
-	Queued      int                  `json:"waiting"`            // handshakes now queued
-	TotalQueued uint64               `json:"waited"`             // queued handshakes since the start
-	Rejected    uint64               `json:"turned_away"`        // handshakes rejected because the queue was full
-	Sessions    int                  `json:"sessions"`           // servers with a resumable session
-	Untrusted   int                  `json:"refused"`            // untrusted servers
+	Running     int                  `json:"going"`              // number of handshakes now running
+	Queued      int                  `json:"waiting"`            // number of handshakes now queued
+	TotalQueued uint64               `json:"waited"`             // number of handshakes queued since the start
+	Rejected    uint64               `json:"turned_away"`        // number of handshakes rejected by a full queue
+	Sessions    int                  `json:"sessions"`           // number of servers with a resumable session
+	Untrusted   int                  `json:"refused"`            // number of servers that are now untrusted
 	Servers     []ServerStatus       `json:"peers,omitempty"`    // sorted by server ID
 }
 
