--- a/fleet/agent/command.go
+++ b/fleet/agent/command.go
@@ -30,11 +30,11 @@
 
 // runCommand runs the command line words with env added to the environment. It returns the exit status and the end of
 // the output. If ctx is done first, the command gets SIGTERM, and SIGKILL after killDelay. The command also gets
-// SIGKILL when this process dies. Otherwise an orphaned command could still run while the next process verifies the
-// outcome.
+// SIGKILL when this process dies. Without that signal, an orphaned command could still run while the next process
+// verifies the outcome.
 func runCommand(ctx context.Context, words, env []string) (status int, output string, err error) {
-	// Pdeathsig is sent when the thread that started the command dies. Therefore this goroutine keeps its thread until
-	// the command has ended.
+	// Pdeathsig is sent when the thread that started the command dies. This goroutine therefore keeps its thread
+	// until the command has ended.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, words[0], words[1:]...)
--- a/fleet/agent/disable.go
+++ b/fleet/agent/disable.go
@@ -7,8 +7,8 @@
 	"cobaltward/fleet"
 )
 
-// reconcileDisabled disables, at the node, the servers named by active disable orders. It enables a server that no
-// order names any more, but only if the agent itself has disabled the server.
+// reconcileDisabled disables at the node all servers that the active disable orders cover. It enables a server that
+// no active disable order covers any more, but only if the agent itself has disabled the server.
 func (a *Agent) reconcileDisabled(ctx context.Context) {
 	state, _ := a.watcher.State()
 	orders := state.ActiveDisableOrders(a.config.Clock.Wall())
@@ -63,8 +63,8 @@
 	return desired
 }
 
-// enableSurplus enables the servers that the agent has disabled and that no order names any more. It returns the
-// servers that could not be enabled, which the next reconciliation retries.
+// enableSurplus enables the servers in ownDisabled that are in disabled but not in desired. It returns the servers
+// that could not be enabled. The next reconciliation retries these servers.
 func (a *Agent) enableSurplus(ctx context.Context, ownDisabled []string, desired, disabled map[string]bool) []string {
 	var failed []string
 	for _, server := range ownDisabled {
--- a/fleet/consensus/advance.go
+++ b/fleet/consensus/advance.go
@@ -30,7 +30,7 @@
 	FirstRetained  fleet.Position   // first log entry to keep once Snapshot is stored; 0: all
 }
 
-// Ready returns the next write batch; nil if there is none.
+// Ready returns the next write batch, or nil if there is none.
 func (c *Core) Ready() *WriteBatch {
 	if !c.node.HasReady() {
 		return nil
--- a/fleet/consensus/handler.go
+++ b/fleet/consensus/handler.go
@@ -57,8 +57,8 @@
 		adminapi.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// Messages of another epoch are rejected. Otherwise replicas of the old cluster would still vote and overwrite the
-	// log of a forced new cluster.
+	// Messages of another epoch are rejected. Without this check, replicas of the old cluster would still vote and
+	// overwrite the log of a forced new cluster.
 	ownEpoch, senderEpoch := r.View().State.Epoch, req.Header.Get(epochHeader)
 	if ownEpoch != 0 && senderEpoch != "0" && senderEpoch != strconv.FormatUint(ownEpoch, 10) {
 		message := fmt.Sprintf("this cluster has epoch %d, but the message has epoch %s", ownEpoch, senderEpoch)
--- a/fleet/consensus/propose.go
+++ b/fleet/consensus/propose.go
@@ -54,7 +54,7 @@
 	select {
 	case r.proposals <- next:
 	case <-ctx.Done():
-		return fleet.Result{}, ctx.Err() // nothing was proposed, but callers need not know
+		return fleet.Result{}, ctx.Err() // nothing was proposed; the caller must assume an unknown outcome
 	case <-r.done:
 		return fleet.Result{}, ErrStopped
 	}
--- a/fleet/consensus/watch.go
+++ b/fleet/consensus/watch.go
@@ -30,8 +30,7 @@
 	Wait time.Duration `json:"wait"` // maximum time to wait for a change; limited to maxWatchWait
 }
 
-// WatchResponse is the response to a WatchRequest. It has either the entries after the agent's state or the whole
-// state.
+// WatchResponse answers a WatchRequest with either the entries after the agent's state or the whole state.
 type WatchResponse struct {
 	Entries   []LogEntry   `json:"entries,omitempty"`
 	State     *fleet.State `json:"state,omitempty"`
--- a/fleet/disable.go
+++ b/fleet/disable.go
@@ -9,11 +9,11 @@
 	// Zones are the zones whose servers are also disabled. Each node looks up the zone of a server in its own endpoint
 	// list.
 	Zones []string `json:"zones,omitempty"`
-	// Until is the time at which the order ends, by the wall clock of each process that carries out the order.
+	// Until is the time at which the disable order ends. Each process compares it with its own wall clock.
 	Until       time.Time `json:"until"`
 	RequestedBy string    `json:"who,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
-	Position    Position  `json:"at"` // position of the entry that created the order
+	Position    Position  `json:"at"` // position of the entry that created the disable order
 }
 
 func (s *State) applyDisableServers(entry Entry) error {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -9,5 +9,5 @@
 // until the lease has expired for certain (see package lease).
 //
 // Missing answers: a client that got no answer to a proposal can conclude nothing. The entry may be applied later or
-// never. Therefore an entry of any kind is harmless when it is applied twice or late.
+// never. An entry of any kind is therefore harmless when it is applied twice or late.
 package fleet
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -78,5 +78,5 @@
 }
 
 // ErrUnsupportedFormat reports a log or snapshot whose format version is newer than FormatVersion. The process must
-// stop applying entries. Otherwise its state would diverge from the state of the other members.
+// stop applying entries. If it continued, its state would diverge from the state of the other members.
 var ErrUnsupportedFormat = errors.New("fleet: the format version of the log is newer than this program supports")
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -25,8 +25,8 @@
 // changed, the caller must store the state before it carries out an effect or responds. FencedReceiver is not safe
 // for concurrent use.
 //
-// The stored state may lack what an earlier process has done: a disk can be lost or restored from a copy. Therefore a
-// process carries out no effect before it has seen its own registration in the log. All tokens that were granted and
+// The stored state may lack what an earlier process has done: a disk can be lost or restored from a copy. A process
+// therefore carries out no effect before it has seen its own registration in the log. All tokens that were granted and
 // all steps that were finished before the process started precede the registration in the log.
 type FencedReceiver struct {
 	ReceiverState
--- a/fleet/rollingupdate/doc.go
+++ b/fleet/rollingupdate/doc.go
@@ -3,7 +3,7 @@
 // reads no clock.
 //
 // Failures: a holder of the lease may stop at any moment. Each step is recorded in the log before it begins and after
-// it has ended. Therefore the next holder can continue where the previous holder stopped.
+// it has ended. The next holder can therefore continue where the previous holder stopped.
 //
 // Clocks: only the clock of the lease holder is trusted, as package lease describes.
 //
--- a/fleet/rollout/vector.go
+++ b/fleet/rollout/vector.go
@@ -7,7 +7,7 @@
 	"cobaltward/fleet"
 )
 
-// VersionVector maps the name of each artifact to the digest of one version of the artifact.
+// VersionVector maps artifact names to version digests.
 type VersionVector map[string]string
 
 // Clone returns a copy of the vector.
--- a/internal/fleetcli/disable.go
+++ b/internal/fleetcli/disable.go
@@ -21,7 +21,7 @@
 	id       string
 	zones    []string
 	duration time.Duration
-	timeout  time.Duration // maximum time to wait until the order is in force at all nodes; 0: do not wait
+	timeout  time.Duration // maximum wait until the disable order is in force at all nodes; 0: do not wait
 }
 
 func (c *operatorCommands) disableCommand() *cobra.Command {
--- a/internal/frontend/msgpack/conn.go
+++ b/internal/frontend/msgpack/conn.go
@@ -50,7 +50,7 @@
 	messageStartedAt  time.Time                     // start of the incomplete message; zero: there is none
 	openedAt          time.Time                     // time of the accept
 	callSeen          bool                          // whether a call has been received
-	answerWritten     bool                          // whether an answer has been written
+	answerWritten     bool                          // true from the first written answer on
 	lastReadAt        time.Time
 	notifications     []byte // encoded notifications that are not written yet
 	draining          bool
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -7,7 +7,8 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is the reason for which the server ended a connection. The client may still have sent calls.
+// endCause is the reason why the server ended a connection. The client may have sent calls that the server has not
+// read.
 type endCause uint8
 
 const (
--- a/internal/frontend/msgpack/connread.go
+++ b/internal/frontend/msgpack/connread.go
@@ -25,7 +25,7 @@
 	return stream.ReadMessages(in, func(message msgpackrpc.Message) error { return c.handle(ctx, message) })
 }
 
-// setReadDeadline sets the deadline of the next read. partial is true if a message has been read in part.
+// setReadDeadline sets the deadline of the next read. partial is true if only part of a message has been read.
 func (c *conn) setReadDeadline(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/msgpack/slots.go
+++ b/internal/frontend/msgpack/slots.go
@@ -81,8 +81,8 @@
 	return defaultQueueTimeout
 }
 
-// rejectsOverflow reports whether conn is an overflow connection, whose calls are rejected. If a slot is free, conn
-// stops being an overflow connection.
+// rejectsOverflow reports whether the calls of conn are rejected because conn is an overflow connection. If a slot is
+// free, conn stops being an overflow connection.
 func (s *Server) rejectsOverflow(conn *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/secure/conn.go
+++ b/internal/frontend/secure/conn.go
@@ -37,7 +37,7 @@
 // bytes cannot be decrypted yet. OnReceive must be called before the first Read.
 func (c *Conn) OnReceive(f func()) { c.onReceive = f }
 
-// Handshaking reports whether the handshake has not succeeded or failed yet. The handshake may not have begun.
+// Handshaking reports whether the handshake has yet to end. It returns true even before the handshake begins.
 func (c *Conn) Handshaking() bool { return !c.done.Load() }
 
 // HandshakeOnCPU reports whether the handshake is waiting for the CPU, using the CPU, or has just used the CPU. If it
--- a/middleware/body_test.go
+++ b/middleware/body_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/middleware"
 )
 
-// TestBody_ReadByEarlierHandler checks that a body is rejected if an earlier handler has read any of it. Otherwise
-// the router would forward a shorter body. A handler that replaces r.Body after reading it is accepted.
+// TestBody_ReadByEarlierHandler checks that a body is rejected if an earlier handler has read any of it. If the body
+// were accepted, the router would forward a shorter body. A handler that replaces r.Body after reading it is accepted.
 func TestBody_ReadByEarlierHandler(t *testing.T) {
 	var served atomic.Int32
 	frontend := middleware.New(newRouter(t, newEchoServer(t, &served)))
--- a/middleware/longbody.go
+++ b/middleware/longbody.go
@@ -111,8 +111,7 @@
 }
 
 // close ends the upload. If the answer came before the end of the body, close reads and discards the rest of the
-// body. Otherwise unread bytes would cause a reset when the connection is closed, and the client could lose the
-// answer.
+// body. Unread bytes would cause a reset when the connection is closed, and the client could lose the answer.
 func (u *upload) close() {
 	u.Close(func() { _ = u.conn.SetReadDeadline(time.Now()) })
 	brokeOff := u.ctx.Err() != nil
--- a/transport/msgpack/pool.go
+++ b/transport/msgpack/pool.go
@@ -62,7 +62,7 @@
 // trusted.
 func (c *pooledConn) isTrusted() bool { return c.tls == nil || c.tls.IsTrusted(time.Now()) }
 
-// hasDrainNotice reports whether a drain notice that the server sent is in effect.
+// hasDrainNotice reports whether a drain notice from the server is in effect.
 func (p *pool) hasDrainNotice() bool {
 	return !p.drainNotifiedAt.IsZero() && time.Since(p.drainNotifiedAt) < drainNoticeTTL
 }
@@ -111,8 +111,8 @@
 	return srv, nil, dial, err
 }
 
-// isDraining reports whether srv must not receive new calls, because the endpoint list or its own drain notice says
-// that it is draining.
+// isDraining reports whether srv must not receive new calls: the endpoint list marks srv as draining, or a drain
+// notice from srv is in effect.
 func (t *Transport) isDraining(srv *server) bool {
 	return srv.WritesForbidden(t.drainWriteTime) || srv.State.hasDrainNotice()
 }
