--- a/fleet/artifact.go
+++ b/fleet/artifact.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Artifact is something versioned that nodes act on, such as settings, routes or a build. Nodes may act on at most
-// two of its versions at a time: the state rejects a third version.
+// Artifact records the versions of something that nodes act on, such as settings, routes or a build. Nodes may act on
+// at most two versions at a time: the state rejects a third version.
 type Artifact struct {
 	Name    string  `json:"name"`
 	Current Version `json:"now"` // version for nodes that may not act on Next yet
@@ -35,8 +35,8 @@
 // DesiredVersion returns the digest of the version that a node should act on.
 func (a *Artifact) DesiredVersion(node string) string { return a.AllowedVersions(node)[0] }
 
-// canStartRollout reports whether a rollout may start. Its version must differ from the current version, and no other
-// version may be in introduction or retirement.
+// canStartRollout reports whether a rollout may start. The rollout's version must differ from the current version. No
+// other version may be in introduction or retirement.
 func (s *State) canStartRollout(spec *JobSpec) bool {
 	artifact := s.Artifacts[spec.Artifact]
 	if artifact == nil || artifact.InTransition() {
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -75,5 +75,5 @@
 }
 
 // Deferrable reports whether watchers may receive the entry together with the next entry that is not deferrable.
-// Renewals of leases are deferrable, because otherwise each renewal would wake all watchers.
+// Renewals of leases are deferrable. If they were not, each renewal would wake all watchers.
 func (e Entry) Deferrable() bool { return e.Kind == KindRenewLease }
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// JobKind is a kind of job. The holder of the lease with the same name runs the jobs of the kind, one at a time.
+// JobKind identifies a kind of job. The holder of the kind's lease (see Resource) runs the jobs of the kind, one at a
+// time.
 type JobKind string
 
 // The kinds of jobs.
@@ -156,7 +157,7 @@
 	Reason      string           `json:"reason,omitempty"`
 	CreatedAt   Position         `json:"since"`
 	Steps       map[StepKey]Step `json:"steps"`
-	Failures    int              `json:"failures"` // steps with an outcome other than OutcomeOK
+	Failures    int              `json:"failures"` // number of steps with an outcome other than OutcomeOK
 	CloseReason CloseReason      `json:"over,omitempty"`
 	Detail      string           `json:"detail,omitempty"` // details of CloseReason
 }
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -95,8 +95,8 @@
 	Request *lease.EffectRequest // request to send to the agent of the step's node
 }
 
-// Next returns the tasks that follow at now from a state and a view of the nodes. It returns no tasks while the process
-// must not act, or while state lacks the newest entry of this process.
+// Next returns the tasks to do at now. They follow from a state and a view of the nodes. Next returns no tasks while
+// the process must not act, or while state lacks the newest entry of this process.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
 	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -47,7 +47,7 @@
 // IdempotencyKey returns the idempotency key of a step's effect. All holders use the same key.
 func IdempotencyKey(jobID string, step fleet.StepKey) string { return jobID + "/" + step.String() }
 
-// sequence lists the three actions that each node goes through.
+// sequence has the three actions that each node goes through, the first one first.
 type sequence struct{ drain, change, resume fleet.StepAction }
 
 var (
--- a/fleet/rollout/vector.go
+++ b/fleet/rollout/vector.go
@@ -7,7 +7,7 @@
 	"cobaltward/fleet"
 )
 
-// VersionVector maps artifact names to version digests.
+// VersionVector maps the name of each artifact to the digest of one of its versions.
 type VersionVector map[string]string
 
 // Clone returns a copy of the vector.
--- a/internal/frontend/msgpack/connend.go
+++ b/internal/frontend/msgpack/connend.go
@@ -7,8 +7,7 @@
 	"cobaltward/internal/sockets"
 )
 
-// endCause is the reason why the server ended a connection. The client may have sent calls that the server has not
-// read.
+// endCause is the reason why the server ended a connection. The client may have sent further calls.
 type endCause uint8
 
 const (
--- a/internal/frontend/msgpack/eviction_test.go
+++ b/internal/frontend/msgpack/eviction_test.go
@@ -127,8 +127,8 @@
 	server.checkEviction(t, evicted, e.readerHeld)
 }
 
-// checkEviction checks that a client's second call is rejected as overloaded if answered is set, and is counted as
-// lost otherwise. It also checks that the connection then ends without a reset.
+// checkEviction checks a client's second call. If answered is set, the call must be rejected as overloaded. If not,
+// the call must be counted as lost. checkEviction also checks that the connection then ends without a reset.
 func (s *hookedServer) checkEviction(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	wantCount := uint64(1)
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -47,8 +47,8 @@
 
 func (c *hookedConn) TCP() *net.TCPConn { return c.tcp }
 
-// SetReadDeadline implements net.Conn. It ignores deadlines before the first read. Otherwise the idle timeout could
-// expire before the first call on a busy machine.
+// SetReadDeadline implements net.Conn. It ignores deadlines before the first read. On a busy machine, the idle timeout
+// could expire before the first call.
 func (c *hookedConn) SetReadDeadline(t time.Time) error {
 	if c.reads.Load() == 0 {
 		return nil
@@ -272,8 +272,8 @@
 	}
 }
 
-// checkIdleEnd checks that a client's second call is answered if answered is set. Otherwise it checks that the
-// connection ends without a reset and the call is counted as lost.
+// checkIdleEnd checks a client's second call. If answered is set, the call must be answered. If not, the connection
+// must end without a reset, and the call must be counted as lost.
 func (s *hookedServer) checkIdleEnd(t *testing.T, client rawClient, answered bool) {
 	t.Helper()
 	want, wantCount := "EOF", uint64(1)
