--- a/certificates/ticketkeys_test.go
+++ b/certificates/ticketkeys_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRotateTickets checks that a key encrypts only if it was in the file before the rotation. Some nodes may not have
-// loaded a newer key yet. A key must still decrypt after the next rotation, and the file must be accessible to
+// TestRotateTickets checks that a key encrypts only if it was in the file before the rotation. Some nodes may not
+// have loaded a newer key yet. A key must still decrypt after the next rotation, and the file must be accessible to
 // its owner only.
 func TestRotateTickets(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tickets")
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -45,7 +45,8 @@
 }
 
 // TestApply_EntriesOfNewerFormats checks that a state rejects entries of a format that not all members support.
-// If the state accepted them, the states of the members would diverge. A program that is too old for the log must stop applying entries.
+// If the state accepted such an entry, the states of the members would diverge. A program that is too old for the log
+// must stop applying entries.
 func TestApply_EntriesOfNewerFormats(t *testing.T) {
 	state := NewState(1).WithMembers(1, map[uint64]Member{
 		1: {ID: 1, SupportedFormat: 1},
--- a/fleet/rollingupdate/plan.go
+++ b/fleet/rollingupdate/plan.go
@@ -47,7 +47,7 @@
 // IdempotencyKey returns the idempotency key of a step's effect. All holders use the same key.
 func IdempotencyKey(jobID string, step fleet.StepKey) string { return jobID + "/" + step.String() }
 
-// sequence has the three actions that each node goes through, the first one first.
+// sequence has the three actions of each node, in the order in which the node goes through them.
 type sequence struct{ drain, change, resume fleet.StepAction }
 
 var (
--- a/internal/frontend/msgpack/idleend_test.go
+++ b/internal/frontend/msgpack/idleend_test.go
@@ -47,8 +47,8 @@
 
 func (c *hookedConn) TCP() *net.TCPConn { return c.tcp }
 
-// SetReadDeadline implements net.Conn. It ignores deadlines before the first read. On a busy machine, the idle timeout
-// could expire before the first call.
+// SetReadDeadline implements net.Conn. It ignores deadlines before the first read. On a busy machine, the idle
+// timeout could expire before the first call.
 func (c *hookedConn) SetReadDeadline(t time.Time) error {
 	if c.reads.Load() == 0 {
 		return nil
--- a/internal/frontend/secure/terminator_test.go
+++ b/internal/frontend/secure/terminator_test.go
@@ -334,7 +334,7 @@
 }
 
 // TestListener_AcceptsBeforeHandshake checks that Accept returns a connection without waiting for its handshake.
-// Otherwise a silent client would block the other clients.
+// If Accept waited, a silent client would block the other clients.
 func TestListener_AcceptsBeforeHandshake(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.issue("certs/a", "a.example")
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -195,7 +195,7 @@
 }
 
 // TestPool_AbandonedAttemptKeepsIdleTime checks that attempts that write nothing do not extend the idle time of a
-// connection. Otherwise the pool would reuse a connection just as the server closes it.
+// connection. If they did, the pool would reuse a connection just as the server closes it.
 func TestPool_AbandonedAttemptKeepsIdleTime(t *testing.T) {
 	const serverIdleTimeout = 600 * time.Millisecond
 	var conns atomic.Int32
