--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Cleared returns the retired version of artifact if no process acts on that version any more at now. Otherwise, or
-// if no version is retired, it returns the zero Version.
+// Cleared returns the retired version of artifact if no process acts on that version any more at now. It
+// returns the zero Version if a process may still act on the retired version or no version is retired.
 func (t *RetirementTracker) Cleared(artifact string, now time.Duration) fleet.Version {
 	retired, ok := t.observed[artifact]
 	if !ok {
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -166,7 +166,7 @@
 	staleEntry.Availability = policy.Draining
 	transport.Update(
 		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{staleEntry}},
-	) // an outdated entry of the old server
+	) // outdated entry of the old server
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
 		t.Errorf("attempt at the old server: code %v, want ConnectFailed", r.Code)
 	}
--- a/transport/http1/stream.go
+++ b/transport/http1/stream.go
@@ -120,7 +120,7 @@
 }
 
 // readUnknownLength reads a body whose length is unknown, or that net/http must decode. It returns the body if the
-// body ends within maxHoldTime and fits maxBodyBytes. Otherwise it returns a stream.
+// body ends within maxHoldTime and fits maxBodyBytes. If not, it returns a stream.
 func (rd *responseReader) readUnknownLength(resp *http.Response) ([]byte, router.Stream, error) {
 	rd.limit.N, rd.limit.R = math.MaxInt64, stallTimeoutReader{rd.conn}
 	ahead := newReadAhead(resp.Body)
--- a/transport/http1/writestall.go
+++ b/transport/http1/writestall.go
@@ -57,7 +57,7 @@
 	g.writing = false
 }
 
-// check aborts the write in progress if the write has exceeded the timeout. Otherwise it sets the timer again.
+// check aborts the write in progress if the write has exceeded the timeout. If not, check sets the timer again.
 func (g *writeStallGuard) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/transport/http1/writestall_test.go
+++ b/transport/http1/writestall_test.go
@@ -32,7 +32,7 @@
 
 // TestWriteStallGuard_IgnoresPausesOfProcess checks that pauses of the process do not count as a stall of the server.
 // The server reads nothing for longer than the stall timeout. If the process was paused for most of that time, the
-// write succeeds once the server reads. Otherwise the write is aborted after the timeout.
+// write succeeds once the server reads. Without pauses, the write is aborted after the timeout.
 func TestWriteStallGuard_IgnoresPausesOfProcess(t *testing.T) {
 	const timeout, readDelay = 50 * time.Millisecond, 500 * time.Millisecond
 	const size = 32 << 20 // bytes, more than the socket buffers hold
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -63,7 +63,7 @@
 }
 
 // FailureCode returns the outcome of an attempt without a response. mayRun is true if the last byte of the attempt
-// may have been written. Otherwise the server cannot have run the request, even if the deadline has passed.
+// may have been written. If mayRun is false, the server cannot have run the request, even after the deadline.
 func FailureCode(ctx context.Context, mayRun bool) policy.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
