--- a/transport/http1/pool.go
+++ b/transport/http1/pool.go
@@ -116,8 +116,8 @@
 }
 
 // release returns connection to the pool of the server with the given ID if reusable is true and that server was not
-// replaced. In all other cases release closes connection. The pool is sorted by lastUsed. An attempt that wrote nothing does not
-// change lastUsed, because for the server the connection has been idle all the time.
+// replaced. In all other cases, release closes connection. The pool is sorted by lastUsed. An attempt that wrote
+// nothing does not change lastUsed, because for the server the connection has been idle all the time.
 func (t *Transport) release(connection *conn, id string, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/transport/msgpack/serverclose_test.go
+++ b/transport/msgpack/serverclose_test.go
@@ -42,9 +42,9 @@
 }
 
 // TestAttempt_ServerEndsIdleConn checks that the outcome of an attempt depends on when the server ends the
-// connection. After an end before the attempt, the call succeeds on another connection. After an end before the write,
-// the outcome is ConnectFailed, because the call did not run. After an end after the write, the outcome is Reset, and
-// the call is not written again.
+// connection. If the connection ends before the attempt, the call succeeds on another connection. If the connection
+// ends before the write, the outcome is ConnectFailed, because the call did not run. If the connection ends after the
+// write, the outcome is Reset, and the call is not written again.
 func TestAttempt_ServerEndsIdleConn(t *testing.T) {
 	closeBoth := func(c *net.TCPConn) { _ = c.Close() }
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
--- a/transport/secure/handshake.go
+++ b/transport/secure/handshake.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// handshake runs the TLS handshake over tcp. It ends with ctx or after HandshakeTimeout.
+// handshake runs the TLS handshake over tcp. It ends with ctx or after HandshakeTimeout, whichever is first.
 func (c *Conn) handshake(ctx context.Context, tcp *net.TCPConn, urgent bool) error {
 	startedAt := time.Now()
 	deadline := startedAt.Add(c.client.config.HandshakeTimeout)
