--- a/fleet/agent/watcher.go
+++ b/fleet/agent/watcher.go
@@ -92,8 +92,8 @@
 }
 
 // Run follows the state until ctx is done. It begins with a random replica, and changes to the next replica after a
-// failure. After each failure it waits with exponential backoff and jitter. Without them, recovered replicas would
-// get the requests of all watchers at once.
+// failure. After each failure it waits with exponential backoff and jitter. Without backoff and jitter,
+// recovered replicas would get the requests of all watchers at once.
 func (w *StateWatcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	next := rand.IntN(max(1, len(w.client.Replicas)))
--- a/fleet/disable.go
+++ b/fleet/disable.go
@@ -9,7 +9,7 @@
 	// Zones are the zones whose servers are also disabled. Each node looks up the zone of a server in its own endpoint
 	// list.
 	Zones []string `json:"zones,omitempty"`
-	// Until is the time at which the disable order ends. Each process compares it with its own wall clock.
+	// Until is the time at which the disable order ends. Each process compares Until with its own wall clock.
 	Until       time.Time `json:"until"`
 	RequestedBy string    `json:"who,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
--- a/fleet/rollout/retirement.go
+++ b/fleet/rollout/retirement.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Cleared returns the retired version of artifact if no process acts on that version any more at now. It
-// returns the zero Version if no version is retired, or if a process may still act on the retired version.
+// Cleared returns the retired version of artifact if no process acts on that version any more at now.
+// It returns the zero Version if no version is retired, or if a process may still act on the retired version.
 func (t *RetirementTracker) Cleared(artifact string, now time.Duration) fleet.Version {
 	retired, ok := t.observed[artifact]
 	if !ok {
--- a/internal/frontend/secure/terminator.go
+++ b/internal/frontend/secure/terminator.go
@@ -31,7 +31,7 @@
 	TLS12        bool                     // accept TLS 1.2 as well as 1.3
 	ALPN         []string                 // application protocols, in order of preference
 	Timeout      time.Duration            // time limit for a handshake; 0: DefaultTimeout
-	CPU          *handshakes.CPUScheduler // scheduler that limits the CPU time of handshakes
+	CPU          *handshakes.CPUScheduler // scheduler of the CPU time of handshakes
 	Log          *slog.Logger             // nil: nothing is logged
 }
 
--- a/transport/secure/errors.go
+++ b/transport/secure/errors.go
@@ -49,7 +49,7 @@
 	switch {
 	case errors.As(err, &unknown):
 		return &UntrustedError{reasonUnknownAuthority, err.Error()}
-	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // an intermediate: the leaf was checked before
+	case errors.As(err, &invalid) && invalid.Reason == x509.Expired: // expired intermediate; the leaf was checked before
 		return &UntrustedError{reasonExpired, "in its chain: " + err.Error()}
 	}
 	return &UntrustedError{reasonInvalidChain, err.Error()}
--- a/transport/secure/stats.go
+++ b/transport/secure/stats.go
@@ -46,7 +46,7 @@
 	Running     int                  `json:"going"`              // number of handshakes now running
 	Queued      int                  `json:"waiting"`            // number of handshakes now queued
 	TotalQueued uint64               `json:"waited"`             // number of handshakes queued since the start
-	Rejected    uint64               `json:"turned_away"`        // number of handshakes rejected by a full queue
+	Rejected    uint64               `json:"turned_away"`        // number of handshakes rejected when the queue was full
 	Sessions    int                  `json:"sessions"`           // number of servers with a resumable session
 	Untrusted   int                  `json:"refused"`            // number of servers that are now untrusted
 	Servers     []ServerStatus       `json:"peers,omitempty"`    // sorted by server ID
