--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -26,7 +26,7 @@
 	KindFinishStep      Kind = "done"    // records the outcome of a step
 	KindCloseJob        Kind = "close"   // closes a job
 	KindPublishVersion  Kind = "offer"   // publishes the first version of an artifact
-	KindPromoteVersion  Kind = "stage"   // lets another stage of nodes act on a rollout's version
+	KindPromoteVersion  Kind = "stage"   // extends a rollout's version to another stage, or to all nodes
 	KindRetireVersion   Kind = "retire"  // stops granting leases of a version
 	KindClearVersion    Kind = "clear"   // records that the last lease of a retired version has expired
 	KindDisableServers  Kind = "hold"    // disables servers at all nodes
@@ -75,5 +75,5 @@
 }
 
 // Deferrable reports whether watchers may receive the entry together with the next entry that is not deferrable.
-// Renewals of leases are deferrable, because otherwise each renewal would wake all watchers.
+// Renewals of leases are deferrable. If they were not, each renewal would wake all watchers.
 func (e Entry) Deferrable() bool { return e.Kind == KindRenewLease }
--- a/fleet/lease/receiver.go
+++ b/fleet/lease/receiver.go
@@ -25,8 +25,8 @@
 // changed, the caller must store the state before it carries out an effect or responds. FencedReceiver is not safe
 // for concurrent use.
 //
-// The stored state may lack what an earlier process has done: a disk can be lost or restored from a copy. Therefore a
-// process carries out no effect before it has seen its own registration in the log. All tokens that were granted and
+// The stored state may lack what an earlier process has done: a disk can be lost or restored from a copy. A process
+// therefore carries out no effect before it has seen its own registration in the log. All tokens that were granted and
 // all steps that were finished before the process started precede the registration in the log.
 type FencedReceiver struct {
 	ReceiverState
@@ -62,7 +62,7 @@
 	return r.registeredAt != 0
 }
 
-// Decide returns the response to a request and the decision on it. state is the newest state that the process has,
+// Decide returns the decision on request and the response to request. state is the newest state that the process has,
 // and may be behind the log. changed reports whether the stored state has changed. If the decision is Execute or
 // VerifyFirst, the effect is recorded as running.
 func (r *FencedReceiver) Decide(
--- a/fleet/rollingupdate/controller.go
+++ b/fleet/rollingupdate/controller.go
@@ -95,8 +95,8 @@
 	Request *lease.EffectRequest // request to send to the agent of the step's node
 }
 
-// Next returns the tasks to do at now, given a state and a view of the nodes. It returns no tasks while the process
-// must not act, or while state lacks the newest entry of this process.
+// Next returns the tasks to do at now. They follow from a state and a view of the nodes. Next returns no tasks while
+// the process must not act, or while state lacks the newest entry of this process.
 func (c *Controller) Next(now time.Duration, state *fleet.State, view ClusterView) []Task {
 	token, ok := c.FencingToken(now)
 	if !ok || state.Position < c.lastOwnPosition || state.HighestTokens[c.kind.Resource()] != token {
@@ -158,8 +158,8 @@
 	return errors.Is(result.Err, fleet.ErrLeaseLost)
 }
 
-// HandleResponse returns the entries to propose after response, the response to request. It returns none until the
-// effect has ended.
+// HandleResponse handles the response to request and returns the entries to propose. It returns none while the effect
+// has not ended.
 func (c *Controller) HandleResponse(request lease.EffectRequest, response lease.EffectResponse) []fleet.Entry {
 	if response.Running || response.Outcome == "" {
 		return nil
--- a/transport/http1/pool_test.go
+++ b/transport/http1/pool_test.go
@@ -166,7 +166,7 @@
 	staleEntry.Availability = policy.Draining
 	transport.Update(
 		router.EndpointUpdate{Kind: policy.ListUpdate, Endpoints: []router.Endpoint{staleEntry}},
-	) // an outdated entry of the old server
+	) // outdated entry of the old server
 	if r := attempt(t, transport, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
 		t.Errorf("attempt at the old server: code %v, want ConnectFailed", r.Code)
 	}
@@ -195,7 +195,7 @@
 }
 
 // TestPool_AbandonedAttemptKeepsIdleTime checks that attempts that write nothing do not extend the idle time of a
-// connection. Otherwise the pool would reuse a connection just as the server closes it.
+// connection. If they did, the pool would reuse a connection just as the server closes it.
 func TestPool_AbandonedAttemptKeepsIdleTime(t *testing.T) {
 	const serverIdleTimeout = 600 * time.Millisecond
 	var conns atomic.Int32
--- a/transport/outcome/outcome.go
+++ b/transport/outcome/outcome.go
@@ -63,7 +63,7 @@
 }
 
 // FailureCode returns the outcome of an attempt without a response. mayRun is true if the last byte of the attempt
-// may have been written. Otherwise the server cannot have run the request, even if the deadline has passed.
+// may have been written. If mayRun is false, the server cannot have run the request, even after the deadline.
 func FailureCode(ctx context.Context, mayRun bool) policy.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -99,8 +99,8 @@
 // maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e9
 
-// ParseLoadReport parses text, which has the form name=value,name=value. It returns the values of names, in that
-// order. It returns nil if text lacks one of names or is invalid in any part.
+// ParseLoadReport parses text, a load report of the form name=value,name=value. It returns the values in the order of
+// names. It returns nil if text lacks one of names or is invalid in any part.
 func ParseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
