--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -23,8 +23,8 @@
 
 	mu        sync.Mutex
 	servers   map[string]*mergedServer // by address
-	addresses []map[string]string      // address of each listed endpoint id, by index of the source
-	drops     []dropoverload.Fractions // last drop fractions of each source
+	addresses []map[string]string      // for each source: address of each listed endpoint, by endpoint ID
+	drops     []dropoverload.Fractions // for each source: drop fractions of its last update
 }
 
 var _ router.EndpointSource = (*Source)(nil)
--- a/discovery/xds/file.go
+++ b/discovery/xds/file.go
@@ -41,7 +41,7 @@
 }
 
 // ParseFile parses a DiscoveryResponse in JSON or YAML, the format of Envoy's path_config_source. One invalid
-// resource makes the whole file invalid. Errors are one line, which names the resource and the field.
+// resource makes the whole file invalid. An error is a single-line message with the resource and the field.
 func ParseFile(text []byte) (FileResources, error) {
 	raw, err := yaml.YAMLToJSONStrict(text) // also accepts JSON, a subset of YAML
 	if err != nil {
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -143,10 +143,10 @@
 // formerEndpoints looks up endpoints of a cluster's former assignment by address.
 type formerEndpoints struct {
 	endpoints []resource.Endpoint
-	positions map[string]int // by address; built at the first difference in the order of the endpoints
+	positions map[string]int // index of each endpoint, by address; built when a guessed index is wrong for the first time
 }
 
-// position returns the index of the endpoint with address addr. It tries the index guess first.
+// position returns the index of the endpoint with address addr. It checks the index guess first.
 func (f *formerEndpoints) position(addr string, guess int) (position int, found bool) {
 	if guess < len(f.endpoints) && f.endpoints[guess].Addr == addr {
 		return guess, true
--- a/emulator/model/model_test.go
+++ b/emulator/model/model_test.go
@@ -170,7 +170,8 @@
 	}
 	warmUp := WarmUp{InitialCapacity: 0.5, Duration: 8 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
 	// Within the first window of 1 s, the work received by time t at rate r is r·t. It exceeds the limit of
-	// 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375). After that, the work within the window stays at r.
+	// 3·(0.5 + t/16)·2·1 s at t = 3/(r - 0.375). After the first window, every window of 1 s contains the
+	// work r, while the limit still grows. The server therefore crashes within the first window or not at all.
 	for _, rate := range []float64{3.6, 4.5, 9} {
 		want := 3 / (rate - 0.375)
 		if got := crashTime(rate, warmUp).Seconds(); math.Abs(got/want-1) > 0.01 {
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -33,7 +33,7 @@
 	htmlPath     string // output file for the result as HTML; empty: none
 	outcomesPath string // output file with a line for each request; empty: none
 	levelsPath   string // file with the levels of reduced service; empty: none
-	mutant       string // name of the variant of the engine without one safeguard; empty: the real engine
+	mutant       string // name of an engine variant that lacks one safeguard; empty: the real engine
 	realTime     bool   // whether to run on real sockets in real time, not in virtual time
 	compare      bool   // whether to compare two stored results instead of running a script
 	quiet        bool   // whether to hide the progress
--- a/internal/conformance/script_test.go
+++ b/internal/conformance/script_test.go
@@ -24,8 +24,8 @@
 	scriptClients = 8 // each sends every eighth request of the script, in order
 )
 
-// scriptedCluster is the servers of a script and a discovery service. The service lists the last server as draining
-// when half of the script has been sent.
+// scriptedCluster consists of the servers of a script and a discovery service. The service lists the last server
+// as draining when half of the script has been sent.
 type scriptedCluster struct {
 	t     *testing.T
 	addrs []string
--- a/internal/standalone/class.go
+++ b/internal/standalone/class.go
@@ -13,9 +13,9 @@
 	LatencyObjective   time.Duration `toml:"aim" min:"1ms" max:"1h"`
 	Deadline           time.Duration `toml:"deadline" need:"1" min:"10ms" max:"1h"`
 	Idempotency        string        `toml:"repeat" need:"1" one:"free|guarded|never"`
-	DedupScope         string        `toml:"group" one:"all|zone|cell"` // empty: all
+	DedupScope         string        `toml:"group" one:"all|zone|cell"` // default: all
 	DedupWindow        time.Duration `toml:"window" min:"0s" max:"24h"`
-	PriorityWeight     float64       `toml:"worth" min:"0"`              // 0: 1
+	PriorityWeight     float64       `toml:"worth" min:"0"`              // unset or 0: 1
 	LateWeightFraction float64       `toml:"late_worth" min:"0" max:"1"` // share of PriorityWeight after LatencyObjective
 	Zones              []string      `toml:"zones"`
 	Kinds              []string      `toml:"kinds"`
@@ -71,7 +71,7 @@
 // Bucket configures a token bucket.
 type Bucket struct {
 	Rate  float64       `toml:"rate" need:"1" min:"0"`   // requests per Per
-	Per   time.Duration `toml:"per" min:"1ms" max:"24h"` // time window of Rate; 0: 1 s
+	Per   time.Duration `toml:"per" min:"1ms" max:"24h"` // time window of Rate; default: 1 s
 	Burst int64         `toml:"burst" need:"1" min:"1"`
 }
 
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -49,7 +49,7 @@
 	Name  string `toml:"name"`
 	Zone  string `toml:"zone"`
 	Index int    `toml:"place" min:"0"`          // index of this node, from 0
-	Count int    `toml:"of" min:"1" max:"10000"` // number of nodes; 0: 1
+	Count int    `toml:"of" min:"1" max:"10000"` // number of nodes; default: 1
 }
 
 // Listen configures a listener for HTTP/1.1.
@@ -60,24 +60,24 @@
 
 // Limits bounds the resources of the process and the attempts for each request.
 type Limits struct {
-	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // maximum file descriptors; 0: 1024
-	MemoryMB        int           `toml:"memory_mb" min:"16"`             // maximum memory of the process; 0: 192
-	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // CPU cores of the process; 0: 1
+	Sockets         int           `toml:"sockets" min:"64" max:"1000000"` // maximum file descriptors; default: 1024
+	MemoryMB        int           `toml:"memory_mb" min:"16"`             // maximum memory of the process; default: 192
+	Cores           float64       `toml:"cores" min:"0.1" max:"1024"`     // CPU cores of the process; default: 1
 	MaxOpen         int           `toml:"open" min:"1"`                   // maximum unanswered requests
-	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // timeout for connecting to a server; 0: 250 ms
-	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // maximum attempts for one request; 0: 4
-	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // maximum of the header Retry-After; 0: 10 s
+	ConnectTimeout  time.Duration `toml:"connect" min:"1ms" max:"1m"`     // server connect timeout; default: 250 ms
+	MaxAttempts     int           `toml:"attempts" min:"1" max:"100"`     // maximum attempts for one request; default: 4
+	MaxRetryAfter   time.Duration `toml:"retry_after" min:"0s" max:"1h"`  // maximum Retry-After; unset or 0: 10 s
 	Hedging         bool          `toml:"second_copies"`
-	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers' idle timeout; 0: 60 s
+	ConnIdleTimeout time.Duration `toml:"conn_idle" min:"1s" max:"1h"` // servers' idle timeout; default: 60 s
 	DrainGrace      time.Duration `toml:"drain_grace" min:"0s" max:"1m"`
 }
 
 // State configures the file in which a node stores its learned state for the next start.
 type State struct {
 	File         string        `toml:"file"`
-	SaveInterval time.Duration `toml:"every" min:"100ms" max:"1h"` // 0: 2 s
-	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age at which the state has half its weight; 0: 1 min
-	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // maximum age; an older state is ignored; 0: 10 min
+	SaveInterval time.Duration `toml:"every" min:"100ms" max:"1h"` // interval between writes of the state; default: 2 s
+	HalfLife     time.Duration `toml:"half" min:"1s" max:"24h"`    // age at which the weight is halved; default: 1 min
+	MaxAge       time.Duration `toml:"most" min:"1s" max:"24h"`    // maximum age; older state is ignored; default: 10 min
 }
 
 // Rules of the policy for a standalone node that the file cannot set.
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -15,23 +15,23 @@
 	Name             string            `toml:"name" need:"1"`
 	Zone             string            `toml:"zone"`
 	Listen           string            `toml:"listen" need:"1"`     // IP:port for calls between processes of the fleet
-	Address          string            `toml:"address"`             // address for other processes; empty: Listen
+	Address          string            `toml:"address"`             // address for other processes; default: Listen
 	TokenFile        string            `toml:"token_file" need:"1"` // file with the bearer token in its first line
 	Cert             string            `toml:"cert"`                // certificate chain of this process; empty: no TLS
 	Key              string            `toml:"key"`
 	Trust            string            `toml:"trust"`                      // authorities of the processes' certificates
-	TLSName          string            `toml:"tls_name"`                   // name in certificates; empty: wayhold-fleet
+	TLSName          string            `toml:"tls_name"`                   // name in certificates; default: wayhold-fleet
 	Dir              string            `toml:"dir" need:"1"`               // directory of durable data
 	Replicas         []string          `toml:"council"`                    // addresses of 1, 3 or 5 replicas
 	AddressOverrides map[string]string `toml:"via"`                        // address to dial instead, by address
-	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"` // duration of a lease; 0: 5 s
-	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after ten ticks; 0: 100 ms
-	Capacity         float64           `toml:"capacity" min:"0"`           // capacity of the agent's node; 0: 1
+	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"` // duration of a lease; default: 5 s
+	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after 10 ticks; default: 100 ms
+	Capacity         float64           `toml:"capacity" min:"0"`           // capacity of the agent's node; unset or 0: 1
 	LeaseKinds       []string          `toml:"owns" one:"round"`           // kinds of leases that this process may hold
 	PatchCommand     []string          `toml:"patch"`                      // command line of a patch in a rolling update
 	CheckCommand     []string          `toml:"look"`                       // exit status 0: patched; 1: not patched
 	RevertCommand    []string          `toml:"revert"`                     // command line that undoes PatchCommand
-	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // timeout per command and drain; 0: 10 min
+	Timeout          time.Duration     `toml:"timeout" min:"1s" max:"24h"` // per command and drain; default: 10 min
 }
 
 // Defaults of the table [fleet].
--- a/internal/standalone/identity.go
+++ b/internal/standalone/identity.go
@@ -13,7 +13,7 @@
 	Trusted   []string `toml:"trusted"` // networks of proxies with trusted tenant and forwarding headers
 	Forwarded string   `toml:"forwarded" one:"X-Forwarded-For|Forwarded"`
 	Layers    []Layer  `toml:"layer"`
-	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // maximum names of anonymous clients; 0: 10000
+	Anonymous int      `toml:"anonymous" min:"16" max:"1000000"` // maximum names of anonymous clients; default: 10000
 }
 
 // Layer is one way to identify a tenant.
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -13,7 +13,7 @@
 // Service contains the settings that all levels of reduced service share.
 type Service struct {
 	ShedLast    []string      `toml:"guarded"`                 // classes that no level may shed more than other classes
-	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // minimum time between changes of the level; 0: 30 s
+	MinInterval time.Duration `toml:"least" min:"1s" max:"1h"` // minimum time between changes of the level; default: 30 s
 	DryRun      bool          `toml:"dry_run"`                 // whether levels are only computed and counted
 }
 
@@ -36,7 +36,7 @@
 // Measure is a restriction that a level applies to a class.
 type Measure struct {
 	Class       string   `toml:"class" need:"1"`
-	Tenants     []string `toml:"tenants"` // empty: all tenants
+	Tenants     []string `toml:"tenants"` // default: all tenants
 	Shed        float64  `toml:"shed" min:"0" max:"1"`
 	NoHedging   bool     `toml:"no_copies"`
 	MaxAttempts int      `toml:"attempts" min:"1"`
--- a/internal/standalone/route.go
+++ b/internal/standalone/route.go
@@ -16,7 +16,7 @@
 type Route struct {
 	Listener string            `toml:"listener"`
 	Host     string            `toml:"host"`
-	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // empty: the class's method
+	Methods  []string          `toml:"methods" one:"GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS"` // default: the class's method
 	Path     string            `toml:"path"`
 	Prefix   string            `toml:"prefix"`
 	Segments string            `toml:"segments"`
@@ -24,10 +24,10 @@
 	Headers  map[string]string `toml:"headers"` // "*": present with any value; "!": absent
 	Query    map[string]string `toml:"query"`   // values as in Headers
 	Fraction float64           `toml:"share" min:"0" max:"1"`
-	HashBy   string            `toml:"by" one:"tenant|key|id"` // empty: tenant
+	HashBy   string            `toml:"by" one:"tenant|key|id"` // default: tenant
 	HashSalt string            `toml:"salt"`
 	Class    string            `toml:"class" need:"1"`
-	Timeout  time.Duration     `toml:"budget" min:"0s" max:"1h"` // 0: the deadline of the class
+	Timeout  time.Duration     `toml:"budget" min:"0s" max:"1h"` // unset or 0: the deadline of the class
 }
 
 // Special values of headers and query parameters in routes.
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -13,12 +13,12 @@
 
 // Server is a table [[server]], which defines an app server.
 type Server struct {
-	ID       string   `toml:"id"` // empty: Address
+	ID       string   `toml:"id"` // default: Address
 	Address  string   `toml:"address" need:"1"`
 	Zone     string   `toml:"zone"`
 	Kind     string   `toml:"kind"`
 	Cell     int64    `toml:"cell"`
-	Weight   float64  `toml:"weight" min:"0.001"` // 0: 1
+	Weight   float64  `toml:"weight" min:"0.001"` // default: 1
 	Pools    []string `toml:"pools"`
 	Draining bool     `toml:"drain"`
 }
@@ -28,8 +28,8 @@
 	File string `toml:"file"` // TOML file with [[server]]; read again when it changes
 }
 
-// Endpoints returns the servers in this file and in the file of servers that this file names. It returns an error if
-// two servers have the same ID.
+// Endpoints returns the servers in this file and in the additional file of servers, if one is configured. It returns
+// an error if two servers have the same ID.
 func (f *File) Endpoints() ([]router.Endpoint, error) {
 	endpoints, err := toEndpoints(f.lines, f.Servers)
 	if err != nil || f.ServerSource.File == "" {
@@ -50,8 +50,8 @@
 // ServersPath returns the path of the file of servers, or an empty string if no such file is configured.
 func (f *File) ServersPath() string { return f.resolvePath(f.ServerSource.File) }
 
-// ReadServers returns the servers in a file of [[server]] tables. Errors are one line, which names the file, the line
-// and the key.
+// ReadServers returns the servers in a file of [[server]] tables. An error in the file's contents is a single-line
+// message with the file name, line number and key.
 func ReadServers(path string) ([]router.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -15,8 +15,8 @@
 // TLS is the table [tls]. It configures which connections use TLS, and with which certificates. Limits of zero mean
 // the defaults of package handshakes.
 type TLS struct {
-	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // interval between checks of the files; 0: 1 s
-	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // lead times; empty: 30 days, 7 days, 1 day
+	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // interval between file checks; default: 1 s
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // lead times; default: 30 days, 7 days, 1 day
 	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // fraction of a core for handshakes under load
 	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
 	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // concurrent handshakes with all servers
