--- a/discovery/disabled/disabled.go
+++ b/discovery/disabled/disabled.go
@@ -36,7 +36,7 @@
 	mu            sync.Mutex
 	disabled      map[string]bool            // ids of servers that an operator has disabled
 	untrusted     map[string]bool            // ids of servers that could not prove their identity
-	endpoints     map[string]router.Endpoint // by id, as last published by the wrapped source
+	endpoints     map[string]router.Endpoint // last published endpoints of the wrapped source, by id
 	pending       []string                   // ids of servers with unpublished changes, without duplicates
 	pendingSignal chan struct{}              // contains a token while pending is not empty
 }
--- a/discovery/registry/watch.go
+++ b/discovery/registry/watch.go
@@ -21,8 +21,8 @@
 	// received. The repeated call needs part of these 2 s.
 	responseGrace = time.Second
 	// sharedWatchTimeout is the maximum time for which a registry that serves all nodes may hold a call. Each call
-	// uses a random time between half of sharedWatchTimeout and all of it. Otherwise nodes that start together would
-	// keep calling at the same moments and overload the registry.
+	// uses a random time between half of sharedWatchTimeout and all of it. With a fixed time, nodes that start together
+	// would keep calling at the same moments and overload the registry.
 	sharedWatchTimeout = 20 * time.Second
 	// sharedResponseGrace is the maximum time to wait for the complete list from a registry that serves all nodes.
 	// Such a registry handles calls one after the other, and an abandoned call costs as much as an answered call. An
@@ -34,7 +34,7 @@
 	watchPath   = "/registry/instances"
 )
 
-// errWatchTimeout is returned for a call that timed out without an answer or a connection error.
+// errWatchTimeout is returned for a call that timed out without an answer. The registry may still be up.
 var errWatchTimeout = errors.New("the watch timed out without an answer")
 
 // call describes one call to the registry.
@@ -62,8 +62,8 @@
 	return next
 }
 
-// watch makes one call and returns the list in the answer. It returns errWatchTimeout if the call timed out but the
-// registry may still be up.
+// watch makes one call and returns the list in the answer. It returns errWatchTimeout if the call times out, except for
+// a call that an agent's registry must answer immediately. The timeout of such a call is an ordinary failure.
 func (s *Source) watch(ctx context.Context) (List, error) {
 	next := s.nextCall()
 	callCtx, cancel := context.WithTimeout(ctx, next.wait+next.grace)
--- a/discovery/xds/ads/ads.go
+++ b/discovery/xds/ads/ads.go
@@ -59,7 +59,7 @@
 	Type          Type
 	IncludeNode   bool     // whether the request identifies the node, as the first request on a stream does
 	Version       string   // last accepted version; state-of-the-world variant only
-	Nonce         string   // nonce of the answered response; empty: the request answers none
+	Nonce         string   // nonce of the answered response; empty: the request answers no response
 	ErrorDetail   string   // reason of a NACK; empty: the request is an ACK or answers no response
 	ResourceNames []string // all names subscribed to; state-of-the-world variant only
 	// Subscribe, Unsubscribe and InitialVersions are used in the incremental variant only.
@@ -71,7 +71,7 @@
 type AppliedCluster struct {
 	Cluster        *resource.Cluster
 	Assignment     *resource.Assignment // nil: no assignment has been received yet
-	Warming        bool                 // whether the current assignment is missing; the former one stays in effect
+	Warming        bool                 // whether the current assignment is missing; the former assignment stays in effect
 	PendingRemoval bool                 // whether the cluster is missing from the newest, incomplete list
 }
 
--- a/discovery/xds/config.go
+++ b/discovery/xds/config.go
@@ -38,14 +38,15 @@
 	Servers []Server    // control planes in order of preference; at least one
 	Node    *xdspb.Node // identifies this node; sent with the first request of each stream
 	Delta   bool        // use the incremental variant of the protocol instead of state of the world
-	// CacheDir is the directory of the cached list, which is read at the start; empty: nothing is cached.
+	// CacheDir is the directory of the cached list. The list is read at the start. If CacheDir is empty, nothing
+	// is cached.
 	CacheDir string
 	Log      *slog.Logger // nil: nothing is logged
 	// Secrets contains a function for each secret to subscribe to, by name of the secret. The function receives every
 	// accepted version of the secret, and must not block. A secret that the control plane removes stays in use.
 	Secrets map[string]func(*certificates.Set)
 
-	// Intervals that tests override; 0: the default.
+	// Intervals that tests override. 0 means the default.
 	backoffBase, backoffMax, responseTimeout, failbackInterval time.Duration
 }
 
--- a/discovery/xds/file.go
+++ b/discovery/xds/file.go
@@ -74,7 +74,7 @@
 	return resources, nil
 }
 
-// CheckFiles reads and validates the files together, and returns their servers in order of id.
+// CheckFiles reads and validates the files together, and returns their servers, sorted by id.
 func CheckFiles(paths []string) ([]router.Endpoint, error) {
 	resources, err := readFiles(paths)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return EndpointsOf(resources), nil
 }
 
-// EndpointsOf returns the servers that the resources define, in order of id.
+// EndpointsOf returns the servers that the resources define, sorted by id.
 func EndpointsOf(resources FileResources) []router.Endpoint {
 	s := newSnapshot()
 	s.apply(resources.appliedClusters())
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -25,16 +25,16 @@
 type snapshot struct {
 	clusters         map[string]clusterState
 	published        map[string]router.Endpoint  // by address
-	listings         map[string][]clusterListing // by address; each list is in order of cluster name
+	listings         map[string][]clusterListing // by address; each list is sorted by cluster name
 	initialPublished bool                        // whether the first list of servers has been published
-	drops            dropoverload.Fractions      // as last published
+	drops            dropoverload.Fractions      // fractions of requests to drop, as last published
 	yielder          cpuyield.Yielder
 }
 
 // clusterState is the state of a cluster as last applied.
 type clusterState struct {
 	assignment *resource.Assignment
-	eligible   []bool // parallel to assignment.Endpoints
+	eligible   []bool // whether each endpoint may get new work, by index in assignment.Endpoints
 }
 
 // clusterListing is the entry of a server in one cluster.
@@ -85,7 +85,7 @@
 	return s.changes(touched)
 }
 
-// changes returns the endpoints to publish for the touched addresses, in order of address.
+// changes returns the endpoints to publish for the touched addresses, sorted by address.
 func (s *snapshot) changes(touched map[string]bool) []router.Endpoint {
 	var changed []router.Endpoint
 	for i, addr := range slices.Sorted(maps.Keys(touched)) {
@@ -143,7 +143,7 @@
 // formerEndpoints looks up endpoints of a cluster's former assignment by address.
 type formerEndpoints struct {
 	endpoints []resource.Endpoint
-	positions map[string]int // index of each endpoint, by address; built when a guessed index is wrong for the first time
+	positions map[string]int // index of each endpoint, by address; built after the first wrong guess of an index
 }
 
 // position returns the index of the endpoint with address addr. It checks the index guess first.
@@ -246,7 +246,7 @@
 	return merged, true
 }
 
-// endpoints returns the complete list as last published, in order of id.
+// endpoints returns the complete list as last published, sorted by id.
 func (s *snapshot) endpoints() []router.Endpoint {
 	endpoints := make([]router.Endpoint, 0, len(s.published))
 	for _, endpoint := range s.published {
--- a/discovery/xds/standin/stream.go
+++ b/discovery/xds/standin/stream.go
@@ -106,7 +106,7 @@
 }
 
 // handleRequest applies the subscriptions of a request. In the state-of-the-world variant, a request for clusters is
-// ignored if it answers a response other than the last one.
+// ignored if it answers a response other than the last response.
 func (s *clientStream) handleRequest(request RecordedRequest) {
 	subscribed := s.subscriptions[request.Type]
 	if subscribed == nil {
--- a/discovery/xds/status.go
+++ b/discovery/xds/status.go
@@ -21,9 +21,9 @@
 	LastError error     // why the last stream ended; nil: no stream has ended yet
 	Complete  bool      // whether all endpoints of the newest list of clusters have been received
 	Types     [ads.NumTypes]ads.Status
-	Endpoints []router.Endpoint      // as last published, in order of id
+	Endpoints []router.Endpoint      // endpoints as last published, sorted by id
 	Drops     dropoverload.Fractions // fraction of requests to drop in classes bound to a cluster, by cluster
-	// EndpointStatuses contains the endpoints of all clusters, in order of cluster and address.
+	// EndpointStatuses contains the endpoints of all clusters, sorted by cluster and then by address.
 	EndpointStatuses []EndpointStatus
 }
 
@@ -69,7 +69,7 @@
 		s.Server, s.Connected, s.Since.Format(time.RFC3339), len(s.Endpoints))
 }
 
-// endpointStatuses returns the status of each endpoint of each cluster, in order of cluster and address.
+// endpointStatuses returns the status of the endpoints of all clusters, sorted by cluster and then by address.
 func (s *snapshot) endpointStatuses() []EndpointStatus {
 	var statuses []EndpointStatus
 	for _, listings := range s.listings {
--- a/emulator/clustersim/world.go
+++ b/emulator/clustersim/world.go
@@ -46,7 +46,7 @@
 func (r randReader) Read(p []byte) (int, error) { return r.source.Read(p) }
 
 // Run simulates one schedule. During the run it replaces crypto/rand's process-wide reader, from which raft draws.
-// Therefore only one simulation may run in a process at a time.
+// A process must not run two simulations at the same time.
 func Run(cfg Config) (result Result) {
 	var key [32]byte
 	for i := range 8 {
--- a/emulator/model/config.go
+++ b/emulator/model/config.go
@@ -11,7 +11,7 @@
 const (
 	CancelIgnored Cancel = iota
 	CancelQueued         // removes queued requests only
-	CancelAll            // removes queued requests and stops running ones
+	CancelAll            // removes queued requests and stops running requests
 )
 
 // Config describes a kind of server. Durations are measured by the server's own clock. Work is measured in seconds of
--- a/emulator/model/events.go
+++ b/emulator/model/events.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// startPause starts a pause now and schedules the next.
+// startPause starts a pause now and schedules the next pause.
 func (s *Server) startPause() {
 	pause := &s.config.Pause
 	perCore := float64(s.InFlight()) / float64(s.config.Cores)
--- a/emulator/script/script.go
+++ b/emulator/script/script.go
@@ -56,7 +56,7 @@
 	Delay    time.Duration `toml:"delay" min:"0s" max:"1m"`
 	Spread   time.Duration `toml:"spread" min:"0s" max:"1m"` // maximum random extra delay of a node
 	Protocol string        `toml:"form" one:"own|xds"`       // real time only; own: the platform's protocol
-	// SilenceTimeout is the time after which a silent server is removed from the endpoint list; 0: never.
+	// SilenceTimeout is the time after which a silent server is removed from the endpoint list. 0 means never.
 	SilenceTimeout time.Duration `toml:"silent" min:"0s" max:"1h"`
 }
 
@@ -112,7 +112,7 @@
 type Tenant struct {
 	Name  string  `toml:"name" need:"1"`
 	Share float64 `toml:"share" need:"1" min:"0" max:"1"`
-	Usage float64 `toml:"usage" min:"0" max:"1000"` // offered load as a multiple of the tenant's share; 0: 1
+	Usage float64 `toml:"usage" min:"0" max:"1000"` // offered load as a multiple of the tenant's share; unset or 0: 1
 }
 
 // Traffic describes the open-loop load that clients offer.
@@ -123,7 +123,7 @@
 	Quota float64            `toml:"quota" min:"0"`
 	Zones map[string]float64 `toml:"zones" min:"0"` // weight of each zone; empty: equal weights
 	Shape string             `toml:"shape" one:"steady|wave|ramp|square"`
-	// Period is the period of the shapes wave and square; 0: half the script's duration.
+	// Period is the period of the shapes wave and square. 0 means half the script's duration.
 	Period time.Duration `toml:"period" min:"100ms" max:"1h"`
 	// Amplitude is the maximum relative change of the rate in the shapes wave and square. In the shape ramp, the
 	// factor of the rate grows from 1 - Amplitude to 1 + Amplitude.
--- a/emulator/sim/transport.go
+++ b/emulator/sim/transport.go
@@ -53,7 +53,7 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection to a server; nil if there is none. It closes
-// the unusable connections that it finds.
+// unusable connections that it finds on the way.
 func (n *node) takeIdle(server string) *conn {
 	maxIdle := n.sim.plan.Script.Capabilities.ConnIdle / 2
 	idle := n.idle[server]
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -11,8 +11,9 @@
 // socketHost is the Host header of requests over a Unix socket. The server ignores the header.
 const socketHost = "door"
 
-// clientIdleTimeout is how long a client keeps an idle connection. It is well below the server's idleTimeout.
-// Otherwise the server could close a connection while a POST is being sent, and http.Transport does not retry a POST.
+// clientIdleTimeout is the time for which a client keeps an idle connection. It is well below the server's idleTimeout.
+// With a longer timeout, the server could close a connection while a POST is being sent, and http.Transport does not
+// retry a POST.
 const clientIdleTimeout = idleTimeout / 2
 
 // NewClient returns a client for the server at address, and the base URL of all paths. The address is the path of a
--- a/internal/cli/hotrestart_test.go
+++ b/internal/cli/hotrestart_test.go
@@ -293,7 +293,7 @@
 }
 
 // awaitReadiness waits until the node's readiness has been want for 500 ms without interruption. Every process
-// notices a standby order within that time, so the result holds for every process that accepts connections.
+// notices a standby command within that time, so the result holds for every process that accepts connections.
 func awaitReadiness(t *testing.T, address string, want bool) {
 	t.Helper()
 	since := time.Now()
@@ -305,7 +305,7 @@
 	})
 }
 
-// TestHotRestart_Failures checks that a standby order to one process reaches the other process and the next
+// TestHotRestart_Failures checks that a standby command to one process reaches the other process and the next
 // successor. It also checks that the node keeps working after three faults: truncated coordination files, a successor
 // that is killed before it takes over, and a killed predecessor.
 func TestHotRestart_Failures(t *testing.T) {
@@ -337,7 +337,7 @@
 	}
 	awaitReadiness(t, address, true)
 	first.kill()
-	// The remaining process may not have read the order yet.
+	// The remaining process may not have read the standby command yet.
 	testkit.Await(t, "the remaining process to serve", func() bool { return isReady(address) })
 	testkit.Await(t, "the files of killed processes to be removed", func() bool {
 		left, _ := filepath.Glob(filepath.Join(node.dir, "*.alive"))
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -20,7 +20,7 @@
 	cancelDeadline = 4000 * time.Millisecond
 )
 
-// dedupWindow is how long servers remember the idempotency key of a cancellation. Servers drop requests that repeat a
+// dedupWindow is the time for which servers remember the idempotency key of a cancellation. Servers drop requests that repeat a
 // remembered key.
 const dedupWindow = 4 * time.Second
 
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -18,7 +18,7 @@
 	// requires.
 	maxInFlight = 2048
 
-	// responseGrace is how long clients wait after a request's deadline before they count the request as lost.
+	// responseGrace is the time for which clients wait after a request's deadline before they count the request as lost.
 	responseGrace = time.Second
 )
 
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -31,7 +31,7 @@
 	engine   *router.Stepped
 	now      time.Duration
 	response policy.Code
-	inFlight []pendingAttempt  // attempts in flight, in the order in which they end
+	inFlight []pendingAttempt  // attempts in flight, sorted by the time at which they end
 	zones    map[string]string // zone of each server, by server ID
 
 	firstServers []string       // server of each request's first attempt
--- a/internal/nodeconfig/file.go
+++ b/internal/nodeconfig/file.go
@@ -17,14 +17,14 @@
 
 // Log is the table [log]. It sets the minimum level and the format of log lines.
 type Log struct {
-	Level  Level  // not set: info
-	Format Format // not set: text
+	Level  Level  // default: info
+	Format Format // default: text
 }
 
 // Drain configures the drain after SIGTERM and drains requested over the admin API.
 type Drain struct {
-	AnnounceFor Duration // time for which a draining node still serves as before; not set: the node's default
-	Timeout     Duration // timeout for the whole drain; not set: the node's default
+	AnnounceFor Duration // time for which a draining node still serves as before; default: the node's default
+	Timeout     Duration // timeout for the whole drain; default: the node's default
 	StateFile   string   // path of the file with which a restarted node continues a drain requested over the admin API
 }
 
--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -66,8 +66,8 @@
 	Servers     any `toml:"servers"`
 }
 
-// Load reads the file at path. An empty path means an empty file. Errors are one line, which names the file, the line
-// and the key.
+// Load reads the file at path. An empty path means an empty file. An error in the file's contents is a
+// single-line message with the file name, line number and key.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
@@ -83,7 +83,7 @@
 	return file, nil
 }
 
-// Parse parses the text of a file. Errors are one line, which begins with the line number.
+// Parse parses the text of a file. An error is a single-line message that begins with the line number.
 func Parse(text []byte) (File, error) {
 	doc, err := decode(text)
 	if err != nil {
--- a/internal/standalone/file.go
+++ b/internal/standalone/file.go
@@ -96,8 +96,8 @@
 	defaultConnIdleTimeout = time.Minute
 )
 
-// Load reads the file at path. An empty path means an empty file. Errors are one line, which names the file, the line
-// and the key.
+// Load reads the file at path. An empty path means an empty file. An error in the file's contents is a
+// single-line message with the file name, line number and key.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -25,7 +25,7 @@
 	Replicas         []string          `toml:"council"`                    // addresses of 1, 3 or 5 replicas
 	AddressOverrides map[string]string `toml:"via"`                        // address to dial instead, by address
 	Lease            time.Duration     `toml:"lease" min:"500ms" max:"1h"` // duration of a lease; default: 5 s
-	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // an election starts after 10 ticks; default: 100 ms
+	Tick             time.Duration     `toml:"tick" min:"10ms" max:"10s"`  // 10 ticks until an election; default: 100 ms
 	Capacity         float64           `toml:"capacity" min:"0"`           // capacity of the agent's node; unset or 0: 1
 	LeaseKinds       []string          `toml:"owns" one:"round"`           // kinds of leases that this process may hold
 	PatchCommand     []string          `toml:"patch"`                      // command line of a patch in a rolling update
--- a/internal/standalone/levels.go
+++ b/internal/standalone/levels.go
@@ -44,7 +44,7 @@
 
 	MaxQueueTime time.Duration `toml:"hold" min:"1ms" max:"1h"`
 	ZoneLocal    bool          `toml:"own_zone"`
-	FollowDemand bool          `toml:"follow"` // shed the excess of demand over capacity, and at most Shed
+	FollowDemand bool          `toml:"follow"` // shed only the excess of demand over capacity, at most Shed
 }
 
 // signals maps the values of the key signal to the signals of package levels.
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -1,5 +1,5 @@
 // Package stricttoml decodes TOML into structs. It rejects unknown keys and values that are not allowed. An error is
-// one line, which names the line number, the key and the allowed values.
+// a single-line message with the line number, the key and the allowed values.
 //
 // The struct tag toml names the key of a field. Further tags restrict the values. The tags min and max are bounds of
 // numbers and durations. The tag one lists the allowed strings, separated by |. The tag need makes the key mandatory,
