--- a/discovery/registry/registry_test.go
+++ b/discovery/registry/registry_test.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestSharedRegistry_WatchTimeoutsAreSpread checks that each watch of a shared registry uses a random wait. Otherwise
-// nodes that start together would keep calling the registry at the same moments. The wait at an agent on the node's
-// own machine must be constant.
+// TestSharedRegistry_WatchTimeoutsAreSpread checks that each watch of a shared registry uses a random wait. With a
+// constant wait, nodes that start together would keep calling the registry at the same moments. The wait at an agent
+// on the node's own machine must be constant.
 func TestSharedRegistry_WatchTimeoutsAreSpread(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		waits := make(chan time.Duration, 8)
--- a/discovery/xds/stream.go
+++ b/discovery/xds/stream.go
@@ -170,8 +170,9 @@
 		case <-r.expiryTimer.C:
 			r.expire()
 		case <-failback:
-			// A working stream is kept until the connection to the preferred control plane is ready. Otherwise
-			// neither control plane would deliver drains while the connection is being established.
+			// A working stream is kept until the connection to the preferred control plane is ready. If the
+			// stream ended earlier, neither control plane would deliver drains while the connection is being
+			// established.
 			if r.preferred.GetState() == connectivity.Ready {
 				return errPreferredAvailable
 			}
--- a/discovery/xds/xds_test.go
+++ b/discovery/xds/xds_test.go
@@ -299,7 +299,7 @@
 }
 
 // TestSource_NoFailbackToSilentServer checks that a working stream is kept if a preferred control plane accepts
-// connections but sends nothing. Otherwise neither control plane would deliver drains.
+// connections but sends nothing. If the source left the stream, neither control plane would deliver drains.
 func TestSource_NoFailbackToSilentServer(t *testing.T) {
 	silent := testkit.RawServer(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	second := startControlPlane(t)
--- a/emulator/multiprocess/cases_test.go
+++ b/emulator/multiprocess/cases_test.go
@@ -236,7 +236,8 @@
 }
 
 // TestDisabledServers_AtAllNodesUntilExpiry checks that a server that the administrator disables is disabled at all
-// nodes. The command must report the number of nodes. The order must expire at its time even while no replica runs.
+// nodes. The command must report the number of nodes. The disable order must expire at its time even while
+// no replica runs.
 func TestDisabledServers_AtAllNodesUntilExpiry(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestCheck checks that the check command describes valid files. It reports an error as one line that names the file.
+// TestCheck checks that the check command describes valid files. An error must be a single line that names the file.
 func TestCheck(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	dir := t.TempDir()
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -20,8 +20,8 @@
 	cancelDeadline = 4000 * time.Millisecond
 )
 
-// dedupWindow is the time for which servers remember the idempotency key of a cancellation. Servers drop requests that repeat a
-// remembered key.
+// dedupWindow is the time for which servers remember the idempotency key of a cancellation. Servers drop requests that
+// repeat a remembered key.
 const dedupWindow = 4 * time.Second
 
 // mainTenant sends more than its quota. otherTenants send the rest of the traffic.
--- a/internal/racetest/discovery_test.go
+++ b/internal/racetest/discovery_test.go
@@ -32,7 +32,7 @@
 // pollCall is one call to discovery for the endpoint list.
 type pollCall struct {
 	seq           int    // number of earlier calls
-	sinceRevision string // revision of the caller's list; empty: the complete list is requested
+	sinceRevision string // revision of the caller's list; empty if the caller requests the complete list
 	wait          time.Duration
 	at            time.Time
 }
--- a/internal/standalone/tls.go
+++ b/internal/standalone/tls.go
@@ -16,12 +16,12 @@
 // the defaults of package handshakes.
 type TLS struct {
 	PollInterval        time.Duration   `toml:"every" min:"20ms" max:"1h"` // interval between file checks; default: 1 s
-	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // times before expiry; default: 30 days, 7 days, 1 day
+	WarnBefore          []time.Duration `toml:"warn" min:"1s"`             // lead times; default: 30 days, 7 days, 1 day
 	CPUShare            float64         `toml:"share" min:"0.01" max:"1"`  // fraction of a core for handshakes under load
 	HandshakeTimeout    time.Duration   `toml:"timeout" min:"10ms" max:"1m"`
 	MaxConcurrent       int             `toml:"at_once" min:"1" max:"10000"` // concurrent handshakes with all servers
 	MaxPerServer        int             `toml:"per_server" min:"1" max:"1000"`
-	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // handshakes with a server that has just started
+	MaxPerWarmingServer int             `toml:"per_cold" min:"1" max:"1000"` // concurrent, for a server in slow start
 	Servers             []TLSServers    `toml:"servers"`
 	Clients             *TLSListener    `toml:"clients"`
 	AdminAPI            *TLSListener    `toml:"door"`
--- a/tools/tlsbench/storm.go
+++ b/tools/tlsbench/storm.go
@@ -22,7 +22,7 @@
 const (
 	stormRole        = "as-storm"       // first argument of the process that makes the handshakes
 	stormDialTimeout = 20 * time.Second // connection timeout of each client of the storm
-	loadSettleTime   = time.Second      // start of the load: latencies are ignored, as clients are connecting
+	loadSettleTime   = time.Second      // latencies in this time are ignored, because clients are connecting
 )
 
 // stormLog collects the latencies of the background load, separately for requests sent before and during the storm.
--- a/tools/xdsbench/updates.go
+++ b/tools/xdsbench/updates.go
@@ -19,7 +19,7 @@
 	endpoints  int // number of endpoints in all clusters
 	perCluster int
 	delta      bool
-	rounds     int // number of updates; the first changes nothing and is not counted
+	rounds     int // number of updates; the first update changes nothing and is not counted
 }
 
 // updateCost is the cost of the counted updates. Each latency is the time from the push of an update until the router
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// script returns the control plane's script. The first cluster alternates between all of its endpoints and all but
-// one.
+// script returns the control plane's script. The first cluster alternates between all of its endpoints and all except
+// one endpoint.
 func (u updateRun) script() string {
 	var script strings.Builder
 	for i := range max(1, u.endpoints/u.perCluster) {
