--- a/internal/protocolmatrix/failures_test.go
+++ b/internal/protocolmatrix/failures_test.go
@@ -109,7 +109,8 @@
 }
 
 // maxEngineLag is the maximum delay of the engine at which the result of a case with its own timeout is valid. The
-// node answers a request 20 ms before its timeout, and may be up to 10 ms late.
+// router's answer is due 20 ms before the timeout of the request, and the backstop answers 10 ms later. With a delay of
+// at most 8 ms, the router answers before the backstop.
 const maxEngineLag = 8 * time.Millisecond
 
 // runOnTime runs the case and returns its result. If a case has its own timeout, the result is valid only if the host
