--- a/discovery/file/file.go
+++ b/discovery/file/file.go
@@ -98,7 +98,7 @@
 // fileStamp identifies a state of the file. A change of the file changes the stamp.
 type fileStamp struct {
 	exists   bool
-	size     int64 // bytes
+	size     int64 // size of the file, in bytes
 	modified time.Time
 	inode    any // differs after another file is renamed into place
 }
--- a/discovery/merge/merge.go
+++ b/discovery/merge/merge.go
@@ -22,7 +22,7 @@
 	sources []router.EndpointSource
 
 	mu        sync.Mutex
-	servers   map[string]*mergedServer // by address
+	servers   map[string]*mergedServer // reports about each server, by address
 	addresses []map[string]string      // for each source: address of each listed endpoint, by endpoint ID
 	drops     []dropoverload.Fractions // for each source: drop fractions of its last update
 }
--- a/discovery/xds/ads/ads_test.go
+++ b/discovery/xds/ads/ads_test.go
@@ -350,7 +350,7 @@
 	variant        Variant
 	version        int
 	clusters       map[string]string          // service name of each cluster, by cluster name
-	addresses      map[string][]string        // by service name
+	addresses      map[string][]string        // addresses in each assignment, by service name
 	versions       map[string]int             // version of each assignment, by service name
 	addressHistory map[string]map[string]bool // set of all address lists that a service has had, by service name
 
--- a/discovery/xds/cache.go
+++ b/discovery/xds/cache.go
@@ -19,7 +19,7 @@
 const (
 	cacheFileName = "xds-last.json"
 	cacheFormat   = "wayhold-xds 1" // name and version of the file format
-	maxCacheSize  = 256 << 20       // bytes
+	maxCacheSize  = 256 << 20       // maximum size of the cache file, in bytes
 )
 
 // cachedList is the last complete list, cached on disk. The first line of the file contains the format and a checksum
--- a/discovery/xds/connection.go
+++ b/discovery/xds/connection.go
@@ -19,7 +19,7 @@
 // Source.Run uses connections.
 type connections struct {
 	servers []Server
-	conns   []*grpc.ClientConn // by index of the server; nil: not created yet
+	conns   []*grpc.ClientConn // connection to each server, by index; nil: not created yet
 }
 
 func newConnections(servers []Server) *connections {
--- a/discovery/xds/file_source.go
+++ b/discovery/xds/file_source.go
@@ -73,7 +73,7 @@
 // fileStamp identifies a state of a file. A change of the file changes the stamp.
 type fileStamp struct {
 	exists   bool
-	size     int64 // bytes
+	size     int64 // size of the file, in bytes
 	modified int64 // nanoseconds since 1970
 	inode    uint64
 }
--- a/discovery/xds/resource/cluster.go
+++ b/discovery/xds/resource/cluster.go
@@ -12,7 +12,7 @@
 	Name        string
 	EDS         bool
 	ServiceName string      // name of the assignment; only with EDS
-	Static      *Assignment // only without EDS
+	Static      *Assignment // endpoints of the cluster; only without EDS
 }
 
 // ParseCluster validates a cluster. The error names the rejected field.
--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -24,8 +24,8 @@
 // safe for concurrent use.
 type snapshot struct {
 	clusters         map[string]clusterState
-	published        map[string]router.Endpoint  // by address
-	listings         map[string][]clusterListing // by address; each list is sorted by cluster name
+	published        map[string]router.Endpoint  // endpoints as last published, by address
+	listings         map[string][]clusterListing // listings of each server, by address; sorted by cluster name
 	initialPublished bool                        // whether the first list of servers has been published
 	drops            dropoverload.Fractions      // fractions of requests to drop, as last published
 	yielder          cpuyield.Yielder
--- a/discovery/xds/standin/standin.go
+++ b/discovery/xds/standin/standin.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxResponseSize = 256 << 20 // in bytes
+	maxResponseSize = 256 << 20 // maximum size of a response, in bytes
 	awaitInterval   = 2 * time.Millisecond
 	// versionsPerInstance is the number of versions reserved for each control plane in a process. In the incremental
 	// variant, a client reports the versions of its resources. If a restarted control plane counted from 1 again, a
--- a/emulator/clustersim/process.go
+++ b/emulator/clustersim/process.go
@@ -45,7 +45,7 @@
 	name         string
 	drained      bool
 	highestToken fleet.FencingToken
-	patches      map[string]int // by idempotency key
+	patches      map[string]int // number of times each patch was applied, by idempotency key
 }
 
 // monotonic returns the time of the process's own clock.
--- a/emulator/multiprocess/checker.go
+++ b/emulator/multiprocess/checker.go
@@ -48,7 +48,7 @@
 	mu         sync.Mutex
 	effects    []effect
 	nodes      map[string]*nodeStandIn
-	patches    map[string]int // by idempotency key
+	patches    map[string]int // number of times each patch was applied, by idempotency key
 	violations []string
 }
 
--- a/emulator/multiprocess/proxy.go
+++ b/emulator/multiprocess/proxy.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxProxiedBody      = 64 << 20 // bytes
+	maxProxiedBody      = 64 << 20 // maximum size of a body, in bytes
 	maxDelay            = 3 * time.Second
 	maxDuplicateDelay   = 3 * time.Second
 	duplicateTimeout    = 3 * time.Second
--- a/emulator/multiprocess/traffic.go
+++ b/emulator/multiprocess/traffic.go
@@ -33,14 +33,14 @@
 	servers  []*servermodel.Server
 	handlers []*serverprotocol.HTTPServer
 	nodes    map[string]*process
-	clients  map[string]*http.Client // by node name
+	clients  map[string]*http.Client // client for each node, by node name
 	inFlight sync.WaitGroup
 
 	mu         sync.Mutex
 	readyNodes []string
 	minReady   int // lowest number of ready nodes at a health check; the first check counts only if all nodes were ready
 	counts     requestCounts
-	isBooking  map[string]bool // by request ID
+	isBooking  map[string]bool // whether each request is a booking, by request ID
 	latencies  []time.Duration // latencies of the served requests
 }
 
--- a/emulator/plan/plan.go
+++ b/emulator/plan/plan.go
@@ -34,7 +34,7 @@
 	// Settings are the settings of all nodes, without the node's index and zone.
 	Settings policy.Settings
 
-	work map[string]model.Work // by class
+	work map[string]model.Work // work of each class, by name
 }
 
 // Server is the configuration of one server at the start of a run.
--- a/emulator/realtime/observer.go
+++ b/emulator/realtime/observer.go
@@ -23,8 +23,8 @@
 	mu       sync.Mutex
 	checker  *checker.Checker
 	recorder *result.Recorder
-	requests map[string]*request // by the ID of the client's attempt
-	finished []finishedAttempt   // oldest first
+	requests map[string]*request // request of each client attempt, by ID of the attempt
+	finished []finishedAttempt   // finished attempts, oldest first
 }
 
 type finishedAttempt struct {
--- a/emulator/realtime/realtime.go
+++ b/emulator/realtime/realtime.go
@@ -55,7 +55,7 @@
 
 	servers []*server
 	nodes   []*node
-	clients []*http.Client // by node index
+	clients []*http.Client // client for each node, by node index
 
 	tasks  sync.WaitGroup
 	timers sync.WaitGroup
--- a/emulator/realtime/server.go
+++ b/emulator/realtime/server.go
@@ -24,7 +24,7 @@
 
 	mu        sync.Mutex
 	id        string
-	addrs     []string // by node index
+	addrs     []string // address for each node, by node index
 	backend   *servermodel.Server
 	listeners []interface{ Close() }
 	startedAt int64 // Unix time in milliseconds; 0: the process started before the run
--- a/emulator/servermodel/server.go
+++ b/emulator/servermodel/server.go
@@ -24,7 +24,7 @@
 
 	// Until run returns, only the goroutine of run uses the fields below.
 	state   *model.Server
-	waiters map[string]chan model.Completion // by request ID
+	waiters map[string]chan model.Completion // channel of each waiting caller of Do, by request ID
 }
 
 // Start starts a server with the given configuration. Several servers may share a group. If group is nil, duplicates
--- a/emulator/serverprotocol/msgpack.go
+++ b/emulator/serverprotocol/msgpack.go
@@ -69,7 +69,7 @@
 	writes sync.Mutex // serializes replies
 
 	mu      sync.Mutex
-	pending map[uint32]chan struct{} // by call ID; closed when the call is cancelled
+	pending map[uint32]chan struct{} // channel of each call, by call ID; closed when the call is cancelled
 }
 
 // serveConn reads calls until the connection ends. Calls run concurrently. Each call is answered when it completes.
--- a/emulator/sim/node.go
+++ b/emulator/sim/node.go
@@ -26,11 +26,11 @@
 
 	inFlight  map[router.Attempt]*attempt
 	connCount int                // open connections, including idle connections
-	idle      map[string][]*conn // by server ID; the most recently used connection is last
+	idle      map[string][]*conn // idle connections, by server ID; the most recently used connection is last
 	idleOrder []idleEntry        // oldest first; an entry is stale if its connection was used after the entry was added
 
 	endpoints        map[string]router.Endpoint // last received endpoints, by server ID
-	unavailableSince map[string]time.Duration   // by server ID; only draining and removed servers
+	unavailableSince map[string]time.Duration   // time since which the node knows of a drain or removal, by server ID
 	pendingUpdates   []router.Endpoint          // received by the agent but not yet applied by the process
 	lastUpdateAt     time.Duration              // arrival of the newest update; later updates never arrive earlier
 }
--- a/emulator/sim/simulation.go
+++ b/emulator/sim/simulation.go
@@ -57,7 +57,7 @@
 	listDelays        []time.Duration // extra delays of endpoint list updates, one for each active fault
 	openRequests      int
 	arriving          bool                // true until the last request has arrived
-	requestsByAttempt map[string]*request // by the ID of the client's attempt
+	requestsByAttempt map[string]*request // request of each client attempt, by ID of the attempt
 	err               error               // first error of an engine, which ends the simulation
 }
 
--- a/internal/identity/resolve.go
+++ b/internal/identity/resolve.go
@@ -22,7 +22,7 @@
 // Request contains the attributes of a request that a Resolver reads.
 type Request struct {
 	Peer   netip.Addr          // remote address of the connection
-	Header map[string][]string // by canonical name
+	Header map[string][]string // header values, by canonical name
 	Names  []string            // names in the client's certificate, if the certificate was verified
 }
 
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -21,7 +21,7 @@
 	// decoded nor cleaned.
 	Path     string // whole path
 	Prefix   string // whole segments: /a matches /a and /a/b, but not /ab
-	Segments string // as in /rooms/{id}/book; a name in braces matches one segment that is not empty
+	Segments string // for example /rooms/{id}/book; a name in braces matches one segment that is not empty
 	Regexp   string // RE2 syntax; matches the whole path
 	Headers  []Condition
 	Query    []Condition
@@ -60,8 +60,8 @@
 	Listener string
 	Host     string // without a port, in lower case
 	Method   string
-	Path     string // as received, without the query
-	Query    string // as received, without the question mark
+	Path     string // path as received, without the query
+	Query    string // query as received, without the question mark
 	Header   map[string][]string
 	Tenant   string
 	Key      string
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -10,9 +10,9 @@
 // Table is a compiled table of routes. It is immutable and safe for concurrent use.
 type Table struct {
 	routes    []Route
-	regexps   []*regexp.Regexp  // by index of the route; nil: the route has no Regexp
-	hosts     map[string]*index // by exact host
-	wildcards map[string]*index // by part of the wildcard after "*."
+	regexps   []*regexp.Regexp  // compiled Regexp of each route, by index; nil: the route has no Regexp
+	hosts     map[string]*index // index for each exact host
+	wildcards map[string]*index // index for each wildcard host, by the part after "*."
 	anyHost   index
 }
 
--- a/internal/standalone/class.go
+++ b/internal/standalone/class.go
@@ -64,7 +64,7 @@
 // Buckets configures the token buckets of the rate limits.
 type Buckets struct {
 	Default *Bucket           `toml:"default"` // for tenants without a quota
-	Classes map[string]Bucket `toml:"classes"` // by name of the class
+	Classes map[string]Bucket `toml:"classes"` // bucket of each class, by name
 	Max     float64           `toml:"max" min:"0"`
 }
 
--- a/internal/standalone/fleet.go
+++ b/internal/standalone/fleet.go
@@ -43,7 +43,7 @@
 	defaultFleetCapacity = 1
 
 	minLeaseTicks   = 20 // an election takes up to 20 ticks, during which no lease can be renewed
-	maxFleetNameLen = 64 // bytes
+	maxFleetNameLen = 64 // maximum length of a name, in bytes
 )
 
 // check validates the table and sets the defaults. A nil table is valid.
--- a/internal/standalone/frontend.go
+++ b/internal/standalone/frontend.go
@@ -41,7 +41,7 @@
 type tables struct {
 	routes     *routes.Table
 	identities *identity.Resolver
-	deadlines  map[string]time.Duration // by class
+	deadlines  map[string]time.Duration // deadline of each class, by name
 }
 
 // NewFrontend returns a frontend for a file that Load has returned.
--- a/internal/stricttoml/value.go
+++ b/internal/stricttoml/value.go
@@ -24,7 +24,7 @@
 // value is a value in the text, together with the Go value that receives it.
 type value struct {
 	key    string // dotted key
-	parsed any    // as returned by the TOML parser
+	parsed any    // value that the TOML parser returned
 	target reflect.Value
 	tag    reflect.StructTag
 }
