--- a/discovery/xds/snapshot.go
+++ b/discovery/xds/snapshot.go
@@ -24,17 +24,17 @@
 // safe for concurrent use.
 type snapshot struct {
 	clusters         map[string]clusterState
-	published        map[string]router.Endpoint  // by address
-	listings         map[string][]clusterListing // by address; each list is in order of cluster name
+	published        map[string]router.Endpoint  // endpoints as last published, by address
+	listings         map[string][]clusterListing // listings of each server, by address; sorted by cluster name
 	initialPublished bool                        // whether the first list of servers has been published
-	drops            dropoverload.Fractions      // as last published
+	drops            dropoverload.Fractions      // fractions of requests to drop, as last published
 	yielder          cpuyield.Yielder
 }
 
 // clusterState is the state of a cluster as last applied.
 type clusterState struct {
 	assignment *resource.Assignment
-	eligible   []bool // parallel to assignment.Endpoints
+	eligible   []bool // whether each endpoint may get new work, by index in assignment.Endpoints
 }
 
 // clusterListing is the entry of a server in one cluster.
@@ -85,7 +85,7 @@
 	return s.changes(touched)
 }
 
-// changes returns the endpoints to publish for the touched addresses, in order of address.
+// changes returns the endpoints to publish for the touched addresses, sorted by address.
 func (s *snapshot) changes(touched map[string]bool) []router.Endpoint {
 	var changed []router.Endpoint
 	for i, addr := range slices.Sorted(maps.Keys(touched)) {
@@ -143,10 +143,10 @@
 // formerEndpoints looks up endpoints of a cluster's former assignment by address.
 type formerEndpoints struct {
 	endpoints []resource.Endpoint
-	positions map[string]int // by address; built at the first difference in the order of the endpoints
+	positions map[string]int // index of each endpoint, by address; built after the first wrong guess of an index
 }
 
-// position returns the index of the endpoint with address addr. It tries the index guess first.
+// position returns the index of the endpoint with address addr. It checks the index guess first.
 func (f *formerEndpoints) position(addr string, guess int) (position int, found bool) {
 	if guess < len(f.endpoints) && f.endpoints[guess].Addr == addr {
 		return guess, true
@@ -246,7 +246,7 @@
 	return merged, true
 }
 
-// endpoints returns the complete list as last published, in order of id.
+// endpoints returns the complete list as last published, sorted by id.
 func (s *snapshot) endpoints() []router.Endpoint {
 	endpoints := make([]router.Endpoint, 0, len(s.published))
 	for _, endpoint := range s.published {
