--- a/tools/bench/load.go
+++ b/tools/bench/load.go
@@ -20,20 +20,21 @@
 // clockTick is the unit of the CPU times in /proc: Linux reports 100 ticks a second on every architecture.
 const clockTick = 10 * time.Millisecond
 
-// sample is what one subject showed in one round.
+// sample holds the measurements of one subject in one round.
 type sample struct {
 	p50, p99 time.Duration
-	cpu      time.Duration // of the subject, per request
-	rate     float64       // requests a second
-	failed   int           // answered otherwise than by the whole body with status 200
+	cpu      time.Duration // CPU time of the subject per request
+	rate     float64       // requests per second
+	failed   int           // requests not answered by status 200 and the complete body
 }
 
-// loader gives every request of a run of the command an ID of its own.
+// loader sends requests to the subjects. Request IDs are unique within one run of the command.
 type loader struct {
 	ids atomic.Int64
 }
 
-// run has so many clients send requests for a time, each over one connection and one request at a time.
+// run sends requests for the given time with conns clients, each of which sends one request at a time over one
+// connection.
 func (l *loader) run(target *subject, conns int, length time.Duration) (sample, error) {
 	cpuBefore, err := processCPU(target.cmd.Process.Pid)
 	if err != nil {
@@ -75,8 +76,8 @@
 	}, nil
 }
 
-// runClient sends requests over one connection until the given time, and returns their latencies and how many
-// failed.
+// runClient sends requests over one connection until the given time. It returns their latencies and the number of
+// failed ones.
 func (l *loader) runClient(addr string, until time.Time) (latencies []time.Duration, failed int, err error) {
 	conn, err := dial(addr)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return latencies, failed, nil
 }
 
-// dial connects to a subject, with TLS if the command runs with -tls.
+// dial connects to a subject, with TLS if the command was started with -tls.
 func dial(addr string) (net.Conn, error) {
 	if _, roots := certificates(); roots != nil {
 		return tls.Dial("tcp", addr, &tls.Config{RootCAs: roots})
@@ -112,7 +113,8 @@
 const requestFormat = "GET /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r%016x\r\n" +
 	"X-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 
-// exchange sends one request and reads its response. It reports whether the response is a stub server's.
+// exchange sends one request and reads its response. It reports whether the response is the complete response of a
+// stub server.
 func exchange(conn net.Conn, in *bufio.Reader, id int64) (ok bool, err error) {
 	if _, err := fmt.Fprintf(conn, requestFormat, id); err != nil {
 		return false, err
@@ -135,7 +137,7 @@
 		return 0, err
 	}
 	text := string(raw)
-	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:]) // the command's name may have spaces
+	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:]) // the command name may contain spaces
 	user, userErr := strconv.Atoi(fields[11])
 	system, systemErr := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * clockTick, errors.Join(userErr, systemErr)
--- a/tools/bench/roles.go
+++ b/tools/bench/roles.go
@@ -29,7 +29,7 @@
 	bodySize  = 512 // bytes of a stub server's response body
 )
 
-// runRole is what this program does as one of the processes that it starts.
+// runRole is the main function of the child processes that this program starts of itself.
 func runRole(role string, args []string) error {
 	switch role {
 	case "as-stubs":
@@ -42,7 +42,8 @@
 	return fmt.Errorf("unknown role %q", role)
 }
 
-// listen listens on a free port of loopback, with TLS if the command runs with -tls, and announces the address.
+// listen listens on a free port of 127.0.0.1, with TLS if the command was started with -tls, and prints the address for
+// the parent process.
 func listen() (net.Listener, error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
@@ -56,7 +57,7 @@
 	return ln, nil
 }
 
-// serveStubs runs the servers, whose responses each come after the given duration and cost little CPU.
+// serveStubs runs the stub servers. Each response is sent after the given duration and uses little CPU.
 func serveStubs(service string) error {
 	delay, err := time.ParseDuration(service)
 	if err != nil {
@@ -71,7 +72,7 @@
 		}
 		go benchkit.AcceptLoop(ln, func(conn net.Conn) { serveStub(conn, delay, response) })
 	}
-	select {} // the command ends the process
+	select {} // the parent process ends this one
 }
 
 func serveStub(conn net.Conn, delay time.Duration, response []byte) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// serveProxy runs httputil.ReverseProxy, with the servers in rotation.
+// serveProxy runs httputil.ReverseProxy, which sends requests to the servers in rotation.
 func serveProxy(servers []string) error {
 	var next atomic.Uint64
 	scheme, conf := "http", (*tls.Config)(nil)
@@ -108,7 +109,7 @@
 	return http.Serve(ln, proxy)
 }
 
-// serveMiddleware runs an application with the middleware in it.
+// serveMiddleware runs an application that embeds the middleware.
 func serveMiddleware(profile string) (err error) {
 	config, err := node.LoadConfig(os.Getenv)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return http.Serve(ln, middleware.New(engine).Handler(http.NotFoundHandler()))
 }
 
-// profileUntilTerminated writes a CPU profile, which SIGTERM completes before it ends the process.
+// profileUntilTerminated writes a CPU profile until SIGTERM arrives. It then completes the profile and exits.
 func profileUntilTerminated(path string) error {
 	stop, err := benchkit.StartCPUProfile(path)
 	if err != nil {
@@ -144,7 +145,7 @@
 	}
 	terminated := make(chan os.Signal, 1)
 	signal.Notify(terminated, syscall.SIGTERM)
-	go func() { // ends the process
+	go func() { // exits the process after SIGTERM
 		<-terminated
 		benchkit.ExitOnError("bench", stop())
 		os.Exit(0)
--- a/tools/bench/subjects.go
+++ b/tools/bench/subjects.go
@@ -10,13 +10,13 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// settings are the request classes, capabilities and rules that the daemons and the middleware run by.
+// settings are the request classes, capabilities and rules of the daemons and the middleware.
 const settings = `{"position":0,"groupSize":1,"zone":"a",
 "services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"}],
 "limits":{"cancelling":true,"connIdle":60000,"connectTimeout":2000,"maxAttempts":3,"retryAfter":true},
 "guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// nodeConfig returns the configuration of the daemons and the middleware, with a complete list of the servers.
+// nodeConfig returns the configuration of the daemons and the middleware, which includes the complete endpoint list.
 func nodeConfig(servers []string) []byte {
 	members := make([]string, 0, len(servers))
 	for i, addr := range servers {
@@ -28,15 +28,16 @@
 		strings.Join(members, ","), settings)
 }
 
-// subject is one process under load.
+// subject is one of the measured processes.
 type subject struct {
 	name string
 	addr string
 	cmd  *exec.Cmd
 }
 
-// startSubjects starts the proxy, the daemons and, without TLS, the middleware. The proxy is the first: the ratios
-// refer to it. On an error it returns the subjects started until then.
+// startSubjects starts the proxy, the daemons and, without TLS, the middleware. The proxy comes first, because the
+// ratios in the report refer to the first subject. If one fails to start, the subjects that already run are returned
+// with the error.
 func startSubjects(opts options, self, dir, config string, servers []string) (subjects []*subject, err error) {
 	start := func(name string, cmd *exec.Cmd) error {
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "GOMAXPROCS=1")
--- a/tools/decisions/adapter.go
+++ b/tools/decisions/adapter.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxReplyLine bounds a line of a reply, in bytes.
+	// maxReplyLine limits the length of a line of a reply, in bytes.
 	maxReplyLine = 1 << 20
 
 	// endOfReply is the line that ends each reply.
 	endOfReply = `["yield"]`
 )
 
-// adapter is one running build. A reply is read completely before the next batch is written.
+// adapter is a running adapter process of one build. Each reply is read completely before the next batch is written.
 type adapter struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
@@ -54,8 +54,8 @@
 	return nil, fmt.Errorf("adapter ended: %w", errors.Join(a.out.Err(), io.ErrUnexpectedEOF))
 }
 
-// stop ends the adapter by ending its input.
+// stop closes the adapter's input, which makes it exit, and waits for it.
 func (a *adapter) stop() {
 	_ = a.in.Close()
-	_ = a.cmd.Wait() // the replies have been compared, whatever its status
+	_ = a.cmd.Wait() // the exit status doesn't matter: the replies have been compared
 }
--- a/tools/decisions/main.go
+++ b/tools/decisions/main.go
@@ -1,5 +1,5 @@
-// Command decisions compares the policy module's decisions with those of an earlier revision: the simulator's
-// adapter is built of both, each build is sent the same random histories, and every reply has to be the same.
+// Command decisions compares the policy module's decisions with those of an earlier revision. It builds the simulator's
+// adapter from both revisions and sends the same random histories to both builds, whose replies have to be identical.
 //
 //	go run ./tools/decisions -base HEAD~1 -histories 10000
 package main
@@ -20,7 +20,7 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the time between two progress messages.
 const progressInterval = 5 * time.Second
 
 func main() {
@@ -30,11 +30,11 @@
 	countAll := flag.Bool("all", false, "count the histories that differ, rather than end at the first")
 	jobs := flag.Int("jobs", runtime.NumCPU(), "pairs of adapters at once")
 	flag.Parse()
-	plays := &comparison{histories: int64(*histories), seed: *seed, countAll: *countAll}
-	benchkit.ExitOnError("decisions", run(*base, plays, *jobs))
+	compare := &comparison{histories: int64(*histories), seed: *seed, countAll: *countAll}
+	benchkit.ExitOnError("decisions", run(*base, compare, *jobs))
 }
 
-func run(base string, plays *comparison, jobs int) error {
+func run(base string, compare *comparison, jobs int) error {
 	dir, err := os.MkdirTemp("", "decisions")
 	if err != nil {
 		return err
@@ -48,16 +48,17 @@
 	if err := runCommand("go", "build", "-o", current, "./cmd/simhost"); err != nil {
 		return err
 	}
-	plays.former, plays.current = former, current
-	if err := plays.run(jobs); err != nil {
+	compare.formerPath, compare.currentPath = former, current
+	if err := compare.run(jobs); err != nil {
 		return err
 	}
-	fmt.Printf("%d histories from seed %d, %d replies with %d actions: %d differ from %s\n", plays.histories, plays.seed,
-		plays.counts.replies.Load(), plays.counts.actions.Load(), plays.differing.Load(), base)
+	fmt.Printf("%d histories from seed %d, %d replies with %d actions: %d differ from %s\n",
+		compare.histories, compare.seed, compare.counts.replies.Load(), compare.counts.actions.Load(),
+		compare.differing.Load(), base)
 	return nil
 }
 
-// buildFormer builds the adapter as it was at a revision.
+// buildFormer builds the adapter from the sources of the given revision and returns the path of the binary.
 func buildFormer(base, dir string) (string, error) {
 	tree := filepath.Join(dir, "tree")
 	if err := os.Mkdir(tree, 0o755); err != nil {
@@ -82,37 +83,37 @@
 	return nil
 }
 
-// counts are of all histories together.
+// counts are the totals over all histories.
 type counts struct {
 	replies, actions atomic.Int64
 }
 
-// comparison plays histories to both builds.
+// comparison sends histories to both builds and compares their replies.
 type comparison struct {
-	former, current string // paths of the builds
-	histories       int64
-	seed            uint64
-	countAll        bool // do not end at the first difference
+	formerPath, currentPath string // paths of the two adapter binaries
+	histories               int64
+	seed                    uint64
+	countAll                bool // whether to continue after a difference and count the differing histories
 
-	next   atomic.Int64 // index of the next history to play
+	next   atomic.Int64 // index of the next history to send
 	counts counts
 
-	differing atomic.Int64 // histories; each ends at its first difference
+	differing atomic.Int64 // number of differing histories; each ends at its first difference
 }
 
-// run plays all histories in so many jobs, until the first difference unless all are counted.
+// run processes all histories in concurrent jobs. It stops at the first difference unless countAll is set.
 func (c *comparison) run(jobs int) error {
 	failed := make(chan error, jobs)
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range jobs {
-		all.Go(func() {
-			if err := c.playHistories(failed); err != nil {
+		group.Go(func() {
+			if err := c.compareHistories(failed); err != nil {
 				failed <- err
 			}
 		})
 	}
 	done := make(chan struct{})
-	go func() { all.Wait(); close(done) }()
+	go func() { group.Wait(); close(done) }()
 	c.printProgress(done)
 	select {
 	case err := <-failed:
@@ -122,17 +123,17 @@
 	}
 }
 
-// playHistories plays one history after the other until all are played or some job has failed.
-func (c *comparison) playHistories(failed <-chan error) error {
+// compareHistories processes histories one after the other until none are left or a job has failed.
+func (c *comparison) compareHistories(failed <-chan error) error {
 	for {
 		i := c.next.Add(1) - 1
 		if i >= c.histories || len(failed) > 0 {
 			return nil
 		}
 		seed := c.seed + uint64(i)
-		err := newHistory(seed, &c.counts).play(c.former, c.current)
-		switch differs := (*differenceError)(nil); {
-		case c.countAll && errors.As(err, &differs):
+		err := newHistory(seed, &c.counts).compareBuilds(c.formerPath, c.currentPath)
+		switch difference := (*differenceError)(nil); {
+		case c.countAll && errors.As(err, &difference):
 			c.differing.Add(1)
 		case err != nil:
 			return fmt.Errorf("seed %d: %w", seed, err)
--- a/tools/fleetbench/consensus.go
+++ b/tools/fleetbench/consensus.go
@@ -25,7 +25,8 @@
 
 var errNotAccepted = errors.New("no replica accepted the entry")
 
-// propose proposes an entry until some replica reports its outcome. An entry that exists already counts as applied.
+// propose sends an entry to the replicas, one after the other, until one of them reports its outcome. An entry that
+// exists already counts as applied.
 func propose(ctx context.Context, harness *multiprocess.Harness, entry fleet.Entry) error {
 	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(2 * awaitInterval) {
 		attemptCtx, cancel := context.WithTimeout(ctx, proposeTimeout)
@@ -46,14 +47,13 @@
 	return fmt.Errorf("propose %s for %v: %w", entry.Kind, awaitTimeout, errNotAccepted)
 }
 
-// disableServer orders that a server be disabled at all nodes. The order and the server have the same name.
+// disableServer proposes an order that disables a server at all nodes. The order's ID is the server's ID.
 func disableServer(ctx context.Context, harness *multiprocess.Harness, id string) error {
 	order := &fleet.DisableOrder{ID: id, Servers: []string{id}, Until: time.Now().Add(time.Minute)}
 	return propose(ctx, harness, fleet.Entry{Kind: fleet.KindDisableServers, DisableOrder: order})
 }
 
-// measureFailover measures the time from the end or the pause of the lease holder until another process holds the
-// lease.
+// measureFailover measures the time from killing or pausing the lease holder until another process holds the lease.
 func measureFailover(ctx context.Context) error {
 	harness, err := start(ctx, 3, 5, 0)
 	if err != nil {
@@ -107,8 +107,8 @@
 	return elapsed, nil
 }
 
-// measurePartitionRecovery measures the time from the end of a partition until an order that is given then has
-// reached all nodes.
+// measurePartitionRecovery measures the time from the end of a partition until a disable order that is proposed at that
+// moment has reached all nodes.
 func measurePartitionRecovery(ctx context.Context) error {
 	harness, err := start(ctx, 5, 6, 0)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// measureDisableOrder measures the time from an order to disable a server until all nodes carry it out.
+// measureDisableOrder measures the time from proposing a disable order until all nodes have disabled the server.
 func measureDisableOrder(ctx context.Context) error {
 	for _, nodes := range []int{3, 30} {
 		samples, err := sampleDisableOrder(ctx, nodes)
@@ -170,7 +170,7 @@
 	return samples, nil
 }
 
-// measureIdle measures what a fleet uses while nothing happens.
+// measureIdle measures the messages, the memory and the CPU time of idle fleets.
 func measureIdle(ctx context.Context) error {
 	for _, nodes := range []int{3, 12, 27} {
 		if err := measureIdleFleet(ctx, nodes); err != nil {
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// measureProposalRate measures how many entries per second a cluster applies for concurrent clients.
+// measureProposalRate measures how many entries per second a cluster applies while clients propose concurrently.
 func measureProposalRate(ctx context.Context) error {
 	harness, err := start(ctx, 3, 1, 0)
 	if err != nil {
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// proposeRegistration proposes, once, to register a node that does not exist.
+// proposeRegistration makes one attempt to register a node that does not exist.
 func proposeRegistration(ctx context.Context, client *agent.Client, number int) error {
 	registered := fleet.Node{Name: fmt.Sprint("x", number), Address: "127.0.0.1:1", Incarnation: "r"}
 	_, err := client.Propose(ctx, fleet.Entry{Kind: fleet.KindRegisterNode, Node: &registered})
--- a/tools/rpcbench/callers.go
+++ b/tools/rpcbench/callers.go
@@ -19,10 +19,10 @@
 // callTimeout is the deadline of each call.
 const callTimeout = 9 * time.Second
 
-// caller makes one call at a time, concurrently with others. It returns nil for a call that was served.
+// caller makes one call and returns nil if it was served. It can be used concurrently.
 type caller func(id string, body []byte) error
 
-// newHTTPCaller returns a caller over so many connections, and what closes them.
+// newHTTPCaller returns a caller that uses up to conns connections, and a function that closes them.
 func newHTTPCaller(addr string, conns int) (call caller, closeConns func()) {
 	httpClient := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: conns, MaxConnsPerHost: conns, DisableCompression: true,
@@ -49,7 +49,7 @@
 	}, httpClient.CloseIdleConnections
 }
 
-// newMsgpackCaller returns a caller over so many connections in rotation, and what closes them.
+// newMsgpackCaller returns a caller that uses conns connections in rotation, and a function that closes them.
 func newMsgpackCaller(addr string, conns int) (call caller, closeConns func()) {
 	clients := make([]*client.Client, conns)
 	for i := range clients {
@@ -75,7 +75,7 @@
 	return msgpackrpc.Call{ID: id, Class: "pay", Tenant: "t", Timeout: callTimeout, Target: target, Body: body}
 }
 
-// load keeps a constant number of calls in flight.
+// load keeps a constant number of calls in flight and collects their latencies.
 type load struct {
 	call     caller
 	inFlight int
@@ -89,7 +89,8 @@
 // lastID makes the IDs of calls unique within the process.
 var lastID atomic.Uint64
 
-// run makes calls for a time, and returns once the last of them has ended. It adds them to the record if told to.
+// run makes calls for the given time and returns once the last of them has ended. If record is set, it adds their
+// latencies and failures to l.
 func (l *load) run(length time.Duration, record bool) {
 	end := time.Now().Add(length)
 	var callers sync.WaitGroup
@@ -119,16 +120,16 @@
 	return latencies, failed
 }
 
-// sample is what one measurement of a node showed.
+// sample holds the results of one measurement of a node.
 type sample struct {
-	cpu, allocs float64 // µs and allocations per call
-	rate        float64 // calls a second
+	cpu, allocs float64 // CPU time in µs and allocations, both per call
+	rate        float64 // calls per second
 	p50, p99    time.Duration
 	failed      int
 }
 
-// measure loads the node for a quarter of the length, so that connections and buffers settle, and then for the
-// length that counts.
+// measure loads the node for a quarter of the length to warm up connections and buffers, and then measures it under the
+// same load for the whole length.
 func measure(node *nodeProcess, call caller, inFlight, size int, length time.Duration) (sample, error) {
 	calls := load{call: call, inFlight: inFlight, body: make([]byte, size)}
 	calls.run(length/4, false)
@@ -138,7 +139,7 @@
 	}
 	began := time.Now()
 	calls.run(length, true)
-	lasted := time.Since(began)
+	elapsed := time.Since(began)
 	after, err := node.usage()
 	if err != nil {
 		return sample{}, err
@@ -148,7 +149,7 @@
 	return sample{
 		cpu:    float64((after.CPU - before.CPU).Microseconds()) / count,
 		allocs: float64(after.Allocs-before.Allocs) / count,
-		rate:   count / lasted.Seconds(),
+		rate:   count / elapsed.Seconds(),
 		p50:    calls.latencies[len(calls.latencies)/2],
 		p99:    calls.latencies[len(calls.latencies)*99/100],
 		failed: calls.failed,
--- a/tools/rpcbench/compare.go
+++ b/tools/rpcbench/compare.go
@@ -10,7 +10,7 @@
 const compareHeader = "in flight  body    | HTTP: µs CPU, allocs, calls/s, p50, p99 | RPC, 1 connection | " +
 	"RPC, 16 connections | CPU ratio 1, 16"
 
-// variant is one way of calling a node.
+// variant is a protocol and a number of connections with which a node is called.
 type variant struct {
 	protocol  string
 	servers   []string
@@ -18,8 +18,8 @@
 	newCaller func(addr string, conns int) (call caller, closeConns func())
 }
 
-// compare prints a line for each size of a body and number of calls in flight. The ratios of CPU refer to the
-// first variant.
+// compare prints a line for each body size and number of calls in flight. The CPU ratios are relative to the first
+// variant.
 func compare(length time.Duration, rounds int, inFlight, bodies []int, profile string) error {
 	httpServers, err := startServers(serveHTTP)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// measureVariants returns each variant's samples, one a round; the variants take turns.
+// measureVariants returns one sample per round for each variant. Each round measures every variant once.
 func measureVariants(
 	variants []variant, rounds, inFlight, size int, length time.Duration, profile string,
 ) ([][]sample, error) {
@@ -64,7 +64,7 @@
 	return samples, nil
 }
 
-// measure measures a fresh node.
+// measure starts a new node and measures it.
 func (v variant) measure(inFlight, size int, length time.Duration, profile string) (sample, error) {
 	node, err := startNode(v.protocol, profile, v.servers)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return measure(node, call, inFlight, size, length)
 }
 
-// formatLine has of each variant the sample whose CPU time is the median.
+// formatLine returns a line of the report. For each variant it has the sample with the median CPU time.
 func formatLine(inFlight, size int, samples [][]sample) string {
 	var line strings.Builder
 	fmt.Fprintf(&line, "%9d %6d ", inFlight, size)
--- a/tools/rpcbench/main.go
+++ b/tools/rpcbench/main.go
@@ -1,6 +1,6 @@
-// Command rpcbench sets a node that speaks MessagePack-RPC on both sides beside one that speaks HTTP/1.1, in
-// one run: CPU and allocations per call of the node alone, which is a process of its own on one core, and the
-// callers' latency.
+// Command rpcbench compares a node that uses MessagePack-RPC on both sides with one that uses HTTP/1.1. It measures the
+// CPU time and the allocations per call of the node, which is a separate process with GOMAXPROCS=1, and the latency
+// that callers see.
 //
 //	go run ./tools/rpcbench -for 1s -rounds 3
 package main
@@ -14,7 +14,7 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// Protocols of a node.
+// Protocols that a node can use on both sides.
 const (
 	protocolHTTP    = "http"
 	protocolMsgpack = "msgpack"
@@ -41,7 +41,7 @@
 	benchkit.ExitOnError("rpcbench", err)
 }
 
-// parseNumbers returns the numbers of a list with commas, without the fields that are not numbers.
+// parseNumbers returns the numbers of a comma-separated list. It skips fields that are not numbers.
 func parseNumbers(text string) (numbers []int) {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, err := strconv.Atoi(field); err == nil {
--- a/tools/rpcbench/memory.go
+++ b/tools/rpcbench/memory.go
@@ -10,13 +10,13 @@
 
 const (
 	memoryConns = 1000
-	memoryCalls = 200 // one each on so many of the connections; the admission policy would queue more
+	memoryCalls = 200 // calls in flight, one per connection; the admission policy would queue further ones
 
-	// memorySettle is the time for a node to accept connections and to forward calls.
+	// memorySettle is how long to wait for a node to accept connections and to forward calls before its memory is read.
 	memorySettle = 500 * time.Millisecond
 )
 
-// measureMemory prints how much of a node's memory a connection without a call takes, and a call in flight.
+// measureMemory prints how much of a node's memory is used by a connection without a call and by a call in flight.
 func measureMemory() error {
 	servers, err := startServers(serveNothing)
 	if err != nil {
@@ -65,6 +65,6 @@
 
 func settledHeap(node *nodeProcess) (uint64, error) {
 	time.Sleep(memorySettle)
-	own, err := node.usage()
-	return own.Heap, err
+	reported, err := node.usage()
+	return reported.Heap, err
 }
--- a/tools/rpcbench/servers.go
+++ b/tools/rpcbench/servers.go
@@ -10,10 +10,10 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// serverCount is the number of stub servers of one protocol.
+// serverCount is the number of stub servers for each protocol.
 const serverCount = 32
 
-// startServers starts the servers of one protocol, and returns their addresses. They end with the process.
+// startServers starts the servers of one protocol and returns their addresses. The servers run until the process exits.
 func startServers(serve func(net.Conn)) ([]string, error) {
 	var addrs []string
 	for range serverCount {
@@ -27,7 +27,7 @@
 	return addrs, nil
 }
 
-// serveHTTP answers each request at once.
+// serveHTTP answers each request on a connection immediately.
 func serveHTTP(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReaderSize(conn, 8<<10)
@@ -45,7 +45,7 @@
 	}
 }
 
-// serveMsgpack answers each call at once.
+// serveMsgpack answers each call on a connection immediately.
 func serveMsgpack(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := msgpackrpc.NewReader(conn)
@@ -65,5 +65,5 @@
 	}
 }
 
-// serveNothing reads until the connection ends, and never answers.
+// serveNothing reads until the connection is closed and never answers.
 func serveNothing(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -1,5 +1,5 @@
-// Command startup measures how long daemons take from their start to readiness, and what memory they
-// hold at rest. Subjects take turns. CI does not run it.
+// Command startup measures how long daemons take from process start to readiness, and how much memory they use while
+// idle. With several daemons, each run measures every daemon once. CI does not run it.
 //
 //	go run ./tools/startup [-runs 20] bin/wayhold [OTHER ...]
 package main
@@ -20,23 +20,23 @@
 )
 
 const (
-	// configFormat is the configuration of a node without servers, whose one value is the address to listen on.
+	// configFormat is the configuration of a node without servers. Its one argument is the address to listen on.
 	configFormat = `{"name":"idle","listen":%q,"discovery":"127.0.0.1:9","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`
 
-	readyInterval = 200 * time.Microsecond // between two checks: the resolution of the result
+	readyInterval = 200 * time.Microsecond // time between two readiness checks: the resolution of the result
 	readyTimeout  = 10 * time.Second
 )
 
 func main() {
 	runs := flag.Int("runs", 20, "runs of each")
-	rest := flag.Duration("rest", 300*time.Millisecond, "how long a daemon rests before its memory is read")
+	idleTime := flag.Duration("rest", 300*time.Millisecond, "how long a daemon rests before its memory is read")
 	flag.Parse()
 	readyMS, residentMB := make(map[string][]float64), make(map[string][]float64)
 	for range *runs {
 		for _, daemon := range flag.Args() {
-			ms, mb, err := measure(daemon, *rest)
+			ms, mb, err := measure(daemon, *idleTime)
 			if err != nil {
 				benchkit.ExitOnError("startup", fmt.Errorf("%s: %w", daemon, err))
 			}
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("min %.1f, median %.1f, max %.1f", values[0], values[len(values)/2], values[len(values)-1])
 }
 
-// measure starts a daemon, waits for its readiness, lets it rest and ends it.
-func measure(daemon string, rest time.Duration) (readyMS, residentMB float64, err error) {
+// measure starts a daemon, waits until it is ready, leaves it idle for idleTime, reads its memory and kills it.
+func measure(daemon string, idleTime time.Duration) (readyMS, residentMB float64, err error) {
 	addr, err := benchkit.FreeAddress()
 	if err != nil {
 		return 0, 0, err
@@ -71,7 +71,7 @@
 	}
 	cmd := exec.Command(daemon)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path)
-	began := time.Now()
+	start := time.Now()
 	if err := cmd.Start(); err != nil {
 		return 0, 0, err
 	}
@@ -83,8 +83,8 @@
 	if err := benchkit.WaitReady(http.DefaultClient, url, readyInterval, readyTimeout); err != nil {
 		return 0, 0, err
 	}
-	readyMS = float64(time.Since(began).Microseconds()) / 1000
-	time.Sleep(rest)
+	readyMS = float64(time.Since(start).Microseconds()) / 1000
+	time.Sleep(idleTime)
 	residentMB, err = readResidentMB(cmd.Process.Pid)
 	return readyMS, residentMB, err
 }
--- a/tools/tlsbench/echo.go
+++ b/tools/tlsbench/echo.go
@@ -15,10 +15,10 @@
 	"cobaltward/transport/secure"
 )
 
-// dialTimeout limits a connection's handshake and first exchange.
+// dialTimeout limits the time of a connection's handshake.
 const dialTimeout = 10 * time.Second
 
-// newCPUScheduler lets one handshake compute at a time, as a node on one core does.
+// newCPUScheduler returns a scheduler that lets one handshake compute at a time, like that of a node on one core.
 func newCPUScheduler() *handshakes.CPUScheduler {
 	return handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })
 }
@@ -38,8 +38,8 @@
 	return terminator, ln, nil
 }
 
-// dialTLSEcho connects to an echo server by the node's client TLS. One exchange follows the handshake, so that the
-// session ticket arrives.
+// dialTLSEcho connects to an echo server with the node's TLS client. It exchanges a line after the handshake,
+// so that the session ticket has arrived when it returns.
 func dialTLSEcho(clientTLS *secure.ClientTLS, server router.Endpoint) (*secure.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
--- a/tools/tlsbench/load.go
+++ b/tools/tlsbench/load.go
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// client returns a client that trusts the bench's authority.
+// client returns an HTTP client that trusts the benchmark's certificate authority.
 func (b *bench) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 1, TLSClientConfig: &tls.Config{RootCAs: b.roots},
 	}}
 }
 
-// outcome is one request's: when it was sent, counted from the start of the load, how long it took, and whether it
-// was answered with status 200.
+// outcome is the result of one request: when it was sent, counted from the start of the load, how long it took, and
+// whether it was answered with status 200.
 type outcome struct {
 	sentAt, latency time.Duration
 	ok              bool
 }
 
-// startLoad has clients send requests until ctx ends, each over one connection and with a pause between two. Each
-// outcome is passed to record, concurrently. The returned group ends with the last client.
+// startLoad starts clients that send requests until ctx ends. Each client uses one connection and pauses between
+// requests. The clients call record concurrently. The returned group is done when all clients have stopped.
 func (b *bench) startLoad(
 	ctx context.Context, addr string, clients int, pause time.Duration, record func(outcome),
 ) *sync.WaitGroup {
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	began := time.Now()
 	for i := range clients {
-		all.Go(func() {
+		group.Go(func() {
 			conn, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: b.roots})
 			if err != nil {
 				record(outcome{})
@@ -54,10 +54,10 @@
 			}
 		})
 	}
-	return &all
+	return &group
 }
 
-// request sends one request and reads its response to the end.
+// request sends one request and reads the whole response.
 func request(conn net.Conn, in *bufio.Reader, id string) (status int, err error) {
 	if _, err := fmt.Fprintf(conn, "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\n\r\n", id); err != nil {
 		return 0, err
--- a/tools/tlsbench/memory.go
+++ b/tools/tlsbench/memory.go
@@ -12,19 +12,19 @@
 	"cobaltward/transport/secure"
 )
 
-// closeSettle is how long both ends have to release closed connections.
+// closeSettle is the time for both ends to release closed connections.
 const closeSettle = 200 * time.Millisecond
 
-// heapBytes returns the memory of the heap and the stacks that is in use after a collection.
+// heapBytes returns the bytes of heap and stack memory that are in use after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
-	runtime.GC() // the first one runs finalizers
+	runtime.GC() // the first collection runs finalizers, the second frees their objects
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// measureMemory prints the memory of connections and sessions, with both ends in this process.
+// measureMemory prints the memory of a connection and of a session. Both ends of each connection are in this process.
 func (b *bench) measureMemory() error {
 	own, trust, err := b.writeCertificates(pki.P256)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// plainConnMemory returns the bytes of connections without TLS.
+// plainConnMemory returns the memory of b.count connections without TLS, in bytes.
 func (b *bench) plainConnMemory() (uint64, error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
@@ -79,7 +79,8 @@
 	})
 }
 
-// sessionMemory returns the bytes of one server with a session for each connection made, without the connection.
+// sessionMemory returns the memory of b.count servers with one TLS session each, in bytes. Their connections are closed
+// before it is measured.
 func (b *bench) sessionMemory(clientTLS *secure.ClientTLS, addr string) (uint64, error) {
 	before := heapBytes()
 	for i := range b.count {
@@ -93,7 +94,7 @@
 	return heapBytes() - before, nil
 }
 
-// measureConns returns the bytes that open connections take, and closes them.
+// measureConns opens connections, returns the memory that they take in bytes, and closes them.
 func measureConns(count int, dial func(i int) (net.Conn, error)) (uint64, error) {
 	var open []net.Conn
 	defer func() {
--- a/tools/tlsbench/reuse.go
+++ b/tools/tlsbench/reuse.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// measureReuse counts the handshakes with servers while connections come and go.
+// measureReuse counts the full and the resumed handshakes with servers that close connections regularly.
 func (b *bench) measureReuse() error {
 	subject, err := b.startNode(12, 10)
 	if err != nil {
 		return err
 	}
 	defer subject.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), b.length)
+	ctx, cancel := context.WithTimeout(context.Background(), b.loadDuration)
 	defer cancel()
 	var requests, failed atomic.Int64
 	b.startLoad(ctx, subject.addr, 32, 2*time.Millisecond, func(o outcome) {
--- a/tools/xdsbench/controlplane.go
+++ b/tools/xdsbench/controlplane.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// maxBufferedLines bounds the unread lines of a control plane.
+// maxBufferedLines limits the lines of a control plane's output that are buffered until they are read.
 const maxBufferedLines = 1 << 16
 
-// controlPlane is the stand-in in a process of its own.
+// controlPlane is a running xds-standin process and its output.
 type controlPlane struct {
 	addr  string
 	cmd   *exec.Cmd
@@ -29,7 +29,7 @@
 	if err := plane.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { // ends with the process
+	go func() { // returns when the process ends
 		defer close(plane.lines)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			plane.lines <- in.Text()
@@ -42,7 +42,7 @@
 	return plane, nil
 }
 
-// await reads on to the next line that contains the text, and returns what follows it in the line.
+// await skips lines up to the next one that contains the text, and returns what follows the text in that line.
 func (p *controlPlane) await(text string) (string, error) {
 	for line := range p.lines {
 		if _, rest, ok := strings.Cut(line, text); ok {
@@ -53,6 +53,6 @@
 }
 
 func (p *controlPlane) stop() {
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
 	_ = p.cmd.Wait()
 }
--- a/tools/xdsbench/main.go
+++ b/tools/xdsbench/main.go
@@ -1,8 +1,7 @@
-// Command xdsbench measures a node's xDS over the wire, against the stand-in control plane in a process of
-// its own:
+// Command xdsbench measures a node's xDS client against the stand-in control plane, which runs in a process of its own:
 //
-//	go run ./tools/xdsbench -flood              # p99 of requests during a flood of updates over that without
-//	go run ./tools/xdsbench -sizes 100,1000     # from push to applied, CPU and allocations of the node
+//	go run ./tools/xdsbench -flood              # p99 of requests with a flood of updates, divided by p99 without
+//	go run ./tools/xdsbench -sizes 100,1000     # time from push to applied, CPU and allocations of the node
 package main
 
 import (
@@ -18,7 +17,7 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// minRounds is the least number of updates at each size.
+// minRounds is the least value of -rounds: the first update at each size is not counted.
 const minRounds = 2
 
 func main() {
--- a/tools/xdsbench/node.go
+++ b/tools/xdsbench/node.go
@@ -11,10 +11,10 @@
 	"cobaltward/transport/http1"
 )
 
-// node is a router in this process that has its endpoints from a control plane.
+// node is a router in this process that gets its endpoints from a control plane.
 type node struct {
 	router  *router.Router
-	updates <-chan time.Time // when the router had applied each update
+	updates <-chan time.Time // time at which the router had applied each update
 }
 
 func newNode(addr string, delta bool) (*node, error) {
@@ -42,7 +42,7 @@
 	return &node{router: engine, updates: updates}, nil
 }
 
-// observedSource notes when the router has applied each update of an endpoint source.
+// observedSource reports when the router has applied each update of an endpoint source.
 type observedSource struct {
 	router.EndpointSource
 	router  *router.Router
