--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -108,7 +108,7 @@
 	d.classes[sent.class].record(status, err, latency, d.attempts[sent.id])
 }
 
-// do sends the request in the platform's protocol and reads the whole response.
+// do sends the request with the platform's HTTP headers and reads the whole response.
 func (q request) do(ctx context.Context, client *http.Client, addr string) (status int, err error) {
 	method := http.MethodPost
 	if q.class == classSearch {
--- a/tools/fleetbench/consensus.go
+++ b/tools/fleetbench/consensus.go
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// failOver kills or pauses the lease holder, waits for another one, and restores the process.
+// failOver kills or pauses the lease holder, waits until another process holds the lease, and restarts or resumes the
+// first one. It returns how long the wait took.
 func failOver(ctx context.Context, harness *multiprocess.Harness, fault string) (time.Duration, error) {
 	holder := func() (string, fleet.FencingToken) {
 		state, _ := harness.State(ctx)
