--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -40,7 +40,7 @@
 // demonstration holds the node, its servers and the results of the requests.
 type demonstration struct {
 	config       Config
-	trafficStart time.Time // start of the servers until the traffic starts
+	trafficStart time.Time // when the traffic started; before that, when the servers were started
 	servers      []*server
 	nodeAddr     string // address that the node listens on
 
--- a/tools/bench/roles.go
+++ b/tools/bench/roles.go
@@ -29,7 +29,7 @@
 	bodySize  = 512 // bytes of a stub server's response body
 )
 
-// runRole is the main function of the child processes that this program starts of itself.
+// runRole is the main function of the child processes, which run this program in the given role.
 func runRole(role string, args []string) error {
 	switch role {
 	case "as-stubs":
--- a/tools/tlsbench/storm.go
+++ b/tools/tlsbench/storm.go
@@ -22,7 +22,7 @@
 const (
 	stormRole        = "as-storm"       // first argument of the process that makes the handshakes
 	stormDialTimeout = 20 * time.Second // connection timeout of each client of the storm
-	loadSettle       = time.Second      // requests sent earlier are not counted: connections are still being established
+	loadSettleTime   = time.Second      // requests sent earlier are not counted: connections are still being established
 )
 
 // stormLog collects the latencies of the background load, separately for requests sent before and during the storm of
@@ -40,7 +40,7 @@
 	switch {
 	case !o.ok:
 		l.failed++
-	case o.sentAt < loadSettle:
+	case o.sentAt < loadSettleTime:
 	case l.stormStart == 0:
 		l.before = append(l.before, o.latency)
 	case l.stormEnd == 0:
