--- a/tools/bench/certificates.go
+++ b/tools/bench/certificates.go
@@ -10,8 +10,8 @@
 	"cobaltward/internal/pki"
 )
 
-// certificatesEnv is the environment variable with the directory of the certificates that all processes use. If it is
-// not set, no process uses TLS.
+// certificatesEnv is the environment variable with the directory of the certificates that all processes use. If the
+// variable is not set, no process uses TLS.
 const certificatesEnv = "BENCH_CERTIFICATES"
 
 // Names of files in the directory of the certificates.
@@ -30,8 +30,8 @@
 key = "key.pem"
 `
 
-// writeCertificates writes the certificate of a new authority, a certificate that it issued with its key, and the
-// daemon's configuration.
+// writeCertificates writes the certificate of a new authority to dir, and a certificate and key that the authority
+// issued. It also writes the daemon's configuration.
 func writeCertificates(dir string) error {
 	authority := pki.NewAuthority("bench")
 	pair := authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}})
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// certificates returns the certificate and the roots from the directory that certificatesEnv names, or nil for both if
-// TLS is not used. It panics if they can't be read, because this program wrote them.
+// certificates returns the certificate and the roots from the directory in certificatesEnv, or nil for both without
+// TLS. It panics if the files can't be read, because this program wrote them.
 var certificates = sync.OnceValues(func() (*tls.Certificate, *x509.CertPool) {
 	dir := os.Getenv(certificatesEnv)
 	if dir == "" {
--- a/tools/bench/load.go
+++ b/tools/bench/load.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// clockTick is the unit of the CPU times in /proc: Linux reports 100 ticks a second on every architecture.
+// clockTick is the unit of the CPU times in /proc. Linux reports 100 ticks a second on every architecture.
 const clockTick = 10 * time.Millisecond
 
 // sample holds the measurements of one subject in one round.
@@ -25,7 +25,7 @@
 	p50, p99 time.Duration
 	cpu      time.Duration // CPU time of the subject per request
 	rate     float64       // requests per second
-	failed   int           // requests not answered by status 200 and the complete body
+	failed   int           // requests without status 200 and the complete body
 }
 
 // loader sends requests to the subjects. Request IDs are unique within one run of the command.
@@ -33,8 +33,8 @@
 	ids atomic.Int64
 }
 
-// run sends requests for the given time with conns clients, each of which sends one request at a time over one
-// connection.
+// run sends requests to target for the given length of time with conns clients. Each client sends one request at a
+// time over one connection.
 func (l *loader) run(target *subject, conns int, length time.Duration) (sample, error) {
 	cpuBefore, err := processCPU(target.cmd.Process.Pid)
 	if err != nil {
@@ -76,8 +76,8 @@
 	}, nil
 }
 
-// runClient sends requests over one connection until the given time. It returns their latencies and the number of
-// failed ones.
+// runClient sends requests over one connection to addr until the given time. It returns the latencies of all requests
+// and the number of failed requests.
 func (l *loader) runClient(addr string, until time.Time) (latencies []time.Duration, failed int, err error) {
 	conn, err := dial(addr)
 	if err != nil {
@@ -113,7 +113,7 @@
 const requestFormat = "GET /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r%016x\r\n" +
 	"X-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 
-// exchange sends one request and reads its response. It reports whether the response is the complete response of a
+// exchange sends one request and reads its response. ok reports whether the response is the complete response of a
 // stub server.
 func exchange(conn net.Conn, in *bufio.Reader, id int64) (ok bool, err error) {
 	if _, err := fmt.Fprintf(conn, requestFormat, id); err != nil {
--- a/tools/bench/report.go
+++ b/tools/bench/report.go
@@ -9,7 +9,8 @@
 const reportHeader = "%s connections: subject, requests/s, p50, p99, CPU per request, not 200; " +
 	"ratios to proxy of p50, p99, CPU (min median max)\n"
 
-// printReport prints each subject's medians and its ratios to the first subject, which are taken in each round.
+// printReport prints the median latencies and CPU time of each subject, and the request rate of the middle round. It
+// also prints the ratios to the first subject in the same round.
 func printReport(subjects []*subject, samples [][]sample, conns string) {
 	fmt.Printf(reportHeader, conns)
 	p50 := func(s sample) time.Duration { return s.p50 }
@@ -39,7 +40,8 @@
 	return values[len(values)/2]
 }
 
-// ratios returns the minimum, median and maximum ratio of a subject's value to the value of base in the same round.
+// ratios returns the minimum, median and maximum of the ratios of each sample's value to the value of base in the
+// same round.
 func ratios(samples, base []sample, value func(sample) time.Duration) string {
 	values := make([]float64, 0, len(samples))
 	for round, s := range samples {
--- a/tools/bench/roles.go
+++ b/tools/bench/roles.go
@@ -29,7 +29,7 @@
 	bodySize  = 512 // bytes of a stub server's response body
 )
 
-// runRole is the main function of the child processes, which run this program in the given role.
+// runRole is the main function of a child process. The process runs this program in the given role.
 func runRole(role string, args []string) error {
 	switch role {
 	case "as-stubs":
@@ -42,8 +42,8 @@
 	return fmt.Errorf("unknown role %q", role)
 }
 
-// listen listens on a free port of 127.0.0.1, with TLS if the command was started with -tls, and prints the address for
-// the parent process.
+// listen listens on a free port of 127.0.0.1, and prints the address for the parent process. The listener uses TLS if
+// the command was started with -tls.
 func listen() (net.Listener, error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
@@ -57,7 +57,8 @@
 	return ln, nil
 }
 
-// serveStubs runs the stub servers. Each response is sent after the given duration and uses little CPU.
+// serveStubs runs the stub servers. service is the delay of each response, in the format of time.ParseDuration. The
+// servers use little CPU.
 func serveStubs(service string) error {
 	delay, err := time.ParseDuration(service)
 	if err != nil {
@@ -72,7 +73,7 @@
 		}
 		go benchkit.AcceptLoop(ln, func(conn net.Conn) { serveStub(conn, delay, response) })
 	}
-	select {} // the parent process ends this one
+	select {} // until the parent process ends this process
 }
 
 func serveStub(conn net.Conn, delay time.Duration, response []byte) {
@@ -109,7 +110,8 @@
 	return http.Serve(ln, proxy)
 }
 
-// serveMiddleware runs an application that embeds the middleware.
+// serveMiddleware runs an application that embeds the middleware. If profile is not empty, it is the file for a CPU
+// profile.
 func serveMiddleware(profile string) (err error) {
 	config, err := node.LoadConfig(os.Getenv)
 	if err != nil {
@@ -137,7 +139,8 @@
 	return http.Serve(ln, middleware.New(engine).Handler(http.NotFoundHandler()))
 }
 
-// profileUntilTerminated writes a CPU profile until SIGTERM arrives. It then completes the profile and exits.
+// profileUntilTerminated starts a CPU profile. After SIGTERM, a goroutine completes the profile and exits the
+// process.
 func profileUntilTerminated(path string) error {
 	stop, err := benchkit.StartCPUProfile(path)
 	if err != nil {
--- a/tools/bench/subjects.go
+++ b/tools/bench/subjects.go
@@ -16,7 +16,7 @@
 "limits":{"cancelling":true,"connIdle":60000,"connectTimeout":2000,"maxAttempts":3,"retryAfter":true},
 "guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// nodeConfig returns the configuration of the daemons and the middleware, which includes the complete endpoint list.
+// nodeConfig returns the configuration of the daemons and the middleware, including the complete endpoint list.
 func nodeConfig(servers []string) []byte {
 	members := make([]string, 0, len(servers))
 	for i, addr := range servers {
@@ -36,8 +36,8 @@
 }
 
 // startSubjects starts the proxy, the daemons and, without TLS, the middleware. The proxy comes first, because the
-// ratios in the report refer to the first subject. If one fails to start, the subjects that already run are returned
-// with the error.
+// ratios in the report refer to the first subject. If a subject fails to start, startSubjects returns the running
+// subjects with the error.
 func startSubjects(opts options, self, dir, config string, servers []string) (subjects []*subject, err error) {
 	start := func(name string, cmd *exec.Cmd) error {
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "GOMAXPROCS=1")
--- a/tools/decisions/adapter.go
+++ b/tools/decisions/adapter.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxReplyLine limits the length of a line of a reply, in bytes.
+	// maxReplyLine is the maximum length of a line of a reply, in bytes.
 	maxReplyLine = 1 << 20
 
 	// endOfReply is the line that ends each reply.
 	endOfReply = `["yield"]`
 )
 
-// adapter is a running adapter process of one build. Each reply is read completely before the next batch is written.
+// adapter is a running adapter process of one build. It reads each reply completely before it writes the next batch.
 type adapter struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
@@ -54,7 +54,7 @@
 	return nil, fmt.Errorf("adapter exited before it completed a reply: %w", errors.Join(a.out.Err(), io.ErrUnexpectedEOF))
 }
 
-// stop closes the adapter's input, which makes it exit, and waits for it.
+// stop closes the adapter's input, which makes the adapter exit, and waits for the exit.
 func (a *adapter) stop() {
 	_ = a.in.Close()
 	_ = a.cmd.Wait() // the exit status doesn't matter: the replies have been compared
--- a/tools/decisions/history.go
+++ b/tools/decisions/history.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// history generates the random history of one node in the simulator's protocol. Its times are in milliseconds.
+// history generates the random history of one node in the simulator's protocol. All times are in milliseconds.
 type history struct {
 	rand     *rand.Rand
 	now      float64
@@ -28,7 +28,7 @@
 	sentAt          float64
 }
 
-// timer is a timer that the policy module has requested and that has not fired yet.
+// timer is a requested timer of the policy module that has not fired yet.
 type timer struct {
 	due   float64
 	token string
@@ -46,8 +46,8 @@
 // pick returns one of the values at random.
 func pick[T any](random *rand.Rand, values ...T) T { return values[random.IntN(len(values))] }
 
-// configure writes random settings: few nodes or many, classes bound to server kinds or zones, with or without tenant
-// quotas.
+// configure writes random settings. For example, the number of nodes and the tenant quotas vary, and classes may be
+// bound to server kinds or zones.
 func (h *history) configure() {
 	nodes := pick(h.rand, 1, 2, 3, 4, 9, 40)
 	binding := pick(h.rand, "", "", `,"servedOn":["k1"]`, `,"localitiesOnly":["a","b"]`)
@@ -65,7 +65,7 @@
 		h.rand.IntN(2) == 0, 1+h.rand.IntN(5), pick(h.rand, 0, 5000), extra, tenants)
 }
 
-// entry returns the entry of the i-th server in the endpoint list.
+// entry returns the entry of the i-th server, in the given state, in the endpoint list.
 func (h *history) entry(i int, state string) string {
 	since := "null"
 	if h.rand.IntN(12) == 0 {
@@ -110,7 +110,7 @@
 	}
 }
 
-// writeOutcomes ends some of the attempts in flight.
+// writeOutcomes writes the outcomes of some of the attempts in flight.
 func (h *history) writeOutcomes() {
 	for range min(len(h.inFlight), 1+h.rand.IntN(h.servers/4+2)) {
 		i := h.rand.IntN(len(h.inFlight))
@@ -123,7 +123,7 @@
 	}
 }
 
-// writeDueTimers fires the timers that are due.
+// writeDueTimers writes the timers that are due, which fires them.
 func (h *history) writeDueTimers() {
 	var pending []timer
 	for _, t := range h.timers {
@@ -136,7 +136,7 @@
 	h.timers = pending
 }
 
-// nextBatch advances the time and returns the next batch.
+// nextBatch advances the time and returns the next batch. The first batch also has the settings and an endpoint list.
 func (h *history) nextBatch(first bool) string {
 	h.batch.Reset()
 	h.now += float64(h.rand.IntN(60))
@@ -163,8 +163,8 @@
 	return h.batch.String()
 }
 
-// recordActions records the attempts and timers that a reply starts. A line that
-// reports a panic of the build is an error.
+// recordActions records the attempts and timers that a reply starts. It returns an error for a line that reports a
+// panic of the build.
 func (h *history) recordActions(reply []string) error {
 	for _, line := range reply {
 		parts := strings.Split(strings.Trim(line, "[]"), ",")
@@ -194,7 +194,7 @@
 // differenceError reports a reply that differs between the two builds.
 type differenceError struct{ description string }
 
-// Error implements error.
+// Error returns a description of the difference.
 func (e *differenceError) Error() string { return e.description }
 
 // compareBuilds sends the history to both builds and returns a differenceError for the first reply that differs.
--- a/tools/decisions/main.go
+++ b/tools/decisions/main.go
@@ -1,5 +1,6 @@
 // Command decisions compares the policy module's decisions with those of an earlier revision. It builds the simulator's
-// adapter from both revisions and sends the same random histories to both builds, whose replies have to be identical.
+// adapter from both revisions and sends the same random histories to both builds. The replies of the builds must be
+// identical.
 //
 //	go run ./tools/decisions -base HEAD~1 -histories 10000
 package main
@@ -93,7 +94,7 @@
 	formerPath, currentPath string // paths of the two adapter binaries
 	histories               int64
 	seed                    uint64
-	countAll                bool // whether to continue after a difference and count the differing histories
+	countAll                bool // continue after a difference and count the differing histories
 
 	next   atomic.Int64 // index of the next history to send
 	counts counts
@@ -101,7 +102,8 @@
 	differing atomic.Int64 // number of differing histories; each ends at its first difference
 }
 
-// run processes all histories in concurrent jobs. It stops at the first difference unless countAll is set.
+// run processes all histories with the given number of concurrent jobs. It stops at the first difference unless
+// countAll is set.
 func (c *comparison) run(jobs int) error {
 	failed := make(chan error, jobs)
 	var group sync.WaitGroup
--- a/tools/fleetbench/consensus.go
+++ b/tools/fleetbench/consensus.go
@@ -25,8 +25,8 @@
 
 var errNotAccepted = errors.New("no replica accepted the entry")
 
-// propose sends an entry to the replicas, one after the other, until one of them reports its outcome. An entry that
-// exists already counts as applied.
+// propose sends an entry to the replicas, one after the other, until a replica reports the outcome of the entry. An
+// entry that exists already counts as applied.
 func propose(ctx context.Context, harness *multiprocess.Harness, entry fleet.Entry) error {
 	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(2 * awaitInterval) {
 		attemptCtx, cancel := context.WithTimeout(ctx, proposeTimeout)
@@ -76,7 +76,7 @@
 }
 
 // failOver kills or pauses the lease holder, waits until another process holds the lease, and restarts or resumes the
-// first one. It returns how long the wait took.
+// first holder. fault is "killed" or "paused". failOver returns the duration of the wait.
 func failOver(ctx context.Context, harness *multiprocess.Harness, fault string) (time.Duration, error) {
 	holder := func() (string, fleet.FencingToken) {
 		state, _ := harness.State(ctx)
@@ -108,8 +108,8 @@
 	return elapsed, nil
 }
 
-// measurePartitionRecovery measures the time from the end of a partition until a disable order that is proposed at that
-// moment has reached all nodes.
+// measurePartitionRecovery measures the time from the end of a partition until a disable order has reached all nodes.
+// The order is proposed at the end of the partition.
 func measurePartitionRecovery(ctx context.Context) error {
 	harness, err := start(ctx, 5, 6, 0)
 	if err != nil {
--- a/tools/fleetbench/main.go
+++ b/tools/fleetbench/main.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// start starts a fleet. If requestRate, in requests per second, is above 0, the fleet's nodes are real node processes.
+// start starts a fleet with the given numbers of replicas and nodes. If requestRate, in requests per second, is above
+// 0, the nodes are real node processes.
 func start(ctx context.Context, replicas, nodes int, requestRate float64) (*multiprocess.Harness, error) {
 	return multiprocess.Start(ctx, &multiprocess.Script{
 		Seed: 1, Replicas: replicas, Nodes: nodes, LeaseCandidates: min(nodes, 5), Lease: leaseDuration, Tick: raftTick,
@@ -73,7 +74,7 @@
 	}, multiprocess.Options{Command: []string{os.Args[0]}})
 }
 
-// await waits until the condition is met, but at most for awaitTimeout, and returns how long it has waited.
+// await waits until the condition is met, but at most for awaitTimeout, and returns the duration of the wait.
 func await(condition func() bool) time.Duration {
 	startedAt := time.Now()
 	for !condition() && time.Since(startedAt) < awaitTimeout {
@@ -82,7 +83,7 @@
 	return time.Since(startedAt)
 }
 
-// summarize returns the median and the 99th percentile of at least one sample.
+// summarize formats the median and the 99th percentile of at least one sample. It sorts the samples.
 func summarize(samples []time.Duration) string {
 	slices.Sort(samples)
 	median, p99 := samples[len(samples)/2], samples[p99Index(len(samples))]
@@ -90,5 +91,5 @@
 		median.Round(time.Millisecond), p99.Round(time.Millisecond), len(samples))
 }
 
-// p99Index returns the index of the 99th percentile in a sorted slice with the given number of samples.
+// p99Index returns the index of the 99th percentile in a sorted slice of the given length.
 func p99Index(samples int) int { return int(0.99 * float64(samples-1)) }
--- a/tools/fleetbench/requests.go
+++ b/tools/fleetbench/requests.go
@@ -29,8 +29,8 @@
 
 var replicaNames = []string{"c1", "c2", "c3"}
 
-// measureRequests measures the latencies of requests to nodes while the replicas run normally, are paused, are down or
-// are flooded with proposals.
+// measureRequests measures the latencies of requests to nodes in each state of the replicas: running, paused, down,
+// and flooded with proposals.
 func measureRequests(ctx context.Context) error {
 	harness, err := start(ctx, 3, 3, 600)
 	if err != nil {
--- a/tools/fleetbench/watchers.go
+++ b/tools/fleetbench/watchers.go
@@ -19,14 +19,14 @@
 	outageDuration = 5 * time.Second
 )
 
-// watchers are state watchers in this process that stand in for the same number of agents.
+// watchers are state watchers in this process. Each of them stands in for an agent.
 type watchers struct {
 	harness *multiprocess.Harness
 	all     []*agent.StateWatcher
 }
 
-// measureWatchers measures how long it takes until all watchers have an entry: while the fleet is idle, and right after
-// an outage of all replicas, when all watchers reconnect at once.
+// measureWatchers measures the time until all watchers have an entry. It measures while the fleet is idle, and right
+// after an outage of all replicas, when all watchers reconnect at once.
 func measureWatchers(ctx context.Context) error {
 	harness, err := start(ctx, 3, 1, 0)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return started
 }
 
-// reached returns the number of watchers whose state has reached a position.
+// reached returns the number of watchers whose state has reached the given position.
 func (w *watchers) reached(position fleet.Position) (count int) {
 	for _, watcher := range w.all {
 		if state, _ := watcher.State(); state.Position >= position {
@@ -74,7 +74,8 @@
 	return count
 }
 
-// measureEntry proposes an entry and measures the time until it is applied and until all watchers have it.
+// measureEntry proposes an entry. It measures the time until the entry is applied, and the time until all watchers
+// have the entry. condition describes the state of the fleet in the output.
 func (w *watchers) measureEntry(ctx context.Context, condition string) error {
 	id := fmt.Sprint("hold-", time.Now().UnixNano())
 	proposedAt := time.Now()
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// restartReplicas kills all replicas, restarts them after outageDuration, and waits until there is a leader.
+// restartReplicas kills all replicas, restarts them after outageDuration, and waits for a leader.
 func restartReplicas(ctx context.Context, harness *multiprocess.Harness) error {
 	replicas := []string{"c1", "c2", "c3"}
 	for _, name := range replicas {
--- a/tools/internal/benchkit/benchkit.go
+++ b/tools/internal/benchkit/benchkit.go
@@ -1,5 +1,5 @@
-// Package benchkit has functions that the benchmark commands under tools share: exiting on errors, parts of stub
-// servers, starting and ending processes, CPU time and quantiles.
+// Package benchkit has functions that the benchmark commands under tools share. They exit on errors, run parts of
+// stub servers, start and end processes, and compute CPU times and quantiles.
 package benchkit
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// ExitOnError prints the error after the command's name and exits with status 1. It does nothing if the error is nil.
+// ExitOnError does nothing if err is nil. Otherwise it prints err after the command's name and exits with status 1.
 func ExitOnError(command string, err error) {
 	if err == nil {
 		return
@@ -42,8 +42,8 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// AcceptLoop handles each accepted connection in a goroutine of its own, until the listener is closed. The handler
-// closes its connection.
+// AcceptLoop calls handle for each accepted connection in a separate goroutine, until ln is closed. handle must close
+// the connection.
 func AcceptLoop(ln net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := ln.Accept()
@@ -54,14 +54,14 @@
 	}
 }
 
-// EchoConn echoes all data until the peer closes the connection, and then closes it.
+// EchoConn echoes all data until the peer closes the connection, and then closes conn.
 func EchoConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_, _ = io.Copy(struct{ io.Writer }{conn}, conn) // hides ReadFrom, which would splice TCP connections
 }
 
-// WaitReady polls the URL at the interval until it answers with status 200. After the timeout it returns an error that
-// wraps the last one.
+// WaitReady polls url at the given interval until the response status is 200. After the timeout it returns an error
+// that wraps the last error.
 func WaitReady(client *http.Client, url string, interval, timeout time.Duration) error {
 	began := time.Now()
 	for {
@@ -80,8 +80,8 @@
 	}
 }
 
-// StartAnnounced starts a process and returns the addresses that it logs on standard error as address=ADDR, as soon as
-// there are as many as wanted. Everything that it logs later is discarded.
+// StartAnnounced starts a process and returns the addresses that the process logs on standard error as address=ADDR.
+// It returns once the process has logged the wanted number of addresses, and discards all later output.
 func StartAnnounced(cmd *exec.Cmd, wanted int) ([]string, error) {
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -106,10 +106,12 @@
 	return addrs, nil
 }
 
-// exitGrace is how long a process may take to shut down after SIGTERM, for example to complete a profile.
+// exitGrace is the maximum time that a process may take to shut down after SIGTERM, for example to complete a
+// profile.
 const exitGrace = 200 * time.Millisecond
 
-// Terminate ends a process with SIGTERM, or with SIGKILL after exitGrace, and waits for its exit.
+// Terminate sends SIGTERM to a process, and SIGKILL if the process is still running after exitGrace. It waits for the
+// exit.
 func Terminate(cmd *exec.Cmd) {
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	kill := time.AfterFunc(exitGrace, func() { _ = cmd.Process.Kill() })
@@ -117,7 +119,7 @@
 	_ = cmd.Wait()
 }
 
-// StartCPUProfile writes a CPU profile of this process to a file until the returned function is called.
+// StartCPUProfile writes a CPU profile of this process to the file at path until stop is called.
 func StartCPUProfile(path string) (stop func() error, err error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -141,8 +143,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// Quantile returns the q-quantile of the values, for q from 0 to 1, or 0 if there are no values. It doesn't change the
-// slice.
+// Quantile returns the q-quantile of values, for q from 0 to 1, or 0 if values is empty. It does not change values.
 func Quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/tools/levelsbench/main.go
+++ b/tools/levelsbench/main.go
@@ -1,6 +1,6 @@
-// Command levelsbench runs scripts of overload in virtual time and compares levels of reduced service with three
-// alternatives: no levels, the best fixed limit on open requests, and the best share of searches to shed all the time.
-// The best limit or share is the one with the highest value of served requests. CI does not run it.
+// Command levelsbench runs scripts of overload in virtual time. It compares levels of reduced service with three
+// alternatives: no levels, a fixed limit on open requests, and a fixed share of searches that is always shed. The
+// limit and the share are those with the highest value of served requests. CI does not run it.
 //
 //	go run ./tools/levelsbench [-seeds 2] [-scripts scenarios]
 package main
@@ -34,14 +34,14 @@
 	classCancel  = "zrusenie"
 )
 
-// variant is a script of overload that is derived from a shipped script.
+// variant is a script of overload, derived from a shipped script.
 type variant struct {
 	name   string
 	base   string
 	change func(*script.Script)
 }
 
-// withTraffic returns a function that changes a script's traffic; rate is in requests per second.
+// withTraffic returns a function that changes a script's traffic. rate is in requests per second.
 func withTraffic(shape string, period time.Duration, amplitude, rate float64) func(*script.Script) {
 	return func(s *script.Script) {
 		s.Traffic.Shape, s.Traffic.Period, s.Traffic.Amplitude, s.Traffic.Rate = shape, period, amplitude, rate
@@ -84,19 +84,19 @@
 // bench has the options of one run of the command.
 type bench struct {
 	dir      string
-	duration time.Duration // of each script
+	duration time.Duration // length of each script
 	seeds    int
 }
 
-// protectionResult is the result of one protection against overload, as a mean over all seeds.
+// protectionResult is the result of one protection against overload. Its fractions are means over all seeds.
 type protectionResult struct {
 	value          float64 // value of the served requests, as a fraction of the value offered
 	bookingsOnTime float64 // bookings within their latency objective, as a fraction of those offered
 	wastedWork     float64 // work that servers did for abandoned requests, as a fraction of all work
-	levelChanges   int
+	levelChanges   int     // total number over all seeds
 }
 
-// protection is how the nodes of a script are protected against overload.
+// protection configures the protection of nodes against overload.
 type protection struct {
 	maxOpen int                                      // fixed limit on open requests; 0: none
 	levels  func(*plan.Plan) (*levels.Config, error) // nil: no levels
@@ -105,7 +105,8 @@
 const header = "script | worth kept: none, best limit, best share, levels | " +
 	"bookings in aim: none, limit, share, levels | work for nobody: none, levels | changes (least between)"
 
-// compare measures each variant with each kind of protection and prints one line per variant.
+// compare measures each variant with each kind of protection, and prints one line per variant. levelsFile has the
+// configuration of the levels.
 func (b bench) compare(levelsFile string) error {
 	config, err := standalone.Load(levelsFile)
 	if err != nil {
@@ -155,7 +156,8 @@
 	return all
 }
 
-// shedAlways returns a configuration with one level that is entered at once and stays in force.
+// shedAlways returns a configuration with one level that sheds the given share of searches. The level is entered at
+// once and stays in force.
 func shedAlways(share float64) *levels.Config {
 	return &levels.Config{
 		Classes: []levels.Class{{Name: classSearch}, {Name: classBooking, ShedLast: true}, {Name: classCancel}},
@@ -182,7 +184,7 @@
 	return best, nil
 }
 
-// measure runs a script once with each seed, with as many runs at a time as there are cores, and returns the mean.
+// measure runs a variant once with each seed, and returns the mean. At most one run per core is in progress.
 func (b bench) measure(v variant, p protection) (mean protectionResult, err error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -205,7 +207,7 @@
 	return mean, err
 }
 
-// add adds one run to the mean; runs is the number of runs that the mean is taken of.
+// add adds one run to the mean of the given number of runs.
 func (f *protectionResult) add(run *result.Result, runs float64) {
 	bookings := run.Classes[classBooking]
 	f.value += run.All.ValueShare() / runs
--- a/tools/rpcbench/callers.go
+++ b/tools/rpcbench/callers.go
@@ -19,10 +19,10 @@
 // callTimeout is the deadline of each call.
 const callTimeout = 9 * time.Second
 
-// caller makes one call and returns nil if it was served. It can be used concurrently.
+// caller makes one call and returns nil if the call was served. It is safe for concurrent use.
 type caller func(id string, body []byte) error
 
-// newHTTPCaller returns a caller that uses up to conns connections, and a function that closes them.
+// newHTTPCaller returns a caller that uses at most conns connections, and a function that closes the connections.
 func newHTTPCaller(addr string, conns int) (call caller, closeConns func()) {
 	httpClient := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: conns, MaxConnsPerHost: conns, DisableCompression: true,
@@ -49,7 +49,8 @@
 	}, httpClient.CloseIdleConnections
 }
 
-// newMsgpackCaller returns a caller that uses conns connections in rotation, and a function that closes them.
+// newMsgpackCaller returns a caller that uses conns connections in rotation, and a function that closes the
+// connections.
 func newMsgpackCaller(addr string, conns int) (call caller, closeConns func()) {
 	clients := make([]*client.Client, conns)
 	for i := range clients {
@@ -86,11 +87,11 @@
 	failed    int
 }
 
-// lastID makes the IDs of calls unique within the process.
+// lastID is the number in the ID of the last call. It makes the IDs of calls unique within the process.
 var lastID atomic.Uint64
 
-// run makes calls for the given time and returns once the last of them has ended. If record is set, it adds their
-// latencies and failures to l.
+// run makes calls for the given length of time, and returns when the last call has ended. If record is set, it adds
+// the latencies of the calls and the number of failures to l.
 func (l *load) run(length time.Duration, record bool) {
 	end := time.Now().Add(length)
 	var callers sync.WaitGroup
@@ -128,8 +129,8 @@
 	failed      int
 }
 
-// measure loads the node for a quarter of the length to warm up connections and buffers, and then measures it under the
-// same load for the whole length.
+// measure loads the node for a quarter of length, to warm up connections and buffers. It then measures the node under
+// the same load for the whole length. inFlight is the number of calls in flight, and size the body size of each call.
 func measure(node *nodeProcess, call caller, inFlight, size int, length time.Duration) (sample, error) {
 	calls := load{call: call, inFlight: inFlight, body: make([]byte, size)}
 	calls.run(length/4, false)
--- a/tools/rpcbench/compare.go
+++ b/tools/rpcbench/compare.go
@@ -10,7 +10,7 @@
 const compareHeader = "in flight  body    | HTTP: µs CPU, allocs, calls/s, p50, p99 | RPC, 1 connection | " +
 	"RPC, 16 connections | CPU ratio 1, 16"
 
-// variant is a protocol and a number of connections with which a node is called.
+// variant is a protocol and a number of connections for calls to a node.
 type variant struct {
 	protocol  string
 	servers   []string
@@ -64,7 +64,7 @@
 	return samples, nil
 }
 
-// measure starts a new node and measures it.
+// measure starts a new node and measures the node under the given load.
 func (v variant) measure(inFlight, size int, length time.Duration, profile string) (sample, error) {
 	node, err := startNode(v.protocol, profile, v.servers)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return measure(node, call, inFlight, size, length)
 }
 
-// formatLine returns a line of the report. For each variant it has the sample with the median CPU time.
+// formatLine returns a line of the report. For each variant, the line has the sample with the median CPU time.
 func formatLine(inFlight, size int, samples [][]sample) string {
 	var line strings.Builder
 	fmt.Fprintf(&line, "%9d %6d ", inFlight, size)
--- a/tools/rpcbench/main.go
+++ b/tools/rpcbench/main.go
@@ -1,6 +1,6 @@
-// Command rpcbench compares a node that uses MessagePack-RPC on both sides with one that uses HTTP/1.1. It measures the
-// CPU time and the allocations per call of the node, which is a separate process with GOMAXPROCS=1, and the latency
-// that callers see.
+// Command rpcbench compares a node that uses MessagePack-RPC on both sides with a node that uses HTTP/1.1. It measures
+// the node's CPU time and allocations per call, and the latency that callers see. The node is a separate process with
+// GOMAXPROCS=1.
 //
 //	go run ./tools/rpcbench -for 1s -rounds 3
 package main
--- a/tools/rpcbench/memory.go
+++ b/tools/rpcbench/memory.go
@@ -10,13 +10,13 @@
 
 const (
 	memoryConns = 1000
-	memoryCalls = 200 // calls in flight, one per connection; the admission policy would queue further ones
+	memoryCalls = 200 // calls in flight, one per connection; the admission policy would queue more calls
 
-	// memorySettleTime is the time for a node to accept connections and to forward calls before its memory is read.
+	// memorySettleTime is the time for a node to accept connections and forward calls before its memory is read.
 	memorySettleTime = 500 * time.Millisecond
 )
 
-// measureMemory prints how much of a node's memory is used by a connection without a call and by a call in flight.
+// measureMemory prints the memory of a node per connection without a call and per call in flight.
 func measureMemory() error {
 	servers, err := startServers(serveNothing)
 	if err != nil {
--- a/tools/rpcbench/node.go
+++ b/tools/rpcbench/node.go
@@ -30,9 +30,10 @@
 	Heap   uint64 // bytes in use by the heap and the stacks after a garbage collection
 }
 
-// runNode is the main function of the node's process: a router whose frontend and transport use the same protocol. It
-// reads the servers' addresses from the first line of standard input and prints its own address. It then prints its
-// usage for each further line until the input ends.
+// runNode is the main function of the node's process. The node is a router whose frontend and transport use the same
+// protocol. runNode reads the servers' addresses from the first line of standard input, and prints the node's
+// address. It prints the usage of the process for each further line until the input ends. With MessagePack-RPC, a
+// non-empty profile is the file for a CPU profile.
 func runNode(protocol, profile string) (err error) {
 	runtime.GOMAXPROCS(1)
 	in := bufio.NewScanner(os.Stdin)
@@ -96,8 +97,8 @@
 	fmt.Fprintln(os.Stderr, "rpcbench: node stopped serving:", err)
 }
 
-// readUsage returns the usage of this process. It reads the CPU time before it collects garbage, so that the collection
-// is not counted.
+// readUsage returns the usage of this process. It reads the CPU time before it collects garbage, so that the CPU time
+// does not include the collection.
 func readUsage() (usage, error) {
 	cpu, err := benchkit.CPUTime()
 	if err != nil {
@@ -159,7 +160,7 @@
 	return reported, json.Unmarshal(line, &reported)
 }
 
-// stop closes the node's input, which makes it exit, and waits for it.
+// stop closes the node's input, which makes the node exit, and waits for the exit.
 func (n *nodeProcess) stop() {
 	_ = n.in.Close()
 	_ = n.cmd.Wait() // the exit status doesn't matter
--- a/tools/rpcbench/servers.go
+++ b/tools/rpcbench/servers.go
@@ -13,7 +13,8 @@
 // serverCount is the number of stub servers for each protocol.
 const serverCount = 32
 
-// startServers starts the servers of one protocol and returns their addresses. The servers run until the process exits.
+// startServers starts the servers of one protocol and returns their addresses. serve handles each connection. The
+// servers run until the process exits.
 func startServers(serve func(net.Conn)) ([]string, error) {
 	var addrs []string
 	for range serverCount {
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -1,5 +1,5 @@
-// Command startup measures how long daemons take from process start to readiness, and how much memory they use while
-// idle. With several daemons, each run measures every daemon once. CI does not run it.
+// Command startup measures the time of daemons from process start to readiness, and their memory while idle. With
+// several daemons, each run measures every daemon once. CI does not run it.
 //
 //	go run ./tools/startup [-runs 20] bin/wayhold [OTHER ...]
 package main
@@ -20,7 +20,7 @@
 )
 
 const (
-	// configFormat is the configuration of a node without servers. Its one argument is the address to listen on.
+	// configFormat is the configuration of a node without servers. Its argument is the address to listen on.
 	configFormat = `{"name":"idle","listen":%q,"discovery":"127.0.0.1:9","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`
--- a/tools/tlsbench/echo.go
+++ b/tools/tlsbench/echo.go
@@ -15,15 +15,16 @@
 	"cobaltward/transport/secure"
 )
 
-// dialTimeout limits the time of a connection's handshake.
+// dialTimeout is the maximum time of a connection's handshake.
 const dialTimeout = 10 * time.Second
 
-// newCPUScheduler returns a scheduler that lets one handshake compute at a time, like that of a node on one core.
+// newCPUScheduler returns a scheduler that lets one handshake compute at a time, like the scheduler of a node on one
+// core.
 func newCPUScheduler() *handshakes.CPUScheduler {
 	return handshakes.NewCPUScheduler(1, runtime.NumCPU(), func() bool { return false })
 }
 
-// listenTLSEcho runs an echo server behind the node's TLS frontend, until the listener is closed.
+// listenTLSEcho runs an echo server behind the node's TLS frontend until the returned listener is closed.
 func listenTLSEcho(own *certificates.Store) (*frontsecure.Terminator, net.Listener, error) {
 	terminator, err := frontsecure.New(frontsecure.Config{Certificates: own, CPU: newCPUScheduler()})
 	if err != nil {
@@ -38,8 +39,8 @@
 	return terminator, ln, nil
 }
 
-// dialTLSEcho connects to an echo server with the node's TLS client. It exchanges a line after the handshake,
-// so that the session ticket has arrived when it returns.
+// dialTLSEcho connects to an echo server with the node's TLS client. It exchanges a line after the handshake, so that
+// the session ticket has arrived when dialTLSEcho returns.
 func dialTLSEcho(clientTLS *secure.ClientTLS, server router.Endpoint) (*secure.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
--- a/tools/tlsbench/handshakes.go
+++ b/tools/tlsbench/handshakes.go
@@ -13,7 +13,7 @@
 const handshakesHeader = "handshakes one after the other, both sides in one process: key, kind, a second, mean time, " +
 	"work of the node as client, as server"
 
-// measureHandshakes measures full and resumed handshakes, one after the other, with each kind of key.
+// measureHandshakes measures sequential full and resumed handshakes with each kind of key.
 func (b *bench) measureHandshakes() error {
 	fmt.Println(handshakesHeader)
 	for _, kind := range []string{pki.RSA2048, pki.P256, pki.Ed25519} {
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// measureHandshakeKind makes one handshake more than b.count, because the first one can't be resumed.
+// measureHandshakeKind measures full or resumed handshakes with one kind of key. It makes b.count+1 handshakes,
+// because the first handshake can't be resumed.
 func (b *bench) measureHandshakeKind(own, trust *certificates.Store, key string, resumed bool) error {
 	terminator, ln, err := listenTLSEcho(own)
 	if err != nil {
@@ -45,7 +46,7 @@
 	server := router.Endpoint{ID: "s", Addr: ln.Addr().String()}
 	for range b.count + 1 {
 		if !resumed {
-			clientTLS.RemoveServer(server.ID) // deletes its TLS session, so that the handshake is full
+			clientTLS.RemoveServer(server.ID) // deletes the TLS session, so that the handshake is full
 		}
 		conn, err := dialTLSEcho(clientTLS, server)
 		if err != nil {
--- a/tools/tlsbench/load.go
+++ b/tools/tlsbench/load.go
@@ -20,15 +20,15 @@
 	}}
 }
 
-// outcome is the result of one request: when it was sent, counted from the start of the load, how long it took, and
-// whether it was answered with status 200.
+// outcome is the result of one request. sentAt counts from the start of the load. ok is set if the response has
+// status 200.
 type outcome struct {
 	sentAt, latency time.Duration
 	ok              bool
 }
 
 // startLoad starts clients that send requests until ctx ends. Each client uses one connection and pauses between
-// requests. The clients call record concurrently. The returned group is done when all clients have stopped.
+// requests. The clients call record concurrently. The returned group waits for all clients.
 func (b *bench) startLoad(
 	ctx context.Context, addr string, clients int, pause time.Duration, record func(outcome),
 ) *sync.WaitGroup {
--- a/tools/tlsbench/main.go
+++ b/tools/tlsbench/main.go
@@ -1,6 +1,10 @@
-// Command tlsbench measures the cost of TLS for a node: full and resumed handshakes with every kind of key, as client
-// and as server; the memory of connections and sessions; how many full handshakes resumption saves while servers close
-// connections; and how a storm of simultaneous handshakes affects the latency of other requests. CI does not run it.
+// Command tlsbench measures the cost of TLS for a node:
+//   - full and resumed handshakes with every kind of key, as client and as server
+//   - the memory of connections and sessions
+//   - the full handshakes that resumption saves while servers close connections
+//   - the latency of other requests during a storm of simultaneous handshakes
+//
+// CI does not run it.
 //
 //	go build -o bin/ ./cmd/... && go run ./tools/tlsbench -daemon bin/wayhold
 //
@@ -86,8 +90,8 @@
 
 func (b *bench) path(name string) string { return filepath.Join(b.dir, name) }
 
-// writeCertificates issues a certificate with the given kind of key, writes it and the authority's certificate to
-// files, and opens both.
+// writeCertificates issues a certificate with the given kind of key. It writes the certificate, its key and the
+// authority's certificate to files, and opens the files.
 func (b *bench) writeCertificates(kind string) (own, trust *certificates.Store, err error) {
 	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, KeyKind: kind})
 	err = errors.Join(
--- a/tools/tlsbench/memory.go
+++ b/tools/tlsbench/memory.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// sessionMemory returns the memory of b.count servers with one TLS session each, in bytes. Their connections are closed
-// before it is measured.
+// sessionMemory returns the memory of b.count servers with one TLS session each, in bytes. The connections to the
+// servers are closed before the measurement.
 func (b *bench) sessionMemory(clientTLS *secure.ClientTLS, addr string) (uint64, error) {
 	before := heapBytes()
 	for i := range b.count {
@@ -94,7 +94,7 @@
 	return heapBytes() - before, nil
 }
 
-// measureConns opens connections, returns the memory that they take in bytes, and closes them.
+// measureConns opens count connections with dial, returns the memory of the connections in bytes, and closes them.
 func measureConns(count int, dial func(i int) (net.Conn, error)) (uint64, error) {
 	var open []net.Conn
 	defer func() {
--- a/tools/tlsbench/node.go
+++ b/tools/tlsbench/node.go
@@ -33,8 +33,8 @@
 	stopServers []func()
 }
 
-// startNode starts the daemon in front of stub servers and returns once the node is ready. Each server closes the
-// connection of every closeEvery-th request; with 0 it closes none.
+// startNode starts the daemon in front of stub servers, and returns once the node is ready. Each server closes the
+// connection of every closeEvery-th request. If closeEvery is 0, the servers close no connections.
 func (b *bench) startNode(servers int, closeEvery int64) (_ *nodeProcess, err error) {
 	pair := b.authority.Issue(pki.Leaf{Names: []string{"127.0.0.1"}, KeyKind: pki.P256})
 	if _, _, err := b.writeCertificates(pki.P256); err != nil {
@@ -110,7 +110,8 @@
 	return status, errors.Join(err, resp.Body.Close())
 }
 
-// startStub starts a stub server that uses TLS.
+// startStub starts a stub server that uses TLS. The server closes the connection of every closeEvery-th request, or
+// no connection if closeEvery is 0.
 func startStub(cert tls.Certificate, closeEvery int64) (addr string, stop func(), err error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
--- a/tools/tlsbench/reuse.go
+++ b/tools/tlsbench/reuse.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// measureReuse counts the full and the resumed handshakes with servers that close connections regularly.
+// measureReuse counts the node's full and resumed handshakes with servers that close connections regularly.
 func (b *bench) measureReuse() error {
 	subject, err := b.startNode(12, 10)
 	if err != nil {
--- a/tools/tlsbench/storm.go
+++ b/tools/tlsbench/storm.go
@@ -22,11 +22,10 @@
 const (
 	stormRole        = "as-storm"       // first argument of the process that makes the handshakes
 	stormDialTimeout = 20 * time.Second // connection timeout of each client of the storm
-	loadSettleTime   = time.Second      // requests sent earlier are not counted: connections are still being established
+	loadSettleTime   = time.Second      // latencies of earlier requests are ignored: connections are being established
 )
 
-// stormLog collects the latencies of the background load, separately for requests sent before and during the storm of
-// handshakes.
+// stormLog collects the latencies of the background load, separately for requests sent before and during the storm.
 type stormLog struct {
 	mu                   sync.Mutex
 	stormStart, stormEnd time.Duration // counted from the start of the load; 0: not yet reached
@@ -54,8 +53,7 @@
 	*field = at
 }
 
-// measureStorm lets many clients make their handshakes at once, and measures how that affects the latency of a
-// background load.
+// measureStorm measures how a storm of simultaneous handshakes affects the latency of a background load.
 func (b *bench) measureStorm() error {
 	subject, err := b.startNode(8, 0)
 	if err != nil {
@@ -86,7 +84,7 @@
 }
 
 // startStorm runs the storm's clients in a separate process, so that their use of the CPU does not delay the requests
-// that this process measures. It returns how many clients were served and how many failed.
+// that this process measures. It returns the number of served clients and the number of failed clients.
 func (b *bench) startStorm(addr string) (served, failed int, err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -114,8 +112,8 @@
 		float64(p99During)/float64(max(1, p99Before)), log.failed)
 }
 
-// runStormClients is the main function of the storm's process: the clients make their handshakes at once and send one
-// request each. It prints how many were served and how many failed.
+// runStormClients is the main function of the storm's process. The clients make their handshakes at once and send one
+// request each. runStormClients prints the number of served clients and the number of failed clients.
 func runStormClients(addr, count, rootsPath string) error {
 	raw, err := os.ReadFile(rootsPath)
 	if err != nil {
--- a/tools/xdsbench/controlplane.go
+++ b/tools/xdsbench/controlplane.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// maxBufferedLines limits the lines of a control plane's output that are buffered until they are read.
+// maxBufferedLines is the maximum number of unread lines of a control plane's output that are buffered.
 const maxBufferedLines = 1 << 16
 
 // controlPlane is a running xds-standin process and its output.
@@ -42,7 +42,7 @@
 	return plane, nil
 }
 
-// await skips lines up to the next one that contains the text, and returns what follows the text in that line.
+// await skips lines up to the next line that contains text, and returns the rest of that line after text.
 func (p *controlPlane) await(text string) (string, error) {
 	for line := range p.lines {
 		if _, rest, ok := strings.Cut(line, text); ok {
--- a/tools/xdsbench/flood.go
+++ b/tools/xdsbench/flood.go
@@ -22,11 +22,11 @@
 	phaseEnd          = "done"
 )
 
-// requestInterval is the pause between the end of a request and the start of the next one.
+// requestInterval is the pause between the end of a request and the start of the next request.
 const requestInterval = 500 * time.Microsecond
 
-// measureFlood measures the latency of requests and prints it for each round. A round has two phases: one without and
-// one with a flood of updates.
+// measureFlood measures the latency of requests and prints it for each round. A round has a phase without updates and
+// a phase with a flood of updates.
 func measureFlood(bin string, rounds int) error {
 	addr, stop, err := startApplication()
 	if err != nil {
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer func() { _ = subject.router.Close() }()
-	go func() { // discards the updates, which would block the source if nothing read them; runs until the process ends
+	go func() { // discards updates until the process ends; unread updates would block the source
 		for range subject.updates {
 		}
 	}()
@@ -52,7 +52,7 @@
 	return sendDuringPhases(subject.router, phases)
 }
 
-// startApplication runs the only server that requests are sent to.
+// startApplication runs the server that receives all requests. stop shuts the server down.
 func startApplication() (addr string, stop func(), err error) {
 	ln, err := benchkit.ListenLoopback()
 	if err != nil {
@@ -66,8 +66,8 @@
 	return ln.Addr().String(), func() { _ = server.Close(); serving.Wait() }, nil
 }
 
-// floodScript returns the control plane's script: each round has 2 s without updates and 2 s with 20 updates per second
-// of 1000 endpoints each.
+// floodScript returns the control plane's script. Each round has 2 s without updates, and 2 s with 20 updates per
+// second of 1000 endpoints each.
 func floodScript(addr string, rounds int) string {
 	script := "cluster rooms\ncluster flood\nendpoints rooms " + addr + "\n" +
 		"many flood 1000 1001 DRAINING\npush\nexpect acks 2 within 10s\n"
@@ -85,8 +85,7 @@
 	}
 }
 
-// sendDuringPhases sends requests one after the other until the last phase ends, and prints the latencies of each
-// round.
+// sendDuringPhases sends sequential requests until the last phase ends, and prints the latencies of each round.
 func sendDuringPhases(engine *router.Router, phases <-chan string) error {
 	var result floodResult
 	for id := 1; ; id++ {
@@ -112,7 +111,7 @@
 // floodResult holds the latencies of the current phase and the results of earlier rounds.
 type floodResult struct {
 	phase           string
-	latencies       []time.Duration // of the requests in the current phase
+	latencies       []time.Duration // latencies of the requests in the current phase
 	p99WithoutFlood time.Duration
 	ratios          []float64 // p99 with a flood divided by p99 without, one per round
 }
--- a/tools/xdsbench/main.go
+++ b/tools/xdsbench/main.go
@@ -1,4 +1,4 @@
-// Command xdsbench measures a node's xDS client against the stand-in control plane, which runs in a process of its own:
+// Command xdsbench measures a node's xDS client against the stand-in control plane, which runs in a separate process:
 //
 //	go run ./tools/xdsbench -flood              # p99 of requests with a flood of updates, divided by p99 without
 //	go run ./tools/xdsbench -sizes 100,1000     # time from push to applied, CPU and allocations of the node
@@ -17,7 +17,8 @@
 	"cobaltward/tools/internal/benchkit"
 )
 
-// minRounds is the least value of -rounds: the first update at each size is not counted.
+// minRounds is the minimum value of -rounds. The first update at each size is not counted, so one round has no
+// result.
 const minRounds = 2
 
 func main() {
--- a/tools/xdsbench/node.go
+++ b/tools/xdsbench/node.go
@@ -14,7 +14,7 @@
 // node is a router in this process that gets its endpoints from a control plane.
 type node struct {
 	router  *router.Router
-	updates <-chan time.Time // time at which the router had applied each update
+	updates <-chan time.Time // times at which the router had applied the updates
 }
 
 func newNode(addr string, delta bool) (*node, error) {
@@ -42,14 +42,14 @@
 	return &node{router: engine, updates: updates}, nil
 }
 
-// observedSource reports when the router has applied each update of an endpoint source.
+// observedSource is an endpoint source that reports when the router has applied each update.
 type observedSource struct {
 	router.EndpointSource
 	router  *router.Router
 	updates chan<- time.Time
 }
 
-// Run implements router.EndpointSource.
+// Run runs the wrapped source. It sends to updates the time at which the router has applied each update.
 func (s *observedSource) Run(ctx context.Context, notify func(router.EndpointUpdate)) {
 	s.EndpointSource.Run(ctx, func(update router.EndpointUpdate) {
 		notify(update)
--- a/tools/xdsbench/updates.go
+++ b/tools/xdsbench/updates.go
@@ -16,14 +16,14 @@
 // updateRun measures updates that change one endpoint of the first cluster.
 type updateRun struct {
 	bin        string
-	endpoints  int // in all clusters together
+	endpoints  int // number of endpoints in all clusters
 	perCluster int
 	delta      bool
 	rounds     int // number of updates; the first changes nothing and is not counted
 }
 
-// updateCost has the latency of each counted update from its push until it was applied, and the CPU time and
-// allocations of all counted updates together.
+// updateCost is the cost of the counted updates. Each latency is the time from the push of an update until the router
+// has applied it. The CPU time and the allocations are totals over all counted updates.
 type updateCost struct {
 	latencies []time.Duration
 	cpu       time.Duration
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// script returns the control plane's script: the first cluster alternates between all its endpoints and one fewer.
+// script returns the control plane's script. The first cluster alternates between all of its endpoints and all but
+// one.
 func (u updateRun) script() string {
 	var script strings.Builder
 	for i := range max(1, u.endpoints/u.perCluster) {
@@ -75,7 +76,7 @@
 }
 
 // measureUpdate waits until the next update is pushed. If counted is set, it waits until the router has applied the
-// update and adds its cost.
+// update, and adds the cost of the update.
 func (c *updateCost) measureUpdate(plane *controlPlane, subject *node, counted bool) error {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
