--- a/tools/decisions/main.go
+++ b/tools/decisions/main.go
@@ -25,11 +25,11 @@
 const progressInterval = 5 * time.Second
 
 func main() {
-	base := flag.String("base", "HEAD", "the revision to hold the working tree against")
-	histories := flag.Int("histories", 1000, "how many histories to play")
-	seed := flag.Uint64("seed", 1, "of the first history; the others follow")
-	countAll := flag.Bool("all", false, "count the histories that differ, rather than end at the first")
-	jobs := flag.Int("jobs", runtime.NumCPU(), "pairs of adapters at once")
+	base := flag.String("base", "HEAD", "revision to compare the working tree with")
+	histories := flag.Int("histories", 1000, "number of histories")
+	seed := flag.Uint64("seed", 1, "seed of the first history; later histories use consecutive seeds")
+	countAll := flag.Bool("all", false, "count all differing histories instead of stopping at the first")
+	jobs := flag.Int("jobs", runtime.NumCPU(), "maximum number of concurrent pairs of adapters")
 	flag.Parse()
 	compare := &comparison{histories: int64(*histories), seed: *seed, countAll: *countAll}
 	benchkit.ExitOnError("decisions", run(*base, compare, *jobs))
--- a/tools/fleetbench/consensus.go
+++ b/tools/fleetbench/consensus.go
@@ -136,7 +136,7 @@
 		}
 	}
 	fmt.Printf("from the end of a partition of 2 replicas and 3 of 6 nodes "+
-		"until a server disabled then is disabled at all: %s\n", summarize(samples))
+		"until a disable order proposed at that time has reached all nodes: %s\n", summarize(samples))
 	return nil
 }
 
--- a/tools/rpcbench/memory.go
+++ b/tools/rpcbench/memory.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%.1f KB a connection without a call, %.1f KB a call in flight on one of its own\n",
+	fmt.Printf("%.1f KB per connection without a call, %.1f KB per call in flight, one per connection\n",
 		float64(idle-empty)/memoryConns/1024, float64(loaded-idle)/memoryCalls/1024)
 	return nil
 }
--- a/tools/startup/main.go
+++ b/tools/startup/main.go
@@ -30,7 +30,7 @@
 )
 
 func main() {
-	runs := flag.Int("runs", 20, "runs of each")
+	runs := flag.Int("runs", 20, "number of runs")
 	idleTime := flag.Duration("rest", 300*time.Millisecond, "how long a daemon rests before its memory is read")
 	flag.Parse()
 	readyMS, residentMB := make(map[string][]float64), make(map[string][]float64)
--- a/tools/tlsbench/handshakes.go
+++ b/tools/tlsbench/handshakes.go
@@ -10,8 +10,8 @@
 	"cobaltward/transport/secure"
 )
 
-const handshakesHeader = "handshakes one after the other, both sides in one process: key, kind, a second, mean time, " +
-	"work of the node as client, as server"
+const handshakesHeader = "handshakes one after the other, both sides in one process: key, kind, handshakes/s, " +
+	"mean time, work of the node as client, as server"
 
 // measureHandshakes measures sequential full and resumed handshakes with each kind of key.
 func (b *bench) measureHandshakes() error {
--- a/tools/tlsbench/memory.go
+++ b/tools/tlsbench/memory.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	perUnit := func(bytes uint64) float64 { return float64(bytes) / float64(b.count) / 1e3 }
-	fmt.Printf("memory: a connection of TLS, both ends together, %.1f KB (%.1f KB without TLS); "+
+	fmt.Printf("memory: TLS connection, both ends, %.1f KB (%.1f KB without TLS); "+
 		"a server with its session %.1f KB (%d kept)\n",
 		perUnit(encrypted), perUnit(plain), perUnit(sessions), clientTLS.Stats().Sessions)
 	return nil
--- a/tools/tlsbench/reuse.go
+++ b/tools/tlsbench/reuse.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	servers := status.Servers
-	fmt.Printf("reuse: %d requests (%d not 200), servers end a connection at each tenth: "+
+	fmt.Printf("reuse: %d requests (%d not 200), servers close the connection of every tenth request: "+
 		"%d full handshakes, %d resumed: %.1f%% of the full ones saved\n",
 		requests.Load(), failed.Load(), servers.Full.Count, servers.Resumed.Count, 100*servers.ResumptionRate())
 	return nil
--- a/tools/xdsbench/main.go
+++ b/tools/xdsbench/main.go
@@ -24,7 +24,7 @@
 func main() {
 	flood := flag.Bool("flood", false, "measure the latency of requests during a flood")
 	sizes := flag.String("sizes", "", "numbers of endpoints to measure updates at")
-	rounds := flag.Int("rounds", 5, "of the flood, or updates at each size")
+	rounds := flag.Int("rounds", 5, "rounds of the flood, or updates at each size")
 	procs := flag.Int("procs", 0, "cores of the node; 0: all")
 	flag.Parse()
 	if *procs > 0 {
--- a/tools/xdsbench/updates.go
+++ b/tools/xdsbench/updates.go
@@ -111,8 +111,8 @@
 	}
 	counted := len(total.latencies)
 	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
-	fmt.Printf("%6d endpoints, %s, %6d in the cluster that changes: push to applied median %v, most %v; "+
-		"CPU %v, %d allocations an update\n",
+	fmt.Printf("%6d endpoints, %s, %6d in the cluster that changes: push to applied median %v, maximum %v; "+
+		"CPU %v, %d allocations per update\n",
 		u.endpoints, variant, u.perCluster,
 		round(benchkit.Quantile(total.latencies, 0.5)), round(benchkit.Quantile(total.latencies, 1)),
 		round(total.cpu/time.Duration(counted)), total.allocs/uint64(counted))
